--- a/emulator/connections.c
+++ b/emulator/connections.c
@@ -107,7 +107,8 @@
 }
 
 static void pipe_clear(pipe *p) {
-  list_for_each(k, &p->packets, packet, link) packet_free(k);
+  list_for_each (k, &p->packets, packet, link)
+    packet_free(k);
 }
 
 static void pipe_run(void *p);
@@ -513,7 +514,9 @@
 
 /* listeners */
 static place *place_of(sim *sim, const char *addr) {
-  list_for_each(p, &sim->listeners, place, link) if (!strcmp(p->addr, addr)) return p;
+  list_for_each (p, &sim->listeners, place, link)
+    if (!strcmp(p->addr, addr))
+      return p;
   return NULL;
 }
 
@@ -553,11 +556,11 @@
 
 void kept_listener_end(world *world, http_listener *listener) {
   host *h = (host *)world;
-  list_for_each(c, &h->sim->channels, channel, link) if (c->listener == listener && c->open_b &&
-                                                         !c->serving && alive_at(c->b, c->life_b)) {
-    pipe_send(&c->to_a, P_CLOSE, NULL, NULL, 0, NULL, 0, false);
-    leave_b(c);
-  }
+  list_for_each (c, &h->sim->channels, channel, link)
+    if (c->listener == listener && c->open_b && !c->serving && alive_at(c->b, c->life_b)) {
+      pipe_send(&c->to_a, P_CLOSE, NULL, NULL, 0, NULL, 0, false);
+      leave_b(c);
+    }
 }
 
 /* the calling side */
@@ -567,7 +570,7 @@
     return p->host;
   size_t n = strcspn(addr, ":");
   host *near = NULL;
-  list_for_each(h, &sim->hosts, host, link) {
+  list_for_each (h, &sim->hosts, host, link) {
     if (!strcmp(h->addr, addr))
       return h;
     if (strcspn(h->addr, ":") == n && !strncmp(h->addr, addr, n))
@@ -651,7 +654,7 @@
     return;
   }
   channel *c = NULL;
-  list_for_each(i, &a->kept, channel, idle) {
+  list_for_each (i, &a->kept, channel, idle) {
     if (call->world->kept_idle_ms &&
         time_reached(sim->now, time_add(i->idle_at, time_from_ms(call->world->kept_idle_ms)))) {
       if (i->open_b)
@@ -722,21 +725,26 @@
 
 void kept_forget(world *world, const char *addr) {
   host *h = (host *)world;
-  list_for_each(c, &h->kept, channel, idle) if (!addr || !strcmp(c->addr, addr)) close_a(c);
+  list_for_each (c, &h->kept, channel, idle)
+    if (!addr || !strcmp(c->addr, addr))
+      close_a(c);
 }
 
 bool kept_idle(world *world, const char *addr) {
   host *h = (host *)world;
-  list_for_each(c, &h->kept, channel, idle) if (!strcmp(c->addr, addr)) return true;
+  list_for_each (c, &h->kept, channel, idle)
+    if (!strcmp(c->addr, addr))
+      return true;
   return false;
 }
 
 void kept_end(host *host) {
-  list_for_each(p, &host->sim->listeners, place, link) if (p->host == host) {
-    p->open = false;
-    p->listener = NULL;
-  }
-  list_for_each(c, &host->sim->channels, channel, link) {
+  list_for_each (p, &host->sim->listeners, place, link)
+    if (p->host == host) {
+      p->open = false;
+      p->listener = NULL;
+    }
+  list_for_each (c, &host->sim->channels, channel, link) {
     if (c->b != host || !c->open_b || c->life_b != host->life)
       continue;
     if (!host->dark)
@@ -747,16 +755,17 @@
 }
 
 void kept_ended(host *host) {
-  list_for_each(c, &host->kept, channel, idle) close_a(c);
+  list_for_each (c, &host->kept, channel, idle)
+    close_a(c);
   list_init(&host->kept);
 }
 
 void kept_free(sim *sim) {
-  list_for_each(c, &sim->channels, channel, link) {
+  list_for_each (c, &sim->channels, channel, link) {
     pipe_clear(&c->to_a);
     pipe_clear(&c->to_b);
   }
-  list_for_each(x, &sim->exchanges, exchange, link) {
+  list_for_each (x, &sim->exchanges, exchange, link) {
     list_remove(&x->link);
     g_free(x->verb);
     g_free(x->target);
@@ -764,8 +773,9 @@
     g_string_free(x->body, TRUE);
     g_free(x);
   }
-  list_for_each(c, &sim->channels, channel, link) channel_free(c);
-  list_for_each(p, &sim->listeners, place, link) {
+  list_for_each (c, &sim->channels, channel, link)
+    channel_free(c);
+  list_for_each (p, &sim->listeners, place, link) {
     list_remove(&p->link);
     g_free(p);
   }
--- a/emulator/deployment.c
+++ b/emulator/deployment.c
@@ -332,7 +332,9 @@
 }
 
 void deployment_free(deployment *deployment) {
-  list_for_each(h, &deployment->sim->hosts, host, link) if (h->alive) host_kill(h);
+  list_for_each (h, &deployment->sim->hosts, host, link)
+    if (h->alive)
+      host_kill(h);
   for (size_t i = 0; i < deployment->engines + deployment->plain; i++)
     g_ptr_array_free(deployment->engine[i]->plan.controllers, TRUE);
   if (deployment->client)
@@ -402,7 +404,8 @@
 }
 
 bool deployment_up(deployment *deployment) {
-  list_for_each(h, &deployment->sim->hosts, host, link) host_start(h);
+  list_for_each (h, &deployment->sim->hosts, host, link)
+    host_start(h);
   sim_run(deployment->sim, time_from_ms(2500));
   char *text = deployment->config ? deployment->config(deployment, 1)
                                   : deployment_config(deployment, 1, NULL);
--- a/emulator/engine_sim.c
+++ b/emulator/engine_sim.c
@@ -26,15 +26,16 @@
 }
 
 static engine_sim_item *find(engine_sim *engine, id m, id a) {
-  list_for_each(i, &engine->items, engine_sim_item,
-                link) if (id_equal(i->model, m) && id_equal(i->adapter, a)) return i;
+  list_for_each (i, &engine->items, engine_sim_item, link)
+    if (id_equal(i->model, m) && id_equal(i->adapter, a))
+      return i;
   return NULL;
 }
 
 static void sums(engine_sim *engine, uint64_t *megs, unsigned *slots) {
   *megs = 0;
   *slots = 0;
-  list_for_each(i, &engine->items, engine_sim_item, link) {
+  list_for_each (i, &engine->items, engine_sim_item, link) {
     *megs += i->megs;
     *slots += i->slots;
   }
@@ -55,7 +56,7 @@
          engine->self.text, engine->type.text, engine->area.text, engine->boot, engine->seq,
          engine->weights_mb, engine->adapter_slots, engine->running, engine->epoch);
   bool first = true;
-  list_for_each(i, &engine->items, engine_sim_item, link) {
+  list_for_each (i, &engine->items, engine_sim_item, link) {
     if (i->state == 'l' && !time_reached(now, i->shown))
       continue;
     json_f(b,
@@ -227,8 +228,9 @@
   } else if (i->state != 'd') {
     /* a base that goes from under its adapters leaves them useless, and their places taken */
     if (id_is_empty(o.adapter))
-      list_for_each(k, &engine->items, engine_sim_item, link) engine->orphans +=
-          id_equal(k->model, o.model) && !id_is_empty(k->adapter) && k->state == 'u';
+      list_for_each (k, &engine->items, engine_sim_item, link)
+        engine->orphans +=
+            id_equal(k->model, o.model) && !id_is_empty(k->adapter) && k->state == 'u';
     i->state = 'd';
     o.taken = true;
     work *k = g_new(work, 1);
@@ -440,7 +442,8 @@
 }
 
 void engine_sim_free(engine_sim *engine) {
-  list_for_each(i, &engine->items, engine_sim_item, link) drop(engine, i);
+  list_for_each (i, &engine->items, engine_sim_item, link)
+    drop(engine, i);
   g_array_free(engine->orders, TRUE);
   g_array_free(engine->streams, TRUE);
   g_array_free(engine->refusals, TRUE);
--- a/emulator/fleet.c
+++ b/emulator/fleet.c
@@ -65,7 +65,7 @@
   f->operator= sim_host(f->sim, HOST_CALLERS, "operator", "mid", "127.0.0.8:1");
   f->prober = sim_host(f->sim, HOST_CALLERS, "prober", "mid", "127.0.0.6:1");
   f->probes = g_array_new(FALSE, TRUE, sizeof(probe));
-  list_for_each(h, &f->sim->hosts, host, link) {
+  list_for_each (h, &f->sim->hosts, host, link) {
     if (h->role > HOST_ROUTER)
       continue;
     h->settings.self = h->self;
@@ -360,7 +360,8 @@
 }
 
 bool fleet_up(fleet *fleet) {
-  list_for_each(h, &fleet->sim->hosts, host, link) host_start(h);
+  list_for_each (h, &fleet->sim->hosts, host, link)
+    host_start(h);
   for (int i = 0; i < fleet->engines; i++) {
     host *h = fleet->engine[i];
     platform_sim_engine e = { .self = h->self,
--- a/emulator/gateway_check.c
+++ b/emulator/gateway_check.c
@@ -35,8 +35,9 @@
 
 static host *host_by(deployment *deployment, const char *addr) {
   size_t n = strcspn(addr, ":");
-  list_for_each(h, &deployment->sim->hosts, host,
-                link) if (strcspn(h->addr, ":") == n && !strncmp(h->addr, addr, n)) return h;
+  list_for_each (h, &deployment->sim->hosts, host, link)
+    if (strcspn(h->addr, ":") == n && !strncmp(h->addr, addr, n))
+      return h;
   return NULL;
 }
 
--- a/emulator/instance.c
+++ b/emulator/instance.c
@@ -74,7 +74,9 @@
 }
 
 static copy *copy_of(em_engine *engine, id model) {
-  list_for_each(c, &engine->held, copy, link) if (id_equal(c->model, model)) return c;
+  list_for_each (c, &engine->held, copy, link)
+    if (id_equal(c->model, model))
+      return c;
   return NULL;
 }
 
@@ -94,7 +96,7 @@
 static void models_json(em_engine *engine, GString *b) {
   bool first = true;
   g_string_append(b, "[");
-  list_for_each(c, &engine->held, copy, link) {
+  list_for_each (c, &engine->held, copy, link) {
     if (!c->up)
       continue;
     json_f(b, "%s{\"name\":\"%s\",\"version\":1,\"adapters\":[", first ? "" : ",", c->model.text);
@@ -261,7 +263,7 @@
   em_engine *engine = p;
   for (;;) {
     unsigned n = 0, reading = 0;
-    list_for_each(r, &engine->running, run, link) {
+    list_for_each (r, &engine->running, run, link) {
       n++;
       reading += r->to_read > 0;
     }
@@ -269,7 +271,7 @@
       break;
     double ms = engine->plan->step_ms + engine->plan->per_ms * n,
            piece = reading ? engine->plan->read_per_ms * ms : 0, used = 0;
-    list_for_each(r, &engine->running, run, link) {
+    list_for_each (r, &engine->running, run, link) {
       if (r->to_read <= 0 || used >= piece)
         continue;
       double take = MIN(r->to_read, piece - used);
@@ -279,7 +281,7 @@
     ms += used / (engine->plan->read_per_ms > 0 ? engine->plan->read_per_ms : 1);
     if (!world_sleep(engine->world, (time_us){ (int64_t)(ms * slow(engine) * 1000) }))
       break;
-    list_for_each(r, &engine->running, run, link) {
+    list_for_each (r, &engine->running, run, link) {
       if (r->to_read > 0 || r->last || r->tokens >= r->want)
         continue;
       if (!r->read) {
@@ -298,7 +300,9 @@
 static void admit(em_engine *engine) {
   while (engine->busy_slots < engine->plan->slots) {
     run *best = NULL;
-    list_for_each(r, &engine->queue, run, link) if (!best || r->priority < best->priority) best = r;
+    list_for_each (r, &engine->queue, run, link)
+      if (!best || r->priority < best->priority)
+        best = r;
     if (!best || (best->kv > 0 && !kv_fits(engine, best->kv)))
       return;
     list_remove(&best->link);
@@ -661,9 +665,9 @@
 /* the runs of a model, or of one adapter of it */
 static int runs_of(em_engine *engine, id model, id adapter) {
   int n = 0;
-  list_for_each(r, &engine->running, run, link) n +=
-      id_equal(r->rec->model, model) &&
-      (id_is_empty(adapter) || id_equal(r->rec->adapter, adapter));
+  list_for_each (r, &engine->running, run, link)
+    n += id_equal(r->rec->model, model) &&
+         (id_is_empty(adapter) || id_equal(r->rec->adapter, adapter));
   return n;
 }
 
@@ -695,7 +699,7 @@
 static void held_sums(em_engine *engine, double *megs, unsigned *slots) {
   *megs = 0;
   *slots = 0;
-  list_for_each(c, &engine->held, copy, link) {
+  list_for_each (c, &engine->held, copy, link) {
     const em_model *m = model_of(engine, c->model);
     *megs += m->megs + g_hash_table_size(c->adapters) * m->adapter_mb;
     *slots += g_hash_table_size(c->adapters);
@@ -792,7 +796,8 @@
     } else {
       if (!ad) {
         c->going = true;
-        list_for_each(r, &engine->queue, run, link) if (id_equal(r->rec->model, o->model))
+        list_for_each (r, &engine->queue, run, link)
+          if (id_equal(r->rec->model, o->model))
             condition_broadcast(&r->changed);
       }
       task_start(&engine->world->tasks, "unload", unload_run, k);
@@ -982,7 +987,8 @@
 
 void em_engine_free(em_engine *engine) {
   engine->end->ended = world_now(engine->world);
-  list_for_each(c, &engine->held, copy, link) copy_free(c);
+  list_for_each (c, &engine->held, copy, link)
+    copy_free(c);
   g_queue_clear_full(&engine->kept, g_free);
   for (GList *l = engine->past.head; l; l = l->next) {
     snapshot *s = l->data;
--- a/emulator/sim.c
+++ b/emulator/sim.c
@@ -147,7 +147,9 @@
 }
 
 static host *at_addr(sim *sim, const char *addr) {
-  list_for_each(h, &sim->hosts, host, link) if (!strcmp(h->addr, addr)) return h;
+  list_for_each (h, &sim->hosts, host, link)
+    if (!strcmp(h->addr, addr))
+      return h;
   return NULL;
 }
 
@@ -622,7 +624,9 @@
 }
 
 host *sim_find(sim *sim, const char *self) {
-  list_for_each(h, &sim->hosts, host, link) if (!strcmp(h->self.text, self)) return h;
+  list_for_each (h, &sim->hosts, host, link)
+    if (!strcmp(h->self.text, self))
+      return h;
   return NULL;
 }
 
@@ -683,12 +687,11 @@
 
 /* those who wait for an answer of a dead process see a reset, unless the whole machine went dark */
 static void conns_end(host *host, bool dark) {
-  list_for_each(c, &host->sim->conns, conn, link) if (c->b == host && c->life_b == host->life &&
-                                                      c->call && c->call->sent && !c->over &&
-                                                      !dark) {
-    c->over = true;
-    send_caller(c, 3, NULL, 0, false, NULL);
-  }
+  list_for_each (c, &host->sim->conns, conn, link)
+    if (c->b == host && c->life_b == host->life && c->call && c->call->sent && !c->over && !dark) {
+      c->over = true;
+      send_caller(c, 3, NULL, 0, false, NULL);
+    }
 }
 
 static void end(host *host, bool dark) {
@@ -763,7 +766,8 @@
 }
 
 void sim_free(sim *sim) {
-  list_for_each(h, &sim->hosts, host, link) end(h, false);
+  list_for_each (h, &sim->hosts, host, link)
+    end(h, false);
   GSequenceIter *it;
   while (!g_sequence_iter_is_end(it = g_sequence_get_begin_iter(sim->events))) {
     event *event = g_sequence_get(it);
@@ -773,7 +777,7 @@
     event_free(event);
   }
   kept_free(sim);
-  list_for_each(h, &sim->hosts, host, link) {
+  list_for_each (h, &sim->hosts, host, link) {
     if (h->dispose)
       h->dispose(h);
     if (h->engine)
@@ -799,7 +803,7 @@
 }
 
 static void wake_hosts(sim *sim) {
-  list_for_each(h, &sim->hosts, host, link) {
+  list_for_each (h, &sim->hosts, host, link) {
     if (!h->alive || h->frozen)
       continue;
     if (!list_is_empty(&h->world.tasks.ready) || h->due.us <= sim->now.us)
@@ -815,7 +819,7 @@
   event *e = g_sequence_iter_is_end(it) ? NULL : g_sequence_get(it);
   if (e && e->at.us < next.us)
     next = e->at;
-  list_for_each(h, &sim->hosts, host, link) {
+  list_for_each (h, &sim->hosts, host, link) {
     if (!h->alive || h->frozen)
       continue;
     if (!list_is_empty(&h->inbox))
@@ -828,13 +832,13 @@
   if (next.us > sim->now.us)
     sim->now = next;
   sim->turns++;
-  list_for_each(h, &sim->hosts, host,
-                link) while (h->alive && !h->frozen && !list_is_empty(&h->inbox)) {
-    event *k = list_item(h->inbox.next, event, wait);
-    list_remove(&k->wait);
-    k->run(k);
-    event_free(k);
-  }
+  list_for_each (h, &sim->hosts, host, link)
+    while (h->alive && !h->frozen && !list_is_empty(&h->inbox)) {
+      event *k = list_item(h->inbox.next, event, wait);
+      list_remove(&k->wait);
+      k->run(k);
+      event_free(k);
+    }
   if (e && e->at.us <= sim->now.us) {
     g_sequence_remove(it);
     if (e->host && e->host->alive && e->host->frozen)
--- a/lib/common/http_client.c
+++ b/lib/common/http_client.c
@@ -388,6 +388,7 @@
 }
 
 void clients_listen(http_engine *http) {
-  list_for_each(k, &http->choked, client,
-                choked) if (!k->call || k->call->received->len <= GOT_MOST / 2) client_listen(k);
+  list_for_each (k, &http->choked, client, choked)
+    if (!k->call || k->call->received->len <= GOT_MOST / 2)
+      client_listen(k);
 }
--- a/lib/common/http_server.c
+++ b/lib/common/http_server.c
@@ -564,9 +564,9 @@
 }
 
 void http_engine_listener_end(http_engine *http, http_listener *listener) {
-  list_for_each(s, &http->servers, server,
-                all) if (s->listener == listener && !(s->visit && s->visit->in_hand) &&
-                         !s->lingers && !s->conn.out) sock_kill(&s->conn.sim);
+  list_for_each (s, &http->servers, server, all)
+    if (s->listener == listener && !(s->visit && s->visit->in_hand) && !s->lingers && !s->conn.out)
+      sock_kill(&s->conn.sim);
 }
 
 void http_engine_push(http_engine *http, http_request *request) {
--- a/lib/common/node.c
+++ b/lib/common/node.c
@@ -42,7 +42,8 @@
 }
 
 void node_send_all(node *node, enum role r, Wire__Envelope *m) {
-  list_for_each(peer, &node->machines, machine, link) if (peer->role == r && !peer->gone)
+  list_for_each (peer, &node->machines, machine, link)
+    if (peer->role == r && !peer->gone)
       node_send(node, peer->addr, m);
 }
 
@@ -56,7 +57,7 @@
     *who = node->settings.self;
     g_strlcpy(addr, node->settings.addr, 48);
   }
-  list_for_each(peer, &node->machines, machine, link) {
+  list_for_each (peer, &node->machines, machine, link) {
     if (peer->role != r || peer->gone || peer->leaving || id_equal(pass_over, peer->self))
       continue;
     uint64_t h = hash_of_two(by, peer->self.text);
@@ -221,7 +222,9 @@
 };
 
 machine *node_find_machine(node *node, id who) {
-  list_for_each(peer, &node->machines, machine, link) if (id_equal(peer->self, who)) return peer;
+  list_for_each (peer, &node->machines, machine, link)
+    if (id_equal(peer->self, who))
+      return peer;
   return NULL;
 }
 
@@ -344,7 +347,8 @@
   node->ring_areas = 0;
   g_array_set_size(node->ring, 0);
   ring_add(node, node->settings.self, node->settings.area, node->settings.addr);
-  list_for_each(peer, &node->machines, machine, link) if (!peer->gone)
+  list_for_each (peer, &node->machines, machine, link)
+    if (!peer->gone)
       ring_add(node, peer->self, peer->area, peer->addr);
   g_array_sort(node->ring, spot_cmp);
 }
@@ -374,7 +378,8 @@
 }
 
 static void everyone(node *node, Wire__Envelope *m) {
-  list_for_each(peer, &node->machines, machine, link) if (!peer->gone)
+  list_for_each (peer, &node->machines, machine, link)
+    if (!peer->gone)
       node_send(node, peer->addr, m);
 }
 
@@ -473,7 +478,7 @@
     bool slept = time_reached(now, time_add(last, time_from_ms(DOUBT_MS / 2)));
     note_lateness(node, last, now);
     last = now;
-    list_for_each(peer, &node->machines, machine, link) {
+    list_for_each (peer, &node->machines, machine, link) {
       if (slept)
         peer->watched = now;
       if (peer->gone && time_reached(now, time_add(peer->lost, time_from_ms(FORGET_MS)))) {
@@ -531,8 +536,9 @@
 /* the same wherever the same live machines are known */
 static uint64_t table_sum(node *node) {
   uint64_t n = node_sum(node->settings.self, node->nonce, node->settings.addr, node->leaving);
-  list_for_each(peer, &node->machines, machine, link) if (!peer->gone) n ^=
-      node_sum(peer->self, peer->nonce, peer->addr, peer->leaving);
+  list_for_each (peer, &node->machines, machine, link)
+    if (!peer->gone)
+      n ^= node_sum(peer->self, peer->nonce, peer->addr, peer->leaving);
   return n;
 }
 
@@ -553,7 +559,7 @@
 
 static void table_send(node *node, const char *addr, bool back) {
   GPtrArray *all = g_ptr_array_new_with_free_func(g_free);
-  list_for_each(peer, &node->machines, machine, link) {
+  list_for_each (peer, &node->machines, machine, link) {
     if (peer->gone)
       continue;
     Wire__Node *n = g_new(Wire__Node, 1);
@@ -609,8 +615,8 @@
   node *node = p;
   for (int i = 0;; i++) {
     GPtrArray *all = g_ptr_array_new();
-    list_for_each(peer, &node->machines, machine,
-                  link) if (!peer->gone || world_random(node->world, 8) == 0)
+    list_for_each (peer, &node->machines, machine, link)
+      if (!peer->gone || world_random(node->world, 8) == 0)
         g_ptr_array_add(all, peer);
     if (all->len)
       sum_send(node, ((machine *)all->pdata[world_random(node->world, all->len)])->addr);
@@ -628,8 +634,9 @@
   GPtrArray *all = g_ptr_array_new();
   machine *got = NULL;
   bool live = false;
-  list_for_each(peer, &node->machines, machine, link) live |= peer->role == r && !peer->gone;
-  list_for_each(peer, &node->machines, machine, link) {
+  list_for_each (peer, &node->machines, machine, link)
+    live |= peer->role == r && !peer->gone;
+  list_for_each (peer, &node->machines, machine, link) {
     if (peer->role != r || (live && peer->gone))
       continue;
     if (last && last[0] && !strcmp(last, peer->addr))
@@ -644,7 +651,8 @@
 
 int node_count_machines(node *node, enum role r) {
   int n = node->settings.role == r;
-  list_for_each(peer, &node->machines, machine, link) n += peer->role == r && !peer->leaving;
+  list_for_each (peer, &node->machines, machine, link)
+    n += peer->role == r && !peer->leaving;
   return n;
 }
 
@@ -656,12 +664,13 @@
          node->settings.self.text, node->settings.role == ROLE_CONTROLLER ? "controller" : "router",
          node->settings.area.text, node->settings.addr, node->inc,
          node->leaving ? "leaving" : "live");
-  list_for_each(peer, &node->machines, machine, link) json_f(
-      to,
-      ",{\"id\":\"%s\",\"role\":\"%s\",\"area\":\"%s\",\"addr\":\"%s\",\"incarnation\":%" PRIu64
-      ",\"standing\":\"%s\",\"heardMs\":%" PRId64 "}",
-      peer->self.text, peer->role == ROLE_CONTROLLER ? "controller" : "router", peer->area.text,
-      peer->addr, peer->inc, machine_state_name(peer), time_sub(now, peer->heard).us / 1000);
+  list_for_each (peer, &node->machines, machine, link)
+    json_f(
+        to,
+        ",{\"id\":\"%s\",\"role\":\"%s\",\"area\":\"%s\",\"addr\":\"%s\",\"incarnation\":%" PRIu64
+        ",\"standing\":\"%s\",\"heardMs\":%" PRId64 "}",
+        peer->self.text, peer->role == ROLE_CONTROLLER ? "controller" : "router", peer->area.text,
+        peer->addr, peer->inc, machine_state_name(peer), time_sub(now, peer->heard).us / 1000);
   g_string_append_c(to, ']');
 }
 
@@ -701,7 +710,7 @@
 }
 
 void node_free(node *node) {
-  list_for_each(peer, &node->machines, machine, link) {
+  list_for_each (peer, &node->machines, machine, link) {
     list_remove(&peer->link);
     g_free(peer);
   }
--- a/lib/common/peer_channels.c
+++ b/lib/common/peer_channels.c
@@ -46,7 +46,7 @@
 };
 
 static void outbound_drop_messages(outbound *peer) {
-  list_for_each(waiting, &peer->waiting, message, link) {
+  list_for_each (waiting, &peer->waiting, message, link) {
     list_remove(&waiting->link);
     g_free(waiting->bytes);
     g_free(waiting);
--- a/lib/controlplane/agreement.c
+++ b/lib/controlplane/agreement.c
@@ -374,7 +374,8 @@
   agreement_adopt(core, view_pack(&vm, &use));
   if (core->view.epoch != epoch)
     return false;
-  list_for_each(peer, &core->node->machines, machine, link) if (peer->role == ROLE_CONTROLLER)
+  list_for_each (peer, &core->node->machines, machine, link)
+    if (peer->role == ROLE_CONTROLLER)
       agreement_announce(core, peer->addr);
   return true;
 }
--- a/lib/controlplane/controller.c
+++ b/lib/controlplane/controller.c
@@ -348,7 +348,7 @@
 bool controller_write_in_force(controller *controller, uint64_t seq, int *got, int *all) {
   *got = 0;
   *all = node_count_machines(&controller->node, ROLE_ROUTER);
-  list_for_each(peer, &controller->node.machines, machine, link) {
+  list_for_each (peer, &controller->node.machines, machine, link) {
     having *h = peer->role == ROLE_ROUTER && !peer->leaving
                     ? g_hash_table_lookup(controller->reported_seq, peer->self.text)
                     : NULL;
--- a/lib/controlplane/drain.c
+++ b/lib/controlplane/drain.c
@@ -20,7 +20,7 @@
 /* a core machine that may take this one's vote: it is there, and has none itself */
 static bool successor_is_known(controller *controller) {
   const view *view = &controller->core.view;
-  list_for_each(peer, &controller->node.machines, machine, link) {
+  list_for_each (peer, &controller->node.machines, machine, link) {
     if (peer->role != ROLE_CONTROLLER || peer->gone || peer->leaving)
       continue;
     bool votes = false;
@@ -95,7 +95,8 @@
     controller->control.leaving = controller->node.leaving = true;
     Wire__Beat b = WIRE__BEAT__INIT;
     Wire__Envelope w = wire_msg(WIRE__ENVELOPE__BODY_BEAT, &b);
-    list_for_each(peer, &controller->node.machines, machine, link) if (!peer->gone)
+    list_for_each (peer, &controller->node.machines, machine, link)
+      if (!peer->gone)
         node_send(&controller->node, peer->addr, &w);
   }
   task_start(&controller->node.world->tasks, "drain", drain_run, controller);
--- a/lib/controlplane/engines.c
+++ b/lib/controlplane/engines.c
@@ -31,8 +31,8 @@
 
 static int controllers(controller *controller) {
   int n = 0;
-  list_for_each(peer, &controller->node.machines, machine, link) n +=
-      peer->role == ROLE_CONTROLLER && !peer->gone;
+  list_for_each (peer, &controller->node.machines, machine, link)
+    n += peer->role == ROLE_CONTROLLER && !peer->gone;
   return n;
 }
 
@@ -41,7 +41,8 @@
   e.engines = all;
   e.n_engines = n;
   Wire__Envelope w = wire_msg(WIRE__ENVELOPE__BODY_ENGINES, &e);
-  list_for_each(peer, &controller->node.machines, machine, link) if (peer->role == r && !peer->gone)
+  list_for_each (peer, &controller->node.machines, machine, link)
+    if (peer->role == r && !peer->gone)
       node_send(&controller->node, peer->addr, &w);
 }
 
@@ -182,9 +183,10 @@
 /* false while a core machine is not heard that may well be there, behind a cut */
 static bool all_reached(controller *controller) {
   time_us from = time_sub(world_now(controller->node.world), time_from_ms(LOST_MS));
-  list_for_each(peer, &controller->node.machines, machine,
-                link) if (peer->role == ROLE_CONTROLLER && peer->gone && !peer->leaving &&
-                          time_reached(peer->lost, from)) return false;
+  list_for_each (peer, &controller->node.machines, machine, link)
+    if (peer->role == ROLE_CONTROLLER && peer->gone && !peer->leaving &&
+        time_reached(peer->lost, from))
+      return false;
   return true;
 }
 
--- a/lib/controlplane/join.c
+++ b/lib/controlplane/join.c
@@ -213,10 +213,10 @@
     machine *peer = NULL;
     bool any = !world_random(world, 3);
     uint64_t seen = 0;
-    list_for_each(x, &core->node->machines, machine,
-                  link) if (x->role == ROLE_CONTROLLER && !x->gone &&
-                            (any ? !world_random(world, ++seen)
-                                 : !peer || x->heard.us > peer->heard.us)) peer = x;
+    list_for_each (x, &core->node->machines, machine, link)
+      if (x->role == ROLE_CONTROLLER && !x->gone &&
+          (any ? !world_random(world, ++seen) : !peer || x->heard.us > peer->heard.us))
+        peer = x;
     char addr[48] = "";
     if (core->view.epoch && world_random(world, 3))
       g_strlcpy(addr, core_tail(core)->addr, sizeof addr);
--- a/lib/gateway/eviction.c
+++ b/lib/gateway/eviction.c
@@ -40,9 +40,10 @@
 }
 
 static bool wanted_here(instance *instance, id model, id adapter) {
-  list_for_each(job, &instance->orders, place_job,
-                link) if (!job->done && id_equal(job->model, model) &&
-                          (id_is_empty(adapter) || id_equal(job->adapter, adapter))) return true;
+  list_for_each (job, &instance->orders, place_job, link)
+    if (!job->done && id_equal(job->model, model) &&
+        (id_is_empty(adapter) || id_equal(job->adapter, adapter)))
+      return true;
   return false;
 }
 
@@ -50,10 +51,10 @@
    engine's each resident would look through all engines again */
 void copies_count(gateway *gateway, id service) {
   gateway->copies = g_hash_table_new(NULL, NULL);
-  list_for_each(i, &gateway->instances, instance, link) {
+  list_for_each (i, &gateway->instances, instance, link) {
     if (i->gone || i->leaving || !id_equal(i->service, service) || instance_lost(i))
       continue;
-    list_for_each(r, &i->residents, resident, link) {
+    list_for_each (r, &i->residents, resident, link) {
       if (r->unloading)
         continue;
       for (int k = -1; k < (int)r->adapters->len; k++) {
@@ -106,7 +107,7 @@
   int n = 0;
   *mb = instance->owed_mb;
   *slots = instance->owed_slots;
-  list_for_each(r, &instance->residents, resident, link) {
+  list_for_each (r, &instance->residents, resident, link) {
     for (guint k = 0; k < r->leaving->len; k++)
       *mb += thing_size_mb(service, r->model, id_of_text(r->leaving->pdata[k]));
     *slots += r->leaving->len;
--- a/lib/gateway/forward.c
+++ b/lib/gateway/forward.c
@@ -231,7 +231,7 @@
 
 static int ahead(const inflight_request *flight, bool same) {
   int n = 0;
-  list_for_each(o, &flight->gateway->queue, inflight_request, queue_link) {
+  list_for_each (o, &flight->gateway->queue, inflight_request, queue_link) {
     if (o == flight || o->rank > flight->rank)
       break;
     n += !o->slot.instance && !o->http->gone &&
@@ -266,7 +266,7 @@
          WAKE_STOPPED) {
     const inflight_request *none[THINGS];
     int n = 0;
-    list_for_each(flight, &gateway->queue, inflight_request, queue_link) {
+    list_for_each (flight, &gateway->queue, inflight_request, queue_link) {
       if (flight->slot.instance)
         continue;
       bool known = flight->http->gone || gateway->ending;
@@ -283,8 +283,9 @@
 }
 
 void forward_wake_open(gateway *gateway) {
-  list_for_each(flight, &gateway->open_requests, inflight_request,
-                open_link) if (flight->http->left) condition_broadcast(flight->http->left);
+  list_for_each (flight, &gateway->open_requests, inflight_request, open_link)
+    if (flight->http->left)
+      condition_broadcast(flight->http->left);
 }
 
 /* at the end of the grace nothing is waited for that has not begun; what has begun goes on as long
@@ -993,7 +994,7 @@
 
 void forward_report_open(gateway *gateway) {
   int lines = 0;
-  list_for_each(flight, &gateway->open_requests, inflight_request, open_link) {
+  list_for_each (flight, &gateway->open_requests, inflight_request, open_link) {
     if (lines++ >= OPEN_LINES_MOST)
       return;
     log_info(&gateway->router->node.log, "gateway",
--- a/lib/gateway/gateway.c
+++ b/lib/gateway/gateway.c
@@ -36,7 +36,7 @@
   char d[64];
   if (gateway->canary)
     one(gateway->router, "canary");
-  list_for_each(i, &gateway->instances, instance, link) {
+  list_for_each (i, &gateway->instances, instance, link) {
     const service *service =
         i->gone || !gateway->routing ? NULL : routing_service(gateway->routing, i->service.text);
     if (!service || !service->model_count)
--- a/lib/gateway/instances.c
+++ b/lib/gateway/instances.c
@@ -69,7 +69,9 @@
 }
 
 static resident *resident_any(const instance *instance, id model) {
-  list_for_each(r, &instance->residents, resident, link) if (id_equal(r->model, model)) return r;
+  list_for_each (r, &instance->residents, resident, link)
+    if (id_equal(r->model, model))
+      return r;
   return NULL;
 }
 
@@ -159,7 +161,8 @@
 static void instance_free(instance *instance) {
   g_hash_table_remove(instance->gateway->instance_at, instance->self.text);
   list_remove(&instance->link);
-  list_for_each(r, &instance->residents, resident, link) resident_free(r);
+  list_for_each (r, &instance->residents, resident, link)
+    resident_free(r);
   g_hash_table_destroy(instance->held_before);
   g_array_free(instance->runs, TRUE);
   g_array_free(instance->others, TRUE);
@@ -183,7 +186,8 @@
   instance->gone_at = now_of(instance);
   log_debug(&instance->gateway->router->node.log, "engine", "%s at %s is gone: %s.",
             instance->self.text, instance->addr, why);
-  list_for_each(r, &instance->residents, resident, link) resident_free(r);
+  list_for_each (r, &instance->residents, resident, link)
+    resident_free(r);
   g_free(instance->parts);
   instance->parts = NULL;
   g_array_set_size(instance->others, 0);
@@ -196,7 +200,7 @@
   bool moved = !instance->models_known;
   id none = id_of_text("");
   instance->models_known = true;
-  list_for_each(r, &instance->residents, resident, link) {
+  list_for_each (r, &instance->residents, resident, link) {
     Wire__Resident *w = NULL;
     for (size_t k = 0; k < n; k++)
       if (!strcmp(m[k]->model, r->model.text))
@@ -278,7 +282,7 @@
     i->service = id_of_text(w->service);
     i->area = id_of_text(w->area);
     /* its speed is taken to be that of its fellows until it is known */
-    list_for_each(o, &gateway->instances, instance, link) {
+    list_for_each (o, &gateway->instances, instance, link) {
       if (o == i || o->gone || !id_equal(o->service, i->service))
         continue;
       i->base_ms = o->base_ms;
@@ -288,7 +292,7 @@
       break;
     }
     i->beat_at = time_sub(now, time_from_ms((int64_t)w->agems));
-    list_for_each(o, &gateway->instances, instance, link) {
+    list_for_each (o, &gateway->instances, instance, link) {
       if (o == i || o->gone || strcmp(o->addr, i->addr))
         continue;
       if (o->beat_at.us <= i->beat_at.us)
@@ -360,9 +364,9 @@
 
 int instance_copies(gateway *gateway, id service, id model, id adapter) {
   int n = 0;
-  list_for_each(i, &gateway->instances, instance, link) n +=
-      !i->gone && !i->leaving && id_equal(i->service, service) &&
-      instance_holds(i, model, adapter) && !instance_lost(i);
+  list_for_each (i, &gateway->instances, instance, link)
+    n += !i->gone && !i->leaving && id_equal(i->service, service) &&
+         instance_holds(i, model, adapter) && !instance_lost(i);
   return n;
 }
 
@@ -660,12 +664,12 @@
     GHashTable *there = g_hash_table_new(g_str_hash, g_str_equal);
     for (size_t k = 0; k < b->n_engines; k++)
       g_hash_table_add(there, b->engines[k]->id);
-    list_for_each(i, &gateway->instances, instance,
-                  link) if (!i->gone && !g_hash_table_contains(there, i->self.text) &&
-                            time_reached(now, after(i->beat_at, ABSENT_MS))) {
-      i->silent = true;
-      instance_over(i, "no longer registered");
-    }
+    list_for_each (i, &gateway->instances, instance, link)
+      if (!i->gone && !g_hash_table_contains(there, i->self.text) &&
+          time_reached(now, after(i->beat_at, ABSENT_MS))) {
+        i->silent = true;
+        instance_over(i, "no longer registered");
+      }
     g_hash_table_destroy(there);
   }
   for (size_t k = 0; k < b->n_engines; k++)
@@ -717,7 +721,7 @@
     instance->ordered_at = now;
     /* what it holds now, against what was known: the differences are changes that older beats don't
      * undo */
-    list_for_each(r, &instance->residents, resident, link) {
+    list_for_each (r, &instance->residents, resident, link) {
       Wire__Resident *m = NULL;
       for (size_t j = 0; j < w->n_models; j++)
         if (!strcmp(w->models[j]->model, r->model.text))
@@ -754,10 +758,11 @@
 void instance_cast(instance *instance) {
   node *node = &instance->gateway->router->node;
   guint n = 0;
-  list_for_each(r, &instance->residents, resident, link) n += !r->unloading;
+  list_for_each (r, &instance->residents, resident, link)
+    n += !r->unloading;
   Wire__Resident *m = g_new(Wire__Resident, n + 1), **mp = g_new(Wire__Resident *, n + 1);
   guint k = 0;
-  list_for_each(r, &instance->residents, resident, link) {
+  list_for_each (r, &instance->residents, resident, link) {
     if (r->unloading)
       continue;
     wire__resident__init(&m[k]);
@@ -806,14 +811,15 @@
       instance_failed(i, MIN(l->fails, 4) * (near ? 1 : ILL_AFAR));
   }
   /* a node tells all that it runs: where it names no engine, it runs nothing there */
-  list_for_each(i, &gateway->instances, instance, link) for (guint j = 0; j < i->others->len; j++) {
-    other_note *o = &g_array_index(i->others, other_note, j);
-    if (o->nonce != nonce || o->at.us == now.us)
-      continue;
-    g_array_remove_index_fast(i->others, j);
-    others_count(i);
-    break;
-  }
+  list_for_each (i, &gateway->instances, instance, link)
+    for (guint j = 0; j < i->others->len; j++) {
+      other_note *o = &g_array_index(i->others, other_note, j);
+      if (o->nonce != nonce || o->at.us == now.us)
+        continue;
+      g_array_remove_index_fast(i->others, j);
+      others_count(i);
+      break;
+    }
 }
 
 static int on_loads(void *ctx, Wire__Envelope *in, reply *reply, error *err) {
@@ -867,7 +873,8 @@
 /* tells one node all that this one runs */
 static void loads_tell(gateway *gateway, const char *addr) {
   GPtrArray *loads = g_ptr_array_new_with_free_func(load_free);
-  list_for_each(i, &gateway->instances, instance, link) if (!i->gone && i->running)
+  list_for_each (i, &gateway->instances, instance, link)
+    if (!i->gone && i->running)
       g_ptr_array_add(loads, load_of(i, 0));
   Wire__Loads message = WIRE__LOADS__INIT;
   message.n_loads = loads->len;
@@ -887,19 +894,19 @@
     GPtrArray *all = g_ptr_array_new_with_free_func(load_free), *to = g_ptr_array_new();
     /* a node that fails with most engines ails itself, and accuses nobody */
     int failing = 0, well_now = 0;
-    list_for_each(i, &gateway->instances, instance, link) {
+    list_for_each (i, &gateway->instances, instance, link) {
       failing += i->ill_unannounced > 0;
       well_now += i->last_ok.us && !time_reached(now, after(i->last_ok, SETTLE_MS));
     }
     bool own = failing >= OWN_FAULT && failing > well_now, tell = false;
     gateway->nodes = 1;
-    list_for_each(peer, &node->machines, machine,
-                  link) if (peer->role == ROLE_ROUTER && !peer->gone) {
-      gateway->nodes++;
-      g_ptr_array_add(to, peer);
-    }
+    list_for_each (peer, &node->machines, machine, link)
+      if (peer->role == ROLE_ROUTER && !peer->gone) {
+        gateway->nodes++;
+        g_ptr_array_add(to, peer);
+      }
     bool some = false;
-    list_for_each(i, &gateway->instances, instance, link) {
+    list_for_each (i, &gateway->instances, instance, link) {
       if (i->gone) {
         if (i->refs <= 0 && time_reached(now, after(i->gone_at, TOMB_MS)))
           instance_free(i);
@@ -943,7 +950,8 @@
 }
 
 void instances_free(gateway *gateway) {
-  list_for_each(i, &gateway->instances, instance, link) instance_free(i);
+  list_for_each (i, &gateway->instances, instance, link)
+    instance_free(i);
   if (gateway->slow)
     g_hash_table_destroy(gateway->slow);
   gateway->slow = NULL;
--- a/lib/gateway/load_jobs.c
+++ b/lib/gateway/load_jobs.c
@@ -471,7 +471,7 @@
     place_job *best = NULL;
     double top = 0;
     time_us now = now_of(gateway);
-    list_for_each(job, &instance->orders, place_job, link) {
+    list_for_each (job, &instance->orders, place_job, link) {
       if (job->done)
         continue;
       if (time_reached(now, time_add(job->asked, time_from_ms(LAPSE_MS)))) {
@@ -511,11 +511,12 @@
     job_drop(best);
     idle = now_of(gateway);
   }
-  list_for_each(job, &instance->orders, place_job, link) if (!job->done) {
-    job->held++;
-    job_done(job, E_ENGINE, 200);
-    job_drop(job);
-  }
+  list_for_each (job, &instance->orders, place_job, link)
+    if (!job->done) {
+      job->held++;
+      job_done(job, E_ENGINE, 200);
+      job_drop(job);
+    }
   instance->worker = false;
   instance_unref(instance);
 }
@@ -534,7 +535,7 @@
   id m = id_of_text(q->model), a = id_of_text(q->adapter);
   place_job *job = NULL;
   int ahead = 0;
-  list_for_each(k, &instance->orders, place_job, link) {
+  list_for_each (k, &instance->orders, place_job, link) {
     if (k->done)
       continue;
     ahead++;
@@ -587,7 +588,7 @@
   if (!job->done && !job->begun) {
     /* behind the one in hand, and those that come first */
     double ms = 30;
-    list_for_each(k, &instance->orders, place_job, link) {
+    list_for_each (k, &instance->orders, place_job, link) {
       const service *s = service_of(gateway, instance->service);
       if (k->done || !s)
         continue;
--- a/lib/gateway/loader.c
+++ b/lib/gateway/loader.c
@@ -15,11 +15,11 @@
 }
 
 void loader_free(gateway *gateway) {
-  list_for_each(i, &gateway->instances, instance, link)
-      list_for_each(job, &i->orders, place_job, link) {
-    list_remove(&job->link);
-    g_free(job);
-  }
+  list_for_each (i, &gateway->instances, instance, link)
+    list_for_each (job, &i->orders, place_job, link) {
+      list_remove(&job->link);
+      g_free(job);
+    }
   if (gateway->placings)
     g_hash_table_destroy(gateway->placings);
   if (gateway->paces)
--- a/lib/gateway/pace.c
+++ b/lib/gateway/pace.c
@@ -191,7 +191,7 @@
   enum { HEIRS = 3 };
   machine *heir[HEIRS] = { NULL };
   uint64_t top[HEIRS] = { 0 };
-  list_for_each(x, &gateway->router->node.machines, machine, link) {
+  list_for_each (x, &gateway->router->node.machines, machine, link) {
     if (x->role != ROLE_ROUTER || x->gone)
       continue;
     if (gateway->nodes <= FEW_NODES) {
--- a/lib/gateway/placement.c
+++ b/lib/gateway/placement.c
@@ -83,7 +83,7 @@
 int copies_short(gateway *gateway, id service, id model, id adapter) {
   double ms = 0;
   int have = 0;
-  list_for_each(i, &gateway->instances, instance, link) {
+  list_for_each (i, &gateway->instances, instance, link) {
     if (i->gone || i->leaving || !id_equal(i->service, service) ||
         !instance_holds(i, model, adapter))
       continue;
@@ -139,7 +139,7 @@
     return soon;
   copies_count(gateway, service->name);
   for (int round = 0; round < 2 && !best; round++)
-    list_for_each(i, &gateway->instances, instance, link) {
+    list_for_each (i, &gateway->instances, instance, link) {
       char addr[48];
       if (!id_equal(i->service, service->name) || i->gone || i->leaving || !i->models_known ||
           (!round && (i->no_answer_till.us > now_of(gateway).us || i->suspect || instance_ill(i) ||
--- a/lib/gateway/rates.c
+++ b/lib/gateway/rates.c
@@ -99,7 +99,8 @@
       return;
     /* a node that is new here, or has started anew, hears all from the start */
     uint64_t now_met = router->node.nonce;
-    list_for_each(x, &router->node.machines, machine, link) if (x->role == ROLE_ROUTER && !x->gone)
+    list_for_each (x, &router->node.machines, machine, link)
+      if (x->role == ROLE_ROUTER && !x->gone)
         now_met += x->nonce;
     if (now_met != met)
       g_hash_table_remove_all(gateway->rates_told);
--- a/lib/gateway/select.c
+++ b/lib/gateway/select.c
@@ -120,7 +120,7 @@
   int n = 0, held = 0, open = 0, any = 0;
   time_us now = world_now(gateway->router->node.world);
   bool llm = !id_is_empty(q->model);
-  list_for_each(i, &gateway->instances, instance, link) {
+  list_for_each (i, &gateway->instances, instance, link) {
     if (i->gone || i->leaving || !id_equal(i->service, service->name))
       continue;
     if (i->ends_at.us && time_reached(time_add(now, time_from_ms(1000)), i->ends_at))
--- a/lib/gateway/status.c
+++ b/lib/gateway/status.c
@@ -11,7 +11,7 @@
 static void instances_json(gateway *gateway, GString *to) {
   time_us now = world_now(gateway->router->node.world);
   bool first = true;
-  list_for_each(i, &gateway->instances, instance, link) {
+  list_for_each (i, &gateway->instances, instance, link) {
     if (i->gone)
       continue;
     json_f(
@@ -25,7 +25,7 @@
         ago(now, i->beat_at), ago(now, i->last_byte), i->base_ms, i->ms_per_token);
     first = false;
     bool f = true;
-    list_for_each(r, &i->residents, resident, link) {
+    list_for_each (r, &i->residents, resident, link) {
       json_f(to,
              "%s{\"model\":\"%s\",\"version\":%" PRIu64
              ",\"unloading\":%s,\"running\":%d,\"adapters\":[",
@@ -55,7 +55,7 @@
     const budget *budget = g_hash_table_lookup(gateway->budgets, service->name.text);
     int all = 0, usable = 0;
     bool routed = false;
-    list_for_each(i, &gateway->instances, instance, link) {
+    list_for_each (i, &gateway->instances, instance, link) {
       if (i->gone || !id_equal(i->service, service->name))
         continue;
       all++;
@@ -113,7 +113,8 @@
 void gateway_metrics(gateway *gateway, GString *to) {
   const gateway_counts *n = &gateway->counts;
   int up = 0;
-  list_for_each(i, &gateway->instances, instance, link) up += instance_usable(i);
+  list_for_each (i, &gateway->instances, instance, link)
+    up += instance_usable(i);
   json_f(
       to,
       "asterfall_gateway_requests %" PRIu64 "\nasterfall_gateway_served %" PRIu64
--- a/lib/gateway/wants.c
+++ b/lib/gateway/wants.c
@@ -126,9 +126,9 @@
     j->key = g_strdup(key);
     /* where all that hold it are lost to this node, others may not have seen that yet */
     int lost = 0;
-    list_for_each(i, &g->instances, instance, link) lost +=
-        !i->gone && !i->leaving && id_equal(i->service, service->name) && instance_lost(i) &&
-        instance_holds(i, model, adapter);
+    list_for_each (i, &g->instances, instance, link)
+      lost += !i->gone && !i->leaving && id_equal(i->service, service->name) && instance_lost(i) &&
+              instance_holds(i, model, adapter);
     j->lost = !copy && lost && !instance_copies(g, service->name, model, adapter);
     j->service = service->name;
     j->model = model;
@@ -137,9 +137,9 @@
     j->copy = copy || j->lost;
     bool there = !id_is_empty(adapter) && instance_copies(g, service->name, model, none) > 0;
     bool warm = false;
-    list_for_each(i, &g->instances, instance, link) warm |=
-        !i->gone && !i->leaving && id_equal(i->service, service->name) &&
-        g_hash_table_contains(i->held_before, model.text);
+    list_for_each (i, &g->instances, instance, link)
+      warm |= !i->gone && !i->leaving && id_equal(i->service, service->name) &&
+              g_hash_table_contains(i->held_before, model.text);
     j->due = ms_from(
         g, 30 + (there ? 0 : thing_load_ms(g, service, model, none, warm)) +
                (id_is_empty(adapter) ? 0 : thing_load_ms(g, service, model, adapter, false)));
--- a/lib/router/duty.c
+++ b/lib/router/duty.c
@@ -25,7 +25,7 @@
 /* the first live router for a duty, in the order that all agree on */
 static bool first(router *router, const char *duty) {
   uint64_t mine = hash_of_two(duty, router->node.settings.self.text);
-  list_for_each(peer, &router->node.machines, machine, link) {
+  list_for_each (peer, &router->node.machines, machine, link) {
     /* one whom the head does not answer can't do a duty, however well it is heard here */
     if (peer->role != ROLE_ROUTER || peer->gone || peer->leaving ||
         (peer->idle && !router->node.idle) ||
@@ -154,7 +154,7 @@
   if (router->each_duty)
     router->each_duty(router->gateway, want_duty);
   char d[64];
-  list_for_each(e, &router->engines, engine, link) {
+  list_for_each (e, &router->engines, engine, link) {
     if (e->quit || !e->listed)
       continue;
     duty_engine(d, sizeof d, e->self);
--- a/lib/router/news.c
+++ b/lib/router/news.c
@@ -47,8 +47,8 @@
   h.seq = router->seq;
   h.fleet = router->fleet;
   Wire__Envelope m = wire_msg(WIRE__ENVELOPE__BODY_HAVE, &h);
-  list_for_each(peer, &router->node.machines, machine,
-                link) if (peer->role == ROLE_CONTROLLER && !peer->gone)
+  list_for_each (peer, &router->node.machines, machine, link)
+    if (peer->role == ROLE_CONTROLLER && !peer->gone)
       node_send(&router->node, peer->addr, &m);
 }
 
@@ -62,9 +62,9 @@
 /* how many routers there are, as far as anybody in reach knows */
 static int known(router *router) {
   int n = node_count_machines(&router->node, ROLE_ROUTER);
-  list_for_each(peer, &router->node.machines, machine,
-                link) if (peer->role == ROLE_ROUTER && within(router, peer->agreed, FRESH_MS)) n =
-      MAX(n, (int)peer->known);
+  list_for_each (peer, &router->node.machines, machine, link)
+    if (peer->role == ROLE_ROUTER && within(router, peer->agreed, FRESH_MS))
+      n = MAX(n, (int)peer->known);
   return n;
 }
 
@@ -72,15 +72,15 @@
  */
 static bool most_agree(router *router) {
   int n = router->sure;
-  list_for_each(peer, &router->node.machines, machine, link) n +=
-      peer->role == ROLE_ROUTER && within(router, peer->agreed, FRESH_MS);
+  list_for_each (peer, &router->node.machines, machine, link)
+    n += peer->role == ROLE_ROUTER && within(router, peer->agreed, FRESH_MS);
   return n > known(router) / 2;
 }
 
 static bool most_blind(router *router) {
   int n = 1;
-  list_for_each(peer, &router->node.machines, machine, link) n +=
-      peer->role == ROLE_ROUTER && within(router, peer->blind, LIST_OLD_MS);
+  list_for_each (peer, &router->node.machines, machine, link)
+    n += peer->role == ROLE_ROUTER && within(router, peer->blind, LIST_OLD_MS);
   return n > known(router) / 2;
 }
 
@@ -500,7 +500,7 @@
     router_may_enrol(router);
     if (told)
       continue;
-    list_for_each(m, &router->node.machines, machine, link) {
+    list_for_each (m, &router->node.machines, machine, link) {
       if (m->role != ROLE_ROUTER || m->leaving || m->asked)
         continue;
       m->asked = true;
--- a/lib/router/place.c
+++ b/lib/router/place.c
@@ -51,7 +51,7 @@
 static lack lacking(engine *engine, uint64_t megs, unsigned slots) {
   uint64_t m = engine->owed_megs;
   unsigned s = engine->owed_slots;
-  list_for_each(h, &engine->holdings, holding, link) {
+  list_for_each (h, &engine->holdings, holding, link) {
     m += h->megs;
     s += h->slots;
   }
@@ -198,10 +198,11 @@
       return error_set(err, E_STOPPING, "stopping");
     time_us now = world_now(router->node.world);
     int n = 0, count = 0;
-    list_for_each(h, &engine->holdings, holding, link) count++;
+    list_for_each (h, &engine->holdings, holding, link)
+      count++;
     GArray *held = g_array_set_size(g_array_new(FALSE, TRUE, sizeof(candidate)), (guint)count);
     candidate *all = (candidate *)held->data;
-    list_for_each(h, &engine->holdings, holding, link) {
+    list_for_each (h, &engine->holdings, holding, link) {
       candidate *candidate = &all[n++];
       char key[128];
       memset(candidate, 0, sizeof *candidate);
@@ -219,9 +220,9 @@
           h->state != HOLD_UP || h->unsettled ||
           (!h->used && !time_reached(now, time_add(h->up_at, time_from_ms(YOUNG_MS)))) ||
           (!id_is_empty(adapter_) && id_is_empty(h->adapter) && id_equal(h->model, model_));
-      list_for_each(k, &engine->wants, want,
-                    link) if (!k->done && k->waiters && id_equal(k->model, h->model) &&
-                              (id_is_empty(h->adapter) || id_equal(k->adapter, h->adapter)))
+      list_for_each (k, &engine->wants, want, link)
+        if (!k->done && k->waiters && id_equal(k->model, h->model) &&
+            (id_is_empty(h->adapter) || id_equal(k->adapter, h->adapter)))
           candidate->barred = true;
     }
     policy rule = { router->config->eviction,
@@ -231,7 +232,8 @@
       /* something on its way out may still bring the room */
       g_array_free(held, TRUE);
       bool going = false;
-      list_for_each(h, &engine->holdings, holding, link) going |= h->state == HOLD_UNLOADING;
+      list_for_each (h, &engine->holdings, holding, link)
+        going |= h->state == HOLD_UNLOADING;
       if (going && news_next(engine) != WAKE_STOPPED)
         continue;
       *wait = 2000;
@@ -540,7 +542,7 @@
     want *best = NULL;
     time_us now = world_now(router->node.world);
     int64_t top = 0;
-    list_for_each(k, &engine->wants, want, link) {
+    list_for_each (k, &engine->wants, want, link) {
       if (k->done)
         continue;
       if (!k->waiters && time_reached(now, k->lapse)) {
@@ -575,7 +577,7 @@
     settle(best, r, wait);
     want_drop(router, best);
   }
-  list_for_each(k, &engine->wants, want, link) {
+  list_for_each (k, &engine->wants, want, link) {
     if (!k->done)
       settle(k, E_ENGINE, 1000);
     if (!k->waiters) {
@@ -600,8 +602,9 @@
     return error_set(err, E_NO_HOLDER, "%s is not held here", engine->self.text);
   id m = id_of_text(q->model), a = id_of_text(q->adapter);
   want *k = NULL;
-  list_for_each(i, &engine->wants, want,
-                link) if (!i->done && id_equal(i->model, m) && id_equal(i->adapter, a)) k = i;
+  list_for_each (i, &engine->wants, want, link)
+    if (!i->done && id_equal(i->model, m) && id_equal(i->adapter, a))
+      k = i;
   if (!k) {
     k = g_new0(want, 1);
     k->model = m;
--- a/lib/router/platform.c
+++ b/lib/router/platform.c
@@ -4,13 +4,16 @@
 enum { LIST_MS = 600, DARK_MS = 2500, STATE_MS = 2200, COLD_MS = 5000 };
 
 engine *engine_find(router *router, id who) {
-  list_for_each(e, &router->engines, engine, link) if (id_equal(e->self, who)) return e;
+  list_for_each (e, &router->engines, engine, link)
+    if (id_equal(e->self, who))
+      return e;
   return NULL;
 }
 
 holding *engine_holding(engine *engine, id model, id adapter) {
-  list_for_each(h, &engine->holdings, holding,
-                link) if (id_equal(h->model, model) && id_equal(h->adapter, adapter)) return h;
+  list_for_each (h, &engine->holdings, holding, link)
+    if (id_equal(h->model, model) && id_equal(h->adapter, adapter))
+      return h;
   return NULL;
 }
 
@@ -32,7 +35,7 @@
   router *router = engine->router;
   int all = 1, before = 0;
   uint64_t mine = hash_of_two(engine->self.text, router->node.settings.self.text);
-  list_for_each(peer, &router->node.machines, machine, link) {
+  list_for_each (peer, &router->node.machines, machine, link) {
     if (peer->role != ROLE_ROUTER || peer->gone || peer->leaving)
       continue;
     all++;
@@ -68,7 +71,7 @@
 void engine_drop(engine *engine) {
   if (--engine->refs)
     return;
-  list_for_each(h, &engine->holdings, holding, link) {
+  list_for_each (h, &engine->holdings, holding, link) {
     list_remove(&h->link);
     g_free(h);
   }
@@ -117,7 +120,8 @@
   if (json_num(value, "weightsMb", 0) >= 1)
     engine->weights_mb = json_num(value, "weightsMb", 0);
   engine->adapter_slots = json_num(value, "adapterSlots", engine->adapter_slots);
-  list_for_each(h, &engine->holdings, holding, link) h->seen = false;
+  list_for_each (h, &engine->holdings, holding, link)
+    h->seen = false;
   for (size_t i = 0; i < json_count(l); i++) {
     const json *x = json_at(l, i);
     string_view ms = string_view_of(json_text(x, "model", "")),
@@ -149,10 +153,11 @@
     h->running = json_num(x, "running", 0);
     h->used = json_num(x, "served", 0) > 0;
   }
-  list_for_each(h, &engine->holdings, holding, link) if (!h->seen) {
-    list_remove(&h->link);
-    g_free(h);
-  }
+  list_for_each (h, &engine->holdings, holding, link)
+    if (!h->seen) {
+      list_remove(&h->link);
+      g_free(h);
+    }
   condition_broadcast(&engine->news);
   condition_broadcast(&router->moved);
 }
@@ -248,7 +253,7 @@
     e->leaving = leaves;
     e->listed = true;
   }
-  list_for_each(e, &router->engines, engine, link) {
+  list_for_each (e, &router->engines, engine, link) {
     if (!whole || e->quit || g_hash_table_contains(seen, e->self.text))
       continue;
     log_info(&router->node.log, "platform", "%s is no longer listed.", e->self.text);
--- a/lib/router/route.c
+++ b/lib/router/route.c
@@ -101,7 +101,7 @@
 static int mean_cap(router *router, id m, id a, int *up) {
   int cap = 0;
   *up = 0;
-  list_for_each(e, &router->engines, engine, link) {
+  list_for_each (e, &router->engines, engine, link) {
     holding *holding = engine_open(e) ? engine_holding(e, m, a) : NULL;
     if (holding && holding->state == HOLD_UP) {
       cap += engine_cap(e);
@@ -114,8 +114,8 @@
 /* the routers that share the engines with this one, and itself */
 static int routers(router *router) {
   int n = 1;
-  list_for_each(peer, &router->node.machines, machine, link) n +=
-      peer->role == ROLE_ROUTER && !peer->gone && !peer->leaving;
+  list_for_each (peer, &router->node.machines, machine, link)
+    n += peer->role == ROLE_ROUTER && !peer->gone && !peer->leaving;
   return n;
 }
 
@@ -137,21 +137,22 @@
   int64_t est = 0;
   if (up) {
     int same = 0;
-    list_for_each(o, &router->queue, routed_request, queue_link) same +=
-        id_equal(o->model, request->model) && id_equal(o->adapter, request->adapter) &&
-        o->kind_now.weight >= request->kind_now.weight;
+    list_for_each (o, &router->queue, routed_request, queue_link)
+      same += id_equal(o->model, request->model) && id_equal(o->adapter, request->adapter) &&
+              o->kind_now.weight >= request->kind_now.weight;
     est = (int64_t)(router->served * same * routers(router) / MAX(cap, 1));
   } else {
     int ahead = 0;
     bool joined = false;
-    list_for_each(m, &router->misses, miss, link) {
+    list_for_each (m, &router->misses, miss, link) {
       if (m->done)
         continue;
       joined |= id_equal(m->model, request->model) && id_equal(m->adapter, request->adapter);
       ahead++;
     }
     int open = 0;
-    list_for_each(e, &router->engines, engine, link) open += engine_open(e);
+    list_for_each (e, &router->engines, engine, link)
+      open += engine_open(e);
     if (!joined && open) {
       double one = item_penalty(router, id_of_text("any"), request->model, request->adapter),
              slots = MAX(one * ahead / open, ahead * 1000.0 / router->config->loads_per_s);
@@ -187,10 +188,10 @@
 }
 
 static bool my_turn(routed_request *request) {
-  list_for_each(o, &request->router->queue, routed_request,
-                queue_link) if (o != request && o->queued && id_equal(o->model, request->model) &&
-                                id_equal(o->adapter, request->adapter) &&
-                                rank(o) < rank(request)) return false;
+  list_for_each (o, &request->router->queue, routed_request, queue_link)
+    if (o != request && o->queued && id_equal(o->model, request->model) &&
+        id_equal(o->adapter, request->adapter) && rank(o) < rank(request))
+      return false;
   return true;
 }
 
@@ -199,10 +200,11 @@
 static engine *resident(routed_request *request, bool *any) {
   router *router = request->router;
   int count = 0, n = 0, sum = 0;
-  list_for_each(e, &router->engines, engine, link) count++;
+  list_for_each (e, &router->engines, engine, link)
+    count++;
   engine **all = g_new(engine *, count + 1);
   *any = false;
-  list_for_each(e, &router->engines, engine, link) {
+  list_for_each (e, &router->engines, engine, link) {
     if (!engine_open(e) || shuns(request, e))
       continue;
     holding *h = engine_holding(e, request->model, request->adapter);
@@ -259,7 +261,8 @@
   unsigned slots, none;
   char key[128];
   int count = 0, n = 0;
-  list_for_each(e, &router->engines, engine, link) count++;
+  list_for_each (e, &router->engines, engine, link)
+    count++;
   place *all = g_new(place, count + 1);
   *fits = false;
   if (!item_size(router, request->model, request->adapter, &megs, &slots))
@@ -267,7 +270,7 @@
   if (!id_is_empty(request->adapter))
     item_size(router, request->model, id_of_text(""), &base, &none);
   history_key(key, sizeof key, request->model, id_of_text(""));
-  list_for_each(e, &router->engines, engine, link) {
+  list_for_each (e, &router->engines, engine, link) {
     if (!e->listed || megs + base > e->weights_mb || slots > e->adapter_slots)
       continue;
     *fits = true;
@@ -275,7 +278,7 @@
       continue;
     uint64_t used = 0;
     unsigned taken = 0;
-    list_for_each(h, &e->holdings, holding, link) {
+    list_for_each (h, &e->holdings, holding, link) {
       used += h->megs;
       taken += h->slots;
     }
@@ -375,9 +378,10 @@
 static miss *miss_join(routed_request *request, engine *engine) {
   router *router = request->router;
   miss *m = NULL;
-  list_for_each(k, &router->misses, miss, link) if (!k->done && id_equal(k->engine, engine->self) &&
-                                                    id_equal(k->model, request->model) &&
-                                                    id_equal(k->adapter, request->adapter)) m = k;
+  list_for_each (k, &router->misses, miss, link)
+    if (!k->done && id_equal(k->engine, engine->self) && id_equal(k->model, request->model) &&
+        id_equal(k->adapter, request->adapter))
+      m = k;
   if (!m) {
     m = g_new0(miss, 1);
     m->router = router;
@@ -444,8 +448,8 @@
       /* all who hold it are busy: after a while one more copy is worth its load */
       if (!copy && !e && time_reached(now, time_add(request->since, time_from_ms(COPY_MS)))) {
         routed_request probe = *request;
-        list_for_each(x, &router->engines, engine,
-                      link) if (engine_holding(x, request->model, request->adapter))
+        list_for_each (x, &router->engines, engine, link)
+          if (engine_holding(x, request->model, request->adapter))
             shun(&probe, x);
         engine *t = target(&probe, &fits);
         if (t)
@@ -474,7 +478,8 @@
       if (miss->code) {
         why = miss->code;
         back = miss->wait;
-        list_for_each(x, &router->engines, engine, link) if (id_equal(x->self, miss->engine))
+        list_for_each (x, &router->engines, engine, link)
+          if (id_equal(x->self, miss->engine))
             shun(request, x);
       } else
         request->loads--;
@@ -674,7 +679,8 @@
       request->run = UNKNOWN;
     request->maybe |= request->run != NOT_RUN;
     if (s == ATTEMPT_AGAIN)
-      list_for_each(x, &router->engines, engine, link) if (!strcmp(x->self.text, self))
+      list_for_each (x, &router->engines, engine, link)
+        if (!strcmp(x->self.text, self))
           shun(request, x);
     g_free(self);
     if (s == ATTEMPT_DONE)
@@ -693,8 +699,9 @@
   bool any;
   engine *engine = resident(request, &any);
   bool turn = true;
-  list_for_each(o, &request->router->queue, routed_request, queue_link) turn &=
-      !(o->queued && id_equal(o->model, request->model) && id_equal(o->adapter, request->adapter));
+  list_for_each (o, &request->router->queue, routed_request, queue_link)
+    turn &= !(o->queued && id_equal(o->model, request->model) &&
+              id_equal(o->adapter, request->adapter));
   if (engine && turn)
     request->engine = engine;
   return OK;
@@ -872,7 +879,7 @@
   bool first = true;
   time_us now = world_now(router->node.world);
   g_string_append_c(b, '[');
-  list_for_each(e, &router->engines, engine, link) {
+  list_for_each (e, &router->engines, engine, link) {
     if (e->quit || (only && strcmp(only, e->self.text)))
       continue;
     char duty[64];
@@ -898,7 +905,7 @@
     json_f(b, ",\"boot\":\"%s\",\"seq\":%" PRIu64, e->boot, e->seq);
     g_string_append(b, ",\"holdings\":[");
     bool f = true;
-    list_for_each(h, &e->holdings, holding, link) {
+    list_for_each (h, &e->holdings, holding, link) {
       json_f(b,
              "%s{\"model\":\"%s\",\"adapter\":\"%s\",\"state\":\"%s\",\"weightsMb\":%" PRIu64
              ",\"slots\":%u,\"running\":%u}",
@@ -908,7 +915,7 @@
     }
     g_string_append(b, "],\"waiting\":[");
     f = true;
-    list_for_each(k, &e->wants, want, link) {
+    list_for_each (k, &e->wants, want, link) {
       if (k->done)
         continue;
       json_f(b, "%s{\"model\":\"%s\",\"adapter\":\"%s\",\"sinceMs\":%" PRId64 "}", f ? "" : ",",
--- a/lib/router/router.c
+++ b/lib/router/router.c
@@ -54,7 +54,7 @@
 }
 
 void router_free(router *router) {
-  list_for_each(e, &router->engines, engine, link) {
+  list_for_each (e, &router->engines, engine, link) {
     e->refs = 1;
     engine_drop(e);
   }
--- a/lib/router/sources.c
+++ b/lib/router/sources.c
@@ -46,7 +46,7 @@
   bool best_promises = false;
   int64_t best_asked = 0;
   uint64_t equals = 0;
-  list_for_each(peer, &from->machines, machine, link) {
+  list_for_each (peer, &from->machines, machine, link) {
     if (peer->role != ROLE_CONTROLLER || (except && !strcmp(peer->addr, except)))
       continue;
     const source *known = find(s, peer->addr);
--- a/tests/core.c
+++ b/tests/core.c
@@ -443,7 +443,8 @@
     if (turn == 1)
       host_power(head);
     if (turn == 2)
-      list_for_each(k, &fleet->sim->hosts, host, link) if (k != head)
+      list_for_each (k, &fleet->sim->hosts, host, link)
+        if (k != head)
           sim_part(fleet->sim, head->self.text, k->self.text, true);
     if (turn == 3)
       controller_drain(head->controller);
--- a/tests/cutoff.c
+++ b/tests/cutoff.c
@@ -542,7 +542,7 @@
   cut_core(w, controller, 0, true);
   steps(w, 2000 + (int64_t)sim_draw(fleet->sim, 3000), controller, true);
   bool only = sim_draw(fleet->sim, 2);
-  list_for_each(h, &deployment->sim->hosts, host, link) {
+  list_for_each (h, &deployment->sim->hosts, host, link) {
     if (h->role > HOST_ROUTER)
       continue;
     for (int i = 2; i > 0 && !only; i--)
--- a/tests/cuts.c
+++ b/tests/cuts.c
@@ -34,7 +34,8 @@
 }
 
 static void cut_from(fleet *fleet, host *h, enum host_role what) {
-  list_for_each(k, &fleet->sim->hosts, host, link) if (k != h && k->role == what)
+  list_for_each (k, &fleet->sim->hosts, host, link)
+    if (k != h && k->role == what)
       sim_part(fleet->sim, h->self.text, k->self.text, true);
 }
 
@@ -63,15 +64,15 @@
   const char *area = area_names[sim_draw(fleet->sim, 3)];
   /* the platform stands on either side */
   bool with = sim_draw(fleet->sim, 2);
-  list_for_each(a, &fleet->sim->hosts, host, link)
-      list_for_each(b, &fleet->sim->hosts, host, link) {
-    if (a->role > HOST_PLATFORM || b->role > HOST_PLATFORM)
-      continue;
-    bool in = a->role == HOST_PLATFORM ? with : !strcmp(a->area.text, area),
-         out = b->role == HOST_PLATFORM ? !with : strcmp(b->area.text, area) != 0;
-    if (in && out)
-      sim_part(fleet->sim, a->self.text, b->self.text, true);
-  }
+  list_for_each (a, &fleet->sim->hosts, host, link)
+    list_for_each (b, &fleet->sim->hosts, host, link) {
+      if (a->role > HOST_PLATFORM || b->role > HOST_PLATFORM)
+        continue;
+      bool in = a->role == HOST_PLATFORM ? with : !strcmp(a->area.text, area),
+           out = b->role == HOST_PLATFORM ? !with : strcmp(b->area.text, area) != 0;
+      if (in && out)
+        sim_part(fleet->sim, a->self.text, b->self.text, true);
+    }
   /* while the platform is on the smaller side, most routers keep the list they had: design.md
    * states the case */
   if (!with)
@@ -138,7 +139,7 @@
   for (int i = 0; i < 3; i++) {
     host *h = fleet->router[sim_draw(fleet->sim, fleet->routers)];
     bool hears = sim_draw(fleet->sim, 2), all = sim_draw(fleet->sim, 2);
-    list_for_each(k, &fleet->sim->hosts, host, link) {
+    list_for_each (k, &fleet->sim->hosts, host, link) {
       if (k == h || (k->role != HOST_CONTROLLER && !(all && k->role == HOST_ROUTER)))
         continue;
       if (hears)
@@ -252,7 +253,7 @@
     sim_run(fleet->sim, time_from_ms(1300 + (int64_t)sim_draw(fleet->sim, 800)));
     host_start(h);
     sim_run(fleet->sim, time_from_ms(4000));
-    list_for_each(a, &fleet->sim->hosts, host, link) {
+    list_for_each (a, &fleet->sim->hosts, host, link) {
       if (a == h || a->role > HOST_ROUTER)
         continue;
       machine *machine =
--- a/tests/loader.c
+++ b/tests/loader.c
@@ -367,11 +367,13 @@
   home->tokens = 0;
   home->running = 8;
   WANT(fleet, pick(&bare->gateway, &q, &why, &busy) != home);
-  list_for_each(i, &bare->gateway.instances, instance, link) i->running = 8;
+  list_for_each (i, &bare->gateway.instances, instance, link)
+    i->running = 8;
   WANT(fleet, !pick(&bare->gateway, &q, &why, &busy) && why == PICK_FULL);
   q.model = id_of_text("low");
   WANT(fleet, !pick(&bare->gateway, &q, &why, &busy) && why == PICK_NO_MODEL);
-  list_for_each(i, &bare->gateway.instances, instance, link) i->running = 0;
+  list_for_each (i, &bare->gateway.instances, instance, link)
+    i->running = 0;
   bare_free(bare);
   return true;
 }
--- a/tests/losses.c
+++ b/tests/losses.c
@@ -55,9 +55,13 @@
   if (!ready(fleet))
     return false;
   time_us loss = fleet->sim->now;
-  list_for_each(h, &fleet->sim->hosts, host, link) if (h->role <= HOST_ENGINE) host_kill(h);
+  list_for_each (h, &fleet->sim->hosts, host, link)
+    if (h->role <= HOST_ENGINE)
+      host_kill(h);
   sim_run(fleet->sim, time_from_ms(500));
-  list_for_each(h, &fleet->sim->hosts, host, link) if (h->role <= HOST_ENGINE) host_start(h);
+  list_for_each (h, &fleet->sim->hosts, host, link)
+    if (h->role <= HOST_ENGINE)
+      host_start(h);
   return made_good(fleet, loss);
 }
 
@@ -118,11 +122,14 @@
 static bool a_herd_freezes_and_wakes(fleet *fleet) {
   if (!ready(fleet))
     return false;
-  list_for_each(h, &fleet->sim->hosts, host,
-                link) if (h->role <= HOST_ROUTER && sim_draw(fleet->sim, 4)) host_freeze(h);
+  list_for_each (h, &fleet->sim->hosts, host, link)
+    if (h->role <= HOST_ROUTER && sim_draw(fleet->sim, 4))
+      host_freeze(h);
   sim_run(fleet->sim, time_from_ms(1000 + (int64_t)sim_draw(fleet->sim, 7000)));
   time_us loss = fleet->sim->now;
-  list_for_each(h, &fleet->sim->hosts, host, link) if (h->frozen) host_wake(h);
+  list_for_each (h, &fleet->sim->hosts, host, link)
+    if (h->frozen)
+      host_wake(h);
   return made_good(fleet, loss);
 }
 
--- a/tests/main.c
+++ b/tests/main.c
@@ -140,11 +140,12 @@
   for (int64_t i = 0; i < ms / 50; i++) {
     sim_run(fleet->sim, time_from_ms(50));
     bool gone = false, all = true;
-    list_for_each(h, &fleet->sim->hosts, host, link) {
+    list_for_each (h, &fleet->sim->hosts, host, link) {
       if (!h->alive || h->role > HOST_ROUTER)
         continue;
       node *x = h->controller ? &h->controller->node : &h->router->node;
-      list_for_each(peer, &x->machines, machine, link) gone |= peer->gone;
+      list_for_each (peer, &x->machines, machine, link)
+        gone |= peer->gone;
     }
     if (gone && !t.noticed.us)
       t.noticed = fleet->sim->now;
@@ -316,8 +317,9 @@
 }
 
 void area_dark(fleet *fleet, const char *area) {
-  list_for_each(h, &fleet->sim->hosts, host,
-                link) if (h->role <= HOST_ENGINE && !strcmp(h->area.text, area)) host_power(h);
+  list_for_each (h, &fleet->sim->hosts, host, link)
+    if (h->role <= HOST_ENGINE && !strcmp(h->area.text, area))
+      host_power(h);
 }
 
 static bool an_area_goes_dark(fleet *fleet) {
@@ -345,7 +347,9 @@
   if (!fleet_put(fleet, "evacuation", t))
     violation(fleet, "no write with an area lost");
   g_free(t);
-  list_for_each(h, &fleet->sim->hosts, host, link) if (!h->alive) host_start(h);
+  list_for_each (h, &fleet->sim->hosts, host, link)
+    if (!h->alive)
+      host_start(h);
   if (!wait_chain(fleet, 3, 15000))
     return false;
   fleet_quiet(fleet);
@@ -1062,8 +1066,9 @@
 }
 
 static bool two_wire_versions_side_by_side(fleet *fleet) {
-  list_for_each(h, &fleet->sim->hosts, host, link) if (h->role <= HOST_ROUTER) h->settings.wire =
-      1 + (unsigned)sim_draw(fleet->sim, 2);
+  list_for_each (h, &fleet->sim->hosts, host, link)
+    if (h->role <= HOST_ROUTER)
+      h->settings.wire = 1 + (unsigned)sim_draw(fleet->sim, 2);
   if (!fleet_up(fleet))
     return false;
   check_watch(fleet);
@@ -1303,8 +1308,8 @@
   sim_run(fleet->sim, time_from_ms(40000));
   int copies = 0;
   for (int i = 0; i < fleet->engines; i++)
-    list_for_each(x, &fleet->engine[i]->engine->items, engine_sim_item, link) copies +=
-        !strcmp(x->model.text, "m0") && x->state == 'u';
+    list_for_each (x, &fleet->engine[i]->engine->items, engine_sim_item, link)
+      copies += !strcmp(x->model.text, "m0") && x->state == 'u';
   fleet_quiet(fleet);
   if (copies < 2)
     violation(fleet, "one copy of a model that all ask for");
@@ -1802,7 +1807,8 @@
   for (int i = 0; i < fleet->routers; i++) {
     engine *engine = engine_find(fleet->router[i]->router, fleet->engine[0]->self);
     if (engine)
-      list_for_each(x, &engine->holdings, holding, link) x->state = HOLD_UNLOADING;
+      list_for_each (x, &engine->holdings, holding, link)
+        x->state = HOLD_UNLOADING;
   }
   g->faults.old_reports = false;
   g->seq = 0;
--- a/tests/member.c
+++ b/tests/member.c
@@ -24,7 +24,7 @@
                            node->settings.self, node->settings.area, "" };
     g_strlcpy(all[n++].addr, node->settings.addr, 48);
   }
-  list_for_each(peer, &node->machines, machine, link) {
+  list_for_each (peer, &node->machines, machine, link) {
     if (peer->gone || id_equal(peer->self, who))
       continue;
     all[n] =
@@ -117,12 +117,13 @@
         host_wake(h);
     }
     sim_run(fleet->sim, time_from_ms(50 + (int64_t)sim_draw(fleet->sim, 1500)));
-    list_for_each(x, &fleet->sim->hosts, host, link) {
+    list_for_each (x, &fleet->sim->hosts, host, link) {
       node *node = node_of(x);
       if (!node)
         continue;
       compare(fleet, node, node->settings.self);
-      list_for_each(peer, &node->machines, machine, link) compare(fleet, node, peer->self);
+      list_for_each (peer, &node->machines, machine, link)
+        compare(fleet, node, peer->self);
     }
   }
   heal_all(fleet);
@@ -136,9 +137,13 @@
     return false;
   sim_run(fleet->sim, time_from_ms(10000));
   uint64_t was = 0, is = 0;
-  list_for_each(h, &fleet->sim->hosts, host, link) if (node_of(h)) was += node_of(h)->ring_made;
+  list_for_each (h, &fleet->sim->hosts, host, link)
+    if (node_of(h))
+      was += node_of(h)->ring_made;
   sim_run(fleet->sim, time_from_ms(10000));
-  list_for_each(h, &fleet->sim->hosts, host, link) if (node_of(h)) is += node_of(h)->ring_made;
+  list_for_each (h, &fleet->sim->hosts, host, link)
+    if (node_of(h))
+      is += node_of(h)->ring_made;
   if (is != was)
     violation(fleet, "the ring was made %" PRIu64 " times in ten quiet seconds", is - was);
   return !fleet->faults->len;
--- a/tests/operators.c
+++ b/tests/operators.c
@@ -100,7 +100,8 @@
 
 static bool the_doctor_knows_gateways(fleet *fleet) {
   deployment *deployment = deployment_new(fleet, 4, 2);
-  list_for_each(h, &deployment->sim->hosts, host, link) host_start(h);
+  list_for_each (h, &deployment->sim->hosts, host, link)
+    host_start(h);
   sim_run(deployment->sim, time_from_ms(4000));
   doctor_says(fleet, D_ROUTING, "no configuration");
   doctor_says(fleet, D_UNREADY, "no configuration");
--- a/tests/orders.c
+++ b/tests/orders.c
@@ -325,8 +325,9 @@
   run->deployment = deployment_new(fleet, 0, 0);
   run->history = register_new();
   run->orders = g_array_new(FALSE, TRUE, sizeof(sent_order));
-  list_for_each(h, &fleet->sim->hosts, host, link) if (h->role == HOST_CONTROLLER ||
-                                                       h == run->deployment->op_host) host_start(h);
+  list_for_each (h, &fleet->sim->hosts, host, link)
+    if (h->role == HOST_CONTROLLER || h == run->deployment->op_host)
+      host_start(h);
 }
 
 /* the same, with a first configuration */
--- a/tests/placement.c
+++ b/tests/placement.c
@@ -170,7 +170,8 @@
 /* what is held is used, so that it may be unloaded */
 static void use_all(unit *at, const unit *e) {
   instance *instance = instance_find(at->gateway, e->engine->self.text);
-  list_for_each(r, &instance->residents, resident, link) r->last_used = at->deployment->sim->now;
+  list_for_each (r, &instance->residents, resident, link)
+    r->last_used = at->deployment->sim->now;
 }
 
 static bool rare_loads_are_not_starved(fleet *fleet) {
--- a/tests/random_faults.c
+++ b/tests/random_faults.c
@@ -77,7 +77,7 @@
 }
 
 void heal_all(fleet *fleet) {
-  list_for_each(k, &fleet->sim->hosts, host, link) {
+  list_for_each (k, &fleet->sim->hosts, host, link) {
     if (!k->alive)
       host_start(k);
     if (k->frozen)
@@ -280,7 +280,9 @@
     call_free(out->pdata[i]);
   g_ptr_array_free(out, TRUE);
   fleet->probing = false;
-  list_for_each(k, &fleet->sim->hosts, host, link) if (k->frozen) host_wake(k);
+  list_for_each (k, &fleet->sim->hosts, host, link)
+    if (k->frozen)
+      host_wake(k);
   fleet_quiet(fleet);
   sim_run(fleet->sim, time_from_ms(3500));
   return true;
--- a/tests/second_loss.c
+++ b/tests/second_loss.c
@@ -185,12 +185,14 @@
 static void trial_pause(core_trial *t, host *h, loss kind, int64_t ms) {
   if (kind == LOSS_FROZEN)
     host_freeze(h);
-  list_for_each(k, &t->fleet->sim->hosts, host, link) if (kind == LOSS_CUT && k != h)
+  list_for_each (k, &t->fleet->sim->hosts, host, link)
+    if (kind == LOSS_CUT && k != h)
       sim_part(t->fleet->sim, h->self.text, k->self.text, true);
   trial_run(t, ms);
   if (kind == LOSS_FROZEN)
     host_wake(h);
-  list_for_each(k, &t->fleet->sim->hosts, host, link) if (kind == LOSS_CUT && k != h)
+  list_for_each (k, &t->fleet->sim->hosts, host, link)
+    if (kind == LOSS_CUT && k != h)
       sim_part(t->fleet->sim, h->self.text, k->self.text, false);
   t->back[t->returns++] = (returned){ h, t->fleet->sim->now, false, false };
 }
