--- a/Makefile
+++ b/Makefile
@@ -3,21 +3,18 @@
 PKG = glib-2.0 yajl libprotobuf-c libwebsockets
 CFLAGS ?= -O2 -g
 WARN = -std=gnu11 -Wall -Wextra -Werror
-INC = -Ilib/common -Ilib/controlplane -Ilib/router -Ilib/gateway -Iplatform -Iemulator -Itests -I$(B) $(shell pkg-config --cflags $(PKG))
+INC = $(addprefix -I,$(wildcard lib/*)) -Iplatform -Iemulator -Itests -I$(B) $(shell pkg-config --cflags $(PKG))
 LIBS = $(shell pkg-config --libs $(PKG)) -lpcl -lhttp_parser -lz -lm -lpthread
-COMMON = $(patsubst %.c,$(B)/%.o,$(wildcard lib/common/*.c)) $(B)/wire.pb-c.o
-CONTROLPLANE = $(patsubst %.c,$(B)/%.o,$(wildcard lib/controlplane/*.c))
-ROUTER = $(patsubst %.c,$(B)/%.o,$(wildcard lib/router/*.c))
-GATEWAY = $(patsubst %.c,$(B)/%.o,$(wildcard lib/gateway/*.c))
+LIBRARY = $(patsubst %.c,$(B)/%.o,$(wildcard lib/*/*.c)) $(B)/wire.pb-c.o
 PLATFORM = $(patsubst %.c,$(B)/%.o,$(wildcard platform/*.c))
 EMULATOR = $(patsubst %.c,$(B)/%.o,$(wildcard emulator/*.c))
 PROGS = $(patsubst bin/%.c,$(B)/bin/%,$(wildcard bin/*.c)) $(B)/bin/asterfall-node
 
 all: $(PROGS)
 
-$(B)/wire.pb-c.c $(B)/wire.pb-c.h &: lib/common/wire.proto
+$(B)/wire.pb-c.c $(B)/wire.pb-c.h &: lib/protocol/wire.proto
 	@mkdir -p $(B)
-	@cd lib/common && protoc-c --c_out=$(abspath $(B)) wire.proto
+	@cd lib/protocol && protoc-c --c_out=$(abspath $(B)) wire.proto
 
 $(B)/wire.pb-c.o: $(B)/wire.pb-c.c
 	@$(CC) $(CFLAGS) $(WARN) $(INC) -c $< -o $@
@@ -26,20 +23,14 @@
 	@mkdir -p $(dir $@)
 	@$(CC) $(CFLAGS) $(WARN) $(INC) -MMD -MP -c $< -o $@
 
-$(B)/libcommon.a: $(COMMON)
-	@rm -f $@; ar rcs $@ $^
-$(B)/libcontrolplane.a: $(CONTROLPLANE)
-	@rm -f $@; ar rcs $@ $^
-$(B)/librouter.a: $(ROUTER)
-	@rm -f $@; ar rcs $@ $^
-$(B)/libgateway.a: $(GATEWAY)
+$(B)/libasterfall.a: $(LIBRARY)
 	@rm -f $@; ar rcs $@ $^
 $(B)/libplatform.a: $(PLATFORM)
 	@rm -f $@; ar rcs $@ $^
 $(B)/libemulator.a: $(EMULATOR)
 	@rm -f $@; ar rcs $@ $^
 
-OURS = $(B)/libplatform.a $(B)/libemulator.a $(B)/libgateway.a $(B)/libcontrolplane.a $(B)/librouter.a $(B)/libcommon.a
+OURS = $(B)/libplatform.a $(B)/libemulator.a $(B)/libasterfall.a
 $(B)/bin/%: $(B)/bin/%.o $(OURS)
 	@$(CC) $(CFLAGS) $< $(OURS) $(LIBS) -o $@
 
@@ -55,8 +46,12 @@
 	@mkdir -p $(B)/bin
 	@$(CC) $(CFLAGS) $(patsubst %.c,$(B)/%.o,$(wildcard tests/model/*.c)) $(OURS) $(LIBS) -o $@
 
-# headers that moved from here are no reason to stop
-tests/%.h: ;
+# a header that was moved is no reason to stop: dependency files of an older build still name it
+%.h: ;
+
+# the compiler's include flags, for the linters
+print-inc:
+	@echo $(INC)
 
 BENCH = growth load policies
 $(addprefix $(B)/bin/,$(BENCH)): $(B)/bin/%: $(B)/bench/%.o $(OURS)
@@ -79,7 +74,7 @@
 clean:
 	rm -rf build build-san
 
-.PHONY: all clean tests bench
+.PHONY: all clean tests bench print-inc
 .SECONDARY:
 -include $(shell find $(B) -name '*.d' 2>/dev/null)
 
