--- a/bench/scale.c
+++ b/bench/scale.c
@@ -57,7 +57,7 @@
   sums kind[KINDS];
   void (*on_post)(void *ctx, string_view msg);
   void (*on_installed)(void *gateway);
-  void (*on_engines)(void *gateway, const Wire__NewsBack *b);
+  void (*on_engines)(void *gateway, const Wire__ConfigPollResponse *b);
   node_handler engines_hand;
   void *engines_ctx;
   uint64_t version;
@@ -212,7 +212,7 @@
   me->version = version;
   announce("C %" PRIu64 " %" PRId64 "\n", me->version, now_us());
 }
-static void heard_news(void *gateway, const Wire__NewsBack *b) {
+static void heard_news(void *gateway, const Wire__ConfigPollResponse *b) {
   me->on_engines(gateway, b);
   note_left();
 }
@@ -298,8 +298,8 @@
   h->router->on_installed = installed;
   h->on_engines = h->router->on_engines;
   h->router->on_engines = heard_news;
-  h->engines_hand = h->router->node.handlers[WIRE__ENVELOPE__BODY_ENGINES].fn;
-  h->router->node.handlers[WIRE__ENVELOPE__BODY_ENGINES].fn = heard_cast;
+  h->engines_hand = h->router->node.handlers[WIRE__ENVELOPE__BODY_ENGINE_UPDATE].fn;
+  h->router->node.handlers[WIRE__ENVELOPE__BODY_ENGINE_UPDATE].fn = heard_cast;
   task_start(&h->world->tasks, "sample", sample_run, h->alone ? "alone" : "node");
   real_run(h->world, NULL, NULL);
   return NULL;
@@ -851,63 +851,64 @@
 /* bytes on the wire of what the messages are made of, with names as long as a large fleet has */
 static void records(void) {
   char *adapters[] = { "adapter-0417", "adapter-1193" };
-  Wire__Node n = WIRE__NODE__INIT;
+  Wire__NodeInfo n = WIRE__NODE_INFO__INIT;
   n.id = "node-r2-z07-0412";
-  n.inc = 3;
+  n.incarnation = 3;
   n.nonce = ~0ull;
-  n.addr = "10.107.14.112:7661";
-  n.area = "region-2-zone-07";
+  n.address = "10.107.14.112:7661";
+  n.zone = "region-2-zone-07";
   n.role = ROLE_ROUTER;
-  Wire__Load l = WIRE__LOAD__INIT;
+  Wire__EngineTraffic l = WIRE__ENGINE_TRAFFIC__INIT;
   uint32_t keys[2] = { 1, 2 };
   l.engine = "engine-r2-4417";
-  l.running = 12;
-  l.tokens = 9000;
-  l.n_models = 2;
-  l.models = keys;
-  Wire__Rate r = WIRE__RATE__INIT;
+  l.running_streams = 12;
+  l.waiting_tokens = 9000;
+  l.n_model_hashes = 2;
+  l.model_hashes = keys;
+  Wire__RequestCount r = WIRE__REQUEST_COUNT__INIT;
   r.key = "model-0231+adapter-0417";
   r.total = 100000;
-  r.window = 4000;
-  Wire__Grant g = WIRE__GRANT__INIT;
-  g.duty = "engine:engine-r2-4417";
+  r.in_window = 4000;
+  Wire__SingletonGrant g = WIRE__SINGLETON_GRANT__INIT;
+  g.singleton = "engine:engine-r2-4417";
   g.holder = n.id;
   g.nonce = ~0ull;
   g.epoch = 40;
-  Wire__Resident m = WIRE__RESIDENT__INIT, *mp[2] = { &m, &m };
+  Wire__ResidentModel m = WIRE__RESIDENT_MODEL__INIT, *mp[2] = { &m, &m };
   m.model = "model-0231";
-  m.version = 7;
+  m.weights_version = 7;
   m.n_adapters = 2;
   m.adapters = adapters;
-  Wire__Engine e = WIRE__ENGINE__INIT, brief = WIRE__ENGINE__INIT;
+  Wire__EngineState e = WIRE__ENGINE_STATE__INIT, brief = WIRE__ENGINE_STATE__INIT;
   e.id = l.engine;
   e.service = "chat";
-  e.addr = "10.131.14.112:9000";
-  e.area = n.area;
+  e.address = "10.131.14.112:9000";
+  e.zone = n.zone;
   e.version = "v40";
   e.slots = 64;
-  e.count = 100000;
-  e.agems = 400;
+  e.heartbeat_count = 100000;
+  e.age_ms = 400;
   e.n_models = 2;
   e.models = mp;
-  e.sum = ~0ull;
+  e.checksum = ~0ull;
   brief.id = e.id;
-  brief.count = e.count;
-  brief.sum = e.sum;
-  brief.agems = 400;
-  Wire__Ticket t = WIRE__TICKET__INIT;
+  brief.heartbeat_count = e.heartbeat_count;
+  brief.checksum = e.checksum;
+  brief.age_ms = 400;
+  Wire__LoadPermitRequest t = WIRE__LOAD_PERMIT_REQUEST__INIT;
   t.engine = e.id;
   t.key = "model-0231";
   t.epoch = 40;
-  Wire__Hold h = WIRE__HOLD__INIT;
-  h.duty = g.duty;
+  Wire__SingletonClaim h = WIRE__SINGLETON_CLAIM__INIT;
+  h.singleton = g.singleton;
   h.epoch = 40;
   printf(
       "bytes of a record: machine %zu, load %zu, rate %zu, grant %zu, engine %zu, engine that is only alive %zu, ticket %zu, contract's renewal %zu\n",
-      wire__node__get_packed_size(&n) + 2, wire__load__get_packed_size(&l) + 2,
-      wire__rate__get_packed_size(&r) + 2, wire__grant__get_packed_size(&g) + 2,
-      wire__engine__get_packed_size(&e) + 2, wire__engine__get_packed_size(&brief) + 2,
-      wire__ticket__get_packed_size(&t) + 2, wire__hold__get_packed_size(&h) + 2);
+      wire__node_info__get_packed_size(&n) + 2, wire__engine_traffic__get_packed_size(&l) + 2,
+      wire__request_count__get_packed_size(&r) + 2, wire__singleton_grant__get_packed_size(&g) + 2,
+      wire__engine_state__get_packed_size(&e) + 2, wire__engine_state__get_packed_size(&brief) + 2,
+      wire__load_permit_request__get_packed_size(&t) + 2,
+      wire__singleton_claim__get_packed_size(&h) + 2);
   for (int k = 14; k <= 260; k += 246) {
     models = k;
     char *text = config_text(1);
--- a/lib/configuration/delta.c
+++ b/lib/configuration/delta.c
@@ -26,7 +26,7 @@
 
 bool delta_make(string_view old, string_view now, GString *to) {
   GArray *was = pieces_of(old), *is = pieces_of(now),
-         *parts = g_array_new(FALSE, FALSE, sizeof(Wire__Piece));
+         *parts = g_array_new(FALSE, FALSE, sizeof(Wire__TextDeltaChunk));
   GHashTable *at = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, NULL);
   for (guint i = 0; i < was->len; i++) {
     piece p = g_array_index(was, piece, i);
@@ -39,10 +39,11 @@
     uint64_t h = hash_of(now.data + p.off, p.len, 1);
     guint k = GPOINTER_TO_UINT(g_hash_table_lookup(at, &h));
     bool there = k && equal(old, g_array_index(was, piece, k - 1), now, p);
-    Wire__Piece *last = parts->len ? &g_array_index(parts, Wire__Piece, parts->len - 1) : NULL;
+    Wire__TextDeltaChunk *last =
+        parts->len ? &g_array_index(parts, Wire__TextDeltaChunk, parts->len - 1) : NULL;
     /* a piece that stands more than once is best taken behind the one before it */
-    if (last && last->count && last->from + last->count < was->len &&
-        equal(old, g_array_index(was, piece, last->from + last->count), now, p)) {
+    if (last && last->count && last->first + last->count < was->len &&
+        equal(old, g_array_index(was, piece, last->first + last->count), now, p)) {
       last->count++;
       continue;
     }
@@ -50,9 +51,9 @@
       last->text.len += p.len;
       continue;
     }
-    Wire__Piece w = WIRE__PIECE__INIT;
+    Wire__TextDeltaChunk w = WIRE__TEXT_DELTA_CHUNK__INIT;
     if (there) {
-      w.from = k - 1;
+      w.first = k - 1;
       w.count = 1;
     } else {
       w.text.data = (uint8_t *)now.data + p.off;
@@ -60,18 +61,18 @@
     }
     g_array_append_val(parts, w);
   }
-  Wire__Delta d = WIRE__DELTA__INIT;
-  Wire__Piece **pp = g_new(Wire__Piece *, parts->len + 1);
+  Wire__TextDelta d = WIRE__TEXT_DELTA__INIT;
+  Wire__TextDeltaChunk **pp = g_new(Wire__TextDeltaChunk *, parts->len + 1);
   for (guint i = 0; i < parts->len; i++)
-    pp[i] = &g_array_index(parts, Wire__Piece, i);
-  d.n_pieces = parts->len;
-  d.pieces = pp;
-  d.sum = hash_of(now.data, now.length, 2);
-  size_t n = wire__delta__get_packed_size(&d);
+    pp[i] = &g_array_index(parts, Wire__TextDeltaChunk, i);
+  d.n_chunks = parts->len;
+  d.chunks = pp;
+  d.checksum = hash_of(now.data, now.length, 2);
+  size_t n = wire__text_delta__get_packed_size(&d);
   bool worth = n * 2 < now.length;
   if (worth) {
     g_string_set_size(to, n);
-    wire__delta__pack(&d, (uint8_t *)to->str);
+    wire__text_delta__pack(&d, (uint8_t *)to->str);
   }
   g_free(pp);
   g_array_free(was, TRUE);
@@ -82,24 +83,24 @@
 }
 
 bool delta_apply(string_view old, string_view delta, GString *to) {
-  Wire__Delta *d = wire__delta__unpack(NULL, delta.length, (const uint8_t *)delta.data);
+  Wire__TextDelta *d = wire__text_delta__unpack(NULL, delta.length, (const uint8_t *)delta.data);
   if (!d)
     return false;
   GArray *was = pieces_of(old);
   bool ok = true;
   g_string_truncate(to, 0);
-  for (size_t i = 0; i < d->n_pieces && ok; i++) {
-    const Wire__Piece *p = d->pieces[i];
-    ok = p->count <= was->len && p->from <= was->len - p->count;
+  for (size_t i = 0; i < d->n_chunks && ok; i++) {
+    const Wire__TextDeltaChunk *p = d->chunks[i];
+    ok = p->count <= was->len && p->first <= was->len - p->count;
     for (uint32_t k = 0; ok && k < p->count; k++) {
-      piece q = g_array_index(was, piece, p->from + k);
+      piece q = g_array_index(was, piece, p->first + k);
       g_string_append_len(to, old.data + q.off, (gssize)q.len);
     }
     if (ok)
       g_string_append_len(to, (char *)p->text.data, (gssize)p->text.len);
   }
-  ok = ok && hash_of(to->str, to->len, 2) == d->sum;
+  ok = ok && hash_of(to->str, to->len, 2) == d->checksum;
   g_array_free(was, TRUE);
-  wire__delta__free_unpacked(d, NULL);
+  wire__text_delta__free_unpacked(d, NULL);
   return ok;
 }
--- a/lib/controlplane/accepted.c
+++ b/lib/controlplane/accepted.c
@@ -59,43 +59,43 @@
 }
 
 /* bases and numbers of writes rise slowly, and are packed as steps from the one before */
-void accepted_pack(const accepted_orders *a, Wire__Accepted *to) {
+void accepted_pack(const accepted_orders *a, Wire__AcceptedChanges *to) {
   guint n = a->all->len;
   uint64_t base = 0, seq = 0;
-  wire__accepted__init(to);
-  to->forgotten = a->forgotten;
-  to->forgot = a->forgot;
-  to->n_bases = to->n_seqs = to->n_hashes = n;
-  to->bases = g_new(uint64_t, n);
-  to->seqs = g_new(uint64_t, n);
+  wire__accepted_changes__init(to);
+  to->forgotten_base = a->forgotten;
+  to->any_forgotten = a->forgot;
+  to->n_base_versions = to->n_sequences = to->n_hashes = n;
+  to->base_versions = g_new(uint64_t, n);
+  to->sequences = g_new(uint64_t, n);
   to->hashes = g_new(uint64_t, n);
   for (guint i = 0; i < n; i++) {
-    to->bases[i] = at(a, i)->base - base;
-    to->seqs[i] = at(a, i)->seq - seq;
+    to->base_versions[i] = at(a, i)->base - base;
+    to->sequences[i] = at(a, i)->seq - seq;
     to->hashes[i] = at(a, i)->hash;
     base = at(a, i)->base;
     seq = at(a, i)->seq;
   }
 }
 
-void accepted_packed_free(Wire__Accepted *w) {
-  g_free(w->bases);
-  g_free(w->seqs);
+void accepted_packed_free(Wire__AcceptedChanges *w) {
+  g_free(w->base_versions);
+  g_free(w->sequences);
   g_free(w->hashes);
 }
 
-void accepted_unpack(accepted_orders *a, const Wire__Accepted *w) {
+void accepted_unpack(accepted_orders *a, const Wire__AcceptedChanges *w) {
   g_array_set_size(a->all, 0);
   a->sum = a->forgotten = 0;
   a->forgot = false;
-  if (!w || w->n_bases != w->n_seqs || w->n_bases != w->n_hashes)
+  if (!w || w->n_base_versions != w->n_sequences || w->n_base_versions != w->n_hashes)
     return;
-  a->forgotten = w->forgotten;
-  a->forgot = w->forgot;
+  a->forgotten = w->forgotten_base;
+  a->forgot = w->any_forgotten;
   accepted_order o = { 0, 0, 0 };
-  for (size_t i = 0; i < w->n_bases; i++) {
-    o.base += w->bases[i];
-    o.seq += w->seqs[i];
+  for (size_t i = 0; i < w->n_base_versions; i++) {
+    o.base += w->base_versions[i];
+    o.seq += w->sequences[i];
     o.hash = w->hashes[i];
     a->sum ^= sum_of(&o);
     g_array_append_val(a->all, o);
--- a/lib/controlplane/accepted.h
+++ b/lib/controlplane/accepted.h
@@ -43,8 +43,8 @@
 /** The most bytes that it takes in a snapshot. */
 size_t accepted_size(const accepted_orders *a);
 /** Fills a message, whose arrays are freed by accepted_packed_free. */
-void accepted_pack(const accepted_orders *a, Wire__Accepted *to);
-void accepted_packed_free(Wire__Accepted *w);
+void accepted_pack(const accepted_orders *a, Wire__AcceptedChanges *to);
+void accepted_packed_free(Wire__AcceptedChanges *w);
 /** Replaces all by what a message holds; NULL: nothing was accepted. */
-void accepted_unpack(accepted_orders *a, const Wire__Accepted *w);
+void accepted_unpack(accepted_orders *a, const Wire__AcceptedChanges *w);
 #endif
--- a/lib/controlplane/agreement.c
+++ b/lib/controlplane/agreement.c
@@ -57,19 +57,20 @@
   if (!core->view.epoch)
     return;
   view_msg v;
-  Wire__Announce t = WIRE__ANNOUNCE__INIT;
+  Wire__ViewAnnouncement t = WIRE__VIEW_ANNOUNCEMENT__INIT;
   t.view = view_pack(&v, &core->view);
-  Wire__Envelope m = wire_msg(WIRE__ENVELOPE__BODY_ANNOUNCE, &t);
+  Wire__Envelope m = wire_msg(WIRE__ENVELOPE__BODY_VIEW_ANNOUNCEMENT, &t);
   node_send(core->node, addr, &m);
 }
 
 /* the vote on a view */
-static bool may_vote(core *core, uint64_t epoch, const Wire__Node *from) {
+static bool may_vote(core *core, uint64_t epoch, const Wire__NodeInfo *from) {
   if (!core->running || core->disk.broken)
     return false;
   if (core->view.epoch)
     return core_voter_index(core) >= 0;
-  return epoch == 1 && join_is_founder(core) && join_is_first_founder(core, from->id, from->addr);
+  return epoch == 1 && join_is_founder(core) &&
+         join_is_first_founder(core, from->id, from->address);
 }
 
 /* a vote for another epoch than the one before is not the one that may have hung */
@@ -94,9 +95,9 @@
   return view_pack(reply_hold(reply, sizeof(view_msg)), k);
 }
 
-static Wire__Ballot *reply_ballot(reply *reply, const ballot *b) {
+static Wire__ProposalNumber *reply_ballot(reply *reply, const ballot *b) {
   ballot *k = reply_hold(reply, sizeof *k);
-  Wire__Ballot *w = reply_hold(reply, sizeof *w);
+  Wire__ProposalNumber *w = reply_hold(reply, sizeof *w);
   *k = *b;
   ballot_pack(w, k);
   return w;
@@ -112,15 +113,15 @@
 
 int on_promise(void *ctx, Wire__Envelope *in, reply *reply, error *err) {
   core *core = ctx;
-  Wire__Promise *p = in->promise;
+  Wire__PrepareRequest *p = in->prepare_request;
   time_us now = world_now(core->node->world);
-  if (!p->ballot)
+  if (!p->number)
     return error_set(err, E_WIRE, "no ballot");
   if (!may_vote(core, p->epoch, in->from))
     return error_set(err, E_VIEW, "no voter");
-  Wire__PromiseBack *b =
-      reply_new(reply, WIRE__ENVELOPE__BODY_PROMISEBACK, &wire__promise_back__descriptor);
-  b->whole = core_whole(core);
+  Wire__PrepareResponse *b =
+      reply_new(reply, WIRE__ENVELOPE__BODY_PREPARE_RESPONSE, &wire__prepare_response__descriptor);
+  b->in_sync = core_whole(core);
   b->self = reply_self(reply, core);
   if (p->epoch <= core->view.epoch) {
     b->newer = reply_view(reply, &core->view);
@@ -128,27 +129,27 @@
   }
   if (p->epoch != core->view.epoch + 1)
     return OK;
-  for (size_t i = 0; i < p->n_drop && !p->broken; i++) {
-    if (!strcmp(p->drop[i], core->node->settings.self.text) && !core->node->leaving)
+  for (size_t i = 0; i < p->n_dropped && !p->link_broken; i++) {
+    if (!strcmp(p->dropped[i], core->node->settings.self.text) && !core->node->leaving)
       return OK;
-    machine *machine = node_find_machine(core->node, id_of_text(p->drop[i]));
+    machine *machine = node_find_machine(core->node, id_of_text(p->dropped[i]));
     if (machine && !machine->leaving && !lease_peer_hears_nothing(core, machine->self) &&
         !time_reached(now, time_add(machine->heard, time_from_ms(HEARD_MS))))
       return OK;
   }
-  if (p->probe) {
-    b->ok = true;
+  if (p->pre_vote) {
+    b->promised_now = true;
     return OK;
   }
-  ballot asked = ballot_unpack(p->ballot);
+  ballot asked = ballot_unpack(p->number);
   agreement_forget_wedge(core, p->epoch);
   if (vote_take_promise(&core->vote, core->view.epoch, p->epoch, asked) == VOTE_SYNC &&
       agreement_store_vote(core, err))
     return err->code;
-  b->ok = vote_has_promised(&core->vote, core->view.epoch, p->epoch, asked);
+  b->promised_now = vote_has_promised(&core->vote, core->view.epoch, p->epoch, asked);
   b->promised = reply_ballot(reply, &core->vote.promised);
   if (core->vote.has) {
-    b->took = reply_ballot(reply, &core->vote.accepted);
+    b->accepted = reply_ballot(reply, &core->vote.accepted);
     b->view = reply_view(reply, &core->vote.value);
   }
   return OK;
@@ -156,15 +157,15 @@
 
 int on_accept(void *ctx, Wire__Envelope *in, reply *reply, error *err) {
   core *core = ctx;
-  Wire__Accept *a = in->accept;
+  Wire__AcceptRequest *a = in->accept_request;
   view v;
-  if (!a->ballot || !view_unpack(&v, a->view) || v.epoch != a->epoch)
+  if (!a->number || !view_unpack(&v, a->view) || v.epoch != a->epoch)
     return error_set(err, E_WIRE, "no view");
   if (!may_vote(core, a->epoch, in->from))
     return error_set(err, E_VIEW, "no voter");
-  Wire__AcceptBack *b =
-      reply_new(reply, WIRE__ENVELOPE__BODY_ACCEPTBACK, &wire__accept_back__descriptor);
-  ballot asked = ballot_unpack(a->ballot);
+  Wire__AcceptResponse *b =
+      reply_new(reply, WIRE__ENVELOPE__BODY_ACCEPT_RESPONSE, &wire__accept_response__descriptor);
+  ballot asked = ballot_unpack(a->number);
   if (a->epoch == core->view.epoch + 1)
     agreement_forget_wedge(core, a->epoch);
   switch (vote_take_accept(&core->vote, core->view.epoch, a->epoch, asked, &v)) {
@@ -178,7 +179,7 @@
       return err->code;
     break;
   }
-  b->ok = vote_has_accepted(&core->vote, a->epoch, asked);
+  b->accepted_now = vote_has_accepted(&core->vote, a->epoch, asked);
   return OK;
 }
 
@@ -186,8 +187,8 @@
   (void)reply;
   (void)err;
   core *core = ctx;
-  if (core->running && in->announce->view)
-    agreement_adopt(core, in->announce->view);
+  if (core->running && in->view_announcement->view)
+    agreement_adopt(core, in->view_announcement->view);
   return OK;
 }
 
@@ -257,27 +258,27 @@
 
 /* asks the voters whether they would agree; a promise that then leads nowhere would silence those
  * who promised it */
-static bool agreement_probe(core *core, const view *asked, int need, Wire__Promise *p) {
+static bool agreement_probe(core *core, const view *asked, int need, Wire__PrepareRequest *p) {
   world *world = core->node->world;
   time_us till = time_add(world_now(world), time_from_ms(800));
-  p->probe = true;
-  Wire__Envelope m = wire_msg(WIRE__ENVELOPE__BODY_PROMISE, p);
+  p->pre_vote = true;
+  Wire__Envelope m = wire_msg(WIRE__ENVELOPE__BODY_PREPARE_REQUEST, p);
   broadcast_call *f =
       broadcast_call_all(core->node, asked->voters, asked->voter_count, &m, time_from_ms(800));
-  p->probe = false;
+  p->pre_vote = false;
   int ok;
   for (;;) {
     ok = 0;
     for (int i = 0; i < asked->voter_count; i++) {
       Wire__Envelope *b = f->back[i];
-      if (!b || b->body_case != WIRE__ENVELOPE__BODY_PROMISEBACK)
+      if (!b || b->body_case != WIRE__ENVELOPE__BODY_PREPARE_RESPONSE)
         continue;
-      if (b->promiseback->newer) {
-        agreement_adopt(core, b->promiseback->newer);
+      if (b->prepare_response->newer) {
+        agreement_adopt(core, b->prepare_response->newer);
         broadcast_drop(f);
         return false;
       }
-      ok += b->promiseback->ok;
+      ok += b->prepare_response->promised_now;
     }
     if (ok >= need || !f->left ||
         condition_wait(&world->tasks, &f->changed, till) != WAKE_SIGNALLED)
@@ -287,12 +288,12 @@
   return ok >= need;
 }
 
-static vote_answer agreement_read_answer(const Wire__PromiseBack *k) {
-  vote_answer a = { .ok = k->ok, .whole = k->whole };
-  a.disk = k->self ? k->self->disk : 0;
-  a.has = k->took && k->view && view_unpack(&a.value, k->view);
+static vote_answer agreement_read_answer(const Wire__PrepareResponse *k) {
+  vote_answer a = { .ok = k->promised_now, .whole = k->in_sync };
+  a.disk = k->self ? k->self->disk_id : 0;
+  a.has = k->accepted && k->view && view_unpack(&a.value, k->view);
   if (a.has)
-    a.took = ballot_unpack(k->took);
+    a.took = ballot_unpack(k->accepted);
   return a;
 }
 
@@ -306,14 +307,14 @@
                    member_index(asked.voters, asked.voter_count, &self));
   int need = tally.need;
   ballot mine = vote_next_ballot(&core->vote, epoch, core->turns, core->node->settings.self);
-  Wire__Ballot wb;
+  Wire__ProposalNumber wb;
   ballot_pack(&wb, &mine);
-  Wire__Promise p = WIRE__PROMISE__INIT;
+  Wire__PrepareRequest p = WIRE__PREPARE_REQUEST__INIT;
   p.epoch = epoch;
-  p.ballot = &wb;
-  p.drop = drop;
-  p.n_drop = drops;
-  p.broken = broken;
+  p.number = &wb;
+  p.dropped = drop;
+  p.n_dropped = drops;
+  p.link_broken = broken;
   char held[CHAIN_MOST][48];
   for (int i = 0; i < drops; i++) {
     g_strlcpy(held[i], drop[i], sizeof held[i]);
@@ -321,7 +322,7 @@
   }
   if (!agreement_probe(core, &asked, need, &p) || core->view.epoch >= epoch)
     return false;
-  Wire__Envelope m = wire_msg(WIRE__ENVELOPE__BODY_PROMISE, &p);
+  Wire__Envelope m = wire_msg(WIRE__ENVELOPE__BODY_PREPARE_REQUEST, &p);
   time_us till = time_add(world_now(world), time_from_ms(1500));
   broadcast_call *f =
       broadcast_call_all(core->node, asked.voters, asked.voter_count, &m, time_from_ms(1500));
@@ -331,11 +332,11 @@
   for (;;) {
     for (int i = 0; i < asked.voter_count; i++) {
       Wire__Envelope *b = f->back[i];
-      if (!b || b->body_case != WIRE__ENVELOPE__BODY_PROMISEBACK)
+      if (!b || b->body_case != WIRE__ENVELOPE__BODY_PREPARE_RESPONSE)
         continue;
-      Wire__PromiseBack *k = b->promiseback;
-      if (k->promised && k->promised->turn > core->turns)
-        core->turns = k->promised->turn;
+      Wire__PrepareResponse *k = b->prepare_response;
+      if (k->promised && k->promised->round > core->turns)
+        core->turns = k->promised->round;
       if (k->newer) {
         agreement_adopt(core, k->newer);
         broadcast_drop(f);
@@ -352,18 +353,18 @@
   if (!chosen || core->view.epoch >= epoch)
     return false;
   view_msg vm;
-  Wire__Accept a = WIRE__ACCEPT__INIT;
+  Wire__AcceptRequest a = WIRE__ACCEPT_REQUEST__INIT;
   a.epoch = epoch;
-  a.ballot = &wb;
+  a.number = &wb;
   a.view = view_pack(&vm, &use);
-  Wire__Envelope m2 = wire_msg(WIRE__ENVELOPE__BODY_ACCEPT, &a);
+  Wire__Envelope m2 = wire_msg(WIRE__ENVELOPE__BODY_ACCEPT_REQUEST, &a);
   f = broadcast_call_all(core->node, asked.voters, asked.voter_count, &m2, time_from_ms(1500));
   till = time_add(world_now(world), time_from_ms(1500));
   for (;;) {
     ok = 0;
     for (int i = 0; i < asked.voter_count; i++)
-      ok += f->back[i] && f->back[i]->body_case == WIRE__ENVELOPE__BODY_ACCEPTBACK &&
-            f->back[i]->acceptback->ok;
+      ok += f->back[i] && f->back[i]->body_case == WIRE__ENVELOPE__BODY_ACCEPT_RESPONSE &&
+            f->back[i]->accept_response->accepted_now;
     if (ok >= need || !f->left ||
         condition_wait(&world->tasks, &f->changed, till) != WAKE_SIGNALLED)
       break;
--- a/lib/controlplane/control.c
+++ b/lib/controlplane/control.c
@@ -198,19 +198,19 @@
 }
 
 static void order_pack(const order *o, string_view text, GString *op) {
-  Wire__Res res = WIRE__RES__INIT;
-  Wire__Order key = WIRE__ORDER__INIT;
-  Wire__Op w = WIRE__OP__INIT;
+  Wire__Resource res = WIRE__RESOURCE__INIT;
+  Wire__AcceptedChange key = WIRE__ACCEPTED_CHANGE__INIT;
+  Wire__Operation w = WIRE__OPERATION__INIT;
   res.name = (char *)res_name[RES_ROUTING];
   res.text.data = (uint8_t *)text.data;
   res.text.len = text.length;
-  key.basedon = o->base;
+  key.base_version = o->base;
   key.hash = o->hash;
-  w.res = &res;
-  w.order = &key;
-  size_t n = wire__op__get_packed_size(&w);
+  w.resource = &res;
+  w.accepted_change = &key;
+  size_t n = wire__operation__get_packed_size(&w);
   g_string_set_size(op, n);
-  wire__op__pack(&w, (uint8_t *)op->str);
+  wire__operation__pack(&w, (uint8_t *)op->str);
 }
 
 /* decides an order on the state with all that is ordered, committed or not */
@@ -400,48 +400,49 @@
 }
 
 /* beats */
-static int beat_in(const json *value, const id *who, Wire__Engine *w, GPtrArray *hold, error *err) {
-  wire__engine__init(w);
+static int beat_in(const json *value, const id *who, Wire__EngineState *w, GPtrArray *hold,
+                   error *err) {
+  wire__engine_state__init(w);
   w->id = (char *)who->text;
   if (!value || value->kind != J_OBJ)
     return error_set(err, E_TYPE, "a beat is an object");
   w->service = (char *)json_text(value, "service", "");
-  w->addr = (char *)json_text(value, "address", "");
-  w->area = (char *)json_text(value, "zone", "");
+  w->address = (char *)json_text(value, "address", "");
+  w->zone = (char *)json_text(value, "zone", "");
   w->version = (char *)json_text(value, "version", "");
   if (!id_is_valid(string_view_of(w->service)))
     return error_set(err, E_NAME, "service: missing, or no name");
-  if (!addr_fits(w->addr))
+  if (!addr_fits(w->address))
     return error_set(err, E_SETTINGS_ADDR, "address: not an ip:port");
-  if (!id_is_valid(string_view_of(w->area)))
-    w->area = "";
+  if (!id_is_valid(string_view_of(w->zone)))
+    w->zone = "";
   const json *count = json_get(value, "count");
   if (!count || count->kind != J_NUM || !(count->num >= 0 && count->num <= whole_number_most))
     return error_set(err, E_FIELD, "count: missing, or no whole number up to 2^53");
-  w->count = (uint64_t)count->num;
+  w->heartbeat_count = (uint64_t)count->num;
   w->slots = (uint32_t)CLAMP(json_num(value, "slots", 0), 0, 1e6);
-  w->leaving = !strcmp(json_text(value, "state", "ready"), "leaving");
-  w->coldms = (uint64_t)CLAMP(json_num(value, "coldMs", 0), 0, 1e9);
+  w->draining = !strcmp(json_text(value, "state", "ready"), "leaving");
+  w->slow_start_ms = (uint64_t)CLAMP(json_num(value, "coldMs", 0), 0, 1e9);
   const json *ends = json_get(value, "leavesMs");
   if (ends && ends->kind == J_NUM)
-    w->endsms = (uint64_t)CLAMP(ends->num, 1, 1e9);
+    w->ends_in_ms = (uint64_t)CLAMP(ends->num, 1, 1e9);
   const json *models = json_get(value, "models");
   size_t n = models && models->kind == J_ARR ? json_count(models) : 0;
   if (!n)
     return OK;
-  Wire__Resident *all = g_new(Wire__Resident, n);
+  Wire__ResidentModel *all = g_new(Wire__ResidentModel, n);
   g_ptr_array_add(hold, all);
-  w->models = g_new(Wire__Resident *, n);
+  w->models = g_new(Wire__ResidentModel *, n);
   g_ptr_array_add(hold, w->models);
   for (size_t i = 0; i < n; i++) {
     const json *k = json_at(models, i), *list = json_get(k, "adapters");
     const char *name = json_text(k, "name", "");
     if (!id_is_valid(string_view_of(name)))
       return error_set(err, E_NAME, "models: a name is missing, or none");
-    Wire__Resident *r = w->models[w->n_models++] = &all[i];
-    wire__resident__init(r);
+    Wire__ResidentModel *r = w->models[w->n_models++] = &all[i];
+    wire__resident_model__init(r);
     r->model = (char *)name;
-    r->version = (uint64_t)CLAMP(json_num(k, "version", 0), 0, 1e15);
+    r->weights_version = (uint64_t)CLAMP(json_num(k, "version", 0), 0, 1e15);
     size_t have = list && list->kind == J_ARR ? json_count(list) : 0;
     if (!have)
       continue;
@@ -461,7 +462,7 @@
   error err = { 0 };
   json *json = json_read(string_view_of_gstring(request->body), &err);
   GPtrArray *hold = g_ptr_array_new_with_free_func(g_free);
-  Wire__Engine w;
+  Wire__EngineState w;
   int r = err.code;
   if (json) {
     dialect_in(controller->dialect, json);
--- a/lib/controlplane/controller.c
+++ b/lib/controlplane/controller.c
@@ -8,10 +8,10 @@
 /* duties: who may order what, granted by the chain, renewed in memory */
 typedef struct {
   controller *controller;
-  Wire__Holds *in;
+  Wire__SingletonLeaseRequest *in;
   id who;
   uint64_t nonce;
-  Wire__HoldsBack *out;
+  Wire__SingletonLeaseResponse *out;
   reply *reply;
   int n;
 } holds_ctx;
@@ -26,11 +26,11 @@
   return t;
 }
 
-static Wire__HoldGot *got_add(holds_ctx *x, char *duty) {
-  Wire__HoldGot *g = reply_hold(x->reply, sizeof *g);
-  wire__hold_got__init(g);
-  g->duty = duty;
-  x->out->got[x->out->n_got++] = g;
+static Wire__SingletonClaimResult *got_add(holds_ctx *x, char *duty) {
+  Wire__SingletonClaimResult *g = reply_hold(x->reply, sizeof *g);
+  wire__singleton_claim_result__init(g);
+  g->singleton = duty;
+  x->out->results[x->out->n_results++] = g;
   return g;
 }
 
@@ -49,44 +49,44 @@
   holds_ctx *x = ctx;
   (void)err;
   time_us now = world_now(x->controller->node.world);
-  Wire__Op o = WIRE__OP__INIT;
-  o.grants = g_new0(Wire__Grant *, x->in->n_holds + 1);
-  for (size_t i = 0; i < x->in->n_holds; i++) {
-    Wire__Hold *h = x->in->holds[i];
-    const grant *grant = state_grant(spec, h->duty);
+  Wire__Operation o = WIRE__OPERATION__INIT;
+  o.grants = g_new0(Wire__SingletonGrant *, x->in->n_claims + 1);
+  for (size_t i = 0; i < x->in->n_claims; i++) {
+    Wire__SingletonClaim *h = x->in->claims[i];
+    const grant *grant = state_grant(spec, h->singleton);
     bool own = grant && id_equal(grant->holder, x->who) && grant->nonce == x->nonce;
-    if (own || h->leave || !id_is_valid(string_view_of(h->duty)))
+    if (own || h->release || !id_is_valid(string_view_of(h->singleton)))
       continue;
-    Wire__HoldGot *a = got_add(x, h->duty);
+    Wire__SingletonClaimResult *a = got_add(x, h->singleton);
     if (grant) {
-      time_us till = bound_till(x->controller, h->duty);
+      time_us till = bound_till(x->controller, h->singleton);
       /* a later run of the holder itself: the run before it is over, and orders go on under the
        * same name */
       bool again = x->controller->node.settings.loose && id_equal(grant->holder, x->who);
       if (!again && !time_reached(now, till)) {
         a->holder = held(x->reply, grant->holder.text);
-        a->wait = time_sub(till, now).us / 1000 + 1;
+        a->retry_after_ms = time_sub(till, now).us / 1000 + 1;
         continue;
       }
     }
-    Wire__Grant *n = reply_hold(x->reply, sizeof *n);
-    wire__grant__init(n);
-    n->duty = h->duty;
+    Wire__SingletonGrant *n = reply_hold(x->reply, sizeof *n);
+    wire__singleton_grant__init(n);
+    n->singleton = h->singleton;
     n->holder = x->who.text;
     n->nonce = x->nonce;
     n->epoch = grant ? grant->epoch + 1 : 1;
     o.grants[o.n_grants++] = n;
-    a->ok = true;
+    a->granted = true;
     a->epoch = n->epoch;
-    *renewed(x->controller, h->duty) = now;
+    *renewed(x->controller, h->singleton) = now;
     uint64_t *to = g_new(uint64_t, 1);
     *to = n->epoch;
-    g_hash_table_replace(x->controller->grants_in_flight, g_strdup(h->duty), to);
+    g_hash_table_replace(x->controller->grants_in_flight, g_strdup(h->singleton), to);
   }
   if (o.n_grants) {
-    size_t n = wire__op__get_packed_size(&o);
+    size_t n = wire__operation__get_packed_size(&o);
     g_string_set_size(op, n);
-    wire__op__pack(&o, (uint8_t *)op->str);
+    wire__operation__pack(&o, (uint8_t *)op->str);
   }
   g_free(o.grants);
   return OK;
@@ -103,56 +103,58 @@
   controller *controller = ctx;
   core *core = &controller->core;
   holds_ctx x = { controller,
-                  in->holds,
+                  in->singleton_lease_request,
                   id_of_text(in->from->id),
-                  in->holds->nonce,
-                  reply_new(reply, WIRE__ENVELOPE__BODY_HOLDSBACK, &wire__holds_back__descriptor),
+                  in->singleton_lease_request->nonce,
+                  reply_new(reply, WIRE__ENVELOPE__BODY_SINGLETON_LEASE_RESPONSE,
+                            &wire__singleton_lease_response__descriptor),
                   reply,
                   0 };
-  x.out->got = reply_hold(reply, sizeof(void *) * (in->holds->n_holds * 2 + 1));
+  x.out->results =
+      reply_hold(reply, sizeof(void *) * (in->singleton_lease_request->n_claims * 2 + 1));
   if (!core_heads(core)) {
     const member *h = core_head(core);
-    x.out->head = h ? held(reply, h->addr) : "";
+    x.out->head_address = h ? held(reply, h->addr) : "";
     return OK;
   }
   time_us now = world_now(controller->node.world);
   int young = 0;
-  for (size_t i = 0; i < in->holds->n_holds; i++) {
-    Wire__Hold *h = in->holds->holds[i];
+  for (size_t i = 0; i < in->singleton_lease_request->n_claims; i++) {
+    Wire__SingletonClaim *h = in->singleton_lease_request->claims[i];
     /* a grant to another that is on its way, here or through the chain, ends this one: all must
      * name the asker */
-    uint64_t *to = g_hash_table_lookup(controller->grants_in_flight, h->duty);
-    const grant *grant = state_grant(&core->committed, h->duty),
-                *next = state_grant(core_ordered(core), h->duty);
+    uint64_t *to = g_hash_table_lookup(controller->grants_in_flight, h->singleton);
+    const grant *grant = state_grant(&core->committed, h->singleton),
+                *next = state_grant(core_ordered(core), h->singleton);
     bool same = grant && next && grant->epoch == next->epoch && (!to || *to <= grant->epoch) &&
                 id_equal(grant->holder, x.who) && grant->nonce == x.nonce;
     if (!same && next && id_equal(next->holder, x.who) && next->nonce == x.nonce)
       continue;
     if (same) {
-      Wire__HoldGot *a = got_add(&x, h->duty);
-      a->ok = !h->leave;
+      Wire__SingletonClaimResult *a = got_add(&x, h->singleton);
+      a->granted = !h->release;
       a->epoch = grant->epoch;
-      if (!h->leave)
-        *renewed(controller, h->duty) = now;
-      else if (h->quiet) {
-        time_us quiet = time_sub(now, time_from_ms((int64_t)MIN(h->quiet, 100000)));
-        if (quiet.us < renewed(controller, h->duty)->us)
-          *renewed(controller, h->duty) = quiet;
+      if (!h->release)
+        *renewed(controller, h->singleton) = now;
+      else if (h->quiet_ms) {
+        time_us quiet = time_sub(now, time_from_ms((int64_t)MIN(h->quiet_ms, 100000)));
+        if (quiet.us < renewed(controller, h->singleton)->us)
+          *renewed(controller, h->singleton) = quiet;
       }
-    } else if (!h->leave)
+    } else if (!h->release)
       young++;
   }
   if (!young)
     return OK;
-  if (in->from->leaving || barred(controller, in->from->area))
+  if (in->from->draining || barred(controller, in->from->zone))
     return error_set(err, E_LEAVING,
                      "a machine that leaves, or whose area is emptied, gets no duties");
   uint64_t seq = 0;
   int r = core_write(core, grants_make, &x, time_from_ms(3000), &seq, err);
   /* a slow write makes a short contract; the next holder counts from when this one could begin */
-  for (size_t i = 0; !r && seq && i < x.out->n_got; i++)
-    if (x.out->got[i]->ok)
-      *renewed(controller, x.out->got[i]->duty) = world_now(controller->node.world);
+  for (size_t i = 0; !r && seq && i < x.out->n_results; i++)
+    if (x.out->results[i]->granted)
+      *renewed(controller, x.out->results[i]->singleton) = world_now(controller->node.world);
   return r;
 }
 
@@ -160,7 +162,7 @@
 typedef struct {
   id who;
   uint64_t nonce;
-  Wire__CanaryEnd *in;
+  Wire__CanaryEndRequest *in;
 } end_ctx;
 
 static int end_make(void *ctx, state *spec, GString *op, error *err) {
@@ -172,7 +174,8 @@
   if (spec->resources[RES_CANARY].version != x->in->version)
     return error_set(err, E_VERSION_CONFLICT, "the trial is another, or has ended");
   json *was = json_read(string_view_of_gstring(spec->resources[RES_CANARY].text), err),
-       *end = was ? json_read((string_view){ (char *)x->in->end.data, x->in->end.len }, err) : NULL;
+       *end = was ? json_read((string_view){ (char *)x->in->verdict.data, x->in->verdict.len }, err)
+                  : NULL;
   if (!was || !end) {
     json_free(was);
     return err->code;
@@ -182,15 +185,15 @@
   if (!r) {
     GString *text = g_string_new(NULL);
     json_write(next, text);
-    Wire__Res res = WIRE__RES__INIT;
-    Wire__Op w = WIRE__OP__INIT;
+    Wire__Resource res = WIRE__RESOURCE__INIT;
+    Wire__Operation w = WIRE__OPERATION__INIT;
     res.name = (char *)res_name[RES_CANARY];
     res.text.data = (uint8_t *)text->str;
     res.text.len = text->len;
-    w.res = &res;
-    size_t n = wire__op__get_packed_size(&w);
+    w.resource = &res;
+    size_t n = wire__operation__get_packed_size(&w);
     g_string_set_size(op, n);
-    wire__op__pack(&w, (uint8_t *)op->str);
+    wire__operation__pack(&w, (uint8_t *)op->str);
     g_string_free(text, TRUE);
   }
   json_free(was);
@@ -203,7 +206,7 @@
   controller *controller = ctx;
   if (!core_heads(&controller->core))
     return error_set(err, E_CORE_GONE, "not the acting head");
-  end_ctx x = { id_of_text(in->from->id), in->from->nonce, in->canaryend };
+  end_ctx x = { id_of_text(in->from->id), in->from->nonce, in->canary_end_request };
   uint64_t seq = 0;
   int r = core_write(&controller->core, end_make, &x, time_from_ms(3000), &seq, err);
   if (r) {
@@ -213,8 +216,8 @@
   }
   log_info(&controller->node.log, "api", "The trial's judge %s ended it with write %" PRIu64 ".",
            x.who.text, seq);
-  Wire__CanaryEndBack *b =
-      reply_new(reply, WIRE__ENVELOPE__BODY_CANARYENDBACK, &wire__canary_end_back__descriptor);
+  Wire__CanaryEndResponse *b = reply_new(reply, WIRE__ENVELOPE__BODY_CANARY_END_RESPONSE,
+                                         &wire__canary_end_response__descriptor);
   b->ok = true;
   return OK;
 }
@@ -260,25 +263,25 @@
 static int on_news(void *ctx, Wire__Envelope *in, reply *reply, error *err) {
   controller *controller = ctx;
   core *core = &controller->core;
-  Wire__News *q = in->news;
-  bool engines = q->engines && controller->has_control,
+  Wire__ConfigPollRequest *q = in->config_poll_request;
+  bool engines = q->want_engines && controller->has_control,
        knows = core->running && core->view.epoch && core_place(core) >= 0 && core_current(core);
   if (!engines && !knows)
     return error_set(err, E_CORE_GONE, "no state is known here");
-  if (q->fleet && core->view.epoch && q->fleet != core->view.fleet) {
+  if (q->fleet_id && core->view.epoch && q->fleet_id != core->view.fleet) {
     if (!engines)
       return error_set(err, E_VIEW, "another fleet");
     knows = false;
   }
   past_note(controller);
   /* a read that knows more than this copy mends it at once */
-  if (knows && q->seq > core->committed.seq)
+  if (knows && q->sequence > core->committed.seq)
     condition_broadcast(&core->work);
   time_us came = world_now(controller->node.world),
           till = time_add(came,
                           time_from_ms(controller->node.settings.loose ? POLL_LOOSE_MS : POLL_MS));
   /* one that may not act is no place to wait for news: its router has to look elsewhere at once */
-  while (!q->atonce && knows && core->committed.seq <= q->seq && q->seq &&
+  while (!q->no_wait && knows && core->committed.seq <= q->sequence && q->sequence &&
          !(engines && engines_news(controller, q)) &&
          (!controller->node.settings.loose || core_acts(core))) {
     time_us look = time_add(world_now(controller->node.world), time_from_ms(200));
@@ -287,31 +290,34 @@
     if (k == WAKE_STOPPED || time_reached(world_now(controller->node.world), till))
       break;
   }
-  Wire__NewsBack *b = reply_new(reply, WIRE__ENVELOPE__BODY_NEWSBACK, &wire__news_back__descriptor);
+  Wire__ConfigPollResponse *b = reply_new(reply, WIRE__ENVELOPE__BODY_CONFIG_POLL_RESPONSE,
+                                          &wire__config_poll_response__descriptor);
   if (engines)
     engines_fill(controller, q, b, reply);
   if (!knows) {
     /* whoever asks here for the state is told where it is */
-    b->core = reply_hold(reply, sizeof(char *) * CHAIN_MOST);
+    b->controllers = reply_hold(reply, sizeof(char *) * CHAIN_MOST);
     for (int i = 0; core->running && i < core->view.chain_length; i++)
       if (!id_equal(core->view.chain[i].self, controller->node.settings.self))
-        b->core[b->n_core++] = held(reply, core->view.chain[i].addr);
+        b->controllers[b->n_controllers++] = held(reply, core->view.chain[i].addr);
     return OK;
   }
-  b->fresh = core_acts(core);
-  b->heldms = (uint64_t)time_sub(world_now(controller->node.world), came).us / 1000;
+  b->confirmed = core_acts(core);
+  b->held_ms = (uint64_t)time_sub(world_now(controller->node.world), came).us / 1000;
   b->epoch = core->view.epoch;
-  b->seq = core->committed.seq;
-  b->news = core->committed.seq > q->seq || !q->seq;
-  if (b->news) {
+  b->sequence = core->committed.seq;
+  b->changed = core->committed.seq > q->sequence || !q->sequence;
+  if (b->changed) {
     GString *d = g_string_new(NULL);
     past_note(controller);
-    uint64_t base = q->deltas && q->n_held > RES_ROUTING ? q->held[RES_ROUTING] : 0;
+    uint64_t base =
+        q->deltas && q->n_resource_versions > RES_ROUTING ? q->resource_versions[RES_ROUTING] : 0;
     string_view delta = past_delta(controller, base);
-    state_news_delta(&core->committed, core->view.epoch, q->held, q->n_held, base, delta, d);
-    b->digest.len = d->len;
-    b->digest.data = reply_hold(reply, d->len + 1);
-    memcpy(b->digest.data, d->str, d->len);
+    state_news_delta(&core->committed, core->view.epoch, q->resource_versions,
+                     q->n_resource_versions, base, delta, d);
+    b->snapshot.len = d->len;
+    b->snapshot.data = reply_hold(reply, d->len + 1);
+    memcpy(b->snapshot.data, d->str, d->len);
     g_string_free(d, TRUE);
     controller->news++;
   }
@@ -327,7 +333,7 @@
   controller *controller = ctx;
   (void)reply;
   (void)err;
-  if (!controller->core.running || in->have->fleet != controller->core.view.fleet ||
+  if (!controller->core.running || in->version_report->fleet_id != controller->core.view.fleet ||
       in->from->role != ROLE_ROUTER)
     return OK;
   having *h = g_hash_table_lookup(controller->reported_seq, in->from->id);
@@ -335,9 +341,9 @@
     h = g_new0(having, 1);
     g_hash_table_insert(controller->reported_seq, g_strdup(in->from->id), h);
   }
-  if (h->nonce != in->from->nonce || in->have->seq > h->seq) {
+  if (h->nonce != in->from->nonce || in->version_report->sequence > h->seq) {
     h->nonce = in->from->nonce;
-    h->seq = in->have->seq;
+    h->seq = in->version_report->sequence;
     condition_broadcast(&controller->reports_changed);
   }
   return OK;
@@ -441,19 +447,19 @@
   if (!r && x->which == RES_CANARY)
     r = canary_fits(spec, t, err);
   if (!r) {
-    Wire__Res res = WIRE__RES__INIT;
-    Wire__Op w = WIRE__OP__INIT;
+    Wire__Resource res = WIRE__RESOURCE__INIT;
+    Wire__Operation w = WIRE__OPERATION__INIT;
     res.name = (char *)res_name[x->which];
     res.text.data = (uint8_t *)text->str;
     res.text.len = text->len;
-    w.res = &res;
+    w.resource = &res;
     if (x->key) {
-      w.key = (char *)x->key;
-      w.hash = x->hash;
+      w.idempotency_key = (char *)x->key;
+      w.request_hash = x->hash;
     }
-    size_t n = wire__op__get_packed_size(&w);
+    size_t n = wire__operation__get_packed_size(&w);
     g_string_set_size(op, n);
-    wire__op__pack(&w, (uint8_t *)op->str);
+    wire__operation__pack(&w, (uint8_t *)op->str);
   }
   g_string_free(text, TRUE);
   return r;
@@ -697,18 +703,18 @@
   g_string_append_c(b, '[');
   g_hash_table_iter_init(&it, controller->registry.at);
   while (g_hash_table_iter_next(&it, NULL, &v)) {
-    Wire__Engine w;
+    Wire__EngineState w;
     registry_fill(v, world_now(controller->node.world), &w);
     json_f(
         b,
         "%s{\"id\":\"%s\",\"service\":\"%s\",\"area\":\"%s\",\"addr\":\"%s\",\"slots\":%u,\"state\":\"%s\",\"count\":%" PRIu64
         ",\"heardMs\":%" PRIu64 ",\"models\":[",
-        first ? "" : ",", w.id, w.service, w.area, w.addr, w.slots,
-        w.gone && w.leaving ? "signed off"
-        : w.gone            ? "silent"
-        : w.leaving         ? "leaving"
-                            : "ready",
-        w.count, w.agems);
+        first ? "" : ",", w.id, w.service, w.zone, w.address, w.slots,
+        w.gone && w.draining ? "signed off"
+        : w.gone             ? "silent"
+        : w.draining         ? "leaving"
+                             : "ready",
+        w.heartbeat_count, w.age_ms);
     for (size_t i = 0; i < w.n_models; i++) {
       json_f(b, "%s{\"model\":\"%s\",\"adapters\":[", i ? "," : "", w.models[i]->model);
       for (size_t k = 0; k < w.models[i]->n_adapters; k++)
@@ -809,10 +815,10 @@
   controller *m = g_new0(controller, 1);
   condition_init(&m->over);
   node_init(&m->node, world, settings);
-  node_on(&m->node, WIRE__ENVELOPE__BODY_HOLDS, on_holds, m);
-  node_on(&m->node, WIRE__ENVELOPE__BODY_NEWS, on_news, m);
-  node_on(&m->node, WIRE__ENVELOPE__BODY_HAVE, on_have, m);
-  node_on(&m->node, WIRE__ENVELOPE__BODY_CANARYEND, on_canary_end, m);
+  node_on(&m->node, WIRE__ENVELOPE__BODY_SINGLETON_LEASE_REQUEST, on_holds, m);
+  node_on(&m->node, WIRE__ENVELOPE__BODY_CONFIG_POLL_REQUEST, on_news, m);
+  node_on(&m->node, WIRE__ENVELOPE__BODY_VERSION_REPORT, on_have, m);
+  node_on(&m->node, WIRE__ENVELOPE__BODY_CANARY_END_REQUEST, on_canary_end, m);
   m->reported_seq = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
   m->grants_in_flight = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
   m->orders = g_hash_table_new(g_str_hash, g_str_equal);
--- a/lib/controlplane/controller.h
+++ b/lib/controlplane/controller.h
@@ -61,7 +61,8 @@
 /** Tells the others what a beat or sign-off that came here has changed. */
 void engines_folded(controller *controller, const char *id, enum fold f);
 /** True when news may tell a router of engines that it lacks. */
-bool engines_news(const controller *controller, const Wire__News *q);
+bool engines_news(const controller *controller, const Wire__ConfigPollRequest *q);
 /** Fills an answer to a router with the engines that it lacks. */
-void engines_fill(controller *controller, const Wire__News *q, Wire__NewsBack *b, reply *reply);
+void engines_fill(controller *controller, const Wire__ConfigPollRequest *q,
+                  Wire__ConfigPollResponse *b, reply *reply);
 #endif
--- a/lib/controlplane/core.c
+++ b/lib/controlplane/core.c
@@ -66,12 +66,14 @@
   const struct {
     int k;
     node_handler fn;
-  } on[] = {
-    { WIRE__ENVELOPE__BODY_FETCH, on_fetch },       { WIRE__ENVELOPE__BODY_PUT, on_put },
-    { WIRE__ENVELOPE__BODY_PROMISE, on_promise },   { WIRE__ENVELOPE__BODY_ACCEPT, on_accept },
-    { WIRE__ENVELOPE__BODY_ANNOUNCE, on_announce }, { WIRE__ENVELOPE__BODY_LEASE, on_lease },
-    { WIRE__ENVELOPE__BODY_FOUND, on_found },       { WIRE__ENVELOPE__BODY_ENROL, on_enrol }
-  };
+  } on[] = { { WIRE__ENVELOPE__BODY_SNAPSHOT_REQUEST, on_fetch },
+             { WIRE__ENVELOPE__BODY_REPLICATE_REQUEST, on_put },
+             { WIRE__ENVELOPE__BODY_PREPARE_REQUEST, on_promise },
+             { WIRE__ENVELOPE__BODY_ACCEPT_REQUEST, on_accept },
+             { WIRE__ENVELOPE__BODY_VIEW_ANNOUNCEMENT, on_announce },
+             { WIRE__ENVELOPE__BODY_MEMBER_LEASE_REQUEST, on_lease },
+             { WIRE__ENVELOPE__BODY_BOOTSTRAP_REQUEST, on_found },
+             { WIRE__ENVELOPE__BODY_JOIN_REQUEST, on_enrol } };
   for (size_t i = 0; i < G_N_ELEMENTS(on); i++)
     node_on(node, on[i].k, on[i].fn, core);
   enum found what;
--- a/lib/controlplane/core_internal.h
+++ b/lib/controlplane/core_internal.h
@@ -60,11 +60,11 @@
 /** True when both are one machine under one disk. */
 bool member_same(const member *a, const member *b);
 /** Less than, equal to or greater than 0, as for strcmp. */
-int ballot_cmp(ballot a, const Wire__Ballot *b);
+int ballot_cmp(ballot a, const Wire__ProposalNumber *b);
 /** Reads a ballot out of a message; none is the lowest. */
-ballot ballot_unpack(const Wire__Ballot *b);
+ballot ballot_unpack(const Wire__ProposalNumber *b);
 /** Fills a message with a ballot. */
-void ballot_pack(Wire__Ballot *w, const ballot *b);
+void ballot_pack(Wire__ProposalNumber *w, const ballot *b);
 /** The index of a member among n, or -1. */
 int member_index(const member *all, int n, const member *member);
 /** True when two views have the same voters. */
--- a/lib/controlplane/drain.c
+++ b/lib/controlplane/drain.c
@@ -93,8 +93,8 @@
   controller->core.draining = true;
   if (controller->has_control) {
     controller->control.leaving = controller->node.leaving = true;
-    Wire__Beat b = WIRE__BEAT__INIT;
-    Wire__Envelope w = wire_msg(WIRE__ENVELOPE__BODY_BEAT, &b);
+    Wire__Heartbeat b = WIRE__HEARTBEAT__INIT;
+    Wire__Envelope w = wire_msg(WIRE__ENVELOPE__BODY_HEARTBEAT, &b);
     list_for_each (peer, &controller->node.machines, machine, link)
       if (!peer->gone)
         node_send(&controller->node, peer->addr, &w);
--- a/lib/controlplane/engines.c
+++ b/lib/controlplane/engines.c
@@ -36,18 +36,18 @@
   return n;
 }
 
-static void cast(controller *controller, enum role r, Wire__Engine **all, size_t n) {
-  Wire__Engines e = WIRE__ENGINES__INIT;
+static void cast(controller *controller, enum role r, Wire__EngineState **all, size_t n) {
+  Wire__EngineUpdate e = WIRE__ENGINE_UPDATE__INIT;
   e.engines = all;
   e.n_engines = n;
-  Wire__Envelope w = wire_msg(WIRE__ENVELOPE__BODY_ENGINES, &e);
+  Wire__Envelope w = wire_msg(WIRE__ENVELOPE__BODY_ENGINE_UPDATE, &e);
   list_for_each (peer, &controller->node.machines, machine, link)
     if (peer->role == r && !peer->gone)
       node_send(&controller->node, peer->addr, &w);
 }
 
 static void cast_one(controller *controller, enum role r, const registered_engine *entry) {
-  Wire__Engine w, *one = &w;
+  Wire__EngineState w, *one = &w;
   registry_fill(entry, world_now(controller->node.world), &w);
   cast(controller, r, &one, 1);
 }
@@ -85,7 +85,7 @@
 }
 
 /* folds what another core machine says; true when it knows of changes whose text is not here */
-static bool hear(controller *controller, const Wire__Engines *in) {
+static bool hear(controller *controller, const Wire__EngineUpdate *in) {
   time_us now = world_now(controller->node.world);
   uint64_t was = controller->registry.seq;
   bool want = false;
@@ -99,15 +99,15 @@
 
 /* asks one of the others for all it has */
 static bool fetch_all(controller *controller, const char *addr) {
-  Wire__Engines q = WIRE__ENGINES__INIT;
-  q.back = true;
-  Wire__Envelope w = wire_msg(WIRE__ENVELOPE__BODY_ENGINES, &q), *b;
+  Wire__EngineUpdate q = WIRE__ENGINE_UPDATE__INIT;
+  q.want_response = true;
+  Wire__Envelope w = wire_msg(WIRE__ENVELOPE__BODY_ENGINE_UPDATE, &q), *b;
   error err = { 0 };
   if (node_call(&controller->node, addr, &w, time_from_ms(CALL_MS), &b, &err))
     return false;
-  bool ok = b->body_case == WIRE__ENVELOPE__BODY_ENGINES;
+  bool ok = b->body_case == WIRE__ENVELOPE__BODY_ENGINE_UPDATE;
   if (ok)
-    hear(controller, b->engines);
+    hear(controller, b->engine_update);
   node_reply_free(b);
   return ok;
 }
@@ -127,23 +127,24 @@
   controller *controller = ctx;
   if (in->from->role != ROLE_CONTROLLER)
     return error_set(err, E_WIRE, "only core machines tell of engines");
-  if (!in->engines->back) {
+  if (!in->engine_update->want_response) {
     time_us now = world_now(controller->node.world);
-    if (!hear(controller, in->engines) ||
+    if (!hear(controller, in->engine_update) ||
         !time_reached(now, time_add(controller->reg_asked, time_from_ms(REQUEST_EACH_MS))))
       return OK;
     controller->reg_asked = now;
     asking *a = g_new0(asking, 1);
     a->controller = controller;
-    g_strlcpy(a->addr, in->from->addr, sizeof a->addr);
+    g_strlcpy(a->addr, in->from->address, sizeof a->addr);
     task_start(&controller->node.world->tasks, "ask", request_run, a);
     return OK;
   }
   if (!controller->registry.settled)
     return error_set(err, E_IN_PROGRESS, "this machine has not heard of all engines yet");
-  Wire__Engines *b = reply_new(reply, WIRE__ENVELOPE__BODY_ENGINES, &wire__engines__descriptor);
+  Wire__EngineUpdate *b =
+      reply_new(reply, WIRE__ENVELOPE__BODY_ENGINE_UPDATE, &wire__engine_update__descriptor);
   guint n = g_hash_table_size(controller->registry.at), i = 0;
-  Wire__Engine *all = reply_hold(reply, sizeof *all * (n + 1));
+  Wire__EngineState *all = reply_hold(reply, sizeof *all * (n + 1));
   b->engines = reply_hold(reply, sizeof(void *) * (n + 1));
   GHashTableIter it;
   gpointer p;
@@ -157,16 +158,17 @@
   return OK;
 }
 
-bool engines_news(const controller *controller, const Wire__News *q) {
-  return q->enginerun == controller->registry.run ? q->engineseq < controller->reg_shown
-                                                  : controller->reg_shown > 0;
+bool engines_news(const controller *controller, const Wire__ConfigPollRequest *q) {
+  return q->registry_run == controller->registry.run ? q->registry_sequence < controller->reg_shown
+                                                     : controller->reg_shown > 0;
 }
 
-void engines_fill(controller *controller, const Wire__News *q, Wire__NewsBack *b, reply *reply) {
+void engines_fill(controller *controller, const Wire__ConfigPollRequest *q,
+                  Wire__ConfigPollResponse *b, reply *reply) {
   registry *registry = &controller->registry;
   bool whole;
-  GPtrArray *all = registry_since(registry, q->enginerun, q->engineseq, &whole);
-  Wire__Engine *w = reply_hold(reply, sizeof *w * (all->len + 1));
+  GPtrArray *all = registry_since(registry, q->registry_run, q->registry_sequence, &whole);
+  Wire__EngineState *w = reply_hold(reply, sizeof *w * (all->len + 1));
   b->engines = reply_hold(reply, sizeof(void *) * (all->len + 1));
   time_us now = world_now(controller->node.world);
   for (guint i = 0; i < all->len; i++) {
@@ -174,9 +176,9 @@
     b->engines[i] = &w[i];
   }
   b->n_engines = all->len;
-  b->enginerun = registry->run;
-  b->engineseq = registry->seq;
-  b->enginewhole = whole;
+  b->registry_run = registry->run;
+  b->registry_sequence = registry->seq;
+  b->engines_complete = whole;
   g_ptr_array_free(all, TRUE);
 }
 
@@ -204,7 +206,8 @@
       continue;
     told = now;
     guint n = g_hash_table_size(controller->registry.at), i = 0;
-    Wire__Engine *w = g_new(Wire__Engine, n + 1), **all = g_new(Wire__Engine *, n + 1);
+    Wire__EngineState *w = g_new(Wire__EngineState, n + 1),
+                      **all = g_new(Wire__EngineState *, n + 1);
     GHashTableIter it;
     gpointer q;
     g_hash_table_iter_init(&it, controller->registry.at);
@@ -215,11 +218,11 @@
       entry->changed_here = false;
       if (entry->gone)
         continue;
-      wire__engine__init(&w[i]);
+      wire__engine_state__init(&w[i]);
       w[i].id = entry->beat->id;
-      w[i].count = entry->count;
-      w[i].sum = entry->sum;
-      w[i].agems = (uint64_t)MAX(0, time_sub(now, entry->heard).us / 1000);
+      w[i].heartbeat_count = entry->count;
+      w[i].checksum = entry->sum;
+      w[i].age_ms = (uint64_t)MAX(0, time_sub(now, entry->heard).us / 1000);
       all[i] = &w[i];
       i++;
     }
@@ -259,7 +262,7 @@
   condition_init(&controller->reg_moved);
   /* the run of a registry is that of its process */
   registry_init(&controller->registry, controller->node.nonce, world_now(controller->node.world));
-  node_on(&controller->node, WIRE__ENVELOPE__BODY_ENGINES, on_engines, controller);
+  node_on(&controller->node, WIRE__ENVELOPE__BODY_ENGINE_UPDATE, on_engines, controller);
 }
 
 void engines_start(controller *controller) {
--- a/lib/controlplane/join.c
+++ b/lib/controlplane/join.c
@@ -33,12 +33,12 @@
   core *core = ctx;
   if (!core->running)
     return error_set(err, E_CORE_GONE, "starting");
-  Wire__FoundBack *b =
-      reply_new(reply, WIRE__ENVELOPE__BODY_FOUNDBACK, &wire__found_back__descriptor);
+  Wire__BootstrapResponse *b = reply_new(reply, WIRE__ENVELOPE__BODY_BOOTSTRAP_RESPONSE,
+                                         &wire__bootstrap_response__descriptor);
   b->self = reply_self(reply, core);
   b->blank = !core->view.epoch && !core->disk.broken && join_is_founder(core) &&
-             join_is_first_founder(core, in->from->id, in->from->addr);
-  b->disk = core->disk_id;
+             join_is_first_founder(core, in->from->id, in->from->address);
+  b->disk_id = core->disk_id;
   if (core->view.epoch)
     b->view = reply_view(reply, &core->view);
   return OK;
@@ -49,9 +49,9 @@
   member m;
   if (!core->running || !core->view.epoch)
     return error_set(err, E_CORE_GONE, "no view is known here");
-  if (!member_unpack(&m, in->enrol->self))
+  if (!member_unpack(&m, in->join_request->self))
     return error_set(err, E_WIRE, "no member");
-  if (in->enrol->ready && chain_may_enrol(&core->view, in->enrol->epoch)) {
+  if (in->join_request->ready && chain_may_enrol(&core->view, in->join_request->epoch)) {
     int at = 0;
     for (size_t i = 0; i < G_N_ELEMENTS(core->callers); i++) {
       if (id_equal(core->callers[i].who.self, m.self)) {
@@ -62,11 +62,11 @@
         at = i;
     }
     core->callers[at].who = m;
-    core->callers[at].epoch = in->enrol->epoch;
+    core->callers[at].epoch = in->join_request->epoch;
     core->callers[at].at = world_now(core->node->world);
   }
-  Wire__EnrolBack *b =
-      reply_new(reply, WIRE__ENVELOPE__BODY_ENROLBACK, &wire__enrol_back__descriptor);
+  Wire__JoinResponse *b =
+      reply_new(reply, WIRE__ENVELOPE__BODY_JOIN_RESPONSE, &wire__join_response__descriptor);
   b->ok = true;
   b->view = reply_view(reply, &core->view);
   return OK;
@@ -74,19 +74,19 @@
 
 /* asks a machine for the view that it knows */
 static int join_look(core *core, const char *addr) {
-  Wire__Enrol q = WIRE__ENROL__INIT;
+  Wire__JoinRequest q = WIRE__JOIN_REQUEST__INIT;
   Wire__Member w;
   member self = core_self(core);
   member_pack(&w, &self);
   q.self = &w;
-  Wire__Envelope m = wire_msg(WIRE__ENVELOPE__BODY_ENROL, &q);
+  Wire__Envelope m = wire_msg(WIRE__ENVELOPE__BODY_JOIN_REQUEST, &q);
   Wire__Envelope *b;
   error err = { 0 };
   int r = node_call(core->node, addr, &m, time_from_ms(600), &b, &err);
   if (r)
     return r;
-  if (b->body_case == WIRE__ENVELOPE__BODY_ENROLBACK)
-    agreement_adopt(core, b->enrolback->view);
+  if (b->body_case == WIRE__ENVELOPE__BODY_JOIN_RESPONSE)
+    agreement_adopt(core, b->join_response->view);
   node_reply_free(b);
   return OK;
 }
@@ -116,24 +116,24 @@
       if (!strcmp(addr, core->node->settings.addr))
         continue;
     }
-    Wire__Found q = WIRE__FOUND__INIT;
+    Wire__BootstrapRequest q = WIRE__BOOTSTRAP_REQUEST__INIT;
     q.id = core->node->settings.self.text;
-    q.disk = core->disk_id;
+    q.disk_id = core->disk_id;
     q.blank = true;
-    Wire__Envelope m = wire_msg(WIRE__ENVELOPE__BODY_FOUND, &q);
+    Wire__Envelope m = wire_msg(WIRE__ENVELOPE__BODY_BOOTSTRAP_REQUEST, &q);
     Wire__Envelope *b;
     error err = { 0 };
     if (node_call(core->node, addr, &m, time_from_ms(600), &b, &err))
       return;
     member *new = &v.chain[v.chain_length];
-    bool ok = b->body_case == WIRE__ENVELOPE__BODY_FOUNDBACK && b->foundback->blank &&
-              member_unpack(new, b->foundback->self);
+    bool ok = b->body_case == WIRE__ENVELOPE__BODY_BOOTSTRAP_RESPONSE &&
+              b->bootstrap_response->blank && member_unpack(new, b->bootstrap_response->self);
     ok = ok &&
          (join_by_name(core) ? id_equal(new->self, core->node->settings.founders[i])
                              : !strcmp(new->addr, addr)) &&
          member_index(v.chain, v.chain_length, new) < 0;
-    if (b->body_case == WIRE__ENVELOPE__BODY_FOUNDBACK && b->foundback->view)
-      agreement_adopt(core, b->foundback->view);
+    if (b->body_case == WIRE__ENVELOPE__BODY_BOOTSTRAP_RESPONSE && b->bootstrap_response->view)
+      agreement_adopt(core, b->bootstrap_response->view);
     node_reply_free(b);
     if (!ok || core->view.epoch)
       return;
@@ -167,14 +167,14 @@
  * some of them may be lost */
 static void join_tell(core *core) {
   view v = core->view;
-  Wire__Enrol q = WIRE__ENROL__INIT;
+  Wire__JoinRequest q = WIRE__JOIN_REQUEST__INIT;
   Wire__Member w;
   member self = core_self(core);
   member_pack(&w, &self);
   q.self = &w;
   q.ready = true;
   q.epoch = v.epoch;
-  Wire__Envelope m = wire_msg(WIRE__ENVELOPE__BODY_ENROL, &q);
+  Wire__Envelope m = wire_msg(WIRE__ENVELOPE__BODY_JOIN_REQUEST, &q);
   for (int i = 0; i < v.voter_count; i++)
     if (!id_equal(v.voters[i].self, core->node->settings.self))
       node_send(core->node, v.voters[i].addr, &m);
--- a/lib/controlplane/journal.c
+++ b/lib/controlplane/journal.c
@@ -12,29 +12,29 @@
 }
 
 void journal_put_vote(GString *to, const vote *s) {
-  Wire__Vote w = WIRE__VOTE__INIT;
-  Wire__Ballot p, t;
+  Wire__AcceptorState w = WIRE__ACCEPTOR_STATE__INIT;
+  Wire__ProposalNumber p, t;
   view_msg m;
   ballot_pack(&p, &s->promised);
   ballot_pack(&t, &s->accepted);
   w.epoch = s->epoch;
   w.promised = &p;
-  w.took = &t;
+  w.accepted = &t;
   if (s->has)
     w.view = view_pack(&m, &s->value);
-  size_t n = wire__vote__get_packed_size(&w);
+  size_t n = wire__acceptor_state__get_packed_size(&w);
   uint8_t *b = g_malloc(n);
-  wire__vote__pack(&w, b);
+  wire__acceptor_state__pack(&w, b);
   entry_put(to, ENTRY_VOTE, b, n);
   g_free(b);
 }
 
 void journal_put_record(GString *to, uint64_t seq, uint64_t epoch, string_view op) {
   Wire__Record r = WIRE__RECORD__INIT;
-  r.seq = seq;
+  r.sequence = seq;
   r.epoch = epoch;
-  r.op.data = (uint8_t *)op.data;
-  r.op.len = op.length;
+  r.operation.data = (uint8_t *)op.data;
+  r.operation.len = op.length;
   size_t n = wire__record__get_packed_size(&r);
   uint8_t *b = g_malloc(n);
   wire__record__pack(&r, b);
@@ -113,23 +113,25 @@
     if (w)
       wire__view__free_unpacked(w, NULL);
   } else if (kind == ENTRY_VOTE) {
-    Wire__Vote *w = wire__vote__unpack(NULL, body.length, (const uint8_t *)body.data);
+    Wire__AcceptorState *w =
+        wire__acceptor_state__unpack(NULL, body.length, (const uint8_t *)body.data);
     if (!w)
       return;
     memset(&core->vote, 0, sizeof core->vote);
     core->vote.epoch = w->epoch;
     core->vote.promised = ballot_unpack(w->promised);
-    core->vote.accepted = ballot_unpack(w->took);
+    core->vote.accepted = ballot_unpack(w->accepted);
     core->vote.has = w->view && view_unpack(&core->vote.value, w->view);
-    wire__vote__free_unpacked(w, NULL);
+    wire__acceptor_state__free_unpacked(w, NULL);
   } else if (kind == ENTRY_DIGEST) {
     if (state_unpack(&core->committed, body))
       core->last_seq = core->committed.seq;
   } else if (kind == ENTRY_RECORD) {
     Wire__Record *r = wire__record__unpack(NULL, body.length, (const uint8_t *)body.data);
-    if (r && r->seq == core->last_seq + 1) {
-      core->last_seq = r->seq;
-      journal_keep(core, r->seq, r->epoch, (string_view){ (char *)r->op.data, r->op.len });
+    if (r && r->sequence == core->last_seq + 1) {
+      core->last_seq = r->sequence;
+      journal_keep(core, r->sequence, r->epoch,
+                   (string_view){ (char *)r->operation.data, r->operation.len });
     }
     if (r)
       wire__record__free_unpacked(r, NULL);
--- a/lib/controlplane/lease.c
+++ b/lib/controlplane/lease.c
@@ -61,14 +61,14 @@
 
 int on_lease(void *ctx, Wire__Envelope *in, reply *reply, error *err) {
   core *core = ctx;
-  Wire__Lease *l = in->lease;
+  Wire__MemberLeaseRequest *l = in->member_lease_request;
   if (!core->running || core->disk.broken)
     return error_set(err, E_CORE_GONE, "no voter");
-  if (l->fleet != core->view.fleet && core->view.epoch && l->epoch)
+  if (l->fleet_id != core->view.fleet && core->view.epoch && l->epoch)
     return error_set(err, E_VIEW, "another fleet");
-  Wire__LeaseBack *b =
-      reply_new(reply, WIRE__ENVELOPE__BODY_LEASEBACK, &wire__lease_back__descriptor);
-  member who = { id_of_text(l->id), id_of_text(""), "", l->disk };
+  Wire__MemberLeaseResponse *b = reply_new(reply, WIRE__ENVELOPE__BODY_MEMBER_LEASE_RESPONSE,
+                                           &wire__member_lease_response__descriptor);
+  member who = { id_of_text(l->id), id_of_text(""), "", l->disk_id };
   lease_note_hearing(core, who.self, l->hears_nothing);
   if (l->epoch < core->view.epoch)
     b->newer = reply_view(reply, &core->view);
@@ -76,10 +76,10 @@
     b->behind = true;
   else if (member_index(core->view.chain, core->view.chain_length, &who) < 0) {
     /* it knows that it was left out, so what it was given in an older view is void */
-    lease_release(&core->lease, l->disk);
+    lease_release(&core->lease, l->disk_id);
   } else if (core_voter_index(core) >= 0)
-    b->ok = lease_grant(&core->lease, &core->view, agreement_vote_pending(core), &who,
-                        world_now(core->node->world));
+    b->granted = lease_grant(&core->lease, &core->view, agreement_vote_pending(core), &who,
+                             world_now(core->node->world));
   return OK;
 }
 
@@ -110,13 +110,13 @@
     }
     uint64_t epoch = core->view.epoch;
     time_us sent = world_now(core->node->world);
-    Wire__Lease l = WIRE__LEASE__INIT;
+    Wire__MemberLeaseRequest l = WIRE__MEMBER_LEASE_REQUEST__INIT;
     l.epoch = epoch;
-    l.fleet = core->view.fleet;
+    l.fleet_id = core->view.fleet;
     l.id = core->node->settings.self.text;
-    l.disk = core->disk_id;
+    l.disk_id = core->disk_id;
     l.hears_nothing = time_reached(sent, time_add(heard, time_from_ms(LEASE_SILENCE_MS)));
-    Wire__Envelope m = wire_msg(WIRE__ENVELOPE__BODY_LEASE, &l);
+    Wire__Envelope m = wire_msg(WIRE__ENVELOPE__BODY_MEMBER_LEASE_REQUEST, &l);
     Wire__Envelope *b;
     error err = { 0 };
     int r = node_call(core->node, who.addr, &m, time_from_ms(600), &b, &err);
@@ -125,18 +125,18 @@
     got = !r && epoch == core->view.epoch;
     if (r)
       continue;
-    if (b->body_case == WIRE__ENVELOPE__BODY_LEASEBACK) {
-      got &= b->leaseback->ok || out;
+    if (b->body_case == WIRE__ENVELOPE__BODY_MEMBER_LEASE_RESPONSE) {
+      got &= b->member_lease_response->granted || out;
       if (out)
         told = epoch;
-      else if (b->leaseback->ok && epoch == core->view.epoch && i < core->view.voter_count &&
-               member_same(&who, &core->view.voters[i])) {
+      else if (b->member_lease_response->granted && epoch == core->view.epoch &&
+               i < core->view.voter_count && member_same(&who, &core->view.voters[i])) {
         lease_hold(&core->lease, i, who.disk, sent);
         core_acts(core);
       }
-      if (b->leaseback->behind)
+      if (b->member_lease_response->behind)
         agreement_announce(core, who.addr);
-      agreement_adopt(core, b->leaseback->newer);
+      agreement_adopt(core, b->member_lease_response->newer);
     }
     node_reply_free(b);
   }
--- a/lib/controlplane/registry.c
+++ b/lib/controlplane/registry.c
@@ -5,7 +5,7 @@
 static void enlisted_free(void *p) {
   registered_engine *entry = p;
   if (entry->beat)
-    wire__engine__free_unpacked(entry->beat, NULL);
+    wire__engine_state__free_unpacked(entry->beat, NULL);
   g_free(entry);
 }
 
@@ -33,23 +33,23 @@
 }
 
 /* over all that a node must know, but for what only time changes */
-static uint64_t sum_of(const Wire__Engine *w, bool leaving) {
-  uint64_t h = add(add(add(add(leaving, w->service), w->addr), w->area), w->version);
+static uint64_t sum_of(const Wire__EngineState *w, bool leaving) {
+  uint64_t h = add(add(add(add(leaving, w->service), w->address), w->zone), w->version);
   h = hash_of(&w->slots, sizeof w->slots, h);
   for (size_t i = 0; i < w->n_models; i++) {
-    const Wire__Resident *m = w->models[i];
-    h = hash_of(&m->version, sizeof m->version, add(h, m->model));
+    const Wire__ResidentModel *m = w->models[i];
+    h = hash_of(&m->weights_version, sizeof m->weights_version, add(h, m->model));
     for (size_t k = 0; k < m->n_adapters; k++)
       h = add(h, m->adapters[k]);
   }
   return h;
 }
 
-static Wire__Engine *copy(const Wire__Engine *w) {
-  size_t n = wire__engine__get_packed_size(w);
+static Wire__EngineState *copy(const Wire__EngineState *w) {
+  size_t n = wire__engine_state__get_packed_size(w);
   uint8_t *p = g_malloc(n + 1);
-  wire__engine__pack(w, p);
-  Wire__Engine *c = wire__engine__unpack(NULL, n, p);
+  wire__engine_state__pack(w, p);
+  Wire__EngineState *c = wire__engine_state__unpack(NULL, n, p);
   g_free(p);
   return c;
 }
@@ -71,7 +71,8 @@
   g_hash_table_iter_init(&it, registry->at);
   while (g_hash_table_iter_next(&it, NULL, &p)) {
     registered_engine *o = p;
-    if (o == entry || o->gone || !o->beat->addr[0] || strcmp(o->beat->addr, entry->beat->addr))
+    if (o == entry || o->gone || !o->beat->address[0] ||
+        strcmp(o->beat->address, entry->beat->address))
       continue;
     if (o->heard.us > entry->heard.us) {
       go(registry, entry, now);
@@ -92,19 +93,19 @@
   return FOLD_ENDING;
 }
 
-static registered_engine *enlist(registry *registry, const Wire__Engine *w) {
+static registered_engine *enlist(registry *registry, const Wire__EngineState *w) {
   registered_engine *entry = g_new0(registered_engine, 1);
   entry->beat = copy(w);
   g_hash_table_insert(registry->at, entry->beat->id, entry);
   return entry;
 }
 
-static enum fold fold(registry *registry, const Wire__Engine *w, bool direct, time_us now) {
-  time_us at = time_sub(now, time_from_ms((int64_t)MIN(w->agems, 1u << 30)));
-  time_us cold = time_add(at, time_from_ms((int64_t)MIN(w->coldms, 1u << 30)));
-  time_us ends =
-      w->endsms ? time_add(at, time_from_ms((int64_t)MIN(w->endsms, 1u << 30))) : (time_us){ 0 };
-  bool final = w->gone && w->leaving;
+static enum fold fold(registry *registry, const Wire__EngineState *w, bool direct, time_us now) {
+  time_us at = time_sub(now, time_from_ms((int64_t)MIN(w->age_ms, 1u << 30)));
+  time_us cold = time_add(at, time_from_ms((int64_t)MIN(w->slow_start_ms, 1u << 30)));
+  time_us ends = w->ends_in_ms ? time_add(at, time_from_ms((int64_t)MIN(w->ends_in_ms, 1u << 30)))
+                               : (time_us){ 0 };
+  bool final = w->gone && w->draining;
   registered_engine *entry = registry_find(registry, w->id);
   if (at.us > registry->newest.us)
     registry->newest = at;
@@ -112,11 +113,11 @@
     if (w->gone && !final)
       return FOLD_LATE;
     entry = enlist(registry, w);
-    entry->count = w->count;
+    entry->count = w->heartbeat_count;
     entry->heard = at;
     entry->cold_till = cold;
     entry->ends_at = ends;
-    entry->leaving = w->leaving;
+    entry->leaving = w->draining;
     entry->sum = sum_of(entry->beat, entry->leaving);
     if (final)
       return end(registry, entry, now);
@@ -130,9 +131,9 @@
     return end(registry, entry, now);
   if (w->gone)
     return FOLD_LATE;
-  bool ending = w->leaving && !entry->leaving;
-  entry->leaving |= w->leaving;
-  if (direct ? w->count <= entry->count : w->count < entry->count) {
+  bool ending = w->draining && !entry->leaving;
+  entry->leaving |= w->draining;
+  if (direct ? w->heartbeat_count <= entry->count : w->heartbeat_count < entry->count) {
     if (!ending)
       return FOLD_LATE;
     entry->sum = sum_of(entry->beat, true);
@@ -143,26 +144,26 @@
   bool back =
       entry->gone && later && !time_reached(now, time_add(at, time_from_ms(registry->silent_ms)));
   uint64_t sum = sum_of(w, entry->leaving);
-  bool moved = strcmp(w->addr, entry->beat->addr);
-  bool changed =
-      sum != entry->sum || back || ending ||
-      (w->count > entry->count && w->coldms && differ(cold, entry->cold_till, COLD_SLACK_MS)) ||
-      (ends.us && (!entry->ends_at.us || differ(ends, entry->ends_at, ENDS_SLACK_MS)));
-  if (sum != entry->sum && w->count == entry->count && !ending)
+  bool moved = strcmp(w->address, entry->beat->address);
+  bool changed = sum != entry->sum || back || ending ||
+                 (w->heartbeat_count > entry->count && w->slow_start_ms &&
+                  differ(cold, entry->cold_till, COLD_SLACK_MS)) ||
+                 (ends.us && (!entry->ends_at.us || differ(ends, entry->ends_at, ENDS_SLACK_MS)));
+  if (sum != entry->sum && w->heartbeat_count == entry->count && !ending)
     changed = back;
   if (changed) {
     /* the key of the table is the text's own name */
-    Wire__Engine *was = entry->beat;
+    Wire__EngineState *was = entry->beat;
     g_hash_table_steal(registry->at, was->id);
     entry->beat = copy(w);
     g_hash_table_insert(registry->at, entry->beat->id, entry);
-    wire__engine__free_unpacked(was, NULL);
+    wire__engine_state__free_unpacked(was, NULL);
     entry->sum = sum;
     entry->cold_till = cold;
     if (ends.us)
       entry->ends_at = ends;
   }
-  entry->count = w->count;
+  entry->count = w->heartbeat_count;
   if (later)
     entry->heard = at;
   if (back)
@@ -175,7 +176,7 @@
   return ending ? FOLD_ENDING : FOLD_CHANGED;
 }
 
-enum fold registry_beat(registry *registry, const Wire__Engine *w, time_us now) {
+enum fold registry_beat(registry *registry, const Wire__EngineState *w, time_us now) {
   enum fold f = fold(registry, w, true, now);
   registered_engine *entry = registry_find(registry, w->id);
   if (entry && f != FOLD_LATE)
@@ -189,7 +190,7 @@
   if (entry && entry->signed_off)
     return FOLD_LATE;
   if (!entry) {
-    Wire__Engine w = WIRE__ENGINE__INIT;
+    Wire__EngineState w = WIRE__ENGINE_STATE__INIT;
     w.id = (char *)id;
     entry = enlist(registry, &w);
   }
@@ -197,18 +198,18 @@
   return end(registry, entry, now);
 }
 
-enum fold registry_heard(registry *registry, const Wire__Engine *w, time_us now) {
+enum fold registry_heard(registry *registry, const Wire__EngineState *w, time_us now) {
   if (w->service[0] || w->gone)
     return fold(registry, w, false, now);
   registered_engine *entry = registry_find(registry, w->id);
   if (!entry)
     return FOLD_WANT;
-  if (entry->signed_off || w->count < entry->count)
+  if (entry->signed_off || w->heartbeat_count < entry->count)
     return FOLD_LATE;
-  if (w->sum != entry->sum || entry->gone)
+  if (w->checksum != entry->sum || entry->gone)
     return FOLD_WANT;
-  time_us at = time_sub(now, time_from_ms((int64_t)MIN(w->agems, 1u << 30)));
-  entry->count = w->count;
+  time_us at = time_sub(now, time_from_ms((int64_t)MIN(w->age_ms, 1u << 30)));
+  entry->count = w->heartbeat_count;
   if (at.us > entry->heard.us)
     entry->heard = at;
   if (at.us > registry->newest.us)
@@ -249,16 +250,16 @@
   registry->cut = ++registry->seq;
 }
 
-void registry_fill(const registered_engine *entry, time_us now, Wire__Engine *to) {
+void registry_fill(const registered_engine *entry, time_us now, Wire__EngineState *to) {
   *to = *entry->beat;
-  to->leaving = entry->leaving;
+  to->draining = entry->leaving;
   to->gone = entry->gone;
-  to->count = entry->count;
-  to->sum = entry->sum;
-  to->agems = (uint64_t)MAX(0, time_sub(now, entry->heard).us / 1000);
+  to->heartbeat_count = entry->count;
+  to->checksum = entry->sum;
+  to->age_ms = (uint64_t)MAX(0, time_sub(now, entry->heard).us / 1000);
   /* whoever folds this counts both times from the beat on */
-  to->coldms = (uint64_t)MAX(0, time_sub(entry->cold_till, entry->heard).us / 1000);
-  to->endsms =
+  to->slow_start_ms = (uint64_t)MAX(0, time_sub(entry->cold_till, entry->heard).us / 1000);
+  to->ends_in_ms =
       entry->ends_at.us ? (uint64_t)MAX(1, time_sub(entry->ends_at, entry->heard).us / 1000) : 0;
 }
 
--- a/lib/controlplane/registry.h
+++ b/lib/controlplane/registry.h
@@ -6,7 +6,7 @@
 
 /** One life of an engine, as its beats say. */
 typedef struct registered_engine {
-  Wire__Engine *beat;
+  Wire__EngineState *beat;
   uint64_t sum, count, changed;
   time_us heard, gone_at, ends_at, cold_till;
   /** leaving is for good; gone alone is silence, which a beat ends; signed_off is for good. */
@@ -34,12 +34,12 @@
 void registry_free(registry *registry);
 registered_engine *registry_find(const registry *registry, const char *id);
 /** Folds a beat that came from the engine. */
-enum fold registry_beat(registry *registry, const Wire__Engine *w, time_us now);
+enum fold registry_beat(registry *registry, const Wire__EngineState *w, time_us now);
 /** Folds a sign-off, also of an engine that was never heard of. */
 enum fold registry_leave(registry *registry, const char *id, time_us now);
 /** Folds what another core machine says: all of an engine, or (with no service) only its count, age
  * and sum. */
-enum fold registry_heard(registry *registry, const Wire__Engine *w, time_us now);
+enum fold registry_heard(registry *registry, const Wire__EngineState *w, time_us now);
 /** Marks the silent as gone and forgets what is long gone; true when something changed. all: every
  * other core machine is in reach; while one is not, it may hear engines that are not heard here,
  * and silence takes longer to count. */
@@ -49,7 +49,7 @@
 /** Says an engine as it is now; the text stays the registry's. coldMs and endsMs count from the
  * beat, ageMs ago. gone and leaving together are for good; gone alone is silence, and a later beat
  * ends it. */
-void registry_fill(const registered_engine *entry, time_us now, Wire__Engine *to);
+void registry_fill(const registered_engine *entry, time_us now, Wire__EngineState *to);
 /** Picks what he lacks: all that live when he must have the whole. Free with g_ptr_array_free. */
 GPtrArray *registry_since(const registry *registry, uint64_t run, uint64_t seq, bool *whole);
 #endif
--- a/lib/controlplane/replication.c
+++ b/lib/controlplane/replication.c
@@ -57,19 +57,20 @@
 }
 
 /* syncs and keeps the records that follow this copy without a gap */
-static int replication_take(core *core, const Wire__Put *p, error *err) {
+static int replication_take(core *core, const Wire__ReplicateRequest *p, error *err) {
   uint64_t seqs[BATCH];
   size_t n = MIN(p->n_records, (size_t)BATCH), from;
   for (size_t i = 0; i < n; i++)
-    seqs[i] = p->records[i]->seq;
+    seqs[i] = p->records[i]->sequence;
   size_t fit = chain_fitting(core->last_seq, seqs, n, &from);
   if (!fit)
     return OK;
   GString *b = g_string_new(NULL);
   for (size_t i = from; i < n; i++) {
     const Wire__Record *x = p->records[i];
-    if (x->seq > core->last_seq && x->seq <= core->last_seq + fit)
-      journal_put_record(b, x->seq, x->epoch, (string_view){ (char *)x->op.data, x->op.len });
+    if (x->sequence > core->last_seq && x->sequence <= core->last_seq + fit)
+      journal_put_record(b, x->sequence, x->epoch,
+                         (string_view){ (char *)x->operation.data, x->operation.len });
   }
   uint64_t gen = core->resets, low = core->last_seq, high = core->last_seq + fit;
   int r = store_add_all(&core->disk, string_view_of_gstring(b), err);
@@ -78,10 +79,11 @@
     return r;
   for (size_t i = from; i < n; i++) {
     const Wire__Record *x = p->records[i];
-    if (x->seq <= low || x->seq > high)
+    if (x->sequence <= low || x->sequence > high)
       continue;
-    journal_keep(core, x->seq, x->epoch, (string_view){ (char *)x->op.data, x->op.len });
-    core->last_seq = x->seq;
+    journal_keep(core, x->sequence, x->epoch,
+                 (string_view){ (char *)x->operation.data, x->operation.len });
+    core->last_seq = x->sequence;
   }
   core->ordered_valid = false;
   return OK;
@@ -89,7 +91,7 @@
 
 int on_put(void *ctx, Wire__Envelope *in, reply *reply, error *err) {
   core *core = ctx;
-  Wire__Put *p = in->put;
+  Wire__ReplicateRequest *p = in->replicate_request;
   if (!core->running)
     return error_set(err, E_CORE_GONE, "starting");
   if (core->disk.broken)
@@ -108,19 +110,20 @@
   copy = core_copy(core);
   if (!chain_may_take(&copy, &core->view, p->epoch, from))
     r = error_set(err, E_EPOCH, "the view changed");
-  bool differs = !r && p->sumseq && p->sumseq == core->committed.seq && core_whole(core) &&
-                 state_sum(&core->committed) != p->sum;
+  bool differs = !r && p->checksum_sequence && p->checksum_sequence == core->committed.seq &&
+                 core_whole(core) && state_sum(&core->committed) != p->checksum;
   if (differs)
     log_info(&core->node->log, "chain",
              "This copy differs from that of %s at write %" PRIu64
              "; it is fetched anew (code %d).",
-             in->from->id, p->sumseq, E_BAD_RECORD);
-  if (!r && (p->digest || differs))
-    r = replication_refetch(core, in->from->addr, err);
+             in->from->id, p->checksum_sequence, E_BAD_RECORD);
+  if (!r && (p->need_snapshot || differs))
+    r = replication_refetch(core, in->from->address, err);
   if (!r)
     r = replication_take(core, p, err);
   copy = core_copy(core);
-  if (!r && p->epoch == core->view.epoch && chain_becomes_whole(&copy, p->whole, p->last)) {
+  if (!r && p->epoch == core->view.epoch &&
+      chain_becomes_whole(&copy, p->in_sync, p->last_sequence)) {
     r = replication_store_whole(core, true, err);
     if (!r)
       log_info(&core->node->log, "core", "This copy is whole at %" PRIu64 ".", core->last_seq);
@@ -134,10 +137,11 @@
   while (core->committed.seq < core->last_seq && p->epoch == core->view.epoch)
     if (condition_wait(&core->node->world->tasks, &core->moved, till) != WAKE_SIGNALLED)
       break;
-  Wire__PutBack *b = reply_new(reply, WIRE__ENVELOPE__BODY_PUTBACK, &wire__put_back__descriptor);
+  Wire__ReplicateResponse *b = reply_new(reply, WIRE__ENVELOPE__BODY_REPLICATE_RESPONSE,
+                                         &wire__replicate_response__descriptor);
   b->ok = true;
-  b->last = core->last_seq;
-  b->commit = core->committed.seq;
+  b->last_sequence = core->last_seq;
+  b->commit_sequence = core->committed.seq;
   return OK;
 }
 
@@ -172,7 +176,7 @@
     char addr[48];
     g_strlcpy(addr, core->view.chain[at + 1].addr, sizeof addr);
     Wire__Record rec[BATCH], *recs[BATCH];
-    Wire__Put put = WIRE__PUT__INIT;
+    Wire__ReplicateRequest put = WIRE__REPLICATE_REQUEST__INIT;
     size_t bytes = 0, n = 0, most = MIN((size_t)PART, core->disk.size / 8);
     if (know && theirs < core->last_seq) {
       record *low = core->recent.head ? core->recent.head->data : NULL;
@@ -183,10 +187,10 @@
         if (r->seq <= theirs || r->seq > core->last_seq)
           continue;
         wire__record__init(&rec[n]);
-        rec[n].seq = r->seq;
+        rec[n].sequence = r->seq;
         rec[n].epoch = r->epoch;
-        rec[n].op.data = (uint8_t *)r->op->str;
-        rec[n].op.len = r->op->len;
+        rec[n].operation.data = (uint8_t *)r->op->str;
+        rec[n].operation.len = r->op->len;
         recs[n] = &rec[n];
         bytes += r->op->len;
         n++;
@@ -195,17 +199,17 @@
     /* now and then the sweep: the next one holds its copy against this sum */
     if (time_reached(world_now(world), time_add(core->last_sweep_at, time_from_ms(SWEEP_MS)))) {
       core->last_sweep_at = world_now(world);
-      put.sumseq = core->committed.seq;
-      put.sum = state_sum(&core->committed);
+      put.checksum_sequence = core->committed.seq;
+      put.checksum = state_sum(&core->committed);
     }
     put.epoch = epoch;
-    put.last = core->last_seq;
-    put.whole = core_whole(core);
-    put.digest = digest;
-    put.commit = core->committed.seq;
+    put.last_sequence = core->last_seq;
+    put.in_sync = core_whole(core);
+    put.need_snapshot = digest;
+    put.commit_sequence = core->committed.seq;
     put.n_records = n;
     put.records = recs;
-    Wire__Envelope m = wire_msg(WIRE__ENVELOPE__BODY_PUT, &put);
+    Wire__Envelope m = wire_msg(WIRE__ENVELOPE__BODY_REPLICATE_REQUEST, &put);
     Wire__Envelope *b;
     error err = { 0 };
     int r = node_call(core->node, addr, &m, time_from_ms(digest ? 4000 : 1000), &b, &err);
@@ -220,15 +224,15 @@
         return;
       continue;
     }
-    if (b->body_case == WIRE__ENVELOPE__BODY_PUTBACK && epoch == core->view.epoch) {
+    if (b->body_case == WIRE__ENVELOPE__BODY_REPLICATE_RESPONSE && epoch == core->view.epoch) {
       know = true;
-      theirs = b->putback->last;
+      theirs = b->replicate_response->last_sequence;
       core->link_ok_at = world_now(world);
       if (theirs > core->last_seq)
         log_info(&core->node->log, "chain",
                  "%s is ahead of this machine: %" PRIu64 " over %" PRIu64 " (code %d).", addr,
                  theirs, core->last_seq, E_BAD_RECORD);
-      replication_commit(core, b->putback->commit);
+      replication_commit(core, b->replicate_response->commit_sequence);
     }
     node_reply_free(b);
   }
--- a/lib/controlplane/snapshot.c
+++ b/lib/controlplane/snapshot.c
@@ -6,22 +6,24 @@
   uint64_t seq = 0, size = 1;
   int r = OK;
   while (!r && all->len < size) {
-    Wire__Fetch f = WIRE__FETCH__INIT;
-    f.seq = seq;
-    f.off = all->len;
-    Wire__Envelope m = wire_msg(WIRE__ENVELOPE__BODY_FETCH, &f);
+    Wire__SnapshotRequest f = WIRE__SNAPSHOT_REQUEST__INIT;
+    f.sequence = seq;
+    f.offset = all->len;
+    Wire__Envelope m = wire_msg(WIRE__ENVELOPE__BODY_SNAPSHOT_REQUEST, &f);
     Wire__Envelope *b;
     r = node_call(core->node, addr, &m, time_from_ms(1500), &b, err);
     if (r)
       break;
-    if (b->body_case != WIRE__ENVELOPE__BODY_FETCHBACK ||
-        (all->len && (b->fetchback->seq != seq || b->fetchback->size != size)) ||
-        !b->fetchback->bytes.len)
+    if (b->body_case != WIRE__ENVELOPE__BODY_SNAPSHOT_RESPONSE ||
+        (all->len &&
+         (b->snapshot_response->sequence != seq || b->snapshot_response->size != size)) ||
+        !b->snapshot_response->chunk.len)
       r = error_set(err, E_WIRE, "the digest changed while it came");
     else {
-      seq = b->fetchback->seq;
-      size = b->fetchback->size;
-      g_string_append_len(all, (char *)b->fetchback->bytes.data, b->fetchback->bytes.len);
+      seq = b->snapshot_response->sequence;
+      size = b->snapshot_response->size;
+      g_string_append_len(all, (char *)b->snapshot_response->chunk.data,
+                          b->snapshot_response->chunk.len);
     }
     node_reply_free(b);
   }
@@ -106,19 +108,19 @@
   core *core = ctx;
   if (core_place(core) < 0 || !core_whole(core))
     return error_set(err, E_CORE_GONE, "not in the chain");
-  uint64_t off = in->fetch->off;
+  uint64_t off = in->snapshot_request->offset;
   snapshots_expire(core);
-  snapshot *s = off ? snapshot_of(core, in->fetch->seq) : snapshot_begin(core);
+  snapshot *s = off ? snapshot_of(core, in->snapshot_request->sequence) : snapshot_begin(core);
   if (!s || off >= s->text->len)
     return error_set(err, E_WIRE, "no such part");
   s->used = world_now(core->node->world);
-  Wire__FetchBack *b =
-      reply_new(reply, WIRE__ENVELOPE__BODY_FETCHBACK, &wire__fetch_back__descriptor);
-  b->seq = s->seq;
+  Wire__SnapshotResponse *b = reply_new(reply, WIRE__ENVELOPE__BODY_SNAPSHOT_RESPONSE,
+                                        &wire__snapshot_response__descriptor);
+  b->sequence = s->seq;
   b->size = s->text->len;
-  b->off = off;
-  b->bytes.len = MIN((size_t)PART, s->text->len - off);
-  b->bytes.data = reply_hold(reply, b->bytes.len + 1);
-  memcpy(b->bytes.data, s->text->str + off, b->bytes.len);
+  b->offset = off;
+  b->chunk.len = MIN((size_t)PART, s->text->len - off);
+  b->chunk.data = reply_hold(reply, b->chunk.len + 1);
+  memcpy(b->chunk.data, s->text->str + off, b->chunk.len);
   return OK;
 }
--- a/lib/controlplane/state.c
+++ b/lib/controlplane/state.c
@@ -43,9 +43,9 @@
   accepted_copy(&to->accepted, &from->accepted);
 }
 
-static void put_grant(state *state, const Wire__Grant *w) {
+static void put_grant(state *state, const Wire__SingletonGrant *w) {
   grant *g = g_new0(grant, 1);
-  g->duty = id_of_text(w->duty);
+  g->duty = id_of_text(w->singleton);
   g->holder = id_of_text(w->holder);
   g->nonce = w->nonce;
   g->epoch = w->epoch;
@@ -64,23 +64,24 @@
 
 void state_apply(state *state, uint64_t seq, string_view op) {
   state->seq = seq;
-  Wire__Op *o = wire__op__unpack(NULL, op.length, (const uint8_t *)op.data);
+  Wire__Operation *o = wire__operation__unpack(NULL, op.length, (const uint8_t *)op.data);
   if (!o)
     return;
-  if (o->res)
+  if (o->resource)
     for (int i = 0; i < RES_COUNT; i++)
-      if (!strcmp(o->res->name, res_name[i])) {
+      if (!strcmp(o->resource->name, res_name[i])) {
         state->resources[i].version = seq;
         g_string_truncate(state->resources[i].text, 0);
-        g_string_append_len(state->resources[i].text, (char *)o->res->text.data, o->res->text.len);
+        g_string_append_len(state->resources[i].text, (char *)o->resource->text.data,
+                            o->resource->text.len);
       }
   for (size_t i = 0; i < o->n_grants; i++)
     put_grant(state, o->grants[i]);
-  if (o->key[0])
-    put_idempotency_record(state, o->key, seq, o->hash);
-  if (o->order)
-    accepted_add(&state->accepted, o->order->basedon, o->order->hash, seq);
-  wire__op__free_unpacked(o, NULL);
+  if (o->idempotency_key[0])
+    put_idempotency_record(state, o->idempotency_key, seq, o->request_hash);
+  if (o->accepted_change)
+    accepted_add(&state->accepted, o->accepted_change->base_version, o->accepted_change->hash, seq);
+  wire__operation__free_unpacked(o, NULL);
 }
 
 const idempotency_record *state_idempotency_record(const state *state, const char *key) {
@@ -96,23 +97,24 @@
 
 static void pack(const state *state, uint64_t epoch, bool keys, const uint64_t *held, size_t have,
                  uint64_t base, string_view delta, GString *to) {
-  Wire__Digest d = WIRE__DIGEST__INIT;
-  Wire__Res res[RES_COUNT], *resp[RES_COUNT];
+  Wire__StateSnapshot d = WIRE__STATE_SNAPSHOT__INIT;
+  Wire__Resource res[RES_COUNT], *resp[RES_COUNT];
   guint n = g_hash_table_size(state->grants), i = 0,
         k = keys ? state->idempotency_records.length : 0;
-  Wire__Grant *gs = g_new(Wire__Grant, n + 1), **gp = g_new(Wire__Grant *, n + 1);
+  Wire__SingletonGrant *gs = g_new(Wire__SingletonGrant, n + 1),
+                       **gp = g_new(Wire__SingletonGrant *, n + 1);
   Wire__IdempotencyRecord *os = g_new(Wire__IdempotencyRecord, k + 1),
                           **op = g_new(Wire__IdempotencyRecord *, k + 1);
-  d.fleet = state->fleet;
-  d.seq = state->seq;
+  d.fleet_id = state->fleet;
+  d.sequence = state->seq;
   d.epoch = epoch;
   for (int r = 0; r < RES_COUNT; r++) {
-    wire__res__init(&res[r]);
+    wire__resource__init(&res[r]);
     res[r].name = (char *)res_name[r];
     res[r].version = state->resources[r].version;
     res[r].same = (size_t)r < have && held[r] && held[r] == state->resources[r].version;
     if (r == RES_ROUTING && delta.length && !res[r].same) {
-      res[r].since = base;
+      res[r].base_version = base;
       res[r].delta.data = (uint8_t *)delta.data;
       res[r].delta.len = delta.length;
     } else if (!res[r].same) {
@@ -126,8 +128,8 @@
   g_hash_table_iter_init(&it, state->grants);
   while (g_hash_table_iter_next(&it, NULL, &v)) {
     grant *grant = v;
-    wire__grant__init(&gs[i]);
-    gs[i].duty = grant->duty.text;
+    wire__singleton_grant__init(&gs[i]);
+    gs[i].singleton = grant->duty.text;
     gs[i].holder = grant->holder.text;
     gs[i].nonce = grant->nonce;
     gs[i].epoch = grant->epoch;
@@ -139,25 +141,25 @@
     idempotency_record *o = l->data;
     wire__idempotency_record__init(&os[i]);
     os[i].key = o->key;
-    os[i].seq = o->seq;
+    os[i].sequence = o->seq;
     os[i].hash = o->hash;
     op[i] = &os[i];
   }
   /* where no trial was ever declared, nothing is said of one */
-  d.n_res = state->resources[RES_CANARY].version ? RES_COUNT : RES_CANARY;
-  d.res = resp;
+  d.n_resources = state->resources[RES_CANARY].version ? RES_COUNT : RES_CANARY;
+  d.resources = resp;
   d.n_grants = n;
   d.grants = gp;
   d.n_idempotency_records = k;
   d.idempotency_records = op;
-  Wire__Accepted accepted;
+  Wire__AcceptedChanges accepted;
   if (keys) {
     accepted_pack(&state->accepted, &accepted);
     d.accepted = &accepted;
   }
-  size_t size = wire__digest__get_packed_size(&d), at = to->len;
+  size_t size = wire__state_snapshot__get_packed_size(&d), at = to->len;
   g_string_set_size(to, at + size);
-  wire__digest__pack(&d, (uint8_t *)to->str + at);
+  wire__state_snapshot__pack(&d, (uint8_t *)to->str + at);
   if (keys)
     accepted_packed_free(&accepted);
   g_free(gs);
@@ -208,28 +210,29 @@
 }
 
 bool state_unpack(state *state, string_view bytes) {
-  Wire__Digest *d = wire__digest__unpack(NULL, bytes.length, (const uint8_t *)bytes.data);
+  Wire__StateSnapshot *d =
+      wire__state_snapshot__unpack(NULL, bytes.length, (const uint8_t *)bytes.data);
   if (!d)
     return false;
   state_free(state);
   state_init(state);
-  state->fleet = d->fleet;
-  state->seq = d->seq;
-  for (size_t i = 0; i < d->n_res; i++)
+  state->fleet = d->fleet_id;
+  state->seq = d->sequence;
+  for (size_t i = 0; i < d->n_resources; i++)
     for (int k = 0; k < RES_COUNT; k++)
-      if (!strcmp(d->res[i]->name, res_name[k])) {
-        state->resources[k].version = d->res[i]->version;
+      if (!strcmp(d->resources[i]->name, res_name[k])) {
+        state->resources[k].version = d->resources[i]->version;
         g_string_truncate(state->resources[k].text, 0);
-        g_string_append_len(state->resources[k].text, (char *)d->res[i]->text.data,
-                            d->res[i]->text.len);
+        g_string_append_len(state->resources[k].text, (char *)d->resources[i]->text.data,
+                            d->resources[i]->text.len);
       }
   for (size_t i = 0; i < d->n_grants; i++)
     put_grant(state, d->grants[i]);
   for (size_t i = 0; i < d->n_idempotency_records; i++)
-    put_idempotency_record(state, d->idempotency_records[i]->key, d->idempotency_records[i]->seq,
-                           d->idempotency_records[i]->hash);
+    put_idempotency_record(state, d->idempotency_records[i]->key,
+                           d->idempotency_records[i]->sequence, d->idempotency_records[i]->hash);
   accepted_unpack(&state->accepted, d->accepted);
-  wire__digest__free_unpacked(d, NULL);
+  wire__state_snapshot__free_unpacked(d, NULL);
   return true;
 }
 
--- a/lib/controlplane/view.c
+++ b/lib/controlplane/view.c
@@ -4,26 +4,26 @@
 void member_pack(Wire__Member *w, const member *member) {
   wire__member__init(w);
   w->id = (char *)member->self.text;
-  w->addr = (char *)member->addr;
-  w->area = (char *)member->area.text;
-  w->disk = member->disk;
+  w->address = (char *)member->addr;
+  w->zone = (char *)member->area.text;
+  w->disk_id = member->disk;
 }
 
 bool member_unpack(member *member, const Wire__Member *w) {
-  if (!w || !id_is_valid(string_view_of(w->id)) || !addr_fits(w->addr) ||
-      !id_is_valid(string_view_of(w->area)))
+  if (!w || !id_is_valid(string_view_of(w->id)) || !addr_fits(w->address) ||
+      !id_is_valid(string_view_of(w->zone)))
     return false;
   member->self = id_of_text(w->id);
-  member->area = id_of_text(w->area);
-  member->disk = w->disk;
-  g_strlcpy(member->addr, w->addr, sizeof member->addr);
+  member->area = id_of_text(w->zone);
+  member->disk = w->disk_id;
+  g_strlcpy(member->addr, w->address, sizeof member->addr);
   return true;
 }
 
 Wire__View *view_pack(view_msg *o, const view *view) {
   wire__view__init(&o->v);
   o->v.epoch = view->epoch;
-  o->v.fleet = view->fleet;
+  o->v.fleet_id = view->fleet;
   for (int i = 0; i < view->chain_length; i++) {
     member_pack(&o->m[i], &view->chain[i]);
     o->c[i] = &o->m[i];
@@ -41,11 +41,11 @@
 
 bool view_unpack(view *view, const Wire__View *w) {
   memset(view, 0, sizeof *view);
-  if (!w || !w->epoch || !w->fleet || !w->n_chain || w->n_chain > CHAIN_MOST || !w->n_voters ||
+  if (!w || !w->epoch || !w->fleet_id || !w->n_chain || w->n_chain > CHAIN_MOST || !w->n_voters ||
       w->n_voters > VOTERS_MOST)
     return false;
   view->epoch = w->epoch;
-  view->fleet = w->fleet;
+  view->fleet = w->fleet_id;
   view->chain_length = w->n_chain;
   view->voter_count = w->n_voters;
   for (int i = 0; i < view->chain_length; i++)
@@ -61,21 +61,21 @@
   return id_equal(a->self, b->self) && a->disk == b->disk;
 }
 
-int ballot_cmp(ballot a, const Wire__Ballot *b) {
-  uint64_t n = b ? b->turn : 0;
+int ballot_cmp(ballot a, const Wire__ProposalNumber *b) {
+  uint64_t n = b ? b->round : 0;
   if (a.round != n)
     return a.round < n ? -1 : 1;
-  return strcmp(a.proposer.text, b && b->by ? b->by : "");
+  return strcmp(a.proposer.text, b && b->proposer ? b->proposer : "");
 }
 
-ballot ballot_unpack(const Wire__Ballot *b) {
-  return b ? (ballot){ b->turn, id_of_text(b->by) } : (ballot){ 0 };
+ballot ballot_unpack(const Wire__ProposalNumber *b) {
+  return b ? (ballot){ b->round, id_of_text(b->proposer) } : (ballot){ 0 };
 }
 
-void ballot_pack(Wire__Ballot *w, const ballot *b) {
-  wire__ballot__init(w);
-  w->turn = b->round;
-  w->by = (char *)b->proposer.text;
+void ballot_pack(Wire__ProposalNumber *w, const ballot *b) {
+  wire__proposal_number__init(w);
+  w->round = b->round;
+  w->proposer = (char *)b->proposer.text;
 }
 
 int member_index(const member *all, int n, const member *member) {
--- a/lib/gateway/canary.c
+++ b/lib/gateway/canary.c
@@ -153,11 +153,11 @@
 /* while others may begin any moment, or have begun, they must know of an elder before its next
  * request */
 static void announce_old_session(gateway *gateway, uint64_t x) {
-  Wire__CanaryElders q = WIRE__CANARY_ELDERS__INIT;
+  Wire__CanaryPinnedSessions q = WIRE__CANARY_PINNED_SESSIONS__INIT;
   q.version = gateway->canary->version;
-  q.n_elders = 1;
-  q.elders = &x;
-  Wire__Envelope m = wire_msg(WIRE__ENVELOPE__BODY_CANARYELDERS, &q);
+  q.n_pinned_sessions = 1;
+  q.pinned_sessions = &x;
+  Wire__Envelope m = wire_msg(WIRE__ENVELOPE__BODY_CANARY_PINNED_SESSIONS, &q);
   node_send_all(&gateway->router->node, ROLE_ROUTER, &m);
 }
 
@@ -240,7 +240,7 @@
 /* takes a node's totals: those of one run only ever grow, so a repeated or overtaken report changes
  * nothing */
 static void fold(gateway *gateway, canary_judge_t *judge, id who, uint64_t nonce,
-                 const Wire__CanaryReport *q) {
+                 const Wire__CanaryReportRequest *q) {
   heard_of *h = NULL;
   for (guint i = 0; i < judge->nodes->len && !h; i++)
     if (g_array_index(judge->nodes, heard_of, i).nonce == nonce)
@@ -251,55 +251,57 @@
     h = &g_array_index(judge->nodes, heard_of, judge->nodes->len - 1);
   }
   h->at = now_of(gateway);
-  h->age_ms = MAX(h->age_ms, q->agems);
+  h->age_ms = MAX(h->age_ms, q->age_ms);
   h->warm |= q->warm;
   for (size_t i = 0; i < q->n_cells; i++) {
     const Wire__CanaryCell *w = q->cells[i];
-    if (w->side >= SIDES || w->priority >= CANARY_PRIORITIES)
+    if (w->arm >= SIDES || w->priority >= CANARY_PRIORITIES)
       continue;
-    canary_cell *c = &h->t.cell[w->side][w->priority],
-                x = { w->inaim, w->late, w->refused, w->failed, { 0 } };
-    for (size_t b = 0; b < MIN(w->n_first, (size_t)CANARY_BUCKETS); b++)
-      x.first[b] = w->first[b];
+    canary_cell *c = &h->t.cell[w->arm][w->priority],
+                x = { w->within_target, w->late, w->rejected, w->failed, { 0 } };
+    for (size_t b = 0; b < MIN(w->n_first_event_buckets, (size_t)CANARY_BUCKETS); b++)
+      x.first[b] = w->first_event_buckets[b];
     if (canary_count(&x) >= canary_count(c))
       *c = x;
   }
-  for (size_t i = 0; i < q->n_elders; i++)
-    elders_add(&judge->elders, q->elders[i]);
+  for (size_t i = 0; i < q->n_pinned_sessions; i++)
+    elders_add(&judge->elders, q->pinned_sessions[i]);
   /* what was sent before it knew this list was meant for another */
-  h->whole |= q->list == judge->list && !q->more;
+  h->whole |= q->pinned_list_id == judge->list && !q->more;
   /* under a judge before this one it began already; but only with all elders may a node begin */
-  judge->began |= q->open;
+  judge->began |= q->started;
   if (!judge->open_at.us && most(gateway, heard_now(gateway, judge, true)))
     judge->open_at = time_add(now_of(gateway), time_from_ms(judge->began ? 0 : OPEN_MS));
 }
 
-static void fill_back(gateway *gateway, canary_judge_t *judge, const Wire__CanaryReport *q,
-                      Wire__CanaryReportBack *b) {
-  size_t from = q->list == judge->list ? MIN(q->known, judge->elders.list->len) : 0;
-  b->list = judge->list;
-  b->from = from;
-  b->total = judge->elders.list->len;
-  b->n_elders = chunk(&judge->elders, from, &b->elders);
-  b->opens = judge->open_at.us != 0;
-  b->openms = b->opens ? (uint64_t)MAX(0, time_sub(judge->open_at, now_of(gateway)).us / 1000) : 0;
+static void fill_back(gateway *gateway, canary_judge_t *judge, const Wire__CanaryReportRequest *q,
+                      Wire__CanaryReportResponse *b) {
+  size_t from =
+      q->pinned_list_id == judge->list ? MIN(q->pinned_known, judge->elders.list->len) : 0;
+  b->pinned_list_id = judge->list;
+  b->pinned_offset = from;
+  b->pinned_total = judge->elders.list->len;
+  b->n_pinned_sessions = chunk(&judge->elders, from, &b->pinned_sessions);
+  b->starts = judge->open_at.us != 0;
+  b->starts_in_ms =
+      b->starts ? (uint64_t)MAX(0, time_sub(judge->open_at, now_of(gateway)).us / 1000) : 0;
 }
 
 static int on_report(void *ctx, Wire__Envelope *in, reply *reply, error *err) {
   gateway *gateway = ctx;
-  Wire__CanaryReport *q = in->canaryreport;
+  Wire__CanaryReportRequest *q = in->canary_report_request;
   canary_judge_t *judge = judge_of(gateway);
   if (!judge || judge->version != q->version)
     return error_set(err, E_NO_HOLDER, "this node does not judge this trial");
   fold(gateway, judge, id_of_text(in->from->id), in->from->nonce, q);
-  Wire__CanaryReportBack *b = reply_new(reply, WIRE__ENVELOPE__BODY_CANARYREPORTBACK,
-                                        &wire__canary_report_back__descriptor);
+  Wire__CanaryReportResponse *b = reply_new(reply, WIRE__ENVELOPE__BODY_CANARY_REPORT_RESPONSE,
+                                            &wire__canary_report_response__descriptor);
   fill_back(gateway, judge, q, b);
   /* the list may move before the reply is packed */
-  uint64_t *own = reply_hold(reply, sizeof(uint64_t) * (b->n_elders + 1));
-  if (b->n_elders)
-    memcpy(own, b->elders, sizeof(uint64_t) * b->n_elders);
-  b->elders = own;
+  uint64_t *own = reply_hold(reply, sizeof(uint64_t) * (b->n_pinned_sessions + 1));
+  if (b->n_pinned_sessions)
+    memcpy(own, b->pinned_sessions, sizeof(uint64_t) * b->n_pinned_sessions);
+  b->pinned_sessions = own;
   return OK;
 }
 
@@ -307,33 +309,33 @@
   gateway *gateway = ctx;
   (void)reply;
   (void)err;
-  if (!gateway->canary || gateway->canary->version != in->canaryelders->version)
+  if (!gateway->canary || gateway->canary->version != in->canary_pinned_sessions->version)
     return OK;
-  for (size_t i = 0; i < in->canaryelders->n_elders; i++)
-    elders_add(&gateway->canary->elders, in->canaryelders->elders[i]);
+  for (size_t i = 0; i < in->canary_pinned_sessions->n_pinned_sessions; i++)
+    elders_add(&gateway->canary->elders, in->canary_pinned_sessions->pinned_sessions[i]);
   return OK;
 }
 
-static void take_back(gateway *gateway, const Wire__CanaryReportBack *b, size_t sent) {
+static void take_back(gateway *gateway, const Wire__CanaryReportResponse *b, size_t sent) {
   canary *canary = gateway->canary;
   canary->heard = now_of(gateway);
-  if (canary->list != b->list) {
+  if (canary->list != b->pinned_list_id) {
     /* another judge knows nothing yet, and its list is another */
-    canary->list = b->list;
+    canary->list = b->pinned_list_id;
     canary->sent = canary->known = 0;
-    if (b->from)
+    if (b->pinned_offset)
       return;
   } else
     canary->sent = MAX(canary->sent, sent);
-  for (size_t i = 0; i < b->n_elders; i++)
-    elders_add(&canary->elders, b->elders[i]);
-  if (b->from == canary->known)
-    canary->known += b->n_elders;
-  if (!canary->open_at.us && b->opens && canary->known >= b->total) {
-    canary->open_at = time_add(now_of(gateway), time_from_ms((int64_t)b->openms));
+  for (size_t i = 0; i < b->n_pinned_sessions; i++)
+    elders_add(&canary->elders, b->pinned_sessions[i]);
+  if (b->pinned_offset == canary->known)
+    canary->known += b->n_pinned_sessions;
+  if (!canary->open_at.us && b->starts && canary->known >= b->pinned_total) {
+    canary->open_at = time_add(now_of(gateway), time_from_ms((int64_t)b->starts_in_ms));
     log_info(&gateway->router->node.log, "canary",
              "The trial %s begins here in %" PRIu64 " ms; %u sessions stay with the old policy.",
-             canary->plan.name.text, b->openms, canary->elders.list->len);
+             canary->plan.name.text, b->starts_in_ms, canary->elders.list->len);
   }
 }
 
@@ -343,13 +345,13 @@
   uint64_t version = canary->version;
   Wire__CanaryCell cells[SIDES * CANARY_PRIORITIES], *at[SIDES * CANARY_PRIORITIES];
   uint64_t first[SIDES * CANARY_PRIORITIES][CANARY_BUCKETS];
-  Wire__CanaryReport q = WIRE__CANARY_REPORT__INIT;
+  Wire__CanaryReportRequest q = WIRE__CANARY_REPORT_REQUEST__INIT;
   q.version = version;
-  q.list = canary->list;
-  q.known = canary->known;
-  q.agems = (uint64_t)time_sub(now_of(gateway), canary->from).us / 1000;
-  q.warm = q.agems >= (uint64_t)canary->plan.warm_ms;
-  q.open = canary->open_at.us && time_reached(now_of(gateway), canary->open_at);
+  q.pinned_list_id = canary->list;
+  q.pinned_known = canary->known;
+  q.age_ms = (uint64_t)time_sub(now_of(gateway), canary->from).us / 1000;
+  q.warm = q.age_ms >= (uint64_t)canary->plan.warm_ms;
+  q.started = canary->open_at.us && time_reached(now_of(gateway), canary->open_at);
   q.cells = at;
   for (int s = 0; s < SIDES; s++)
     for (unsigned p = 0; p < CANARY_PRIORITIES; p++) {
@@ -358,27 +360,27 @@
         continue;
       Wire__CanaryCell *w = at[q.n_cells] = &cells[q.n_cells];
       wire__canary_cell__init(w);
-      w->side = (uint32_t)s;
+      w->arm = (uint32_t)s;
       w->priority = p;
-      w->inaim = k->in_aim;
+      w->within_target = k->in_aim;
       w->late = k->late;
-      w->refused = k->refused;
+      w->rejected = k->refused;
       w->failed = k->failed;
       memcpy(first[q.n_cells], k->first, sizeof k->first);
-      w->n_first = CANARY_BUCKETS;
-      w->first = first[q.n_cells];
+      w->n_first_event_buckets = CANARY_BUCKETS;
+      w->first_event_buckets = first[q.n_cells];
       q.n_cells++;
     }
   uint64_t *own;
-  q.n_elders = chunk(&canary->elders, canary->sent, &own);
-  q.more = canary->sent + q.n_elders < canary->elders.list->len;
-  uint64_t *copy = g_memdup2(own, sizeof(uint64_t) * q.n_elders);
-  q.elders = copy;
-  size_t sent = canary->sent + q.n_elders;
+  q.n_pinned_sessions = chunk(&canary->elders, canary->sent, &own);
+  q.more = canary->sent + q.n_pinned_sessions < canary->elders.list->len;
+  uint64_t *copy = g_memdup2(own, sizeof(uint64_t) * q.n_pinned_sessions);
+  q.pinned_sessions = copy;
+  size_t sent = canary->sent + q.n_pinned_sessions;
   bool ok = false;
   canary_judge_t *judge = judge_of(gateway);
   if (judge) {
-    Wire__CanaryReportBack b = WIRE__CANARY_REPORT_BACK__INIT;
+    Wire__CanaryReportResponse b = WIRE__CANARY_REPORT_RESPONSE__INIT;
     fold(gateway, judge, gateway->router->node.settings.self, gateway->router->node.nonce, &q);
     fill_back(gateway, judge, &q, &b);
     canary->judge = gateway->router->node.settings.self;
@@ -394,14 +396,14 @@
   if (machine) {
     char addr[48];
     g_strlcpy(addr, machine->addr, sizeof addr);
-    Wire__Envelope msg = wire_msg(WIRE__ENVELOPE__BODY_CANARYREPORT, &q), *b;
+    Wire__Envelope msg = wire_msg(WIRE__ENVELOPE__BODY_CANARY_REPORT_REQUEST, &q), *b;
     error err = { 0 };
     if (!node_call(&gateway->router->node, addr, &msg, time_from_ms(CALL_MS), &b, &err)) {
       canary = gateway->canary;
       if (canary && canary->version == version &&
-          b->body_case == WIRE__ENVELOPE__BODY_CANARYREPORTBACK) {
+          b->body_case == WIRE__ENVELOPE__BODY_CANARY_REPORT_RESPONSE) {
         canary->judge = who;
-        take_back(gateway, b->canaryreportback, sent);
+        take_back(gateway, b->canary_report_response, sent);
         ok = true;
       }
       node_reply_free(b);
@@ -455,11 +457,11 @@
       "Ends the trial %s: %s. Urgent harm %.4f of %.0f by the old policy (at most %.4f), %.4f of %.0f by the candidate (at least %.4f).",
       gateway->canary->plan.name.text, verdict, u->harm[SIDE_OLD], u->n[SIDE_OLD], u->high,
       u->harm[SIDE_CANDIDATE], u->n[SIDE_CANDIDATE], u->low);
-  Wire__CanaryEnd q = WIRE__CANARY_END__INIT;
+  Wire__CanaryEndRequest q = WIRE__CANARY_END_REQUEST__INIT;
   q.version = judge->version;
   q.epoch = judge->epoch;
-  q.end.data = (uint8_t *)t->str;
-  q.end.len = t->len;
+  q.verdict.data = (uint8_t *)t->str;
+  q.verdict.len = t->len;
   char addr[48];
   machine *machine = gateway->router->head_addr[0]
                          ? NULL
@@ -469,7 +471,7 @@
             : machine                     ? machine->addr
                                           : "",
             sizeof addr);
-  Wire__Envelope m = wire_msg(WIRE__ENVELOPE__BODY_CANARYEND, &q), *b;
+  Wire__Envelope m = wire_msg(WIRE__ENVELOPE__BODY_CANARY_END_REQUEST, &q), *b;
   error err = { 0 };
   if (addr[0]) {
     if (!node_call(&gateway->router->node, addr, &m, time_from_ms(END_MS), &b, &err))
@@ -570,8 +572,8 @@
 }
 
 void canary_start(gateway *gateway) {
-  node_on(&gateway->router->node, WIRE__ENVELOPE__BODY_CANARYREPORT, on_report, gateway);
-  node_on(&gateway->router->node, WIRE__ENVELOPE__BODY_CANARYELDERS, on_elders, gateway);
+  node_on(&gateway->router->node, WIRE__ENVELOPE__BODY_CANARY_REPORT_REQUEST, on_report, gateway);
+  node_on(&gateway->router->node, WIRE__ENVELOPE__BODY_CANARY_PINNED_SESSIONS, on_elders, gateway);
 }
 
 void canary_free(gateway *gateway) {
--- a/lib/gateway/gateway.c
+++ b/lib/gateway/gateway.c
@@ -24,10 +24,10 @@
   condition_broadcast(&gateway->moved);
 }
 
-static void on_engines(void *p, const Wire__NewsBack *b) {
+static void on_engines(void *p, const Wire__ConfigPollResponse *b) {
   gateway *gateway = p;
   instances_news(gateway, b);
-  if (b->enginerun)
+  if (b->registry_run)
     gateway->told = true;
 }
 
--- a/lib/gateway/gateway.h
+++ b/lib/gateway/gateway.h
@@ -184,7 +184,7 @@
 instance *instance_find(gateway *gateway, const char *self);
 /** Folds what a core machine or another node says of an engine; the latest beat wins, and leaving
  * is for good. */
-void instance_heard(gateway *gateway, const Wire__Engine *w);
+void instance_heard(gateway *gateway, const Wire__EngineState *w);
 /** True when it may get new work now. */
 bool instance_usable(const instance *instance);
 /** The resident copy of a model; NULL when it is not there, or on its way out. */
@@ -204,7 +204,7 @@
 void instances_free(gateway *gateway);
 /** Folds what models an instance holds, as seen at an instant: what was changed less than guard_ms
  * before stays. */
-void instance_models(instance *instance, Wire__Resident **m, size_t n, time_us at,
+void instance_models(instance *instance, Wire__ResidentModel **m, size_t n, time_us at,
                      int64_t guard_ms);
 /** Marks a model (or an adapter alone) as on its way out: no new work, its room still counts. */
 void instance_going(instance *instance, id model, id adapter);
@@ -240,9 +240,9 @@
 double instance_waiting(const instance *instance);
 int instance_running(const instance *instance);
 /** Folds all that another node says it runs; its word on failures weighs more when it is near. */
-void instances_loads(gateway *gateway, uint64_t nonce, bool near, const Wire__Loads *q);
+void instances_loads(gateway *gateway, uint64_t nonce, bool near, const Wire__TrafficReport *q);
 /** A digest of engines that came with news. */
-void instances_news(gateway *gateway, const Wire__NewsBack *b);
+void instances_news(gateway *gateway, const Wire__ConfigPollResponse *b);
 
 /* select.c: which engine gets a request */
 typedef struct pick_request {
--- a/lib/gateway/instances.c
+++ b/lib/gateway/instances.c
@@ -195,13 +195,13 @@
   condition_broadcast(&instance->gateway->moved);
 }
 
-void instance_models(instance *instance, Wire__Resident **m, size_t n, time_us at,
+void instance_models(instance *instance, Wire__ResidentModel **m, size_t n, time_us at,
                      int64_t guard_ms) {
   bool moved = !instance->models_known;
   id none = id_of_text("");
   instance->models_known = true;
   list_for_each (r, &instance->residents, resident, link) {
-    Wire__Resident *w = NULL;
+    Wire__ResidentModel *w = NULL;
     for (size_t k = 0; k < n; k++)
       if (!strcmp(m[k]->model, r->model.text))
         w = m[k];
@@ -240,7 +240,7 @@
       r->up_at = (time_us){ 0 };
       moved = true;
     }
-    r->version = m[k]->version;
+    r->version = m[k]->weights_version;
     for (size_t j = 0; j < m[k]->n_adapters; j++) {
       const char *a = m[k]->adapters[j];
       if (adapter_at(r, a) >= 0 || !id_is_valid(string_view_of(a)) ||
@@ -254,7 +254,7 @@
     condition_broadcast(&instance->gateway->moved);
 }
 
-void instance_heard(gateway *gateway, const Wire__Engine *w) {
+void instance_heard(gateway *gateway, const Wire__EngineState *w) {
   if (!id_is_valid(string_view_of(w->id)))
     return;
   time_us now = world_now(gateway->router->node.world);
@@ -262,8 +262,8 @@
   if (i && i->gone) {
     /* one that was only silent is back with a later beat; its word of that is a new start for what
      * is known of it */
-    if (!i->silent || w->gone || w->count <= i->count) {
-      if (w->gone && w->leaving)
+    if (!i->silent || w->gone || w->heartbeat_count <= i->count) {
+      if (w->gone && w->draining)
         i->silent = false;
       return;
     }
@@ -275,12 +275,12 @@
     condition_broadcast(&gateway->moved);
   }
   if (!i) {
-    if (w->gone || !addr_fits(w->addr) || !id_is_valid(string_view_of(w->service)))
+    if (w->gone || !addr_fits(w->address) || !id_is_valid(string_view_of(w->service)))
       return;
     i = instance_make(gateway, id_of_text(w->id));
-    g_strlcpy(i->addr, w->addr, sizeof i->addr);
+    g_strlcpy(i->addr, w->address, sizeof i->addr);
     i->service = id_of_text(w->service);
-    i->area = id_of_text(w->area);
+    i->area = id_of_text(w->zone);
     /* its speed is taken to be that of its fellows until it is known */
     list_for_each (o, &gateway->instances, instance, link) {
       if (o == i || o->gone || !id_equal(o->service, i->service))
@@ -291,7 +291,7 @@
       i->usual_tokens = o->usual_tokens;
       break;
     }
-    i->beat_at = time_sub(now, time_from_ms((int64_t)w->agems));
+    i->beat_at = time_sub(now, time_from_ms((int64_t)w->age_ms));
     list_for_each (o, &gateway->instances, instance, link) {
       if (o == i || o->gone || strcmp(o->addr, i->addr))
         continue;
@@ -306,35 +306,36 @@
   }
   /* gone and leaving is for good; gone alone is silence */
   if (w->gone) {
-    i->silent = !w->leaving;
-    instance_over(i, w->leaving ? "signed off" : "silent");
+    i->silent = !w->draining;
+    instance_over(i, w->draining ? "signed off" : "silent");
     return;
   }
-  time_us at = time_sub(now, time_from_ms((int64_t)MIN(w->agems, 100000000)));
-  if (w->leaving && !i->leaving) {
+  time_us at = time_sub(now, time_from_ms((int64_t)MIN(w->age_ms, 100000000)));
+  if (w->draining && !i->leaving) {
     i->leaving = true;
     i->leaving_at = now;
     condition_broadcast(&gateway->moved);
   }
-  if (w->endsms) {
-    time_us ends = time_add(at, time_from_ms((int64_t)MIN(w->endsms, 100000000)));
+  if (w->ends_in_ms) {
+    time_us ends = time_add(at, time_from_ms((int64_t)MIN(w->ends_in_ms, 100000000)));
     if (!i->ends_at.us || ends.us < i->ends_at.us)
       i->ends_at = ends;
   }
-  if (w->count < i->count)
+  if (w->heartbeat_count < i->count)
     return;
-  if (w->count == i->count && i->told_at.us) {
+  if (w->heartbeat_count == i->count && i->told_at.us) {
     if (at.us > i->beat_at.us)
       i->beat_at = at;
     return;
   }
   i->told_at = now;
-  i->count = w->count;
+  i->count = w->heartbeat_count;
   i->beat_at = at;
   i->version = id_of_text(w->version ? w->version : "");
   i->slots = w->slots;
-  i->cold_till =
-      w->coldms ? time_add(at, time_from_ms((int64_t)MIN(w->coldms, 100000000))) : (time_us){ 0 };
+  i->cold_till = w->slow_start_ms
+                     ? time_add(at, time_from_ms((int64_t)MIN(w->slow_start_ms, 100000000)))
+                     : (time_us){ 0 };
   /* a beat that is older than the engine's own last report says nothing new of what it holds */
   if (i->reported_at.us && at.us <= i->reported_at.us + BEHIND_MS * 1000)
     return;
@@ -658,9 +659,9 @@
   }
 }
 
-void instances_news(gateway *gateway, const Wire__NewsBack *b) {
+void instances_news(gateway *gateway, const Wire__ConfigPollResponse *b) {
   time_us now = world_now(gateway->router->node.world);
-  if (b->enginewhole) {
+  if (b->engines_complete) {
     GHashTable *there = g_hash_table_new(g_str_hash, g_str_equal);
     for (size_t k = 0; k < b->n_engines; k++)
       g_hash_table_add(there, b->engines[k]->id);
@@ -674,7 +675,7 @@
   }
   for (size_t k = 0; k < b->n_engines; k++)
     instance_heard(gateway, b->engines[k]);
-  if (b->enginewhole || b->n_engines) {
+  if (b->engines_complete || b->n_engines) {
     if (!gateway->told)
       condition_broadcast(&gateway->moved);
     gateway->told = true;
@@ -684,7 +685,7 @@
 static void loads_tell(gateway *gateway, const char *addr);
 
 /* true when this node runs something at an engine that a list of what it holds has not */
-static bool runs_unlisted(const instance *instance, const Wire__Engine *listed) {
+static bool runs_unlisted(const instance *instance, const Wire__EngineState *listed) {
   for (guint k = 0; k < instance->runs->len; k++) {
     const run_note *run = &g_array_index(instance->runs, run_note, k);
     if (id_is_empty(run->model))
@@ -708,8 +709,8 @@
   gateway *gateway = ctx;
   (void)reply;
   (void)err;
-  for (size_t k = 0; k < in->engines->n_engines; k++) {
-    Wire__Engine *w = in->engines->engines[k];
+  for (size_t k = 0; k < in->engine_update->n_engines; k++) {
+    Wire__EngineState *w = in->engine_update->engines[k];
     if (in->from->role != ROLE_ROUTER) {
       instance_heard(gateway, w);
       continue;
@@ -722,7 +723,7 @@
     /* what it holds now, against what was known: the differences are changes that older beats don't
      * undo */
     list_for_each (r, &instance->residents, resident, link) {
-      Wire__Resident *m = NULL;
+      Wire__ResidentModel *m = NULL;
       for (size_t j = 0; j < w->n_models; j++)
         if (!strcmp(w->models[j]->model, r->model.text))
           m = w->models[j];
@@ -750,7 +751,7 @@
     instance_models(instance, w->models, w->n_models, now, 0);
     /* the holder may have thought that nobody runs what it means to unload */
     if (gateway_uses(gateway, MECHANISM_OBJECTIONS) && runs_unlisted(instance, w))
-      loads_tell(gateway, in->from->addr);
+      loads_tell(gateway, in->from->address);
   }
   return OK;
 }
@@ -760,45 +761,50 @@
   guint n = 0;
   list_for_each (r, &instance->residents, resident, link)
     n += !r->unloading;
-  Wire__Resident *m = g_new(Wire__Resident, n + 1), **mp = g_new(Wire__Resident *, n + 1);
+  Wire__ResidentModel *m = g_new(Wire__ResidentModel, n + 1),
+                      **mp = g_new(Wire__ResidentModel *, n + 1);
   guint k = 0;
   list_for_each (r, &instance->residents, resident, link) {
     if (r->unloading)
       continue;
-    wire__resident__init(&m[k]);
+    wire__resident_model__init(&m[k]);
     m[k].model = r->model.text;
-    m[k].version = r->version;
+    m[k].weights_version = r->version;
     m[k].n_adapters = r->adapters->len;
     m[k].adapters = (char **)r->adapters->pdata;
     mp[k] = &m[k];
     k++;
   }
-  Wire__Engine e = WIRE__ENGINE__INIT, *ep = &e;
+  Wire__EngineState e = WIRE__ENGINE_STATE__INIT, *ep = &e;
   e.id = instance->self.text;
   e.service = instance->service.text;
-  e.addr = instance->addr;
+  e.address = instance->addr;
   e.n_models = n;
   e.models = mp;
-  Wire__Engines q = WIRE__ENGINES__INIT;
+  Wire__EngineUpdate q = WIRE__ENGINE_UPDATE__INIT;
   q.n_engines = 1;
   q.engines = &ep;
-  Wire__Envelope out = wire_msg(WIRE__ENVELOPE__BODY_ENGINES, &q);
+  Wire__Envelope out = wire_msg(WIRE__ENVELOPE__BODY_ENGINE_UPDATE, &q);
   node_send_all(node, ROLE_ROUTER, &out);
   g_free(m);
   g_free(mp);
 }
 
-void instances_loads(gateway *gateway, uint64_t nonce, bool near, const Wire__Loads *q) {
+void instances_loads(gateway *gateway, uint64_t nonce, bool near, const Wire__TrafficReport *q) {
   time_us now = world_now(gateway->router->node.world);
-  for (size_t k = 0; k < q->n_loads; k++) {
-    Wire__Load *l = q->loads[k];
+  for (size_t k = 0; k < q->n_engines; k++) {
+    Wire__EngineTraffic *l = q->engines[k];
     instance *i = instance_find(gateway, l->engine);
     if (!i || i->gone)
       continue;
-    other_note n = { nonce, now, (int)MIN(l->running, 100000), (double)l->tokens, { 0 } },
+    other_note n = { nonce,
+                     now,
+                     (int)MIN(l->running_streams, 100000),
+                     (double)l->waiting_tokens,
+                     { 0 } },
                *at = NULL;
-    for (size_t j = 0; j < l->n_models && j < OTHER_MODELS; j++)
-      n.models[j] = l->models[j];
+    for (size_t j = 0; j < l->n_model_hashes && j < OTHER_MODELS; j++)
+      n.models[j] = l->model_hashes[j];
     for (guint j = 0; j < i->others->len; j++)
       if (g_array_index(i->others, other_note, j).nonce == n.nonce)
         at = &g_array_index(i->others, other_note, j);
@@ -807,8 +813,8 @@
     else
       g_array_append_val(i->others, n);
     others_count(i);
-    if (l->fails)
-      instance_failed(i, MIN(l->fails, 4) * (near ? 1 : ILL_AFAR));
+    if (l->failures)
+      instance_failed(i, MIN(l->failures, 4) * (near ? 1 : ILL_AFAR));
   }
   /* a node tells all that it runs: where it names no engine, it runs nothing there */
   list_for_each (i, &gateway->instances, instance, link)
@@ -827,18 +833,19 @@
   (void)reply;
   (void)err;
   instances_loads(gateway, in->from->nonce,
-                  !strcmp(in->from->area, gateway->router->node.settings.area.text), in->loads);
+                  !strcmp(in->from->zone, gateway->router->node.settings.area.text),
+                  in->traffic_report);
   return OK;
 }
 
 static void load_free(void *p) {
-  Wire__Load *l = p;
-  g_free(l->models);
+  Wire__EngineTraffic *l = p;
+  g_free(l->model_hashes);
   g_free(l);
 }
 
 /* what runs there by model: a run counts for its model and for its adapter */
-static void load_models(const instance *instance, Wire__Load *l) {
+static void load_models(const instance *instance, Wire__EngineTraffic *l) {
   uint32_t m[OTHER_MODELS];
   size_t n = 0;
   for (guint k = 0; k < instance->runs->len; k++) {
@@ -854,18 +861,18 @@
         m[n++] = key;
     }
   }
-  l->n_models = n;
-  l->models = g_memdup2(m, n * sizeof *m);
+  l->n_model_hashes = n;
+  l->model_hashes = g_memdup2(m, n * sizeof *m);
 }
 
 /* what this node runs at an engine, and failures of it that nobody has been told of */
-static Wire__Load *load_of(const instance *instance, int failed) {
-  Wire__Load *load = g_new(Wire__Load, 1);
-  wire__load__init(load);
+static Wire__EngineTraffic *load_of(const instance *instance, int failed) {
+  Wire__EngineTraffic *load = g_new(Wire__EngineTraffic, 1);
+  wire__engine_traffic__init(load);
   load->engine = (char *)instance->self.text;
-  load->running = (uint32_t)instance->running;
-  load->tokens = (uint64_t)instance->tokens;
-  load->fails = (uint32_t)failed;
+  load->running_streams = (uint32_t)instance->running;
+  load->waiting_tokens = (uint64_t)instance->tokens;
+  load->failures = (uint32_t)failed;
   load_models(instance, load);
   return load;
 }
@@ -876,10 +883,10 @@
   list_for_each (i, &gateway->instances, instance, link)
     if (!i->gone && i->running)
       g_ptr_array_add(loads, load_of(i, 0));
-  Wire__Loads message = WIRE__LOADS__INIT;
-  message.n_loads = loads->len;
-  message.loads = (Wire__Load **)loads->pdata;
-  Wire__Envelope out = wire_msg(WIRE__ENVELOPE__BODY_LOADS, &message);
+  Wire__TrafficReport message = WIRE__TRAFFIC_REPORT__INIT;
+  message.n_engines = loads->len;
+  message.engines = (Wire__EngineTraffic **)loads->pdata;
+  Wire__Envelope out = wire_msg(WIRE__ENVELOPE__BODY_TRAFFIC_REPORT, &message);
   node_send(&gateway->router->node, addr, &out);
   g_ptr_array_free(loads, TRUE);
 }
@@ -923,10 +930,10 @@
         some = true;
       g_ptr_array_add(all, load_of(i, failed));
     }
-    Wire__Loads q = WIRE__LOADS__INIT;
-    q.n_loads = all->len;
-    q.loads = (Wire__Load **)all->pdata;
-    Wire__Envelope out = wire_msg(WIRE__ENVELOPE__BODY_LOADS, &q);
+    Wire__TrafficReport q = WIRE__TRAFFIC_REPORT__INIT;
+    q.n_engines = all->len;
+    q.engines = (Wire__EngineTraffic **)all->pdata;
+    Wire__Envelope out = wire_msg(WIRE__ENVELOPE__BODY_TRAFFIC_REPORT, &q);
     /* failures are told to all: each node alone sees too few of them */
     guint most = to->len <= LOADS_ALL || tell ? to->len : LOADS_SOME;
     for (guint k = 0; (all->len || said) && k < most; k++) {
@@ -944,8 +951,8 @@
 void instances_start(gateway *gateway) {
   gateway->nodes = 1;
   gateway->slow = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-  node_on(&gateway->router->node, WIRE__ENVELOPE__BODY_ENGINES, on_engines, gateway);
-  node_on(&gateway->router->node, WIRE__ENVELOPE__BODY_LOADS, on_loads, gateway);
+  node_on(&gateway->router->node, WIRE__ENVELOPE__BODY_ENGINE_UPDATE, on_engines, gateway);
+  node_on(&gateway->router->node, WIRE__ENVELOPE__BODY_TRAFFIC_REPORT, on_loads, gateway);
   task_start(&gateway->router->node.world->tasks, "loads", loads_run, gateway);
 }
 
--- a/lib/gateway/load_jobs.c
+++ b/lib/gateway/load_jobs.c
@@ -267,10 +267,10 @@
   if (base && st != 200) {
     gateway->counts.loads++;
     gateway->router->loads++;
-    Wire__Ticket t = WIRE__TICKET__INIT;
+    Wire__LoadPermitRequest t = WIRE__LOAD_PERMIT_REQUEST__INIT;
     t.engine = instance->self.text;
     t.key = "";
-    Wire__Envelope m = wire_msg(WIRE__ENVELOPE__BODY_TICKET, &t);
+    Wire__Envelope m = wire_msg(WIRE__ENVELOPE__BODY_LOAD_PERMIT_REQUEST, &t);
     char duty[64];
     duty_engine(duty, sizeof duty, instance->self);
     duty_heirs_cast(gateway, duty, &m);
@@ -523,7 +523,7 @@
 
 int load_jobs_on_place(void *ctx, Wire__Envelope *in, reply *reply, error *err) {
   gateway *gateway = ctx;
-  Wire__Place *q = in->place;
+  Wire__PlacedLoadRequest *q = in->placed_load_request;
   instance *instance = instance_find(gateway, q->engine);
   if (!id_is_valid(string_view_of(q->model)) ||
       (q->adapter[0] && !id_is_valid(string_view_of(q->adapter))))
@@ -548,9 +548,9 @@
     job->model = m;
     job->adapter = a;
     job->priority = q->priority;
-    job->copy = q->copy;
-    job->cost_most = (double)q->costmost;
-    job->idle_only = q->idleonly;
+    job->copy = q->extra_replica;
+    job->cost_most = (double)q->max_eviction_cost;
+    job->idle_only = q->evict_idle_only;
     job->since = now_of(gateway);
     double each = s ? thing_load_ms(gateway, s, m, a,
                                     instance_resident(instance, m) ||
@@ -565,9 +565,9 @@
   }
   job->asked = now_of(gateway);
   job->priority = MIN(job->priority, q->priority);
-  job->copy &= q->copy;
-  job->cost_most = (double)q->costmost;
-  job->idle_only &= q->idleonly;
+  job->copy &= q->extra_replica;
+  job->cost_most = (double)q->max_eviction_cost;
+  job->idle_only &= q->evict_idle_only;
   job->held++;
   instance_ref(instance);
   if (!instance->worker) {
@@ -576,14 +576,14 @@
     task_start(&gateway->router->node.world->tasks, "place", work_run, instance);
   }
   condition_broadcast(&instance->work);
-  time_us till = ms_from(gateway, (double)MIN(q->wait, REQUEST_MS));
+  time_us till = ms_from(gateway, (double)MIN(q->wait_ms, REQUEST_MS));
   while (!job->done)
     if (condition_wait(&gateway->router->node.world->tasks, &job->changed, till) != WAKE_SIGNALLED)
       break;
-  Wire__PlaceBack *b =
-      reply_new(reply, WIRE__ENVELOPE__BODY_PLACEBACK, &wire__place_back__descriptor);
-  b->up = job->done && !job->code;
-  b->code = (uint32_t)(job->done ? job->code : E_IN_PROGRESS);
+  Wire__PlacedLoadResponse *b = reply_new(reply, WIRE__ENVELOPE__BODY_PLACED_LOAD_RESPONSE,
+                                          &wire__placed_load_response__descriptor);
+  b->loaded = job->done && !job->code;
+  b->error_code = (uint32_t)(job->done ? job->code : E_IN_PROGRESS);
   time_us due = job->due;
   if (!job->done && !job->begun) {
     /* behind the one in hand, and those that come first */
@@ -604,8 +604,8 @@
     }
     due = ms_from(gateway, ms);
   }
-  b->wait = (uint64_t)(job->done ? job->wait : ms_till(gateway, due));
-  b->begun = job->begun;
+  b->retry_after_ms = (uint64_t)(job->done ? job->wait : ms_till(gateway, due));
+  b->started = job->begun;
   job_drop(job);
   instance_unref(instance);
   return OK;
--- a/lib/gateway/orders.c
+++ b/lib/gateway/orders.c
@@ -69,7 +69,7 @@
 }
 
 /* takes an idle report into the account of the engine's room */
-static void room_read(instance *instance, uint64_t count, Wire__Resident **models, size_t n,
+static void room_read(instance *instance, uint64_t count, Wire__ResidentModel **models, size_t n,
                       time_us asked) {
   room *r = &instance->room;
   if (!room_shown(r, asked, time_from_ms(LAG_MS))) {
@@ -112,12 +112,13 @@
   instance->seen_at = now_of(gateway);
   const json *m = json_get(value, "models");
   size_t n = m ? json_count(m) : 0;
-  Wire__Resident *r = g_new(Wire__Resident, n + 1), **rp = g_new(Wire__Resident *, n + 1);
+  Wire__ResidentModel *r = g_new(Wire__ResidentModel, n + 1),
+                      **rp = g_new(Wire__ResidentModel *, n + 1);
   for (size_t k = 0; k < n; k++) {
     const json *o = json_at(m, k), *a = json_get(o, "adapters");
-    wire__resident__init(&r[k]);
+    wire__resident_model__init(&r[k]);
     r[k].model = (char *)json_text(o, "name", "");
-    r[k].version = (uint64_t)MAX(0, json_num(o, "version", 0));
+    r[k].weights_version = (uint64_t)MAX(0, json_num(o, "version", 0));
     r[k].n_adapters = a ? json_count(a) : 0;
     r[k].adapters = g_new(char *, r[k].n_adapters + 1);
     for (size_t t = 0; t < r[k].n_adapters; t++) {
--- a/lib/gateway/pace.c
+++ b/lib/gateway/pace.c
@@ -66,11 +66,11 @@
 int pace_on_ticket(void *ctx, Wire__Envelope *in, reply *reply, error *err) {
   gateway *gateway = ctx;
   router *router = gateway->router;
-  instance *instance = instance_find(gateway, in->ticket->engine);
+  instance *instance = instance_find(gateway, in->load_permit_request->engine);
   if (!in->call) {
     if (!instance)
       return OK;
-    if (in->ticket->key && in->ticket->key[0])
+    if (in->load_permit_request->key && in->load_permit_request->key[0])
       pace_add(gateway, instance->service, now_of(gateway));
     else
       instance->ordered_at = now_of(gateway);
@@ -79,15 +79,15 @@
   uint64_t epoch = duty_epoch(router, "pacer");
   if (!epoch)
     return error_set(err, E_NO_HOLDER, "the pace is not held here");
-  if (in->ticket->epoch > epoch)
+  if (in->load_permit_request->epoch > epoch)
     return error_set(err, E_EPOCH, "a younger epoch is known");
   const service *service = instance ? service_of(gateway, instance->service) : NULL;
   if (!service)
-    return error_set(err, E_ENGINE, "%.40s is not known here", in->ticket->engine);
-  Wire__TicketBack *b =
-      reply_new(reply, WIRE__ENVELOPE__BODY_TICKETBACK, &wire__ticket_back__descriptor);
-  b->ok = true;
-  b->last = LAST_MS * 1000;
+    return error_set(err, E_ENGINE, "%.40s is not known here", in->load_permit_request->engine);
+  Wire__LoadPermitResponse *b = reply_new(reply, WIRE__ENVELOPE__BODY_LOAD_PERMIT_RESPONSE,
+                                          &wire__load_permit_response__descriptor);
+  b->granted = true;
+  b->valid_us = LAST_MS * 1000;
   if (service->loads_per_s <= 0)
     return OK;
   int most = pace_most(service->loads_per_s, window_s(gateway), excess(gateway));
@@ -101,21 +101,21 @@
   }
   time_us at = pace_next(p->log, now, window, most);
   int64_t wait = time_sub(at, now).us;
-  b->ok = wait == 0 && !time_reached(time_add(now, time_from_ms(LAST_MS)), contract->till);
-  b->wait = (uint64_t)(wait + 999) / 1000;
-  if (!b->ok) {
+  b->granted = wait == 0 && !time_reached(time_add(now, time_from_ms(LAST_MS)), contract->till);
+  b->wait_ms = (uint64_t)(wait + 999) / 1000;
+  if (!b->granted) {
     router->tickets_late++;
-    if (!b->wait)
-      b->wait = 100;
+    if (!b->wait_ms)
+      b->wait_ms = 100;
     return OK;
   }
   router->tickets++;
   pace_add(gateway, service->name, now);
-  Wire__Ticket t = WIRE__TICKET__INIT;
-  t.engine = in->ticket->engine;
-  t.key = in->ticket->key;
+  Wire__LoadPermitRequest t = WIRE__LOAD_PERMIT_REQUEST__INIT;
+  t.engine = in->load_permit_request->engine;
+  t.key = in->load_permit_request->key;
   t.epoch = epoch;
-  Wire__Envelope m = wire_msg(WIRE__ENVELOPE__BODY_TICKET, &t);
+  Wire__Envelope m = wire_msg(WIRE__ENVELOPE__BODY_LOAD_PERMIT_REQUEST, &t);
   duty_heirs_cast(gateway, "pacer", &m);
   return OK;
 }
@@ -146,21 +146,22 @@
     }
     int r = E_LOAD_PACE;
     if (addr[0]) {
-      Wire__Ticket t = WIRE__TICKET__INIT;
+      Wire__LoadPermitRequest t = WIRE__LOAD_PERMIT_REQUEST__INIT;
       t.engine = instance->self.text;
       t.key = (char *)key;
       t.epoch = epoch;
-      Wire__Envelope q = wire_msg(WIRE__ENVELOPE__BODY_TICKET, &t), *b;
+      Wire__Envelope q = wire_msg(WIRE__ENVELOPE__BODY_LOAD_PERMIT_REQUEST, &t), *b;
       time_us sent = now_of(gateway);
       r = node_call(&router->node, addr, &q, time_from_ms(TICKET_MS), &b, err);
       if (r == E_STOPPING)
         return r;
       if (!r) {
-        bool good = b->body_case == WIRE__ENVELOPE__BODY_TICKETBACK, ok = good && b->ticketback->ok;
+        bool good = b->body_case == WIRE__ENVELOPE__BODY_LOAD_PERMIT_RESPONSE,
+             ok = good && b->load_permit_response->granted;
         if (good)
-          *wait = (int64_t)b->ticketback->wait;
+          *wait = (int64_t)b->load_permit_response->wait_ms;
         if (ok)
-          *last = time_add(sent, (time_us){ (int64_t)b->ticketback->last });
+          *last = time_add(sent, (time_us){ (int64_t)b->load_permit_response->valid_us });
         node_reply_free(b);
         if (ok)
           return OK;
--- a/lib/gateway/placement.c
+++ b/lib/gateway/placement.c
@@ -270,35 +270,36 @@
                    : thing_load_ms(gateway, service, placing->model, placing->adapter, warm)));
     }
     id engine = instance->self;
-    Wire__Place q = WIRE__PLACE__INIT;
+    Wire__PlacedLoadRequest q = WIRE__PLACED_LOAD_REQUEST__INIT;
     q.engine = engine.text;
     q.service = placing->service.text;
     q.model = placing->model.text;
     q.adapter = placing->adapter.text;
     q.priority = placing->priority;
-    q.wait = REQUEST_MS;
-    q.copy = placing->copy;
-    q.idleonly = !placing->may_drain && gateway_uses(gateway, MECHANISM_IDLE_FIRST);
+    q.wait_ms = REQUEST_MS;
+    q.extra_replica = placing->copy;
+    q.evict_idle_only = !placing->may_drain && gateway_uses(gateway, MECHANISM_IDLE_FIRST);
     /* what is asked for much may push out what is asked for less, however dear the room has become
      * meanwhile */
     int shares = placing->copy
                      ? instance_copies(gateway, service->name, placing->model, placing->adapter) + 1
                      : 1;
-    q.costmost =
+    q.max_eviction_cost =
         (uint64_t)MAX(2 * placing->cost + 3000,
                       thing_load_ms(gateway, service, placing->model, placing->adapter, false) *
                           thing_rate(gateway, placing->model, placing->adapter) / shares);
-    Wire__Envelope m = wire_msg(WIRE__ENVELOPE__BODY_PLACE, &q), *b;
+    Wire__Envelope m = wire_msg(WIRE__ENVELOPE__BODY_PLACED_LOAD_REQUEST, &q), *b;
     error err = { 0 };
     int r = node_call(&gateway->router->node, addr, &m, time_from_ms(CALL_MS), &b, &err);
     if (r == E_STOPPING) {
       code = r;
       break;
     }
-    bool begun = !r && b->body_case == WIRE__ENVELOPE__BODY_PLACEBACK && b->placeback->begun;
-    if (!r && b->body_case == WIRE__ENVELOPE__BODY_PLACEBACK) {
-      r = (int)b->placeback->code;
-      wait = (int64_t)b->placeback->wait;
+    bool begun = !r && b->body_case == WIRE__ENVELOPE__BODY_PLACED_LOAD_RESPONSE &&
+                 b->placed_load_response->started;
+    if (!r && b->body_case == WIRE__ENVELOPE__BODY_PLACED_LOAD_RESPONSE) {
+      r = (int)b->placed_load_response->error_code;
+      wait = (int64_t)b->placed_load_response->retry_after_ms;
     } else if (!r)
       r = E_WIRE;
     node_reply_free(b);
@@ -402,7 +403,7 @@
 
 int placement_on_want(void *ctx, Wire__Envelope *in, reply *reply, error *err) {
   gateway *gateway = ctx;
-  Wire__Want *q = in->want;
+  Wire__PlacementRequest *q = in->placement_request;
   if (!id_is_valid(string_view_of(q->model)) ||
       (q->adapter[0] && !id_is_valid(string_view_of(q->adapter))) ||
       !id_is_valid(string_view_of(q->service)))
@@ -414,22 +415,23 @@
     placing = NULL;
   }
   if (!placing)
-    placing = placing_start(gateway, key, s, m, a, q->priority, q->copy);
-  if (q->copy && gateway->nodes > FEW_NODES)
+    placing = placing_start(gateway, key, s, m, a, q->priority, q->extra_replica);
+  if (q->extra_replica && gateway->nodes > FEW_NODES)
     copies_more(gateway, placing);
   g_free(key);
   placing->asked = now_of(gateway);
   placing->priority = MIN(placing->priority, q->priority);
   placing->held++;
-  time_us till = ms_from(gateway, (double)MIN(q->wait, REQUEST_MS));
+  time_us till = ms_from(gateway, (double)MIN(q->wait_ms, REQUEST_MS));
   while (!placing->done)
     if (condition_wait(&gateway->router->node.world->tasks, &placing->changed, till) !=
         WAKE_SIGNALLED)
       break;
-  Wire__WantBack *b = reply_new(reply, WIRE__ENVELOPE__BODY_WANTBACK, &wire__want_back__descriptor);
-  b->up = placing->done && !placing->code;
-  b->code = (uint32_t)(placing->done ? placing->code : E_IN_PROGRESS);
-  b->wait = (uint64_t)(placing->done ? placing->wait : ms_till(gateway, placing->due));
+  Wire__PlacementResponse *b = reply_new(reply, WIRE__ENVELOPE__BODY_PLACEMENT_RESPONSE,
+                                         &wire__placement_response__descriptor);
+  b->loaded = placing->done && !placing->code;
+  b->error_code = (uint32_t)(placing->done ? placing->code : E_IN_PROGRESS);
+  b->retry_after_ms = (uint64_t)(placing->done ? placing->wait : ms_till(gateway, placing->due));
   b->engine = reply_hold(reply, sizeof placing->engine.text);
   memcpy(b->engine, placing->engine.text, sizeof placing->engine.text);
   placing_drop(gateway, placing);
--- a/lib/gateway/rates.c
+++ b/lib/gateway/rates.c
@@ -7,16 +7,16 @@
   gateway *gateway = ctx;
   (void)reply;
   (void)err;
-  Wire__Rates *q = in->rates;
-  for (size_t i = 0; q->whole && i < q->n_rates; i++) {
-    if (strlen(q->rates[i]->key) >= 100)
+  Wire__RateReport *q = in->rate_report;
+  for (size_t i = 0; q->fleet_totals && i < q->n_counts; i++) {
+    if (strlen(q->counts[i]->key) >= 100)
       continue;
-    whole_rate *r = g_hash_table_lookup(gateway->rates_whole, q->rates[i]->key);
+    whole_rate *r = g_hash_table_lookup(gateway->rates_whole, q->counts[i]->key);
     if (!r) {
       r = g_new0(whole_rate, 1);
-      g_hash_table_insert(gateway->rates_whole, g_strdup(q->rates[i]->key), r);
+      g_hash_table_insert(gateway->rates_whole, g_strdup(q->counts[i]->key), r);
     }
-    *r = (whole_rate){ (double)q->rates[i]->total / 1000, now_of(gateway) };
+    *r = (whole_rate){ (double)q->counts[i]->total / 1000, now_of(gateway) };
   }
   router_rates_heard(gateway->router, q);
   return OK;
@@ -41,12 +41,12 @@
   router *router = gateway->router;
   if (!some->len)
     return;
-  Wire__Rates q = WIRE__RATES__INIT;
+  Wire__RateReport q = WIRE__RATE_REPORT__INIT;
   q.nonce = router->node.nonce;
-  q.n_rates = some->len;
-  q.rates = (Wire__Rate **)some->pdata;
-  q.whole = whole;
-  Wire__Envelope m = wire_msg(WIRE__ENVELOPE__BODY_RATES, &q);
+  q.n_counts = some->len;
+  q.counts = (Wire__RequestCount **)some->pdata;
+  q.fleet_totals = whole;
+  Wire__Envelope m = wire_msg(WIRE__ENVELOPE__BODY_RATE_REPORT, &q);
   if (addr) {
     node_send(&router->node, addr, &m);
     return;
@@ -75,8 +75,8 @@
       g_hash_table_insert(gateway->rates_whole, g_strdup(k), was);
     }
     *was = (whole_rate){ rate, now_of(gateway) };
-    Wire__Rate *r = g_new(Wire__Rate, 1);
-    wire__rate__init(r);
+    Wire__RequestCount *r = g_new(Wire__RequestCount, 1);
+    wire__request_count__init(r);
     r->key = k;
     r->total = (uint64_t)(rate * 1000);
     g_ptr_array_add(some, r);
@@ -125,10 +125,10 @@
         g_hash_table_insert(gateway->rates_told, g_strdup(k), told);
       }
       *told = total;
-      Wire__Rate *r = g_new(Wire__Rate, 1);
-      wire__rate__init(r);
+      Wire__RequestCount *r = g_new(Wire__RequestCount, 1);
+      wire__request_count__init(r);
       r->key = k;
-      r->window = history_own_count(&router->history, k, &r->total);
+      r->in_window = history_own_count(&router->history, k, &r->total);
       g_ptr_array_add(all, r);
     }
     if (!many)
@@ -136,7 +136,7 @@
     for (int b = 0; many && b < SHARDS; b++) {
       GPtrArray *some = g_ptr_array_new();
       for (guint n = 0; !own[b] && n < all->len; n++)
-        if (shard_of(((Wire__Rate *)all->pdata[n])->key) == b)
+        if (shard_of(((Wire__RequestCount *)all->pdata[n])->key) == b)
           g_ptr_array_add(some, all->pdata[n]);
       if (to[b][0])
         rates_send(gateway, some, to[b], false);
--- a/lib/gateway/wants.c
+++ b/lib/gateway/wants.c
@@ -52,24 +52,24 @@
     id who;
     char addr[48];
     coordinator(gateway, j, &who, addr);
-    Wire__Want q = WIRE__WANT__INIT;
+    Wire__PlacementRequest q = WIRE__PLACEMENT_REQUEST__INIT;
     q.service = j->service.text;
     q.model = j->model.text;
     q.adapter = j->adapter.text;
     q.priority = j->priority;
-    q.wait = REQUEST_MS;
-    q.copy = j->copy;
-    Wire__Envelope m = wire_msg(WIRE__ENVELOPE__BODY_WANT, &q), *b;
+    q.wait_ms = REQUEST_MS;
+    q.extra_replica = j->copy;
+    Wire__Envelope m = wire_msg(WIRE__ENVELOPE__BODY_PLACEMENT_REQUEST, &q), *b;
     error err = { 0 };
     int r = node_call(&gateway->router->node, addr, &m, time_from_ms(CALL_MS), &b, &err);
     if (r == E_STOPPING)
       break;
     int64_t wait = 300;
-    if (!r && b->body_case == WIRE__ENVELOPE__BODY_WANTBACK) {
-      r = (int)b->wantback->code;
-      wait = (int64_t)b->wantback->wait;
-      if (!r && b->wantback->engine && b->wantback->engine[0]) {
-        instance *instance = instance_find(gateway, b->wantback->engine);
+    if (!r && b->body_case == WIRE__ENVELOPE__BODY_PLACEMENT_RESPONSE) {
+      r = (int)b->placement_response->error_code;
+      wait = (int64_t)b->placement_response->retry_after_ms;
+      if (!r && b->placement_response->engine && b->placement_response->engine[0]) {
+        instance *instance = instance_find(gateway, b->placement_response->engine);
         if (instance && !j->copy && !instance_copies(gateway, j->service, j->model, j->adapter))
           instance_loaded(instance, j->model, j->adapter);
       }
--- a/lib/membership/node.c
+++ b/lib/membership/node.c
@@ -11,19 +11,19 @@
   Wire__Envelope *in;
 } visit;
 
-static void fill_self(node *node, Wire__Node *n) {
+static void fill_self(node *node, Wire__NodeInfo *n) {
   n->id = node->settings.self.text;
-  n->inc = node->inc;
+  n->incarnation = node->inc;
   n->nonce = node->nonce;
-  n->addr = node->settings.addr;
-  n->area = node->settings.area.text;
+  n->address = node->settings.addr;
+  n->zone = node->settings.area.text;
   n->role = node->settings.role;
-  n->leaving = node->leaving;
+  n->draining = node->leaving;
   n->idle = node->idle;
 }
 
 static void send(node *node, const char *addr, Wire__Envelope *m) {
-  Wire__Node self = WIRE__NODE__INIT;
+  Wire__NodeInfo self = WIRE__NODE_INFO__INIT;
   fill_self(node, &self);
   m->version = node->settings.wire ? node->settings.wire : WIRE_NOW;
   m->from = &self;
@@ -37,7 +37,7 @@
 
 void node_send(node *node, const char *addr, Wire__Envelope *m) {
   m->call = 0;
-  m->reply = false;
+  m->response = false;
   send(node, addr, m);
 }
 
@@ -80,7 +80,7 @@
   *back = NULL;
   g_hash_table_insert(node->open, g_memdup2(&k, sizeof k), &f);
   m->call = k;
-  m->reply = false;
+  m->response = false;
   send(node, addr, m);
   int r = OK;
   while (!f.back && !r)
@@ -88,8 +88,8 @@
   g_hash_table_remove(node->open, &k);
   if (!f.back)
     return error_set(err, r, "no reply from %s", addr);
-  if (f.back->code) {
-    r = error_set(err, f.back->code, "%s", f.back->text);
+  if (f.back->error_code) {
+    r = error_set(err, f.back->error_code, "%s", f.back->error_text);
     node_reply_free(f.back);
     return r;
   }
@@ -114,7 +114,7 @@
   void *p = reply_hold(reply, d->sizeof_message);
   protobuf_c_message_init(d, p);
   reply->envelope.body_case = kind;
-  reply->envelope.beat = p;
+  reply->envelope.heartbeat = p;
   return p;
 }
 
@@ -130,21 +130,21 @@
   error err = { 0 };
   int k = visit->in->body_case;
   char addr[48];
-  g_strlcpy(addr, visit->in->from->addr, sizeof addr);
+  g_strlcpy(addr, visit->in->from->address, sizeof addr);
   if (k > 0 && k < (int)G_N_ELEMENTS(node->handlers) && node->handlers[k].fn) {
     int r = node->handlers[k].fn(node->handlers[k].ctx, visit->in, &o, &err);
     if (r) {
       o.envelope.body_case = 0;
-      o.envelope.code = r;
-      o.envelope.text = err.text;
+      o.envelope.error_code = r;
+      o.envelope.error_text = err.text;
     }
   } else {
-    o.envelope.code = E_WIRE;
-    o.envelope.text = "no such message here";
+    o.envelope.error_code = E_WIRE;
+    o.envelope.error_text = "no such message here";
   }
   if (visit->in->call) {
     o.envelope.call = visit->in->call;
-    o.envelope.reply = true;
+    o.envelope.response = true;
     send(node, addr, &o.envelope);
   }
   if (o.allocations)
@@ -154,12 +154,12 @@
   g_free(visit);
 }
 
-static void met(node *node, const Wire__Node *n, bool direct);
+static void met(node *node, const Wire__NodeInfo *n, bool direct);
 
 static void on_post(void *ctx, string_view msg) {
   node *node = ctx;
   Wire__Envelope *m = wire__envelope__unpack(NULL, msg.length, (const uint8_t *)msg.data);
-  if (!m || !m->from || !id_is_valid(string_view_of(m->from->id)) || !addr_fits(m->from->addr)) {
+  if (!m || !m->from || !id_is_valid(string_view_of(m->from->id)) || !addr_fits(m->from->address)) {
     log_info(&node->log, "wire", "Refused %zu bytes that are no message of ours (code %d).",
              msg.length, E_WIRE);
     node_reply_free(m);
@@ -169,19 +169,19 @@
     if (!(node->odd_wire++ % 100))
       log_info(&node->log, "wire", "Refused wire version %u from %s (code %d).", m->version,
                m->from->id, E_WIRE_VERSION);
-    if (m->call && !m->reply) {
+    if (m->call && !m->response) {
       Wire__Envelope out = WIRE__ENVELOPE__INIT;
       out.call = m->call;
-      out.reply = true;
-      out.code = E_WIRE_VERSION;
-      out.text = "wire version not spoken here";
-      send(node, m->from->addr, &out);
+      out.response = true;
+      out.error_code = E_WIRE_VERSION;
+      out.error_text = "wire version not spoken here";
+      send(node, m->from->address, &out);
     }
     node_reply_free(m);
     return;
   }
   met(node, m->from, true);
-  if (m->reply) {
+  if (m->response) {
     uint64_t k = m->call;
     wait_for *f = g_hash_table_lookup(node->open, &k);
     if (f && !f->back) {
@@ -195,10 +195,10 @@
     if (m->call) {
       Wire__Envelope out = WIRE__ENVELOPE__INIT;
       out.call = m->call;
-      out.reply = true;
-      out.code = E_TOO_MUCH;
-      out.text = "too many calls at once";
-      send(node, m->from->addr, &out);
+      out.response = true;
+      out.error_code = E_TOO_MUCH;
+      out.error_text = "too many calls at once";
+      send(node, m->from->address, &out);
     }
     node_reply_free(m);
     return;
@@ -236,28 +236,28 @@
 }
 
 static void name_taken(node *node, const machine *machine, const char *addr) {
-  Wire__Node n = WIRE__NODE__INIT, *list = &n;
+  Wire__NodeInfo n = WIRE__NODE_INFO__INIT, *list = &n;
   n.id = (char *)machine->self.text;
-  n.inc = machine->inc;
+  n.incarnation = machine->inc;
   n.nonce = machine->nonce;
-  n.addr = (char *)machine->addr;
-  n.area = (char *)machine->area.text;
+  n.address = (char *)machine->addr;
+  n.zone = (char *)machine->area.text;
   n.role = machine->role;
-  Wire__Table t = WIRE__TABLE__INIT;
+  Wire__MembershipTable t = WIRE__MEMBERSHIP_TABLE__INIT;
   t.n_nodes = 1;
   t.nodes = &list;
-  Wire__Envelope out = wire_msg(WIRE__ENVELOPE__BODY_TABLE, &t);
+  Wire__Envelope out = wire_msg(WIRE__ENVELOPE__BODY_MEMBERSHIP_TABLE, &t);
   node_send(node, addr, &out);
 }
 
-static void met(node *node, const Wire__Node *n, bool direct) {
+static void met(node *node, const Wire__NodeInfo *n, bool direct) {
   id who = id_of_text(n->id);
   time_us now = world_now(node->world);
   if (id_equal(who, node->settings.self)) {
     if (n->nonce == node->nonce)
       return;
-    if (n->inc >= node->inc) {
-      node->inc = n->inc + 1;
+    if (n->incarnation >= node->inc) {
+      node->inc = n->incarnation + 1;
       /* a young process hears of the run before it; an older one hears of a twin */
       if (!time_reached(now, time_add(node->born, time_from_ms(8000))))
         return;
@@ -265,7 +265,7 @@
         log_info(&node->log, "member",
                  "Another machine at %s uses this name too; took incarnation %" PRIu64
                  " (code %d).",
-                 n->addr, node->inc, E_NAME);
+                 n->address, node->inc, E_NAME);
       node->twin = now;
     }
     return;
@@ -280,37 +280,39 @@
   }
   /* a machine that restarted may be held under its old run here, gone or not: it is told, and takes
    * a younger number */
-  if (!young && direct && n->nonce != peer->nonce && n->inc <= peer->inc &&
+  if (!young && direct && n->nonce != peer->nonce && n->incarnation <= peer->inc &&
       time_reached(now, time_add(peer->told_at, time_from_ms(200)))) {
     peer->told_at = now;
-    name_taken(node, peer, n->addr);
+    name_taken(node, peer, n->address);
   }
-  bool newer = young || n->inc > peer->inc || (n->inc == peer->inc && n->nonce == peer->nonce);
-  if (!newer && !(direct && n->inc == peer->inc && peer->gone))
+  bool newer = young || n->incarnation > peer->inc ||
+               (n->incarnation == peer->inc && n->nonce == peer->nonce);
+  if (!newer && !(direct && n->incarnation == peer->inc && peer->gone))
     return;
   bool other = !young && n->nonce != peer->nonce;
   node->ring_stale |=
-      young || peer->gone || strcmp(peer->addr, n->addr) || strcmp(peer->area.text, n->area);
+      young || peer->gone || strcmp(peer->addr, n->address) || strcmp(peer->area.text, n->zone);
   bool was = peer->leaving;
   if (young || other) {
     log_info(&node->log, "member", "Met %s (%s) at %s in %s, incarnation %" PRIu64 ".", n->id,
-             n->role == ROLE_CONTROLLER ? "controller" : "router", n->addr, n->area, n->inc);
+             n->role == ROLE_CONTROLLER ? "controller" : "router", n->address, n->zone,
+             n->incarnation);
     memset(peer->doubts, 0, sizeof peer->doubts);
     peer->gone = false;
     peer->heard = now;
     peer->watched = now;
   }
-  peer->inc = n->inc;
+  peer->inc = n->incarnation;
   peer->nonce = n->nonce;
   peer->role = n->role;
   if (direct || young || other)
-    peer->leaving = n->leaving;
+    peer->leaving = n->draining;
   if (direct && peer->idle != n->idle) {
     peer->idle = n->idle;
     condition_broadcast(&node->moved);
   }
-  peer->area = id_of_text(n->area);
-  g_strlcpy(peer->addr, n->addr, sizeof peer->addr);
+  peer->area = id_of_text(n->zone);
+  g_strlcpy(peer->addr, n->address, sizeof peer->addr);
   if (direct) {
     peer->heard = now;
     if (peer->gone) {
@@ -384,8 +386,8 @@
 }
 
 static void announce_self(node *node) {
-  Wire__Beat b = WIRE__BEAT__INIT;
-  Wire__Envelope m = wire_msg(WIRE__ENVELOPE__BODY_BEAT, &b);
+  Wire__Heartbeat b = WIRE__HEARTBEAT__INIT;
+  Wire__Envelope m = wire_msg(WIRE__ENVELOPE__BODY_HEARTBEAT, &b);
   everyone(node, &m);
 }
 
@@ -446,10 +448,10 @@
   while (world_sleep_about(node->world, time_from_ms(BEAT_MS))) {
     ring_place w[WATCHERS];
     int n = node_watchers(node, node->settings.self, w);
-    Wire__Beat b = WIRE__BEAT__INIT;
-    b.turn = ++node->heartbeat_turn;
-    b.latems = (uint64_t)node->late_ms;
-    Wire__Envelope m = wire_msg(WIRE__ENVELOPE__BODY_BEAT, &b);
+    Wire__Heartbeat b = WIRE__HEARTBEAT__INIT;
+    b.sequence = ++node->heartbeat_turn;
+    b.lateness_ms = (uint64_t)node->late_ms;
+    Wire__Envelope m = wire_msg(WIRE__ENVELOPE__BODY_HEARTBEAT, &b);
     for (int i = 0; i < n; i++)
       node_send(node, w[i].addr, &m);
   }
@@ -502,11 +504,11 @@
       time_us from = peer->heard.us > peer->watched.us ? peer->heard : peer->watched;
       if (!time_reached(now, time_add(from, time_from_ms(doubt_after_ms(node, peer)))))
         continue;
-      Wire__Doubt d = WIRE__DOUBT__INIT;
+      Wire__Suspicion d = WIRE__SUSPICION__INIT;
       d.id = peer->self.text;
-      d.inc = peer->inc;
+      d.incarnation = peer->inc;
       d.nonce = peer->nonce;
-      Wire__Envelope e = wire_msg(WIRE__ENVELOPE__BODY_DOUBT, &d);
+      Wire__Envelope e = wire_msg(WIRE__ENVELOPE__BODY_SUSPICION, &d);
       everyone(node, &e);
       doubt_add(node, peer, node->settings.self, false);
     }
@@ -517,15 +519,15 @@
   node *node = ctx;
   (void)reply;
   (void)err;
-  id who = id_of_text(in->doubt->id);
+  id who = id_of_text(in->suspicion->id);
   if (id_equal(who, node->settings.self)) {
-    if (in->doubt->nonce == node->nonce)
+    if (in->suspicion->nonce == node->nonce)
       announce_self(node);
     return OK;
   }
   machine *machine = node_find_machine(node, who);
-  if (machine && machine->nonce == in->doubt->nonce)
-    doubt_add(node, machine, id_of_text(in->from->id), in->doubt->clear);
+  if (machine && machine->nonce == in->suspicion->nonce)
+    doubt_add(node, machine, id_of_text(in->from->id), in->suspicion->clear);
   return OK;
 }
 
@@ -550,10 +552,10 @@
     table_send(node, addr, true);
     return;
   }
-  Wire__Table t = WIRE__TABLE__INIT;
-  t.sum = table_sum(node);
-  t.back = true;
-  Wire__Envelope m = wire_msg(WIRE__ENVELOPE__BODY_TABLE, &t);
+  Wire__MembershipTable t = WIRE__MEMBERSHIP_TABLE__INIT;
+  t.checksum = table_sum(node);
+  t.want_response = true;
+  Wire__Envelope m = wire_msg(WIRE__ENVELOPE__BODY_MEMBERSHIP_TABLE, &t);
   node_send(node, addr, &m);
 }
 
@@ -562,22 +564,22 @@
   list_for_each (peer, &node->machines, machine, link) {
     if (peer->gone)
       continue;
-    Wire__Node *n = g_new(Wire__Node, 1);
-    wire__node__init(n);
+    Wire__NodeInfo *n = g_new(Wire__NodeInfo, 1);
+    wire__node_info__init(n);
     n->id = peer->self.text;
-    n->inc = peer->inc;
+    n->incarnation = peer->inc;
     n->nonce = peer->nonce;
-    n->addr = peer->addr;
-    n->area = peer->area.text;
+    n->address = peer->addr;
+    n->zone = peer->area.text;
     n->role = peer->role;
-    n->leaving = peer->leaving;
+    n->draining = peer->leaving;
     g_ptr_array_add(all, n);
   }
-  Wire__Table t = WIRE__TABLE__INIT;
+  Wire__MembershipTable t = WIRE__MEMBERSHIP_TABLE__INIT;
   t.n_nodes = all->len;
-  t.nodes = (Wire__Node **)all->pdata;
-  t.back = back;
-  Wire__Envelope m = wire_msg(WIRE__ENVELOPE__BODY_TABLE, &t);
+  t.nodes = (Wire__NodeInfo **)all->pdata;
+  t.want_response = back;
+  Wire__Envelope m = wire_msg(WIRE__ENVELOPE__BODY_MEMBERSHIP_TABLE, &t);
   node_send(node, addr, &m);
   g_ptr_array_free(all, TRUE);
 }
@@ -586,19 +588,19 @@
   node *node = ctx;
   (void)reply;
   (void)err;
-  Wire__Table *t = in->table;
-  if (t->sum && !t->n_nodes) {
-    if (t->sum != table_sum(node))
-      table_send(node, in->from->addr, true);
+  Wire__MembershipTable *t = in->membership_table;
+  if (t->checksum && !t->n_nodes) {
+    if (t->checksum != table_sum(node))
+      table_send(node, in->from->address, true);
     return OK;
   }
   for (size_t i = 0; i < t->n_nodes; i++) {
-    Wire__Node *n = t->nodes[i];
-    if (id_is_valid(string_view_of(n->id)) && addr_fits(n->addr))
+    Wire__NodeInfo *n = t->nodes[i];
+    if (id_is_valid(string_view_of(n->id)) && addr_fits(n->address))
       met(node, n, false);
   }
-  if (t->back)
-    table_send(node, in->from->addr, false);
+  if (t->want_response)
+    table_send(node, in->from->address, false);
   return OK;
 }
 
@@ -607,7 +609,7 @@
   (void)err;
   machine *peer = node_find_machine(ctx, id_of_text(in->from->id));
   if (peer)
-    peer->late_ms = (int64_t)MIN(in->beat->latems, LATE_MOST_MS);
+    peer->late_ms = (int64_t)MIN(in->heartbeat->lateness_ms, LATE_MOST_MS);
   return OK;
 }
 
@@ -698,9 +700,9 @@
   condition_init(&node->moved);
   world->on_post = on_post;
   world->post_ctx = node;
-  node_on(node, WIRE__ENVELOPE__BODY_BEAT, on_beat, node);
-  node_on(node, WIRE__ENVELOPE__BODY_DOUBT, on_doubt, node);
-  node_on(node, WIRE__ENVELOPE__BODY_TABLE, on_table, node);
+  node_on(node, WIRE__ENVELOPE__BODY_HEARTBEAT, on_beat, node);
+  node_on(node, WIRE__ENVELOPE__BODY_SUSPICION, on_doubt, node);
+  node_on(node, WIRE__ENVELOPE__BODY_MEMBERSHIP_TABLE, on_table, node);
 }
 
 void node_start(node *node) {
--- a/lib/membership/node.h
+++ b/lib/membership/node.h
@@ -140,7 +140,7 @@
 static inline Wire__Envelope wire_msg(Wire__Envelope__BodyCase kind, void *body) {
   Wire__Envelope m = WIRE__ENVELOPE__INIT;
   m.body_case = kind;
-  m.beat = body;
+  m.heartbeat = body;
   return m;
 }
 /** Memory that lasts until the reply is sent. */
--- a/lib/router/duty.c
+++ b/lib/router/duty.c
@@ -67,26 +67,27 @@
   }
   char addr[48];
   g_strlcpy(addr, router->head_addr, sizeof addr);
-  Wire__Holds q = WIRE__HOLDS__INIT;
-  Wire__Hold *h = g_new0(Wire__Hold, list->len), **hp = g_new0(Wire__Hold *, list->len);
+  Wire__SingletonLeaseRequest q = WIRE__SINGLETON_LEASE_REQUEST__INIT;
+  Wire__SingletonClaim *h = g_new0(Wire__SingletonClaim, list->len),
+                       **hp = g_new0(Wire__SingletonClaim *, list->len);
   for (guint i = 0; i < list->len; i++) {
     contract *c = list->pdata[i];
-    wire__hold__init(&h[i]);
-    h[i].duty = c->duty.text;
+    wire__singleton_claim__init(&h[i]);
+    h[i].singleton = c->duty.text;
     h[i].epoch = c->held ? c->epoch : 0;
-    h[i].leave = leave;
+    h[i].release = leave;
     /* the next holder must keep its distance from this one's last order, not from its last renewal
      */
     if (leave && router->node.settings.loose && !c->open)
-      h[i].quiet = (uint64_t)MAX(
+      h[i].quiet_ms = (uint64_t)MAX(
           1,
           time_sub(world_now(router->node.world), c->ordered.us ? c->ordered : c->since).us / 1000);
     hp[i] = &h[i];
   }
   q.nonce = router->node.nonce;
-  q.n_holds = list->len;
-  q.holds = hp;
-  Wire__Envelope m = wire_msg(WIRE__ENVELOPE__BODY_HOLDS, &q), *b;
+  q.n_claims = list->len;
+  q.claims = hp;
+  Wire__Envelope m = wire_msg(WIRE__ENVELOPE__BODY_SINGLETON_LEASE_REQUEST, &q), *b;
   error err = { 0 };
   time_us sent = world_now(router->node.world);
   int r = node_call(&router->node, addr, &m, span, &b, &err);
@@ -99,34 +100,35 @@
       log_debug(&router->node.log, "duty", "The head says no: %s (code %d).", err.text, r);
     return;
   }
-  if (b->body_case == WIRE__ENVELOPE__BODY_HOLDSBACK) {
-    Wire__HoldsBack *k = b->holdsback;
-    if (!k->head || !k->head[0])
+  if (b->body_case == WIRE__ENVELOPE__BODY_SINGLETON_LEASE_RESPONSE) {
+    Wire__SingletonLeaseResponse *k = b->singleton_lease_response;
+    if (!k->head_address || !k->head_address[0])
       router->head_at = world_now(router->node.world);
-    if (k->head && k->head[0])
-      g_strlcpy(router->head_addr, addr_fits(k->head) ? k->head : "", sizeof router->head_addr);
-    else if (!k->n_got)
+    if (k->head_address && k->head_address[0])
+      g_strlcpy(router->head_addr, addr_fits(k->head_address) ? k->head_address : "",
+                sizeof router->head_addr);
+    else if (!k->n_results)
       router->head_addr[0] = 0;
-    for (size_t i = 0; i < k->n_got; i++) {
-      contract *c = g_hash_table_lookup(router->contracts, k->got[i]->duty);
+    for (size_t i = 0; i < k->n_results; i++) {
+      contract *c = g_hash_table_lookup(router->contracts, k->results[i]->singleton);
       if (!c || leave)
         continue;
-      if (k->got[i]->ok) {
+      if (k->results[i]->granted) {
         time_us till = time_add(sent, time_from_ms(CONTRACT_MS));
-        if (!c->held || c->epoch != k->got[i]->epoch) {
+        if (!c->held || c->epoch != k->results[i]->epoch) {
           log_info(&router->node.log, "duty", "Holds %s under epoch %" PRIu64 ".", c->duty.text,
-                   k->got[i]->epoch);
+                   k->results[i]->epoch);
           c->since = world_now(router->node.world);
           if (!strcmp(c->duty.text, "pacer"))
             router->pace_from = c->since;
         }
         c->held = true;
-        c->epoch = k->got[i]->epoch;
+        c->epoch = k->results[i]->epoch;
         if (till.us > c->till.us)
           c->till = till;
         condition_broadcast(&router->moved);
-      } else if (k->got[i]->holder && k->got[i]->holder[0] &&
-                 strcmp(k->got[i]->holder, router->node.settings.self.text))
+      } else if (k->results[i]->holder && k->results[i]->holder[0] &&
+                 strcmp(k->results[i]->holder, router->node.settings.self.text))
         lose(router, c, "another holds it");
     }
   }
--- a/lib/router/news.c
+++ b/lib/router/news.c
@@ -43,10 +43,10 @@
 
 /* tells the core what is in force here; an answer to an operator waits for most routers */
 static void announce_core(router *router) {
-  Wire__Have h = WIRE__HAVE__INIT;
-  h.seq = router->seq;
-  h.fleet = router->fleet;
-  Wire__Envelope m = wire_msg(WIRE__ENVELOPE__BODY_HAVE, &h);
+  Wire__VersionReport h = WIRE__VERSION_REPORT__INIT;
+  h.sequence = router->seq;
+  h.fleet_id = router->fleet;
+  Wire__Envelope m = wire_msg(WIRE__ENVELOPE__BODY_VERSION_REPORT, &h);
   list_for_each (peer, &router->node.machines, machine, link)
     if (peer->role == ROLE_CONTROLLER && !peer->gone)
       node_send(&router->node, peer->addr, &m);
@@ -117,24 +117,24 @@
 /* installs a digest whole, or not at all; never one that is older. moved: what is held here changed
  * after the question was sent, so that a digest that does not fit proves nothing */
 static bool install(router *router, const ProtobufCBinaryData *b, const char *from, bool moved) {
-  Wire__Digest *d = wire__digest__unpack(NULL, b->len, b->data);
+  Wire__StateSnapshot *d = wire__state_snapshot__unpack(NULL, b->len, b->data);
   if (!d)
     return false;
-  bool ok =
-      (!router->fleet || d->fleet == router->fleet) && (d->seq > router->seq || !router->config);
-  if (router->fleet && d->fleet != router->fleet)
+  bool ok = (!router->fleet || d->fleet_id == router->fleet) &&
+            (d->sequence > router->seq || !router->config);
+  if (router->fleet && d->fleet_id != router->fleet)
     log_info(&router->node.log, "news", "Refused a digest of another fleet from %s (code %d).",
              from, E_VIEW);
   json *j[RES_COUNT] = { 0 };
-  Wire__Res *part[RES_COUNT] = { 0 };
+  Wire__Resource *part[RES_COUNT] = { 0 };
   config *config = NULL;
   routing *routes = NULL;
   bool rerouted = false;
   error err = { 0 };
-  for (size_t i = 0; ok && i < d->n_res; i++)
+  for (size_t i = 0; ok && i < d->n_resources; i++)
     for (int k = 0; k < RES_COUNT; k++)
-      if (!strcmp(d->res[i]->name, res_name[k]))
-        part[k] = d->res[i];
+      if (!strcmp(d->resources[i]->name, res_name[k]))
+        part[k] = d->resources[i];
   for (int k = 0; ok && k < RES_COUNT; k++) {
     /* a part that was left out must be held here in just that version, so that the whole is never a
      * mix */
@@ -150,7 +150,7 @@
       /* only what changed came; where it does not fit what is held here, the whole is asked for
        * next */
       GString *whole = g_string_new(NULL);
-      ok = part[k]->since == router->res_at[k] &&
+      ok = part[k]->base_version == router->res_at[k] &&
            delta_apply(string_view_of_gstring(router->resources[k]),
                        (string_view){ (char *)part[k]->delta.data, part[k]->delta.len }, whole);
       if (!ok) {
@@ -176,8 +176,8 @@
       ok = (routes = routing_make(j[RES_ROUTING], &err)) != NULL;
     if (!ok)
       log_info(&router->node.log, "news",
-               "Refused the routing of digest %" PRIu64 " from %s: %s (code %d).", d->seq, from,
-               err.text, err.code);
+               "Refused the routing of digest %" PRIu64 " from %s: %s (code %d).", d->sequence,
+               from, err.text, err.code);
   }
   if (ok)
     config = config_make((const json **)j, &err);
@@ -186,8 +186,8 @@
   for (int k = 0; k < RES_COUNT; k++)
     json_free(j[k]);
   if (ok && !config)
-    log_info(&router->node.log, "news", "Refused digest %" PRIu64 " from %s: %s (code %d).", d->seq,
-             from, err.text, err.code);
+    log_info(&router->node.log, "news", "Refused digest %" PRIu64 " from %s: %s (code %d).",
+             d->sequence, from, err.text, err.code);
   if (config) {
     config_free(router->config);
     router->config = config;
@@ -195,8 +195,8 @@
       routing_unref(router->routes);
       router->routes = routes;
     }
-    router->fleet = d->fleet;
-    router->seq = d->seq;
+    router->fleet = d->fleet_id;
+    router->seq = d->sequence;
     router->epoch = MAX(router->epoch, d->epoch);
     for (int k = 0; k < RES_COUNT; k++) {
       if (!part[k]) {
@@ -217,13 +217,13 @@
       granted *g = g_new0(granted, 1);
       g->holder = id_of_text(d->grants[i]->holder);
       g->epoch = d->grants[i]->epoch;
-      g_hash_table_insert(router->grants, g_strdup(d->grants[i]->duty), g);
+      g_hash_table_insert(router->grants, g_strdup(d->grants[i]->singleton), g);
     }
     history_window(&router->history, time_from_ms(config->window_s * 1000));
     router->history.smooth = config->smooth;
     log_debug(&router->node.log, "news",
-              "Version %" PRIu64 " of view %" PRIu64 " is in force, from %s.", d->seq, d->epoch,
-              from);
+              "Version %" PRIu64 " of view %" PRIu64 " is in force, from %s.", d->sequence,
+              d->epoch, from);
     condition_broadcast(&router->contracts_changed);
     if (!router->node.settings.loose)
       announce_core(router);
@@ -231,7 +231,7 @@
     if (router->on_installed)
       router->on_installed(router->gateway);
   }
-  wire__digest__free_unpacked(d, NULL);
+  wire__state_snapshot__free_unpacked(d, NULL);
   return config != NULL;
 }
 
@@ -276,76 +276,79 @@
   bool core = kind != REQUEST_PEER;
   uint64_t held[RES_COUNT];
   memcpy(held, router->res_at, sizeof held);
-  Wire__News n = WIRE__NEWS__INIT;
+  Wire__ConfigPollRequest n = WIRE__CONFIG_POLL_REQUEST__INIT;
   n.epoch = router->epoch;
-  n.seq = router->seq;
-  n.fleet = router->fleet;
-  n.n_held = router->res_at[RES_CANARY] ? RES_COUNT : RES_CANARY;
-  n.held = router->res_at;
-  n.listage = router->list_known ? (uint64_t)time_sub(now, router->list_at).us / 1000 + 1 : 0;
-  n.engines = kind == REQUEST_CORE && router->on_engines;
-  n.atonce = kind == REQUEST_SECOND;
+  n.sequence = router->seq;
+  n.fleet_id = router->fleet;
+  n.n_resource_versions = router->res_at[RES_CANARY] ? RES_COUNT : RES_CANARY;
+  n.resource_versions = router->res_at;
+  n.engine_list_age_ms =
+      router->list_known ? (uint64_t)time_sub(now, router->list_at).us / 1000 + 1 : 0;
+  n.want_engines = kind == REQUEST_CORE && router->on_engines;
+  n.no_wait = kind == REQUEST_SECOND;
   n.deltas = core;
-  if (n.engines) {
+  if (n.want_engines) {
     engines_of(router, addr);
-    n.enginerun = router->engine_run;
-    n.engineseq = router->engine_seq;
+    n.registry_run = router->engine_run;
+    n.registry_sequence = router->engine_seq;
   }
-  Wire__Envelope m = wire_msg(WIRE__ENVELOPE__BODY_NEWS, &n), *b;
+  Wire__Envelope m = wire_msg(WIRE__ENVELOPE__BODY_CONFIG_POLL_REQUEST, &n), *b;
   error err = { 0 };
   if (node_call(&router->node, addr, &m, time_from_ms(patience(router, kind)), &b, &err))
     return false;
   bool ok = false;
-  if (b->body_case == WIRE__ENVELOPE__BODY_NEWSBACK) {
-    Wire__NewsBack *k = b->newsback;
+  if (b->body_case == WIRE__ENVELOPE__BODY_CONFIG_POLL_RESPONSE) {
+    Wire__ConfigPollResponse *k = b->config_poll_response;
     int64_t took = time_sub(world_now(router->node.world), now).us / 1000;
     if (core)
-      router->answer_ms = MAX(0, took - (int64_t)MIN(k->heldms, REQUEST_SLOW_MS));
+      router->answer_ms = MAX(0, took - (int64_t)MIN(k->held_ms, REQUEST_SLOW_MS));
     bool moved = memcmp(held, router->res_at, sizeof held) != 0;
-    bool got = k->news && k->digest.len && install(router, &k->digest, addr, moved);
-    bool level = k->seq <= router->seq && router->config;
-    ok = core ? k->fresh : got;
-    if (core && k->fresh && level) {
+    bool got = k->changed && k->snapshot.len && install(router, &k->snapshot, addr, moved);
+    bool level = k->sequence <= router->seq && router->config;
+    ok = core ? k->confirmed : got;
+    if (core && k->confirmed && level) {
       router->fresh = young(router->fresh, now);
       router->confirmed =
           young(router->confirmed,
-                time_add(now, time_from_ms((int64_t)MIN(k->heldms, REQUEST_LOOSE_MS))));
+                time_add(now, time_from_ms((int64_t)MIN(k->held_ms, REQUEST_LOOSE_MS))));
       router->sure = true;
     }
     if (core && k->epoch > router->epoch)
       router->epoch = k->epoch;
     if (core && k->epoch)
       router->core_at = world_now(router->node.world);
-    if (core && k->n_core) {
-      const char *hint = k->core[world_random(router->node.world, k->n_core)];
+    if (core && k->n_controllers) {
+      const char *hint = k->controllers[world_random(router->node.world, k->n_controllers)];
       if (addr_fits(hint))
         g_strlcpy(router->core_hint, hint, sizeof router->core_hint);
     }
-    if (n.engines && k->enginerun) {
-      engines_note(router, addr, k->enginerun, k->engineseq);
-      if (k->n_engines || k->enginewhole)
+    if (n.want_engines && k->registry_run) {
+      engines_note(router, addr, k->registry_run, k->registry_sequence);
+      if (k->n_engines || k->engines_complete)
         router->on_engines(router->gateway, k);
     }
     /* what a router says counts from when it was asked, less the age that it gives; clocks are
      * never compared */
     machine *o = core ? NULL : node_find_machine(&router->node, who);
-    if (o && k->age < 100000 && k->listage < 100000000) {
-      if (level && k->age) {
-        time_us at = time_sub(now, time_from_ms((int64_t)k->age));
+    if (o && k->confirmed_age_ms < 100000 && k->engine_list_age_ms < 100000000) {
+      if (level && k->confirmed_age_ms) {
+        time_us at = time_sub(now, time_from_ms((int64_t)k->confirmed_age_ms));
         if (within(router, at, FRESH_MS)) {
           router->fresh = young(router->fresh, at);
           router->sure = true;
         }
       }
-      if (level && k->sure) {
+      if (level && k->ever_confirmed) {
         o->agreed = now;
-        o->known = MIN(k->known, 10000);
+        o->known = MIN(k->known_routers, 10000);
       }
-      if (!k->listage || k->listage > LIST_OLD_MS)
+      if (!k->engine_list_age_ms || k->engine_list_age_ms > LIST_OLD_MS)
         o->blind = now;
-      time_us listed = time_sub(now, time_from_ms((int64_t)k->listage));
-      if (k->listage && k->list.len && (!router->list_known || listed.us > router->list_at.us) &&
-          !platform_heard(router, (string_view){ (char *)k->list.data, k->list.len }, listed))
+      time_us listed = time_sub(now, time_from_ms((int64_t)k->engine_list_age_ms));
+      if (k->engine_list_age_ms && k->engine_list.len &&
+          (!router->list_known || listed.us > router->list_at.us) &&
+          !platform_heard(router, (string_view){ (char *)k->engine_list.data, k->engine_list.len },
+                          listed))
         log_info(&router->node.log, "platform", "Refused a list that %s passed on (code %d).",
                  who.text, E_WIRE);
     }
@@ -361,9 +364,9 @@
   (void)reply;
   if (in->from->role != ROLE_CONTROLLER)
     return error_set(err, E_WIRE, "only core machines tell of engines");
-  Wire__NewsBack b = WIRE__NEWS_BACK__INIT;
-  b.n_engines = in->engines->n_engines;
-  b.engines = in->engines->engines;
+  Wire__ConfigPollResponse b = WIRE__CONFIG_POLL_RESPONSE__INIT;
+  b.n_engines = in->engine_update->n_engines;
+  b.engines = in->engine_update->engines;
   if (router->on_engines && b.n_engines)
     router->on_engines(router->gateway, &b);
   return OK;
@@ -542,31 +545,37 @@
  * if it is younger */
 static int on_news(void *ctx, Wire__Envelope *in, reply *reply, error *err) {
   router *router = ctx;
-  if (in->news->fleet && router->fleet && in->news->fleet != router->fleet)
+  if (in->config_poll_request->fleet_id && router->fleet &&
+      in->config_poll_request->fleet_id != router->fleet)
     return error_set(err, E_VIEW, "another fleet");
   time_us now = world_now(router->node.world);
-  Wire__NewsBack *b = reply_new(reply, WIRE__ENVELOPE__BODY_NEWSBACK, &wire__news_back__descriptor);
+  Wire__ConfigPollResponse *b = reply_new(reply, WIRE__ENVELOPE__BODY_CONFIG_POLL_RESPONSE,
+                                          &wire__config_poll_response__descriptor);
   b->epoch = router->epoch;
-  b->seq = router->seq;
-  b->age = router_is_fresh(router) ? (uint64_t)time_sub(now, router->fresh).us / 1000 + 1 : 0;
-  b->sure = router->sure;
-  b->known = (uint32_t)node_count_machines(&router->node, ROLE_ROUTER);
-  b->listage = router->list_known ? (uint64_t)time_sub(now, router->list_at).us / 1000 + 1 : 0;
-  if (b->listage && router->list->len &&
-      (!in->news->listage || in->news->listage > b->listage + 200)) {
-    b->list.len = router->list->len;
-    b->list.data = reply_hold(reply, router->list->len + 1);
-    memcpy(b->list.data, router->list->str, router->list->len);
+  b->sequence = router->seq;
+  b->confirmed_age_ms =
+      router_is_fresh(router) ? (uint64_t)time_sub(now, router->fresh).us / 1000 + 1 : 0;
+  b->ever_confirmed = router->sure;
+  b->known_routers = (uint32_t)node_count_machines(&router->node, ROLE_ROUTER);
+  b->engine_list_age_ms =
+      router->list_known ? (uint64_t)time_sub(now, router->list_at).us / 1000 + 1 : 0;
+  if (b->engine_list_age_ms && router->list->len &&
+      (!in->config_poll_request->engine_list_age_ms ||
+       in->config_poll_request->engine_list_age_ms > b->engine_list_age_ms + 200)) {
+    b->engine_list.len = router->list->len;
+    b->engine_list.data = reply_hold(reply, router->list->len + 1);
+    memcpy(b->engine_list.data, router->list->str, router->list->len);
   }
-  b->news = router->config && router->seq > in->news->seq;
-  if (!b->news)
+  b->changed = router->config && router->seq > in->config_poll_request->sequence;
+  if (!b->changed)
     return OK;
-  Wire__Digest d = WIRE__DIGEST__INIT;
-  Wire__Res res[RES_COUNT], *parts[RES_COUNT];
+  Wire__StateSnapshot d = WIRE__STATE_SNAPSHOT__INIT;
+  Wire__Resource res[RES_COUNT], *parts[RES_COUNT];
   guint n = g_hash_table_size(router->grants), i = 0;
-  Wire__Grant *gs = g_new(Wire__Grant, n + 1), **gp = g_new(Wire__Grant *, n + 1);
+  Wire__SingletonGrant *gs = g_new(Wire__SingletonGrant, n + 1),
+                       **gp = g_new(Wire__SingletonGrant *, n + 1);
   for (int k = 0; k < RES_COUNT; k++) {
-    wire__res__init(&res[k]);
+    wire__resource__init(&res[k]);
     res[k].name = (char *)res_name[k];
     res[k].version = router->res_at[k];
     res[k].text.data = (uint8_t *)router->resources[k]->str;
@@ -577,35 +586,35 @@
   gpointer key, val;
   g_hash_table_iter_init(&it, router->grants);
   while (g_hash_table_iter_next(&it, &key, &val)) {
-    wire__grant__init(&gs[i]);
-    gs[i].duty = key;
+    wire__singleton_grant__init(&gs[i]);
+    gs[i].singleton = key;
     gs[i].holder = ((granted *)val)->holder.text;
     gs[i].epoch = ((granted *)val)->epoch;
     gp[i] = &gs[i];
     i++;
   }
-  d.fleet = router->fleet;
-  d.seq = router->seq;
+  d.fleet_id = router->fleet;
+  d.sequence = router->seq;
   d.epoch = router->epoch;
-  d.n_res = router->res_at[RES_CANARY] ? RES_COUNT : RES_CANARY;
-  d.res = parts;
+  d.n_resources = router->res_at[RES_CANARY] ? RES_COUNT : RES_CANARY;
+  d.resources = parts;
   d.n_grants = n;
   d.grants = gp;
-  b->digest.len = wire__digest__get_packed_size(&d);
-  b->digest.data = reply_hold(reply, b->digest.len + 1);
-  wire__digest__pack(&d, b->digest.data);
+  b->snapshot.len = wire__state_snapshot__get_packed_size(&d);
+  b->snapshot.data = reply_hold(reply, b->snapshot.len + 1);
+  wire__state_snapshot__pack(&d, b->snapshot.data);
   g_free(gs);
   g_free(gp);
   return OK;
 }
 
 void news_start(router *router) {
-  node_on(&router->node, WIRE__ENVELOPE__BODY_NEWS, on_news, router);
+  node_on(&router->node, WIRE__ENVELOPE__BODY_CONFIG_POLL_REQUEST, on_news, router);
   task_start(&router->node.world->tasks, "news", news_run, router);
   if (router->node.settings.loose)
     task_start(&router->node.world->tasks, "second", second_run, router);
   /* a gateway takes these messages itself, since its fellows send them too */
-  node_on(&router->node, WIRE__ENVELOPE__BODY_ENGINES, on_engines, router);
+  node_on(&router->node, WIRE__ENVELOPE__BODY_ENGINE_UPDATE, on_engines, router);
   if (router->node.settings.loose) {
     task_start(&router->node.world->tasks, "peers", peer_of_loose_run, router);
     return;
--- a/lib/router/place.c
+++ b/lib/router/place.c
@@ -272,24 +272,24 @@
     g_strlcpy(addr, machine->addr, sizeof addr);
   else
     return error_set(err, E_LOAD_PACE, "the holder of the pace, %s, is not there", holder.text);
-  Wire__Ticket t = WIRE__TICKET__INIT;
+  Wire__LoadPermitRequest t = WIRE__LOAD_PERMIT_REQUEST__INIT;
   t.engine = engine->self.text;
   t.key = (char *)key;
   t.epoch = epoch;
-  Wire__Envelope q = wire_msg(WIRE__ENVELOPE__BODY_TICKET, &t), *b;
+  Wire__Envelope q = wire_msg(WIRE__ENVELOPE__BODY_LOAD_PERMIT_REQUEST, &t), *b;
   time_us sent = world_now(router->node.world);
   int r = node_call(&router->node, addr, &q, time_from_ms(600), &b, err);
   if (r)
     return r;
-  if (b->body_case != WIRE__ENVELOPE__BODY_TICKETBACK)
+  if (b->body_case != WIRE__ENVELOPE__BODY_LOAD_PERMIT_RESPONSE)
     r = error_set(err, E_WIRE, "no ticket");
-  else if (!b->ticketback->ok) {
-    *wait = b->ticketback->wait;
+  else if (!b->load_permit_response->granted) {
+    *wait = b->load_permit_response->wait_ms;
     r = error_set(err, E_LOAD_PACE, "the pace is taken for %" PRIu64 " ms", *wait);
   } else {
-    *from = time_add(world_now(router->node.world), time_from_ms(b->ticketback->wait));
-    *last = time_add(time_add(sent, time_from_ms(b->ticketback->wait)),
-                     (time_us){ (int64_t)b->ticketback->last });
+    *from = time_add(world_now(router->node.world), time_from_ms(b->load_permit_response->wait_ms));
+    *last = time_add(time_add(sent, time_from_ms(b->load_permit_response->wait_ms)),
+                     (time_us){ (int64_t)b->load_permit_response->valid_us });
   }
   node_reply_free(b);
   return r;
@@ -302,7 +302,7 @@
   uint64_t epoch = duty_epoch(router, "pacer");
   if (!epoch || !router->config)
     return error_set(err, E_NO_HOLDER, "the pace is not held here");
-  if (in->ticket->epoch > epoch)
+  if (in->load_permit_request->epoch > epoch)
     return error_set(err, E_EPOCH, "a younger epoch is known");
   double pace = router->config->loads_per_s;
   int64_t slack = MIN((int64_t)TICKET_MS * 1000, (int64_t)(250000 / pace)),
@@ -313,20 +313,20 @@
     at = router->pace_next;
   if (at.us < now.us)
     at = now;
-  Wire__TicketBack *b =
-      reply_new(reply, WIRE__ENVELOPE__BODY_TICKETBACK, &wire__ticket_back__descriptor);
+  Wire__LoadPermitResponse *b = reply_new(reply, WIRE__ENVELOPE__BODY_LOAD_PERMIT_RESPONSE,
+                                          &wire__load_permit_response__descriptor);
   int64_t wait = time_sub(at, now).us;
   contract *contract = g_hash_table_lookup(router->contracts, "pacer");
   bool far = wait > (int64_t)PACE_LINE_MS * 1000 || at.us >= contract->till.us;
-  b->ok = !far;
-  b->wait = (wait + 999) / 1000;
-  b->last = slack;
+  b->granted = !far;
+  b->wait_ms = (wait + 999) / 1000;
+  b->valid_us = slack;
   if (far) {
     router->tickets_late++;
     router->pace_full++;
     return OK;
   }
-  router->pace_next = time_add(time_add(now, time_from_ms(b->wait)), (time_us){ span });
+  router->pace_next = time_add(time_add(now, time_from_ms(b->wait_ms)), (time_us){ span });
   router->tickets++;
   router->pace_given++;
   return OK;
@@ -591,7 +591,7 @@
 /* a miss from another router, or from this one */
 static int on_miss(void *ctx, Wire__Envelope *in, reply *reply, error *err) {
   router *router = ctx;
-  Wire__Miss *q = in->miss;
+  Wire__ModelLoadRequest *q = in->model_load_request;
   engine *engine = engine_find(router, id_of_text(q->engine));
   if (!id_is_valid(string_view_of(q->model)) ||
       (q->adapter[0] && !id_is_valid(string_view_of(q->adapter))))
@@ -617,49 +617,50 @@
   k->waiters++;
   engine->refs++;
   condition_broadcast(&engine->work);
-  time_us till = time_add(world_now(router->node.world), time_from_ms(MIN(q->wait, REQUEST_MS)));
+  time_us till = time_add(world_now(router->node.world), time_from_ms(MIN(q->wait_ms, REQUEST_MS)));
   while (!k->done)
     if (condition_wait(&router->node.world->tasks, &k->changed, till) != WAKE_SIGNALLED)
       break;
-  Wire__MissBack *b = reply_new(reply, WIRE__ENVELOPE__BODY_MISSBACK, &wire__miss_back__descriptor);
+  Wire__ModelLoadResponse *b = reply_new(reply, WIRE__ENVELOPE__BODY_MODEL_LOAD_RESPONSE,
+                                         &wire__model_load_response__descriptor);
   int code = k->done ? k->code : E_IN_PROGRESS;
-  b->up = k->done && !k->code;
-  b->wait = k->done ? k->wait : 0;
-  b->code = code;
+  b->loaded = k->done && !k->code;
+  b->retry_after_ms = k->done ? k->wait : 0;
+  b->error_code = code;
   want_drop(router, k);
   engine_drop(engine);
   return OK;
 }
 
 void router_timed(router *router, id type, const char *key, double ms) {
-  Wire__Timed t = WIRE__TIMED__INIT, *tp = &t;
-  Wire__Rates q = WIRE__RATES__INIT;
-  t.type = type.text;
+  Wire__LoadTime t = WIRE__LOAD_TIME__INIT, *tp = &t;
+  Wire__RateReport q = WIRE__RATE_REPORT__INIT;
+  t.engine_type = type.text;
   t.key = (char *)key;
-  t.ms = (uint64_t)ms;
+  t.duration_ms = (uint64_t)ms;
   q.nonce = router->node.nonce;
-  q.n_timed = 1;
-  q.timed = &tp;
-  Wire__Envelope m = wire_msg(WIRE__ENVELOPE__BODY_RATES, &q);
+  q.n_load_times = 1;
+  q.load_times = &tp;
+  Wire__Envelope m = wire_msg(WIRE__ENVELOPE__BODY_RATE_REPORT, &q);
   node_send_all(&router->node, ROLE_ROUTER, &m);
 }
 
-void router_rates_heard(router *router, const Wire__Rates *q) {
-  for (size_t i = 0; !q->whole && i < q->n_rates; i++)
-    if (strlen(q->rates[i]->key) < KEY_MOST)
-      history_heard(&router->history, q->nonce, q->rates[i]->key, q->rates[i]->total,
-                    q->rates[i]->window);
-  for (size_t i = 0; i < q->n_timed; i++)
-    if (id_is_valid(string_view_of(q->timed[i]->type)) && strlen(q->timed[i]->key) < KEY_MOST &&
-        q->timed[i]->ms < 600000)
-      history_timed(&router->history, id_of_text(q->timed[i]->type), q->timed[i]->key,
-                    (double)q->timed[i]->ms);
+void router_rates_heard(router *router, const Wire__RateReport *q) {
+  for (size_t i = 0; !q->fleet_totals && i < q->n_counts; i++)
+    if (strlen(q->counts[i]->key) < KEY_MOST)
+      history_heard(&router->history, q->nonce, q->counts[i]->key, q->counts[i]->total,
+                    q->counts[i]->in_window);
+  for (size_t i = 0; i < q->n_load_times; i++)
+    if (id_is_valid(string_view_of(q->load_times[i]->engine_type)) &&
+        strlen(q->load_times[i]->key) < KEY_MOST && q->load_times[i]->duration_ms < 600000)
+      history_timed(&router->history, id_of_text(q->load_times[i]->engine_type),
+                    q->load_times[i]->key, (double)q->load_times[i]->duration_ms);
 }
 
 static int on_rates(void *ctx, Wire__Envelope *in, reply *reply, error *err) {
   (void)reply;
   (void)err;
-  router_rates_heard(ctx, in->rates);
+  router_rates_heard(ctx, in->rate_report);
   return OK;
 }
 
@@ -675,20 +676,20 @@
     gpointer k, t;
     g_hash_table_iter_init(&it, router->history.own_tallies);
     while (g_hash_table_iter_next(&it, &k, &t)) {
-      Wire__Rate *r = g_new(Wire__Rate, 1);
-      wire__rate__init(r);
+      Wire__RequestCount *r = g_new(Wire__RequestCount, 1);
+      wire__request_count__init(r);
       r->key = k;
-      r->window = history_own_count(&router->history, k, &r->total);
-      if (r->window)
+      r->in_window = history_own_count(&router->history, k, &r->total);
+      if (r->in_window)
         g_ptr_array_add(all, r);
       else
         g_free(r);
     }
-    Wire__Rates q = WIRE__RATES__INIT;
+    Wire__RateReport q = WIRE__RATE_REPORT__INIT;
     q.nonce = router->node.nonce;
-    q.n_rates = all->len;
-    q.rates = (Wire__Rate **)all->pdata;
-    Wire__Envelope m = wire_msg(WIRE__ENVELOPE__BODY_RATES, &q);
+    q.n_counts = all->len;
+    q.counts = (Wire__RequestCount **)all->pdata;
+    Wire__Envelope m = wire_msg(WIRE__ENVELOPE__BODY_RATE_REPORT, &q);
     if (all->len)
       node_send_all(&router->node, ROLE_ROUTER, &m);
     g_ptr_array_free(all, TRUE);
@@ -700,8 +701,8 @@
 }
 
 void place_start(router *router) {
-  node_on(&router->node, WIRE__ENVELOPE__BODY_MISS, on_miss, router);
-  node_on(&router->node, WIRE__ENVELOPE__BODY_TICKET, on_ticket, router);
-  node_on(&router->node, WIRE__ENVELOPE__BODY_RATES, on_rates, router);
+  node_on(&router->node, WIRE__ENVELOPE__BODY_MODEL_LOAD_REQUEST, on_miss, router);
+  node_on(&router->node, WIRE__ENVELOPE__BODY_LOAD_PERMIT_REQUEST, on_ticket, router);
+  node_on(&router->node, WIRE__ENVELOPE__BODY_RATE_REPORT, on_rates, router);
   task_start(&router->node.world->tasks, "rates", rates_run, router);
 }
--- a/lib/router/route.c
+++ b/lib/router/route.c
@@ -330,13 +330,13 @@
       else if (machine && !machine->gone)
         g_strlcpy(addr, machine->addr, sizeof addr);
       if (addr[0]) {
-        Wire__Miss q = WIRE__MISS__INIT;
+        Wire__ModelLoadRequest q = WIRE__MODEL_LOAD_REQUEST__INIT;
         q.engine = miss->engine.text;
         q.model = miss->model.text;
         q.adapter = miss->adapter.text;
         q.weight = miss->weight;
-        q.wait = 2000;
-        Wire__Envelope w = wire_msg(WIRE__ENVELOPE__BODY_MISS, &q);
+        q.wait_ms = 2000;
+        Wire__Envelope w = wire_msg(WIRE__ENVELOPE__BODY_MODEL_LOAD_REQUEST, &q);
         r = node_call(&router->node, addr, &w, time_from_ms(2600), &b, &err);
       }
     }
@@ -344,16 +344,16 @@
       miss->code = E_STOPPING;
       break;
     }
-    if (!r && b->body_case == WIRE__ENVELOPE__BODY_MISSBACK) {
-      Wire__MissBack *k = b->missback;
-      if (k->up) {
+    if (!r && b->body_case == WIRE__ENVELOPE__BODY_MODEL_LOAD_RESPONSE) {
+      Wire__ModelLoadResponse *k = b->model_load_response;
+      if (k->loaded) {
         miss->code = OK;
         node_reply_free(b);
         break;
       }
-      if (k->code && k->code != E_IN_PROGRESS && k->code != E_NO_HOLDER) {
-        miss->code = k->code;
-        miss->wait = k->wait;
+      if (k->error_code && k->error_code != E_IN_PROGRESS && k->error_code != E_NO_HOLDER) {
+        miss->code = k->error_code;
+        miss->wait = k->retry_after_ms;
         node_reply_free(b);
         break;
       }
--- a/lib/router/router.h
+++ b/lib/router/router.h
@@ -134,7 +134,7 @@
   struct routing *routes;
   void *gateway;
   void (*on_installed)(void *gateway);
-  void (*on_engines)(void *gateway, const Wire__NewsBack *b);
+  void (*on_engines)(void *gateway, const Wire__ConfigPollResponse *b);
   void (*each_duty)(void *gateway, void (*one)(router *router, const char *duty));
   /** Writes the gateway's own part of the pages: its status, or lines of metrics. */
   void (*page)(void *gateway, GString *to, bool metrics);
@@ -214,7 +214,7 @@
 /** Tells all routers how long a load took; and takes in what another tells of loads and of what it
  * routed. */
 void router_timed(router *router, id type, const char *key, double ms);
-void router_rates_heard(router *router, const Wire__Rates *q);
+void router_rates_heard(router *router, const Wire__RateReport *q);
 
 /* route.c */
 void route_serve(void *ctx, http_request *request);
--- a/tests/canary.c
+++ b/tests/canary.c
@@ -567,13 +567,13 @@
 
 static void end_run(void *p) {
   end_try *t = p;
-  Wire__CanaryEnd q = WIRE__CANARY_END__INIT;
+  Wire__CanaryEndRequest q = WIRE__CANARY_END_REQUEST__INIT;
   static const char text[] = "{\"state\":\"ended\",\"end\":{\"verdict\":\"told\"}}";
   q.version = t->version;
   q.epoch = t->epoch;
-  q.end.data = (uint8_t *)text;
-  q.end.len = strlen(text);
-  Wire__Envelope m = wire_msg(WIRE__ENVELOPE__BODY_CANARYEND, &q), *b;
+  q.verdict.data = (uint8_t *)text;
+  q.verdict.len = strlen(text);
+  Wire__Envelope m = wire_msg(WIRE__ENVELOPE__BODY_CANARY_END_REQUEST, &q), *b;
   error err = { 0 };
   t->code = node_call(&t->host->router->node, t->head, &m, time_from_ms(3000), &b, &err);
   if (!t->code)
--- a/tests/catch_up.c
+++ b/tests/catch_up.c
@@ -208,17 +208,17 @@
 
 /* one part of a state, asked for by hand; the number of bytes that came, 0 when it was refused */
 static size_t part_of(host *host, uint64_t *seq, size_t off, GString *to) {
-  Wire__Fetch f = WIRE__FETCH__INIT;
-  Wire__Envelope in = wire_msg(WIRE__ENVELOPE__BODY_FETCH, &f);
+  Wire__SnapshotRequest f = WIRE__SNAPSHOT_REQUEST__INIT;
+  Wire__Envelope in = wire_msg(WIRE__ENVELOPE__BODY_SNAPSHOT_REQUEST, &f);
   reply out = { WIRE__ENVELOPE__INIT, NULL };
   error err = { 0 };
   size_t n = 0;
-  f.seq = *seq;
-  f.off = off;
+  f.sequence = *seq;
+  f.offset = off;
   if (!on_fetch(&host->controller->core, &in, &out, &err)) {
-    n = out.envelope.fetchback->bytes.len;
-    *seq = out.envelope.fetchback->seq;
-    g_string_append_len(to, (char *)out.envelope.fetchback->bytes.data, (gssize)n);
+    n = out.envelope.snapshot_response->chunk.len;
+    *seq = out.envelope.snapshot_response->sequence;
+    g_string_append_len(to, (char *)out.envelope.snapshot_response->chunk.data, (gssize)n);
   }
   if (out.allocations)
     g_ptr_array_free(out.allocations, TRUE);
--- a/tests/fixture.c
+++ b/tests/fixture.c
@@ -46,32 +46,32 @@
 static void announce(fixture *fixture) {
   if (!fixture->gateway || !fixture->node->alive || fixture->node->frozen)
     return;
-  Wire__Engine e[FIXTURE_ENGINES], *ep[FIXTURE_ENGINES];
-  Wire__Resident m = WIRE__RESIDENT__INIT, *mp = &m;
-  Wire__NewsBack n = WIRE__NEWS_BACK__INIT;
+  Wire__EngineState e[FIXTURE_ENGINES], *ep[FIXTURE_ENGINES];
+  Wire__ResidentModel m = WIRE__RESIDENT_MODEL__INIT, *mp = &m;
+  Wire__ConfigPollResponse n = WIRE__CONFIG_POLL_RESPONSE__INIT;
   m.model = (char *)models[0].name.text;
-  m.version = 1;
+  m.weights_version = 1;
   fixture->beats++;
   for (int i = 0; i < FIXTURE_ENGINES; i++) {
     if (!fixture->engines[i] || fixture->silent[i])
       continue;
-    Wire__Engine *w = ep[n.n_engines] = &e[n.n_engines];
+    Wire__EngineState *w = ep[n.n_engines] = &e[n.n_engines];
     n.n_engines++;
-    wire__engine__init(w);
+    wire__engine_state__init(w);
     w->id = fixture->engines[i]->self.text;
     w->service = fixture->plan[i].service.text;
-    w->addr = fixture->engines[i]->addr;
-    w->area = fixture->plan[i].area.text;
+    w->address = fixture->engines[i]->addr;
+    w->zone = fixture->plan[i].area.text;
     w->version = "v1";
     w->slots = fixture->plan[i].slots;
-    w->count = fixture->beats;
+    w->heartbeat_count = fixture->beats;
     if (fixture->plan[i].model_count) {
       w->n_models = 1;
       w->models = &mp;
     }
   }
   n.engines = ep;
-  n.enginerun = 1;
+  n.registry_run = 1;
   instances_news(fixture->gateway, &n);
 }
 
--- a/tests/http/gateway.c
+++ b/tests/http/gateway.c
@@ -35,20 +35,20 @@
 
 /* an engine's registration, or its end */
 static void beat(const http_request *request, bool gone) {
-  Wire__Engine engine = WIRE__ENGINE__INIT, *engines = &engine;
-  Wire__NewsBack news = WIRE__NEWS_BACK__INIT;
+  Wire__EngineState engine = WIRE__ENGINE_STATE__INIT, *engines = &engine;
+  Wire__ConfigPollResponse news = WIRE__CONFIG_POLL_RESPONSE__INIT;
   char *name = argument(request, "id"), *address = argument(request, "addr");
   engine.id = name;
   engine.service = "svc";
-  engine.addr = address;
-  engine.area = "north";
+  engine.address = address;
+  engine.zone = "north";
   engine.version = "v1";
   engine.slots = 8;
-  engine.count = ++beats;
+  engine.heartbeat_count = ++beats;
   engine.gone = gone;
   news.engines = &engines;
   news.n_engines = 1;
-  news.enginerun = 1;
+  news.registry_run = 1;
   instances_news(tested_gateway, &news);
   g_free(name);
   g_free(address);
--- a/tests/loader.c
+++ b/tests/loader.c
@@ -54,21 +54,21 @@
 /* an engine's beat: models as "m,m+a" */
 static instance *beat(bare_gateway *bare, const char *self, const char *addr, uint64_t count,
                       uint64_t age, const char *models) {
-  Wire__Engine w = WIRE__ENGINE__INIT;
+  Wire__EngineState w = WIRE__ENGINE_STATE__INIT;
   w.id = (char *)self;
   w.service = "s";
-  w.addr = (char *)addr;
-  w.area = "north";
+  w.address = (char *)addr;
+  w.zone = "north";
   w.slots = 8;
-  w.count = count;
-  w.agems = age;
+  w.heartbeat_count = count;
+  w.age_ms = age;
   char **parts = g_strsplit(models, ",", -1);
-  Wire__Resident r[8], *rp[8];
+  Wire__ResidentModel r[8], *rp[8];
   char *adapters[8];
   size_t n = 0;
   for (char **p = parts; *p && **p; p++) {
     char *plus = strchr(*p, '+');
-    wire__resident__init(&r[n]);
+    wire__resident_model__init(&r[n]);
     r[n].model = *p;
     if (plus) {
       *plus = 0;
@@ -492,12 +492,12 @@
 static bool silent_engines_come_back(fleet *fleet) {
   bare_gateway *bare = bare_new(fleet);
   instance *instance = beat(bare, "e1", "10.0.0.1:80", 1, 0, "big");
-  Wire__Engine w = WIRE__ENGINE__INIT;
+  Wire__EngineState w = WIRE__ENGINE_STATE__INIT;
   w.id = "e1";
   w.service = "s";
-  w.addr = "10.0.0.1:80";
-  w.area = "north";
-  w.count = 1;
+  w.address = "10.0.0.1:80";
+  w.zone = "north";
+  w.heartbeat_count = 1;
   w.gone = true;
   instance_heard(&bare->gateway, &w);
   WANT(fleet, instance->gone && !instance_usable(instance));
@@ -507,8 +507,8 @@
   WANT(fleet, !instance->gone && instance_usable(instance) &&
                   instance_holds(instance, id_of_text("mid"), id_of_text("")) &&
                   !instance_holds(instance, id_of_text("big"), id_of_text("")));
-  w.count = 3;
-  w.leaving = true;
+  w.heartbeat_count = 3;
+  w.draining = true;
   instance_heard(&bare->gateway, &w);
   beat(bare, "e1", "10.0.0.1:80", 9, 0, "mid");
   WANT(fleet, instance->gone && !instance_usable(instance));
@@ -522,12 +522,12 @@
   bare_gateway *bare = bare_new(fleet);
   instance *instance = beat(bare, "e1", "10.0.0.1:80", 1, 0, "big,mid");
   instance->reported_at = world_now(bare->router.node.world);
-  Wire__Engine w = WIRE__ENGINE__INIT;
+  Wire__EngineState w = WIRE__ENGINE_STATE__INIT;
   w.id = "e1";
   w.service = "s";
-  w.addr = "10.0.0.1:80";
-  w.area = "north";
-  w.count = 1;
+  w.address = "10.0.0.1:80";
+  w.zone = "north";
+  w.heartbeat_count = 1;
   w.gone = true;
   sim_run(fleet->sim, time_from_ms(200));
   instance_heard(&bare->gateway, &w);
@@ -623,25 +623,26 @@
   bare_gateway *bare = bare_new(fleet);
   instance *instance = beat(bare, "e1", "10.0.0.1:80", 1, 0, "big"),
            *k = beat(bare, "e2", "10.0.0.2:80", 1, 0, "big");
-  Wire__Load one = WIRE__LOAD__INIT, two = WIRE__LOAD__INIT, *all[2] = { &one, &two };
-  Wire__Loads q = WIRE__LOADS__INIT;
+  Wire__EngineTraffic one = WIRE__ENGINE_TRAFFIC__INIT, two = WIRE__ENGINE_TRAFFIC__INIT,
+                      *all[2] = { &one, &two };
+  Wire__TrafficReport q = WIRE__TRAFFIC_REPORT__INIT;
   one.engine = "e1";
-  one.running = 3;
-  one.tokens = 900;
+  one.running_streams = 3;
+  one.waiting_tokens = 900;
   two.engine = "e2";
-  two.running = 2;
-  two.tokens = 500;
-  q.loads = all;
-  q.n_loads = 2;
+  two.running_streams = 2;
+  two.waiting_tokens = 500;
+  q.engines = all;
+  q.n_engines = 2;
   instances_loads(&bare->gateway, 7, true, &q);
   sim_run(fleet->sim, time_from_ms(10));
-  q.n_loads = 1;
+  q.n_engines = 1;
   instances_loads(&bare->gateway, 8, true, &q);
   WANT(fleet, instance->others_running == 6 && k->others_running == 2);
   sim_run(fleet->sim, time_from_ms(10));
   instances_loads(&bare->gateway, 7, true, &q);
   WANT(fleet, instance->others_running == 6 && k->others_running == 0 && k->others_tokens == 0);
-  q.n_loads = 0;
+  q.n_engines = 0;
   sim_run(fleet->sim, time_from_ms(10));
   instances_loads(&bare->gateway, 7, true, &q);
   WANT(fleet, instance->others_running == 3 && near(instance->others_tokens, 900));
@@ -655,9 +656,9 @@
   bare_gateway *bare = bare_new(fleet);
   instance *instance = beat(bare, "e1", "10.0.0.1:80", 1, 0, "big");
   sim_run(fleet->sim, time_from_ms(2000));
-  Wire__Resident r[2], *rp[2] = { &r[0], &r[1] };
+  Wire__ResidentModel r[2], *rp[2] = { &r[0], &r[1] };
   for (int k = 0; k < 2; k++)
-    wire__resident__init(&r[k]);
+    wire__resident_model__init(&r[k]);
   r[0].model = "big";
   r[1].model = "mid";
   instance_models(instance, rp, 2, world_now(bare->router.node.world), 450);
--- a/tests/loads.c
+++ b/tests/loads.c
@@ -22,23 +22,25 @@
     if (!l->at->engine || (l->again && em_engine_holds(l->at->engine, l->model, l->adapter)))
       continue;
     unit *to = engine_holder(l->deployment, l->at);
-    Wire__Place q = WIRE__PLACE__INIT;
+    Wire__PlacedLoadRequest q = WIRE__PLACED_LOAD_REQUEST__INIT;
     q.engine = l->at->engine->self.text;
     q.service = "llm";
     q.model = l->model.text;
     q.adapter = l->adapter.text;
     q.priority = 1;
-    q.wait = 800;
-    q.copy = l->again;
-    q.costmost = l->most;
-    Wire__Envelope m = wire_msg(WIRE__ENVELOPE__BODY_PLACE, &q), *b;
+    q.wait_ms = 800;
+    q.extra_replica = l->again;
+    q.max_eviction_cost = l->most;
+    Wire__Envelope m = wire_msg(WIRE__ENVELOPE__BODY_PLACED_LOAD_REQUEST, &q), *b;
     error err = { 0 };
     int r = to ? node_call(&router->node, to->host->addr, &m, time_from_ms(1300), &b, &err)
                : E_NO_HOLDER;
     if (r == E_STOPPING)
       return;
     if (to && !r)
-      r = b->body_case == WIRE__ENVELOPE__BODY_PLACEBACK ? (int)b->placeback->code : E_WIRE;
+      r = b->body_case == WIRE__ENVELOPE__BODY_PLACED_LOAD_RESPONSE
+              ? (int)b->placed_load_response->error_code
+              : E_WIRE;
     if (to)
       node_reply_free(b);
     if (r == E_IN_PROGRESS)
