--- a/tests/main.c
+++ b/tests/main.c
@@ -1556,20 +1556,21 @@
       buf[k] = (char)sim_draw(fleet->sim, 256);
     host->world.on_post(host->world.post_ctx, (string_view){ buf, n });
     /* a message that reads well and is wrong */
-    Wire__Node self = WIRE__NODE__INIT;
+    Wire__NodeInfo self = WIRE__NODE_INFO__INIT;
     self.id = "stranger";
-    self.addr = "127.0.9.9:1";
-    self.area = "north";
+    self.address = "127.0.9.9:1";
+    self.zone = "north";
     self.nonce = 7;
     self.role = ROLE_CONTROLLER;
-    Wire__Put p = WIRE__PUT__INIT;
-    Wire__Promise q = WIRE__PROMISE__INIT;
-    Wire__Holds d = WIRE__HOLDS__INIT;
-    Wire__Announce t = WIRE__ANNOUNCE__INIT;
-    Wire__Envelope m = sim_draw(fleet->sim, 2)   ? wire_msg(WIRE__ENVELOPE__BODY_PUT, &p)
-                       : sim_draw(fleet->sim, 2) ? wire_msg(WIRE__ENVELOPE__BODY_PROMISE, &q)
-                       : sim_draw(fleet->sim, 2) ? wire_msg(WIRE__ENVELOPE__BODY_HOLDS, &d)
-                                                 : wire_msg(WIRE__ENVELOPE__BODY_ANNOUNCE, &t);
+    Wire__ReplicateRequest p = WIRE__REPLICATE_REQUEST__INIT;
+    Wire__PrepareRequest q = WIRE__PREPARE_REQUEST__INIT;
+    Wire__SingletonLeaseRequest d = WIRE__SINGLETON_LEASE_REQUEST__INIT;
+    Wire__ViewAnnouncement t = WIRE__VIEW_ANNOUNCEMENT__INIT;
+    Wire__Envelope m =
+        sim_draw(fleet->sim, 2)   ? wire_msg(WIRE__ENVELOPE__BODY_REPLICATE_REQUEST, &p)
+        : sim_draw(fleet->sim, 2) ? wire_msg(WIRE__ENVELOPE__BODY_PREPARE_REQUEST, &q)
+        : sim_draw(fleet->sim, 2) ? wire_msg(WIRE__ENVELOPE__BODY_SINGLETON_LEASE_REQUEST, &d)
+                                  : wire_msg(WIRE__ENVELOPE__BODY_VIEW_ANNOUNCEMENT, &t);
     m.version = sim_draw(fleet->sim, 4);
     m.from = &self;
     m.call = 9;
--- a/tests/orders.c
+++ b/tests/orders.c
@@ -652,9 +652,9 @@
   }
   if (accepted_find(&a, 3, 0x9e3779b97f4a7c15u) || !accepted_may_have(&a, 3))
     violation(fleet, "the first of %" PRIu64 " orders is not said to be forgotten", count);
-  Wire__Accepted w;
+  Wire__AcceptedChanges w;
   accepted_pack(&a, &w);
-  size_t size = wire__accepted__get_packed_size(&w);
+  size_t size = wire__accepted_changes__get_packed_size(&w);
   accepted_unpack(&b, &w);
   if (size > accepted_size(&a))
     violation(fleet, "%u orders take %zu bytes, over the bound of %zu", a.all->len, size,
--- a/tests/registry.c
+++ b/tests/registry.c
@@ -8,36 +8,36 @@
 /* the registry of engines, and what a configuration is decided to be, without a fleet around them
  */
 
-static Wire__Engine beat_of(const char *who, const char *addr, uint64_t count, bool leaving) {
-  Wire__Engine w = WIRE__ENGINE__INIT;
+static Wire__EngineState beat_of(const char *who, const char *addr, uint64_t count, bool leaving) {
+  Wire__EngineState w = WIRE__ENGINE_STATE__INIT;
   w.id = (char *)who;
   w.service = "chat";
-  w.addr = (char *)addr;
-  w.area = "north";
+  w.address = (char *)addr;
+  w.zone = "north";
   w.version = "v1";
   w.slots = 8;
-  w.count = count;
-  w.leaving = leaving;
+  w.heartbeat_count = count;
+  w.draining = leaving;
   return w;
 }
 
 static enum fold beat(registry *registry, const char *who, const char *addr, uint64_t count,
                       bool leaving, int64_t ms) {
-  Wire__Engine w = beat_of(who, addr, count, leaving);
+  Wire__EngineState w = beat_of(who, addr, count, leaving);
   return registry_beat(registry, &w, time_from_ms(ms));
 }
 
 /* what one core machine tells another of an engine */
 static enum fold pass(registry *to, const registry *from, const char *who, bool whole, int64_t ms) {
-  Wire__Engine w = WIRE__ENGINE__INIT;
+  Wire__EngineState w = WIRE__ENGINE_STATE__INIT;
   registered_engine *entry = registry_find(from, who);
   registry_fill(entry, time_from_ms(ms), &w);
   if (!whole) {
-    Wire__Engine s = WIRE__ENGINE__INIT;
+    Wire__EngineState s = WIRE__ENGINE_STATE__INIT;
     s.id = w.id;
-    s.count = w.count;
-    s.sum = w.sum;
-    s.agems = w.agems;
+    s.heartbeat_count = w.heartbeat_count;
+    s.checksum = w.checksum;
+    s.age_ms = w.age_ms;
     w = s;
   }
   return registry_heard(to, &w, time_from_ms(ms));
@@ -69,25 +69,25 @@
          "an equal count is not late");
   registered_engine *entry = registry_find(&r, "e1");
   expect(fleet,
-         r.seq == seq && !strcmp(entry->beat->addr, "10.0.0.1:80") &&
+         r.seq == seq && !strcmp(entry->beat->address, "10.0.0.1:80") &&
              entry->heard.us == time_from_ms(2000).us,
          "a late beat changed something");
-  Wire__Resident m = WIRE__RESIDENT__INIT, *ms = &m;
+  Wire__ResidentModel m = WIRE__RESIDENT_MODEL__INIT, *ms = &m;
   m.model = "m1";
-  m.version = 1;
-  Wire__Engine w = beat_of("e1", "10.0.0.1:80", 5, false);
+  m.weights_version = 1;
+  Wire__EngineState w = beat_of("e1", "10.0.0.1:80", 5, false);
   w.n_models = 1;
   w.models = &ms;
   expect(fleet, registry_beat(&r, &w, time_from_ms(3000)) == FOLD_CHANGED,
          "a model that came is no change");
-  w.count = 6;
+  w.heartbeat_count = 6;
   expect(fleet, registry_beat(&r, &w, time_from_ms(4000)) == FOLD_ALIVE,
          "the same models are a change");
-  m.version = 2;
-  w.count = 7;
+  m.weights_version = 2;
+  w.heartbeat_count = 7;
   expect(fleet, registry_beat(&r, &w, time_from_ms(5000)) == FOLD_CHANGED,
          "other weights are no change");
-  expect(fleet, registry_find(&r, "e1")->beat->models[0]->version == 2,
+  expect(fleet, registry_find(&r, "e1")->beat->models[0]->weights_version == 2,
          "other weights were not kept");
   registry_free(&r);
   return true;
@@ -97,12 +97,12 @@
   registry r;
   registry_init(&r, 7, time_from_ms(0));
   beat(&r, "e1", "10.0.0.1:80", 1, false, 1000);
-  Wire__Engine w = beat_of("e1", "10.0.0.1:80", 2, true);
-  w.endsms = 5000;
+  Wire__EngineState w = beat_of("e1", "10.0.0.1:80", 2, true);
+  w.ends_in_ms = 5000;
   expect(fleet, registry_beat(&r, &w, time_from_ms(2000)) == FOLD_ENDING, "leaving is no news");
-  Wire__Engine said = WIRE__ENGINE__INIT;
+  Wire__EngineState said = WIRE__ENGINE_STATE__INIT;
   registry_fill(registry_find(&r, "e1"), time_from_ms(3000), &said);
-  expect(fleet, said.leaving && !said.gone && said.agems == 1000 && said.endsms == 5000,
+  expect(fleet, said.draining && !said.gone && said.age_ms == 1000 && said.ends_in_ms == 5000,
          "the time left does not count from the beat");
   expect(fleet,
          beat(&r, "e1", "10.0.0.1:80", 3, false, 4000) == FOLD_ALIVE &&
@@ -270,7 +270,7 @@
   expect(fleet, pass(&b, &a, "e1", false, 2100) == FOLD_WANT, "a lost change does not show");
   expect(fleet,
          pass(&b, &a, "e1", true, 2200) == FOLD_CHANGED &&
-             !strcmp(registry_find(&b, "e1")->beat->addr, "10.0.0.1:81"),
+             !strcmp(registry_find(&b, "e1")->beat->address, "10.0.0.1:81"),
          "a lost change is not made good");
   expect(fleet, pass(&b, &a, "e1", true, 2300) == FOLD_ALIVE, "the same word is a change");
   /* a young registry is not the whole */
@@ -381,15 +381,15 @@
   int wholes;
 } ear;
 
-static void heard(void *p, const Wire__NewsBack *b) {
+static void heard(void *p, const Wire__ConfigPollResponse *b) {
   ear *e = p;
-  e->wholes += b->enginewhole;
+  e->wholes += b->engines_complete;
   for (size_t i = 0; i < b->n_engines; i++) {
-    told t = { .leaving = b->engines[i]->leaving,
+    told t = { .leaving = b->engines[i]->draining,
                .gone = b->engines[i]->gone,
                .at = world_now(e->world) };
     g_strlcpy(t.id, b->engines[i]->id, sizeof t.id);
-    g_strlcpy(t.addr, b->engines[i]->addr, sizeof t.addr);
+    g_strlcpy(t.addr, b->engines[i]->address, sizeof t.addr);
     g_array_append_val(e->all, t);
   }
 }
