--- a/bench/policies.c
+++ b/bench/policies.c
@@ -31,7 +31,7 @@
         else if (!next)
           next = y;
       }
-      const model *m = config_model(fleet->router[0]->router->config, x->model.text);
+      const catalogue_model *m = config_model(fleet->router[0]->router->config, x->model.text);
       bool soon =
           was && time_sub(x->at, was->at).us <
                      10000 * load_ms(host, id_is_empty(x->adapter) && m ? m->weights_mb : 0);
--- a/bench/scale.c
+++ b/bench/scale.c
@@ -35,7 +35,7 @@
   CONTROL = 8146,
   FRONT = 8144,
   READY = 8140,
-  BEAT_MS = 1200,
+  HEARTBEAT_INTERVAL_MS = 1200,
   CHURN_PER_S = 5,
   CHANGES_PER_S = 1,
   FILES_LOW = 4100,
@@ -205,7 +205,7 @@
 
 static void installed(void *gateway) {
   me->on_installed(gateway);
-  const char *text = strstr(me->router->resources[RES_ROUTING]->str, "\"version\":");
+  const char *text = strstr(me->router->resources[RESOURCE_ROUTING]->str, "\"version\":");
   uint64_t version = text ? strtoull(text + 10, NULL, 10) : 0;
   if (!version || version == me->version)
     return;
@@ -230,21 +230,22 @@
   memset(settings, 0, sizeof *settings);
   settings->role = role;
   settings->self = id_of_text(h->name);
-  snprintf(settings->area.text, sizeof settings->area.text, "zone-%d", zone);
-  snprintf(settings->addr, sizeof settings->addr, "%s:%d", h->ip, PORT);
+  snprintf(settings->zone.text, sizeof settings->zone.text, "zone-%d", zone);
+  snprintf(settings->address, sizeof settings->address, "%s:%d", h->ip, PORT);
   for (int i = 0; i < CONTROLLERS; i++) {
     char ip[24];
     controller_ip(i, ip, sizeof ip);
-    snprintf(settings->seeds[i], sizeof settings->seeds[i], "%s:%d", ip, PORT);
+    snprintf(settings->seed_addresses[i], sizeof settings->seed_addresses[i], "%s:%d", ip, PORT);
     if (role == ROLE_CONTROLLER)
-      g_strlcpy(settings->founder_addrs[i], settings->seeds[i], sizeof settings->founder_addrs[i]);
+      g_strlcpy(settings->founder_addresses[i], settings->seed_addresses[i],
+                sizeof settings->founder_addresses[i]);
   }
   settings->founder_count = role == ROLE_CONTROLLER ? CONTROLLERS : 0;
-  settings->members = CONTROLLERS;
-  settings->copies = 2;
-  settings->copy_areas = 1;
-  settings->file_bytes = 4 << 20;
-  settings->loose = settings->gateway = true;
+  settings->chain_members = CONTROLLERS;
+  settings->write_replicas = 2;
+  settings->write_zones = 1;
+  settings->log_file_bytes = 4 << 20;
+  settings->relaxed = settings->is_gateway = true;
 }
 
 static void quiet(world *world, const char *line) {
@@ -253,19 +254,19 @@
 }
 
 static world *world_of(hollow *h, const char *data) {
-  real_settings x = { .port = PORT, .body_most = 1 << 20 };
+  real_settings x = { .port = PORT, .body_max_bytes = 1 << 20 };
   error err = { 0 };
   g_strlcpy(x.ip, h->ip, sizeof x.ip);
   if (data)
-    g_strlcpy(x.dir, data, sizeof x.dir);
-  world *world = real_new(&x, &err);
+    g_strlcpy(x.data_dir, data, sizeof x.data_dir);
+  world *world = real_world_new(&x, &err);
   if (!world) {
     fprintf(stderr, "scale: %s\n", err.text);
     _exit(2);
   }
   world->write_log = quiet;
-  real_post = world->post;
-  world->post = post;
+  real_post = world->post_message;
+  world->post_message = post;
   return world;
 }
 
@@ -280,8 +281,8 @@
   h->router = router_new(h->world, &v);
   gateway_settings x = { .front_port = FRONT,
                          .ready_port = READY,
-                         .dialect = &dialect_own,
-                         .beat_ms = BEAT_MS,
+                         .dialect = &dialect_native,
+                         .beat_ms = HEARTBEAT_INTERVAL_MS,
                          .load_window_s = 5,
                          .load_excess = 1.1 };
   g_strlcpy(x.front_ip, h->ip, sizeof x.front_ip);
@@ -292,8 +293,8 @@
     _exit(2);
   }
   pthread_mutex_unlock(&born);
-  h->on_post = h->world->on_post;
-  h->world->on_post = on_post;
+  h->on_post = h->world->on_message;
+  h->world->on_message = on_post;
   h->on_installed = h->router->on_installed;
   h->router->on_installed = installed;
   h->on_engines = h->router->on_engines;
@@ -301,7 +302,7 @@
   h->engines_hand = h->router->node.handlers[WIRE__ENVELOPE__BODY_ENGINE_UPDATE].fn;
   h->router->node.handlers[WIRE__ENVELOPE__BODY_ENGINE_UPDATE].fn = heard_cast;
   task_start(&h->world->tasks, "sample", sample_run, h->alone ? "alone" : "node");
-  real_run(h->world, NULL, NULL);
+  real_world_run(h->world, NULL, NULL);
   return NULL;
 }
 
@@ -344,20 +345,20 @@
   g_mkdir_with_parents(data, 0700);
   h->world = world_of(h, data);
   bench_settings(&v, ROLE_CONTROLLER, h, 1 + i * 5);
-  g_strlcpy(v.data, data, sizeof v.data);
+  g_strlcpy(v.data_dir, data, sizeof v.data_dir);
   h->controller = controller_new(h->world, &v);
-  h->on_post = h->world->on_post;
-  h->world->on_post = on_post;
+  h->on_post = h->world->on_message;
+  h->world->on_message = on_post;
   if (controller_control(h->controller, h->ip, CONTROL, NULL, &err)) {
     fprintf(stderr, "scale: %s\n", err.text);
     _exit(2);
   }
   task_start(&h->world->tasks, "sample", sample_run, "core");
-  real_run(h->world, NULL, NULL);
+  real_world_run(h->world, NULL, NULL);
   _exit(0);
 }
 
-static int dial(const char *ip, int port) {
+static int dial_open(const char *ip, int port) {
   int fd = socket(AF_INET, SOCK_STREAM, 0);
   struct sockaddr_in a = { .sin_family = AF_INET, .sin_port = htons((uint16_t)port) };
   struct timeval t = { 5, 0 };
@@ -383,7 +384,8 @@
   files_bound(20000);
   int64_t begin = now_us() + 1500000, churned = 0;
   for (int i = 0; i < engines; i++)
-    all[i] = (beater){ -1, 0, begin + (int64_t)BEAT_MS * 1000 * i / engines, i % models };
+    all[i] =
+        (beater){ -1, 0, begin + (int64_t)HEARTBEAT_INTERVAL_MS * 1000 * i / engines, i % models };
   uint64_t failed = 0;
   for (;;) {
     int64_t now = now_us(), next = now + 20000;
@@ -397,7 +399,7 @@
       if (b->due <= now) {
         char got[4096], body[512], text[1024];
         char ip[24];
-        b->due += (int64_t)BEAT_MS * 1000;
+        b->due += (int64_t)HEARTBEAT_INTERVAL_MS * 1000;
         controller_ip(i % CONTROLLERS, ip, sizeof ip);
         if (b->fd >= 0) {
           ssize_t n = recv(b->fd, got, sizeof got, MSG_DONTWAIT);
@@ -407,7 +409,7 @@
             failed++;
           }
         }
-        if (b->fd < 0 && (b->fd = dial(ip, CONTROL)) < 0)
+        if (b->fd < 0 && (b->fd = dial_open(ip, CONTROL)) < 0)
           continue;
         int n = snprintf(
             body, sizeof body,
@@ -437,7 +439,7 @@
 /* the operator */
 static int request_once(const char *ip, const char *verb, const char *path, const char *more,
                         const char *body, char *lead, size_t n) {
-  int fd = dial(ip, CONTROL);
+  int fd = dial_open(ip, CONTROL);
   if (fd < 0)
     return 0;
   GString *t = g_string_new(NULL);
--- a/bin/asterctl.c
+++ b/bin/asterctl.c
@@ -154,11 +154,11 @@
     for (char **k = all; *k && !st; k++) {
       error err = { 0 };
       g_string_truncate(to, 0);
-      st = http_call_and_read(options->world, *k, verb, path, h, body, to, span, &err);
+      st = http_call_fetch(options->world, *k, verb, path, h, body, to, span, &err);
       if (st == 503 && round < 2)
         st = 0;
       if (!st && err.code != E_NOT_CONNECTED && strcmp(verb, "GET") &&
-          !(h && h->values[HEADER_KEY])) {
+          !(h && h->values[HEADER_IDEMPOTENCY_KEY])) {
         st = 504;
         break;
       }
@@ -181,8 +181,8 @@
 }
 
 static bool is_res(const char *s) {
-  for (int i = 0; i < RES_COUNT; i++)
-    if (!strcmp(s, res_name[i]))
+  for (int i = 0; i < RESOURCE_COUNT; i++)
+    if (!strcmp(s, resource_names[i]))
       return true;
   return false;
 }
@@ -223,14 +223,14 @@
       const json *k = json_at(n, i);
       const char *name = json_text(k, "id", "");
       if (!strcmp(json_text(k, "standing", ""), "gone")) {
-        json_f(gone, " %s", name);
+        json_appendf(gone, " %s", name);
         continue;
       }
       json *s = page(options, json_text(k, "addr", ""), "/v1/status");
-      if (s && json_num(s, "version", 0) >= (double)version)
+      if (s && json_number(s, "version", 0) >= (double)version)
         have++;
       else
-        json_f(late, " %s", name);
+        json_appendf(late, " %s", name);
       json_free(s);
     }
     bool all = n && have && !late->len, over = time_reached(world_now(options->world), till);
@@ -255,16 +255,16 @@
   char path[80], key[40];
   snprintf(path, sizeof path, "/v1/%s", res);
   http_headers h = { { 0 } };
-  http_headers_set(&h, HEADER_TYPE, "application/json");
+  http_headers_set(&h, HEADER_CONTENT_TYPE, "application/json");
   if (options->match)
-    http_headers_set(&h, HEADER_MATCH, options->match);
+    http_headers_set(&h, HEADER_IF_MATCH, options->match);
   snprintf(key, sizeof key, "asterctl-%016" PRIx64, options->world->random(options->world));
-  http_headers_set(&h, HEADER_KEY, options->key ? options->key : key);
+  http_headers_set(&h, HEADER_IDEMPOTENCY_KEY, options->key ? options->key : key);
   GString *b = g_string_new(NULL);
   int x = show(options, fetch(options, verb, path, &h, body, b, time_from_ms(9000)), b);
-  json *json = x == X_OK && options->wait ? json_read(string_view_of_gstring(b), NULL) : NULL;
+  json *json = x == X_OK && options->wait ? json_parse(string_view_of_gstring(b), NULL) : NULL;
   if (json)
-    x = wait_all(options, (uint64_t)json_num(json, "version", 0));
+    x = wait_all(options, (uint64_t)json_number(json, "version", 0));
   json_free(json);
   g_string_free(b, TRUE);
   http_headers_free(&h);
@@ -311,8 +311,8 @@
     int st = fetch(options, "GET", path, NULL, string_view_of(""), b, time_from_ms(25000));
     if (st == 200) {
       unanswered = 0;
-      json *json = json_read(string_view_of_gstring(b), NULL);
-      after = json_num(json, "version", after);
+      json *json = json_parse(string_view_of_gstring(b), NULL);
+      after = json_number(json, "version", after);
       json_free(json);
       printf("%s", b->str);
       fflush(stdout);
@@ -342,7 +342,7 @@
     GString *b = g_string_new(NULL), *n = g_string_new("{\"areas\":[");
     int st =
         fetch(options, "GET", "/v1/evacuation", NULL, string_view_of(""), b, time_from_ms(9000));
-    json *value = st == 200 ? json_read(string_view_of_gstring(b), NULL) : NULL;
+    json *value = st == 200 ? json_parse(string_view_of_gstring(b), NULL) : NULL;
     g_string_free(b, TRUE);
     if (!value) {
       g_string_free(n, TRUE);
@@ -355,15 +355,16 @@
       const char *a = json_text(json_at(l, i), "area", "");
       if (!strcmp(a, options->words[1]))
         continue;
-      json_f(n, "%s{\"area\":\"%s\",\"share\":%g}", first ? "" : ",", a,
-             json_num(json_at(l, i), "share", 1));
+      json_appendf(n, "%s{\"area\":\"%s\",\"share\":%g}", first ? "" : ",", a,
+                   json_number(json_at(l, i), "share", 1));
       first = false;
     }
     if (share > 0)
-      json_f(n, "%s{\"area\":\"%s\",\"share\":%g}", first ? "" : ",", options->words[1], share);
+      json_appendf(n, "%s{\"area\":\"%s\",\"share\":%g}", first ? "" : ",", options->words[1],
+                   share);
     g_string_append(n, "]}");
     char ver[32];
-    snprintf(ver, sizeof ver, "%" PRIu64, (uint64_t)json_num(value, "version", 0));
+    snprintf(ver, sizeof ver, "%" PRIu64, (uint64_t)json_number(value, "version", 0));
     json_free(value);
     options->match = ver;
     int x = put(options, "PUT", "evacuation", string_view_of_gstring(n));
@@ -378,9 +379,9 @@
 static json *page(options *options, const char *at, const char *path) {
   GString *b = g_string_new(NULL);
   error err = { 0 };
-  int st = http_call_and_read(options->world, at, "GET", path, NULL, string_view_of(""), b,
-                              time_from_ms(2500), &err);
-  json *json = st == 200 ? json_read(string_view_of_gstring(b), NULL) : NULL;
+  int st = http_call_fetch(options->world, at, "GET", path, NULL, string_view_of(""), b,
+                           time_from_ms(2500), &err);
+  json *json = st == 200 ? json_parse(string_view_of_gstring(b), NULL) : NULL;
   g_string_free(b, TRUE);
   return json;
 }
@@ -402,11 +403,11 @@
     return X_MUTE;
   }
   if (v) {
-    printf("view %.0f, chain", json_num(v, "epoch", 0));
+    printf("view %.0f, chain", json_number(v, "epoch", 0));
     const json *c = json_get(v, "chain");
     for (size_t i = 0; i < json_count(c); i++)
       printf("%s %s", i ? " >" : "", json_text(json_at(c, i), "id", "?"));
-    printf("%s\n", json_yes(v, "thin", false) ? " (too thin to write)" : "");
+    printf("%s\n", json_bool(v, "thin", false) ? " (too thin to write)" : "");
   }
   printf("%-12s %-5s %-12s %-8s %-8s %-7s %s\n", "NODE", "ROLE", "AREA", "STANDING", "VERSION",
          "FRESH", "ADDRESS");
@@ -417,10 +418,10 @@
                   : NULL;
     char ver[24] = "-";
     if (s)
-      snprintf(ver, sizeof ver, "%.0f", json_num(s, "version", 0));
-    const char *fresh = !s                                                            ? "-"
-                        : json_yes(s, json_get(s, "fresh") ? "fresh" : "acts", false) ? "yes"
-                                                                                      : "no";
+      snprintf(ver, sizeof ver, "%.0f", json_number(s, "version", 0));
+    const char *fresh = !s                                                             ? "-"
+                        : json_bool(s, json_get(s, "fresh") ? "fresh" : "acts", false) ? "yes"
+                                                                                       : "no";
     printf("%-12s %-5s %-12s %-8s %-8s %-7s %s\n", json_text(k, "id", ""), json_text(k, "role", ""),
            json_text(k, "area", ""), json_text(k, "standing", ""), ver, fresh,
            json_text(k, "addr", ""));
@@ -448,14 +449,15 @@
     const json *e = json_get(g, "engines");
     int usable = 0;
     for (size_t q = 0; q < json_count(e); q++)
-      usable += json_yes(json_at(e, q), "usable", false);
+      usable += json_bool(json_at(e, q), "usable", false);
     if (g)
       printf("%-12s %-9s %9.0f %9.0f %9.0f %9.0f %8.0f %4d/%-3zu %6.0f  %s%s%s\n",
-             json_text(k, "id", ""), json_yes(g, "ready", false) ? "yes" : "no",
-             json_num(g, "revision", 0), json_num(g, "requests", 0), json_num(g, "served", 0),
-             json_num(g, "refused", 0), json_num(g, "retries", 0), usable, json_count(e),
-             json_num(g, "open", 0), json_text(k, "addr", ""),
-             json_text(g, "why", "")[0] ? "  " : "", json_text(g, "why", ""));
+             json_text(k, "id", ""), json_bool(g, "ready", false) ? "yes" : "no",
+             json_number(g, "revision", 0), json_number(g, "requests", 0),
+             json_number(g, "served", 0), json_number(g, "refused", 0),
+             json_number(g, "retries", 0), usable, json_count(e), json_number(g, "open", 0),
+             json_text(k, "addr", ""), json_text(g, "why", "")[0] ? "  " : "",
+             json_text(g, "why", ""));
     else
       printf("%-12s %-9s\n", json_text(k, "id", ""), "-");
     found += g != NULL;
@@ -472,12 +474,12 @@
 
 static void view_say(const char *name, const json *v) {
   const json *o = json_get(v, "old"), *c = json_get(v, "candidate");
-  if (json_num(o, "requests", 0) + json_num(c, "requests", 0) <= 0)
+  if (json_number(o, "requests", 0) + json_number(c, "requests", 0) <= 0)
     return;
   printf(
       "%-7s harm by the old policy %.4f (at most %.4f) of %.0f, by the candidate %.4f (at least %.4f) of %.0f\n",
-      name, json_num(o, "harm", 0), json_num(o, "atMost", 1), json_num(o, "requests", 0),
-      json_num(c, "harm", 0), json_num(c, "atLeast", 0), json_num(c, "requests", 0));
+      name, json_number(o, "harm", 0), json_number(o, "atMost", 1), json_number(o, "requests", 0),
+      json_number(c, "harm", 0), json_number(c, "atLeast", 0), json_number(c, "requests", 0));
 }
 
 static int canary_status(options *options) {
@@ -495,12 +497,12 @@
     json_free(n);
     return X_OK;
   }
-  printf("trial %s, share %g, %s%s%s\n", json_text(v, "name", ""), json_num(v, "share", 0),
+  printf("trial %s, share %g, %s%s%s\n", json_text(v, "name", ""), json_number(v, "share", 0),
          json_text(v, "state", "running"), end ? ": " : "",
          end ? json_text(end, "verdict", "") : "");
   view_say("urgent", json_get(end, "urgent"));
   view_say("rest", json_get(end, "rest"));
-  side_sum sum[SIDES][CANARY_PRIORITIES] = { 0 };
+  side_sum sum[CANARY_ARMS][CANARY_PRIORITIES] = { 0 };
   int on = 0, all = 0;
   for (size_t i = 0; i < json_count(n); i++) {
     const json *k = json_at(n, i);
@@ -510,24 +512,25 @@
     const json *c = json_get(g, "canary"), *value = json_get(c, "judges"),
                *s = json_get(c, "sides");
     all += g != NULL;
-    on += json_yes(c, "on", false);
+    on += json_bool(c, "on", false);
     if (value) {
       printf("judged by %s, which hears %.0f nodes, for %.0f s\n", json_text(k, "id", ""),
-             json_num(value, "nodes", 0), json_num(value, "ageMs", 0) / 1000);
+             json_number(value, "nodes", 0), json_number(value, "ageMs", 0) / 1000);
       view_say("urgent", json_get(value, "urgent"));
       view_say("rest", json_get(value, "rest"));
     }
     for (size_t x = 0; x < json_count(s); x++) {
       const json *q = json_at(s, x);
-      int p = (int)json_num(q, "priority", -1);
+      int p = (int)json_number(q, "priority", -1);
       if (p < 0 || p >= CANARY_PRIORITIES)
         continue;
-      side_sum *t = &sum[strcmp(json_text(q, "side", ""), "old") ? SIDE_CANDIDATE : SIDE_OLD][p];
-      t->requests += json_num(q, "requests", 0);
-      t->in_aim += json_num(q, "inAim", 0);
-      t->late += json_num(q, "late", 0);
-      t->refused += json_num(q, "refused", 0);
-      t->failed += json_num(q, "failed", 0);
+      side_sum *t = &sum[strcmp(json_text(q, "side", ""), "old") ? CANARY_ARM_CANDIDATE
+                                                                 : CANARY_ARM_CONTROL][p];
+      t->requests += json_number(q, "requests", 0);
+      t->in_aim += json_number(q, "inAim", 0);
+      t->late += json_number(q, "late", 0);
+      t->refused += json_number(q, "refused", 0);
+      t->failed += json_number(q, "failed", 0);
     }
     json_free(g);
   }
@@ -535,11 +538,11 @@
     printf("on at %d of %d gateways\n%-10s %8s %9s %9s %9s %9s %9s\n", on, all, "SIDE", "PRIORITY",
            "REQUESTS", "IN AIM", "LATE", "REFUSED", "FAILED");
     for (int p = 0; p < CANARY_PRIORITIES; p++)
-      for (int s = 0; s < SIDES; s++)
+      for (int s = 0; s < CANARY_ARMS; s++)
         if (sum[s][p].requests > 0)
-          printf("%-10s %8d %9.0f %9.0f %9.0f %9.0f %9.0f\n", s == SIDE_OLD ? "old" : "candidate",
-                 p, sum[s][p].requests, sum[s][p].in_aim, sum[s][p].late, sum[s][p].refused,
-                 sum[s][p].failed);
+          printf("%-10s %8d %9.0f %9.0f %9.0f %9.0f %9.0f\n",
+                 s == CANARY_ARM_CONTROL ? "old" : "candidate", p, sum[s][p].requests,
+                 sum[s][p].in_aim, sum[s][p].late, sum[s][p].refused, sum[s][p].failed);
   }
   json_free(r);
   json_free(n);
@@ -566,10 +569,10 @@
     GString *b = g_string_new("[");
     for (guint i = 0; i < f->len; i++) {
       finding *k = &g_array_index(f, finding, i);
-      json_f(b, "%s{\"code\":%d,\"evidence\":", i ? "," : "", k->code);
-      json_quote(b, string_view_of(k->evidence));
+      json_appendf(b, "%s{\"code\":%d,\"evidence\":", i ? "," : "", k->code);
+      json_append_quoted(b, string_view_of(k->evidence));
       g_string_append(b, ",\"next\":");
-      json_quote(b, string_view_of(k->next));
+      json_append_quoted(b, string_view_of(k->remedy));
       g_string_append_c(b, '}');
     }
     printf("%s]\n", b->str);
@@ -577,7 +580,7 @@
   } else {
     for (guint i = 0; i < f->len; i++)
       printf("%d %s\n    %s\n", g_array_index(f, finding, i).code,
-             g_array_index(f, finding, i).evidence, g_array_index(f, finding, i).next);
+             g_array_index(f, finding, i).evidence, g_array_index(f, finding, i).remedy);
     if (!f->len)
       printf("nothing found\n");
   }
@@ -622,7 +625,7 @@
     formula f;
     error fe = { 0 };
     if (g_str_has_prefix(pol[i], "expr:")) {
-      ok = !formula_make(&f, pol[i] + 5, &fe);
+      ok = !formula_compile(&f, pol[i] + 5, &fe);
       if (!ok)
         fprintf(stderr, "asterctl: %s (code %d)\n", fe.text, fe.code);
     }
@@ -719,7 +722,7 @@
       const json *x = json_at(value, i);
       if (strcmp(json_text(x, "event", ""), "routed"))
         continue;
-      heard h = { json_num(x, "agoMs", 0), "" };
+      heard h = { json_number(x, "agoMs", 0), "" };
       g_strlcpy(h.name, json_text(x, "model", "?"), sizeof h.name);
       g_array_append_val(got, h);
     }
@@ -734,8 +737,8 @@
     double megs = 1000, load = 4000;
     for (size_t k = 0; k < json_count(m); k++)
       if (!strcmp(json_text(json_at(m, k), "id", ""), h->name)) {
-        megs = json_num(json_at(m, k), "weightsMb", megs);
-        load = json_num(json_at(m, k), "startLoadMs", load);
+        megs = json_number(json_at(m, k), "weightsMb", megs);
+        load = json_number(json_at(m, k), "startLoadMs", load);
       }
     fprintf(f, "%.0f %s %.0f %.0f\n", g_array_index(got, heard, 0).ago - h->ago, h->name, megs,
             load);
@@ -776,7 +779,7 @@
     fprintf(stderr, "asterctl: no such command, or not so many words; see --help\n");
     options->code = X_USE;
   }
-  real_stop(options->world);
+  real_world_stop(options->world);
 }
 
 int main(int argc, char **argv) {
@@ -796,20 +799,20 @@
   }
   char **all = g_strsplit(u.at, ",", -1);
   for (char **k = all; *k; k++)
-    if (!addr_fits(*k)) {
+    if (!address_is_valid(*k)) {
       fprintf(stderr, "asterctl: %s is no ip:port\n", *k);
       return X_USE;
     }
   g_strfreev(all);
   real_settings e = { 0 };
   error err = { 0 };
-  u.world = real_new(&e, &err);
+  u.world = real_world_new(&e, &err);
   if (!u.world) {
     fprintf(stderr, "asterctl: %s (code %d)\n", err.text, err.code);
     return X_MUTE;
   }
   task_start(&u.world->tasks, "main", main_run, &u);
-  real_run(u.world, NULL, NULL);
-  real_free(u.world);
+  real_world_run(u.world, NULL, NULL);
+  real_world_free(u.world);
   return u.code;
 }
--- a/bin/asterfall-controller.c
+++ b/bin/asterfall-controller.c
@@ -13,7 +13,7 @@
 static void wait_run(void *p) {
   run *run = p;
   condition_wait(&run->world->tasks, &run->controller->over, time_never());
-  real_stop(run->world);
+  real_world_stop(run->world);
 }
 
 static void on_term(void *p) {
@@ -26,20 +26,20 @@
   if (args_settings(argc, argv, ROLE_CONTROLLER,
                     "asterfall-controller: a core machine of asterfall, with a disk", &v))
     return 0;
-  real_settings e = { .body_most = RES_MOST + 4096 };
-  addr_split(v.addr, e.ip, sizeof e.ip, &e.port);
-  g_strlcpy(e.dir, v.data, sizeof e.dir);
+  real_settings e = { .body_max_bytes = RESOURCE_BYTES_MAX + 4096 };
+  address_split(v.address, e.ip, sizeof e.ip, &e.port);
+  g_strlcpy(e.data_dir, v.data_dir, sizeof e.data_dir);
   error err = { 0 };
-  world *world = real_new(&e, &err);
+  world *world = real_world_new(&e, &err);
   if (!world) {
     fprintf(stderr, "asterfall-controller: %s (code %d)\n", err.text, err.code);
     return 2;
   }
   run r = { controller_new(world, &v), world };
   task_start(&world->tasks, "over", wait_run, &r);
-  real_run(world, on_term, &r);
+  real_world_run(world, on_term, &r);
   int code = r.controller->code;
-  real_free(world);
+  real_world_free(world);
   controller_free(r.controller);
   return code ? 1 : 0;
 }
--- a/bin/asterfall-emulate.c
+++ b/bin/asterfall-emulate.c
@@ -152,9 +152,9 @@
            n, b, a, "", "A", "B", "B - A");
   if (options->json) {
     GString *t = g_string_new(NULL);
-    json_quote(t, string_view_of(a));
+    json_append_quoted(t, string_view_of(a));
     g_string_append(t, ",\"b\":");
-    json_quote(t, string_view_of(b));
+    json_append_quoted(t, string_view_of(b));
     printf("%s", t->str);
     g_string_free(t, TRUE);
   }
--- a/bin/asterfall-engine-sim.c
+++ b/bin/asterfall-engine-sim.c
@@ -68,14 +68,14 @@
     opts, parse, NULL, "asterfall-engine-sim: a simulated engine", NULL, NULL, NULL
   };
   argp_parse(&p, argc, argv, 0, NULL, NULL);
-  real_settings e = { .body_most = 1 << 20 };
-  if (!addr_fits(a.listen) || !id_is_valid(string_view_of(a.self))) {
+  real_settings e = { .body_max_bytes = 1 << 20 };
+  if (!address_is_valid(a.listen) || !id_is_valid(string_view_of(a.self))) {
     fprintf(stderr, "asterfall-engine-sim: a name and --listen IP:PORT are needed\n");
     return 2;
   }
-  addr_split(a.listen, e.ip, sizeof e.ip, &e.port);
+  address_split(a.listen, e.ip, sizeof e.ip, &e.port);
   error err = { 0 };
-  world *world = real_new(&e, &err);
+  world *world = real_world_new(&e, &err);
   if (!world) {
     fprintf(stderr, "asterfall-engine-sim: %s (code %d)\n", err.text, err.code);
     return 2;
@@ -89,12 +89,12 @@
   }
   engine->faults.megs_per_s = a.rate;
   engine->faults.token_ms = a.token;
-  real_run(world, NULL, NULL);
+  real_world_run(world, NULL, NULL);
   GString *b = g_string_new(NULL);
   engine_sim_record(engine, b);
   fputs(b->str, stdout);
   g_string_free(b, TRUE);
-  real_free(world);
+  real_world_free(world);
   engine_sim_free(engine);
   if (f)
     fclose(f);
--- a/bin/asterfall-loadgen.c
+++ b/bin/asterfall-loadgen.c
@@ -74,7 +74,7 @@
   while (loadgen->open)
     if (condition_wait(&loadgen->world->tasks, &loadgen->idle, till) != WAKE_SIGNALLED)
       break;
-  real_stop(loadgen->world);
+  real_world_stop(loadgen->world);
 }
 
 int main(int argc, char **argv) {
@@ -87,18 +87,18 @@
     fprintf(stderr, "asterfall-loadgen: --routers and --catalogue are needed\n");
     return 2;
   }
-  json *j[RES_COUNT] = { json_read((string_view){ text, n }, &err), NULL, NULL };
+  json *j[RESOURCE_COUNT] = { json_parse((string_view){ text, n }, &err), NULL, NULL };
   g_free(text);
   if (a.policy && g_file_get_contents(a.policy, &text, &n, NULL)) {
-    j[1] = json_read((string_view){ text, n }, &err);
+    j[1] = json_parse((string_view){ text, n }, &err);
     g_free(text);
   }
-  config *config = j[0] ? config_make((const json **)j, &err) : NULL;
+  config *config = j[0] ? config_compile((const json **)j, &err) : NULL;
   json_free(j[0]);
   json_free(j[1]);
   real_settings e = { .port = 0 };
   g_strlcpy(e.ip, a.ip, sizeof e.ip);
-  world *world = config ? real_new(&e, &err) : NULL;
+  world *world = config ? real_world_new(&e, &err) : NULL;
   if (!world) {
     fprintf(stderr, "asterfall-loadgen: %s (code %d)\n", err.text, err.code);
     config_free(config);
@@ -110,10 +110,10 @@
     g_ptr_array_add(loadgen->plan.routers, g_strdup(*k));
   g_strfreev(v);
   for (guint i = 0; i < config->models->len; i++)
-    loadgen_know(loadgen, g_array_index(config->models, model, i).self, id_of_text(""));
+    loadgen_know(loadgen, g_array_index(config->models, catalogue_model, i).self, id_of_text(""));
   for (guint i = 0; i < config->adapters->len; i++)
-    loadgen_know(loadgen, g_array_index(config->adapters, adapter, i).model,
-                 g_array_index(config->adapters, adapter, i).self);
+    loadgen_know(loadgen, g_array_index(config->adapters, catalogue_adapter, i).model,
+                 g_array_index(config->adapters, catalogue_adapter, i).self);
   for (int i = 0; i < 3 && i < config->kind_count; i++)
     loadgen->plan.kinds[i] = config->kinds[i].self.text;
   loadgen->plan.per_s = a.rate;
@@ -121,7 +121,7 @@
   loadgen->plan.tries = a.tries;
   loadgen_start(loadgen);
   task_start(&world->tasks, "end", end_run, loadgen);
-  real_run(world, NULL, NULL);
+  real_world_run(world, NULL, NULL);
   GString *b = g_string_new(NULL);
   loadgen_json(loadgen, b);
   fputs(b->str, stdout);
@@ -138,7 +138,7 @@
     fclose(f);
   int wrong = loadgen_count(loadgen, OUTCOME_WRONG);
   g_string_free(b, TRUE);
-  real_free(world);
+  real_world_free(world);
   loadgen_free(loadgen);
   config_free(config);
   return wrong ? 1 : 0;
--- a/bin/asterfall-platform-sim.c
+++ b/bin/asterfall-platform-sim.c
@@ -24,19 +24,19 @@
   struct argp p = { opts, parse, NULL, "asterfall-platform-sim: a simulated platform",
                     NULL, NULL,  NULL };
   argp_parse(&p, argc, argv, 0, NULL, NULL);
-  real_settings e = { .body_most = 1 << 20 };
+  real_settings e = { .body_max_bytes = 1 << 20 };
   error err = { 0 };
   gchar *text = NULL;
   gsize n;
-  if (!a.listen || !addr_fits(a.listen) || !a.file ||
+  if (!a.listen || !address_is_valid(a.listen) || !a.file ||
       !g_file_get_contents(a.file, &text, &n, NULL)) {
     fprintf(stderr, "asterfall-platform-sim: --listen IP:PORT and --engines FILE are needed\n");
     return 2;
   }
-  addr_split(a.listen, e.ip, sizeof e.ip, &e.port);
-  json *json = json_read((string_view){ text, n }, &err);
+  address_split(a.listen, e.ip, sizeof e.ip, &e.port);
+  json *json = json_parse((string_view){ text, n }, &err);
   g_free(text);
-  world *world = json ? real_new(&e, &err) : NULL;
+  world *world = json ? real_world_new(&e, &err) : NULL;
   if (!world) {
     fprintf(stderr, "asterfall-platform-sim: %s (code %d)\n", err.text, err.code);
     json_free(json);
@@ -46,10 +46,10 @@
   bool ok = platform_sim_take(m, json);
   json_free(json);
   if (ok)
-    real_run(world, NULL, NULL);
+    real_world_run(world, NULL, NULL);
   else
     fprintf(stderr, "asterfall-platform-sim: %s holds no list of engines\n", a.file);
-  real_free(world);
+  real_world_free(world);
   platform_sim_free(m);
   return ok ? 0 : 2;
 }
--- a/bin/asterfall-router.c
+++ b/bin/asterfall-router.c
@@ -13,7 +13,7 @@
 static void wait_run(void *p) {
   run *run = p;
   condition_wait(&run->world->tasks, &run->router->over, time_never());
-  real_stop(run->world);
+  real_world_stop(run->world);
 }
 
 static void on_term(void *p) {
@@ -25,18 +25,18 @@
   if (args_settings(argc, argv, ROLE_ROUTER, "asterfall-router: a data-plane machine of asterfall",
                     &v))
     return 0;
-  real_settings e = { .body_most = 1 << 20 };
-  addr_split(v.addr, e.ip, sizeof e.ip, &e.port);
+  real_settings e = { .body_max_bytes = 1 << 20 };
+  address_split(v.address, e.ip, sizeof e.ip, &e.port);
   error err = { 0 };
-  world *world = real_new(&e, &err);
+  world *world = real_world_new(&e, &err);
   if (!world) {
     fprintf(stderr, "asterfall-router: %s (code %d)\n", err.text, err.code);
     return 2;
   }
   run r = { router_new(world, &v), world };
   task_start(&world->tasks, "over", wait_run, &r);
-  real_run(world, on_term, &r);
-  real_free(world);
+  real_world_run(world, on_term, &r);
+  real_world_free(world);
   router_free(r.router);
   return 0;
 }
--- a/emulator/check.c
+++ b/emulator/check.c
@@ -157,17 +157,17 @@
   fleet *fleet = b->fleet;
   world *world = &fleet->prober->world;
   host *host = fleet->router[b->router];
-  while (world_sleep_about(world, time_from_ms(PROBE_MS))) {
+  while (world_sleep_with_jitter(world, time_from_ms(PROBE_MS))) {
     if (!fleet->probing)
       continue;
     probe k = { .sent = world_now(world), .router = b->router, .life = host->life };
     GString *got = g_string_new(NULL);
     error err = { 0 };
     k.status =
-        http_call_and_read(world, host->addr, "POST", "/v1/generate", NULL,
-                           string_view_of("{\"model\":\"mark\"}"), got, time_from_ms(3000), &err);
-    json *json = json_read(string_view_of_gstring(got), NULL);
-    k.code = json_num(json, "code", 0);
+        http_call_fetch(world, host->addr, "POST", "/v1/generate", NULL,
+                        string_view_of("{\"model\":\"mark\"}"), got, time_from_ms(3000), &err);
+    json *json = json_parse(string_view_of_gstring(got), NULL);
+    k.code = json_number(json, "code", 0);
     json_free(json);
     g_string_free(got, TRUE);
     k.at = world_now(world);
@@ -217,11 +217,11 @@
     if (given.us < p->sent.us)
       given = p->sent;
     note *due = mark_due(fleet, given),
-         *is = p->code == E_REFUSED_BY_RULE ? mark_of(fleet, p->status) : NULL;
+         *is = p->code == E_REJECTED_BY_RULE ? mark_of(fleet, p->status) : NULL;
     /* a router that admits nothing says so, and cannot be wrong */
-    if (p->status == 503 || p->status == 429 || (p->code != E_REFUSED_BY_RULE && !due))
+    if (p->status == 503 || p->status == 429 || (p->code != E_REJECTED_BY_RULE && !due))
       continue;
-    if (p->code != E_REFUSED_BY_RULE) {
+    if (p->code != E_REJECTED_BY_RULE) {
       if (fleet->marks <= MARK_SPAN)
         violation(fleet,
                   "R4 %s takes a request %.2f s after a rule that refuses it was acknowledged",
@@ -296,15 +296,15 @@
 /* R7: what a note of an evacuation says of an engine. A share below one takes those whose hashed
  * name lies below it */
 static bool covers(const note *note, const host *host) {
-  json *value = json_read(string_view_of(note->text ? note->text : ""), NULL);
+  json *value = json_parse(string_view_of(note->text ? note->text : ""), NULL);
   const json *l = json_get(value, "areas");
   bool yes = false;
   for (size_t i = 0; i < json_count(l); i++) {
-    double share = json_num(json_at(l, i), "share", 1);
+    double share = json_number(json_at(l, i), "share", 1);
     if (strcmp(json_text(json_at(l, i), "area", ""), host->area.text))
       continue;
     yes |= share >= 1 ||
-           (double)(hash_of_two("empty", host->self.text) >> 11) / 9007199254740992.0 < share;
+           (double)(hash_two_names("empty", host->self.text) >> 11) / 9007199254740992.0 < share;
   }
   json_free(value);
   return yes;
@@ -329,7 +329,7 @@
   note *due = NULL;
   for (guint i = 0; i < fleet->notes->len; i++) {
     note *n = fleet->notes->pdata[i];
-    if (n->which == RES_EVACUATION && n->status == 200 && n->at.us + EMPTY_MS * 1000 < at.us &&
+    if (n->which == RESOURCE_EVACUATION && n->status == 200 && n->at.us + EMPTY_MS * 1000 < at.us &&
         (!due || n->version > due->version))
       due = n;
   }
@@ -337,7 +337,7 @@
     return false;
   for (guint i = 0; i < fleet->notes->len; i++) {
     note *n = fleet->notes->pdata[i];
-    if (n->which != RES_EVACUATION || n->sent.us > at.us)
+    if (n->which != RESOURCE_EVACUATION || n->sent.us > at.us)
       continue;
     /* refused, or said not to have been written; what nobody knows of may be in force */
     if ((n->status >= 400 && n->status < 500) || n->status == 503)
@@ -380,7 +380,7 @@
 void check_emptied(fleet *fleet) {
   bool any = false;
   for (guint i = 0; i < fleet->notes->len; i++)
-    any |= ((note *)fleet->notes->pdata[i])->which == RES_EVACUATION;
+    any |= ((note *)fleet->notes->pdata[i])->which == RESOURCE_EVACUATION;
   if (!any)
     return;
   GHashTable *memo = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
--- a/emulator/client.c
+++ b/emulator/client.c
@@ -17,11 +17,11 @@
   em_balancer *b = k->balancer;
   em_node *n = k->node;
   GString *got = g_string_new(NULL);
-  while (!b->stop && !b->world->tasks.dead) {
+  while (!b->stop && !b->world->tasks.stopped) {
     time_us from = world_now(b->world);
-    int st = http_call_and_read(b->world, n->ready, b->dialect->call[DC_READY].verb,
-                                b->dialect->call[DC_READY].path, NULL, string_view_of(""), got,
-                                time_from_ms(READY_MS), NULL);
+    int st = http_call_fetch(b->world, n->ready, b->dialect->calls[DC_READY].method,
+                             b->dialect->calls[DC_READY].path, NULL, string_view_of(""), got,
+                             time_from_ms(READY_MS), NULL);
     g_string_truncate(got, 0);
     n->asked++;
     n->missed += st != 200;
@@ -83,7 +83,7 @@
   }
   char a[32];
   snprintf(a, sizeof a, "user-%u", user);
-  return count ? fit[(hash_of(a, strlen(a), 3) + turn) % count] : NULL;
+  return count ? fit[(hash_bytes(a, strlen(a), 3) + turn) % count] : NULL;
 }
 
 /* the client */
@@ -191,7 +191,7 @@
 static void note_node(em_client *client, const em_request *request, const em_node *node,
                       const http_call *call, bool whole) {
   gpointer user = GUINT_TO_POINTER(request->user);
-  if (whole && !call->closes)
+  if (whole && !call->closes_connection)
     g_hash_table_insert(client->node_of, user, (gpointer)node);
   else
     g_hash_table_remove(client->node_of, user);
@@ -208,7 +208,7 @@
   attempt->how = 'o';
   client->count++;
   snprintf(attempt->request, sizeof attempt->request, "%016" PRIx64,
-           hash_of(&client->count, sizeof client->count, 11));
+           hash_bytes(&client->count, sizeof client->count, 11));
   snprintf(attempt->target, sizeof attempt->target, "%s%x", kind->path, a->user & 0xff);
   const em_node *n = node_for(client, a, turn);
   attempt->sent = world_now(world);
@@ -225,19 +225,24 @@
   fields *fields = g_string_new(NULL);
   fields_add(fields, "Host", string_view_of(kind->host));
   fields_add(fields, "Content-Type", string_view_of("application/json"));
-  fields_add(fields, client->dialect->field[DF_REQUEST_ID], string_view_of(attempt->request));
-  fields_addf(fields, client->dialect->field[DF_TIME_LEFT_MS], "%" PRId64, attempt->left_ms);
+  fields_add(fields, client->dialect->header_names[DF_REQUEST_ID],
+             string_view_of(attempt->request));
+  fields_add_format(fields, client->dialect->header_names[DF_TIME_LEFT_MS], "%" PRId64,
+                    attempt->left_ms);
   if (!id_is_empty(a->model)) {
-    fields_addf(fields, client->dialect->field[DF_MODEL], "%s%s%s", a->model.text,
-                id_is_empty(a->adapter) ? "" : "/", a->adapter.text);
-    fields_addf(fields, client->dialect->field[DF_TOKENS], "%.0f,%u",
-                kind->tokens_in + kind->tokens_shared, kind->tokens_out);
-    fields_add(fields, client->dialect->field[DF_PREFIX], string_view_of_gstring(trip->prefix));
+    fields_add_format(fields, client->dialect->header_names[DF_MODEL], "%s%s%s", a->model.text,
+                      id_is_empty(a->adapter) ? "" : "/", a->adapter.text);
+    fields_add_format(fields, client->dialect->header_names[DF_TOKENS], "%.0f,%u",
+                      kind->tokens_in + kind->tokens_shared, kind->tokens_out);
+    fields_add(fields, client->dialect->header_names[DF_PREFIX],
+               string_view_of_gstring(trip->prefix));
   }
-  if (client->dialect->field[DF_SESSION])
-    fields_addf(fields, client->dialect->field[DF_SESSION], "%s-%u", kind->name, a->user);
+  if (client->dialect->header_names[DF_SESSION])
+    fields_add_format(fields, client->dialect->header_names[DF_SESSION], "%s-%u", kind->name,
+                      a->user);
   if (trip->resume)
-    fields_addf(fields, client->dialect->field[DF_LAST_EVENT_ID], "%" PRIu64, trip->resume);
+    fields_add_format(fields, client->dialect->header_names[DF_LAST_EVENT_ID], "%" PRIu64,
+                      trip->resume);
   http_call *l = http_call_open_fields(world, n->front, "POST", attempt->target, fields,
                                        string_view_of_gstring(trip->body), kind->fresh || turn > 0,
                                        time_never());
@@ -250,11 +255,11 @@
   /* a connection that does not come up within a second is left */
   while (!l->sent && !l->broken &&
          world_now(world).us < time_add(attempt->sent, time_from_ms(UP_MS)).us)
-    if (condition_wait(&world->tasks, &l->news, time_add(attempt->sent, time_from_ms(UP_MS))) ==
-        WAKE_STOPPED)
+    if (condition_wait(&world->tasks, &l->progressed,
+                       time_add(attempt->sent, time_from_ms(UP_MS))) == WAKE_STOPPED)
       break;
   attempt->read = l->sent;
-  attempt->reused = l->reused;
+  attempt->reused = l->reused_connection;
   if (!l->sent) {
     attempt->how = 'u';
     goto out;
@@ -266,19 +271,19 @@
   }
   r = http_call_wait(l, quiet);
   if (r) {
-    attempt->how = r == E_NO_ANSWER ? 'l' : r == E_STOPPING ? 'o' : 'e';
+    attempt->how = r == E_NO_RESPONSE ? 'l' : r == E_STOPPING ? 'o' : 'e';
     goto out;
   }
   attempt->status = l->status;
   string_view v;
-  if (fields_get(l->in_fields, "Retry-After", &v))
+  if (fields_get(l->response_fields, "Retry-After", &v))
     attempt->retry_s = g_ascii_strtod(v.data, NULL);
-  if (fields_get(l->in_fields, client->dialect->field[DF_STAMP], &v))
+  if (fields_get(l->response_fields, client->dialect->header_names[DF_STAMP], &v))
     memcpy(attempt->stamp, v.data, MIN(v.length, sizeof attempt->stamp - 1));
   bool good = l->status >= 200 && l->status < 300;
   if (good && !attempt->stamp[0])
     faulty(attempt, "stamp");
-  if (fields_get(l->in_fields, client->dialect->field[DF_REQUEST_ID], &v) &&
+  if (fields_get(l->response_fields, client->dialect->header_names[DF_REQUEST_ID], &v) &&
       !string_view_equal(v, string_view_of(attempt->request)))
     faulty(attempt, "other");
   unsigned total = (kind->tokens_out + MAX(1, kind->event_tokens) - 1) / MAX(1, kind->event_tokens);
@@ -301,10 +306,10 @@
         quiet = due;
     }
   }
-  attempt->how = r == E_PEER_GONE   ? good ? 'd' : 's'
-                 : r == E_NO_ANSWER ? 'l'
-                 : r == E_STOPPING  ? 'o'
-                                    : 'e';
+  attempt->how = r == E_PEER_GONE     ? good ? 'd' : 's'
+                 : r == E_NO_RESPONSE ? 'l'
+                 : r == E_STOPPING    ? 'o'
+                                      : 'e';
   if (attempt->how == 'd' && stream && ((!end && trip->resume < total) || got->len))
     faulty(attempt, "end");
   if (attempt->how == 'd' && !stream) {
@@ -392,11 +397,11 @@
   t->client = client;
   t->request = a;
   t->body = g_string_new(NULL);
-  json_f(t->body, "{\"bytes\":%u,\"user\":%u}", kind->bytes, a->user);
+  json_appendf(t->body, "{\"bytes\":%u,\"user\":%u}", kind->bytes, a->user);
   t->prefix = g_string_new(NULL);
   if (model)
     g_string_printf(t->prefix, "%08x:%.0f,%08x:%.0f",
-                    (unsigned)hash_of_two(kind->name, a->model.text), kind->tokens_shared,
+                    (unsigned)hash_two_names(kind->name, a->model.text), kind->tokens_shared,
                     a->user + 1, kind->tokens_in);
   client->open++;
   task_start(&client->world->tasks, "trip", trip_run, t);
--- a/emulator/connections.c
+++ b/emulator/connections.c
@@ -13,13 +13,13 @@
   bool open;
 } place;
 
-enum kind { P_REQUEST, P_HEAD, P_DATA, P_END, P_CLOSE, P_RESET, P_STRAY };
+enum request_kind { P_REQUEST, P_HEAD, P_DATA, P_END, P_CLOSE, P_RESET, P_STRAY };
 typedef struct channel channel;
 typedef struct exchange exchange;
 typedef struct packet {
   list_node link;
   time_us at;
-  enum kind kind;
+  enum request_kind kind;
   exchange *exchange;
   GString *text;
   fields *fields;
@@ -121,8 +121,8 @@
   sim_at(p->channel->sim, at, pipe_run, p);
 }
 
-static void pipe_send(pipe *p, enum kind kind, exchange *exchange, const char *text, size_t n,
-                      fields *fields, int status, bool flag) {
+static void pipe_send(pipe *p, enum request_kind kind, exchange *exchange, const char *text,
+                      size_t n, fields *fields, int status, bool flag) {
   channel *channel = p->channel;
   host *from = p == &channel->to_b ? channel->a : channel->b,
        *to = p == &channel->to_b ? channel->b : channel->a;
@@ -159,7 +159,7 @@
     return;
   channel->open_b = false;
   if (channel->listener && alive_at(channel->b, channel->life_b))
-    channel->listener->channels--;
+    channel->listener->connections--;
   channel_unref(channel);
 }
 
@@ -170,13 +170,13 @@
   if (!exchange->call)
     return;
   exchange->call->broken = true;
-  exchange->call->last = exchange->channel->sim->now;
-  condition_broadcast(&exchange->call->news);
+  exchange->call->last_byte_at = exchange->channel->sim->now;
+  condition_broadcast(&exchange->call->progressed);
 }
 
 static void fill_head(http_headers *h, const fields *fields) {
   for (int i = 0; i < HEADER_COUNT; i++) {
-    char *v = fields_dup(fields, http_header_name[i]);
+    char *v = fields_dup(fields, http_header_names[i]);
     if (v)
       http_headers_set(h, i, v);
     g_free(v);
@@ -201,23 +201,23 @@
     if (!call || exchange->over)
       break;
     if (!belongs_to_call(call, p->fields)) {
-      call->passed_over++;
+      call->skipped_responses++;
       exchange->skip = true;
       break;
     }
     call->status = p->status;
-    call->closes = p->flag;
-    call->last = sim->now;
-    g_string_append_len(call->in_fields, p->fields->str, p->fields->len);
-    fill_head(&call->own_in_fields, p->fields);
-    condition_broadcast(&call->news);
+    call->closes_connection = p->flag;
+    call->last_byte_at = sim->now;
+    g_string_append_len(call->response_fields, p->fields->str, p->fields->len);
+    fill_head(&call->known_response_fields, p->fields);
+    condition_broadcast(&call->progressed);
     break;
   case P_DATA:
     if (!call || exchange->over || exchange->skip)
       break;
-    call->last = sim->now;
-    g_string_append_len(call->received, p->text->str, p->text->len);
-    condition_broadcast(&call->news);
+    call->last_byte_at = sim->now;
+    g_string_append_len(call->response_body, p->text->str, p->text->len);
+    condition_broadcast(&call->progressed);
     break;
   case P_END:
     if (!exchange || exchange->over || exchange->skip)
@@ -230,16 +230,16 @@
     }
     exchange->over = true;
     call->ended = true;
-    call->last = sim->now;
+    call->last_byte_at = sim->now;
     channel->now = NULL;
-    if (call->closes)
+    if (call->closes_connection)
       leave_a(channel);
     else if (channel->open_a) {
       channel->served = true;
       channel->idle_at = sim->now;
       list_append(&channel->a->kept, &channel->idle);
     }
-    condition_broadcast(&call->news);
+    condition_broadcast(&call->progressed);
     break;
   case P_CLOSE:
   case P_RESET:
@@ -259,20 +259,20 @@
       break;
     }
     if (!belongs_to_call(call, p->fields)) {
-      call->passed_over++;
+      call->skipped_responses++;
       break;
     }
     call->status = p->status;
-    call->last = sim->now;
-    g_string_append_len(call->in_fields, p->fields->str, p->fields->len);
-    fill_head(&call->own_in_fields, p->fields);
-    g_string_append_len(call->received, p->text->str, p->text->len);
-    call->ended = call->closes = channel->now->over = true;
+    call->last_byte_at = sim->now;
+    g_string_append_len(call->response_fields, p->fields->str, p->fields->len);
+    fill_head(&call->known_response_fields, p->fields);
+    g_string_append_len(call->response_body, p->text->str, p->text->len);
+    call->ended = call->closes_connection = channel->now->over = true;
     channel->now = NULL;
     leave_a(channel);
     if (channel->open_b)
       pipe_send(&channel->to_b, P_CLOSE, NULL, NULL, 0, NULL, 0, false);
-    condition_broadcast(&call->news);
+    condition_broadcast(&call->progressed);
     break;
   default:
     break;
@@ -284,7 +284,7 @@
     return;
   exchange->counted = false;
   if (exchange->channel->listener && alive_at(exchange->channel->b, exchange->channel->life_b))
-    exchange->channel->listener->exchanges--;
+    exchange->channel->listener->pending_exchanges--;
 }
 
 static void serve_task(void *p) {
@@ -293,10 +293,10 @@
   http_request *request = exchange->request;
   host *host = channel->b;
   if (request->listener)
-    request->listener->serve(request->listener->ctx, request);
+    request->listener->serve(request->listener->serve_context, request);
   else
-    host->world.serve(host->world.serve_ctx, request);
-  if (!request->ended)
+    host->world.serve(host->world.serve_context, request);
+  if (!request->response_ended)
     http_request_end(request, false);
   answered(exchange);
   /* a request that ended without an answer, as in a process that stops, is still noted here */
@@ -314,8 +314,8 @@
   sim *sim = channel->sim;
   channel->watched = false;
   if (channel->open_b && alive_at(channel->b, channel->life_b) && channel->listener &&
-      channel->listener->idle_ms && !channel->serving) {
-    time_us at = time_add(channel->idle_b, time_from_ms(channel->listener->idle_ms));
+      channel->listener->idle_timeout_ms && !channel->serving) {
+    time_us at = time_add(channel->idle_b, time_from_ms(channel->listener->idle_timeout_ms));
     if (sim->now.us < at.us) {
       channel->watched = true;
       sim_at(sim, at, idle_out, channel);
@@ -343,22 +343,22 @@
     leave_b(channel);
     if (channel->serving && channel->serving->request) {
       http_request *request = channel->serving->request;
-      request->gone = true;
+      request->client_gone = true;
       answered(channel->serving);
       condition_broadcast(&request->drained);
-      if (request->left)
-        condition_broadcast(request->left);
+      if (request->client_gone_condition)
+        condition_broadcast(request->client_gone_condition);
     }
     return;
   }
   if (p->kind != P_REQUEST || !channel->open_b)
     return;
   http_listener *listener = channel->listener;
-  if (listener && listener->header_most && exchange->fleet->len > listener->header_most) {
+  if (listener && listener->header_max_bytes && exchange->fleet->len > listener->header_max_bytes) {
     refuse(exchange, 431);
     return;
   }
-  if (listener && listener->body_most && exchange->body->len > listener->body_most) {
+  if (listener && listener->body_max_bytes && exchange->body->len > listener->body_max_bytes) {
     refuse(exchange, 413);
     return;
   }
@@ -378,20 +378,20 @@
   char *colon = strchr(request->host, ':');
   if (colon)
     *colon = 0;
-  request->reply_fields = g_string_new(NULL);
-  request->came = channel->sim->now;
-  request->nth = ++channel->requests;
-  g_strlcpy(request->caller_addr, channel->a->addr, sizeof request->caller_addr);
-  fill_head(&request->own_fields, request->fields);
+  request->response_fields = g_string_new(NULL);
+  request->received_at = channel->sim->now;
+  request->connection_request_number = ++channel->requests;
+  g_strlcpy(request->client_address, channel->a->addr, sizeof request->client_address);
+  fill_head(&request->known_fields, request->fields);
   request->body = g_string_new_len(exchange->body->str, exchange->body->len);
-  request->out = g_string_new(NULL);
+  request->pending_output = g_string_new(NULL);
   condition_init(&request->drained);
   request->impl = x_ref(exchange);
   exchange->request = request;
   channel->serving = exchange;
   if (listener) {
-    listener->requests++;
-    listener->exchanges++;
+    listener->requests_received++;
+    listener->pending_exchanges++;
     exchange->counted = true;
   }
   task_start(&channel->b->world.tasks, "serve", serve_task, exchange);
@@ -442,12 +442,13 @@
   if (!exchange)
     return;
   channel *channel = exchange->channel;
-  if (channel->b->world.tasks.dead || request->gone || exchange->end_sent || !channel->open_b)
+  if (channel->b->world.tasks.stopped || request->client_gone || exchange->end_sent ||
+      !channel->open_b)
     return;
-  if (request->ended && !request->clean && channel->listener)
-    channel->listener->broken_off++;
-  if (!request->began) {
-    if (!request->ended)
+  if (request->response_ended && !request->ended_cleanly && channel->listener)
+    channel->listener->requests_aborted++;
+  if (!request->response_started) {
+    if (!request->response_ended)
       return;
     exchange->end_sent = true;
     answered(exchange);
@@ -458,55 +459,57 @@
   }
   if (!exchange->head_sent) {
     exchange->head_sent = true;
-    if (channel->listener && channel->listener->leaving)
-      request->shut = true;
-    fields *fields = g_string_new_len(request->reply_fields->str, request->reply_fields->len);
+    if (channel->listener && channel->listener->draining)
+      request->close_connection = true;
+    fields *fields = g_string_new_len(request->response_fields->str, request->response_fields->len);
     for (int i = 0; i < HEADER_COUNT; i++)
-      if (request->own_reply_fields.values[i])
-        fields_add(fields, http_header_name[i],
-                   string_view_of(request->own_reply_fields.values[i]));
-    if (request->shut)
+      if (request->known_response_fields.values[i])
+        fields_add(fields, http_header_names[i],
+                   string_view_of(request->known_response_fields.values[i]));
+    if (request->close_connection)
       fields_add(fields, "Connection", string_view_of("close"));
-    if (request->ended)
-      fields_addf(fields, "Content-Length", "%zu", request->out->len);
+    if (request->response_ended)
+      fields_add_format(fields, "Content-Length", "%zu", request->pending_output->len);
     else
       fields_add(fields, "Transfer-Encoding", string_view_of("chunked"));
-    pipe_send(&channel->to_a, P_HEAD, exchange, NULL, 0, fields, request->status, request->shut);
+    pipe_send(&channel->to_a, P_HEAD, exchange, NULL, 0, fields, request->status,
+              request->close_connection);
   }
-  if (request->out->len && !(channel->a->slow && !request->ended)) {
-    pipe_send(&channel->to_a, P_DATA, exchange, request->out->str, request->out->len, NULL, 0,
-              false);
-    g_string_truncate(request->out, 0);
+  if (request->pending_output->len && !(channel->a->slow && !request->response_ended)) {
+    pipe_send(&channel->to_a, P_DATA, exchange, request->pending_output->str,
+              request->pending_output->len, NULL, 0, false);
+    g_string_truncate(request->pending_output, 0);
     condition_broadcast(&request->drained);
   }
-  if (!request->ended)
+  if (!request->response_ended)
     return;
   exchange->end_sent = true;
   answered(exchange);
   channel->serving = NULL;
-  pipe_send(&channel->to_a, P_END, exchange, NULL, 0, NULL, 0, request->clean);
-  if (request->shut || !request->clean) {
+  pipe_send(&channel->to_a, P_END, exchange, NULL, 0, NULL, 0, request->ended_cleanly);
+  if (request->close_connection || !request->ended_cleanly) {
     leave_b(channel);
     return;
   }
   /* the process may have begun to leave after the head was sent */
-  if (channel->listener && channel->listener->leaving) {
+  if (channel->listener && channel->listener->draining) {
     pipe_send(&channel->to_a, P_CLOSE, NULL, NULL, 0, NULL, 0, false);
     leave_b(channel);
     return;
   }
   channel->idle_b = channel->sim->now;
-  if (!channel->listener || !channel->listener->idle_ms || channel->watched)
+  if (!channel->listener || !channel->listener->idle_timeout_ms || channel->watched)
     return;
   channel->watched = true;
   channel->refs++;
-  sim_at(channel->sim, time_add(channel->sim->now, time_from_ms(channel->listener->idle_ms)),
-         idle_out, channel);
+  sim_at(channel->sim,
+         time_add(channel->sim->now, time_from_ms(channel->listener->idle_timeout_ms)), idle_out,
+         channel);
 }
 
 void sim_stray(http_request *request, int status, const fields *fields, string_view body) {
   exchange *exchange = request->impl;
-  if (!exchange || !exchange->channel->open_b || request->gone)
+  if (!exchange || !exchange->channel->open_b || request->client_gone)
     return;
   pipe_send(&exchange->channel->to_a, P_STRAY, NULL, body.data ? body.data : "", body.length,
             g_string_new(fields ? fields->str : ""), status, false);
@@ -584,8 +587,8 @@
   sim *sim = channel->sim;
   exchange->call->linked = exchange->call->sent = true;
   exchange->call->sent_at = sim->now;
-  if (!exchange->call->up_at.us)
-    exchange->call->up_at = sim->now;
+  if (!exchange->call->connected_at.us)
+    exchange->call->connected_at = sim->now;
   channel->now = exchange;
   pipe_send(&channel->to_b, P_REQUEST, exchange, NULL, 0, NULL, 0, false);
 }
@@ -614,7 +617,7 @@
   place *at = place_of(sim, channel->addr);
   bool door_open = at && at->open && at->host == channel->b && at->life == channel->b->life;
   bool own = !at && !strcmp(channel->b->addr, channel->addr) && channel->b->world.serve;
-  if (time_reached(sim->now, exchange->call->send_by) || !channel->b->alive ||
+  if (time_reached(sim->now, exchange->call->send_deadline) || !channel->b->alive ||
       (!door_open && !own)) {
     never_up(exchange);
     x_unref(exchange);
@@ -625,10 +628,10 @@
   channel->open_b = channel->up = true;
   channel->refs++;
   if (channel->listener)
-    channel->listener->channels++;
+    channel->listener->connections++;
   send_request(exchange);
-  if (channel->listener && channel->listener->channels_most &&
-      channel->listener->channels > channel->listener->channels_most) {
+  if (channel->listener && channel->listener->connections_max &&
+      channel->listener->connections > channel->listener->connections_max) {
     pipe_send(&channel->to_a, P_RESET, NULL, NULL, 0, NULL, 0, false);
     leave_b(channel);
   }
@@ -638,29 +641,30 @@
 void kept_call(http_call *call) {
   host *a = (host *)call->world;
   sim *sim = a->sim;
-  if (!call->out_fields) {
+  if (!call->request_fields) {
     /* a plain call to a listener */
-    call->out_fields = g_string_new(NULL);
-    call->in_fields = g_string_new(NULL);
-    fields_add(call->out_fields, "Host", string_view_of(call->addr));
+    call->request_fields = g_string_new(NULL);
+    call->response_fields = g_string_new(NULL);
+    fields_add(call->request_fields, "Host", string_view_of(call->address));
     for (int i = 0; i < HEADER_COUNT; i++)
-      if (call->own_out_fields.values[i])
-        fields_add(call->out_fields, http_header_name[i],
-                   string_view_of(call->own_out_fields.values[i]));
-    call->fresh = true;
+      if (call->known_request_fields.values[i])
+        fields_add(call->request_fields, http_header_names[i],
+                   string_view_of(call->known_request_fields.values[i]));
+    call->needs_new_connection = true;
   }
-  if (call->world->tasks.dead || time_reached(sim->now, call->send_by)) {
+  if (call->world->tasks.stopped || time_reached(sim->now, call->send_deadline)) {
     call->broken = true;
     return;
   }
   channel *c = NULL;
   list_for_each (i, &a->kept, channel, idle) {
-    if (call->world->kept_idle_ms &&
-        time_reached(sim->now, time_add(i->idle_at, time_from_ms(call->world->kept_idle_ms)))) {
+    if (call->world->pool_idle_timeout_ms &&
+        time_reached(sim->now,
+                     time_add(i->idle_at, time_from_ms(call->world->pool_idle_timeout_ms)))) {
       if (i->open_b)
         pipe_send(&i->to_b, P_CLOSE, NULL, NULL, 0, NULL, 0, false);
       leave_a(i);
-    } else if (!call->fresh && !strcmp(i->addr, call->addr))
+    } else if (!call->needs_new_connection && !strcmp(i->addr, call->address))
       c = i; /* the one that was used last */
   }
   bool old = c != NULL;
@@ -671,7 +675,7 @@
     c->sim = sim;
     c->a = a;
     c->life_a = a->life;
-    g_strlcpy(c->addr, call->addr, sizeof c->addr);
+    g_strlcpy(c->addr, call->address, sizeof c->addr);
     c->to_a.channel = c->to_b.channel = c;
     list_init(&c->to_a.packets);
     list_init(&c->to_b.packets);
@@ -689,10 +693,10 @@
   call->impl = x;
   x->verb = g_strdup(call->method);
   x->target = g_strdup(call->path);
-  x->fleet = g_string_new_len(call->out_fields->str, call->out_fields->len);
+  x->fleet = g_string_new_len(call->request_fields->str, call->request_fields->len);
   x->body = g_string_new_len(call->body->str, call->body->len);
   if (old) {
-    call->reused = true;
+    call->reused_connection = true;
     send_request(x);
   } else
     sim_at(sim, time_add(sim->now, time_add(sim_trip(sim), sim_trip(sim))), connected, x_ref(x));
--- a/emulator/day.c
+++ b/emulator/day.c
@@ -41,7 +41,7 @@
 }
 
 static int only(const spot *s, const json *json, const char *const *keys) {
-  if (!json || json->kind != J_OBJ)
+  if (!json || json->kind != JSON_OBJECT)
     return bad(s, E_TYPE, "", "an object is needed");
   for (size_t i = 0; i < json_count(json); i++) {
     const char *const *k = keys;
@@ -62,24 +62,24 @@
       bad(s, E_FIELD, key, "is missing");
     return isnan(fall) ? low : fall;
   }
-  if (x->kind != J_NUM) {
+  if (x->kind != JSON_NUMBER) {
     bad(s, E_TYPE, key, "a number is needed");
     return low;
   }
-  if (!(x->num >= low && x->num <= high)) {
+  if (!(x->number >= low && x->number <= high)) {
     char why[80];
     snprintf(why, sizeof why, "not from %g to %g", low, high);
     bad(s, E_RANGE, key, why);
     return low;
   }
-  return x->num;
+  return x->number;
 }
 
 static bool yes(const spot *s, const json *value, const char *key) {
   const json *x = json_get(value, key);
-  if (x && x->kind != J_BOOL)
+  if (x && x->kind != JSON_BOOL)
     bad(s, E_TYPE, key, "true or false is needed");
-  return x && x->kind == J_BOOL && x->yes;
+  return x && x->kind == JSON_BOOL && x->boolean;
 }
 
 static const char *text(const spot *s, const json *value, const char *key, size_t most) {
@@ -88,7 +88,7 @@
     bad(s, E_FIELD, key, "is missing");
     return "";
   }
-  if (x->kind != J_STR) {
+  if (x->kind != JSON_STRING) {
     bad(s, E_TYPE, key, "a text is needed");
     return "";
   }
@@ -114,7 +114,7 @@
       bad(s, E_FIELD, key, "is missing");
     return NULL;
   }
-  if (x->kind != J_ARR) {
+  if (x->kind != JSON_ARRAY) {
     bad(s, E_TYPE, key, "a list is needed");
     return NULL;
   }
@@ -141,7 +141,7 @@
     m->adapters = (unsigned)num(&at, x, "adapters", 0, 64, 0);
     m->adapter_mb = num(&at, x, "adapterMb", 1, 1e5, 40);
     if (!s->err->code && m->megs > v->weights_mb)
-      bad(&at, E_FITS_NO_ENGINE, "weightsMb", "fits no engine of this service");
+      bad(&at, E_NO_ENGINE_FITS, "weightsMb", "fits no engine of this service");
     for (size_t k = 0; k < v->model_count; k++)
       if (id_equal(v->models[k].name, m->name))
         bad(&at, E_NAME, "name", "stands twice");
@@ -223,17 +223,17 @@
     g_strlcpy(k->kind.path, text(&at, x, "prefix", sizeof k->kind.path), sizeof k->kind.path);
     size_t n = strlen(k->kind.path);
     if (!s->err->code && (k->kind.path[0] != '/' || k->kind.path[n - 1] != '/'))
-      bad(&at, E_PREFIX, "prefix", "it begins and ends with a slash");
+      bad(&at, E_ROUTE_PREFIX, "prefix", "it begins and ends with a slash");
     k->service = name(&at, x, "service");
     const day_service *v = service_at(day, k->service);
     if (!s->err->code && !v)
-      bad(&at, E_SERVICE, "service", "there is no such service");
+      bad(&at, E_UNKNOWN_SERVICE, "service", "there is no such service");
     const char *mode = text(&at, x, "mode", 16);
     int m = 0;
     while (m < 3 && strcmp(modes[m], mode))
       m++;
     if (!s->err->code && m == 3)
-      bad(&at, E_MODE, "mode", "not once, safe or stream");
+      bad(&at, E_ROUTE_MODE, "mode", "not once, safe or stream");
     k->kind.mode = (enum em_mode)(m % 3);
     k->kind.per_s = num(&at, x, "perS", 0, 1000, NAN);
     k->kind.deadline_ms = (int64_t)num(&at, x, "timeoutMs", 1, 600000, NAN);
@@ -255,10 +255,10 @@
     k->models = g_ptr_array_new_with_free_func(g_free);
     for (size_t q = 0; q < json_count(w) && !s->err->code; q++) {
       const json *y = json_at(w, q);
-      if (y->kind != J_STR)
+      if (y->kind != JSON_STRING)
         bad(&at, E_TYPE, "models", "names are needed");
       else if (v && !has_model(v, y->text->str))
-        bad(&at, E_MODEL, "models", "the service has no such model or adapter");
+        bad(&at, E_UNKNOWN_MODEL, "models", "the service has no such model or adapter");
       else
         g_ptr_array_add(k->models, g_strdup(y->text->str));
     }
@@ -357,8 +357,8 @@
 }
 
 static int policy_fits(const json *p, error *err) {
-  const json *res[RES_COUNT] = { [RES_POLICY] = p };
-  config *config = config_make(res, err);
+  const json *res[RESOURCE_COUNT] = { [RESOURCE_POLICY] = p };
+  config *config = config_compile(res, err);
   if (!config)
     return err->code;
   config_free(config);
@@ -366,18 +366,18 @@
 }
 
 int day_evict(day *day, const char *policy, error *err) {
-  json *p = json_read(string_view_of(day->policy), err);
+  json *p = json_parse(string_view_of(day->policy), err);
   GString *m = g_string_new(NULL);
   if (g_str_has_prefix(policy, "expr:")) {
     g_string_append(m, "{\"eviction\":\"own\",\"utilities\":[{\"id\":\"own\",\"worth\":");
-    json_quote(m, string_view_of(policy + 5));
+    json_append_quoted(m, string_view_of(policy + 5));
     g_string_append(m, "}]}");
   } else {
     g_string_append(m, "{\"eviction\":");
-    json_quote(m, string_view_of(policy));
+    json_append_quoted(m, string_view_of(policy));
     g_string_append(m, "}");
   }
-  json *patch = json_read(string_view_of_gstring(m), err);
+  json *patch = json_parse(string_view_of_gstring(m), err);
   p = json_merge(p, patch);
   json_free(patch);
   int r = policy_fits(p, err);
@@ -400,7 +400,7 @@
   if (!err)
     err = &own;
   err->code = 0;
-  json *value = json_read(t, err);
+  json *value = json_parse(t, err);
   if (!value)
     return NULL;
   day *d = g_new0(day, 1);
@@ -414,7 +414,7 @@
     const json *l = list(&s, value, "areas", 1, 3);
     for (size_t i = 0; i < json_count(l) && !err->code; i++) {
       const json *x = json_at(l, i);
-      if (x->kind != J_STR || !id_is_valid(string_view_of_gstring(x->text)))
+      if (x->kind != JSON_STRING || !id_is_valid(string_view_of_gstring(x->text)))
         bad(&s, E_NAME, "areas", "not a name");
       else
         d->areas[d->area_count++] = id_of_text(x->text->str);
@@ -487,25 +487,26 @@
 
 static void route_text(const day_kind *k, unsigned attempts, GString *b) {
   static const char *const modes[] = { "once", "safe", "stream" };
-  json_f(b, "{\"name\":\"%s\",\"host\":", k->kind.name);
-  json_quote(b, string_view_of(k->kind.host));
+  json_appendf(b, "{\"name\":\"%s\",\"host\":", k->kind.name);
+  json_append_quoted(b, string_view_of(k->kind.host));
   g_string_append(b, ",\"prefix\":");
-  json_quote(b, string_view_of(k->kind.path));
-  json_f(b,
-         ",\"mode\":\"%s\",\"timeoutMs\":%" PRId64 ",\"targetMs\":%" PRId64
-         ",\"priority\":%u,\"service\":\"%s\",\"attempts\":%u",
-         modes[k->kind.mode], k->kind.deadline_ms, k->kind.target_ms, k->kind.priority,
-         k->service.text, attempts);
+  json_append_quoted(b, string_view_of(k->kind.path));
+  json_appendf(b,
+               ",\"mode\":\"%s\",\"timeoutMs\":%" PRId64 ",\"targetMs\":%" PRId64
+               ",\"priority\":%u,\"service\":\"%s\",\"attempts\":%u",
+               modes[k->kind.mode], k->kind.deadline_ms, k->kind.target_ms, k->kind.priority,
+               k->service.text, attempts);
   if (k->kind.mode == EM_STREAM)
-    json_f(b, ",\"affinity\":%s,\"resumable\":%s,\"gapTargetMs\":%" PRId64,
-           k->affinity ? "true" : "false", k->kind.resumable ? "true" : "false", k->kind.gap_ms);
+    json_appendf(b, ",\"affinity\":%s,\"resumable\":%s,\"gapTargetMs\":%" PRId64,
+                 k->affinity ? "true" : "false", k->kind.resumable ? "true" : "false",
+                 k->kind.gap_ms);
   g_string_append_c(b, '}');
 }
 
 static char *routing_text(deployment *deployment, uint64_t version) {
   const run *run = deployment->ctx;
   GString *b = g_string_new(NULL);
-  json_f(b, "{\"version\":%" PRIu64 ",\"routes\":[", version);
+  json_appendf(b, "{\"version\":%" PRIu64 ",\"routes\":[", version);
   for (size_t i = 0; i < run->day->kind_count; i++) {
     if (i)
       g_string_append_c(b, ',');
@@ -514,20 +515,20 @@
   g_string_append(b, "],\"services\":[");
   for (size_t i = 0; i < run->day->service_count; i++) {
     const day_service *v = &run->day->services[i];
-    json_f(
+    json_appendf(
         b,
         "%s{\"name\":\"%s\",\"health\":\"/health\",\"connectionsMost\":200,\"protocol\":\"h1\",\"tls\":false",
         i ? "," : "", v->name.text);
     if (v->model_count) {
-      json_f(
+      json_appendf(
           b,
           ",\"engine\":{\"slots\":%u,\"kvTokens\":%.0f,\"kvTokenBytes\":131072,\"stride\":2,\"weightsMb\":%g,\"adapterSlots\":%u,\"loadsPerS\":%g,\"models\":[",
           v->slots, v->kv_tokens, v->weights_mb, v->adapter_slots, v->loads_per_s);
       for (size_t k = 0; k < v->model_count; k++)
-        json_f(b,
-               "%s{\"name\":\"%s\",\"weightsMb\":%g,\"loadS\":%g,\"adapters\":%u,\"adapterMb\":%g}",
-               k ? "," : "", v->models[k].name.text, v->models[k].megs, v->models[k].load_ms / 1000,
-               v->models[k].adapters, v->models[k].adapter_mb);
+        json_appendf(
+            b, "%s{\"name\":\"%s\",\"weightsMb\":%g,\"loadS\":%g,\"adapters\":%u,\"adapterMb\":%g}",
+            k ? "," : "", v->models[k].name.text, v->models[k].megs, v->models[k].load_ms / 1000,
+            v->models[k].adapters, v->models[k].adapter_mb);
       g_string_append(b, "]}");
     }
     g_string_append_c(b, '}');
@@ -586,7 +587,7 @@
                     .adapter_slots = v->adapter_slots,
                     .models = v->model_count ? v->models : NULL,
                     .model_count = v->model_count,
-                    .dialect = &dialect_own,
+                    .dialect = &dialect_native,
                     .log = deployment->log,
                     .store = &deployment->store };
       GPtrArray *start = NULL;
@@ -655,7 +656,7 @@
   for (int i = 0; i < (race ? 2 : 1); i++) {
     const day_kind *kind = &run->day->kinds[(base + (uint64_t)i) % run->day->kind_count];
     GString *b = g_string_new(NULL);
-    json_f(b, "{\"version\":%" PRIu64 ",\"set\":{\"routes\":[", base + 1 + (uint64_t)i);
+    json_appendf(b, "{\"version\":%" PRIu64 ",\"set\":{\"routes\":[", base + 1 + (uint64_t)i);
     route_text(kind, kind->attempts + 1, b);
     g_string_append(b, "]}}");
     k[i] = em_operator_send(deployment->operator, base + 1 +(uint64_t) i, base, true, b->str, true);
@@ -880,7 +881,7 @@
 bool day_play(const day *day, uint64_t seed, bool loud, day_result *o) {
   memset(o, 0, sizeof *o);
   o->seed = seed;
-  json *p = json_read(string_view_of(day->policy), NULL);
+  json *p = json_parse(string_view_of(day->policy), NULL);
   g_strlcpy(o->eviction, json_text(p, "eviction", "cremebrulee"), sizeof o->eviction);
   json_free(p);
   double cpu = cpu_now();
@@ -897,15 +898,15 @@
         sim_host(fleet->sim, HOST_CONTROLLER, n, "mid", addr);
     host->settings = fleet->controller[0]->settings;
     host->settings.self = host->self;
-    g_strlcpy(host->settings.addr, host->addr, sizeof host->settings.addr);
+    g_strlcpy(host->settings.address, host->addr, sizeof host->settings.address);
   }
   for (int i = 0; i < fleet->controllers; i++) {
-    fleet->controller[i]->area = fleet->controller[i]->settings.area = fleet->area[i % 3];
-    fleet->controller[i]->settings.members = fleet->controllers;
-    fleet->controller[i]->settings.copies = fleet->controllers / 2 + 1;
+    fleet->controller[i]->area = fleet->controller[i]->settings.zone = fleet->area[i % 3];
+    fleet->controller[i]->settings.chain_members = fleet->controllers;
+    fleet->controller[i]->settings.write_replicas = fleet->controllers / 2 + 1;
   }
   for (int i = 0; i < fleet->routers; i++)
-    fleet->router[i]->area = fleet->router[i]->settings.area = fleet->area[i % 3];
+    fleet->router[i]->area = fleet->router[i]->settings.zone = fleet->area[i % 3];
   deployment *deployment = r.deployment = deployment_bare(fleet);
   deployment->ctx = &r;
   deployment->callers = callers;
--- a/emulator/day_report.c
+++ b/emulator/day_report.c
@@ -82,19 +82,19 @@
 }
 
 static void sum_json(const day_sum *s, GString *to) {
-  json_f(to,
-         "{\"name\":\"%s\",\"sent\":%" PRIu64 ",\"served\":%" PRIu64 ",\"inAim\":%" PRIu64
-         ",\"late\":%" PRIu64 ",\"refused\":%" PRIu64 ",\"timedOut\":%" PRIu64
-         ",\"broken\":%" PRIu64 ",\"unanswered\":%" PRIu64 ",\"firstMs\":%.1f}",
-         s->name, s->sent, s->served, s->in_aim, s->late, s->refused, s->timed_out, s->broken,
-         s->unanswered, first_ms(s));
+  json_appendf(to,
+               "{\"name\":\"%s\",\"sent\":%" PRIu64 ",\"served\":%" PRIu64 ",\"inAim\":%" PRIu64
+               ",\"late\":%" PRIu64 ",\"refused\":%" PRIu64 ",\"timedOut\":%" PRIu64
+               ",\"broken\":%" PRIu64 ",\"unanswered\":%" PRIu64 ",\"firstMs\":%.1f}",
+               s->name, s->sent, s->served, s->in_aim, s->late, s->refused, s->timed_out, s->broken,
+               s->unanswered, first_ms(s));
 }
 
 void day_json(const day *day, const day_result *result, GString *to) {
-  json_f(to,
-         "{\"day\":\"%s\",\"seed\":%" PRIu64
-         ",\"eviction\":\"%s\",\"virtualS\":%.1f,\"processorS\":%.2f,\"all\":",
-         day->name, result->seed, result->eviction, result->virtual_s, result->cpu_s);
+  json_appendf(to,
+               "{\"day\":\"%s\",\"seed\":%" PRIu64
+               ",\"eviction\":\"%s\",\"virtualS\":%.1f,\"processorS\":%.2f,\"all\":",
+               day->name, result->seed, result->eviction, result->virtual_s, result->cpu_s);
   sum_json(&result->all, to);
   g_string_append(to, ",\"kinds\":[");
   for (size_t i = 0; i < result->kinds; i++) {
@@ -108,19 +108,19 @@
       g_string_append_c(to, ',');
     sum_json(&result->area[i], to);
   }
-  json_f(to, "],\"stepMs\":%d,\"steps\":[", DAY_STEP_MS);
+  json_appendf(to, "],\"stepMs\":%d,\"steps\":[", DAY_STEP_MS);
   for (size_t i = 0; i < result->steps; i++)
-    json_f(to, "%s[%u,%u,%u]", i ? "," : "", result->step[i].sent, result->step[i].served,
-           result->step[i].in_aim);
-  json_f(to,
-         "],\"attempts\":%" PRIu64 ",\"secondAttempts\":%" PRIu64 ",\"turnedAway\":%" PRIu64
-         ",\"orders\":%" PRIu64 ",\"loads\":%" PRIu64 ",\"storeLoads\":%" PRIu64
-         ",\"unloads\":%" PRIu64 ",\"beats\":%" PRIu64 ",\"reports\":%" PRIu64
-         ",\"messages\":%" PRIu64 ",\"messageBytes\":%" PRIu64 ",\"rulesKept\":%s,\"broke\":",
-         result->attempts, result->seconds, result->not_run, result->orders, result->loads,
-         result->cold_loads, result->unloads, result->beats, result->reports, result->messages,
-         result->bytes, result->broke[0] ? "false" : "true");
-  json_quote(to, string_view_of(result->broke));
+    json_appendf(to, "%s[%u,%u,%u]", i ? "," : "", result->step[i].sent, result->step[i].served,
+                 result->step[i].in_aim);
+  json_appendf(to,
+               "],\"attempts\":%" PRIu64 ",\"secondAttempts\":%" PRIu64 ",\"turnedAway\":%" PRIu64
+               ",\"orders\":%" PRIu64 ",\"loads\":%" PRIu64 ",\"storeLoads\":%" PRIu64
+               ",\"unloads\":%" PRIu64 ",\"beats\":%" PRIu64 ",\"reports\":%" PRIu64
+               ",\"messages\":%" PRIu64 ",\"messageBytes\":%" PRIu64 ",\"rulesKept\":%s,\"broke\":",
+               result->attempts, result->seconds, result->not_run, result->orders, result->loads,
+               result->cold_loads, result->unloads, result->beats, result->reports,
+               result->messages, result->bytes, result->broke[0] ? "false" : "true");
+  json_append_quoted(to, string_view_of(result->broke));
   g_string_append_c(to, '}');
 }
 
--- a/emulator/deployment.c
+++ b/emulator/deployment.c
@@ -65,7 +65,7 @@
   unit *unit = host->extra;
   gateway_settings x = { .front_port = FRONT,
                          .ready_port = READY,
-                         .dialect = &dialect_own,
+                         .dialect = &dialect_native,
                          .drain_ms = DRAIN_MS,
                          .grace_ms = GRACE_S * 1000,
                          .apply_ms = APPLY_MS,
@@ -145,8 +145,8 @@
   deployment *deployment = host->extra;
   if (deployment->balancer)
     return;
-  deployment->balancer = em_balancer_new(&host->world, &dialect_own);
-  deployment->client = em_client_new(&host->world, deployment->balancer, &dialect_own);
+  deployment->balancer = em_balancer_new(&host->world, &dialect_native);
+  deployment->client = em_client_new(&host->world, deployment->balancer, &dialect_native);
   deployment->client->connected = kept_idle;
   for (int i = 0; i < deployment->base->routers; i++) {
     char front[64], ready[64], ip[48];
@@ -221,7 +221,7 @@
   deployment *deployment = host->extra;
   if (deployment->operator)
     return;
-  deployment->operator= em_operator_new(&host->world, &dialect_own);
+  deployment->operator= em_operator_new(&host->world, &dialect_native);
   g_ptr_array_free(deployment->operator->controllers, TRUE);
   deployment->operator->controllers = all_controllers(deployment);
 }
@@ -240,12 +240,12 @@
     g->controllers[i] = unit_on(g, fleet->controller[i], controller_begin, NULL);
   for (int i = 0; i < fleet->routers; i++) {
     host *host = fleet->router[i];
-    host->settings.gateway = host->settings.loose = true;
-    host->settings.platform[0] = 0;
+    host->settings.is_gateway = host->settings.relaxed = true;
+    host->settings.platform_address[0] = 0;
     g->gateways[i] = unit_on(g, host, gateway_begin, gateway_finish);
   }
   for (int i = 0; i < fleet->controllers; i++)
-    fleet->controller[i]->settings.loose = true;
+    fleet->controller[i]->settings.relaxed = true;
   return g;
 }
 
@@ -311,7 +311,7 @@
                   .kv_tokens = 60000,
                   .weights_mb = 83000,
                   .adapter_slots = 4,
-                  .dialect = &dialect_own,
+                  .dialect = &dialect_native,
                   .log = deployment->log,
                   .store = &deployment->store };
     GPtrArray *start = NULL;
@@ -352,7 +352,7 @@
 
 char *deployment_config(deployment *deployment, uint64_t version, const char *status) {
   GString *b = g_string_new(NULL);
-  json_f(
+  json_appendf(
       b,
       "{\"version\":%" PRIu64 ",\"routes\":["
       "{\"name\":\"r-chat\",\"host\":\"front.example\",\"prefix\":\"/chat/v1/\",\"mode\":\"stream\",\"timeoutMs\":5000,\"targetMs\":1000,\"priority\":0,\"service\":\"llm\",\"attempts\":2,\"affinity\":true,\"resumable\":false,\"gapTargetMs\":400},"
@@ -360,15 +360,16 @@
       "{\"name\":\"r-status\",\"host\":\"front.example\",\"prefix\":\"/status/\",\"mode\":\"safe\",\"timeoutMs\":4000,\"targetMs\":300,\"priority\":0,\"service\":\"%s\",\"attempts\":3},"
       "{\"name\":\"r-book\",\"host\":\"front.example\",\"prefix\":\"/chat/\",\"mode\":\"once\",\"timeoutMs\":4000,\"targetMs\":500,\"priority\":0,\"split\":[{\"service\":\"ledger\",\"weight\":100}],\"attempts\":2}%s],\"services\":[",
       version, status ? status : "ledger", deployment->extra_routes->str);
-  json_f(
+  json_appendf(
       b,
       "{\"name\":\"llm\",\"health\":\"/health\",\"connectionsMost\":200,\"protocol\":\"h1\",\"tls\":false,\"engine\":{\"slots\":16,\"kvTokens\":60000,\"kvTokenBytes\":131072,\"stride\":2,\"weightsMb\":83000,\"adapterSlots\":4,\"loadsPerS\":%g,\"models\":[",
       deployment->loads_per_s);
   for (size_t i = 0; i < deployment->model_count; i++)
-    json_f(b, "%s{\"name\":\"%s\",\"weightsMb\":%g,\"loadS\":%g,\"adapters\":%u,\"adapterMb\":%g}",
-           i ? "," : "", deployment->models[i].name.text, deployment->models[i].megs,
-           deployment->models[i].load_ms / 1000, deployment->models[i].adapters,
-           deployment->models[i].adapter_mb);
+    json_appendf(
+        b, "%s{\"name\":\"%s\",\"weightsMb\":%g,\"loadS\":%g,\"adapters\":%u,\"adapterMb\":%g}",
+        i ? "," : "", deployment->models[i].name.text, deployment->models[i].megs,
+        deployment->models[i].load_ms / 1000, deployment->models[i].adapters,
+        deployment->models[i].adapter_mb);
   g_string_append(
       b,
       "]}},{\"name\":\"ledger\",\"health\":\"/health\",\"connectionsMost\":110,\"protocol\":\"h1\",\"tls\":false},{\"name\":\"spare\",\"health\":\"/health\",\"connectionsMost\":110,\"protocol\":\"h1\",\"tls\":false}],"
--- a/emulator/engine_sim.c
+++ b/emulator/engine_sim.c
@@ -44,29 +44,29 @@
 static void reply(http_request *request, int status, bool run, const char *why) {
   char b[200];
   snprintf(b, sizeof b, "{\"run\":%s,\"error\":\"%s\"}", run ? "true" : "false", why);
-  http_request_answer(request, status, "application/json", string_view_of(b));
+  http_request_respond(request, status, "application/json", string_view_of(b));
 }
 
 static void report(engine_sim *engine, GString *b) {
   time_us now = world_now(engine->world);
-  json_f(b,
-         "{\"id\":\"%s\",\"type\":\"%s\",\"area\":\"%s\",\"boot\":\"%s\",\"seq\":%" PRIu64
-         ",\"weightsMb\":%" PRIu64 ",\"adapterSlots\":%u,\"running\":%d,\"epoch\":%" PRIu64
-         ",\"holdings\":[",
-         engine->self.text, engine->type.text, engine->area.text, engine->boot, engine->seq,
-         engine->weights_mb, engine->adapter_slots, engine->running, engine->epoch);
+  json_appendf(b,
+               "{\"id\":\"%s\",\"type\":\"%s\",\"area\":\"%s\",\"boot\":\"%s\",\"seq\":%" PRIu64
+               ",\"weightsMb\":%" PRIu64 ",\"adapterSlots\":%u,\"running\":%d,\"epoch\":%" PRIu64
+               ",\"holdings\":[",
+               engine->self.text, engine->type.text, engine->area.text, engine->boot, engine->seq,
+               engine->weights_mb, engine->adapter_slots, engine->running, engine->epoch);
   bool first = true;
   list_for_each (i, &engine->items, engine_sim_item, link) {
     if (i->state == 'l' && !time_reached(now, i->shown))
       continue;
-    json_f(b,
-           "%s{\"model\":\"%s\",\"adapter\":\"%s\",\"state\":\"%s\",\"weightsMb\":%" PRIu64
-           ",\"slots\":%u,\"running\":%d,\"served\":%" PRIu64 "}",
-           first ? "" : ",", i->model.text, i->adapter.text,
-           i->state == 'u'   ? "up"
-           : i->state == 'l' ? "loading"
-                             : "unloading",
-           i->megs, i->slots, i->running, i->served);
+    json_appendf(b,
+                 "%s{\"model\":\"%s\",\"adapter\":\"%s\",\"state\":\"%s\",\"weightsMb\":%" PRIu64
+                 ",\"slots\":%u,\"running\":%d,\"served\":%" PRIu64 "}",
+                 first ? "" : ",", i->model.text, i->adapter.text,
+                 i->state == 'u'   ? "up"
+                 : i->state == 'l' ? "loading"
+                                   : "unloading",
+                 i->megs, i->slots, i->running, i->served);
     first = false;
   }
   g_string_append(b, "]}");
@@ -84,7 +84,7 @@
   }
   g_strfreev(q);
   time_us till = time_add(world_now(engine->world), time_from_ms(1000));
-  while (after == engine->seq && !strcmp(boot, engine->boot) && !request->gone)
+  while (after == engine->seq && !strcmp(boot, engine->boot) && !request->client_gone)
     if (condition_wait(&engine->world->tasks, &engine->news, till) != WAKE_SIGNALLED)
       break;
   GString *b = g_string_new(NULL);
@@ -94,7 +94,7 @@
       engine->old_report = g_string_new(b->str);
     g_string_assign(b, engine->old_report->str);
   }
-  http_request_answer(request, 200, "application/json", string_view_of_gstring(b));
+  http_request_respond(request, 200, "application/json", string_view_of_gstring(b));
   g_string_free(b, TRUE);
 }
 
@@ -147,16 +147,16 @@
 }
 
 static void order(engine_sim *engine, http_request *request, bool load) {
-  json *json = json_read(string_view_of_gstring(request->body), NULL);
+  json *json = json_parse(string_view_of_gstring(request->body), NULL);
   engine_sim_order o = { .at = world_now(engine->world), .what = load ? 'l' : 'u' };
   o.model = id_of_text(json_text(json, "model", ""));
   o.adapter = id_of_text(json_text(json, "adapter", ""));
   o.holder = id_of_text(json_text(json, "holder", ""));
-  o.epoch = json_num(json, "epoch", 0);
+  o.epoch = json_number(json, "epoch", 0);
   /* what came while the engine was frozen says nothing of when it was ordered */
   o.late = engine->woke.us && !time_reached(o.at, time_add(engine->woke, time_from_ms(20)));
-  uint64_t number = json_num(json, "order", 0), megs = json_num(json, "weightsMb", 0), used;
-  unsigned slots = json_num(json, "slots", 0), taken;
+  uint64_t number = json_number(json, "order", 0), megs = json_number(json, "weightsMb", 0), used;
+  unsigned slots = json_number(json, "slots", 0), taken;
   /* what was ordered of an earlier run says nothing of this one */
   const char *boot = json_text(json, "boot", "");
   bool other = boot[0] && strcmp(boot, engine->boot);
@@ -265,10 +265,10 @@
 }
 
 static void run(engine_sim *engine, http_request *request) {
-  json *json = json_read(string_view_of_gstring(request->body), NULL);
+  json *json = json_parse(string_view_of_gstring(request->body), NULL);
   engine_sim_stream s = { .from = world_now(engine->world), .how = 'r' };
-  const char *attempt = request->own_fields.values[HEADER_ATTEMPT]
-                            ? request->own_fields.values[HEADER_ATTEMPT]
+  const char *attempt = request->known_fields.values[HEADER_ATTEMPT]
+                            ? request->known_fields.values[HEADER_ATTEMPT]
                             : "none";
   g_strlcpy(s.attempt, engine->faults.wrong_attempt ? "another.1" : attempt, sizeof s.attempt);
   g_strlcpy(s.tag, json_text(json, "tag", ""), sizeof s.tag);
@@ -276,7 +276,7 @@
   s.adapter = id_of_text(json_text(json, "adapter", ""));
   /* an engine that mixes up its streams says another's tag, and writes down whose it ran */
   const char *tag = engine->faults.wrong_attempt ? "another-1" : s.tag;
-  int tokens = json_num(json, "tokens", 8);
+  int tokens = json_number(json, "tokens", 8);
   bool hit = warm(engine, json_text(json, "prefix", ""));
   json_free(json);
   engine_sim_item *b = find(engine, s.model, id_of_text("")), *i = find(engine, s.model, s.adapter);
@@ -330,7 +330,7 @@
       ok = false;
       break;
     }
-    if (request->gone || !world_sleep(engine->world, time_from_ms(per))) {
+    if (request->client_gone || !world_sleep(engine->world, time_from_ms(per))) {
       ok = false;
       break;
     }
@@ -365,14 +365,14 @@
 }
 
 static void fault(engine_sim *engine, http_request *request) {
-  json *json = json_read(string_view_of_gstring(request->body), NULL);
-  engine->faults.fail_loads = json_num(json, "failLoads", engine->faults.fail_loads);
-  engine->faults.fail_unloads = json_num(json, "failUnloads", engine->faults.fail_unloads);
-  engine->faults.silent_loads = json_num(json, "silentLoads", engine->faults.silent_loads);
-  engine->faults.late_ms = json_num(json, "lateMs", engine->faults.late_ms);
-  engine->faults.break_after = json_num(json, "breakAfter", engine->faults.break_after);
-  engine->faults.slow = json_num(json, "slow", engine->faults.slow);
-  engine->faults.token_ms = json_num(json, "tokenMs", engine->faults.token_ms);
+  json *json = json_parse(string_view_of_gstring(request->body), NULL);
+  engine->faults.fail_loads = json_number(json, "failLoads", engine->faults.fail_loads);
+  engine->faults.fail_unloads = json_number(json, "failUnloads", engine->faults.fail_unloads);
+  engine->faults.silent_loads = json_number(json, "silentLoads", engine->faults.silent_loads);
+  engine->faults.late_ms = json_number(json, "lateMs", engine->faults.late_ms);
+  engine->faults.break_after = json_number(json, "breakAfter", engine->faults.break_after);
+  engine->faults.slow = json_number(json, "slow", engine->faults.slow);
+  engine->faults.token_ms = json_number(json, "tokenMs", engine->faults.token_ms);
   bool ok = json != NULL;
   json_free(json);
   reply(request, ok ? 200 : 400, false, ok ? "set" : "no JSON");
@@ -389,12 +389,13 @@
   for (guint i = 0; i < engine->orders->len; i++)
     loads += g_array_index(engine->orders, engine_sim_order, i).what == 'l' &&
              g_array_index(engine->orders, engine_sim_order, i).taken;
-  json_f(b,
-         "{\"id\":\"%s\",\"boot\":\"%s\",\"orders\":%u,\"loads\":%" PRIu64 ",\"pastRoom\":%" PRIu64
-         ",\"staleOrders\":%" PRIu64 ",\"streams\":%u,\"done\":%" PRIu64 ",\"broken\":%" PRIu64
-         ",\"cut\":%" PRIu64 ",\"prefixHits\":%" PRIu64 "}\n",
-         engine->self.text, engine->boot, engine->orders->len, loads, engine->past, engine->stale,
-         engine->streams->len, done, broke, cut, engine->prefix_hits);
+  json_appendf(b,
+               "{\"id\":\"%s\",\"boot\":\"%s\",\"orders\":%u,\"loads\":%" PRIu64
+               ",\"pastRoom\":%" PRIu64 ",\"staleOrders\":%" PRIu64
+               ",\"streams\":%u,\"done\":%" PRIu64 ",\"broken\":%" PRIu64 ",\"cut\":%" PRIu64
+               ",\"prefixHits\":%" PRIu64 "}\n",
+               engine->self.text, engine->boot, engine->orders->len, loads, engine->past,
+               engine->stale, engine->streams->len, done, broke, cut, engine->prefix_hits);
 }
 
 static void serve(void *ctx, http_request *request) {
@@ -413,7 +414,7 @@
   else if (!strcmp(request->path, "/v1/record")) {
     GString *b = g_string_new(NULL);
     engine_sim_record(engine, b);
-    http_request_answer(request, 200, "application/json", string_view_of_gstring(b));
+    http_request_respond(request, 200, "application/json", string_view_of_gstring(b));
     g_string_free(b, TRUE);
   } else
     reply(request, 404, false, "no such page");
@@ -437,7 +438,7 @@
   engine->born = world_now(world);
   g_queue_init(&engine->prefixes);
   world->serve = serve;
-  world->serve_ctx = engine;
+  world->serve_context = engine;
   return engine;
 }
 
--- a/emulator/fleet.c
+++ b/emulator/fleet.c
@@ -10,12 +10,12 @@
       "{\"areas\":[\"north\",\"mid\",\"south\"],\"models\":[{\"id\":\"mark\",\"weightsMb\":1}");
   static const int megs[] = { 4000, 6000, 9000, 3000, 12000, 7000, 5000 };
   for (int i = 0; i < models; i++)
-    json_f(b, ",{\"id\":\"m%d\",\"weightsMb\":%d}", i, megs[i % 7]);
+    json_appendf(b, ",{\"id\":\"m%d\",\"weightsMb\":%d}", i, megs[i % 7]);
   g_string_append(b, "],\"adapters\":[");
   for (int i = 0; i < adapters; i++)
-    json_f(b, "%s{\"id\":\"a%d\",\"model\":\"m%d\",\"weightsMb\":100}", i ? "," : "", i,
-           i % (models < 8 ? models : 8));
-  json_f(b, "]%s}", extra ? extra : "");
+    json_appendf(b, "%s{\"id\":\"a%d\",\"model\":\"m%d\",\"weightsMb\":100}", i ? "," : "", i,
+                 i % (models < 8 ? models : 8));
+  json_appendf(b, "]%s}", extra ? extra : "");
   return g_string_free(b, FALSE);
 }
 
@@ -59,7 +59,8 @@
     h->slots = 3 + i % 3;
     h->faults.megs_per_s = 8000;
     h->faults.token_ms = 20;
-    g_strlcpy(h->settings.platform, i % 2 ? "t4" : "l4", sizeof h->settings.platform);
+    g_strlcpy(h->settings.platform_address, i % 2 ? "t4" : "l4",
+              sizeof h->settings.platform_address);
   }
   f->callers = sim_host(f->sim, HOST_CALLERS, "callers", "mid", "127.0.0.7:1");
   f->operator= sim_host(f->sim, HOST_CALLERS, "operator", "mid", "127.0.0.8:1");
@@ -69,14 +70,15 @@
     if (h->role > HOST_ROUTER)
       continue;
     h->settings.self = h->self;
-    h->settings.area = h->area;
+    h->settings.zone = h->area;
     h->settings.role = h->role == HOST_CONTROLLER ? ROLE_CONTROLLER : ROLE_ROUTER;
-    h->settings.loud = g_getenv("SIM_LOUD") != NULL;
-    h->settings.file_bytes = 512 << 10;
-    g_strlcpy(h->settings.addr, h->addr, sizeof h->settings.addr);
-    g_strlcpy(h->settings.platform, f->platform->addr, sizeof h->settings.platform);
+    h->settings.debug_log = g_getenv("SIM_LOUD") != NULL;
+    h->settings.log_file_bytes = 512 << 10;
+    g_strlcpy(h->settings.address, h->addr, sizeof h->settings.address);
+    g_strlcpy(h->settings.platform_address, f->platform->addr, sizeof h->settings.platform_address);
     for (int i = 0; i < 3; i++) {
-      g_strlcpy(h->settings.seeds[i], f->controller[i]->addr, sizeof h->settings.seeds[i]);
+      g_strlcpy(h->settings.seed_addresses[i], f->controller[i]->addr,
+                sizeof h->settings.seed_addresses[i]);
       if (h->role == HOST_CONTROLLER)
         h->settings.founders[i] = f->controller[i]->self;
     }
@@ -107,7 +109,7 @@
     host *host = sim_find(fleet->sim, name);
     if (!host)
       continue;
-    host->area = host->settings.area = id_of_text(area);
+    host->area = host->settings.zone = id_of_text(area);
     if (!strcmp(what, "controller") && controllers < 3)
       fleet->area[controllers++] = host->area;
     routers += !strcmp(what, "router");
@@ -116,12 +118,12 @@
     engines++;
     host->megs = megs;
     host->slots = slots;
-    g_strlcpy(host->settings.platform, type, sizeof host->settings.platform);
+    g_strlcpy(host->settings.platform_address, type, sizeof host->settings.platform_address);
   }
   g_strfreev(lines);
   g_free(rows);
-  json *c = json_read(string_view_of(cat ? cat : ""), NULL),
-       *p = json_read(string_view_of(pol ? pol : ""), NULL);
+  json *c = json_parse(string_view_of(cat ? cat : ""), NULL),
+       *p = json_parse(string_view_of(pol ? pol : ""), NULL);
   const json *rules = json_get(p, "rules"), *kinds = json_get(p, "kinds");
   if (!ok || !c || !p || routers != fleet->routers || engines != fleet->engines) {
     violation(fleet, "%s does not fit this fleet", dir);
@@ -135,9 +137,9 @@
   }
   g_free(fleet->rules);
   fleet->rules = g_string_free(b, FALSE);
-  fleet->pace = json_num(p, "loadsPerS", 2);
-  fleet->slow_s = json_num(p, "slowStartS", 10);
-  fleet->streams = json_num(p, "streamsMost", 16);
+  fleet->pace = json_number(p, "loadsPerS", 2);
+  fleet->slow_s = json_number(p, "slowStartS", 10);
+  fleet->streams = json_number(p, "streamsMost", 16);
   fleet->models = fleet->adapters = 0;
   loadgen *loadgen = fleet->callers->loadgen =
       loadgen_new(&fleet->callers->world, fleet->callers->self);
@@ -198,20 +200,20 @@
   op_call *call = p;
   world *world = &call->host->world;
   http_headers h = { { 0 } };
-  http_headers_set(&h, HEADER_TYPE, "application/json");
+  http_headers_set(&h, HEADER_CONTENT_TYPE, "application/json");
   if (call->match)
-    http_headers_set(&h, HEADER_MATCH, call->match);
+    http_headers_set(&h, HEADER_IF_MATCH, call->match);
   if (call->key)
-    http_headers_set(&h, HEADER_KEY, call->key);
+    http_headers_set(&h, HEADER_IDEMPOTENCY_KEY, call->key);
   error err = { 0 };
-  call->status = http_call_and_read(world, call->addr, call->verb, call->path, &h,
-                                    string_view_of(call->text ? call->text : ""), call->body,
-                                    time_from_ms(25000), &err);
+  call->status = http_call_fetch(world, call->addr, call->verb, call->path, &h,
+                                 string_view_of(call->text ? call->text : ""), call->body,
+                                 time_from_ms(25000), &err);
   if (!call->status)
     call->status = -err.code;
   http_headers_free(&h);
-  json *json = json_read(string_view_of_gstring(call->body), NULL);
-  call->version = (uint64_t)json_num(json, "version", 0);
+  json *json = json_parse(string_view_of_gstring(call->body), NULL);
+  call->version = (uint64_t)json_number(json, "version", 0);
   json_free(json);
   call->at = call->host->sim->now;
   call->done = true;
@@ -236,8 +238,8 @@
     n->sent = fleet->sim->now;
     n->which = -1;
     n->patch = !strcmp(verb, "PATCH");
-    for (int k = 0; k < RES_COUNT; k++)
-      if (g_str_has_prefix(path, "/v1/") && !strcmp(res_name[k], path + 4))
+    for (int k = 0; k < RESOURCE_COUNT; k++)
+      if (g_str_has_prefix(path, "/v1/") && !strcmp(resource_names[k], path + 4))
         n->which = k;
     n->text = g_strdup(text);
     if (key)
@@ -365,7 +367,7 @@
   for (int i = 0; i < fleet->engines; i++) {
     host *h = fleet->engine[i];
     platform_sim_engine e = { .self = h->self,
-                              .type = id_of_text(h->settings.platform),
+                              .type = id_of_text(h->settings.platform_address),
                               .area = h->area,
                               .weights_mb = h->megs,
                               .adapter_slots = h->slots };
--- a/emulator/gateway_check.c
+++ b/emulator/gateway_check.c
@@ -146,7 +146,7 @@
   for (size_t i = 0; i < json_count(list); i++) {
     if (strcmp(json_text(json_at(list, i), "name", ""), name))
       continue;
-    g_ptr_array_remove_index(list->kids, (guint)i);
+    g_ptr_array_remove_index(list->children, (guint)i);
     return;
   }
 }
@@ -157,7 +157,7 @@
     em_change *change = deployment->operator->changes->pdata[i];
     if (!change->valid)
       continue;
-    allowed a = { change, json_read(string_view_of(change->text), NULL) };
+    allowed a = { change, json_parse(string_view_of(change->text), NULL) };
     if (change->patch) {
       json *p = a.json;
       a.json = NULL;
@@ -178,7 +178,7 @@
           named(to, json_at(drop, n)->text->str);
         for (size_t n = 0; n < json_count(set); n++) {
           named(to, json_text(json_at(set, n), "name", ""));
-          g_ptr_array_add(to->kids, json_copy(json_at(set, n)));
+          g_ptr_array_add(to->children, json_copy(json_at(set, n)));
         }
       }
       json_free(p);
@@ -220,7 +220,7 @@
   const json *split = json_get(r, "split");
   for (size_t i = 0; i < json_count(split); i++)
     if (!strcmp(json_text(json_at(split, i), "service", ""), service) &&
-        json_num(json_at(split, i), "weight", 0) > 0)
+        json_number(json_at(split, i), "weight", 0) > 0)
       return true;
   return false;
 }
@@ -461,7 +461,7 @@
     if (deployment->operator->read_version<due)
       violation(deployment->base, "CONFIG is read as %" PRIu64 ", and %" PRIu64 " was acknowledged",
                 deployment->operator->read_version, due);
-    json *is = json_read(string_view_of_gstring(deployment->operator->read), NULL);
+    json *is = json_parse(string_view_of_gstring(deployment->operator->read), NULL);
     bool same = false;
     GString *a = g_string_new(NULL), *b = g_string_new(NULL);
     json_write(is, a);
--- a/emulator/instance.c
+++ b/emulator/instance.c
@@ -60,12 +60,12 @@
 }
 
 uint64_t em_sum(const char *verb, const char *target, string_view body) {
-  return hash_of(body.data, body.length,
-                 hash_of(target, strlen(target), hash_of(verb, strlen(verb), 7)));
+  return hash_bytes(body.data, body.length,
+                    hash_bytes(target, strlen(target), hash_bytes(verb, strlen(verb), 7)));
 }
 
 char *em_path(const dialect *dialect, enum dialect_call c, const char *who) {
-  const char *p = dialect->call[c].path, *at = strstr(p, "{}");
+  const char *p = dialect->calls[c].path, *at = strstr(p, "{}");
   return at ? g_strdup_printf("%.*s%s%s", (int)(at - p), p, who, at + 2) : g_strdup(p);
 }
 
@@ -99,10 +99,11 @@
   list_for_each (c, &engine->held, copy, link) {
     if (!c->up)
       continue;
-    json_f(b, "%s{\"name\":\"%s\",\"version\":1,\"adapters\":[", first ? "" : ",", c->model.text);
+    json_appendf(b, "%s{\"name\":\"%s\",\"version\":1,\"adapters\":[", first ? "" : ",",
+                 c->model.text);
     GList *keys = g_list_sort(g_hash_table_get_keys(c->adapters), (GCompareFunc)strcmp);
     for (GList *l = keys; l; l = l->next)
-      json_f(b, "%s\"%s\"", l == keys ? "" : ",", (char *)l->data);
+      json_appendf(b, "%s\"%s\"", l == keys ? "" : ",", (char *)l->data);
     g_list_free(keys);
     g_string_append(b, "]}");
     first = false;
@@ -113,11 +114,11 @@
 static void report_text(em_engine *engine, GString *b) {
   g_string_append(b, "{\"phase\":\"both\",\"models\":");
   models_json(engine, b);
-  json_f(b,
-         ",\"busy\":%s,\"count\":%" PRIu64
-         ",\"waiting\":%u,\"running\":%u,\"kvUsed\":%.0f,\"kvTotal\":%.0f}",
-         engine->busy ? "true" : "false", engine->orders, engine->waiting, engine->busy_slots,
-         engine->kv_running, engine->plan->kv_tokens);
+  json_appendf(b,
+               ",\"busy\":%s,\"count\":%" PRIu64
+               ",\"waiting\":%u,\"running\":%u,\"kvUsed\":%.0f,\"kvTotal\":%.0f}",
+               engine->busy ? "true" : "false", engine->orders, engine->waiting, engine->busy_slots,
+               engine->kv_running, engine->plan->kv_tokens);
 }
 
 /* a picture of this moment, for reports that lag */
@@ -153,11 +154,11 @@
     if (now.us - s->at.us >= REPORT_LAG_MS * 1000)
       best = s;
   }
-  http_request_answer(request, 200, "application/json", string_view_of_gstring(best->text));
+  http_request_respond(request, 200, "application/json", string_view_of_gstring(best->text));
 }
 
 static const char *field(em_engine *engine, enum dialect_field f) {
-  return engine->plan->dialect->field[f];
+  return engine->plan->dialect->header_names[f];
 }
 
 static void not_run(em_engine *engine, http_request *request, em_run *run, char how, int status,
@@ -166,12 +167,13 @@
     run->how = how;
     run->to = world_now(engine->world);
   }
-  fields_add(request->reply_fields, field(engine, DF_NOT_RUN), string_view_of("1"));
+  fields_add(request->response_fields, field(engine, DF_NOT_RUN), string_view_of("1"));
   if (run && run->request[0])
-    fields_add(request->reply_fields, field(engine, DF_REQUEST_ID), string_view_of(run->request));
+    fields_add(request->response_fields, field(engine, DF_REQUEST_ID),
+               string_view_of(run->request));
   if (retry)
-    fields_add(request->reply_fields, "Retry-After", string_view_of(retry));
-  http_request_answer(request, status, "text/plain", string_view_of("not run\n"));
+    fields_add(request->response_fields, "Retry-After", string_view_of(retry));
+  http_request_respond(request, status, "text/plain", string_view_of("not run\n"));
 }
 
 /* room for tokens: what is kept and unused longest gives way */
@@ -206,13 +208,13 @@
   if (!prefix)
     return all;
   char **v = g_strsplit(prefix, ",", 32);
-  uint64_t key = hash_of_two(run->model.text, run->adapter.text);
+  uint64_t key = hash_two_names(run->model.text, run->adapter.text);
   (void)engine;
   for (char **k = v; *k; k++) {
     char *c = strchr(*k, ':');
     if (!c)
       continue;
-    key = hash_of(*k, (size_t)(c - *k), key);
+    key = hash_bytes(*k, (size_t)(c - *k), key);
     part p = { key, atof(c + 1), run->model };
     g_array_append_val(all, p);
   }
@@ -332,21 +334,22 @@
 
 static bool wait_gone(em_engine *engine, http_request *request, int64_t ms) {
   time_us till = time_add(world_now(engine->world), time_from_ms(ms));
-  while (!request->gone && world_now(engine->world).us < till.us)
+  while (!request->client_gone && world_now(engine->world).us < till.us)
     if (condition_wait(&engine->world->tasks, &request->drained, till) == WAKE_STOPPED)
       return false;
   return true;
 }
 
 static void head_of(em_engine *engine, http_request *request, const em_run *run) {
-  fields_add(request->reply_fields, field(engine, DF_REQUEST_ID), string_view_of(run->request));
-  fields_add(request->reply_fields, field(engine, DF_STAMP), string_view_of(run->stamp));
-  fields_add(request->reply_fields, field(engine, DF_ENGINE_ID), string_view_of(engine->self.text));
+  fields_add(request->response_fields, field(engine, DF_REQUEST_ID), string_view_of(run->request));
+  fields_add(request->response_fields, field(engine, DF_STAMP), string_view_of(run->stamp));
+  fields_add(request->response_fields, field(engine, DF_ENGINE_ID),
+             string_view_of(engine->self.text));
   if (engine->plan->model_count)
-    fields_add(request->reply_fields, field(engine, DF_WEIGHT_VERSIONS), string_view_of("1"));
+    fields_add(request->response_fields, field(engine, DF_WEIGHT_VERSIONS), string_view_of("1"));
   if (engine->plan->idle_ms)
-    fields_addf(request->reply_fields, "Keep-Alive", "timeout=%" PRId64,
-                engine->plan->idle_ms / 1000);
+    fields_add_format(request->response_fields, "Keep-Alive", "timeout=%" PRId64,
+                      engine->plan->idle_ms / 1000);
 }
 
 /* an answer of an earlier request, or bytes that are none, in the place of the answer that is due
@@ -378,25 +381,25 @@
   time_us done = time_add(world_now(engine->world),
                           time_from_ms((int64_t)((double)engine->plan->work_ms * slow(engine))));
   while (world_now(engine->world).us < done.us && world_now(engine->world).us < ends.us &&
-         !request->gone)
+         !request->client_gone)
     if (condition_wait(&engine->world->tasks, &request->drained, done.us < ends.us ? done : ends) ==
         WAKE_STOPPED) {
       rec->how = 'b';
       return;
     }
   rec->to = world_now(engine->world);
-  if (request->gone) {
+  if (request->client_gone) {
     rec->how = 'c';
     return;
   }
   head_of(engine, request, rec);
   if (world_now(engine->world).us < done.us) {
     rec->how = 't';
-    http_request_answer(request, 504, "text/plain", string_view_of("out of time\n"));
+    http_request_respond(request, 504, "text/plain", string_view_of("out of time\n"));
     return;
   }
-  json *json = json_read(string_view_of_gstring(request->body), NULL);
-  size_t n = (size_t)json_num(json, "bytes", 800);
+  json *json = json_parse(string_view_of_gstring(request->body), NULL);
+  size_t n = (size_t)json_number(json, "bytes", 800);
   json_free(json);
   if (faults->lose_answers > 0) {
     faults->lose_answers--;
@@ -416,7 +419,7 @@
     http_request_end(request, false);
   } else {
     rec->how = 'd';
-    http_request_answer(request, 200, "text/plain", string_view_of_gstring(b));
+    http_request_respond(request, 200, "text/plain", string_view_of_gstring(b));
     odd_bytes(engine, request, true);
     g_strlcpy(engine->last_request, rec->request, sizeof engine->last_request);
     g_strlcpy(engine->last_stamp, rec->stamp, sizeof engine->last_stamp);
@@ -446,11 +449,11 @@
     rec->how = 'd';
     rec->to = world_now(engine->world);
     head_of(engine, request, rec);
-    http_request_answer(request, 200, "text/event-stream", string_view_of(""));
+    http_request_respond(request, 200, "text/event-stream", string_view_of(""));
     return;
   }
-  request->left = &run->changed;
-  while (!request->gone) {
+  request->client_gone_condition = &run->changed;
+  while (!request->client_gone) {
     if (!run->out->len) {
       enum wake y = condition_wait(&engine->world->tasks, &run->changed, ends);
       if (y == WAKE_STOPPED) {
@@ -492,15 +495,15 @@
       break;
     }
   }
-  request->left = NULL;
+  request->client_gone_condition = NULL;
   rec->to = world_now(engine->world);
   if (dead)
     rec->how = 'b';
-  else if (request->gone && rec->how == 'r')
+  else if (request->client_gone && rec->how == 'r')
     rec->how = 'c';
   if (rec->how == 't' && !began) {
     head_of(engine, request, rec);
-    http_request_answer(request, 504, "text/plain", string_view_of("out of time\n"));
+    http_request_respond(request, 504, "text/plain", string_view_of("out of time\n"));
   } else
     http_request_end(request, rec->how == 'd');
 }
@@ -512,7 +515,7 @@
   rec->came = world_now(engine->world);
   rec->engine = engine->self;
   rec->service = plan->service;
-  g_strlcpy(rec->from, http_request_->caller_addr, sizeof rec->from);
+  g_strlcpy(rec->from, http_request_->client_address, sizeof rec->from);
   g_strlcpy(rec->target, http_request_->target, sizeof rec->target);
   rec->sum = em_sum(http_request_->method, http_request_->target,
                     string_view_of_gstring(http_request_->body));
@@ -533,7 +536,7 @@
   }
   if (model)
     rec->model = id_of_text(model);
-  int64_t left = fields_num(http_request_->fields, field(engine, DF_TIME_LEFT_MS), 60000);
+  int64_t left = fields_get_number(http_request_->fields, field(engine, DF_TIME_LEFT_MS), 60000);
   time_us ends = time_add(rec->came, time_from_ms(left));
   double in = 0, out = 1;
   if (tokens)
@@ -559,7 +562,7 @@
   else if (left <= 0 || (engine->busy_slots >= plan->slots && engine->waiting >= plan->queue) ||
            in + out > (streams ? plan->kv_tokens : 1e18))
     not_run(engine, http_request_, rec, 'n', 503, "0.2");
-  if (http_request_->ended || plan->faults.silent) {
+  if (http_request_->response_ended || plan->faults.silent) {
     if (!rec->how) {
       rec->how = 'q';
       rec->to = world_now(engine->world);
@@ -573,17 +576,17 @@
             .out = g_string_new(NULL),
             .parts = parts_of(engine, rec, streams ? prefix : NULL) };
   g_free(prefix);
-  r.priority = (unsigned)fields_num(http_request_->fields, field(engine, DF_PRIORITY), 5);
+  r.priority = (unsigned)fields_get_number(http_request_->fields, field(engine, DF_PRIORITY), 5);
   r.first = rec->resumed_after =
-      (uint64_t)fields_num(http_request_->fields, field(engine, DF_LAST_EVENT_ID), 0);
+      (uint64_t)fields_get_number(http_request_->fields, field(engine, DF_LAST_EVENT_ID), 0);
   r.tokens = (unsigned)MIN(r.first * plan->event_tokens, (uint64_t)r.want);
   r.kv = streams ? in + out : 0;
   condition_init(&r.changed);
   list_append(&engine->queue, &r.link);
   engine->waiting++;
-  http_request_->left = &r.changed;
+  http_request_->client_gone_condition = &r.changed;
   admit(engine);
-  while (!r.admitted && !http_request_->gone) {
+  while (!r.admitted && !http_request_->client_gone) {
     enum wake y = condition_wait(&engine->world->tasks, &r.changed, ends);
     if (r.admitted)
       break;
@@ -591,10 +594,10 @@
     if (y == WAKE_STOPPED || y == WAKE_TIMEOUT || (streams && (!copy || copy->going)))
       break;
   }
-  http_request_->left = NULL;
+  http_request_->client_gone_condition = NULL;
   if (!r.admitted) {
-    bool dead = engine->world->tasks.dead;
-    if (dead || http_request_->gone) {
+    bool dead = engine->world->tasks.stopped;
+    if (dead || http_request_->client_gone) {
       rec->how = 'q';
       rec->to = world_now(engine->world);
     } else
@@ -614,7 +617,7 @@
     rec->how = 'f';
     rec->to = world_now(engine->world);
     head_of(engine, http_request_, rec);
-    http_request_answer(http_request_, 500, "text/plain", string_view_of("failed\n"));
+    http_request_respond(http_request_, 500, "text/plain", string_view_of("failed\n"));
   } else if (streams)
     stream(engine, http_request_, &r, ends);
   else
@@ -718,7 +721,7 @@
     if (!world_sleep(engine->world, time_from_ms(plan->faults.late_order_ms)))
       return;
   }
-  json *json = json_read(string_view_of_gstring(request->body), NULL);
+  json *json = json_parse(string_view_of_gstring(request->body), NULL);
   em_order *o = g_new0(em_order, 1);
   const char *op = json_text(json, "op", "");
   o->at = world_now(engine->world);
@@ -727,10 +730,10 @@
   o->model = id_of_text(json_text(json, "model", ""));
   o->adapter = id_of_text(json_text(json, "adapter", ""));
   o->holder = id_of_text(json_text(json, "holder", ""));
-  o->fence = json_get(json, "fence") ? (int64_t)json_num(json, "fence", 0) : -1;
+  o->fence = json_get(json, "fence") ? (int64_t)json_number(json, "fence", 0) : -1;
   o->op = !strcmp(op, "load") ? 'l' : !strcmp(op, "unload") ? 'u' : '?';
   o->late = engine->woke.us && o->at.us < engine->woke.us + 20000;
-  double expect = json_num(json, "expect", -1);
+  double expect = json_number(json, "expect", -1);
   json_free(json);
   g_ptr_array_add(plan->log->orders, o);
   const em_model *m = model_of(engine, o->model);
@@ -811,7 +814,7 @@
   }
   char text[64];
   snprintf(text, sizeof text, "{\"count\":%" PRIu64 "}", engine->orders);
-  http_request_answer(request, o->status, "application/json", string_view_of(text));
+  http_request_respond(request, o->status, "application/json", string_view_of(text));
 }
 
 static void serve(void *ctx, http_request *http_request_) {
@@ -819,17 +822,20 @@
   const dialect *dialect = engine->plan->dialect;
   if (!strcmp(http_request_->path, "/health")) {
     engine->plan->log->health++;
-    fields_add(http_request_->reply_fields, field(engine, DF_ENGINE_ID),
+    fields_add(http_request_->response_fields, field(engine, DF_ENGINE_ID),
                string_view_of(engine->self.text));
-    http_request_answer(http_request_,
-                        engine->leaving || engine->busy_slots >= engine->plan->slots ? 503 : 200,
-                        "text/plain", string_view_of(""));
+    http_request_respond(http_request_,
+                         engine->leaving || engine->busy_slots >= engine->plan->slots ? 503 : 200,
+                         "text/plain", string_view_of(""));
   } else if (engine->plan->faults.silent &&
-             dialect_call_is(dialect, DC_REPORT, http_request_->method, http_request_->path, NULL))
+             dialect_matches_call(dialect, DC_REPORT, http_request_->method, http_request_->path,
+                                  NULL))
     wait_gone(engine, http_request_, 60000);
-  else if (dialect_call_is(dialect, DC_REPORT, http_request_->method, http_request_->path, NULL))
+  else if (dialect_matches_call(dialect, DC_REPORT, http_request_->method, http_request_->path,
+                                NULL))
     report(engine, http_request_);
-  else if (dialect_call_is(dialect, DC_ORDER, http_request_->method, http_request_->path, NULL))
+  else if (dialect_matches_call(dialect, DC_ENGINE_ORDER, http_request_->method,
+                                http_request_->path, NULL))
     order(engine, http_request_);
   else
     request(engine, http_request_);
@@ -840,7 +846,7 @@
 static bool beat(em_engine *engine, bool sign_off) {
   em_plan *plan = engine->plan;
   GString *b = g_string_new(NULL), *got = g_string_new(NULL);
-  json_f(
+  json_appendf(
       b,
       "{\"service\":\"%s\",\"address\":\"%s\",\"zone\":\"%s\",\"version\":\"%s\",\"slots\":%u,\"state\":\"%s\",\"coldMs\":0,\"phase\":\"both\",\"models\":",
       plan->service.text, engine->addr, plan->area.text, plan->version.text, plan->slots,
@@ -848,24 +854,24 @@
   models_json(engine, b);
   if (engine->leaving && engine->leaves_ms) {
     int64_t left = (engine->leave_at.us - world_now(engine->world).us) / 1000;
-    json_f(b, ",\"leavesMs\":%" PRId64, MAX(0, left));
+    json_appendf(b, ",\"leavesMs\":%" PRId64, MAX(0, left));
   }
-  json_f(b, ",\"count\":%" PRIu64 "}", ++engine->count);
-  char *path = em_path(plan->dialect, sign_off ? DC_LEAVE : DC_BEAT, engine->self.text);
+  json_appendf(b, ",\"count\":%" PRIu64 "}", ++engine->count);
+  char *path = em_path(plan->dialect, sign_off ? DC_LEAVE : DC_HEARTBEAT, engine->self.text);
   http_headers h = { { 0 } };
-  http_headers_set(&h, HEADER_TYPE, "application/json");
+  http_headers_set(&h, HEADER_CONTENT_TYPE, "application/json");
   bool ok = false;
   size_t first = plan->controllers->len ? world_random(engine->world, plan->controllers->len) : 0;
-  for (size_t i = 0; !ok && i <= plan->controllers->len && !engine->world->tasks.dead; i++) {
+  for (size_t i = 0; !ok && i <= plan->controllers->len && !engine->world->tasks.stopped; i++) {
     bool named = i == 0 && engine->beat_to[0];
     if (i == 0 && !named)
       continue;
     const char *to =
         named ? engine->beat_to : plan->controllers->pdata[(first + i) % plan->controllers->len];
     g_string_truncate(got, 0);
-    int st = http_call_and_read(engine->world, to,
-                                plan->dialect->call[sign_off ? DC_LEAVE : DC_BEAT].verb, path, &h,
-                                string_view_of_gstring(b), got, time_from_ms(1000), NULL);
+    int st = http_call_fetch(engine->world, to,
+                             plan->dialect->calls[sign_off ? DC_LEAVE : DC_HEARTBEAT].method, path,
+                             &h, string_view_of_gstring(b), got, time_from_ms(1000), NULL);
     ok = st >= 200 && st < 300 && got->len <= 4096;
     plan->log->beats++;
     if (!ok) {
@@ -873,7 +879,7 @@
       engine->beat_to[0] = 0;
       continue;
     }
-    json *json = json_read(string_view_of_gstring(got), NULL);
+    json *json = json_parse(string_view_of_gstring(got), NULL);
     const char *next = json_text(json, "beatTo", "");
     if (next[0])
       g_strlcpy(engine->beat_to, next, sizeof engine->beat_to);
@@ -890,7 +896,7 @@
   em_engine *engine = v;
   world_sleep(engine->world, time_from_ms((int64_t)world_random(
                                  engine->world, (uint64_t)MIN(engine->plan->beat_ms, 200) + 1)));
-  while (!engine->world->tasks.dead) {
+  while (!engine->world->tasks.stopped) {
     bool was = engine->leaving;
     if (!engine->plan->faults.no_beats && beat(engine, false) && was && !engine->end->acked.us)
       engine->end->acked = world_now(engine->world);
@@ -901,7 +907,7 @@
 
 static void leave_run(void *v) {
   em_engine *engine = v;
-  for (int i = 0; i < 8 && !engine->end->acked.us && !engine->world->tasks.dead; i++) {
+  for (int i = 0; i < 8 && !engine->end->acked.us && !engine->world->tasks.stopped; i++) {
     if (beat(engine, false)) {
       engine->end->acked = world_now(engine->world);
       break;
@@ -924,7 +930,7 @@
     if (!engine->plan->faults.silent_leave && beat(engine, true))
       engine->end->signed_off = world_now(engine->world);
   }
-  if (!engine->world->tasks.dead && engine->stop) {
+  if (!engine->world->tasks.stopped && engine->stop) {
     engine->stopped = true;
     engine->stop(engine->ctx, false);
   }
@@ -933,7 +939,7 @@
 void em_engine_leave(em_engine *engine, int64_t leaves_ms) {
   if (engine->leaving)
     return;
-  engine->leaving = engine->listener.leaving = true;
+  engine->leaving = engine->listener.draining = true;
   engine->leaves_ms = leaves_ms;
   engine->leave_at = time_add(world_now(engine->world), time_from_ms(leaves_ms));
   engine->end->announced_at = world_now(engine->world);
@@ -957,14 +963,14 @@
   g_queue_init(&engine->past);
   engine->listener = (http_listener){ .port = plan->port,
                                       .serve = serve,
-                                      .ctx = engine,
-                                      .header_most = 64 << 10,
-                                      .body_most = 8 << 20,
-                                      .header_ms = 10000,
-                                      .idle_ms = plan->idle_ms,
-                                      .channels_most = plan->channels };
+                                      .serve_context = engine,
+                                      .header_max_bytes = 64 << 10,
+                                      .body_max_bytes = 8 << 20,
+                                      .header_timeout_ms = 10000,
+                                      .idle_timeout_ms = plan->idle_ms,
+                                      .connections_max = plan->channels };
   g_strlcpy(engine->listener.ip, plan->ip, sizeof engine->listener.ip);
-  if (world->door_open(world, &engine->listener, err)) {
+  if (world->listener_open(world, &engine->listener, err)) {
     g_free(engine);
     return NULL;
   }
--- a/emulator/loadgen.c
+++ b/emulator/loadgen.c
@@ -61,13 +61,13 @@
   loadgen_request *request = trip->loadgen_request;
   world *world = loadgen->world;
   GString *b = g_string_new(NULL), *got = g_string_new(NULL);
-  json_f(
+  json_appendf(
       b,
       "{\"model\":\"%s\",\"adapter\":\"%s\",\"kind\":\"%s\",\"prefix\":\"%s\",\"tag\":\"%s\",\"tokens\":%d,\"resumable\":%s}",
       request->model.text, request->adapter.text, request->kind.text, trip->prefix, request->tag,
       trip->tokens, request->resumable ? "true" : "false");
   http_headers h = { { 0 } };
-  http_headers_set(&h, HEADER_TYPE, "application/json");
+  http_headers_set(&h, HEADER_CONTENT_TYPE, "application/json");
   if (!request->from.us)
     request->from = world_now(world);
   time_us till = time_add(world_now(world), time_from_ms(120000));
@@ -77,22 +77,22 @@
   /* a caller whose router does not take the channel at all goes to another */
   time_us link = time_add(world_now(world), time_from_ms(1500));
   int r = http_call_wait(call, trip->leave.us && trip->leave.us < link.us ? trip->leave : link);
-  if (r == E_NO_ANSWER && call->sent &&
+  if (r == E_NO_RESPONSE && call->sent &&
       !(trip->leave.us && time_reached(world_now(world), trip->leave)))
     r = http_call_wait(call, trip->leave.us ? trip->leave : till);
   trip->unheard = !call->sent && r;
   request->status = call->status;
-  if (r == E_NO_ANSWER && trip->leave.us)
+  if (r == E_NO_RESPONSE && trip->leave.us)
     request->how = OUTCOME_LEFT;
   else if (r)
     request->how = OUTCOME_NO_ANSWER;
   else if (call->status != 200) {
     r = http_call_read_all(call, got, till);
-    json *json = json_read(string_view_of_gstring(got), NULL);
+    json *json = json_parse(string_view_of_gstring(got), NULL);
     const char *run = json_text(json, "run", "");
-    request->code = json_num(json, "code", 0);
-    request->retry_s = call->own_in_fields.values[HEADER_RETRY]
-                           ? atoi(call->own_in_fields.values[HEADER_RETRY])
+    request->code = json_number(json, "code", 0);
+    request->retry_s = call->known_response_fields.values[HEADER_RETRY_AFTER]
+                           ? atoi(call->known_response_fields.values[HEADER_RETRY_AFTER])
                            : 0;
     request->how = r                         ? OUTCOME_NO_ANSWER
                    : !strcmp(run, "unknown") ? OUTCOME_UNKNOWN
@@ -111,10 +111,10 @@
       judge(request, trip->tokens, run, got, &start, &done);
     }
     if (request->how == OUTCOME_OPEN)
-      request->how = r == E_NO_ANSWER && trip->leave.us ? OUTCOME_LEFT
-                     : r == E_PEER_GONE && done         ? OUTCOME_DONE
-                     : r == E_PEER_GONE                 ? OUTCOME_WRONG
-                                                        : OUTCOME_BROKEN;
+      request->how = r == E_NO_RESPONSE && trip->leave.us ? OUTCOME_LEFT
+                     : r == E_PEER_GONE && done           ? OUTCOME_DONE
+                     : r == E_PEER_GONE                   ? OUTCOME_WRONG
+                                                          : OUTCOME_BROKEN;
   }
   if (request->how == OUTCOME_WRONG)
     fprintf(
@@ -298,9 +298,9 @@
 void loadgen_json(loadgen *loadgen, GString *b) {
   static const char *const names[] = { "open",   "done",     "notRun", "unknown",
                                        "broken", "noAnswer", "wrong",  "left" };
-  json_f(b, "{\"sent\":%u", loadgen->requests->len);
+  json_appendf(b, "{\"sent\":%u", loadgen->requests->len);
   for (int i = 0; i < 8; i++)
-    json_f(b, ",\"%s\":%d", names[i], loadgen_count(loadgen, i));
+    json_appendf(b, ",\"%s\":%d", names[i], loadgen_count(loadgen, i));
   int codes[8] = { 0 }, n[8] = { 0 };
   for (guint i = 0; i < loadgen->requests->len; i++) {
     loadgen_request *request = loadgen->requests->pdata[i];
@@ -315,6 +315,6 @@
   }
   g_string_append(b, ",\"codes\":{");
   for (int c = 0; c < 8 && codes[c]; c++)
-    json_f(b, "%s\"%d\":%d", c ? "," : "", codes[c], n[c]);
+    json_appendf(b, "%s\"%d\":%d", c ? "," : "", codes[c], n[c]);
   g_string_append(b, "}}\n");
 }
--- a/emulator/operator.c
+++ b/emulator/operator.c
@@ -39,9 +39,10 @@
     fields_add(fields, "Host", string_view_of(to));
     fields_add(fields, "Content-Type", string_view_of("application/json"));
     if (change)
-      fields_addf(fields, operator->dialect->field[DF_BASE_REVISION], "%" PRIu64, change->base);
+      fields_add_format(fields, operator->dialect->header_names[DF_BASE_REVISION], "%" PRIu64,
+                        change->base);
     http_call *call =
-        http_call_open_fields(operator->world, to, how->verb, path, fields,
+        http_call_open_fields(operator->world, to, how->method, path, fields,
                               string_view_of(change ? change->text : ""), true, time_never());
     g_string_free(fields, TRUE);
     g_string_truncate(got, 0);
@@ -49,7 +50,7 @@
     st = r ? 0 : call->status;
     string_view loc = { "", 0 };
     char where[160] = "";
-    if (st == 307 && fields_get(call->in_fields, "Location", &loc))
+    if (st == 307 && fields_get(call->response_fields, "Location", &loc))
       memcpy(where, loc.data, MIN(loc.length, sizeof where - 1));
     http_call_close(call);
     if (st != 307 || strncmp(where, "http://", 7))
@@ -81,12 +82,12 @@
                                          : 0;
   unsigned odd = 0;
   while (operator->controllers->len && world_now(operator->world).us < till.us &&
-         !operator->world->tasks.dead) {
+         !operator->world->tasks.stopped) {
     change->tries++;
     int st = request_one(
         operator, operator->controllers->pdata
                       [at++ % operator->controllers->len],
-                       &operator->dialect->call[change->patch ? DC_CONFIG_PATCH : DC_CONFIG_PUT],
+                       &operator->dialect->calls[change->patch ? DC_CONFIG_PATCH : DC_CONFIG_PUT],
                        change, got, ms);
     if (st)
       change->status = st;
@@ -131,15 +132,15 @@
                                          : 0;
   time_us till = time_add(world_now(operator->world), time_from_ms(operator->patience_ms));
   while (operator->controllers->len && world_now(operator->world).us < till.us &&
-         !operator->world->tasks.dead) {
+         !operator->world->tasks.stopped) {
     int st =
         request_one(operator, operator->controllers->pdata[at++ % operator->controllers->len],
-                                                           &operator->dialect->call[DC_CONFIG_GET],
+                                                           &operator->dialect->calls[DC_CONFIG_GET],
                                                            NULL, got, ANSWER_MS * 3);
     if (st == 200) {
-      json *json = json_read(string_view_of_gstring(got), NULL);
+      json *json = json_parse(string_view_of_gstring(got), NULL);
       g_string_assign(operator->read, got->str);
-      operator->read_version =(uint64_t) json_num(json, "version", 0);
+      operator->read_version =(uint64_t) json_number(json, "version", 0);
       operator->read_at = world_now(operator->world);
       json_free(json);
       break;
--- a/emulator/platform_sim.c
+++ b/emulator/platform_sim.c
@@ -2,7 +2,7 @@
 
 bool platform_sim_take(platform_sim *platform, const json *value) {
   const json *l = json_get(value, "engines");
-  if (!l || l->kind != J_ARR)
+  if (!l || l->kind != JSON_ARRAY)
     return false;
   g_array_set_size(platform->engines, 0);
   for (size_t i = 0; i < json_count(l); i++) {
@@ -12,9 +12,9 @@
     e.type = id_of_text(json_text(x, "type", "any"));
     e.area = id_of_text(json_text(x, "area", "none"));
     g_strlcpy(e.addr, json_text(x, "addr", ""), sizeof e.addr);
-    e.weights_mb = json_num(x, "weightsMb", 0);
-    e.adapter_slots = json_num(x, "adapterSlots", 0);
-    e.leaving = json_yes(x, "leaving", false);
+    e.weights_mb = json_number(x, "weightsMb", 0);
+    e.adapter_slots = json_number(x, "adapterSlots", 0);
+    e.leaving = json_bool(x, "leaving", false);
     g_array_append_val(platform->engines, e);
   }
   return true;
@@ -46,15 +46,16 @@
     platform_sim_engine *e = &g_array_index(platform->engines, platform_sim_engine, i);
     if (e->out)
       continue;
-    json_f(b,
-           "%s{\"id\":\"%s\",\"addr\":\"%s\",\"type\":\"%s\",\"area\":\"%s\",\"weightsMb\":%" PRIu64
-           ",\"adapterSlots\":%u,\"leaving\":%s}",
-           first ? "" : ",", e->self.text, e->addr, e->type.text, e->area.text, e->weights_mb,
-           e->adapter_slots, e->leaving ? "true" : "false");
+    json_appendf(
+        b,
+        "%s{\"id\":\"%s\",\"addr\":\"%s\",\"type\":\"%s\",\"area\":\"%s\",\"weightsMb\":%" PRIu64
+        ",\"adapterSlots\":%u,\"leaving\":%s}",
+        first ? "" : ",", e->self.text, e->addr, e->type.text, e->area.text, e->weights_mb,
+        e->adapter_slots, e->leaving ? "true" : "false");
     first = false;
   }
   g_string_append(b, "]}\n");
-  http_request_answer(request, 200, "application/json", string_view_of_gstring(b));
+  http_request_respond(request, 200, "application/json", string_view_of_gstring(b));
   g_string_free(b, TRUE);
 }
 
@@ -62,24 +63,24 @@
   platform_sim *platform = ctx;
   bool ok = false;
   if (strcmp(request->path, "/v1/engines") && strcmp(request->path, "/v1/leave")) {
-    http_request_answer(request, 404, "application/json", string_view_of("{}"));
+    http_request_respond(request, 404, "application/json", string_view_of("{}"));
     return;
   }
   if (!strcmp(request->method, "GET")) {
     list(platform, request);
     return;
   }
-  json *json = json_read(string_view_of_gstring(request->body), NULL);
+  json *json = json_parse(string_view_of_gstring(request->body), NULL);
   if (!strcmp(request->path, "/v1/leave")) {
     platform_sim_engine *e = platform_sim_find(platform, id_of_text(json_text(json, "id", "")));
     if (e)
-      platform_sim_mark(platform, e->self, json_yes(json, "leaving", true), e->out);
+      platform_sim_mark(platform, e->self, json_bool(json, "leaving", true), e->out);
     ok = e != NULL;
   } else
     ok = json && platform_sim_take(platform, json);
   json_free(json);
-  http_request_answer(request, ok ? 200 : 400, "application/json",
-                      string_view_of(ok ? "{\"ok\":true}\n" : "{\"ok\":false}\n"));
+  http_request_respond(request, ok ? 200 : 400, "application/json",
+                       string_view_of(ok ? "{\"ok\":true}\n" : "{\"ok\":false}\n"));
 }
 
 platform_sim *platform_sim_new(world *world) {
@@ -88,7 +89,7 @@
   platform->engines = g_array_new(FALSE, TRUE, sizeof(platform_sim_engine));
   platform->marks = g_array_new(FALSE, TRUE, sizeof(platform_sim_change));
   world->serve = serve;
-  world->serve_ctx = platform;
+  world->serve_context = platform;
   return platform;
 }
 
--- a/emulator/sim.c
+++ b/emulator/sim.c
@@ -156,8 +156,8 @@
 /* peer messages */
 static void post_in(event *event) {
   host *host = event->host;
-  if (host->alive && host->world.on_post)
-    host->world.on_post(host->world.post_ctx, string_view_of_gstring(event->text));
+  if (host->alive && host->world.on_message)
+    host->world.on_message(host->world.on_message_context, string_view_of_gstring(event->text));
 }
 
 /* when the link of a machine has taken a message, after all that it took before */
@@ -258,7 +258,7 @@
 static void host_post(world *world, const char *addr, string_view msg) {
   host *a = (host *)world, *b = at_addr(a->sim, addr);
   sim *sim = a->sim;
-  if (world->tasks.dead || !a->alive || !b)
+  if (world->tasks.stopped || !a->alive || !b)
     return;
   sim->posts++;
   sim->bytes += msg.length;
@@ -284,10 +284,10 @@
     http_call *call = conn->call;
     if (event->n == 1) {
       call->status = atoi(event->text->str);
-      http_headers_copy(&call->own_in_fields, &event->h_);
+      http_headers_copy(&call->known_response_fields, &event->h_);
     }
     if (event->n == 2)
-      g_string_append_len(call->received, event->text->str, event->text->len);
+      g_string_append_len(call->response_body, event->text->str, event->text->len);
     if (event->n == 3) {
       if (event->flag)
         call->ended = true;
@@ -295,7 +295,7 @@
         call->broken = true;
       conn->over = true;
     }
-    condition_broadcast(&call->news);
+    condition_broadcast(&call->progressed);
   }
   conn_drop(conn);
 }
@@ -339,8 +339,9 @@
     return;
   }
   conn *conn = request->impl;
-  if (!conn || conn->b->world.tasks.dead || request->gone || !request->began) {
-    if (conn && request->ended && !request->began && !conn->b->world.tasks.dead && !conn->over) {
+  if (!conn || conn->b->world.tasks.stopped || request->client_gone || !request->response_started) {
+    if (conn && request->response_ended && !request->response_started &&
+        !conn->b->world.tasks.stopped && !conn->over) {
       conn->over = true;
       send_caller(conn, 3, NULL, 0, false, NULL);
     }
@@ -350,17 +351,17 @@
     char st[16];
     snprintf(st, sizeof st, "%d", request->status);
     conn->head_sent = true;
-    send_caller(conn, 1, st, strlen(st), false, &request->own_reply_fields);
+    send_caller(conn, 1, st, strlen(st), false, &request->known_response_fields);
   }
   /* a slow caller takes nothing more from its channel */
-  if (request->out->len && !(conn->a->slow && !request->ended)) {
-    send_caller(conn, 2, request->out->str, request->out->len, false, NULL);
-    g_string_truncate(request->out, 0);
+  if (request->pending_output->len && !(conn->a->slow && !request->response_ended)) {
+    send_caller(conn, 2, request->pending_output->str, request->pending_output->len, false, NULL);
+    g_string_truncate(request->pending_output, 0);
     condition_broadcast(&request->drained);
   }
-  if (request->ended && !conn->over) {
+  if (request->response_ended && !conn->over) {
     conn->over = true;
-    send_caller(conn, 3, NULL, 0, request->clean, NULL);
+    send_caller(conn, 3, NULL, 0, request->ended_cleanly, NULL);
   }
 }
 
@@ -368,8 +369,8 @@
   conn *conn = p;
   http_request *request = conn->request;
   host *host = conn->b;
-  host->world.serve(host->world.serve_ctx, request);
-  if (!request->ended)
+  host->world.serve(host->world.serve_context, request);
+  if (!request->response_ended)
     http_request_end(request, false);
   conn->request = NULL;
   http_request_free(request);
@@ -379,7 +380,7 @@
 static void gone_in(event *event) {
   conn *conn = event->conn;
   if (conn->request && conn->b->alive && conn->b->life == conn->life_b) {
-    conn->request->gone = true;
+    conn->request->client_gone = true;
     condition_broadcast(&conn->request->drained);
   }
   conn_drop(conn);
@@ -396,10 +397,10 @@
     request->path = g_strdup(q[0] ? q[0] : "");
     request->query = g_strdup(q[0] && q[1] ? q[1] : "");
     g_strfreev(q);
-    g_strlcpy(request->caller_addr, conn->a->addr, sizeof request->caller_addr);
-    http_headers_copy(&request->own_fields, &conn->call->own_out_fields);
+    g_strlcpy(request->client_address, conn->a->addr, sizeof request->client_address);
+    http_headers_copy(&request->known_fields, &conn->call->known_request_fields);
     request->body = g_string_new_len(conn->call->body->str, conn->call->body->len);
-    request->out = g_string_new(NULL);
+    request->pending_output = g_string_new(NULL);
     condition_init(&request->drained);
     request->impl = conn;
     conn->request = request;
@@ -414,13 +415,13 @@
   conn *conn = e->conn;
   sim *sim = conn->sim;
   if (conn->call && conn->a->alive && conn->a->life == conn->life_a) {
-    if (time_reached(sim->now, conn->call->send_by)) {
+    if (time_reached(sim->now, conn->call->send_deadline)) {
       conn->call->broken = true;
-      condition_broadcast(&conn->call->news);
+      condition_broadcast(&conn->call->progressed);
     } else if (!conn->b->alive) {
       if (!conn->b->dark) {
         conn->call->broken = true;
-        condition_broadcast(&conn->call->news);
+        condition_broadcast(&conn->call->progressed);
       }
     } else if (!sim_is_cut(sim, conn->a, conn->b) && !sim_is_cut(sim, conn->b, conn->a)) {
       conn->life_b = conn->b->life;
@@ -436,12 +437,12 @@
 }
 
 static void host_call(http_call *call) {
-  host *a = (host *)call->world, *b = at_addr(a->sim, call->addr);
-  if (call->kept || (!b && kept_listener(a->sim, call->addr))) {
+  host *a = (host *)call->world, *b = at_addr(a->sim, call->address);
+  if (call->pooled || (!b && kept_listener(a->sim, call->address))) {
     kept_call(call);
     return;
   }
-  if (call->world->tasks.dead || !b) {
+  if (call->world->tasks.stopped || !b) {
     call->broken = true;
     return;
   }
@@ -462,7 +463,7 @@
 }
 
 static void host_drop(http_call *call) {
-  if (call->out_fields) {
+  if (call->request_fields) {
     kept_drop(call);
     return;
   }
@@ -511,7 +512,7 @@
       return error_set(err, E_STOPPING, "stopping");
   } while (disk->stall.us > host->sim->now.us && disk->stall.us > from.us);
   if (disk->fails)
-    return error_set(err, E_SYNC, "the disk fails");
+    return error_set(err, E_DISK_SYNC, "the disk fails");
   return OK;
 }
 
@@ -637,19 +638,19 @@
   world->random = host_draw;
   world->timestamp = host_stamp;
   world->write_log = host_say;
-  world->post = host_post;
-  world->http_request_push = host_push;
+  world->post_message = host_post;
+  world->request_flush = host_push;
   world->call_start = host_call;
-  world->call_drop = host_drop;
-  world->door_open = kept_listener_open;
-  world->door_shut = kept_listener_shut;
-  world->door_end = kept_listener_end;
-  world->kept_drop = kept_forget;
+  world->call_cancel = host_drop;
+  world->listener_open = kept_listener_open;
+  world->listener_stop_accepting = kept_listener_shut;
+  world->listener_close_idle = kept_listener_end;
+  world->pool_close_idle = kept_forget;
   world->disk_open = disk_open;
   world->disk_read = disk_read;
   world->disk_write = disk_write;
   world->disk_sync = disk_sync;
-  world->body_most = 1 << 20;
+  world->body_max_bytes = 1 << 20;
   host->alive = true;
   host->frozen = host->dark = false;
   host->life++;
@@ -663,7 +664,7 @@
   if (host->role == HOST_ENGINE) {
     if (host->engine)
       g_ptr_array_add(host->past, host->engine);
-    host->engine = engine_sim_new(world, host->self, id_of_text(host->settings.platform),
+    host->engine = engine_sim_new(world, host->self, id_of_text(host->settings.platform_address),
                                   host->area, host->megs, host->slots);
     host->engine->faults = host->faults;
   }
@@ -700,7 +701,7 @@
   host->dark = dark;
   conns_end(host, dark);
   kept_end(host);
-  scheduler_kill(&host->world.tasks);
+  scheduler_stop(&host->world.tasks);
   if (host->world.tasks.count) {
     fprintf(stderr, "sim: %zu tasks of %s would not end\n", host->world.tasks.count,
             host->self.text);
@@ -752,7 +753,7 @@
   s->events = g_sequence_new(NULL);
   s->cuts = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
   s->peers = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, pair_free);
-  s->give_up_ms = PEER_SILENT_MS;
+  s->give_up_ms = PEER_CHANNEL_TIMEOUT_MS;
   s->arrive = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
   s->delay_ms = 1;
   s->spread_ms = 2;
--- a/lib/configuration/canary.c
+++ b/lib/configuration/canary.c
@@ -1,9 +1,12 @@
 #include "canary.h"
 #include <math.h>
 
-const select_policy select_usual = {
-  .load = 1, .affinity = 1, .area = 1, .copy_share = 0.45, .late_share = 3, .hold_percent = 45
-};
+const select_policy select_policy_default = { .load_weight = 1,
+                                              .affinity_weight = 1,
+                                              .zone_weight = 1,
+                                              .scale_out_threshold = 0.45,
+                                              .reject_threshold = 3,
+                                              .wait_percent = 45 };
 
 /* of the error that is allowed, the share that is spent on urgent work */
 static const double URGENT_ERROR = 0.75;
@@ -13,7 +16,7 @@
 }
 
 static int only(error *err, const json *json, const char *at, const char *const *keys) {
-  if (json->kind != J_OBJ)
+  if (json->kind != JSON_OBJECT)
     return bad(err, E_TYPE, at, "not an object");
   for (size_t i = 0; i < json_count(json); i++) {
     bool ok = false;
@@ -30,29 +33,29 @@
   const json *v = json_get(value, key);
   if (!v)
     return OK;
-  if (v->kind != J_NUM)
+  if (v->kind != JSON_NUMBER)
     return bad(err, E_TYPE, key, "not a number");
-  if (!(v->num >= low && v->num <= high) || (whole && v->num != floor(v->num)))
+  if (!(v->number >= low && v->number <= high) || (whole && v->number != floor(v->number)))
     return error_set(err, E_RANGE, "canary.%s: not %s from %g to %g", key,
                      whole ? "a whole number" : "a number", low, high);
-  *to = v->num;
+  *to = v->number;
   return OK;
 }
 
 static int candidate_make(select_policy *s, const json *json, error *err) {
   static const char *const keys[] = { "load",      "affinity",    "area", "copyShare",
                                       "lateShare", "holdPercent", NULL };
-  double hold = s->hold_percent;
+  double hold = s->wait_percent;
   if (only(err, json, "candidate", keys))
     return err->code;
-  if (num(err, json, "load", 0, 100, false, &s->load) ||
-      num(err, json, "affinity", 0, 1000, false, &s->affinity) ||
-      num(err, json, "area", 0, 1000, false, &s->area) ||
-      num(err, json, "copyShare", 0.05, 10, false, &s->copy_share) ||
-      num(err, json, "lateShare", 0.05, 100, false, &s->late_share) ||
+  if (num(err, json, "load", 0, 100, false, &s->load_weight) ||
+      num(err, json, "affinity", 0, 1000, false, &s->affinity_weight) ||
+      num(err, json, "area", 0, 1000, false, &s->zone_weight) ||
+      num(err, json, "copyShare", 0.05, 10, false, &s->scale_out_threshold) ||
+      num(err, json, "lateShare", 0.05, 100, false, &s->reject_threshold) ||
       num(err, json, "holdPercent", 1, 100, true, &hold))
     return err->code;
-  s->hold_percent = (int64_t)hold;
+  s->wait_percent = (int64_t)hold;
   return OK;
 }
 
@@ -60,14 +63,14 @@
   *to = json_get(value, key);
   if (!*to)
     return OK;
-  if ((*to)->kind != J_ARR)
+  if ((*to)->kind != JSON_ARRAY)
     return bad(err, E_TYPE, key, "not a list");
   if (!json_count(*to) || json_count(*to) > most)
     return error_set(err, E_RANGE, "canary.%s: a list of 1 to %zu", key, most);
   return OK;
 }
 
-int canary_make(canary_plan *plan, const json *value, error *err) {
+int canary_compile(canary_plan *plan, const json *value, error *err) {
   static const char *const keys[] = { "name",      "state",  "salt",       "share",
                                       "candidate", "routes", "priorities", "guard",
                                       "warmS",     "end",    NULL };
@@ -76,15 +79,15 @@
   error none = { 0 };
   if (!err)
     err = &none;
-  *plan = (canary_plan){ .candidate = select_usual,
-                         .priorities = (1u << CANARY_PRIORITIES) - 1,
-                         .late_harm = 0.5,
+  *plan = (canary_plan){ .candidate = select_policy_default,
+                         .priority_mask = (1u << CANARY_PRIORITIES) - 1,
+                         .late_penalty = 0.5,
                          .margin = 0.02,
-                         .error = 0.05,
-                         .least = 50,
-                         .most_ms = 600000,
-                         .warm_ms = 10000 };
-  if (!value || (value->kind == J_OBJ && !json_count(value)))
+                         .error_probability = 0.05,
+                         .min_requests = 50,
+                         .max_duration_ms = 600000,
+                         .warm_up_ms = 10000 };
+  if (!value || (value->kind == JSON_OBJECT && !json_count(value)))
     return OK;
   if (only(err, value, "", keys))
     return err->code;
@@ -94,11 +97,11 @@
   plan->name = id_of_text(name);
   const char *state = json_text(value, "state", "running");
   if (strcmp(state, "running") && strcmp(state, "ended"))
-    return bad(err, E_TRIAL, "state", "not running or ended");
+    return bad(err, E_CANARY_INVALID, "state", "not running or ended");
   plan->state = strcmp(state, "running") ? CANARY_ENDED : CANARY_RUNNING;
-  double salt = 0, urgent = 0, least = (double)plan->least, most = 600, warm = 10;
+  double salt = 0, urgent = 0, least = (double)plan->min_requests, most = 600, warm = 10;
   if (num(err, value, "salt", 0, 1e15, true, &salt) ||
-      num(err, value, "share", 0, 0.5, false, &plan->share) ||
+      num(err, value, "share", 0, 0.5, false, &plan->traffic_share) ||
       num(err, value, "warmS", 1, 600, false, &warm))
     return err->code;
   if (!json_get(value, "share"))
@@ -108,42 +111,43 @@
     return bad(err, E_FIELD, "candidate", "missing");
   if (candidate_make(&plan->candidate, c, err))
     return err->code;
-  if (list_of(err, value, "routes", CANARY_ROUTES, &l))
+  if (list_of(err, value, "routes", CANARY_ROUTES_MAX, &l))
     return err->code;
   for (size_t i = 0; i < json_count(l); i++) {
     const json *v = json_at(l, i);
-    if (v->kind != J_STR || !id_is_valid(string_view_of_gstring(v->text)))
+    if (v->kind != JSON_STRING || !id_is_valid(string_view_of_gstring(v->text)))
       return bad(err, E_NAME, "routes", "holds what is no name");
     plan->routes[plan->route_count++] = id_of(string_view_of_gstring(v->text));
   }
   if (list_of(err, value, "priorities", CANARY_PRIORITIES, &l))
     return err->code;
   if (l)
-    plan->priorities = 0;
+    plan->priority_mask = 0;
   for (size_t i = 0; i < json_count(l); i++) {
     const json *v = json_at(l, i);
-    if (v->kind != J_NUM || v->num < 0 || v->num >= CANARY_PRIORITIES || v->num != floor(v->num))
+    if (v->kind != JSON_NUMBER || v->number < 0 || v->number >= CANARY_PRIORITIES ||
+        v->number != floor(v->number))
       return bad(err, E_RANGE, "priorities", "holds what is no number from 0 to 7");
-    plan->priorities |= 1u << (unsigned)v->num;
+    plan->priority_mask |= 1u << (unsigned)v->number;
   }
   if (g) {
     if (only(err, g, "guard", gkeys))
       return err->code;
     if (num(err, g, "urgent", 0, CANARY_PRIORITIES - 1, true, &urgent) ||
-        num(err, g, "lateHarm", 0, 1, false, &plan->late_harm) ||
+        num(err, g, "lateHarm", 0, 1, false, &plan->late_penalty) ||
         num(err, g, "least", 10, 1e9, true, &least) ||
         num(err, g, "margin", 0, 0.5, false, &plan->margin) ||
-        num(err, g, "error", 1e-6, 0.2, false, &plan->error) ||
+        num(err, g, "error", 1e-6, 0.2, false, &plan->error_probability) ||
         num(err, g, "mostS", 5, 604800, false, &most))
       return err->code;
   }
   plan->salt = (uint64_t)salt;
-  plan->urgent = (unsigned)urgent;
-  plan->least = (int64_t)least;
-  plan->most_ms = (int64_t)(most * 1000);
-  plan->warm_ms = (int64_t)(warm * 1000);
-  if (plan->warm_ms >= plan->most_ms)
-    return bad(err, E_TRIAL, "warmS", "not below guard.mostS");
+  plan->urgent_priority_max = (unsigned)urgent;
+  plan->min_requests = (int64_t)least;
+  plan->max_duration_ms = (int64_t)(most * 1000);
+  plan->warm_up_ms = (int64_t)(warm * 1000);
+  if (plan->warm_up_ms >= plan->max_duration_ms)
+    return bad(err, E_CANARY_INVALID, "warmS", "not below guard.mostS");
   return OK;
 }
 
@@ -159,57 +163,56 @@
   return is;
 }
 
-int canary_follows(const json *was, const json *next, error *err) {
+int canary_check_successor(const json *was, const json *next, error *err) {
   canary_plan a, b;
   error none = { 0 };
   if (!err)
     err = &none;
-  if (canary_make(&b, next, err))
+  if (canary_compile(&b, next, err))
     return err->code;
-  if (canary_make(&a, was, NULL) || a.state == CANARY_NONE)
-    return b.state == CANARY_ENDED
-               ? error_set(err, E_TRIAL_NONE, "canary: no trial is there to end")
-               : OK;
+  if (canary_compile(&a, was, NULL) || a.state == CANARY_NONE)
+    return b.state == CANARY_ENDED ? error_set(err, E_NO_CANARY, "canary: no trial is there to end")
+                                   : OK;
   if (a.state == CANARY_RUNNING) {
     if (b.state == CANARY_RUNNING)
-      return error_set(err, E_TRIAL_RUNS, "canary: the trial %s is running; it has to end first",
-                       a.name.text);
+      return error_set(err, E_CANARY_RUNNING,
+                       "canary: the trial %s is running; it has to end first", a.name.text);
     static const char *const kept[] = { "name",   "salt",       "share", "candidate",
                                         "routes", "priorities", "guard", "warmS" };
     for (size_t i = 0; b.state == CANARY_ENDED && i < G_N_ELEMENTS(kept); i++)
       if (!same(json_get(was, kept[i]), json_get(next, kept[i])))
-        return error_set(err, E_TRIAL_KEPT,
+        return error_set(err, E_CANARY_IMMUTABLE,
                          "canary.%s: the end of a trial changes nothing but state and end",
                          kept[i]);
     return b.state == CANARY_NONE
-               ? error_set(err, E_TRIAL_RUNS,
+               ? error_set(err, E_CANARY_RUNNING,
                            "canary: the trial %s is running; it has to end first", a.name.text)
                : OK;
   }
   if (b.state == CANARY_RUNNING && id_equal(a.name, b.name))
-    return error_set(err, E_TRIAL_AGAIN,
+    return error_set(err, E_CANARY_NAME_REUSED,
                      "canary: a trial named %s has ended; a new one needs a name of its own",
                      a.name.text);
   if (b.state == CANARY_ENDED && !same(was, next))
-    return error_set(err, E_TRIAL_NONE, "canary: the trial %s has ended already", a.name.text);
+    return error_set(err, E_NO_CANARY, "canary: the trial %s has ended already", a.name.text);
   return OK;
 }
 
-bool canary_drawn(const canary_plan *plan, uint64_t session) {
+bool canary_session_is_candidate(const canary_plan *plan, uint64_t session) {
   uint64_t h =
-      hash_of(&session, sizeof session, hash_of_two(plan->name.text, "canary") + plan->salt);
-  return (double)(h >> 11) / (double)(1ull << 53) < plan->share;
+      hash_bytes(&session, sizeof session, hash_two_names(plan->name.text, "canary") + plan->salt);
+  return (double)(h >> 11) / (double)(1ull << 53) < plan->traffic_share;
 }
 
-bool canary_takes(const canary_plan *plan, id route, unsigned priority) {
+bool canary_includes(const canary_plan *plan, id route, unsigned priority) {
   bool in = !plan->route_count;
   for (int i = 0; i < plan->route_count && !in; i++)
     in = id_equal(plan->routes[i], route);
-  return in && (plan->priorities >> MIN(priority, CANARY_PRIORITIES - 1) & 1);
+  return in && (plan->priority_mask >> MIN(priority, CANARY_PRIORITIES - 1) & 1);
 }
 
-uint64_t canary_count(const canary_cell *c) {
-  return c->in_aim + c->late + c->refused + c->failed;
+uint64_t canary_cell_requests(const canary_cell *c) {
+  return c->within_target + c->late + c->rejected + c->failed;
 }
 
 int canary_bucket(double ms) {
@@ -261,38 +264,41 @@
   return evidence(old, n_old, a) + evidence(candidate, n_candidate, a + margin);
 }
 
-static canary_view examination(const canary_plan *plan, const canary_totals *t, bool urgent,
-                               double error) {
-  canary_view v = { 0 };
-  double sums[SIDES];
-  for (int s = 0; s < SIDES; s++) {
+static canary_comparison examination(const canary_plan *plan, const canary_totals *t, bool urgent,
+                                     double error) {
+  canary_comparison v = { 0 };
+  double sums[CANARY_ARMS];
+  for (int s = 0; s < CANARY_ARMS; s++) {
     double sum = 0;
     for (unsigned k = 0; k < CANARY_PRIORITIES; k++) {
-      if ((k <= plan->urgent) != urgent)
+      if ((k <= plan->urgent_priority_max) != urgent)
         continue;
-      const canary_cell *c = &t->cell[s][k];
-      v.n[s] += (double)canary_count(c);
-      sum += (double)c->refused + (double)c->failed + plan->late_harm * (double)c->late;
+      const canary_cell *c = &t->cells[s][k];
+      v.requests[s] += (double)canary_cell_requests(c);
+      sum += (double)c->rejected + (double)c->failed + plan->late_penalty * (double)c->late;
     }
     sums[s] = sum;
-    v.harm[s] = v.n[s] > 0 ? sum / v.n[s] : 0;
-    double b = canary_bound(sum, v.n[s], error / 2, s == SIDE_OLD);
-    if (s == SIDE_OLD)
-      v.high = b;
+    v.mean_harm[s] = v.requests[s] > 0 ? sum / v.requests[s] : 0;
+    double b = canary_bound(sum, v.requests[s], error / 2, s == CANARY_ARM_CONTROL);
+    if (s == CANARY_ARM_CONTROL)
+      v.harm_difference_high = b;
     else
-      v.low = b;
+      v.harm_difference_low = b;
   }
-  bool enough = v.n[SIDE_OLD] >= (double)plan->least && v.n[SIDE_CANDIDATE] >= (double)plan->least;
-  v.proven = enough && canary_evidence(sums[SIDE_OLD], v.n[SIDE_OLD], sums[SIDE_CANDIDATE],
-                                       v.n[SIDE_CANDIDATE], plan->margin) >= -log(error);
+  bool enough = v.requests[CANARY_ARM_CONTROL] >= (double)plan->min_requests &&
+                v.requests[CANARY_ARM_CANDIDATE] >= (double)plan->min_requests;
+  v.proven = enough && canary_evidence(sums[CANARY_ARM_CONTROL], v.requests[CANARY_ARM_CONTROL],
+                                       sums[CANARY_ARM_CANDIDATE], v.requests[CANARY_ARM_CANDIDATE],
+                                       plan->margin) >= -log(error);
   return v;
 }
 
-canary_finding canary_judge(const canary_plan *plan, const canary_totals *t) {
-  canary_finding f = { .urgent = examination(plan, t, true, URGENT_ERROR * plan->error),
-                       .rest = examination(plan, t, false, (1 - URGENT_ERROR) * plan->error) };
-  f.enough = f.urgent.n[SIDE_OLD] >= (double)plan->least &&
-             f.urgent.n[SIDE_CANDIDATE] >= (double)plan->least;
-  f.harm = f.urgent.proven || f.rest.proven;
+canary_verdict canary_judge(const canary_plan *plan, const canary_totals *t) {
+  canary_verdict f = { .urgent = examination(plan, t, true, URGENT_ERROR * plan->error_probability),
+                       .rest = examination(plan, t, false,
+                                           (1 - URGENT_ERROR) * plan->error_probability) };
+  f.has_enough_requests = f.urgent.requests[CANARY_ARM_CONTROL] >= (double)plan->min_requests &&
+                          f.urgent.requests[CANARY_ARM_CANDIDATE] >= (double)plan->min_requests;
+  f.harm_proven = f.urgent.proven || f.rest.proven;
   return f;
 }
--- a/lib/configuration/config.h
+++ b/lib/configuration/config.h
@@ -5,79 +5,99 @@
 #include "json.h"
 
 /** The resources that operators write; routing is compiled by routing.h. */
-enum res { RES_CATALOGUE, RES_POLICY, RES_EVACUATION, RES_ROUTING, RES_CANARY, RES_COUNT };
-extern const char *const res_name[RES_COUNT];
-enum { RES_MOST = 4 << 20, KINDS_MOST = 8, STEPS_MOST = 12, RULES_MOST = 64, OWN_MOST = 8 };
+enum resource_kind {
+  RESOURCE_CATALOGUE,
+  RESOURCE_POLICY,
+  RESOURCE_EVACUATION,
+  RESOURCE_ROUTING,
+  RESOURCE_CANARY,
+  RESOURCE_COUNT
+};
+extern const char *const resource_names[RESOURCE_COUNT];
+enum {
+  RESOURCE_BYTES_MAX = 4 << 20,
+  REQUEST_KINDS_MAX = 8,
+  RULE_STEPS_MAX = 12,
+  RULES_MAX = 64,
+  CUSTOM_FORMULAS_MAX = 8
+};
 
 /** A model that the fleet may serve. */
 typedef struct {
   id self;
   uint64_t weights_mb;
-  double start_ms;
-} model;
+  double default_load_ms;
+} catalogue_model;
 /** An adapter, which needs its base model. */
 typedef struct {
   id self, model;
   uint64_t weights_mb;
   unsigned slots;
-} adapter;
+} catalogue_adapter;
 /** A kind of request. */
 typedef struct {
   id self;
   unsigned weight;
   int64_t deadline_ms;
-  double share;
-} kind;
+  double quota_share;
+} request_kind;
 /** What a step of a rule does. */
-enum op { OP_ENROL, OP_SELECT, OP_HOLD, OP_PROXY, OP_ANSWER, OP_REFUSE };
+enum step_kind {
+  STEP_ADMIT,
+  STEP_SELECT_ENGINE,
+  STEP_WAIT_FOR_ENGINE,
+  STEP_PROXY,
+  STEP_RESPOND,
+  STEP_REJECT
+};
 typedef struct {
-  enum op op;
-  int64_t n;
-} step;
+  enum step_kind kind;
+  int64_t argument;
+} rule_step;
 /** A rule as compiled: what it fits, and the steps of a request. */
 typedef struct {
   char kind[48], model[48], adapter[48];
-  step steps[STEPS_MOST];
-  int count;
-} rule;
+  rule_step steps[RULE_STEPS_MAX];
+  int step_count;
+} policy_rule;
 /** An area that is to be emptied, by a share of its engines or whole. */
 typedef struct {
-  id area;
-  double share;
-} empty;
+  id zone;
+  double engine_share;
+} zone_evacuation;
 
 /** All that operators have declared, compiled. */
 typedef struct config {
-  GArray *models, *adapters, *areas, *empties;
-  GHashTable *model_at, *adapter_at;
-  char eviction[48];
-  formula own[OWN_MOST];
-  int own_count;
-  double loads_per_s, start_load_ms, retry_share, smooth;
-  int64_t window_s, slow_start_s, line_most, streams_most;
-  kind kinds[KINDS_MOST];
+  GArray *models, *adapters, *zones, *evacuations;
+  GHashTable *models_by_name, *adapters_by_name;
+  char eviction_policy[48];
+  formula custom_formulas[CUSTOM_FORMULAS_MAX];
+  int custom_formula_count;
+  double loads_per_s, default_load_ms, retry_ratio, smoothing_factor;
+  int64_t rate_window_s, slow_start_s, queue_max, streams_max;
+  request_kind kinds[REQUEST_KINDS_MAX];
   int kind_count;
-  rule rules[RULES_MOST];
+  policy_rule rules[RULES_MAX];
   int rule_count;
   canary_plan canary;
 } config;
 
 /** Compiles the three values, each NULL for its default; NULL with err (path and reason) when they
  * are bad. */
-config *config_make(const json *res[RES_COUNT], error *err);
+config *config_compile(const json *res[RESOURCE_COUNT], error *err);
 /** Frees it. */
 void config_free(config *config);
-const model *config_model(const config *config, const char *name);
-const adapter *config_adapter(const config *config, const char *name);
+const catalogue_model *config_model(const config *config, const char *name);
+const catalogue_adapter *config_adapter(const config *config, const char *name);
 /** The operators' own expression of a name, or NULL for a built-in policy. */
 const formula *config_formula(const config *config, const char *name);
-const kind *config_kind(const config *config, const char *name);
+const request_kind *config_kind(const config *config, const char *name);
 /** The first rule that fits a request. */
-const rule *config_rule(const config *config, const char *kind, const char *model,
-                        const char *adapter);
+const policy_rule *config_rule(const config *config, const char *kind, const char *model,
+                               const char *adapter);
 /** True when an engine stands in a part of an area that is to be emptied; names and areas alone
  * decide. */
-bool config_empties(const config *config, id engine, id area);
+bool config_is_engine_evacuated(const config *config, id engine, id area);
 /** True when a whole area is to be emptied. */
-bool config_empties_all(const config *config, id area);
+bool config_is_zone_evacuated(const config *config, id area);
 #endif
--- a/lib/configuration/delta.c
+++ b/lib/configuration/delta.c
@@ -24,19 +24,19 @@
   return x.len == y.len && !memcmp(a.data + x.off, b.data + y.off, x.len);
 }
 
-bool delta_make(string_view old, string_view now, GString *to) {
+bool delta_encode(string_view old, string_view now, GString *to) {
   GArray *was = pieces_of(old), *is = pieces_of(now),
          *parts = g_array_new(FALSE, FALSE, sizeof(Wire__TextDeltaChunk));
   GHashTable *at = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, NULL);
   for (guint i = 0; i < was->len; i++) {
     piece p = g_array_index(was, piece, i);
-    uint64_t h = hash_of(old.data + p.off, p.len, 1);
+    uint64_t h = hash_bytes(old.data + p.off, p.len, 1);
     if (!g_hash_table_contains(at, &h))
       g_hash_table_insert(at, g_memdup2(&h, sizeof h), GUINT_TO_POINTER(i + 1));
   }
   for (guint i = 0; i < is->len; i++) {
     piece p = g_array_index(is, piece, i);
-    uint64_t h = hash_of(now.data + p.off, p.len, 1);
+    uint64_t h = hash_bytes(now.data + p.off, p.len, 1);
     guint k = GPOINTER_TO_UINT(g_hash_table_lookup(at, &h));
     bool there = k && equal(old, g_array_index(was, piece, k - 1), now, p);
     Wire__TextDeltaChunk *last =
@@ -67,7 +67,7 @@
     pp[i] = &g_array_index(parts, Wire__TextDeltaChunk, i);
   d.n_chunks = parts->len;
   d.chunks = pp;
-  d.checksum = hash_of(now.data, now.length, 2);
+  d.checksum = hash_bytes(now.data, now.length, 2);
   size_t n = wire__text_delta__get_packed_size(&d);
   bool worth = n * 2 < now.length;
   if (worth) {
@@ -99,7 +99,7 @@
     if (ok)
       g_string_append_len(to, (char *)p->text.data, (gssize)p->text.len);
   }
-  ok = ok && hash_of(to->str, to->len, 2) == d->checksum;
+  ok = ok && hash_bytes(to->str, to->len, 2) == d->checksum;
   g_array_free(was, TRUE);
   wire__text_delta__free_unpacked(d, NULL);
   return ok;
--- a/lib/configuration/dialect.h
+++ b/lib/configuration/dialect.h
@@ -25,46 +25,46 @@
 /** Calls that others make to us, or that we make to engines; an id stands for {}. */
 enum dialect_call {
   DC_READY,
-  DC_BEAT,
+  DC_HEARTBEAT,
   DC_LEAVE,
   DC_CONFIG_PUT,
   DC_CONFIG_PATCH,
   DC_CONFIG_GET,
-  DC_ORDER,
+  DC_ENGINE_ORDER,
   DC_REPORT,
   DC_COUNT
 };
 typedef struct dialect_path {
-  const char *verb, *path;
+  const char *method, *path;
 } dialect_path;
 /** A pair of words: ours, and theirs. */
 typedef struct dialect_pair {
   const char *own, *theirs;
 } dialect_pair;
 /** A word that stands as the value of one of our keys. */
-typedef struct dialect_word {
+typedef struct dialect_value {
   const char *key, *own, *theirs;
-} dialect_word;
+} dialect_value;
 
 /** How an interface of ours is spoken: names only, no meaning. All JSON is read and written in our
- * own words, and passes dialect_in and dialect_out at the edge. */
+ * own words, and passes dialect_translate_in and dialect_translate_out at the edge. */
 typedef struct dialect {
-  const char *field[DF_COUNT];
-  dialect_path call[DC_COUNT];
+  const char *header_names[DF_COUNT];
+  dialect_path calls[DC_COUNT];
   const dialect_pair *keys;
   size_t key_count;
-  const dialect_word *words;
-  size_t word_count;
+  const dialect_value *values;
+  size_t value_count;
 } dialect;
 
 /** The product's own words. */
-extern const dialect dialect_own;
+extern const dialect dialect_native;
 /** Renames keys and words from theirs to ours, in place. A key that is unknown to them but one of
- * ours gets a mark, so that dialect_out brings back just what came. */
-void dialect_in(const dialect *dialect, json *json);
+ * ours gets a mark, so that dialect_translate_out brings back just what came. */
+void dialect_translate_in(const dialect *dialect, json *json);
 /** The way back. */
-void dialect_out(const dialect *dialect, json *json);
+void dialect_translate_out(const dialect *dialect, json *json);
 /** True when a request fits a call; the id in its path, if any, is given. */
-bool dialect_call_is(const dialect *dialect, enum dialect_call c, const char *verb,
-                     const char *path, id *who);
+bool dialect_matches_call(const dialect *dialect, enum dialect_call c, const char *verb,
+                          const char *path, id *who);
 #endif
--- a/lib/configuration/formula.c
+++ b/lib/configuration/formula.c
@@ -3,7 +3,9 @@
 
 enum { DEEP = 16, NEST = 24 };
 enum act { C_NUM = 1, C_NAME, C_ADD, C_SUB, C_MUL, C_DIV, C_MIN, C_MAX, C_NEG };
-static const char *const names[F_NAMES] = { "penalty", "rate", "size", "megs", "slots", "idle" };
+static const char *const names[F_VARIABLES] = {
+  "penalty", "rate", "size", "megs", "slots", "idle"
+};
 
 typedef struct {
   GScanner *s;
@@ -23,13 +25,13 @@
 }
 
 static void emit(maker *m, int code, int arg, int moves) {
-  if (m->formula->len + 2 > FORMULA_CODE) {
+  if (m->formula->code_length + 2 > FORMULA_CODE_MAX) {
     fail(m, E_TOO_LARGE, "too long");
     return;
   }
-  m->formula->code[m->formula->len++] = code;
+  m->formula->code[m->formula->code_length++] = code;
   if (code == C_NUM || code == C_NAME)
-    m->formula->code[m->formula->len++] = arg;
+    m->formula->code[m->formula->code_length++] = arg;
   m->depth += moves;
   if (m->depth > DEEP)
     fail(m, E_TOO_LARGE, "too deep");
@@ -58,12 +60,12 @@
     if (!take(m, ')'))
       fail(m, E_FIELD, "a ) is missing");
   } else if (t == G_TOKEN_FLOAT) {
-    if (m->formula->count == FORMULA_NUMS) {
+    if (m->formula->constant_count == FORMULA_CONSTANTS_MAX) {
       fail(m, E_TOO_LARGE, "too many numbers");
       return;
     }
-    m->formula->nums[m->formula->count] = m->s->value.v_float;
-    emit(m, C_NUM, m->formula->count++, 1);
+    m->formula->constants[m->formula->constant_count] = m->s->value.v_float;
+    emit(m, C_NUM, m->formula->constant_count++, 1);
   } else if (t == G_TOKEN_IDENTIFIER) {
     const char *n = m->s->value.v_identifier;
     int two = !strcmp(n, "min") ? C_MIN : !strcmp(n, "max") ? C_MAX : 0;
@@ -85,7 +87,7 @@
       emit(m, two, 0, -1);
     } else {
       int k = -1;
-      for (int i = 0; i < F_NAMES; i++)
+      for (int i = 0; i < F_VARIABLES; i++)
         if (!strcmp(n, names[i]))
           k = i;
       if (k < 0)
@@ -126,11 +128,11 @@
   }
 }
 
-int formula_make(formula *formula, const char *text, error *err) {
-  formula->len = formula->count = 0;
+int formula_compile(formula *formula, const char *text, error *err) {
+  formula->code_length = formula->constant_count = 0;
   size_t n = strlen(text);
-  if (!n || n > FORMULA_TEXT)
-    return error_set(err, E_TOO_LARGE, "expression: 1 to %d bytes", FORMULA_TEXT);
+  if (!n || n > FORMULA_TEXT_MAX)
+    return error_set(err, E_TOO_LARGE, "expression: 1 to %d bytes", FORMULA_TEXT_MAX);
   GScanner *s = g_scanner_new(NULL);
   s->config->cset_identifier_first = G_CSET_a_2_z G_CSET_A_2_Z;
   s->config->cset_identifier_nth = G_CSET_a_2_z G_CSET_A_2_Z G_CSET_DIGITS;
@@ -154,13 +156,13 @@
   return m.bad;
 }
 
-double formula_run(const formula *formula, const double vals[F_NAMES]) {
+double formula_evaluate(const formula *formula, const double vals[F_VARIABLES]) {
   double st[DEEP + 1];
   int n = 0;
-  for (int i = 0; i < formula->len; i++) {
+  for (int i = 0; i < formula->code_length; i++) {
     switch (formula->code[i]) {
     case C_NUM:
-      st[n++] = formula->nums[formula->code[++i]];
+      st[n++] = formula->constants[formula->code[++i]];
       break;
     case C_NAME:
       st[n++] = vals[formula->code[++i]];
--- a/lib/configuration/json.c
+++ b/lib/configuration/json.c
@@ -18,9 +18,9 @@
 static json *make(enum json_kind k) {
   json *value = g_new0(json, 1);
   value->kind = k;
-  if (k >= J_ARR)
-    value->kids = g_ptr_array_new_with_free_func((GDestroyNotify)json_free);
-  if (k == J_OBJ)
+  if (k >= JSON_ARRAY)
+    value->children = g_ptr_array_new_with_free_func((GDestroyNotify)json_free);
+  if (k == JSON_OBJECT)
     value->keys = g_ptr_array_new_with_free_func(g_free);
   return value;
 }
@@ -30,8 +30,8 @@
     return;
   if (json->text)
     g_string_free(json->text, TRUE);
-  if (json->kids)
-    g_ptr_array_free(json->kids, TRUE);
+  if (json->children)
+    g_ptr_array_free(json->children, TRUE);
   if (json->keys)
     g_ptr_array_free(json->keys, TRUE);
   g_free(json);
@@ -46,7 +46,7 @@
     r->top = value;
   } else {
     json *up = r->stack[r->n - 1];
-    if (up->kind == J_OBJ) {
+    if (up->kind == JSON_OBJECT) {
       GString *k = r->key[r->n - 1];
       if (up->keys->len == KEYS_MOST) {
         r->bad = error_set(r->err, E_TOO_LARGE, "an object of over %d keys", KEYS_MOST);
@@ -60,9 +60,9 @@
       }
       g_ptr_array_add(up->keys, g_strdup(k->str));
     }
-    g_ptr_array_add(up->kids, value);
+    g_ptr_array_add(up->children, value);
   }
-  if (value->kind >= J_ARR) {
+  if (value->kind >= JSON_ARRAY) {
     if (r->n == DEEP) {
       r->bad = error_set(r->err, E_JSON, "nested deeper than %d", DEEP);
       return 0;
@@ -74,11 +74,11 @@
 }
 
 static int on_null(void *c) {
-  return put(c, make(J_NULL));
+  return put(c, make(JSON_NULL));
 }
 static int on_bool(void *c, int v) {
-  json *json = make(J_BOOL);
-  json->yes = v;
+  json *json = make(JSON_BOOL);
+  json->boolean = v;
   return put(c, json);
 }
 static int on_num(void *c, const char *p, size_t n) {
@@ -95,15 +95,15 @@
     r->bad = error_set(r->err, E_RANGE, "the number %s is out of range", buf);
     return 0;
   }
-  json *json = make(J_NUM);
-  json->num = v;
+  json *json = make(JSON_NUMBER);
+  json->number = v;
   /* a whole number that a double can't hold keeps its digits */
   if (fabs(v) >= EXACT && !memchr(p, '.', n) && !memchr(p, 'e', n) && !memchr(p, 'E', n))
     json->text = g_string_new(buf);
   return put(c, json);
 }
 static int on_str(void *c, const unsigned char *p, size_t n) {
-  json *json = make(J_STR);
+  json *json = make(JSON_STRING);
   json->text = g_string_new_len((const char *)p, n);
   reader *r = c;
   if (memchr(p, 0, n)) {
@@ -114,7 +114,7 @@
   return put(c, json);
 }
 static int on_map(void *c) {
-  return put(c, make(J_OBJ));
+  return put(c, make(JSON_OBJECT));
 }
 static int on_key(void *c, const unsigned char *p, size_t n) {
   reader *r = c;
@@ -132,13 +132,13 @@
   return 1;
 }
 static int on_arr(void *c) {
-  return put(c, make(J_ARR));
+  return put(c, make(JSON_ARRAY));
 }
 
 static const yajl_callbacks calls = { on_null, on_bool, NULL,   NULL,   on_num, on_str,
                                       on_map,  on_key,  on_end, on_arr, on_end };
 
-json *json_read(string_view text, error *err) {
+json *json_parse(string_view text, error *err) {
   reader r = { .err = err };
   yajl_handle h = yajl_alloc(&calls, NULL, &r);
   yajl_status s = yajl_parse(h, (const unsigned char *)text.data, text.length);
@@ -165,12 +165,12 @@
 
 json *json_copy(const json *value) {
   json *c = make(value->kind);
-  c->yes = value->yes;
-  c->num = value->num;
+  c->boolean = value->boolean;
+  c->number = value->number;
   if (value->text)
     c->text = g_string_new_len(value->text->str, value->text->len);
   for (size_t i = 0; i < json_count(value); i++) {
-    g_ptr_array_add(c->kids, json_copy(json_at(value, i)));
+    g_ptr_array_add(c->children, json_copy(json_at(value, i)));
     if (value->keys)
       g_ptr_array_add(c->keys, g_strdup(json_key(value, i)));
   }
@@ -178,7 +178,7 @@
 }
 
 static int find(const json *json, const char *key) {
-  if (!json || json->kind != J_OBJ)
+  if (!json || json->kind != JSON_OBJECT)
     return -1;
   for (guint i = 0; i < json->keys->len; i++) {
     const char *k = json->keys->pdata[i];
@@ -190,13 +190,13 @@
 
 const json *json_get(const json *json, const char *key) {
   int i = find(json, key);
-  return i < 0 ? NULL : json->kids->pdata[i];
+  return i < 0 ? NULL : json->children->pdata[i];
 }
 size_t json_count(const json *json) {
-  return json && json->kids ? json->kids->len : 0;
+  return json && json->children ? json->children->len : 0;
 }
 const json *json_at(const json *json, size_t i) {
-  return json->kids->pdata[i];
+  return json->children->pdata[i];
 }
 const char *json_key(const json *json, size_t i) {
   return json->keys->pdata[i];
@@ -204,51 +204,51 @@
 
 const char *json_text(const json *value, const char *key, const char *fall) {
   const json *v = json_get(value, key);
-  return v && v->kind == J_STR ? v->text->str : fall;
+  return v && v->kind == JSON_STRING ? v->text->str : fall;
 }
-double json_num(const json *value, const char *key, double fall) {
+double json_number(const json *value, const char *key, double fall) {
   const json *v = json_get(value, key);
-  return v && v->kind == J_NUM ? v->num : fall;
+  return v && v->kind == JSON_NUMBER ? v->number : fall;
 }
-bool json_yes(const json *value, const char *key, bool fall) {
+bool json_bool(const json *value, const char *key, bool fall) {
   const json *v = json_get(value, key);
-  return v && v->kind == J_BOOL ? v->yes : fall;
+  return v && v->kind == JSON_BOOL ? v->boolean : fall;
 }
 
 static void gen(yajl_gen g, const json *json) {
   char buf[40];
   switch (json->kind) {
-  case J_NULL:
+  case JSON_NULL:
     yajl_gen_null(g);
     break;
-  case J_BOOL:
-    yajl_gen_bool(g, json->yes);
+  case JSON_BOOL:
+    yajl_gen_bool(g, json->boolean);
     break;
-  case J_NUM:
+  case JSON_NUMBER:
     if (json->text) {
       yajl_gen_number(g, json->text->str, json->text->len);
       break;
     }
-    if (json->num == floor(json->num) && fabs(json->num) < 9e15) {
-      yajl_gen_integer(g, (long long)json->num);
+    if (json->number == floor(json->number) && fabs(json->number) < 9e15) {
+      yajl_gen_integer(g, (long long)json->number);
       break;
     }
     /* the short form, unless it would not read back the same */
-    g_ascii_formatd(buf, sizeof buf, "%.15g", json->num);
-    if (g_ascii_strtod(buf, NULL) != json->num)
-      g_ascii_dtostr(buf, sizeof buf, json->num);
+    g_ascii_formatd(buf, sizeof buf, "%.15g", json->number);
+    if (g_ascii_strtod(buf, NULL) != json->number)
+      g_ascii_dtostr(buf, sizeof buf, json->number);
     yajl_gen_number(g, buf, strlen(buf));
     break;
-  case J_STR:
+  case JSON_STRING:
     yajl_gen_string(g, (const unsigned char *)json->text->str, json->text->len);
     break;
-  case J_ARR:
+  case JSON_ARRAY:
     yajl_gen_array_open(g);
     for (size_t i = 0; i < json_count(json); i++)
       gen(g, json_at(json, i));
     yajl_gen_array_close(g);
     break;
-  case J_OBJ:
+  case JSON_OBJECT:
     yajl_gen_map_open(g);
     for (size_t i = 0; i < json_count(json); i++) {
       const char *k = json_key(json, i);
@@ -271,37 +271,37 @@
 }
 
 json *json_merge(json *target, const json *patch) {
-  if (patch->kind != J_OBJ) {
+  if (patch->kind != JSON_OBJECT) {
     json_free(target);
     return json_copy(patch);
   }
-  if (!target || target->kind != J_OBJ) {
+  if (!target || target->kind != JSON_OBJECT) {
     json_free(target);
-    target = make(J_OBJ);
+    target = make(JSON_OBJECT);
   }
   for (size_t i = 0; i < json_count(patch); i++) {
     const char *k = json_key(patch, i);
     const json *v = json_at(patch, i);
     int at = find(target, k);
-    if (v->kind == J_NULL) {
+    if (v->kind == JSON_NULL) {
       if (at >= 0) {
-        g_ptr_array_remove_index(target->kids, at);
+        g_ptr_array_remove_index(target->children, at);
         g_ptr_array_remove_index(target->keys, at);
       }
       continue;
     }
     json *was = NULL;
     if (at >= 0) {
-      was = g_ptr_array_steal_index(target->kids, at);
+      was = g_ptr_array_steal_index(target->children, at);
       g_ptr_array_remove_index(target->keys, at);
     }
-    g_ptr_array_add(target->kids, json_merge(was, v));
+    g_ptr_array_add(target->children, json_merge(was, v));
     g_ptr_array_add(target->keys, g_strdup(k));
   }
   return target;
 }
 
-void json_quote(GString *to, string_view s) {
+void json_append_quoted(GString *to, string_view s) {
   yajl_gen g = yajl_gen_alloc(NULL);
   const unsigned char *p;
   size_t n;
@@ -313,7 +313,7 @@
   yajl_gen_free(g);
 }
 
-void json_f(GString *to, const char *form, ...) {
+void json_appendf(GString *to, const char *form, ...) {
   va_list a;
   va_start(a, form);
   g_string_append_vprintf(to, form, a);
--- a/lib/configuration/routing.c
+++ b/lib/configuration/routing.c
@@ -14,11 +14,11 @@
                  double *to) {
   const json *v = json_get(value, key);
   *to = fall;
-  if (!v || v->kind == J_NULL)
+  if (!v || v->kind == JSON_NULL)
     return true;
-  if (v->kind != J_NUM || !(v->num >= low) || v->num > high)
+  if (v->kind != JSON_NUMBER || !(v->number >= low) || v->number > high)
     return false;
-  *to = v->num;
+  *to = v->number;
   return true;
 }
 
@@ -26,14 +26,14 @@
                      double *to, error *err) {
   return take(json, key, 0, high, fall, to)
              ? OK
-             : error_set(err, E_SPEC, "%s.%s: not a number from 0 to %.0f", where, key, high);
+             : error_set(err, E_SPEC_RANGE, "%s.%s: not a number from 0 to %.0f", where, key, high);
 }
 
 static int take_name(const json *json, const char *where, size_t i, id *to, GHashTable *seen,
                      void *item, error *err) {
   const char *s = json_text(json, "name", NULL);
   if (!s || !id_is_valid(string_view_of(s)))
-    return error_set(err, E_WHOLE,
+    return error_set(err, E_ROUTING_STRUCTURE,
                      "%s[%zu].name: missing, or not 1 to 47 letters, digits, '-', '_', '.', ':'",
                      where, i);
   *to = id_of_text(s);
@@ -43,14 +43,14 @@
   return OK;
 }
 
-static int take_model(svc_model *m, const json *json, const service *service, size_t i,
+static int take_model(service_model_spec *m, const json *json, const service *service, size_t i,
                       error *err) {
   char where[100];
   g_snprintf(where, sizeof where, "%s.engine.models[%zu]", service->name.text, i);
-  if (json->kind != J_OBJ)
-    return error_set(err, E_WHOLE, "%s: not an object", where);
+  if (json->kind != JSON_OBJECT)
+    return error_set(err, E_ROUTING_STRUCTURE, "%s: not an object", where);
   double load = 0, adapters = 0;
-  int r = take_name(json, where, i, &m->name, service->model_at, m, err);
+  int r = take_name(json, where, i, &m->name, service->models_by_name, m, err);
   if (!r)
     r = take_spec(json, where, "weightsMb", 1e9, 0, &m->weights_mb, err);
   if (!r)
@@ -67,10 +67,10 @@
 static int take_engine(service *service, const json *value, error *err) {
   char where[80];
   g_snprintf(where, sizeof where, "%s.engine", service->name.text);
-  if (!value || value->kind == J_NULL)
+  if (!value || value->kind == JSON_NULL)
     return OK;
-  if (value->kind != J_OBJ)
-    return error_set(err, E_WHOLE, "%s: not an object", where);
+  if (value->kind != JSON_OBJECT)
+    return error_set(err, E_ROUTING_STRUCTURE, "%s: not an object", where);
   double slots = 0, adapters = 0;
   int r = take_spec(value, where, "slots", 1e6, 0, &slots, err);
   if (!r)
@@ -88,11 +88,11 @@
   service->engine_slots = slots;
   service->adapter_slots = adapters;
   const json *all = json_get(value, "models");
-  if (r || !all || all->kind == J_NULL)
+  if (r || !all || all->kind == JSON_NULL)
     return r;
-  if (all->kind != J_ARR)
-    return error_set(err, E_WHOLE, "%s.models: not a list", where);
-  service->models = g_new0(svc_model, json_count(all) + 1);
+  if (all->kind != JSON_ARRAY)
+    return error_set(err, E_ROUTING_STRUCTURE, "%s.models: not a list", where);
+  service->models = g_new0(service_model_spec, json_count(all) + 1);
   for (size_t i = 0; i < json_count(all) && !r; i++, service->model_count++)
     r = take_model(&service->models[i], json_at(all, i), service, i, err);
   return r;
@@ -100,58 +100,60 @@
 
 static int take_service(routing *routing, service *service, const json *value, size_t i,
                         error *err) {
-  if (value->kind != J_OBJ)
-    return error_set(err, E_WHOLE, "services[%zu]: not an object", i);
-  service->model_at = g_hash_table_new(g_str_hash, g_str_equal);
-  int r = take_name(value, "services", i, &service->name, routing->service_at, service, err);
+  if (value->kind != JSON_OBJECT)
+    return error_set(err, E_ROUTING_STRUCTURE, "services[%zu]: not an object", i);
+  service->models_by_name = g_hash_table_new(g_str_hash, g_str_equal);
+  int r = take_name(value, "services", i, &service->name, routing->services_by_name, service, err);
   if (r)
     return r;
   const json *health = json_get(value, "health");
-  if (health && health->kind != J_NULL &&
-      (health->kind != J_STR || health->text->len >= sizeof service->health))
-    return error_set(err, E_WHOLE, "%s.health: not a path", service->name.text);
-  g_strlcpy(service->health, json_text(value, "health", ""), sizeof service->health);
+  if (health && health->kind != JSON_NULL &&
+      (health->kind != JSON_STRING || health->text->len >= sizeof service->health_path))
+    return error_set(err, E_ROUTING_STRUCTURE, "%s.health: not a path", service->name.text);
+  g_strlcpy(service->health_path, json_text(value, "health", ""), sizeof service->health_path);
   double most;
   r = take_spec(value, service->name.text, "connectionsMost", 1e9, 0, &most, err);
   if (r)
     return r;
-  service->connections_most = most;
+  service->connections_max = most;
   return take_engine(service, json_get(value, "engine"), err);
 }
 
 static int take_leg(routing *routing, route *k, route_leg *leg, const char *name, double weight,
                     error *err) {
-  leg->service = name ? g_hash_table_lookup(routing->service_at, name) : NULL;
+  leg->service = name ? g_hash_table_lookup(routing->services_by_name, name) : NULL;
   leg->weight = weight;
   k->weight_sum += weight;
   return leg->service ? OK
-                      : error_set(err, E_SERVICE, "%s: there is no service %.60s", k->name.text,
-                                  name ? name : "named");
+                      : error_set(err, E_UNKNOWN_SERVICE, "%s: there is no service %.60s",
+                                  k->name.text, name ? name : "named");
 }
 
 static int take_legs(routing *routing, route *k, const json *value, error *err) {
   const json *split = json_get(value, "split"), *one = json_get(value, "service");
-  if (split && split->kind == J_NULL)
+  if (split && split->kind == JSON_NULL)
     split = NULL;
-  if (split && split->kind != J_ARR)
-    return error_set(err, E_WHOLE, "%s.split: not a list", k->name.text);
-  if (one && one->kind != J_NULL && one->kind != J_STR)
-    return error_set(err, E_WHOLE, "%s.service: not a name", k->name.text);
+  if (split && split->kind != JSON_ARRAY)
+    return error_set(err, E_ROUTING_STRUCTURE, "%s.split: not a list", k->name.text);
+  if (one && one->kind != JSON_NULL && one->kind != JSON_STRING)
+    return error_set(err, E_ROUTING_STRUCTURE, "%s.service: not a name", k->name.text);
   k->legs = g_new0(route_leg, json_count(split) + 1);
   if (!split) {
     k->leg_count = 1;
     return take_leg(routing, k, k->legs, json_text(value, "service", NULL), 1, err);
   }
-  if (one && one->kind == J_STR && !g_hash_table_contains(routing->service_at, one->text->str))
-    return error_set(err, E_SERVICE, "%s: there is no service %.60s", k->name.text, one->text->str);
+  if (one && one->kind == JSON_STRING &&
+      !g_hash_table_contains(routing->services_by_name, one->text->str))
+    return error_set(err, E_UNKNOWN_SERVICE, "%s: there is no service %.60s", k->name.text,
+                     one->text->str);
   for (size_t i = 0; i < json_count(split); i++) {
     const json *x = json_at(split, i);
     double weight = 0;
-    if (x->kind != J_OBJ)
-      return error_set(err, E_WHOLE, "%s.split[%zu]: not an object", k->name.text, i);
+    if (x->kind != JSON_OBJECT)
+      return error_set(err, E_ROUTING_STRUCTURE, "%s.split[%zu]: not an object", k->name.text, i);
     if (!take(x, "weight", 0, 1e15, 1, &weight))
-      return error_set(err, E_WEIGHT, "%s.split[%zu].weight: not a number from 0 up", k->name.text,
-                       i);
+      return error_set(err, E_ROUTE_WEIGHT, "%s.split[%zu].weight: not a number from 0 up",
+                       k->name.text, i);
     int r =
         take_leg(routing, k, &k->legs[k->leg_count++], json_text(x, "service", NULL), weight, err);
     if (r)
@@ -159,7 +161,7 @@
   }
   return k->weight_sum > 0
              ? OK
-             : error_set(err, E_WEIGHT, "%s.split: the weights add up to 0", k->name.text);
+             : error_set(err, E_ROUTE_WEIGHT, "%s.split: the weights add up to 0", k->name.text);
 }
 
 static int take_span(const json *json, const route *k, const char *key, int64_t *to, error *err) {
@@ -171,68 +173,69 @@
 
 static int take_route(routing *routing, route *k, const json *value, size_t i, GHashTable *names,
                       error *err) {
-  if (value->kind != J_OBJ)
-    return error_set(err, E_WHOLE, "routes[%zu]: not an object", i);
+  if (value->kind != JSON_OBJECT)
+    return error_set(err, E_ROUTING_STRUCTURE, "routes[%zu]: not an object", i);
   int r = take_name(value, "routes", i, &k->name, names, k, err);
   if (r)
     return r;
   const char *host = json_text(value, "host", ""), *prefix = json_text(value, "prefix", "");
   if (!host[0] || strlen(host) >= HOST_NAME_MOST)
-    return error_set(err, E_WHOLE, "%s.host: missing", k->name.text);
-  k->prefix_len = strlen(prefix);
-  if (!k->prefix_len || prefix[0] != '/' || prefix[k->prefix_len - 1] != '/')
-    return error_set(err, E_PREFIX, "%s.prefix: does not begin and end with a slash", k->name.text);
+    return error_set(err, E_ROUTING_STRUCTURE, "%s.host: missing", k->name.text);
+  k->prefix_length = strlen(prefix);
+  if (!k->prefix_length || prefix[0] != '/' || prefix[k->prefix_length - 1] != '/')
+    return error_set(err, E_ROUTE_PREFIX, "%s.prefix: does not begin and end with a slash",
+                     k->name.text);
   k->host = g_ascii_strdown(host, -1);
   k->prefix = g_strdup(prefix);
-  routing->prefix_most = MAX(routing->prefix_most, k->prefix_len);
-  const route *twin = g_hash_table_lookup(routing->route_at, k);
+  routing->prefix_length_max = MAX(routing->prefix_length_max, k->prefix_length);
+  const route *twin = g_hash_table_lookup(routing->routes_by_name, k);
   if (twin)
     return error_set(err, E_DUPLICATE_ROUTE, "%s: has the host and prefix of %s", k->name.text,
                      twin->name.text);
-  g_hash_table_add(routing->route_at, k);
+  g_hash_table_add(routing->routes_by_name, k);
 
   const json *mode = json_get(value, "mode");
-  const char *m = mode && mode->kind == J_STR    ? mode->text->str
-                  : mode && mode->kind != J_NULL ? ""
-                                                 : "once";
+  const char *m = mode && mode->kind == JSON_STRING ? mode->text->str
+                  : mode && mode->kind != JSON_NULL ? ""
+                                                    : "once";
   if (!strcmp(m, "once"))
-    k->mode = MODE_ONCE;
+    k->mode = ROUTE_MODE_ONCE;
   else if (!strcmp(m, "safe"))
-    k->mode = MODE_SAFE;
+    k->mode = ROUTE_MODE_SAFE;
   else if (!strcmp(m, "stream"))
-    k->mode = MODE_STREAM;
+    k->mode = ROUTE_MODE_STREAM;
   else
-    return error_set(err, E_MODE, "%s.mode: there is no mode %.40s", k->name.text, m);
+    return error_set(err, E_ROUTE_MODE, "%s.mode: there is no mode %.40s", k->name.text, m);
 
   double n = 0;
   if (!take(value, "timeoutMs", 0, 1e12, 0, &n) || n <= 0)
-    return error_set(err, E_TIMEOUT, "%s.timeoutMs: missing or not above 0", k->name.text);
+    return error_set(err, E_ROUTE_TIMEOUT, "%s.timeoutMs: missing or not above 0", k->name.text);
   k->timeout_ms = ceil(n);
   r = take_span(value, k, "targetMs", &k->target_ms, err);
   if (!r)
-    r = take_span(value, k, "gapTargetMs", &k->gap_ms, err);
+    r = take_span(value, k, "gapTargetMs", &k->gap_target_ms, err);
   if (!r)
     r = take_spec(value, k->name.text, "priority", 1e6, 0, &n, err);
   k->priority = n;
   if (!r)
     r = take_spec(value, k->name.text, "attempts", 1e6, 1, &n, err);
   k->attempts = n < 1 ? 1 : n;
-  k->affinity = json_yes(value, "affinity", false);
-  k->resumable = json_yes(value, "resumable", false);
+  k->affinity = json_bool(value, "affinity", false);
+  k->resumable = json_bool(value, "resumable", false);
   return r ? r : take_legs(routing, k, value, err);
 }
 
 static int take_limit(const json *json, const char *key, double fall, double *to, error *err) {
   if (!take(json, key, 0, 1e12, fall, to))
-    return error_set(err, E_LIMIT, "limits.%s: not a number from 0 up", key);
+    return error_set(err, E_LIMIT_RANGE, "limits.%s: not a number from 0 up", key);
   if (*to < 1)
     *to = fall;
   return OK;
 }
 
-static int take_limits(limits *l, const json *json, error *err) {
-  if (json && json->kind != J_NULL && json->kind != J_OBJ)
-    return error_set(err, E_WHOLE, "limits: not an object");
+static int take_limits(request_limits *l, const json *json, error *err) {
+  if (json && json->kind != JSON_NULL && json->kind != JSON_OBJECT)
+    return error_set(err, E_ROUTING_STRUCTURE, "limits: not an object");
   double header = 0, body = 0, header_ms = 0, idle = 0;
   int r = take_limit(json, "headerBytes", HEADER_BYTES, &header, err);
   if (!r)
@@ -241,26 +244,27 @@
     r = take_limit(json, "headerMs", HEADER_MS, &header_ms, err);
   if (!r)
     r = take_limit(json, "idleMs", IDLE_MS, &idle, err);
-  *l = (limits){ header, body, header_ms, idle };
+  *l = (request_limits){ header, body, header_ms, idle };
   return r;
 }
 
 static int take_version(const json *value, uint64_t *to, error *err) {
   const json *v = json_get(value, "version");
-  if (!v || v->kind != J_NUM || v->num < 0 || v->num > 9e18 || v->num != floor(v->num))
-    return error_set(err, E_VERSION, "version: missing, or not a whole number");
-  *to = v->text ? g_ascii_strtoull(v->text->str, NULL, 10) : (uint64_t)v->num;
+  if (!v || v->kind != JSON_NUMBER || v->number < 0 || v->number > 9e18 ||
+      v->number != floor(v->number))
+    return error_set(err, E_ROUTING_VERSION, "version: missing, or not a whole number");
+  *to = v->text ? g_ascii_strtoull(v->text->str, NULL, 10) : (uint64_t)v->number;
   return OK;
 }
 
 static guint route_hash(gconstpointer p) {
   const route *k = p;
-  return (guint)hash_of(k->prefix, k->prefix_len, g_str_hash(k->host));
+  return (guint)hash_bytes(k->prefix, k->prefix_length, g_str_hash(k->host));
 }
 
 static gboolean route_same(gconstpointer a, gconstpointer b) {
   const route *x = a, *y = b;
-  return x->prefix_len == y->prefix_len && !memcmp(x->prefix, y->prefix, x->prefix_len) &&
+  return x->prefix_length == y->prefix_length && !memcmp(x->prefix, y->prefix, x->prefix_length) &&
          !strcmp(x->host, y->host);
 }
 
@@ -272,34 +276,34 @@
   }
   for (size_t i = 0; i < routing->service_count; i++) {
     g_free(routing->services[i].models);
-    if (routing->services[i].model_at)
-      g_hash_table_destroy(routing->services[i].model_at);
+    if (routing->services[i].models_by_name)
+      g_hash_table_destroy(routing->services[i].models_by_name);
   }
-  g_hash_table_destroy(routing->route_at);
-  g_hash_table_destroy(routing->service_at);
+  g_hash_table_destroy(routing->routes_by_name);
+  g_hash_table_destroy(routing->services_by_name);
   g_free(routing->routes);
   g_free(routing->services);
   g_free(routing);
 }
 
-routing *routing_make(const json *value, error *err) {
-  if (!value || value->kind != J_OBJ) {
-    error_set(err, E_WHOLE, "not an object");
+routing *routing_compile(const json *value, error *err) {
+  if (!value || value->kind != JSON_OBJECT) {
+    error_set(err, E_ROUTING_STRUCTURE, "not an object");
     return NULL;
   }
   const json *routes = json_get(value, "routes"), *services = json_get(value, "services");
   routing *t = g_new0(routing, 1);
-  t->refs = 1;
-  t->route_at = g_hash_table_new(route_hash, route_same);
-  t->service_at = g_hash_table_new(g_str_hash, g_str_equal);
+  t->reference_count = 1;
+  t->routes_by_name = g_hash_table_new(route_hash, route_same);
+  t->services_by_name = g_hash_table_new(g_str_hash, g_str_equal);
   GHashTable *names = g_hash_table_new(g_str_hash, g_str_equal);
   int r = take_version(value, &t->revision, err);
-  if (!r && (!routes || routes->kind != J_ARR))
-    r = error_set(err, E_WHOLE, "routes: missing, or not a list");
-  if (!r && (!services || services->kind != J_ARR))
-    r = error_set(err, E_WHOLE, "services: missing, or not a list");
+  if (!r && (!routes || routes->kind != JSON_ARRAY))
+    r = error_set(err, E_ROUTING_STRUCTURE, "routes: missing, or not a list");
+  if (!r && (!services || services->kind != JSON_ARRAY))
+    r = error_set(err, E_ROUTING_STRUCTURE, "services: missing, or not a list");
   if (!r)
-    r = take_limits(&t->limit, json_get(value, "limits"), err);
+    r = take_limits(&t->limits, json_get(value, "limits"), err);
   if (!r) {
     t->services = g_new0(service, json_count(services) + 1);
     t->routes = g_new0(route, json_count(routes) + 1);
@@ -317,11 +321,11 @@
 
 routing *routing_ref(routing *routing) {
   if (routing)
-    routing->refs++;
+    routing->reference_count++;
   return routing;
 }
 void routing_unref(routing *routing) {
-  if (routing && !--routing->refs)
+  if (routing && !--routing->reference_count)
     routing_free(routing);
 }
 
@@ -342,32 +346,34 @@
   return true;
 }
 
-const route *routing_find(const routing *routing, string_view host, string_view path) {
+const route *routing_find_route(const routing *routing, string_view host, string_view path) {
   char name[HOST_NAME_MOST];
   if (!routing || !host_name(host, name, sizeof name))
     return NULL;
   const char *query = memchr(path.data, '?', path.length);
   size_t n = query ? (size_t)(query - path.data) : path.length;
   route probe = { .host = name, .prefix = (char *)path.data };
-  for (size_t i = MIN(n, routing->prefix_most); i > 0; i--) {
+  for (size_t i = MIN(n, routing->prefix_length_max); i > 0; i--) {
     if (path.data[i - 1] != '/')
       continue;
-    probe.prefix_len = i;
-    const route *k = g_hash_table_lookup(routing->route_at, &probe);
+    probe.prefix_length = i;
+    const route *k = g_hash_table_lookup(routing->routes_by_name, &probe);
     if (k)
       return k;
   }
   return NULL;
 }
 
-const service *routing_service(const routing *routing, const char *name) {
-  return routing && name ? g_hash_table_lookup(routing->service_at, name) : NULL;
+const service *routing_find_service(const routing *routing, const char *name) {
+  return routing && name ? g_hash_table_lookup(routing->services_by_name, name) : NULL;
 }
-const svc_model *service_model(const service *service, const char *name) {
-  return service && service->model_at && name ? g_hash_table_lookup(service->model_at, name) : NULL;
+const service_model_spec *service_find_model(const service *service, const char *name) {
+  return service && service->models_by_name && name
+             ? g_hash_table_lookup(service->models_by_name, name)
+             : NULL;
 }
 
-const service *route_leg_of(const route *route, double draw) {
+const service *route_pick_service(const route *route, double draw) {
   double at = draw * route->weight_sum;
   const service *last = NULL;
   for (size_t i = 0; i < route->leg_count; i++) {
@@ -393,17 +399,17 @@
   int at = key_at(to, key);
   if (at < 0) {
     g_ptr_array_add(to->keys, g_strdup(key));
-    g_ptr_array_add(to->kids, v);
+    g_ptr_array_add(to->children, v);
     return;
   }
-  json_free(to->kids->pdata[at]);
-  to->kids->pdata[at] = v;
+  json_free(to->children->pdata[at]);
+  to->children->pdata[at] = v;
 }
 
 static json *list_at(json *top, const char *key) {
   int at = key_at(top, key);
-  json *list = at < 0 ? NULL : top->kids->pdata[at];
-  return list && list->kind == J_ARR ? list : NULL;
+  json *list = at < 0 ? NULL : top->children->pdata[at];
+  return list && list->kind == JSON_ARRAY ? list : NULL;
 }
 
 static bool named_all(const json *list) {
@@ -424,32 +430,32 @@
 }
 
 static int drop_from(json *top, const char *key, const json *names, error *err) {
-  if (names->kind != J_ARR)
-    return error_set(err, E_CHANGE, "drop.%.40s: not a list", key);
+  if (names->kind != JSON_ARRAY)
+    return error_set(err, E_ROUTING_PATCH, "drop.%.40s: not a list", key);
   GHashTable *gone = g_hash_table_new(g_str_hash, g_str_equal);
   int r = OK;
   for (size_t i = 0; i < json_count(names) && !r; i++) {
     const json *x = json_at(names, i);
-    const char *name = x->kind == J_STR ? x->text->str : json_text(x, "name", NULL);
+    const char *name = x->kind == JSON_STRING ? x->text->str : json_text(x, "name", NULL);
     if (name)
       g_hash_table_add(gone, (char *)name);
     else
-      r = error_set(err, E_CHANGE, "drop.%.40s[%zu]: not a name", key, i);
+      r = error_set(err, E_ROUTING_PATCH, "drop.%.40s[%zu]: not a name", key, i);
   }
   json *list = list_at(top, key);
   if (!r && list && g_hash_table_size(gone)) {
     GPtrArray *left = g_ptr_array_new_with_free_func((GDestroyNotify)json_free);
     for (size_t i = 0; i < json_count(list); i++) {
-      json *x = list->kids->pdata[i];
+      json *x = list->children->pdata[i];
       const char *name = json_text(x, "name", NULL);
       if (name && g_hash_table_contains(gone, name))
         json_free(x);
       else
         g_ptr_array_add(left, x);
     }
-    g_ptr_array_set_free_func(list->kids, NULL);
-    g_ptr_array_free(list->kids, TRUE);
-    list->kids = left;
+    g_ptr_array_set_free_func(list->children, NULL);
+    g_ptr_array_free(list->children, TRUE);
+    list->children = left;
   }
   g_hash_table_destroy(gone);
   return r;
@@ -458,9 +464,9 @@
 static int set_into(json *top, const char *key, const json *v, error *err) {
   json *list = list_at(top, key);
   bool known = !strcmp(key, "routes") || !strcmp(key, "services");
-  if (known && (v->kind != J_ARR || !named_all(v)))
-    return error_set(err, E_CHANGE, "set.%s: not a list of named items", key);
-  if (v->kind != J_ARR || !list || !named_all(v)) {
+  if (known && (v->kind != JSON_ARRAY || !named_all(v)))
+    return error_set(err, E_ROUTING_PATCH, "set.%s: not a list of named items", key);
+  if (v->kind != JSON_ARRAY || !list || !named_all(v)) {
     put_key(top, key, json_copy(v));
     return OK;
   }
@@ -471,11 +477,11 @@
     size_t place = GPOINTER_TO_SIZE(g_hash_table_lookup(at, name));
     if (place) {
       g_hash_table_replace(at, (char *)name, GSIZE_TO_POINTER(place));
-      json_free(list->kids->pdata[place - 1]);
-      list->kids->pdata[place - 1] = x;
+      json_free(list->children->pdata[place - 1]);
+      list->children->pdata[place - 1] = x;
     } else {
-      g_ptr_array_add(list->kids, x);
-      g_hash_table_insert(at, (char *)name, GSIZE_TO_POINTER((size_t)list->kids->len));
+      g_ptr_array_add(list->children, x);
+      g_hash_table_insert(at, (char *)name, GSIZE_TO_POINTER((size_t)list->children->len));
     }
   }
   g_hash_table_destroy(at);
@@ -485,22 +491,22 @@
 json *routing_patch(const json *base, const json *patch, error *err) {
   const json *set = json_get(patch, "set"), *drop = json_get(patch, "drop");
   uint64_t version;
-  if (!patch || patch->kind != J_OBJ) {
-    error_set(err, E_CHANGE, "not an object");
+  if (!patch || patch->kind != JSON_OBJECT) {
+    error_set(err, E_ROUTING_PATCH, "not an object");
     return NULL;
   }
-  if (!base || base->kind != J_OBJ) {
-    error_set(err, E_CHANGE, "there is nothing to change yet");
+  if (!base || base->kind != JSON_OBJECT) {
+    error_set(err, E_ROUTING_PATCH, "there is nothing to change yet");
     return NULL;
   }
   if (take_version(patch, &version, err))
     return NULL;
-  if (set && set->kind == J_NULL)
+  if (set && set->kind == JSON_NULL)
     set = NULL;
-  if (drop && drop->kind == J_NULL)
+  if (drop && drop->kind == JSON_NULL)
     drop = NULL;
-  if ((set && set->kind != J_OBJ) || (drop && drop->kind != J_OBJ)) {
-    error_set(err, E_CHANGE, "set and drop are objects of lists");
+  if ((set && set->kind != JSON_OBJECT) || (drop && drop->kind != JSON_OBJECT)) {
+    error_set(err, E_ROUTING_PATCH, "set and drop are objects of lists");
     return NULL;
   }
   json *top = json_copy(base);
@@ -517,12 +523,13 @@
   return NULL;
 }
 
-int routing_follows(const json *next, uint64_t current, error *err) {
+int routing_check_successor(const json *next, uint64_t current, error *err) {
   uint64_t version;
   int r = take_version(next, &version, err);
   if (r)
     return r;
-  return version > current ? OK
-                           : error_set(err, E_OLD, "version: %" PRIu64 " is not above %" PRIu64,
-                                       version, current);
+  return version > current
+             ? OK
+             : error_set(err, E_STALE_VERSION, "version: %" PRIu64 " is not above %" PRIu64,
+                         version, current);
 }
