--- a/lib/configuration/routing.h
+++ b/lib/configuration/routing.h
@@ -11,25 +11,25 @@
  *   "limits":{"headerBytes","bodyBytes","headerMs","idleMs"}}
  * Fields that are not known here are kept and given back. */
 
-enum route_mode { MODE_ONCE, MODE_SAFE, MODE_STREAM };
+enum route_mode { ROUTE_MODE_ONCE, ROUTE_MODE_SAFE, ROUTE_MODE_STREAM };
 
 /** A model that a service's engines may hold. load_ms is what the operator says; history knows
  * better. */
-typedef struct svc_model {
+typedef struct service_model_spec {
   id name;
   double weights_mb, load_ms, adapter_mb;
   unsigned adapters;
-} svc_model;
+} service_model_spec;
 /** A service. engine_slots is 0 when the configuration says nothing of its engines; models is empty
  * for a plain one. */
 typedef struct service {
   id name;
-  char health[128];
-  unsigned connections_most, engine_slots, adapter_slots;
+  char health_path[128];
+  unsigned connections_max, engine_slots, adapter_slots;
   double kv_tokens, kv_token_bytes, weights_mb, loads_per_s, stride;
-  svc_model *models;
+  service_model_spec *models;
   size_t model_count;
-  GHashTable *model_at;
+  GHashTable *models_by_name;
 } service;
 typedef struct route_leg {
   const service *service;
@@ -39,9 +39,9 @@
 typedef struct route {
   id name;
   char *host, *prefix;
-  size_t prefix_len;
+  size_t prefix_length;
   enum route_mode mode;
-  int64_t timeout_ms, target_ms, gap_ms;
+  int64_t timeout_ms, target_ms, gap_target_ms;
   unsigned priority, attempts;
   bool affinity, resumable;
   route_leg *legs;
@@ -49,10 +49,10 @@
   double weight_sum;
 } route;
 /** What callers may send. */
-typedef struct limits {
-  size_t header_bytes, body_bytes;
-  int64_t header_ms, idle_ms;
-} limits;
+typedef struct request_limits {
+  size_t header_max_bytes, body_max_bytes;
+  int64_t header_timeout_ms, idle_timeout_ms;
+} request_limits;
 /** A compiled configuration. */
 typedef struct routing {
   uint64_t revision;
@@ -60,30 +60,30 @@
   size_t route_count;
   service *services;
   size_t service_count;
-  limits limit;
-  GHashTable *route_at, *service_at;
-  size_t prefix_most;
-  int refs;
+  request_limits limits;
+  GHashTable *routes_by_name, *services_by_name;
+  size_t prefix_length_max;
+  int reference_count;
 } routing;
 
 /** Compiles a whole configuration; NULL with err (path and reason) when it is invalid: not whole,
  * an unknown service, two routes with one host and prefix, weights that add up to 0, a timeout of
  * 0, a name that stands twice. */
-routing *routing_make(const json *json, error *err);
+routing *routing_compile(const json *json, error *err);
 routing *routing_ref(routing *routing);
 void routing_unref(routing *routing);
 /** The route of a host (its port, and case, don't count) and path: the longest prefix; NULL when
  * there is none. */
-const route *routing_find(const routing *routing, string_view host, string_view path);
-const service *routing_service(const routing *routing, const char *name);
-const svc_model *service_model(const service *service, const char *name);
+const route *routing_find_route(const routing *routing, string_view host, string_view path);
+const service *routing_find_service(const routing *routing, const char *name);
+const service_model_spec *service_find_model(const service *service, const char *name);
 /** The leg that a route gives a request: draw is a number from 0 to 1. */
-const service *route_leg_of(const route *route, double draw);
+const service *route_pick_service(const route *route, double draw);
 /** Applies {"version","set":{"routes":[],"services":[]},"drop":{"routes":[names],"services":[]}} to
  * a whole configuration; also "limits" in set. NULL with err set when the change is no such thing.
  * Eats nothing. */
 json *routing_patch(const json *base, const json *patch, error *err);
 /** What a new configuration must keep to beside its own validity: its revision lies above the
  * current one. */
-int routing_follows(const json *next, uint64_t current, error *err);
+int routing_check_successor(const json *next, uint64_t current, error *err);
 #endif
--- a/lib/configuration/settings.c
+++ b/lib/configuration/settings.c
@@ -4,7 +4,7 @@
 #include <stdlib.h>
 #include <unistd.h>
 
-bool addr_fits(const char *s) {
+bool address_is_valid(const char *s) {
   char ip[48];
   const char *c = strrchr(s, ':');
   struct in_addr a;
@@ -19,7 +19,7 @@
 }
 
 static int take_id(id *to, const json *v, const char *key, error *err) {
-  if (v->kind != J_STR || !id_is_valid(string_view_of_gstring(v->text)))
+  if (v->kind != JSON_STRING || !id_is_valid(string_view_of_gstring(v->text)))
     return error_set(err, E_SETTINGS_ID,
                      "%s: not a name of 1 to 47 letters, digits, '-', '_', '.', ':'", key);
   *to = id_of(string_view_of_gstring(v->text));
@@ -27,34 +27,34 @@
 }
 
 static int take_addr(char *to, size_t n, const json *v, const char *key, error *err) {
-  if (v->kind != J_STR || !addr_fits(v->text->str))
-    return error_set(err, E_SETTINGS_ADDR, "%s: not an ip:port", key);
+  if (v->kind != JSON_STRING || !address_is_valid(v->text->str))
+    return error_set(err, E_SETTINGS_ADDRESS, "%s: not an ip:port", key);
   g_strlcpy(to, v->text->str, n);
   return OK;
 }
 
 static int take_count(int *to, const json *v, const char *key, error *err) {
-  if (v->kind != J_NUM || v->num < 1 || v->num > 5 || v->num != (int)v->num)
+  if (v->kind != JSON_NUMBER || v->number < 1 || v->number > 5 || v->number != (int)v->number)
     return error_set(err, E_SETTINGS_KEY, "%s: 1 to 5", key);
-  *to = v->num;
+  *to = v->number;
   return OK;
 }
 
-int settings_read(settings *settings, enum role role, const char *path, error *err) {
+int settings_read_file(settings *settings, enum role role, const char *path, error *err) {
   gchar *text;
   gsize n;
   if (!g_file_get_contents(path, &text, &n, NULL))
     return error_set(err, E_SETTINGS_FILE, "%s: can't be read", path);
-  int r = settings_take(settings, role, (string_view){ text, n }, path, err);
+  int r = settings_parse(settings, role, (string_view){ text, n }, path, err);
   g_free(text);
   return r;
 }
 
-int settings_take(settings *settings, enum role role, string_view text, const char *where,
-                  error *err) {
+int settings_parse(settings *settings, enum role role, string_view text, const char *where,
+                   error *err) {
   settings->role = role;
-  json *value = json_read(text, err);
-  if (!value || value->kind != J_OBJ) {
+  json *value = json_parse(text, err);
+  if (!value || value->kind != JSON_OBJECT) {
     error was = *err;
     error_set(err, E_SETTINGS_FILE, "%s: %.150s", where, value ? "not an object" : was.text);
     json_free(value);
@@ -67,53 +67,56 @@
     if (!strcmp(k, "id"))
       r = take_id(&settings->self, x, k, err);
     else if (!strcmp(k, "area"))
-      r = take_id(&settings->area, x, k, err);
+      r = take_id(&settings->zone, x, k, err);
     else if (!strcmp(k, "listen"))
-      r = take_addr(settings->addr, sizeof settings->addr, x, k, err);
+      r = take_addr(settings->address, sizeof settings->address, x, k, err);
     else if (!strcmp(k, "platform") && role == ROLE_ROUTER)
-      r = take_addr(settings->platform, sizeof settings->platform, x, k, err);
+      r = take_addr(settings->platform_address, sizeof settings->platform_address, x, k, err);
     else if (!strcmp(k, "seeds")) {
-      if (x->kind != J_ARR || json_count(x) != 3)
+      if (x->kind != JSON_ARRAY || json_count(x) != 3)
         r = error_set(err, E_SETTINGS_SEEDS, "seeds: three addresses are needed");
       for (size_t s = 0; s < 3 && !r; s++)
-        r = take_addr(settings->seeds[s], sizeof settings->seeds[s], json_at(x, s), k, err);
+        r = take_addr(settings->seed_addresses[s], sizeof settings->seed_addresses[s],
+                      json_at(x, s), k, err);
     } else if (!strcmp(k, "founders") && role == ROLE_CONTROLLER) {
-      if (x->kind != J_ARR || json_count(x) != 3)
+      if (x->kind != JSON_ARRAY || json_count(x) != 3)
         r = error_set(err, E_SETTINGS_SEEDS, "founders: three names are needed");
       for (size_t s = 0; s < 3 && !r; s++)
         r = take_id(&settings->founders[s], json_at(x, s), k, err);
     } else if (!strcmp(k, "founderAddrs") && role == ROLE_CONTROLLER) {
       settings->founder_count = 0;
-      if (x->kind != J_ARR || !json_count(x) || json_count(x) > 3)
+      if (x->kind != JSON_ARRAY || !json_count(x) || json_count(x) > 3)
         r = error_set(err, E_SETTINGS_SEEDS, "founderAddrs: one to three addresses are needed");
       for (size_t s = 0; !r && s < json_count(x); s++, settings->founder_count++)
-        r = take_addr(settings->founder_addrs[s], sizeof settings->founder_addrs[s], json_at(x, s),
-                      k, err);
+        r = take_addr(settings->founder_addresses[s], sizeof settings->founder_addresses[s],
+                      json_at(x, s), k, err);
     } else if (!strcmp(k, "members") && role == ROLE_CONTROLLER)
-      r = take_count(&settings->members, x, k, err);
+      r = take_count(&settings->chain_members, x, k, err);
     else if (!strcmp(k, "copies") && role == ROLE_CONTROLLER)
-      r = take_count(&settings->copies, x, k, err);
+      r = take_count(&settings->write_replicas, x, k, err);
     else if (!strcmp(k, "copyAreas") && role == ROLE_CONTROLLER)
-      r = take_count(&settings->copy_areas, x, k, err);
+      r = take_count(&settings->write_zones, x, k, err);
     else if (!strcmp(k, "data") && role == ROLE_CONTROLLER) {
-      if (x->kind != J_STR || !x->text->len || x->text->len >= sizeof settings->data)
+      if (x->kind != JSON_STRING || !x->text->len || x->text->len >= sizeof settings->data_dir)
         r = error_set(err, E_SETTINGS_DATA, "data: not a folder");
       else
-        g_strlcpy(settings->data, x->text->str, sizeof settings->data);
+        g_strlcpy(settings->data_dir, x->text->str, sizeof settings->data_dir);
     } else if (!strcmp(k, "fileMb") && role == ROLE_CONTROLLER) {
-      if (x->kind != J_NUM || x->num < 4 || x->num > 1024)
+      if (x->kind != JSON_NUMBER || x->number < 4 || x->number > 1024)
         r = error_set(err, E_SETTINGS_KEY, "fileMb: 4 to 1024");
       else
-        settings->file_bytes = (size_t)x->num << 20;
+        settings->log_file_bytes = (size_t)x->number << 20;
     } else if (!strcmp(k, "wire")) {
-      if (x->kind != J_NUM || x->num < WIRE_LEAST || x->num > WIRE_NOW)
-        r = error_set(err, E_SETTINGS_KEY, "wire: %d to %d", WIRE_LEAST, WIRE_NOW);
+      if (x->kind != JSON_NUMBER || x->number < WIRE_VERSION_MIN ||
+          x->number > WIRE_VERSION_CURRENT)
+        r = error_set(err, E_SETTINGS_KEY, "wire: %d to %d", WIRE_VERSION_MIN,
+                      WIRE_VERSION_CURRENT);
       else
-        settings->wire = x->num;
+        settings->wire_version = x->number;
     } else if (!strcmp(k, "loud"))
-      settings->loud = x->yes;
+      settings->debug_log = x->boolean;
     else if (!strcmp(k, "jsonLog"))
-      settings->json_log = x->yes;
+      settings->json_log = x->boolean;
     else
       r = error_set(err, E_SETTINGS_KEY, "%s: this daemon knows no such setting", k);
   }
@@ -121,43 +124,46 @@
   return r;
 }
 
-void env_withstand(settings *settings, int machines, int zones) {
+void settings_set_fault_tolerance(settings *settings, int machines, int zones) {
   /* how many machines an area holds is not known, so all of the core votes where one may be lost */
-  settings->members = zones > 0 ? CORE_MOST : CLAMP(2 * machines + 1, CORE_LEAST, CORE_MOST);
-  settings->copies = MAX(machines, zones) + 1;
-  settings->copy_areas = zones + 1;
+  settings->chain_members =
+      zones > 0 ? REPLICAS_MAX : CLAMP(2 * machines + 1, REPLICAS_MIN, REPLICAS_MAX);
+  settings->write_replicas = MAX(machines, zones) + 1;
+  settings->write_zones = zones + 1;
 }
 
 int settings_check(const settings *settings, error *err) {
   if (id_is_empty(settings->self))
     return error_set(err, E_SETTINGS_ID, "id: missing");
-  if (id_is_empty(settings->area))
+  if (id_is_empty(settings->zone))
     return error_set(err, E_SETTINGS_ID, "area: missing");
-  if (!addr_fits(settings->addr))
-    return error_set(err, E_SETTINGS_ADDR, "listen: not an ip:port");
+  if (!address_is_valid(settings->address))
+    return error_set(err, E_SETTINGS_ADDRESS, "listen: not an ip:port");
   /* a core of one or two machines has no three seeds */
-  int due = settings->founder_count || settings->gateway || settings->loose ? 1 : 3;
+  int due = settings->founder_count || settings->is_gateway || settings->relaxed ? 1 : 3;
   for (int i = 0; i < 3; i++) {
-    if (!addr_fits(settings->seeds[i])) {
-      if (i >= due && !settings->seeds[i][0])
+    if (!address_is_valid(settings->seed_addresses[i])) {
+      if (i >= due && !settings->seed_addresses[i][0])
         continue;
       return error_set(err, E_SETTINGS_SEEDS, "seeds: three addresses are needed, %d given", i);
     }
     for (int k = 0; k < i; k++)
-      if (!strcmp(settings->seeds[i], settings->seeds[k]))
-        return error_set(err, E_SETTINGS_SEEDS, "seeds: %s stands twice", settings->seeds[i]);
+      if (!strcmp(settings->seed_addresses[i], settings->seed_addresses[k]))
+        return error_set(err, E_SETTINGS_SEEDS, "seeds: %s stands twice",
+                         settings->seed_addresses[i]);
   }
-  if (settings->role == ROLE_ROUTER && !settings->gateway && !addr_fits(settings->platform))
-    return error_set(err, E_SETTINGS_ADDR, "platform: not an ip:port");
+  if (settings->role == ROLE_ROUTER && !settings->is_gateway &&
+      !address_is_valid(settings->platform_address))
+    return error_set(err, E_SETTINGS_ADDRESS, "platform: not an ip:port");
   if (settings->role == ROLE_CONTROLLER) {
-    if (settings->copies > (settings->members ? settings->members : 3) ||
-        settings->copy_areas > settings->copies)
+    if (settings->write_replicas > (settings->chain_members ? settings->chain_members : 3) ||
+        settings->write_zones > settings->write_replicas)
       return error_set(
           err, E_SETTINGS_KEY,
           "copies: at most as many as members, and copyAreas at most as many as copies");
-    if (!settings->data[0] || access(settings->data, W_OK | X_OK))
+    if (!settings->data_dir[0] || access(settings->data_dir, W_OK | X_OK))
       return error_set(err, E_SETTINGS_DATA, "data: %s can't be written",
-                       settings->data[0] ? settings->data : "missing");
+                       settings->data_dir[0] ? settings->data_dir : "missing");
     for (int i = 0; i < 3; i++)
       for (int k = 0; k < i; k++)
         if (!id_is_empty(settings->founders[i]) &&
--- a/lib/controlplane/accepted.c
+++ b/lib/controlplane/accepted.c
@@ -24,7 +24,7 @@
 }
 
 static uint64_t sum_of(const accepted_order *o) {
-  return hash_of(o, sizeof *o, 0);
+  return hash_bytes(o, sizeof *o, 0);
 }
 
 static void forget(accepted_orders *a, guint count) {
--- a/lib/controlplane/agreement.c
+++ b/lib/controlplane/agreement.c
@@ -20,7 +20,7 @@
   }
   GString *g = g_string_new(NULL);
   for (int i = 0; i < view->chain_length; i++)
-    json_f(g, "%s%s", i ? " > " : "", view->chain[i].self.text);
+    json_appendf(g, "%s%s", i ? " > " : "", view->chain[i].self.text);
   log_info(&core->node->log, "core", "View %" PRIu64 ": chain %s%s.", view->epoch, g->str,
            view_thin(core, view) ? ", too thin to write" : "");
   g_string_free(g, TRUE);
@@ -38,7 +38,7 @@
   if (core->view.fleet && v.fleet != core->view.fleet) {
     log_info(&core->node->log, "core",
              "Refused view %" PRIu64 " of another fleet %016" PRIx64 " (code %d).", v.epoch,
-             v.fleet, E_VIEW);
+             v.fleet, E_VIEW_MISMATCH);
     return;
   }
   GString *b = g_string_new(NULL);
@@ -59,7 +59,7 @@
   view_msg v;
   Wire__ViewAnnouncement t = WIRE__VIEW_ANNOUNCEMENT__INIT;
   t.view = view_pack(&v, &core->view);
-  Wire__Envelope m = wire_msg(WIRE__ENVELOPE__BODY_VIEW_ANNOUNCEMENT, &t);
+  Wire__Envelope m = wire_envelope(WIRE__ENVELOPE__BODY_VIEW_ANNOUNCEMENT, &t);
   node_send(core->node, addr, &m);
 }
 
@@ -90,22 +90,22 @@
 }
 
 Wire__View *reply_view(reply *reply, const view *v) {
-  view *k = reply_hold(reply, sizeof *k);
+  view *k = reply_alloc(reply, sizeof *k);
   *k = *v;
-  return view_pack(reply_hold(reply, sizeof(view_msg)), k);
+  return view_pack(reply_alloc(reply, sizeof(view_msg)), k);
 }
 
 static Wire__ProposalNumber *reply_ballot(reply *reply, const ballot *b) {
-  ballot *k = reply_hold(reply, sizeof *k);
-  Wire__ProposalNumber *w = reply_hold(reply, sizeof *w);
+  ballot *k = reply_alloc(reply, sizeof *k);
+  Wire__ProposalNumber *w = reply_alloc(reply, sizeof *w);
   *k = *b;
   ballot_pack(w, k);
   return w;
 }
 
 Wire__Member *reply_self(reply *reply, const core *core) {
-  member *k = reply_hold(reply, sizeof *k);
-  Wire__Member *w = reply_hold(reply, sizeof *w);
+  member *k = reply_alloc(reply, sizeof *k);
+  Wire__Member *w = reply_alloc(reply, sizeof *w);
   *k = core_self(core);
   member_pack(w, k);
   return w;
@@ -116,11 +116,11 @@
   Wire__PrepareRequest *p = in->prepare_request;
   time_us now = world_now(core->node->world);
   if (!p->number)
-    return error_set(err, E_WIRE, "no ballot");
+    return error_set(err, E_WIRE_MESSAGE, "no ballot");
   if (!may_vote(core, p->epoch, in->from))
-    return error_set(err, E_VIEW, "no voter");
-  Wire__PrepareResponse *b =
-      reply_new(reply, WIRE__ENVELOPE__BODY_PREPARE_RESPONSE, &wire__prepare_response__descriptor);
+    return error_set(err, E_VIEW_MISMATCH, "no voter");
+  Wire__PrepareResponse *b = reply_new_body(reply, WIRE__ENVELOPE__BODY_PREPARE_RESPONSE,
+                                            &wire__prepare_response__descriptor);
   b->in_sync = core_whole(core);
   b->self = reply_self(reply, core);
   if (p->epoch <= core->view.epoch) {
@@ -130,11 +130,11 @@
   if (p->epoch != core->view.epoch + 1)
     return OK;
   for (size_t i = 0; i < p->n_dropped && !p->link_broken; i++) {
-    if (!strcmp(p->dropped[i], core->node->settings.self.text) && !core->node->leaving)
+    if (!strcmp(p->dropped[i], core->node->settings.self.text) && !core->node->draining)
       return OK;
-    machine *machine = node_find_machine(core->node, id_of_text(p->dropped[i]));
-    if (machine && !machine->leaving && !lease_peer_hears_nothing(core, machine->self) &&
-        !time_reached(now, time_add(machine->heard, time_from_ms(HEARD_MS))))
+    peer_node *peer = node_find_peer(core->node, id_of_text(p->dropped[i]));
+    if (peer && !peer->draining && !lease_peer_hears_nothing(core, peer->self) &&
+        !time_reached(now, time_add(peer->last_heard_at, time_from_ms(HEARD_MS))))
       return OK;
   }
   if (p->pre_vote) {
@@ -160,11 +160,11 @@
   Wire__AcceptRequest *a = in->accept_request;
   view v;
   if (!a->number || !view_unpack(&v, a->view) || v.epoch != a->epoch)
-    return error_set(err, E_WIRE, "no view");
+    return error_set(err, E_WIRE_MESSAGE, "no view");
   if (!may_vote(core, a->epoch, in->from))
-    return error_set(err, E_VIEW, "no voter");
-  Wire__AcceptResponse *b =
-      reply_new(reply, WIRE__ENVELOPE__BODY_ACCEPT_RESPONSE, &wire__accept_response__descriptor);
+    return error_set(err, E_VIEW_MISMATCH, "no voter");
+  Wire__AcceptResponse *b = reply_new_body(reply, WIRE__ENVELOPE__BODY_ACCEPT_RESPONSE,
+                                           &wire__accept_response__descriptor);
   ballot asked = ballot_unpack(a->number);
   if (a->epoch == core->view.epoch + 1)
     agreement_forget_wedge(core, a->epoch);
@@ -262,7 +262,7 @@
   world *world = core->node->world;
   time_us till = time_add(world_now(world), time_from_ms(800));
   p->pre_vote = true;
-  Wire__Envelope m = wire_msg(WIRE__ENVELOPE__BODY_PREPARE_REQUEST, p);
+  Wire__Envelope m = wire_envelope(WIRE__ENVELOPE__BODY_PREPARE_REQUEST, p);
   broadcast_call *f =
       broadcast_call_all(core->node, asked->voters, asked->voter_count, &m, time_from_ms(800));
   p->pre_vote = false;
@@ -322,7 +322,7 @@
   }
   if (!agreement_probe(core, &asked, need, &p) || core->view.epoch >= epoch)
     return false;
-  Wire__Envelope m = wire_msg(WIRE__ENVELOPE__BODY_PREPARE_REQUEST, &p);
+  Wire__Envelope m = wire_envelope(WIRE__ENVELOPE__BODY_PREPARE_REQUEST, &p);
   time_us till = time_add(world_now(world), time_from_ms(1500));
   broadcast_call *f =
       broadcast_call_all(core->node, asked.voters, asked.voter_count, &m, time_from_ms(1500));
@@ -357,7 +357,7 @@
   a.epoch = epoch;
   a.number = &wb;
   a.view = view_pack(&vm, &use);
-  Wire__Envelope m2 = wire_msg(WIRE__ENVELOPE__BODY_ACCEPT_REQUEST, &a);
+  Wire__Envelope m2 = wire_envelope(WIRE__ENVELOPE__BODY_ACCEPT_REQUEST, &a);
   f = broadcast_call_all(core->node, asked.voters, asked.voter_count, &m2, time_from_ms(1500));
   till = time_add(world_now(world), time_from_ms(1500));
   for (;;) {
@@ -375,8 +375,8 @@
   agreement_adopt(core, view_pack(&vm, &use));
   if (core->view.epoch != epoch)
     return false;
-  list_for_each (peer, &core->node->machines, machine, link)
+  list_for_each (peer, &core->node->peers, peer_node, link)
     if (peer->role == ROLE_CONTROLLER)
-      agreement_announce(core, peer->addr);
+      agreement_announce(core, peer->address);
   return true;
 }
--- a/lib/controlplane/control.c
+++ b/lib/controlplane/control.c
@@ -5,7 +5,7 @@
   ANSWER_MS = 850,
   HEAD_MS = 600,
   WRITE_MS = 5000,
-  BODY_MOST = RES_MOST,
+  BODY_MOST = RESOURCE_BYTES_MAX,
   HEADER_MOST = 16384,
   HEADER_MS = 3000,
   IDLE_MS = 15000
@@ -15,8 +15,8 @@
 
 /* configuration */
 uint64_t config_revision(string_view text) {
-  json *json = json_read(text, NULL);
-  uint64_t n = (uint64_t)MAX(0, json_num(json, "version", 0));
+  json *json = json_parse(text, NULL);
+  uint64_t n = (uint64_t)MAX(0, json_number(json, "version", 0));
   json_free(json);
   return n;
 }
@@ -28,7 +28,7 @@
                      base);
   json *next = NULL;
   if (!whole) {
-    json *was = json_read(text, err);
+    json *was = json_parse(text, err);
     if (!was)
       return err->code;
     next = routing_patch(was, body, err);
@@ -38,21 +38,22 @@
   }
   const json *new = whole ? body : next;
   routing *made = NULL;
-  int r = routing_follows(new, current, err);
-  if (!r && !(made = routing_make(new, err)))
+  int r = routing_check_successor(new, current, err);
+  if (!r && !(made = routing_compile(new, err)))
     r = err->code;
   routing_unref(made);
   if (!r)
     json_write(new, to);
-  if (!r && to->len > RES_MOST)
-    r = error_set(err, E_TOO_LARGE, "%zu bytes; a configuration may hold %d", to->len, RES_MOST);
+  if (!r && to->len > RESOURCE_BYTES_MAX)
+    r = error_set(err, E_TOO_LARGE, "%zu bytes; a configuration may hold %d", to->len,
+                  RESOURCE_BYTES_MAX);
   json_free(next);
   return r;
 }
 
 /* the version in a text is looked up often, and the text may be long */
 static uint64_t revision(controller *controller, string_view text) {
-  uint64_t h = hash_of(text.data, text.length, text.length);
+  uint64_t h = hash_bytes(text.data, text.length, text.length);
   if (h != controller->revision_of) {
     controller->revision = config_revision(text);
     controller->revision_of = h;
@@ -62,32 +63,32 @@
 
 /* what is ordered next is known without reading it again */
 static void revision_note(controller *controller, string_view text, uint64_t version) {
-  controller->revision_of = hash_of(text.data, text.length, text.length);
+  controller->revision_of = hash_bytes(text.data, text.length, text.length);
   controller->revision = version;
 }
 
 /* answers */
 static void send_json(controller *controller, http_request *request, int status, json *json) {
   GString *b = g_string_new(NULL);
-  dialect_out(controller->dialect, json);
+  dialect_translate_out(controller->dialect, json);
   json_write(json, b);
   json_free(json);
-  http_request_answer(request, status, "application/json", string_view_of_gstring(b));
+  http_request_respond(request, status, "application/json", string_view_of_gstring(b));
   g_string_free(b, TRUE);
 }
 
 static void send_text(controller *controller, http_request *request, int status, string_view own) {
-  json *json = json_read(own, NULL);
+  json *json = json_parse(own, NULL);
   if (json)
     send_json(controller, request, status, json);
   else
-    http_request_answer(request, status, NULL, string_view_of(""));
+    http_request_respond(request, status, NULL, string_view_of(""));
 }
 
 static fields *reply_of(http_request *request) {
-  if (!request->reply_fields)
-    request->reply_fields = g_string_new(NULL);
-  return request->reply_fields;
+  if (!request->response_fields)
+    request->response_fields = g_string_new(NULL);
+  return request->response_fields;
 }
 
 static int status_of(int code) {
@@ -96,15 +97,15 @@
     return 412;
   case E_TOO_LARGE:
     return 413;
-  case E_NO_PAGE:
+  case E_NOT_FOUND:
     return 404;
   case E_OUTCOME_UNKNOWN:
-  case E_NO_ANSWER:
+  case E_NO_RESPONSE:
   case E_TOO_FEW_ROUTERS:
   case E_IN_PROGRESS:
     return 504;
   default:
-    return code >= E_JSON && code < E_WIRE ? 400 : 503;
+    return code >= E_JSON && code < E_WIRE_MESSAGE ? 400 : 503;
   }
 }
 
@@ -113,8 +114,8 @@
   if (st == 503)
     fields_add(reply_of(request), "Retry-After", string_view_of("0.3"));
   GString *b = g_string_new(NULL);
-  json_f(b, "{\"code\":%d,\"error\":", code);
-  json_quote(b, string_view_of(text));
+  json_appendf(b, "{\"code\":%d,\"error\":", code);
+  json_append_quoted(b, string_view_of(text));
   g_string_append_c(b, '}');
   send_text(controller, request, st, string_view_of_gstring(b));
   g_string_free(b, TRUE);
@@ -125,9 +126,9 @@
   char ip[48];
   const char *colon = strrchr(to->addr, ':');
   g_strlcpy(ip, to->addr, MIN(sizeof ip, (size_t)(colon - to->addr) + 1));
-  fields_addf(reply_of(request), "Location", "http://%s:%d%s", ip, controller->control.port,
-              request->target ? request->target : request->path);
-  http_request_answer(request, 307, NULL, string_view_of(""));
+  fields_add_format(reply_of(request), "Location", "http://%s:%d%s", ip, controller->control.port,
+                    request->target ? request->target : request->path);
+  http_request_respond(request, 307, NULL, string_view_of(""));
 }
 
 /* true when this machine itself may answer as head or tail; a caller that can't be served here is
@@ -141,19 +142,19 @@
       return true;
     const member *h = c->running ? who(c) : NULL;
     bool self = h && id_equal(h->self, controller->node.settings.self);
-    machine *machine = h && !self ? node_find_machine(&controller->node, h->self) : NULL;
-    if (h && !self && !(machine && (machine->gone || machine->leaving))) {
+    peer_node *peer = h && !self ? node_find_peer(&controller->node, h->self) : NULL;
+    if (h && !self && !(peer && (peer->gone || peer->draining))) {
       lead(controller, request, h);
       return false;
     }
     /* it may act, or be replaced, in a moment */
     time_us step = time_add(world_now(controller->node.world), time_from_ms(50));
-    if (time_reached(world_now(controller->node.world), till) || request->gone ||
+    if (time_reached(world_now(controller->node.world), till) || request->client_gone ||
         condition_wait(&controller->node.world->tasks, &c->moved,
                        step.us < till.us ? step : till) == WAKE_STOPPED)
       break;
   }
-  refuse(controller, request, E_CORE_GONE, "no acting core is known here; nothing was written");
+  refuse(controller, request, E_NO_CONTROLLER, "no acting core is known here; nothing was written");
   return false;
 }
 
@@ -201,7 +202,7 @@
   Wire__Resource res = WIRE__RESOURCE__INIT;
   Wire__AcceptedChange key = WIRE__ACCEPTED_CHANGE__INIT;
   Wire__Operation w = WIRE__OPERATION__INIT;
-  res.name = (char *)res_name[RES_ROUTING];
+  res.name = (char *)resource_names[RESOURCE_ROUTING];
   res.text.data = (uint8_t *)text.data;
   res.text.len = text.length;
   key.base_version = o->base;
@@ -218,7 +219,7 @@
   order *o = ctx;
   controller *controller = o->controller;
   if (time_reached(world_now(controller->node.world), o->decide_by))
-    return error_set(err, E_CORE_GONE, "the head was busy for too long; nothing was written");
+    return error_set(err, E_NO_CONTROLLER, "the head was busy for too long; nothing was written");
   o->decided = true;
   o->decided_on = ordered->seq;
   o->resets = controller->core.resets;
@@ -226,12 +227,12 @@
   if (o->accepted)
     return OK;
   uint64_t current =
-      revision(controller, string_view_of_gstring(ordered->resources[RES_ROUTING].text));
+      revision(controller, string_view_of_gstring(ordered->resources[RESOURCE_ROUTING].text));
   if (o->base != current && accepted_may_have(&ordered->accepted, o->base))
     return error_set(err, E_OUTCOME_UNKNOWN,
                      "it builds on a version so old that nobody remembers whether it was taken");
   GString *next = g_string_new(NULL);
-  int r = config_decide(string_view_of_gstring(ordered->resources[RES_ROUTING].text), current,
+  int r = config_decide(string_view_of_gstring(ordered->resources[RESOURCE_ROUTING].text), current,
                         o->whole, o->base, o->body, next, err);
   if (!r) {
     order_pack(o, string_view_of_gstring(next), op);
@@ -260,7 +261,7 @@
                      "the first try of this order is not confirmed yet");
   bool final = r && status_of(r) < 500;
   if (final && o->decided && !stands(o, o->decided_on, till))
-    return error_set(&o->err, E_CORE_GONE, "another order is under way; nothing was written");
+    return error_set(&o->err, E_NO_CONTROLLER, "another order is under way; nothing was written");
   o->err = was;
   return r;
 }
@@ -273,7 +274,7 @@
   int r = core_write(&controller->core, order_make, o, time_from_ms(WRITE_MS), &o->seq, &o->err);
   r = settle(o, r, till);
   int got, all;
-  while (!r && !controller->node.settings.loose &&
+  while (!r && !controller->node.settings.relaxed &&
          !controller_write_in_force(controller, o->seq, &got, &all))
     if (condition_wait(&controller->node.world->tasks, &controller->reports_changed, till) !=
         WAKE_SIGNALLED)
@@ -293,25 +294,25 @@
                        time_us came, error *err) {
   uint64_t kind = base * 2 + whole;
   char key[80];
-  uint64_t hash = hash_of(request->body->str, request->body->len, kind);
+  uint64_t hash = hash_bytes(request->body->str, request->body->len, kind);
   snprintf(key, sizeof key, "cfg-%016" PRIx64 "%016" PRIx64, hash,
-           hash_of(request->body->str, request->body->len, ~kind));
+           hash_bytes(request->body->str, request->body->len, ~kind));
   order *o = g_hash_table_lookup(controller->orders, key);
   if (o) {
     o->refs++;
     return o;
   }
-  json *body = json_read(string_view_of_gstring(request->body), err);
+  json *body = json_parse(string_view_of_gstring(request->body), err);
   if (!body)
     return NULL;
-  dialect_in(controller->dialect, body);
+  dialect_translate_in(controller->dialect, body);
   o = g_new0(order, 1);
   o->controller = controller;
   o->whole = whole;
   o->base = base;
   o->hash = hash;
   o->body = body;
-  o->version = (uint64_t)MAX(0, json_num(body, "version", 0));
+  o->version = (uint64_t)MAX(0, json_number(body, "version", 0));
   o->decide_by = time_add(came, time_from_ms(ANSWER_MS));
   g_strlcpy(o->key, key, sizeof o->key);
   /* one for the request, one for the task */
@@ -328,13 +329,13 @@
     controller->refused++;
     log_info(&controller->node.log, "control",
              "Refused configuration %" PRIu64 " over %" PRIu64 " from %s: %s (code %d).",
-             o ? o->version : 0, o ? o->base : 0, request->caller_addr, err->text, err->code);
+             o ? o->version : 0, o ? o->base : 0, request->client_address, err->text, err->code);
     refuse(controller, request, err->code, err->text);
     return;
   }
   log_info(&controller->node.log, "control",
            "Configuration %" PRIu64 " over %" PRIu64 " from %s is write %" PRIu64 "%s.", o->version,
-           o->base, request->caller_addr, o->seq, o->accepted ? ", come again" : "");
+           o->base, request->client_address, o->seq, o->accepted ? ", come again" : "");
   char buf[48];
   snprintf(buf, sizeof buf, "{\"version\":%" PRIu64 "}", o->version);
   send_text(controller, request, 200, string_view_of(buf));
@@ -343,13 +344,14 @@
 static void config_write(controller *controller, http_request *request, bool whole, time_us came) {
   if (!answered_here(controller, request, came, core_heads, core_head))
     return;
-  int64_t base = fields_num(request->fields, controller->dialect->field[DF_BASE_REVISION], -1);
+  int64_t base =
+      fields_get_number(request->fields, controller->dialect->header_names[DF_BASE_REVISION], -1);
   if (base < 0) {
     refuse(controller, request, E_IF_MATCH,
            "the version that it builds on is missing, or is no number");
     return;
   }
-  if (request->body->len > RES_MOST) {
+  if (request->body->len > RESOURCE_BYTES_MAX) {
     refuse(controller, request, E_TOO_LARGE, "too large");
     return;
   }
@@ -373,30 +375,30 @@
   if (!answered_here(controller, request, came, core_tails, core_tail))
     return;
   core *core = &controller->core;
-  if (!core->committed.resources[RES_ROUTING].version) {
-    refuse(controller, request, E_NO_PAGE, "there is no configuration yet");
+  if (!core->committed.resources[RESOURCE_ROUTING].version) {
+    refuse(controller, request, E_NOT_FOUND, "there is no configuration yet");
     return;
   }
   if (!controller->config_text ||
-      controller->config_at != core->committed.resources[RES_ROUTING].version) {
+      controller->config_at != core->committed.resources[RESOURCE_ROUTING].version) {
     error err = { 0 };
     json *json =
-        json_read(string_view_of_gstring(core->committed.resources[RES_ROUTING].text), &err);
+        json_parse(string_view_of_gstring(core->committed.resources[RESOURCE_ROUTING].text), &err);
     if (!json || !json_get(json, "version")) {
       json_free(json);
-      refuse(controller, request, E_NO_PAGE, "there is no configuration yet");
+      refuse(controller, request, E_NOT_FOUND, "there is no configuration yet");
       return;
     }
-    dialect_out(controller->dialect, json);
+    dialect_translate_out(controller->dialect, json);
     if (!controller->config_text)
       controller->config_text = g_string_new(NULL);
     g_string_truncate(controller->config_text, 0);
     json_write(json, controller->config_text);
     json_free(json);
-    controller->config_at = core->committed.resources[RES_ROUTING].version;
+    controller->config_at = core->committed.resources[RESOURCE_ROUTING].version;
   }
-  http_request_answer(request, 200, "application/json",
-                      string_view_of_gstring(controller->config_text));
+  http_request_respond(request, 200, "application/json",
+                       string_view_of_gstring(controller->config_text));
 }
 
 /* beats */
@@ -404,7 +406,7 @@
                    error *err) {
   wire__engine_state__init(w);
   w->id = (char *)who->text;
-  if (!value || value->kind != J_OBJ)
+  if (!value || value->kind != JSON_OBJECT)
     return error_set(err, E_TYPE, "a beat is an object");
   w->service = (char *)json_text(value, "service", "");
   w->address = (char *)json_text(value, "address", "");
@@ -412,22 +414,23 @@
   w->version = (char *)json_text(value, "version", "");
   if (!id_is_valid(string_view_of(w->service)))
     return error_set(err, E_NAME, "service: missing, or no name");
-  if (!addr_fits(w->address))
-    return error_set(err, E_SETTINGS_ADDR, "address: not an ip:port");
+  if (!address_is_valid(w->address))
+    return error_set(err, E_SETTINGS_ADDRESS, "address: not an ip:port");
   if (!id_is_valid(string_view_of(w->zone)))
     w->zone = "";
   const json *count = json_get(value, "count");
-  if (!count || count->kind != J_NUM || !(count->num >= 0 && count->num <= whole_number_most))
+  if (!count || count->kind != JSON_NUMBER ||
+      !(count->number >= 0 && count->number <= whole_number_most))
     return error_set(err, E_FIELD, "count: missing, or no whole number up to 2^53");
-  w->heartbeat_count = (uint64_t)count->num;
-  w->slots = (uint32_t)CLAMP(json_num(value, "slots", 0), 0, 1e6);
+  w->heartbeat_count = (uint64_t)count->number;
+  w->slots = (uint32_t)CLAMP(json_number(value, "slots", 0), 0, 1e6);
   w->draining = !strcmp(json_text(value, "state", "ready"), "leaving");
-  w->slow_start_ms = (uint64_t)CLAMP(json_num(value, "coldMs", 0), 0, 1e9);
+  w->slow_start_ms = (uint64_t)CLAMP(json_number(value, "coldMs", 0), 0, 1e9);
   const json *ends = json_get(value, "leavesMs");
-  if (ends && ends->kind == J_NUM)
-    w->ends_in_ms = (uint64_t)CLAMP(ends->num, 1, 1e9);
+  if (ends && ends->kind == JSON_NUMBER)
+    w->ends_in_ms = (uint64_t)CLAMP(ends->number, 1, 1e9);
   const json *models = json_get(value, "models");
-  size_t n = models && models->kind == J_ARR ? json_count(models) : 0;
+  size_t n = models && models->kind == JSON_ARRAY ? json_count(models) : 0;
   if (!n)
     return OK;
   Wire__ResidentModel *all = g_new(Wire__ResidentModel, n);
@@ -442,15 +445,15 @@
     Wire__ResidentModel *r = w->models[w->n_models++] = &all[i];
     wire__resident_model__init(r);
     r->model = (char *)name;
-    r->weights_version = (uint64_t)CLAMP(json_num(k, "version", 0), 0, 1e15);
-    size_t have = list && list->kind == J_ARR ? json_count(list) : 0;
+    r->weights_version = (uint64_t)CLAMP(json_number(k, "version", 0), 0, 1e15);
+    size_t have = list && list->kind == JSON_ARRAY ? json_count(list) : 0;
     if (!have)
       continue;
     r->adapters = g_new(char *, have);
     g_ptr_array_add(hold, r->adapters);
     for (size_t x = 0; x < have; x++) {
       const json *t = json_at(list, x);
-      if (t->kind != J_STR || !id_is_valid(string_view_of_gstring(t->text)))
+      if (t->kind != JSON_STRING || !id_is_valid(string_view_of_gstring(t->text)))
         return error_set(err, E_NAME, "adapters: no name");
       r->adapters[r->n_adapters++] = t->text->str;
     }
@@ -460,23 +463,23 @@
 
 static void beat(controller *controller, http_request *request, id who) {
   error err = { 0 };
-  json *json = json_read(string_view_of_gstring(request->body), &err);
+  json *json = json_parse(string_view_of_gstring(request->body), &err);
   GPtrArray *hold = g_ptr_array_new_with_free_func(g_free);
   Wire__EngineState w;
   int r = err.code;
   if (json) {
-    dialect_in(controller->dialect, json);
+    dialect_translate_in(controller->dialect, json);
     r = beat_in(json, &who, &w, hold, &err);
   }
   if (!r) {
     controller->beats++;
     engines_folded(controller, who.text,
                    registry_beat(&controller->registry, &w, world_now(controller->node.world)));
-    http_request_answer(request, 200, "application/json", string_view_of("{}"));
+    http_request_respond(request, 200, "application/json", string_view_of("{}"));
   } else {
     GString *b = g_string_new(NULL);
-    json_f(b, "{\"code\":%d,\"error\":", r);
-    json_quote(b, string_view_of(err.text));
+    json_appendf(b, "{\"code\":%d,\"error\":", r);
+    json_append_quoted(b, string_view_of(err.text));
     g_string_append_c(b, '}');
     send_text(controller, request, 400, string_view_of_gstring(b));
     g_string_free(b, TRUE);
@@ -489,55 +492,56 @@
   engines_folded(
       controller, who.text,
       registry_leave(&controller->registry, who.text, world_now(controller->node.world)));
-  http_request_answer(request, 200, "application/json", string_view_of("{}"));
+  http_request_respond(request, 200, "application/json", string_view_of("{}"));
 }
 
 /* the listener */
 static void serve(void *ctx, http_request *request) {
   controller *controller = ctx;
   time_us now = world_now(controller->node.world),
-          came = request->came.us && request->came.us <= now.us ? request->came : now;
+          came = request->received_at.us && request->received_at.us <= now.us ? request->received_at
+                                                                              : now;
   const dialect *dialect = controller->dialect;
   id who;
   controller->http_requests++;
-  if (dialect_call_is(dialect, DC_BEAT, request->method, request->path, &who))
+  if (dialect_matches_call(dialect, DC_HEARTBEAT, request->method, request->path, &who))
     beat(controller, request, who);
-  else if (dialect_call_is(dialect, DC_LEAVE, request->method, request->path, &who))
+  else if (dialect_matches_call(dialect, DC_LEAVE, request->method, request->path, &who))
     sign_off(controller, request, who);
-  else if (dialect_call_is(dialect, DC_CONFIG_PUT, request->method, request->path, NULL))
+  else if (dialect_matches_call(dialect, DC_CONFIG_PUT, request->method, request->path, NULL))
     config_write(controller, request, true, came);
-  else if (dialect_call_is(dialect, DC_CONFIG_PATCH, request->method, request->path, NULL))
+  else if (dialect_matches_call(dialect, DC_CONFIG_PATCH, request->method, request->path, NULL))
     config_write(controller, request, false, came);
-  else if (dialect_call_is(dialect, DC_CONFIG_GET, request->method, request->path, NULL))
+  else if (dialect_matches_call(dialect, DC_CONFIG_GET, request->method, request->path, NULL))
     config_read(controller, request, came);
-  else if (dialect_call_is(dialect, DC_READY, request->method, request->path, NULL)) {
+  else if (dialect_matches_call(dialect, DC_READY, request->method, request->path, NULL)) {
     bool ready =
-        controller->core.running && controller->core.view.epoch && !controller->node.leaving;
+        controller->core.running && controller->core.view.epoch && !controller->node.draining;
     if (ready)
-      http_request_answer(request, 200, NULL, string_view_of(""));
+      http_request_respond(request, 200, NULL, string_view_of(""));
     else
-      refuse(controller, request, E_CORE_GONE,
-             controller->node.leaving ? "leaving" : "no view is known here yet");
+      refuse(controller, request, E_NO_CONTROLLER,
+             controller->node.draining ? "leaving" : "no view is known here yet");
   } else
-    refuse(controller, request, E_NO_PAGE, "there is no such page");
+    refuse(controller, request, E_NOT_FOUND, "there is no such page");
 }
 
 int controller_control(controller *controller, const char *ip, int port, const dialect *words,
                        error *err) {
   world *world = controller->node.world;
-  if (!world->door_open)
+  if (!world->listener_open)
     return error_set(err, E_LISTEN, "this world has no doors");
-  controller->dialect = words ? words : &dialect_own;
+  controller->dialect = words ? words : &dialect_native;
   controller->control = (http_listener){ .world = world,
                                          .port = port,
                                          .serve = serve,
-                                         .ctx = controller,
-                                         .header_most = HEADER_MOST,
-                                         .body_most = BODY_MOST,
-                                         .header_ms = HEADER_MS,
-                                         .idle_ms = IDLE_MS };
+                                         .serve_context = controller,
+                                         .header_max_bytes = HEADER_MOST,
+                                         .body_max_bytes = BODY_MOST,
+                                         .header_timeout_ms = HEADER_MS,
+                                         .idle_timeout_ms = IDLE_MS };
   g_strlcpy(controller->control.ip, ip, sizeof controller->control.ip);
-  int r = world->door_open(world, &controller->control, err);
+  int r = world->listener_open(world, &controller->control, err);
   if (r)
     return r;
   controller->has_control = true;
--- a/lib/controlplane/controller.c
+++ b/lib/controlplane/controller.c
@@ -27,7 +27,7 @@
 }
 
 static Wire__SingletonClaimResult *got_add(holds_ctx *x, char *duty) {
-  Wire__SingletonClaimResult *g = reply_hold(x->reply, sizeof *g);
+  Wire__SingletonClaimResult *g = reply_alloc(x->reply, sizeof *g);
   wire__singleton_claim_result__init(g);
   g->singleton = duty;
   x->out->results[x->out->n_results++] = g;
@@ -35,14 +35,14 @@
 }
 
 static char *held(reply *reply, const char *s) {
-  char *p = reply_hold(reply, strlen(s) + 1);
+  char *p = reply_alloc(reply, strlen(s) + 1);
   strcpy(p, s);
   return p;
 }
 
 /* the tick until which a duty belongs to whom it was granted, whatever he says */
 static time_us bound_till(controller *controller, const char *duty) {
-  return time_add(*renewed(controller, duty), time_from_ms(CONTRACT_MS + CONTRACT_GRACE_MS));
+  return time_add(*renewed(controller, duty), time_from_ms(SINGLETON_LEASE_MS + CONTRACT_GRACE_MS));
 }
 
 static int grants_make(void *ctx, state *spec, GString *op, error *err) {
@@ -62,14 +62,14 @@
       time_us till = bound_till(x->controller, h->singleton);
       /* a later run of the holder itself: the run before it is over, and orders go on under the
        * same name */
-      bool again = x->controller->node.settings.loose && id_equal(grant->holder, x->who);
+      bool again = x->controller->node.settings.relaxed && id_equal(grant->holder, x->who);
       if (!again && !time_reached(now, till)) {
         a->holder = held(x->reply, grant->holder.text);
         a->retry_after_ms = time_sub(till, now).us / 1000 + 1;
         continue;
       }
     }
-    Wire__SingletonGrant *n = reply_hold(x->reply, sizeof *n);
+    Wire__SingletonGrant *n = reply_alloc(x->reply, sizeof *n);
     wire__singleton_grant__init(n);
     n->singleton = h->singleton;
     n->holder = x->who.text;
@@ -94,7 +94,7 @@
 
 static bool barred(controller *controller, const char *area) {
   config *config = state_config(&controller->core.committed, -1, NULL, NULL);
-  bool b = config && config_empties_all(config, id_of_text(area));
+  bool b = config && config_is_zone_evacuated(config, id_of_text(area));
   config_free(config);
   return b;
 }
@@ -106,12 +106,12 @@
                   in->singleton_lease_request,
                   id_of_text(in->from->id),
                   in->singleton_lease_request->nonce,
-                  reply_new(reply, WIRE__ENVELOPE__BODY_SINGLETON_LEASE_RESPONSE,
-                            &wire__singleton_lease_response__descriptor),
+                  reply_new_body(reply, WIRE__ENVELOPE__BODY_SINGLETON_LEASE_RESPONSE,
+                                 &wire__singleton_lease_response__descriptor),
                   reply,
                   0 };
   x.out->results =
-      reply_hold(reply, sizeof(void *) * (in->singleton_lease_request->n_claims * 2 + 1));
+      reply_alloc(reply, sizeof(void *) * (in->singleton_lease_request->n_claims * 2 + 1));
   if (!core_heads(core)) {
     const member *h = core_head(core);
     x.out->head_address = h ? held(reply, h->addr) : "";
@@ -147,7 +147,7 @@
   if (!young)
     return OK;
   if (in->from->draining || barred(controller, in->from->zone))
-    return error_set(err, E_LEAVING,
+    return error_set(err, E_DRAINING,
                      "a machine that leaves, or whose area is emptied, gets no duties");
   uint64_t seq = 0;
   int r = core_write(core, grants_make, &x, time_from_ms(3000), &seq, err);
@@ -170,24 +170,25 @@
   const grant *grant = state_grant(spec, "canary");
   if (!grant || !id_equal(grant->holder, x->who) || grant->nonce != x->nonce ||
       grant->epoch != x->in->epoch)
-    return error_set(err, E_EPOCH, "another judges this trial");
-  if (spec->resources[RES_CANARY].version != x->in->version)
+    return error_set(err, E_STALE_EPOCH, "another judges this trial");
+  if (spec->resources[RESOURCE_CANARY].version != x->in->version)
     return error_set(err, E_VERSION_CONFLICT, "the trial is another, or has ended");
-  json *was = json_read(string_view_of_gstring(spec->resources[RES_CANARY].text), err),
-       *end = was ? json_read((string_view){ (char *)x->in->verdict.data, x->in->verdict.len }, err)
-                  : NULL;
+  json *was = json_parse(string_view_of_gstring(spec->resources[RESOURCE_CANARY].text), err),
+       *end =
+           was ? json_parse((string_view){ (char *)x->in->verdict.data, x->in->verdict.len }, err)
+               : NULL;
   if (!was || !end) {
     json_free(was);
     return err->code;
   }
   json *next = json_merge(json_copy(was), end);
-  int r = canary_follows(was, next, err);
+  int r = canary_check_successor(was, next, err);
   if (!r) {
     GString *text = g_string_new(NULL);
     json_write(next, text);
     Wire__Resource res = WIRE__RESOURCE__INIT;
     Wire__Operation w = WIRE__OPERATION__INIT;
-    res.name = (char *)res_name[RES_CANARY];
+    res.name = (char *)resource_names[RESOURCE_CANARY];
     res.text.data = (uint8_t *)text->str;
     res.text.len = text->len;
     w.resource = &res;
@@ -205,7 +206,7 @@
 static int on_canary_end(void *ctx, Wire__Envelope *in, reply *reply, error *err) {
   controller *controller = ctx;
   if (!core_heads(&controller->core))
-    return error_set(err, E_CORE_GONE, "not the acting head");
+    return error_set(err, E_NO_CONTROLLER, "not the acting head");
   end_ctx x = { id_of_text(in->from->id), in->from->nonce, in->canary_end_request };
   uint64_t seq = 0;
   int r = core_write(&controller->core, end_make, &x, time_from_ms(3000), &seq, err);
@@ -216,8 +217,8 @@
   }
   log_info(&controller->node.log, "api", "The trial's judge %s ended it with write %" PRIu64 ".",
            x.who.text, seq);
-  Wire__CanaryEndResponse *b = reply_new(reply, WIRE__ENVELOPE__BODY_CANARY_END_RESPONSE,
-                                         &wire__canary_end_response__descriptor);
+  Wire__CanaryEndResponse *b = reply_new_body(reply, WIRE__ENVELOPE__BODY_CANARY_END_RESPONSE,
+                                              &wire__canary_end_response__descriptor);
   b->ok = true;
   return OK;
 }
@@ -226,7 +227,7 @@
  */
 static void past_note(controller *controller) {
   const state *state = &controller->core.committed;
-  uint64_t version = state->resources[RES_ROUTING].version;
+  uint64_t version = state->resources[RESOURCE_ROUTING].version;
   if (!version)
     return;
   for (int i = 0; i < PAST_TEXTS; i++)
@@ -239,20 +240,20 @@
   }
   p->version = version;
   p->to = 0;
-  g_string_assign(p->text, state->resources[RES_ROUTING].text->str);
+  g_string_assign(p->text, state->resources[RESOURCE_ROUTING].text->str);
 }
 
 static string_view past_delta(controller *controller, uint64_t base) {
   const state *state = &controller->core.committed;
   for (int i = 0; base && i < PAST_TEXTS; i++) {
     past_text *p = &controller->past[i];
-    if (p->version != base || base == state->resources[RES_ROUTING].version)
+    if (p->version != base || base == state->resources[RESOURCE_ROUTING].version)
       continue;
-    if (p->to != state->resources[RES_ROUTING].version) {
-      p->to = state->resources[RES_ROUTING].version;
+    if (p->to != state->resources[RESOURCE_ROUTING].version) {
+      p->to = state->resources[RESOURCE_ROUTING].version;
       g_string_truncate(p->delta, 0);
-      if (!delta_make(string_view_of_gstring(p->text),
-                      string_view_of_gstring(state->resources[RES_ROUTING].text), p->delta))
+      if (!delta_encode(string_view_of_gstring(p->text),
+                        string_view_of_gstring(state->resources[RESOURCE_ROUTING].text), p->delta))
         g_string_truncate(p->delta, 0);
     }
     return string_view_of_gstring(p->delta);
@@ -267,10 +268,10 @@
   bool engines = q->want_engines && controller->has_control,
        knows = core->running && core->view.epoch && core_place(core) >= 0 && core_current(core);
   if (!engines && !knows)
-    return error_set(err, E_CORE_GONE, "no state is known here");
+    return error_set(err, E_NO_CONTROLLER, "no state is known here");
   if (q->fleet_id && core->view.epoch && q->fleet_id != core->view.fleet) {
     if (!engines)
-      return error_set(err, E_VIEW, "another fleet");
+      return error_set(err, E_VIEW_MISMATCH, "another fleet");
     knows = false;
   }
   past_note(controller);
@@ -278,25 +279,25 @@
   if (knows && q->sequence > core->committed.seq)
     condition_broadcast(&core->work);
   time_us came = world_now(controller->node.world),
-          till = time_add(came,
-                          time_from_ms(controller->node.settings.loose ? POLL_LOOSE_MS : POLL_MS));
+          till = time_add(
+              came, time_from_ms(controller->node.settings.relaxed ? POLL_LOOSE_MS : POLL_MS));
   /* one that may not act is no place to wait for news: its router has to look elsewhere at once */
   while (!q->no_wait && knows && core->committed.seq <= q->sequence && q->sequence &&
          !(engines && engines_news(controller, q)) &&
-         (!controller->node.settings.loose || core_acts(core))) {
+         (!controller->node.settings.relaxed || core_acts(core))) {
     time_us look = time_add(world_now(controller->node.world), time_from_ms(200));
     enum wake k = condition_wait(&controller->node.world->tasks, &core->moved,
                                  look.us < till.us ? look : till);
     if (k == WAKE_STOPPED || time_reached(world_now(controller->node.world), till))
       break;
   }
-  Wire__ConfigPollResponse *b = reply_new(reply, WIRE__ENVELOPE__BODY_CONFIG_POLL_RESPONSE,
-                                          &wire__config_poll_response__descriptor);
+  Wire__ConfigPollResponse *b = reply_new_body(reply, WIRE__ENVELOPE__BODY_CONFIG_POLL_RESPONSE,
+                                               &wire__config_poll_response__descriptor);
   if (engines)
     engines_fill(controller, q, b, reply);
   if (!knows) {
     /* whoever asks here for the state is told where it is */
-    b->controllers = reply_hold(reply, sizeof(char *) * CHAIN_MOST);
+    b->controllers = reply_alloc(reply, sizeof(char *) * CHAIN_MOST);
     for (int i = 0; core->running && i < core->view.chain_length; i++)
       if (!id_equal(core->view.chain[i].self, controller->node.settings.self))
         b->controllers[b->n_controllers++] = held(reply, core->view.chain[i].addr);
@@ -310,13 +311,14 @@
   if (b->changed) {
     GString *d = g_string_new(NULL);
     past_note(controller);
-    uint64_t base =
-        q->deltas && q->n_resource_versions > RES_ROUTING ? q->resource_versions[RES_ROUTING] : 0;
+    uint64_t base = q->deltas && q->n_resource_versions > RESOURCE_ROUTING
+                        ? q->resource_versions[RESOURCE_ROUTING]
+                        : 0;
     string_view delta = past_delta(controller, base);
     state_news_delta(&core->committed, core->view.epoch, q->resource_versions,
                      q->n_resource_versions, base, delta, d);
     b->snapshot.len = d->len;
-    b->snapshot.data = reply_hold(reply, d->len + 1);
+    b->snapshot.data = reply_alloc(reply, d->len + 1);
     memcpy(b->snapshot.data, d->str, d->len);
     g_string_free(d, TRUE);
     controller->news++;
@@ -353,9 +355,9 @@
  * of these is among them */
 bool controller_write_in_force(controller *controller, uint64_t seq, int *got, int *all) {
   *got = 0;
-  *all = node_count_machines(&controller->node, ROLE_ROUTER);
-  list_for_each (peer, &controller->node.machines, machine, link) {
-    having *h = peer->role == ROLE_ROUTER && !peer->leaving
+  *all = node_count_peers(&controller->node, ROLE_ROUTER);
+  list_for_each (peer, &controller->node.peers, peer_node, link) {
+    having *h = peer->role == ROLE_ROUTER && !peer->draining
                     ? g_hash_table_lookup(controller->reported_seq, peer->self.text)
                     : NULL;
     *got += h && h->nonce == peer->nonce && h->seq >= seq;
@@ -374,8 +376,8 @@
 } write_ctx;
 
 static int routing_fits(string_view text, error *err) {
-  json *json = json_read(text, err);
-  routing *made = json && json_count(json) ? routing_make(json, err) : NULL;
+  json *json = json_parse(text, err);
+  routing *made = json && json_count(json) ? routing_compile(json, err) : NULL;
   int r = json && (made || !json_count(json)) ? OK : err->code;
   routing_unref(made);
   json_free(json);
@@ -383,9 +385,9 @@
 }
 
 static int canary_fits(const state *spec, string_view text, error *err) {
-  json *was = json_read(string_view_of_gstring(spec->resources[RES_CANARY].text), err),
-       *next = json_read(text, err);
-  int r = was && next ? canary_follows(was, next, err) : err->code;
+  json *was = json_parse(string_view_of_gstring(spec->resources[RESOURCE_CANARY].text), err),
+       *next = json_parse(text, err);
+  int r = was && next ? canary_check_successor(was, next, err) : err->code;
   json_free(was);
   json_free(next);
   return r;
@@ -406,18 +408,19 @@
   if (!x->any && x->match != is)
     return error_set(err, E_VERSION_CONFLICT, "the version is %" PRIu64 ", not %" PRIu64, is,
                      x->match);
-  json *body = json_read(string_view_of_gstring(x->request->body), err);
+  json *body = json_parse(string_view_of_gstring(x->request->body), err);
   if (!body)
     return err->code;
   if (!strcmp(x->request->method, "PATCH")) {
-    json *was = json_read(string_view_of_gstring(spec->resources[x->which].text), err);
+    json *was = json_parse(string_view_of_gstring(spec->resources[x->which].text), err);
     if (!was) {
       json_free(body);
       return err->code;
     }
     /* routing has changes of its own, by name: see the control listener */
-    json *next = x->which == RES_ROUTING ? routing_patch(was, body, err) : json_merge(was, body);
-    if (x->which == RES_ROUTING)
+    json *next =
+        x->which == RESOURCE_ROUTING ? routing_patch(was, body, err) : json_merge(was, body);
+    if (x->which == RESOURCE_ROUTING)
       json_free(was);
     json_free(body);
     if (!next)
@@ -425,9 +428,9 @@
     body = next;
   }
   /* gateways go from one version of it to a higher one only */
-  if (x->which == RES_ROUTING && json_count(body) &&
-      routing_follows(body, config_revision(string_view_of_gstring(spec->resources[x->which].text)),
-                      err)) {
+  if (x->which == RESOURCE_ROUTING && json_count(body) &&
+      routing_check_successor(
+          body, config_revision(string_view_of_gstring(spec->resources[x->which].text)), err)) {
     json_free(body);
     return err->code;
   }
@@ -436,20 +439,21 @@
   json_free(body);
   string_view t = string_view_of_gstring(text);
   int r = OK;
-  if (t.length > RES_MOST)
-    r = error_set(err, E_TOO_LARGE, "%zu bytes; a resource may hold %d", t.length, RES_MOST);
+  if (t.length > RESOURCE_BYTES_MAX)
+    r = error_set(err, E_TOO_LARGE, "%zu bytes; a resource may hold %d", t.length,
+                  RESOURCE_BYTES_MAX);
   config *config = r ? NULL : state_config(spec, x->which, &t, err);
   if (!r && !config)
     r = err->code;
   config_free(config);
-  if (!r && x->which == RES_ROUTING)
+  if (!r && x->which == RESOURCE_ROUTING)
     r = routing_fits(t, err);
-  if (!r && x->which == RES_CANARY)
+  if (!r && x->which == RESOURCE_CANARY)
     r = canary_fits(spec, t, err);
   if (!r) {
     Wire__Resource res = WIRE__RESOURCE__INIT;
     Wire__Operation w = WIRE__OPERATION__INIT;
-    res.name = (char *)res_name[x->which];
+    res.name = (char *)resource_names[x->which];
     res.text.data = (uint8_t *)text->str;
     res.text.len = text->len;
     w.resource = &res;
@@ -474,55 +478,55 @@
   case E_TOO_LARGE:
     return 413;
   case E_OUTCOME_UNKNOWN:
-  case E_NO_ANSWER:
+  case E_NO_RESPONSE:
   case E_TOO_FEW_ROUTERS:
     return 504;
-  case E_CORE_GONE:
-  case E_TOO_FEW_AREAS:
-  case E_TOO_MUCH:
-  case E_LEASE:
-  case E_VIEW:
+  case E_NO_CONTROLLER:
+  case E_TOO_FEW_ZONES:
+  case E_OVERLOADED:
+  case E_NO_MEMBER_LEASE:
+  case E_VIEW_MISMATCH:
   case E_STOPPING:
   case E_DISK_FULL:
   case E_DISK:
     return 503;
   default:
-    return code >= E_JSON && code < E_WIRE ? 400 : 500;
+    return code >= E_JSON && code < E_WIRE_MESSAGE ? 400 : 500;
   }
 }
 
 static void refuse(http_request *request, int code, const char *text) {
   int st = status_of(code);
   if (st == 503)
-    http_headers_set(&request->own_reply_fields, HEADER_RETRY, "1");
-  answer_error(request, st, code, text);
+    http_headers_set(&request->known_response_fields, HEADER_RETRY_AFTER, "1");
+  http_respond_error(request, st, code, text);
 }
 
 /* passes a request on to where it can be answered, once */
 static void pass(controller *controller, http_request *request, const char *addr, bool writes) {
   GString *path = g_string_new(request->path), *got = g_string_new(NULL);
   if (request->query[0])
-    json_f(path, "?%s", request->query);
+    json_appendf(path, "?%s", request->query);
   http_headers h = { { 0 } };
-  http_headers_copy(&h, &request->own_fields);
+  http_headers_copy(&h, &request->known_fields);
   http_headers_set(&h, HEADER_HOP, controller->node.settings.self.text);
   http_call *call = http_call_open(controller->node.world, addr, request->method, path->str, &h,
                                    string_view_of_gstring(request->body), 4 << 20);
   int r = http_call_read_all(call, got,
                              time_add(world_now(controller->node.world), time_from_ms(8000)));
   if (!r) {
-    if (call->own_in_fields.values[HEADER_RETRY])
-      http_headers_set(&request->own_reply_fields, HEADER_RETRY,
-                       call->own_in_fields.values[HEADER_RETRY]);
-    if (call->own_in_fields.values[HEADER_ETAG])
-      http_headers_set(&request->own_reply_fields, HEADER_ETAG,
-                       call->own_in_fields.values[HEADER_ETAG]);
-    http_request_answer(request, call->status, "application/json", string_view_of_gstring(got));
+    if (call->known_response_fields.values[HEADER_RETRY_AFTER])
+      http_headers_set(&request->known_response_fields, HEADER_RETRY_AFTER,
+                       call->known_response_fields.values[HEADER_RETRY_AFTER]);
+    if (call->known_response_fields.values[HEADER_ETAG])
+      http_headers_set(&request->known_response_fields, HEADER_ETAG,
+                       call->known_response_fields.values[HEADER_ETAG]);
+    http_request_respond(request, call->status, "application/json", string_view_of_gstring(got));
   } else if (writes && call->sent)
     refuse(request, E_OUTCOME_UNKNOWN,
            "the machine that orders writes gave no answer; the outcome is not known");
   else
-    refuse(request, E_CORE_GONE, "the core does not answer; nothing was written");
+    refuse(request, E_NO_CONTROLLER, "the core does not answer; nothing was written");
   http_call_close(call);
   http_headers_free(&h);
   g_string_free(path, TRUE);
@@ -533,8 +537,8 @@
   core *core = &controller->core;
   if (!core_heads(core)) {
     const member *h = core_head(core);
-    if (request->own_fields.values[HEADER_HOP] || !h || core_place(core) == 0) {
-      refuse(request, E_CORE_GONE, "no acting head is known here; nothing was written");
+    if (request->known_fields.values[HEADER_HOP] || !h || core_place(core) == 0) {
+      refuse(request, E_NO_CONTROLLER, "no acting head is known here; nothing was written");
       return;
     }
     char addr[48];
@@ -546,12 +550,12 @@
                   .which = which,
                   .request = request,
                   .any = true,
-                  .key = request->own_fields.values[HEADER_KEY] };
+                  .key = request->known_fields.values[HEADER_IDEMPOTENCY_KEY] };
   if (x.key && (strlen(x.key) >= 80 || !x.key[0])) {
     refuse(request, E_IDEMPOTENCY_KEY, "an idempotency key has 1 to 79 bytes");
     return;
   }
-  const char *im = request->own_fields.values[HEADER_MATCH];
+  const char *im = request->known_fields.values[HEADER_IF_MATCH];
   if (im && strcmp(im, "*")) {
     char *end;
     x.match = strtoull(im[0] == '"' ? im + 1 : im, &end, 10);
@@ -561,8 +565,8 @@
     }
     x.any = false;
   }
-  x.hash = hash_of(request->body->str, request->body->len,
-                   hash_of_two(request->method, res_name[which]));
+  x.hash = hash_bytes(request->body->str, request->body->len,
+                      hash_two_names(request->method, resource_names[which]));
   uint64_t seq = 0;
   error err = { 0 };
   int r = core_write(core, write_make, &x, time_from_ms(5000), &seq, &err);
@@ -579,7 +583,7 @@
   int got = 0, all = 0;
   /* gateways hold a poll open and do not say what they have; there a write counts once the chain
    * has it */
-  while (!r && !controller->node.settings.loose &&
+  while (!r && !controller->node.settings.relaxed &&
          !controller_write_in_force(controller, seq, &got, &all))
     if (condition_wait(&controller->node.world->tasks, &controller->reports_changed, till) !=
         WAKE_SIGNALLED)
@@ -589,20 +593,20 @@
   if (r) {
     controller->refused++;
     log_info(&controller->node.log, "api", "Refused a write of %s from %s: %s (code %d).",
-             res_name[which], request->caller_addr, err.text, r);
+             resource_names[which], request->client_address, err.text, r);
     refuse(request, r, err.text);
     return;
   }
   log_info(&controller->node.log, "api",
            "%s of %s from %s is write %" PRIu64 " in view %" PRIu64 "%s.", request->method,
-           res_name[which], request->caller_addr, seq, core->view.epoch,
+           resource_names[which], request->client_address, seq, core->view.epoch,
            x.dup ? ", come again" : "");
   char buf[96];
   snprintf(buf, sizeof buf, "%" PRIu64, seq);
-  http_headers_set(&request->own_reply_fields, HEADER_ETAG, buf);
+  http_headers_set(&request->known_response_fields, HEADER_ETAG, buf);
   snprintf(buf, sizeof buf, "{\"version\":%" PRIu64 ",\"repeated\":%s}\n", seq,
            x.dup ? "true" : "false");
-  http_request_answer(request, 200, "application/json", string_view_of(buf));
+  http_request_respond(request, 200, "application/json", string_view_of(buf));
 }
 
 static void res_read(controller *controller, http_request *request, int which) {
@@ -618,22 +622,22 @@
   g_strfreev(q);
   if (watch) {
     time_us till = time_add(world_now(controller->node.world), time_from_ms(20000));
-    while (core->committed.resources[which].version <= after && !request->gone)
+    while (core->committed.resources[which].version <= after && !request->client_gone)
       if (condition_wait(&controller->node.world->tasks, &core->moved, till) != WAKE_SIGNALLED)
         break;
     if (core->committed.resources[which].version <= after) {
-      http_request_answer(request, 304, NULL, string_view_of(""));
+      http_request_respond(request, 304, NULL, string_view_of(""));
       return;
     }
     if (!core_acts(core)) {
-      refuse(request, E_LEASE, "this machine cannot tell how fresh it is");
+      refuse(request, E_NO_MEMBER_LEASE, "this machine cannot tell how fresh it is");
       return;
     }
   } else if (!core_tails(core)) {
     const member *t = core_tail(core);
-    if (request->own_fields.values[HEADER_HOP] || !t ||
+    if (request->known_fields.values[HEADER_HOP] || !t ||
         id_equal(t->self, controller->node.settings.self)) {
-      refuse(request, E_LEASE, "no acting tail is known here");
+      refuse(request, E_NO_MEMBER_LEASE, "no acting tail is known here");
       return;
     }
     char addr[48];
@@ -642,36 +646,37 @@
     return;
   }
   GString *b = g_string_new(NULL);
-  json_f(b, "{\"version\":%" PRIu64 ",\"value\":", core->committed.resources[which].version);
+  json_appendf(b, "{\"version\":%" PRIu64 ",\"value\":", core->committed.resources[which].version);
   g_string_append(b, core->committed.resources[which].text->str);
   g_string_append(b, "}\n");
   char tag[32];
   snprintf(tag, sizeof tag, "%" PRIu64, core->committed.resources[which].version);
-  http_headers_set(&request->own_reply_fields, HEADER_ETAG, tag);
-  http_request_answer(request, 200, "application/json", string_view_of_gstring(b));
+  http_headers_set(&request->known_response_fields, HEADER_ETAG, tag);
+  http_request_respond(request, 200, "application/json", string_view_of_gstring(b));
   g_string_free(b, TRUE);
 }
 
 static void status(controller *controller, GString *b) {
   core *core = &controller->core;
-  json_f(b,
-         "{\"id\":\"%s\",\"role\":\"controller\",\"area\":\"%s\",\"epoch\":%" PRIu64
-         ",\"version\":%" PRIu64 ",\"last\":%" PRIu64
-         ",\"place\":%d,\"acts\":%s,\"whole\":%s,\"thin\":%s,",
-         controller->node.settings.self.text, controller->node.settings.area.text, core->view.epoch,
-         core->committed.seq, core->last_seq, core_place(core), core_acts(core) ? "true" : "false",
-         core_whole(core) ? "true" : "false", view_thin(core, &core->view) ? "true" : "false");
-  json_f(b, "\"head\":\"%s\",\"tail\":\"%s\",",
-         core->view.chain_length ? core_head(core)->addr : "",
-         core->view.chain_length ? core_tail(core)->addr : "");
-  json_f(b,
-         "\"disk\":{\"id\":\"%016" PRIx64 "\",\"broken\":%s,\"lastWriteMs\":%" PRId64
-         ",\"file\":%u,\"used\":%zu,\"size\":%zu,\"fill\":%.3f},\"refused\":%" PRIu64 ",",
-         core->disk_id, core->disk.broken ? "true" : "false", core->disk.slow.us / 1000,
-         core->disk.cur, core->disk.off, core->disk.size,
-         (double)core->disk.base_size / (double)(core->disk.size ? core->disk.size : 1),
-         controller->refused);
-  node_status(&controller->node, b);
+  json_appendf(b,
+               "{\"id\":\"%s\",\"role\":\"controller\",\"area\":\"%s\",\"epoch\":%" PRIu64
+               ",\"version\":%" PRIu64 ",\"last\":%" PRIu64
+               ",\"place\":%d,\"acts\":%s,\"whole\":%s,\"thin\":%s,",
+               controller->node.settings.self.text, controller->node.settings.zone.text,
+               core->view.epoch, core->committed.seq, core->last_seq, core_place(core),
+               core_acts(core) ? "true" : "false", core_whole(core) ? "true" : "false",
+               view_thin(core, &core->view) ? "true" : "false");
+  json_appendf(b, "\"head\":\"%s\",\"tail\":\"%s\",",
+               core->view.chain_length ? core_head(core)->addr : "",
+               core->view.chain_length ? core_tail(core)->addr : "");
+  json_appendf(b,
+               "\"disk\":{\"id\":\"%016" PRIx64 "\",\"broken\":%s,\"lastWriteMs\":%" PRId64
+               ",\"file\":%u,\"used\":%zu,\"size\":%zu,\"fill\":%.3f},\"refused\":%" PRIu64 ",",
+               core->disk_id, core->disk.broken ? "true" : "false", core->disk.slow.us / 1000,
+               core->disk.cur, core->disk.off, core->disk.size,
+               (double)core->disk.base_size / (double)(core->disk.size ? core->disk.size : 1),
+               controller->refused);
+  node_status_json(&controller->node, b);
   g_string_append_c(b, '}');
 }
 
@@ -686,10 +691,10 @@
     time_us *t = core_place(&controller->core) == 0
                      ? g_hash_table_lookup(controller->core.renewed, grant->duty.text)
                      : NULL;
-    json_f(b,
-           "%s{\"duty\":\"%s\",\"holder\":\"%s\",\"epoch\":%" PRIu64 ",\"renewedMs\":%" PRId64 "}",
-           first ? "" : ",", grant->duty.text, grant->holder.text, grant->epoch,
-           t ? time_sub(world_now(controller->node.world), *t).us / 1000 : -1);
+    json_appendf(
+        b, "%s{\"duty\":\"%s\",\"holder\":\"%s\",\"epoch\":%" PRIu64 ",\"renewedMs\":%" PRId64 "}",
+        first ? "" : ",", grant->duty.text, grant->holder.text, grant->epoch,
+        t ? time_sub(world_now(controller->node.world), *t).us / 1000 : -1);
     first = false;
   }
   g_string_append_c(b, ']');
@@ -705,7 +710,7 @@
   while (g_hash_table_iter_next(&it, NULL, &v)) {
     Wire__EngineState w;
     registry_fill(v, world_now(controller->node.world), &w);
-    json_f(
+    json_appendf(
         b,
         "%s{\"id\":\"%s\",\"service\":\"%s\",\"area\":\"%s\",\"addr\":\"%s\",\"slots\":%u,\"state\":\"%s\",\"count\":%" PRIu64
         ",\"heardMs\":%" PRIu64 ",\"models\":[",
@@ -716,9 +721,9 @@
                              : "ready",
         w.heartbeat_count, w.age_ms);
     for (size_t i = 0; i < w.n_models; i++) {
-      json_f(b, "%s{\"model\":\"%s\",\"adapters\":[", i ? "," : "", w.models[i]->model);
+      json_appendf(b, "%s{\"model\":\"%s\",\"adapters\":[", i ? "," : "", w.models[i]->model);
       for (size_t k = 0; k < w.models[i]->n_adapters; k++)
-        json_f(b, "%s\"%s\"", k ? "," : "", w.models[i]->adapters[k]);
+        json_appendf(b, "%s\"%s\"", k ? "," : "", w.models[i]->adapters[k]);
       g_string_append(b, "]}");
     }
     g_string_append(b, "]}");
@@ -729,7 +734,7 @@
 
 static void metrics(controller *controller, GString *b) {
   core *core = &controller->core;
-  json_f(
+  json_appendf(
       b,
       "asterfall_view_epoch %" PRIu64 "\nasterfall_version %" PRIu64
       "\nasterfall_chain_links %d\nasterfall_acts %d\nasterfall_disk_broken %d\nasterfall_disk_last_write_us %" PRId64
@@ -746,17 +751,17 @@
   const char *p = request->path;
   bool get = !strcmp(request->method, "GET");
   if (!controller->core.running) {
-    refuse(request, E_CORE_GONE, "starting");
+    refuse(request, E_NO_CONTROLLER, "starting");
     return;
   }
-  for (int i = 0; i < RES_COUNT; i++)
-    if (g_str_has_prefix(p, "/v1/") && !strcmp(p + 4, res_name[i])) {
+  for (int i = 0; i < RESOURCE_COUNT; i++)
+    if (g_str_has_prefix(p, "/v1/") && !strcmp(p + 4, resource_names[i])) {
       if (get)
         res_read(controller, request, i);
       else if (!strcmp(request->method, "PUT") || !strcmp(request->method, "PATCH"))
         res_write(controller, request, i);
       else
-        answer_error(request, 405, E_NO_METHOD, "GET, PUT or PATCH");
+        http_respond_error(request, 405, E_METHOD_NOT_ALLOWED, "GET, PUT or PATCH");
       return;
     }
   GString *b = g_string_new(NULL);
@@ -764,7 +769,7 @@
   if (!strcmp(p, "/v1/view"))
     view_json(&controller->core, b);
   else if (!strcmp(p, "/v1/nodes"))
-    node_json(&controller->node, b);
+    node_peers_json(&controller->node, b);
   else if (!strcmp(p, "/v1/status"))
     status(controller, b);
   else if (!strcmp(p, "/v1/contracts"))
@@ -775,25 +780,25 @@
     metrics(controller, b);
     type = "text/plain";
   } else if (!strcmp(p, "/v1/engines") || !strcmp(p, "/v1/holdings")) {
-    machine *v = node_pick_machine(&controller->node, ROLE_ROUTER, NULL);
+    peer_node *v = node_pick_peer(&controller->node, ROLE_ROUTER, NULL);
     char addr[48];
     if (v)
-      g_strlcpy(addr, v->addr, sizeof addr);
+      g_strlcpy(addr, v->address, sizeof addr);
     if (!get)
-      answer_error(request, 405, E_NO_METHOD, "GET");
+      http_respond_error(request, 405, E_METHOD_NOT_ALLOWED, "GET");
     else if (!v)
-      refuse(request, E_CORE_GONE, "no router is known here");
+      refuse(request, E_NO_CONTROLLER, "no router is known here");
     else
       pass(controller, request, addr, false);
     g_string_free(b, TRUE);
     return;
   }
   if (!b->len)
-    answer_error(request, 404, E_NO_PAGE, "there is no such page");
+    http_respond_error(request, 404, E_NOT_FOUND, "there is no such page");
   else if (!get)
-    answer_error(request, 405, E_NO_METHOD, "GET");
+    http_respond_error(request, 405, E_METHOD_NOT_ALLOWED, "GET");
   else
-    http_request_answer(request, 200, type, string_view_of_gstring(b));
+    http_request_respond(request, 200, type, string_view_of_gstring(b));
   g_string_free(b, TRUE);
 }
 
@@ -815,17 +820,17 @@
   controller *m = g_new0(controller, 1);
   condition_init(&m->over);
   node_init(&m->node, world, settings);
-  node_on(&m->node, WIRE__ENVELOPE__BODY_SINGLETON_LEASE_REQUEST, on_holds, m);
-  node_on(&m->node, WIRE__ENVELOPE__BODY_CONFIG_POLL_REQUEST, on_news, m);
-  node_on(&m->node, WIRE__ENVELOPE__BODY_VERSION_REPORT, on_have, m);
-  node_on(&m->node, WIRE__ENVELOPE__BODY_CANARY_END_REQUEST, on_canary_end, m);
+  node_register_handler(&m->node, WIRE__ENVELOPE__BODY_SINGLETON_LEASE_REQUEST, on_holds, m);
+  node_register_handler(&m->node, WIRE__ENVELOPE__BODY_CONFIG_POLL_REQUEST, on_news, m);
+  node_register_handler(&m->node, WIRE__ENVELOPE__BODY_VERSION_REPORT, on_have, m);
+  node_register_handler(&m->node, WIRE__ENVELOPE__BODY_CANARY_END_REQUEST, on_canary_end, m);
   m->reported_seq = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
   m->grants_in_flight = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
   m->orders = g_hash_table_new(g_str_hash, g_str_equal);
   condition_init(&m->reports_changed);
   engines_init(m);
   world->serve = serve;
-  world->serve_ctx = m;
+  world->serve_context = m;
   node_start(&m->node);
   task_start(&world->tasks, "start", start_run, m);
   return m;
--- a/lib/controlplane/core.c
+++ b/lib/controlplane/core.c
@@ -3,8 +3,8 @@
 #include "decide_lease.h"
 
 member core_self(const core *core) {
-  member m = { core->node->settings.self, core->node->settings.area, "", core->disk_id };
-  g_strlcpy(m.addr, core->node->settings.addr, sizeof m.addr);
+  member m = { core->node->settings.self, core->node->settings.zone, "", core->disk_id };
+  g_strlcpy(m.addr, core->node->settings.address, sizeof m.addr);
   return m;
 }
 
@@ -45,7 +45,9 @@
 }
 
 int core_chain_limit(const core *core) {
-  return core->node->settings.members > 0 ? MIN(core->node->settings.members, CHAIN_MOST) : 3;
+  return core->node->settings.chain_members > 0
+             ? MIN(core->node->settings.chain_members, CHAIN_MOST)
+             : 3;
 }
 
 int core_start(core *core, node *node, error *err) {
@@ -75,12 +77,12 @@
              { WIRE__ENVELOPE__BODY_BOOTSTRAP_REQUEST, on_found },
              { WIRE__ENVELOPE__BODY_JOIN_REQUEST, on_enrol } };
   for (size_t i = 0; i < G_N_ELEMENTS(on); i++)
-    node_on(node, on[i].k, on[i].fn, core);
+    node_register_handler(node, on[i].k, on[i].fn, core);
   enum found what;
-  size_t size = node->settings.file_bytes ? node->settings.file_bytes : 16 << 20;
+  size_t size = node->settings.log_file_bytes ? node->settings.log_file_bytes : 16 << 20;
   int r;
   bool told = false;
-  while ((r = store_open(&core->disk, node, size, &what, err)) == E_DISK_FULL || r == E_SYNC) {
+  while ((r = store_open(&core->disk, node, size, &what, err)) == E_DISK_FULL || r == E_DISK_SYNC) {
     if (!told)
       log_info(&node->log, "store", "The disk refuses to be opened: %s (code %d).", err->text, r);
     told = true;
@@ -112,9 +114,9 @@
     for (int i = 0; i < MIN(node->settings.founder_count, 3); i++) {
       bool twice = false;
       for (int k = 0; k < core->founder_count; k++)
-        twice |= !strcmp(core->founder_addrs[k], node->settings.founder_addrs[i]);
+        twice |= !strcmp(core->founder_addrs[k], node->settings.founder_addresses[i]);
       if (!twice)
-        g_strlcpy(core->founder_addrs[core->founder_count++], node->settings.founder_addrs[i],
+        g_strlcpy(core->founder_addrs[core->founder_count++], node->settings.founder_addresses[i],
                   sizeof core->founder_addrs[0]);
     }
   }
--- a/lib/controlplane/core.h
+++ b/lib/controlplane/core.h
@@ -3,7 +3,7 @@
 #include "state.h"
 #include "store.h"
 
-enum { CHAIN_MOST = CORE_MOST, VOTERS_MOST = CORE_MOST, SNAPSHOTS_MOST = 2 };
+enum { CHAIN_MOST = REPLICAS_MAX, VOTERS_MOST = REPLICAS_MAX, SNAPSHOTS_MOST = 2 };
 /** A machine of the core under one disk; a new disk makes a new member. */
 typedef struct member {
   id self, area;
--- a/lib/controlplane/drain.c
+++ b/lib/controlplane/drain.c
@@ -20,8 +20,8 @@
 /* a core machine that may take this one's vote: it is there, and has none itself */
 static bool successor_is_known(controller *controller) {
   const view *view = &controller->core.view;
-  list_for_each (peer, &controller->node.machines, machine, link) {
-    if (peer->role != ROLE_CONTROLLER || peer->gone || peer->leaving)
+  list_for_each (peer, &controller->node.peers, peer_node, link) {
+    if (peer->role != ROLE_CONTROLLER || peer->gone || peer->draining)
       continue;
     bool votes = false;
     for (int i = 0; i < view->voter_count; i++)
@@ -59,9 +59,9 @@
           shut = time_add(world_now(world), time_from_ms(LINGER_MS));
   if (!sleep_until(world, shut.us < latest.us ? shut : latest))
     return;
-  world->door_shut(world, control);
-  world->door_end(world, control);
-  while (control->exchanges && !time_reached(world_now(world), last))
+  world->listener_stop_accepting(world, control);
+  world->listener_close_idle(world, control);
+  while (control->pending_exchanges && !time_reached(world_now(world), last))
     if (!world_sleep(world, time_from_ms(LAST_STEP_MS)))
       return;
 }
@@ -69,8 +69,9 @@
 static void drain_run(void *p) {
   controller *controller = p;
   world *world = controller->node.world;
-  int64_t grace = controller->node.settings.grace_ms > 0 ? controller->node.settings.grace_ms
-                                                         : GRACE_MS,
+  int64_t grace = controller->node.settings.shutdown_grace_ms > 0
+                      ? controller->node.settings.shutdown_grace_ms
+                      : GRACE_MS,
           calls = controller->has_control ? LINGER_LEAST_MS + LAST_CALLS_MS : 0;
   time_us now = world_now(world), end = time_add(now, time_from_ms(grace)),
           latest = time_add(now, time_from_ms(MAX(grace - calls - EXIT_MS, HANDOVER_LEAST_MS)));
@@ -81,7 +82,7 @@
            core_place(&controller->core) < 0 ? "Out of the chain" : "Still in the chain");
   if (controller->has_control)
     finish_calls(controller, end);
-  if (world->tasks.dead)
+  if (world->tasks.stopped)
     return;
   controller->code = OK;
   condition_broadcast(&controller->over);
@@ -92,12 +93,12 @@
     return;
   controller->core.draining = true;
   if (controller->has_control) {
-    controller->control.leaving = controller->node.leaving = true;
+    controller->control.draining = controller->node.draining = true;
     Wire__Heartbeat b = WIRE__HEARTBEAT__INIT;
-    Wire__Envelope w = wire_msg(WIRE__ENVELOPE__BODY_HEARTBEAT, &b);
-    list_for_each (peer, &controller->node.machines, machine, link)
+    Wire__Envelope w = wire_envelope(WIRE__ENVELOPE__BODY_HEARTBEAT, &b);
+    list_for_each (peer, &controller->node.peers, peer_node, link)
       if (!peer->gone)
-        node_send(&controller->node, peer->addr, &w);
+        node_send(&controller->node, peer->address, &w);
   }
   task_start(&controller->node.world->tasks, "drain", drain_run, controller);
 }
--- a/lib/controlplane/engines.c
+++ b/lib/controlplane/engines.c
@@ -31,7 +31,7 @@
 
 static int controllers(controller *controller) {
   int n = 0;
-  list_for_each (peer, &controller->node.machines, machine, link)
+  list_for_each (peer, &controller->node.peers, peer_node, link)
     n += peer->role == ROLE_CONTROLLER && !peer->gone;
   return n;
 }
@@ -40,10 +40,10 @@
   Wire__EngineUpdate e = WIRE__ENGINE_UPDATE__INIT;
   e.engines = all;
   e.n_engines = n;
-  Wire__Envelope w = wire_msg(WIRE__ENVELOPE__BODY_ENGINE_UPDATE, &e);
-  list_for_each (peer, &controller->node.machines, machine, link)
+  Wire__Envelope w = wire_envelope(WIRE__ENVELOPE__BODY_ENGINE_UPDATE, &e);
+  list_for_each (peer, &controller->node.peers, peer_node, link)
     if (peer->role == r && !peer->gone)
-      node_send(&controller->node, peer->addr, &w);
+      node_send(&controller->node, peer->address, &w);
 }
 
 static void cast_one(controller *controller, enum role r, const registered_engine *entry) {
@@ -101,7 +101,7 @@
 static bool fetch_all(controller *controller, const char *addr) {
   Wire__EngineUpdate q = WIRE__ENGINE_UPDATE__INIT;
   q.want_response = true;
-  Wire__Envelope w = wire_msg(WIRE__ENVELOPE__BODY_ENGINE_UPDATE, &q), *b;
+  Wire__Envelope w = wire_envelope(WIRE__ENVELOPE__BODY_ENGINE_UPDATE, &q), *b;
   error err = { 0 };
   if (node_call(&controller->node, addr, &w, time_from_ms(CALL_MS), &b, &err))
     return false;
@@ -126,7 +126,7 @@
 static int on_engines(void *ctx, Wire__Envelope *in, reply *reply, error *err) {
   controller *controller = ctx;
   if (in->from->role != ROLE_CONTROLLER)
-    return error_set(err, E_WIRE, "only core machines tell of engines");
+    return error_set(err, E_WIRE_MESSAGE, "only core machines tell of engines");
   if (!in->engine_update->want_response) {
     time_us now = world_now(controller->node.world);
     if (!hear(controller, in->engine_update) ||
@@ -142,10 +142,10 @@
   if (!controller->registry.settled)
     return error_set(err, E_IN_PROGRESS, "this machine has not heard of all engines yet");
   Wire__EngineUpdate *b =
-      reply_new(reply, WIRE__ENVELOPE__BODY_ENGINE_UPDATE, &wire__engine_update__descriptor);
+      reply_new_body(reply, WIRE__ENVELOPE__BODY_ENGINE_UPDATE, &wire__engine_update__descriptor);
   guint n = g_hash_table_size(controller->registry.at), i = 0;
-  Wire__EngineState *all = reply_hold(reply, sizeof *all * (n + 1));
-  b->engines = reply_hold(reply, sizeof(void *) * (n + 1));
+  Wire__EngineState *all = reply_alloc(reply, sizeof *all * (n + 1));
+  b->engines = reply_alloc(reply, sizeof(void *) * (n + 1));
   GHashTableIter it;
   gpointer p;
   g_hash_table_iter_init(&it, controller->registry.at);
@@ -168,8 +168,8 @@
   registry *registry = &controller->registry;
   bool whole;
   GPtrArray *all = registry_since(registry, q->registry_run, q->registry_sequence, &whole);
-  Wire__EngineState *w = reply_hold(reply, sizeof *w * (all->len + 1));
-  b->engines = reply_hold(reply, sizeof(void *) * (all->len + 1));
+  Wire__EngineState *w = reply_alloc(reply, sizeof *w * (all->len + 1));
+  b->engines = reply_alloc(reply, sizeof(void *) * (all->len + 1));
   time_us now = world_now(controller->node.world);
   for (guint i = 0; i < all->len; i++) {
     registry_fill(all->pdata[i], now, &w[i]);
@@ -185,9 +185,9 @@
 /* false while a core machine is not heard that may well be there, behind a cut */
 static bool all_reached(controller *controller) {
   time_us from = time_sub(world_now(controller->node.world), time_from_ms(LOST_MS));
-  list_for_each (peer, &controller->node.machines, machine, link)
-    if (peer->role == ROLE_CONTROLLER && peer->gone && !peer->leaving &&
-        time_reached(peer->lost, from))
+  list_for_each (peer, &controller->node.peers, peer_node, link)
+    if (peer->role == ROLE_CONTROLLER && peer->gone && !peer->draining &&
+        time_reached(peer->gone_at, from))
       return false;
   return true;
 }
@@ -196,7 +196,7 @@
 static void spread_run(void *p) {
   controller *controller = p;
   time_us told = world_now(controller->node.world);
-  while (world_sleep_about(controller->node.world, time_from_ms(SWEEP_MS))) {
+  while (world_sleep_with_jitter(controller->node.world, time_from_ms(SWEEP_MS))) {
     time_us now = world_now(controller->node.world);
     if (registry_sweep(&controller->registry, now, all_reached(controller)))
       condition_broadcast(&controller->reg_moved);
@@ -240,10 +240,10 @@
   registry *registry = &controller->registry;
   time_us from = world_now(controller->node.world);
   for (;;) {
-    machine *machine = node_pick_machine(&controller->node, ROLE_CONTROLLER, NULL);
+    peer_node *peer = node_pick_peer(&controller->node, ROLE_CONTROLLER, NULL);
     char addr[48] = "";
-    if (machine)
-      g_strlcpy(addr, machine->addr, sizeof addr);
+    if (peer)
+      g_strlcpy(addr, peer->address, sizeof addr);
     time_us now = world_now(controller->node.world);
     if (time_reached(now,
                      time_add(from, time_from_ms(registry->newest.us > from.us
@@ -251,7 +251,7 @@
                                                      : registry->silent_ms * NO_ANSWER_TIMES))) ||
         (addr[0] && fetch_all(controller, addr)))
       break;
-    if (!world_sleep_about(controller->node.world, time_from_ms(250)))
+    if (!world_sleep_with_jitter(controller->node.world, time_from_ms(250)))
       return;
   }
   registry_settle(registry);
@@ -262,7 +262,8 @@
   condition_init(&controller->reg_moved);
   /* the run of a registry is that of its process */
   registry_init(&controller->registry, controller->node.nonce, world_now(controller->node.world));
-  node_on(&controller->node, WIRE__ENVELOPE__BODY_ENGINE_UPDATE, on_engines, controller);
+  node_register_handler(&controller->node, WIRE__ENVELOPE__BODY_ENGINE_UPDATE, on_engines,
+                        controller);
 }
 
 void engines_start(controller *controller) {
--- a/lib/controlplane/join.c
+++ b/lib/controlplane/join.c
@@ -18,7 +18,7 @@
     if (id_equal(core->node->settings.founders[i], core->node->settings.self))
       return true;
   for (int i = 0; i < core->founder_count && !join_by_name(core); i++)
-    if (!strcmp(core->founder_addrs[i], core->node->settings.addr))
+    if (!strcmp(core->founder_addrs[i], core->node->settings.address))
       return true;
   return false;
 }
@@ -32,9 +32,9 @@
 int on_found(void *ctx, Wire__Envelope *in, reply *reply, error *err) {
   core *core = ctx;
   if (!core->running)
-    return error_set(err, E_CORE_GONE, "starting");
-  Wire__BootstrapResponse *b = reply_new(reply, WIRE__ENVELOPE__BODY_BOOTSTRAP_RESPONSE,
-                                         &wire__bootstrap_response__descriptor);
+    return error_set(err, E_NO_CONTROLLER, "starting");
+  Wire__BootstrapResponse *b = reply_new_body(reply, WIRE__ENVELOPE__BODY_BOOTSTRAP_RESPONSE,
+                                              &wire__bootstrap_response__descriptor);
   b->self = reply_self(reply, core);
   b->blank = !core->view.epoch && !core->disk.broken && join_is_founder(core) &&
              join_is_first_founder(core, in->from->id, in->from->address);
@@ -48,9 +48,9 @@
   core *core = ctx;
   member m;
   if (!core->running || !core->view.epoch)
-    return error_set(err, E_CORE_GONE, "no view is known here");
+    return error_set(err, E_NO_CONTROLLER, "no view is known here");
   if (!member_unpack(&m, in->join_request->self))
-    return error_set(err, E_WIRE, "no member");
+    return error_set(err, E_WIRE_MESSAGE, "no member");
   if (in->join_request->ready && chain_may_enrol(&core->view, in->join_request->epoch)) {
     int at = 0;
     for (size_t i = 0; i < G_N_ELEMENTS(core->callers); i++) {
@@ -66,7 +66,7 @@
     core->callers[at].at = world_now(core->node->world);
   }
   Wire__JoinResponse *b =
-      reply_new(reply, WIRE__ENVELOPE__BODY_JOIN_RESPONSE, &wire__join_response__descriptor);
+      reply_new_body(reply, WIRE__ENVELOPE__BODY_JOIN_RESPONSE, &wire__join_response__descriptor);
   b->ok = true;
   b->view = reply_view(reply, &core->view);
   return OK;
@@ -79,7 +79,7 @@
   member self = core_self(core);
   member_pack(&w, &self);
   q.self = &w;
-  Wire__Envelope m = wire_msg(WIRE__ENVELOPE__BODY_JOIN_REQUEST, &q);
+  Wire__Envelope m = wire_envelope(WIRE__ENVELOPE__BODY_JOIN_REQUEST, &q);
   Wire__Envelope *b;
   error err = { 0 };
   int r = node_call(core->node, addr, &m, time_from_ms(600), &b, &err);
@@ -93,7 +93,7 @@
 
 static void join_found(core *core) {
   if (!join_is_founder(core) ||
-      !join_is_first_founder(core, core->node->settings.self.text, core->node->settings.addr))
+      !join_is_first_founder(core, core->node->settings.self.text, core->node->settings.address))
     return;
   int n = join_by_name(core) ? 3 : core->founder_count;
   view v = { .epoch = 1,
@@ -105,22 +105,22 @@
   for (int i = 0; i < n; i++) {
     char addr[48] = "";
     if (join_by_name(core)) {
-      machine *machine = node_find_machine(core->node, core->node->settings.founders[i]);
+      peer_node *peer = node_find_peer(core->node, core->node->settings.founders[i]);
       if (id_equal(core->node->settings.founders[i], core->node->settings.self))
         continue;
-      if (!machine || machine->gone)
+      if (!peer || peer->gone)
         return;
-      g_strlcpy(addr, machine->addr, sizeof addr);
+      g_strlcpy(addr, peer->address, sizeof addr);
     } else {
       g_strlcpy(addr, core->founder_addrs[i], sizeof addr);
-      if (!strcmp(addr, core->node->settings.addr))
+      if (!strcmp(addr, core->node->settings.address))
         continue;
     }
     Wire__BootstrapRequest q = WIRE__BOOTSTRAP_REQUEST__INIT;
     q.id = core->node->settings.self.text;
     q.disk_id = core->disk_id;
     q.blank = true;
-    Wire__Envelope m = wire_msg(WIRE__ENVELOPE__BODY_BOOTSTRAP_REQUEST, &q);
+    Wire__Envelope m = wire_envelope(WIRE__ENVELOPE__BODY_BOOTSTRAP_REQUEST, &q);
     Wire__Envelope *b;
     error err = { 0 };
     if (node_call(core->node, addr, &m, time_from_ms(600), &b, &err))
@@ -151,7 +151,7 @@
  * the chain for a while, and one that came back lately is not whole */
 static int join_fetch(core *core, error *err) {
   view v = core->view;
-  int r = error_set(err, E_CORE_GONE, "no other member is heard");
+  int r = error_set(err, E_NO_CONTROLLER, "no other member is heard");
   for (int i = v.chain_length - 1; i >= 0 && r; i--) {
     if (id_equal(v.chain[i].self, core->node->settings.self) ||
         repair_is_silent(core, &v.chain[i], LEASE_SILENCE_MS))
@@ -174,7 +174,7 @@
   q.self = &w;
   q.ready = true;
   q.epoch = v.epoch;
-  Wire__Envelope m = wire_msg(WIRE__ENVELOPE__BODY_JOIN_REQUEST, &q);
+  Wire__Envelope m = wire_envelope(WIRE__ENVELOPE__BODY_JOIN_REQUEST, &q);
   for (int i = 0; i < v.voter_count; i++)
     if (!id_equal(v.voters[i].self, core->node->settings.self))
       node_send(core->node, v.voters[i].addr, &m);
@@ -190,7 +190,7 @@
 static void join_request(core *core) {
   world *world = core->node->world;
   time_us till = time_add(world_now(world), time_from_ms(REQUEST_MOST_MS));
-  while (core_place(core) < 0 && !core->whole && !core->disk.broken && !core->node->leaving &&
+  while (core_place(core) < 0 && !core->whole && !core->disk.broken && !core->node->draining &&
          !time_reached(world_now(world), till)) {
     uint64_t epoch = core->view.epoch;
     join_tell(core);
@@ -198,7 +198,7 @@
     while (core->view.epoch == epoch)
       if (condition_wait(&world->tasks, &core->moved, again) != WAKE_SIGNALLED)
         break;
-    if (world->tasks.dead)
+    if (world->tasks.stopped)
       return;
   }
 }
@@ -206,23 +206,24 @@
 void join_run(void *p) {
   core *core = p;
   world *world = core->node->world;
-  while (world_sleep_about(world, time_from_ms(300))) {
-    if (core_place(core) >= 0 || core->disk.broken || core->node->leaving)
+  while (world_sleep_with_jitter(world, time_from_ms(300))) {
+    if (core_place(core) >= 0 || core->disk.broken || core->node->draining)
       continue;
     /* the one that was heard last, or any: a table that came from others may name the dead */
-    machine *peer = NULL;
+    peer_node *peer = NULL;
     bool any = !world_random(world, 3);
     uint64_t seen = 0;
-    list_for_each (x, &core->node->machines, machine, link)
+    list_for_each (x, &core->node->peers, peer_node, link)
       if (x->role == ROLE_CONTROLLER && !x->gone &&
-          (any ? !world_random(world, ++seen) : !peer || x->heard.us > peer->heard.us))
+          (any ? !world_random(world, ++seen)
+               : !peer || x->last_heard_at.us > peer->last_heard_at.us))
         peer = x;
     char addr[48] = "";
     if (core->view.epoch && world_random(world, 3))
       g_strlcpy(addr, core_tail(core)->addr, sizeof addr);
     else if (peer)
-      g_strlcpy(addr, peer->addr, sizeof addr);
-    if (addr[0] && strcmp(addr, core->node->settings.addr))
+      g_strlcpy(addr, peer->address, sizeof addr);
+    if (addr[0] && strcmp(addr, core->node->settings.address))
       join_look(core, addr);
     if (!core->view.epoch) {
       join_found(core);
--- a/lib/controlplane/lease.c
+++ b/lib/controlplane/lease.c
@@ -63,11 +63,11 @@
   core *core = ctx;
   Wire__MemberLeaseRequest *l = in->member_lease_request;
   if (!core->running || core->disk.broken)
-    return error_set(err, E_CORE_GONE, "no voter");
+    return error_set(err, E_NO_CONTROLLER, "no voter");
   if (l->fleet_id != core->view.fleet && core->view.epoch && l->epoch)
-    return error_set(err, E_VIEW, "another fleet");
-  Wire__MemberLeaseResponse *b = reply_new(reply, WIRE__ENVELOPE__BODY_MEMBER_LEASE_RESPONSE,
-                                           &wire__member_lease_response__descriptor);
+    return error_set(err, E_VIEW_MISMATCH, "another fleet");
+  Wire__MemberLeaseResponse *b = reply_new_body(reply, WIRE__ENVELOPE__BODY_MEMBER_LEASE_RESPONSE,
+                                                &wire__member_lease_response__descriptor);
   member who = { id_of_text(l->id), id_of_text(""), "", l->disk_id };
   lease_note_hearing(core, who.self, l->hears_nothing);
   if (l->epoch < core->view.epoch)
@@ -116,11 +116,11 @@
     l.id = core->node->settings.self.text;
     l.disk_id = core->disk_id;
     l.hears_nothing = time_reached(sent, time_add(heard, time_from_ms(LEASE_SILENCE_MS)));
-    Wire__Envelope m = wire_msg(WIRE__ENVELOPE__BODY_MEMBER_LEASE_REQUEST, &l);
+    Wire__Envelope m = wire_envelope(WIRE__ENVELOPE__BODY_MEMBER_LEASE_REQUEST, &l);
     Wire__Envelope *b;
     error err = { 0 };
     int r = node_call(core->node, who.addr, &m, time_from_ms(600), &b, &err);
-    if (r != E_NO_ANSWER)
+    if (r != E_NO_RESPONSE)
       heard = world_now(core->node->world);
     got = !r && epoch == core->view.epoch;
     if (r)
--- a/lib/controlplane/registry.c
+++ b/lib/controlplane/registry.c
@@ -29,16 +29,16 @@
 }
 
 static uint64_t add(uint64_t h, const char *s) {
-  return hash_of(s, strlen(s), h);
+  return hash_bytes(s, strlen(s), h);
 }
 
 /* over all that a node must know, but for what only time changes */
 static uint64_t sum_of(const Wire__EngineState *w, bool leaving) {
   uint64_t h = add(add(add(add(leaving, w->service), w->address), w->zone), w->version);
-  h = hash_of(&w->slots, sizeof w->slots, h);
+  h = hash_bytes(&w->slots, sizeof w->slots, h);
   for (size_t i = 0; i < w->n_models; i++) {
     const Wire__ResidentModel *m = w->models[i];
-    h = hash_of(&m->weights_version, sizeof m->weights_version, add(h, m->model));
+    h = hash_bytes(&m->weights_version, sizeof m->weights_version, add(h, m->model));
     for (size_t k = 0; k < m->n_adapters; k++)
       h = add(h, m->adapters[k]);
   }
--- a/lib/controlplane/repair.c
+++ b/lib/controlplane/repair.c
@@ -6,19 +6,19 @@
 bool repair_is_silent(core *core, const member *member, int ms) {
   if (id_equal(member->self, core->node->settings.self))
     return member->disk != core->disk_id;
-  machine *machine = node_find_machine(core->node, member->self);
+  peer_node *peer = node_find_peer(core->node, member->self);
   time_us now = world_now(core->node->world);
   return time_reached(
-      now, time_add(machine ? machine->heard
-                            : time_add(core->lease.up_at, time_from_ms(2 * LEASE_SILENCE_MS)),
+      now, time_add(peer ? peer->last_heard_at
+                         : time_add(core->lease.up_at, time_from_ms(2 * LEASE_SILENCE_MS)),
                     time_from_ms(ms)));
 }
 
 static bool repair_is_out(core *core, const member *member) {
-  machine *machine = id_equal(member->self, core->node->settings.self)
-                         ? NULL
-                         : node_find_machine(core->node, member->self);
-  return (machine && (machine->leaving || lease_peer_hears_nothing(core, machine->self))) ||
+  peer_node *peer = id_equal(member->self, core->node->settings.self)
+                        ? NULL
+                        : node_find_peer(core->node, member->self);
+  return (peer && (peer->draining || lease_peer_hears_nothing(core, peer->self))) ||
          repair_is_silent(core, member, LEASE_SILENCE_MS);
 }
 
@@ -154,13 +154,13 @@
       core->write_locked_since = world_now(core->node->world);
     core->done_seen = core->disk.done;
     bool quit = core->disk.broken || stall || core->draining;
-    if (quit != core->node->leaving) {
+    if (quit != core->node->draining) {
       if (quit)
         log_info(&core->node->log, "core", "%s; this machine steps out of the chain.",
                  core->disk.broken ? "The disk refuses writes"
                  : stall           ? "The disk stalls"
                                    : "Asked to stop");
-      core->node->leaving = quit;
+      core->node->draining = quit;
     }
     snapshots_expire(core);
     if (core->view.epoch)
--- a/lib/controlplane/replication.c
+++ b/lib/controlplane/replication.c
@@ -93,23 +93,24 @@
   core *core = ctx;
   Wire__ReplicateRequest *p = in->replicate_request;
   if (!core->running)
-    return error_set(err, E_CORE_GONE, "starting");
+    return error_set(err, E_NO_CONTROLLER, "starting");
   if (core->disk.broken)
     return error_set(err, E_DISK, "the disk of this machine refuses writes");
   if (p->epoch != core->view.epoch)
-    return error_set(err, E_VIEW, "another view is known here: %" PRIu64, core->view.epoch);
+    return error_set(err, E_VIEW_MISMATCH, "another view is known here: %" PRIu64,
+                     core->view.epoch);
   if (agreement_vote_pending(core))
-    return error_set(err, E_EPOCH, "a vote on the next view is under way");
+    return error_set(err, E_STALE_EPOCH, "a vote on the next view is under way");
   id from = id_of_text(in->from->id);
   chain_copy copy = core_copy(core);
   if (!chain_may_take(&copy, &core->view, p->epoch, from))
-    return error_set(err, E_VIEW, "not the one behind you");
+    return error_set(err, E_VIEW_MISMATCH, "not the one behind you");
   if (!replication_lock(core, time_add(world_now(core->node->world), time_from_ms(1000))))
-    return error_set(err, E_TOO_MUCH, "still writing");
+    return error_set(err, E_OVERLOADED, "still writing");
   int r = OK;
   copy = core_copy(core);
   if (!chain_may_take(&copy, &core->view, p->epoch, from))
-    r = error_set(err, E_EPOCH, "the view changed");
+    r = error_set(err, E_STALE_EPOCH, "the view changed");
   bool differs = !r && p->checksum_sequence && p->checksum_sequence == core->committed.seq &&
                  core_whole(core) && state_sum(&core->committed) != p->checksum;
   if (differs)
@@ -137,8 +138,8 @@
   while (core->committed.seq < core->last_seq && p->epoch == core->view.epoch)
     if (condition_wait(&core->node->world->tasks, &core->moved, till) != WAKE_SIGNALLED)
       break;
-  Wire__ReplicateResponse *b = reply_new(reply, WIRE__ENVELOPE__BODY_REPLICATE_RESPONSE,
-                                         &wire__replicate_response__descriptor);
+  Wire__ReplicateResponse *b = reply_new_body(reply, WIRE__ENVELOPE__BODY_REPLICATE_RESPONSE,
+                                              &wire__replicate_response__descriptor);
   b->ok = true;
   b->last_sequence = core->last_seq;
   b->commit_sequence = core->committed.seq;
@@ -209,7 +210,7 @@
     put.commit_sequence = core->committed.seq;
     put.n_records = n;
     put.records = recs;
-    Wire__Envelope m = wire_msg(WIRE__ENVELOPE__BODY_REPLICATE_REQUEST, &put);
+    Wire__Envelope m = wire_envelope(WIRE__ENVELOPE__BODY_REPLICATE_REQUEST, &put);
     Wire__Envelope *b;
     error err = { 0 };
     int r = node_call(core->node, addr, &m, time_from_ms(digest ? 4000 : 1000), &b, &err);
@@ -217,7 +218,7 @@
     if (r == E_STOPPING)
       return;
     if (r) {
-      if (r == E_VIEW)
+      if (r == E_VIEW_MISMATCH)
         agreement_announce(core, addr);
       log_debug(&core->node->log, "chain", "%s does not follow: %s (code %d).", addr, err.text, r);
       if (!world_sleep(world, time_from_ms(100)))
@@ -274,15 +275,15 @@
   world *world = core->node->world;
   time_us till = time_add(world_now(world), span);
   if (!replication_lock(core, till))
-    return error_set(err, E_CORE_GONE, "the head is busy; nothing was written");
+    return error_set(err, E_NO_CONTROLLER, "the head is busy; nothing was written");
   int r = OK;
   if (!core_heads(core))
-    r = error_set(err, E_CORE_GONE, "this machine is not the acting head");
+    r = error_set(err, E_NO_CONTROLLER, "this machine is not the acting head");
   else if (view_thin(core, &core->view))
-    r = error_set(err, E_TOO_FEW_AREAS,
+    r = error_set(err, E_TOO_FEW_ZONES,
                   "the chain has too few copies or areas; nothing was written");
   else if (replication_backlog_full(core))
-    r = error_set(err, E_TOO_MUCH, "too many writes wait for the tail; nothing was written");
+    r = error_set(err, E_OVERLOADED, "too many writes wait for the tail; nothing was written");
   GString *op = g_string_new(NULL), *b = g_string_new(NULL);
   if (!r)
     core_ordered(core);
--- a/lib/controlplane/snapshot.c
+++ b/lib/controlplane/snapshot.c
@@ -9,7 +9,7 @@
     Wire__SnapshotRequest f = WIRE__SNAPSHOT_REQUEST__INIT;
     f.sequence = seq;
     f.offset = all->len;
-    Wire__Envelope m = wire_msg(WIRE__ENVELOPE__BODY_SNAPSHOT_REQUEST, &f);
+    Wire__Envelope m = wire_envelope(WIRE__ENVELOPE__BODY_SNAPSHOT_REQUEST, &f);
     Wire__Envelope *b;
     r = node_call(core->node, addr, &m, time_from_ms(1500), &b, err);
     if (r)
@@ -18,7 +18,7 @@
         (all->len &&
          (b->snapshot_response->sequence != seq || b->snapshot_response->size != size)) ||
         !b->snapshot_response->chunk.len)
-      r = error_set(err, E_WIRE, "the digest changed while it came");
+      r = error_set(err, E_WIRE_MESSAGE, "the digest changed while it came");
     else {
       seq = b->snapshot_response->sequence;
       size = b->snapshot_response->size;
@@ -30,9 +30,9 @@
   state t;
   state_init(&t);
   if (!r && !state_unpack(&t, string_view_of_gstring(all)))
-    r = error_set(err, E_WIRE, "the digest can't be read");
+    r = error_set(err, E_WIRE_MESSAGE, "the digest can't be read");
   if (!r && core->view.fleet && t.fleet != core->view.fleet)
-    r = error_set(err, E_VIEW, "the digest is another fleet's");
+    r = error_set(err, E_VIEW_MISMATCH, "the digest is another fleet's");
   g_string_free(all, TRUE);
   if (r) {
     state_free(&t);
@@ -107,20 +107,20 @@
 int on_fetch(void *ctx, Wire__Envelope *in, reply *reply, error *err) {
   core *core = ctx;
   if (core_place(core) < 0 || !core_whole(core))
-    return error_set(err, E_CORE_GONE, "not in the chain");
+    return error_set(err, E_NO_CONTROLLER, "not in the chain");
   uint64_t off = in->snapshot_request->offset;
   snapshots_expire(core);
   snapshot *s = off ? snapshot_of(core, in->snapshot_request->sequence) : snapshot_begin(core);
   if (!s || off >= s->text->len)
-    return error_set(err, E_WIRE, "no such part");
+    return error_set(err, E_WIRE_MESSAGE, "no such part");
   s->used = world_now(core->node->world);
-  Wire__SnapshotResponse *b = reply_new(reply, WIRE__ENVELOPE__BODY_SNAPSHOT_RESPONSE,
-                                        &wire__snapshot_response__descriptor);
+  Wire__SnapshotResponse *b = reply_new_body(reply, WIRE__ENVELOPE__BODY_SNAPSHOT_RESPONSE,
+                                             &wire__snapshot_response__descriptor);
   b->sequence = s->seq;
   b->size = s->text->len;
   b->offset = off;
   b->chunk.len = MIN((size_t)PART, s->text->len - off);
-  b->chunk.data = reply_hold(reply, b->chunk.len + 1);
+  b->chunk.data = reply_alloc(reply, b->chunk.len + 1);
   memcpy(b->chunk.data, s->text->str + off, b->chunk.len);
   return OK;
 }
--- a/lib/controlplane/state.c
+++ b/lib/controlplane/state.c
@@ -4,7 +4,7 @@
 
 void state_init(state *state) {
   memset(state, 0, sizeof *state);
-  for (int i = 0; i < RES_COUNT; i++)
+  for (int i = 0; i < RESOURCE_COUNT; i++)
     state->resources[i].text = g_string_new("{}");
   state->grants = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, g_free);
   g_queue_init(&state->idempotency_records);
@@ -14,7 +14,7 @@
 void state_free(state *state) {
   if (!state->grants)
     return;
-  for (int i = 0; i < RES_COUNT; i++)
+  for (int i = 0; i < RESOURCE_COUNT; i++)
     g_string_free(state->resources[i].text, TRUE);
   g_hash_table_destroy(state->grants);
   g_queue_clear_full(&state->idempotency_records, g_free);
@@ -27,7 +27,7 @@
   state_init(to);
   to->fleet = from->fleet;
   to->seq = from->seq;
-  for (int i = 0; i < RES_COUNT; i++) {
+  for (int i = 0; i < RESOURCE_COUNT; i++) {
     to->resources[i].version = from->resources[i].version;
     g_string_assign(to->resources[i].text, from->resources[i].text->str);
   }
@@ -68,8 +68,8 @@
   if (!o)
     return;
   if (o->resource)
-    for (int i = 0; i < RES_COUNT; i++)
-      if (!strcmp(o->resource->name, res_name[i])) {
+    for (int i = 0; i < RESOURCE_COUNT; i++)
+      if (!strcmp(o->resource->name, resource_names[i])) {
         state->resources[i].version = seq;
         g_string_truncate(state->resources[i].text, 0);
         g_string_append_len(state->resources[i].text, (char *)o->resource->text.data,
@@ -98,7 +98,7 @@
 static void pack(const state *state, uint64_t epoch, bool keys, const uint64_t *held, size_t have,
                  uint64_t base, string_view delta, GString *to) {
   Wire__StateSnapshot d = WIRE__STATE_SNAPSHOT__INIT;
-  Wire__Resource res[RES_COUNT], *resp[RES_COUNT];
+  Wire__Resource res[RESOURCE_COUNT], *resp[RESOURCE_COUNT];
   guint n = g_hash_table_size(state->grants), i = 0,
         k = keys ? state->idempotency_records.length : 0;
   Wire__SingletonGrant *gs = g_new(Wire__SingletonGrant, n + 1),
@@ -108,12 +108,12 @@
   d.fleet_id = state->fleet;
   d.sequence = state->seq;
   d.epoch = epoch;
-  for (int r = 0; r < RES_COUNT; r++) {
+  for (int r = 0; r < RESOURCE_COUNT; r++) {
     wire__resource__init(&res[r]);
-    res[r].name = (char *)res_name[r];
+    res[r].name = (char *)resource_names[r];
     res[r].version = state->resources[r].version;
     res[r].same = (size_t)r < have && held[r] && held[r] == state->resources[r].version;
-    if (r == RES_ROUTING && delta.length && !res[r].same) {
+    if (r == RESOURCE_ROUTING && delta.length && !res[r].same) {
       res[r].base_version = base;
       res[r].delta.data = (uint8_t *)delta.data;
       res[r].delta.len = delta.length;
@@ -146,7 +146,7 @@
     op[i] = &os[i];
   }
   /* where no trial was ever declared, nothing is said of one */
-  d.n_resources = state->resources[RES_CANARY].version ? RES_COUNT : RES_CANARY;
+  d.n_resources = state->resources[RESOURCE_CANARY].version ? RESOURCE_COUNT : RESOURCE_CANARY;
   d.resources = resp;
   d.n_grants = n;
   d.grants = gp;
@@ -183,29 +183,30 @@
   size_t n = 256 + (sizeof(grant) + 32) * g_hash_table_size(state->grants) +
              (sizeof(idempotency_record) + 32) * (state->idempotency_records.length + 1) +
              accepted_size(&state->accepted);
-  for (int i = 0; i < RES_COUNT; i++)
+  for (int i = 0; i < RESOURCE_COUNT; i++)
     n += state->resources[i].text->len + 64;
   return n;
 }
 
 uint64_t state_sum(const state *state) {
-  uint64_t n = hash_of(&state->seq, sizeof state->seq, state->fleet) ^ state->accepted.sum;
+  uint64_t n = hash_bytes(&state->seq, sizeof state->seq, state->fleet) ^ state->accepted.sum;
   /* the same as on core machines of a version without the later ones, as long as these are blank */
-  for (int i = 0; i < RES_COUNT; i++)
-    if (i < RES_CANARY || state->resources[i].version)
-      n ^= hash_of(state->resources[i].text->str, state->resources[i].text->len,
-                   state->resources[i].version * RES_CANARY + i);
+  for (int i = 0; i < RESOURCE_COUNT; i++)
+    if (i < RESOURCE_CANARY || state->resources[i].version)
+      n ^= hash_bytes(state->resources[i].text->str, state->resources[i].text->len,
+                      state->resources[i].version * RESOURCE_CANARY + i);
   GHashTableIter it;
   gpointer v;
   g_hash_table_iter_init(&it, state->grants);
   while (g_hash_table_iter_next(&it, NULL, &v)) {
     const grant *grant = v;
-    n ^= hash_of_two(grant->duty.text, grant->holder.text) +
-         hash_of(&grant->epoch, sizeof grant->epoch, grant->nonce);
+    n ^= hash_two_names(grant->duty.text, grant->holder.text) +
+         hash_bytes(&grant->epoch, sizeof grant->epoch, grant->nonce);
   }
   for (GList *l = state->idempotency_records.head; l; l = l->next)
-    n ^= hash_of(((idempotency_record *)l->data)->key, strlen(((idempotency_record *)l->data)->key),
-                 ((idempotency_record *)l->data)->seq);
+    n ^= hash_bytes(((idempotency_record *)l->data)->key,
+                    strlen(((idempotency_record *)l->data)->key),
+                    ((idempotency_record *)l->data)->seq);
   return n;
 }
 
@@ -219,8 +220,8 @@
   state->fleet = d->fleet_id;
   state->seq = d->sequence;
   for (size_t i = 0; i < d->n_resources; i++)
-    for (int k = 0; k < RES_COUNT; k++)
-      if (!strcmp(d->resources[i]->name, res_name[k])) {
+    for (int k = 0; k < RESOURCE_COUNT; k++)
+      if (!strcmp(d->resources[i]->name, resource_names[k])) {
         state->resources[k].version = d->resources[i]->version;
         g_string_truncate(state->resources[k].text, 0);
         g_string_append_len(state->resources[k].text, (char *)d->resources[i]->text.data,
@@ -237,16 +238,16 @@
 }
 
 config *state_config(const state *state, int which, const string_view *text, error *err) {
-  json *j[RES_COUNT] = { 0 };
+  json *j[RESOURCE_COUNT] = { 0 };
   config *config = NULL;
   bool ok = true;
-  for (int i = 0; i < RES_COUNT && ok; i++)
-    ok = (j[i] = json_read(i == which && text ? *text
-                                              : string_view_of_gstring(state->resources[i].text),
-                           err)) != NULL;
+  for (int i = 0; i < RESOURCE_COUNT && ok; i++)
+    ok = (j[i] = json_parse(i == which && text ? *text
+                                               : string_view_of_gstring(state->resources[i].text),
+                            err)) != NULL;
   if (ok)
-    config = config_make((const json **)j, err);
-  for (int i = 0; i < RES_COUNT; i++)
+    config = config_compile((const json **)j, err);
+  for (int i = 0; i < RESOURCE_COUNT; i++)
     json_free(j[i]);
   return config;
 }
--- a/lib/controlplane/state.h
+++ b/lib/controlplane/state.h
@@ -20,7 +20,7 @@
   struct {
     uint64_t version;
     GString *text;
-  } resources[RES_COUNT];
+  } resources[RESOURCE_COUNT];
   GHashTable *grants;
   GQueue idempotency_records;
   accepted_orders accepted;
--- a/lib/controlplane/view.c
+++ b/lib/controlplane/view.c
@@ -10,7 +10,7 @@
 }
 
 bool member_unpack(member *member, const Wire__Member *w) {
-  if (!w || !id_is_valid(string_view_of(w->id)) || !addr_fits(w->address) ||
+  if (!w || !id_is_valid(string_view_of(w->id)) || !address_is_valid(w->address) ||
       !id_is_valid(string_view_of(w->zone)))
     return false;
   member->self = id_of_text(w->id);
@@ -100,21 +100,22 @@
 }
 
 bool view_thin(const core *core, const view *view) {
-  bool told = core->node->settings.copies > 0;
-  return chain_thin(view, told ? core->node->settings.copies : 2,
-                    told ? core->node->settings.copy_areas : 2);
+  bool told = core->node->settings.write_replicas > 0;
+  return chain_thin(view, told ? core->node->settings.write_replicas : 2,
+                    told ? core->node->settings.write_zones : 2);
 }
 
 void view_json(const core *core, GString *to) {
   const view *view = &core->view;
-  json_f(to, "{\"epoch\":%" PRIu64 ",\"fleet\":\"%016" PRIx64 "\",\"thin\":%s,\"chain\":[",
-         view->epoch, view->fleet, view_thin(core, view) ? "true" : "false");
+  json_appendf(to, "{\"epoch\":%" PRIu64 ",\"fleet\":\"%016" PRIx64 "\",\"thin\":%s,\"chain\":[",
+               view->epoch, view->fleet, view_thin(core, view) ? "true" : "false");
   for (int i = 0; i < view->chain_length; i++)
-    json_f(to, "%s{\"id\":\"%s\",\"area\":\"%s\",\"addr\":\"%s\",\"disk\":\"%016" PRIx64 "\"}",
-           i ? "," : "", view->chain[i].self.text, view->chain[i].area.text, view->chain[i].addr,
-           view->chain[i].disk);
+    json_appendf(to,
+                 "%s{\"id\":\"%s\",\"area\":\"%s\",\"addr\":\"%s\",\"disk\":\"%016" PRIx64 "\"}",
+                 i ? "," : "", view->chain[i].self.text, view->chain[i].area.text,
+                 view->chain[i].addr, view->chain[i].disk);
   g_string_append(to, "],\"voters\":[");
   for (int i = 0; i < view->voter_count; i++)
-    json_f(to, "%s\"%s\"", i ? "," : "", view->voters[i].self.text);
+    json_appendf(to, "%s\"%s\"", i ? "," : "", view->voters[i].self.text);
   g_string_append(to, "]}");
 }
--- a/lib/doctor/doctor.c
+++ b/lib/doctor/doctor.c
@@ -40,10 +40,10 @@
   "Look at the store of weights and at the engines' room; see the gateway's log for what the engines answer."
 };
 
-static void diagnosis(examination *examination, int code, const char *form, ...)
+static void add_finding(examination *examination, int code, const char *form, ...)
     __attribute__((format(printf, 3, 4)));
-static void diagnosis(examination *examination, int code, const char *form, ...) {
-  finding f = { .code = code, .next = nexts[code - D_NO_ANSWER] };
+static void add_finding(examination *examination, int code, const char *form, ...) {
+  finding f = { .code = code, .remedy = nexts[code - D_NO_ANSWER] };
   va_list a;
   va_start(a, form);
   vsnprintf(f.evidence, sizeof f.evidence, form, a);
@@ -55,15 +55,15 @@
   g_array_append_val(examination->found, f);
 }
 
-static json *page(examination *examination, const char *addr, const char *path, int64_t *ms) {
+static json *fetch_page(examination *examination, const char *addr, const char *path, int64_t *ms) {
   GString *b = g_string_new(NULL);
   error err = { 0 };
   time_us from = world_now(examination->world);
-  int st = http_call_and_read(examination->world, addr, "GET", path, NULL, string_view_of(""), b,
-                              time_from_ms(2500), &err);
+  int st = http_call_fetch(examination->world, addr, "GET", path, NULL, string_view_of(""), b,
+                           time_from_ms(2500), &err);
   if (ms)
     *ms = time_sub(world_now(examination->world), from).us / 1000;
-  json *json = st == 200 ? json_read(string_view_of_gstring(b), NULL) : NULL;
+  json *json = st == 200 ? json_parse(string_view_of_gstring(b), NULL) : NULL;
   g_string_free(b, TRUE);
   return json;
 }
@@ -75,8 +75,8 @@
   return NULL;
 }
 
-static void meet(examination *examination, const char *addr, id self, bool controller,
-                 const char *standing) {
+static void add_examined_node(examination *examination, const char *addr, id self, bool controller,
+                              const char *standing) {
   examined_node *node = known(examination, addr);
   if (!node) {
     examined_node n = { .self = self, .controller = controller };
@@ -95,11 +95,12 @@
 }
 
 static void meet_all(examination *examination, const char *from) {
-  json *n = page(examination, from, "/v1/nodes", NULL);
+  json *n = fetch_page(examination, from, "/v1/nodes", NULL);
   for (size_t i = 0; i < json_count(n); i++) {
     const json *k = json_at(n, i);
-    meet(examination, json_text(k, "addr", ""), id_of_text(json_text(k, "id", "?")),
-         !strcmp(json_text(k, "role", ""), "controller"), json_text(k, "standing", ""));
+    add_examined_node(examination, json_text(k, "addr", ""), id_of_text(json_text(k, "id", "?")),
+                      !strcmp(json_text(k, "role", ""), "controller"),
+                      json_text(k, "standing", ""));
   }
   json_free(n);
 }
@@ -114,112 +115,113 @@
     if (!node->controller || !node->status)
       continue;
     controllers++;
-    acts += json_yes(node->status, "acts", false);
-    uint64_t e = (uint64_t)json_num(node->status, "epoch", 0);
+    acts += json_bool(node->status, "acts", false);
+    uint64_t e = (uint64_t)json_number(node->status, "epoch", 0);
     if (e > top) {
       top = e;
       best = node->view;
     }
     const json *d = json_get(node->status, "disk");
-    if (json_yes(d, "broken", false))
-      diagnosis(examination, D_DISK, "%s: the disk failed", node->self.text);
-    else if (json_num(d, "lastWriteMs", 0) > 500)
-      diagnosis(examination, D_DISK, "%s: the last write took %.0f ms", node->self.text,
-                json_num(d, "lastWriteMs", 0));
-    if (json_num(d, "fill", 0) > 0.6)
-      diagnosis(examination, D_DISK, "%s: the state fills %.0f %% of a ring file", node->self.text,
-                100 * json_num(d, "fill", 0));
+    if (json_bool(d, "broken", false))
+      add_finding(examination, D_DISK, "%s: the disk failed", node->self.text);
+    else if (json_number(d, "lastWriteMs", 0) > 500)
+      add_finding(examination, D_DISK, "%s: the last write took %.0f ms", node->self.text,
+                  json_number(d, "lastWriteMs", 0));
+    if (json_number(d, "fill", 0) > 0.6)
+      add_finding(examination, D_DISK, "%s: the state fills %.0f %% of a ring file",
+                  node->self.text, 100 * json_number(d, "fill", 0));
   }
   if (!controllers) {
-    diagnosis(examination, D_CHAIN, "no core machine answers");
+    add_finding(examination, D_CHAIN, "no core machine answers");
     return;
   }
   size_t links = json_count(json_get(best, "chain"));
   if (links < 3)
-    diagnosis(examination, D_CHAIN, "the chain of view %" PRIu64 " has %zu of 3 machines%s", top,
-              links, json_yes(best, "thin", false) ? " and takes no writes" : "");
+    add_finding(examination, D_CHAIN, "the chain of view %" PRIu64 " has %zu of 3 machines%s", top,
+                links, json_bool(best, "thin", false) ? " and takes no writes" : "");
   if (!acts)
-    diagnosis(examination, D_CHAIN, "no core machine holds a lease to act");
+    add_finding(examination, D_CHAIN, "no core machine holds a lease to act");
   for (guint i = 0; i < examination->all->len; i++) {
     examined_node *node = &g_array_index(examination->all, examined_node, i);
     if (!node->controller || !node->status)
       continue;
-    if ((uint64_t)json_num(node->status, "epoch", 0) != top)
-      diagnosis(examination, D_VIEWS_DIFFER, "%s knows view %.0f, others %" PRIu64, node->self.text,
-                json_num(node->status, "epoch", 0), top);
-    else if (json_num(node->status, "place", -1) >= 0 && !json_yes(node->status, "acts", false))
-      diagnosis(examination, D_VIEWS_DIFFER, "%s stands in the chain and has no lease",
-                node->self.text);
+    if ((uint64_t)json_number(node->status, "epoch", 0) != top)
+      add_finding(examination, D_VIEWS_DIFFER, "%s knows view %.0f, others %" PRIu64,
+                  node->self.text, json_number(node->status, "epoch", 0), top);
+    else if (json_number(node->status, "place", -1) >= 0 && !json_bool(node->status, "acts", false))
+      add_finding(examination, D_VIEWS_DIFFER, "%s stands in the chain and has no lease",
+                  node->self.text);
   }
 }
 
 static void examine_nodes(examination *examination) {
   double top = 0;
   for (guint i = 0; i < examination->all->len; i++)
-    top =
-        MAX(top, json_num(g_array_index(examination->all, examined_node, i).status, "version", 0));
+    top = MAX(top,
+              json_number(g_array_index(examination->all, examined_node, i).status, "version", 0));
   for (guint i = 0; i < examination->all->len; i++)
     for (guint k = 0; k < i; k++) {
       examined_node *node = &g_array_index(examination->all, examined_node, i),
                     *q = &g_array_index(examination->all, examined_node, k);
       if (node->status && q->status && id_equal(node->self, q->self))
-        diagnosis(examination, D_DUPLICATE_NAME, "%s answers at %s and at %s", node->self.text,
-                  node->addr, q->addr);
+        add_finding(examination, D_DUPLICATE_NAME, "%s answers at %s and at %s", node->self.text,
+                    node->addr, q->addr);
     }
   for (guint i = 0; i < examination->all->len; i++) {
     examined_node *node = &g_array_index(examination->all, examined_node, i);
     if (!node->status) {
-      diagnosis(examination, D_NO_ANSWER, "%s at %s does not answer%s",
-                node->self.text[0] ? node->self.text : "somebody", node->addr,
-                node->gone ? " and is held to be gone" : "");
+      add_finding(examination, D_NO_ANSWER, "%s at %s does not answer%s",
+                  node->self.text[0] ? node->self.text : "somebody", node->addr,
+                  node->gone ? " and is held to be gone" : "");
       continue;
     }
     if (node->sent > 1000)
-      diagnosis(examination, D_CLOCK, "%s answered after %" PRId64 " ms", node->self.text,
-                node->sent);
-    if (json_num(node->status, "wireOdd", 0) > 0)
-      diagnosis(examination, D_VERSION, "%s refused %.0f messages of another wire version",
-                node->self.text, json_num(node->status, "wireOdd", 0));
+      add_finding(examination, D_CLOCK, "%s answered after %" PRId64 " ms", node->self.text,
+                  node->sent);
+    if (json_number(node->status, "wireOdd", 0) > 0)
+      add_finding(examination, D_VERSION, "%s refused %.0f messages of another wire version",
+                  node->self.text, json_number(node->status, "wireOdd", 0));
     if (node->leaving)
-      diagnosis(examination, D_LEAVING, "%s is leaving", node->self.text);
-    if (json_yes(node->status, "twin", false))
-      diagnosis(examination, D_DUPLICATE_NAME, "another process uses the name %s", node->self.text);
+      add_finding(examination, D_DRAINING, "%s is leaving", node->self.text);
+    if (json_bool(node->status, "twin", false))
+      add_finding(examination, D_DUPLICATE_NAME, "another process uses the name %s",
+                  node->self.text);
     const json *s = json_get(node->status, "seeds");
     for (size_t k = 0; k < json_count(s); k++) {
-      const char *a = json_at(s, k)->kind == J_STR ? json_at(s, k)->text->str : "";
+      const char *a = json_at(s, k)->kind == JSON_STRING ? json_at(s, k)->text->str : "";
       examined_node *q = known(examination, a);
       if (!q || !q->status)
-        diagnosis(examination, D_SEED, "nobody answers at seed %s, which nodes are to start with",
-                  a);
+        add_finding(examination, D_SEED, "nobody answers at seed %s, which nodes are to start with",
+                    a);
     }
     if (node->controller)
       continue;
-    if (!json_yes(node->status, "fresh", false)) {
+    if (!json_bool(node->status, "fresh", false)) {
       /* between two answers of the core it may be so for a moment */
       world_sleep(examination->world, time_from_ms(1500));
-      json *again = page(examination, node->addr, "/v1/status", NULL);
-      if (!json_yes(again, "fresh", false))
-        diagnosis(examination, D_STALE, "%s cannot tell how fresh its version %.0f is",
-                  node->self.text, json_num(node->status, "version", 0));
+      json *again = fetch_page(examination, node->addr, "/v1/status", NULL);
+      if (!json_bool(again, "fresh", false))
+        add_finding(examination, D_STALE, "%s cannot tell how fresh its version %.0f is",
+                    node->self.text, json_number(node->status, "version", 0));
       json_free(again);
-    } else if (json_num(node->status, "version", 0) + 0.5 < top) {
+    } else if (json_number(node->status, "version", 0) + 0.5 < top) {
       world_sleep(examination->world, time_from_ms(1500));
-      json *again = page(examination, node->addr, "/v1/status", NULL);
-      if (again && json_num(again, "version", 0) + 0.5 < top)
-        diagnosis(examination, D_STALE, "%s stays at version %.0f, others have %.0f",
-                  node->self.text, json_num(again, "version", 0), top);
+      json *again = fetch_page(examination, node->addr, "/v1/status", NULL);
+      if (again && json_number(again, "version", 0) + 0.5 < top)
+        add_finding(examination, D_STALE, "%s stays at version %.0f, others have %.0f",
+                    node->self.text, json_number(again, "version", 0), top);
       json_free(again);
     }
-    double list = json_num(node->status, "listMs", -1);
+    double list = json_number(node->status, "listMs", -1);
     /* engines register at the core where gateways run; no platform lists them there */
     if (!node->gateway && (list < 0 || list > 5000))
-      diagnosis(examination, D_LIST, "%s had its last list of engines %s", node->self.text,
-                list < 0 ? "never" : "over 5 s ago");
-    double full = json_num(node->status, "paceFull", 0),
-           given = json_num(node->status, "paceGiven", 0);
+      add_finding(examination, D_ENGINE_LIST, "%s had its last list of engines %s", node->self.text,
+                  list < 0 ? "never" : "over 5 s ago");
+    double full = json_number(node->status, "paceFull", 0),
+           given = json_number(node->status, "paceGiven", 0);
     if (full > 5 && full > given)
-      diagnosis(examination, D_PACE, "%s refused %.0f tickets lately and gave %.0f",
-                node->self.text, full, given);
+      add_finding(examination, D_LOAD_RATE_LIMIT, "%s refused %.0f tickets lately and gave %.0f",
+                  node->self.text, full, given);
   }
 }
 
@@ -244,8 +246,8 @@
 static bool holdings_differ(examination *examination, const char *router, const char *engine,
                             const char *addr) {
   for (int turn = 0; turn < 3; turn++) {
-    json *mine = page(examination, addr, "/v1/state", NULL),
-         *all = page(examination, router, "/v1/holdings", NULL);
+    json *mine = fetch_page(examination, addr, "/v1/state", NULL),
+         *all = fetch_page(examination, router, "/v1/holdings", NULL);
     bool same = !mine || !all;
     for (size_t i = 0; i < json_count(all) && !same; i++)
       if (!strcmp(json_text(json_at(all, i), "id", ""), engine))
@@ -269,46 +271,51 @@
   }
   if (!v)
     return;
-  json *e = page(examination, v->addr, "/v1/engines", NULL), *c = NULL;
+  json *e = fetch_page(examination, v->addr, "/v1/engines", NULL), *c = NULL;
   for (guint i = 0; i < examination->all->len && !c; i++) {
     examined_node *node = &g_array_index(examination->all, examined_node, i);
     if (node->controller && node->status)
-      c = page(examination, node->addr, "/v1/catalogue", NULL);
+      c = fetch_page(examination, node->addr, "/v1/catalogue", NULL);
   }
   double megs = 0, slots = 0;
   for (size_t i = 0; i < json_count(e); i++) {
     const json *k = json_at(e, i);
     const char *n = json_text(k, "id", "");
-    megs = MAX(megs, json_num(k, "weightsMb", 0));
-    slots = MAX(slots, json_num(k, "adapterSlots", 0));
+    megs = MAX(megs, json_number(k, "weightsMb", 0));
+    slots = MAX(slots, json_number(k, "adapterSlots", 0));
     const char *holder = json_text(k, "holder", "");
     bool lives = false;
     for (guint p = 0; p < examination->all->len; p++)
       lives |= g_array_index(examination->all, examined_node, p).status &&
                !strcmp(g_array_index(examination->all, examined_node, p).self.text, holder);
     if (!lives)
-      diagnosis(examination, D_DUTY, "%s is held by %s", n, holder[0] ? holder : "nobody");
-    double heard = json_num(k, "heardMs", -1);
+      add_finding(examination, D_NO_SINGLETON_HOLDER, "%s is held by %s", n,
+                  holder[0] ? holder : "nobody");
+    double heard = json_number(k, "heardMs", -1);
     if (heard < 0 || heard > 3000)
-      diagnosis(examination, D_NO_ANSWER, "%s at %s gives no report", n, json_text(k, "addr", ""));
-    else if (json_yes(k, "odd", false))
-      diagnosis(examination, D_HOLDING, "the report of %s is not one to go by", n);
+      add_finding(examination, D_NO_ANSWER, "%s at %s gives no report", n,
+                  json_text(k, "addr", ""));
+    else if (json_bool(k, "odd", false))
+      add_finding(examination, D_RESIDENT_DIFFERS, "the report of %s is not one to go by", n);
     else if (holdings_differ(examination, v->addr, n, json_text(k, "addr", "")))
-      diagnosis(examination, D_HOLDING, "%s reports other holdings than %s believes", n,
-                v->self.text);
+      add_finding(examination, D_RESIDENT_DIFFERS, "%s reports other holdings than %s believes", n,
+                  v->self.text);
   }
   if (!json_count(e))
-    diagnosis(examination, D_LIST, "%s knows of no engine", v->self.text);
+    add_finding(examination, D_ENGINE_LIST, "%s knows of no engine", v->self.text);
   const json *m = json_get(json_get(c, "value"), "models");
   for (size_t i = 0; json_count(e) && i < json_count(m); i++)
-    if (json_num(json_at(m, i), "weightsMb", 0) > megs)
-      diagnosis(examination, D_FIT, "model %s takes %.0f MB, the largest engine has %.0f",
-                json_text(json_at(m, i), "id", ""), json_num(json_at(m, i), "weightsMb", 0), megs);
+    if (json_number(json_at(m, i), "weightsMb", 0) > megs)
+      add_finding(
+          examination, D_FITS_NO_ENGINE, "model %s takes %.0f MB, the largest engine has %.0f",
+          json_text(json_at(m, i), "id", ""), json_number(json_at(m, i), "weightsMb", 0), megs);
   const json *a = json_get(json_get(c, "value"), "adapters");
   for (size_t i = 0; json_count(e) && i < json_count(a); i++)
-    if (json_num(json_at(a, i), "slots", 1) > slots)
-      diagnosis(examination, D_FIT, "adapter %s takes %.0f places, the largest engine has %.0f",
-                json_text(json_at(a, i), "id", ""), json_num(json_at(a, i), "slots", 1), slots);
+    if (json_number(json_at(a, i), "slots", 1) > slots)
+      add_finding(examination, D_FITS_NO_ENGINE,
+                  "adapter %s takes %.0f places, the largest engine has %.0f",
+                  json_text(json_at(a, i), "id", ""), json_number(json_at(a, i), "slots", 1),
+                  slots);
   json_free(e);
   json_free(c);
 }
@@ -324,53 +331,53 @@
       continue;
     all++;
     const char *why = json_text(node->gateway, "why", "");
-    if (json_num(node->gateway, "revision", 0) < 1)
-      diagnosis(examination, D_ROUTING, "%s has no configuration of routes", node->self.text);
-    if (!json_yes(node->gateway, "ready", false))
-      diagnosis(examination, D_UNREADY, "%s is not ready: %s", node->self.text, why);
+    if (json_number(node->gateway, "revision", 0) < 1)
+      add_finding(examination, D_ROUTING, "%s has no configuration of routes", node->self.text);
+    if (!json_bool(node->gateway, "ready", false))
+      add_finding(examination, D_UNREADY, "%s is not ready: %s", node->self.text, why);
     const json *s = json_get(node->gateway, "services"), *e = json_get(node->gateway, "engines");
     for (size_t k = 0; k < json_count(s); k++) {
       const json *x = json_at(s, k);
       const char *name = json_text(x, "service", "?");
-      if (json_yes(x, "routed", false) && json_yes(node->gateway, "told", false)) {
-        if (json_num(x, "engines", 0) < 1)
-          diagnosis(examination, D_SERVICE, "%s knows of no engine of %s, which routes lead to",
-                    node->self.text, name);
-        else if (json_num(x, "usable", 0) < 1)
-          diagnosis(examination, D_SERVICE, "%s can use none of the %.0f engines of %s",
-                    node->self.text, json_num(x, "engines", 0), name);
+      if (json_bool(x, "routed", false) && json_bool(node->gateway, "told", false)) {
+        if (json_number(x, "engines", 0) < 1)
+          add_finding(examination, D_SERVICE, "%s knows of no engine of %s, which routes lead to",
+                      node->self.text, name);
+        else if (json_number(x, "usable", 0) < 1)
+          add_finding(examination, D_SERVICE, "%s can use none of the %.0f engines of %s",
+                      node->self.text, json_number(x, "engines", 0), name);
       }
-      if (!json_yes(x, "retryRoom", true))
-        diagnosis(examination, D_BUDGET, "%s has no extra attempts left for %s", node->self.text,
-                  name);
+      if (!json_bool(x, "retryRoom", true))
+        add_finding(examination, D_BUDGET, "%s has no extra attempts left for %s", node->self.text,
+                    name);
     }
     for (size_t k = 0; k < json_count(e); k++) {
       const json *x = json_at(e, k);
-      if (json_yes(x, "leaving", false) ||
-          (json_yes(x, "usable", true) && !json_yes(x, "suspect", false) &&
-           !json_yes(x, "failing", false)))
+      if (json_bool(x, "leaving", false) ||
+          (json_bool(x, "usable", true) && !json_bool(x, "suspect", false) &&
+           !json_bool(x, "failing", false)))
         continue;
       const char *name = json_text(x, "id", "?");
       g_hash_table_insert(shun, g_strdup(name),
                           GINT_TO_POINTER(GPOINTER_TO_INT(g_hash_table_lookup(shun, name)) + 1));
     }
-    if (json_num(node->gateway, "loadFailsInARow", 0) >= 3)
-      diagnosis(examination, D_LOADS, "%s: the last %.0f loads failed", node->self.text,
-                json_num(node->gateway, "loadFailsInARow", 0));
+    if (json_number(node->gateway, "loadFailsInARow", 0) >= 3)
+      add_finding(examination, D_LOADS, "%s: the last %.0f loads failed", node->self.text,
+                  json_number(node->gateway, "loadFailsInARow", 0));
   }
   GHashTableIter it;
   gpointer name, n;
   g_hash_table_iter_init(&it, shun);
   while (g_hash_table_iter_next(&it, &name, &n))
     if (2 * GPOINTER_TO_INT(n) >= all && GPOINTER_TO_INT(n) > 0)
-      diagnosis(examination, D_AVOIDED, "%s is passed over by %d of %d gateways", (char *)name,
-                GPOINTER_TO_INT(n), all);
+      add_finding(examination, D_ENGINE_EJECTED, "%s is passed over by %d of %d gateways",
+                  (char *)name, GPOINTER_TO_INT(n), all);
   g_hash_table_destroy(shun);
   json *c = NULL;
   for (guint i = 0; all && i < examination->all->len && !c; i++) {
     examined_node *node = &g_array_index(examination->all, examined_node, i);
-    if (node->controller && node->status && json_yes(node->status, "acts", false))
-      c = page(examination, node->addr, "/v1/contracts", NULL);
+    if (node->controller && node->status && json_bool(node->status, "acts", false))
+      c = fetch_page(examination, node->addr, "/v1/contracts", NULL);
   }
   const char *holder = "";
   for (size_t i = 0; i < json_count(c); i++)
@@ -381,8 +388,8 @@
     lives |= g_array_index(examination->all, examined_node, i).status &&
              !strcmp(g_array_index(examination->all, examined_node, i).self.text, holder);
   if (c && !lives)
-    diagnosis(examination, D_PACER, "the pace of loads is held by %s",
-              holder[0] ? holder : "nobody");
+    add_finding(examination, D_NO_LOAD_RATE_LIMITER, "the pace of loads is held by %s",
+                holder[0] ? holder : "nobody");
   json_free(c);
 }
 
@@ -390,7 +397,7 @@
   examination l = { world, g_array_new(FALSE, TRUE, sizeof(finding)),
                     g_array_new(FALSE, TRUE, sizeof(examined_node)) };
   for (int i = 0; i < count; i++)
-    meet(&l, at[i], id_of_text(""), true, "");
+    add_examined_node(&l, at[i], id_of_text(""), true, "");
   for (guint i = 0; i < l.all->len && i < 64; i++) {
     char addr[48];
     g_strlcpy(addr, g_array_index(l.all, examined_node, i).addr, sizeof addr);
@@ -400,11 +407,11 @@
     char addr[48];
     int64_t ms;
     g_strlcpy(addr, g_array_index(l.all, examined_node, i).addr, sizeof addr);
-    json *s = page(&l, addr, "/v1/status", &ms),
+    json *s = fetch_page(&l, addr, "/v1/status", &ms),
          *v = s && !strcmp(json_text(s, "role", ""), "controller")
-                  ? page(&l, addr, "/v1/view", NULL)
+                  ? fetch_page(&l, addr, "/v1/view", NULL)
                   : NULL,
-         *g = s && !v ? page(&l, addr, "/v1/gateway", NULL) : NULL;
+         *g = s && !v ? fetch_page(&l, addr, "/v1/gateway", NULL) : NULL;
     examined_node *node = &g_array_index(l.all, examined_node, i);
     node->status = s;
     node->view = v;
--- a/lib/doctor/doctor.h
+++ b/lib/doctor/doctor.h
@@ -6,7 +6,7 @@
 typedef struct finding {
   int code;
   char evidence[200];
-  const char *next;
+  const char *remedy;
 } finding;
 /** The doctor's codes; docs/codes.md has the table. */
 enum diagnosis {
@@ -15,21 +15,21 @@
   D_CHAIN,
   D_VIEWS_DIFFER,
   D_STALE,
-  D_DUTY,
-  D_HOLDING,
-  D_FIT,
-  D_PACE,
+  D_NO_SINGLETON_HOLDER,
+  D_RESIDENT_DIFFERS,
+  D_FITS_NO_ENGINE,
+  D_LOAD_RATE_LIMIT,
   D_DISK,
   D_CLOCK,
   D_DUPLICATE_NAME,
-  D_LIST,
+  D_ENGINE_LIST,
   D_VERSION,
-  D_LEAVING,
+  D_DRAINING,
   D_ROUTING,
   D_SERVICE,
   D_UNREADY,
-  D_AVOIDED,
-  D_PACER,
+  D_ENGINE_EJECTED,
+  D_NO_LOAD_RATE_LIMITER,
   D_BUDGET,
   D_LOADS
 };
--- a/lib/gateway/budget.c
+++ b/lib/gateway/budget.c
@@ -75,8 +75,8 @@
 
 static int nodes(gateway *gateway) {
   int n = 1;
-  list_for_each (peer, &gateway->router->node.machines, machine, link)
-    n += peer->role == ROLE_ROUTER && machine_lives(peer) && !peer->gone;
+  list_for_each (peer, &gateway->router->node.peers, peer_node, link)
+    n += peer->role == ROLE_ROUTER && peer_is_live(peer) && !peer->gone;
   return n;
 }
 
--- a/lib/gateway/canary.c
+++ b/lib/gateway/canary.c
@@ -58,7 +58,7 @@
   GArray *nodes;
   elder_set elders;
   time_us from, open_at, hears_nobody_since;
-  canary_finding last;
+  canary_verdict last;
 };
 typedef struct canary_judge canary_judge_t;
 
@@ -114,10 +114,10 @@
  * its prompt, or the work that is asked for; only a request without any of these stands alone */
 static uint64_t session_of(const gateway *gateway, const http_request *request,
                            const route *route) {
-  const char *const *field = gateway->settings.dialect->field;
+  const char *const *field = gateway->settings.dialect->header_names;
   string_view v;
   if (field[DF_SESSION] && fields_get(request->fields, field[DF_SESSION], &v) && v.length)
-    return hash_of(v.data, v.length, 1);
+    return hash_bytes(v.data, v.length, 1);
   if (fields_get(request->fields, field[DF_PREFIX], &v) && v.length) {
     size_t end = v.length;
     for (size_t i = v.length; i-- > 0;)
@@ -132,12 +132,13 @@
     size_t n = 0;
     while (at + n < end && v.data[at + n] != ':')
       n++;
-    return hash_of(v.data + at, n, 2);
+    return hash_bytes(v.data + at, n, 2);
   }
-  uint64_t h = hash_of(route->name.text, strlen(route->name.text), 3);
+  uint64_t h = hash_bytes(route->name.text, strlen(route->name.text), 3);
   if (request->body && request->body->len)
-    return hash_of(request->body->str, request->body->len, h);
-  return fields_get(request->fields, field[DF_REQUEST_ID], &v) ? hash_of(v.data, v.length, h) : h;
+    return hash_bytes(request->body->str, request->body->len, h);
+  return fields_get(request->fields, field[DF_REQUEST_ID], &v) ? hash_bytes(v.data, v.length, h)
+                                                               : h;
 }
 
 /* the candidate is on here: all began, and this node hears both the core and the judge */
@@ -146,7 +147,7 @@
   return canary->open_at.us && time_reached(now_of(gateway), canary->open_at) &&
          within(gateway, gateway->router->core_at, NEWS_MS) &&
          within(gateway, canary->heard, JUDGE_MS) &&
-         within(gateway, canary->from, canary->plan.most_ms + SPARE_MS) &&
+         within(gateway, canary->from, canary->plan.max_duration_ms + SPARE_MS) &&
          canary->elders.list->len < ELDERS_MOST;
 }
 
@@ -157,27 +158,28 @@
   q.version = gateway->canary->version;
   q.n_pinned_sessions = 1;
   q.pinned_sessions = &x;
-  Wire__Envelope m = wire_msg(WIRE__ENVELOPE__BODY_CANARY_PINNED_SESSIONS, &q);
-  node_send_all(&gateway->router->node, ROLE_ROUTER, &m);
+  Wire__Envelope m = wire_envelope(WIRE__ENVELOPE__BODY_CANARY_PINNED_SESSIONS, &q);
+  node_broadcast(&gateway->router->node, ROLE_ROUTER, &m);
 }
 
 canary_part canary_admit(gateway *gateway, const http_request *request, const route *route) {
   canary *canary = gateway->canary;
-  if (!canary_takes(&canary->plan, route->name, route->priority))
+  if (!canary_includes(&canary->plan, route->name, route->priority))
     return (canary_part){ 0 };
   uint64_t session = session_of(gateway, request, route);
   bool on = is_on(gateway);
-  if (!canary_drawn(&canary->plan, session))
-    return (canary_part){ canary->version, SIDE_OLD, on };
+  if (!canary_session_is_candidate(&canary->plan, session))
+    return (canary_part){ canary->version, CANARY_ARM_CONTROL, on };
   if (on && !g_hash_table_contains(canary->elders.at, &session))
-    return (canary_part){ canary->version, SIDE_CANDIDATE, true };
+    return (canary_part){ canary->version, CANARY_ARM_CANDIDATE, true };
   if (elders_add(&canary->elders, session) && (canary->open_at.us || canary->recent_sessions))
     announce_old_session(gateway, session);
-  return (canary_part){ canary->version, SIDE_OLD, false };
+  return (canary_part){ canary->version, CANARY_ARM_CONTROL, false };
 }
 
 const select_policy *canary_policy(const gateway *gateway, const canary_part *p) {
-  return p->side == SIDE_CANDIDATE ? &gateway->canary->plan.candidate : &select_usual;
+  return p->side == CANARY_ARM_CANDIDATE ? &gateway->canary->plan.candidate
+                                         : &select_policy_default;
 }
 const char *canary_name(const gateway *gateway) {
   return gateway->canary->plan.name.text;
@@ -189,17 +191,17 @@
   if (!canary || canary->version != p->run || !p->counts || !status ||
       (status >= 400 && status < 500 && status != 429 && status != 408))
     return;
-  canary_cell *k = &canary->own.cell[p->side][MIN(route->priority, CANARY_PRIORITIES - 1)];
+  canary_cell *k = &canary->own.cells[p->side][MIN(route->priority, CANARY_PRIORITIES - 1)];
   if (status == 503 || status == 429)
-    k->refused++;
+    k->rejected++;
   else if (status >= 500 || status == 408 || first_ms < 0)
     k->failed++;
   else if (route->target_ms > 0 && first_ms > (double)route->target_ms)
     k->late++;
   else
-    k->in_aim++;
+    k->within_target++;
   if (first_ms >= 0)
-    k->first[canary_bucket(first_ms)]++;
+    k->first_event_buckets[canary_bucket(first_ms)]++;
 }
 
 /* the judge: whoever holds the duty, under its epoch */
@@ -234,7 +236,7 @@
 }
 
 static bool most(gateway *gateway, int n) {
-  return n > node_count_machines(&gateway->router->node, ROLE_ROUTER) / 2;
+  return n > node_count_peers(&gateway->router->node, ROLE_ROUTER) / 2;
 }
 
 /* takes a node's totals: those of one run only ever grow, so a repeated or overtaken report changes
@@ -255,13 +257,13 @@
   h->warm |= q->warm;
   for (size_t i = 0; i < q->n_cells; i++) {
     const Wire__CanaryCell *w = q->cells[i];
-    if (w->arm >= SIDES || w->priority >= CANARY_PRIORITIES)
+    if (w->arm >= CANARY_ARMS || w->priority >= CANARY_PRIORITIES)
       continue;
-    canary_cell *c = &h->t.cell[w->arm][w->priority],
+    canary_cell *c = &h->t.cells[w->arm][w->priority],
                 x = { w->within_target, w->late, w->rejected, w->failed, { 0 } };
     for (size_t b = 0; b < MIN(w->n_first_event_buckets, (size_t)CANARY_BUCKETS); b++)
-      x.first[b] = w->first_event_buckets[b];
-    if (canary_count(&x) >= canary_count(c))
+      x.first_event_buckets[b] = w->first_event_buckets[b];
+    if (canary_cell_requests(&x) >= canary_cell_requests(c))
       *c = x;
   }
   for (size_t i = 0; i < q->n_pinned_sessions; i++)
@@ -292,13 +294,13 @@
   Wire__CanaryReportRequest *q = in->canary_report_request;
   canary_judge_t *judge = judge_of(gateway);
   if (!judge || judge->version != q->version)
-    return error_set(err, E_NO_HOLDER, "this node does not judge this trial");
+    return error_set(err, E_NO_LEASE_HOLDER, "this node does not judge this trial");
   fold(gateway, judge, id_of_text(in->from->id), in->from->nonce, q);
-  Wire__CanaryReportResponse *b = reply_new(reply, WIRE__ENVELOPE__BODY_CANARY_REPORT_RESPONSE,
-                                            &wire__canary_report_response__descriptor);
+  Wire__CanaryReportResponse *b = reply_new_body(reply, WIRE__ENVELOPE__BODY_CANARY_REPORT_RESPONSE,
+                                                 &wire__canary_report_response__descriptor);
   fill_back(gateway, judge, q, b);
   /* the list may move before the reply is packed */
-  uint64_t *own = reply_hold(reply, sizeof(uint64_t) * (b->n_pinned_sessions + 1));
+  uint64_t *own = reply_alloc(reply, sizeof(uint64_t) * (b->n_pinned_sessions + 1));
   if (b->n_pinned_sessions)
     memcpy(own, b->pinned_sessions, sizeof(uint64_t) * b->n_pinned_sessions);
   b->pinned_sessions = own;
@@ -343,30 +345,30 @@
 static bool report(gateway *gateway) {
   canary *canary = gateway->canary;
   uint64_t version = canary->version;
-  Wire__CanaryCell cells[SIDES * CANARY_PRIORITIES], *at[SIDES * CANARY_PRIORITIES];
-  uint64_t first[SIDES * CANARY_PRIORITIES][CANARY_BUCKETS];
+  Wire__CanaryCell cells[CANARY_ARMS * CANARY_PRIORITIES], *at[CANARY_ARMS * CANARY_PRIORITIES];
+  uint64_t first[CANARY_ARMS * CANARY_PRIORITIES][CANARY_BUCKETS];
   Wire__CanaryReportRequest q = WIRE__CANARY_REPORT_REQUEST__INIT;
   q.version = version;
   q.pinned_list_id = canary->list;
   q.pinned_known = canary->known;
   q.age_ms = (uint64_t)time_sub(now_of(gateway), canary->from).us / 1000;
-  q.warm = q.age_ms >= (uint64_t)canary->plan.warm_ms;
+  q.warm = q.age_ms >= (uint64_t)canary->plan.warm_up_ms;
   q.started = canary->open_at.us && time_reached(now_of(gateway), canary->open_at);
   q.cells = at;
-  for (int s = 0; s < SIDES; s++)
+  for (int s = 0; s < CANARY_ARMS; s++)
     for (unsigned p = 0; p < CANARY_PRIORITIES; p++) {
-      const canary_cell *k = &canary->own.cell[s][p];
-      if (!canary_count(k))
+      const canary_cell *k = &canary->own.cells[s][p];
+      if (!canary_cell_requests(k))
         continue;
       Wire__CanaryCell *w = at[q.n_cells] = &cells[q.n_cells];
       wire__canary_cell__init(w);
       w->arm = (uint32_t)s;
       w->priority = p;
-      w->within_target = k->in_aim;
+      w->within_target = k->within_target;
       w->late = k->late;
-      w->rejected = k->refused;
+      w->rejected = k->rejected;
       w->failed = k->failed;
-      memcpy(first[q.n_cells], k->first, sizeof k->first);
+      memcpy(first[q.n_cells], k->first_event_buckets, sizeof k->first_event_buckets);
       w->n_first_event_buckets = CANARY_BUCKETS;
       w->first_event_buckets = first[q.n_cells];
       q.n_cells++;
@@ -390,13 +392,13 @@
   }
   id who;
   uint64_t epoch;
-  machine *machine = router_grant(gateway->router, "canary", &who, &epoch)
-                         ? node_find_machine(&gateway->router->node, who)
-                         : NULL;
-  if (machine) {
+  peer_node *peer = router_grant(gateway->router, "canary", &who, &epoch)
+                        ? node_find_peer(&gateway->router->node, who)
+                        : NULL;
+  if (peer) {
     char addr[48];
-    g_strlcpy(addr, machine->addr, sizeof addr);
-    Wire__Envelope msg = wire_msg(WIRE__ENVELOPE__BODY_CANARY_REPORT_REQUEST, &q), *b;
+    g_strlcpy(addr, peer->address, sizeof addr);
+    Wire__Envelope msg = wire_envelope(WIRE__ENVELOPE__BODY_CANARY_REPORT_REQUEST, &q), *b;
     error err = { 0 };
     if (!node_call(&gateway->router->node, addr, &msg, time_from_ms(CALL_MS), &b, &err)) {
       canary = gateway->canary;
@@ -413,12 +415,13 @@
   return ok;
 }
 
-static void view_text(GString *to, const char *name, const canary_view *v) {
-  json_f(
+static void view_text(GString *to, const char *name, const canary_comparison *v) {
+  json_appendf(
       to,
       "\"%s\":{\"old\":{\"requests\":%.0f,\"harm\":%.4f,\"atMost\":%.4f},\"candidate\":{\"requests\":%.0f,\"harm\":%.4f,\"atLeast\":%.4f}}",
-      name, v->n[SIDE_OLD], v->harm[SIDE_OLD], v->high, v->n[SIDE_CANDIDATE],
-      v->harm[SIDE_CANDIDATE], v->low);
+      name, v->requests[CANARY_ARM_CONTROL], v->mean_harm[CANARY_ARM_CONTROL],
+      v->harm_difference_high, v->requests[CANARY_ARM_CANDIDATE],
+      v->mean_harm[CANARY_ARM_CANDIDATE], v->harm_difference_low);
 }
 
 static void totals_of(const canary_judge_t *judge, canary_totals *t, uint64_t *age_ms) {
@@ -427,16 +430,16 @@
   for (guint i = 0; i < judge->nodes->len; i++) {
     const heard_of *h = &g_array_index(judge->nodes, heard_of, i);
     *age_ms = MAX(*age_ms, h->age_ms);
-    for (int s = 0; s < SIDES; s++)
+    for (int s = 0; s < CANARY_ARMS; s++)
       for (int p = 0; p < CANARY_PRIORITIES; p++) {
-        canary_cell *to = &t->cell[s][p];
-        const canary_cell *k = &h->t.cell[s][p];
-        to->in_aim += k->in_aim;
+        canary_cell *to = &t->cells[s][p];
+        const canary_cell *k = &h->t.cells[s][p];
+        to->within_target += k->within_target;
         to->late += k->late;
-        to->refused += k->refused;
+        to->rejected += k->rejected;
         to->failed += k->failed;
         for (int b = 0; b < CANARY_BUCKETS; b++)
-          to->first[b] += k->first[b];
+          to->first_event_buckets[b] += k->first_event_buckets[b];
       }
   }
 }
@@ -445,33 +448,35 @@
  * trial is taken there */
 static void end(gateway *gateway, canary_judge_t *judge, const char *verdict) {
   GString *t = g_string_new(NULL);
-  json_f(t, "{\"state\":\"ended\",\"end\":{\"verdict\":\"%s\",\"by\":\"%s\",\"epoch\":%" PRIu64 ",",
-         verdict, gateway->router->node.settings.self.text, judge->epoch);
+  json_appendf(
+      t, "{\"state\":\"ended\",\"end\":{\"verdict\":\"%s\",\"by\":\"%s\",\"epoch\":%" PRIu64 ",",
+      verdict, gateway->router->node.settings.self.text, judge->epoch);
   view_text(t, "urgent", &judge->last.urgent);
   g_string_append_c(t, ',');
   view_text(t, "rest", &judge->last.rest);
   g_string_append(t, "}}");
-  const canary_view *u = &judge->last.urgent;
+  const canary_comparison *u = &judge->last.urgent;
   log_info(
       &gateway->router->node.log, "canary",
       "Ends the trial %s: %s. Urgent harm %.4f of %.0f by the old policy (at most %.4f), %.4f of %.0f by the candidate (at least %.4f).",
-      gateway->canary->plan.name.text, verdict, u->harm[SIDE_OLD], u->n[SIDE_OLD], u->high,
-      u->harm[SIDE_CANDIDATE], u->n[SIDE_CANDIDATE], u->low);
+      gateway->canary->plan.name.text, verdict, u->mean_harm[CANARY_ARM_CONTROL],
+      u->requests[CANARY_ARM_CONTROL], u->harm_difference_high, u->mean_harm[CANARY_ARM_CANDIDATE],
+      u->requests[CANARY_ARM_CANDIDATE], u->harm_difference_low);
   Wire__CanaryEndRequest q = WIRE__CANARY_END_REQUEST__INIT;
   q.version = judge->version;
   q.epoch = judge->epoch;
   q.verdict.data = (uint8_t *)t->str;
   q.verdict.len = t->len;
   char addr[48];
-  machine *machine = gateway->router->head_addr[0]
-                         ? NULL
-                         : node_pick_machine(&gateway->router->node, ROLE_CONTROLLER, NULL);
+  peer_node *peer = gateway->router->head_addr[0]
+                        ? NULL
+                        : node_pick_peer(&gateway->router->node, ROLE_CONTROLLER, NULL);
   g_strlcpy(addr,
             gateway->router->head_addr[0] ? gateway->router->head_addr
-            : machine                     ? machine->addr
+            : peer                        ? peer->address
                                           : "",
             sizeof addr);
-  Wire__Envelope m = wire_msg(WIRE__ENVELOPE__BODY_CANARY_END_REQUEST, &q), *b;
+  Wire__Envelope m = wire_envelope(WIRE__ENVELOPE__BODY_CANARY_END_REQUEST, &q), *b;
   error err = { 0 };
   if (addr[0]) {
     if (!node_call(&gateway->router->node, addr, &m, time_from_ms(END_MS), &b, &err))
@@ -496,13 +501,13 @@
     judge->hears_nobody_since = (time_us){ 0 };
   else if (!judge->hears_nobody_since.us)
     judge->hears_nobody_since = now;
-  if (judge->last.harm)
+  if (judge->last.harm_proven)
     end(gateway, judge, "harm");
   else if (judge->hears_nobody_since.us &&
            time_reached(now, time_add(judge->hears_nobody_since, time_from_ms(NOTHING_HEARD_MS))))
     end(gateway, judge, "unreachable");
-  else if (age >= (uint64_t)gateway->canary->plan.most_ms)
-    end(gateway, judge, judge->last.enough ? "no harm" : "too little");
+  else if (age >= (uint64_t)gateway->canary->plan.max_duration_ms)
+    end(gateway, judge, judge->last.has_enough_requests ? "no harm" : "too little");
 }
 
 typedef struct watch {
@@ -537,8 +542,8 @@
     canary->was_on = on;
     bool soon = !heard || !gateway->canary->open_at.us ||
                 gateway->canary->sent < gateway->canary->elders.list->len;
-    if (!world_sleep_about(gateway->router->node.world,
-                           time_from_ms(soon ? REPORT_SOON_MS : REPORT_MS)))
+    if (!world_sleep_with_jitter(gateway->router->node.world,
+                                 time_from_ms(soon ? REPORT_SOON_MS : REPORT_MS)))
       return;
   }
 }
@@ -546,7 +551,7 @@
 void canary_installed(gateway *gateway) {
   const config *config = gateway->router->config;
   const canary_plan *plan = config ? &config->canary : NULL;
-  uint64_t version = gateway->router->res_at[RES_CANARY];
+  uint64_t version = gateway->router->res_at[RESOURCE_CANARY];
   if (!plan || plan->state != CANARY_RUNNING) {
     if (gateway->canary)
       log_info(&gateway->router->node.log, "canary",
@@ -565,38 +570,41 @@
   n->recent_sessions = gateway->router->news_count <= 1;
   elders_init(&n->elders);
   log_info(&gateway->router->node.log, "canary", "The trial %s is declared for a share of %.3f.",
-           plan->name.text, plan->share);
+           plan->name.text, plan->traffic_share);
   watch *w = g_new(watch, 1);
   *w = (watch){ gateway, version };
   task_start(&gateway->router->node.world->tasks, "canary", canary_run, w);
 }
 
 void canary_start(gateway *gateway) {
-  node_on(&gateway->router->node, WIRE__ENVELOPE__BODY_CANARY_REPORT_REQUEST, on_report, gateway);
-  node_on(&gateway->router->node, WIRE__ENVELOPE__BODY_CANARY_PINNED_SESSIONS, on_elders, gateway);
+  node_register_handler(&gateway->router->node, WIRE__ENVELOPE__BODY_CANARY_REPORT_REQUEST,
+                        on_report, gateway);
+  node_register_handler(&gateway->router->node, WIRE__ENVELOPE__BODY_CANARY_PINNED_SESSIONS,
+                        on_elders, gateway);
 }
 
 void canary_free(gateway *gateway) {
   drop(gateway);
 }
 
-static const char *const side_name[SIDES] = { "old", "candidate" };
+static const char *const side_name[CANARY_ARMS] = { "old", "candidate" };
 
 static void sides_json(const canary_totals *t, GString *to) {
   bool some = false;
   g_string_append_c(to, '[');
-  for (int s = 0; s < SIDES; s++)
+  for (int s = 0; s < CANARY_ARMS; s++)
     for (int p = 0; p < CANARY_PRIORITIES; p++) {
-      const canary_cell *c = &t->cell[s][p];
-      if (!canary_count(c))
+      const canary_cell *c = &t->cells[s][p];
+      if (!canary_cell_requests(c))
         continue;
-      json_f(to,
-             "%s{\"side\":\"%s\",\"priority\":%d,\"requests\":%" PRIu64 ",\"inAim\":%" PRIu64
-             ",\"late\":%" PRIu64 ",\"refused\":%" PRIu64 ",\"failed\":%" PRIu64 ",\"firstMs\":[",
-             some ? "," : "", side_name[s], p, canary_count(c), c->in_aim, c->late, c->refused,
-             c->failed);
+      json_appendf(to,
+                   "%s{\"side\":\"%s\",\"priority\":%d,\"requests\":%" PRIu64 ",\"inAim\":%" PRIu64
+                   ",\"late\":%" PRIu64 ",\"refused\":%" PRIu64 ",\"failed\":%" PRIu64
+                   ",\"firstMs\":[",
+                   some ? "," : "", side_name[s], p, canary_cell_requests(c), c->within_target,
+                   c->late, c->rejected, c->failed);
       for (int b = 0; b < CANARY_BUCKETS; b++)
-        json_f(to, "%s%" PRIu64, b ? "," : "", c->first[b]);
+        json_appendf(to, "%s%" PRIu64, b ? "," : "", c->first_event_buckets[b]);
       g_string_append(to, "]}");
       some = true;
     }
@@ -607,17 +615,19 @@
   const canary *canary = gateway->canary;
   if (!canary)
     return;
-  json_f(to, ",\"canary\":{\"name\":\"%s\",\"on\":%s,\"judge\":\"%s\",\"elders\":%u,\"sides\":",
-         canary->plan.name.text, is_on(gateway) ? "true" : "false", canary->judge.text,
-         canary->elders.list->len);
+  json_appendf(to,
+               ",\"canary\":{\"name\":\"%s\",\"on\":%s,\"judge\":\"%s\",\"elders\":%u,\"sides\":",
+               canary->plan.name.text, is_on(gateway) ? "true" : "false", canary->judge.text,
+               canary->elders.list->len);
   sides_json(&canary->own, to);
   canary_judge_t *judge = judge_of(gateway);
   if (judge) {
     canary_totals t;
     uint64_t age;
     totals_of(judge, &t, &age);
-    json_f(to, ",\"judges\":{\"nodes\":%d,\"ageMs\":%" PRIu64 ",\"enough\":%s,",
-           heard_now(gateway, judge, false), age, judge->last.enough ? "true" : "false");
+    json_appendf(to, ",\"judges\":{\"nodes\":%d,\"ageMs\":%" PRIu64 ",\"enough\":%s,",
+                 heard_now(gateway, judge, false), age,
+                 judge->last.has_enough_requests ? "true" : "false");
     view_text(to, "urgent", &judge->last.urgent);
     g_string_append_c(to, ',');
     view_text(to, "rest", &judge->last.rest);
@@ -632,20 +642,20 @@
   const canary *canary = gateway->canary;
   if (!canary)
     return;
-  json_f(to, "asterfall_canary_on %d\nasterfall_canary_elders %u\n", is_on(gateway),
-         canary->elders.list->len);
-  for (int s = 0; s < SIDES; s++)
+  json_appendf(to, "asterfall_canary_on %d\nasterfall_canary_elders %u\n", is_on(gateway),
+               canary->elders.list->len);
+  for (int s = 0; s < CANARY_ARMS; s++)
     for (int p = 0; p < CANARY_PRIORITIES; p++) {
-      const canary_cell *k = &canary->own.cell[s][p];
-      if (!canary_count(k))
+      const canary_cell *k = &canary->own.cells[s][p];
+      if (!canary_cell_requests(k))
         continue;
-      json_f(to,
-             "asterfall_canary_requests{side=\"%s\",priority=\"%d\",end=\"in_aim\"} %" PRIu64
-             "\nasterfall_canary_requests{side=\"%s\",priority=\"%d\",end=\"late\"} %" PRIu64
-             "\nasterfall_canary_requests{side=\"%s\",priority=\"%d\",end=\"refused\"} %" PRIu64
-             "\nasterfall_canary_requests{side=\"%s\",priority=\"%d\",end=\"failed\"} %" PRIu64
-             "\n",
-             side_name[s], p, k->in_aim, side_name[s], p, k->late, side_name[s], p, k->refused,
-             side_name[s], p, k->failed);
+      json_appendf(
+          to,
+          "asterfall_canary_requests{side=\"%s\",priority=\"%d\",end=\"in_aim\"} %" PRIu64
+          "\nasterfall_canary_requests{side=\"%s\",priority=\"%d\",end=\"late\"} %" PRIu64
+          "\nasterfall_canary_requests{side=\"%s\",priority=\"%d\",end=\"refused\"} %" PRIu64
+          "\nasterfall_canary_requests{side=\"%s\",priority=\"%d\",end=\"failed\"} %" PRIu64 "\n",
+          side_name[s], p, k->within_target, side_name[s], p, k->late, side_name[s], p, k->rejected,
+          side_name[s], p, k->failed);
     }
 }
--- a/lib/gateway/drain.c
+++ b/lib/gateway/drain.c
@@ -31,8 +31,8 @@
 static void stop_admission(gateway *gateway) {
   world *world = gateway->router->node.world;
   gateway->shut = true;
-  world->door_shut(world, &gateway->front);
-  world->door_end(world, &gateway->front);
+  world->listener_stop_accepting(world, &gateway->front);
+  world->listener_close_idle(world, &gateway->front);
 }
 
 /* what waits for a place would not be served any more */
@@ -57,28 +57,29 @@
   if (!world_sleep(world, time_sub(shut, world_now(world))))
     return;
   stop_admission(gateway);
-  while ((gateway->open || gateway->front.exchanges) && !time_reached(world_now(world), last)) {
+  while ((gateway->open || gateway->front.pending_exchanges) &&
+         !time_reached(world_now(world), last)) {
     if (!gateway->ending && time_reached(world_now(world), refuse))
       refuse_waiting(gateway);
     if (!world_sleep(world, time_from_ms(STEP_MS)))
       return;
   }
-  world->door_end(world, &gateway->front);
+  world->listener_close_idle(world, &gateway->front);
   answer_unbegun(gateway);
   if (!world_sleep(world, time_from_ms(FLUSH_MS)))
     return;
   log_info(&gateway->router->node.log, "gateway",
            "Drained, %d requests left, %" PRIu64 " channels broken off.", gateway->open,
-           gateway->front.broken_off);
+           gateway->front.requests_aborted);
   condition_broadcast(&gateway->over);
 }
 
 void gateway_drain(gateway *gateway) {
   if (gateway->draining)
     return;
-  gateway->draining = gateway->front.leaving = true;
+  gateway->draining = gateway->front.draining = true;
   gateway->router->drain = true;
-  node_leave(&gateway->router->node);
+  node_start_draining(&gateway->router->node);
   gateway->drain_at = world_now(gateway->router->node.world);
   log_info(&gateway->router->node.log, "gateway", "Asked to stop, %d requests are open.",
            gateway->open);
--- a/lib/gateway/eviction.c
+++ b/lib/gateway/eviction.c
@@ -5,7 +5,7 @@
 
 /* sizes and times */
 double thing_size_mb(const service *service, id model, id adapter) {
-  const svc_model *m = service_model(service, model.text);
+  const service_model_spec *m = service_find_model(service, model.text);
   return !m ? 0 : id_is_empty(adapter) ? m->weights_mb : m->adapter_mb;
 }
 
@@ -13,7 +13,7 @@
  * apart */
 double thing_load_ms(gateway *gateway, const service *service, id model, id adapter, bool warm) {
   char key[140];
-  const svc_model *m = service_model(service, model.text);
+  const service_model_spec *m = service_find_model(service, model.text);
   double cold = m && m->load_ms > 0 ? m->load_ms : 2000;
   history_key(key, sizeof key, model, adapter);
   if (!id_is_empty(adapter))
@@ -152,8 +152,8 @@
   const config *config = gateway->router->config;
   if (!gateway_uses(gateway, MECHANISM_CREMEBRULEE))
     return (policy){ "lru", NULL, now_of(gateway) };
-  return config ? (policy){ config->eviction, config_formula(config, config->eviction),
-                            now_of(gateway) }
+  return config ? (policy){ config->eviction_policy,
+                            config_formula(config, config->eviction_policy), now_of(gateway) }
                 : (policy){ "cremebrulee", NULL, now_of(gateway) };
 }
 
--- a/lib/gateway/forward.c
+++ b/lib/gateway/forward.c
@@ -93,9 +93,10 @@
 }
 /* until the first event: callers give a stream up after a silence that its route's bounds tell */
 static int64_t first_left_ms(const inflight_request *flight) {
-  if (flight->route->mode != MODE_STREAM || flight->http->began)
+  if (flight->route->mode != ROUTE_MODE_STREAM || flight->http->response_started)
     return left_ms(flight);
-  int64_t most = MAX(SILENCE_MS, MAX(4 * flight->route->target_ms, 8 * flight->route->gap_ms));
+  int64_t most =
+      MAX(SILENCE_MS, MAX(4 * flight->route->target_ms, 8 * flight->route->gap_target_ms));
   return MIN(left_ms(flight),
              time_sub(time_add(flight->since, time_from_ms(most)), now_of(flight)).us / 1000);
 }
@@ -103,11 +104,11 @@
   return a.us < b.us ? a : b;
 }
 static bool repeats(const inflight_request *flight) {
-  return flight->route->mode == MODE_SAFE ||
-         (flight->route->mode == MODE_STREAM && flight->route->resumable);
+  return flight->route->mode == ROUTE_MODE_SAFE ||
+         (flight->route->mode == ROUTE_MODE_STREAM && flight->route->resumable);
 }
 static const char *word(const inflight_request *flight, enum dialect_field k) {
-  return flight->gateway->settings.dialect->field[k];
+  return flight->gateway->settings.dialect->header_names[k];
 }
 
 traffic *traffic_of(gateway *gateway, const service *service) {
@@ -131,24 +132,25 @@
 
 static void answer(gateway *gateway, http_request *request, int status, int64_t back_ms,
                    int64_t left, const char *text) {
-  if (request->began || request->ended)
+  if (request->response_started || request->response_ended)
     return;
-  if (!request->reply_fields)
-    request->reply_fields = g_string_new(NULL);
+  if (!request->response_fields)
+    request->response_fields = g_string_new(NULL);
   string_view rid;
   if (request->fields &&
-      fields_get(request->fields, gateway->settings.dialect->field[DF_REQUEST_ID], &rid))
-    fields_add(request->reply_fields, gateway->settings.dialect->field[DF_REQUEST_ID], rid);
+      fields_get(request->fields, gateway->settings.dialect->header_names[DF_REQUEST_ID], &rid))
+    fields_add(request->response_fields, gateway->settings.dialect->header_names[DF_REQUEST_ID],
+               rid);
   if (status == 503) {
     int64_t ms = back_ms > 0 ? back_ms : 200;
     ms += (int64_t)world_random(request->world, (uint64_t)ms / 4 + 50);
     if (left > 0)
       ms = MIN(ms, left / 3);
-    fields_addf(request->reply_fields, "Retry-After", "%" PRId64 ".%03" PRId64, ms / 1000,
-                ms % 1000);
+    fields_add_format(request->response_fields, "Retry-After", "%" PRId64 ".%03" PRId64, ms / 1000,
+                      ms % 1000);
   }
-  fields_add(request->reply_fields, "Content-Type", string_view_of("text/plain"));
-  http_request_answer(request, status, NULL, string_view_of(text));
+  fields_add(request->response_fields, "Content-Type", string_view_of("text/plain"));
+  http_request_respond(request, status, NULL, string_view_of(text));
 }
 
 /* places at engines: counted from the choice on, so that two choices never take the same one */
@@ -209,7 +211,7 @@
 /* takes a place elsewhere for one more attempt, when attempts, time and the budget allow it */
 static bool another(inflight_request *flight) {
   if (flight->gateway->stopped || flight->sends >= (int)MAX(flight->route->attempts, 1) ||
-      flight->http->gone || left_ms(flight) < 50 ||
+      flight->http->client_gone || left_ms(flight) < 50 ||
       !gateway_uses(flight->gateway, MECHANISM_RETRIES) ||
       !budget_room(flight->gateway, flight->service))
     return false;
@@ -234,7 +236,7 @@
   list_for_each (o, &flight->gateway->queue, inflight_request, queue_link) {
     if (o == flight || o->rank > flight->rank)
       break;
-    n += !o->slot.instance && !o->http->gone &&
+    n += !o->slot.instance && !o->http->client_gone &&
          (same ? same_thing(o, flight) && o->why == PICK_FULL
                : id_equal(o->service->name, flight->service->name));
   }
@@ -269,14 +271,14 @@
     list_for_each (flight, &gateway->queue, inflight_request, queue_link) {
       if (flight->slot.instance)
         continue;
-      bool known = flight->http->gone || gateway->ending;
+      bool known = flight->http->client_gone || gateway->ending;
       for (int k = 0; k < n && !known; k++)
         known = same_thing(none[k], flight) && !flight->avoided;
       if (!known && !choose(flight, &flight->slot)) {
         if (n < THINGS && !flight->avoided)
           none[n++] = flight;
       }
-      if (flight->slot.instance || flight->http->gone || gateway->ending)
+      if (flight->slot.instance || flight->http->client_gone || gateway->ending)
         condition_broadcast(&flight->wake);
     }
   }
@@ -284,14 +286,14 @@
 
 void forward_wake_open(gateway *gateway) {
   list_for_each (flight, &gateway->open_requests, inflight_request, open_link)
-    if (flight->http->left)
-      condition_broadcast(flight->http->left);
+    if (flight->http->client_gone_condition)
+      condition_broadcast(flight->http->client_gone_condition);
 }
 
 /* at the end of the grace nothing is waited for that has not begun; what has begun goes on as long
  * as the process does */
 static bool out_of_grace(const inflight_request *flight) {
-  return flight->gateway->stopped && !flight->http->began;
+  return flight->gateway->stopped && !flight->http->response_started;
 }
 
 void forward_start(gateway *gateway) {
@@ -315,18 +317,18 @@
                 ad = { slash ? slash + 1 : "", slash ? v.length - m.length - 1 : 0 };
     if (!id_is_valid(m) || (ad.length && !id_is_valid(ad))) {
       give_up(flight, 404, 0, "no such model\n");
-      return E_MODEL;
+      return E_UNKNOWN_MODEL;
     }
     flight->model = id_of(m);
     flight->adapter = id_of(ad);
   }
-  const svc_model *m = flight->service->model_count && !id_is_empty(flight->model)
-                           ? service_model(flight->service, flight->model.text)
-                           : NULL;
+  const service_model_spec *m = flight->service->model_count && !id_is_empty(flight->model)
+                                    ? service_find_model(flight->service, flight->model.text)
+                                    : NULL;
   if (flight->service->model_count && !id_is_empty(flight->model) &&
       (!m || (!id_is_empty(flight->adapter) && !m->adapters))) {
     give_up(flight, 404, 0, "no such model\n");
-    return E_MODEL;
+    return E_UNKNOWN_MODEL;
   }
   /* a plain service holds no models */
   if (!flight->service->model_count)
@@ -362,27 +364,27 @@
   int64_t whole = MAX(first_left_ms(flight), 0),
           target = flight->route->target_ms > 0 ? flight->route->target_ms : whole;
   time_us quarter = time_add(flight->since, time_from_ms(target / 4)),
-          half =
-              time_add(flight->since, time_from_ms(whole *
-                                                   (flight->part.run ? flight->policy.hold_percent
-                                                                     : select_usual.hold_percent) /
-                                                   100));
+          half = time_add(flight->since,
+                          time_from_ms(whole *
+                                       (flight->part.run ? flight->policy.wait_percent
+                                                         : select_policy_default.wait_percent) /
+                                       100));
   bool judged = false, wanted = false;
   int code = OK;
   line_join(flight);
-  flight->http->left = &flight->wake;
+  flight->http->client_gone_condition = &flight->wake;
   for (;;) {
     time_us now = now_of(flight);
     if (flight->slot.instance) {
       code = OK;
       break;
     }
-    if (world->tasks.dead || gateway->ending) {
+    if (world->tasks.stopped || gateway->ending) {
       give_up(flight, 503, LEAVING_BACK_MS, "this machine is leaving\n");
-      code = E_LEAVING;
+      code = E_DRAINING;
       break;
     }
-    if (flight->http->gone) {
+    if (flight->http->client_gone) {
       code = E_PEER_GONE;
       break;
     }
@@ -395,7 +397,7 @@
     double need = MIN(traffic->first_ms, (double)target / 2);
     if (left <= need) {
       give_up(flight, 503, 0, "no engine came free in time\n");
-      code = E_DEADLINE;
+      code = E_DEADLINE_EXCEEDED;
       break;
     }
     time_us step = time_add(now, time_from_ms(STEP_MS));
@@ -411,7 +413,7 @@
           load_at = time_add(now, time_from_ms((int64_t)all));
           if (all + need > (double)left) {
             give_up(flight, 503, (int64_t)all, "its model can't be loaded in time\n");
-            code = x ? x : E_DEADLINE;
+            code = x ? x : E_DEADLINE_EXCEEDED;
             break;
           }
         }
@@ -426,13 +428,13 @@
         judged = true;
         if (est > spare && gateway_uses(gateway, MECHANISM_EARLY_REFUSAL)) {
           give_up(flight, 503, (int64_t)est, "all engines are busy\n");
-          code = E_DEADLINE;
+          code = E_DEADLINE_EXCEEDED;
           break;
         }
       }
       if (time_reached(now, half) || !gateway_uses(gateway, MECHANISM_QUEUE)) {
         give_up(flight, 503, (int64_t)est, "all engines are busy\n");
-        code = E_DEADLINE;
+        code = E_DEADLINE_EXCEEDED;
         break;
       }
       if (!judged)
@@ -441,14 +443,14 @@
       time_us most = time_add(from, time_from_ms(target >= 4000 ? 1000 : target / 4));
       if (time_reached(now, most)) {
         give_up(flight, 503, 300, "no engine takes work now\n");
-        code = E_ENGINE;
+        code = E_NO_ENGINE;
         break;
       }
       step = sooner(step, most);
     }
     condition_wait(&world->tasks, &flight->wake, step);
   }
-  flight->http->left = NULL;
+  flight->http->client_gone_condition = NULL;
   line_leave(flight);
   flight->held_ms += ms_since(flight, from);
   if (code && flight->slot.instance)
@@ -460,17 +462,18 @@
 static void begin(inflight_request *flight, http_call *call) {
   static const char *const none[] = { NULL };
   http_request *request = flight->http;
-  if (request->began)
+  if (request->response_started)
     return;
-  if (!request->reply_fields)
-    request->reply_fields = g_string_new(NULL);
+  if (!request->response_fields)
+    request->response_fields = g_string_new(NULL);
   flight->begun_ms = ms_since(flight, flight->since);
-  fields_forward(call->in_fields, request->reply_fields, none);
+  fields_forward(call->response_fields, request->response_fields, none);
 }
 
 static void pass_whole(inflight_request *flight, http_call *call) {
   begin(flight, call);
-  http_request_answer(flight->http, call->status, NULL, string_view_of_gstring(call->received));
+  http_request_respond(flight->http, call->status, NULL,
+                       string_view_of_gstring(call->response_body));
 }
 
 static void first_byte(inflight_request *flight, double ms) {
@@ -490,7 +493,7 @@
   double usual = MAX(traffic_of(flight->gateway, flight->service)->first_ms, flight->slot.est),
          span = MAX(3 * usual, 250);
   if (passed)
-    span = MAX(1000, 3.0 * (double)flight->route->gap_ms);
+    span = MAX(1000, 3.0 * (double)flight->route->gap_target_ms);
   if (flight->slot.instance->last_byte.us > last.us + 100000) {
     /* the engine lives, and is only slow with this one, or has lost it */
     double third =
@@ -562,8 +565,9 @@
 
 /* may go on elsewhere within the same answer */
 static bool joins(const inflight_request *flight) {
-  return !flight->http->began || (gateway_uses(flight->gateway, MECHANISM_RESUME) &&
-                                  flight->route->resumable && !flight->unsure && flight->last_id);
+  return !flight->http->response_started ||
+         (gateway_uses(flight->gateway, MECHANISM_RESUME) && flight->route->resumable &&
+          !flight->unsure && flight->last_id);
 }
 
 static enum end stream(inflight_request *flight, http_call *call, time_us *sent) {
@@ -573,38 +577,38 @@
           again = { 0 };
   bool events = false;
   for (;;) {
-    if (request->gone || world->tasks.dead)
+    if (request->client_gone || world->tasks.stopped)
       return END_LEFT;
     time_us now = now_of(flight);
-    if (call->received->len) {
+    if (call->response_body->len) {
       flight->heard = last = flight->slot.instance->last_byte = now;
       again = (time_us){ 0 };
     }
-    size_t n = event_whole(call->received->str, call->received->len), from = 0;
+    size_t n = event_whole(call->response_body->str, call->response_body->len), from = 0;
     if (n) {
       if (!events) {
         first_byte(flight, (double)time_sub(now, *sent).us / 1000);
         events = true;
       }
-      if (!events_note(flight, call->received->str, n, &from))
+      if (!events_note(flight, call->response_body->str, n, &from))
         return END_FAILED;
       if (from < n) {
-        if (!request->began) {
+        if (!request->response_started) {
           begin(flight, call);
           http_request_begin(request, call->status, NULL);
         }
-        int x = http_request_write(request, (string_view){ call->received->str + from, n - from },
-                                   over);
+        int x = http_request_write(
+            request, (string_view){ call->response_body->str + from, n - from }, over);
         if (x == E_STOPPING || x == E_PEER_GONE)
           return END_LEFT;
         if (x)
           return END_LATE;
       }
-      g_string_erase(call->received, 0, (gssize)n);
+      g_string_erase(call->response_body, 0, (gssize)n);
       continue;
     }
-    if (call->ended && !call->received->len) {
-      if (!request->began) {
+    if (call->ended && !call->response_body->len) {
+      if (!request->response_started) {
         begin(flight, call);
         http_request_begin(request, call->status, NULL);
       }
@@ -613,14 +617,14 @@
     }
     if (out_of_grace(flight))
       return END_STOPPED;
-    if (call->ended || call->broken || call->received->len > BODY_MOST)
+    if (call->ended || call->broken || call->response_body->len > BODY_MOST)
       return joins(flight) && repeats(flight) && another(flight) ? END_AGAIN : END_FAILED;
     if (time_reached(now, over))
       return END_LATE;
     time_us till = over;
     if (repeats(flight) && joins(flight) && quiet_over(flight, call, last, events, &again, &till))
       return END_AGAIN;
-    condition_wait(&world->tasks, &call->news, till);
+    condition_wait(&world->tasks, &call->progressed, till);
   }
 }
 
@@ -632,11 +636,11 @@
           again = { 0 };
   size_t had = 0;
   while (!call->ended && !call->broken) {
-    if (request->gone || world->tasks.dead)
+    if (request->client_gone || world->tasks.stopped)
       return END_LEFT;
     time_us now = now_of(flight);
-    if (call->received->len > had) {
-      had = call->received->len;
+    if (call->response_body->len > had) {
+      had = call->response_body->len;
       last = flight->slot.instance->last_byte = now;
     }
     if (had > BODY_MOST)
@@ -648,9 +652,9 @@
     time_us till = over;
     if (repeats(flight) && quiet_over(flight, call, last, false, &again, &till))
       return END_AGAIN;
-    condition_wait(&world->tasks, &call->news, till);
+    condition_wait(&world->tasks, &call->progressed, till);
   }
-  if (request->gone)
+  if (request->client_gone)
     return END_LEFT;
   if (call->broken)
     return repeats(flight) && another(flight) ? END_AGAIN : END_FAILED;
@@ -676,13 +680,14 @@
 static http_call *open_call(inflight_request *flight, time_us now) {
   instance *instance = flight->slot.instance;
   g_string_truncate(flight->out, flight->out_base);
-  fields_addf(flight->out, word(flight, DF_TIME_LEFT_MS), "%" PRId64, MAX(left_ms(flight), 1));
+  fields_add_format(flight->out, word(flight, DF_TIME_LEFT_MS), "%" PRId64,
+                    MAX(left_ms(flight), 1));
   fields_add(flight->out, word(flight, DF_EXPECT_ENGINE), string_view_of(instance->self.text));
   if (flight->part.run && word(flight, DF_POLICY))
-    fields_addf(flight->out, word(flight, DF_POLICY), "%s %s", flight->trial,
-                flight->part.side == SIDE_CANDIDATE ? "candidate" : "old");
+    fields_add_format(flight->out, word(flight, DF_POLICY), "%s %s", flight->trial,
+                      flight->part.side == CANARY_ARM_CANDIDATE ? "candidate" : "old");
   if (flight->joined) {
-    fields_addf(flight->out, word(flight, DF_LAST_EVENT_ID), "%" PRIu64, flight->last_id);
+    fields_add_format(flight->out, word(flight, DF_LAST_EVENT_ID), "%" PRIu64, flight->last_id);
     if (flight->versions[0])
       fields_add(flight->out, word(flight, DF_EXPECT_VERSION), string_view_of(flight->versions));
   } else {
@@ -696,7 +701,7 @@
       flight->http->world, instance->addr, flight->http->method, flight->http->target, flight->out,
       string_view_of_gstring(flight->http->body), wants_fresh(flight, instance),
       time_add(now, time_from_ms(SEND_MS)));
-  http_call_match(call, word(flight, DF_REQUEST_ID), string_view_of(flight->request));
+  http_call_require_field(call, word(flight, DF_REQUEST_ID), string_view_of(flight->request));
   return call;
 }
 
@@ -715,7 +720,7 @@
     }
     if (call->status)
       return END_DONE;
-    if (request->gone || world->tasks.dead)
+    if (request->client_gone || world->tasks.stopped)
       return END_LEFT;
     if (call->broken || call->ended)
       return !call->sent                          ? END_NOT_SENT
@@ -735,7 +740,7 @@
           quiet_over(flight, call, call->sent_at.us ? call->sent_at : from, false, &again, &till))
         return END_AGAIN;
     }
-    condition_wait(&world->tasks, &call->news, till);
+    condition_wait(&world->tasks, &call->progressed, till);
   }
 }
 
@@ -760,8 +765,8 @@
   string_view v;
   instance->last_byte = now_of(flight);
   bool ok = call->status >= 200 && call->status < 300;
-  bool stamped = fields_get(call->in_fields, word(flight, DF_STAMP), &v) && v.length;
-  bool not_run = fields_get(call->in_fields, word(flight, DF_NOT_RUN), &v);
+  bool stamped = fields_get(call->response_fields, word(flight, DF_STAMP), &v) && v.length;
+  bool not_run = fields_get(call->response_fields, word(flight, DF_NOT_RUN), &v);
   flight->declined = call->status == 421 || (not_run && call->status != 400);
   if (flight->declined) {
     /* it is not there any more, whatever was said before */
@@ -775,18 +780,18 @@
                    time_from_ms(SHUN_MS + (int64_t)world_random(flight->http->world, SHUN_MS)));
     return another(flight) ? END_AGAIN : END_NOT_RUN;
   }
-  if (ok && (!stamped || fields_get(call->in_fields, "Content-Encoding", &v)))
+  if (ok && (!stamped || fields_get(call->response_fields, "Content-Encoding", &v)))
     return repeats(flight) && another(flight) ? END_AGAIN : END_FAILED;
   if (misleads(flight, call->status, stamped, not_run))
     return repeats(flight) && another(flight) ? END_AGAIN : END_FAILED;
-  bool events = ok && flight->route->mode == MODE_STREAM &&
-                fields_get(call->in_fields, "Content-Type", &v) && v.length >= 17 &&
+  bool events = ok && flight->route->mode == ROUTE_MODE_STREAM &&
+                fields_get(call->response_fields, "Content-Type", &v) && v.length >= 17 &&
                 !g_ascii_strncasecmp(v.data, "text/event-stream", 17);
-  if (flight->http->began && (call->status != 200 || !events))
+  if (flight->http->response_started && (call->status != 200 || !events))
     return another(flight) ? END_AGAIN : END_FAILED;
   time_us sent = call->sent_at.us ? call->sent_at : from;
   if (events) {
-    if (fields_get(call->in_fields, word(flight, DF_WEIGHT_VERSIONS), &v))
+    if (fields_get(call->response_fields, word(flight, DF_WEIGHT_VERSIONS), &v))
       note_versions(flight, v);
     return stream(flight, call, &sent);
   }
@@ -798,16 +803,16 @@
 static enum end attempt(inflight_request *flight) {
   time_us from = flight->heard = now_of(flight);
   /* bytes are only joined behind what was passed on; before that, a stream is sent anew */
-  flight->joined = flight->http->began;
+  flight->joined = flight->http->response_started;
   flight->declined = false;
   http_call *call = open_call(flight, from);
   flight->last = flight->slot.instance->self;
-  flight->http->left = &call->news;
+  flight->http->client_gone_condition = &call->progressed;
   enum end e = head_wait(flight, call, from);
   bool headed = call->status != 0;
   if (e == END_DONE)
     e = judge(flight, call, from);
-  flight->http->left = NULL;
+  flight->http->client_gone_condition = NULL;
   if (call->sent && !flight->declined)
     flight->maybe = true;
   /* an engine that fails by itself is quick at it: that must not draw more work there */
@@ -822,7 +827,7 @@
     ok = headed;
   /* a stream that fell silent at an engine that is not busy */
   if ((e == END_LEFT || e == END_LATE) && ok && headed &&
-      ms_since(flight, flight->heard) > MAX(1000, 3.0 * (double)flight->route->gap_ms) &&
+      ms_since(flight, flight->heard) > MAX(1000, 3.0 * (double)flight->route->gap_target_ms) &&
       instance_at_ease(flight->slot.instance))
     instance_failed_here(flight->slot.instance);
   if (e == END_NOT_SENT)
@@ -831,14 +836,14 @@
     traffic *traffic = traffic_of(flight->gateway, flight->service);
     traffic->run_ms += 0.1 * (ms_since(flight, from) - traffic->run_ms);
   }
-  if (e == END_DONE && flight->route->mode == MODE_STREAM && call->status == 200)
+  if (e == END_DONE && flight->route->mode == ROUTE_MODE_STREAM && call->status == 200)
     route_times_note(flight->gateway->durations, flight->route->name,
                      ms_since(flight, flight->since));
   http_call_close(call);
   release(flight, &flight->slot, ok);
   flight->slot = flight->next_slot;
   flight->next_slot = (engine_slot){ 0 };
-  if (e == END_AGAIN && flight->http->began)
+  if (e == END_AGAIN && flight->http->response_started)
     flight->gateway->counts.resumed++;
   return e;
 }
@@ -851,7 +856,7 @@
       if (x)
         return x;
     }
-    if (flight->http->gone) {
+    if (flight->http->client_gone) {
       release(flight, &flight->slot, true);
       return E_PEER_GONE;
     }
@@ -861,30 +866,30 @@
     case END_AGAIN:
       break;
     case END_NOT_SENT:
-      if (++tries >= TRIES || flight->http->gone) {
+      if (++tries >= TRIES || flight->http->client_gone) {
         give_up(flight, 503, 300, "no engine could be reached\n");
-        return E_ENGINE;
+        return E_NO_ENGINE;
       }
       /* an extra attempt that was taken and not sent is still there to use */
       if (flight->sends && !choose(flight, &flight->slot)) {
         give_up(flight, 503, 300, "no engine could be reached\n");
-        return E_ENGINE;
+        return E_NO_ENGINE;
       }
       if (!flight->sends)
         choose(flight, &flight->slot);
       break;
     case END_NOT_RUN:
       give_up(flight, 503, 200, "the engine did not take it\n");
-      return E_TOO_MUCH;
+      return E_OVERLOADED;
     case END_FAILED:
       give_up(flight, 502, 0, "the engine broke off\n");
       return E_STREAM_BROKEN;
     case END_LATE:
       give_up(flight, 504, 0, "the engine gave no answer in time\n");
-      return E_DEADLINE;
+      return E_DEADLINE_EXCEEDED;
     case END_STOPPED:
       give_up(flight, 502, 0, "this machine has stopped before the engine answered\n");
-      return E_LEAVING;
+      return E_DRAINING;
     case END_LEFT:
       return E_PEER_GONE;
     }
@@ -894,9 +899,9 @@
 /* the way of a request by its route's mode, as steps */
 enum gateway_op { GO_END, GO_ADMIT, GO_SELECT, GO_HOLD, GO_FORWARD };
 static const enum gateway_op ways[][5] = {
-  [MODE_ONCE] = { GO_ADMIT, GO_SELECT, GO_HOLD, GO_FORWARD, GO_END },
-  [MODE_SAFE] = { GO_ADMIT, GO_SELECT, GO_HOLD, GO_FORWARD, GO_END },
-  [MODE_STREAM] = { GO_ADMIT, GO_SELECT, GO_HOLD, GO_FORWARD, GO_END },
+  [ROUTE_MODE_ONCE] = { GO_ADMIT, GO_SELECT, GO_HOLD, GO_FORWARD, GO_END },
+  [ROUTE_MODE_SAFE] = { GO_ADMIT, GO_SELECT, GO_HOLD, GO_FORWARD, GO_END },
+  [ROUTE_MODE_STREAM] = { GO_ADMIT, GO_SELECT, GO_HOLD, GO_FORWARD, GO_END },
 };
 
 static int interpret(inflight_request *flight) {
@@ -925,15 +930,15 @@
  * doing */
 static enum unserved_reason reason_of(const inflight_request *flight, int code) {
   switch (code) {
-  case E_TOO_MUCH:
+  case E_OVERLOADED:
     return UNSERVED_DECLINED;
-  case E_LEAVING:
+  case E_DRAINING:
     return UNSERVED_LEAVING;
   case E_STREAM_BROKEN:
     return UNSERVED_BROKEN;
   case E_PEER_GONE:
     return flight->sends ? UNSERVED_COUNT : UNSERVED_LEFT_WAITING;
-  case E_MODEL:
+  case E_UNKNOWN_MODEL:
     return flight->status == 404 ? UNSERVED_COUNT : UNSERVED_NO_MODEL;
   default:
     return flight->sends                  ? UNSERVED_LATE
@@ -950,9 +955,10 @@
       &gateway->router->node.log, "forward",
       "%s of %s, priority %u, model %s+%s, %.0f tokens: code %d, status %d, gone %d, after %.0f ms, held %.0f ms, estimated %.0f ms, first %.0f ms, sent %d, at %s, %s.",
       flight->request, flight->route->name.text, flight->route->priority, flight->model.text,
-      flight->adapter.text, flight->tokens, code, request->began ? request->status : flight->status,
-      request->gone, ms_since(flight, flight->since), flight->held_ms, flight->est,
-      flight->first_ms, flight->sends, flight->last.text, flight->text ? flight->text : "-");
+      flight->adapter.text, flight->tokens, code,
+      request->response_started ? request->status : flight->status, request->client_gone,
+      ms_since(flight, flight->since), flight->held_ms, flight->est, flight->first_ms,
+      flight->sends, flight->last.text, flight->text ? flight->text : "-");
   if (!code) {
     gateway->counts.served++;
     return;
@@ -960,9 +966,9 @@
   enum unserved_reason reason = reason_of(flight, code);
   if (reason < UNSERVED_COUNT)
     gateway->counts.unserved[reason]++;
-  if (code == E_PEER_GONE || request->gone) {
+  if (code == E_PEER_GONE || request->client_gone) {
     gateway->counts.left++;
-    if (!request->ended)
+    if (!request->response_ended)
       http_request_end(request, false);
     return;
   }
@@ -976,7 +982,7 @@
     gateway->counts.no_route++;
   else
     gateway->counts.failed++;
-  if (request->began) {
+  if (request->response_started) {
     log_debug(&gateway->router->node.log, "forward", "A stream of %s is cut (code %d).",
               flight->service->name.text, code);
     http_request_end(request, false);
@@ -986,10 +992,10 @@
 }
 
 static const char *phase(const inflight_request *flight) {
-  return flight->http->began      ? "its answer has begun"
-         : !flight->slot.instance ? "it waits for an engine"
-         : flight->sends          ? "it was sent to an engine"
-                                  : "an engine is chosen";
+  return flight->http->response_started ? "its answer has begun"
+         : !flight->slot.instance       ? "it waits for an engine"
+         : flight->sends                ? "it was sent to an engine"
+                                        : "an engine is chosen";
 }
 
 void forward_report_open(gateway *gateway) {
@@ -1000,7 +1006,7 @@
     log_info(&gateway->router->node.log, "gateway",
              "Request %s of %s is left: number %u of its connection, taken %" PRId64
              " ms after the order to stop, %" PRId64 " ms ago; %s (%s).",
-             flight->request, flight->route->name.text, flight->http->nth,
+             flight->request, flight->route->name.text, flight->http->connection_request_number,
              time_sub(flight->since, gateway->drain_at).us / 1000,
              (int64_t)ms_since(flight, flight->since), phase(flight),
              flight->slot.instance ? flight->slot.instance->self.text : "-");
@@ -1022,8 +1028,8 @@
   /* always sent, also when the caller's Connection field names it: answers are known by it */
   fields_add(flight->out, word(flight, DF_REQUEST_ID), string_view_of(flight->request));
   fields_forward(flight->http->fields, flight->out, skip);
-  fields_addf(flight->out, word(flight, DF_PRIORITY), "%u",
-              MIN(9, 1 + 2 * flight->route->priority));
+  fields_add_format(flight->out, word(flight, DF_PRIORITY), "%u",
+                    MIN(9, 1 + 2 * flight->route->priority));
   flight->out_base = flight->out->len;
 }
 
@@ -1038,7 +1044,7 @@
 /* A stream that nobody can take up again would be cut by the end of this process; its caller has
  * time to go elsewhere now. */
 static bool outlasts_process(const inflight_request *flight) {
-  if (flight->route->mode != MODE_STREAM || flight->route->resumable ||
+  if (flight->route->mode != ROUTE_MODE_STREAM || flight->route->resumable ||
       !gateway_uses(flight->gateway, MECHANISM_LEAVING_STREAMS))
     return false;
   return route_times_most(flight->gateway->durations, flight->route->name) >
@@ -1048,7 +1054,7 @@
 void forward_serve(void *ctx, http_request *request) {
   gateway *gateway = ctx;
   world *world = gateway->router->node.world;
-  time_us came = request->came.us ? request->came : world_now(world);
+  time_us came = request->received_at.us ? request->received_at : world_now(world);
   gateway->counts.requests++;
   if (!gateway->routing) {
     gateway->counts.refused++;
@@ -1057,16 +1063,16 @@
   }
   const char *end = strchr(request->target, '?');
   const route *route =
-      routing_find(gateway->routing, string_view_of(request->host),
-                   (string_view){ request->target, end ? (size_t)(end - request->target)
-                                                       : strlen(request->target) });
+      routing_find_route(gateway->routing, string_view_of(request->host),
+                         (string_view){ request->target, end ? (size_t)(end - request->target)
+                                                             : strlen(request->target) });
   if (!route) {
     gateway->counts.no_route++;
     answer(gateway, request, 404, 0, 0, "no such route\n");
     return;
   }
   string_view rid;
-  const char *id_field = gateway->settings.dialect->field[DF_REQUEST_ID];
+  const char *id_field = gateway->settings.dialect->header_names[DF_REQUEST_ID];
   if (!fields_get(request->fields, id_field, &rid) || !rid.length) {
     answer(gateway, request, 400, 0, 0, "the request has no id\n");
     return;
@@ -1075,8 +1081,8 @@
     answer(gateway, request, 400, 0, 0, "the request has more than one id\n");
     return;
   }
-  int64_t left = fields_num(request->fields, gateway->settings.dialect->field[DF_TIME_LEFT_MS],
-                            route->timeout_ms);
+  int64_t left = fields_get_number(
+      request->fields, gateway->settings.dialect->header_names[DF_TIME_LEFT_MS], route->timeout_ms);
   left = MIN(left, route->timeout_ms);
   inflight_request f = { .gateway = gateway,
                          .http = request,
@@ -1085,7 +1091,7 @@
                          .since = came,
                          .till = time_add(came, time_from_ms(left)),
                          .begun_ms = -1 };
-  f.service = route_leg_of(route, (double)world_random(world, 1 << 20) / (1 << 20));
+  f.service = route_pick_service(route, (double)world_random(world, 1 << 20) / (1 << 20));
   f.request = g_strndup(rid.data, rid.length);
   f.rank = came.us + (int64_t)route->priority * AGE_MS * 1000;
   condition_init(&f.wake);
@@ -1101,9 +1107,9 @@
       take_part(&f);
     int code = interpret(&f);
     /* a caller who left early shows nothing; one who left after its aim was let down */
-    bool left = code == E_PEER_GONE || request->gone;
+    bool left = code == E_PEER_GONE || request->client_gone;
     double took = ms_since(&f, came);
-    bool began = request->began;
+    bool began = request->response_started;
     finish(&f, code);
     int told = left            ? (f.begun_ms < 0 && took > (double)route->target_ms ? 504 : 0)
                : code && began ? 502
