--- a/lib/gateway/gateway.c
+++ b/lib/gateway/gateway.c
@@ -4,11 +4,11 @@
 
 static void bounds(gateway *gateway) {
   http_listener *listener = &gateway->front;
-  const limits *l = gateway->routing ? &gateway->routing->limit : NULL;
-  listener->header_most = l && l->header_bytes ? l->header_bytes : 16384;
-  listener->body_most = l && l->body_bytes ? l->body_bytes : 4 << 20;
-  listener->header_ms = l && l->header_ms ? l->header_ms : 3000;
-  listener->idle_ms = l && l->idle_ms ? l->idle_ms : 15000;
+  const request_limits *l = gateway->routing ? &gateway->routing->limits : NULL;
+  listener->header_max_bytes = l && l->header_max_bytes ? l->header_max_bytes : 16384;
+  listener->body_max_bytes = l && l->body_max_bytes ? l->body_max_bytes : 4 << 20;
+  listener->header_timeout_ms = l && l->header_timeout_ms ? l->header_timeout_ms : 3000;
+  listener->idle_timeout_ms = l && l->idle_timeout_ms ? l->idle_timeout_ms : 15000;
 }
 
 static void on_installed(void *p) {
@@ -37,8 +37,9 @@
   if (gateway->canary)
     one(gateway->router, "canary");
   list_for_each (i, &gateway->instances, instance, link) {
-    const service *service =
-        i->gone || !gateway->routing ? NULL : routing_service(gateway->routing, i->service.text);
+    const service *service = i->gone || !gateway->routing
+                                 ? NULL
+                                 : routing_find_service(gateway->routing, i->service.text);
     if (!service || !service->model_count)
       continue;
     duty_engine(d, sizeof d, i->self);
@@ -55,19 +56,20 @@
 
 static void ready_serve(void *p, http_request *request) {
   gateway *gateway = p;
-  if (!dialect_call_is(gateway->settings.dialect, DC_READY, request->method, request->path, NULL)) {
-    http_request_answer(request, 404, "text/plain", string_view_of("no such page\n"));
+  if (!dialect_matches_call(gateway->settings.dialect, DC_READY, request->method, request->path,
+                            NULL)) {
+    http_request_respond(request, 404, "text/plain", string_view_of("no such page\n"));
     return;
   }
   const char *why = gateway_unready(gateway);
   if (!why)
-    http_request_answer(request, 200, "text/plain", string_view_of("ready\n"));
+    http_request_respond(request, 200, "text/plain", string_view_of("ready\n"));
   else
-    http_request_answer(request, 503, "text/plain", string_view_of(why));
+    http_request_respond(request, 503, "text/plain", string_view_of(why));
 }
 
 gateway *gateway_new(router *router, const gateway_settings *x, error *err) {
-  if (!router->node.settings.gateway || !x->dialect) {
+  if (!router->node.settings.is_gateway || !x->dialect) {
     error_set(err, E_SETTINGS_KEY, "a gateway needs a router that is one, and a dialect");
     return NULL;
   }
@@ -85,20 +87,21 @@
   g->durations = route_times_new();
   g->traffic = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, g_free);
   world *world = router->node.world;
-  g->front =
-      (http_listener){ .world = world, .port = x->front_port, .serve = forward_serve, .ctx = g };
+  g->front = (http_listener){
+    .world = world, .port = x->front_port, .serve = forward_serve, .serve_context = g
+  };
   g_strlcpy(g->front.ip, x->front_ip, sizeof g->front.ip);
   g->ready = (http_listener){ .world = world,
                               .port = x->ready_port,
                               .serve = ready_serve,
-                              .ctx = g,
-                              .header_most = 8192,
-                              .body_most = 4096,
-                              .header_ms = 3000,
-                              .idle_ms = 15000 };
+                              .serve_context = g,
+                              .header_max_bytes = 8192,
+                              .body_max_bytes = 4096,
+                              .header_timeout_ms = 3000,
+                              .idle_timeout_ms = 15000 };
   g_strlcpy(g->ready.ip, x->ready_ip, sizeof g->ready.ip);
   bounds(g);
-  world->kept_idle_ms = KEPT_IDLE_MS;
+  world->pool_idle_timeout_ms = KEPT_IDLE_MS;
   router->gateway = g;
   router->on_installed = on_installed;
   router->on_engines = on_engines;
@@ -115,8 +118,8 @@
 
 int gateway_open(gateway *gateway, error *err) {
   world *world = gateway->router->node.world;
-  int r = world->door_open(world, &gateway->front, err);
-  return r ? r : world->door_open(world, &gateway->ready, err);
+  int r = world->listener_open(world, &gateway->front, err);
+  return r ? r : world->listener_open(world, &gateway->ready, err);
 }
 
 void gateway_reread(gateway *gateway, const gateway_settings *x) {
--- a/lib/gateway/gateway.h
+++ b/lib/gateway/gateway.h
@@ -317,7 +317,7 @@
  * is. */
 typedef struct canary_part {
   uint64_t run;
-  enum canary_side side;
+  enum canary_arm side;
   bool counts;
 } canary_part;
 /** Takes up, or drops, what the newest configuration says of trials. */
--- a/lib/gateway/instances.c
+++ b/lib/gateway/instances.c
@@ -275,7 +275,7 @@
     condition_broadcast(&gateway->moved);
   }
   if (!i) {
-    if (w->gone || !addr_fits(w->address) || !id_is_valid(string_view_of(w->service)))
+    if (w->gone || !address_is_valid(w->address) || !id_is_valid(string_view_of(w->service)))
       return;
     i = instance_make(gateway, id_of_text(w->id));
     g_strlcpy(i->addr, w->address, sizeof i->addr);
@@ -373,7 +373,7 @@
 
 /* how a model, or an adapter on its model, is named among nodes that tell what they run; never 0 */
 uint32_t run_key(id model, id adapter) {
-  return (uint32_t)hash_of_two(model.text, adapter.text) | 1;
+  return (uint32_t)hash_two_names(model.text, adapter.text) | 1;
 }
 
 bool instance_runs(const instance *instance, id model, id adapter) {
@@ -784,8 +784,8 @@
   Wire__EngineUpdate q = WIRE__ENGINE_UPDATE__INIT;
   q.n_engines = 1;
   q.engines = &ep;
-  Wire__Envelope out = wire_msg(WIRE__ENVELOPE__BODY_ENGINE_UPDATE, &q);
-  node_send_all(node, ROLE_ROUTER, &out);
+  Wire__Envelope out = wire_envelope(WIRE__ENVELOPE__BODY_ENGINE_UPDATE, &q);
+  node_broadcast(node, ROLE_ROUTER, &out);
   g_free(m);
   g_free(mp);
 }
@@ -833,7 +833,7 @@
   (void)reply;
   (void)err;
   instances_loads(gateway, in->from->nonce,
-                  !strcmp(in->from->zone, gateway->router->node.settings.area.text),
+                  !strcmp(in->from->zone, gateway->router->node.settings.zone.text),
                   in->traffic_report);
   return OK;
 }
@@ -886,7 +886,7 @@
   Wire__TrafficReport message = WIRE__TRAFFIC_REPORT__INIT;
   message.n_engines = loads->len;
   message.engines = (Wire__EngineTraffic **)loads->pdata;
-  Wire__Envelope out = wire_msg(WIRE__ENVELOPE__BODY_TRAFFIC_REPORT, &message);
+  Wire__Envelope out = wire_envelope(WIRE__ENVELOPE__BODY_TRAFFIC_REPORT, &message);
   node_send(&gateway->router->node, addr, &out);
   g_ptr_array_free(loads, TRUE);
 }
@@ -896,7 +896,7 @@
   gateway *gateway = p;
   node *node = &gateway->router->node;
   bool said = false;
-  while (world_sleep_about(node->world, time_from_ms(LOADS_MS))) {
+  while (world_sleep_with_jitter(node->world, time_from_ms(LOADS_MS))) {
     time_us now = world_now(node->world);
     GPtrArray *all = g_ptr_array_new_with_free_func(load_free), *to = g_ptr_array_new();
     /* a node that fails with most engines ails itself, and accuses nobody */
@@ -907,7 +907,7 @@
     }
     bool own = failing >= OWN_FAULT && failing > well_now, tell = false;
     gateway->nodes = 1;
-    list_for_each (peer, &node->machines, machine, link)
+    list_for_each (peer, &node->peers, peer_node, link)
       if (peer->role == ROLE_ROUTER && !peer->gone) {
         gateway->nodes++;
         g_ptr_array_add(to, peer);
@@ -933,14 +933,14 @@
     Wire__TrafficReport q = WIRE__TRAFFIC_REPORT__INIT;
     q.n_engines = all->len;
     q.engines = (Wire__EngineTraffic **)all->pdata;
-    Wire__Envelope out = wire_msg(WIRE__ENVELOPE__BODY_TRAFFIC_REPORT, &q);
+    Wire__Envelope out = wire_envelope(WIRE__ENVELOPE__BODY_TRAFFIC_REPORT, &q);
     /* failures are told to all: each node alone sees too few of them */
     guint most = to->len <= LOADS_ALL || tell ? to->len : LOADS_SOME;
     for (guint k = 0; (all->len || said) && k < most; k++) {
       guint pick_at = k + (guint)world_random(node->world, to->len - k);
-      machine *peer = to->pdata[pick_at];
+      peer_node *peer = to->pdata[pick_at];
       to->pdata[pick_at] = to->pdata[k];
-      node_send(node, peer->addr, &out);
+      node_send(node, peer->address, &out);
     }
     said = some;
     g_ptr_array_free(all, TRUE);
@@ -951,8 +951,10 @@
 void instances_start(gateway *gateway) {
   gateway->nodes = 1;
   gateway->slow = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-  node_on(&gateway->router->node, WIRE__ENVELOPE__BODY_ENGINE_UPDATE, on_engines, gateway);
-  node_on(&gateway->router->node, WIRE__ENVELOPE__BODY_TRAFFIC_REPORT, on_loads, gateway);
+  node_register_handler(&gateway->router->node, WIRE__ENVELOPE__BODY_ENGINE_UPDATE, on_engines,
+                        gateway);
+  node_register_handler(&gateway->router->node, WIRE__ENVELOPE__BODY_TRAFFIC_REPORT, on_loads,
+                        gateway);
   task_start(&gateway->router->node.world->tasks, "loads", loads_run, gateway);
 }
 
--- a/lib/gateway/load_jobs.c
+++ b/lib/gateway/load_jobs.c
@@ -29,7 +29,7 @@
     /* the configuration may have changed while an unload was waited for */
     service = service_of(instance->gateway, instance->service);
     if (!service)
-      return error_set(err, E_MODEL, "no such service");
+      return error_set(err, E_UNKNOWN_MODEL, "no such service");
     int n = room_taken_up(instance, service, model, adapter, all, &held_mb, &held_slots);
     lack l = eviction_lack(service, held_mb, held_slots, mb, slots);
     if (!l.megs && !l.slots)
@@ -37,15 +37,15 @@
     policy rule = eviction_policy(instance->gateway);
     int got = policy_fill(&rule, all, n, l, eviction_chance, instance->gateway->router->node.world);
     if (got <= 0)
-      return error_set(err, E_NO_ROOM, "nothing on %s may be unloaded for %s now",
+      return error_set(err, E_NO_CAPACITY, "nothing on %s may be unloaded for %s now",
                        instance->self.text, model.text);
     bool thought_idle = true;
     for (int k = 0; k < got; k++)
       thought_idle &= !all[k].busy;
     /* a drain lasts as long as what runs, and holds up all other orders of the engine */
     if (idle_only && !thought_idle)
-      return error_set(err, E_NO_ROOM, "all that could go from %s for %s runs", instance->self.text,
-                       model.text);
+      return error_set(err, E_NO_CAPACITY, "all that could go from %s for %s runs",
+                       instance->self.text, model.text);
     log_debug(&instance->gateway->router->node.log, "place",
               "%s goes from %s for %s+%s: rate %.2f a copy, worth %.0f, one of %d.",
               all[0].model.text, instance->self.text, model.text, adapter.text, all[0].rate,
@@ -56,10 +56,10 @@
       if (id_equal(all[k].model, all[0].model) && id_is_empty(all[k].adapter))
         adapter_goes = none;
     int r = engine_unload(instance, all[0].model, adapter_goes, thought_idle, err);
-    if (r && r != E_RUNS)
+    if (r && r != E_MODEL_IN_USE)
       return r;
   }
-  return error_set(err, E_NO_ROOM, "%s found no room in time", instance->self.text);
+  return error_set(err, E_NO_CAPACITY, "%s found no room in time", instance->self.text);
 }
 
 static void timed_cast(gateway *gateway, id type, const char *key, double ms) {
@@ -74,7 +74,7 @@
   gateway *gateway = instance->gateway;
   uint64_t epoch = order_epoch(instance);
   if (!epoch)
-    return error_set(err, E_NO_HOLDER, "no contract for %s", instance->self.text);
+    return error_set(err, E_NO_LEASE_HOLDER, "no contract for %s", instance->self.text);
   if (instance->known_epoch == epoch && instance->room.known)
     return OK;
   if (instance->known_epoch != epoch)
@@ -96,17 +96,17 @@
   int running;
   for (int k = 0; k < 30 && busy; k++) {
     if (!engine_report(instance, &busy, &running, err))
-      return error_set(err, E_ENGINE, "%s says nothing of itself", instance->self.text);
+      return error_set(err, E_NO_ENGINE, "%s says nothing of itself", instance->self.text);
     if (busy && (r = engine_nap(instance, 150, err)))
       return r;
   }
   /* a load that is still under way is in no report, and would fill the room that looks free */
   if (busy)
-    return error_set(err, E_ENGINE, "%s is busy with another's order", instance->self.text);
+    return error_set(err, E_NO_ENGINE, "%s is busy with another's order", instance->self.text);
   if (!instance->room.known)
-    return error_set(err, E_ENGINE, "%s has just taken another's order", instance->self.text);
+    return error_set(err, E_NO_ENGINE, "%s has just taken another's order", instance->self.text);
   if (order_epoch(instance) != epoch)
-    return error_set(err, E_NO_HOLDER, "no contract for %s", instance->self.text);
+    return error_set(err, E_NO_LEASE_HOLDER, "no contract for %s", instance->self.text);
   instance->owed_mb = 0;
   instance->owed_slots = 0;
   instance->known_epoch = epoch;
@@ -126,7 +126,7 @@
   char key[140];
   int r = make_room(instance, service, model, adapter, mb, slots, job->idle_only, err), running = 0;
   if (r) {
-    *wait = r == E_NO_ROOM ? 1000 : 500;
+    *wait = r == E_NO_CAPACITY ? 1000 : 500;
     if (r == E_ORDER_FAILED) {
       gateway->load_fails++;
       gateway->counts.failed_loads++;
@@ -147,16 +147,16 @@
       break;
     }
     if (!(service = service_of(gateway, name))) {
-      r = error_set(err, E_MODEL, "no such service");
+      r = error_set(err, E_UNKNOWN_MODEL, "no such service");
       break;
     }
     if (instance->leaving) {
-      r = error_set(err, E_ENGINE, "%s is leaving", instance->self.text);
+      r = error_set(err, E_NO_ENGINE, "%s is leaving", instance->self.text);
       break;
     }
     if (base && !warm && (tries == 0 || time_reached(now_of(gateway), last))) {
       r = pace_ticket(instance, service, key, &last, wait, err);
-      if (r == E_LOAD_PACE && *wait < 1500 && !engine_stops(instance) && tries < 6) {
+      if (r == E_LOAD_RATE_LIMITED && *wait < 1500 && !engine_stops(instance) && tries < 6) {
         job->due = ms_from(gateway, (double)*wait + guess);
         if ((r = engine_nap(instance, (double)CLAMP(*wait, 20, 600), err)))
           break;
@@ -166,7 +166,7 @@
       if (r)
         break;
       if (!(service = service_of(gateway, name))) {
-        r = error_set(err, E_MODEL, "no such service");
+        r = error_set(err, E_UNKNOWN_MODEL, "no such service");
         break;
       }
     }
@@ -174,12 +174,12 @@
      * more what it holds */
     if (base && (!instance->reported_at.us || since_ms(gateway, instance->reported_at) > SURE_MS) &&
         !engine_report(instance, &busy, &running, err)) {
-      r = error_set(err, E_ENGINE, "%s says nothing of itself", instance->self.text);
+      r = error_set(err, E_NO_ENGINE, "%s says nothing of itself", instance->self.text);
       *wait = 300;
       break;
     }
     if (!(service = service_of(gateway, name))) {
-      r = error_set(err, E_MODEL, "no such service");
+      r = error_set(err, E_UNKNOWN_MODEL, "no such service");
       break;
     }
     if (base && instance_resident(instance, model))
@@ -189,7 +189,7 @@
       break;
     }
     if (!(service = service_of(gateway, name))) {
-      r = error_set(err, E_MODEL, "no such service");
+      r = error_set(err, E_UNKNOWN_MODEL, "no such service");
       break;
     }
     /* nothing else may have come in while the pace was waited for */
@@ -199,7 +199,7 @@
     room_taken_up(instance, service, model, adapter, all, &held_mb, &held_slots);
     lack l = eviction_lack(service, held_mb, held_slots, mb, slots);
     if (l.megs || l.slots) {
-      r = error_set(err, E_NO_ROOM, "the room on %s went", instance->self.text);
+      r = error_set(err, E_NO_CAPACITY, "the room on %s went", instance->self.text);
       *wait = 300;
       break;
     }
@@ -219,7 +219,7 @@
       break;
     }
     if (st == 421) {
-      r = error_set(err, E_ENGINE, "%s is another engine now", instance->self.text);
+      r = error_set(err, E_NO_ENGINE, "%s is another engine now", instance->self.text);
       break;
     }
     if (st == 400 || st == 404) {
@@ -229,7 +229,7 @@
     }
     /* another order is under way, or it could not be reached */
     if (st == 0 && tries >= 3) {
-      r = error_set(err, E_ENGINE, "%s can't be reached", instance->self.text);
+      r = error_set(err, E_NO_ENGINE, "%s can't be reached", instance->self.text);
       *wait = 500;
       break;
     }
@@ -242,12 +242,12 @@
       room_forget(&instance->room, now_of(gateway));
     for (int k = 0; busy && !r && k < 60; k++) {
       if (!engine_report(instance, &busy, &running, err))
-        r = error_set(err, E_ENGINE, "%s says nothing of itself", instance->self.text);
+        r = error_set(err, E_NO_ENGINE, "%s says nothing of itself", instance->self.text);
       else if (busy)
         r = engine_nap(instance, 150, err);
     }
     if (!r && busy)
-      r = error_set(err, E_ENGINE, "%s is busy with another's order", instance->self.text);
+      r = error_set(err, E_NO_ENGINE, "%s is busy with another's order", instance->self.text);
     if (r) {
       *wait = 500;
       break;
@@ -270,7 +270,7 @@
     Wire__LoadPermitRequest t = WIRE__LOAD_PERMIT_REQUEST__INIT;
     t.engine = instance->self.text;
     t.key = "";
-    Wire__Envelope m = wire_msg(WIRE__ENVELOPE__BODY_LOAD_PERMIT_REQUEST, &t);
+    Wire__Envelope m = wire_envelope(WIRE__ENVELOPE__BODY_LOAD_PERMIT_REQUEST, &t);
     char duty[64];
     duty_engine(duty, sizeof duty, instance->self);
     duty_heirs_cast(gateway, duty, &m);
@@ -325,7 +325,7 @@
         break;
       }
       if (st == -2 || st == 421) {
-        r = st == 421 ? error_set(err, E_ENGINE, "%s is another engine now", instance->self.text)
+        r = st == 421 ? error_set(err, E_NO_ENGINE, "%s is another engine now", instance->self.text)
                       : err->code;
         break;
       }
@@ -407,12 +407,12 @@
     return r;
   }
   const service *service = service_of(gateway, instance->service);
-  if (!service || !service_model(service, job->model.text))
-    return error_set(err, E_MODEL, "no %s is known", job->model.text);
+  if (!service || !service_find_model(service, job->model.text))
+    return error_set(err, E_UNKNOWN_MODEL, "no %s is known", job->model.text);
   if (instance_holds(instance, job->model, job->adapter))
     return OK;
   if (instance->leaving)
-    return error_set(err, E_ENGINE, "%s is leaving", instance->self.text);
+    return error_set(err, E_NO_ENGINE, "%s is leaving", instance->self.text);
   if (!job->copy && instance_copies(gateway, instance->service, job->model, job->adapter))
     return OK;
   /* what was cheap when this engine was chosen may have gone meanwhile: the coordinator then
@@ -422,14 +422,14 @@
   if (job->cost_most > 0 && place_cost(instance, service, job->model, job->adapter, &mb, &slots,
                                        &drain) > job->cost_most) {
     *wait = 20;
-    return error_set(err, E_NO_ROOM, "room on %s has become dear", instance->self.text);
+    return error_set(err, E_NO_CAPACITY, "room on %s has become dear", instance->self.text);
   }
   if (!instance_resident(instance, job->model)) {
     r = load_one(instance, job, service, job->model, none, wait, err);
     if (r || id_is_empty(job->adapter))
       return r;
     if (!(service = service_of(gateway, instance->service)))
-      return error_set(err, E_MODEL, "no such service");
+      return error_set(err, E_UNKNOWN_MODEL, "no such service");
   }
   return load_one(instance, job, service, job->model, job->adapter, wait, err);
 }
@@ -499,11 +499,11 @@
     error err = { 0 };
     int64_t wait = 0;
     int r = place(instance, best, &wait, &err);
-    if (r == E_NO_ROOM)
+    if (r == E_NO_CAPACITY)
       log_debug(&gateway->router->node.log, "place", "No room for %s%s%s on %s: %s (code %d).",
                 best->model.text, best->adapter.text[0] ? "+" : "", best->adapter.text,
                 instance->self.text, err.text, r);
-    else if (r && r != E_STOPPING && r != E_NO_HOLDER && r != E_LOAD_PACE)
+    else if (r && r != E_STOPPING && r != E_NO_LEASE_HOLDER && r != E_LOAD_RATE_LIMITED)
       log_info(&gateway->router->node.log, "place", "No load of %s%s%s on %s: %s (code %d).",
                best->model.text, best->adapter.text[0] ? "+" : "", best->adapter.text,
                instance->self.text, err.text, r);
@@ -514,7 +514,7 @@
   list_for_each (job, &instance->orders, place_job, link)
     if (!job->done) {
       job->held++;
-      job_done(job, E_ENGINE, 200);
+      job_done(job, E_NO_ENGINE, 200);
       job_drop(job);
     }
   instance->worker = false;
@@ -527,11 +527,11 @@
   instance *instance = instance_find(gateway, q->engine);
   if (!id_is_valid(string_view_of(q->model)) ||
       (q->adapter[0] && !id_is_valid(string_view_of(q->adapter))))
-    return error_set(err, E_WIRE, "no such name");
+    return error_set(err, E_WIRE_MESSAGE, "no such name");
   if (!instance || instance->gone)
-    return error_set(err, E_ENGINE, "%.40s is not known here", q->engine);
+    return error_set(err, E_NO_ENGINE, "%.40s is not known here", q->engine);
   if (!order_epoch(instance))
-    return error_set(err, E_NO_HOLDER, "%s is not held here", instance->self.text);
+    return error_set(err, E_NO_LEASE_HOLDER, "%s is not held here", instance->self.text);
   id m = id_of_text(q->model), a = id_of_text(q->adapter);
   place_job *job = NULL;
   int ahead = 0;
@@ -580,8 +580,8 @@
   while (!job->done)
     if (condition_wait(&gateway->router->node.world->tasks, &job->changed, till) != WAKE_SIGNALLED)
       break;
-  Wire__PlacedLoadResponse *b = reply_new(reply, WIRE__ENVELOPE__BODY_PLACED_LOAD_RESPONSE,
-                                          &wire__placed_load_response__descriptor);
+  Wire__PlacedLoadResponse *b = reply_new_body(reply, WIRE__ENVELOPE__BODY_PLACED_LOAD_RESPONSE,
+                                               &wire__placed_load_response__descriptor);
   b->loaded = job->done && !job->code;
   b->error_code = (uint32_t)(job->done ? job->code : E_IN_PROGRESS);
   time_us due = job->due;
--- a/lib/gateway/loader.c
+++ b/lib/gateway/loader.c
@@ -7,10 +7,13 @@
   gateway->paces = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, pace_free);
   gateway->rates_whole = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
   gateway->rates_told = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-  node_on(&router->node, WIRE__ENVELOPE__BODY_LOAD_PERMIT_REQUEST, pace_on_ticket, gateway);
-  node_on(&router->node, WIRE__ENVELOPE__BODY_PLACED_LOAD_REQUEST, load_jobs_on_place, gateway);
-  node_on(&router->node, WIRE__ENVELOPE__BODY_PLACEMENT_REQUEST, placement_on_want, gateway);
-  node_on(&router->node, WIRE__ENVELOPE__BODY_RATE_REPORT, rates_on_message, gateway);
+  node_register_handler(&router->node, WIRE__ENVELOPE__BODY_LOAD_PERMIT_REQUEST, pace_on_ticket,
+                        gateway);
+  node_register_handler(&router->node, WIRE__ENVELOPE__BODY_PLACED_LOAD_REQUEST, load_jobs_on_place,
+                        gateway);
+  node_register_handler(&router->node, WIRE__ENVELOPE__BODY_PLACEMENT_REQUEST, placement_on_want,
+                        gateway);
+  node_register_handler(&router->node, WIRE__ENVELOPE__BODY_RATE_REPORT, rates_on_message, gateway);
   task_start(&router->node.world->tasks, "rates", rates_run, gateway);
 }
 
--- a/lib/gateway/loader_internal.h
+++ b/lib/gateway/loader_internal.h
@@ -83,7 +83,7 @@
 static const id none = { "" };
 
 static inline const service *service_of(gateway *gateway, id name) {
-  return gateway->routing ? routing_service(gateway->routing, name.text) : NULL;
+  return gateway->routing ? routing_find_service(gateway->routing, name.text) : NULL;
 }
 
 /** A key's rate over the whole fleet, as its collector said. */
@@ -143,8 +143,8 @@
 bool engine_stops(instance *instance);
 /** Waits; a code when the engine or this process ends meanwhile. */
 int engine_nap(instance *instance, double ms, error *err);
-/** Unloads one thing and waits until the engine confirms it; E_RUNS when it was thought idle and is
- * not. */
+/** Unloads one thing and waits until the engine confirms it; E_MODEL_IN_USE when it was thought
+ * idle and is not. */
 int engine_unload(instance *instance, id model, id adapter, bool thought_idle, error *err);
 
 /* load_jobs.c */
--- a/lib/gateway/orders.c
+++ b/lib/gateway/orders.c
@@ -29,7 +29,7 @@
 static fields *fields_for(instance *instance) {
   fields *fields = g_string_new(NULL);
   fields_add(fields, "Host", string_view_of(instance->addr));
-  const char *expect = instance->gateway->settings.dialect->field[DF_EXPECT_ENGINE];
+  const char *expect = instance->gateway->settings.dialect->header_names[DF_EXPECT_ENGINE];
   if (expect)
     fields_add(fields, expect, string_view_of(instance->self.text));
   return fields;
@@ -39,12 +39,12 @@
 static int exchange(instance *instance, enum dialect_call call_, const char *body, GString *got,
                     int64_t span, time_us by, error *err) {
   world *world = instance->gateway->router->node.world;
-  const dialect_path *p = &instance->gateway->settings.dialect->call[call_];
+  const dialect_path *p = &instance->gateway->settings.dialect->calls[call_];
   fields *fields = fields_for(instance);
   if (body)
     fields_add(fields, "Content-Type", string_view_of("application/json"));
   time_us till = time_add(world_now(world), time_from_ms(span));
-  http_call *call = http_call_open_fields(world, instance->addr, p->verb, p->path, fields,
+  http_call *call = http_call_open_fields(world, instance->addr, p->method, p->path, fields,
                                           string_view_of(body), false, by);
   int st = 0, r = http_call_wait(call, till);
   if (!r) {
@@ -62,9 +62,9 @@
 
 static json *words_in(gateway *gateway, const GString *text) {
   error err = { 0 };
-  json *json = json_read(string_view_of_gstring(text), &err);
+  json *json = json_parse(string_view_of_gstring(text), &err);
   if (json)
-    dialect_in(gateway->settings.dialect, json);
+    dialect_translate_in(gateway->settings.dialect, json);
   return json;
 }
 
@@ -118,20 +118,20 @@
     const json *o = json_at(m, k), *a = json_get(o, "adapters");
     wire__resident_model__init(&r[k]);
     r[k].model = (char *)json_text(o, "name", "");
-    r[k].weights_version = (uint64_t)MAX(0, json_num(o, "version", 0));
+    r[k].weights_version = (uint64_t)MAX(0, json_number(o, "version", 0));
     r[k].n_adapters = a ? json_count(a) : 0;
     r[k].adapters = g_new(char *, r[k].n_adapters + 1);
     for (size_t t = 0; t < r[k].n_adapters; t++) {
       const json *name = json_at(a, t);
-      r[k].adapters[t] = name->kind == J_STR ? name->text->str : (char *)"";
+      r[k].adapters[t] = name->kind == JSON_STRING ? name->text->str : (char *)"";
     }
     rp[k] = &r[k];
   }
-  *busy = json_yes(value, "busy", false);
-  *running = (int)json_num(value, "running", 0) + (int)json_num(value, "waiting", 0);
+  *busy = json_bool(value, "busy", false);
+  *running = (int)json_number(value, "running", 0) + (int)json_number(value, "waiting", 0);
   instance_models(instance, rp, n, from, LAG_MS);
   instance->reported_at = from;
-  uint64_t count = (uint64_t)MAX(0, json_num(value, "count", 0));
+  uint64_t count = (uint64_t)MAX(0, json_number(value, "count", 0));
   if (!*busy)
     room_read(instance, count, rp, n, from);
   for (size_t k = 0; k < n; k++)
@@ -146,20 +146,20 @@
                            int64_t expect) {
   gateway *gateway = instance->gateway;
   GString *t = g_string_new(NULL);
-  json_f(t, "{\"op\":\"%s\",\"model\":", up ? "load" : "unload");
-  json_quote(t, string_view_of(model.text));
+  json_appendf(t, "{\"op\":\"%s\",\"model\":", up ? "load" : "unload");
+  json_append_quoted(t, string_view_of(model.text));
   if (!id_is_empty(adapter)) {
     g_string_append(t, ",\"adapter\":");
-    json_quote(t, string_view_of(adapter.text));
+    json_append_quoted(t, string_view_of(adapter.text));
   }
   g_string_append(t, ",\"holder\":");
-  json_quote(t, string_view_of(gateway->router->node.settings.self.text));
+  json_append_quoted(t, string_view_of(gateway->router->node.settings.self.text));
   if (expect != EXPECT_ANY)
-    json_f(t, ",\"expect\":%" PRId64, expect);
-  json_f(t, ",\"fence\":%" PRIu64 "}", epoch);
+    json_appendf(t, ",\"expect\":%" PRId64, expect);
+  json_appendf(t, ",\"fence\":%" PRIu64 "}", epoch);
   error err = { 0 };
-  json *json = json_read(string_view_of_gstring(t), &err);
-  dialect_out(gateway->settings.dialect, json);
+  json *json = json_parse(string_view_of_gstring(t), &err);
+  dialect_translate_out(gateway->settings.dialect, json);
   g_string_truncate(t, 0);
   json_write(json, t);
   json_free(json);
@@ -174,11 +174,11 @@
   gateway *gateway = instance->gateway;
   uint64_t epoch = order_epoch(instance);
   if (!epoch) {
-    error_set(err, E_NO_HOLDER, "no contract for %s", instance->self.text);
+    error_set(err, E_NO_LEASE_HOLDER, "no contract for %s", instance->self.text);
     return -2;
   }
   if (instance->gone) {
-    error_set(err, E_ENGINE, "%s is gone", instance->self.text);
+    error_set(err, E_NO_ENGINE, "%s is gone", instance->self.text);
     return -2;
   }
   /* an address is not used again at once: one that gave a sign of life lately is still the same; of
@@ -193,7 +193,7 @@
     if (!engine_report(instance, &busy, &running, err))
       return 0;
     if (instance->gone || !(epoch = order_epoch(instance)))
-      return error_set(err, E_NO_HOLDER, "no contract for %s", instance->self.text), -2;
+      return error_set(err, E_NO_LEASE_HOLDER, "no contract for %s", instance->self.text), -2;
   }
   time_us till = contract_till(instance);
   GString *t = order_text(instance, up, model, adapter, epoch, expect), *got = g_string_new(NULL);
@@ -201,7 +201,8 @@
   history_add(&gateway->router->history,
               (entry){ EV_ORDERED, { 0 }, instance->self, model, adapter, up });
   contract_open(instance, 1);
-  int st = exchange(instance, DC_ORDER, t->str, got, ORDER_MS, till.us < by.us ? till : by, err);
+  int st =
+      exchange(instance, DC_ENGINE_ORDER, t->str, got, ORDER_MS, till.us < by.us ? till : by, err);
   contract_open(instance, -1);
   log_debug(&gateway->router->node.log, "order",
             "%s %s%s%s at %s: fence %" PRIu64 ", %" PRId64 " orders expected, %" PRIu64
@@ -221,21 +222,21 @@
   if (st > 0 && st != 421)
     instance->seen_at = now_of(gateway);
   if (st == 412) {
-    error_set(err, E_EPOCH, "%s has seen a higher fence", instance->self.text);
+    error_set(err, E_STALE_EPOCH, "%s has seen a higher fence", instance->self.text);
     return -2;
   }
   return st;
 }
 
 bool engine_stops(instance *instance) {
-  return instance->gone || instance->gateway->router->node.world->tasks.dead;
+  return instance->gone || instance->gateway->router->node.world->tasks.stopped;
 }
 
 int engine_nap(instance *instance, double ms, error *err) {
   if (!world_sleep(instance->gateway->router->node.world,
                    (time_us){ (int64_t)(MAX(ms, 1) * 1000) }) ||
       engine_stops(instance))
-    return error_set(err, instance->gone ? E_ENGINE : E_STOPPING, "%s is gone",
+    return error_set(err, instance->gone ? E_NO_ENGINE : E_STOPPING, "%s is gone",
                      instance->self.text);
   return OK;
 }
@@ -279,7 +280,7 @@
         if ((r = engine_nap(instance, LAG_MS, err)))
           return r;
         if (!engine_report(instance, &busy, &running, err))
-          return error_set(err, E_ENGINE, "%s says nothing of itself", instance->self.text);
+          return error_set(err, E_NO_ENGINE, "%s says nothing of itself", instance->self.text);
         if (busy || !instance->room.known || room_holds(&instance->room, model, adapter))
           return error_set(err, E_ORDER_FAILED, "%s does not unload %s", instance->self.text,
                            model.text);
@@ -334,8 +335,8 @@
 }
 
 /* Unloads one thing; where that can't be confirmed, the account of the room is read anew. Nodes
- * that run something of it answer the announcement. When it was thought idle, E_RUNS says that it
- * is not and stays. */
+ * that run something of it answer the announcement. When it was thought idle, E_MODEL_IN_USE says
+ * that it is not and stays. */
 int engine_unload(instance *instance, id model, id adapter, bool thought_idle, error *err) {
   announce_unload(instance, model, adapter);
   bool waits = gateway_uses(instance->gateway, MECHANISM_ANNOUNCE);
@@ -344,8 +345,8 @@
     return r;
   if (thought_idle && instance_runs(instance, model, adapter)) {
     retract_unload(instance, model, adapter);
-    return error_set(err, E_RUNS, "%s%s%s runs on %s", model.text, adapter.text[0] ? "+" : "",
-                     adapter.text, instance->self.text);
+    return error_set(err, E_MODEL_IN_USE, "%s%s%s runs on %s", model.text,
+                     adapter.text[0] ? "+" : "", adapter.text, instance->self.text);
   }
   r = unload_until_gone(instance, model, adapter, err);
   if (r)
--- a/lib/gateway/pace.c
+++ b/lib/gateway/pace.c
@@ -78,14 +78,14 @@
   }
   uint64_t epoch = duty_epoch(router, "pacer");
   if (!epoch)
-    return error_set(err, E_NO_HOLDER, "the pace is not held here");
+    return error_set(err, E_NO_LEASE_HOLDER, "the pace is not held here");
   if (in->load_permit_request->epoch > epoch)
-    return error_set(err, E_EPOCH, "a younger epoch is known");
+    return error_set(err, E_STALE_EPOCH, "a younger epoch is known");
   const service *service = instance ? service_of(gateway, instance->service) : NULL;
   if (!service)
-    return error_set(err, E_ENGINE, "%.40s is not known here", in->load_permit_request->engine);
-  Wire__LoadPermitResponse *b = reply_new(reply, WIRE__ENVELOPE__BODY_LOAD_PERMIT_RESPONSE,
-                                          &wire__load_permit_response__descriptor);
+    return error_set(err, E_NO_ENGINE, "%.40s is not known here", in->load_permit_request->engine);
+  Wire__LoadPermitResponse *b = reply_new_body(reply, WIRE__ENVELOPE__BODY_LOAD_PERMIT_RESPONSE,
+                                               &wire__load_permit_response__descriptor);
   b->granted = true;
   b->valid_us = LAST_MS * 1000;
   if (service->loads_per_s <= 0)
@@ -96,7 +96,7 @@
   contract *contract = g_hash_table_lookup(router->contracts, "pacer");
   if (p->epoch != epoch) {
     if (epoch > 1)
-      pace_take_over(p->log, contract->since, router->node.born, window, most);
+      pace_take_over(p->log, contract->since, router->node.started_at, window, most);
     p->epoch = epoch;
   }
   time_us at = pace_next(p->log, now, window, most);
@@ -115,7 +115,7 @@
   t.engine = in->load_permit_request->engine;
   t.key = in->load_permit_request->key;
   t.epoch = epoch;
-  Wire__Envelope m = wire_msg(WIRE__ENVELOPE__BODY_LOAD_PERMIT_REQUEST, &t);
+  Wire__Envelope m = wire_envelope(WIRE__ENVELOPE__BODY_LOAD_PERMIT_REQUEST, &t);
   duty_heirs_cast(gateway, "pacer", &m);
   return OK;
 }
@@ -138,19 +138,19 @@
     uint64_t epoch;
     char addr[48] = "";
     if (router_grant(router, "pacer", &holder, &epoch)) {
-      machine *machine = node_find_machine(&router->node, holder);
+      peer_node *peer = node_find_peer(&router->node, holder);
       if (id_equal(holder, router->node.settings.self))
-        g_strlcpy(addr, router->node.settings.addr, sizeof addr);
-      else if (machine && !machine->gone)
-        g_strlcpy(addr, machine->addr, sizeof addr);
+        g_strlcpy(addr, router->node.settings.address, sizeof addr);
+      else if (peer && !peer->gone)
+        g_strlcpy(addr, peer->address, sizeof addr);
     }
-    int r = E_LOAD_PACE;
+    int r = E_LOAD_RATE_LIMITED;
     if (addr[0]) {
       Wire__LoadPermitRequest t = WIRE__LOAD_PERMIT_REQUEST__INIT;
       t.engine = instance->self.text;
       t.key = (char *)key;
       t.epoch = epoch;
-      Wire__Envelope q = wire_msg(WIRE__ENVELOPE__BODY_LOAD_PERMIT_REQUEST, &t), *b;
+      Wire__Envelope q = wire_envelope(WIRE__ENVELOPE__BODY_LOAD_PERMIT_REQUEST, &t), *b;
       time_us sent = now_of(gateway);
       r = node_call(&router->node, addr, &q, time_from_ms(TICKET_MS), &b, err);
       if (r == E_STOPPING)
@@ -166,8 +166,8 @@
         if (ok)
           return OK;
         if (good)
-          return error_set(err, E_LOAD_PACE, "the pace is taken for %" PRId64 " ms", *wait);
-        r = E_WIRE;
+          return error_set(err, E_LOAD_RATE_LIMITED, "the pace is taken for %" PRId64 " ms", *wait);
+        r = E_WIRE_MESSAGE;
       }
     }
     if (since_ms(gateway, from) >= TICKET_MS)
@@ -179,7 +179,7 @@
   double gap = 4 * MAX(gateway->nodes, 1) / loads_per_s * 1000;
   if (gateway->spare_load.us && since_ms(gateway, gateway->spare_load) < gap) {
     *wait = 500;
-    return error_set(err, E_LOAD_PACE, "nobody holds the pace");
+    return error_set(err, E_LOAD_RATE_LIMITED, "nobody holds the pace");
   }
   gateway->spare_load = now_of(gateway);
   pace_add(gateway, name, now_of(gateway));
@@ -190,16 +190,16 @@
 /* sends to those who would come next for a duty, who are all when nodes are few */
 void duty_heirs_cast(gateway *gateway, const char *duty, Wire__Envelope *m) {
   enum { HEIRS = 3 };
-  machine *heir[HEIRS] = { NULL };
+  peer_node *heir[HEIRS] = { NULL };
   uint64_t top[HEIRS] = { 0 };
-  list_for_each (x, &gateway->router->node.machines, machine, link) {
+  list_for_each (x, &gateway->router->node.peers, peer_node, link) {
     if (x->role != ROLE_ROUTER || x->gone)
       continue;
     if (gateway->nodes <= FEW_NODES) {
-      node_send(&gateway->router->node, x->addr, m);
+      node_send(&gateway->router->node, x->address, m);
       continue;
     }
-    uint64_t h = hash_of_two(duty, x->self.text);
+    uint64_t h = hash_two_names(duty, x->self.text);
     int at = HEIRS;
     while (at > 0 && h > top[at - 1])
       at--;
@@ -214,5 +214,5 @@
   }
   for (int k = 0; k < HEIRS; k++)
     if (heir[k])
-      node_send(&gateway->router->node, heir[k]->addr, m);
+      node_send(&gateway->router->node, heir[k]->address, m);
 }
--- a/lib/gateway/placement.c
+++ b/lib/gateway/placement.c
@@ -25,16 +25,16 @@
   uint64_t epoch;
   duty_engine(d, sizeof d, engine);
   if (duty_epoch(gateway->router, d)) {
-    g_strlcpy(addr, gateway->router->node.settings.addr, 48);
+    g_strlcpy(addr, gateway->router->node.settings.address, 48);
     return true;
   }
   if (!router_grant(gateway->router, d, &holder, &epoch) ||
       id_equal(holder, gateway->router->node.settings.self))
     return false;
-  machine *machine = node_find_machine(&gateway->router->node, holder);
-  if (!machine || machine->gone || machine->role != ROLE_ROUTER)
+  peer_node *peer = node_find_peer(&gateway->router->node, holder);
+  if (!peer || peer->gone || peer->role != ROLE_ROUTER)
     return false;
-  g_strlcpy(addr, machine->addr, 48);
+  g_strlcpy(addr, peer->address, 48);
   return true;
 }
 
@@ -117,7 +117,7 @@
 }
 
 int placement_part(const char *name, int parts) {
-  return (int)(hash_of(name, strlen(name), 11) % (uint64_t)parts);
+  return (int)(hash_bytes(name, strlen(name), 11) % (uint64_t)parts);
 }
 
 /* the engine where a thing costs least: what had to go, how long it waits and loads, how busy the
@@ -129,7 +129,7 @@
   int copies = instance_copies(gateway, service->name, placing->model, placing->adapter);
   double worth = thing_load_ms(gateway, service, placing->model, placing->adapter, false) * lambda /
                  (copies + 1);
-  *code = E_ENGINE;
+  *code = E_NO_ENGINE;
   int parts = placement_parts(gateway);
   instance *soon = placing->copy ? NULL : base_on_its_way(gateway, placing);
   bool tried = false;
@@ -162,14 +162,14 @@
       unsigned slots;
       double cost = place_cost(i, service, placing->model, placing->adapter, &mb, &slots, &drain);
       if (cost < 0) {
-        *code = E_NO_ROOM;
+        *code = E_NO_CAPACITY;
         continue;
       }
       double evict = cost;
       bool there = instance_resident(i, placing->model) != NULL,
            warm = g_hash_table_contains(i->held_before, placing->model.text);
       if (placing->copy && cost > (placing->extra ? EXTRA_SHARE : 1) * worth) {
-        *code = E_NO_ROOM;
+        *code = E_NO_CAPACITY;
         continue;
       }
       double load_ms =
@@ -218,12 +218,12 @@
   placing *placing = a->placing;
   g_free(a);
   GPtrArray *not_these = g_ptr_array_new_with_free_func(g_free);
-  int code = E_ENGINE, blanks = 0, busy_engines = 0;
+  int code = E_NO_ENGINE, blanks = 0, busy_engines = 0;
   int64_t wait = 400;
   while (!time_reached(now_of(gateway), time_add(placing->asked, time_from_ms(ALIVE_MS)))) {
     const service *service = service_of(gateway, placing->service);
-    if (!service || !service_model(service, placing->model.text)) {
-      code = E_MODEL;
+    if (!service || !service_find_model(service, placing->model.text)) {
+      code = E_UNKNOWN_MODEL;
       wait = 2000;
       break;
     }
@@ -243,14 +243,14 @@
                 placing->adapter.text, code, not_these->len);
       placing->engine = none;
       /* contracts change hands within some seconds; a fleet without room says so soon */
-      if (placing->copy || ++blanks > (code == E_NO_ROOM ? 4 : 12)) {
+      if (placing->copy || ++blanks > (code == E_NO_CAPACITY ? 4 : 12)) {
         wait = placing->copy ? 3000 : 500;
         break;
       }
       if (not_these->len)
         g_ptr_array_set_size(not_these, 0);
       placing->may_drain = !placing->copy;
-      if (!world_sleep_about(gateway->router->node.world, time_from_ms(150))) {
+      if (!world_sleep_with_jitter(gateway->router->node.world, time_from_ms(150))) {
         code = E_STOPPING;
         break;
       }
@@ -288,7 +288,7 @@
         (uint64_t)MAX(2 * placing->cost + 3000,
                       thing_load_ms(gateway, service, placing->model, placing->adapter, false) *
                           thing_rate(gateway, placing->model, placing->adapter) / shares);
-    Wire__Envelope m = wire_msg(WIRE__ENVELOPE__BODY_PLACED_LOAD_REQUEST, &q), *b;
+    Wire__Envelope m = wire_envelope(WIRE__ENVELOPE__BODY_PLACED_LOAD_REQUEST, &q), *b;
     error err = { 0 };
     int r = node_call(&gateway->router->node, addr, &m, time_from_ms(CALL_MS), &b, &err);
     if (r == E_STOPPING) {
@@ -301,7 +301,7 @@
       r = (int)b->placed_load_response->error_code;
       wait = (int64_t)b->placed_load_response->retry_after_ms;
     } else if (!r)
-      r = E_WIRE;
+      r = E_WIRE_MESSAGE;
     node_reply_free(b);
     if (!r) {
       code = OK;
@@ -327,25 +327,26 @@
     }
     code = r;
     placing->engine = none;
-    if (r == E_LOAD_PACE) {
+    if (r == E_LOAD_RATE_LIMITED) {
       placing->due = ms_from(gateway, (double)wait + 1000);
       if (!world_sleep(gateway->router->node.world, time_from_ms(CLAMP(wait, 50, 500))))
         break;
       continue;
     }
     g_ptr_array_add(not_these, g_strdup(engine.text));
-    if (r == E_NO_ROOM && !placing->copy && !placing->may_drain) {
+    if (r == E_NO_CAPACITY && !placing->copy && !placing->may_drain) {
       placing->may_drain = ++busy_engines >= BUSY_ENGINES_MOST;
       if (placing->may_drain)
         g_ptr_array_set_size(not_these, 0);
       continue;
     }
     /* an engine that does not answer its holder is passed over by the other placements too */
-    if (r == E_ENGINE && (instance = instance_find(gateway, engine.text)))
+    if (r == E_NO_ENGINE && (instance = instance_find(gateway, engine.text)))
       instance->no_answer_till = ms_from(gateway, 2000);
-    if (r == E_MODEL || ++blanks > 6)
+    if (r == E_UNKNOWN_MODEL || ++blanks > 6)
       break;
-    if (!world_sleep_about(gateway->router->node.world, time_from_ms(r == E_NO_ANSWER ? 20 : 60)))
+    if (!world_sleep_with_jitter(gateway->router->node.world,
+                                 time_from_ms(r == E_NO_RESPONSE ? 20 : 60)))
       break;
   }
   placing->done = true;
@@ -407,7 +408,7 @@
   if (!id_is_valid(string_view_of(q->model)) ||
       (q->adapter[0] && !id_is_valid(string_view_of(q->adapter))) ||
       !id_is_valid(string_view_of(q->service)))
-    return error_set(err, E_WIRE, "no such name");
+    return error_set(err, E_WIRE_MESSAGE, "no such name");
   id s = id_of_text(q->service), m = id_of_text(q->model), a = id_of_text(q->adapter);
   char *key = placement_key(s, m, a);
   placing *placing = g_hash_table_lookup(gateway->placings, key);
@@ -427,12 +428,12 @@
     if (condition_wait(&gateway->router->node.world->tasks, &placing->changed, till) !=
         WAKE_SIGNALLED)
       break;
-  Wire__PlacementResponse *b = reply_new(reply, WIRE__ENVELOPE__BODY_PLACEMENT_RESPONSE,
-                                         &wire__placement_response__descriptor);
+  Wire__PlacementResponse *b = reply_new_body(reply, WIRE__ENVELOPE__BODY_PLACEMENT_RESPONSE,
+                                              &wire__placement_response__descriptor);
   b->loaded = placing->done && !placing->code;
   b->error_code = (uint32_t)(placing->done ? placing->code : E_IN_PROGRESS);
   b->retry_after_ms = (uint64_t)(placing->done ? placing->wait : ms_till(gateway, placing->due));
-  b->engine = reply_hold(reply, sizeof placing->engine.text);
+  b->engine = reply_alloc(reply, sizeof placing->engine.text);
   memcpy(b->engine, placing->engine.text, sizeof placing->engine.text);
   placing_drop(gateway, placing);
   return OK;
--- a/lib/gateway/rates.c
+++ b/lib/gateway/rates.c
@@ -26,14 +26,14 @@
    live router for it in an order that all agree on. They say what they know of the whole to all;
    every node telling every other one grew with the square */
 static int shard_of(const char *key) {
-  return (int)(hash_of(key, strlen(key), 7) % SHARDS);
+  return (int)(hash_bytes(key, strlen(key), 7) % SHARDS);
 }
 
 static void collector(gateway *gateway, int shard, char addr[48]) {
   char by[24];
   id who;
   snprintf(by, sizeof by, "rates:%d", shard);
-  if (!node_first_machine(&gateway->router->node, ROLE_ROUTER, by, none, &who, addr))
+  if (!node_rendezvous_peer(&gateway->router->node, ROLE_ROUTER, by, none, &who, addr))
     addr[0] = 0;
 }
 
@@ -46,12 +46,12 @@
   q.n_counts = some->len;
   q.counts = (Wire__RequestCount **)some->pdata;
   q.fleet_totals = whole;
-  Wire__Envelope m = wire_msg(WIRE__ENVELOPE__BODY_RATE_REPORT, &q);
+  Wire__Envelope m = wire_envelope(WIRE__ENVELOPE__BODY_RATE_REPORT, &q);
   if (addr) {
     node_send(&router->node, addr, &m);
     return;
   }
-  node_send_all(&router->node, ROLE_ROUTER, &m);
+  node_broadcast(&router->node, ROLE_ROUTER, &m);
 }
 
 /* what this node collects, told to all: only what is asked for at all, and once more when that ends
@@ -95,11 +95,11 @@
                                                                    ? gateway->settings.rate_window_s
                                                                    : 20) *
                                                               1e6) });
-    if (!world_sleep_about(router->node.world, time_from_ms(RATES_MS)))
+    if (!world_sleep_with_jitter(router->node.world, time_from_ms(RATES_MS)))
       return;
     /* a node that is new here, or has started anew, hears all from the start */
     uint64_t now_met = router->node.nonce;
-    list_for_each (x, &router->node.machines, machine, link)
+    list_for_each (x, &router->node.peers, peer_node, link)
       if (x->role == ROLE_ROUTER && !x->gone)
         now_met += x->nonce;
     if (now_met != met)
@@ -109,7 +109,7 @@
     char to[SHARDS][48];
     for (int b = 0; many && b < SHARDS; b++) {
       collector(gateway, b, to[b]);
-      own[b] = !strcmp(to[b], router->node.settings.addr);
+      own[b] = !strcmp(to[b], router->node.settings.address);
     }
     GPtrArray *all = g_ptr_array_new_with_free_func(g_free);
     GHashTableIter it;
--- a/lib/gateway/room.c
+++ b/lib/gateway/room.c
@@ -80,7 +80,7 @@
   *slots = 0;
   for (guint k = 0; k < r->items->len; k++) {
     room_item *item = &g_array_index(r->items, room_item, k);
-    const svc_model *m = service_model(service, item->model.text);
+    const service_model_spec *m = service_find_model(service, item->model.text);
     bool base = id_equal(item->adapter, no_adapter);
     if (m)
       item->mb = base ? m->weights_mb : m->adapter_mb;
--- a/lib/gateway/select.c
+++ b/lib/gateway/select.c
@@ -24,10 +24,10 @@
 int parts_read(const char *prefix, id model, id adapter, uint64_t *chain, double *upto, int most) {
   int n = 0;
   double sum = 0;
-  uint64_t h = hash_of_two(model.text, adapter.text);
+  uint64_t h = hash_two_names(model.text, adapter.text);
   for (const char *p = prefix; p && *p && n < most;) {
     size_t len = strcspn(p, ","), name = strcspn(p, ":,");
-    h = hash_of(p, name, h);
+    h = hash_bytes(p, name, h);
     if (name < len)
       sum += CLAMP(atof(p + name + 1), 0, 1e7);
     chain[n] = h;
@@ -92,7 +92,8 @@
    model */
 static void spread(gateway *gateway, const pick_request *q, double est, double queue_ms) {
   if (!q->target_ms || !gateway_uses(gateway, MECHANISM_COPIES) ||
-      est < (q->policy ? q->policy : &select_usual)->copy_share * (double)q->target_ms)
+      est < (q->policy ? q->policy : &select_policy_default)->scale_out_threshold *
+                (double)q->target_ms)
     return;
   char key[160];
   snprintf(key, sizeof key, "%s/%s+%s", q->service->name.text, q->model.text, q->adapter.text);
@@ -115,7 +116,7 @@
 
 instance *pick(gateway *gateway, const pick_request *q, enum pick_none *why, double *est_ms) {
   const service *service = q->service;
-  const select_policy *o = q->policy ? q->policy : &select_usual;
+  const select_policy *o = q->policy ? q->policy : &select_policy_default;
   instance *c[CANDS];
   int n = 0, held = 0, open = 0, any = 0;
   time_us now = world_now(gateway->router->node.world);
@@ -151,7 +152,7 @@
   const instance *home = NULL;
   uint64_t top = 0;
   for (int k = 0; shared && k < n; k++) {
-    uint64_t h = hash_of(c[k]->self.text, strlen(c[k]->self.text), chain[shared - 1]);
+    uint64_t h = hash_bytes(c[k]->self.text, strlen(c[k]->self.text), chain[shared - 1]);
     if (!home || h > top) {
       home = c[k];
       top = h;
@@ -192,24 +193,25 @@
     if (q->left_ms > 0 && est > (double)q->left_ms)
       continue;
     /* a place in a line that is already too long helps nobody behind it */
-    if (llm && q->target_ms && est > o->late_share * (double)q->target_ms && ahead > 0)
+    if (llm && q->target_ms && est > o->reject_threshold * (double)q->target_ms && ahead > 0)
       continue;
-    double cost = o->load * est;
+    double cost = o->load_weight * est;
     /* parts that are read again are paid for, beside the time they take */
     if (shared && i != home)
-      cost += o->affinity * i->ms_per_token * MAX(shared_tokens - (kept ? upto[kept - 1] : 0), 0);
+      cost += o->affinity_weight * i->ms_per_token *
+              MAX(shared_tokens - (kept ? upto[kept - 1] : 0), 0);
     if (q->target_ms && est > 0.5 * (double)q->target_ms)
-      cost += o->load * 3 * (est - 0.5 * (double)q->target_ms);
+      cost += o->load_weight * 3 * (est - 0.5 * (double)q->target_ms);
     if (llm && service->kv_tokens > 0 && gateway_uses(gateway, MECHANISM_KV)) {
       double use = (running + 1) * MAX(i->usual_tokens, 1) * 1.15 / service->kv_tokens;
       if (use > 0.85)
         cost += (use - 0.85) * 4000;
     }
     if (!llm)
-      cost = o->load * est * (1 + (slots ? (double)running / slots : running));
-    if (!id_equal(i->area, gateway->router->node.settings.area) &&
+      cost = o->load_weight * est * (1 + (slots ? (double)running / slots : running));
+    if (!id_equal(i->area, gateway->router->node.settings.zone) &&
         gateway_uses(gateway, MECHANISM_ZONE))
-      cost += o->area * (llm ? 3 : 1.5);
+      cost += o->zone_weight * (llm ? 3 : 1.5);
     if (instance_ill(i))
       cost += ILL_COST;
     cost += (double)world_random(gateway->router->node.world, 1000) / 1000;
--- a/lib/gateway/status.c
+++ b/lib/gateway/status.c
@@ -14,7 +14,7 @@
   list_for_each (i, &gateway->instances, instance, link) {
     if (i->gone)
       continue;
-    json_f(
+    json_appendf(
         to,
         "%s{\"id\":\"%s\",\"service\":\"%s\",\"area\":\"%s\",\"version\":\"%s\",\"addr\":\"%s\",\"slots\":%u,\"leaving\":%s,\"usable\":%s,\"suspect\":%s,\"failing\":%s,\"running\":%d,\"othersRunning\":%d,"
         "\"tokens\":%.0f,\"fails\":%d,\"lastBeatMs\":%" PRId64 ",\"heardMs\":%" PRId64
@@ -26,12 +26,12 @@
     first = false;
     bool f = true;
     list_for_each (r, &i->residents, resident, link) {
-      json_f(to,
-             "%s{\"model\":\"%s\",\"version\":%" PRIu64
-             ",\"unloading\":%s,\"running\":%d,\"adapters\":[",
-             f ? "" : ",", r->model.text, r->version, yes(r->unloading), r->running);
+      json_appendf(to,
+                   "%s{\"model\":\"%s\",\"version\":%" PRIu64
+                   ",\"unloading\":%s,\"running\":%d,\"adapters\":[",
+                   f ? "" : ",", r->model.text, r->version, yes(r->unloading), r->running);
       for (guint k = 0; k < r->adapters->len; k++)
-        json_f(to, "%s\"%s\"", k ? "," : "", (const char *)r->adapters->pdata[k]);
+        json_appendf(to, "%s\"%s\"", k ? "," : "", (const char *)r->adapters->pdata[k]);
       g_string_append(to, "]}");
       f = false;
     }
@@ -65,7 +65,7 @@
       for (size_t l = 0; l < gateway->routing->routes[r].leg_count; l++)
         routed |= gateway->routing->routes[r].legs[l].service == service &&
                   gateway->routing->routes[r].legs[l].weight > 0;
-    json_f(
+    json_appendf(
         to,
         "%s{\"service\":\"%s\",\"routed\":%s,\"engines\":%d,\"usable\":%d,\"running\":%d,\"waiting\":%d,\"firstMs\":%.1f,\"runMs\":%.1f,\"freeMs\":%.1f,\"requests\":%" PRId64
         ",\"retries\":%" PRId64 ",\"retryRoom\":%s}",
@@ -79,14 +79,14 @@
 static void unserved_json(const gateway_counts *counts, GString *to) {
   g_string_append(to, "\"unserved\":{");
   for (int k = 0; k < UNSERVED_COUNT; k++)
-    json_f(to, "%s\"%s\":%" PRIu64, k ? "," : "", unserved_name(k), counts->unserved[k]);
+    json_appendf(to, "%s\"%s\":%" PRIu64, k ? "," : "", unserved_name(k), counts->unserved[k]);
   g_string_append_c(to, '}');
 }
 
 void gateway_status(gateway *gateway, GString *to) {
   const gateway_counts *n = &gateway->counts;
   const char *why = gateway_unready(gateway);
-  json_f(
+  json_appendf(
       to,
       "{\"id\":\"%s\",\"revision\":%" PRIu64
       ",\"ready\":%s,\"why\":\"%s\",\"told\":%s,\"draining\":%s,\"open\":%d,\"channels\":%d,\"requests\":%" PRIu64
@@ -97,9 +97,9 @@
       ",",
       gateway->router->node.settings.self.text, gateway->routing ? gateway->routing->revision : 0,
       yes(!why), why ? why : "", yes(gateway->told), yes(gateway->draining), gateway->open,
-      gateway->front.channels, n->requests, n->served, n->refused, n->failed, n->left, n->no_route,
-      n->attempts, n->seconds, n->resumed, n->loads, n->failed_loads, gateway->load_fails,
-      n->unloads, n->orders, n->reports);
+      gateway->front.connections, n->requests, n->served, n->refused, n->failed, n->left,
+      n->no_route, n->attempts, n->seconds, n->resumed, n->loads, n->failed_loads,
+      gateway->load_fails, n->unloads, n->orders, n->reports);
   unserved_json(n, to);
   g_string_append(to, ",\"services\":[");
   services_json(gateway, to);
@@ -115,7 +115,7 @@
   int up = 0;
   list_for_each (i, &gateway->instances, instance, link)
     up += instance_usable(i);
-  json_f(
+  json_appendf(
       to,
       "asterfall_gateway_requests %" PRIu64 "\nasterfall_gateway_served %" PRIu64
       "\nasterfall_gateway_refused %" PRIu64 "\nasterfall_gateway_failed %" PRIu64
@@ -125,10 +125,10 @@
       "\nasterfall_gateway_open %d\nasterfall_gateway_engines %d\nasterfall_gateway_loads %" PRIu64
       "\nasterfall_gateway_loads_failed %" PRIu64 "\nasterfall_gateway_ready %d\n",
       n->requests, n->served, n->refused, n->failed, n->left, n->no_route, n->attempts, n->seconds,
-      n->resumed, gateway->front.broken_off, gateway->open, up, n->loads, n->failed_loads,
+      n->resumed, gateway->front.requests_aborted, gateway->open, up, n->loads, n->failed_loads,
       !gateway_unready(gateway));
   for (int k = 0; k < UNSERVED_COUNT; k++)
-    json_f(to, "asterfall_gateway_unserved{reason=\"%s\"} %" PRIu64 "\n", unserved_name(k),
-           n->unserved[k]);
+    json_appendf(to, "asterfall_gateway_unserved{reason=\"%s\"} %" PRIu64 "\n", unserved_name(k),
+                 n->unserved[k]);
   canary_metrics(gateway, to);
 }
--- a/lib/gateway/unserved.c
+++ b/lib/gateway/unserved.c
@@ -33,7 +33,7 @@
 static void summary_run(void *p) {
   gateway *gateway = p;
   uint64_t told[UNSERVED_COUNT] = { 0 };
-  while (world_sleep_about(gateway->router->node.world, time_from_ms(SUMMARY_MS)))
+  while (world_sleep_with_jitter(gateway->router->node.world, time_from_ms(SUMMARY_MS)))
     summarize(gateway, told);
 }
 
--- a/lib/gateway/wants.c
+++ b/lib/gateway/wants.c
@@ -28,11 +28,11 @@
     snprintf(by, sizeof by, "place:%s", j->service.text);
   else
     snprintf(by, sizeof by, "place:%s/%d", j->service.text, placement_part(j->model.text, parts));
-  if (node_first_machine(&gateway->router->node, ROLE_ROUTER, by, skip ? j->tried : none, who,
-                         addr))
+  if (node_rendezvous_peer(&gateway->router->node, ROLE_ROUTER, by, skip ? j->tried : none, who,
+                           addr))
     return;
   *who = gateway->router->node.settings.self;
-  g_strlcpy(addr, gateway->router->node.settings.addr, 48);
+  g_strlcpy(addr, gateway->router->node.settings.address, 48);
 }
 
 static bool want_alive(gateway *gateway, want_job *j) {
@@ -59,7 +59,7 @@
     q.priority = j->priority;
     q.wait_ms = REQUEST_MS;
     q.extra_replica = j->copy;
-    Wire__Envelope m = wire_msg(WIRE__ENVELOPE__BODY_PLACEMENT_REQUEST, &q), *b;
+    Wire__Envelope m = wire_envelope(WIRE__ENVELOPE__BODY_PLACEMENT_REQUEST, &q), *b;
     error err = { 0 };
     int r = node_call(&gateway->router->node, addr, &m, time_from_ms(CALL_MS), &b, &err);
     if (r == E_STOPPING)
@@ -75,7 +75,7 @@
       }
     } else {
       if (!r)
-        r = E_WIRE;
+        r = E_WIRE_MESSAGE;
       else {
         j->tried = who;
         j->tried_till = ms_from(gateway, 1500);
@@ -89,15 +89,16 @@
     }
     if (!r || (j->copy && r))
       break;
-    if (r == E_NO_ROOM || r == E_MODEL || r == E_FITS_NO_ENGINE || r == E_ENGINE ||
+    if (r == E_NO_CAPACITY || r == E_UNKNOWN_MODEL || r == E_NO_ENGINE_FITS || r == E_NO_ENGINE ||
         r == E_ORDER_FAILED) {
       j->failed_till = ms_from(gateway, (double)MAX(wait, 200));
       condition_broadcast(&gateway->moved);
-      if (!world_sleep_about(gateway->router->node.world, time_from_ms(CLAMP(wait, 100, 800))))
+      if (!world_sleep_with_jitter(gateway->router->node.world,
+                                   time_from_ms(CLAMP(wait, 100, 800))))
         break;
       continue;
     }
-    if (!world_sleep_about(gateway->router->node.world, time_from_ms(50)))
+    if (!world_sleep_with_jitter(gateway->router->node.world, time_from_ms(50)))
       break;
   }
   /* what a coordinator thinks is there and this node does not see must not be asked for again and
@@ -111,12 +112,12 @@
 
 int want_model(gateway *g, const service *service, id model, id adapter, unsigned priority,
                bool copy, double *est_ms, int64_t *wait) {
-  const svc_model *m = service_model(service, model.text);
+  const service_model_spec *m = service_find_model(service, model.text);
   *est_ms = 0;
   *wait = 0;
   if (!m) {
     *wait = 2000;
-    return E_MODEL;
+    return E_UNKNOWN_MODEL;
   }
   char key[180];
   snprintf(key, sizeof key, "%s/%s+%s", service->name.text, model.text, adapter.text);
@@ -159,7 +160,7 @@
   *est_ms = (double)MAX(20, ms_till(g, j->due));
   if (j->failed_till.us > now_of(g).us) {
     *wait = ms_till(g, j->failed_till);
-    return j->code ? j->code : E_NO_ROOM;
+    return j->code ? j->code : E_NO_CAPACITY;
   }
   return OK;
 }
--- a/lib/http/fields.c
+++ b/lib/http/fields.c
@@ -69,7 +69,7 @@
   return fields_get(fields, name, &v) ? g_strndup(v.data, v.length) : NULL;
 }
 
-int64_t fields_num(const fields *fields, const char *name, int64_t fall) {
+int64_t fields_get_number(const fields *fields, const char *name, int64_t fall) {
   string_view v;
   if (!fields_get(fields, name, &v) || !v.length)
     return fall;
@@ -94,7 +94,7 @@
   g_string_append_len(fields, "\r\n", 2);
 }
 
-void fields_addf(fields *fields, const char *name, const char *form, ...) {
+void fields_add_format(fields *fields, const char *name, const char *form, ...) {
   char small[256], *big = NULL;
   va_list a;
   va_start(a, form);
--- a/lib/http/fields.h
+++ b/lib/http/fields.h
@@ -12,11 +12,11 @@
 /** Copies the value of a field; NULL when there is none. */
 char *fields_dup(const fields *fields, const char *name);
 /** Reads a field as a whole number from 0 up; the fallback when it is absent or none. */
-int64_t fields_num(const fields *fields, const char *name, int64_t fall);
+int64_t fields_get_number(const fields *fields, const char *name, int64_t fall);
 /** Adds a field. Bytes that would end the line are left out. */
 void fields_add(fields *fields, const char *name, string_view value);
 /** The same by printf. */
-void fields_addf(fields *fields, const char *name, const char *form, ...)
+void fields_add_format(fields *fields, const char *name, const char *form, ...)
     __attribute__((format(printf, 3, 4)));
 /** Walks the fields: at begins at 0; false at the end. */
 bool fields_next(const fields *fields, size_t *at, string_view *name, string_view *value);
--- a/lib/http/http.c
+++ b/lib/http/http.c
@@ -1,21 +1,22 @@
 /** The HTTP engine: its turns, timers and life. See http_internal.h for its modules. */
 #include "http_internal.h"
 
-bool http_engine_turn(http_engine *http) {
+bool http_engine_run(http_engine *http) {
   while (!list_is_empty(&http->dirty)) {
-    conn *c = list_item(http->dirty.next, conn, dirty);
+    http_connection *c = list_item(http->dirty.next, http_connection, dirty);
     list_remove(&c->dirty);
-    if (server_write((server *)c))
-      sock_kill(&c->sim);
+    if (server_write((server_connection *)c))
+      sock_close(&c->sim);
   }
-  clients_listen(http);
-  conn_run_timers(http);
+  clients_resume_reading(http);
+  connection_run_timers(http);
   return !list_is_empty(&http->world->tasks.ready);
 }
 
-time_us http_engine_due(const http_engine *http) {
+time_us http_engine_next_deadline(const http_engine *http) {
   GSequenceIter *it = g_sequence_get_begin_iter(http->timers);
-  return g_sequence_iter_is_end(it) ? time_never() : ((conn *)g_sequence_get(it))->armed;
+  return g_sequence_iter_is_end(it) ? time_never()
+                                    : ((http_connection *)g_sequence_get(it))->timer_at;
 }
 
 http_engine *http_engine_new(world *world, struct lws_vhost *vhost) {
@@ -26,7 +27,7 @@
   http->timers = g_sequence_new(NULL);
   http->scratch = g_string_sized_new(1024);
   list_init(&http->dirty);
-  list_init(&http->choked);
+  list_init(&http->paused_clients);
   list_init(&http->servers);
   /* our own bounds hold */
   http_parser_set_max_header_size(16 << 20);
--- a/lib/http/http_framing.c
+++ b/lib/http/http_framing.c
@@ -3,11 +3,11 @@
 #include "http_internal.h"
 
 bool head_is_folded(head_scan *scan, const char *p, size_t n) {
-  for (size_t i = 0; i < n && !scan->over; i++) {
+  for (size_t i = 0; i < n && !scan->folded; i++) {
     if (p[i] == '\r')
       continue;
     if (p[i] == '\n') {
-      scan->over = scan->at_line_start;
+      scan->folded = scan->at_line_start;
       scan->at_line_start = true;
       continue;
     }
@@ -19,19 +19,19 @@
 }
 
 /* checks as much of the line end as lies before a limit */
-bool chunk_end_fits(chunk_end *due, const char *limit) {
+bool chunk_end_is_valid(chunk_end *due, const char *limit) {
   static const char line_end[] = "\r\n";
-  for (; due->due && due->at < limit; due->at++, due->due--)
-    if (*due->at != line_end[2 - due->due])
+  for (; due->bytes_expected && due->position < limit; due->position++, due->bytes_expected--)
+    if (*due->position != line_end[2 - due->bytes_expected])
       return false;
   return true;
 }
 
 /* to be called with each piece of a body; the library counts content_length down within a chunk */
-bool chunk_piece(chunk_end *due, const http_parser *parser, const char *at, size_t n) {
+bool chunk_check_data(chunk_end *due, const http_parser *parser, const char *at, size_t n) {
   if (!(parser->flags & F_CHUNKED))
     return true;
-  if (!chunk_end_fits(due, at))
+  if (!chunk_end_is_valid(due, at))
     return false;
   if (!parser->content_length)
     *due = (chunk_end){ at + n, 2 };
@@ -39,7 +39,7 @@
 }
 
 /* header fields come in pieces; last tells of which kind the latest was */
-void field_piece(GString *to, char *last, char kind, const char *p, size_t n) {
+void field_append(GString *to, char *last, char kind, const char *p, size_t n) {
   if (kind == 'n' && *last == 'n') {
     g_string_append_len(to, p, (gssize)n);
     return;
@@ -62,7 +62,7 @@
 }
 
 /* the library takes names with blanks before the colon, which others may read in another way */
-bool names_proper(const fields *fields) {
+bool field_names_are_valid(const fields *fields) {
   size_t at = 0;
   string_view k, v;
   while (fields_next(fields, &at, &k, &v)) {
@@ -75,7 +75,7 @@
   return true;
 }
 
-int on_whole(http_parser *p) {
+int on_message_end(http_parser *p) {
   http_parser_pause(p, 1);
   return 0;
 }
--- a/lib/http/http_server.c
+++ b/lib/http/http_server.c
@@ -19,58 +19,58 @@
   BODY_SPANS = 10
 };
 
-static visit *visit_new(server *server) {
+static http_exchange *visit_new(server_connection *server) {
   http_engine *http = server->conn.http;
-  visit *v = g_new0(visit, 1);
+  http_exchange *v = g_new0(http_exchange, 1);
   http_request *request = &v->request;
   v->node = server;
   server->visit = v;
-  v->first = world_now(http->world);
+  v->first_byte_at = world_now(http->world);
   v->url = g_string_sized_new(64);
   request->world = http->world;
   request->listener = server->listener;
-  request->nth = ++server->requests;
+  request->connection_request_number = ++server->request_count;
   request->body = g_string_new(NULL);
-  request->out = g_string_new(NULL);
+  request->pending_output = g_string_new(NULL);
   request->fields = g_string_sized_new(256);
-  request->reply_fields = g_string_new(NULL);
+  request->response_fields = g_string_new(NULL);
   request->impl = v;
   condition_init(&request->drained);
-  uint32_t ip = ntohl(server->from.sin_addr.s_addr);
-  snprintf(request->caller_addr, sizeof request->caller_addr, "%u.%u.%u.%u:%u", ip >> 24,
-           ip >> 16 & 255, ip >> 8 & 255, ip & 255, ntohs(server->from.sin_port));
+  uint32_t ip = ntohl(server->client_sockaddr.sin_addr.s_addr);
+  snprintf(request->client_address, sizeof request->client_address, "%u.%u.%u.%u:%u", ip >> 24,
+           ip >> 16 & 255, ip >> 8 & 255, ip & 255, ntohs(server->client_sockaddr.sin_port));
   http_parser_init(&server->parser, HTTP_REQUEST);
   server->parser.data = server;
   return v;
 }
 
-static void visit_free(visit *visit) {
+static void visit_free(http_exchange *visit) {
   if (visit->url)
     g_string_free(visit->url, TRUE);
   http_request_free(&visit->request);
 }
 
-static size_t body_most(const server *server) {
-  return server->listener->body_most ? server->listener->body_most
-                                     : server->conn.http->world->body_most;
+static size_t body_most(const server_connection *server) {
+  return server->listener->body_max_bytes ? server->listener->body_max_bytes
+                                          : server->conn.http->world->body_max_bytes;
 }
 
 static int on_url(http_parser *p, const char *at, size_t n) {
-  g_string_append_len(((server *)p->data)->visit->url, at, (gssize)n);
+  g_string_append_len(((server_connection *)p->data)->visit->url, at, (gssize)n);
   return 0;
 }
 
 static int on_name(http_parser *p, const char *at, size_t n) {
-  visit *visit = ((server *)p->data)->visit;
-  if (!visit->headed)
-    field_piece(visit->request.fields, &visit->last, 'n', at, n);
+  http_exchange *visit = ((server_connection *)p->data)->visit;
+  if (!visit->head_read)
+    field_append(visit->request.fields, &visit->last_field_kind, 'n', at, n);
   return 0;
 }
 
 static int on_value(http_parser *p, const char *at, size_t n) {
-  visit *visit = ((server *)p->data)->visit;
-  if (!visit->headed)
-    field_piece(visit->request.fields, &visit->last, 'v', at, n);
+  http_exchange *visit = ((server_connection *)p->data)->visit;
+  if (!visit->head_read)
+    field_append(visit->request.fields, &visit->last_field_kind, 'v', at, n);
   return 0;
 }
 
@@ -89,7 +89,7 @@
   return g_ascii_strdown(s.data, (gssize)n);
 }
 
-static bool read_fields(visit *visit, const http_parser *p) {
+static bool read_fields(http_exchange *visit, const http_parser *p) {
   http_request *request = &visit->request;
   size_t at = 0;
   string_view k, x;
@@ -99,13 +99,13 @@
       if (!hosts++)
         request->host = host_of(x);
     } else if (k.length == 6 && !g_ascii_strncasecmp(k.data, "expect", 6))
-      visit->expects = x.length == 12 && !g_ascii_strncasecmp(x.data, "100-continue", 12);
+      visit->expects_continue = x.length == 12 && !g_ascii_strncasecmp(x.data, "100-continue", 12);
     else
       for (int i = 0; i < HEADER_COUNT; i++)
-        if (!request->own_fields.values[i] &&
-            !g_ascii_strncasecmp(k.data, http_header_name[i], k.length) &&
-            !http_header_name[i][k.length]) {
-          request->own_fields.values[i] = g_strndup(x.data, x.length);
+        if (!request->known_fields.values[i] &&
+            !g_ascii_strncasecmp(k.data, http_header_names[i], k.length) &&
+            !http_header_names[i][k.length]) {
+          request->known_fields.values[i] = g_strndup(x.data, x.length);
           break;
         }
   }
@@ -114,7 +114,7 @@
 }
 
 /* the library lets tabs and form feeds pass, at which others may part a line */
-static bool target_proper(const char *target) {
+static bool target_is_valid(const char *target) {
   for (const unsigned char *c = (const unsigned char *)target; *c; c++)
     if (*c <= ' ' || *c == 127 || *c == '#')
       return false;
@@ -122,11 +122,11 @@
 }
 
 /* a target with a scheme brings the host that counts */
-static bool read_target(visit *visit) {
+static bool read_target(http_exchange *visit) {
   http_request *request = &visit->request;
   char *all = g_string_free(visit->url, FALSE), *path = all;
   visit->url = NULL;
-  if (!target_proper(all)) {
+  if (!target_is_valid(all)) {
     g_free(all);
     return false;
   }
@@ -150,34 +150,34 @@
 }
 
 static int on_head(http_parser *p) {
-  server *server = p->data;
-  visit *visit = server->visit;
+  server_connection *server = p->data;
+  http_exchange *visit = server->visit;
   http_request *request = &visit->request;
-  field_end(request->fields, &visit->last);
-  visit->headed = true;
+  field_end(request->fields, &visit->last_field_kind);
+  visit->head_read = true;
   p->upgrade = 0;
   request->method = g_strdup(http_method_str(p->method));
-  if (p->http_major != 1 || p->method == HTTP_CONNECT || !names_proper(request->fields) ||
+  if (p->http_major != 1 || p->method == HTTP_CONNECT || !field_names_are_valid(request->fields) ||
       !read_fields(visit, p) || !read_target(visit)) {
     visit->fault = 400;
     return -1;
   }
   if (!request->host)
     request->host = g_strdup("");
-  request->shut = !http_should_keep_alive(p);
+  request->close_connection = !http_should_keep_alive(p);
   if (p->content_length != UINT64_MAX && p->content_length > body_most(server)) {
     visit->fault = 413;
     return -1;
   }
   if (p->http_minor == 0)
-    visit->expects = false;
+    visit->expects_continue = false;
   return 0;
 }
 
 static int on_body(http_parser *p, const char *at, size_t n) {
-  server *server = p->data;
-  visit *visit = server->visit;
-  if (!chunk_piece(&visit->chunk, p, at, n)) {
+  server_connection *server = p->data;
+  http_exchange *visit = server->visit;
+  if (!chunk_check_data(&visit->chunk, p, at, n)) {
     visit->fault = 400;
     return -1;
   }
@@ -194,32 +194,32 @@
                                                       .on_header_value = on_value,
                                                       .on_headers_complete = on_head,
                                                       .on_body = on_body,
-                                                      .on_message_complete = on_whole };
+                                                      .on_message_complete = on_message_end };
 
-static int server_parse(server *server, const char *p, size_t n);
+static int server_parse(server_connection *server, const char *p, size_t n);
 
 /* the other side must have read all before the socket is closed, or a reset may destroy it */
-static void server_finish(server *server) {
+static void server_finish(server_connection *server) {
   server->conn.closing = true;
-  if (server->conn.out) {
-    conn_idle(&server->conn, STALL_MS);
+  if (server->conn.pending_output) {
+    connection_set_idle_timeout(&server->conn, STALL_MS);
     return;
   }
   shutdown(server->conn.sim.fd, SHUT_WR);
-  server->lingers = true;
+  server->lingering = true;
   if (server->reading_paused) {
     server->reading_paused = false;
-    sock_hear(&server->conn.sim, true);
+    sock_set_reading(&server->conn.sim, true);
   }
-  conn_idle(&server->conn, LINGER_MS);
+  connection_set_idle_timeout(&server->conn, LINGER_MS);
 }
 
-static int refuse(server *server, int status) {
+static int reject_request(server_connection *server, int status) {
   static const struct {
     int status, code;
     const char *why;
   } whys[] = { { 400, E_FIELD, "not a proper request" },
-               { 408, E_NO_ANSWER, "the request did not come whole in time" },
+               { 408, E_NO_RESPONSE, "the request did not come whole in time" },
                { 413, E_TOO_LARGE, "body too large" },
                { 431, E_TOO_LARGE, "header fields too large" } };
   size_t i = 0;
@@ -229,7 +229,7 @@
     visit_free(server->visit);
     server->visit = NULL;
   }
-  if (server->conn.out)
+  if (server->conn.pending_output)
     return -1;
   char body[128], head[256];
   int n = snprintf(body, sizeof body, "{\"code\":%d,\"error\":\"%s\"}", whys[i].code, whys[i].why);
@@ -238,52 +238,53 @@
       "HTTP/1.1 %d %s\r\nContent-Type: application/json\r\nContent-Length: %d\r\nConnection: close\r\n\r\n",
       status, http_status_str((enum http_status)status), n);
   struct iovec v[2] = { { head, (size_t)m }, { body, (size_t)n } };
-  if (conn_send(&server->conn, v, 2, true) < 0)
+  if (connection_send(&server->conn, v, 2, true) < 0)
     return -1;
   server_finish(server);
   return 0;
 }
 
 static void serve_task(void *p) {
-  visit *visit = p;
+  http_exchange *visit = p;
   http_request *request = &visit->request;
-  if (!request->world->tasks.dead)
-    request->listener->serve(request->listener->ctx, request);
-  if (!request->ended)
+  if (!request->world->tasks.stopped)
+    request->listener->serve(request->listener->serve_context, request);
+  if (!request->response_ended)
     http_request_end(request, false);
   visit->served = true;
   if (!visit->node)
     visit_free(visit);
 }
 
-static void server_keep(server *server, const char *p, size_t n) {
+static void server_keep(server_connection *server, const char *p, size_t n) {
   if (!n)
     return;
-  if (!server->ahead)
-    server->ahead = g_string_sized_new(n + 1);
-  g_string_append_len(server->ahead, p, (gssize)n);
-  if (server->ahead->len > AHEAD_MOST && !server->reading_paused) {
+  if (!server->read_ahead)
+    server->read_ahead = g_string_sized_new(n + 1);
+  g_string_append_len(server->read_ahead, p, (gssize)n);
+  if (server->read_ahead->len > AHEAD_MOST && !server->reading_paused) {
     server->reading_paused = true;
-    sock_hear(&server->conn.sim, false);
+    sock_set_reading(&server->conn.sim, false);
   }
 }
 
-static int serve(server *server) {
-  visit *visit = server->visit;
+static int serve(server_connection *server) {
+  http_exchange *visit = server->visit;
   world *world = server->conn.http->world;
-  if (world->tasks.dead)
+  if (world->tasks.stopped)
     return -1;
   visit->in_hand = true;
-  visit->request.came = world_now(world);
-  server->listener->exchanges++;
-  server->listener->requests++;
-  conn_due(&server->conn, time_never());
+  visit->request.received_at = world_now(world);
+  server->listener->pending_exchanges++;
+  server->listener->requests_received++;
+  connection_set_deadline(&server->conn, time_never());
   task_start(&world->tasks, "serve", serve_task, visit);
   return 0;
 }
 
-static int server_parse(server *server, const char *p, size_t n) {
-  size_t most = server->listener->header_most ? server->listener->header_most : HEAD_MOST;
+static int server_parse(server_connection *server, const char *p, size_t n) {
+  size_t most =
+      server->listener->header_max_bytes ? server->listener->header_max_bytes : HEAD_BYTES_MAX;
   bool body = false;
   while (n) {
     if (!server->visit) {
@@ -295,59 +296,61 @@
         break;
       visit_new(server);
     }
-    visit *v = server->visit;
+    http_exchange *v = server->visit;
     size_t take = n;
-    if (!v->headed && v->head_len + take > most)
-      take = most > v->head_len ? most - v->head_len : 0;
+    if (!v->head_read && v->head_length + take > most)
+      take = most > v->head_length ? most - v->head_length : 0;
     if (!take)
-      return refuse(server, 431);
-    body = v->headed;
-    v->chunk.at = p;
+      return reject_request(server, 431);
+    body = v->head_read;
+    v->chunk.position = p;
     size_t used = http_parser_execute(&server->parser, &server_settings, p, take);
     if (!body)
-      v->head_len += used;
+      v->head_length += used;
     enum http_errno bad = HTTP_PARSER_ERRNO(&server->parser);
-    if (!v->fault && (head_is_folded(&v->scan, p, used) || !chunk_end_fits(&v->chunk, p + used)))
+    if (!v->fault &&
+        (head_is_folded(&v->scan, p, used) || !chunk_end_is_valid(&v->chunk, p + used)))
       v->fault = 400;
     p += used;
     n -= used;
     if (v->fault)
-      return refuse(server, v->fault);
+      return reject_request(server, v->fault);
     if (bad == HPE_PAUSED) {
       server_keep(server, p, n);
       return serve(server);
     }
     if (bad != HPE_OK || used != take)
-      return refuse(server, 400);
+      return reject_request(server, 400);
   }
-  visit *v = server->visit;
+  http_exchange *v = server->visit;
   if (!v)
     return 0;
-  if (v->headed && v->expects) {
+  if (v->head_read && v->expects_continue) {
     static const char go[] = "HTTP/1.1 100 Continue\r\n\r\n";
-    v->expects = false;
+    v->expects_continue = false;
     struct iovec i = { (char *)go, sizeof go - 1 };
-    if (!server->conn.out && conn_send(&server->conn, &i, 1, true) < 0)
+    if (!server->conn.pending_output && connection_send(&server->conn, &i, 1, true) < 0)
       return -1;
   }
   /* a body that goes on coming may take longer than the head, up to a bound */
-  if (server->listener->header_ms > 0) {
-    time_us due = time_add(v->first, time_from_ms(server->listener->header_ms)),
-            most_due = time_add(v->first, time_from_ms(server->listener->header_ms * BODY_SPANS));
-    if (v->headed) {
-      due =
-          time_add(world_now(server->conn.http->world), time_from_ms(server->listener->header_ms));
+  if (server->listener->header_timeout_ms > 0) {
+    time_us due = time_add(v->first_byte_at, time_from_ms(server->listener->header_timeout_ms)),
+            most_due = time_add(v->first_byte_at,
+                                time_from_ms(server->listener->header_timeout_ms * BODY_SPANS));
+    if (v->head_read) {
+      due = time_add(world_now(server->conn.http->world),
+                     time_from_ms(server->listener->header_timeout_ms));
       if (due.us > most_due.us)
         due = most_due;
     }
-    conn_due(&server->conn, due);
+    connection_set_deadline(&server->conn, due);
   } else
-    conn_due(&server->conn, time_never());
+    connection_set_deadline(&server->conn, time_never());
   return 0;
 }
 
-int server_rx(server *server, const char *p, size_t n) {
-  if (server->lingers || server->conn.closing)
+int server_receive(server_connection *server, const char *p, size_t n) {
+  if (server->lingering || server->conn.closing)
     return 0;
   if (server->visit && server->visit->in_hand) {
     server_keep(server, p, n);
@@ -356,15 +359,15 @@
   return server_parse(server, p, n);
 }
 
-static void visit_leave(visit *visit, bool gone) {
-  visit->node->listener->exchanges--;
+static void visit_leave(http_exchange *visit, bool gone) {
+  visit->node->listener->pending_exchanges--;
   visit->node->visit = NULL;
   visit->node = NULL;
   if (gone) {
-    visit->request.gone = true;
+    visit->request.client_gone = true;
     condition_broadcast(&visit->request.drained);
-    if (visit->request.left)
-      condition_broadcast(visit->request.left);
+    if (visit->request.client_gone_condition)
+      condition_broadcast(visit->request.client_gone_condition);
   }
   if (visit->served)
     visit_free(visit);
@@ -373,53 +376,55 @@
 /* The answer is over: the next request, which may have come, is read. Whether this process leaves
  * is asked now, since it may have begun to leave after the answer's head was written. A request
  * that was read behind the answer gets an answer of its own. */
-static int server_next(server *server) {
-  bool close = server->visit->close || (server->listener->leaving && !server->ahead);
+static int server_next(server_connection *server) {
+  bool close = server->visit->close_after || (server->listener->draining && !server->read_ahead);
   visit_leave(server->visit, false);
   if (close) {
     server_finish(server);
     return 0;
   }
-  conn_idle(&server->conn, server->listener->idle_ms);
+  connection_set_idle_timeout(&server->conn, server->listener->idle_timeout_ms);
   if (server->reading_paused) {
     server->reading_paused = false;
-    sock_hear(&server->conn.sim, true);
+    sock_set_reading(&server->conn.sim, true);
   }
-  if (!server->ahead)
+  if (!server->read_ahead)
     return 0;
-  GString *g = server->ahead;
-  server->ahead = NULL;
+  GString *g = server->read_ahead;
+  server->read_ahead = NULL;
   int r = server_parse(server, g->str, g->len);
   g_string_free(g, TRUE);
   return r;
 }
 
-static void put_head(visit *visit, GString *g) {
+static void put_head(http_exchange *visit, GString *g) {
   http_request *request = &visit->request;
-  server *server = visit->node;
-  bool ten = server->parser.http_minor == 0, plain = request->ended && request->clean;
-  visit->bare =
+  server_connection *server = visit->node;
+  bool ten = server->parser.http_minor == 0,
+       plain = request->response_ended && request->ended_cleanly;
+  visit->has_no_body =
       request->status == 204 || request->status == 304 || server->parser.method == HTTP_HEAD;
-  visit->chunked = !plain && !ten && !visit->bare;
-  visit->close = request->shut || server->listener->leaving || (!plain && ten && !visit->bare);
+  visit->chunked = !plain && !ten && !visit->has_no_body;
+  visit->close_after = request->close_connection || server->listener->draining ||
+                       (!plain && ten && !visit->has_no_body);
   g_string_append_printf(g, "HTTP/1.1 %d %s\r\n", request->status,
                          http_status_str((enum http_status)request->status));
   for (int k = 0; k < HEADER_COUNT; k++)
-    if (request->own_reply_fields.values[k]) {
-      g_string_append(g, http_header_name[k]);
+    if (request->known_response_fields.values[k]) {
+      g_string_append(g, http_header_names[k]);
       g_string_append_len(g, ": ", 2);
-      g_string_append(g, request->own_reply_fields.values[k]);
+      g_string_append(g, request->known_response_fields.values[k]);
       g_string_append_len(g, "\r\n", 2);
     }
-  if (request->reply_fields)
-    g_string_append_len(g, request->reply_fields->str, (gssize)request->reply_fields->len);
+  if (request->response_fields)
+    g_string_append_len(g, request->response_fields->str, (gssize)request->response_fields->len);
   if (request->status != 204 && request->status != 304) {
-    if (plain && !(visit->bare && !request->out->len))
-      g_string_append_printf(g, "Content-Length: %zu\r\n", request->out->len);
+    if (plain && !(visit->has_no_body && !request->pending_output->len))
+      g_string_append_printf(g, "Content-Length: %zu\r\n", request->pending_output->len);
     else if (visit->chunked)
       g_string_append(g, "Transfer-Encoding: chunked\r\n");
   }
-  if (visit->close)
+  if (visit->close_after)
     g_string_append(g, "Connection: close\r\n");
   else if (ten)
     g_string_append(g, "Connection: keep-alive\r\n");
@@ -427,43 +432,43 @@
 }
 
 /* the answer in hand will never be whole; -1, to close */
-static int server_break_off(server *server) {
-  server->listener->broken_off++;
+static int server_break_off(server_connection *server) {
+  server->listener->requests_aborted++;
   return -1;
 }
 
-int server_write(server *server) {
+int server_write(server_connection *server) {
   for (;;) {
-    if (conn_flush(&server->conn))
+    if (connection_flush(&server->conn))
       return -1;
-    if (server->conn.out)
+    if (server->conn.pending_output)
       return 0;
-    if (server->conn.closing && !server->lingers) {
+    if (server->conn.closing && !server->lingering) {
       server_finish(server);
       return 0;
     }
-    visit *visit = server->visit;
+    http_exchange *visit = server->visit;
     if (!visit || !visit->in_hand)
       return 0;
     http_request *request = &visit->request;
-    if (visit->over) {
+    if (visit->output_complete) {
       if (server_next(server))
         return -1;
       continue;
     }
-    bool broke = request->ended && !request->clean;
+    bool broke = request->response_ended && !request->ended_cleanly;
     if (broke && !visit->head_sent)
       return server_break_off(server);
-    if (!request->began)
+    if (!request->response_started)
       return 0;
-    if (visit->head_sent && !request->out->len) {
+    if (visit->head_sent && !request->pending_output->len) {
       if (broke) {
         struct linger l = { 1, 0 };
         if (!visit->chunked)
           setsockopt(server->conn.sim.fd, SOL_SOCKET, SO_LINGER, &l, sizeof l);
         return server_break_off(server);
       }
-      if (!request->ended)
+      if (!request->response_ended)
         return 0;
     }
     GString *g = server->conn.http->scratch;
@@ -471,31 +476,32 @@
     if (!visit->head_sent)
       put_head(visit, g);
     visit->head_sent = true;
-    if (visit->bare)
-      g_string_truncate(request->out, 0);
-    size_t n = MIN(request->out->len, PIECE);
-    visit->over = request->ended && request->clean && n == request->out->len;
+    if (visit->has_no_body)
+      g_string_truncate(request->pending_output, 0);
+    size_t n = MIN(request->pending_output->len, PIECE);
+    visit->output_complete =
+        request->response_ended && request->ended_cleanly && n == request->pending_output->len;
     if (n && visit->chunked)
       g_string_append_printf(g, "%zx\r\n", n);
-    const char *tail = !visit->chunked ? ""
-                       : visit->over   ? n ? "\r\n0\r\n\r\n" : "0\r\n\r\n"
-                       : n             ? "\r\n"
-                                       : "";
+    const char *tail = !visit->chunked          ? ""
+                       : visit->output_complete ? n ? "\r\n0\r\n\r\n" : "0\r\n\r\n"
+                       : n                      ? "\r\n"
+                                                : "";
     struct iovec i[3] = { { g->str, g->len },
-                          { request->out->str, n },
+                          { request->pending_output->str, n },
                           { (char *)tail, strlen(tail) } };
-    if (conn_send(&server->conn, i, 3, true) < 0)
+    if (connection_send(&server->conn, i, 3, true) < 0)
       return -1;
-    g_string_erase(request->out, 0, (gssize)n);
+    g_string_erase(request->pending_output, 0, (gssize)n);
     if (n)
       condition_broadcast(&request->drained);
     /* a caller that reads nothing more of what is left must not hold us for ever */
-    if (server->conn.out && visit->over)
-      conn_idle(&server->conn, STALL_MS);
+    if (server->conn.pending_output && visit->output_complete)
+      connection_set_idle_timeout(&server->conn, STALL_MS);
   }
 }
 
-void listener_accept(listener *l) {
+void listener_accept(listener_socket *l) {
   http_engine *http = l->conn.http;
   for (;;) {
     struct sockaddr_in from;
@@ -507,23 +513,23 @@
       if (errno == EAGAIN)
         return;
       /* no descriptors left: it would be called again at once */
-      sock_hear(&l->conn.sim, false);
-      conn_idle(&l->conn, RETRY_MS);
+      sock_set_reading(&l->conn.sim, false);
+      connection_set_idle_timeout(&l->conn, RETRY_MS);
       return;
     }
     int one = 1;
     setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &one, sizeof one);
-    server *s = g_new0(server, 1);
+    server_connection *s = g_new0(server_connection, 1);
     s->listener = l->listener;
-    s->from = from;
+    s->client_sockaddr = from;
     list_init(&s->all);
-    if (!conn_adopt(http, &s->conn, fd, SERVER)) {
+    if (!connection_adopt(http, &s->conn, fd, CONNECTION_SERVER)) {
       g_free(s);
       continue;
     }
-    l->listener->channels++;
+    l->listener->connections++;
     list_append(&http->servers, &s->all);
-    conn_idle(&s->conn, l->listener->idle_ms);
+    connection_set_idle_timeout(&s->conn, l->listener->idle_timeout_ms);
   }
 }
 
@@ -544,10 +550,10 @@
   socklen_t n = sizeof to;
   if (!d->port && !getsockname(fd, (struct sockaddr *)&to, &n))
     d->port = ntohs(to.sin_port);
-  listener *l = g_new0(listener, 1);
+  listener_socket *l = g_new0(listener_socket, 1);
   l->listener = d;
   d->world = http->world;
-  if (!conn_adopt(http, &l->conn, fd, LISTENER)) {
+  if (!connection_adopt(http, &l->conn, fd, CONNECTION_LISTENER)) {
     g_free(l);
     close(fd);
     return error_set(err, E_LISTEN, "can't watch the listening socket");
@@ -556,37 +562,39 @@
   return OK;
 }
 
-void http_engine_listener_shut(http_engine *http, http_listener *d) {
+void http_engine_listener_stop_accepting(http_engine *http, http_listener *d) {
   (void)http;
-  listener *l = d->impl;
+  listener_socket *l = d->impl;
   if (l)
-    sock_kill(&l->conn.sim);
+    sock_close(&l->conn.sim);
 }
 
-void http_engine_listener_end(http_engine *http, http_listener *listener) {
-  list_for_each (s, &http->servers, server, all)
-    if (s->listener == listener && !(s->visit && s->visit->in_hand) && !s->lingers && !s->conn.out)
-      sock_kill(&s->conn.sim);
+void http_engine_listener_close_idle(http_engine *http, http_listener *listener) {
+  list_for_each (s, &http->servers, server_connection, all)
+    if (s->listener == listener && !(s->visit && s->visit->in_hand) && !s->lingering &&
+        !s->conn.pending_output)
+      sock_close(&s->conn.sim);
 }
 
-void http_engine_push(http_engine *http, http_request *request) {
-  server *server = ((visit *)request->impl)->node;
+void http_engine_flush_request(http_engine *http, http_request *request) {
+  server_connection *server = ((http_exchange *)request->impl)->node;
   if (server && list_is_empty(&server->conn.dirty))
     list_append(&http->dirty, &server->conn.dirty);
 }
 
-void server_closed(server *server) {
-  server->listener->channels--;
+void server_closed(server_connection *server) {
+  server->listener->connections--;
   list_remove(&server->all);
   if (server->visit && server->visit->in_hand)
     visit_leave(server->visit, true);
   else if (server->visit)
     visit_free(server->visit);
-  if (server->ahead)
-    g_string_free(server->ahead, TRUE);
+  if (server->read_ahead)
+    g_string_free(server->read_ahead, TRUE);
 }
 
-int server_late(server *server) {
+int server_timed_out(server_connection *server) {
   bool half_read = server->visit && !server->visit->in_hand;
-  return half_read && !server->lingers && !server->conn.closing ? refuse(server, 408) : -1;
+  return half_read && !server->lingering && !server->conn.closing ? reject_request(server, 408)
+                                                                  : -1;
 }
--- a/lib/membership/node.c
+++ b/lib/membership/node.c
@@ -1,11 +1,11 @@
 #include "node.h"
 #include <stdio.h>
 
-enum { BUSY_MOST = 600 };
+enum { RUNNING_HANDLERS_MAX = 600 };
 typedef struct wait {
   condition changed;
-  Wire__Envelope *back;
-} wait_for;
+  Wire__Envelope *response;
+} pending_call;
 typedef struct visit {
   node *node;
   Wire__Envelope *in;
@@ -13,24 +13,24 @@
 
 static void fill_self(node *node, Wire__NodeInfo *n) {
   n->id = node->settings.self.text;
-  n->incarnation = node->inc;
+  n->incarnation = node->incarnation;
   n->nonce = node->nonce;
-  n->address = node->settings.addr;
-  n->zone = node->settings.area.text;
+  n->address = node->settings.address;
+  n->zone = node->settings.zone.text;
   n->role = node->settings.role;
-  n->draining = node->leaving;
+  n->draining = node->draining;
   n->idle = node->idle;
 }
 
 static void send(node *node, const char *addr, Wire__Envelope *m) {
   Wire__NodeInfo self = WIRE__NODE_INFO__INIT;
   fill_self(node, &self);
-  m->version = node->settings.wire ? node->settings.wire : WIRE_NOW;
+  m->version = node->settings.wire_version ? node->settings.wire_version : WIRE_VERSION_CURRENT;
   m->from = &self;
   size_t n = wire__envelope__get_packed_size(m);
   uint8_t *p = g_malloc(n ? n : 1);
   wire__envelope__pack(m, p);
-  node->world->post(node->world, addr, (string_view){ (char *)p, n });
+  node->world->post_message(node->world, addr, (string_view){ (char *)p, n });
   g_free(p);
   m->from = NULL;
 }
@@ -41,59 +41,59 @@
   send(node, addr, m);
 }
 
-void node_send_all(node *node, enum role r, Wire__Envelope *m) {
-  list_for_each (peer, &node->machines, machine, link)
+void node_broadcast(node *node, enum role r, Wire__Envelope *m) {
+  list_for_each (peer, &node->peers, peer_node, link)
     if (peer->role == r && !peer->gone)
-      node_send(node, peer->addr, m);
+      node_send(node, peer->address, m);
 }
 
-bool node_first_machine(node *node, enum role r, const char *by, id pass_over, id *who,
-                        char addr[48]) {
+bool node_rendezvous_peer(node *node, enum role r, const char *by, id pass_over, id *who,
+                          char addr[48]) {
   uint64_t top = 0;
   bool any =
-      node->settings.role == r && !node->leaving && !id_equal(pass_over, node->settings.self);
+      node->settings.role == r && !node->draining && !id_equal(pass_over, node->settings.self);
   if (any) {
-    top = hash_of_two(by, node->settings.self.text);
+    top = hash_two_names(by, node->settings.self.text);
     *who = node->settings.self;
-    g_strlcpy(addr, node->settings.addr, 48);
+    g_strlcpy(addr, node->settings.address, 48);
   }
-  list_for_each (peer, &node->machines, machine, link) {
-    if (peer->role != r || peer->gone || peer->leaving || id_equal(pass_over, peer->self))
+  list_for_each (peer, &node->peers, peer_node, link) {
+    if (peer->role != r || peer->gone || peer->draining || id_equal(pass_over, peer->self))
       continue;
-    uint64_t h = hash_of_two(by, peer->self.text);
+    uint64_t h = hash_two_names(by, peer->self.text);
     if (any && h <= top)
       continue;
     any = true;
     top = h;
     *who = peer->self;
-    g_strlcpy(addr, peer->addr, 48);
+    g_strlcpy(addr, peer->address, 48);
   }
   return any;
 }
 
 int node_call(node *node, const char *addr, Wire__Envelope *m, time_us span, Wire__Envelope **back,
               error *err) {
-  wait_for f = { .back = NULL };
-  uint64_t k = ++node->calls;
+  pending_call f = { .response = NULL };
+  uint64_t k = ++node->last_call_number;
   time_us till = time_add(world_now(node->world), span);
   condition_init(&f.changed);
   *back = NULL;
-  g_hash_table_insert(node->open, g_memdup2(&k, sizeof k), &f);
+  g_hash_table_insert(node->pending_calls, g_memdup2(&k, sizeof k), &f);
   m->call = k;
   m->response = false;
   send(node, addr, m);
   int r = OK;
-  while (!f.back && !r)
+  while (!f.response && !r)
     r = condition_wait(&node->world->tasks, &f.changed, till);
-  g_hash_table_remove(node->open, &k);
-  if (!f.back)
+  g_hash_table_remove(node->pending_calls, &k);
+  if (!f.response)
     return error_set(err, r, "no reply from %s", addr);
-  if (f.back->error_code) {
-    r = error_set(err, f.back->error_code, "%s", f.back->error_text);
-    node_reply_free(f.back);
+  if (f.response->error_code) {
+    r = error_set(err, f.response->error_code, "%s", f.response->error_text);
+    node_reply_free(f.response);
     return r;
   }
-  *back = f.back;
+  *back = f.response;
   return OK;
 }
 
@@ -102,7 +102,7 @@
     wire__envelope__free_unpacked(m, NULL);
 }
 
-void *reply_hold(reply *reply, size_t n) {
+void *reply_alloc(reply *reply, size_t n) {
   void *p = g_malloc0(n);
   if (!reply->allocations)
     reply->allocations = g_ptr_array_new_with_free_func(g_free);
@@ -110,20 +110,21 @@
   return p;
 }
 
-void *reply_new(reply *reply, Wire__Envelope__BodyCase kind, const ProtobufCMessageDescriptor *d) {
-  void *p = reply_hold(reply, d->sizeof_message);
+void *reply_new_body(reply *reply, Wire__Envelope__BodyCase kind,
+                     const ProtobufCMessageDescriptor *d) {
+  void *p = reply_alloc(reply, d->sizeof_message);
   protobuf_c_message_init(d, p);
   reply->envelope.body_case = kind;
   reply->envelope.heartbeat = p;
   return p;
 }
 
-void node_on(node *node, int kind, node_handler fn, void *ctx) {
+void node_register_handler(node *node, int kind, node_handler fn, void *ctx) {
   node->handlers[kind].fn = fn;
   node->handlers[kind].ctx = ctx;
 }
 
-static void visit_run(void *p) {
+static void handle_message_run(void *p) {
   visit *visit = p;
   node *node = visit->node;
   reply o = { WIRE__ENVELOPE__INIT, NULL };
@@ -139,7 +140,7 @@
       o.envelope.error_text = err.text;
     }
   } else {
-    o.envelope.error_code = E_WIRE;
+    o.envelope.error_code = E_WIRE_MESSAGE;
     o.envelope.error_text = "no such message here";
   }
   if (visit->in->call) {
@@ -149,24 +150,25 @@
   }
   if (o.allocations)
     g_ptr_array_free(o.allocations, TRUE);
-  node->busy--;
+  node->running_handlers--;
   node_reply_free(visit->in);
   g_free(visit);
 }
 
-static void met(node *node, const Wire__NodeInfo *n, bool direct);
+static void merge_peer(node *node, const Wire__NodeInfo *n, bool direct);
 
 static void on_post(void *ctx, string_view msg) {
   node *node = ctx;
   Wire__Envelope *m = wire__envelope__unpack(NULL, msg.length, (const uint8_t *)msg.data);
-  if (!m || !m->from || !id_is_valid(string_view_of(m->from->id)) || !addr_fits(m->from->address)) {
+  if (!m || !m->from || !id_is_valid(string_view_of(m->from->id)) ||
+      !address_is_valid(m->from->address)) {
     log_info(&node->log, "wire", "Refused %zu bytes that are no message of ours (code %d).",
-             msg.length, E_WIRE);
+             msg.length, E_WIRE_MESSAGE);
     node_reply_free(m);
     return;
   }
-  if (m->version < WIRE_LEAST || m->version > WIRE_NOW) {
-    if (!(node->odd_wire++ % 100))
+  if (m->version < WIRE_VERSION_MIN || m->version > WIRE_VERSION_CURRENT) {
+    if (!(node->refused_wire_versions++ % 100))
       log_info(&node->log, "wire", "Refused wire version %u from %s (code %d).", m->version,
                m->from->id, E_WIRE_VERSION);
     if (m->call && !m->response) {
@@ -180,23 +182,23 @@
     node_reply_free(m);
     return;
   }
-  met(node, m->from, true);
+  merge_peer(node, m->from, true);
   if (m->response) {
     uint64_t k = m->call;
-    wait_for *f = g_hash_table_lookup(node->open, &k);
-    if (f && !f->back) {
-      f->back = m;
+    pending_call *f = g_hash_table_lookup(node->pending_calls, &k);
+    if (f && !f->response) {
+      f->response = m;
       condition_broadcast(&f->changed);
     } else
       node_reply_free(m);
     return;
   }
-  if (node->busy >= BUSY_MOST) {
+  if (node->running_handlers >= RUNNING_HANDLERS_MAX) {
     if (m->call) {
       Wire__Envelope out = WIRE__ENVELOPE__INIT;
       out.call = m->call;
       out.response = true;
-      out.error_code = E_TOO_MUCH;
+      out.error_code = E_OVERLOADED;
       out.error_text = "too many calls at once";
       send(node, m->from->address, &out);
     }
@@ -206,189 +208,191 @@
   visit *v = g_new0(visit, 1);
   v->node = node;
   v->in = m;
-  node->busy++;
-  task_start(&node->world->tasks, "visit", visit_run, v);
+  node->running_handlers++;
+  task_start(&node->world->tasks, "visit", handle_message_run, v);
 }
 
 /* machines */
 enum {
-  BEAT_MS = 350,
-  DOUBT_MS = 1400,
+  HEARTBEAT_INTERVAL_MS = 350,
+  SUSPICION_TIMEOUT_MS = 1400,
   /* however late the two sides are, a silence of this length is doubted */
-  DOUBT_MOST_MS = 2800,
-  DOUBT_LIVES_MS = 1600,
-  LATE_MOST_MS = 700,
-  FORGET_MS = 600000
+  SUSPICION_TIMEOUT_MAX_MS = 2800,
+  SUSPICION_LIFETIME_MS = 1600,
+  LATENESS_MAX_MS = 700,
+  GONE_PEER_RETENTION_MS = 600000
 };
 
-machine *node_find_machine(node *node, id who) {
-  list_for_each (peer, &node->machines, machine, link)
+peer_node *node_find_peer(node *node, id who) {
+  list_for_each (peer, &node->peers, peer_node, link)
     if (id_equal(peer->self, who))
       return peer;
   return NULL;
 }
 
-bool machine_lives(const machine *machine) {
-  return !machine->gone;
+bool peer_is_live(const peer_node *peer) {
+  return !peer->gone;
 }
-const char *machine_state_name(const machine *machine) {
-  return machine->gone ? "gone" : machine->leaving ? "leaving" : "live";
+const char *peer_state_name(const peer_node *peer) {
+  return peer->gone ? "gone" : peer->draining ? "leaving" : "live";
 }
 
-static void name_taken(node *node, const machine *machine, const char *addr) {
+static void send_known_incarnation(node *node, const peer_node *peer, const char *addr) {
   Wire__NodeInfo n = WIRE__NODE_INFO__INIT, *list = &n;
-  n.id = (char *)machine->self.text;
-  n.incarnation = machine->inc;
-  n.nonce = machine->nonce;
-  n.address = (char *)machine->addr;
-  n.zone = (char *)machine->area.text;
-  n.role = machine->role;
+  n.id = (char *)peer->self.text;
+  n.incarnation = peer->incarnation;
+  n.nonce = peer->nonce;
+  n.address = (char *)peer->address;
+  n.zone = (char *)peer->zone.text;
+  n.role = peer->role;
   Wire__MembershipTable t = WIRE__MEMBERSHIP_TABLE__INIT;
   t.n_nodes = 1;
   t.nodes = &list;
-  Wire__Envelope out = wire_msg(WIRE__ENVELOPE__BODY_MEMBERSHIP_TABLE, &t);
+  Wire__Envelope out = wire_envelope(WIRE__ENVELOPE__BODY_MEMBERSHIP_TABLE, &t);
   node_send(node, addr, &out);
 }
 
-static void met(node *node, const Wire__NodeInfo *n, bool direct) {
+static void merge_peer(node *node, const Wire__NodeInfo *n, bool direct) {
   id who = id_of_text(n->id);
   time_us now = world_now(node->world);
   if (id_equal(who, node->settings.self)) {
     if (n->nonce == node->nonce)
       return;
-    if (n->incarnation >= node->inc) {
-      node->inc = n->incarnation + 1;
+    if (n->incarnation >= node->incarnation) {
+      node->incarnation = n->incarnation + 1;
       /* a young process hears of the run before it; an older one hears of a twin */
-      if (!time_reached(now, time_add(node->born, time_from_ms(8000))))
+      if (!time_reached(now, time_add(node->started_at, time_from_ms(8000))))
         return;
-      if (!node->twin.us)
+      if (!node->duplicate_seen_at.us)
         log_info(&node->log, "member",
                  "Another machine at %s uses this name too; took incarnation %" PRIu64
                  " (code %d).",
-                 n->address, node->inc, E_NAME);
-      node->twin = now;
+                 n->address, node->incarnation, E_NAME);
+      node->duplicate_seen_at = now;
     }
     return;
   }
-  machine *peer = node_find_machine(node, who);
+  peer_node *peer = node_find_peer(node, who);
   bool young = !peer;
   if (young) {
-    peer = g_new0(machine, 1);
+    peer = g_new0(peer_node, 1);
     peer->self = who;
-    peer->met = now;
-    list_append(&node->machines, &peer->link);
+    peer->first_seen_at = now;
+    list_append(&node->peers, &peer->link);
   }
   /* a machine that restarted may be held under its old run here, gone or not: it is told, and takes
    * a younger number */
-  if (!young && direct && n->nonce != peer->nonce && n->incarnation <= peer->inc &&
-      time_reached(now, time_add(peer->told_at, time_from_ms(200)))) {
-    peer->told_at = now;
-    name_taken(node, peer, n->address);
+  if (!young && direct && n->nonce != peer->nonce && n->incarnation <= peer->incarnation &&
+      time_reached(now, time_add(peer->notified_at, time_from_ms(200)))) {
+    peer->notified_at = now;
+    send_known_incarnation(node, peer, n->address);
   }
-  bool newer = young || n->incarnation > peer->inc ||
-               (n->incarnation == peer->inc && n->nonce == peer->nonce);
-  if (!newer && !(direct && n->incarnation == peer->inc && peer->gone))
+  bool newer = young || n->incarnation > peer->incarnation ||
+               (n->incarnation == peer->incarnation && n->nonce == peer->nonce);
+  if (!newer && !(direct && n->incarnation == peer->incarnation && peer->gone))
     return;
   bool other = !young && n->nonce != peer->nonce;
   node->ring_stale |=
-      young || peer->gone || strcmp(peer->addr, n->address) || strcmp(peer->area.text, n->zone);
-  bool was = peer->leaving;
+      young || peer->gone || strcmp(peer->address, n->address) || strcmp(peer->zone.text, n->zone);
+  bool was = peer->draining;
   if (young || other) {
     log_info(&node->log, "member", "Met %s (%s) at %s in %s, incarnation %" PRIu64 ".", n->id,
              n->role == ROLE_CONTROLLER ? "controller" : "router", n->address, n->zone,
              n->incarnation);
-    memset(peer->doubts, 0, sizeof peer->doubts);
+    memset(peer->suspicions, 0, sizeof peer->suspicions);
     peer->gone = false;
-    peer->heard = now;
-    peer->watched = now;
+    peer->last_heard_at = now;
+    peer->watched_since = now;
   }
-  peer->inc = n->incarnation;
+  peer->incarnation = n->incarnation;
   peer->nonce = n->nonce;
   peer->role = n->role;
   if (direct || young || other)
-    peer->leaving = n->draining;
+    peer->draining = n->draining;
   if (direct && peer->idle != n->idle) {
     peer->idle = n->idle;
-    condition_broadcast(&node->moved);
+    condition_broadcast(&node->membership_changed);
   }
-  peer->area = id_of_text(n->zone);
-  g_strlcpy(peer->addr, n->address, sizeof peer->addr);
+  peer->zone = id_of_text(n->zone);
+  g_strlcpy(peer->address, n->address, sizeof peer->address);
   if (direct) {
-    peer->heard = now;
+    peer->last_heard_at = now;
     if (peer->gone) {
       peer->gone = false;
-      memset(peer->doubts, 0, sizeof peer->doubts);
+      memset(peer->suspicions, 0, sizeof peer->suspicions);
       log_info(&node->log, "member", "%s is back.", n->id);
-      condition_broadcast(&node->moved);
+      condition_broadcast(&node->membership_changed);
     }
   }
-  if (young || other || was != peer->leaving)
-    condition_broadcast(&node->moved);
+  if (young || other || was != peer->draining)
+    condition_broadcast(&node->membership_changed);
 }
 
-static int spot_cmp(const void *a, const void *b) {
-  const ring_place *x = a, *y = b;
-  return x->at < y->at ? -1 : x->at > y->at;
+static int ring_position_compare(const void *a, const void *b) {
+  const ring_position *x = a, *y = b;
+  return x->hash < y->hash ? -1 : x->hash > y->hash;
 }
 
 static void ring_add(node *node, id self, id area, const char *addr) {
-  ring_place p = { hash_of_two("ring", self.text), self, area, "" };
-  g_strlcpy(p.addr, addr, sizeof p.addr);
+  ring_position p = { hash_two_names("ring", self.text), self, area, "" };
+  g_strlcpy(p.address, addr, sizeof p.address);
   bool seen = false;
   for (guint i = 0; i < node->ring->len && !seen; i++)
-    seen = id_equal(g_array_index(node->ring, ring_place, i).area, area);
-  node->ring_areas += !seen;
+    seen = id_equal(g_array_index(node->ring, ring_position, i).zone, area);
+  node->ring_zones += !seen;
   g_array_append_val(node->ring, p);
 }
 
-static void ring_make(node *node) {
+static void ring_rebuild(node *node) {
   if (!node->ring_stale)
     return;
   node->ring_stale = false;
-  node->ring_made++;
-  node->ring_areas = 0;
+  node->ring_builds++;
+  node->ring_zones = 0;
   g_array_set_size(node->ring, 0);
-  ring_add(node, node->settings.self, node->settings.area, node->settings.addr);
-  list_for_each (peer, &node->machines, machine, link)
+  ring_add(node, node->settings.self, node->settings.zone, node->settings.address);
+  list_for_each (peer, &node->peers, peer_node, link)
     if (!peer->gone)
-      ring_add(node, peer->self, peer->area, peer->addr);
-  g_array_sort(node->ring, spot_cmp);
+      ring_add(node, peer->self, peer->zone, peer->address);
+  g_array_sort(node->ring, ring_position_compare);
 }
 
-int node_watchers(node *node, id who, ring_place out[WATCHERS]) {
-  ring_make(node);
-  uint64_t at = hash_of_two("ring", who.text);
+int node_watchers(node *node, id who, ring_position out[HEARTBEAT_WATCHERS]) {
+  ring_rebuild(node);
+  uint64_t at = hash_two_names("ring", who.text);
   guint n = node->ring->len, low = 0, high = n;
   while (low < high) {
     guint mid = (low + high) / 2;
-    if (g_array_index(node->ring, ring_place, mid).at < at)
+    if (g_array_index(node->ring, ring_position, mid).hash < at)
       low = mid + 1;
     else
       high = mid;
   }
   int got = 0;
   for (int round = 0; round < 2; round++)
-    for (guint i = 0; i < n && got < (round ? WATCHERS : MIN(WATCHERS, node->ring_areas)); i++) {
-      ring_place *p = &g_array_index(node->ring, ring_place, (low + i) % n);
+    for (guint i = 0;
+         i < n && got < (round ? HEARTBEAT_WATCHERS : MIN(HEARTBEAT_WATCHERS, node->ring_zones));
+         i++) {
+      ring_position *p = &g_array_index(node->ring, ring_position, (low + i) % n);
       bool skip = id_equal(p->self, who);
       for (int k = 0; k < got && !skip; k++)
-        skip = id_equal(out[k].self, p->self) || (!round && id_equal(out[k].area, p->area));
+        skip = id_equal(out[k].self, p->self) || (!round && id_equal(out[k].zone, p->zone));
       if (!skip)
         out[got++] = *p;
     }
   return got;
 }
 
-static void everyone(node *node, Wire__Envelope *m) {
-  list_for_each (peer, &node->machines, machine, link)
+static void send_to_live_peers(node *node, Wire__Envelope *m) {
+  list_for_each (peer, &node->peers, peer_node, link)
     if (!peer->gone)
-      node_send(node, peer->addr, m);
+      node_send(node, peer->address, m);
 }
 
 static void announce_self(node *node) {
   Wire__Heartbeat b = WIRE__HEARTBEAT__INIT;
-  Wire__Envelope m = wire_msg(WIRE__ENVELOPE__BODY_HEARTBEAT, &b);
-  everyone(node, &m);
+  Wire__Envelope m = wire_envelope(WIRE__ENVELOPE__BODY_HEARTBEAT, &b);
+  send_to_live_peers(node, &m);
 }
 
 void node_set_idle(node *node, bool idle) {
@@ -398,124 +402,127 @@
   announce_self(node);
 }
 
-void node_leave(node *node) {
-  if (node->leaving)
+void node_start_draining(node *node) {
+  if (node->draining)
     return;
-  node->leaving = true;
+  node->draining = true;
   announce_self(node);
 }
 
-static void doubt_add(node *node, machine *machine, id by, bool clear) {
+static void update_suspicion(node *node, peer_node *peer, id by, bool clear) {
   time_us now = world_now(node->world);
   int at = -1;
-  for (size_t i = 0; i < G_N_ELEMENTS(machine->doubts); i++) {
-    if (id_equal(machine->doubts[i].by, by)) {
+  for (size_t i = 0; i < G_N_ELEMENTS(peer->suspicions); i++) {
+    if (id_equal(peer->suspicions[i].by, by)) {
       at = i;
       break;
     }
     if (at < 0 &&
-        (id_is_empty(machine->doubts[i].by) ||
-         time_reached(now, time_add(machine->doubts[i].at, time_from_ms(DOUBT_LIVES_MS)))))
+        (id_is_empty(peer->suspicions[i].by) ||
+         time_reached(now, time_add(peer->suspicions[i].at, time_from_ms(SUSPICION_LIFETIME_MS)))))
       at = i;
   }
   if (at < 0)
     return;
   if (clear) {
-    if (id_equal(machine->doubts[at].by, by))
-      machine->doubts[at].by = id_of_text("");
+    if (id_equal(peer->suspicions[at].by, by))
+      peer->suspicions[at].by = id_of_text("");
     return;
   }
-  machine->doubts[at].by = by;
-  machine->doubts[at].at = now;
+  peer->suspicions[at].by = by;
+  peer->suspicions[at].at = now;
   int n = 0;
-  for (size_t i = 0; i < G_N_ELEMENTS(machine->doubts); i++)
-    n += !id_is_empty(machine->doubts[i].by) &&
-         !time_reached(now, time_add(machine->doubts[i].at, time_from_ms(DOUBT_LIVES_MS)));
-  if (n >= 2 && !machine->gone &&
-      !time_reached(time_add(machine->heard, time_from_ms(DOUBT_MS / 2)), now)) {
-    machine->gone = true;
-    machine->lost = now;
+  for (size_t i = 0; i < G_N_ELEMENTS(peer->suspicions); i++)
+    n += !id_is_empty(peer->suspicions[i].by) &&
+         !time_reached(now, time_add(peer->suspicions[i].at, time_from_ms(SUSPICION_LIFETIME_MS)));
+  if (n >= 2 && !peer->gone &&
+      !time_reached(time_add(peer->last_heard_at, time_from_ms(SUSPICION_TIMEOUT_MS / 2)), now)) {
+    peer->gone = true;
+    peer->gone_at = now;
     node->ring_stale = true;
     log_info(&node->log, "member",
-             "%s is gone: %d watchers doubt it, last heard %" PRId64 " ms ago.", machine->self.text,
-             n, time_sub(now, machine->heard).us / 1000);
-    condition_broadcast(&node->moved);
+             "%s is gone: %d watchers doubt it, last heard %" PRId64 " ms ago.", peer->self.text, n,
+             time_sub(now, peer->last_heard_at).us / 1000);
+    condition_broadcast(&node->membership_changed);
   }
 }
 
-static void beat_run(void *p) {
+static void heartbeat_run(void *p) {
   node *node = p;
-  while (world_sleep_about(node->world, time_from_ms(BEAT_MS))) {
-    ring_place w[WATCHERS];
+  while (world_sleep_with_jitter(node->world, time_from_ms(HEARTBEAT_INTERVAL_MS))) {
+    ring_position w[HEARTBEAT_WATCHERS];
     int n = node_watchers(node, node->settings.self, w);
     Wire__Heartbeat b = WIRE__HEARTBEAT__INIT;
     b.sequence = ++node->heartbeat_turn;
-    b.lateness_ms = (uint64_t)node->late_ms;
-    Wire__Envelope m = wire_msg(WIRE__ENVELOPE__BODY_HEARTBEAT, &b);
+    b.lateness_ms = (uint64_t)node->lateness_ms;
+    Wire__Envelope m = wire_envelope(WIRE__ENVELOPE__BODY_HEARTBEAT, &b);
     for (int i = 0; i < n; i++)
-      node_send(node, w[i].addr, &m);
+      node_send(node, w[i].address, &m);
   }
 }
 
 /* The latest lateness at once, and what it was before for some turns. A process that stood still
  * for longer was not late but paused, which says nothing of the time after it. */
-static void note_lateness(node *node, time_us slept_since, time_us now) {
-  int64_t late_ms = time_sub(now, slept_since).us / 1000 - BEAT_MS;
-  if (late_ms > LATE_MOST_MS)
+static void update_lateness(node *node, time_us slept_since, time_us now) {
+  int64_t late_ms = time_sub(now, slept_since).us / 1000 - HEARTBEAT_INTERVAL_MS;
+  if (late_ms > LATENESS_MAX_MS)
     late_ms = 0;
-  node->late_ms = MAX(MAX(late_ms, 0), node->late_ms * 3 / 4);
+  node->lateness_ms = MAX(MAX(late_ms, 0), node->lateness_ms * 3 / 4);
 }
 
 /* The silence after which a machine is doubted. Heartbeats wait behind other work at a sender that
  * is overloaded, and those that have come wait unread at a receiver that is. */
-static int64_t doubt_after_ms(const node *node, const machine *peer) {
-  return MIN(DOUBT_MS + node->late_ms + peer->late_ms, DOUBT_MOST_MS);
+static int64_t suspicion_timeout_ms(const node *node, const peer_node *peer) {
+  return MIN(SUSPICION_TIMEOUT_MS + node->lateness_ms + peer->lateness_ms,
+             SUSPICION_TIMEOUT_MAX_MS);
 }
 
 static void watch_run(void *p) {
   node *node = p;
   time_us last = world_now(node->world);
-  while (world_sleep(node->world, time_from_ms(BEAT_MS))) {
+  while (world_sleep(node->world, time_from_ms(HEARTBEAT_INTERVAL_MS))) {
     time_us now = world_now(node->world);
-    bool slept = time_reached(now, time_add(last, time_from_ms(DOUBT_MS / 2)));
-    note_lateness(node, last, now);
+    bool slept = time_reached(now, time_add(last, time_from_ms(SUSPICION_TIMEOUT_MS / 2)));
+    update_lateness(node, last, now);
     last = now;
-    list_for_each (peer, &node->machines, machine, link) {
+    list_for_each (peer, &node->peers, peer_node, link) {
       if (slept)
-        peer->watched = now;
-      if (peer->gone && time_reached(now, time_add(peer->lost, time_from_ms(FORGET_MS)))) {
+        peer->watched_since = now;
+      if (peer->gone &&
+          time_reached(now, time_add(peer->gone_at, time_from_ms(GONE_PEER_RETENTION_MS)))) {
         list_remove(&peer->link);
         g_free(peer);
         continue;
       }
       if (peer->gone)
         continue;
-      ring_place w[WATCHERS];
+      ring_position w[HEARTBEAT_WATCHERS];
       int k = node_watchers(node, peer->self, w);
       bool own = false;
       for (int i = 0; i < k; i++)
         own |= id_equal(w[i].self, node->settings.self);
       if (!own) {
-        peer->watched = (time_us){ 0 };
+        peer->watched_since = (time_us){ 0 };
         continue;
       }
-      if (!peer->watched.us)
-        peer->watched = now;
-      time_us from = peer->heard.us > peer->watched.us ? peer->heard : peer->watched;
-      if (!time_reached(now, time_add(from, time_from_ms(doubt_after_ms(node, peer)))))
+      if (!peer->watched_since.us)
+        peer->watched_since = now;
+      time_us from = peer->last_heard_at.us > peer->watched_since.us ? peer->last_heard_at
+                                                                     : peer->watched_since;
+      if (!time_reached(now, time_add(from, time_from_ms(suspicion_timeout_ms(node, peer)))))
         continue;
       Wire__Suspicion d = WIRE__SUSPICION__INIT;
       d.id = peer->self.text;
-      d.incarnation = peer->inc;
+      d.incarnation = peer->incarnation;
       d.nonce = peer->nonce;
-      Wire__Envelope e = wire_msg(WIRE__ENVELOPE__BODY_SUSPICION, &d);
-      everyone(node, &e);
-      doubt_add(node, peer, node->settings.self, false);
+      Wire__Envelope e = wire_envelope(WIRE__ENVELOPE__BODY_SUSPICION, &d);
+      send_to_live_peers(node, &e);
+      update_suspicion(node, peer, node->settings.self, false);
     }
   }
 }
 
-static int on_doubt(void *ctx, Wire__Envelope *in, reply *reply, error *err) {
+static int on_suspicion(void *ctx, Wire__Envelope *in, reply *reply, error *err) {
   node *node = ctx;
   (void)reply;
   (void)err;
@@ -525,61 +532,62 @@
       announce_self(node);
     return OK;
   }
-  machine *machine = node_find_machine(node, who);
-  if (machine && machine->nonce == in->suspicion->nonce)
-    doubt_add(node, machine, id_of_text(in->from->id), in->suspicion->clear);
+  peer_node *peer = node_find_peer(node, who);
+  if (peer && peer->nonce == in->suspicion->nonce)
+    update_suspicion(node, peer, id_of_text(in->from->id), in->suspicion->clear);
   return OK;
 }
 
-static uint64_t node_sum(id self, uint64_t nonce, const char *addr, bool leaving) {
-  return hash_of(&nonce, sizeof nonce, hash_of_two(self.text, addr) + leaving);
+static uint64_t peer_checksum(id self, uint64_t nonce, const char *addr, bool leaving) {
+  return hash_bytes(&nonce, sizeof nonce, hash_two_names(self.text, addr) + leaving);
 }
 
 /* the same wherever the same live machines are known */
-static uint64_t table_sum(node *node) {
-  uint64_t n = node_sum(node->settings.self, node->nonce, node->settings.addr, node->leaving);
-  list_for_each (peer, &node->machines, machine, link)
+static uint64_t table_checksum(node *node) {
+  uint64_t n =
+      peer_checksum(node->settings.self, node->nonce, node->settings.address, node->draining);
+  list_for_each (peer, &node->peers, peer_node, link)
     if (!peer->gone)
-      n ^= node_sum(peer->self, peer->nonce, peer->addr, peer->leaving);
+      n ^= peer_checksum(peer->self, peer->nonce, peer->address, peer->draining);
   return n;
 }
 
-static void table_send(node *node, const char *addr, bool back);
+static void send_table(node *node, const char *addr, bool back);
 
 /* gossip first compares sums; tables go only where they differ */
-static void sum_send(node *node, const char *addr) {
-  if (node->settings.wire == 1) {
-    table_send(node, addr, true);
+static void send_table_checksum(node *node, const char *addr) {
+  if (node->settings.wire_version == 1) {
+    send_table(node, addr, true);
     return;
   }
   Wire__MembershipTable t = WIRE__MEMBERSHIP_TABLE__INIT;
-  t.checksum = table_sum(node);
+  t.checksum = table_checksum(node);
   t.want_response = true;
-  Wire__Envelope m = wire_msg(WIRE__ENVELOPE__BODY_MEMBERSHIP_TABLE, &t);
+  Wire__Envelope m = wire_envelope(WIRE__ENVELOPE__BODY_MEMBERSHIP_TABLE, &t);
   node_send(node, addr, &m);
 }
 
-static void table_send(node *node, const char *addr, bool back) {
+static void send_table(node *node, const char *addr, bool back) {
   GPtrArray *all = g_ptr_array_new_with_free_func(g_free);
-  list_for_each (peer, &node->machines, machine, link) {
+  list_for_each (peer, &node->peers, peer_node, link) {
     if (peer->gone)
       continue;
     Wire__NodeInfo *n = g_new(Wire__NodeInfo, 1);
     wire__node_info__init(n);
     n->id = peer->self.text;
-    n->incarnation = peer->inc;
+    n->incarnation = peer->incarnation;
     n->nonce = peer->nonce;
-    n->address = peer->addr;
-    n->zone = peer->area.text;
+    n->address = peer->address;
+    n->zone = peer->zone.text;
     n->role = peer->role;
-    n->draining = peer->leaving;
+    n->draining = peer->draining;
     g_ptr_array_add(all, n);
   }
   Wire__MembershipTable t = WIRE__MEMBERSHIP_TABLE__INIT;
   t.n_nodes = all->len;
   t.nodes = (Wire__NodeInfo **)all->pdata;
   t.want_response = back;
-  Wire__Envelope m = wire_msg(WIRE__ENVELOPE__BODY_MEMBERSHIP_TABLE, &t);
+  Wire__Envelope m = wire_envelope(WIRE__ENVELOPE__BODY_MEMBERSHIP_TABLE, &t);
   node_send(node, addr, &m);
   g_ptr_array_free(all, TRUE);
 }
@@ -590,26 +598,26 @@
   (void)err;
   Wire__MembershipTable *t = in->membership_table;
   if (t->checksum && !t->n_nodes) {
-    if (t->checksum != table_sum(node))
-      table_send(node, in->from->address, true);
+    if (t->checksum != table_checksum(node))
+      send_table(node, in->from->address, true);
     return OK;
   }
   for (size_t i = 0; i < t->n_nodes; i++) {
     Wire__NodeInfo *n = t->nodes[i];
-    if (id_is_valid(string_view_of(n->id)) && addr_fits(n->address))
-      met(node, n, false);
+    if (id_is_valid(string_view_of(n->id)) && address_is_valid(n->address))
+      merge_peer(node, n, false);
   }
   if (t->want_response)
-    table_send(node, in->from->address, false);
+    send_table(node, in->from->address, false);
   return OK;
 }
 
-static int on_beat(void *ctx, Wire__Envelope *in, reply *reply, error *err) {
+static int on_heartbeat(void *ctx, Wire__Envelope *in, reply *reply, error *err) {
   (void)reply;
   (void)err;
-  machine *peer = node_find_machine(ctx, id_of_text(in->from->id));
+  peer_node *peer = node_find_peer(ctx, id_of_text(in->from->id));
   if (peer)
-    peer->late_ms = (int64_t)MIN(in->heartbeat->lateness_ms, LATE_MOST_MS);
+    peer->lateness_ms = (int64_t)MIN(in->heartbeat->lateness_ms, LATENESS_MAX_MS);
   return OK;
 }
 
@@ -617,31 +625,33 @@
   node *node = p;
   for (int i = 0;; i++) {
     GPtrArray *all = g_ptr_array_new();
-    list_for_each (peer, &node->machines, machine, link)
+    list_for_each (peer, &node->peers, peer_node, link)
       if (!peer->gone || world_random(node->world, 8) == 0)
         g_ptr_array_add(all, peer);
     if (all->len)
-      sum_send(node, ((machine *)all->pdata[world_random(node->world, all->len)])->addr);
+      send_table_checksum(node,
+                          ((peer_node *)all->pdata[world_random(node->world, all->len)])->address);
     if (all->len < 3 || i % 10 == 0)
       for (int k = 0; k < 3; k++)
-        if (node->settings.seeds[k][0] && strcmp(node->settings.seeds[k], node->settings.addr))
-          sum_send(node, node->settings.seeds[k]);
+        if (node->settings.seed_addresses[k][0] &&
+            strcmp(node->settings.seed_addresses[k], node->settings.address))
+          send_table_checksum(node, node->settings.seed_addresses[k]);
     g_ptr_array_free(all, TRUE);
-    if (!world_sleep_about(node->world, time_from_ms(i < 10 ? 300 : 1000)))
+    if (!world_sleep_with_jitter(node->world, time_from_ms(i < 10 ? 300 : 1000)))
       return;
   }
 }
 
-machine *node_pick_machine(node *node, enum role r, const char *last) {
+peer_node *node_pick_peer(node *node, enum role r, const char *last) {
   GPtrArray *all = g_ptr_array_new();
-  machine *got = NULL;
+  peer_node *got = NULL;
   bool live = false;
-  list_for_each (peer, &node->machines, machine, link)
+  list_for_each (peer, &node->peers, peer_node, link)
     live |= peer->role == r && !peer->gone;
-  list_for_each (peer, &node->machines, machine, link) {
+  list_for_each (peer, &node->peers, peer_node, link) {
     if (peer->role != r || (live && peer->gone))
       continue;
-    if (last && last[0] && !strcmp(last, peer->addr))
+    if (last && last[0] && !strcmp(last, peer->address))
       got = peer;
     g_ptr_array_add(all, peer);
   }
@@ -651,80 +661,84 @@
   return got;
 }
 
-int node_count_machines(node *node, enum role r) {
+int node_count_peers(node *node, enum role r) {
   int n = node->settings.role == r;
-  list_for_each (peer, &node->machines, machine, link)
-    n += peer->role == r && !peer->leaving;
+  list_for_each (peer, &node->peers, peer_node, link)
+    n += peer->role == r && !peer->draining;
   return n;
 }
 
-void node_json(node *node, GString *to) {
+void node_peers_json(node *node, GString *to) {
   time_us now = world_now(node->world);
-  json_f(to,
-         "[{\"id\":\"%s\",\"role\":\"%s\",\"area\":\"%s\",\"addr\":\"%s\",\"incarnation\":%" PRIu64
-         ",\"standing\":\"%s\",\"heardMs\":0}",
-         node->settings.self.text, node->settings.role == ROLE_CONTROLLER ? "controller" : "router",
-         node->settings.area.text, node->settings.addr, node->inc,
-         node->leaving ? "leaving" : "live");
-  list_for_each (peer, &node->machines, machine, link)
-    json_f(
+  json_appendf(
+      to,
+      "[{\"id\":\"%s\",\"role\":\"%s\",\"area\":\"%s\",\"addr\":\"%s\",\"incarnation\":%" PRIu64
+      ",\"standing\":\"%s\",\"heardMs\":0}",
+      node->settings.self.text, node->settings.role == ROLE_CONTROLLER ? "controller" : "router",
+      node->settings.zone.text, node->settings.address, node->incarnation,
+      node->draining ? "leaving" : "live");
+  list_for_each (peer, &node->peers, peer_node, link)
+    json_appendf(
         to,
         ",{\"id\":\"%s\",\"role\":\"%s\",\"area\":\"%s\",\"addr\":\"%s\",\"incarnation\":%" PRIu64
         ",\"standing\":\"%s\",\"heardMs\":%" PRId64 "}",
-        peer->self.text, peer->role == ROLE_CONTROLLER ? "controller" : "router", peer->area.text,
-        peer->addr, peer->inc, machine_state_name(peer), time_sub(now, peer->heard).us / 1000);
+        peer->self.text, peer->role == ROLE_CONTROLLER ? "controller" : "router", peer->zone.text,
+        peer->address, peer->incarnation, peer_state_name(peer),
+        time_sub(now, peer->last_heard_at).us / 1000);
   g_string_append_c(to, ']');
 }
 
-void node_status(node *node, GString *to) {
-  bool twin = node->twin.us &&
-              !time_reached(world_now(node->world), time_add(node->twin, time_from_ms(15000)));
-  json_f(to, "\"twin\":%s,\"wireOdd\":%" PRIu64 ",\"seeds\":[\"%s\",\"%s\",\"%s\"]",
-         twin ? "true" : "false", node->odd_wire, node->settings.seeds[0], node->settings.seeds[1],
-         node->settings.seeds[2]);
+void node_status_json(node *node, GString *to) {
+  bool twin =
+      node->duplicate_seen_at.us &&
+      !time_reached(world_now(node->world), time_add(node->duplicate_seen_at, time_from_ms(15000)));
+  json_appendf(to, "\"twin\":%s,\"wireOdd\":%" PRIu64 ",\"seeds\":[\"%s\",\"%s\",\"%s\"]",
+               twin ? "true" : "false", node->refused_wire_versions,
+               node->settings.seed_addresses[0], node->settings.seed_addresses[1],
+               node->settings.seed_addresses[2]);
 }
 
 void node_init(node *node, world *world, const settings *settings) {
   memset(node, 0, sizeof *node);
   node->world = world;
   node->settings = *settings;
-  node->log = (logger){ world, settings->self, settings->loud, settings->json_log };
-  node->born = world_now(world);
-  node->inc = 1;
+  node->log = (logger){ world, settings->self, settings->debug_log, settings->json_log };
+  node->started_at = world_now(world);
+  node->incarnation = 1;
   node->nonce = world->random(world) | 1;
-  node->calls = world->random(world) >> 16;
-  node->open = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, NULL);
-  list_init(&node->machines);
-  node->ring = g_array_new(FALSE, TRUE, sizeof(ring_place));
+  node->last_call_number = world->random(world) >> 16;
+  node->pending_calls = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, NULL);
+  list_init(&node->peers);
+  node->ring = g_array_new(FALSE, TRUE, sizeof(ring_position));
   node->ring_stale = true;
-  condition_init(&node->moved);
-  world->on_post = on_post;
-  world->post_ctx = node;
-  node_on(node, WIRE__ENVELOPE__BODY_HEARTBEAT, on_beat, node);
-  node_on(node, WIRE__ENVELOPE__BODY_SUSPICION, on_doubt, node);
-  node_on(node, WIRE__ENVELOPE__BODY_MEMBERSHIP_TABLE, on_table, node);
+  condition_init(&node->membership_changed);
+  world->on_message = on_post;
+  world->on_message_context = node;
+  node_register_handler(node, WIRE__ENVELOPE__BODY_HEARTBEAT, on_heartbeat, node);
+  node_register_handler(node, WIRE__ENVELOPE__BODY_SUSPICION, on_suspicion, node);
+  node_register_handler(node, WIRE__ENVELOPE__BODY_MEMBERSHIP_TABLE, on_table, node);
 }
 
 void node_start(node *node) {
-  task_start_urgent(&node->world->tasks, "beat", beat_run, node);
+  task_start_urgent(&node->world->tasks, "beat", heartbeat_run, node);
   task_start_urgent(&node->world->tasks, "watch", watch_run, node);
   task_start(&node->world->tasks, "gossip", gossip_run, node);
 }
 
 void node_free(node *node) {
-  list_for_each (peer, &node->machines, machine, link) {
+  list_for_each (peer, &node->peers, peer_node, link) {
     list_remove(&peer->link);
     g_free(peer);
   }
   g_array_free(node->ring, TRUE);
-  g_hash_table_destroy(node->open);
+  g_hash_table_destroy(node->pending_calls);
 }
 
-void answer_error(http_request *request, int status, int code, const char *text) {
+void http_respond_error(http_request *request, int status, int code, const char *text) {
   GString *b = g_string_new(NULL);
-  json_f(b, "{\"code\":%d,\"error\":", code);
-  json_quote(b, string_view_of(text));
+  json_appendf(b, "{\"code\":%d,\"error\":", code);
+  json_append_quoted(b, string_view_of(text));
   g_string_append(b, "}\n");
-  http_request_answer(request, status, "application/json", string_view_of_gstring(b));
+  http_request_respond(request, status, "application/json", string_view_of_gstring(b));
   g_string_free(b, TRUE);
 }
--- a/lib/membership/peer_channels.c
+++ b/lib/membership/peer_channels.c
@@ -118,7 +118,7 @@
   peer->open = false;
   dial_target target = { channels->context, channels->vhost, channels->own_ip, peer->addr, NULL,
                          "/peer",           PEER_PROTOCOL };
-  if (!dial(&target, &peer->owner))
+  if (!dial_open(&target, &peer->owner))
     return false;
   lws_set_timeout(connection_owner_wsi(&peer->owner), PENDING_TIMEOUT_AWAITING_CONNECT_RESPONSE,
                   CONNECT_S);
@@ -126,7 +126,7 @@
 }
 
 void peer_channels_post(peer_channels *channels, const char *addr, string_view bytes) {
-  if (channels->world->tasks.dead)
+  if (channels->world->tasks.stopped)
     return;
   outbound *peer = outbound_of(channels, addr);
   if (peer->waiting_bytes + bytes.length > WAITING_MOST || !outbound_open(channels, peer))
@@ -145,7 +145,7 @@
  * longer the cut was. The kernel is told to give such a channel up, and the next message opens a
  * new one. */
 static void give_up_silent_channel(struct lws *wsi) {
-  unsigned silence_ms = PEER_SILENT_MS;
+  unsigned silence_ms = PEER_CHANNEL_TIMEOUT_MS;
   setsockopt(lws_get_socket_fd(wsi), IPPROTO_TCP, TCP_USER_TIMEOUT, &silence_ms, sizeof silence_ms);
 }
 
@@ -198,8 +198,8 @@
   g_string_append_len(peer->received, bytes, (gssize)length);
   if (!lws_is_final_fragment(wsi) || lws_remaining_packet_payload(wsi))
     return 0;
-  if (world->on_post && !world->tasks.dead)
-    world->on_post(world->post_ctx, string_view_of_gstring(peer->received));
+  if (world->on_message && !world->tasks.stopped)
+    world->on_message(world->on_message_context, string_view_of_gstring(peer->received));
   g_string_truncate(peer->received, 0);
   return 0;
 }
--- a/lib/router/duty.c
+++ b/lib/router/duty.c
@@ -5,7 +5,7 @@
   RENEW_MS = 600,
   REQUEST_MS = 300,
   GIVE_BACK_MS = 20000,
-  FORGET_MS = 10000,
+  GONE_PEER_RETENTION_MS = 10000,
   STEADY_MS = 1500,
   STEADY_LOOSE_MS = 1500,
   IDLE_MS = 2500
@@ -24,14 +24,14 @@
 
 /* the first live router for a duty, in the order that all agree on */
 static bool first(router *router, const char *duty) {
-  uint64_t mine = hash_of_two(duty, router->node.settings.self.text);
-  list_for_each (peer, &router->node.machines, machine, link) {
+  uint64_t mine = hash_two_names(duty, router->node.settings.self.text);
+  list_for_each (peer, &router->node.peers, peer_node, link) {
     /* one whom the head does not answer can't do a duty, however well it is heard here */
-    if (peer->role != ROLE_ROUTER || peer->gone || peer->leaving ||
+    if (peer->role != ROLE_ROUTER || peer->gone || peer->draining ||
         (peer->idle && !router->node.idle) ||
-        (router->config && config_empties_all(router->config, peer->area)))
+        (router->config && config_is_zone_evacuated(router->config, peer->zone)))
       continue;
-    if (hash_of_two(duty, peer->self.text) > mine)
+    if (hash_two_names(duty, peer->self.text) > mine)
       return false;
   }
   return true;
@@ -60,10 +60,10 @@
   if (!list->len)
     return;
   if (!router->head_addr[0]) {
-    machine *machine = node_pick_machine(&router->node, ROLE_CONTROLLER, NULL);
-    if (!machine)
+    peer_node *peer = node_pick_peer(&router->node, ROLE_CONTROLLER, NULL);
+    if (!peer)
       return;
-    g_strlcpy(router->head_addr, machine->addr, sizeof router->head_addr);
+    g_strlcpy(router->head_addr, peer->address, sizeof router->head_addr);
   }
   char addr[48];
   g_strlcpy(addr, router->head_addr, sizeof addr);
@@ -78,7 +78,7 @@
     h[i].release = leave;
     /* the next holder must keep its distance from this one's last order, not from its last renewal
      */
-    if (leave && router->node.settings.loose && !c->open)
+    if (leave && router->node.settings.relaxed && !c->open)
       h[i].quiet_ms = (uint64_t)MAX(
           1,
           time_sub(world_now(router->node.world), c->ordered.us ? c->ordered : c->since).us / 1000);
@@ -87,14 +87,14 @@
   q.nonce = router->node.nonce;
   q.n_claims = list->len;
   q.claims = hp;
-  Wire__Envelope m = wire_msg(WIRE__ENVELOPE__BODY_SINGLETON_LEASE_REQUEST, &q), *b;
+  Wire__Envelope m = wire_envelope(WIRE__ENVELOPE__BODY_SINGLETON_LEASE_REQUEST, &q), *b;
   error err = { 0 };
   time_us sent = world_now(router->node.world);
   int r = node_call(&router->node, addr, &m, span, &b, &err);
   g_free(h);
   g_free(hp);
   if (r) {
-    if (r == E_NO_ANSWER || r == E_CORE_GONE)
+    if (r == E_NO_RESPONSE || r == E_NO_CONTROLLER)
       router->head_addr[0] = 0;
     else if (r != E_STOPPING)
       log_debug(&router->node.log, "duty", "The head says no: %s (code %d).", err.text, r);
@@ -105,7 +105,7 @@
     if (!k->head_address || !k->head_address[0])
       router->head_at = world_now(router->node.world);
     if (k->head_address && k->head_address[0])
-      g_strlcpy(router->head_addr, addr_fits(k->head_address) ? k->head_address : "",
+      g_strlcpy(router->head_addr, address_is_valid(k->head_address) ? k->head_address : "",
                 sizeof router->head_addr);
     else if (!k->n_results)
       router->head_addr[0] = 0;
@@ -114,7 +114,7 @@
       if (!c || leave)
         continue;
       if (k->results[i]->granted) {
-        time_us till = time_add(sent, time_from_ms(CONTRACT_MS));
+        time_us till = time_add(sent, time_from_ms(SINGLETON_LEASE_MS));
         if (!c->held || c->epoch != k->results[i]->epoch) {
           log_info(&router->node.log, "duty", "Holds %s under epoch %" PRIu64 ".", c->duty.text,
                    k->results[i]->epoch);
@@ -137,7 +137,7 @@
 
 static bool out_of_duty(router *router) {
   return router->drain ||
-         (router->config && config_empties_all(router->config, router->node.settings.area));
+         (router->config && config_is_zone_evacuated(router->config, router->node.settings.zone));
 }
 
 static void want_duty(router *router, const char *duty) {
@@ -177,7 +177,8 @@
     /* only this task forgets, where it holds none across a wait */
     while (router->each_duty && g_hash_table_iter_next(&it, NULL, &q)) {
       contract *c = q;
-      if (!c->wanted && !c->held && time_reached(now, time_add(c->till, time_from_ms(FORGET_MS))))
+      if (!c->wanted && !c->held &&
+          time_reached(now, time_add(c->till, time_from_ms(GONE_PEER_RETENTION_MS))))
         g_hash_table_iter_remove(&it);
     }
     g_hash_table_iter_init(&it, router->contracts);
@@ -204,17 +205,17 @@
     request_head(router, keep, false, time_from_ms(500));
     g_ptr_array_free(keep, TRUE);
     g_ptr_array_free(leave, TRUE);
-  } while (world_sleep_about(router->node.world, time_from_ms(RENEW_MS)));
+  } while (world_sleep_with_jitter(router->node.world, time_from_ms(RENEW_MS)));
 }
 
 static void request_run(void *p) {
   router *router = p;
   time_us from = router->head_at = world_now(router->node.world);
-  while (world_sleep_about(router->node.world, time_from_ms(REQUEST_MS))) {
+  while (world_sleep_with_jitter(router->node.world, time_from_ms(REQUEST_MS))) {
     /* a young process knows few others yet and would think itself first */
     if (!time_reached(world_now(router->node.world),
-                      time_add(from, time_from_ms(router->node.settings.loose ? STEADY_LOOSE_MS
-                                                                              : STEADY_MS))))
+                      time_add(from, time_from_ms(router->node.settings.relaxed ? STEADY_LOOSE_MS
+                                                                                : STEADY_MS))))
       continue;
     GPtrArray *ask = g_ptr_array_new();
     GHashTableIter it;
--- a/lib/router/news.c
+++ b/lib/router/news.c
@@ -46,10 +46,10 @@
   Wire__VersionReport h = WIRE__VERSION_REPORT__INIT;
   h.sequence = router->seq;
   h.fleet_id = router->fleet;
-  Wire__Envelope m = wire_msg(WIRE__ENVELOPE__BODY_VERSION_REPORT, &h);
-  list_for_each (peer, &router->node.machines, machine, link)
+  Wire__Envelope m = wire_envelope(WIRE__ENVELOPE__BODY_VERSION_REPORT, &h);
+  list_for_each (peer, &router->node.peers, peer_node, link)
     if (peer->role == ROLE_CONTROLLER && !peer->gone)
-      node_send(&router->node, peer->addr, &m);
+      node_send(&router->node, peer->address, &m);
 }
 
 static time_us young(time_us a, time_us b) {
@@ -61,10 +61,10 @@
 
 /* how many routers there are, as far as anybody in reach knows */
 static int known(router *router) {
-  int n = node_count_machines(&router->node, ROLE_ROUTER);
-  list_for_each (peer, &router->node.machines, machine, link)
-    if (peer->role == ROLE_ROUTER && within(router, peer->agreed, FRESH_MS))
-      n = MAX(n, (int)peer->known);
+  int n = node_count_peers(&router->node, ROLE_ROUTER);
+  list_for_each (peer, &router->node.peers, peer_node, link)
+    if (peer->role == ROLE_ROUTER && within(router, peer->confirmed_at, FRESH_MS))
+      n = MAX(n, (int)peer->known_routers);
   return n;
 }
 
@@ -72,15 +72,15 @@
  */
 static bool most_agree(router *router) {
   int n = router->sure;
-  list_for_each (peer, &router->node.machines, machine, link)
-    n += peer->role == ROLE_ROUTER && within(router, peer->agreed, FRESH_MS);
+  list_for_each (peer, &router->node.peers, peer_node, link)
+    n += peer->role == ROLE_ROUTER && within(router, peer->confirmed_at, FRESH_MS);
   return n > known(router) / 2;
 }
 
 static bool most_blind(router *router) {
   int n = 1;
-  list_for_each (peer, &router->node.machines, machine, link)
-    n += peer->role == ROLE_ROUTER && within(router, peer->blind, LIST_OLD_MS);
+  list_for_each (peer, &router->node.peers, peer_node, link)
+    n += peer->role == ROLE_ROUTER && within(router, peer->list_outdated_at, LIST_OLD_MS);
   return n > known(router) / 2;
 }
 
@@ -124,22 +124,22 @@
             (d->sequence > router->seq || !router->config);
   if (router->fleet && d->fleet_id != router->fleet)
     log_info(&router->node.log, "news", "Refused a digest of another fleet from %s (code %d).",
-             from, E_VIEW);
-  json *j[RES_COUNT] = { 0 };
-  Wire__Resource *part[RES_COUNT] = { 0 };
+             from, E_VIEW_MISMATCH);
+  json *j[RESOURCE_COUNT] = { 0 };
+  Wire__Resource *part[RESOURCE_COUNT] = { 0 };
   config *config = NULL;
   routing *routes = NULL;
   bool rerouted = false;
   error err = { 0 };
   for (size_t i = 0; ok && i < d->n_resources; i++)
-    for (int k = 0; k < RES_COUNT; k++)
-      if (!strcmp(d->resources[i]->name, res_name[k]))
+    for (int k = 0; k < RESOURCE_COUNT; k++)
+      if (!strcmp(d->resources[i]->name, resource_names[k]))
         part[k] = d->resources[i];
-  for (int k = 0; ok && k < RES_COUNT; k++) {
+  for (int k = 0; ok && k < RESOURCE_COUNT; k++) {
     /* a part that was left out must be held here in just that version, so that the whole is never a
      * mix */
     /* no trial was ever declared, or the core machine is of a version that knows of none */
-    if (!part[k] && k == RES_CANARY)
+    if (!part[k] && k == RESOURCE_CANARY)
       continue;
     if (!part[k] || (part[k]->same && part[k]->version != router->res_at[k])) {
       want_whole(router, moved);
@@ -163,27 +163,27 @@
       part[k]->text.data = (uint8_t *)g_string_free(whole, FALSE);
     }
     /* what is compiled already is left as it is */
-    if (k == RES_ROUTING && part[k]->version == router->res_at[k])
+    if (k == RESOURCE_ROUTING && part[k]->version == router->res_at[k])
       continue;
-    ok = (j[k] = json_read(part[k]->same
-                               ? string_view_of_gstring(router->resources[k])
-                               : (string_view){ (char *)part[k]->text.data, part[k]->text.len },
-                           &err)) != NULL;
+    ok = (j[k] = json_parse(part[k]->same
+                                ? string_view_of_gstring(router->resources[k])
+                                : (string_view){ (char *)part[k]->text.data, part[k]->text.len },
+                            &err)) != NULL;
   }
-  if (ok && j[RES_ROUTING]) {
+  if (ok && j[RESOURCE_ROUTING]) {
     rerouted = true;
-    if (json_count(j[RES_ROUTING]))
-      ok = (routes = routing_make(j[RES_ROUTING], &err)) != NULL;
+    if (json_count(j[RESOURCE_ROUTING]))
+      ok = (routes = routing_compile(j[RESOURCE_ROUTING], &err)) != NULL;
     if (!ok)
       log_info(&router->node.log, "news",
                "Refused the routing of digest %" PRIu64 " from %s: %s (code %d).", d->sequence,
                from, err.text, err.code);
   }
   if (ok)
-    config = config_make((const json **)j, &err);
+    config = config_compile((const json **)j, &err);
   if (!config)
     routing_unref(routes);
-  for (int k = 0; k < RES_COUNT; k++)
+  for (int k = 0; k < RESOURCE_COUNT; k++)
     json_free(j[k]);
   if (ok && !config)
     log_info(&router->node.log, "news", "Refused digest %" PRIu64 " from %s: %s (code %d).",
@@ -198,7 +198,7 @@
     router->fleet = d->fleet_id;
     router->seq = d->sequence;
     router->epoch = MAX(router->epoch, d->epoch);
-    for (int k = 0; k < RES_COUNT; k++) {
+    for (int k = 0; k < RESOURCE_COUNT; k++) {
       if (!part[k]) {
         router->res_at[k] = 0;
         g_string_assign(router->resources[k], "{}");
@@ -219,13 +219,13 @@
       g->epoch = d->grants[i]->epoch;
       g_hash_table_insert(router->grants, g_strdup(d->grants[i]->singleton), g);
     }
-    history_window(&router->history, time_from_ms(config->window_s * 1000));
-    router->history.smooth = config->smooth;
+    history_window(&router->history, time_from_ms(config->rate_window_s * 1000));
+    router->history.smooth = config->smoothing_factor;
     log_debug(&router->node.log, "news",
               "Version %" PRIu64 " of view %" PRIu64 " is in force, from %s.", d->sequence,
               d->epoch, from);
     condition_broadcast(&router->contracts_changed);
-    if (!router->node.settings.loose)
+    if (!router->node.settings.relaxed)
       announce_core(router);
     condition_broadcast(&router->moved);
     if (router->on_installed)
@@ -265,7 +265,7 @@
 
 static int64_t patience(const router *router, enum asked kind) {
   if (kind == REQUEST_CORE)
-    return router->node.settings.loose
+    return router->node.settings.relaxed
                ? CLAMP(3 * router->answer_ms, REQUEST_LOOSE_MS, REQUEST_SLOW_MS)
                : REQUEST_MS;
   return kind == REQUEST_SECOND ? SECOND_REQUEST_MS : PEER_REQUEST_MS;
@@ -274,13 +274,13 @@
 static bool request_news(router *router, const char *addr, enum asked kind, id who) {
   time_us now = world_now(router->node.world);
   bool core = kind != REQUEST_PEER;
-  uint64_t held[RES_COUNT];
+  uint64_t held[RESOURCE_COUNT];
   memcpy(held, router->res_at, sizeof held);
   Wire__ConfigPollRequest n = WIRE__CONFIG_POLL_REQUEST__INIT;
   n.epoch = router->epoch;
   n.sequence = router->seq;
   n.fleet_id = router->fleet;
-  n.n_resource_versions = router->res_at[RES_CANARY] ? RES_COUNT : RES_CANARY;
+  n.n_resource_versions = router->res_at[RESOURCE_CANARY] ? RESOURCE_COUNT : RESOURCE_CANARY;
   n.resource_versions = router->res_at;
   n.engine_list_age_ms =
       router->list_known ? (uint64_t)time_sub(now, router->list_at).us / 1000 + 1 : 0;
@@ -292,7 +292,7 @@
     n.registry_run = router->engine_run;
     n.registry_sequence = router->engine_seq;
   }
-  Wire__Envelope m = wire_msg(WIRE__ENVELOPE__BODY_CONFIG_POLL_REQUEST, &n), *b;
+  Wire__Envelope m = wire_envelope(WIRE__ENVELOPE__BODY_CONFIG_POLL_REQUEST, &n), *b;
   error err = { 0 };
   if (node_call(&router->node, addr, &m, time_from_ms(patience(router, kind)), &b, &err))
     return false;
@@ -319,7 +319,7 @@
       router->core_at = world_now(router->node.world);
     if (core && k->n_controllers) {
       const char *hint = k->controllers[world_random(router->node.world, k->n_controllers)];
-      if (addr_fits(hint))
+      if (address_is_valid(hint))
         g_strlcpy(router->core_hint, hint, sizeof router->core_hint);
     }
     if (n.want_engines && k->registry_run) {
@@ -329,7 +329,7 @@
     }
     /* what a router says counts from when it was asked, less the age that it gives; clocks are
      * never compared */
-    machine *o = core ? NULL : node_find_machine(&router->node, who);
+    peer_node *o = core ? NULL : node_find_peer(&router->node, who);
     if (o && k->confirmed_age_ms < 100000 && k->engine_list_age_ms < 100000000) {
       if (level && k->confirmed_age_ms) {
         time_us at = time_sub(now, time_from_ms((int64_t)k->confirmed_age_ms));
@@ -339,18 +339,18 @@
         }
       }
       if (level && k->ever_confirmed) {
-        o->agreed = now;
-        o->known = MIN(k->known_routers, 10000);
+        o->confirmed_at = now;
+        o->known_routers = MIN(k->known_routers, 10000);
       }
       if (!k->engine_list_age_ms || k->engine_list_age_ms > LIST_OLD_MS)
-        o->blind = now;
+        o->list_outdated_at = now;
       time_us listed = time_sub(now, time_from_ms((int64_t)k->engine_list_age_ms));
       if (k->engine_list_age_ms && k->engine_list.len &&
           (!router->list_known || listed.us > router->list_at.us) &&
           !platform_heard(router, (string_view){ (char *)k->engine_list.data, k->engine_list.len },
                           listed))
         log_info(&router->node.log, "platform", "Refused a list that %s passed on (code %d).",
-                 who.text, E_WIRE);
+                 who.text, E_WIRE_MESSAGE);
     }
     condition_broadcast(&router->moved);
   }
@@ -363,7 +363,7 @@
   router *router = ctx;
   (void)reply;
   if (in->from->role != ROLE_CONTROLLER)
-    return error_set(err, E_WIRE, "only core machines tell of engines");
+    return error_set(err, E_WIRE_MESSAGE, "only core machines tell of engines");
   Wire__ConfigPollResponse b = WIRE__CONFIG_POLL_RESPONSE__INIT;
   b.n_engines = in->engine_update->n_engines;
   b.engines = in->engine_update->engines;
@@ -374,43 +374,43 @@
 
 /* the core machine to ask: the one that was named, the one asked last, the one that confirmed while
  * that one was silent, or the next in turn */
-static machine *core_to_request(router *router) {
+static peer_node *core_to_request(router *router) {
   const char *wish = router->core_hint[0] ? router->core_hint
                      : router->core[0]    ? router->core
                                           : router->core_next;
-  machine *machine = wish[0] ? node_pick_machine(&router->node, ROLE_CONTROLLER, wish) : NULL;
-  if (!machine || strcmp(machine->addr, wish))
-    machine = sources_next(&router->sources, &router->node, NULL);
+  peer_node *peer = wish[0] ? node_pick_peer(&router->node, ROLE_CONTROLLER, wish) : NULL;
+  if (!peer || strcmp(peer->address, wish))
+    peer = sources_next(&router->sources, &router->node, NULL);
   router->core_hint[0] = router->core_next[0] = 0;
-  return machine;
+  return peer;
 }
 
 /* asks one controller after the other with the version held */
 static void news_run(void *p) {
   router *router = p;
   for (;;) {
-    machine *machine = core_to_request(router);
-    if (machine)
-      g_strlcpy(router->core, machine->addr, sizeof router->core);
+    peer_node *peer = core_to_request(router);
+    if (peer)
+      g_strlcpy(router->core, peer->address, sizeof router->core);
     time_us from = world_now(router->node.world);
-    if (machine)
+    if (peer)
       sources_asked(&router->sources, router->core, from);
-    if (machine && request_news(router, router->core, REQUEST_CORE, machine->self)) {
+    if (peer && request_news(router, router->core, REQUEST_CORE, peer->self)) {
       /* an answer that came at once without news must not turn into a storm */
-      int64_t calm = router->node.settings.loose ? CALM_LOOSE_MS : CALM_MS;
+      int64_t calm = router->node.settings.relaxed ? CALM_LOOSE_MS : CALM_MS;
       if (!time_reached(world_now(router->node.world), time_add(from, time_from_ms(calm))) &&
           !world_sleep(router->node.world, time_from_ms(calm)))
         return;
       continue;
     }
     /* one that could not confirm is asked again only when all could not */
-    if (machine)
+    if (peer)
       sources_failed(&router->sources, router->core, world_now(router->node.world));
     router->core[0] = 0;
-    if (!world_sleep_about(router->node.world,
-                           time_from_ms(router->core_hint[0] || router->core_next[0] ? 30
-                                        : machine                                    ? 120
-                                                                                     : 250)))
+    if (!world_sleep_with_jitter(router->node.world,
+                                 time_from_ms(router->core_hint[0] || router->core_next[0] ? 30
+                                              : peer                                       ? 120
+                                                                                           : 250)))
       return;
   }
 }
@@ -420,7 +420,7 @@
   id who;
   char addr[48];
   int slot;
-} peer;
+} poll_target;
 
 /* a free place for a further question, or -1; those that are silent count as failed from here on */
 static int second_slot(router *router, time_us now) {
@@ -439,7 +439,7 @@
 
 /* one more core machine is asked beside the one that may be silent */
 static void second_request_run(void *p) {
-  peer *q = p;
+  poll_target *q = p;
   router *router = q->router;
   if (request_news(router, q->addr, REQUEST_SECOND, q->who))
     g_strlcpy(router->core_next, q->addr, sizeof router->core_next);
@@ -468,29 +468,29 @@
     }
     last = now;
     int slot = second_slot(router, now);
-    machine *machine = slot < 0 ? NULL
-                                : sources_next(&router->sources, &router->node,
-                                               router->core[0] ? router->core : NULL);
-    if (!machine)
+    peer_node *peer = slot < 0 ? NULL
+                               : sources_next(&router->sources, &router->node,
+                                              router->core[0] ? router->core : NULL);
+    if (!peer)
       continue;
-    sources_asked(&router->sources, machine->addr, now);
-    peer *q = g_new0(peer, 1);
+    sources_asked(&router->sources, peer->address, now);
+    poll_target *q = g_new0(poll_target, 1);
     q->router = router;
-    q->who = machine->self;
-    g_strlcpy(q->addr, machine->addr, sizeof q->addr);
+    q->who = peer->self;
+    g_strlcpy(q->addr, peer->address, sizeof q->addr);
     q->slot = slot;
     router->second_requests[slot] = (second_request){ .sent = now, .open = true };
-    g_strlcpy(router->second_requests[slot].addr, machine->addr, sizeof q->addr);
+    g_strlcpy(router->second_requests[slot].addr, peer->address, sizeof q->addr);
     task_start(&router->node.world->tasks, "second", second_request_run, q);
   }
 }
 
 static void peer_run(void *p) {
-  peer *q = p;
+  poll_target *q = p;
   request_news(q->router, q->addr, REQUEST_PEER, q->who);
-  machine *machine = node_find_machine(&q->router->node, q->who);
-  if (machine)
-    machine->asked = false;
+  peer_node *peer = node_find_peer(&q->router->node, q->who);
+  if (peer)
+    peer->poll_pending = false;
   g_free(q);
 }
 
@@ -498,19 +498,19 @@
    how old their own confirmation is, and whether they know anything younger */
 static void peers_run(void *p) {
   router *router = p;
-  while (world_sleep_about(router->node.world, time_from_ms(250))) {
+  while (world_sleep_with_jitter(router->node.world, time_from_ms(250))) {
     bool told = within(router, router->fresh, 900) && within(router, router->list_at, 1300);
     router_may_enrol(router);
     if (told)
       continue;
-    list_for_each (m, &router->node.machines, machine, link) {
-      if (m->role != ROLE_ROUTER || m->leaving || m->asked)
+    list_for_each (m, &router->node.peers, peer_node, link) {
+      if (m->role != ROLE_ROUTER || m->draining || m->poll_pending)
         continue;
-      m->asked = true;
-      peer *q = g_new0(peer, 1);
+      m->poll_pending = true;
+      poll_target *q = g_new0(poll_target, 1);
       q->router = router;
       q->who = m->self;
-      g_strlcpy(q->addr, m->addr, sizeof q->addr);
+      g_strlcpy(q->addr, m->address, sizeof q->addr);
       task_start(&router->node.world->tasks, "peer", peer_run, q);
     }
   }
@@ -520,15 +520,15 @@
  * core is silent */
 static void peer_of_loose_run(void *p) {
   router *router = p;
-  while (world_sleep_about(router->node.world, time_from_ms(PEER_EACH_MS))) {
+  while (world_sleep_with_jitter(router->node.world, time_from_ms(PEER_EACH_MS))) {
     if (router->config && within(router, router->core_at, SILENT_MS))
       continue;
-    machine *machine = node_pick_machine(&router->node, ROLE_ROUTER, NULL);
-    if (!machine || machine->gone)
+    peer_node *peer = node_pick_peer(&router->node, ROLE_ROUTER, NULL);
+    if (!peer || peer->gone)
       continue;
-    id who = machine->self;
+    id who = peer->self;
     char addr[48];
-    g_strlcpy(addr, machine->addr, sizeof addr);
+    g_strlcpy(addr, peer->address, sizeof addr);
     request_news(router, addr, REQUEST_PEER, who);
   }
 }
@@ -536,7 +536,7 @@
 /* what is in force is told again and again, since a cast may be lost and a head is new at times */
 static void have_run(void *p) {
   router *router = p;
-  while (world_sleep_about(router->node.world, time_from_ms(500)))
+  while (world_sleep_with_jitter(router->node.world, time_from_ms(500)))
     if (router->config)
       announce_core(router);
 }
@@ -547,36 +547,36 @@
   router *router = ctx;
   if (in->config_poll_request->fleet_id && router->fleet &&
       in->config_poll_request->fleet_id != router->fleet)
-    return error_set(err, E_VIEW, "another fleet");
+    return error_set(err, E_VIEW_MISMATCH, "another fleet");
   time_us now = world_now(router->node.world);
-  Wire__ConfigPollResponse *b = reply_new(reply, WIRE__ENVELOPE__BODY_CONFIG_POLL_RESPONSE,
-                                          &wire__config_poll_response__descriptor);
+  Wire__ConfigPollResponse *b = reply_new_body(reply, WIRE__ENVELOPE__BODY_CONFIG_POLL_RESPONSE,
+                                               &wire__config_poll_response__descriptor);
   b->epoch = router->epoch;
   b->sequence = router->seq;
   b->confirmed_age_ms =
       router_is_fresh(router) ? (uint64_t)time_sub(now, router->fresh).us / 1000 + 1 : 0;
   b->ever_confirmed = router->sure;
-  b->known_routers = (uint32_t)node_count_machines(&router->node, ROLE_ROUTER);
+  b->known_routers = (uint32_t)node_count_peers(&router->node, ROLE_ROUTER);
   b->engine_list_age_ms =
       router->list_known ? (uint64_t)time_sub(now, router->list_at).us / 1000 + 1 : 0;
   if (b->engine_list_age_ms && router->list->len &&
       (!in->config_poll_request->engine_list_age_ms ||
        in->config_poll_request->engine_list_age_ms > b->engine_list_age_ms + 200)) {
     b->engine_list.len = router->list->len;
-    b->engine_list.data = reply_hold(reply, router->list->len + 1);
+    b->engine_list.data = reply_alloc(reply, router->list->len + 1);
     memcpy(b->engine_list.data, router->list->str, router->list->len);
   }
   b->changed = router->config && router->seq > in->config_poll_request->sequence;
   if (!b->changed)
     return OK;
   Wire__StateSnapshot d = WIRE__STATE_SNAPSHOT__INIT;
-  Wire__Resource res[RES_COUNT], *parts[RES_COUNT];
+  Wire__Resource res[RESOURCE_COUNT], *parts[RESOURCE_COUNT];
   guint n = g_hash_table_size(router->grants), i = 0;
   Wire__SingletonGrant *gs = g_new(Wire__SingletonGrant, n + 1),
                        **gp = g_new(Wire__SingletonGrant *, n + 1);
-  for (int k = 0; k < RES_COUNT; k++) {
+  for (int k = 0; k < RESOURCE_COUNT; k++) {
     wire__resource__init(&res[k]);
-    res[k].name = (char *)res_name[k];
+    res[k].name = (char *)resource_names[k];
     res[k].version = router->res_at[k];
     res[k].text.data = (uint8_t *)router->resources[k]->str;
     res[k].text.len = router->resources[k]->len;
@@ -596,12 +596,12 @@
   d.fleet_id = router->fleet;
   d.sequence = router->seq;
   d.epoch = router->epoch;
-  d.n_resources = router->res_at[RES_CANARY] ? RES_COUNT : RES_CANARY;
+  d.n_resources = router->res_at[RESOURCE_CANARY] ? RESOURCE_COUNT : RESOURCE_CANARY;
   d.resources = parts;
   d.n_grants = n;
   d.grants = gp;
   b->snapshot.len = wire__state_snapshot__get_packed_size(&d);
-  b->snapshot.data = reply_hold(reply, b->snapshot.len + 1);
+  b->snapshot.data = reply_alloc(reply, b->snapshot.len + 1);
   wire__state_snapshot__pack(&d, b->snapshot.data);
   g_free(gs);
   g_free(gp);
@@ -609,13 +609,13 @@
 }
 
 void news_start(router *router) {
-  node_on(&router->node, WIRE__ENVELOPE__BODY_CONFIG_POLL_REQUEST, on_news, router);
+  node_register_handler(&router->node, WIRE__ENVELOPE__BODY_CONFIG_POLL_REQUEST, on_news, router);
   task_start(&router->node.world->tasks, "news", news_run, router);
-  if (router->node.settings.loose)
+  if (router->node.settings.relaxed)
     task_start(&router->node.world->tasks, "second", second_run, router);
   /* a gateway takes these messages itself, since its fellows send them too */
-  node_on(&router->node, WIRE__ENVELOPE__BODY_ENGINE_UPDATE, on_engines, router);
-  if (router->node.settings.loose) {
+  node_register_handler(&router->node, WIRE__ENVELOPE__BODY_ENGINE_UPDATE, on_engines, router);
+  if (router->node.settings.relaxed) {
     task_start(&router->node.world->tasks, "peers", peer_of_loose_run, router);
     return;
   }
--- a/lib/router/place.c
+++ b/lib/router/place.c
@@ -17,14 +17,14 @@
 };
 
 bool item_size(router *router, id model_, id adapter_, uint64_t *megs, unsigned *slots) {
-  const model *m = router->config ? config_model(router->config, model_.text) : NULL;
+  const catalogue_model *m = router->config ? config_model(router->config, model_.text) : NULL;
   if (!m)
     return false;
   *megs = m->weights_mb;
   *slots = 0;
   if (id_is_empty(adapter_))
     return true;
-  const adapter *a = config_adapter(router->config, adapter_.text);
+  const catalogue_adapter *a = config_adapter(router->config, adapter_.text);
   if (!a || !id_equal(a->model, model_))
     return false;
   *megs = a->weights_mb;
@@ -34,17 +34,17 @@
 
 double item_penalty(router *router, id type, id model_, id adapter_) {
   char key[128];
-  const model *m = router->config ? config_model(router->config, model_.text) : NULL;
-  double fall = !router->config          ? 4000
-                : !id_is_empty(adapter_) ? router->config->start_load_ms / 4
-                : m && m->start_ms > 0   ? m->start_ms
-                                         : router->config->start_load_ms;
+  const catalogue_model *m = router->config ? config_model(router->config, model_.text) : NULL;
+  double fall = !router->config               ? 4000
+                : !id_is_empty(adapter_)      ? router->config->default_load_ms / 4
+                : m && m->default_load_ms > 0 ? m->default_load_ms
+                                              : router->config->default_load_ms;
   history_key(key, sizeof key, model_, adapter_);
   return history_penalty(&router->history, type, key, fall);
 }
 
 static bool gave_up(engine *engine) {
-  return engine->quit || engine->router->node.world->tasks.dead;
+  return engine->quit || engine->router->node.world->tasks.stopped;
 }
 
 /* room that no report has yet shown as free counts as taken */
@@ -73,32 +73,33 @@
   router *router = engine->router;
   uint64_t epoch = epoch_of(engine);
   if (!epoch) {
-    error_set(err, E_NO_HOLDER, "no contract for %s", engine->self.text);
+    error_set(err, E_NO_LEASE_HOLDER, "no contract for %s", engine->self.text);
     return -1;
   }
   GString *b = g_string_new(NULL), *got = g_string_new(NULL);
   char ep[32], path[32];
-  json_f(b,
-         "{\"model\":\"%s\",\"adapter\":\"%s\",\"weightsMb\":%" PRIu64
-         ",\"slots\":%u,\"epoch\":%" PRIu64 ",\"order\":%" PRIu64 ",\"holder\":\"%s\",\"boot\":",
-         model_.text, adapter_.text, megs, slots, epoch, ++engine->orders,
-         router->node.settings.self.text);
-  json_quote(b, string_view_of(engine->boot));
+  json_appendf(b,
+               "{\"model\":\"%s\",\"adapter\":\"%s\",\"weightsMb\":%" PRIu64
+               ",\"slots\":%u,\"epoch\":%" PRIu64 ",\"order\":%" PRIu64
+               ",\"holder\":\"%s\",\"boot\":",
+               model_.text, adapter_.text, megs, slots, epoch, ++engine->orders,
+               router->node.settings.self.text);
+  json_append_quoted(b, string_view_of(engine->boot));
   g_string_append_c(b, '}');
   snprintf(ep, sizeof ep, "%" PRIu64, epoch);
   snprintf(path, sizeof path, "/v1/%s", what);
   http_headers h = { { 0 } };
-  http_headers_set(&h, HEADER_TYPE, "application/json");
+  http_headers_set(&h, HEADER_CONTENT_TYPE, "application/json");
   http_headers_set(&h, HEADER_EPOCH, ep);
-  http_headers_set(&h, HEADER_HOLDER, router->node.settings.self.text);
+  http_headers_set(&h, HEADER_LEASE_HOLDER, router->node.settings.self.text);
   history_add(&router->history,
               (entry){ EV_ORDERED, { 0 }, engine->self, model_, adapter_, what[0] == 'l' });
   char duty[64];
   duty_engine(duty, sizeof duty, engine->self);
   contract *contract = g_hash_table_lookup(router->contracts, duty);
-  int st = http_call_and_read_by(router->node.world, engine->addr, "POST", path, &h,
-                                 string_view_of_gstring(b), got, time_from_ms(ORDER_MS),
-                                 contract->till.us < by.us ? contract->till : by, err);
+  int st = http_call_fetch_before(router->node.world, engine->addr, "POST", path, &h,
+                                  string_view_of_gstring(b), got, time_from_ms(ORDER_MS),
+                                  contract->till.us < by.us ? contract->till : by, err);
   if (st && st != 202)
     error_set(err, E_ORDER_FAILED, "%s answered %d to %s: %.100s", engine->self.text, st, what,
               got->str);
@@ -158,7 +159,7 @@
     int st =
         order(engine, "unload", model_, adapter_, holding->megs, holding->slots, time_never(), err);
     if (st == -1)
-      return E_NO_HOLDER;
+      return E_NO_LEASE_HOLDER;
     if (st && st != 202 && st != 404)
       return err->code;
     if (st == 202 && (holding = engine_holding(engine, model_, adapter_)))
@@ -225,8 +226,8 @@
             (id_is_empty(h->adapter) || id_equal(k->adapter, h->adapter)))
           candidate->barred = true;
     }
-    policy rule = { router->config->eviction,
-                    config_formula(router->config, router->config->eviction), now };
+    policy rule = { router->config->eviction_policy,
+                    config_formula(router->config, router->config->eviction_policy), now };
     int got = policy_fill(&rule, all, n, l, chance, router->node.world);
     if (got < 0) {
       /* something on its way out may still bring the room */
@@ -237,7 +238,7 @@
       if (going && news_next(engine) != WAKE_STOPPED)
         continue;
       *wait = 2000;
-      return error_set(err, E_NO_ROOM, "nothing on %s may be unloaded for %s%s%s now",
+      return error_set(err, E_NO_CAPACITY, "nothing on %s may be unloaded for %s%s%s now",
                        engine->self.text, model_.text, adapter_.text[0] ? "+" : "", adapter_.text);
     }
     log_debug(&router->node.log, "place",
@@ -253,7 +254,7 @@
     }
   }
   *wait = 2000;
-  return error_set(err, E_NO_ROOM, "%s found no room in time", engine->self.text);
+  return error_set(err, E_NO_CAPACITY, "%s found no room in time", engine->self.text);
 }
 
 /* asks whoever holds the pace for a moment to start a load in */
@@ -263,29 +264,30 @@
   id holder;
   uint64_t epoch;
   if (!router_grant(router, "pacer", &holder, &epoch))
-    return error_set(err, E_LOAD_PACE, "nobody holds the pace");
-  machine *machine = node_find_machine(&router->node, holder);
+    return error_set(err, E_LOAD_RATE_LIMITED, "nobody holds the pace");
+  peer_node *peer = node_find_peer(&router->node, holder);
   char addr[48];
   if (id_equal(holder, router->node.settings.self))
-    g_strlcpy(addr, router->node.settings.addr, sizeof addr);
-  else if (machine && !machine->gone)
-    g_strlcpy(addr, machine->addr, sizeof addr);
+    g_strlcpy(addr, router->node.settings.address, sizeof addr);
+  else if (peer && !peer->gone)
+    g_strlcpy(addr, peer->address, sizeof addr);
   else
-    return error_set(err, E_LOAD_PACE, "the holder of the pace, %s, is not there", holder.text);
+    return error_set(err, E_LOAD_RATE_LIMITED, "the holder of the pace, %s, is not there",
+                     holder.text);
   Wire__LoadPermitRequest t = WIRE__LOAD_PERMIT_REQUEST__INIT;
   t.engine = engine->self.text;
   t.key = (char *)key;
   t.epoch = epoch;
-  Wire__Envelope q = wire_msg(WIRE__ENVELOPE__BODY_LOAD_PERMIT_REQUEST, &t), *b;
+  Wire__Envelope q = wire_envelope(WIRE__ENVELOPE__BODY_LOAD_PERMIT_REQUEST, &t), *b;
   time_us sent = world_now(router->node.world);
   int r = node_call(&router->node, addr, &q, time_from_ms(600), &b, err);
   if (r)
     return r;
   if (b->body_case != WIRE__ENVELOPE__BODY_LOAD_PERMIT_RESPONSE)
-    r = error_set(err, E_WIRE, "no ticket");
+    r = error_set(err, E_WIRE_MESSAGE, "no ticket");
   else if (!b->load_permit_response->granted) {
     *wait = b->load_permit_response->wait_ms;
-    r = error_set(err, E_LOAD_PACE, "the pace is taken for %" PRIu64 " ms", *wait);
+    r = error_set(err, E_LOAD_RATE_LIMITED, "the pace is taken for %" PRIu64 " ms", *wait);
   } else {
     *from = time_add(world_now(router->node.world), time_from_ms(b->load_permit_response->wait_ms));
     *last = time_add(time_add(sent, time_from_ms(b->load_permit_response->wait_ms)),
@@ -301,9 +303,9 @@
   router *router = ctx;
   uint64_t epoch = duty_epoch(router, "pacer");
   if (!epoch || !router->config)
-    return error_set(err, E_NO_HOLDER, "the pace is not held here");
+    return error_set(err, E_NO_LEASE_HOLDER, "the pace is not held here");
   if (in->load_permit_request->epoch > epoch)
-    return error_set(err, E_EPOCH, "a younger epoch is known");
+    return error_set(err, E_STALE_EPOCH, "a younger epoch is known");
   double pace = router->config->loads_per_s;
   int64_t slack = MIN((int64_t)TICKET_MS * 1000, (int64_t)(250000 / pace)),
           span = (int64_t)(1e6 / pace) + slack;
@@ -313,8 +315,8 @@
     at = router->pace_next;
   if (at.us < now.us)
     at = now;
-  Wire__LoadPermitResponse *b = reply_new(reply, WIRE__ENVELOPE__BODY_LOAD_PERMIT_RESPONSE,
-                                          &wire__load_permit_response__descriptor);
+  Wire__LoadPermitResponse *b = reply_new_body(reply, WIRE__ENVELOPE__BODY_LOAD_PERMIT_RESPONSE,
+                                               &wire__load_permit_response__descriptor);
   int64_t wait = time_sub(at, now).us;
   contract *contract = g_hash_table_lookup(router->contracts, "pacer");
   bool far = wait > (int64_t)PACE_LINE_MS * 1000 || at.us >= contract->till.us;
@@ -356,9 +358,9 @@
   if (holding && holding->state == HOLD_UP && below && below->state == HOLD_UP)
     return OK;
   if (!item_size(router, model_, adapter_, &megs, &slots))
-    return error_set(err, E_MODEL, "the catalogue has no %s", key);
+    return error_set(err, E_UNKNOWN_MODEL, "the catalogue has no %s", key);
   if (megs > engine->weights_mb || slots > engine->adapter_slots)
-    return error_set(err, E_FITS_NO_ENGINE, "%s does not fit on %s", key, engine->self.text);
+    return error_set(err, E_NO_ENGINE_FITS, "%s does not fit on %s", key, engine->self.text);
   backoff *b = back_of(engine, model_, adapter_);
   time_us now = world_now(router->node.world);
   if (!time_reached(now, b->till)) {
@@ -398,8 +400,9 @@
         return r;
       }
       if (r) {
-        if (!world_sleep_about(router->node.world,
-                               time_from_ms(r == E_LOAD_PACE && *wait ? MIN(*wait, 1000) : 400)))
+        if (!world_sleep_with_jitter(
+                router->node.world,
+                time_from_ms(r == E_LOAD_RATE_LIMITED && *wait ? MIN(*wait, 1000) : 400)))
           return E_STOPPING;
         continue;
       }
@@ -410,17 +413,17 @@
         break;
     }
     if (!engine_open(engine))
-      return error_set(err, E_ENGINE, "%s takes no new work", engine->self.text);
+      return error_set(err, E_NO_ENGINE, "%s takes no new work", engine->self.text);
     lack l = lacking(engine, megs, slots);
     if (l.megs || l.slots) {
       *wait = 1000;
-      return error_set(err, E_NO_ROOM, "the room on %s went while the pace was waited for",
+      return error_set(err, E_NO_CAPACITY, "the room on %s went while the pace was waited for",
                        engine->self.text);
     }
     if (!id_is_empty(adapter_)) {
       holding = engine_holding(engine, model_, id_of_text(""));
       if (!holding || holding->state != HOLD_UP)
-        return error_set(err, E_NO_ROOM, "the base of %s went", key);
+        return error_set(err, E_NO_CAPACITY, "the base of %s went", key);
     }
     char boot[48];
     uint64_t seq = engine->seq;
@@ -441,18 +444,18 @@
       /* nothing was sent, so nothing is owed */
       repay(engine, boot, model_, adapter_, megs, slots);
       *wait = 1000;
-      return error_set(err, E_LOAD_PACE, "%s could not be reached within the slot",
+      return error_set(err, E_LOAD_RATE_LIMITED, "%s could not be reached within the slot",
                        engine->self.text);
     }
     if (st && st != 202) {
       repay(engine, boot, model_, adapter_, megs, slots);
       if (st == -1)
-        return E_NO_HOLDER;
+        return E_NO_LEASE_HOLDER;
       *wait = 2000;
       /* the engine knows a younger epoch, or is a new run that the last report did not show: no
        * fault of the load */
       if (st == 412)
-        return error_set(err, E_ENGINE, "%s refused an order that is out of date",
+        return error_set(err, E_NO_ENGINE, "%s refused an order that is out of date",
                          engine->self.text);
       failed(engine, model_, adapter_);
       return E_ORDER_FAILED;
@@ -473,8 +476,8 @@
         *wait = 5000;
         log_info(&router->node.log, "engine",
                  "%s took a load and its reports do not move; its room counts as taken (code %d).",
-                 engine->self.text, E_ENGINE);
-        return error_set(err, E_ENGINE, "%s took a load and shows nothing of it",
+                 engine->self.text, E_NO_ENGINE);
+        return error_set(err, E_NO_ENGINE, "%s took a load and shows nothing of it",
                          engine->self.text);
       }
     }
@@ -566,11 +569,11 @@
     error err = { 0 };
     uint64_t wait = 0;
     int r = !epoch_of(engine)
-                ? error_set(&err, E_NO_HOLDER, "no contract for %s here", engine->self.text)
+                ? error_set(&err, E_NO_LEASE_HOLDER, "no contract for %s here", engine->self.text)
             : !engine_open(engine)
-                ? error_set(&err, E_ENGINE, "%s takes no new work", engine->self.text)
+                ? error_set(&err, E_NO_ENGINE, "%s takes no new work", engine->self.text)
                 : load(engine, best->model, best->adapter, &wait, &err);
-    if (r && r != E_STOPPING && r != E_NO_HOLDER)
+    if (r && r != E_STOPPING && r != E_NO_LEASE_HOLDER)
       log_info(&router->node.log, "place", "No load of %s%s%s on %s: %s (code %d).",
                best->model.text, best->adapter.text[0] ? "+" : "", best->adapter.text,
                engine->self.text, err.text, r);
@@ -579,7 +582,7 @@
   }
   list_for_each (k, &engine->wants, want, link) {
     if (!k->done)
-      settle(k, E_ENGINE, 1000);
+      settle(k, E_NO_ENGINE, 1000);
     if (!k->waiters) {
       list_remove(&k->link);
       g_free(k);
@@ -595,11 +598,11 @@
   engine *engine = engine_find(router, id_of_text(q->engine));
   if (!id_is_valid(string_view_of(q->model)) ||
       (q->adapter[0] && !id_is_valid(string_view_of(q->adapter))))
-    return error_set(err, E_WIRE, "no such name");
+    return error_set(err, E_WIRE_MESSAGE, "no such name");
   if (!engine || engine->quit)
-    return error_set(err, E_ENGINE, "%.40s is not listed here", q->engine);
+    return error_set(err, E_NO_ENGINE, "%.40s is not listed here", q->engine);
   if (!epoch_of(engine))
-    return error_set(err, E_NO_HOLDER, "%s is not held here", engine->self.text);
+    return error_set(err, E_NO_LEASE_HOLDER, "%s is not held here", engine->self.text);
   id m = id_of_text(q->model), a = id_of_text(q->adapter);
   want *k = NULL;
   list_for_each (i, &engine->wants, want, link)
@@ -621,8 +624,8 @@
   while (!k->done)
     if (condition_wait(&router->node.world->tasks, &k->changed, till) != WAKE_SIGNALLED)
       break;
-  Wire__ModelLoadResponse *b = reply_new(reply, WIRE__ENVELOPE__BODY_MODEL_LOAD_RESPONSE,
-                                         &wire__model_load_response__descriptor);
+  Wire__ModelLoadResponse *b = reply_new_body(reply, WIRE__ENVELOPE__BODY_MODEL_LOAD_RESPONSE,
+                                              &wire__model_load_response__descriptor);
   int code = k->done ? k->code : E_IN_PROGRESS;
   b->loaded = k->done && !k->code;
   b->retry_after_ms = k->done ? k->wait : 0;
@@ -641,8 +644,8 @@
   q.nonce = router->node.nonce;
   q.n_load_times = 1;
   q.load_times = &tp;
-  Wire__Envelope m = wire_msg(WIRE__ENVELOPE__BODY_RATE_REPORT, &q);
-  node_send_all(&router->node, ROLE_ROUTER, &m);
+  Wire__Envelope m = wire_envelope(WIRE__ENVELOPE__BODY_RATE_REPORT, &q);
+  node_broadcast(&router->node, ROLE_ROUTER, &m);
 }
 
 void router_rates_heard(router *router, const Wire__RateReport *q) {
@@ -667,7 +670,7 @@
 /* tells the others what this node has routed, so that each holder knows the whole fleet's rates */
 static void rates_run(void *p) {
   router *router = p;
-  while (world_sleep_about(router->node.world, time_from_ms(2000))) {
+  while (world_sleep_with_jitter(router->node.world, time_from_ms(2000))) {
     /* what the pace was like lately, for the doctor */
     router->pace_given *= 0.8;
     router->pace_full *= 0.8;
@@ -689,9 +692,9 @@
     q.nonce = router->node.nonce;
     q.n_counts = all->len;
     q.counts = (Wire__RequestCount **)all->pdata;
-    Wire__Envelope m = wire_msg(WIRE__ENVELOPE__BODY_RATE_REPORT, &q);
+    Wire__Envelope m = wire_envelope(WIRE__ENVELOPE__BODY_RATE_REPORT, &q);
     if (all->len)
-      node_send_all(&router->node, ROLE_ROUTER, &m);
+      node_broadcast(&router->node, ROLE_ROUTER, &m);
     g_ptr_array_free(all, TRUE);
   }
 }
@@ -701,8 +704,8 @@
 }
 
 void place_start(router *router) {
-  node_on(&router->node, WIRE__ENVELOPE__BODY_MODEL_LOAD_REQUEST, on_miss, router);
-  node_on(&router->node, WIRE__ENVELOPE__BODY_LOAD_PERMIT_REQUEST, on_ticket, router);
-  node_on(&router->node, WIRE__ENVELOPE__BODY_RATE_REPORT, on_rates, router);
+  node_register_handler(&router->node, WIRE__ENVELOPE__BODY_MODEL_LOAD_REQUEST, on_miss, router);
+  node_register_handler(&router->node, WIRE__ENVELOPE__BODY_LOAD_PERMIT_REQUEST, on_ticket, router);
+  node_register_handler(&router->node, WIRE__ENVELOPE__BODY_RATE_REPORT, on_rates, router);
   task_start(&router->node.world->tasks, "rates", rates_run, router);
 }
--- a/lib/router/platform.c
+++ b/lib/router/platform.c
@@ -24,7 +24,8 @@
          !engine->quit && engine->heard.us &&
          !time_reached(now, time_add(engine->heard, time_from_ms(DARK_MS))) &&
          time_reached(now, engine->shunned) &&
-         !(router->config && config_empties(router->config, engine->self, engine->area));
+         !(router->config &&
+           config_is_engine_evacuated(router->config, engine->self, engine->area));
 }
 
 /* while an engine is cold its few places are dealt out among the routers, in an order that turns,
@@ -34,12 +35,12 @@
 static int cold_share(engine *engine, int cap, int64_t age) {
   router *router = engine->router;
   int all = 1, before = 0;
-  uint64_t mine = hash_of_two(engine->self.text, router->node.settings.self.text);
-  list_for_each (peer, &router->node.machines, machine, link) {
-    if (peer->role != ROLE_ROUTER || peer->gone || peer->leaving)
+  uint64_t mine = hash_two_names(engine->self.text, router->node.settings.self.text);
+  list_for_each (peer, &router->node.peers, peer_node, link) {
+    if (peer->role != ROLE_ROUTER || peer->gone || peer->draining)
       continue;
     all++;
-    before += hash_of_two(engine->self.text, peer->self.text) > mine;
+    before += hash_two_names(engine->self.text, peer->self.text) > mine;
   }
   int place = (int)((before + age / (TURN_MS * 1000)) % all);
   return (cap + all - 1 - place) / all;
@@ -54,7 +55,7 @@
 }
 
 int engine_cap(engine *engine) {
-  int most = engine->router->config ? engine->router->config->streams_most : 1;
+  int most = engine->router->config ? engine->router->config->streams_max : 1;
   int64_t slow = engine->router->config ? engine->router->config->slow_start_s * 1000000 : 0,
           age = time_sub(world_now(engine->router->node.world), engine->up_at).us;
   if (!slow || age >= slow)
@@ -86,13 +87,13 @@
   time_us now = world_now(router->node.world);
   const char *self = json_text(value, "id", ""), *boot = json_text(value, "boot", "");
   const json *l = json_get(value, "holdings");
-  uint64_t seq = json_num(value, "seq", -1) < 0 ? 0 : (uint64_t)json_num(value, "seq", 0);
-  if (strcmp(self, engine->self.text) || !l || l->kind != J_ARR ||
-      json_num(value, "weightsMb", 0) < 0) {
+  uint64_t seq = json_number(value, "seq", -1) < 0 ? 0 : (uint64_t)json_number(value, "seq", 0);
+  if (strcmp(self, engine->self.text) || !l || l->kind != JSON_ARRAY ||
+      json_number(value, "weightsMb", 0) < 0) {
     if (!engine->odd)
       log_info(&router->node.log, "engine",
                "The report at %s is not one of %s; the engine is passed over (code %d).",
-               engine->addr, engine->self.text, E_ENGINE);
+               engine->addr, engine->self.text, E_NO_ENGINE);
     engine->odd = true;
     engine->heard = (time_us){ 0 };
     return;
@@ -115,11 +116,11 @@
   engine->seq = seq;
   engine->known = true;
   engine->heard = now;
-  engine->running = json_num(value, "running", 0);
+  engine->running = json_number(value, "running", 0);
   engine->own_running_at_report = engine->own_running;
-  if (json_num(value, "weightsMb", 0) >= 1)
-    engine->weights_mb = json_num(value, "weightsMb", 0);
-  engine->adapter_slots = json_num(value, "adapterSlots", engine->adapter_slots);
+  if (json_number(value, "weightsMb", 0) >= 1)
+    engine->weights_mb = json_number(value, "weightsMb", 0);
+  engine->adapter_slots = json_number(value, "adapterSlots", engine->adapter_slots);
   list_for_each (h, &engine->holdings, holding, link)
     h->seen = false;
   for (size_t i = 0; i < json_count(l); i++) {
@@ -148,10 +149,10 @@
       h->up_at = now;
     h->state = s;
     h->seen = true;
-    h->megs = json_num(x, "weightsMb", 0) > 0 ? json_num(x, "weightsMb", 0) : 0;
-    h->slots = json_num(x, "slots", 0) > 0 ? json_num(x, "slots", 0) : as.length ? 1 : 0;
-    h->running = json_num(x, "running", 0);
-    h->used = json_num(x, "served", 0) > 0;
+    h->megs = json_number(x, "weightsMb", 0) > 0 ? json_number(x, "weightsMb", 0) : 0;
+    h->slots = json_number(x, "slots", 0) > 0 ? json_number(x, "slots", 0) : as.length ? 1 : 0;
+    h->running = json_number(x, "running", 0);
+    h->used = json_number(x, "served", 0) > 0;
   }
   list_for_each (h, &engine->holdings, holding, link)
     if (!h->seen) {
@@ -172,9 +173,9 @@
     GString *b = g_string_new(NULL);
     error err = { 0 };
     time_us from = world_now(router->node.world);
-    int st = http_call_and_read(router->node.world, engine->addr, "GET", path, NULL,
-                                string_view_of(""), b, time_from_ms(STATE_MS), &err);
-    json *json = st == 200 ? json_read(string_view_of_gstring(b), &err) : NULL;
+    int st = http_call_fetch(router->node.world, engine->addr, "GET", path, NULL,
+                             string_view_of(""), b, time_from_ms(STATE_MS), &err);
+    json *json = st == 200 ? json_parse(string_view_of_gstring(b), &err) : NULL;
     if (json)
       report(engine, json);
     else if (err.code == E_NOT_CONNECTED)
@@ -182,7 +183,7 @@
     if (!json && st && !engine->odd) {
       engine->odd = true;
       log_info(&router->node.log, "engine", "%s at %s answers no report: %s (code %d).",
-               engine->self.text, engine->addr, err.text, E_ENGINE);
+               engine->self.text, engine->addr, err.text, E_NO_ENGINE);
     }
     json_free(json);
     g_string_free(b, TRUE);
@@ -201,7 +202,7 @@
 
 static bool take_list(router *router, const json *value, time_us at, bool whole) {
   const json *l = json_get(value, "engines");
-  if (!l || l->kind != J_ARR)
+  if (!l || l->kind != JSON_ARRAY)
     return false;
   router->list_known = true;
   router->list_at = at;
@@ -209,7 +210,7 @@
   for (size_t i = 0; i < json_count(l); i++) {
     const json *x = json_at(l, i);
     const char *self = json_text(x, "id", ""), *addr = json_text(x, "addr", "");
-    if (!id_is_valid(string_view_of(self)) || !addr_fits(addr))
+    if (!id_is_valid(string_view_of(self)) || !address_is_valid(addr))
       continue;
     engine *e = engine_find(router, id_of_text(self));
     if (e && g_hash_table_contains(seen, e->self.text)) {
@@ -237,8 +238,8 @@
       condition_init(&e->news);
       condition_init(&e->work);
       e->type = id_of_text(json_text(x, "type", "any"));
-      e->weights_mb = json_num(x, "weightsMb", 0);
-      e->adapter_slots = json_num(x, "adapterSlots", 0);
+      e->weights_mb = json_number(x, "weightsMb", 0);
+      e->adapter_slots = json_number(x, "adapterSlots", 0);
       list_append(&router->engines, &e->link);
       e->refs = 2;
       task_start(&router->node.world->tasks, "engine", watch_run, e);
@@ -246,7 +247,7 @@
     }
     g_hash_table_add(seen, e->self.text);
     e->area = id_of_text(json_text(x, "area", "none"));
-    bool leaves = json_yes(x, "leaving", false);
+    bool leaves = json_bool(x, "leaving", false);
     if (leaves != e->leaving)
       log_info(&router->node.log, "platform", "%s %s.", self,
                leaves ? "is leaving, no new work for it" : "stays after all");
@@ -268,7 +269,7 @@
 }
 
 bool platform_heard(router *router, string_view text, time_us at) {
-  json *json = json_read(text, NULL);
+  json *json = json_parse(text, NULL);
   bool ok = json && take_list(router, json, at, false);
   if (ok) {
     g_string_truncate(router->list, 0);
@@ -285,10 +286,9 @@
     GString *b = g_string_new(NULL);
     error err = { 0 };
     time_us from = world_now(router->node.world);
-    int st =
-        http_call_and_read(router->node.world, router->node.settings.platform, "GET", "/v1/engines",
-                           NULL, string_view_of(""), b, time_from_ms(1000), &err);
-    json *json = st == 200 ? json_read(string_view_of_gstring(b), &err) : NULL;
+    int st = http_call_fetch(router->node.world, router->node.settings.platform_address, "GET",
+                             "/v1/engines", NULL, string_view_of(""), b, time_from_ms(1000), &err);
+    json *json = st == 200 ? json_parse(string_view_of_gstring(b), &err) : NULL;
     if (json && take_list(router, json, from, true))
       g_string_assign(router->list, b->str);
     else if (json) {
@@ -306,7 +306,7 @@
     }
     json_free(json);
     g_string_free(b, TRUE);
-    if (!world_sleep_about(router->node.world, time_from_ms(LIST_MS)))
+    if (!world_sleep_with_jitter(router->node.world, time_from_ms(LIST_MS)))
       return;
   }
 }
--- a/lib/router/policy.c
+++ b/lib/router/policy.c
@@ -4,13 +4,13 @@
 double policy_worth(const policy *policy, const candidate *candidate, double size,
                     uint64_t chance) {
   if (policy->own) {
-    double v[F_NAMES] = { [F_PENALTY] = candidate->penalty,
-                          [F_RATE] = candidate->rate,
-                          [F_SIZE] = size > 0 ? size : 1,
-                          [F_MEGS] = (double)candidate->megs,
-                          [F_SLOTS] = candidate->slots,
-                          [F_IDLE] = (double)time_sub(policy->now, candidate->used).us / 1e6 };
-    return formula_run(policy->own, v);
+    double v[F_VARIABLES] = { [F_PENALTY] = candidate->penalty,
+                              [F_RATE] = candidate->rate,
+                              [F_SIZE] = size > 0 ? size : 1,
+                              [F_MB] = (double)candidate->megs,
+                              [F_SLOTS] = candidate->slots,
+                              [F_IDLE] = (double)time_sub(policy->now, candidate->used).us / 1e6 };
+    return formula_evaluate(policy->own, v);
   }
   if (!strcmp(policy->name, "popularity"))
     return candidate->rate;
