--- a/lib/router/route.c
+++ b/lib/router/route.c
@@ -14,8 +14,8 @@
   char prefix[NAME_MOST];
   int lane;
   bool resumable, waits, runs, queued, maybe;
-  const kind *kind;
-  kind kind_now;
+  const request_kind *kind;
+  request_kind kind_now;
   time_us since, till, hold_till;
   engine *engine;
   id shunned[8];
@@ -46,24 +46,24 @@
   router *router = request->router;
   int st;
   switch (request->code) {
-  case E_MODEL:
+  case E_UNKNOWN_MODEL:
     st = 404;
     break;
-  case E_FITS_NO_ENGINE:
+  case E_NO_ENGINE_FITS:
     st = 422;
     break;
   case E_QUEUE_FULL:
-  case E_SHED:
+  case E_LOAD_SHED:
     st = 429;
     break;
   case E_STREAM_BROKEN:
-  case E_LOST_AFTER_SENT:
+  case E_CONNECTION_LOST_AFTER_SEND:
     st = 502;
     break;
-  case E_DEADLINE:
+  case E_DEADLINE_EXCEEDED:
     st = 504;
     break;
-  case E_REFUSED_BY_RULE:
+  case E_REJECTED_BY_RULE:
     st = (int)request->back;
     request->back = 0;
     break;
@@ -76,22 +76,22 @@
     ms += (int64_t)world_random(router->node.world, ms / 2 + 500);
     char buf[24];
     snprintf(buf, sizeof buf, "%" PRId64, (ms + 999) / 1000);
-    http_headers_set(&request->http->own_reply_fields, HEADER_RETRY, buf);
+    http_headers_set(&request->http->known_response_fields, HEADER_RETRY_AFTER, buf);
   }
   GString *b = g_string_new(NULL);
-  json_f(b, "{\"code\":%d,\"run\":\"%s\",\"request\":\"%s\",\"error\":", request->code,
-         request->run, request->name);
-  json_quote(b, string_view_of(request->why));
+  json_appendf(b, "{\"code\":%d,\"run\":\"%s\",\"request\":\"%s\",\"error\":", request->code,
+               request->run, request->name);
+  json_append_quoted(b, string_view_of(request->why));
   g_string_append(b, "}\n");
-  http_request_answer(request->http, st, "application/json", string_view_of_gstring(b));
+  http_request_respond(request->http, st, "application/json", string_view_of_gstring(b));
   g_string_free(b, TRUE);
 }
 
 /* enrol: room in the line by kind, and no place for those who would wait in vain */
 static double free_share(router *router, int lane) {
-  double most = (double)router->config->line_most, spare = most;
+  double most = (double)router->config->queue_max, spare = most;
   for (int i = 0; i < router->config->kind_count; i++) {
-    double own = router->config->kinds[i].share * most;
+    double own = router->config->kinds[i].quota_share * most;
     if (i != lane)
       spare -= MAX(own, router->lanes[i].waiting);
   }
@@ -114,8 +114,8 @@
 /* the routers that share the engines with this one, and itself */
 static int routers(router *router) {
   int n = 1;
-  list_for_each (peer, &router->node.machines, machine, link)
-    n += peer->role == ROLE_ROUTER && !peer->gone && !peer->leaving;
+  list_for_each (peer, &router->node.peers, peer_node, link)
+    n += peer->role == ROLE_ROUTER && !peer->gone && !peer->draining;
   return n;
 }
 
@@ -161,7 +161,7 @@
   }
   if (est > request->kind->deadline_ms) {
     lane->shed++;
-    return give_up(request, E_SHED, MIN(est - request->kind->deadline_ms + 500, 60000),
+    return give_up(request, E_LOAD_SHED, MIN(est - request->kind->deadline_ms + 500, 60000),
                    "about %" PRId64 " ms of work wait ahead, past the deadline of kind %s", est,
                    request->kind->self.text);
   }
@@ -231,9 +231,9 @@
     if (load + 1 <= bound)
       worth += 4;
     if (request->prefix[0])
-      worth += (double)(hash_of_two(request->prefix, e->self.text) >> 12) / (double)(1ull << 52);
+      worth += (double)(hash_two_names(request->prefix, e->self.text) >> 12) / (double)(1ull << 52);
     else
-      worth += (id_equal(e->area, router->node.settings.area) ? 0.5 : 0) + 1.0 / (2 + load);
+      worth += (id_equal(e->area, router->node.settings.zone) ? 0.5 : 0) + 1.0 / (2 + load);
     if (!best || worth > top) {
       best = e;
       top = worth;
@@ -286,7 +286,7 @@
     bool here = engine_holding(e, request->model, request->adapter) != NULL;
     uint64_t need = megs + (b ? 0 : base);
     all[n++] =
-        (place){ e, hash_of_two(key, e->self.text),
+        (place){ e, hash_two_names(key, e->self.text),
                  here || (used + need <= e->weights_mb && taken + slots <= e->adapter_slots) };
     if (b && b->state == HOLD_UP)
       all[n - 1].at |= 1ull << 63;
@@ -313,22 +313,22 @@
   while (!miss->done) {
     time_us now = world_now(router->node.world);
     if (time_reached(now, miss->till)) {
-      miss->code = E_DEADLINE;
+      miss->code = E_DEADLINE_EXCEEDED;
       miss->wait = 3000;
       break;
     }
     id who;
     uint64_t epoch;
     error err = { 0 };
-    int r = E_NO_HOLDER;
+    int r = E_NO_LEASE_HOLDER;
     Wire__Envelope *b = NULL;
     if (router_grant(router, duty, &who, &epoch)) {
-      machine *machine = node_find_machine(&router->node, who);
+      peer_node *peer = node_find_peer(&router->node, who);
       char addr[48] = "";
       if (id_equal(who, router->node.settings.self))
-        g_strlcpy(addr, router->node.settings.addr, sizeof addr);
-      else if (machine && !machine->gone)
-        g_strlcpy(addr, machine->addr, sizeof addr);
+        g_strlcpy(addr, router->node.settings.address, sizeof addr);
+      else if (peer && !peer->gone)
+        g_strlcpy(addr, peer->address, sizeof addr);
       if (addr[0]) {
         Wire__ModelLoadRequest q = WIRE__MODEL_LOAD_REQUEST__INIT;
         q.engine = miss->engine.text;
@@ -336,7 +336,7 @@
         q.adapter = miss->adapter.text;
         q.weight = miss->weight;
         q.wait_ms = 2000;
-        Wire__Envelope w = wire_msg(WIRE__ENVELOPE__BODY_MODEL_LOAD_REQUEST, &q);
+        Wire__Envelope w = wire_envelope(WIRE__ENVELOPE__BODY_MODEL_LOAD_REQUEST, &q);
         r = node_call(&router->node, addr, &w, time_from_ms(2600), &b, &err);
       }
     }
@@ -351,7 +351,7 @@
         node_reply_free(b);
         break;
       }
-      if (k->error_code && k->error_code != E_IN_PROGRESS && k->error_code != E_NO_HOLDER) {
+      if (k->error_code && k->error_code != E_IN_PROGRESS && k->error_code != E_NO_LEASE_HOLDER) {
         miss->code = k->error_code;
         miss->wait = k->retry_after_ms;
         node_reply_free(b);
@@ -363,7 +363,7 @@
       miss->code = E_PEER_GONE;
       break;
     }
-    if (r && !world_sleep_about(router->node.world, time_from_ms(250))) {
+    if (r && !world_sleep_with_jitter(router->node.world, time_from_ms(250))) {
       miss->code = E_STOPPING;
       break;
     }
@@ -416,17 +416,17 @@
   condition_broadcast(&router->moved);
   for (;;) {
     time_us now = world_now(world);
-    if (world->tasks.dead) {
-      code = give_up(request, E_LEAVING, 1000, "this machine is stopping");
+    if (world->tasks.stopped) {
+      code = give_up(request, E_DRAINING, 1000, "this machine is stopping");
       break;
     }
-    if (request->http->gone) {
+    if (request->http->client_gone) {
       code = give_up(request, E_PEER_GONE, 0, "the caller went away");
       break;
     }
     if (!router_wait_enrol(router)) {
       router->alone++;
-      code = give_up(request, E_CUT_OFF, 2000,
+      code = give_up(request, E_ISOLATED, 2000,
                      "this machine is cut off and can't know what is in force");
       break;
     }
@@ -439,7 +439,7 @@
     time_us till = request->hold_till.us < request->till.us ? request->hold_till : request->till;
     if (time_reached(now, till)) {
       double pen = item_penalty(router, id_of_text("any"), request->model, request->adapter);
-      code = give_up(request, E_DEADLINE, any ? (int64_t)router->served : (int64_t)pen,
+      code = give_up(request, E_DEADLINE_EXCEEDED, any ? (int64_t)router->served : (int64_t)pen,
                      "no engine was free for %s%s%s in time", request->model.text,
                      request->adapter.text[0] ? "+" : "", request->adapter.text);
       break;
@@ -459,14 +459,14 @@
       engine *t = request->loads < ENGINES ? target(request, &fits) : NULL;
       if (!t) {
         if (!fits)
-          code = give_up(request, E_FITS_NO_ENGINE, 0, "%s%s%s fits no engine", request->model.text,
+          code = give_up(request, E_NO_ENGINE_FITS, 0, "%s%s%s fits no engine", request->model.text,
                          request->adapter.text[0] ? "+" : "", request->adapter.text);
         else if (why)
           code = give_up(request, why, back ? back : 2000, "%s%s%s could not be loaded",
                          request->model.text, request->adapter.text[0] ? "+" : "",
                          request->adapter.text);
         else if (time_reached(now, time_add(request->since, time_from_ms(3000))))
-          code = give_up(request, E_ENGINE, 3000, "no engine takes new work");
+          code = give_up(request, E_NO_ENGINE, 3000, "no engine takes new work");
         if (code)
           break;
       } else {
@@ -530,43 +530,44 @@
   enum attempt res = ATTEMPT_OVER;
   snprintf(attempt, sizeof attempt, "%s.%d", request->name, ++request->tries);
   http_headers h = { { 0 } };
-  http_headers_set(&h, HEADER_TYPE, "application/json");
+  http_headers_set(&h, HEADER_CONTENT_TYPE, "application/json");
   http_headers_set(&h, HEADER_ATTEMPT, attempt);
   engine->refs++;
   engine->own_running++;
   router->attempts++;
   time_us from = world_now(world);
-  http_call *call = http_call_open_by(world, engine->addr, "POST", "/v1/run", &h,
-                                      string_view_of_gstring(request->http->body), 1 << 20,
-                                      time_add(from, time_from_ms(SEND_MS)));
+  http_call *call = http_call_open_before(world, engine->addr, "POST", "/v1/run", &h,
+                                          string_view_of_gstring(request->http->body), 1 << 20,
+                                          time_add(from, time_from_ms(SEND_MS)));
   http_headers_free(&h);
   GString *got = g_string_new(NULL), *tail = g_string_new(NULL);
   int x;
   for (;;) {
     time_us step = time_add(world_now(world), time_from_ms(500));
     x = http_call_wait(call, step.us < request->till.us ? step : request->till);
-    if (x != E_NO_ANSWER || request->http->gone || time_reached(world_now(world), request->till))
+    if (x != E_NO_RESPONSE || request->http->client_gone ||
+        time_reached(world_now(world), request->till))
       break;
   }
   if (x == E_NOT_CONNECTED) {
     engine->fails++;
     engine->shunned = time_add(world_now(world), time_from_ms(200 << MIN(engine->fails, 5)));
     request->run = NOT_RUN;
-    give_up(request, E_ENGINE, 1000, "%s could not be reached", engine->self.text);
+    give_up(request, E_NO_ENGINE, 1000, "%s could not be reached", engine->self.text);
     res = ATTEMPT_AGAIN;
   } else if (x) {
     request->run = UNKNOWN;
-    give_up(request, x == E_NO_ANSWER ? E_DEADLINE : E_LOST_AFTER_SENT, 2000,
+    give_up(request, x == E_NO_RESPONSE ? E_DEADLINE_EXCEEDED : E_CONNECTION_LOST_AFTER_SEND, 2000,
             "%s gave no answer; whether it ran is not known", engine->self.text);
-    res = request->resumable && x != E_NO_ANSWER && !request->http->gone ? ATTEMPT_AGAIN
-                                                                         : ATTEMPT_OVER;
+    res = request->resumable && x != E_NO_RESPONSE && !request->http->client_gone ? ATTEMPT_AGAIN
+                                                                                  : ATTEMPT_OVER;
   } else if (call->status != 200) {
     http_call_read_all(call, got, time_add(world_now(world), time_from_ms(1000)));
-    json *value = json_read(string_view_of_gstring(got), NULL);
+    json *value = json_parse(string_view_of_gstring(got), NULL);
     const json *run = json_get(value, "run");
-    bool no = run && run->kind == J_BOOL && !run->yes;
+    bool no = run && run->kind == JSON_BOOL && !run->boolean;
     request->run = no ? NOT_RUN : FAILED;
-    give_up(request, no ? E_ENGINE : E_STREAM_BROKEN, 1000, "%s answered %d", engine->self.text,
+    give_up(request, no ? E_NO_ENGINE : E_STREAM_BROKEN, 1000, "%s answered %d", engine->self.text,
             call->status);
     json_free(value);
     res = no ? ATTEMPT_AGAIN : ATTEMPT_OVER;
@@ -591,7 +592,7 @@
       request->run = UNKNOWN;
       give_up(request, E_STREAM_BROKEN, 2000, "%s broke off before its stream began",
               engine->self.text);
-      res = request->resumable && x && !request->http->gone ? ATTEMPT_AGAIN : ATTEMPT_OVER;
+      res = request->resumable && x && !request->http->client_gone ? ATTEMPT_AGAIN : ATTEMPT_OVER;
     } else {
       engine->fails = 0;
       http_request_begin(request->http, 200, "text/event-stream");
@@ -609,7 +610,7 @@
         }
         g_string_truncate(got, 0);
         x = http_call_read(call, got, time_add(world_now(world), time_from_ms(IDLE_MS)));
-        if (request->http->gone) {
+        if (request->http->client_gone) {
           x = E_PEER_GONE + 1000;
           break;
         }
@@ -687,7 +688,7 @@
       return OK;
     /* a run that may have happened is final, unless the caller said that it may be run anew */
     bool may = request->run == NOT_RUN || request->resumable;
-    if (s != ATTEMPT_AGAIN || !may || request->tries >= TRIES || request->http->gone ||
+    if (s != ATTEMPT_AGAIN || !may || request->tries >= TRIES || request->http->client_gone ||
         time_reached(world_now(router->node.world), request->till) || !second(router))
       return request->code;
     request->hold_till = request->till;
@@ -708,38 +709,39 @@
 }
 
 /* the interpreter: a request passes the steps of the first rule that fits it */
-static void interpret(routed_request *request, const rule *u) {
+static void interpret(routed_request *request, const policy_rule *u) {
   router *router = request->router;
-  step steps[STEPS_MOST];
-  int n = u->count, code = OK;
+  rule_step steps[RULE_STEPS_MAX];
+  int n = u->step_count, code = OK;
   memcpy(steps, u->steps, sizeof steps);
   request->run = NOT_RUN;
   for (int i = 0; i < n && !code; i++)
-    switch (steps[i].op) {
-    case OP_ENROL:
+    switch (steps[i].kind) {
+    case STEP_ADMIT:
       code = op_enrol(request);
       break;
-    case OP_SELECT:
+    case STEP_SELECT_ENGINE:
       code = op_select(request);
       break;
-    case OP_HOLD:
-      request->hold_till =
-          steps[i].n ? time_add(request->since, time_from_ms(steps[i].n)) : request->till;
+    case STEP_WAIT_FOR_ENGINE:
+      request->hold_till = steps[i].argument
+                               ? time_add(request->since, time_from_ms(steps[i].argument))
+                               : request->till;
       if (!request->engine)
         code = op_hold(request);
       break;
-    case OP_PROXY:
-      if (!request->engine && (i == 0 || steps[i - 1].op != OP_HOLD)) {
-        code = give_up(request, E_ENGINE, (int64_t)router->config->start_load_ms,
+    case STEP_PROXY:
+      if (!request->engine && (i == 0 || steps[i - 1].kind != STEP_WAIT_FOR_ENGINE)) {
+        code = give_up(request, E_NO_ENGINE, (int64_t)router->config->default_load_ms,
                        "%s is not held anywhere, and its rule does not hold", request->model.text);
         break;
       }
       code = op_proxy(request);
       break;
-    case OP_ANSWER:
+    case STEP_RESPOND:
       break;
-    case OP_REFUSE:
-      code = give_up(request, E_REFUSED_BY_RULE, steps[i].n, "a rule refuses this request");
+    case STEP_REJECT:
+      code = give_up(request, E_REJECTED_BY_RULE, steps[i].argument, "a rule refuses this request");
       break;
     }
   lane *lane = &router->lanes[request->lane];
@@ -753,8 +755,8 @@
     lane->refused++;
   else
     lane->failed++;
-  if (code && !request->http->began && !request->http->ended) {
-    if (!request->http->gone)
+  if (code && !request->http->response_started && !request->http->response_ended) {
+    if (!request->http->client_gone)
       answer(request);
     history_add(
         &router->history,
@@ -769,9 +771,9 @@
 static int field(const json *value, const char *key, id *to, bool need, error *err) {
   const json *x = json_get(value, key);
   *to = id_of_text("");
-  if (!x || x->kind == J_NULL)
+  if (!x || x->kind == JSON_NULL)
     return need ? error_set(err, E_FIELD, "%s: missing", key) : OK;
-  if (x->kind != J_STR ||
+  if (x->kind != JSON_STRING ||
       !(id_is_valid(string_view_of_gstring(x->text)) || (!need && !x->text->len)))
     return error_set(err, E_NAME, "%s: not a name", key);
   *to = id_of(string_view_of_gstring(x->text));
@@ -781,9 +783,10 @@
 static void generate(router *router, http_request *request) {
   error err = { 0 };
   routed_request r = { .router = router, .http = request };
-  json *json = json_read(string_view_of_gstring(request->body), &err);
+  json *json = json_parse(string_view_of_gstring(request->body), &err);
   id kn;
-  int c = json ? json->kind == J_OBJ ? OK : error_set(&err, E_TYPE, "not an object") : err.code;
+  int c =
+      json ? json->kind == JSON_OBJECT ? OK : error_set(&err, E_TYPE, "not an object") : err.code;
   if (!c)
     c = field(json, "model", &r.model, true, &err);
   if (!c)
@@ -795,27 +798,28 @@
     c = error_set(&err, E_TOO_LARGE, "prefix: over %zu bytes", sizeof r.prefix - 1);
   if (!c)
     g_strlcpy(r.prefix, pre, sizeof r.prefix);
-  r.resumable = json_yes(json, "resumable", false);
+  r.resumable = json_bool(json, "resumable", false);
   json_free(json);
   if (c) {
-    answer_error(request, 400, c, err.text);
+    http_respond_error(request, 400, c, err.text);
     return;
   }
   if (router->config && !router->drain && !router_wait_enrol(router)) {
     router->alone++;
     r.run = NOT_RUN;
-    give_up(&r, E_CUT_OFF, 2000, "this machine is cut off and can't know what is in force");
+    give_up(&r, E_ISOLATED, 2000, "this machine is cut off and can't know what is in force");
     answer(&r);
     return;
   }
   if (!router->config) {
-    http_headers_set(&request->own_reply_fields, HEADER_RETRY, "2");
-    answer_error(request, 503, E_CORE_GONE, "no configuration is known here yet; not run");
+    http_headers_set(&request->known_response_fields, HEADER_RETRY_AFTER, "2");
+    http_respond_error(request, 503, E_NO_CONTROLLER,
+                       "no configuration is known here yet; not run");
     return;
   }
   r.kind = id_is_empty(kn) ? &router->config->kinds[0] : config_kind(router->config, kn.text);
   if (!r.kind) {
-    answer_error(request, 400, E_NAME, "kind: the policy has no such kind");
+    http_respond_error(request, 400, E_NAME, "kind: the policy has no such kind");
     return;
   }
   r.lane = (int)(r.kind - router->config->kinds);
@@ -827,30 +831,31 @@
            router->node.nonce >> 32, ++router->requests);
   uint64_t megs;
   unsigned slots;
-  const rule *u = config_rule(router->config, r.kind->self.text, r.model.text, r.adapter.text);
-  rule own = u ? *u : (rule){ 0 };
+  const policy_rule *u =
+      config_rule(router->config, r.kind->self.text, r.model.text, r.adapter.text);
+  policy_rule own = u ? *u : (policy_rule){ 0 };
   if (router->drain) {
     r.run = NOT_RUN;
-    give_up(&r, E_LEAVING, 1000, "this machine is leaving");
+    give_up(&r, E_DRAINING, 1000, "this machine is leaving");
     answer(&r);
     return;
   }
   router->lanes[r.lane].asked++;
   if (!item_size(router, r.model, r.adapter, &megs, &slots)) {
     r.run = NOT_RUN;
-    give_up(&r, E_MODEL, 0, "the catalogue has no such model or adapter");
+    give_up(&r, E_UNKNOWN_MODEL, 0, "the catalogue has no such model or adapter");
     answer(&r);
     return;
   }
   if (!u) {
     r.run = NOT_RUN;
-    give_up(&r, E_REFUSED_BY_RULE, 403, "no rule fits this request");
+    give_up(&r, E_REJECTED_BY_RULE, 403, "no rule fits this request");
     answer(&r);
     return;
   }
   history_add(&router->history,
               (entry){ EV_ROUTED, { 0 }, id_of_text(""), r.model, r.adapter, r.lane });
-  router->retries = MIN(10.0, router->retries + router->config->retry_share);
+  router->retries = MIN(10.0, router->retries + router->config->retry_ratio);
   router->open++;
   list_append(&router->queue, &r.queue_link);
   interpret(&r, &own);
@@ -887,30 +892,31 @@
     uint64_t epoch = 0;
     duty_engine(duty, sizeof duty, e->self);
     router_grant(router, duty, &who, &epoch);
-    json_f(b, "%s{\"id\":\"%s\"", first ? "" : ",", e->self.text);
+    json_appendf(b, "%s{\"id\":\"%s\"", first ? "" : ",", e->self.text);
     first = false;
     if (!holdings) {
-      json_f(
+      json_appendf(
           b,
           ",\"type\":\"%s\",\"area\":\"%s\",\"addr\":\"%s\",\"weightsMb\":%" PRIu64
           ",\"adapterSlots\":%u,\"leaving\":%s,\"open\":%s,\"emptied\":%s,\"odd\":%s,\"heardMs\":%" PRId64
           ",\"running\":%d,\"cap\":%d,\"holder\":\"%s\",\"epoch\":%" PRIu64 "}",
           e->type.text, e->area.text, e->addr, e->weights_mb, e->adapter_slots,
           e->leaving ? "true" : "false", engine_open(e) ? "true" : "false",
-          router->config && config_empties(router->config, e->self, e->area) ? "true" : "false",
+          router->config && config_is_engine_evacuated(router->config, e->self, e->area) ? "true"
+                                                                                         : "false",
           e->odd ? "true" : "false", e->heard.us ? time_sub(now, e->heard).us / 1000 : -1,
           e->running, engine_cap(e), who.text, epoch);
       continue;
     }
-    json_f(b, ",\"boot\":\"%s\",\"seq\":%" PRIu64, e->boot, e->seq);
+    json_appendf(b, ",\"boot\":\"%s\",\"seq\":%" PRIu64, e->boot, e->seq);
     g_string_append(b, ",\"holdings\":[");
     bool f = true;
     list_for_each (h, &e->holdings, holding, link) {
-      json_f(b,
-             "%s{\"model\":\"%s\",\"adapter\":\"%s\",\"state\":\"%s\",\"weightsMb\":%" PRIu64
-             ",\"slots\":%u,\"running\":%u}",
-             f ? "" : ",", h->model.text, h->adapter.text, state_name(h->state), h->megs, h->slots,
-             h->running);
+      json_appendf(b,
+                   "%s{\"model\":\"%s\",\"adapter\":\"%s\",\"state\":\"%s\",\"weightsMb\":%" PRIu64
+                   ",\"slots\":%u,\"running\":%u}",
+                   f ? "" : ",", h->model.text, h->adapter.text, state_name(h->state), h->megs,
+                   h->slots, h->running);
       f = false;
     }
     g_string_append(b, "],\"waiting\":[");
@@ -918,8 +924,8 @@
     list_for_each (k, &e->wants, want, link) {
       if (k->done)
         continue;
-      json_f(b, "%s{\"model\":\"%s\",\"adapter\":\"%s\",\"sinceMs\":%" PRId64 "}", f ? "" : ",",
-             k->model.text, k->adapter.text, time_sub(now, k->since).us / 1000);
+      json_appendf(b, "%s{\"model\":\"%s\",\"adapter\":\"%s\",\"sinceMs\":%" PRId64 "}",
+                   f ? "" : ",", k->model.text, k->adapter.text, time_sub(now, k->since).us / 1000);
       f = false;
     }
     g_string_append(b, "]}");
@@ -934,58 +940,58 @@
   g_hash_table_iter_init(&it, router->contracts);
   while (g_hash_table_iter_next(&it, NULL, &p))
     held += duty_epoch(router, ((contract *)p)->duty.text) > 0;
-  machine *machine = node_pick_machine(&router->node, ROLE_CONTROLLER, router->core);
-  json_f(b,
-         "{\"id\":\"%s\",\"role\":\"router\",\"area\":\"%s\",\"epoch\":%" PRIu64
-         ",\"version\":%" PRIu64 ",\"fresh\":%s,\"core\":\"%s\",\"enrols\":%s,\"alone\":%" PRIu64
-         ",\"duties\":%d,\"listMs\":%" PRId64 ",\"draining\":%s,\"open\":%d,",
-         router->node.settings.self.text, router->node.settings.area.text, router->epoch,
-         router->seq, router_is_fresh(router) ? "true" : "false", machine ? machine->addr : "",
-         router_may_enrol(router) ? "true" : "false", router->alone, held,
-         router->list_known ? time_sub(world_now(router->node.world), router->list_at).us / 1000
-                            : -1,
-         router->drain ? "true" : "false", router->open);
-  json_f(b,
-         "\"requests\":%" PRIu64 ",\"attempts\":%" PRIu64 ",\"seconds\":%" PRIu64
-         ",\"loads\":%" PRIu64 ",\"loadFails\":%" PRIu64 ",\"unloads\":%" PRIu64
-         ",\"wasted\":%" PRIu64 ",\"tickets\":%" PRIu64 ",\"ticketsLate\":%" PRIu64
-         ",\"paceGiven\":%.1f,\"paceFull\":%.1f,",
-         router->requests, router->attempts, router->seconds, router->loads, router->load_fails,
-         router->unloads, router->wasted, router->tickets, router->tickets_late, router->pace_given,
-         router->pace_full);
-  node_status(&router->node, b);
+  peer_node *peer = node_pick_peer(&router->node, ROLE_CONTROLLER, router->core);
+  json_appendf(
+      b,
+      "{\"id\":\"%s\",\"role\":\"router\",\"area\":\"%s\",\"epoch\":%" PRIu64
+      ",\"version\":%" PRIu64 ",\"fresh\":%s,\"core\":\"%s\",\"enrols\":%s,\"alone\":%" PRIu64
+      ",\"duties\":%d,\"listMs\":%" PRId64 ",\"draining\":%s,\"open\":%d,",
+      router->node.settings.self.text, router->node.settings.zone.text, router->epoch, router->seq,
+      router_is_fresh(router) ? "true" : "false", peer ? peer->address : "",
+      router_may_enrol(router) ? "true" : "false", router->alone, held,
+      router->list_known ? time_sub(world_now(router->node.world), router->list_at).us / 1000 : -1,
+      router->drain ? "true" : "false", router->open);
+  json_appendf(b,
+               "\"requests\":%" PRIu64 ",\"attempts\":%" PRIu64 ",\"seconds\":%" PRIu64
+               ",\"loads\":%" PRIu64 ",\"loadFails\":%" PRIu64 ",\"unloads\":%" PRIu64
+               ",\"wasted\":%" PRIu64 ",\"tickets\":%" PRIu64 ",\"ticketsLate\":%" PRIu64
+               ",\"paceGiven\":%.1f,\"paceFull\":%.1f,",
+               router->requests, router->attempts, router->seconds, router->loads,
+               router->load_fails, router->unloads, router->wasted, router->tickets,
+               router->tickets_late, router->pace_given, router->pace_full);
+  node_status_json(&router->node, b);
   g_string_append(b, ",\"kinds\":{");
   for (int i = 0; router->config && i < router->config->kind_count; i++) {
     lane *lane = &router->lanes[i];
-    json_f(b,
-           "%s\"%s\":{\"waiting\":%d,\"running\":%d,\"asked\":%" PRIu64 ",\"done\":%" PRIu64
-           ",\"refused\":%" PRIu64 ",\"failed\":%" PRIu64 ",\"shed\":%" PRIu64 "}",
-           i ? "," : "", router->config->kinds[i].self.text, lane->waiting, lane->running,
-           lane->asked, lane->done, lane->refused, lane->failed, lane->shed);
+    json_appendf(b,
+                 "%s\"%s\":{\"waiting\":%d,\"running\":%d,\"asked\":%" PRIu64 ",\"done\":%" PRIu64
+                 ",\"refused\":%" PRIu64 ",\"failed\":%" PRIu64 ",\"shed\":%" PRIu64 "}",
+                 i ? "," : "", router->config->kinds[i].self.text, lane->waiting, lane->running,
+                 lane->asked, lane->done, lane->refused, lane->failed, lane->shed);
   }
   g_string_append(b, "}}");
 }
 
 static void metrics(router *router, GString *b) {
-  json_f(b,
-         "asterfall_version %" PRIu64 "\nasterfall_fresh %d\nasterfall_requests %" PRIu64
-         "\nasterfall_attempts %" PRIu64 "\nasterfall_second_tries %" PRIu64
-         "\nasterfall_loads %" PRIu64 "\nasterfall_loads_failed %" PRIu64
-         "\nasterfall_loads_wasted %" PRIu64 "\nasterfall_unloads %" PRIu64
-         "\nasterfall_unloads_of_busy %" PRIu64 "\nasterfall_tickets %" PRIu64
-         "\nasterfall_alone %" PRIu64 "\nasterfall_tasks %zu\nasterfall_news %" PRIu64
-         "\nasterfall_news_bytes %" PRIu64 "\n",
-         router->seq, router_is_fresh(router), router->requests, router->attempts, router->seconds,
-         router->loads, router->load_fails, router->wasted, router->unloads, router->drained,
-         router->tickets, router->alone, router->node.world->tasks.count, router->news_count,
-         router->news_bytes);
+  json_appendf(b,
+               "asterfall_version %" PRIu64 "\nasterfall_fresh %d\nasterfall_requests %" PRIu64
+               "\nasterfall_attempts %" PRIu64 "\nasterfall_second_tries %" PRIu64
+               "\nasterfall_loads %" PRIu64 "\nasterfall_loads_failed %" PRIu64
+               "\nasterfall_loads_wasted %" PRIu64 "\nasterfall_unloads %" PRIu64
+               "\nasterfall_unloads_of_busy %" PRIu64 "\nasterfall_tickets %" PRIu64
+               "\nasterfall_alone %" PRIu64 "\nasterfall_tasks %zu\nasterfall_news %" PRIu64
+               "\nasterfall_news_bytes %" PRIu64 "\n",
+               router->seq, router_is_fresh(router), router->requests, router->attempts,
+               router->seconds, router->loads, router->load_fails, router->wasted, router->unloads,
+               router->drained, router->tickets, router->alone, router->node.world->tasks.count,
+               router->news_count, router->news_bytes);
   for (int i = 0; router->config && i < router->config->kind_count; i++)
-    json_f(b,
-           "asterfall_waiting{kind=\"%s\"} %d\nasterfall_done{kind=\"%s\"} %" PRIu64
-           "\nasterfall_refused{kind=\"%s\"} %" PRIu64 "\n",
-           router->config->kinds[i].self.text, router->lanes[i].waiting,
-           router->config->kinds[i].self.text, router->lanes[i].done,
-           router->config->kinds[i].self.text, router->lanes[i].refused);
+    json_appendf(b,
+                 "asterfall_waiting{kind=\"%s\"} %d\nasterfall_done{kind=\"%s\"} %" PRIu64
+                 "\nasterfall_refused{kind=\"%s\"} %" PRIu64 "\n",
+                 router->config->kinds[i].self.text, router->lanes[i].waiting,
+                 router->config->kinds[i].self.text, router->lanes[i].done,
+                 router->config->kinds[i].self.text, router->lanes[i].refused);
 }
 
 static void journal_json(router *router, GString *b, const char *engine_, const char *model_,
@@ -1000,7 +1006,7 @@
     entry *e = &router->history.ring[i % JOURNAL];
     if ((engine_ && strcmp(engine_, e->engine.text)) || (model_ && strcmp(model_, e->model.text)))
       continue;
-    json_f(
+    json_appendf(
         b,
         "%s{\"n\":%" PRIu64 ",\"agoMs\":%" PRId64
         ",\"event\":\"%s\",\"engine\":\"%s\",\"model\":\"%s\",\"adapter\":\"%s\",\"value\":%" PRId64
@@ -1017,13 +1023,13 @@
   const char *p = request->path;
   if (!strcmp(p, "/v1/generate")) {
     if (strcmp(request->method, "POST"))
-      answer_error(request, 405, E_NO_METHOD, "POST");
+      http_respond_error(request, 405, E_METHOD_NOT_ALLOWED, "POST");
     else
       generate(router, request);
     return;
   }
   if (strcmp(request->method, "GET")) {
-    answer_error(request, 405, E_NO_METHOD, "GET");
+    http_respond_error(request, 405, E_METHOD_NOT_ALLOWED, "GET");
     return;
   }
   GString *b = g_string_new(NULL);
@@ -1037,13 +1043,13 @@
     engine *engine = only ? engine_find(router, id_of_text(only)) : NULL;
     time_us till = time_add(world_now(router->node.world), time_from_ms(20000));
     uint64_t n = after ? strtoull(after, NULL, 10) : 0;
-    while (engine && after && !request->gone && (engine = engine_find(router, id_of_text(only))) &&
-           engine->seq <= n)
+    while (engine && after && !request->client_gone &&
+           (engine = engine_find(router, id_of_text(only))) && engine->seq <= n)
       if (condition_wait(&router->node.world->tasks, &router->moved, till) != WAKE_SIGNALLED)
         break;
     engines_json(router, b, true, only);
   } else if (!strcmp(p, "/v1/nodes"))
-    node_json(&router->node, b);
+    node_peers_json(&router->node, b);
   else if (!strcmp(p, "/v1/status"))
     status_json(router, b);
   else if (!strcmp(p, "/v1/journal"))
@@ -1057,10 +1063,10 @@
     type = "text/plain";
   }
   if (b->len)
-    http_request_answer(request, 200, type, string_view_of_gstring(b));
+    http_request_respond(request, 200, type, string_view_of_gstring(b));
   else
-    answer_error(request, 404, E_NO_PAGE,
-                 "there is no such page here; the resources are at the core, see /v1/status");
+    http_respond_error(request, 404, E_NOT_FOUND,
+                       "there is no such page here; the resources are at the core, see /v1/status");
   g_free(only);
   g_free(model_);
   g_free(after);
--- a/lib/router/router.c
+++ b/lib/router/router.c
@@ -4,7 +4,7 @@
 router *router_new(world *world, const settings *x) {
   router *v = g_new0(router, 1);
   node_init(&v->node, world, x);
-  for (int i = 0; i < RES_COUNT; i++)
+  for (int i = 0; i < RESOURCE_COUNT; i++)
     v->resources[i] = g_string_new("{}");
   v->list = g_string_new(NULL);
   v->grants = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
@@ -21,11 +21,11 @@
   list_init(&v->queue);
   history_init(&v->history, world);
   world->serve = route_serve;
-  world->serve_ctx = v;
+  world->serve_context = v;
   node_start(&v->node);
   news_start(v);
   /* a gateway's engines register themselves, and it places by itself */
-  if (!x->gateway) {
+  if (!x->is_gateway) {
     platform_start(v);
     place_start(v);
   }
@@ -47,7 +47,7 @@
   if (router->drain)
     return;
   router->drain = true;
-  node_leave(&router->node);
+  node_start_draining(&router->node);
   log_info(&router->node.log, "router", "Asked to stop; takes no new requests, %d are open.",
            router->open);
   task_start(&router->node.world->tasks, "drain", drain_run, router);
@@ -58,7 +58,7 @@
     e->refs = 1;
     engine_drop(e);
   }
-  for (int i = 0; i < RES_COUNT; i++)
+  for (int i = 0; i < RESOURCE_COUNT; i++)
     g_string_free(router->resources[i], TRUE);
   g_string_free(router->list, TRUE);
   g_hash_table_destroy(router->grants);
--- a/lib/router/router.h
+++ b/lib/router/router.h
@@ -105,8 +105,8 @@
 struct router {
   node node;
   config *config;
-  uint64_t epoch, seq, fleet, res_at[RES_COUNT], news_bytes, news_count;
-  GString *resources[RES_COUNT];
+  uint64_t epoch, seq, fleet, res_at[RESOURCE_COUNT], news_bytes, news_count;
+  GString *resources[RESOURCE_COUNT];
   time_us fresh, lost;
   bool sure;
   GString *list;
@@ -121,7 +121,7 @@
   time_us pace_next, pace_from;
   uint64_t tickets, tickets_late;
   double pace_given, pace_full;
-  lane lanes[KINDS_MOST];
+  lane lanes[REQUEST_KINDS_MAX];
   double retries;
   uint64_t attempts, seconds, requests, odd_runs, wasted, loads, load_fails, unloads, drained,
       alone;
--- a/lib/router/sources.c
+++ b/lib/router/sources.c
@@ -33,23 +33,23 @@
 
 /* a machine that is held to be gone may be back before anybody has said so, so it is asked at times
  */
-static bool is_promising(const machine *machine, const source *known, time_us now) {
-  if (machine->gone)
+static bool is_promising(const peer_node *peer, const source *known, time_us now) {
+  if (peer->gone)
     return false;
   return !known || !known->failed.us ||
          time_reached(now, time_add(known->failed, time_from_ms(FAILED_MS)));
 }
 
-machine *sources_next(sources *s, node *from, const char *except) {
+peer_node *sources_next(sources *s, node *from, const char *except) {
   time_us now = world_now(from->world);
-  machine *best = NULL;
+  peer_node *best = NULL;
   bool best_promises = false;
   int64_t best_asked = 0;
   uint64_t equals = 0;
-  list_for_each (peer, &from->machines, machine, link) {
-    if (peer->role != ROLE_CONTROLLER || (except && !strcmp(peer->addr, except)))
+  list_for_each (peer, &from->peers, peer_node, link) {
+    if (peer->role != ROLE_CONTROLLER || (except && !strcmp(peer->address, except)))
       continue;
-    const source *known = find(s, peer->addr);
+    const source *known = find(s, peer->address);
     bool promises = is_promising(peer, known, now);
     int64_t asked = known ? known->asked.us : 0;
     bool better =
--- a/lib/router/sources.h
+++ b/lib/router/sources.h
@@ -19,7 +19,7 @@
 
 /** The core machine to ask next, other than the one at an address (or NULL); NULL when none is
  * known. */
-machine *sources_next(sources *s, node *from, const char *except);
+peer_node *sources_next(sources *s, node *from, const char *except);
 /** Notes that a machine is being asked. */
 void sources_asked(sources *s, const char *addr, time_us now);
 /** Notes that a machine did not answer, or could not confirm its state. */
--- a/lib/router/trial.c
+++ b/lib/router/trial.c
@@ -183,7 +183,7 @@
   guint n = trace->things->len;
   bool oracle = !strcmp(name, "oracle"), belady = !strcmp(name, "belady");
   formula own;
-  bool expr = g_str_has_prefix(name, "expr:") && !formula_make(&own, name + 5, NULL);
+  bool expr = g_str_has_prefix(name, "expr:") && !formula_compile(&own, name + 5, NULL);
   int *next = next_use(trace), *due = g_new(int, n), *uses = g_new0(int, n);
   time_us *left = g_new0(time_us, n);
   bool *up = g_new0(bool, n);
--- a/lib/runtime/args.c
+++ b/lib/runtime/args.c
@@ -28,9 +28,9 @@
 
 static void set_key(args *a, const char *key, char *arg, bool many) {
   GString *g = a->extra;
-  json_f(g, "%s\"%s\":", g->len > 1 ? "," : "", key);
+  json_appendf(g, "%s\"%s\":", g->len > 1 ? "," : "", key);
   if (!many) {
-    json_quote(g, string_view_of(arg));
+    json_append_quoted(g, string_view_of(arg));
     return;
   }
   char **p = g_strsplit(arg, ",", -1);
@@ -38,7 +38,7 @@
   for (char **k = p; *k; k++) {
     if (k != p)
       g_string_append_c(g, ',');
-    json_quote(g, string_view_of(*k));
+    json_append_quoted(g, string_view_of(*k));
   }
   g_string_append_c(g, ']');
   g_strfreev(p);
@@ -72,7 +72,7 @@
     set_key(a, "platform", arg, false);
     return 0;
   case 'v':
-    a->settings->loud = true;
+    a->settings->debug_log = true;
     return 0;
   case 'j':
     a->settings->json_log = true;
@@ -88,7 +88,7 @@
   }
 }
 
-bool addr_split(const char *addr, char *ip, size_t n, int *port) {
+bool address_split(const char *addr, char *ip, size_t n, int *port) {
   const char *c = strrchr(addr, ':');
   if (!c || (size_t)(c - addr) >= n)
     return false;
@@ -106,9 +106,9 @@
   argp_parse(&p, argc, argv, 0, NULL, &a);
   g_string_append_c(a.extra, '}');
   error err = { 0 };
-  int r = a.file ? settings_read(settings, role, a.file, &err) : OK;
+  int r = a.file ? settings_read_file(settings, role, a.file, &err) : OK;
   if (!r)
-    r = settings_take(settings, role, string_view_of_gstring(a.extra), "command line", &err);
+    r = settings_parse(settings, role, string_view_of_gstring(a.extra), "command line", &err);
   if (!r)
     r = settings_check(settings, &err);
   g_string_free(a.extra, TRUE);
--- a/lib/runtime/args.h
+++ b/lib/runtime/args.h
@@ -6,5 +6,5 @@
  * the program with 2 on bad input. */
 bool args_settings(int argc, char **argv, enum role role, const char *doc, settings *settings);
 /** Splits ip:port. */
-bool addr_split(const char *addr, char *ip, size_t n, int *port);
+bool address_split(const char *addr, char *ip, size_t n, int *port);
 #endif
--- a/lib/runtime/base.c
+++ b/lib/runtime/base.c
@@ -24,7 +24,7 @@
   return true;
 }
 
-uint64_t hash_of(const void *p, size_t n, uint64_t seed) {
+uint64_t hash_bytes(const void *p, size_t n, uint64_t seed) {
   const unsigned char *b = p;
   uint64_t h = 0xcbf29ce484222325ull ^ seed;
   for (size_t i = 0; i < n; i++)
@@ -36,6 +36,6 @@
   return h ^ (h >> 33);
 }
 
-uint64_t hash_of_two(const char *a, const char *b) {
-  return hash_of(b, strlen(b), hash_of(a, strlen(a), 0));
+uint64_t hash_two_names(const char *a, const char *b) {
+  return hash_bytes(b, strlen(b), hash_bytes(a, strlen(a), 0));
 }
--- a/lib/runtime/dial.c
+++ b/lib/runtime/dial.c
@@ -15,7 +15,7 @@
   return *port > 0;
 }
 
-bool dial(const dial_target *target, connection_owner *owner) {
+bool dial_open(const dial_target *target, connection_owner *owner) {
   char ip[IP_MOST];
   int port;
   g_assert(!owner->wsi);
--- a/lib/runtime/dial.h
+++ b/lib/runtime/dial.h
@@ -21,5 +21,5 @@
 
 /** Opens a connection for an owner that has none, and attaches it. False when it failed at once;
  * the owner is not attached then, and on_destroyed is not called. */
-bool dial(const dial_target *target, connection_owner *owner);
+bool dial_open(const dial_target *target, connection_owner *owner);
 #endif
--- a/lib/runtime/log.h
+++ b/lib/runtime/log.h
@@ -5,8 +5,8 @@
 /** Where one process writes its log. */
 typedef struct {
   world *world;
-  id who;
-  bool loud, json;
+  id node_id;
+  bool debug, json;
 } logger;
 /** Writes one short sentence behind the prefix of its part; as a line of JSON (time, node, part,
  * text and, when the sentence bears one, code) where that was asked for. */
--- a/lib/runtime/real.c
+++ b/lib/runtime/real.c
@@ -79,7 +79,7 @@
   return (time_us){ (int64_t)t.tv_sec * 1000000 + t.tv_nsec / 1000 };
 }
 
-static uint64_t real_draw(world *world) {
+static uint64_t real_random(world *world) {
   (void)world;
   uint64_t n = 0;
   if (getrandom(&n, sizeof n, 0) != (ssize_t)sizeof n)
@@ -98,7 +98,7 @@
   return buf;
 }
 
-static void real_say(world *world, const char *line) {
+static void real_write_log(world *world, const char *line) {
   (void)world;
   fprintf(stderr, "%s\n", line);
 }
@@ -120,7 +120,7 @@
     pthread_mutex_unlock(&real->lock);
     int c = 0;
     if (j->op == DISK_SYNC)
-      c = fdatasync(j->fd) ? E_SYNC : 0;
+      c = fdatasync(j->fd) ? E_DISK_SYNC : 0;
     for (size_t k = 0; j->op < DISK_SYNC && k < j->len && !c;) {
       ssize_t m = j->op == DISK_WRITE ? pwrite(j->fd, j->buf + k, j->len - k, j->off + k)
                                       : pread(j->fd, j->buf + k, j->len - k, j->off + k);
@@ -193,7 +193,7 @@
 static int real_open(world *world, unsigned file, size_t size, error *err) {
   real *r = (real *)world;
   char path[600];
-  snprintf(path, sizeof path, "%s/ring-%02u", r->settings.dir, file);
+  snprintf(path, sizeof path, "%s/ring-%02u", r->settings.data_dir, file);
   int fd = open(path, O_RDWR | O_CREAT | O_CLOEXEC, 0640);
   if (fd < 0)
     return error_set(err, E_DISK, "%s: %s", path, strerror(errno));
@@ -205,13 +205,13 @@
     return error_set(err, c == ENOSPC ? E_DISK_FULL : E_DISK, "%s: %s", path, strerror(c));
   }
   /* an old one too: whoever made it may have ended, or failed, before it was synced */
-  int d = open(r->settings.dir, O_RDONLY | O_DIRECTORY | O_CLOEXEC);
+  int d = open(r->settings.data_dir, O_RDONLY | O_DIRECTORY | O_CLOEXEC);
   c = fsync(fd) || d < 0 || fsync(d);
   if (d >= 0)
     close(d);
   if (c) {
     close(fd);
-    return error_set(err, E_SYNC, "%s: %s", path, strerror(errno));
+    return error_set(err, E_DISK_SYNC, "%s: %s", path, strerror(errno));
   }
   r->fd[file] = fd;
   return OK;
@@ -238,7 +238,7 @@
 
 static char *hdr_own(struct lws *wsi, enum http_header k) {
   char name[40];
-  snprintf(name, sizeof name, "%s:", http_header_name[k]);
+  snprintf(name, sizeof name, "%s:", http_header_names[k]);
   int n = lws_hdr_custom_length(wsi, name, strlen(name));
   if (n <= 0)
     return NULL;
@@ -250,8 +250,8 @@
 static void serve_task(void *p) {
   chan *c = p;
   http_request *request = c->request;
-  c->real->world.serve(c->real->world.serve_ctx, request);
-  if (!request->ended)
+  c->real->world.serve(c->real->world.serve_context, request);
+  if (!request->response_ended)
     http_request_end(request, false);
   c->served = true;
   if (!c->owner.wsi) {
@@ -264,7 +264,7 @@
   if (!c->begun)
     c->served = true;
   connection_owner_detach(&c->owner);
-  c->request->gone = true;
+  c->request->client_gone = true;
   condition_broadcast(&c->request->drained);
   if (c->served) {
     http_request_free(c->request);
@@ -278,7 +278,7 @@
 
 static void real_push(http_request *request) {
   if (request->listener) {
-    http_engine_push(((real *)request->world)->http, request);
+    http_engine_flush_request(((real *)request->world)->http, request);
     return;
   }
   chan *c = request->impl;
@@ -298,7 +298,7 @@
   chan *c = g_new0(chan, 1);
   request->world = &real->world;
   request->body = g_string_new(NULL);
-  request->out = g_string_new(NULL);
+  request->pending_output = g_string_new(NULL);
   condition_init(&request->drained);
   for (size_t i = 0; i < G_N_ELEMENTS(verbs); i++)
     if ((request->path = hdr_text(wsi, verbs[i].k))) {
@@ -315,17 +315,17 @@
        i++)
     g_string_append_printf(q, "%s%s", q->len ? "&" : "", part);
   request->query = g_string_free(q, FALSE);
-  lws_get_peer_simple(wsi, request->caller_addr, sizeof request->caller_addr);
-  request->own_fields.values[HEADER_TYPE] = hdr_text(wsi, WSI_TOKEN_HTTP_CONTENT_TYPE);
-  request->own_fields.values[HEADER_MATCH] = hdr_text(wsi, WSI_TOKEN_HTTP_IF_MATCH);
-  for (enum http_header k = HEADER_KEY; k < HEADER_COUNT; k++)
-    if (k != HEADER_RETRY)
-      request->own_fields.values[k] = hdr_own(wsi, k);
+  lws_get_peer_simple(wsi, request->client_address, sizeof request->client_address);
+  request->known_fields.values[HEADER_CONTENT_TYPE] = hdr_text(wsi, WSI_TOKEN_HTTP_CONTENT_TYPE);
+  request->known_fields.values[HEADER_IF_MATCH] = hdr_text(wsi, WSI_TOKEN_HTTP_IF_MATCH);
+  for (enum http_header k = HEADER_IDEMPOTENCY_KEY; k < HEADER_COUNT; k++)
+    if (k != HEADER_RETRY_AFTER)
+      request->known_fields.values[k] = hdr_own(wsi, k);
   char *len = hdr_text(wsi, WSI_TOKEN_HTTP_CONTENT_LENGTH);
   char *enc = hdr_text(wsi, WSI_TOKEN_HTTP_TRANSFER_ENCODING);
   size_t n = len ? strtoull(len, NULL, 10) : 0;
   g_free(len);
-  request->too_large = n > real->world.body_most;
+  request->too_large = n > real->world.body_max_bytes;
   bool odd = enc && n == 0;
   g_free(enc);
   request->impl = c;
@@ -335,11 +335,11 @@
   c->real = real;
   *pc = c;
   lws_set_timeout(wsi, NO_PENDING_TIMEOUT, 0);
-  if (request->too_large || odd || real->world.tasks.dead) {
+  if (request->too_large || odd || real->world.tasks.stopped) {
     c->served = true;
     const char *why = odd ? "{\"code\":302,\"error\":\"a length is needed, not chunks\"}"
                           : "{\"code\":301,\"error\":\"body too large\"}";
-    http_request_answer(request, odd ? 411 : 413, "application/json", string_view_of(why));
+    http_request_respond(request, odd ? 411 : 413, "application/json", string_view_of(why));
     return 0;
   }
   if (!n) {
@@ -354,25 +354,26 @@
   http_request *request = c->request;
   unsigned char buf[LWS_PRE + PIECE], *p = buf + LWS_PRE, *end = buf + sizeof buf;
   c->sent_head = true;
-  c->plain = request->ended && request->clean;
+  c->plain = request->response_ended && request->ended_cleanly;
   if (lws_add_http_header_status(c->owner.wsi, request->status, &p, end))
     return -1;
   for (int k = 0; k < HEADER_COUNT; k++) {
-    if (!request->own_reply_fields.values[k])
+    if (!request->known_response_fields.values[k])
       continue;
     char name[40];
-    snprintf(name, sizeof name, "%s:", http_header_name[k]);
+    snprintf(name, sizeof name, "%s:", http_header_names[k]);
     if (lws_add_http_header_by_name(c->owner.wsi, (unsigned char *)name,
-                                    (unsigned char *)request->own_reply_fields.values[k],
-                                    strlen(request->own_reply_fields.values[k]), &p, end))
+                                    (unsigned char *)request->known_response_fields.values[k],
+                                    strlen(request->known_response_fields.values[k]), &p, end))
       return -1;
   }
   if (request->too_large && lws_add_http_header_by_token(c->owner.wsi, WSI_TOKEN_CONNECTION,
                                                          (unsigned char *)"close", 5, &p, end))
     return -1;
-  if (c->plain ? lws_add_http_header_content_length(c->owner.wsi, request->out->len, &p, end)
-               : lws_add_http_header_by_token(c->owner.wsi, WSI_TOKEN_HTTP_TRANSFER_ENCODING,
-                                              (unsigned char *)"chunked", 7, &p, end))
+  if (c->plain
+          ? lws_add_http_header_content_length(c->owner.wsi, request->pending_output->len, &p, end)
+          : lws_add_http_header_by_token(c->owner.wsi, WSI_TOKEN_HTTP_TRANSFER_ENCODING,
+                                         (unsigned char *)"chunked", 7, &p, end))
     return -1;
   if (lws_finalize_write_http_header(c->owner.wsi, buf + LWS_PRE, &p, end))
     return -1;
@@ -383,34 +384,34 @@
 static int http_out(chan *c) {
   http_request *request = c->request;
   unsigned char buf[LWS_PRE + PIECE + 64], *p = buf + LWS_PRE;
-  if (!request->began)
-    return request->ended && !request->clean ? -1 : 0;
+  if (!request->response_started)
+    return request->response_ended && !request->ended_cleanly ? -1 : 0;
   if (!c->sent_head) {
     if (http_head(c))
       return -1;
     lws_callback_on_writable(c->owner.wsi);
     return 0;
   }
-  size_t n = request->out->len < PIECE ? request->out->len : PIECE;
-  bool over = request->ended && n == request->out->len;
+  size_t n = request->pending_output->len < PIECE ? request->pending_output->len : PIECE;
+  bool over = request->response_ended && n == request->pending_output->len;
   if (!n && !over)
     return 0;
-  if (over && !request->clean && !n)
+  if (over && !request->ended_cleanly && !n)
     return -1;
   if (n && !c->plain)
     p += sprintf((char *)p, "%zx\r\n", n);
-  memcpy(p, request->out->str, n);
+  memcpy(p, request->pending_output->str, n);
   p += n;
-  g_string_erase(request->out, 0, n);
+  g_string_erase(request->pending_output, 0, n);
   if (n && !c->plain) {
     memcpy(p, "\r\n", 2);
     p += 2;
   }
-  if (over && request->clean && !c->plain) {
+  if (over && request->ended_cleanly && !c->plain) {
     memcpy(p, "0\r\n\r\n", 5);
     p += 5;
   }
-  bool last = over && request->clean;
+  bool last = over && request->ended_cleanly;
   size_t size = p - buf - LWS_PRE;
   if (size && lws_write(c->owner.wsi, buf + LWS_PRE, size,
                         last ? LWS_WRITE_HTTP_FINAL : LWS_WRITE_HTTP) < 0)
@@ -418,7 +419,7 @@
   condition_broadcast(&request->drained);
   if (last)
     return 1;
-  if (request->out->len || request->ended)
+  if (request->pending_output->len || request->response_ended)
     lws_callback_on_writable(c->owner.wsi);
   return 0;
 }
@@ -441,7 +442,7 @@
   case LWS_CALLBACK_HTTP_BODY:
     if (!*pc || (*pc)->request->too_large)
       return 0;
-    if ((*pc)->request->body->len + len > (*pc)->real->world.body_most)
+    if ((*pc)->request->body->len + len > (*pc)->real->world.body_max_bytes)
       return -1;
     g_string_append_len((*pc)->request->body, in, len);
     return 0;
@@ -487,7 +488,7 @@
   http_call *call = outgoing->call;
   call->impl = NULL;
   call->broken = !call->ended;
-  condition_broadcast(&call->news);
+  condition_broadcast(&call->progressed);
   g_free(outgoing);
 }
 
@@ -497,18 +498,18 @@
   (void)user;
   switch (why) {
   case LWS_CALLBACK_CLIENT_APPEND_HANDSHAKE_HEADER: {
-    if (!call || time_reached(world_now(call->world), call->send_by))
+    if (!call || time_reached(world_now(call->world), call->send_deadline))
       return -1;
     unsigned char **p = in, *end = *p + len;
     char name[40], num[24];
     call->sent = true;
     for (int k = 0; k < HEADER_COUNT; k++) {
-      if (!call->own_out_fields.values[k])
+      if (!call->known_request_fields.values[k])
         continue;
-      snprintf(name, sizeof name, "%s:", http_header_name[k]);
+      snprintf(name, sizeof name, "%s:", http_header_names[k]);
       if (lws_add_http_header_by_name(wsi, (unsigned char *)name,
-                                      (unsigned char *)call->own_out_fields.values[k],
-                                      strlen(call->own_out_fields.values[k]), p, end))
+                                      (unsigned char *)call->known_request_fields.values[k],
+                                      strlen(call->known_request_fields.values[k]), p, end))
         return -1;
     }
     snprintf(num, sizeof num, "%zu", call->body->len);
@@ -523,7 +524,7 @@
     return 0;
   }
   case LWS_CALLBACK_CLIENT_HTTP_WRITEABLE: {
-    if (!call || time_reached(world_now(call->world), call->send_by))
+    if (!call || time_reached(world_now(call->world), call->send_deadline))
       return -1;
     if (!call->body->len)
       return 0;
@@ -543,9 +544,11 @@
   case LWS_CALLBACK_ESTABLISHED_CLIENT_HTTP: {
     if (!call)
       return -1;
-    call->own_in_fields.values[HEADER_RETRY] = hdr_text(wsi, WSI_TOKEN_HTTP_RETRY_AFTER);
-    call->own_in_fields.values[HEADER_ETAG] = hdr_text(wsi, WSI_TOKEN_HTTP_ETAG);
-    call->own_in_fields.values[HEADER_TYPE] = hdr_text(wsi, WSI_TOKEN_HTTP_CONTENT_TYPE);
+    call->known_response_fields.values[HEADER_RETRY_AFTER] =
+        hdr_text(wsi, WSI_TOKEN_HTTP_RETRY_AFTER);
+    call->known_response_fields.values[HEADER_ETAG] = hdr_text(wsi, WSI_TOKEN_HTTP_ETAG);
+    call->known_response_fields.values[HEADER_CONTENT_TYPE] =
+        hdr_text(wsi, WSI_TOKEN_HTTP_CONTENT_TYPE);
     call->status = lws_http_client_http_response(wsi);
     char *size = hdr_text(wsi, WSI_TOKEN_HTTP_CONTENT_LENGTH);
     call->read_bytes = size ? strtoull(size, NULL, 10) : UINT64_MAX;
@@ -553,7 +556,7 @@
       call->read_bytes = 0;
     g_free(size);
     lws_set_timeout(wsi, NO_PENDING_TIMEOUT, 0);
-    condition_broadcast(&call->news);
+    condition_broadcast(&call->progressed);
     return 0;
   }
   case LWS_CALLBACK_RECEIVE_CLIENT_HTTP: {
@@ -574,20 +577,20 @@
   case LWS_CALLBACK_RECEIVE_CLIENT_HTTP_READ:
     if (!call)
       return -1;
-    g_string_append_len(call->received, in, len);
-    call->came += len;
-    if (call->received->len > call->most + GOT_MOST)
+    g_string_append_len(call->response_body, in, len);
+    call->received_bytes += len;
+    if (call->response_body->len > call->response_max_bytes + GOT_MOST)
       return -1;
-    condition_broadcast(&call->news);
+    condition_broadcast(&call->progressed);
     return 0;
   case LWS_CALLBACK_COMPLETED_CLIENT_HTTP:
     /* whole is only what ended while bytes were read, or what has the length that was said */
-    if (call && (call->reading || call->came == call->read_bytes))
+    if (call && (call->reading || call->received_bytes == call->read_bytes))
       call->ended = true;
     else if (call)
       call->broken = true;
     if (call)
-      condition_broadcast(&call->news);
+      condition_broadcast(&call->progressed);
     return -1;
   default:
     return lws_callback_http_dummy(wsi, why, user, in, len);
@@ -596,11 +599,11 @@
 
 static void real_call(http_call *call) {
   real *r = (real *)call->world;
-  if (call->kept) {
-    http_engine_call(r->http, call);
+  if (call->pooled) {
+    http_engine_start_call(r->http, call);
     return;
   }
-  if (r->world.tasks.dead) {
+  if (r->world.tasks.stopped) {
     call->broken = true;
     return;
   }
@@ -608,15 +611,15 @@
   outgoing->owner.on_destroyed = outgoing_call_destroyed;
   outgoing->call = call;
   call->impl = outgoing;
-  dial_target target = { r->ctx,       r->host,    r->settings.ip, call->addr,
+  dial_target target = { r->ctx,       r->host,    r->settings.ip, call->address,
                          call->method, call->path, "call" };
-  if (!dial(&target, &outgoing->owner))
+  if (!dial_open(&target, &outgoing->owner))
     outgoing_call_destroyed(&outgoing->owner);
 }
 
 static void real_drop(http_call *call) {
-  if (call->kept) {
-    http_engine_call_drop(((real *)call->world)->http, call);
+  if (call->pooled) {
+    http_engine_cancel_call(((real *)call->world)->http, call);
     return;
   }
   outgoing_call *outgoing = call->impl;
@@ -648,48 +651,50 @@
 static int real_listener_open(world *world, http_listener *listener, error *err) {
   return http_engine_listener_open(((real *)world)->http, listener, err);
 }
-static void real_listener_shut(world *world, http_listener *listener) {
-  http_engine_listener_shut(((real *)world)->http, listener);
+static void real_listener_stop_accepting(world *world, http_listener *listener) {
+  http_engine_listener_stop_accepting(((real *)world)->http, listener);
 }
-static void real_listener_end(world *world, http_listener *listener) {
-  http_engine_listener_end(((real *)world)->http, listener);
+static void real_listener_close_idle(world *world, http_listener *listener) {
+  http_engine_listener_close_idle(((real *)world)->http, listener);
 }
-static void real_kept_drop(world *world, const char *addr) {
-  http_engine_kept_drop(((real *)world)->http, addr);
+static void real_pool_close_idle(world *world, const char *addr) {
+  http_engine_pool_close_idle(((real *)world)->http, addr);
 }
 
-static const struct lws_protocols protos[] = { { "http", http_cb, sizeof(chan *), 0, 0, NULL, 0 },
-                                               { "call", call_cb, 0, PIECE, 0, NULL, 0 },
-                                               { PEER_PROTOCOL, peer_cb, 0, SOCK_READ, 0, NULL, 0 },
-                                               { SOCK_PROTOCOL, sock_cb, 0, SOCK_READ, 0, NULL, 0 },
-                                               { NULL, NULL, 0, 0, 0, NULL, 0 } };
+static const struct lws_protocols protos[] = {
+  { "http", http_cb, sizeof(chan *), 0, 0, NULL, 0 },
+  { "call", call_cb, 0, PIECE, 0, NULL, 0 },
+  { PEER_PROTOCOL, peer_cb, 0, SOCK_READ_BYTES, 0, NULL, 0 },
+  { SOCK_PROTOCOL, sock_cb, 0, SOCK_READ_BYTES, 0, NULL, 0 },
+  { NULL, NULL, 0, 0, 0, NULL, 0 }
+};
 
 /* the timer fires inside lws_service, which then would go on to wait for something else */
 static void on_due(lws_sorted_usec_list_t *s) {
   lws_cancel_service(((real *)((char *)s - offsetof(real, sul)))->ctx);
 }
 
-world *real_new(const real_settings *v, error *err) {
+world *real_world_new(const real_settings *v, error *err) {
   fault_reports_install();
   real *r = g_new0(real, 1);
   r->settings = *v;
   scheduler_init(&r->world.tasks, real_now, r);
-  r->world.random = real_draw;
+  r->world.random = real_random;
   r->world.timestamp = real_stamp;
-  r->world.write_log = real_say;
-  r->world.post = real_post;
-  r->world.http_request_push = real_push;
+  r->world.write_log = real_write_log;
+  r->world.post_message = real_post;
+  r->world.request_flush = real_push;
   r->world.call_start = real_call;
-  r->world.call_drop = real_drop;
-  r->world.door_open = real_listener_open;
-  r->world.door_shut = real_listener_shut;
-  r->world.door_end = real_listener_end;
-  r->world.kept_drop = real_kept_drop;
+  r->world.call_cancel = real_drop;
+  r->world.listener_open = real_listener_open;
+  r->world.listener_stop_accepting = real_listener_stop_accepting;
+  r->world.listener_close_idle = real_listener_close_idle;
+  r->world.pool_close_idle = real_pool_close_idle;
   r->world.disk_open = real_open;
   r->world.disk_read = real_read;
   r->world.disk_write = real_write;
   r->world.disk_sync = real_sync;
-  r->world.body_most = v->body_most ? v->body_most : 1 << 20;
+  r->world.body_max_bytes = v->body_max_bytes ? v->body_max_bytes : 1 << 20;
   list_init(&r->jobs);
   list_init(&r->done);
   for (int i = 0; i < FILES; i++)
@@ -705,7 +710,7 @@
   i.uid = -1;
   i.max_http_header_data = 16384;
   i.max_http_header_pool = 512;
-  i.pt_serv_buf_size = SOCK_READ + LWS_PRE;
+  i.pt_serv_buf_size = SOCK_READ_BYTES + LWS_PRE;
   /* how long an answer may take is each task's own affair; the library only drops those who never
    * finish their header */
   i.timeout_secs = 600;
@@ -734,7 +739,7 @@
   return &r->world;
 }
 
-void real_run(world *world, void (*on_term)(void *), void *ctx) {
+void real_world_run(world *world, void (*on_term)(void *), void *ctx) {
   real *r = (real *)world;
   struct sigaction s = { .sa_handler = on_signal };
   waiting = r->ctx;
@@ -746,7 +751,7 @@
     time_us due;
     do
       due = scheduler_run(&world->tasks);
-    while (http_engine_turn(r->http));
+    while (http_engine_run(r->http));
     if (r->stop)
       break;
     if (asked) {
@@ -757,7 +762,7 @@
         r->stop = true;
       continue;
     }
-    time_us late = http_engine_due(r->http),
+    time_us late = http_engine_next_deadline(r->http),
             gap = time_sub(late.us < due.us ? late : due, world_now(world)),
             most = time_from_ms(500);
     if (gap.us > most.us)
@@ -772,14 +777,14 @@
   }
 }
 
-void real_stop(world *world) {
+void real_world_stop(world *world) {
   ((real *)world)->stop = true;
 }
 
-void real_free(world *world) {
+void real_world_free(world *world) {
   real *r = (real *)world;
   waiting = NULL;
-  scheduler_kill(&world->tasks);
+  scheduler_stop(&world->tasks);
   lws_sul_schedule(r->ctx, 0, &r->sul, NULL, LWS_SET_TIMER_USEC_CANCEL);
   pthread_mutex_lock(&r->lock);
   r->quit = true;
@@ -788,7 +793,7 @@
   pthread_join(r->hand, NULL);
   disk_worker_drain(r);
   lws_context_destroy(r->ctx);
-  scheduler_kill(&world->tasks);
+  scheduler_stop(&world->tasks);
   http_engine_free(r->http);
   for (int i = 0; i < FILES; i++)
     if (r->fd[i] >= 0)
--- a/lib/runtime/sock.c
+++ b/lib/runtime/sock.c
@@ -18,15 +18,15 @@
   return true;
 }
 
-void sock_want_room(sock *s) {
+void sock_request_writable(sock *s) {
   lws_callback_on_writable(connection_owner_wsi(&s->owner));
 }
 
-void sock_hear(sock *s, bool yes) {
+void sock_set_reading(sock *s, bool yes) {
   lws_rx_flow_control(connection_owner_wsi(&s->owner), yes);
 }
 
-void sock_kill(sock *s) {
+void sock_close(sock *s) {
   lws_set_timeout(connection_owner_wsi(&s->owner), PENDING_TIMEOUT_USER_OK, LWS_TO_KILL_SYNC);
 }
 
@@ -39,7 +39,7 @@
   case LWS_CALLBACK_RAW_RX_FILE:
     return s->on_read(s, in, len);
   case LWS_CALLBACK_RAW_WRITEABLE:
-    return s->on_room(s);
+    return s->on_writable(s);
   case LWS_CALLBACK_RAW_CLOSE:
   case LWS_CALLBACK_RAW_CLOSE_FILE:
     /* the descriptor is about to be closed: nothing may use it any more */
--- a/lib/runtime/task.c
+++ b/lib/runtime/task.c
@@ -55,7 +55,7 @@
 }
 #endif
 
-static void leave(task *task) {
+static void switch_to_scheduler(task *task) {
 #if ASAN_ON
   void *fake = NULL;
   __sanitizer_start_switch_fiber(task->done ? NULL : &fake, task->low, task->size);
@@ -75,11 +75,11 @@
   for (;;) {
     task->run(task->arg);
     task->done = true;
-    leave(task);
+    switch_to_scheduler(task);
   }
 }
 
-static void enter(task *task) {
+static void switch_to_task(task *task) {
 #if ASAN_ON
   void *fake = NULL;
   __sanitizer_start_switch_fiber(&fake, task->stack, STACK);
@@ -90,7 +90,7 @@
 #endif
 }
 
-static int due_cmp(gconstpointer a, gconstpointer b, gpointer ctx) {
+static int deadline_compare(gconstpointer a, gconstpointer b, gpointer ctx) {
   (void)ctx;
   const task *x = a, *y = b;
   return x->till.us < y->till.us ? -1 : x->till.us > y->till.us;
@@ -100,9 +100,9 @@
   memset(scheduler, 0, sizeof *scheduler);
   list_init(&scheduler->ready);
   list_init(&scheduler->all);
-  scheduler->sleep = g_sequence_new(NULL);
+  scheduler->sleepers = g_sequence_new(NULL);
   scheduler->now = now;
-  scheduler->ctx = ctx;
+  scheduler->now_context = ctx;
 }
 
 /* pages that are never touched cost no memory; a stack that overflows meets a page that can't be
@@ -184,22 +184,22 @@
 }
 
 static void wake_sleepers(scheduler *scheduler) {
-  time_us now = scheduler->now(scheduler->ctx);
+  time_us now = scheduler->now(scheduler->now_context);
   GSequenceIter *it;
-  while (!g_sequence_iter_is_end(it = g_sequence_get_begin_iter(scheduler->sleep))) {
+  while (!g_sequence_iter_is_end(it = g_sequence_get_begin_iter(scheduler->sleepers))) {
     task *t = g_sequence_get(it);
-    if (t->till.us > now.us && !scheduler->dead)
+    if (t->till.us > now.us && !scheduler->stopped)
       break;
-    wake_up(t, scheduler->dead ? WAKE_STOPPED : WAKE_TIMEOUT);
+    wake_up(t, scheduler->stopped ? WAKE_STOPPED : WAKE_TIMEOUT);
   }
 }
 
 static void run_first(scheduler *scheduler) {
   task *t = list_item(scheduler->ready.next, task, ready);
   list_remove(&t->ready);
-  scheduler->cur = t;
-  enter(t);
-  scheduler->cur = NULL;
+  scheduler->current = t;
+  switch_to_task(t);
+  scheduler->current = NULL;
   if (t->done)
     drop(t);
 }
@@ -213,51 +213,51 @@
     for (int k = 0; k < TASKS_A_LOOK && !list_is_empty(&scheduler->ready); k++)
       run_first(scheduler);
   }
-  GSequenceIter *it = g_sequence_get_begin_iter(scheduler->sleep);
+  GSequenceIter *it = g_sequence_get_begin_iter(scheduler->sleepers);
   return g_sequence_iter_is_end(it) ? time_never() : ((task *)g_sequence_get(it))->till;
 }
 
-void scheduler_kill(scheduler *scheduler) {
-  scheduler->dead = true;
+void scheduler_stop(scheduler *scheduler) {
+  scheduler->stopped = true;
   while (scheduler->count) {
-    if (!scheduler->sleep ||
-        (g_sequence_is_empty(scheduler->sleep) && list_is_empty(&scheduler->ready)))
+    if (!scheduler->sleepers ||
+        (g_sequence_is_empty(scheduler->sleepers) && list_is_empty(&scheduler->ready)))
       break;
     scheduler_run(scheduler);
   }
 }
 
 void scheduler_free(scheduler *scheduler) {
-  if (scheduler->sleep)
-    g_sequence_free(scheduler->sleep);
-  scheduler->sleep = NULL;
+  if (scheduler->sleepers)
+    g_sequence_free(scheduler->sleepers);
+  scheduler->sleepers = NULL;
 }
 
-static enum wake rest(scheduler *scheduler, condition *b, time_us till) {
-  task *task = scheduler->cur;
-  if (scheduler->dead)
+static enum wake suspend(scheduler *scheduler, condition *b, time_us till) {
+  task *task = scheduler->current;
+  if (scheduler->stopped)
     return WAKE_STOPPED;
   task->till = till;
-  task->due = g_sequence_insert_sorted(scheduler->sleep, task, due_cmp, NULL);
+  task->due = g_sequence_insert_sorted(scheduler->sleepers, task, deadline_compare, NULL);
   if (b)
-    list_append(&b->wait, &task->wait);
-  leave(task);
-  return scheduler->dead ? WAKE_STOPPED : task->why;
+    list_append(&b->waiters, &task->wait);
+  switch_to_scheduler(task);
+  return scheduler->stopped ? WAKE_STOPPED : task->why;
 }
 
 enum wake task_sleep(scheduler *scheduler, time_us span) {
-  return rest(scheduler, NULL, time_add(scheduler->now(scheduler->ctx), span));
+  return suspend(scheduler, NULL, time_add(scheduler->now(scheduler->now_context), span));
 }
 
 void condition_init(condition *b) {
-  list_init(&b->wait);
+  list_init(&b->waiters);
 }
 
 enum wake condition_wait(scheduler *scheduler, condition *b, time_us till) {
-  return rest(scheduler, b, till);
+  return suspend(scheduler, b, till);
 }
 
 void condition_broadcast(condition *b) {
-  while (!list_is_empty(&b->wait))
-    wake_up(list_item(b->wait.next, task, wait), WAKE_SIGNALLED);
+  while (!list_is_empty(&b->waiters))
+    wake_up(list_item(b->waiters.next, task, wait), WAKE_SIGNALLED);
 }
--- a/lib/runtime/task.h
+++ b/lib/runtime/task.h
@@ -3,23 +3,23 @@
 #include "base.h"
 
 /** Why a wait ended. */
-enum wake { WAKE_SIGNALLED = 0, WAKE_TIMEOUT = E_NO_ANSWER, WAKE_STOPPED = E_STOPPING };
+enum wake { WAKE_SIGNALLED = 0, WAKE_TIMEOUT = E_NO_RESPONSE, WAKE_STOPPED = E_STOPPING };
 
 typedef struct task task;
 /** Something that tasks wait on. */
 typedef struct condition {
-  list_node wait;
+  list_node waiters;
 } condition;
 
 /** The tasks of one process (or of one machine in a test). */
 typedef struct scheduler {
   list_node ready, all;
-  GSequence *sleep;
-  task *cur;
-  bool dead;
+  GSequence *sleepers;
+  task *current;
+  bool stopped;
   size_t count;
   time_us (*now)(void *);
-  void *ctx;
+  void *now_context;
 } scheduler;
 
 /** Makes a set of tasks that reads time from now(ctx). */
@@ -27,7 +27,7 @@
 /** Runs everything that is ready, and then says when the next sleeper is due. */
 time_us scheduler_run(scheduler *scheduler);
 /** Makes every wait end with DEAD, now and from here on, until no task is left. */
-void scheduler_kill(scheduler *scheduler);
+void scheduler_stop(scheduler *scheduler);
 /** Frees what scheduler_init made; no task may be left. */
 void scheduler_free(scheduler *scheduler);
 /** Starts a task; its first step comes with the next scheduler_run. */
--- a/tests/budget.c
+++ b/tests/budget.c
@@ -25,7 +25,7 @@
  * of it */
 static bool no_window_is_overdrawn(fleet *fleet) {
   fixture *fixture = fixture_new(fleet, plain, false, 1, 4);
-  const service *service = routing_service(fixture->gateway->routing, "svc");
+  const service *service = routing_find_service(fixture->gateway->routing, "svc");
   enum { STEPS = 1200, STEP_MS = 50, WINDOW = 10000 / STEP_MS };
   int came[STEPS] = { 0 }, took[STEPS] = { 0 }, all = 0;
   for (int i = 0; i < STEPS; i++) {
--- a/tests/canary.c
+++ b/tests/canary.c
@@ -59,7 +59,7 @@
         deployment->base
             ->controller[sim_draw(deployment->sim, (uint64_t)deployment->base->controllers)],
         "GET", "/v1/canary", NULL, NULL, NULL, time_from_ms(3000));
-    json *json = call->status == 200 ? json_read(string_view_of_gstring(call->body), NULL) : NULL;
+    json *json = call->status == 200 ? json_parse(string_view_of_gstring(call->body), NULL) : NULL;
     call_free(call);
     if (json)
       return json;
@@ -172,7 +172,7 @@
   json *value = stands(deployment);
   const json *u =
       json_get(json_get(json_get(json_get(value, "value"), "end"), "urgent"), "candidate");
-  double n = json_num(u, "requests", 1e9);
+  double n = json_number(u, "requests", 1e9);
   if (n > 200)
     violation(fleet, "%.0f urgent requests were put under a harmful candidate", n);
   json_free(value);
@@ -454,11 +454,11 @@
   const char *won = x->status == 200 ? "ours" : "theirs", *mine = x->status == 200 ? a : b;
   call_free(x);
   call_free(y);
-  if (put(deployment, "PUT", a, E_TRIAL_RUNS) != 400)
+  if (put(deployment, "PUT", a, E_CANARY_RUNNING) != 400)
     violation(fleet, "a trial was put over one that runs");
-  if (put(deployment, "PUT", "{}", E_TRIAL_RUNS) != 400)
+  if (put(deployment, "PUT", "{}", E_CANARY_RUNNING) != 400)
     violation(fleet, "a trial that runs was taken away");
-  if (put(deployment, "PATCH", "{\"state\":\"ended\",\"share\":0.1}", E_TRIAL_KEPT) != 400)
+  if (put(deployment, "PATCH", "{\"state\":\"ended\",\"share\":0.1}", E_CANARY_IMMUTABLE) != 400)
     violation(fleet, "an end changed the share");
   sim_run(deployment->sim, time_from_ms(9000));
   if (!candidates(deployment, (time_us){ 0 }, time_never()))
@@ -467,9 +467,9 @@
     violation(fleet, "a trial was not stopped");
   time_us at = deployment->sim->now;
   if (put(deployment, "PATCH", "{\"state\":\"ended\",\"end\":{\"verdict\":\"again\"}}",
-          E_TRIAL_NONE) != 400)
+          E_NO_CANARY) != 400)
     violation(fleet, "a trial ended twice");
-  if (put(deployment, "PUT", mine, E_TRIAL_AGAIN) != 400)
+  if (put(deployment, "PUT", mine, E_CANARY_NAME_REUSED) != 400)
     violation(fleet, "a trial began again under its name");
   sim_run(deployment->sim, time_from_ms(6000));
   if (put(deployment, "PUT", "{}", 0) != 200)
@@ -543,7 +543,7 @@
   static const char *const parts[] = { "urgent", "rest" }, *const sides[] = { "old", "candidate" };
   for (int p = 0; p < 2; p++)
     for (int s = 0; s < 2; s++)
-      judged += json_num(json_get(json_get(end, parts[p]), sides[s]), "requests", 0);
+      judged += json_number(json_get(json_get(end, parts[p]), sides[s]), "requests", 0);
   int sent = 0;
   for (guint i = 0; i < deployment->client->tries->len; i++) {
     em_attempt *attempt = deployment->client->tries->pdata[i];
@@ -573,7 +573,7 @@
   q.epoch = t->epoch;
   q.verdict.data = (uint8_t *)text;
   q.verdict.len = strlen(text);
-  Wire__Envelope m = wire_msg(WIRE__ENVELOPE__BODY_CANARY_END_REQUEST, &q), *b;
+  Wire__Envelope m = wire_envelope(WIRE__ENVELOPE__BODY_CANARY_END_REQUEST, &q), *b;
   error err = { 0 };
   t->code = node_call(&t->host->router->node, t->head, &m, time_from_ms(3000), &b, &err);
   if (!t->code)
@@ -609,12 +609,12 @@
     violation(fleet, "nobody judges");
     return over(deployment, "guarded", at, 0);
   }
-  uint64_t version = unit->host->router->res_at[RES_CANARY],
+  uint64_t version = unit->host->router->res_at[RESOURCE_CANARY],
            epoch = duty_epoch(unit->host->router, "canary");
   int x = told_to_end(deployment, other, version, epoch);
-  if (x != E_EPOCH)
+  if (x != E_STALE_EPOCH)
     violation(fleet, "one that does not judge ended the trial (%d)", x);
-  if ((x = told_to_end(deployment, unit->host, version, epoch - 1)) != E_EPOCH)
+  if ((x = told_to_end(deployment, unit->host, version, epoch - 1)) != E_STALE_EPOCH)
     violation(fleet, "a judge of an older epoch ended the trial (%d)", x);
   if ((x = told_to_end(deployment, unit->host, version - 1, epoch)) != E_VERSION_CONFLICT)
     violation(fleet, "the end of another trial was taken (%d)", x);
@@ -770,42 +770,43 @@
     { "{\"name\":\"a\",\"share\":0.1,\"candidate\":{\"weight\":1}}", E_FIELD },
     { "{\"name\":\"a\",\"share\":\"b\",\"candidate\":{}}", E_TYPE },
     { "{\"name\":\"a\",\"share\":0.1,\"candidate\":{\"holdPercent\":0}}", E_RANGE },
-    { "{\"name\":\"a\",\"share\":0.1,\"candidate\":{},\"state\":\"off\"}", E_TRIAL },
+    { "{\"name\":\"a\",\"share\":0.1,\"candidate\":{},\"state\":\"off\"}", E_CANARY_INVALID },
     { "{\"name\":\"a\",\"share\":0.1,\"candidate\":{},\"routes\":[]}", E_RANGE },
     { "{\"name\":\"a\",\"share\":0.1,\"candidate\":{},\"priorities\":[9]}", E_RANGE },
     { "{\"name\":\"a\",\"share\":0.1,\"candidate\":{},\"guard\":{\"error\":0.5}}", E_RANGE },
     { "{\"name\":\"a\",\"share\":0.1,\"candidate\":{},\"warmS\":60,\"guard\":{\"mostS\":50}}",
-      E_TRIAL }
+      E_CANARY_INVALID }
   };
   for (size_t i = 0; i < G_N_ELEMENTS(bad); i++) {
-    json *value = json_read(string_view_of(bad[i].text), NULL);
+    json *value = json_parse(string_view_of(bad[i].text), NULL);
     canary_plan p;
     error err = { 0 };
-    int r = canary_make(&p, value, &err);
+    int r = canary_compile(&p, value, &err);
     if (r != bad[i].code)
       violation(fleet, "%s has code %d (%s), not %d", bad[i].text, r, err.text, bad[i].code);
     json_free(value);
   }
-  json *value = json_read(
+  json *value = json_parse(
       string_view_of(
           "{\"name\":\"a\",\"share\":0.25,\"candidate\":{\"area\":2},\"routes\":[\"r\"],\"priorities\":[0,1]}"),
       NULL);
   canary_plan p, blank;
-  if (canary_make(&p, value, NULL) || p.state != CANARY_RUNNING || p.candidate.area != 2 ||
-      p.candidate.late_share != select_usual.late_share)
+  if (canary_compile(&p, value, NULL) || p.state != CANARY_RUNNING ||
+      p.candidate.zone_weight != 2 ||
+      p.candidate.reject_threshold != select_policy_default.reject_threshold)
     violation(fleet, "a sound trial is not taken");
-  if (canary_make(&blank, NULL, NULL) || blank.state != CANARY_NONE)
+  if (canary_compile(&blank, NULL, NULL) || blank.state != CANARY_NONE)
     violation(fleet, "without a value there is a trial");
-  if (!canary_takes(&p, id_of_text("r"), 1) || canary_takes(&p, id_of_text("r"), 2) ||
-      canary_takes(&p, id_of_text("q"), 0))
+  if (!canary_includes(&p, id_of_text("r"), 1) || canary_includes(&p, id_of_text("r"), 2) ||
+      canary_includes(&p, id_of_text("q"), 0))
     violation(fleet, "the wrong requests take part");
   int in = 0, other = 0;
   canary_plan q = p;
   q.name = id_of_text("b");
   for (uint64_t s = 0; s < 20000; s++) {
-    bool x = canary_drawn(&p, hash_of(&s, sizeof s, 9));
+    bool x = canary_session_is_candidate(&p, hash_bytes(&s, sizeof s, 9));
     in += x;
-    other += x && canary_drawn(&q, hash_of(&s, sizeof s, 9));
+    other += x && canary_session_is_candidate(&q, hash_bytes(&s, sizeof s, 9));
   }
   if (abs(in - 5000) > 250 || abs(other - 1250) > 150)
     violation(fleet, "of 20000 sessions %d are drawn, and %d by two trials", in, other);
@@ -817,7 +818,7 @@
  * numbers is drawn */
 static double unit_draw(fleet *fleet) {
   uint64_t n = fleet->sim->rnd++;
-  return (double)(hash_of(&n, sizeof n, fleet->seed * 0x5851f42d4c957f2dull) >> 11) /
+  return (double)(hash_bytes(&n, sizeof n, fleet->seed * 0x5851f42d4c957f2dull) >> 11) /
          (double)(1ull << 53);
 }
 
@@ -827,24 +828,28 @@
                        double late, int most, bool drifts) {
   canary_totals t = { 0 };
   for (int i = 0; i < most; i++) {
-    int s = unit_draw(fleet) < plan->share ? SIDE_CANDIDATE : SIDE_OLD;
-    canary_cell *c = &t.cell[s][0];
+    int s = unit_draw(fleet) < plan->traffic_share ? CANARY_ARM_CANDIDATE : CANARY_ARM_CONTROL;
+    canary_cell *c = &t.cells[s][0];
     /* a bad hour that strikes both sides alike */
     double worse = drifts && i > most / 3 && i < most / 2 ? 0.4 : 0;
-    if (unit_draw(fleet) < (s == SIDE_CANDIDATE ? candidate : old) + worse)
+    if (unit_draw(fleet) < (s == CANARY_ARM_CANDIDATE ? candidate : old) + worse)
       c->failed++;
     else if (unit_draw(fleet) < late)
       c->late++;
     else
-      c->in_aim++;
-    if (i % 5 == 0 && canary_judge(plan, &t).harm)
-      return (int)canary_count(&t.cell[SIDE_CANDIDATE][0]);
+      c->within_target++;
+    if (i % 5 == 0 && canary_judge(plan, &t).harm_proven)
+      return (int)canary_cell_requests(&t.cells[CANARY_ARM_CANDIDATE][0]);
   }
   return -1;
 }
 
 static bool a_guard_seldom_errs_and_sees_harm(fleet *fleet) {
-  canary_plan p = { .share = 0.3, .late_harm = 0.5, .margin = 0, .error = 0.05, .least = 20 };
+  canary_plan p = { .traffic_share = 0.3,
+                    .late_penalty = 0.5,
+                    .margin = 0,
+                    .error_probability = 0.05,
+                    .min_requests = 20 };
   int alarms = 0, seen = 0, worst = 0;
   fleet->sim->rnd = fleet->seed << 32;
   enum { CALM = 400, TRIALS = 150, MOST = 1500 };
--- a/tests/catch_up.c
+++ b/tests/catch_up.c
@@ -61,7 +61,7 @@
 /* what was acknowledged, and what was read, binds every read that begins later */
 static void storm_fold(storm *x) {
   fleet *fleet = x->fleet;
-  int which = x->entries ? RES_CATALOGUE : RES_EVACUATION;
+  int which = x->entries ? RESOURCE_CATALOGUE : RESOURCE_EVACUATION;
   for (; x->acks < fleet->acks->len; x->acks++) {
     ack *a = &g_array_index(fleet->acks, ack, x->acks);
     if (a->which != which)
@@ -131,7 +131,7 @@
   while (fleet->controllers < members)
     core_add_controller(fleet, fleet->controllers + 1);
   for (int i = 0; i < fleet->controllers; i++)
-    fleet->controller[i]->settings.file_bytes = ring;
+    fleet->controller[i]->settings.log_file_bytes = ring;
   core_found_by_address(fleet, 3);
   core_bounds(fleet, members, members / 2 + 1, 1);
   if (!fleet_up(fleet))
@@ -209,7 +209,7 @@
 /* one part of a state, asked for by hand; the number of bytes that came, 0 when it was refused */
 static size_t part_of(host *host, uint64_t *seq, size_t off, GString *to) {
   Wire__SnapshotRequest f = WIRE__SNAPSHOT_REQUEST__INIT;
-  Wire__Envelope in = wire_msg(WIRE__ENVELOPE__BODY_SNAPSHOT_REQUEST, &f);
+  Wire__Envelope in = wire_envelope(WIRE__ENVELOPE__BODY_SNAPSHOT_REQUEST, &f);
   reply out = { WIRE__ENVELOPE__INIT, NULL };
   error err = { 0 };
   size_t n = 0;
--- a/tests/copies.c
+++ b/tests/copies.c
@@ -11,8 +11,8 @@
   fleet->controller[fleet->controllers++] = host;
   host->settings = fleet->controller[0]->settings;
   host->settings.self = host->self;
-  host->settings.area = host->area;
-  g_strlcpy(host->settings.addr, host->addr, sizeof host->settings.addr);
+  host->settings.zone = host->area;
+  g_strlcpy(host->settings.address, host->addr, sizeof host->settings.address);
   return host;
 }
 
@@ -24,11 +24,11 @@
     memset(settings->founders, 0, sizeof settings->founders);
     settings->founder_count = 3;
     for (int k = 0; k < 3; k++)
-      g_strlcpy(settings->founder_addrs[k], fleet->controller[(k + i) % 3]->addr,
-                sizeof settings->founder_addrs[k]);
-    settings->members = 5;
-    settings->copies = 2;
-    settings->copy_areas = 1;
+      g_strlcpy(settings->founder_addresses[k], fleet->controller[(k + i) % 3]->addr,
+                sizeof settings->founder_addresses[k]);
+    settings->chain_members = 5;
+    settings->write_replicas = 2;
+    settings->write_zones = 1;
   }
   if (!fleet_up(fleet) || !wait_chain(fleet, 5, 15000))
     return false;
--- a/tests/core.c
+++ b/tests/core.c
@@ -11,8 +11,8 @@
       sim_host(fleet->sim, HOST_CONTROLLER, name, area_names[n % 3], addr);
   host->settings = fleet->controller[0]->settings;
   host->settings.self = host->self;
-  host->settings.area = host->area;
-  g_strlcpy(host->settings.addr, host->addr, sizeof host->settings.addr);
+  host->settings.zone = host->area;
+  g_strlcpy(host->settings.address, host->addr, sizeof host->settings.address);
   return host;
 }
 
@@ -23,8 +23,8 @@
     memset(settings->founders, 0, sizeof settings->founders);
     settings->founder_count = founders;
     for (int k = 0; k < founders; k++)
-      g_strlcpy(settings->founder_addrs[k], fleet->controller[(k + i) % founders]->addr,
-                sizeof settings->founder_addrs[k]);
+      g_strlcpy(settings->founder_addresses[k], fleet->controller[(k + i) % founders]->addr,
+                sizeof settings->founder_addresses[k]);
   }
 }
 
@@ -36,9 +36,9 @@
 
 void core_bounds(fleet *fleet, int members, int copies, int areas) {
   for (int i = 0; i < fleet->controllers; i++) {
-    fleet->controller[i]->settings.members = members;
-    fleet->controller[i]->settings.copies = copies;
-    fleet->controller[i]->settings.copy_areas = areas;
+    fleet->controller[i]->settings.chain_members = members;
+    fleet->controller[i]->settings.write_replicas = copies;
+    fleet->controller[i]->settings.write_zones = areas;
   }
 }
 
@@ -263,8 +263,8 @@
     for (int i = 0, k = 0; i < fleet->controllers && k < 3; i++)
       if (fleet->controller[i] != old &&
           (fleet->controller[i]->alive || fleet->controller[i] == young))
-        g_strlcpy(young->settings.seeds[k++], fleet->controller[i]->addr,
-                  sizeof young->settings.seeds[0]);
+        g_strlcpy(young->settings.seed_addresses[k++], fleet->controller[i]->addr,
+                  sizeof young->settings.seed_addresses[0]);
     sim_run(fleet->sim, time_from_ms((int64_t)sim_draw(fleet->sim, 3000)));
     host_start(young);
     exchange x = { fleet, old, young };
--- a/tests/cutoff.c
+++ b/tests/cutoff.c
@@ -184,16 +184,16 @@
 static void order_at(watch *w, host *controller) {
   uint64_t version = w->version + 1;
   char *text = mark_text(version), ip[48], to[64];
-  const dialect *dialect = &dialect_own;
-  const dialect_path *how = &dialect->call[DC_CONFIG_PATCH];
+  const dialect *dialect = &dialect_native;
+  const dialect_path *how = &dialect->calls[DC_CONFIG_PATCH];
   host_part(controller, ip, sizeof ip);
   snprintf(to, sizeof to, "%s:8100", ip);
   fields *fields = g_string_new(NULL);
   fields_add(fields, "Host", string_view_of(to));
   fields_add(fields, "Content-Type", string_view_of("application/json"));
-  fields_addf(fields, dialect->field[DF_BASE_REVISION], "%" PRIu64, w->version);
+  fields_add_format(fields, dialect->header_names[DF_BASE_REVISION], "%" PRIu64, w->version);
   world *from = &w->outside->world;
-  http_call *call = http_call_open_fields(from, to, how->verb, how->path, fields,
+  http_call *call = http_call_open_fields(from, to, how->method, how->path, fields,
                                           string_view_of(text), true, time_never());
   g_string_free(fields, TRUE);
   time_us sent = w->deployment->sim->now;
@@ -393,13 +393,13 @@
         sim_host(fleet->sim, HOST_CONTROLLER, name, fleet->area[i % 3].text, addr);
     host->settings = fleet->controller[0]->settings;
     host->settings.self = host->self;
-    host->settings.area = host->area;
-    g_strlcpy(host->settings.addr, host->addr, sizeof host->settings.addr);
+    host->settings.zone = host->area;
+    g_strlcpy(host->settings.address, host->addr, sizeof host->settings.address);
   }
   for (int i = 0; i < fleet->controllers; i++) {
-    fleet->controller[i]->settings.members = members;
-    fleet->controller[i]->settings.copies = members / 2 + 1;
-    fleet->controller[i]->settings.copy_areas = 1;
+    fleet->controller[i]->settings.chain_members = members;
+    fleet->controller[i]->settings.write_replicas = members / 2 + 1;
+    fleet->controller[i]->settings.write_zones = 1;
   }
   fleet->sim->tcp = true;
   deployment *deployment = deployment_new(fleet, 4, 2);
@@ -546,10 +546,12 @@
     if (h->role > HOST_ROUTER)
       continue;
     for (int i = 2; i > 0 && !only; i--)
-      g_strlcpy(h->settings.seeds[i], h->settings.seeds[i - 1], sizeof h->settings.seeds[i]);
+      g_strlcpy(h->settings.seed_addresses[i], h->settings.seed_addresses[i - 1],
+                sizeof h->settings.seed_addresses[i]);
     for (int i = 1; i < 3 && only; i++)
-      h->settings.seeds[i][0] = 0;
-    g_strlcpy(h->settings.seeds[0], controller->addr, sizeof h->settings.seeds[0]);
+      h->settings.seed_addresses[i][0] = 0;
+    g_strlcpy(h->settings.seed_addresses[0], controller->addr,
+              sizeof h->settings.seed_addresses[0]);
   }
   int again = 1 + (int)sim_draw(fleet->sim, 2);
   for (int i = 0; i < again; i++) {
--- a/tests/cuts.c
+++ b/tests/cuts.c
@@ -256,8 +256,8 @@
     list_for_each (a, &fleet->sim->hosts, host, link) {
       if (a == h || a->role > HOST_ROUTER)
         continue;
-      machine *machine =
-          node_find_machine(a->controller ? &a->controller->node : &a->router->node, h->self);
+      peer_node *machine =
+          node_find_peer(a->controller ? &a->controller->node : &a->router->node, h->self);
       node *node = h->controller ? &h->controller->node : &h->router->node;
       if (!machine || machine->gone || machine->nonce != node->nonce)
         violation(fleet, "%s does not know that %s is back", a->self.text, h->self.text);
--- a/tests/day.c
+++ b/tests/day.c
@@ -24,17 +24,17 @@
     { "\"seconds\":12,", "", E_FIELD },
     { "\"gateways\":3", "\"gateways\":3,\"routers\":3", E_FIELD },
     { "\"mid\"", "\"m d\"", E_NAME },
-    { "\"weightsMb\":8000", "\"weightsMb\":80000", E_FITS_NO_ENGINE },
+    { "\"weightsMb\":8000", "\"weightsMb\":80000", E_NO_ENGINE_FITS },
     { "\"name\":\"n\"", "\"name\":\"m\"", E_NAME },
     { "\"name\":\"p\",\"engines\":2", "\"name\":\"s\",\"engines\":2", E_NAME },
     { "\"engines\":2", "\"engines\":0", E_RANGE },
-    { "\"service\":\"p\"", "\"service\":\"q\"", E_SERVICE },
-    { "\"mode\":\"once\"", "\"mode\":\"twice\"", E_MODE },
-    { "\"/l/\"", "\"/l\"", E_PREFIX },
+    { "\"service\":\"p\"", "\"service\":\"q\"", E_UNKNOWN_SERVICE },
+    { "\"mode\":\"once\"", "\"mode\":\"twice\"", E_ROUTE_MODE },
+    { "\"/l/\"", "\"/l\"", E_ROUTE_PREFIX },
     { "\"/l/\"", "\"/k/\"", E_DUPLICATE_ROUTE },
     { "\"name\":\"l\"", "\"name\":\"k\"", E_DUPLICATE_NAME },
-    { "\"m/a1\"", "\"m/a3\"", E_MODEL },
-    { "\"m/a1\"", "\"x\"", E_MODEL },
+    { "\"m/a1\"", "\"m/a3\"", E_UNKNOWN_MODEL },
+    { "\"m/a1\"", "\"x\"", E_UNKNOWN_MODEL },
     { "\"tokensOut\":20,", "", E_FIELD },
     { "\"perS\":2", "\"perS\":-2", E_RANGE },
     { "\"seconds\":12", "\"seconds\":12,\"policy\":{\"eviction\":\"best\"}", E_NAME },
@@ -150,9 +150,9 @@
     violation(fleet, "the same seed gave another day");
   GString *t = g_string_new(NULL);
   day_json(day, a, t);
-  json *json = json_read(string_view_of_gstring(t), &err);
-  if (!json || json_num(json_get(json, "all"), "sent", 0) != (double)s->sent ||
-      !json_yes(json, "rulesKept", false))
+  json *json = json_parse(string_view_of_gstring(t), &err);
+  if (!json || json_number(json_get(json, "all"), "sent", 0) != (double)s->sent ||
+      !json_bool(json, "rulesKept", false))
     violation(fleet, "the JSON is %.200s", t->str);
   json_free(json);
   g_string_truncate(t, 0);
--- a/tests/delta.c
+++ b/tests/delta.c
@@ -2,9 +2,9 @@
 #include "tests.h"
 
 static void items(GString *to, int from, int n, int odd, int version) {
-  json_f(to, "{\"version\":%d,\"routes\":[", version);
+  json_appendf(to, "{\"version\":%d,\"routes\":[", version);
   for (int i = from; i < from + n; i++)
-    json_f(
+    json_appendf(
         to,
         "%s{\"name\":\"r-%d\",\"split\":[{\"service\":\"a\",\"weight\":%d},{\"service\":\"b\",\"weight\":10}]}",
         i > from ? "," : "", i, i == odd ? 50 : 90);
@@ -20,7 +20,7 @@
     GString *now = g_string_new(NULL);
     int from = (int)sim_draw(fleet->sim, 40), n = 300 + (int)sim_draw(fleet->sim, 150);
     items(now, from, n, from + (int)sim_draw(fleet->sim, (uint64_t)n), 5 + k);
-    bool made = delta_make(string_view_of_gstring(old), string_view_of_gstring(now), d);
+    bool made = delta_encode(string_view_of_gstring(old), string_view_of_gstring(now), d);
     if (!made || d->len * 4 > now->len + 60000 ||
         !delta_apply(string_view_of_gstring(old), string_view_of_gstring(d), back) ||
         !string_view_equal(string_view_of_gstring(back), string_view_of_gstring(now)))
@@ -45,9 +45,9 @@
   /* small change, small delta */
   GString *now = g_string_new(NULL);
   items(now, 0, 400, 200, 6);
-  if (!delta_make(string_view_of_gstring(old), string_view_of_gstring(now), d) || d->len > 700)
+  if (!delta_encode(string_view_of_gstring(old), string_view_of_gstring(now), d) || d->len > 700)
     violation(fleet, "one item of 400 changed: %zu bytes", d->len);
-  if (delta_make(string_view_of("{}"), string_view_of_gstring(now), d))
+  if (delta_encode(string_view_of("{}"), string_view_of_gstring(now), d))
     violation(fleet, "nothing in common, and yet a delta");
   g_string_free(now, TRUE);
   g_string_free(old, TRUE);
--- a/tests/disk.c
+++ b/tests/disk.c
@@ -36,29 +36,29 @@
 }
 
 static bool a_ring_file_is_synced_whoever_made_it(fleet *fleet) {
-  real_settings v = { .body_most = 0 };
+  real_settings v = { .body_max_bytes = 0 };
   char *dir = g_dir_make_tmp("ring-XXXXXX", NULL);
-  g_strlcpy(v.dir, dir, sizeof v.dir);
+  g_strlcpy(v.data_dir, dir, sizeof v.data_dir);
   error err = { 0 };
-  world *world = real_new(&v, &err);
+  world *world = real_world_new(&v, &err);
   if (!world) {
     violation(fleet, "no world: %s", err.text);
     return false;
   }
   next_sync_fails = true;
-  if (open_ring_file(world) != E_SYNC)
+  if (open_ring_file(world) != E_DISK_SYNC)
     violation(fleet, "a sync that failed was not told");
   if (open_ring_file(world) || !files_synced || !folders_synced)
     violation(fleet, "after a sync that failed, %d files and %d folders were synced", files_synced,
               folders_synced);
-  real_free(world);
+  real_world_free(world);
   /* the process that made it was killed before it could sync: the next one can't know */
-  world = real_new(&v, &err);
+  world = real_world_new(&v, &err);
   if (!world || open_ring_file(world) || !files_synced || !folders_synced)
     violation(fleet, "a later process synced %d files and %d folders", files_synced,
               folders_synced);
   if (world)
-    real_free(world);
+    real_world_free(world);
   char *path = g_strdup_printf("%s/ring-00", dir);
   g_unlink(path);
   g_rmdir(dir);
--- a/tests/drain.c
+++ b/tests/drain.c
@@ -249,7 +249,7 @@
 static void read_run(void *p) {
   reader *reader = p;
   const char *host = "Host: control\r\n";
-  while (!reader->stop && !reader->world->tasks.dead) {
+  while (!reader->stop && !reader->world->tasks.stopped) {
     fields *fields = g_string_new(host);
     http_call *call = http_call_open_fields(reader->world, reader->addr, "GET", "/v1/routing",
                                             fields, string_view_of(""), false, time_never());
@@ -278,7 +278,7 @@
   controller *controller = leaver->host->controller;
   if (condition_wait(&leaver->host->world.tasks, &controller->over, time_never()) != WAKE_SIGNALLED)
     return;
-  leaver->left = controller->control.exchanges;
+  leaver->left = controller->control.pending_exchanges;
   leaver->over = true;
 }
 
--- a/tests/fields.c
+++ b/tests/fields.c
@@ -13,7 +13,7 @@
 static void num(fleet *fleet, const char *text, int64_t due) {
   fields *g = of("X-Num: ");
   g_string_append_printf(g, "%s\r\n", text);
-  int64_t n = fields_num(g, "x-num", -1);
+  int64_t n = fields_get_number(g, "x-num", -1);
   if (n != due)
     violation(fleet, "'%s' as a number is %" PRId64 ", not %" PRId64, text, n, due);
   g_string_free(g, TRUE);
@@ -59,7 +59,7 @@
   num(fleet, "3 4", -1);
   num(fleet, "0x10", -1);
   fields *g = of("");
-  if (fields_num(g, "x", 42) != 42)
+  if (fields_get_number(g, "x", 42) != 42)
     violation(fleet, "an absent number has no fallback");
   g_string_free(g, TRUE);
   return check_all(fleet);
@@ -85,11 +85,11 @@
   fields_add(g, "X-A", string_view_of("one"));
   fields_add(g, "X-B", string_view_of("two\r\nX-Evil: yes"));
   fields_add(g, "X-\nC", (string_view){ "a\0b", 3 });
-  fields_addf(g, "X-D", "%d.%s", 7, "x");
+  fields_add_format(g, "X-D", "%d.%s", 7, "x");
   GString *large = g_string_new(NULL);
   for (int i = 0; i < 300; i++)
     g_string_append_c(large, 'y');
-  fields_addf(g, "X-E", "%s", large->str);
+  fields_add_format(g, "X-E", "%s", large->str);
   char *due = g_strdup_printf(
       "X-A: one\r\nX-B: twoX-Evil: yes\r\nX-C: ab\r\nX-D: 7.x\r\nX-E: %s\r\n", large->str);
   is(fleet, string_view_of_gstring(g), due, "what was added");
--- a/tests/fixture.c
+++ b/tests/fixture.c
@@ -99,7 +99,7 @@
                                     .ready_ip = "10.9.0.1",
                                     .front_port = 8144,
                                     .ready_port = 8140,
-                                    .dialect = &dialect_own,
+                                    .dialect = &dialect_native,
                                     .grace_ms = 8000,
                                     .retry_ratio = 0.2,
                                     .retry_slack = 50,
@@ -107,8 +107,8 @@
   b->node = sim_host(sim, HOST_ROUTER, "gw", "north", "10.9.0.1:7660");
   b->node->settings = fleet->router[0]->settings;
   b->node->settings.self = id_of_text("gw");
-  b->node->settings.gateway = true;
-  g_strlcpy(b->node->settings.addr, "10.9.0.1:7660", sizeof b->node->settings.addr);
+  b->node->settings.is_gateway = true;
+  g_strlcpy(b->node->settings.address, "10.9.0.1:7660", sizeof b->node->settings.address);
   b->node->begin = node_begin;
   b->node->finish = node_finish;
   b->node->extra = b;
@@ -140,7 +140,7 @@
                        .controllers = b->controllers,
                        .first = llm ? b->first : NULL,
                        .disk = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL),
-                       .dialect = &dialect_own,
+                       .dialect = &dialect_native,
                        .log = b->log,
                        .store = &b->store };
     g_strlcpy(plan->ip, ip, sizeof plan->ip);
@@ -154,8 +154,8 @@
   host_start(b->caller);
   host_start(b->node);
   error err = { 0 };
-  json *json = json_read(string_view_of(config), &err);
-  routing *routing = json ? routing_make(json, &err) : NULL;
+  json *json = json_parse(string_view_of(config), &err);
+  routing *routing = json ? routing_compile(json, &err) : NULL;
   json_free(json);
   if (!routing)
     violation(fleet, "no routing: %s", err.text);
@@ -198,11 +198,11 @@
   fixture_request *attempt = p;
   world *world = &attempt->fixture->caller->world;
   fields *fields = g_string_new("Host: svc.example\r\n");
-  const dialect *dialect = &dialect_own;
+  const dialect *dialect = &dialect_native;
   if (attempt->request[0])
-    fields_add(fields, dialect->field[DF_REQUEST_ID], string_view_of(attempt->request));
+    fields_add(fields, dialect->header_names[DF_REQUEST_ID], string_view_of(attempt->request));
   if (attempt->left)
-    fields_addf(fields, dialect->field[DF_TIME_LEFT_MS], "%" PRId64, attempt->left);
+    fields_add_format(fields, dialect->header_names[DF_TIME_LEFT_MS], "%" PRId64, attempt->left);
   g_string_append_len(fields, attempt->more->str, (gssize)attempt->more->len);
   attempt->sent = world_now(world);
   http_call *call =
@@ -214,18 +214,18 @@
           ? time_add(attempt->sent, time_from_ms(attempt->leave_ms))
           : time_add(attempt->sent, time_from_ms(attempt->left ? attempt->left + 500 : 30000));
   while (!call->ended && !call->broken && !time_reached(world_now(world), till)) {
-    if (condition_wait(&world->tasks, &call->news, till) == WAKE_STOPPED)
+    if (condition_wait(&world->tasks, &call->progressed, till) == WAKE_STOPPED)
       break;
-    if (call->received->len && !attempt->first.us)
+    if (call->response_body->len && !attempt->first.us)
       attempt->first = world_now(world);
   }
   attempt->last = world_now(world);
   attempt->status = call->status;
   attempt->ended = call->ended;
   attempt->broken = call->broken;
-  if (call->in_fields)
-    attempt->in = g_string_new(call->in_fields->str);
-  g_string_append_len(attempt->got, call->received->str, (gssize)call->received->len);
+  if (call->response_fields)
+    attempt->in = g_string_new(call->response_fields->str);
+  g_string_append_len(attempt->got, call->response_body->str, (gssize)call->response_body->len);
   attempt->done = true;
   http_call_close(call);
 }
--- a/tests/forward.c
+++ b/tests/forward.c
@@ -316,8 +316,8 @@
 static void ready_run(void *p) {
   fixture_request *attempt = p;
   attempt->status =
-      http_call_and_read(&attempt->fixture->caller->world, "10.9.0.1:8140", "GET", "/ready", NULL,
-                         string_view_of(""), attempt->got, time_from_ms(500), NULL);
+      http_call_fetch(&attempt->fixture->caller->world, "10.9.0.1:8140", "GET", "/ready", NULL,
+                      string_view_of(""), attempt->got, time_from_ms(500), NULL);
   attempt->done = true;
 }
 
@@ -363,14 +363,14 @@
   for (int i = 0; i < 4; i++)
     fixture_ask(fixture, "/stream/x", 6000, STREAM);
   fixture_run(fixture, 2000);
-  expect(fixture, "idle channels before", fixture->gateway->front.channels > 0, 1, 1);
+  expect(fixture, "idle channels before", fixture->gateway->front.connections > 0, 1, 1);
   gateway_drain(fixture->gateway);
   for (int i = 0; i < 500 && !fixture->over; i++)
     fixture_run(fixture, 10);
   expect(fixture, "over", fixture->over, 1, 1);
-  expect(fixture, "open at the end", fixture->gateway->open + fixture->gateway->front.exchanges, 0,
-         0);
-  expect(fixture, "channels at the end", fixture->gateway->front.channels, 0, 0);
+  expect(fixture, "open at the end",
+         fixture->gateway->open + fixture->gateway->front.pending_exchanges, 0, 0);
+  expect(fixture, "channels at the end", fixture->gateway->front.connections, 0, 0);
   fixture_free(fixture);
   return true;
 }
--- a/tests/fuzz.c
+++ b/tests/fuzz.c
@@ -99,8 +99,8 @@
 /* what was taken is valid, and reads the same once it is written */
 static void check_taken(fleet *fleet, const GString *text) {
   error err = { 0 };
-  json *json = json_read(string_view_of_gstring(text), &err);
-  routing *routing = json ? routing_make(json, &err) : NULL;
+  json *json = json_parse(string_view_of_gstring(text), &err);
+  routing *routing = json ? routing_compile(json, &err) : NULL;
   if (!routing)
     violation(fleet, "a configuration that was taken is invalid (%s): %s", err.text, text->str);
   GString *again = g_string_new(NULL);
@@ -109,7 +109,7 @@
   if (json && !g_string_equal(again, text))
     violation(fleet, "a configuration changes when it is read and written: %s", text->str);
   if (routing) {
-    routing_find(routing, string_view_of("svc.example"), string_view_of("/once/x"));
+    routing_find_route(routing, string_view_of("svc.example"), string_view_of("/once/x"));
     routing_unref(routing);
   }
   g_string_free(again, TRUE);
@@ -127,7 +127,7 @@
     const char *input = draw_input(sim, is_whole ? whole : patches), *base = whole->pdata[0];
     GString *text = changed(sim, input, strlen(input), true), *to = g_string_new(NULL);
     error err = { 0 };
-    json *body = json_read(string_view_of_gstring(text), &err);
+    json *body = json_parse(string_view_of_gstring(text), &err);
     if (!body && !err.code)
       violation(fleet, "JSON is refused without a code: %s", text->str);
     if (body) {
@@ -140,8 +140,8 @@
         taken++;
         check_taken(fleet, to);
       }
-      dialect_in(&dialect_own, body);
-      dialect_out(&dialect_own, body);
+      dialect_translate_in(&dialect_native, body);
+      dialect_translate_out(&dialect_native, body);
     }
     json_free(body);
     g_string_free(text, TRUE);
@@ -237,8 +237,8 @@
     host *host =
         i < fleet->controllers ? fleet->controller[i] : fleet->router[i - fleet->controllers];
     if (yes)
-      post_of_sim = host->world.post;
-    host->world.post = yes ? post_and_note : post_of_sim;
+      post_of_sim = host->world.post_message;
+    host->world.post_message = yes ? post_and_note : post_of_sim;
   }
 }
 
@@ -264,8 +264,8 @@
       wire__envelope__free_unpacked(m, NULL);
     host *host = sim_draw(sim, 2) ? fleet->controller[sim_draw(sim, fleet->controllers)]
                                   : fleet->router[sim_draw(sim, fleet->routers)];
-    if (host->alive && host->world.on_post)
-      host->world.on_post(host->world.post_ctx, string_view_of_gstring(bytes));
+    if (host->alive && host->world.on_message)
+      host->world.on_message(host->world.on_message_context, string_view_of_gstring(bytes));
     g_string_free(bytes, TRUE);
     sim_run(sim, time_from_ms(10));
   }
--- a/tests/gateway.c
+++ b/tests/gateway.c
@@ -588,7 +588,7 @@
   deployment_go(deployment, 1);
   sim_run(deployment->sim, time_from_ms(2000));
   for (int i = 0; i < 3000; i++)
-    json_f(
+    json_appendf(
         deployment->extra_routes,
         ",{\"name\":\"r-%d\",\"host\":\"h%d.example\",\"prefix\":\"/p%d/\",\"mode\":\"safe\",\"timeoutMs\":4000,\"targetMs\":300,\"priority\":2,\"service\":\"ledger\",\"attempts\":2}",
         i, i % 50, i);
@@ -792,29 +792,29 @@
   probe_call k = { .host = deployment->outside };
   snprintf(k.addr, sizeof k.addr, "%s:%d", unit->plan.ip, unit->plan.port);
   probe_once(deployment, &k, false);
-  if (k.got || k.call->reused || k.call->status != 200)
+  if (k.got || k.call->reused_connection || k.call->status != 200)
     violation(fleet, "a first call is on a new channel and answered");
   probe_once(deployment, &k, false);
-  if (k.got || !k.call->reused)
+  if (k.got || !k.call->reused_connection)
     violation(fleet, "a second call goes over the same channel");
   probe_once(deployment, &k, true);
-  if (k.got || k.call->reused)
+  if (k.got || k.call->reused_connection)
     violation(fleet, "one that asks for a new channel gets one");
   host_power(unit->host);
   sim_run(deployment->sim, time_from_ms(200));
   probe_once(deployment, &k, true);
-  if (k.got != E_NO_ANSWER || k.call->sent)
+  if (k.got != E_NO_RESPONSE || k.call->sent)
     violation(fleet, "a dark machine lets no channel come up (%d)", k.got);
   http_call_close(k.call);
   k.call = NULL;
   host_start(unit->host);
   sim_run(deployment->sim, time_from_ms(200));
   probe_once(deployment, &k, false);
-  if (k.got != E_LOST_AFTER_SENT || !k.call->reused || !k.call->sent)
+  if (k.got != E_CONNECTION_LOST_AFTER_SEND || !k.call->reused_connection || !k.call->sent)
     violation(fleet,
               "on a channel of an earlier life a call is broken after it was sent (%d, reused %d)",
-              k.got, k.call->reused);
-  k.host->world.kept_drop(&k.host->world, k.addr);
+              k.got, k.call->reused_connection);
+  k.host->world.pool_close_idle(&k.host->world, k.addr);
   host_kill(unit->host);
   sim_run(deployment->sim, time_from_ms(200));
   probe_once(deployment, &k, false);
@@ -825,16 +825,16 @@
   probe_once(deployment, &k, false);
   sim_run(deployment->sim, time_from_ms(5200));
   probe_once(deployment, &k, false);
-  if (k.got || k.call->reused)
+  if (k.got || k.call->reused_connection)
     violation(fleet, "a channel that was idle for long is ended by the other side");
   host_freeze(unit->host);
   probe_once(deployment, &k, false);
-  if (k.got != E_NO_ANSWER || !k.call->sent)
+  if (k.got != E_NO_RESPONSE || !k.call->sent)
     violation(fleet, "a frozen process takes a request and says nothing (%d)", k.got);
   host_wake(unit->host);
   sim_cut(deployment->sim, "unit-1", "outside", true);
   probe_once(deployment, &k, false);
-  if (k.got != E_NO_ANSWER)
+  if (k.got != E_NO_RESPONSE)
     violation(fleet, "over a cut nothing comes back (%d)", k.got);
   sim_mend(deployment->sim);
   http_call_close(k.call);
--- a/tests/http/driver.c
+++ b/tests/http/driver.c
@@ -25,15 +25,15 @@
 }
 
 static void log_info(http_request *request, GString *g) {
-  http_request_answer(request, 200, "text/plain", string_view_of_gstring(g));
+  http_request_respond(request, 200, "text/plain", string_view_of_gstring(g));
   g_string_free(g, TRUE);
 }
 
 static void serve_echo(http_request *request) {
   GString *g = g_string_new(NULL);
   g_string_printf(g, "%s %s\nhost %s\nfrom %s\n%s\n%s", request->method, request->target,
-                  request->host, request->caller_addr, request->fields->str, request->body->str);
-  fields_add(request->reply_fields, "X-Own", string_view_of("yes"));
+                  request->host, request->client_address, request->fields->str, request->body->str);
+  fields_add(request->response_fields, "X-Own", string_view_of("yes"));
   log_info(request, g);
 }
 
@@ -50,19 +50,19 @@
                               time_add(world_now(w), time_from_ms(20000))) == OK;
   }
   g_free(piece);
-  gone += request->gone;
+  gone += request->client_gone;
   http_request_end(request, fine && num(request, "cut", 0) == 0);
 }
 
 static void serve_slow(http_request *request) {
   condition b;
   condition_init(&b);
-  request->left = &b;
+  request->client_gone_condition = &b;
   enum wake y =
       condition_wait(&w->tasks, &b, time_add(world_now(w), time_from_ms(num(request, "ms", 500))));
-  request->left = NULL;
-  left += y == WAKE_SIGNALLED && request->gone;
-  http_request_answer(request, 200, "text/plain", string_view_of("slow"));
+  request->client_gone_condition = NULL;
+  left += y == WAKE_SIGNALLED && request->client_gone;
+  http_request_respond(request, 200, "text/plain", string_view_of("slow"));
 }
 
 static void serve_call(http_request *request) {
@@ -78,7 +78,7 @@
       w, to, verb ? verb : "GET", path ? path : "/", fields, string_view_of_gstring(body),
       num(request, "fresh", 0), by ? time_add(world_now(w), time_from_ms(by)) : time_never());
   if (match)
-    http_call_match(call, "x-id", string_view_of(match));
+    http_call_require_field(call, "x-id", string_view_of(match));
   GString *got = g_string_new(NULL), *g = g_string_new(NULL);
   time_us till = time_add(world_now(w), time_from_ms(most));
   int r = http_call_wait(call, till);
@@ -90,9 +90,9 @@
   g_string_printf(
       g,
       "result=%d status=%d reused=%d closes=%d sent=%d ended=%d broken=%d passed=%u len=%zu up=%d all=%d last=%d body=%.40s",
-      r, call->status, call->reused, call->closes, call->sent, call->ended, call->broken,
-      call->passed_over, got->len, call->up_at.us > 0, call->sent_at.us > 0, call->last.us > 0,
-      got->str);
+      r, call->status, call->reused_connection, call->closes_connection, call->sent, call->ended,
+      call->broken, call->skipped_responses, got->len, call->connected_at.us > 0,
+      call->sent_at.us > 0, call->last_byte_at.us > 0, got->str);
   http_call_close(call);
   g_string_free(fields, TRUE);
   g_string_free(body, TRUE);
@@ -113,52 +113,53 @@
   else if (!strcmp(request->path, "/call"))
     serve_call(request);
   else if (!strcmp(request->path, "/empty"))
-    http_request_answer(request, 204, NULL, string_view_of(""));
+    http_request_respond(request, 204, NULL, string_view_of(""));
   else if (!strcmp(request->path, "/none"))
     return;
   else if (!strcmp(request->path, "/stat")) {
     GString *g = g_string_new(NULL);
     g_string_printf(g, "exchanges=%d channels=%d requests=%" PRIu64 " gone=%u left=%u tasks=%zu",
-                    here.exchanges, here.channels, here.requests, gone, left, w->tasks.count);
+                    here.pending_exchanges, here.connections, here.requests_received, gone, left,
+                    w->tasks.count);
     log_info(request, g);
   } else if (!strcmp(request->path, "/set")) {
-    here.header_ms = num(request, "header_ms", here.header_ms);
-    here.idle_ms = num(request, "idle_ms", here.idle_ms);
-    here.leaving = num(request, "leaving", here.leaving);
-    w->kept_idle_ms = num(request, "kept_idle_ms", w->kept_idle_ms);
+    here.header_timeout_ms = num(request, "header_ms", here.header_timeout_ms);
+    here.idle_timeout_ms = num(request, "idle_ms", here.idle_timeout_ms);
+    here.draining = num(request, "leaving", here.draining);
+    w->pool_idle_timeout_ms = num(request, "kept_idle_ms", w->pool_idle_timeout_ms);
     if (num(request, "shut", 0))
-      w->door_shut(w, &here);
+      w->listener_stop_accepting(w, &here);
     char *drop = arg(request, "drop");
     if (drop)
-      w->kept_drop(w, drop);
+      w->pool_close_idle(w, drop);
     g_free(drop);
-    http_request_answer(request, 200, NULL, string_view_of("ok"));
+    http_request_respond(request, 200, NULL, string_view_of("ok"));
   } else if (!strcmp(request->path, "/stop")) {
-    http_request_answer(request, 200, NULL, string_view_of("bye"));
-    real_stop(w);
+    http_request_respond(request, 200, NULL, string_view_of("bye"));
+    real_world_stop(w);
   } else
     serve_echo(request);
 }
 
 int main(int argc, char **argv) {
   error err = { 0 };
-  real_settings v = { .ip = "127.0.0.1", .dir = "/tmp" };
-  if (argc < 2 || !(w = real_new(&v, &err)))
+  real_settings v = { .ip = "127.0.0.1", .data_dir = "/tmp" };
+  if (argc < 2 || !(w = real_world_new(&v, &err)))
     return 1;
   here = (http_listener){ .ip = "127.0.0.1",
                           .port = atoi(argv[1]),
                           .serve = serve,
-                          .header_most = 4096,
-                          .body_most = 100000,
-                          .header_ms = 400,
-                          .idle_ms = 5000 };
-  if (w->door_open(w, &here, &err)) {
+                          .header_max_bytes = 4096,
+                          .body_max_bytes = 100000,
+                          .header_timeout_ms = 400,
+                          .idle_timeout_ms = 5000 };
+  if (w->listener_open(w, &here, &err)) {
     fprintf(stderr, "%s\n", err.text);
     return 1;
   }
   printf("%d\n", here.port);
   fflush(stdout);
-  real_run(w, NULL, NULL);
-  real_free(w);
+  real_world_run(w, NULL, NULL);
+  real_world_free(w);
   return 0;
 }
--- a/tests/http/gateway.c
+++ b/tests/http/gateway.c
@@ -58,7 +58,7 @@
 static void stop_when_drained(void *p) {
   (void)p;
   condition_wait(&here->tasks, &tested_gateway->over, time_never());
-  real_stop(here);
+  real_world_stop(here);
 }
 
 static void serve_control(void *ctx, http_request *request) {
@@ -70,9 +70,9 @@
   else if (!strcmp(request->path, "/stat")) {
     GString *text = g_string_new(NULL);
     g_string_printf(text, "open=%d channels=%d exchanges=%d attempts=%" PRIu64,
-                    tested_gateway->open, tested_gateway->front.channels,
-                    tested_gateway->front.exchanges, tested_gateway->counts.attempts);
-    http_request_answer(request, 200, "text/plain", string_view_of_gstring(text));
+                    tested_gateway->open, tested_gateway->front.connections,
+                    tested_gateway->front.pending_exchanges, tested_gateway->counts.attempts);
+    http_request_respond(request, 200, "text/plain", string_view_of_gstring(text));
     g_string_free(text, TRUE);
     return;
   } else if (!strcmp(request->path, "/drain")) {
@@ -80,16 +80,16 @@
     task_start(&here->tasks, "over", stop_when_drained, NULL);
   } else if (!strcmp(request->path, "/post")) {
     char *address = argument(request, "addr");
-    here->post(here, address, string_view_of("a message to a peer"));
+    here->post_message(here, address, string_view_of("a message to a peer"));
     g_free(address);
   } else if (!strcmp(request->path, "/stop"))
-    real_stop(here);
-  http_request_answer(request, 200, "text/plain", string_view_of("ok"));
+    real_world_stop(here);
+  http_request_respond(request, 200, "text/plain", string_view_of("ok"));
 }
 
 static bool configure(router *router, error *err) {
-  json *text = json_read(string_view_of(configuration), err);
-  router->routes = text ? routing_make(text, err) : NULL;
+  json *text = json_parse(string_view_of(configuration), err);
+  router->routes = text ? routing_compile(text, err) : NULL;
   json_free(text);
   if (router->routes)
     router->on_installed(tested_gateway);
@@ -98,34 +98,36 @@
 
 int main(void) {
   error err = { 0 };
-  real_settings place = { .ip = "127.0.0.1", .dir = "/tmp" };
-  settings settings = { .role = ROLE_ROUTER, .gateway = true, .loose = true, .wire = WIRE_NOW };
+  real_settings place = { .ip = "127.0.0.1", .data_dir = "/tmp" };
+  settings settings = {
+    .role = ROLE_ROUTER, .is_gateway = true, .relaxed = true, .wire_version = WIRE_VERSION_CURRENT
+  };
   gateway_settings bounds = { .front_ip = "127.0.0.1",
                               .ready_ip = "127.0.0.1",
-                              .dialect = &dialect_own,
+                              .dialect = &dialect_native,
                               .grace_ms = GRACE_MS,
                               .retry_ratio = 10,
                               .retry_slack = 1e6 };
   settings.self = id_of_text("gateway");
-  settings.area = id_of_text("north");
-  g_strlcpy(settings.addr, "127.0.0.1:1", sizeof settings.addr);
-  here = real_new(&place, &err);
+  settings.zone = id_of_text("north");
+  g_strlcpy(settings.address, "127.0.0.1:1", sizeof settings.address);
+  here = real_world_new(&place, &err);
   if (!here) {
     fprintf(stderr, "%s\n", err.text);
     return 1;
   }
   router *router = router_new(here, &settings);
   tested_gateway = gateway_new(router, &bounds, &err);
-  control = (http_listener){ .ip = "127.0.0.1", .serve = serve_control, .idle_ms = 600000 };
+  control = (http_listener){ .ip = "127.0.0.1", .serve = serve_control, .idle_timeout_ms = 600000 };
   if (!tested_gateway || gateway_open(tested_gateway, &err) ||
-      here->door_open(here, &control, &err) || !configure(router, &err)) {
+      here->listener_open(here, &control, &err) || !configure(router, &err)) {
     fprintf(stderr, "%s\n", err.text);
     return 1;
   }
   printf("%d %d\n", tested_gateway->front.port, control.port);
   fflush(stdout);
-  real_run(here, NULL, NULL);
-  real_free(here);
+  real_world_run(here, NULL, NULL);
+  real_world_free(here);
   gateway_free(tested_gateway);
   router_free(router);
   return 0;
--- a/tests/loader.c
+++ b/tests/loader.c
@@ -24,8 +24,8 @@
   bare->gateway.router = &bare->router;
   bare->router.node.world = &bare->host->world;
   bare->router.node.settings.self = id_of_text("router-1");
-  bare->router.node.settings.area = id_of_text("north");
-  list_init(&bare->router.node.machines);
+  bare->router.node.settings.zone = id_of_text("north");
+  list_init(&bare->router.node.peers);
   history_init(&bare->router.history, bare->router.node.world);
   history_window_fix(&bare->router.history, time_from_ms(60000));
   list_init(&bare->gateway.instances);
@@ -34,8 +34,8 @@
   bare->gateway.instance_at = g_hash_table_new(g_str_hash, g_str_equal);
   bare->gateway.slow = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
   error err = { 0 };
-  json *json = json_read(string_view_of(SERVICES), &err);
-  bare->routing = json ? routing_make(json, &err) : NULL;
+  json *json = json_parse(string_view_of(SERVICES), &err);
+  bare->routing = json ? routing_compile(json, &err) : NULL;
   if (!bare->routing)
     violation(fleet, "the test's configuration is refused: %s", err.text);
   json_free(json);
@@ -104,7 +104,7 @@
 
 static bool room_counts_in_both_measures(fleet *fleet) {
   bare_gateway *bare = bare_new(fleet);
-  const service *service = routing_service(bare->routing, "s");
+  const service *service = routing_find_service(bare->routing, "s");
   instance *instance = beat(bare, "e1", "10.0.0.1:80", 1, 0, "big,mid");
   /* half of a rate's weight lies on the last 5 s: of what was asked for 9 s ago, half is left */
   asked(bare, "big", "", 60);
@@ -158,7 +158,7 @@
  * that the engine must decline; its place counts until the engine has confirmed the order */
 static bool a_leaving_adapter_gets_no_work(fleet *fleet) {
   bare_gateway *bare = bare_new(fleet);
-  const service *service = routing_service(bare->routing, "s");
+  const service *service = routing_find_service(bare->routing, "s");
   instance *instance = beat(bare, "e1", "10.0.0.1:80", 1, 0, "big");
   id big = id_of_text("big"), first = id_of_text("a1"), second = id_of_text("a2");
   instance_loaded(instance, big, first);
@@ -186,7 +186,7 @@
  * whose places are short load and unload in turn while nobody is served */
 static bool a_new_adapter_is_not_the_first_to_go(fleet *fleet) {
   bare_gateway *bare = bare_new(fleet);
-  const service *service = routing_service(bare->routing, "s");
+  const service *service = routing_find_service(bare->routing, "s");
   instance *instance = beat(bare, "e1", "10.0.0.1:80", 1, 0, "big");
   id big = id_of_text("big"), wanted = id_of_text("a3");
   double mb, drain;
@@ -222,7 +222,7 @@
 
 static bool copies_share_a_rate(fleet *fleet) {
   bare_gateway *bare = bare_new(fleet);
-  const service *service = routing_service(bare->routing, "s");
+  const service *service = routing_find_service(bare->routing, "s");
   instance *instance = beat(bare, "e1", "10.0.0.1:80", 1, 0, "big,mid");
   asked(bare, "big", "", 60);
   asked(bare, "mid", "", 36);
@@ -287,7 +287,7 @@
   bare_gateway *bare = bare_new(fleet);
   instance *instance = beat(bare, "e1", "10.0.0.1:80", 1, 0, "big"),
            *k = beat(bare, "e2", "10.0.0.2:80", 1, 0, "big");
-  pick_request q = { .service = routing_service(bare->routing, "s"),
+  pick_request q = { .service = routing_find_service(bare->routing, "s"),
                      .model = id_of_text("big"),
                      .tokens = 1000,
                      .left_ms = 4000 };
@@ -345,7 +345,7 @@
   WANT(fleet, chain[1] == other[1] && chain[2] != other[2]);
   parts_read("5c1e:800", id_of_text("big"), id_of_text("a1"), other, upto, 8);
   WANT(fleet, chain[0] != other[0]);
-  pick_request q = { .service = routing_service(bare->routing, "s"),
+  pick_request q = { .service = routing_find_service(bare->routing, "s"),
                      .model = id_of_text("big"),
                      .tokens = 1460,
                      .left_ms = 4000,
@@ -453,7 +453,7 @@
  * too */
 static bool the_policy_in_force_chooses(fleet *fleet) {
   bare_gateway *bare = bare_new(fleet);
-  const service *service = routing_service(bare->routing, "s");
+  const service *service = routing_find_service(bare->routing, "s");
   instance *instance = beat(bare, "e1", "10.0.0.1:80", 1, 0, "big,mid");
   asked(bare, "big", "", 60);
   sim_run(fleet->sim, time_from_ms(9000));
@@ -469,9 +469,9 @@
                   true } };
   for (size_t k = 0; k < G_N_ELEMENTS(given); k++) {
     error err = { 0 };
-    json *p = given[k].policy ? json_read(string_view_of(given[k].policy), &err) : NULL;
-    const json *res[RES_COUNT] = { [RES_POLICY] = p };
-    bare->router.config = p ? config_make(res, &err) : NULL;
+    json *p = given[k].policy ? json_parse(string_view_of(given[k].policy), &err) : NULL;
+    const json *res[RESOURCE_COUNT] = { [RESOURCE_POLICY] = p };
+    bare->router.config = p ? config_compile(res, &err) : NULL;
     double mb, drain;
     unsigned slots;
     double cost =
@@ -568,7 +568,7 @@
   bare_gateway *bare = bare_new(fleet);
   instance *instance = beat(bare, "e1", "10.0.0.1:80", 1, 0, "big"),
            *k = beat(bare, "e2", "10.0.0.2:80", 1, 0, "big");
-  pick_request q = { .service = routing_service(bare->routing, "s"),
+  pick_request q = { .service = routing_find_service(bare->routing, "s"),
                      .model = id_of_text("big"),
                      .tokens = 1000,
                      .left_ms = 4000 };
@@ -677,7 +677,7 @@
  * runs usually take */
 static bool busy_victims_cost_their_drain(fleet *fleet) {
   bare_gateway *bare = bare_new(fleet);
-  const service *service = routing_service(bare->routing, "s");
+  const service *service = routing_find_service(bare->routing, "s");
   /* given two engines with the same models, asked for as much, and one of them runs what had to go
    */
   instance *idle = beat(bare, "e1", "10.0.0.1:80", 1, 0, "big,mid"),
--- a/tests/loads.c
+++ b/tests/loads.c
@@ -31,16 +31,16 @@
     q.wait_ms = 800;
     q.extra_replica = l->again;
     q.max_eviction_cost = l->most;
-    Wire__Envelope m = wire_msg(WIRE__ENVELOPE__BODY_PLACED_LOAD_REQUEST, &q), *b;
+    Wire__Envelope m = wire_envelope(WIRE__ENVELOPE__BODY_PLACED_LOAD_REQUEST, &q), *b;
     error err = { 0 };
     int r = to ? node_call(&router->node, to->host->addr, &m, time_from_ms(1300), &b, &err)
-               : E_NO_HOLDER;
+               : E_NO_LEASE_HOLDER;
     if (r == E_STOPPING)
       return;
     if (to && !r)
       r = b->body_case == WIRE__ENVELOPE__BODY_PLACED_LOAD_RESPONSE
               ? (int)b->placed_load_response->error_code
-              : E_WIRE;
+              : E_WIRE_MESSAGE;
     if (to)
       node_reply_free(b);
     if (r == E_IN_PROGRESS)
--- a/tests/log.c
+++ b/tests/log.c
@@ -25,14 +25,14 @@
     violation(fleet, "plain: %s", heard ? heard : "nothing");
   log_info(&lines, "gateway", "Refused \"%s\"\nof %s (code %d).", "x", "y", 504);
   error err = { 0 };
-  json *json = heard ? json_read(string_view_of(heard), &err) : NULL;
+  json *json = heard ? json_parse(string_view_of(heard), &err) : NULL;
   if (!json || strchr(heard, '\n') || strcmp(json_text(json, "node", ""), "node-1") ||
-      strcmp(json_text(json, "part", ""), "gateway") || json_num(json, "code", 0) != 504 ||
+      strcmp(json_text(json, "part", ""), "gateway") || json_number(json, "code", 0) != 504 ||
       strcmp(json_text(json, "text", ""), "Refused \"x\"\nof y (code 504)."))
     violation(fleet, "JSON: %s", heard ? heard : "nothing");
   json_free(json);
   log_info(&lines, "gateway", "All is well.");
-  json = json_read(string_view_of(heard), &err);
+  json = json_parse(string_view_of(heard), &err);
   if (!json || json_get(json, "code"))
     violation(fleet, "JSON without a code: %s", heard);
   json_free(json);
--- a/tests/losses.c
+++ b/tests/losses.c
@@ -109,8 +109,8 @@
                     area_names[sim_draw(fleet->sim, 3)], "127.0.1.44:7000");
   young->settings = fleet->controller[0]->settings;
   young->settings.self = young->self;
-  young->settings.area = young->area;
-  g_strlcpy(young->settings.addr, young->addr, sizeof young->settings.addr);
+  young->settings.zone = young->area;
+  g_strlcpy(young->settings.address, young->addr, sizeof young->settings.address);
   host_power(old);
   host_wipe(old);
   fleet->controllers = 4;
--- a/tests/main.c
+++ b/tests/main.c
@@ -75,7 +75,7 @@
 
 /* every acknowledged write is there: the latest of each resource, or a younger one */
 void acked_stand(fleet *fleet) {
-  for (int r = 0; r < RES_COUNT; r++) {
+  for (int r = 0; r < RESOURCE_COUNT; r++) {
     uint64_t due = 0;
     for (guint i = 0; i < fleet->acks->len; i++)
       if (g_array_index(fleet->acks, ack, i).which == r)
@@ -83,7 +83,7 @@
     if (!due)
       continue;
     char path[40];
-    snprintf(path, sizeof path, "/v1/%s", res_name[r]);
+    snprintf(path, sizeof path, "/v1/%s", resource_names[r]);
     /* a lease may lapse between the look and the call: that is said, and asked again */
     for (int turn = 0;; turn++) {
       host *t = fleet_tail(fleet);
@@ -100,7 +100,7 @@
       if (st != 200 || is < due)
         violation(fleet,
                   "R5 %s was acknowledged as write %" PRIu64 " and is read as %" PRIu64 " (%d)",
-                  res_name[r], due, is, st);
+                  resource_names[r], due, is, st);
       break;
     }
   }
@@ -144,7 +144,7 @@
       if (!h->alive || h->role > HOST_ROUTER)
         continue;
       node *x = h->controller ? &h->controller->node : &h->router->node;
-      list_for_each (peer, &x->machines, machine, link)
+      list_for_each (peer, &x->peers, peer_node, link)
         gone |= peer->gone;
     }
     if (gone && !t.noticed.us)
@@ -262,8 +262,8 @@
       sim_host(fleet->sim, HOST_CONTROLLER, "controller-4", old->area.text, "127.0.1.44:7000");
   young->settings = fleet->controller[0]->settings;
   young->settings.self = young->self;
-  young->settings.area = young->area;
-  g_strlcpy(young->settings.addr, young->addr, sizeof young->settings.addr);
+  young->settings.zone = young->area;
+  g_strlcpy(young->settings.address, young->addr, sizeof young->settings.address);
   if (!fleet_put(fleet, "evacuation", "{\"areas\":[]}"))
     return false;
   host_power(old);
@@ -473,8 +473,8 @@
     snprintf(path, sizeof path, "/v1/%s", bad[i].res);
     op_call *call = fleet_call(fleet, fleet->controller[i % 3], "PUT", path, bad[i].text, NULL,
                                NULL, time_from_ms(5000));
-    json *json = json_read(string_view_of_gstring(call->body), NULL);
-    if (call->status != bad[i].status || (int)json_num(json, "code", 0) != bad[i].code)
+    json *json = json_parse(string_view_of_gstring(call->body), NULL);
+    if (call->status != bad[i].status || (int)json_number(json, "code", 0) != bad[i].code)
       violation(fleet, "%s got %d, %s", bad[i].text, call->status, call->body->str);
     json_free(json);
     call_free(call);
@@ -951,10 +951,10 @@
     return false;
   for (int i = 1; i < 3; i++) {
     host *host = fleet->controller[i];
-    g_string_assign(host->controller->core.committed.resources[RES_POLICY].text,
+    g_string_assign(host->controller->core.committed.resources[RESOURCE_POLICY].text,
                     "{\"loadsPerS\":99}");
     sim_run(fleet->sim, time_from_ms(8000));
-    if (strstr(host->controller->core.committed.resources[RES_POLICY].text->str, "99"))
+    if (strstr(host->controller->core.committed.resources[RESOURCE_POLICY].text->str, "99"))
       violation(fleet, "the sweep did not find the bad copy of %s", host->self.text);
   }
   if (!wait_chain(fleet, 3, 5000))
@@ -971,8 +971,8 @@
   } bad[] = {
     { ROLE_ROUTER, "{\"id\":\"v\",\"colour\":1}", E_SETTINGS_KEY },
     { ROLE_ROUTER, "{\"id\":\"\"}", E_SETTINGS_ID },
-    { ROLE_ROUTER, "{\"id\":\"v\",\"listen\":\"here:1\"}", E_SETTINGS_ADDR },
-    { ROLE_ROUTER, "{\"listen\":\"127.0.0.1:99999\"}", E_SETTINGS_ADDR },
+    { ROLE_ROUTER, "{\"id\":\"v\",\"listen\":\"here:1\"}", E_SETTINGS_ADDRESS },
+    { ROLE_ROUTER, "{\"listen\":\"127.0.0.1:99999\"}", E_SETTINGS_ADDRESS },
     { ROLE_ROUTER, "{\"seeds\":[\"127.0.0.1:1\"]}", E_SETTINGS_SEEDS },
     { ROLE_ROUTER, "{\"data\":\"/tmp\"}", E_SETTINGS_KEY },
     { ROLE_ROUTER, "[]", E_SETTINGS_FILE },
@@ -987,12 +987,12 @@
       E_SETTINGS_SEEDS },
     { ROLE_ROUTER,
       "{\"id\":\"m\",\"area\":\"n\",\"listen\":\"127.0.0.1:1\",\"seeds\":[\"127.0.0.1:1\",\"127.0.0.1:2\",\"127.0.0.1:3\"]}",
-      E_SETTINGS_ADDR }
+      E_SETTINGS_ADDRESS }
   };
   for (size_t i = 0; i < G_N_ELEMENTS(bad); i++) {
     settings v = { 0 };
     error err = { 0 };
-    int r = settings_take(&v, bad[i].r, string_view_of(bad[i].text), "test", &err);
+    int r = settings_parse(&v, bad[i].r, string_view_of(bad[i].text), "test", &err);
     if (!r)
       r = settings_check(&v, &err);
     if (r != bad[i].code)
@@ -1018,7 +1018,7 @@
   for (size_t i = 0; i < G_N_ELEMENTS(bad); i++) {
     formula x;
     error err = { 0 };
-    int r = formula_make(&x, bad[i].text, &err);
+    int r = formula_compile(&x, bad[i].text, &err);
     if (r != bad[i].code)
       violation(fleet, "\"%s\" got %d %s", bad[i].text, r, err.text);
   }
@@ -1030,13 +1030,13 @@
     { "8 / 4 / 2", 1 },         { "-rate", -2 },      { "max(rate, size) + min(1, 0.5)", 4.5 },
     { "rate / (size - 4)", 0 }, { "0/0", 0 },         { "penalty*rate/size", 5 }
   };
-  const double v[F_NAMES] = { [F_PENALTY] = 10, [F_RATE] = 2, [F_SIZE] = 4 };
+  const double v[F_VARIABLES] = { [F_PENALTY] = 10, [F_RATE] = 2, [F_SIZE] = 4 };
   for (size_t i = 0; i < G_N_ELEMENTS(good); i++) {
     formula x;
     error err = { 0 };
-    int r = formula_make(&x, good[i].text, &err);
-    if (r || formula_run(&x, v) != good[i].is)
-      violation(fleet, "%s is %g (%s)", good[i].text, r ? 0 : formula_run(&x, v), err.text);
+    int r = formula_compile(&x, good[i].text, &err);
+    if (r || formula_evaluate(&x, v) != good[i].is)
+      violation(fleet, "%s is %g (%s)", good[i].text, r ? 0 : formula_evaluate(&x, v), err.text);
   }
   if (!fleet_up(fleet))
     return false;
@@ -1068,7 +1068,7 @@
 static bool two_wire_versions_side_by_side(fleet *fleet) {
   list_for_each (h, &fleet->sim->hosts, host, link)
     if (h->role <= HOST_ROUTER)
-      h->settings.wire = 1 + (unsigned)sim_draw(fleet->sim, 2);
+      h->settings.wire_version = 1 + (unsigned)sim_draw(fleet->sim, 2);
   if (!fleet_up(fleet))
     return false;
   check_watch(fleet);
@@ -1082,7 +1082,7 @@
     all[n++] = fleet->router[i];
   for (int i = 0; i < n + 2; i++) {
     host *h = all[i % n];
-    h->settings.wire = i < n ? 2 : 1;
+    h->settings.wire_version = i < n ? 2 : 1;
     if (h->role == HOST_CONTROLLER) {
       controller_drain(h->controller);
       sim_run(fleet->sim, time_from_ms(2500));
@@ -1102,7 +1102,8 @@
   g_free(t);
   sim_run(fleet->sim, time_from_ms(3000));
   for (int i = 0; i < fleet->routers; i++)
-    if (!router_is_fresh(fleet->router[i]->router) || fleet->router[i]->router->node.odd_wire)
+    if (!router_is_fresh(fleet->router[i]->router) ||
+        fleet->router[i]->router->node.refused_wire_versions)
       violation(fleet, "%s is left behind", fleet->router[i]->self.text);
   acked_stand(fleet);
   fleet_quiet(fleet);
@@ -1148,11 +1149,11 @@
     if (i > 2)
       spoil(sim, b);
     error err = { 0 };
-    json *j[RES_COUNT] = { 0 };
-    j[i % 3] = json_read(string_view_of_gstring(b), &err);
+    json *j[RESOURCE_COUNT] = { 0 };
+    j[i % 3] = json_parse(string_view_of_gstring(b), &err);
     if (i % 3 == 2)
-      j[0] = json_read(string_view_of(cat), NULL);
-    config *config = j[i % 3] ? config_make((const json **)j, &err) : NULL;
+      j[0] = json_parse(string_view_of(cat), NULL);
+    config *config = j[i % 3] ? config_compile((const json **)j, &err) : NULL;
     if (config)
       taken++;
     else
@@ -1160,15 +1161,15 @@
     if (!config && !err.code)
       violation(fleet, "refused without a code: %s", b->str);
     config_free(config);
-    for (int k = 0; k < RES_COUNT; k++)
+    for (int k = 0; k < RESOURCE_COUNT; k++)
       json_free(j[k]);
     g_string_free(b, TRUE);
     b = g_string_new("penalty * (rate + 0.5) / max(size, 2) - idle");
     spoil(sim, b);
     formula x;
-    const double v[F_NAMES] = { 1, 2, 3, 4, 5, 6 };
-    if (!formula_make(&x, b->str, NULL))
-      formula_run(&x, v);
+    const double v[F_VARIABLES] = { 1, 2, 3, 4, 5, 6 };
+    if (!formula_compile(&x, b->str, NULL))
+      formula_evaluate(&x, v);
     g_string_free(b, TRUE);
   }
   g_free(cat);
@@ -1200,7 +1201,7 @@
 
 static bool configurations_grow_large(fleet *fleet) {
   for (int i = 0; i < 3; i++)
-    fleet->controller[i]->settings.file_bytes = 8 << 20;
+    fleet->controller[i]->settings.log_file_bytes = 8 << 20;
   if (!fleet_up(fleet))
     return false;
   check_watch(fleet);
@@ -1230,8 +1231,8 @@
   acked_stand(fleet);
   GString *over = g_string_new("{\"areas\":[");
   while (over->len < (1 << 20))
-    json_f(over, "%s\"area-with-a-long-name-%zu\"", over->str[over->len - 1] == '[' ? "" : ",",
-           over->len);
+    json_appendf(over, "%s\"area-with-a-long-name-%zu\"",
+                 over->str[over->len - 1] == '[' ? "" : ",", over->len);
   g_string_append(over, "]}");
   op_call *call = fleet_call(fleet, fleet->controller[0], "PUT", "/v1/catalogue", over->str, NULL,
                              NULL, time_from_ms(9000));
@@ -1397,7 +1398,7 @@
     int at = !strcmp(request->kind.text, "live") ? 0 : !strcmp(request->kind.text, "short") ? 1 : 2;
     n[at]++;
     done[at] += request->how == OUTCOME_DONE;
-    if (request->code == E_QUEUE_FULL || request->code == E_SHED)
+    if (request->code == E_QUEUE_FULL || request->code == E_LOAD_SHED)
       if (time_sub(request->to, request->from).us > 200000) {
         violation(fleet, "a caller was shed only after %.1f s",
                   (double)time_sub(request->to, request->from).us / 1e6);
@@ -1456,11 +1457,11 @@
         sim_host(fleet->sim, HOST_CONTROLLER, name, old->area.text, addr);
     host->settings = old->settings;
     host->settings.self = host->self;
-    g_strlcpy(host->settings.addr, addr, sizeof host->settings.addr);
+    g_strlcpy(host->settings.address, addr, sizeof host->settings.address);
     /* a new machine is told of machines that are there; nobody tells the old ones of it */
     for (int k = 0; k < 3; k++)
-      g_strlcpy(host->settings.seeds[k], fleet->controller[i + k]->addr,
-                sizeof host->settings.seeds[k]);
+      g_strlcpy(host->settings.seed_addresses[k], fleet->controller[i + k]->addr,
+                sizeof host->settings.seed_addresses[k]);
     host_power(old);
     host_wipe(old);
     if (!wait_chain(fleet, 2, 8000))
@@ -1554,7 +1555,7 @@
     size_t n = 1 + sim_draw(fleet->sim, sizeof buf - 1);
     for (size_t k = 0; k < n; k++)
       buf[k] = (char)sim_draw(fleet->sim, 256);
-    host->world.on_post(host->world.post_ctx, (string_view){ buf, n });
+    host->world.on_message(host->world.on_message_context, (string_view){ buf, n });
     /* a message that reads well and is wrong */
     Wire__NodeInfo self = WIRE__NODE_INFO__INIT;
     self.id = "stranger";
@@ -1567,16 +1568,16 @@
     Wire__SingletonLeaseRequest d = WIRE__SINGLETON_LEASE_REQUEST__INIT;
     Wire__ViewAnnouncement t = WIRE__VIEW_ANNOUNCEMENT__INIT;
     Wire__Envelope m =
-        sim_draw(fleet->sim, 2)   ? wire_msg(WIRE__ENVELOPE__BODY_REPLICATE_REQUEST, &p)
-        : sim_draw(fleet->sim, 2) ? wire_msg(WIRE__ENVELOPE__BODY_PREPARE_REQUEST, &q)
-        : sim_draw(fleet->sim, 2) ? wire_msg(WIRE__ENVELOPE__BODY_SINGLETON_LEASE_REQUEST, &d)
-                                  : wire_msg(WIRE__ENVELOPE__BODY_VIEW_ANNOUNCEMENT, &t);
+        sim_draw(fleet->sim, 2)   ? wire_envelope(WIRE__ENVELOPE__BODY_REPLICATE_REQUEST, &p)
+        : sim_draw(fleet->sim, 2) ? wire_envelope(WIRE__ENVELOPE__BODY_PREPARE_REQUEST, &q)
+        : sim_draw(fleet->sim, 2) ? wire_envelope(WIRE__ENVELOPE__BODY_SINGLETON_LEASE_REQUEST, &d)
+                                  : wire_envelope(WIRE__ENVELOPE__BODY_VIEW_ANNOUNCEMENT, &t);
     m.version = sim_draw(fleet->sim, 4);
     m.from = &self;
     m.call = 9;
     uint8_t out[200];
     size_t k = wire__envelope__pack(&m, out);
-    host->world.on_post(host->world.post_ctx, (string_view){ (char *)out, k });
+    host->world.on_message(host->world.on_message_context, (string_view){ (char *)out, k });
     sim_run(fleet->sim, time_from_ms(20));
   }
   if (!fleet_put(fleet, "evacuation", "{\"areas\":[]}"))
@@ -1593,12 +1594,12 @@
               { "[1]", 400, E_TYPE },
               { "{\"model\":7}", 400, E_NAME },
               { "{}", 400, E_FIELD },
-              { "{\"model\":\"none\"}", 404, E_MODEL },
-              { "{\"model\":\"m1\",\"adapter\":\"a0\"}", 404, E_MODEL },
+              { "{\"model\":\"none\"}", 404, E_UNKNOWN_MODEL },
+              { "{\"model\":\"m1\",\"adapter\":\"a0\"}", 404, E_UNKNOWN_MODEL },
               { "{\"model\":\"m1\",\"kind\":\"none\"}", 400, E_NAME },
               { "{\"model\":\"m 1\"}", 400, E_NAME },
               { "{\"model\":\"m1\"", 400, E_JSON },
-              { "{\"model\":\"huge\"}", 422, E_FITS_NO_ENGINE } };
+              { "{\"model\":\"huge\"}", 422, E_NO_ENGINE_FITS } };
   if (!fleet_up(fleet))
     return false;
   op_call *call = fleet_call(
@@ -1612,8 +1613,8 @@
   for (size_t i = 0; i < G_N_ELEMENTS(bad); i++) {
     call = fleet_call(fleet, fleet->router[0], "POST", "/v1/generate", bad[i].text, NULL, NULL,
                       time_from_ms(9000));
-    json *json = json_read(string_view_of_gstring(call->body), NULL);
-    if (call->status != bad[i].status || (int)json_num(json, "code", 0) != bad[i].code)
+    json *json = json_parse(string_view_of_gstring(call->body), NULL);
+    if (call->status != bad[i].status || (int)json_number(json, "code", 0) != bad[i].code)
       violation(fleet, "%s got %d, %s", bad[i].text, call->status, call->body->str);
     json_free(json);
     call_free(call);
@@ -1770,7 +1771,7 @@
   sim_run(fleet->sim, time_from_ms(8000));
   host *h = fleet_holder(fleet, "engine:engine-1");
   host_kill(h);
-  doctor_says(fleet, D_DUTY, "a lost holder");
+  doctor_says(fleet, D_NO_SINGLETON_HOLDER, "a lost holder");
   host_start(h);
   sim_run(fleet->sim, time_from_ms(12000));
   for (int i = 0; i < 3; i++)
@@ -1785,7 +1786,7 @@
   sim_run(fleet->sim, time_from_ms(3000));
   host_kill(fleet->platform);
   sim_run(fleet->sim, time_from_ms(8000));
-  doctor_says(fleet, D_LIST, "no platform");
+  doctor_says(fleet, D_ENGINE_LIST, "no platform");
   host_start(fleet->platform);
   sim_run(fleet->sim, time_from_ms(3000));
   fleet->sim->delay_ms = 300;
@@ -1796,7 +1797,7 @@
     return false;
   host *twin = sim_host(fleet->sim, HOST_ROUTER, "router-1", "mid", "127.0.2.99:7000");
   twin->settings = fleet->router[0]->settings;
-  g_strlcpy(twin->settings.addr, twin->addr, sizeof twin->settings.addr);
+  g_strlcpy(twin->settings.address, twin->addr, sizeof twin->settings.address);
   host_start(twin);
   sim_run(fleet->sim, time_from_ms(12000));
   doctor_says(fleet, D_DUPLICATE_NAME, "two of one name");
@@ -1813,26 +1814,26 @@
   }
   g->faults.old_reports = false;
   g->seq = 0;
-  doctor_says(fleet, D_HOLDING, "an engine whose reports went back");
+  doctor_says(fleet, D_RESIDENT_DIFFERS, "an engine whose reports went back");
   host_kill(fleet->engine[0]);
   sim_run(fleet->sim, time_from_ms(500));
   host_start(fleet->engine[0]);
   sim_run(fleet->sim, time_from_ms(3000));
   router_drain(fleet->router[1]->router);
   sim_run(fleet->sim, time_from_ms(1000));
-  doctor_says(fleet, D_LEAVING, "a router that leaves");
+  doctor_says(fleet, D_DRAINING, "a router that leaves");
   op_call *call = fleet_call(
       fleet, fleet->controller[0], "PATCH", "/v1/catalogue",
       "{\"models\":[{\"id\":\"m0\",\"weightsMb\":100},{\"id\":\"huge\",\"weightsMb\":900000}],\"adapters\":[]}",
       NULL, NULL, time_from_ms(5000));
   call_free(call);
-  doctor_says(fleet, D_FIT, "a model that fits nowhere");
-  fleet->router[2]->router->node.odd_wire = 3;
+  doctor_says(fleet, D_FITS_NO_ENGINE, "a model that fits nowhere");
+  fleet->router[2]->router->node.refused_wire_versions = 3;
   doctor_says(fleet, D_VERSION, "messages of another version");
   host *p = fleet_holder(fleet, "pacer");
   if (p) {
     p->router->pace_full = p->router->pace_given + 100;
-    doctor_says(fleet, D_PACE, "a pace that is starved");
+    doctor_says(fleet, D_LOAD_RATE_LIMIT, "a pace that is starved");
   }
   return true;
 }
@@ -1891,7 +1892,7 @@
   shown += showed(fleet, "R4");
   g_string_truncate(fleet->faults, 0);
   mark->mark = 0;
-  ack a = { 1000000, RES_POLICY, fleet->sim->now };
+  ack a = { 1000000, RESOURCE_POLICY, fleet->sim->now };
   g_array_append_val(fleet->acks, a);
   acked_stand(fleet);
   shown += showed(fleet, "R5");
@@ -1909,7 +1910,7 @@
   g_array_set_size(fleet->platform->platform->marks, 0);
   note nt = { .at = { 1 },
               .status = 200,
-              .which = RES_EVACUATION,
+              .which = RESOURCE_EVACUATION,
               .version = 1,
               .text = g_strdup_printf("{\"areas\":[{\"area\":\"%s\"}]}",
                                       fleet->engine[busy]->area.text) };
--- a/tests/member.c
+++ b/tests/member.c
@@ -9,35 +9,35 @@
 }
 
 static int place_cmp(const void *a, const void *b) {
-  const ring_place *x = a, *y = b;
-  return x->at < y->at ? -1 : x->at > y->at;
+  const ring_position *x = a, *y = b;
+  return x->hash < y->hash ? -1 : x->hash > y->hash;
 }
 
 /* the rule said plainly: clockwise from the name, first those of areas that are not among the
  * chosen yet, then the others */
-static int by_the_rule(node *node, id who, ring_place out[WATCHERS]) {
-  ring_place all[200];
+static int by_the_rule(node *node, id who, ring_position out[HEARTBEAT_WATCHERS]) {
+  ring_position all[200];
   int n = 0, got = 0;
-  uint64_t from = hash_of_two("ring", who.text);
+  uint64_t from = hash_two_names("ring", who.text);
   if (!id_equal(who, node->settings.self)) {
-    all[n] = (ring_place){ hash_of_two("ring", node->settings.self.text) - from,
-                           node->settings.self, node->settings.area, "" };
-    g_strlcpy(all[n++].addr, node->settings.addr, 48);
+    all[n] = (ring_position){ hash_two_names("ring", node->settings.self.text) - from,
+                              node->settings.self, node->settings.zone, "" };
+    g_strlcpy(all[n++].address, node->settings.address, 48);
   }
-  list_for_each (peer, &node->machines, machine, link) {
+  list_for_each (peer, &node->peers, peer_node, link) {
     if (peer->gone || id_equal(peer->self, who))
       continue;
-    all[n] =
-        (ring_place){ hash_of_two("ring", peer->self.text) - from, peer->self, peer->area, "" };
-    g_strlcpy(all[n++].addr, peer->addr, 48);
+    all[n] = (ring_position){ hash_two_names("ring", peer->self.text) - from, peer->self,
+                              peer->zone, "" };
+    g_strlcpy(all[n++].address, peer->address, 48);
   }
   qsort(all, (size_t)n, sizeof *all, place_cmp);
   for (int round = 0; round < 2; round++)
-    for (int i = 0; i < n && got < WATCHERS; i++) {
+    for (int i = 0; i < n && got < HEARTBEAT_WATCHERS; i++) {
       bool skip = false;
       for (int k = 0; k < got; k++)
         skip |=
-            id_equal(out[k].self, all[i].self) || (!round && id_equal(out[k].area, all[i].area));
+            id_equal(out[k].self, all[i].self) || (!round && id_equal(out[k].zone, all[i].zone));
       if (!skip)
         out[got++] = all[i];
     }
@@ -45,7 +45,7 @@
 }
 
 static void compare(fleet *fleet, node *node, id who) {
-  ring_place is[WATCHERS], should[WATCHERS];
+  ring_position is[HEARTBEAT_WATCHERS], should[HEARTBEAT_WATCHERS];
   int n = node_watchers(node, who, is), k = by_the_rule(node, who, should);
   if (n != k) {
     violation(fleet, "%s names %d watchers of %s, not %d", node->settings.self.text, n, who.text,
@@ -53,8 +53,8 @@
     return;
   }
   for (int i = 0; i < n; i++)
-    if (!id_equal(is[i].self, should[i].self) || !id_equal(is[i].area, should[i].area) ||
-        strcmp(is[i].addr, should[i].addr))
+    if (!id_equal(is[i].self, should[i].self) || !id_equal(is[i].zone, should[i].zone) ||
+        strcmp(is[i].address, should[i].address))
       violation(fleet, "%s names %s as watcher %d of %s, not %s", node->settings.self.text,
                 is[i].self.text, i, who.text, should[i].self.text);
 }
@@ -81,7 +81,7 @@
   if (strcmp(order->str, "!ab"))
     violation(fleet, "tasks ran as %s", order->str);
   g_string_free(order, TRUE);
-  scheduler_kill(&scheduler);
+  scheduler_stop(&scheduler);
   scheduler_free(&scheduler);
   return true;
 }
@@ -122,7 +122,7 @@
       if (!node)
         continue;
       compare(fleet, node, node->settings.self);
-      list_for_each (peer, &node->machines, machine, link)
+      list_for_each (peer, &node->peers, peer_node, link)
         compare(fleet, node, peer->self);
     }
   }
@@ -139,11 +139,11 @@
   uint64_t was = 0, is = 0;
   list_for_each (h, &fleet->sim->hosts, host, link)
     if (node_of(h))
-      was += node_of(h)->ring_made;
+      was += node_of(h)->ring_builds;
   sim_run(fleet->sim, time_from_ms(10000));
   list_for_each (h, &fleet->sim->hosts, host, link)
     if (node_of(h))
-      is += node_of(h)->ring_made;
+      is += node_of(h)->ring_builds;
   if (is != was)
     violation(fleet, "the ring was made %" PRIu64 " times in ten quiet seconds", is - was);
   return !fleet->faults->len;
@@ -155,11 +155,11 @@
   int gone = 0;
   for (int i = 0; i < fleet->routers + fleet->controllers; i++) {
     host *host = i < fleet->routers ? fleet->router[i] : fleet->controller[i - fleet->routers];
-    machine *machine = host == whom ? NULL : node_find_machine(node_of(host), whom->self);
+    peer_node *machine = host == whom ? NULL : node_find_peer(node_of(host), whom->self);
     if (!machine)
       continue;
     gone += machine->gone;
-    machine->late_ms = late_ms;
+    machine->lateness_ms = late_ms;
   }
   return gone;
 }
--- a/tests/operators.c
+++ b/tests/operators.c
@@ -47,11 +47,11 @@
   if (!sim_until(deployment->sim, is_revision, deployment, time_from_ms(APPLY_MS)))
     violation(fleet, "the routing is not in force within %d ms", APPLY_MS);
   /* never back, never one that is no whole */
-  if (api(deployment, "PUT", "/v1/routing", old, E_OLD) != 400)
+  if (api(deployment, "PUT", "/v1/routing", old, E_STALE_VERSION) != 400)
     violation(fleet, "an older version was taken");
-  if (api(deployment, "PUT", "/v1/routing", bad, E_SERVICE) != 400)
+  if (api(deployment, "PUT", "/v1/routing", bad, E_UNKNOWN_SERVICE) != 400)
     violation(fleet, "a route to nobody was taken");
-  if (api(deployment, "PATCH", "/v1/routing", "{\"version\":4,\"set\":5}", E_CHANGE) != 400)
+  if (api(deployment, "PATCH", "/v1/routing", "{\"version\":4,\"set\":5}", E_ROUTING_PATCH) != 400)
     violation(fleet, "a change that is none was taken");
   if (api(deployment, "PATCH", "/v1/routing", "{\"version\":4,\"drop\":{\"routes\":[\"r-book\"]}}",
           0) != 200)
@@ -81,7 +81,7 @@
   for (int i = 0; i < fleet->controllers; i++) {
     op_call *call = fleet_call(fleet, fleet->controller[i], "GET", "/v1/registry", NULL, NULL, NULL,
                                time_from_ms(5000));
-    json *json = json_read(string_view_of_gstring(call->body), NULL);
+    json *json = json_parse(string_view_of_gstring(call->body), NULL);
     size_t ready = 0, models = 0;
     for (size_t k = 0; k < json_count(json); k++) {
       ready += !strcmp(json_text(json_at(json, k), "state", ""), "ready");
@@ -124,7 +124,7 @@
   deployment_go(deployment, 2);
   deployment->engine[5]->plan.faults.silent = true;
   sim_run(deployment->sim, time_from_ms(5000));
-  doctor_says(fleet, D_AVOIDED, "an engine without answers");
+  doctor_says(fleet, D_ENGINE_EJECTED, "an engine without answers");
   deployment->engine[5]->plan.faults.silent = false;
   /* every first attempt is cut */
   for (int t = 0; t < 15; t++) {
@@ -170,7 +170,7 @@
     violation(fleet, "nobody holds the pace");
   else {
     host_kill(h);
-    doctor_says(fleet, D_PACER, "a pacer that died");
+    doctor_says(fleet, D_NO_LOAD_RATE_LIMITER, "a pacer that died");
   }
   bool ok = !fleet->faults->len;
   deployment_free(deployment);
--- a/tests/orders.c
+++ b/tests/orders.c
@@ -86,8 +86,8 @@
     fields *fields = g_string_new(NULL);
     fields_add(fields, "Host", string_view_of(to));
     if (o)
-      fields_addf(fields, words->field[DF_BASE_REVISION], "%" PRIu64, o->base);
-    http_call *call = http_call_open_fields(world, to, how->verb, path, fields,
+      fields_add_format(fields, words->header_names[DF_BASE_REVISION], "%" PRIu64, o->base);
+    http_call *call = http_call_open_fields(world, to, how->method, path, fields,
                                             string_view_of(o ? o->text : ""), true, time_never());
     g_string_free(fields, TRUE);
     g_string_truncate(got, 0);
@@ -95,7 +95,7 @@
     status = failed ? 0 : call->status;
     string_view location = { "", 0 };
     char where[160] = "";
-    if (status == 307 && fields_get(call->in_fields, "Location", &location))
+    if (status == 307 && fields_get(call->response_fields, "Location", &location))
       memcpy(where, location.data, MIN(location.length, sizeof where - 1));
     http_call_close(call);
     if (status != 307 || strncmp(where, "http://", 7))
@@ -123,8 +123,8 @@
   int64_t wait_ms = loss == LOSS_CALLER_LEAVES ? 1 + (int64_t)draw(run, 60) : ANSWER_MS;
   int status = call_machine(
       run, address,
-      &run->deployment->operator->dialect->call[o.patch ? DC_CONFIG_PATCH : DC_CONFIG_PUT], &o, got,
-      wait_ms);
+      &run->deployment->operator->dialect->calls[o.patch ? DC_CONFIG_PATCH : DC_CONFIG_PUT], &o,
+      got, wait_ms);
   enum register_answer answer = loss == LOSS_NONE ? answer_of(status) : ANSWER_NONE;
   register_attempt(run->history, number, (uint64_t)called.us, (uint64_t)world_now(world).us,
                    answer);
@@ -187,7 +187,7 @@
   size_t at = draw(run, run->deployment->operator->controllers->len);
   int64_t pause = 50;
   enum register_answer answer = ANSWER_NONE;
-  while (answer == ANSWER_NONE && !time_reached(world_now(world), till) && !world->tasks.dead) {
+  while (answer == ANSWER_NONE && !time_reached(world_now(world), till) && !world->tasks.stopped) {
     answer = send_once(run, number, address_of(run, at++), draw_loss(run));
     if (answer == ANSWER_NONE && !world_sleep(world, time_from_ms(pause)))
       break;
@@ -201,14 +201,14 @@
   world *world = run->deployment->operator->world;
   GString *got = g_string_new(NULL);
   time_us called = world_now(world);
-  int status = call_machine(run, address, &run->deployment->operator->dialect->call[DC_CONFIG_GET],
+  int status = call_machine(run, address, &run->deployment->operator->dialect->calls[DC_CONFIG_GET],
                             NULL, got, ANSWER_MS);
   bool read = status == 200;
   if (read) {
     unsigned number = 0;
     const char *mark = strstr(got->str, "mark-");
-    json *json = json_read(string_view_of_gstring(got), NULL);
-    *version = (uint64_t)json_num(json, "version", 0);
+    json *json = json_parse(string_view_of_gstring(got), NULL);
+    *version = (uint64_t)json_number(json, "version", 0);
     json_free(json);
     if (!mark || sscanf(mark, "mark-%u", &number) != 1 || number >= run->orders->len)
       violation(run->deployment->base, "a configuration of nobody was read: %.200s", got->str);
@@ -226,7 +226,7 @@
   world *world = run->deployment->operator->world;
   time_us till = time_add(world_now(world), time_from_ms(patience_ms));
   size_t at = draw(run, run->deployment->operator->controllers->len);
-  while (!time_reached(world_now(world), till) && !world->tasks.dead) {
+  while (!time_reached(world_now(world), till) && !world->tasks.stopped) {
     if (read_once(run, address_of(run, at++), version))
       return true;
     world_sleep(world, time_from_ms(150));
@@ -240,7 +240,7 @@
   operator_task *t = p;
   run *run = t->run;
   world *world = run->deployment->operator->world;
-  while (!run->stop && !world->tasks.dead) {
+  while (!run->stop && !world->tasks.stopped) {
     uint64_t base = run->current;
     if (base && !draw(run, 3) && !read_until_clear(run, &base, ORDER_PATIENCE_MS))
       continue;
@@ -307,8 +307,8 @@
       sim_host(fleet->sim, HOST_CONTROLLER, name, area_names[n % 3], address);
   host->settings = fleet->controller[0]->settings;
   host->settings.self = host->self;
-  host->settings.area = host->area;
-  g_strlcpy(host->settings.addr, host->addr, sizeof host->settings.addr);
+  host->settings.zone = host->area;
+  g_strlcpy(host->settings.address, host->addr, sizeof host->settings.address);
   return host;
 }
 
@@ -318,9 +318,9 @@
   while (fleet->controllers < members)
     add_core_machine(fleet);
   for (int i = 0; i < fleet->controllers; i++) {
-    fleet->controller[i]->settings.members = members;
-    fleet->controller[i]->settings.copies = members / 2 + 1;
-    fleet->controller[i]->settings.copy_areas = 1;
+    fleet->controller[i]->settings.chain_members = members;
+    fleet->controller[i]->settings.write_replicas = members / 2 + 1;
+    fleet->controller[i]->settings.write_zones = 1;
   }
   run->deployment = deployment_new(fleet, 0, 0);
   run->history = register_new();
@@ -484,7 +484,7 @@
   run *run = t->run;
   world *world = run->deployment->operator->world;
   uint64_t version;
-  while (!run->stop && !world->tasks.dead) {
+  while (!run->stop && !world->tasks.stopped) {
     read_once(run, address_of(run, draw(run, 8)), &version);
     if (!world_sleep(world, time_from_ms((int64_t)draw(run, 4))))
       break;
--- a/tests/peers.c
+++ b/tests/peers.c
@@ -9,13 +9,13 @@
 #include <unistd.h>
 
 /* The channel between two processes, over real sockets: one whose other side stops taking bytes is
- * closed after PEER_SILENT_MS, and the next message opens another. */
+ * closed after PEER_CHANNEL_TIMEOUT_MS, and the next message opens another. */
 
 enum {
   MESSAGE_BYTES = 200000,
   POST_EACH_MS = 100,
   /* the silence, and some time for a busy machine */
-  REOPENED_WITHIN_MS = PEER_SILENT_MS + 4000
+  REOPENED_WITHIN_MS = PEER_CHANNEL_TIMEOUT_MS + 4000
 };
 
 /** A process that answers the opening of a websocket and then reads nothing. */
@@ -103,28 +103,28 @@
   time_us till = time_add(world_now(s->world), time_from_ms(REOPENED_WITHIN_MS));
   char *text = g_malloc0(MESSAGE_BYTES);
   while (s->to->opened < 2 && !time_reached(world_now(s->world), till)) {
-    s->world->post(s->world, s->to->addr, (string_view){ text, MESSAGE_BYTES });
+    s->world->post_message(s->world, s->to->addr, (string_view){ text, MESSAGE_BYTES });
     if (!world_sleep(s->world, time_from_ms(POST_EACH_MS)))
       break;
   }
   g_free(text);
-  real_stop(s->world);
+  real_world_stop(s->world);
 }
 
 static bool a_silent_channel_is_opened_anew(fleet *fleet) {
   deaf_peer deaf;
   error err = { 0 };
-  real_settings v = { .ip = "127.0.0.1", .dir = "/tmp" };
+  real_settings v = { .ip = "127.0.0.1", .data_dir = "/tmp" };
   if (!deaf_start(&deaf)) {
     violation(fleet, "no listener could be had");
     return false;
   }
-  world *world = real_new(&v, &err);
+  world *world = real_world_new(&v, &err);
   if (world) {
     sender s = { world, &deaf };
     task_start(&world->tasks, "send", send_run, &s);
-    real_run(world, NULL, NULL);
-    real_free(world);
+    real_world_run(world, NULL, NULL);
+    real_world_free(world);
   }
   deaf_stop(&deaf);
   if (!world || deaf.opened < 2)
--- a/tests/placement.c
+++ b/tests/placement.c
@@ -84,7 +84,7 @@
   unit *best = NULL;
   uint64_t top = 0;
   for (int i = 0; i < deployment->base->routers; i++) {
-    uint64_t h = hash_of_two("place:llm", deployment->gateways[i]->host->self.text);
+    uint64_t h = hash_two_names("place:llm", deployment->gateways[i]->host->self.text);
     if (h > top) {
       top = h;
       best = deployment->gateways[i];
--- a/tests/random_faults.c
+++ b/tests/random_faults.c
@@ -196,7 +196,7 @@
       char match[32];
       uint64_t last = 0;
       for (guint k = 0; k < fleet->acks->len; k++)
-        if (g_array_index(fleet->acks, ack, k).which == RES_EVACUATION)
+        if (g_array_index(fleet->acks, ack, k).which == RESOURCE_EVACUATION)
           last = g_array_index(fleet->acks, ack, k).version;
       snprintf(match, sizeof match, "%" PRIu64, last);
       g_ptr_array_add(out, fleet_send(fleet, fleet->controller[(x->controller + i) % 3],
--- a/tests/registry.c
+++ b/tests/registry.c
@@ -298,7 +298,7 @@
 
 static int decide(fleet *fleet, GString *text, bool whole, uint64_t base, const char *body) {
   error err = { 0 };
-  json *json = json_read(string_view_of(body), &err);
+  json *json = json_parse(string_view_of(body), &err);
   if (!json) {
     violation(fleet, "%s: %s", body, err.text);
     return err.code;
@@ -346,7 +346,7 @@
   };
   for (size_t i = 0; i < G_N_ELEMENTS(bad); i++) {
     int r = decide(fleet, t, true, 3, bad[i]);
-    if (r < E_JSON || r >= E_WIRE || r == E_VERSION_CONFLICT)
+    if (r < E_JSON || r >= E_WIRE_MESSAGE || r == E_VERSION_CONFLICT)
       violation(fleet, "%s is decided to be %d", bad[i], r);
   }
   expect(fleet, config_revision(string_view_of_gstring(t)) == 3, "a refused one changed something");
@@ -368,7 +368,7 @@
 }
 
 /* core machines with listeners, and routers that mind engines, in a whole fleet */
-enum { LISTENER = 7400 };
+enum { CONNECTION_LISTENER = 7400 };
 /* what a router was told of one engine */
 typedef struct {
   char id[48], addr[48];
@@ -406,7 +406,7 @@
   error err = { 0 };
   char ip[48];
   g_strlcpy(ip, host->addr, (size_t)(strrchr(host->addr, ':') - host->addr) + 1);
-  if (controller_control(host->controller, ip, LISTENER, NULL, &err))
+  if (controller_control(host->controller, ip, CONNECTION_LISTENER, NULL, &err))
     fprintf(stderr, "  no door: %s\n", err.text);
 }
 
@@ -447,14 +447,14 @@
   fields *fields = g_string_new(NULL);
   fields_add(fields, "Host", string_view_of(knock->addr));
   if (knock->base >= 0)
-    fields_addf(fields, "Asterfall-Base-Version", "%" PRId64, knock->base);
+    fields_add_format(fields, "Asterfall-Base-Version", "%" PRId64, knock->base);
   time_us till = time_add(world_now(knock->world), time_from_ms(1500));
   http_call *call = http_call_open_fields(knock->world, knock->addr, knock->verb, knock->path,
                                           fields, string_view_of(knock->text), false, till);
   if (!http_call_read_all(call, knock->body, till))
     knock->status = call->status;
   string_view to;
-  if (fields_get(call->in_fields, "Location", &to))
+  if (fields_get(call->response_fields, "Location", &to))
     snprintf(knock->to, sizeof knock->to, "%.*s", (int)to.length, to.data);
   http_call_close(call);
   g_string_free(fields, TRUE);
@@ -488,7 +488,7 @@
 
 static char *listener_of(host *host) {
   return g_strdup_printf("%.*s:%d", (int)(strrchr(host->addr, ':') - host->addr), host->addr,
-                         LISTENER);
+                         CONNECTION_LISTENER);
 }
 
 /* asks one core machine, and follows where it leads, two times */
@@ -637,13 +637,13 @@
 
 static char *config_text(int version, int routes) {
   GString *b = g_string_new(NULL);
-  json_f(b, "{\"version\":%d,\"routes\":[", version);
+  json_appendf(b, "{\"version\":%d,\"routes\":[", version);
   for (int i = 0; i < routes; i++)
-    json_f(
+    json_appendf(
         b,
         "%s{\"name\":\"r%d\",\"host\":\"a.example\",\"prefix\":\"/p%d/\",\"mode\":\"safe\",\"timeoutMs\":1000,\"targetMs\":500,\"priority\":0,\"service\":\"s\",\"attempts\":1}",
         i ? "," : "", i, i);
-  json_f(b, "],%s}", SERVICES);
+  json_appendf(b, "],%s}", SERVICES);
   return g_string_free(b, FALSE);
 }
 
@@ -691,8 +691,8 @@
   if (status_at(fleet, fleet->controller[2], "PUT", "/v1/routing", a, 0) != 200)
     violation(fleet, "an old one that was taken is refused when it comes again");
   test_call *knock = request_listener(fleet, fleet->controller[1], "GET", "/v1/routing", NULL, -1);
-  json *json = json_read(string_view_of_gstring(knock->body), NULL);
-  if (knock->status != 200 || json_num(json, "version", 0) != 11 ||
+  json *json = json_parse(string_view_of_gstring(knock->body), NULL);
+  if (knock->status != 200 || json_number(json, "version", 0) != 11 ||
       json_count(json_get(json, "routes")) != (size_t)(now == 5 ? 3 : 4))
     violation(fleet, "it reads %d, %.200s", knock->status, knock->body->str);
   json_free(json);
--- a/tests/room.c
+++ b/tests/room.c
@@ -287,14 +287,14 @@
 /* the account alone: a report and the orders taken since */
 static bool an_account_follows_taken_orders(fleet *fleet) {
   error err = { 0 };
-  json *json = json_read(string_view_of(ROUTING), &err);
-  routing *routing = json ? routing_make(json, &err) : NULL;
+  json *json = json_parse(string_view_of(ROUTING), &err);
+  routing *routing = json ? routing_compile(json, &err) : NULL;
   json_free(json);
   if (!routing) {
     violation(fleet, "the test's configuration is refused: %s", err.text);
     return false;
   }
-  const service *service = routing_service(routing, "s");
+  const service *service = routing_find_service(routing, "s");
   id big = id_of_text("big"), mid = id_of_text("mid"), a1 = id_of_text("a1"), base = id_of_text("");
   time_us lag = time_from_ms(450);
   room account;
--- a/tests/routing.c
+++ b/tests/routing.c
@@ -8,20 +8,20 @@
                                      { "host", "seat" },      { "service", "shop" },
                                      { "services", "shops" }, { "weight", "part" },
                                      { "split", "parts" } };
-static const dialect_word words[] = { { "mode", "safe", "again" },
-                                      { "mode", "once", "single" },
-                                      { "state", "leaving", "ending" } };
+static const dialect_value words[] = { { "mode", "safe", "again" },
+                                       { "mode", "once", "single" },
+                                       { "state", "leaving", "ending" } };
 static const dialect odd = {
   .keys = keys,
   .key_count = G_N_ELEMENTS(keys),
-  .words = words,
-  .word_count = G_N_ELEMENTS(words),
-  .call = { [DC_BEAT] = { "POST", "/e/{}/b" }, [DC_CONFIG_GET] = { "GET", "/c/read" } }
+  .values = words,
+  .value_count = G_N_ELEMENTS(words),
+  .calls = { [DC_HEARTBEAT] = { "POST", "/e/{}/b" }, [DC_CONFIG_GET] = { "GET", "/c/read" } }
 };
 
 static json *read_or(fleet *fleet, const char *text) {
   error err = { 0 };
-  json *json = json_read(string_view_of(text), &err);
+  json *json = json_parse(string_view_of(text), &err);
   if (!json)
     violation(fleet, "%s: %s", text, err.text);
   return json;
@@ -49,29 +49,29 @@
   };
   for (size_t i = 0; i < G_N_ELEMENTS(texts); i++) {
     json *json = read_or(fleet, texts[i][0]);
-    dialect_in(&odd, json);
+    dialect_translate_in(&odd, json);
     written(fleet, json, texts[i][1], "the text in our words");
-    dialect_out(&odd, json);
+    dialect_translate_out(&odd, json);
     written(fleet, json, texts[i][0], "the text that went in and out");
-    dialect_in(&dialect_own, json);
+    dialect_translate_in(&dialect_native, json);
     written(fleet, json, texts[i][0], "the text in the product's own dialect");
     json_free(json);
   }
   id who = { "" };
-  if (!dialect_call_is(&odd, DC_BEAT, "POST", "/e/i-7:x/b?q=/e/", &who) ||
+  if (!dialect_matches_call(&odd, DC_HEARTBEAT, "POST", "/e/i-7:x/b?q=/e/", &who) ||
       strcmp(who.text, "i-7:x"))
     violation(fleet, "a call with a name is not known");
-  if (!dialect_call_is(&odd, DC_CONFIG_GET, "GET", "/c/read?x", NULL))
+  if (!dialect_matches_call(&odd, DC_CONFIG_GET, "GET", "/c/read?x", NULL))
     violation(fleet, "a call is not known");
   static const char *const not [] = { "/e//b",   "/e/a/b/b", "/e/a b/b", "/e/a",
                                       "/e/a/bb", "/e/b",     "/x/a/b",   "" };
   for (size_t i = 0; i < G_N_ELEMENTS(not ); i++)
-    if (dialect_call_is(&odd, DC_BEAT, "POST", not [i], NULL))
+    if (dialect_matches_call(&odd, DC_HEARTBEAT, "POST", not [i], NULL))
       violation(fleet, "%s is taken for a call", not [i]);
-  if (dialect_call_is(&odd, DC_BEAT, "GET", "/e/a/b", NULL) ||
-      dialect_call_is(&odd, DC_ORDER, "POST", "/v1/order", NULL))
+  if (dialect_matches_call(&odd, DC_HEARTBEAT, "GET", "/e/a/b", NULL) ||
+      dialect_matches_call(&odd, DC_ENGINE_ORDER, "POST", "/v1/order", NULL))
     violation(fleet, "a call is taken for another");
-  if (!dialect_call_is(&dialect_own, DC_LEAVE, "POST", "/v1/engines/a/leave", &who) ||
+  if (!dialect_matches_call(&dialect_native, DC_LEAVE, "POST", "/v1/engines/a/leave", &who) ||
       strcmp(who.text, "a"))
     violation(fleet, "a call of our own is not known");
   return true;
@@ -86,7 +86,7 @@
     json *value = read_or(fleet, same[i]), *copy = value ? json_copy(value) : NULL;
     if (!value)
       return true;
-    dialect_in(&odd, value);
+    dialect_translate_in(&odd, value);
     written(fleet, value, same[i], "the list of numbers");
     written(fleet, copy, same[i], "its copy");
     json_free(value);
@@ -103,15 +103,15 @@
   "\"models\":[{\"name\":\"m\",\"weightsMb\":16100.000000000002,\"loadS\":0.95,\"adapters\":3,\"adapterMb\":14.0}],\"weightsMb\":83000.0,\"adapterSlots\":8,\"loadsPerS\":2.1}}]"
 
 static routing *made(const char *text, error *err) {
-  json *json = json_read(string_view_of(text), err);
-  routing *routing = json ? routing_make(json, err) : NULL;
+  json *json = json_parse(string_view_of(text), err);
+  routing *routing = json ? routing_compile(json, err) : NULL;
   json_free(json);
   return routing;
 }
 
 static void leads(fleet *fleet, const routing *routing, const char *host, const char *path,
                   const char *due) {
-  const route *k = routing_find(routing, string_view_of(host), string_view_of(path));
+  const route *k = routing_find_route(routing, string_view_of(host), string_view_of(path));
   if (strcmp(k ? k->name.text : "", due))
     violation(fleet, "%s%s leads to \"%s\", not \"%s\"", host, path, k ? k->name.text : "", due);
 }
@@ -140,30 +140,32 @@
   leads(fleet, t, "three.example", "/x/", "");
   leads(fleet, t, "", "/x/", "");
   const route *a = &t->routes[0], *b = &t->routes[1];
-  if (t->revision != 9 || a->mode != MODE_ONCE || a->attempts != 1 || a->priority || a->affinity ||
-      a->target_ms || a->gap_ms || a->timeout_ms != 5000)
+  if (t->revision != 9 || a->mode != ROUTE_MODE_ONCE || a->attempts != 1 || a->priority ||
+      a->affinity || a->target_ms || a->gap_target_ms || a->timeout_ms != 5000)
     violation(fleet, "the defaults of a route are others");
-  if (b->mode != MODE_STREAM || b->attempts != 3 || b->priority != 2 || !b->affinity ||
-      b->gap_ms != 40 || b->timeout_ms != 1 || b->leg_count != 3)
+  if (b->mode != ROUTE_MODE_STREAM || b->attempts != 3 || b->priority != 2 || !b->affinity ||
+      b->gap_target_ms != 40 || b->timeout_ms != 1 || b->leg_count != 3)
     violation(fleet, "a route is read wrongly");
   int to_t = 0;
   for (int i = 0; i < 1000; i++)
-    to_t += !strcmp(route_leg_of(b, (double)sim_draw(fleet->sim, 1000000) / 1e6)->name.text, "t");
+    to_t +=
+        !strcmp(route_pick_service(b, (double)sim_draw(fleet->sim, 1000000) / 1e6)->name.text, "t");
   if (to_t < 690 || to_t > 810)
     violation(fleet, "%d of 1,000 went to three quarters", to_t);
-  if (strcmp(route_leg_of(b, 0)->name.text, "s") || strcmp(route_leg_of(b, 1)->name.text, "t"))
+  if (strcmp(route_pick_service(b, 0)->name.text, "s") ||
+      strcmp(route_pick_service(b, 1)->name.text, "t"))
     violation(fleet, "the ends of the draw lead elsewhere");
-  const service *service = routing_service(t, "t");
-  const svc_model *m = service_model(service, "m");
-  if (!service || strcmp(service->health, "/h") || service->connections_most != 50 ||
+  const service *service = routing_find_service(t, "t");
+  const service_model_spec *m = service_find_model(service, "m");
+  if (!service || strcmp(service->health_path, "/h") || service->connections_max != 50 ||
       service->engine_slots != 64 || service->adapter_slots != 8 || service->loads_per_s != 2.1)
     violation(fleet, "a service is read wrongly");
   if (!m || m->weights_mb != 16100.000000000002 || m->load_ms != 950 || m->adapters != 3)
     violation(fleet, "a model is read wrongly");
-  if (service_model(service, "n") || routing_service(t, "u") ||
-      service_model(routing_service(t, "s"), "m"))
+  if (service_find_model(service, "n") || routing_find_service(t, "u") ||
+      service_find_model(routing_find_service(t, "s"), "m"))
     violation(fleet, "something is found that is not there");
-  if (t->limit.header_bytes != 16384 || t->limit.body_bytes != 4194304)
+  if (t->limits.header_max_bytes != 16384 || t->limits.body_max_bytes != 4194304)
     violation(fleet, "the limits are others");
   routing *u = routing_ref(t);
   routing_unref(t);
@@ -186,49 +188,51 @@
   } bad[] = {
     { OK, ROUTE(GOOD) },
     { OK, "{\"version\":1,\"routes\":[],\"services\":[],\"limits\":{\"bodyBytes\":5,\"more\":1}}" },
-    { E_WHOLE, "[]" },
-    { E_WHOLE, "7" },
-    { E_WHOLE, "{\"version\":1,\"services\":[]}" },
-    { E_WHOLE, "{\"version\":1,\"routes\":[]}" },
-    { E_WHOLE, "{\"version\":1,\"routes\":{},\"services\":[]}" },
-    { E_WHOLE, "{\"version\":1,\"routes\":[7],\"services\":[]}" },
-    { E_WHOLE, "{\"version\":1,\"routes\":[],\"services\":[{}]}" },
-    { E_WHOLE, "{\"version\":1,\"routes\":[],\"services\":[],\"limits\":[]}" },
-    { E_VERSION, "{\"routes\":[],\"services\":[]}" },
-    { E_VERSION, "{\"version\":\"1\",\"routes\":[],\"services\":[]}" },
-    { E_VERSION, "{\"version\":1.5,\"routes\":[],\"services\":[]}" },
-    { E_SERVICE, ROUTE(",\"timeoutMs\":5,\"service\":\"u\"") },
-    { E_SERVICE, ROUTE(",\"timeoutMs\":5") },
-    { E_SERVICE,
+    { E_ROUTING_STRUCTURE, "[]" },
+    { E_ROUTING_STRUCTURE, "7" },
+    { E_ROUTING_STRUCTURE, "{\"version\":1,\"services\":[]}" },
+    { E_ROUTING_STRUCTURE, "{\"version\":1,\"routes\":[]}" },
+    { E_ROUTING_STRUCTURE, "{\"version\":1,\"routes\":{},\"services\":[]}" },
+    { E_ROUTING_STRUCTURE, "{\"version\":1,\"routes\":[7],\"services\":[]}" },
+    { E_ROUTING_STRUCTURE, "{\"version\":1,\"routes\":[],\"services\":[{}]}" },
+    { E_ROUTING_STRUCTURE, "{\"version\":1,\"routes\":[],\"services\":[],\"limits\":[]}" },
+    { E_ROUTING_VERSION, "{\"routes\":[],\"services\":[]}" },
+    { E_ROUTING_VERSION, "{\"version\":\"1\",\"routes\":[],\"services\":[]}" },
+    { E_ROUTING_VERSION, "{\"version\":1.5,\"routes\":[],\"services\":[]}" },
+    { E_UNKNOWN_SERVICE, ROUTE(",\"timeoutMs\":5,\"service\":\"u\"") },
+    { E_UNKNOWN_SERVICE, ROUTE(",\"timeoutMs\":5") },
+    { E_UNKNOWN_SERVICE,
       ROUTE(
           ",\"timeoutMs\":5,\"split\":[{\"service\":\"s\",\"weight\":1},{\"service\":\"u\",\"weight\":1}]") },
-    { E_SERVICE, ROUTE(",\"timeoutMs\":5,\"split\":[{\"weight\":1}]") },
+    { E_UNKNOWN_SERVICE, ROUTE(",\"timeoutMs\":5,\"split\":[{\"weight\":1}]") },
     { E_DUPLICATE_ROUTE, ROUTE(GOOD "},{\"name\":\"b\",\"host\":\"H\",\"prefix\":\"/x/\"" GOOD) },
     { E_DUPLICATE_NAME, ROUTE(GOOD "},{\"name\":\"a\",\"host\":\"h\",\"prefix\":\"/y/\"" GOOD) },
     { E_DUPLICATE_NAME,
       "{\"version\":1,\"routes\":[],\"services\":[{\"name\":\"s\"},{\"name\":\"s\"}]}" },
     { E_DUPLICATE_NAME, ENGINE("\"models\":[{\"name\":\"m\"},{\"name\":\"m\"}]") },
-    { E_WEIGHT, ROUTE(",\"timeoutMs\":5,\"split\":[]") },
-    { E_WEIGHT,
+    { E_ROUTE_WEIGHT, ROUTE(",\"timeoutMs\":5,\"split\":[]") },
+    { E_ROUTE_WEIGHT,
       ROUTE(
           ",\"timeoutMs\":5,\"split\":[{\"service\":\"s\",\"weight\":0},{\"service\":\"t\",\"weight\":0}]") },
-    { E_WEIGHT,
+    { E_ROUTE_WEIGHT,
       ROUTE(
           ",\"timeoutMs\":5,\"split\":[{\"service\":\"s\",\"weight\":-1},{\"service\":\"t\",\"weight\":2}]") },
-    { E_TIMEOUT, ROUTE(",\"timeoutMs\":0,\"service\":\"s\"") },
-    { E_TIMEOUT, ROUTE(",\"timeoutMs\":-4,\"service\":\"s\"") },
-    { E_TIMEOUT, ROUTE(",\"service\":\"s\"") },
-    { E_PREFIX, "{\"version\":1,\"routes\":[{\"name\":\"a\",\"host\":\"h\",\"prefix\":\"/x\"" GOOD
-                "}]," SERVICES "}" },
-    { E_PREFIX, "{\"version\":1,\"routes\":[{\"name\":\"a\",\"host\":\"h\",\"prefix\":\"x/\"" GOOD
-                "}]," SERVICES "}" },
-    { E_MODE, ROUTE(GOOD ",\"mode\":\"odd\"") },
-    { E_MODE, ROUTE(GOOD ",\"mode\":3") },
-    { E_SPEC, ROUTE(GOOD ",\"attempts\":-1") },
-    { E_SPEC, ENGINE("\"slots\":-1") },
-    { E_SPEC, ENGINE("\"weightsMb\":\"x\"") },
-    { E_SPEC, ENGINE("\"models\":[{\"name\":\"m\",\"weightsMb\":-5}]") },
-    { E_LIMIT, "{\"version\":1,\"routes\":[],\"services\":[],\"limits\":{\"idleMs\":-1}}" }
+    { E_ROUTE_TIMEOUT, ROUTE(",\"timeoutMs\":0,\"service\":\"s\"") },
+    { E_ROUTE_TIMEOUT, ROUTE(",\"timeoutMs\":-4,\"service\":\"s\"") },
+    { E_ROUTE_TIMEOUT, ROUTE(",\"service\":\"s\"") },
+    { E_ROUTE_PREFIX,
+      "{\"version\":1,\"routes\":[{\"name\":\"a\",\"host\":\"h\",\"prefix\":\"/x\"" GOOD
+      "}]," SERVICES "}" },
+    { E_ROUTE_PREFIX,
+      "{\"version\":1,\"routes\":[{\"name\":\"a\",\"host\":\"h\",\"prefix\":\"x/\"" GOOD
+      "}]," SERVICES "}" },
+    { E_ROUTE_MODE, ROUTE(GOOD ",\"mode\":\"odd\"") },
+    { E_ROUTE_MODE, ROUTE(GOOD ",\"mode\":3") },
+    { E_SPEC_RANGE, ROUTE(GOOD ",\"attempts\":-1") },
+    { E_SPEC_RANGE, ENGINE("\"slots\":-1") },
+    { E_SPEC_RANGE, ENGINE("\"weightsMb\":\"x\"") },
+    { E_SPEC_RANGE, ENGINE("\"models\":[{\"name\":\"m\",\"weightsMb\":-5}]") },
+    { E_LIMIT_RANGE, "{\"version\":1,\"routes\":[],\"services\":[],\"limits\":{\"idleMs\":-1}}" }
   };
   for (size_t i = 0; i < G_N_ELEMENTS(bad); i++) {
     error err = { 0 };
@@ -240,8 +244,9 @@
   }
   error err = { 0 };
   json *json = read_or(fleet, "{\"version\":5}");
-  if (routing_follows(json, 4, &err) || routing_follows(json, 5, &err) != E_OLD ||
-      routing_follows(json, 6, &err) != E_OLD)
+  if (routing_check_successor(json, 4, &err) ||
+      routing_check_successor(json, 5, &err) != E_STALE_VERSION ||
+      routing_check_successor(json, 6, &err) != E_STALE_VERSION)
     violation(fleet, "the order of versions is not kept");
   json_free(json);
   return true;
@@ -263,13 +268,13 @@
     { OK,
       "{\"version\":8,\"set\":{\"services\":[{\"name\":\"t\"},{\"name\":\"t\",\"k\":1}]},\"drop\":{\"routes\":[\"a\",\"b\",\"c\"]}}",
       "{\"version\":8,\"odd\":{\"k\":1},\"routes\":[],\"services\":[{\"name\":\"s\"},{\"name\":\"t\",\"k\":1}],\"limits\":{\"idleMs\":1,\"bodyBytes\":2}}" },
-    { E_VERSION, "{\"set\":{}}", NULL },
-    { E_CHANGE, "[]", NULL },
-    { E_CHANGE, "{\"version\":8,\"set\":[]}", NULL },
-    { E_CHANGE, "{\"version\":8,\"drop\":{\"routes\":\"a\"}}", NULL },
-    { E_CHANGE, "{\"version\":8,\"set\":{\"routes\":{}}}", NULL },
-    { E_CHANGE, "{\"version\":8,\"set\":{\"routes\":[{\"x\":1}]}}", NULL },
-    { E_CHANGE, "{\"version\":8,\"drop\":{\"routes\":[5]}}", NULL }
+    { E_ROUTING_VERSION, "{\"set\":{}}", NULL },
+    { E_ROUTING_PATCH, "[]", NULL },
+    { E_ROUTING_PATCH, "{\"version\":8,\"set\":[]}", NULL },
+    { E_ROUTING_PATCH, "{\"version\":8,\"drop\":{\"routes\":\"a\"}}", NULL },
+    { E_ROUTING_PATCH, "{\"version\":8,\"set\":{\"routes\":{}}}", NULL },
+    { E_ROUTING_PATCH, "{\"version\":8,\"set\":{\"routes\":[{\"x\":1}]}}", NULL },
+    { E_ROUTING_PATCH, "{\"version\":8,\"drop\":{\"routes\":[5]}}", NULL }
   };
   json *value = read_or(fleet, base);
   for (size_t i = 0; i < G_N_ELEMENTS(all); i++) {
@@ -291,7 +296,7 @@
 static bool a_thousand_routes_are_fast(fleet *fleet) {
   GString *b = g_string_new("{\"issue\":3,\"ways\":[");
   for (int i = 0; i < 1000; i++)
-    json_f(
+    json_appendf(
         b,
         "%s{\"name\":\"r-%d\",\"seat\":\"ficu%d.example\",\"prefix\":\"/p%d/\",\"mode\":\"stream\",\"timeoutMs\":5000,\"targetMs\":1000,\"priority\":1,"
         "\"parts\":[{\"shop\":\"s\",\"part\":90},{\"shop\":\"t\",\"part\":10}],\"attempts\":1,\"affinity\":true,\"resumable\":false,\"gapTargetMs\":400}",
@@ -299,11 +304,11 @@
   g_string_append(b, "],\"shops\":[{\"name\":\"s\"},{\"name\":\"t\"}]}");
   error err = { 0 };
   int64_t t0 = g_get_monotonic_time();
-  json *json = json_read(string_view_of_gstring(b), &err);
+  json *json = json_parse(string_view_of_gstring(b), &err);
   int64_t t1 = g_get_monotonic_time();
-  dialect_in(&odd, json);
+  dialect_translate_in(&odd, json);
   int64_t t2 = g_get_monotonic_time();
-  routing *routing = routing_make(json, &err);
+  routing *routing = routing_compile(json, &err);
   int64_t t3 = g_get_monotonic_time();
   if (!routing)
     violation(fleet, "refused: %s", err.text);
@@ -312,7 +317,7 @@
     char host[40], path[40];
     g_snprintf(host, sizeof host, "ficu%d.example:80", i % 7);
     g_snprintf(path, sizeof path, "/p%d/2f", i);
-    const route *k = routing_find(routing, string_view_of(host), string_view_of(path));
+    const route *k = routing_find_route(routing, string_view_of(host), string_view_of(path));
     found += k && k == &routing->routes[i];
   }
   int64_t t4 = g_get_monotonic_time();
--- a/tests/second_loss.c
+++ b/tests/second_loss.c
@@ -69,7 +69,7 @@
   host->begin = process_began;
   host->disk->slow_ms = t->slow_ms;
   if (old)
-    host->area = host->settings.area = old->area;
+    host->area = host->settings.zone = old->area;
   return host;
 }
 
@@ -87,7 +87,7 @@
   int areas = members == 3 ? 1 + (int)sim_draw(fleet->sim, 2) : 1;
   core_bounds(fleet, members, t->tolerated + 1, areas);
   for (int i = 0; i < fleet->controllers; i++)
-    fleet->controller[i]->settings.grace_ms = GRACE_MS;
+    fleet->controller[i]->settings.shutdown_grace_ms = GRACE_MS;
   if (!fleet_up(fleet))
     return false;
   check_watch(fleet);
@@ -165,8 +165,8 @@
   for (int i = t->fleet->controllers - 1, k = 0; i >= 0 && k < 3; i--)
     if (t->fleet->controller[i] != old &&
         (t->fleet->controller[i]->alive || t->fleet->controller[i] == young))
-      g_strlcpy(young->settings.seeds[k++], t->fleet->controller[i]->addr,
-                sizeof young->settings.seeds[0]);
+      g_strlcpy(young->settings.seed_addresses[k++], t->fleet->controller[i]->addr,
+                sizeof young->settings.seed_addresses[0]);
 }
 
 /* SIGTERM; after the grace SIGKILL. Whether it ended by itself. */
--- a/tests/wiring.c
+++ b/tests/wiring.c
@@ -34,10 +34,10 @@
 
 static void post_and_probe(void *context) {
   link_probe *probe = context;
-  probe->world->post(probe->world, probe->address, string_view_of("hello"));
+  probe->world->post_message(probe->world, probe->address, string_view_of("hello"));
   world_sleep(probe->world, time_from_ms(300));
   probe_links(probe);
-  real_stop(probe->world);
+  real_world_stop(probe->world);
 }
 
 static int free_port(void) {
@@ -59,15 +59,15 @@
   link_probe probe = { .port = free_port() };
   real_settings settings = { .ip = "127.0.0.1", .port = probe.port };
   error err = { 0 };
-  probe.world = real_new(&settings, &err);
+  probe.world = real_world_new(&settings, &err);
   if (!probe.world) {
     violation(fleet, "no world: %s", err.text);
     return check_all(fleet);
   }
   snprintf(probe.address, sizeof probe.address, "127.0.0.1:%d", probe.port);
   task_start(&probe.world->tasks, "probe", post_and_probe, &probe);
-  real_run(probe.world, NULL, NULL);
-  real_free(probe.world);
+  real_world_run(probe.world, NULL, NULL);
+  real_world_free(probe.world);
   if (!probe.links)
     violation(fleet, "no link was opened");
   if (probe.unguarded)
@@ -78,11 +78,11 @@
 
 static void core_size(fleet *fleet, int machines, int zones, int members, int copies, int areas) {
   settings v = { 0 };
-  env_withstand(&v, machines, zones);
-  if (v.members != members || v.copies != copies || v.copy_areas != areas)
-    violation(fleet,
-              "%d machines and %d zones: %d members, %d copies in %d areas, not %d, %d in %d",
-              machines, zones, v.members, v.copies, v.copy_areas, members, copies, areas);
+  settings_set_fault_tolerance(&v, machines, zones);
+  if (v.chain_members != members || v.write_replicas != copies || v.write_zones != areas)
+    violation(
+        fleet, "%d machines and %d zones: %d members, %d copies in %d areas, not %d, %d in %d",
+        machines, zones, v.chain_members, v.write_replicas, v.write_zones, members, copies, areas);
 }
 
 /* given how many machines and how many zones may be lost at once, the core is large enough that a
