--- a/bin/asterctl.c
+++ b/bin/asterctl.c
@@ -2,7 +2,7 @@
 #include "doctor.h"
 #include "real.h"
 #include "node.h"
-#include "trial.h"
+#include "policy_replay.h"
 #include <argp.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -19,8 +19,8 @@
   int n;
   int code;
   world *world;
-  t_plan plan;
-  t_knobs knobs;
+  trace_plan plan;
+  replay_options knobs;
   int seeds;
   char *policies;
 } options;
@@ -97,27 +97,27 @@
     options->seeds = atoi(arg);
     return 0;
   case 'n':
-    options->plan.requests = atoi(arg);
+    options->plan.request_count = atoi(arg);
     return 0;
   case 't':
-    options->plan.things = atoi(arg);
+    options->plan.model_count = atoi(arg);
     return 0;
   case 'r':
-    options->knobs.room = atof(arg);
+    options->knobs.capacity_share = atof(arg);
     return 0;
   case 'z':
-    options->plan.zipf = atof(arg);
+    options->plan.zipf_exponent = atof(arg);
     return 0;
   case 'q':
-    options->plan.per_s = atof(arg);
+    options->plan.requests_per_s = atof(arg);
     return 0;
   case 'b':
-    options->plan.bursts = atof(arg);
+    options->plan.burst_probability = atof(arg);
     return 0;
   case 'l':
-    options->plan.rel = !strcmp(arg, "like")     ? REL_LIKE
-                        : !strcmp(arg, "unlike") ? REL_UNLIKE
-                                                 : REL_NONE;
+    options->plan.relation = !strcmp(arg, "like")     ? POPULARITY_RISES_WITH_LOAD_TIME
+                             : !strcmp(arg, "unlike") ? POPULARITY_FALLS_WITH_LOAD_TIME
+                                                      : POPULARITY_INDEPENDENT;
     return 0;
   case 'p':
     options->policies = arg;
@@ -126,10 +126,10 @@
     options->knobs.window_s = atoi(arg);
     return 0;
   case 'o':
-    options->knobs.start_ms = atof(arg);
+    options->knobs.initial_load_ms = atof(arg);
     return 0;
   case 'x':
-    options->knobs.smooth = atof(arg);
+    options->knobs.smoothing_factor = atof(arg);
     return 0;
   case ARGP_KEY_ARG:
     if (options->n == 8)
@@ -609,9 +609,9 @@
   bool table = options->n > 1 && !strcmp(options->words[1], "table");
   char **pol = g_strsplit(options->policies, strchr(options->policies, ';') ? ";" : ",", -1);
   int n = (int)g_strv_length(pol), runs = table || options->file ? 1 : options->seeds;
-  if (runs < 1 || options->plan.things < 2 || options->plan.things > 5000 ||
-      options->plan.requests < 1 || options->plan.requests > 2000000 || options->plan.per_s <= 0 ||
-      options->knobs.room <= 0 || runs > 1000) {
+  if (runs < 1 || options->plan.model_count < 2 || options->plan.model_count > 5000 ||
+      options->plan.request_count < 1 || options->plan.request_count > 2000000 ||
+      options->plan.requests_per_s <= 0 || options->knobs.capacity_share <= 0 || runs > 1000) {
     fprintf(stderr, "asterctl: a number is out of range\n");
     g_strfreev(pol);
     return X_USE;
@@ -640,30 +640,31 @@
          *ratio = g_new0(double, n *runs);
   int x = X_OK;
   for (int s = 0; s < runs && !x; s++) {
-    t_plan p = options->plan;
+    trace_plan p = options->plan;
     p.seed = s + 1;
     error err = { 0 };
     trace *trace = NULL;
     if (table)
-      trace = trace_table();
+      trace = trace_reference_example();
     else if (options->file) {
       gchar *text = NULL;
       gsize len = 0;
       if (g_file_get_contents(options->file, &text, &len, NULL))
-        trace = trace_read((string_view){ text, len }, &err);
+        trace = trace_parse((string_view){ text, len }, &err);
       else
         error_set(&err, E_SETTINGS_FILE, "%s can't be read", options->file);
       g_free(text);
     } else
-      trace = trace_draw(&p);
+      trace = trace_generate(&p);
     if (!trace) {
       fprintf(stderr, "asterctl: %s (code %d)\n", err.text, err.code);
       x = X_USE;
       break;
     }
-    uint64_t room = table ? 2 : (uint64_t)(options->knobs.room * (double)trace_megs(trace));
+    uint64_t room =
+        table ? 2 : (uint64_t)(options->knobs.capacity_share * (double)trace_total_mb(trace));
     for (int i = 0; i < n; i++) {
-      t_result r = trial_run(trace, pol[i], room, &options->knobs, s + 1);
+      replay_result r = policy_replay_run(trace, pol[i], room, &options->knobs, s + 1);
       int k = i * runs + s;
       delay[k] = table ? r.delay_ms : r.delay_ms / (double)r.requests;
       loads[k] = (double)r.loads;
@@ -786,8 +787,12 @@
   options u = { .at = getenv("ASTERCTL_AT"),
                 .seeds = 11,
                 .policies = "cremebrulee,popularity,lru,random,belady,oracle" };
-  u.plan = (t_plan){ .things = 60, .requests = 4000, .zipf = 0.9, .per_s = 1, .bursts = 0.01 };
-  u.knobs.room = 0.3;
+  u.plan = (trace_plan){ .model_count = 60,
+                         .request_count = 4000,
+                         .zipf_exponent = 0.9,
+                         .requests_per_s = 1,
+                         .burst_probability = 0.01 };
+  u.knobs.capacity_share = 0.3;
   struct argp p = { opts, parse, "COMMAND ...", doc, NULL, NULL, NULL };
   argp_err_exit_status = X_USE;
   argp_parse(&p, argc, argv, 0, NULL, &u);
--- a/bin/asterfall-router.c
+++ b/bin/asterfall-router.c
@@ -12,7 +12,7 @@
 
 static void wait_run(void *p) {
   run *run = p;
-  condition_wait(&run->world->tasks, &run->router->over, time_never());
+  condition_wait(&run->world->tasks, &run->router->drain_completed, time_never());
   real_world_stop(run->world);
 }
 
--- a/emulator/check.c
+++ b/emulator/check.c
@@ -701,17 +701,17 @@
     host *h = fleet->router[i];
     if (!h->alive || h->frozen || !h->router->config)
       continue;
-    if (h->router->seq < h->seq_seen)
+    if (h->router->config_version < h->seq_seen)
       violation(fleet, "R4 %s slipped back from %" PRIu64 " to %" PRIu64, h->self.text, h->seq_seen,
-                h->router->seq);
-    h->seq_seen = h->router->seq;
+                h->router->config_version);
+    h->seq_seen = h->router->config_version;
   }
   fleet_head(fleet);
   fleet_tail(fleet);
   for (int i = 0; i <= fleet->engines; i++) {
     char d[64] = "pacer";
     if (i < fleet->engines)
-      duty_engine(d, sizeof d, fleet->engine[i]->self);
+      singleton_engine_name(d, sizeof d, fleet->engine[i]->self);
     host *h = fleet_holder(fleet, d);
     if (!h || id_equal(h->self, fleet->held[i].who))
       continue;
--- a/emulator/fleet.c
+++ b/emulator/fleet.c
@@ -328,7 +328,7 @@
   host *got = NULL;
   for (int i = 0; i < fleet->routers; i++) {
     host *host = fleet->router[i];
-    if (!host->alive || host->frozen || !duty_epoch(host->router, duty))
+    if (!host->alive || host->frozen || !singleton_lease_epoch(host->router, duty))
       continue;
     if (got)
       violation(fleet, "two hold %s at once: %s and %s", duty, got->self.text, host->self.text);
@@ -344,7 +344,7 @@
     return false;
   for (int i = 0; i < fleet->routers; i++)
     if (fleet->router[i]->alive && !fleet->router[i]->frozen &&
-        (!fleet->router[i]->router->config || !router_is_fresh(fleet->router[i]->router)))
+        (!fleet->router[i]->router->config || !config_sync_is_recent(fleet->router[i]->router)))
       return false;
   return true;
 }
@@ -354,7 +354,7 @@
   char d[64];
   (void)sim;
   for (int i = 0; i < fleet->engines; i++) {
-    duty_engine(d, sizeof d, fleet->engine[i]->self);
+    singleton_engine_name(d, sizeof d, fleet->engine[i]->self);
     if (!fleet_holder(fleet, d))
       return false;
   }
--- a/lib/gateway/canary.c
+++ b/lib/gateway/canary.c
@@ -145,7 +145,7 @@
 static bool is_on(const gateway *gateway) {
   const canary *canary = gateway->canary;
   return canary->open_at.us && time_reached(now_of(gateway), canary->open_at) &&
-         within(gateway, gateway->router->core_at, NEWS_MS) &&
+         within(gateway, gateway->router->controller_answered_at, NEWS_MS) &&
          within(gateway, canary->heard, JUDGE_MS) &&
          within(gateway, canary->from, canary->plan.max_duration_ms + SPARE_MS) &&
          canary->elders.list->len < ELDERS_MOST;
@@ -206,7 +206,7 @@
 
 /* the judge: whoever holds the duty, under its epoch */
 static canary_judge_t *judge_of(gateway *gateway) {
-  uint64_t epoch = gateway->canary ? duty_epoch(gateway->router, "canary") : 0;
+  uint64_t epoch = gateway->canary ? singleton_lease_epoch(gateway->router, "canary") : 0;
   if (gateway->canary_judge && (!epoch || gateway->canary_judge->epoch != epoch ||
                                 gateway->canary_judge->version != gateway->canary->version))
     judge_free(gateway);
@@ -392,7 +392,7 @@
   }
   id who;
   uint64_t epoch;
-  peer_node *peer = router_grant(gateway->router, "canary", &who, &epoch)
+  peer_node *peer = config_sync_find_grant(gateway->router, "canary", &who, &epoch)
                         ? node_find_peer(&gateway->router->node, who)
                         : NULL;
   if (peer) {
@@ -468,13 +468,13 @@
   q.verdict.data = (uint8_t *)t->str;
   q.verdict.len = t->len;
   char addr[48];
-  peer_node *peer = gateway->router->head_addr[0]
+  peer_node *peer = gateway->router->head_address[0]
                         ? NULL
                         : node_pick_peer(&gateway->router->node, ROLE_CONTROLLER, NULL);
   g_strlcpy(addr,
-            gateway->router->head_addr[0] ? gateway->router->head_addr
-            : peer                        ? peer->address
-                                          : "",
+            gateway->router->head_address[0] ? gateway->router->head_address
+            : peer                           ? peer->address
+                                             : "",
             sizeof addr);
   Wire__Envelope m = wire_envelope(WIRE__ENVELOPE__BODY_CANARY_END_REQUEST, &q), *b;
   error err = { 0 };
@@ -533,7 +533,7 @@
     bool on = is_on(gateway);
     if (canary->was_on && !on)
       log_info(&gateway->router->node.log, "canary", "New sessions go by the old policy here: %s.",
-               !within(gateway, gateway->router->core_at, NEWS_MS) ? "no news"
+               !within(gateway, gateway->router->controller_answered_at, NEWS_MS) ? "no news"
                : !within(gateway, canary->heard, JUDGE_MS)
                    ? "no judge"
                    : "the trial is too old, or has too many elders");
@@ -551,7 +551,7 @@
 void canary_installed(gateway *gateway) {
   const config *config = gateway->router->config;
   const canary_plan *plan = config ? &config->canary : NULL;
-  uint64_t version = gateway->router->res_at[RESOURCE_CANARY];
+  uint64_t version = gateway->router->resource_versions[RESOURCE_CANARY];
   if (!plan || plan->state != CANARY_RUNNING) {
     if (gateway->canary)
       log_info(&gateway->router->node.log, "canary",
@@ -567,7 +567,7 @@
   n->plan = *plan;
   n->version = version;
   n->from = now_of(gateway);
-  n->recent_sessions = gateway->router->news_count <= 1;
+  n->recent_sessions = gateway->router->sync_count <= 1;
   elders_init(&n->elders);
   log_info(&gateway->router->node.log, "canary", "The trial %s is declared for a share of %.3f.",
            plan->name.text, plan->traffic_share);
--- a/lib/gateway/drain.c
+++ b/lib/gateway/drain.c
@@ -78,7 +78,7 @@
   if (gateway->draining)
     return;
   gateway->draining = gateway->front.draining = true;
-  gateway->router->drain = true;
+  gateway->router->draining = true;
   node_start_draining(&gateway->router->node);
   gateway->drain_at = world_now(gateway->router->node.world);
   log_info(&gateway->router->node.log, "gateway", "Asked to stop, %d requests are open.",
--- a/lib/gateway/eviction.c
+++ b/lib/gateway/eviction.c
@@ -15,23 +15,24 @@
   char key[140];
   const service_model_spec *m = service_find_model(service, model.text);
   double cold = m && m->load_ms > 0 ? m->load_ms : 2000;
-  history_key(key, sizeof key, model, adapter);
+  event_history_format_key(key, sizeof key, model, adapter);
   if (!id_is_empty(adapter))
-    return history_penalty(
+    return event_history_load_ms(
         &gateway->router->history, service->name, key,
-        history_penalty(&gateway->router->history, service->name, "@adapter", 25));
+        event_history_load_ms(&gateway->router->history, service->name, "@adapter", 25));
   if (!warm)
-    return history_penalty(&gateway->router->history, service->name, key, cold);
+    return event_history_load_ms(&gateway->router->history, service->name, key, cold);
   g_strlcat(key, "@disk", sizeof key);
-  return history_penalty(&gateway->router->history, service->name, key, 0.25 * cold);
+  return event_history_load_ms(&gateway->router->history, service->name, key, 0.25 * cold);
 }
 
 double thing_rate(gateway *gateway, id model, id adapter) {
   char key[140];
-  history_key(key, sizeof key, model, adapter);
+  event_history_format_key(key, sizeof key, model, adapter);
   /* demand moves within seconds: half of the weight lies on the latest of them */
-  double own = 0.5 * history_rate(&gateway->router->history, key) +
-               0.5 * history_recent(&gateway->router->history, key, time_from_ms(RECENT_RATE_MS));
+  double own =
+      0.5 * event_history_request_rate(&gateway->router->history, key) +
+      0.5 * event_history_recent_rate(&gateway->router->history, key, time_from_ms(RECENT_RATE_MS));
   whole_rate *w =
       gateway->nodes > FEW_NODES ? g_hash_table_lookup(gateway->rates_whole, key) : NULL;
   return w && !time_reached(now_of(gateway), time_add(w->at, time_from_ms(4 * WHOLE_MS)))
@@ -102,7 +103,7 @@
 
 /* what is on an engine, as the rule sees it; gives the number of them */
 int eviction_candidates(instance *instance, const service *service, id model, id adapter,
-                        candidate *all, double *mb, unsigned *slots) {
+                        eviction_candidate *all, double *mb, unsigned *slots) {
   gateway *gateway = instance->gateway;
   int n = 0;
   *mb = instance->owed_mb;
@@ -112,7 +113,7 @@
       *mb += thing_size_mb(service, r->model, id_of_text(r->leaving->pdata[k]));
     *slots += r->leaving->len;
     for (int k = -1; k < (int)r->adapters->len && n < CANDS; k++) {
-      candidate *candidate = &all[n++];
+      eviction_candidate *candidate = &all[n++];
       memset(candidate, 0, sizeof *candidate);
       candidate->model = r->model;
       if (k >= 0)
@@ -120,21 +121,22 @@
       double size = thing_size_mb(service, candidate->model, candidate->adapter);
       *mb += size;
       *slots += k >= 0;
-      candidate->megs = (uint64_t)ceil(size);
+      candidate->weights_mb = (uint64_t)ceil(size);
       candidate->slots = k >= 0;
       int copies =
           MAX(1, copies_counted(gateway, instance->service, candidate->model, candidate->adapter));
       time_us loaded_at = instance_loaded_at(instance, candidate->model, candidate->adapter);
-      candidate->rate = MAX(thing_rate(gateway, candidate->model, candidate->adapter) / copies,
-                            rate_since_load(gateway, candidate->adapter, loaded_at));
-      candidate->penalty =
+      candidate->request_rate =
+          MAX(thing_rate(gateway, candidate->model, candidate->adapter) / copies,
+              rate_since_load(gateway, candidate->adapter, loaded_at));
+      candidate->load_ms =
           thing_load_ms(gateway, service, candidate->model, candidate->adapter, false);
       char key[140];
-      history_key(key, sizeof key, candidate->model, candidate->adapter);
-      time_us used = history_used(&gateway->router->history, key);
-      candidate->used = k < 0 && r->last_used.us > used.us ? r->last_used : used;
+      event_history_format_key(key, sizeof key, candidate->model, candidate->adapter);
+      time_us used = event_history_last_requested_at(&gateway->router->history, key);
+      candidate->last_requested_at = k < 0 && r->last_used.us > used.us ? r->last_used : used;
       candidate->busy = instance_runs(instance, candidate->model, candidate->adapter);
-      candidate->barred = r->unloading || just_loaded(gateway, r, candidate->adapter, loaded_at) ||
+      candidate->pinned = r->unloading || just_loaded(gateway, r, candidate->adapter, loaded_at) ||
                           wanted_here(instance, candidate->model, candidate->adapter) ||
                           (k < 0 && !id_is_empty(adapter) && id_equal(r->model, model));
     }
@@ -148,21 +150,23 @@
 
 /* the policy resource says by what the least worth is told; the paper's rule stands until there is
  * one */
-policy eviction_policy(gateway *gateway) {
+eviction_rule eviction_policy(gateway *gateway) {
   const config *config = gateway->router->config;
   if (!gateway_uses(gateway, MECHANISM_CREMEBRULEE))
-    return (policy){ "lru", NULL, now_of(gateway) };
-  return config ? (policy){ config->eviction_policy,
-                            config_formula(config, config->eviction_policy), now_of(gateway) }
-                : (policy){ "cremebrulee", NULL, now_of(gateway) };
+    return (eviction_rule){ "lru", NULL, now_of(gateway) };
+  return config
+             ? (eviction_rule){ config->eviction_policy,
+                                config_formula(config, config->eviction_policy), now_of(gateway) }
+             : (eviction_rule){ "cremebrulee", NULL, now_of(gateway) };
 }
 
-lack eviction_lack(const service *service, double mb, unsigned slots, double add_mb,
-                   unsigned add_slots) {
+capacity_shortage eviction_lack(const service *service, double mb, unsigned slots, double add_mb,
+                                unsigned add_slots) {
   double over = mb + add_mb - service->weights_mb;
-  lack l = { over > 0 ? (uint64_t)ceil(over) : 0, slots + add_slots > service->adapter_slots
-                                                      ? slots + add_slots - service->adapter_slots
-                                                      : 0 };
+  capacity_shortage l = { over > 0 ? (uint64_t)ceil(over) : 0,
+                          slots + add_slots > service->adapter_slots
+                              ? slots + add_slots - service->adapter_slots
+                              : 0 };
   return l;
 }
 
@@ -181,7 +185,7 @@
 
 double place_cost(instance *instance, const service *service, id model, id adapter, double *need_mb,
                   unsigned *need_slots, double *drain_ms) {
-  candidate all[CANDS];
+  eviction_candidate all[CANDS];
   double mb, add;
   unsigned slots, more;
   int n = eviction_candidates(instance, service, model, adapter, all, &mb, &slots);
@@ -191,11 +195,12 @@
   *drain_ms = 0;
   if (add > service->weights_mb || more > service->adapter_slots)
     return -1;
-  lack l = eviction_lack(service, mb, slots, add, more);
-  if (!l.megs && !l.slots)
+  capacity_shortage l = eviction_lack(service, mb, slots, add, more);
+  if (!l.mb && !l.slots)
     return 0;
-  policy rule = eviction_policy(instance->gateway);
-  int got = policy_fill(&rule, all, n, l, eviction_chance, instance->gateway->router->node.world);
+  eviction_rule rule = eviction_policy(instance->gateway);
+  int got = eviction_policy_select(&rule, all, n, l, eviction_chance,
+                                   instance->gateway->router->node.world);
   if (got < 0)
     return -1;
   double cost = 0;
@@ -204,7 +209,7 @@
   for (int k = 0; k < got; k++) {
     double drain = all[k].busy ? MAX(DRAIN_LEAST_MS, 2 * instance->usual_run) : 0;
     *drain_ms = MAX(*drain_ms, drain);
-    cost += (all[k].penalty + drain) * all[k].rate + (drain > 0 ? BUSY_COST : 0);
+    cost += (all[k].load_ms + drain) * all[k].request_rate + (drain > 0 ? BUSY_COST : 0);
   }
   return cost;
 }
--- a/lib/gateway/forward.c
+++ b/lib/gateway/forward.c
@@ -338,10 +338,11 @@
   flight->prefix = fields_dup(flight->http->fields, word(flight, DF_PREFIX));
   budget_came(gateway, flight->service);
   if (!id_is_empty(flight->model))
-    history_add(&gateway->router->history, (entry){ .what = EV_ROUTED,
-                                                    .model = flight->model,
-                                                    .adapter = flight->adapter,
-                                                    .n = flight->route->priority });
+    event_history_append(&gateway->router->history,
+                         (history_event){ .kind = EVENT_ROUTED,
+                                          .model = flight->model,
+                                          .adapter = flight->adapter,
+                                          .value = flight->route->priority });
   return OK;
 }
 
--- a/lib/gateway/gateway.c
+++ b/lib/gateway/gateway.c
@@ -15,9 +15,9 @@
   gateway *gateway = p;
   canary_installed(gateway);
   routing *was = (routing *)gateway->routing;
-  if (gateway->router->routes == was)
+  if (gateway->router->routing == was)
     return;
-  gateway->routing = gateway->router->routes ? routing_ref(gateway->router->routes) : NULL;
+  gateway->routing = gateway->router->routing ? routing_ref(gateway->router->routing) : NULL;
   if (was)
     routing_unref(was);
   bounds(gateway);
@@ -42,7 +42,7 @@
                                  : routing_find_service(gateway->routing, i->service.text);
     if (!service || !service->model_count)
       continue;
-    duty_engine(d, sizeof d, i->self);
+    singleton_engine_name(d, sizeof d, i->self);
     one(gateway->router, d);
   }
 }
@@ -104,9 +104,9 @@
   world->pool_idle_timeout_ms = KEPT_IDLE_MS;
   router->gateway = g;
   router->on_installed = on_installed;
-  router->on_engines = on_engines;
-  router->each_duty = each_duty;
-  router->page = page;
+  router->on_engines_changed = on_engines;
+  router->for_each_singleton = each_duty;
+  router->write_status = page;
   on_installed(g);
   canary_start(g);
   instances_start(g);
--- a/lib/gateway/load_jobs.c
+++ b/lib/gateway/load_jobs.c
@@ -4,7 +4,7 @@
 /* what is used of an engine's room, by the greater of what is known here and of the account; gives
  * the number of things that might go */
 static int room_taken_up(instance *instance, const service *service, id model, id adapter,
-                         candidate *all, double *mb, unsigned *slots) {
+                         eviction_candidate *all, double *mb, unsigned *slots) {
   int n = eviction_candidates(instance, service, model, adapter, all, mb, slots);
   double room_mb;
   unsigned room_slots;
@@ -22,7 +22,7 @@
  * needed */
 static int make_room(instance *instance, const service *service, id model, id adapter, double mb,
                      unsigned slots, bool idle_only, error *err) {
-  candidate all[CANDS];
+  eviction_candidate all[CANDS];
   for (int turns = 0; turns < 24; turns++) {
     double held_mb;
     unsigned held_slots;
@@ -31,11 +31,12 @@
     if (!service)
       return error_set(err, E_UNKNOWN_MODEL, "no such service");
     int n = room_taken_up(instance, service, model, adapter, all, &held_mb, &held_slots);
-    lack l = eviction_lack(service, held_mb, held_slots, mb, slots);
-    if (!l.megs && !l.slots)
+    capacity_shortage l = eviction_lack(service, held_mb, held_slots, mb, slots);
+    if (!l.mb && !l.slots)
       return OK;
-    policy rule = eviction_policy(instance->gateway);
-    int got = policy_fill(&rule, all, n, l, eviction_chance, instance->gateway->router->node.world);
+    eviction_rule rule = eviction_policy(instance->gateway);
+    int got = eviction_policy_select(&rule, all, n, l, eviction_chance,
+                                     instance->gateway->router->node.world);
     if (got <= 0)
       return error_set(err, E_NO_CAPACITY, "nothing on %s may be unloaded for %s now",
                        instance->self.text, model.text);
@@ -48,8 +49,8 @@
                        instance->self.text, model.text);
     log_debug(&instance->gateway->router->node.log, "place",
               "%s goes from %s for %s+%s: rate %.2f a copy, worth %.0f, one of %d.",
-              all[0].model.text, instance->self.text, model.text, adapter.text, all[0].rate,
-              all[0].penalty * all[0].rate, got);
+              all[0].model.text, instance->self.text, model.text, adapter.text, all[0].request_rate,
+              all[0].load_ms * all[0].request_rate, got);
     /* a base takes its adapters with it */
     id adapter_goes = all[0].adapter;
     for (int k = 0; k < got; k++)
@@ -65,7 +66,7 @@
 static void timed_cast(gateway *gateway, id type, const char *key, double ms) {
   /* among many nodes each load is one of many: some of their times suffice */
   if (gateway->nodes <= FEW_NODES || !world_random(gateway->router->node.world, 8))
-    router_timed(gateway->router, type, key, ms);
+    rate_exchange_send_load_time(gateway->router, type, key, ms);
 }
 
 /* a young holder, and one that can't tell what became of an order, learns what the engine holds
@@ -80,10 +81,11 @@
   if (instance->known_epoch != epoch)
     room_forget(&instance->room, instance->room.changed);
   char d[64];
-  duty_engine(d, sizeof d, instance->self);
-  contract *contract = g_hash_table_lookup(gateway->router->contracts, d);
+  singleton_engine_name(d, sizeof d, instance->self);
+  singleton_lease *singleton_lease = g_hash_table_lookup(gateway->router->singleton_leases, d);
   int64_t lease = (gateway->settings.lease_ms > 0 ? gateway->settings.lease_ms : 3000) + 200;
-  time_us from = epoch > 1 ? time_add(contract->since, time_from_ms(600)) : contract->since;
+  time_us from = epoch > 1 ? time_add(singleton_lease->acquired_at, time_from_ms(600))
+                           : singleton_lease->acquired_at;
   if (instance->ordered_at.us)
     from.us = MAX(from.us, time_add(instance->ordered_at, time_from_ms(lease)).us);
   /* an order of its own of which nobody knows would not show yet */
@@ -133,7 +135,7 @@
     }
     return r;
   }
-  history_key(key, sizeof key, model, adapter);
+  event_history_format_key(key, sizeof key, model, adapter);
   if (warm)
     g_strlcat(key, "@disk", sizeof key);
   time_us last = time_never(), began = now_of(gateway);
@@ -193,12 +195,12 @@
       break;
     }
     /* nothing else may have come in while the pace was waited for */
-    candidate all[CANDS];
+    eviction_candidate all[CANDS];
     double held_mb;
     unsigned held_slots;
     room_taken_up(instance, service, model, adapter, all, &held_mb, &held_slots);
-    lack l = eviction_lack(service, held_mb, held_slots, mb, slots);
-    if (l.megs || l.slots) {
+    capacity_shortage l = eviction_lack(service, held_mb, held_slots, mb, slots);
+    if (l.mb || l.slots) {
       r = error_set(err, E_NO_CAPACITY, "the room on %s went", instance->self.text);
       *wait = 300;
       break;
@@ -266,13 +268,13 @@
   }
   if (base && st != 200) {
     gateway->counts.loads++;
-    gateway->router->loads++;
+    gateway->router->load_count++;
     Wire__LoadPermitRequest t = WIRE__LOAD_PERMIT_REQUEST__INIT;
     t.engine = instance->self.text;
     t.key = "";
     Wire__Envelope m = wire_envelope(WIRE__ENVELOPE__BODY_LOAD_PERMIT_REQUEST, &t);
     char duty[64];
-    duty_engine(duty, sizeof duty, instance->self);
+    singleton_engine_name(duty, sizeof duty, instance->self);
     duty_heirs_cast(gateway, duty, &m);
   }
   /* taken, or nobody knows: the same order again says 200 once it is up, and never starts another
@@ -282,7 +284,7 @@
   int looks = 0;
   /* an adapter comes in some ms that are known by now: one in some is looked at, to learn */
   bool known = !base && sure &&
-               history_penalty(&gateway->router->history, name, "@adapter", -1) > 0 &&
+               event_history_load_ms(&gateway->router->history, name, "@adapter", -1) > 0 &&
                world_random(gateway->router->node.world, 6);
   if (!up && (r = engine_nap(instance, !sure ? LAG_MS : base ? guess + 2 : guess * 1.4 + 6, err)))
     goto out;
@@ -357,8 +359,9 @@
   }
 out:
   if (r) {
-    history_add(&gateway->router->history,
-                (entry){ EV_FAILED, { 0 }, instance->self, model, adapter, 0 });
+    event_history_append(
+        &gateway->router->history,
+        (history_event){ EVENT_LOAD_FAILED, { 0 }, instance->self, model, adapter, 0 });
     /* what it may still hold of this keeps its room until its own report was read again */
     if (owed)
       instance->known_epoch = 0;
@@ -383,11 +386,12 @@
     /* an engine's disk may hold it from a life before: that says nothing of the store */
     if (!base || warm || ms > 0.6 * guess) {
       const char *as = base ? key : "@adapter";
-      history_timed(&gateway->router->history, name, as, ms);
+      event_history_record_load_ms(&gateway->router->history, name, as, ms);
       timed_cast(gateway, name, as, ms);
     }
-    history_add(&gateway->router->history,
-                (entry){ EV_LOADED, { 0 }, instance->self, model, adapter, (int64_t)ms });
+    event_history_append(
+        &gateway->router->history,
+        (history_event){ EVENT_LOADED, { 0 }, instance->self, model, adapter, (int64_t)ms });
     log_debug(&gateway->router->node.log, "place", "%s has %s after %.0f ms.", instance->self.text,
               key, ms);
   }
--- a/lib/gateway/loader_internal.h
+++ b/lib/gateway/loader_internal.h
@@ -107,14 +107,14 @@
 /** What is on an engine, as the rule sees it, in `all`; gives the number of them, and the room that
  * is used. */
 int eviction_candidates(instance *instance, const service *service, id model, id adapter,
-                        candidate *all, double *mb, unsigned *slots);
+                        eviction_candidate *all, double *mb, unsigned *slots);
 /** A random number for policies that draw; w is the world. */
 uint64_t eviction_chance(void *w);
 /** The policy by which the least worth is told. */
-policy eviction_policy(gateway *gateway);
+eviction_rule eviction_policy(gateway *gateway);
 /** What is missing in each measure when more is added to what is held. */
-lack eviction_lack(const service *service, double mb, unsigned slots, double add_mb,
-                   unsigned add_slots);
+capacity_shortage eviction_lack(const service *service, double mb, unsigned slots, double add_mb,
+                                unsigned add_slots);
 
 /* pace.c */
 /** Frees a service's pace. */
--- a/lib/gateway/orders.c
+++ b/lib/gateway/orders.c
@@ -4,26 +4,28 @@
 /* orders and reports */
 uint64_t order_epoch(instance *instance) {
   char d[64];
-  duty_engine(d, sizeof d, instance->self);
-  return duty_epoch(instance->gateway->router, d);
+  singleton_engine_name(d, sizeof d, instance->self);
+  return singleton_lease_epoch(instance->gateway->router, d);
 }
 
 static time_us contract_till(instance *instance) {
   char d[64];
-  duty_engine(d, sizeof d, instance->self);
-  contract *contract = g_hash_table_lookup(instance->gateway->router->contracts, d);
-  return contract ? contract->till : (time_us){ 0 };
+  singleton_engine_name(d, sizeof d, instance->self);
+  singleton_lease *singleton_lease =
+      g_hash_table_lookup(instance->gateway->router->singleton_leases, d);
+  return singleton_lease ? singleton_lease->expires_at : (time_us){ 0 };
 }
 
 /* notes when an order may last have gone out under a contract, and whether one still may */
 static void contract_open(instance *instance, int more) {
   char d[64];
-  duty_engine(d, sizeof d, instance->self);
-  contract *contract = g_hash_table_lookup(instance->gateway->router->contracts, d);
-  if (!contract)
+  singleton_engine_name(d, sizeof d, instance->self);
+  singleton_lease *singleton_lease =
+      g_hash_table_lookup(instance->gateway->router->singleton_leases, d);
+  if (!singleton_lease)
     return;
-  contract->open += more;
-  contract->ordered = now_of(instance->gateway);
+  singleton_lease->open_orders += more;
+  singleton_lease->last_order_at = now_of(instance->gateway);
 }
 
 static fields *fields_for(instance *instance) {
@@ -198,8 +200,8 @@
   time_us till = contract_till(instance);
   GString *t = order_text(instance, up, model, adapter, epoch, expect), *got = g_string_new(NULL);
   gateway->counts.orders++;
-  history_add(&gateway->router->history,
-              (entry){ EV_ORDERED, { 0 }, instance->self, model, adapter, up });
+  event_history_append(&gateway->router->history,
+                       (history_event){ EVENT_ORDERED, { 0 }, instance->self, model, adapter, up });
   contract_open(instance, 1);
   int st =
       exchange(instance, DC_ENGINE_ORDER, t->str, got, ORDER_MS, till.us < by.us ? till : by, err);
@@ -243,11 +245,11 @@
 
 /* the time in ms that a kind of step took, learnt under a name of the service's own */
 static double step_of(instance *instance, const char *name, double fall) {
-  return history_penalty(&instance->gateway->router->history, instance->service, name, fall);
+  return event_history_load_ms(&instance->gateway->router->history, instance->service, name, fall);
 }
 
 static void step_took(instance *instance, const char *name, double ms) {
-  history_timed(&instance->gateway->router->history, instance->service, name, ms);
+  event_history_record_load_ms(&instance->gateway->router->history, instance->service, name, ms);
 }
 
 /* tells all nodes that a thing is on its way out, so that they send no more work for it */
@@ -326,9 +328,9 @@
   if (took && probes <= 3)
     step_took(instance, "@unload", since_ms(gateway, began));
   gateway->counts.unloads++;
-  gateway->router->unloads++;
-  history_add(&gateway->router->history,
-              (entry){ EV_UNLOADED, { 0 }, instance->self, model, adapter, 0 });
+  gateway->router->unload_count++;
+  event_history_append(&gateway->router->history,
+                       (history_event){ EVENT_UNLOADED, { 0 }, instance->self, model, adapter, 0 });
   room_remove(&instance->room, model, adapter);
   instance_unloaded(instance, model, adapter);
   return OK;
--- a/lib/gateway/pace.c
+++ b/lib/gateway/pace.c
@@ -76,7 +76,7 @@
       instance->ordered_at = now_of(gateway);
     return OK;
   }
-  uint64_t epoch = duty_epoch(router, "pacer");
+  uint64_t epoch = singleton_lease_epoch(router, "pacer");
   if (!epoch)
     return error_set(err, E_NO_LEASE_HOLDER, "the pace is not held here");
   if (in->load_permit_request->epoch > epoch)
@@ -93,23 +93,24 @@
   int most = pace_most(service->loads_per_s, window_s(gateway), excess(gateway));
   time_us window = { (int64_t)(window_s(gateway) * 1e6) + LAST_MS * 1000 }, now = now_of(gateway);
   pace *p = pace_of(gateway, service->name);
-  contract *contract = g_hash_table_lookup(router->contracts, "pacer");
+  singleton_lease *singleton_lease = g_hash_table_lookup(router->singleton_leases, "pacer");
   if (p->epoch != epoch) {
     if (epoch > 1)
-      pace_take_over(p->log, contract->since, router->node.started_at, window, most);
+      pace_take_over(p->log, singleton_lease->acquired_at, router->node.started_at, window, most);
     p->epoch = epoch;
   }
   time_us at = pace_next(p->log, now, window, most);
   int64_t wait = time_sub(at, now).us;
-  b->granted = wait == 0 && !time_reached(time_add(now, time_from_ms(LAST_MS)), contract->till);
+  b->granted =
+      wait == 0 && !time_reached(time_add(now, time_from_ms(LAST_MS)), singleton_lease->expires_at);
   b->wait_ms = (uint64_t)(wait + 999) / 1000;
   if (!b->granted) {
-    router->tickets_late++;
+    router->load_permits_refused++;
     if (!b->wait_ms)
       b->wait_ms = 100;
     return OK;
   }
-  router->tickets++;
+  router->load_permits++;
   pace_add(gateway, service->name, now);
   Wire__LoadPermitRequest t = WIRE__LOAD_PERMIT_REQUEST__INIT;
   t.engine = in->load_permit_request->engine;
@@ -137,7 +138,7 @@
     id holder;
     uint64_t epoch;
     char addr[48] = "";
-    if (router_grant(router, "pacer", &holder, &epoch)) {
+    if (config_sync_find_grant(router, "pacer", &holder, &epoch)) {
       peer_node *peer = node_find_peer(&router->node, holder);
       if (id_equal(holder, router->node.settings.self))
         g_strlcpy(addr, router->node.settings.address, sizeof addr);
--- a/lib/gateway/placement.c
+++ b/lib/gateway/placement.c
@@ -23,12 +23,12 @@
   char d[64];
   id holder;
   uint64_t epoch;
-  duty_engine(d, sizeof d, engine);
-  if (duty_epoch(gateway->router, d)) {
+  singleton_engine_name(d, sizeof d, engine);
+  if (singleton_lease_epoch(gateway->router, d)) {
     g_strlcpy(addr, gateway->router->node.settings.address, 48);
     return true;
   }
-  if (!router_grant(gateway->router, d, &holder, &epoch) ||
+  if (!config_sync_find_grant(gateway->router, d, &holder, &epoch) ||
       id_equal(holder, gateway->router->node.settings.self))
     return false;
   peer_node *peer = node_find_peer(&gateway->router->node, holder);
--- a/lib/gateway/rates.c
+++ b/lib/gateway/rates.c
@@ -18,7 +18,7 @@
     }
     *r = (whole_rate){ (double)q->counts[i]->total / 1000, now_of(gateway) };
   }
-  router_rates_heard(gateway->router, q);
+  rate_exchange_receive(gateway->router, q);
   return OK;
 }
 
@@ -61,12 +61,13 @@
   GPtrArray *some = g_ptr_array_new_with_free_func(g_free);
   GHashTableIter it;
   gpointer k;
-  g_hash_table_iter_init(&it, router->history.tallies);
+  g_hash_table_iter_init(&it, router->history.fleet_rates);
   while (g_hash_table_iter_next(&it, &k, NULL)) {
     if (!mine[shard_of(k)])
       continue;
-    double rate = 0.5 * history_rate(&router->history, k) +
-                  0.5 * history_recent(&router->history, k, time_from_ms(RECENT_RATE_MS));
+    double rate =
+        0.5 * event_history_request_rate(&router->history, k) +
+        0.5 * event_history_recent_rate(&router->history, k, time_from_ms(RECENT_RATE_MS));
     whole_rate *was = g_hash_table_lookup(gateway->rates_whole, k);
     if (rate <= 0 && (!was || was->rate <= 0))
       continue;
@@ -91,10 +92,11 @@
   router *router = gateway->router;
   uint64_t met = 0, turns = 0;
   for (;;) {
-    history_window_fix(&router->history, (time_us){ (int64_t)((gateway->settings.rate_window_s > 0
-                                                                   ? gateway->settings.rate_window_s
-                                                                   : 20) *
-                                                              1e6) });
+    event_history_fix_window(
+        &router->history,
+        (time_us){
+            (int64_t)((gateway->settings.rate_window_s > 0 ? gateway->settings.rate_window_s : 20) *
+                      1e6) });
     if (!world_sleep_with_jitter(router->node.world, time_from_ms(RATES_MS)))
       return;
     /* a node that is new here, or has started anew, hears all from the start */
@@ -114,10 +116,10 @@
     GPtrArray *all = g_ptr_array_new_with_free_func(g_free);
     GHashTableIter it;
     gpointer k, t;
-    g_hash_table_iter_init(&it, router->history.own_tallies);
+    g_hash_table_iter_init(&it, router->history.local_rates);
     while (g_hash_table_iter_next(&it, &k, &t)) {
       int64_t *told = g_hash_table_lookup(gateway->rates_told, k),
-              total = (int64_t)((tally *)t)->total;
+              total = (int64_t)((request_rate *)t)->total;
       if (told && *told == total)
         continue;
       if (!told) {
@@ -128,7 +130,7 @@
       Wire__RequestCount *r = g_new(Wire__RequestCount, 1);
       wire__request_count__init(r);
       r->key = k;
-      r->in_window = history_own_count(&router->history, k, &r->total);
+      r->in_window = event_history_local_count(&router->history, k, &r->total);
       g_ptr_array_add(all, r);
     }
     if (!many)
--- a/lib/router/place.c
+++ b/lib/router/model_loading.c
@@ -2,21 +2,22 @@
 #include <stdio.h>
 
 enum {
-  KEY_MOST = 130,
-  ORDER_MS = 3000,
-  UNLOAD_MS = 20000,
-  SETTLE_MS = 3000,
-  YOUNG_MS = 15000,
-  TICKET_MS = 100,
-  REQUEST_MS = 2000,
-  BACK_MS = 1000,
-  BACK_MOST_MS = 60000,
-  PACE_LINE_MS = 1000,
-  LINGER_MS = 1500,
-  NO_ANSWER_MS = 12000
+  MAX_KEY_LENGTH = 130,
+  ORDER_TIMEOUT_MS = 3000,
+  UNLOAD_TIMEOUT_MS = 20000,
+  LOAD_CONFIRMATION_MS = 3000,
+  MIN_RESIDENCY_MS = 15000,
+  PERMIT_SLACK_MS = 100,
+  MAX_REQUEST_WAIT_MS = 2000,
+  LOAD_BACKOFF_MS = 1000,
+  MAX_LOAD_BACKOFF_MS = 60000,
+  MAX_PERMIT_WAIT_MS = 1000,
+  ABANDONED_REQUEST_MS = 1500,
+  REPORT_STALL_MS = 12000
 };
 
-bool item_size(router *router, id model_, id adapter_, uint64_t *megs, unsigned *slots) {
+bool model_loading_find_size(router *router, id model_, id adapter_, uint64_t *megs,
+                             unsigned *slots) {
   const catalogue_model *m = router->config ? config_model(router->config, model_.text) : NULL;
   if (!m)
     return false;
@@ -32,46 +33,47 @@
   return true;
 }
 
-double item_penalty(router *router, id type, id model_, id adapter_) {
+double model_loading_estimate_ms(router *router, id type, id model_, id adapter_) {
   char key[128];
   const catalogue_model *m = router->config ? config_model(router->config, model_.text) : NULL;
   double fall = !router->config               ? 4000
                 : !id_is_empty(adapter_)      ? router->config->default_load_ms / 4
                 : m && m->default_load_ms > 0 ? m->default_load_ms
                                               : router->config->default_load_ms;
-  history_key(key, sizeof key, model_, adapter_);
-  return history_penalty(&router->history, type, key, fall);
+  event_history_format_key(key, sizeof key, model_, adapter_);
+  return event_history_load_ms(&router->history, type, key, fall);
 }
 
-static bool gave_up(engine *engine) {
-  return engine->quit || engine->router->node.world->tasks.stopped;
+static bool is_cancelled(engine *engine) {
+  return engine->removed || engine->router->node.world->tasks.stopped;
 }
 
 /* room that no report has yet shown as free counts as taken */
-static lack lacking(engine *engine, uint64_t megs, unsigned slots) {
-  uint64_t m = engine->owed_megs;
-  unsigned s = engine->owed_slots;
-  list_for_each (h, &engine->holdings, holding, link) {
-    m += h->megs;
+static capacity_shortage find_shortage(engine *engine, uint64_t megs, unsigned slots) {
+  uint64_t m = engine->reserved_mb;
+  unsigned s = engine->reserved_slots;
+  list_for_each (h, &engine->residents, resident_model, link) {
+    m += h->weights_mb;
     s += h->slots;
   }
-  lack l = { m + megs > engine->weights_mb ? m + megs - engine->weights_mb : 0,
-             s + slots > engine->adapter_slots ? s + slots - engine->adapter_slots : 0 };
+  capacity_shortage l = { m + megs > engine->weights_mb ? m + megs - engine->weights_mb : 0,
+                          s + slots > engine->adapter_slots ? s + slots - engine->adapter_slots
+                                                            : 0 };
   return l;
 }
 
-static uint64_t epoch_of(engine *engine) {
+static uint64_t engine_lease_epoch(engine *engine) {
   char d[64];
-  duty_engine(d, sizeof d, engine->self);
-  return duty_epoch(engine->router, d);
+  singleton_engine_name(d, sizeof d, engine->self);
+  return singleton_lease_epoch(engine->router, d);
 }
 
 /* sends one order; the contract is looked at in the same breath. 202 means taken, 0 with engine set
  * that nobody knows */
-static int order(engine *engine, const char *what, id model_, id adapter_, uint64_t megs,
-                 unsigned slots, time_us by, error *err) {
+static int send_order(engine *engine, const char *what, id model_, id adapter_, uint64_t megs,
+                      unsigned slots, time_us by, error *err) {
   router *router = engine->router;
-  uint64_t epoch = epoch_of(engine);
+  uint64_t epoch = engine_lease_epoch(engine);
   if (!epoch) {
     error_set(err, E_NO_LEASE_HOLDER, "no contract for %s", engine->self.text);
     return -1;
@@ -82,9 +84,9 @@
                "{\"model\":\"%s\",\"adapter\":\"%s\",\"weightsMb\":%" PRIu64
                ",\"slots\":%u,\"epoch\":%" PRIu64 ",\"order\":%" PRIu64
                ",\"holder\":\"%s\",\"boot\":",
-               model_.text, adapter_.text, megs, slots, epoch, ++engine->orders,
+               model_.text, adapter_.text, megs, slots, epoch, ++engine->order_count,
                router->node.settings.self.text);
-  json_append_quoted(b, string_view_of(engine->boot));
+  json_append_quoted(b, string_view_of(engine->boot_id));
   g_string_append_c(b, '}');
   snprintf(ep, sizeof ep, "%" PRIu64, epoch);
   snprintf(path, sizeof path, "/v1/%s", what);
@@ -92,14 +94,16 @@
   http_headers_set(&h, HEADER_CONTENT_TYPE, "application/json");
   http_headers_set(&h, HEADER_EPOCH, ep);
   http_headers_set(&h, HEADER_LEASE_HOLDER, router->node.settings.self.text);
-  history_add(&router->history,
-              (entry){ EV_ORDERED, { 0 }, engine->self, model_, adapter_, what[0] == 'l' });
+  event_history_append(
+      &router->history,
+      (history_event){ EVENT_ORDERED, { 0 }, engine->self, model_, adapter_, what[0] == 'l' });
   char duty[64];
-  duty_engine(duty, sizeof duty, engine->self);
-  contract *contract = g_hash_table_lookup(router->contracts, duty);
-  int st = http_call_fetch_before(router->node.world, engine->addr, "POST", path, &h,
-                                  string_view_of_gstring(b), got, time_from_ms(ORDER_MS),
-                                  contract->till.us < by.us ? contract->till : by, err);
+  singleton_engine_name(duty, sizeof duty, engine->self);
+  singleton_lease *singleton_lease = g_hash_table_lookup(router->singleton_leases, duty);
+  int st = http_call_fetch_before(
+      router->node.world, engine->address, "POST", path, &h, string_view_of_gstring(b), got,
+      time_from_ms(ORDER_TIMEOUT_MS),
+      singleton_lease->expires_at.us < by.us ? singleton_lease->expires_at : by, err);
   if (st && st != 202)
     error_set(err, E_ORDER_FAILED, "%s answered %d to %s: %.100s", engine->self.text, st, what,
               got->str);
@@ -111,131 +115,136 @@
 
 /* loads that fail are not tried again at once, and less and less often */
 typedef struct {
-  int fails;
-  time_us till, left;
+  int failures;
+  time_us retry_at, unloaded_at;
 } backoff;
-static backoff *back_of(engine *engine, id model_, id adapter_) {
+static backoff *find_or_add_backoff(engine *engine, id model_, id adapter_) {
   char key[180];
   snprintf(key, sizeof key, "%s/%s+%s", engine->self.text, model_.text, adapter_.text);
-  backoff *b = g_hash_table_lookup(engine->router->backs, key);
+  backoff *b = g_hash_table_lookup(engine->router->load_backoffs, key);
   if (!b) {
     b = g_new0(backoff, 1);
-    g_hash_table_insert(engine->router->backs, g_strdup(key), b);
+    g_hash_table_insert(engine->router->load_backoffs, g_strdup(key), b);
   }
   return b;
 }
 
-static void failed(engine *engine, id model_, id adapter_) {
-  backoff *b = back_of(engine, model_, adapter_);
-  int64_t ms = (int64_t)BACK_MS << MIN(b->fails, 6);
-  b->fails++;
-  if (ms > BACK_MOST_MS)
-    ms = BACK_MOST_MS;
-  b->till =
+static void record_load_failure(engine *engine, id model_, id adapter_) {
+  backoff *b = find_or_add_backoff(engine, model_, adapter_);
+  int64_t ms = (int64_t)LOAD_BACKOFF_MS << MIN(b->failures, 6);
+  b->failures++;
+  if (ms > MAX_LOAD_BACKOFF_MS)
+    ms = MAX_LOAD_BACKOFF_MS;
+  b->retry_at =
       time_add(world_now(engine->router->node.world),
                time_from_ms(ms + (int64_t)world_random(engine->router->node.world, ms / 2 + 1)));
-  engine->router->load_fails++;
-  history_add(&engine->router->history,
-              (entry){ EV_FAILED, { 0 }, engine->self, model_, adapter_, b->fails });
+  engine->router->failed_loads++;
+  event_history_append(
+      &engine->router->history,
+      (history_event){ EVENT_LOAD_FAILED, { 0 }, engine->self, model_, adapter_, b->failures });
 }
 
 /* waits for the engine's next report, for a while at most; what the end of the wait means is the
  * caller's affair */
-static enum wake news_next(engine *engine) {
+static enum wake wait_next_report(engine *engine) {
   world *world = engine->router->node.world;
-  return condition_wait(&world->tasks, &engine->news,
+  return condition_wait(&world->tasks, &engine->report_changed,
                         time_add(world_now(world), time_from_ms(300)));
 }
 
 /* waits until the engine's report no longer shows a thing */
-static int unload(engine *engine, id model_, id adapter_, error *err) {
+static int unload_model(engine *engine, id model_, id adapter_, error *err) {
   router *router = engine->router;
-  holding *holding = engine_holding(engine, model_, adapter_);
-  if (!holding)
+  resident_model *resident_model = engine_find_resident(engine, model_, adapter_);
+  if (!resident_model)
     return OK;
-  bool used = holding->used, busy = holding->running > 0, up = holding->state == HOLD_UP;
-  if (holding->state != HOLD_UNLOADING) {
-    holding->state = HOLD_UNLOADING;
-    int st =
-        order(engine, "unload", model_, adapter_, holding->megs, holding->slots, time_never(), err);
+  bool used = resident_model->served_requests, busy = resident_model->running > 0,
+       up = resident_model->state == RESIDENT_UP;
+  if (resident_model->state != RESIDENT_UNLOADING) {
+    resident_model->state = RESIDENT_UNLOADING;
+    int st = send_order(engine, "unload", model_, adapter_, resident_model->weights_mb,
+                        resident_model->slots, time_never(), err);
     if (st == -1)
       return E_NO_LEASE_HOLDER;
     if (st && st != 202 && st != 404)
       return err->code;
-    if (st == 202 && (holding = engine_holding(engine, model_, adapter_)))
-      holding->unload_taken = true;
-    router->unloads++;
-    router->drained += busy;
+    if (st == 202 && (resident_model = engine_find_resident(engine, model_, adapter_)))
+      resident_model->unload_accepted = true;
+    router->unload_count++;
+    router->busy_unloads += busy;
     if (up && !used)
-      router->wasted++;
-    back_of(engine, model_, adapter_)->left = world_now(router->node.world);
+      router->wasted_loads++;
+    find_or_add_backoff(engine, model_, adapter_)->unloaded_at = world_now(router->node.world);
   }
-  time_us till = time_add(world_now(router->node.world), time_from_ms(UNLOAD_MS));
-  while (engine_holding(engine, model_, adapter_)) {
-    if (news_next(engine) == WAKE_STOPPED || gave_up(engine))
+  time_us till = time_add(world_now(router->node.world), time_from_ms(UNLOAD_TIMEOUT_MS));
+  while (engine_find_resident(engine, model_, adapter_)) {
+    if (wait_next_report(engine) == WAKE_STOPPED || is_cancelled(engine))
       return error_set(err, E_STOPPING, "stopping");
     if (time_reached(world_now(router->node.world), till))
       return error_set(err, E_ORDER_FAILED, "%s still holds %s", engine->self.text, model_.text);
   }
-  history_add(&router->history,
-              (entry){ EV_UNLOADED, { 0 }, engine->self, model_, adapter_, used });
+  event_history_append(
+      &router->history,
+      (history_event){ EVENT_UNLOADED, { 0 }, engine->self, model_, adapter_, used });
   return OK;
 }
 
-static uint64_t chance(void *w) {
+static uint64_t draw_random(void *w) {
   return ((world *)w)->random(w);
 }
 
 /* wins room back by the rule: unloads before the load, largest first, and no more than are needed
  */
-static int make_room(engine *engine, id model_, id adapter_, uint64_t megs, unsigned slots,
-                     uint64_t *wait, error *err) {
+static int free_capacity(engine *engine, id model_, id adapter_, uint64_t megs, unsigned slots,
+                         uint64_t *wait, error *err) {
   router *router = engine->router;
   for (int turns = 0; turns < 24; turns++) {
-    lack l = lacking(engine, megs, slots);
-    if (!l.megs && !l.slots)
+    capacity_shortage l = find_shortage(engine, megs, slots);
+    if (!l.mb && !l.slots)
       return OK;
-    if (gave_up(engine))
+    if (is_cancelled(engine))
       return error_set(err, E_STOPPING, "stopping");
     time_us now = world_now(router->node.world);
     int n = 0, count = 0;
-    list_for_each (h, &engine->holdings, holding, link)
+    list_for_each (h, &engine->residents, resident_model, link)
       count++;
-    GArray *held = g_array_set_size(g_array_new(FALSE, TRUE, sizeof(candidate)), (guint)count);
-    candidate *all = (candidate *)held->data;
-    list_for_each (h, &engine->holdings, holding, link) {
-      candidate *candidate = &all[n++];
+    GArray *held =
+        g_array_set_size(g_array_new(FALSE, TRUE, sizeof(eviction_candidate)), (guint)count);
+    eviction_candidate *all = (eviction_candidate *)held->data;
+    list_for_each (h, &engine->residents, resident_model, link) {
+      eviction_candidate *candidate = &all[n++];
       char key[128];
       memset(candidate, 0, sizeof *candidate);
       candidate->model = h->model;
       candidate->adapter = h->adapter;
-      candidate->megs = h->megs;
+      candidate->weights_mb = h->weights_mb;
       candidate->slots = h->slots;
-      history_key(key, sizeof key, h->model, h->adapter);
-      candidate->rate = history_rate(&router->history, key);
-      candidate->used = history_used(&router->history, key);
-      candidate->penalty = item_penalty(router, engine->type, h->model, h->adapter);
+      event_history_format_key(key, sizeof key, h->model, h->adapter);
+      candidate->request_rate = event_history_request_rate(&router->history, key);
+      candidate->last_requested_at = event_history_last_requested_at(&router->history, key);
+      candidate->load_ms = model_loading_estimate_ms(router, engine->type, h->model, h->adapter);
       candidate->busy = h->running > 0;
       /* an adapter that may be there would be left without its base */
-      candidate->barred =
-          h->state != HOLD_UP || h->unsettled ||
-          (!h->used && !time_reached(now, time_add(h->up_at, time_from_ms(YOUNG_MS)))) ||
+      candidate->pinned =
+          h->state != RESIDENT_UP || h->unconfirmed_adapter_loads ||
+          (!h->served_requests &&
+           !time_reached(now, time_add(h->loaded_at, time_from_ms(MIN_RESIDENCY_MS)))) ||
           (!id_is_empty(adapter_) && id_is_empty(h->adapter) && id_equal(h->model, model_));
-      list_for_each (k, &engine->wants, want, link)
+      list_for_each (k, &engine->load_requests, queued_load_request, link)
         if (!k->done && k->waiters && id_equal(k->model, h->model) &&
             (id_is_empty(h->adapter) || id_equal(k->adapter, h->adapter)))
-          candidate->barred = true;
+          candidate->pinned = true;
     }
-    policy rule = { router->config->eviction_policy,
-                    config_formula(router->config, router->config->eviction_policy), now };
-    int got = policy_fill(&rule, all, n, l, chance, router->node.world);
+    eviction_rule rule = { router->config->eviction_policy,
+                           config_formula(router->config, router->config->eviction_policy), now };
+    int got = eviction_policy_select(&rule, all, n, l, draw_random, router->node.world);
     if (got < 0) {
       /* something on its way out may still bring the room */
       g_array_free(held, TRUE);
       bool going = false;
-      list_for_each (h, &engine->holdings, holding, link)
-        going |= h->state == HOLD_UNLOADING;
-      if (going && news_next(engine) != WAKE_STOPPED)
+      list_for_each (h, &engine->residents, resident_model, link)
+        going |= h->state == RESIDENT_UNLOADING;
+      if (going && wait_next_report(engine) != WAKE_STOPPED)
         continue;
       *wait = 2000;
       return error_set(err, E_NO_CAPACITY, "nothing on %s may be unloaded for %s%s%s now",
@@ -243,11 +252,10 @@
     }
     log_debug(&router->node.log, "place",
               "%s needs %" PRIu64 " MB and %u places for %s; %d may go, first %s, worth %g.",
-              engine->self.text, l.megs, l.slots, model_.text, got, all[0].model.text,
-              all[0].worth);
+              engine->self.text, l.mb, l.slots, model_.text, got, all[0].model.text, all[0].score);
     id goes = all[0].model, with = all[0].adapter;
     g_array_free(held, TRUE);
-    int r = unload(engine, goes, with, err);
+    int r = unload_model(engine, goes, with, err);
     if (r) {
       *wait = 2000;
       return r;
@@ -258,12 +266,12 @@
 }
 
 /* asks whoever holds the pace for a moment to start a load in */
-static int ticket(engine *engine, const char *key, time_us *from, time_us *last, uint64_t *wait,
-                  error *err) {
+static int request_permit(engine *engine, const char *key, time_us *from, time_us *last,
+                          uint64_t *wait, error *err) {
   router *router = engine->router;
   id holder;
   uint64_t epoch;
-  if (!router_grant(router, "pacer", &holder, &epoch))
+  if (!config_sync_find_grant(router, "pacer", &holder, &epoch))
     return error_set(err, E_LOAD_RATE_LIMITED, "nobody holds the pace");
   peer_node *peer = node_find_peer(&router->node, holder);
   char addr[48];
@@ -299,100 +307,103 @@
 
 /* the pace: slots a little wider than the store allows, since a start may come late in its slot. No
    slot lies past the contract's end, so a successor only has to wait for one slot */
-static int on_ticket(void *ctx, Wire__Envelope *in, reply *reply, error *err) {
+static int on_permit_request(void *ctx, Wire__Envelope *in, reply *reply, error *err) {
   router *router = ctx;
-  uint64_t epoch = duty_epoch(router, "pacer");
+  uint64_t epoch = singleton_lease_epoch(router, "pacer");
   if (!epoch || !router->config)
     return error_set(err, E_NO_LEASE_HOLDER, "the pace is not held here");
   if (in->load_permit_request->epoch > epoch)
     return error_set(err, E_STALE_EPOCH, "a younger epoch is known");
   double pace = router->config->loads_per_s;
-  int64_t slack = MIN((int64_t)TICKET_MS * 1000, (int64_t)(250000 / pace)),
+  int64_t slack = MIN((int64_t)PERMIT_SLACK_MS * 1000, (int64_t)(250000 / pace)),
           span = (int64_t)(1e6 / pace) + slack;
   time_us now = world_now(router->node.world),
-          at = epoch > 1 ? time_add(router->pace_from, (time_us){ span }) : now;
-  if (router->pace_next.us > at.us)
-    at = router->pace_next;
+          at = epoch > 1 ? time_add(router->rate_limiter_since, (time_us){ span }) : now;
+  if (router->next_permit_at.us > at.us)
+    at = router->next_permit_at;
   if (at.us < now.us)
     at = now;
   Wire__LoadPermitResponse *b = reply_new_body(reply, WIRE__ENVELOPE__BODY_LOAD_PERMIT_RESPONSE,
                                                &wire__load_permit_response__descriptor);
   int64_t wait = time_sub(at, now).us;
-  contract *contract = g_hash_table_lookup(router->contracts, "pacer");
-  bool far = wait > (int64_t)PACE_LINE_MS * 1000 || at.us >= contract->till.us;
+  singleton_lease *singleton_lease = g_hash_table_lookup(router->singleton_leases, "pacer");
+  bool far = wait > (int64_t)MAX_PERMIT_WAIT_MS * 1000 || at.us >= singleton_lease->expires_at.us;
   b->granted = !far;
   b->wait_ms = (wait + 999) / 1000;
   b->valid_us = slack;
   if (far) {
-    router->tickets_late++;
-    router->pace_full++;
+    router->load_permits_refused++;
+    router->permits_refused_recently++;
     return OK;
   }
-  router->pace_next = time_add(time_add(now, time_from_ms(b->wait_ms)), (time_us){ span });
-  router->tickets++;
-  router->pace_given++;
+  router->next_permit_at = time_add(time_add(now, time_from_ms(b->wait_ms)), (time_us){ span });
+  router->load_permits++;
+  router->permits_granted_recently++;
   return OK;
 }
 
 /* what was owed for a load is shown by a report now; a new run of the engine owes nothing */
-static void repay(engine *engine, const char *boot, id model_, id adapter_, uint64_t megs,
-                  unsigned slots) {
-  if (strcmp(boot, engine->boot))
+static void release_reservation(engine *engine, const char *boot, id model_, id adapter_,
+                                uint64_t megs, unsigned slots) {
+  if (strcmp(boot, engine->boot_id))
     return;
-  holding *base = id_is_empty(adapter_) ? NULL : engine_holding(engine, model_, id_of_text(""));
-  if (base && base->unsettled)
-    base->unsettled--;
-  engine->owed_megs -= MIN(engine->owed_megs, megs);
-  engine->owed_slots -= MIN(engine->owed_slots, slots);
+  resident_model *base =
+      id_is_empty(adapter_) ? NULL : engine_find_resident(engine, model_, id_of_text(""));
+  if (base && base->unconfirmed_adapter_loads)
+    base->unconfirmed_adapter_loads--;
+  engine->reserved_mb -= MIN(engine->reserved_mb, megs);
+  engine->reserved_slots -= MIN(engine->reserved_slots, slots);
 }
 
-static int load(engine *engine, id model_, id adapter_, uint64_t *wait, error *err) {
+static int load_model(engine *engine, id model_, id adapter_, uint64_t *wait, error *err) {
   router *router = engine->router;
   uint64_t megs;
   unsigned slots;
   char key[128];
-  history_key(key, sizeof key, model_, adapter_);
-  holding *holding = engine_holding(engine, model_, adapter_),
-          *below = engine_holding(engine, model_, id_of_text(""));
+  event_history_format_key(key, sizeof key, model_, adapter_);
+  resident_model *resident_model = engine_find_resident(engine, model_, adapter_),
+                 *below = engine_find_resident(engine, model_, id_of_text(""));
   /* an adapter serves only on its base, which may have gone */
-  if (holding && holding->state == HOLD_UP && below && below->state == HOLD_UP)
+  if (resident_model && resident_model->state == RESIDENT_UP && below &&
+      below->state == RESIDENT_UP)
     return OK;
-  if (!item_size(router, model_, adapter_, &megs, &slots))
+  if (!model_loading_find_size(router, model_, adapter_, &megs, &slots))
     return error_set(err, E_UNKNOWN_MODEL, "the catalogue has no %s", key);
   if (megs > engine->weights_mb || slots > engine->adapter_slots)
     return error_set(err, E_NO_ENGINE_FITS, "%s does not fit on %s", key, engine->self.text);
-  backoff *b = back_of(engine, model_, adapter_);
+  backoff *b = find_or_add_backoff(engine, model_, adapter_);
   time_us now = world_now(router->node.world);
-  if (!time_reached(now, b->till)) {
-    *wait = time_sub(b->till, now).us / 1000;
+  if (!time_reached(now, b->retry_at)) {
+    *wait = time_sub(b->retry_at, now).us / 1000;
     return error_set(err, E_ORDER_FAILED, "%s failed to load on %s lately", key, engine->self.text);
   }
   int r = OK;
   if (!id_is_empty(adapter_)) {
-    r = load(engine, model_, id_of_text(""), wait, err);
+    r = load_model(engine, model_, id_of_text(""), wait, err);
     if (r)
       return r;
   }
-  holding = engine_holding(engine, model_, adapter_);
-  if (holding && holding->state == HOLD_UP)
+  resident_model = engine_find_resident(engine, model_, adapter_);
+  if (resident_model && resident_model->state == RESIDENT_UP)
     return OK;
-  if (holding && holding->state == HOLD_UNLOADING) {
-    time_us till = time_add(now, time_from_ms(UNLOAD_MS));
-    while ((holding = engine_holding(engine, model_, adapter_)) &&
-           holding->state == HOLD_UNLOADING && !time_reached(world_now(router->node.world), till))
-      if (news_next(engine) == WAKE_STOPPED || gave_up(engine))
+  if (resident_model && resident_model->state == RESIDENT_UNLOADING) {
+    time_us till = time_add(now, time_from_ms(UNLOAD_TIMEOUT_MS));
+    while ((resident_model = engine_find_resident(engine, model_, adapter_)) &&
+           resident_model->state == RESIDENT_UNLOADING &&
+           !time_reached(world_now(router->node.world), till))
+      if (wait_next_report(engine) == WAKE_STOPPED || is_cancelled(engine))
         return error_set(err, E_STOPPING, "stopping");
   }
-  bool there = holding && holding->state == HOLD_LOADING;
+  bool there = resident_model && resident_model->state == RESIDENT_LOADING;
   time_us began = world_now(router->node.world);
   if (!there) {
-    r = make_room(engine, model_, adapter_, megs, slots, wait, err);
+    r = free_capacity(engine, model_, adapter_, megs, slots, wait, err);
     if (r)
       return r;
     time_us from = { 0 }, last = { 0 };
     for (int tries = 0;; tries++) {
-      r = ticket(engine, key, &from, &last, wait, err);
-      if (r == E_STOPPING || gave_up(engine))
+      r = request_permit(engine, key, &from, &last, wait, err);
+      if (r == E_STOPPING || is_cancelled(engine))
         return error_set(err, E_STOPPING, "stopping");
       if (r && tries >= 3) {
         if (!*wait)
@@ -412,43 +423,44 @@
       if (time_reached(last, world_now(router->node.world)))
         break;
     }
-    if (!engine_open(engine))
+    if (!engine_accepts_work(engine))
       return error_set(err, E_NO_ENGINE, "%s takes no new work", engine->self.text);
-    lack l = lacking(engine, megs, slots);
-    if (l.megs || l.slots) {
+    capacity_shortage l = find_shortage(engine, megs, slots);
+    if (l.mb || l.slots) {
       *wait = 1000;
       return error_set(err, E_NO_CAPACITY, "the room on %s went while the pace was waited for",
                        engine->self.text);
     }
     if (!id_is_empty(adapter_)) {
-      holding = engine_holding(engine, model_, id_of_text(""));
-      if (!holding || holding->state != HOLD_UP)
+      resident_model = engine_find_resident(engine, model_, id_of_text(""));
+      if (!resident_model || resident_model->state != RESIDENT_UP)
         return error_set(err, E_NO_CAPACITY, "the base of %s went", key);
     }
     char boot[48];
-    uint64_t seq = engine->seq;
-    g_strlcpy(boot, engine->boot, sizeof boot);
-    engine->owed_megs += megs;
-    engine->owed_slots += slots;
+    uint64_t seq = engine->report_seq;
+    g_strlcpy(boot, engine->boot_id, sizeof boot);
+    engine->reserved_mb += megs;
+    engine->reserved_slots += slots;
     if (!id_is_empty(adapter_))
-      holding->unsettled++;
+      resident_model->unconfirmed_adapter_loads++;
     began = world_now(router->node.world);
-    router->loads++;
-    if (b->left.us &&
-        !time_reached(began, time_add(b->left, time_from_ms(WASTE_TIMES * (int64_t)item_penalty(
-                                                                              router, engine->type,
-                                                                              model_, adapter_)))))
-      router->wasted++;
-    int st = order(engine, "load", model_, adapter_, megs, slots, last, err);
+    router->load_count++;
+    if (b->unloaded_at.us &&
+        !time_reached(began, time_add(b->unloaded_at,
+                                      time_from_ms(WASTED_LOAD_WINDOW_FACTOR *
+                                                   (int64_t)model_loading_estimate_ms(
+                                                       router, engine->type, model_, adapter_)))))
+      router->wasted_loads++;
+    int st = send_order(engine, "load", model_, adapter_, megs, slots, last, err);
     if (!st && err->code == E_NOT_CONNECTED) {
       /* nothing was sent, so nothing is owed */
-      repay(engine, boot, model_, adapter_, megs, slots);
+      release_reservation(engine, boot, model_, adapter_, megs, slots);
       *wait = 1000;
       return error_set(err, E_LOAD_RATE_LIMITED, "%s could not be reached within the slot",
                        engine->self.text);
     }
     if (st && st != 202) {
-      repay(engine, boot, model_, adapter_, megs, slots);
+      release_reservation(engine, boot, model_, adapter_, megs, slots);
       if (st == -1)
         return E_NO_LEASE_HOLDER;
       *wait = 2000;
@@ -457,22 +469,23 @@
       if (st == 412)
         return error_set(err, E_NO_ENGINE, "%s refused an order that is out of date",
                          engine->self.text);
-      failed(engine, model_, adapter_);
+      record_load_failure(engine, model_, adapter_);
       return E_ORDER_FAILED;
     }
     /* taken, or nobody knows: only a report settles it, and of an order that was taken only a
      * report that moved on */
-    time_us settle = time_add(world_now(router->node.world), time_from_ms(SETTLE_MS));
-    while (!(holding = engine_holding(engine, model_, adapter_)) && !strcmp(boot, engine->boot)) {
-      if (news_next(engine) == WAKE_STOPPED || gave_up(engine))
+    time_us settle = time_add(world_now(router->node.world), time_from_ms(LOAD_CONFIRMATION_MS));
+    while (!(resident_model = engine_find_resident(engine, model_, adapter_)) &&
+           !strcmp(boot, engine->boot_id)) {
+      if (wait_next_report(engine) == WAKE_STOPPED || is_cancelled(engine))
         return error_set(err, E_STOPPING, "stopping");
       time_us now2 = world_now(router->node.world);
-      if (time_reached(now2, settle) && time_reached(engine->heard, settle) &&
-          (!st || engine->seq != seq))
+      if (time_reached(now2, settle) && time_reached(engine->last_report_at, settle) &&
+          (!st || engine->report_seq != seq))
         break;
-      if (time_reached(now2, time_add(settle, time_from_ms(NO_ANSWER_MS)))) {
+      if (time_reached(now2, time_add(settle, time_from_ms(REPORT_STALL_MS)))) {
         /* the room stays owed until the engine is a new run */
-        failed(engine, model_, adapter_);
+        record_load_failure(engine, model_, adapter_);
         *wait = 5000;
         log_info(&router->node.log, "engine",
                  "%s took a load and its reports do not move; its room counts as taken (code %d).",
@@ -481,56 +494,58 @@
                          engine->self.text);
       }
     }
-    repay(engine, boot, model_, adapter_, megs, slots);
-    if (!holding) {
-      failed(engine, model_, adapter_);
+    release_reservation(engine, boot, model_, adapter_, megs, slots);
+    if (!resident_model) {
+      record_load_failure(engine, model_, adapter_);
       *wait = 2000;
       return error_set(err, E_ORDER_FAILED, "%s did not take the load of %s", engine->self.text,
                        key);
     }
   }
-  double guess = item_penalty(router, engine->type, model_, adapter_);
+  double guess = model_loading_estimate_ms(router, engine->type, model_, adapter_);
   time_us till = time_add(began, time_from_ms((int64_t)(guess * 4) + 15000));
-  while ((holding = engine_holding(engine, model_, adapter_)) && holding->state == HOLD_LOADING) {
-    if (news_next(engine) == WAKE_STOPPED || gave_up(engine))
+  while ((resident_model = engine_find_resident(engine, model_, adapter_)) &&
+         resident_model->state == RESIDENT_LOADING) {
+    if (wait_next_report(engine) == WAKE_STOPPED || is_cancelled(engine))
       return error_set(err, E_STOPPING, "stopping");
     if (time_reached(world_now(router->node.world), till)) {
       *wait = 2000;
       return error_set(err, E_ORDER_FAILED, "%s loads %s for too long", engine->self.text, key);
     }
   }
-  if (!holding) {
-    failed(engine, model_, adapter_);
+  if (!resident_model) {
+    record_load_failure(engine, model_, adapter_);
     *wait = 2000;
     return error_set(err, E_ORDER_FAILED, "%s gave up the load of %s", engine->self.text, key);
   }
-  back_of(engine, model_, adapter_)->fails = 0;
+  find_or_add_backoff(engine, model_, adapter_)->failures = 0;
   double ms = (double)time_sub(world_now(router->node.world), began).us / 1000;
   if (!there) {
-    history_timed(&router->history, engine->type, key, ms);
-    history_add(&router->history,
-                (entry){ EV_LOADED, { 0 }, engine->self, model_, adapter_, (int64_t)ms });
-    router_timed(router, engine->type, key, ms);
+    event_history_record_load_ms(&router->history, engine->type, key, ms);
+    event_history_append(
+        &router->history,
+        (history_event){ EVENT_LOADED, { 0 }, engine->self, model_, adapter_, (int64_t)ms });
+    rate_exchange_send_load_time(router, engine->type, key, ms);
     log_info(&router->node.log, "place", "%s has %s after %.0f ms, epoch %" PRIu64 ".",
-             engine->self.text, key, ms, epoch_of(engine));
+             engine->self.text, key, ms, engine_lease_epoch(engine));
   }
   return OK;
 }
 
-static void settle(want *want, int code, uint64_t wait) {
-  want->code = code;
-  want->wait = wait;
+static void complete_request(queued_load_request *want, int code, uint64_t wait) {
+  want->error_code = code;
+  want->retry_after_ms = wait;
   want->done = true;
   condition_broadcast(&want->changed);
 }
 
 /* a miss outlives its askers for a moment, since they ask again and again, and keeps its place by
  * that */
-static void want_drop(router *router, want *want) {
+static void load_request_unref(router *router, queued_load_request *want) {
   if (--want->waiters > 0)
     return;
   if (!want->done) {
-    want->lapse = time_add(world_now(router->node.world), time_from_ms(LINGER_MS));
+    want->expires_at = time_add(world_now(router->node.world), time_from_ms(ABANDONED_REQUEST_MS));
     return;
   }
   list_remove(&want->link);
@@ -538,29 +553,29 @@
 }
 
 /* one task for each engine: takes the misses in turn, weightier and older ones first */
-static void place_run(void *p) {
+static void load_worker_run(void *p) {
   engine *engine = p;
   router *router = engine->router;
-  while (!engine->quit) {
-    want *best = NULL;
+  while (!engine->removed) {
+    queued_load_request *best = NULL;
     time_us now = world_now(router->node.world);
     int64_t top = 0;
-    list_for_each (k, &engine->wants, want, link) {
+    list_for_each (k, &engine->load_requests, queued_load_request, link) {
       if (k->done)
         continue;
-      if (!k->waiters && time_reached(now, k->lapse)) {
+      if (!k->waiters && time_reached(now, k->expires_at)) {
         list_remove(&k->link);
         g_free(k);
         continue;
       }
-      int64_t worth = (int64_t)k->weight * 500000 + time_sub(now, k->since).us;
+      int64_t worth = (int64_t)k->priority_weight * 500000 + time_sub(now, k->queued_at).us;
       if (!best || worth > top) {
         best = k;
         top = worth;
       }
     }
     if (!best) {
-      if (condition_wait(&router->node.world->tasks, &engine->work,
+      if (condition_wait(&router->node.world->tasks, &engine->work_changed,
                          time_add(now, time_from_ms(1000))) == WAKE_STOPPED)
         break;
       continue;
@@ -568,74 +583,75 @@
     best->waiters++;
     error err = { 0 };
     uint64_t wait = 0;
-    int r = !epoch_of(engine)
+    int r = !engine_lease_epoch(engine)
                 ? error_set(&err, E_NO_LEASE_HOLDER, "no contract for %s here", engine->self.text)
-            : !engine_open(engine)
+            : !engine_accepts_work(engine)
                 ? error_set(&err, E_NO_ENGINE, "%s takes no new work", engine->self.text)
-                : load(engine, best->model, best->adapter, &wait, &err);
+                : load_model(engine, best->model, best->adapter, &wait, &err);
     if (r && r != E_STOPPING && r != E_NO_LEASE_HOLDER)
       log_info(&router->node.log, "place", "No load of %s%s%s on %s: %s (code %d).",
                best->model.text, best->adapter.text[0] ? "+" : "", best->adapter.text,
                engine->self.text, err.text, r);
-    settle(best, r, wait);
-    want_drop(router, best);
+    complete_request(best, r, wait);
+    load_request_unref(router, best);
   }
-  list_for_each (k, &engine->wants, want, link) {
+  list_for_each (k, &engine->load_requests, queued_load_request, link) {
     if (!k->done)
-      settle(k, E_NO_ENGINE, 1000);
+      complete_request(k, E_NO_ENGINE, 1000);
     if (!k->waiters) {
       list_remove(&k->link);
       g_free(k);
     }
   }
-  engine_drop(engine);
+  engine_unref(engine);
 }
 
 /* a miss from another router, or from this one */
-static int on_miss(void *ctx, Wire__Envelope *in, reply *reply, error *err) {
+static int on_load_request(void *ctx, Wire__Envelope *in, reply *reply, error *err) {
   router *router = ctx;
   Wire__ModelLoadRequest *q = in->model_load_request;
   engine *engine = engine_find(router, id_of_text(q->engine));
   if (!id_is_valid(string_view_of(q->model)) ||
       (q->adapter[0] && !id_is_valid(string_view_of(q->adapter))))
     return error_set(err, E_WIRE_MESSAGE, "no such name");
-  if (!engine || engine->quit)
+  if (!engine || engine->removed)
     return error_set(err, E_NO_ENGINE, "%.40s is not listed here", q->engine);
-  if (!epoch_of(engine))
+  if (!engine_lease_epoch(engine))
     return error_set(err, E_NO_LEASE_HOLDER, "%s is not held here", engine->self.text);
   id m = id_of_text(q->model), a = id_of_text(q->adapter);
-  want *k = NULL;
-  list_for_each (i, &engine->wants, want, link)
+  queued_load_request *k = NULL;
+  list_for_each (i, &engine->load_requests, queued_load_request, link)
     if (!i->done && id_equal(i->model, m) && id_equal(i->adapter, a))
       k = i;
   if (!k) {
-    k = g_new0(want, 1);
+    k = g_new0(queued_load_request, 1);
     k->model = m;
     k->adapter = a;
-    k->since = world_now(router->node.world);
+    k->queued_at = world_now(router->node.world);
     condition_init(&k->changed);
-    list_append(&engine->wants, &k->link);
+    list_append(&engine->load_requests, &k->link);
   }
-  k->weight = MAX(k->weight, q->weight);
+  k->priority_weight = MAX(k->priority_weight, q->weight);
   k->waiters++;
   engine->refs++;
-  condition_broadcast(&engine->work);
-  time_us till = time_add(world_now(router->node.world), time_from_ms(MIN(q->wait_ms, REQUEST_MS)));
+  condition_broadcast(&engine->work_changed);
+  time_us till =
+      time_add(world_now(router->node.world), time_from_ms(MIN(q->wait_ms, MAX_REQUEST_WAIT_MS)));
   while (!k->done)
     if (condition_wait(&router->node.world->tasks, &k->changed, till) != WAKE_SIGNALLED)
       break;
   Wire__ModelLoadResponse *b = reply_new_body(reply, WIRE__ENVELOPE__BODY_MODEL_LOAD_RESPONSE,
                                               &wire__model_load_response__descriptor);
-  int code = k->done ? k->code : E_IN_PROGRESS;
-  b->loaded = k->done && !k->code;
-  b->retry_after_ms = k->done ? k->wait : 0;
+  int code = k->done ? k->error_code : E_IN_PROGRESS;
+  b->loaded = k->done && !k->error_code;
+  b->retry_after_ms = k->done ? k->retry_after_ms : 0;
   b->error_code = code;
-  want_drop(router, k);
-  engine_drop(engine);
+  load_request_unref(router, k);
+  engine_unref(engine);
   return OK;
 }
 
-void router_timed(router *router, id type, const char *key, double ms) {
+void rate_exchange_send_load_time(router *router, id type, const char *key, double ms) {
   Wire__LoadTime t = WIRE__LOAD_TIME__INIT, *tp = &t;
   Wire__RateReport q = WIRE__RATE_REPORT__INIT;
   t.engine_type = type.text;
@@ -648,41 +664,41 @@
   node_broadcast(&router->node, ROLE_ROUTER, &m);
 }
 
-void router_rates_heard(router *router, const Wire__RateReport *q) {
+void rate_exchange_receive(router *router, const Wire__RateReport *q) {
   for (size_t i = 0; !q->fleet_totals && i < q->n_counts; i++)
-    if (strlen(q->counts[i]->key) < KEY_MOST)
-      history_heard(&router->history, q->nonce, q->counts[i]->key, q->counts[i]->total,
-                    q->counts[i]->in_window);
+    if (strlen(q->counts[i]->key) < MAX_KEY_LENGTH)
+      event_history_merge_remote_count(&router->history, q->nonce, q->counts[i]->key,
+                                       q->counts[i]->total, q->counts[i]->in_window);
   for (size_t i = 0; i < q->n_load_times; i++)
     if (id_is_valid(string_view_of(q->load_times[i]->engine_type)) &&
-        strlen(q->load_times[i]->key) < KEY_MOST && q->load_times[i]->duration_ms < 600000)
-      history_timed(&router->history, id_of_text(q->load_times[i]->engine_type),
-                    q->load_times[i]->key, (double)q->load_times[i]->duration_ms);
+        strlen(q->load_times[i]->key) < MAX_KEY_LENGTH && q->load_times[i]->duration_ms < 600000)
+      event_history_record_load_ms(&router->history, id_of_text(q->load_times[i]->engine_type),
+                                   q->load_times[i]->key, (double)q->load_times[i]->duration_ms);
 }
 
 static int on_rates(void *ctx, Wire__Envelope *in, reply *reply, error *err) {
   (void)reply;
   (void)err;
-  router_rates_heard(ctx, in->rate_report);
+  rate_exchange_receive(ctx, in->rate_report);
   return OK;
 }
 
 /* tells the others what this node has routed, so that each holder knows the whole fleet's rates */
-static void rates_run(void *p) {
+static void broadcast_rates_run(void *p) {
   router *router = p;
   while (world_sleep_with_jitter(router->node.world, time_from_ms(2000))) {
     /* what the pace was like lately, for the doctor */
-    router->pace_given *= 0.8;
-    router->pace_full *= 0.8;
+    router->permits_granted_recently *= 0.8;
+    router->permits_refused_recently *= 0.8;
     GPtrArray *all = g_ptr_array_new_with_free_func(g_free);
     GHashTableIter it;
     gpointer k, t;
-    g_hash_table_iter_init(&it, router->history.own_tallies);
+    g_hash_table_iter_init(&it, router->history.local_rates);
     while (g_hash_table_iter_next(&it, &k, &t)) {
       Wire__RequestCount *r = g_new(Wire__RequestCount, 1);
       wire__request_count__init(r);
       r->key = k;
-      r->in_window = history_own_count(&router->history, k, &r->total);
+      r->in_window = event_history_local_count(&router->history, k, &r->total);
       if (r->in_window)
         g_ptr_array_add(all, r);
       else
@@ -699,13 +715,15 @@
   }
 }
 
-void place_engine(engine *engine) {
-  task_start(&engine->router->node.world->tasks, "place", place_run, engine);
+void model_loading_start_engine(engine *engine) {
+  task_start(&engine->router->node.world->tasks, "place", load_worker_run, engine);
 }
 
-void place_start(router *router) {
-  node_register_handler(&router->node, WIRE__ENVELOPE__BODY_MODEL_LOAD_REQUEST, on_miss, router);
-  node_register_handler(&router->node, WIRE__ENVELOPE__BODY_LOAD_PERMIT_REQUEST, on_ticket, router);
+void model_loading_start(router *router) {
+  node_register_handler(&router->node, WIRE__ENVELOPE__BODY_MODEL_LOAD_REQUEST, on_load_request,
+                        router);
+  node_register_handler(&router->node, WIRE__ENVELOPE__BODY_LOAD_PERMIT_REQUEST, on_permit_request,
+                        router);
   node_register_handler(&router->node, WIRE__ENVELOPE__BODY_RATE_REPORT, on_rates, router);
-  task_start(&router->node.world->tasks, "rates", rates_run, router);
+  task_start(&router->node.world->tasks, "rates", broadcast_rates_run, router);
 }
--- a/tests/canary.c
+++ b/tests/canary.c
@@ -104,7 +104,7 @@
 static unit *judge_of(deployment *deployment) {
   for (int i = 0; i < deployment->base->routers; i++)
     if (deployment->gateways[i]->gateway &&
-        duty_epoch(deployment->base->router[i]->router, "canary"))
+        singleton_lease_epoch(deployment->base->router[i]->router, "canary"))
       return deployment->gateways[i];
   return NULL;
 }
@@ -316,14 +316,16 @@
       it = i;
   other = (it + 1) % fleet->routers;
   deployment_trouble(deployment, j->host, 'f', 8000);
-  uint64_t epoch = duty_epoch(j->host->router, "canary");
+  uint64_t epoch = singleton_lease_epoch(j->host->router, "canary");
   host_freeze(j->host);
   sim_run(deployment->sim, time_from_ms(3200));
   host_wake(j->host);
   sim_run(deployment->sim, time_from_ms(3000));
   if (g_getenv("SIM_COUNT"))
     fprintf(stderr, "  epoch %" PRIu64 " before, %" PRIu64 " after\n", epoch,
-            judge_of(deployment) ? duty_epoch(judge_of(deployment)->host->router, "canary") : 0);
+            judge_of(deployment)
+                ? singleton_lease_epoch(judge_of(deployment)->host->router, "canary")
+                : 0);
   int third = (it + 2) % fleet->routers;
   known = elders_at(deployment, third);
   deployment_trouble(deployment, fleet->router[other], 'k', 6000);
@@ -609,8 +611,8 @@
     violation(fleet, "nobody judges");
     return over(deployment, "guarded", at, 0);
   }
-  uint64_t version = unit->host->router->res_at[RESOURCE_CANARY],
-           epoch = duty_epoch(unit->host->router, "canary");
+  uint64_t version = unit->host->router->resource_versions[RESOURCE_CANARY],
+           epoch = singleton_lease_epoch(unit->host->router, "canary");
   int x = told_to_end(deployment, other, version, epoch);
   if (x != E_STALE_EPOCH)
     violation(fleet, "one that does not judge ended the trial (%d)", x);
--- a/tests/cutoff.c
+++ b/tests/cutoff.c
@@ -241,7 +241,7 @@
     int n = 0;
     for (int v = 0; v < fleet->routers; v++)
       n += fleet->router[v]->router &&
-           !strcmp(fleet->router[v]->router->core, fleet->controller[m]->addr);
+           !strcmp(fleet->router[v]->router->polled_controller, fleet->controller[m]->addr);
     if (n > most) {
       most = n;
       best = m;
--- a/tests/fixture.c
+++ b/tests/fixture.c
@@ -160,7 +160,7 @@
   if (!routing)
     violation(fleet, "no routing: %s", err.text);
   if (b->gateway) {
-    b->node->router->routes = routing;
+    b->node->router->routing = routing;
     b->node->router->on_installed(b->gateway);
   }
   fixture_run(b, 600);
--- a/tests/http/gateway.c
+++ b/tests/http/gateway.c
@@ -89,11 +89,11 @@
 
 static bool configure(router *router, error *err) {
   json *text = json_parse(string_view_of(configuration), err);
-  router->routes = text ? routing_compile(text, err) : NULL;
+  router->routing = text ? routing_compile(text, err) : NULL;
   json_free(text);
-  if (router->routes)
+  if (router->routing)
     router->on_installed(tested_gateway);
-  return router->routes != NULL;
+  return router->routing != NULL;
 }
 
 int main(void) {
--- a/tests/loader.c
+++ b/tests/loader.c
@@ -26,8 +26,8 @@
   bare->router.node.settings.self = id_of_text("router-1");
   bare->router.node.settings.zone = id_of_text("north");
   list_init(&bare->router.node.peers);
-  history_init(&bare->router.history, bare->router.node.world);
-  history_window_fix(&bare->router.history, time_from_ms(60000));
+  event_history_init(&bare->router.history, bare->router.node.world);
+  event_history_fix_window(&bare->router.history, time_from_ms(60000));
   list_init(&bare->gateway.instances);
   condition_init(&bare->gateway.moved);
   bare->gateway.nodes = 1;
@@ -46,7 +46,7 @@
 static void bare_free(bare_gateway *bare) {
   instances_free(&bare->gateway);
   g_hash_table_destroy(bare->gateway.instance_at);
-  history_free(&bare->router.history);
+  event_history_free(&bare->router.history);
   routing_unref(bare->routing);
   g_free(bare);
 }
@@ -88,9 +88,10 @@
 
 static void asked(bare_gateway *bare, const char *model, const char *adapter, int times) {
   for (int k = 0; k < times; k++)
-    history_add(
+    event_history_append(
         &bare->router.history,
-        (entry){ EV_ROUTED, { 0 }, id_of_text(""), id_of_text(model), id_of_text(adapter), 0 });
+        (history_event){
+            EVENT_ROUTED, { 0 }, id_of_text(""), id_of_text(model), id_of_text(adapter), 0 });
 }
 
 #define WANT(f, x)                                                                                 \
@@ -439,12 +440,15 @@
 /* of what has to go, the largest goes first, and no more of it than is needed */
 static bool the_largest_goes_first(fleet *fleet) {
   host_start(fleet->operator);
-  candidate all[3] = { { .model = id_of_text("a"), .megs = 10, .penalty = 1000, .rate = 0.1 },
-                       { .model = id_of_text("b"), .megs = 30, .penalty = 1000, .rate = 0.2 },
-                       { .model = id_of_text("c"), .megs = 40, .penalty = 3000, .rate = 2 } };
-  policy rule = { "cremebrulee", NULL, { 0 } };
-  int n = policy_fill(&rule, all, 3, (lack){ 35, 0 },
-                      (uint64_t(*)(void *))fleet->operator->world.random, &fleet->operator->world);
+  eviction_candidate all[3] = {
+    { .model = id_of_text("a"), .weights_mb = 10, .load_ms = 1000, .request_rate = 0.1 },
+    { .model = id_of_text("b"), .weights_mb = 30, .load_ms = 1000, .request_rate = 0.2 },
+    { .model = id_of_text("c"), .weights_mb = 40, .load_ms = 3000, .request_rate = 2 }
+  };
+  eviction_rule rule = { "cremebrulee", NULL, { 0 } };
+  int n = eviction_policy_select(&rule, all, 3, (capacity_shortage){ 35, 0 },
+                                 (uint64_t(*)(void *))fleet->operator->world.random,
+                                 &fleet->operator->world);
   WANT(fleet, n == 2 && !strcmp(all[0].model.text, "b") && !strcmp(all[1].model.text, "a"));
   return true;
 }
--- a/tests/loads.c
+++ b/tests/loads.c
@@ -3,14 +3,14 @@
 unit *holder_of(deployment *deployment, const char *duty) {
   for (int i = 0; i < deployment->base->routers; i++)
     if (deployment->gateways[i]->host->alive && deployment->gateways[i]->gateway &&
-        duty_epoch(deployment->gateways[i]->gateway->router, duty))
+        singleton_lease_epoch(deployment->gateways[i]->gateway->router, duty))
       return deployment->gateways[i];
   return NULL;
 }
 
 unit *engine_holder(deployment *deployment, const unit *e) {
   char duty[64];
-  duty_engine(duty, sizeof duty, e->engine->self);
+  singleton_engine_name(duty, sizeof duty, e->engine->self);
   return holder_of(deployment, duty);
 }
 
--- a/tests/main.c
+++ b/tests/main.c
@@ -1,6 +1,6 @@
 #include "doctor.h"
 #include "tests.h"
-#include "trial.h"
+#include "policy_replay.h"
 #include <CUnit/Basic.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -156,7 +156,7 @@
     for (int k = 0; k < fleet->engines; k++) {
       if (!fleet->engine[k]->alive)
         continue;
-      duty_engine(d, sizeof d, fleet->engine[k]->self);
+      singleton_engine_name(d, sizeof d, fleet->engine[k]->self);
       all &= fleet_holder(fleet, d) != NULL;
     }
     if (!all)
@@ -505,17 +505,17 @@
   for (int i = 0; i < 3; i++)
     sim_part(fleet->sim, host->self.text, fleet->controller[i]->self.text, true);
   sim_run(fleet->sim, time_from_ms(3000));
-  if (!router_may_enrol(host->router))
+  if (!config_sync_may_admit(host->router))
     violation(fleet, "a router that hears the others is held to be alone");
   if (!fleet_put(fleet, "evacuation", "{\"areas\":[]}"))
     return false;
   sim_run(fleet->sim, time_from_ms(4000));
   /* the others tell it what is new, though never that it is fresh */
-  if (host->router->seq < g_array_index(fleet->acks, ack, fleet->acks->len - 1).version)
+  if (host->router->config_version < g_array_index(fleet->acks, ack, fleet->acks->len - 1).version)
     violation(fleet, "news did not come by way of the others");
   sim_mend(fleet->sim);
   sim_run(fleet->sim, time_from_ms(4000));
-  if (!router_is_fresh(host->router))
+  if (!config_sync_is_recent(host->router))
     violation(fleet, "a router does not come back");
   fleet_quiet(fleet);
   return true;
@@ -582,7 +582,7 @@
     violation(fleet, "a write that no router can hear of got %d", call->status);
   call_free(call);
   for (int i = 0; i < fleet->routers; i++)
-    if (router_is_fresh(fleet->router[i]->router))
+    if (config_sync_is_recent(fleet->router[i]->router))
       violation(fleet, "%s calls itself fresh", fleet->router[i]->self.text);
   for (int i = 0; i < fleet->engines; i++)
     for (guint k = 0; k < fleet->engine[i]->engine->orders->len; k++)
@@ -728,7 +728,7 @@
   sim_run(fleet->sim, time_from_ms(12000));
   char d[64];
   for (int i = 0; i < fleet->engines; i++) {
-    duty_engine(d, sizeof d, fleet->engine[i]->self);
+    singleton_engine_name(d, sizeof d, fleet->engine[i]->self);
     host *host = fleet_holder(fleet, d);
     if (!host)
       violation(fleet, "nobody took over %s", d);
@@ -1102,7 +1102,7 @@
   g_free(t);
   sim_run(fleet->sim, time_from_ms(3000));
   for (int i = 0; i < fleet->routers; i++)
-    if (!router_is_fresh(fleet->router[i]->router) ||
+    if (!config_sync_is_recent(fleet->router[i]->router) ||
         fleet->router[i]->router->node.refused_wire_versions)
       violation(fleet, "%s is left behind", fleet->router[i]->self.text);
   acked_stand(fleet);
@@ -1212,7 +1212,7 @@
   g_free(big);
   sim_run(fleet->sim, time_from_ms(2500));
   for (int i = 0; i < fleet->routers; i++)
-    if (fleet->router[i]->router->seq < v)
+    if (fleet->router[i]->router->config_version < v)
       violation(fleet, "R4 %s has not got the large catalogue after 2.5 s",
                 fleet->router[i]->self.text);
   /* it comes in parts to a machine with an empty disk, and stands a loss of power */
@@ -1360,17 +1360,17 @@
   if (!fleet_up(fleet))
     return false;
   host *host = fleet_head(fleet), *was = fleet_holder(fleet, "engine:engine-1");
-  uint64_t epoch = duty_epoch(was->router, "engine:engine-1");
+  uint64_t epoch = singleton_lease_epoch(was->router, "engine:engine-1");
   host->disk->stall = time_add(fleet->sim->now, time_from_ms(1500));
   op_call *call = fleet_send(fleet, host, "PUT", "/v1/evacuation", "{\"areas\":[]}", NULL, NULL);
   for (int i = 0; i < 100; i++) {
     sim_run(fleet->sim, time_from_ms(50));
-    if (!duty_epoch(was->router, "engine:engine-1")) {
+    if (!singleton_lease_epoch(was->router, "engine:engine-1")) {
       violation(fleet, "a stalled disk let a contract run out");
       break;
     }
   }
-  if (duty_epoch(was->router, "engine:engine-1") != epoch)
+  if (singleton_lease_epoch(was->router, "engine:engine-1") != epoch)
     violation(fleet, "the contract changed hands");
   sim_run(fleet->sim, time_from_ms(26000));
   call_free(call);
@@ -1437,9 +1437,9 @@
   if (!cut)
     violation(fleet, "no engine heard that its caller left");
   for (int i = 0; i < fleet->routers; i++)
-    if (fleet->router[i]->router->open)
+    if (fleet->router[i]->router->open_requests)
       violation(fleet, "%s still counts %d open requests", fleet->router[i]->self.text,
-                fleet->router[i]->router->open);
+                fleet->router[i]->router->open_requests);
   return true;
 }
 
@@ -1477,7 +1477,7 @@
   sim_run(fleet->sim, time_from_ms(200));
   host_start(fleet->router[0]);
   sim_run(fleet->sim, time_from_ms(5000));
-  if (!router_is_fresh(fleet->router[0]->router))
+  if (!config_sync_is_recent(fleet->router[0]->router))
     violation(fleet, "a router whose seeds are all gone does not come back");
   char *t = area_text(2);
   if (!fleet_put(fleet, "evacuation", t))
@@ -1648,9 +1648,9 @@
 
 /* the source's table, through the same victim choice that the holder uses */
 static bool the_paper_is_met(fleet *fleet) {
-  trace *t = trace_table();
-  t_result b = trial_run(t, "belady", 2, NULL, fleet->seed),
-           o = trial_run(t, "oracle", 2, NULL, fleet->seed);
+  trace *t = trace_reference_example();
+  replay_result b = policy_replay_run(t, "belady", 2, NULL, fleet->seed),
+                o = policy_replay_run(t, "oracle", 2, NULL, fleet->seed);
   trace_free(t);
   if (b.loads != 8 || b.delay_ms != 17)
     violation(fleet, "BeladyMIN misses %" PRIu64 " times at cost %g, not 8 at 17", b.loads,
@@ -1662,31 +1662,31 @@
    * oracle beats it */
   double worth[3] = { 0 };
   for (int i = 1; i <= 5; i++) {
-    t_plan p = { .things = 40,
-                 .requests = 1500,
-                 .zipf = 0.9,
-                 .per_s = 1,
-                 .bursts = 0.01,
-                 .seed = fleet->seed * 100 + i };
-    trace *d = trace_draw(&p);
-    uint64_t room = trace_megs(d) * 3 / 10;
-    worth[0] += trial_run(d, "cremebrulee", room, NULL, 1).delay_ms;
-    worth[1] += trial_run(d, "random", room, NULL, 1).delay_ms;
-    worth[2] += trial_run(d, "oracle", room, NULL, 1).delay_ms;
-    for (guint k = 0; k < d->things->len; k++) {
-      t_thing *x = &g_array_index(d->things, t_thing, k);
-      x->megs = 1000;
+    trace_plan p = { .model_count = 40,
+                     .request_count = 1500,
+                     .zipf_exponent = 0.9,
+                     .requests_per_s = 1,
+                     .burst_probability = 0.01,
+                     .seed = fleet->seed * 100 + i };
+    trace *d = trace_generate(&p);
+    uint64_t room = trace_total_mb(d) * 3 / 10;
+    worth[0] += policy_replay_run(d, "cremebrulee", room, NULL, 1).delay_ms;
+    worth[1] += policy_replay_run(d, "random", room, NULL, 1).delay_ms;
+    worth[2] += policy_replay_run(d, "oracle", room, NULL, 1).delay_ms;
+    for (guint k = 0; k < d->models->len; k++) {
+      trace_model *x = &g_array_index(d->models, trace_model, k);
+      x->weights_mb = 1000;
       x->load_ms = 2000;
     }
     /* the rule written as an expression makes the very same choices */
-    t_result w1 = trial_run(d, "cremebrulee", room, NULL, 1),
-             w2 = trial_run(d, "expr:penalty * rate / size", room, NULL, 1);
+    replay_result w1 = policy_replay_run(d, "cremebrulee", room, NULL, 1),
+                  w2 = policy_replay_run(d, "expr:penalty * rate / size", room, NULL, 1);
     if (w1.loads != w2.loads || w1.delay_ms != w2.delay_ms || w1.wasted != w2.wasted)
       violation(fleet, "as an expression the rule loads %" PRIu64 " times, built in %" PRIu64,
                 w2.loads, w1.loads);
-    t_knobs same = { .start_ms = 2000 };
-    t_result c = trial_run(d, "cremebrulee", 12000, &same, 1),
-             q = trial_run(d, "popularity", 12000, &same, 1);
+    replay_options same = { .initial_load_ms = 2000 };
+    replay_result c = policy_replay_run(d, "cremebrulee", 12000, &same, 1),
+                  q = policy_replay_run(d, "popularity", 12000, &same, 1);
     if (c.loads != q.loads || c.delay_ms != q.delay_ms)
       violation(fleet, "with equal things the rule loads %" PRIu64 " times and popularity %" PRIu64,
                 c.loads, q.loads);
@@ -1809,8 +1809,8 @@
   for (int i = 0; i < fleet->routers; i++) {
     engine *engine = engine_find(fleet->router[i]->router, fleet->engine[0]->self);
     if (engine)
-      list_for_each (x, &engine->holdings, holding, link)
-        x->state = HOLD_UNLOADING;
+      list_for_each (x, &engine->residents, resident_model, link)
+        x->state = RESIDENT_UNLOADING;
   }
   g->faults.old_reports = false;
   g->seq = 0;
@@ -1832,7 +1832,7 @@
   doctor_says(fleet, D_VERSION, "messages of another version");
   host *p = fleet_holder(fleet, "pacer");
   if (p) {
-    p->router->pace_full = p->router->pace_given + 100;
+    p->router->permits_refused_recently = p->router->permits_granted_recently + 100;
     doctor_says(fleet, D_LOAD_RATE_LIMIT, "a pace that is starved");
   }
   return true;
--- a/tests/placement.c
+++ b/tests/placement.c
@@ -8,7 +8,7 @@
 
 /* what a node hears of demand for a key elsewhere, and doesn't tell on */
 static void heard(unit *unit, const char *key, uint64_t total, uint64_t window) {
-  history_heard(&unit->gateway->router->history, 99, key, total, window);
+  event_history_merge_remote_count(&unit->gateway->router->history, 99, key, total, window);
 }
 
 /* orders that were taken since a count of them: "-m0 +m6 " */
@@ -24,7 +24,7 @@
 }
 
 static double rate_at(unit *unit, const char *key) {
-  return history_rate(&unit->gateway->router->history, key);
+  return event_history_request_rate(&unit->gateway->router->history, key);
 }
 
 static bool rates_reach_newcomers(fleet *fleet) {
@@ -34,8 +34,10 @@
   /* given demand that three gateways saw, and that is told */
   for (int i = 0; i < 3; i++)
     for (int k = 0; k < 10; k++)
-      history_add(&deployment->gateways[i]->gateway->router->history,
-                  (entry){ EV_ROUTED, { 0 }, id_of_text(""), id_of_text("m0"), id_of_text(""), 0 });
+      event_history_append(
+          &deployment->gateways[i]->gateway->router->history,
+          (history_event){
+              EVENT_ROUTED, { 0 }, id_of_text(""), id_of_text("m0"), id_of_text(""), 0 });
   sim_run(deployment->sim, time_from_ms(2500));
   if (rate_at(deployment->gateways[3], "m0") < 1.4)
     violation(fleet, "a gateway hears %.2f a second of what the others saw",
@@ -232,7 +234,7 @@
   duties *d = p;
   for (int i = 0; i < d->n; i++) {
     char duty[64];
-    duty_engine(duty, sizeof duty, d->engine[i]);
+    singleton_engine_name(duty, sizeof duty, d->engine[i]);
     unit *unit = holder_of(d->deployment, duty);
     if (!unit || unit == d->was)
       return false;
@@ -337,8 +339,8 @@
   if (!d.n)
     goto ask_more;
   char duty[64];
-  duty_engine(duty, sizeof duty, d.engine[0]);
-  uint64_t epoch = duty_epoch(unit->gateway->router, duty);
+  singleton_engine_name(duty, sizeof duty, d.engine[0]);
+  uint64_t epoch = singleton_lease_epoch(unit->gateway->router, duty);
   /* given a holder, when it is killed and started again, then it holds its duties again at once,
    * under the next epoch */
   deployment_trouble(deployment, unit->host, 'k', 3000);
@@ -347,9 +349,9 @@
   host_start(unit->host);
   if (!sim_until(deployment->sim, all_back, &d, time_from_ms(2300)))
     violation(fleet, "2.3 s after its start a holder has not its duties back");
-  else if (duty_epoch(unit->gateway->router, duty) != epoch + 1)
-    violation(fleet, "epoch %" PRIu64 " after %" PRIu64, duty_epoch(unit->gateway->router, duty),
-              epoch);
+  else if (singleton_lease_epoch(unit->gateway->router, duty) != epoch + 1)
+    violation(fleet, "epoch %" PRIu64 " after %" PRIu64,
+              singleton_lease_epoch(unit->gateway->router, duty), epoch);
   for (int k = 0; k < 4; k++)
     em_client_send(deployment->client, deployment->note, "m12");
   sim_run(deployment->sim, time_from_ms(6000));
@@ -414,9 +416,10 @@
   static const char *const keys[] = { "m0", "m1", "m2", "m3", "m4", "m5" };
   for (int i = 0; i < fleet->routers; i++)
     for (size_t k = 0; k < G_N_ELEMENTS(keys); k++)
-      history_add(
+      event_history_append(
           &deployment->gateways[i]->gateway->router->history,
-          (entry){ EV_ROUTED, { 0 }, id_of_text(""), id_of_text(keys[k]), id_of_text(""), 0 });
+          (history_event){
+              EVENT_ROUTED, { 0 }, id_of_text(""), id_of_text(keys[k]), id_of_text(""), 0 });
   uint64_t posts = deployment->sim->posts;
   sim_run(deployment->sim, time_from_ms(1500));
   /* then they don't all tell all */
--- a/tests/registry.c
+++ b/tests/registry.c
@@ -418,7 +418,7 @@
     host->extra = e;
   }
   host->router->gateway = host->extra;
-  host->router->on_engines = heard;
+  host->router->on_engines_changed = heard;
 }
 
 static void ear_dispose(host *host) {
@@ -701,7 +701,7 @@
     violation(fleet, "a large one is not taken");
   sim_run(fleet->sim, time_from_ms(1000));
   for (int i = 0; i < fleet->routers; i++) {
-    const routing *routing = fleet->router[i]->router->routes;
+    const routing *routing = fleet->router[i]->router->routing;
     if (!routing || routing->revision != 20 || routing->route_count != 1200)
       violation(fleet, "%s has not compiled it", fleet->router[i]->self.text);
   }
--- a/tests/second_loss.c
+++ b/tests/second_loss.c
@@ -149,7 +149,7 @@
   }
 }
 
-static void trial_run(core_trial *t, int64_t ms) {
+static void policy_replay_run(core_trial *t, int64_t ms) {
   for (int64_t at = 0; at < ms; at += 20) {
     sim_run(t->fleet->sim, time_from_ms(MIN(20, ms - at)));
     trial_look(t);
@@ -174,7 +174,7 @@
   uint64_t life = host->life;
   controller_drain(host->controller);
   for (int64_t at = 0; at < GRACE_MS && host->alive && host->life == life; at += 20)
-    trial_run(t, 20);
+    policy_replay_run(t, 20);
   bool by_itself = !host->alive;
   if (!by_itself)
     host_kill(host);
@@ -188,7 +188,7 @@
   list_for_each (k, &t->fleet->sim->hosts, host, link)
     if (kind == LOSS_CUT && k != h)
       sim_part(t->fleet->sim, h->self.text, k->self.text, true);
-  trial_run(t, ms);
+  policy_replay_run(t, ms);
   if (kind == LOSS_FROZEN)
     host_wake(h);
   list_for_each (k, &t->fleet->sim->hosts, host, link)
@@ -205,7 +205,7 @@
     host *young = trial_add(t, old);
     seeds_of_the_day(t, young, old);
     trial_started(t, young);
-    trial_run(t, (int64_t)sim_draw(sim, (uint64_t)t->sync_ms + 1500));
+    policy_replay_run(t, (int64_t)sim_draw(sim, (uint64_t)t->sync_ms + 1500));
     if (!trial_stop(t, old))
       violation(t->fleet, "%s did not end within its grace", old->self.text);
     host_wipe(old);
@@ -218,7 +218,7 @@
   host_power(old);
   if (kind != LOSS_POWER)
     host_wipe(old);
-  trial_run(t, pause);
+  policy_replay_run(t, pause);
   host *next = old;
   if (kind == LOSS_REPLACED) {
     next = trial_add(t, old);
@@ -233,7 +233,7 @@
   for (int i = 0; i < t->returns; i++) {
     time_us due = time_add(t->back[i].started, time_from_ms(t->sync_ms));
     if (due.us > t->fleet->sim->now.us)
-      trial_run(t, (due.us - t->fleet->sim->now.us + 999) / 1000);
+      policy_replay_run(t, (due.us - t->fleet->sim->now.us + 999) / 1000);
   }
 }
 
@@ -332,7 +332,7 @@
   host *old = trial_member(&t), *young = trial_add(&t, old);
   seeds_of_the_day(&t, young, old);
   trial_started(&t, young);
-  trial_run(&t, t.sync_ms + (int64_t)sim_draw(fleet->sim, 1500));
+  policy_replay_run(&t, t.sync_ms + (int64_t)sim_draw(fleet->sim, 1500));
   if (!trial_stop(&t, old))
     violation(fleet, "%s did not end within its grace", old->self.text);
   host_wipe(old);
@@ -356,7 +356,7 @@
   int64_t late = 500 + (int64_t)sim_draw(fleet->sim, 4500);
   bool empty = sim_draw(fleet->sim, 2);
   controller_drain(last->controller);
-  trial_run(&t, late);
+  policy_replay_run(&t, late);
   int wiped = (int)sim_draw(fleet->sim, 3);
   for (int i = 0; i < 3; i++) {
     host *host = fleet->controller[i];
@@ -368,7 +368,7 @@
     host_start(host);
   }
   for (int64_t at = 0; at < GRACE_MS - late && last->alive; at += 20)
-    trial_run(&t, 20);
+    policy_replay_run(&t, 20);
   if (last->alive) {
     violation(fleet, "%s did not end within its grace", last->self.text);
     host_kill(last);
@@ -392,7 +392,7 @@
   }
   fleet_mark(fleet);
   int64_t us = (int64_t)sim_draw(fleet->sim, 6000000);
-  trial_run(&t, us / 1000);
+  policy_replay_run(&t, us / 1000);
   sim_run(fleet->sim, (time_us){ us % 1000 });
   GPtrArray *dark = g_ptr_array_new();
   for (int i = 0; i < fleet->controllers; i++)
