--- a/bench/scale.c
+++ b/bench/scale.c
@@ -349,7 +349,7 @@
   h->controller = controller_new(h->world, &v);
   h->on_post = h->world->on_message;
   h->world->on_message = on_post;
-  if (controller_control(h->controller, h->ip, CONTROL, NULL, &err)) {
+  if (controller_open_control_listener(h->controller, h->ip, CONTROL, NULL, &err)) {
     fprintf(stderr, "scale: %s\n", err.text);
     _exit(2);
   }
--- a/bin/asterfall-controller.c
+++ b/bin/asterfall-controller.c
@@ -12,7 +12,7 @@
 
 static void wait_run(void *p) {
   run *run = p;
-  condition_wait(&run->world->tasks, &run->controller->over, time_never());
+  condition_wait(&run->world->tasks, &run->controller->stopped, time_never());
   real_world_stop(run->world);
 }
 
@@ -38,7 +38,7 @@
   run r = { controller_new(world, &v), world };
   task_start(&world->tasks, "over", wait_run, &r);
   real_world_run(world, on_term, &r);
-  int code = r.controller->code;
+  int code = r.controller->exit_code;
   real_world_free(world);
   controller_free(r.controller);
   return code ? 1 : 0;
--- a/emulator/deployment.c
+++ b/emulator/deployment.c
@@ -69,7 +69,7 @@
                          .drain_ms = DRAIN_MS,
                          .grace_ms = GRACE_S * 1000,
                          .apply_ms = APPLY_MS,
-                         .lease_ms = LEASE_MS,
+                         .lease_ms = MEMBER_LEASE_MS,
                          .beat_ms = 1200,
                          .retry_ratio = RETRY_RATIO,
                          .retry_slack = RETRY_SLACK,
@@ -95,7 +95,7 @@
   char ip[48];
   error err = { 0 };
   ip_of(host, ip, sizeof ip);
-  if (controller_control(host->controller, ip, CONTROL, NULL, &err))
+  if (controller_open_control_listener(host->controller, ip, CONTROL, NULL, &err))
     violation(unit->deployment->base, "controller %s: %s", host->self.text, err.text);
 }
 
--- a/emulator/fleet.c
+++ b/emulator/fleet.c
@@ -302,7 +302,8 @@
   host *got = NULL;
   for (int i = 0; i < fleet->controllers; i++) {
     host *host = fleet->controller[i];
-    if (!host->alive || host->frozen || !host->controller || !core_heads(&host->controller->core))
+    if (!host->alive || host->frozen || !host->controller ||
+        !replica_is_acting_head(&host->controller->replica))
       continue;
     if (got)
       violation(fleet, "two heads act at once: %s and %s", got->self.text, host->self.text);
@@ -315,7 +316,8 @@
   host *got = NULL;
   for (int i = 0; i < fleet->controllers; i++) {
     host *host = fleet->controller[i];
-    if (!host->alive || host->frozen || !host->controller || !core_tails(&host->controller->core))
+    if (!host->alive || host->frozen || !host->controller ||
+        !replica_is_acting_tail(&host->controller->replica))
       continue;
     if (got)
       violation(fleet, "two tails act at once: %s and %s", got->self.text, host->self.text);
--- a/emulator/gateway_check.c
+++ b/emulator/gateway_check.c
@@ -66,15 +66,15 @@
                 attempt->caller_request->kind->name, attempt->fault);
     if (attempt->how != 'd' || !attempt->stamp[0])
       continue;
-    bool found = false, whole = false;
+    bool wal_condition = false, whole = false;
     GPtrArray *l = g_hash_table_lookup(runs, attempt->request);
     for (guint k = 0; l && k < l->len; k++) {
       em_run *run = l->pdata[k];
-      found |= !strcmp(run->stamp, attempt->stamp);
+      wal_condition |= !strcmp(run->stamp, attempt->stamp);
       whole |= run->how == 'd' &&
                (repeats(attempt->caller_request->kind) || !strcmp(run->stamp, attempt->stamp));
     }
-    if (!found)
+    if (!wal_condition)
       violation(deployment->base, "MIXED %s of %s has a stamp of no run of its own",
                 attempt->request, attempt->caller_request->kind->name);
     else if (!whole)
@@ -616,12 +616,12 @@
       if (id_is_empty(other) || other_at.us < p->at.us)
         continue;
     }
-    if (id_is_empty(other) || order->at.us - other_at.us > LEASE_MS * 1000)
+    if (id_is_empty(other) || order->at.us - other_at.us > MEMBER_LEASE_MS * 1000)
       continue;
     for (guint k = 0; k < i; k++) {
       em_order *p = all->pdata[k];
       if (id_equal(p->engine, order->engine) && id_equal(p->holder, order->holder) &&
-          p->at.us < other_at.us && order->at.us - p->at.us <= LEASE_MS * 1000) {
+          p->at.us < other_at.us && order->at.us - p->at.us <= MEMBER_LEASE_MS * 1000) {
         violation(deployment->base, "ONE %s: %s and %s take turns within %.1f s",
                   order->engine.text, order->holder.text, other.text,
                   (double)(order->at.us - p->at.us) / 1e6);
--- a/emulator/linearizability.c
+++ b/emulator/linearizability.c
@@ -12,8 +12,8 @@
 enum { NOWHERE = -1 };
 static const uint64_t NEVER = UINT64_MAX;
 
-typedef struct order {
-  uint64_t base, version;
+typedef struct config_change {
+  uint64_t base_version, version;
   /* effect no earlier than the first call; no later than the first confirmation or read */
   uint64_t called, known;
   /* the order that replaces it takes effect no earlier than the last call of a read of it */
@@ -21,7 +21,7 @@
   bool valid, confirmed, refused, read;
   /* search */
   uint64_t failed;
-} order;
+} config_change;
 
 typedef struct conflict {
   guint order;
@@ -35,7 +35,7 @@
 
 typedef struct search {
   const register_history *h;
-  order *orders;
+  config_change *orders;
   GArray *required;
   guint *chain;
   uint64_t *at;
@@ -44,7 +44,7 @@
 
 register_history *register_new(void) {
   register_history *h = g_new0(register_history, 1);
-  h->orders = g_array_new(FALSE, TRUE, sizeof(order));
+  h->orders = g_array_new(FALSE, TRUE, sizeof(config_change));
   h->conflicts = g_array_new(FALSE, TRUE, sizeof(conflict));
   h->fault = g_string_new(NULL);
   return h;
@@ -57,19 +57,21 @@
   g_free(h);
 }
 
-static order *order_at(const register_history *h, guint i) {
-  return &g_array_index(h->orders, order, i);
+static config_change *order_at(const register_history *h, guint i) {
+  return &g_array_index(h->orders, config_change, i);
 }
 
 guint register_order(register_history *h, uint64_t base, uint64_t version, bool valid) {
-  order o = { .base = base, .version = version, .called = NEVER, .known = NEVER, .valid = valid };
+  config_change o = {
+    .base_version = base, .version = version, .called = NEVER, .known = NEVER, .valid = valid
+  };
   g_array_append_val(h->orders, o);
   return h->orders->len - 1;
 }
 
 void register_attempt(register_history *h, guint i, uint64_t called, uint64_t returned,
                       enum register_answer answer) {
-  order *o = order_at(h, i);
+  config_change *o = order_at(h, i);
   o->called = MIN(o->called, called);
   if (answer == ANSWER_CONFIRMED) {
     o->confirmed = true;
@@ -86,21 +88,21 @@
 }
 
 void register_read(register_history *h, guint i, uint64_t called, uint64_t returned) {
-  order *o = order_at(h, i);
+  config_change *o = order_at(h, i);
   o->read = true;
   o->known = MIN(o->known, returned);
   o->read_called = MAX(o->read_called, called);
 }
 
 static int by_version(const void *a, const void *b) {
-  const order *x = *(order *const *)a, *y = *(order *const *)b;
+  const config_change *x = *(config_change *const *)a, *y = *(config_change *const *)b;
   return x->version < y->version ? -1 : x->version > y->version;
 }
 
 /* what is wrong with one order by itself */
 static bool orders_fit(const register_history *h, GString *why) {
   for (guint i = 0; i < h->orders->len; i++) {
-    const order *o = order_at(h, i);
+    const config_change *o = order_at(h, i);
     const char *fault = NULL;
     if (o->confirmed && o->refused)
       fault = "was confirmed and refused";
@@ -110,17 +112,17 @@
       fault = "is invalid and was taken";
     if (!fault)
       continue;
-    g_string_printf(why, "order %u (%" PRIu64 " over %" PRIu64 ") %s", i, o->version, o->base,
-                    fault);
+    g_string_printf(why, "order %u (%" PRIu64 " over %" PRIu64 ") %s", i, o->version,
+                    o->base_version, fault);
     return false;
   }
   return true;
 }
 
 static GArray *required_orders(const register_history *h) {
-  GArray *all = g_array_new(FALSE, FALSE, sizeof(order *));
+  GArray *all = g_array_new(FALSE, FALSE, sizeof(config_change *));
   for (guint i = 0; i < h->orders->len; i++) {
-    order *o = order_at(h, i);
+    config_change *o = order_at(h, i);
     if (o->confirmed || o->read)
       g_array_append_val(all, o);
   }
@@ -141,7 +143,7 @@
 
 /* an answer of conflict is true when at some instant of the call its base was not current */
 static bool conflict_fits(const search *s, const uint64_t *latest, const conflict *c) {
-  uint64_t base = s->orders[c->order].base;
+  uint64_t base = s->orders[c->order].base_version;
   int at = base ? NOWHERE : -2;
   for (guint i = 0; i < s->length && base; i++)
     if (s->orders[s->chain[i]].version == base)
@@ -162,7 +164,7 @@
     fit = conflict_fits(s, latest, c);
     if (!fit)
       g_string_printf(why, "order %u (over %" PRIu64 ") was refused while its base was current",
-                      c->order, s->orders[c->order].base);
+                      c->order, s->orders[c->order].base_version);
   }
   g_free(latest);
   return fit;
@@ -174,13 +176,13 @@
 /* puts one order at the end of the chain, if its bounds allow, and searches on */
 static bool try_order(search *s, guint i, uint64_t now, uint64_t read_called, guint need,
                       GString *why) {
-  order *o = &s->orders[i];
+  config_change *o = &s->orders[i];
   uint64_t at = MAX(MAX(now, o->called), read_called);
   if (at > o->known) {
     g_string_printf(why,
                     "order %u (%" PRIu64 " over %" PRIu64 ") would take effect at %" PRIu64
                     ", after it was seen at %" PRIu64,
-                    i, o->version, o->base, at, o->known);
+                    i, o->version, o->base_version, at, o->known);
     return false;
   }
   if (o->failed && at >= o->failed - 1)
@@ -197,13 +199,14 @@
 
 static bool extend(search *s, uint64_t version, uint64_t now, uint64_t read_called, guint need,
                    GString *why) {
-  const order *next = need < s->required->len ? g_array_index(s->required, order *, need) : NULL;
+  const config_change *next =
+      need < s->required->len ? g_array_index(s->required, config_change *, need) : NULL;
   if (!next && conflicts_fit(s, why))
     return true;
   bool any = false;
   for (guint i = 0; i < s->h->orders->len; i++) {
-    const order *o = &s->orders[i];
-    if (o->base != version || o->version <= version || o->refused || !o->valid ||
+    const config_change *o = &s->orders[i];
+    if (o->base_version != version || o->version <= version || o->refused || !o->valid ||
         o->called == NEVER)
       continue;
     /* none that must be there may be passed over */
@@ -217,7 +220,7 @@
     g_string_printf(why,
                     "nothing leads from version %" PRIu64 " to order %u (%" PRIu64 " over %" PRIu64
                     "), which was confirmed or read",
-                    version, (guint)(next - s->orders), next->version, next->base);
+                    version, (guint)(next - s->orders), next->version, next->base_version);
   return false;
 }
 
@@ -229,7 +232,7 @@
   if (!orders_fit(h, why))
     return false;
   search s = { .h = h,
-               .orders = (order *)(void *)h->orders->data,
+               .orders = (config_change *)(void *)h->orders->data,
                .required = required_orders(h),
                .chain = g_new0(guint, h->orders->len + 1),
                .at = g_new0(uint64_t, h->orders->len + 1) };
--- a/lib/configuration/delta.c
+++ b/lib/configuration/delta.c
@@ -1,26 +1,26 @@
 #include "delta.h"
 #include "wire.pb-c.h"
 
-typedef struct piece {
+typedef struct file_window {
   size_t off, len;
-} piece;
+} file_window;
 
 static GArray *pieces_of(string_view t) {
-  GArray *all = g_array_new(FALSE, FALSE, sizeof(piece));
+  GArray *all = g_array_new(FALSE, FALSE, sizeof(file_window));
   size_t from = 0;
   for (size_t i = 0; i < t.length; i++) {
     bool end = i + 1 == t.length ||
                (t.data[i] == ',' && i > 0 && t.data[i - 1] == '}' && t.data[i + 1] == '{');
     if (!end)
       continue;
-    piece p = { from, i + 1 - from };
+    file_window p = { from, i + 1 - from };
     g_array_append_val(all, p);
     from = i + 1;
   }
   return all;
 }
 
-static bool equal(string_view a, piece x, string_view b, piece y) {
+static bool equal(string_view a, file_window x, string_view b, file_window y) {
   return x.len == y.len && !memcmp(a.data + x.off, b.data + y.off, x.len);
 }
 
@@ -29,21 +29,21 @@
          *parts = g_array_new(FALSE, FALSE, sizeof(Wire__TextDeltaChunk));
   GHashTable *at = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, NULL);
   for (guint i = 0; i < was->len; i++) {
-    piece p = g_array_index(was, piece, i);
+    file_window p = g_array_index(was, file_window, i);
     uint64_t h = hash_bytes(old.data + p.off, p.len, 1);
     if (!g_hash_table_contains(at, &h))
       g_hash_table_insert(at, g_memdup2(&h, sizeof h), GUINT_TO_POINTER(i + 1));
   }
   for (guint i = 0; i < is->len; i++) {
-    piece p = g_array_index(is, piece, i);
+    file_window p = g_array_index(is, file_window, i);
     uint64_t h = hash_bytes(now.data + p.off, p.len, 1);
     guint k = GPOINTER_TO_UINT(g_hash_table_lookup(at, &h));
-    bool there = k && equal(old, g_array_index(was, piece, k - 1), now, p);
+    bool there = k && equal(old, g_array_index(was, file_window, k - 1), now, p);
     Wire__TextDeltaChunk *last =
         parts->len ? &g_array_index(parts, Wire__TextDeltaChunk, parts->len - 1) : NULL;
     /* a piece that stands more than once is best taken behind the one before it */
     if (last && last->count && last->first + last->count < was->len &&
-        equal(old, g_array_index(was, piece, last->first + last->count), now, p)) {
+        equal(old, g_array_index(was, file_window, last->first + last->count), now, p)) {
       last->count++;
       continue;
     }
@@ -93,7 +93,7 @@
     const Wire__TextDeltaChunk *p = d->chunks[i];
     ok = p->count <= was->len && p->first <= was->len - p->count;
     for (uint32_t k = 0; ok && k < p->count; k++) {
-      piece q = g_array_index(was, piece, p->first + k);
+      file_window q = g_array_index(was, file_window, p->first + k);
       g_string_append_len(to, old.data + q.off, (gssize)q.len);
     }
     if (ok)
--- a/lib/controlplane/control.c
+++ b/lib/controlplane/control_listener.c
@@ -14,15 +14,15 @@
 static const double whole_number_most = 9007199254740992.0;
 
 /* configuration */
-uint64_t config_revision(string_view text) {
+uint64_t config_change_version(string_view text) {
   json *json = json_parse(text, NULL);
   uint64_t n = (uint64_t)MAX(0, json_number(json, "version", 0));
   json_free(json);
   return n;
 }
 
-int config_decide(string_view text, uint64_t current, bool whole, uint64_t base, const json *body,
-                  GString *to, error *err) {
+int config_change_apply(string_view text, uint64_t current, bool whole, uint64_t base,
+                        const json *body, GString *to, error *err) {
   if (base != current)
     return error_set(err, E_VERSION_CONFLICT, "the version is %" PRIu64 ", not %" PRIu64, current,
                      base);
@@ -54,16 +54,16 @@
 /* the version in a text is looked up often, and the text may be long */
 static uint64_t revision(controller *controller, string_view text) {
   uint64_t h = hash_bytes(text.data, text.length, text.length);
-  if (h != controller->revision_of) {
-    controller->revision = config_revision(text);
-    controller->revision_of = h;
+  if (h != controller->revision_text_hash) {
+    controller->revision = config_change_version(text);
+    controller->revision_text_hash = h;
   }
   return controller->revision;
 }
 
 /* what is ordered next is known without reading it again */
 static void revision_note(controller *controller, string_view text, uint64_t version) {
-  controller->revision_of = hash_bytes(text.data, text.length, text.length);
+  controller->revision_text_hash = hash_bytes(text.data, text.length, text.length);
   controller->revision = version;
 }
 
@@ -124,9 +124,10 @@
 /* sends a caller on to another core machine, which serves at the same port of its own address */
 static void lead(controller *controller, http_request *request, const member *to) {
   char ip[48];
-  const char *colon = strrchr(to->addr, ':');
-  g_strlcpy(ip, to->addr, MIN(sizeof ip, (size_t)(colon - to->addr) + 1));
-  fields_add_format(reply_of(request), "Location", "http://%s:%d%s", ip, controller->control.port,
+  const char *colon = strrchr(to->address, ':');
+  g_strlcpy(ip, to->address, MIN(sizeof ip, (size_t)(colon - to->address) + 1));
+  fields_add_format(reply_of(request), "Location", "http://%s:%d%s", ip,
+                    controller->control_listener.port,
                     request->target ? request->target : request->path);
   http_request_respond(request, 307, NULL, string_view_of(""));
 }
@@ -134,8 +135,8 @@
 /* true when this machine itself may answer as head or tail; a caller that can't be served here is
  * answered */
 static bool answered_here(controller *controller, http_request *request, time_us came,
-                          bool (*acts)(core *c), const member *(*who)(const core *c)) {
-  core *c = &controller->core;
+                          bool (*acts)(replica *c), const member *(*who)(const replica *c)) {
+  replica *c = &controller->replica;
   time_us till = time_add(came, time_from_ms(HEAD_MS));
   for (;;) {
     if (c->running && acts(c))
@@ -150,7 +151,7 @@
     /* it may act, or be replaced, in a moment */
     time_us step = time_add(world_now(controller->node.world), time_from_ms(50));
     if (time_reached(world_now(controller->node.world), till) || request->client_gone ||
-        condition_wait(&controller->node.world->tasks, &c->moved,
+        condition_wait(&controller->node.world->tasks, &c->state_changed,
                        step.us < till.us ? step : till) == WAKE_STOPPED)
       break;
   }
@@ -160,52 +161,52 @@
 
 /** One configuration order under way. Copies of it that come meanwhile join it, so that it is
  * decided once. */
-typedef struct order {
+typedef struct config_change {
   controller *controller;
-  bool whole, accepted, decided, done;
-  uint64_t base, version, hash;
+  bool is_full, was_accepted_before, decided, done;
+  uint64_t base_version, version, hash;
   /* the write that it became */
   uint64_t seq;
   /* what it was decided on: the last write ordered then, and the count of resets of this copy */
-  uint64_t decided_on, resets;
+  uint64_t decided_at_seq, log_resets;
   /* it is not written later than this, since its caller has been answered by then */
-  time_us decide_by;
+  time_us decide_deadline;
   json *body;
   char key[80];
-  int refs;
+  int reference_count;
   error err;
-  condition over;
-} order;
+  condition completed;
+} config_change;
 
-static void order_unref(order *o) {
-  if (--o->refs)
+static void order_unref(config_change *o) {
+  if (--o->reference_count)
     return;
   json_free(o->body);
   g_free(o);
 }
 
 /* a write that an earlier copy of this order became */
-static bool accepted_before(order *o, const state *ordered) {
-  const accepted_order *was = accepted_find(&ordered->accepted, o->base, o->hash);
+static bool accepted_before(config_change *o, const state *ordered) {
+  const accepted_change *was = accepted_changes_find(&ordered->accepted, o->base_version, o->hash);
   if (was) {
     o->seq = was->seq;
     return true;
   }
   /* from a state of an older version of asterfall */
-  const idempotency_record *old = state_idempotency_record(ordered, o->key);
+  const idempotency_record *old = state_find_idempotency_record(ordered, o->key);
   if (old)
     o->seq = old->seq;
   return old != NULL;
 }
 
-static void order_pack(const order *o, string_view text, GString *op) {
+static void order_pack(const config_change *o, string_view text, GString *op) {
   Wire__Resource res = WIRE__RESOURCE__INIT;
   Wire__AcceptedChange key = WIRE__ACCEPTED_CHANGE__INIT;
   Wire__Operation w = WIRE__OPERATION__INIT;
   res.name = (char *)resource_names[RESOURCE_ROUTING];
   res.text.data = (uint8_t *)text.data;
   res.text.len = text.length;
-  key.base_version = o->base;
+  key.base_version = o->base_version;
   key.hash = o->hash;
   w.resource = &res;
   w.accepted_change = &key;
@@ -216,24 +217,25 @@
 
 /* decides an order on the state with all that is ordered, committed or not */
 static int order_make(void *ctx, state *ordered, GString *op, error *err) {
-  order *o = ctx;
+  config_change *o = ctx;
   controller *controller = o->controller;
-  if (time_reached(world_now(controller->node.world), o->decide_by))
+  if (time_reached(world_now(controller->node.world), o->decide_deadline))
     return error_set(err, E_NO_CONTROLLER, "the head was busy for too long; nothing was written");
   o->decided = true;
-  o->decided_on = ordered->seq;
-  o->resets = controller->core.resets;
-  o->accepted = accepted_before(o, ordered);
-  if (o->accepted)
+  o->decided_at_seq = ordered->seq;
+  o->log_resets = controller->replica.log_resets;
+  o->was_accepted_before = accepted_before(o, ordered);
+  if (o->was_accepted_before)
     return OK;
   uint64_t current =
       revision(controller, string_view_of_gstring(ordered->resources[RESOURCE_ROUTING].text));
-  if (o->base != current && accepted_may_have(&ordered->accepted, o->base))
+  if (o->base_version != current &&
+      accepted_changes_may_include(&ordered->accepted, o->base_version))
     return error_set(err, E_OUTCOME_UNKNOWN,
                      "it builds on a version so old that nobody remembers whether it was taken");
   GString *next = g_string_new(NULL);
-  int r = config_decide(string_view_of_gstring(ordered->resources[RESOURCE_ROUTING].text), current,
-                        o->whole, o->base, o->body, next, err);
+  int r = config_change_apply(string_view_of_gstring(ordered->resources[RESOURCE_ROUTING].text),
+                              current, o->is_full, o->base_version, o->body, next, err);
   if (!r) {
     order_pack(o, string_view_of_gstring(next), op);
     revision_note(controller, string_view_of_gstring(next), o->version);
@@ -243,24 +245,25 @@
 }
 
 /* waits until a write that the decision rests on stands; false when it may be lost */
-static bool stands(const order *o, uint64_t seq, time_us till) {
-  core *core = &o->controller->core;
-  while (core->committed.seq < seq && core->resets == o->resets)
-    if (condition_wait(&o->controller->node.world->tasks, &core->moved, till) != WAKE_SIGNALLED)
+static bool stands(const config_change *o, uint64_t seq, time_us till) {
+  replica *replica = &o->controller->replica;
+  while (replica->committed.seq < seq && replica->log_resets == o->log_resets)
+    if (condition_wait(&o->controller->node.world->tasks, &replica->state_changed, till) !=
+        WAKE_SIGNALLED)
       break;
   /* after a reset another write may have that number */
-  return core->resets == o->resets && core->committed.seq >= seq;
+  return replica->log_resets == o->log_resets && replica->committed.seq >= seq;
 }
 
 /* a decision becomes an answer only when what it rests on is committed: the write of an earlier
  * copy, or the writes because of which it is refused */
-static int settle(order *o, int r, time_us till) {
+static int settle(config_change *o, int r, time_us till) {
   error was = o->err;
-  if (!r && o->accepted && !stands(o, o->seq, till))
+  if (!r && o->was_accepted_before && !stands(o, o->seq, till))
     return error_set(&o->err, E_OUTCOME_UNKNOWN,
                      "the first try of this order is not confirmed yet");
   bool final = r && status_of(r) < 500;
-  if (final && o->decided && !stands(o, o->decided_on, till))
+  if (final && o->decided && !stands(o, o->decided_at_seq, till))
     return error_set(&o->err, E_NO_CONTROLLER, "another order is under way; nothing was written");
   o->err = was;
   return r;
@@ -268,10 +271,11 @@
 
 /* the write goes on when the caller has been answered */
 static void order_run(void *p) {
-  order *o = p;
+  config_change *o = p;
   controller *controller = o->controller;
   time_us till = time_add(world_now(controller->node.world), time_from_ms(WRITE_MS));
-  int r = core_write(&controller->core, order_make, o, time_from_ms(WRITE_MS), &o->seq, &o->err);
+  int r =
+      replica_write(&controller->replica, order_make, o, time_from_ms(WRITE_MS), &o->seq, &o->err);
   r = settle(o, r, till);
   int got, all;
   while (!r && !controller->node.settings.relaxed &&
@@ -283,66 +287,68 @@
                     o->seq, got, all);
   o->err.code = r;
   o->done = true;
-  g_hash_table_remove(controller->orders, o->key);
-  condition_broadcast(&o->over);
+  g_hash_table_remove(controller->config_changes, o->key);
+  condition_broadcast(&o->completed);
   order_unref(o);
 }
 
 /* the order of a request: the one that an earlier copy began, or a new one; NULL when it can't be
  * read */
-static order *order_of(controller *controller, http_request *request, bool whole, uint64_t base,
-                       time_us came, error *err) {
+static config_change *order_of(controller *controller, http_request *request, bool whole,
+                               uint64_t base, time_us came, error *err) {
   uint64_t kind = base * 2 + whole;
   char key[80];
   uint64_t hash = hash_bytes(request->body->str, request->body->len, kind);
   snprintf(key, sizeof key, "cfg-%016" PRIx64 "%016" PRIx64, hash,
            hash_bytes(request->body->str, request->body->len, ~kind));
-  order *o = g_hash_table_lookup(controller->orders, key);
+  config_change *o = g_hash_table_lookup(controller->config_changes, key);
   if (o) {
-    o->refs++;
+    o->reference_count++;
     return o;
   }
   json *body = json_parse(string_view_of_gstring(request->body), err);
   if (!body)
     return NULL;
   dialect_translate_in(controller->dialect, body);
-  o = g_new0(order, 1);
+  o = g_new0(config_change, 1);
   o->controller = controller;
-  o->whole = whole;
-  o->base = base;
+  o->is_full = whole;
+  o->base_version = base;
   o->hash = hash;
   o->body = body;
   o->version = (uint64_t)MAX(0, json_number(body, "version", 0));
-  o->decide_by = time_add(came, time_from_ms(ANSWER_MS));
+  o->decide_deadline = time_add(came, time_from_ms(ANSWER_MS));
   g_strlcpy(o->key, key, sizeof o->key);
   /* one for the request, one for the task */
-  o->refs = 2;
-  condition_init(&o->over);
-  g_hash_table_insert(controller->orders, o->key, o);
+  o->reference_count = 2;
+  condition_init(&o->completed);
+  g_hash_table_insert(controller->config_changes, o->key, o);
   task_start(&controller->node.world->tasks, "order", order_run, o);
   return o;
 }
 
-static void order_answer(controller *controller, http_request *request, const order *o,
+static void order_answer(controller *controller, http_request *request, const config_change *o,
                          const error *err) {
   if (err->code) {
-    controller->refused++;
+    controller->writes_refused++;
     log_info(&controller->node.log, "control",
              "Refused configuration %" PRIu64 " over %" PRIu64 " from %s: %s (code %d).",
-             o ? o->version : 0, o ? o->base : 0, request->client_address, err->text, err->code);
+             o ? o->version : 0, o ? o->base_version : 0, request->client_address, err->text,
+             err->code);
     refuse(controller, request, err->code, err->text);
     return;
   }
   log_info(&controller->node.log, "control",
            "Configuration %" PRIu64 " over %" PRIu64 " from %s is write %" PRIu64 "%s.", o->version,
-           o->base, request->client_address, o->seq, o->accepted ? ", come again" : "");
+           o->base_version, request->client_address, o->seq,
+           o->was_accepted_before ? ", come again" : "");
   char buf[48];
   snprintf(buf, sizeof buf, "{\"version\":%" PRIu64 "}", o->version);
   send_text(controller, request, 200, string_view_of(buf));
 }
 
 static void config_write(controller *controller, http_request *request, bool whole, time_us came) {
-  if (!answered_here(controller, request, came, core_heads, core_head))
+  if (!answered_here(controller, request, came, replica_is_acting_head, replica_head))
     return;
   int64_t base =
       fields_get_number(request->fields, controller->dialect->header_names[DF_BASE_REVISION], -1);
@@ -356,10 +362,10 @@
     return;
   }
   error err = { 0 };
-  order *o = order_of(controller, request, whole, (uint64_t)base, came, &err);
+  config_change *o = order_of(controller, request, whole, (uint64_t)base, came, &err);
   time_us till = time_add(came, time_from_ms(ANSWER_MS));
   while (o && !o->done)
-    if (condition_wait(&controller->node.world->tasks, &o->over, till) != WAKE_SIGNALLED)
+    if (condition_wait(&controller->node.world->tasks, &o->completed, till) != WAKE_SIGNALLED)
       break;
   if (o && o->done)
     err = o->err;
@@ -372,18 +378,18 @@
 }
 
 static void config_read(controller *controller, http_request *request, time_us came) {
-  if (!answered_here(controller, request, came, core_tails, core_tail))
+  if (!answered_here(controller, request, came, replica_is_acting_tail, replica_tail))
     return;
-  core *core = &controller->core;
-  if (!core->committed.resources[RESOURCE_ROUTING].version) {
+  replica *replica = &controller->replica;
+  if (!replica->committed.resources[RESOURCE_ROUTING].version) {
     refuse(controller, request, E_NOT_FOUND, "there is no configuration yet");
     return;
   }
   if (!controller->config_text ||
-      controller->config_at != core->committed.resources[RESOURCE_ROUTING].version) {
+      controller->config_text_version != replica->committed.resources[RESOURCE_ROUTING].version) {
     error err = { 0 };
-    json *json =
-        json_parse(string_view_of_gstring(core->committed.resources[RESOURCE_ROUTING].text), &err);
+    json *json = json_parse(
+        string_view_of_gstring(replica->committed.resources[RESOURCE_ROUTING].text), &err);
     if (!json || !json_get(json, "version")) {
       json_free(json);
       refuse(controller, request, E_NOT_FOUND, "there is no configuration yet");
@@ -395,7 +401,7 @@
     g_string_truncate(controller->config_text, 0);
     json_write(json, controller->config_text);
     json_free(json);
-    controller->config_at = core->committed.resources[RESOURCE_ROUTING].version;
+    controller->config_text_version = replica->committed.resources[RESOURCE_ROUTING].version;
   }
   http_request_respond(request, 200, "application/json",
                        string_view_of_gstring(controller->config_text));
@@ -472,9 +478,10 @@
     r = beat_in(json, &who, &w, hold, &err);
   }
   if (!r) {
-    controller->beats++;
-    engines_folded(controller, who.text,
-                   registry_beat(&controller->registry, &w, world_now(controller->node.world)));
+    controller->heartbeats++;
+    registry_sync_announce(
+        controller, who.text,
+        registry_heartbeat(&controller->registry, &w, world_now(controller->node.world)));
     http_request_respond(request, 200, "application/json", string_view_of("{}"));
   } else {
     GString *b = g_string_new(NULL);
@@ -489,9 +496,9 @@
 }
 
 static void sign_off(controller *controller, http_request *request, id who) {
-  engines_folded(
+  registry_sync_announce(
       controller, who.text,
-      registry_leave(&controller->registry, who.text, world_now(controller->node.world)));
+      registry_sign_off(&controller->registry, who.text, world_now(controller->node.world)));
   http_request_respond(request, 200, "application/json", string_view_of("{}"));
 }
 
@@ -516,7 +523,7 @@
     config_read(controller, request, came);
   else if (dialect_matches_call(dialect, DC_READY, request->method, request->path, NULL)) {
     bool ready =
-        controller->core.running && controller->core.view.epoch && !controller->node.draining;
+        controller->replica.running && controller->replica.view.epoch && !controller->node.draining;
     if (ready)
       http_request_respond(request, 200, NULL, string_view_of(""));
     else
@@ -526,25 +533,25 @@
     refuse(controller, request, E_NOT_FOUND, "there is no such page");
 }
 
-int controller_control(controller *controller, const char *ip, int port, const dialect *words,
-                       error *err) {
+int controller_open_control_listener(controller *controller, const char *ip, int port,
+                                     const dialect *words, error *err) {
   world *world = controller->node.world;
   if (!world->listener_open)
     return error_set(err, E_LISTEN, "this world has no doors");
   controller->dialect = words ? words : &dialect_native;
-  controller->control = (http_listener){ .world = world,
-                                         .port = port,
-                                         .serve = serve,
-                                         .serve_context = controller,
-                                         .header_max_bytes = HEADER_MOST,
-                                         .body_max_bytes = BODY_MOST,
-                                         .header_timeout_ms = HEADER_MS,
-                                         .idle_timeout_ms = IDLE_MS };
-  g_strlcpy(controller->control.ip, ip, sizeof controller->control.ip);
-  int r = world->listener_open(world, &controller->control, err);
+  controller->control_listener = (http_listener){ .world = world,
+                                                  .port = port,
+                                                  .serve = serve,
+                                                  .serve_context = controller,
+                                                  .header_max_bytes = HEADER_MOST,
+                                                  .body_max_bytes = BODY_MOST,
+                                                  .header_timeout_ms = HEADER_MS,
+                                                  .idle_timeout_ms = IDLE_MS };
+  g_strlcpy(controller->control_listener.ip, ip, sizeof controller->control_listener.ip);
+  int r = world->listener_open(world, &controller->control_listener, err);
   if (r)
     return r;
-  controller->has_control = true;
-  engines_start(controller);
+  controller->has_control_listener = true;
+  registry_sync_start(controller);
   return OK;
 }
--- a/lib/controlplane/controller.c
+++ b/lib/controlplane/controller.c
@@ -8,29 +8,29 @@
 /* duties: who may order what, granted by the chain, renewed in memory */
 typedef struct {
   controller *controller;
-  Wire__SingletonLeaseRequest *in;
-  id who;
+  Wire__SingletonLeaseRequest *request;
+  id requester;
   uint64_t nonce;
-  Wire__SingletonLeaseResponse *out;
+  Wire__SingletonLeaseResponse *response;
   reply *reply;
   int n;
-} holds_ctx;
+} singleton_lease_context;
 
 static time_us *renewed(controller *controller, const char *duty) {
-  time_us *t = g_hash_table_lookup(controller->core.renewed, duty);
+  time_us *t = g_hash_table_lookup(controller->replica.singleton_renewed_at, duty);
   if (!t) {
     t = g_new(time_us, 1);
-    *t = controller->core.head_since;
-    g_hash_table_insert(controller->core.renewed, g_strdup(duty), t);
+    *t = controller->replica.head_since;
+    g_hash_table_insert(controller->replica.singleton_renewed_at, g_strdup(duty), t);
   }
   return t;
 }
 
-static Wire__SingletonClaimResult *got_add(holds_ctx *x, char *duty) {
+static Wire__SingletonClaimResult *got_add(singleton_lease_context *x, char *duty) {
   Wire__SingletonClaimResult *g = reply_alloc(x->reply, sizeof *g);
   wire__singleton_claim_result__init(g);
   g->singleton = duty;
-  x->out->results[x->out->n_results++] = g;
+  x->response->results[x->response->n_results++] = g;
   return g;
 }
 
@@ -42,19 +42,20 @@
 
 /* the tick until which a duty belongs to whom it was granted, whatever he says */
 static time_us bound_till(controller *controller, const char *duty) {
-  return time_add(*renewed(controller, duty), time_from_ms(SINGLETON_LEASE_MS + CONTRACT_GRACE_MS));
+  return time_add(*renewed(controller, duty),
+                  time_from_ms(SINGLETON_LEASE_MS + SINGLETON_LEASE_GRACE_MS));
 }
 
 static int grants_make(void *ctx, state *spec, GString *op, error *err) {
-  holds_ctx *x = ctx;
+  singleton_lease_context *x = ctx;
   (void)err;
   time_us now = world_now(x->controller->node.world);
   Wire__Operation o = WIRE__OPERATION__INIT;
-  o.grants = g_new0(Wire__SingletonGrant *, x->in->n_claims + 1);
-  for (size_t i = 0; i < x->in->n_claims; i++) {
-    Wire__SingletonClaim *h = x->in->claims[i];
-    const grant *grant = state_grant(spec, h->singleton);
-    bool own = grant && id_equal(grant->holder, x->who) && grant->nonce == x->nonce;
+  o.grants = g_new0(Wire__SingletonGrant *, x->request->n_claims + 1);
+  for (size_t i = 0; i < x->request->n_claims; i++) {
+    Wire__SingletonClaim *h = x->request->claims[i];
+    const singleton_grant *grant = state_find_grant(spec, h->singleton);
+    bool own = grant && id_equal(grant->holder, x->requester) && grant->nonce == x->nonce;
     if (own || h->release || !id_is_valid(string_view_of(h->singleton)))
       continue;
     Wire__SingletonClaimResult *a = got_add(x, h->singleton);
@@ -62,7 +63,7 @@
       time_us till = bound_till(x->controller, h->singleton);
       /* a later run of the holder itself: the run before it is over, and orders go on under the
        * same name */
-      bool again = x->controller->node.settings.relaxed && id_equal(grant->holder, x->who);
+      bool again = x->controller->node.settings.relaxed && id_equal(grant->holder, x->requester);
       if (!again && !time_reached(now, till)) {
         a->holder = held(x->reply, grant->holder.text);
         a->retry_after_ms = time_sub(till, now).us / 1000 + 1;
@@ -72,7 +73,7 @@
     Wire__SingletonGrant *n = reply_alloc(x->reply, sizeof *n);
     wire__singleton_grant__init(n);
     n->singleton = h->singleton;
-    n->holder = x->who.text;
+    n->holder = x->requester.text;
     n->nonce = x->nonce;
     n->epoch = grant ? grant->epoch + 1 : 1;
     o.grants[o.n_grants++] = n;
@@ -93,7 +94,7 @@
 }
 
 static bool barred(controller *controller, const char *area) {
-  config *config = state_config(&controller->core.committed, -1, NULL, NULL);
+  config *config = state_compile_config(&controller->replica.committed, -1, NULL, NULL);
   bool b = config && config_is_zone_evacuated(config, id_of_text(area));
   config_free(config);
   return b;
@@ -101,20 +102,20 @@
 
 static int on_holds(void *ctx, Wire__Envelope *in, reply *reply, error *err) {
   controller *controller = ctx;
-  core *core = &controller->core;
-  holds_ctx x = { controller,
-                  in->singleton_lease_request,
-                  id_of_text(in->from->id),
-                  in->singleton_lease_request->nonce,
-                  reply_new_body(reply, WIRE__ENVELOPE__BODY_SINGLETON_LEASE_RESPONSE,
-                                 &wire__singleton_lease_response__descriptor),
-                  reply,
-                  0 };
-  x.out->results =
+  replica *replica = &controller->replica;
+  singleton_lease_context x = { controller,
+                                in->singleton_lease_request,
+                                id_of_text(in->from->id),
+                                in->singleton_lease_request->nonce,
+                                reply_new_body(reply, WIRE__ENVELOPE__BODY_SINGLETON_LEASE_RESPONSE,
+                                               &wire__singleton_lease_response__descriptor),
+                                reply,
+                                0 };
+  x.response->results =
       reply_alloc(reply, sizeof(void *) * (in->singleton_lease_request->n_claims * 2 + 1));
-  if (!core_heads(core)) {
-    const member *h = core_head(core);
-    x.out->head_address = h ? held(reply, h->addr) : "";
+  if (!replica_is_acting_head(replica)) {
+    const member *h = replica_head(replica);
+    x.response->head_address = h ? held(reply, h->address) : "";
     return OK;
   }
   time_us now = world_now(controller->node.world);
@@ -124,11 +125,11 @@
     /* a grant to another that is on its way, here or through the chain, ends this one: all must
      * name the asker */
     uint64_t *to = g_hash_table_lookup(controller->grants_in_flight, h->singleton);
-    const grant *grant = state_grant(&core->committed, h->singleton),
-                *next = state_grant(core_ordered(core), h->singleton);
+    const singleton_grant *grant = state_find_grant(&replica->committed, h->singleton),
+                          *next = state_find_grant(replica_ordered_state(replica), h->singleton);
     bool same = grant && next && grant->epoch == next->epoch && (!to || *to <= grant->epoch) &&
-                id_equal(grant->holder, x.who) && grant->nonce == x.nonce;
-    if (!same && next && id_equal(next->holder, x.who) && next->nonce == x.nonce)
+                id_equal(grant->holder, x.requester) && grant->nonce == x.nonce;
+    if (!same && next && id_equal(next->holder, x.requester) && next->nonce == x.nonce)
       continue;
     if (same) {
       Wire__SingletonClaimResult *a = got_add(&x, h->singleton);
@@ -150,33 +151,34 @@
     return error_set(err, E_DRAINING,
                      "a machine that leaves, or whose area is emptied, gets no duties");
   uint64_t seq = 0;
-  int r = core_write(core, grants_make, &x, time_from_ms(3000), &seq, err);
+  int r = replica_write(replica, grants_make, &x, time_from_ms(3000), &seq, err);
   /* a slow write makes a short contract; the next holder counts from when this one could begin */
-  for (size_t i = 0; !r && seq && i < x.out->n_results; i++)
-    if (x.out->results[i]->granted)
-      *renewed(controller, x.out->results[i]->singleton) = world_now(controller->node.world);
+  for (size_t i = 0; !r && seq && i < x.response->n_results; i++)
+    if (x.response->results[i]->granted)
+      *renewed(controller, x.response->results[i]->singleton) = world_now(controller->node.world);
   return r;
 }
 
 /* the end of a trial, by the one that holds its duty now, and of the very trial that it judged */
 typedef struct {
-  id who;
+  id judge;
   uint64_t nonce;
-  Wire__CanaryEndRequest *in;
-} end_ctx;
+  Wire__CanaryEndRequest *request;
+} canary_end_context;
 
 static int end_make(void *ctx, state *spec, GString *op, error *err) {
-  end_ctx *x = ctx;
-  const grant *grant = state_grant(spec, "canary");
-  if (!grant || !id_equal(grant->holder, x->who) || grant->nonce != x->nonce ||
-      grant->epoch != x->in->epoch)
+  canary_end_context *x = ctx;
+  const singleton_grant *grant = state_find_grant(spec, "canary");
+  if (!grant || !id_equal(grant->holder, x->judge) || grant->nonce != x->nonce ||
+      grant->epoch != x->request->epoch)
     return error_set(err, E_STALE_EPOCH, "another judges this trial");
-  if (spec->resources[RESOURCE_CANARY].version != x->in->version)
+  if (spec->resources[RESOURCE_CANARY].version != x->request->version)
     return error_set(err, E_VERSION_CONFLICT, "the trial is another, or has ended");
   json *was = json_parse(string_view_of_gstring(spec->resources[RESOURCE_CANARY].text), err),
-       *end =
-           was ? json_parse((string_view){ (char *)x->in->verdict.data, x->in->verdict.len }, err)
-               : NULL;
+       *end = was ? json_parse(
+                        (string_view){ (char *)x->request->verdict.data, x->request->verdict.len },
+                        err)
+                  : NULL;
   if (!was || !end) {
     json_free(was);
     return err->code;
@@ -205,18 +207,18 @@
 
 static int on_canary_end(void *ctx, Wire__Envelope *in, reply *reply, error *err) {
   controller *controller = ctx;
-  if (!core_heads(&controller->core))
+  if (!replica_is_acting_head(&controller->replica))
     return error_set(err, E_NO_CONTROLLER, "not the acting head");
-  end_ctx x = { id_of_text(in->from->id), in->from->nonce, in->canary_end_request };
+  canary_end_context x = { id_of_text(in->from->id), in->from->nonce, in->canary_end_request };
   uint64_t seq = 0;
-  int r = core_write(&controller->core, end_make, &x, time_from_ms(3000), &seq, err);
+  int r = replica_write(&controller->replica, end_make, &x, time_from_ms(3000), &seq, err);
   if (r) {
     log_info(&controller->node.log, "api", "Refused the end of a trial from %s: %s (code %d).",
-             x.who.text, err->text, r);
+             x.judge.text, err->text, r);
     return r;
   }
   log_info(&controller->node.log, "api", "The trial's judge %s ended it with write %" PRIu64 ".",
-           x.who.text, seq);
+           x.judge.text, seq);
   Wire__CanaryEndResponse *b = reply_new_body(reply, WIRE__ENVELOPE__BODY_CANARY_END_RESPONSE,
                                               &wire__canary_end_response__descriptor);
   b->ok = true;
@@ -226,31 +228,32 @@
 /* keeps the routing texts of late, so that a node that holds one of them is sent only what changed
  */
 static void past_note(controller *controller) {
-  const state *state = &controller->core.committed;
+  const state *state = &controller->replica.committed;
   uint64_t version = state->resources[RESOURCE_ROUTING].version;
   if (!version)
     return;
-  for (int i = 0; i < PAST_TEXTS; i++)
-    if (controller->past[i].version == version)
+  for (int i = 0; i < ROUTING_TEXTS_CACHED; i++)
+    if (controller->routing_texts[i].version == version)
       return;
-  past_text *p = &controller->past[controller->past_at++ % PAST_TEXTS];
+  routing_text_cache_entry *p =
+      &controller->routing_texts[controller->routing_text_next++ % ROUTING_TEXTS_CACHED];
   if (!p->text) {
     p->text = g_string_new(NULL);
     p->delta = g_string_new(NULL);
   }
   p->version = version;
-  p->to = 0;
+  p->delta_version = 0;
   g_string_assign(p->text, state->resources[RESOURCE_ROUTING].text->str);
 }
 
 static string_view past_delta(controller *controller, uint64_t base) {
-  const state *state = &controller->core.committed;
-  for (int i = 0; base && i < PAST_TEXTS; i++) {
-    past_text *p = &controller->past[i];
+  const state *state = &controller->replica.committed;
+  for (int i = 0; base && i < ROUTING_TEXTS_CACHED; i++) {
+    routing_text_cache_entry *p = &controller->routing_texts[i];
     if (p->version != base || base == state->resources[RESOURCE_ROUTING].version)
       continue;
-    if (p->to != state->resources[RESOURCE_ROUTING].version) {
-      p->to = state->resources[RESOURCE_ROUTING].version;
+    if (p->delta_version != state->resources[RESOURCE_ROUTING].version) {
+      p->delta_version = state->resources[RESOURCE_ROUTING].version;
       g_string_truncate(p->delta, 0);
       if (!delta_encode(string_view_of_gstring(p->text),
                         string_view_of_gstring(state->resources[RESOURCE_ROUTING].text), p->delta))
@@ -263,30 +266,31 @@
 
 static int on_news(void *ctx, Wire__Envelope *in, reply *reply, error *err) {
   controller *controller = ctx;
-  core *core = &controller->core;
+  replica *replica = &controller->replica;
   Wire__ConfigPollRequest *q = in->config_poll_request;
-  bool engines = q->want_engines && controller->has_control,
-       knows = core->running && core->view.epoch && core_place(core) >= 0 && core_current(core);
+  bool engines = q->want_engines && controller->has_control_listener,
+       knows = replica->running && replica->view.epoch && replica_chain_index(replica) >= 0 &&
+               replica_is_current(replica);
   if (!engines && !knows)
     return error_set(err, E_NO_CONTROLLER, "no state is known here");
-  if (q->fleet_id && core->view.epoch && q->fleet_id != core->view.fleet) {
+  if (q->fleet_id && replica->view.epoch && q->fleet_id != replica->view.fleet_id) {
     if (!engines)
       return error_set(err, E_VIEW_MISMATCH, "another fleet");
     knows = false;
   }
   past_note(controller);
   /* a read that knows more than this copy mends it at once */
-  if (knows && q->sequence > core->committed.seq)
-    condition_broadcast(&core->work);
+  if (knows && q->sequence > replica->committed.seq)
+    condition_broadcast(&replica->replication_wanted);
   time_us came = world_now(controller->node.world),
           till = time_add(
               came, time_from_ms(controller->node.settings.relaxed ? POLL_LOOSE_MS : POLL_MS));
   /* one that may not act is no place to wait for news: its router has to look elsewhere at once */
-  while (!q->no_wait && knows && core->committed.seq <= q->sequence && q->sequence &&
-         !(engines && engines_news(controller, q)) &&
-         (!controller->node.settings.relaxed || core_acts(core))) {
+  while (!q->no_wait && knows && replica->committed.seq <= q->sequence && q->sequence &&
+         !(engines && registry_sync_has_changes(controller, q)) &&
+         (!controller->node.settings.relaxed || replica_holds_lease(replica))) {
     time_us look = time_add(world_now(controller->node.world), time_from_ms(200));
-    enum wake k = condition_wait(&controller->node.world->tasks, &core->moved,
+    enum wake k = condition_wait(&controller->node.world->tasks, &replica->state_changed,
                                  look.us < till.us ? look : till);
     if (k == WAKE_STOPPED || time_reached(world_now(controller->node.world), till))
       break;
@@ -294,20 +298,20 @@
   Wire__ConfigPollResponse *b = reply_new_body(reply, WIRE__ENVELOPE__BODY_CONFIG_POLL_RESPONSE,
                                                &wire__config_poll_response__descriptor);
   if (engines)
-    engines_fill(controller, q, b, reply);
+    registry_sync_fill_response(controller, q, b, reply);
   if (!knows) {
     /* whoever asks here for the state is told where it is */
-    b->controllers = reply_alloc(reply, sizeof(char *) * CHAIN_MOST);
-    for (int i = 0; core->running && i < core->view.chain_length; i++)
-      if (!id_equal(core->view.chain[i].self, controller->node.settings.self))
-        b->controllers[b->n_controllers++] = held(reply, core->view.chain[i].addr);
+    b->controllers = reply_alloc(reply, sizeof(char *) * CHAIN_MAX);
+    for (int i = 0; replica->running && i < replica->view.chain_length; i++)
+      if (!id_equal(replica->view.chain[i].self, controller->node.settings.self))
+        b->controllers[b->n_controllers++] = held(reply, replica->view.chain[i].address);
     return OK;
   }
-  b->confirmed = core_acts(core);
+  b->confirmed = replica_holds_lease(replica);
   b->held_ms = (uint64_t)time_sub(world_now(controller->node.world), came).us / 1000;
-  b->epoch = core->view.epoch;
-  b->sequence = core->committed.seq;
-  b->changed = core->committed.seq > q->sequence || !q->sequence;
+  b->epoch = replica->view.epoch;
+  b->sequence = replica->committed.seq;
+  b->changed = replica->committed.seq > q->sequence || !q->sequence;
   if (b->changed) {
     GString *d = g_string_new(NULL);
     past_note(controller);
@@ -315,13 +319,13 @@
                         ? q->resource_versions[RESOURCE_ROUTING]
                         : 0;
     string_view delta = past_delta(controller, base);
-    state_news_delta(&core->committed, core->view.epoch, q->resource_versions,
-                     q->n_resource_versions, base, delta, d);
+    state_pack_for_router_with_delta(&replica->committed, replica->view.epoch, q->resource_versions,
+                                     q->n_resource_versions, base, delta, d);
     b->snapshot.len = d->len;
     b->snapshot.data = reply_alloc(reply, d->len + 1);
     memcpy(b->snapshot.data, d->str, d->len);
     g_string_free(d, TRUE);
-    controller->news++;
+    controller->config_updates_sent++;
   }
   return OK;
 }
@@ -329,18 +333,19 @@
 /* what each router has in force; a router that restarted counts by its new run only */
 typedef struct {
   uint64_t nonce, seq;
-} having;
+} reported_version;
 
 static int on_have(void *ctx, Wire__Envelope *in, reply *reply, error *err) {
   controller *controller = ctx;
   (void)reply;
   (void)err;
-  if (!controller->core.running || in->version_report->fleet_id != controller->core.view.fleet ||
+  if (!controller->replica.running ||
+      in->version_report->fleet_id != controller->replica.view.fleet_id ||
       in->from->role != ROLE_ROUTER)
     return OK;
-  having *h = g_hash_table_lookup(controller->reported_seq, in->from->id);
+  reported_version *h = g_hash_table_lookup(controller->reported_seq, in->from->id);
   if (!h) {
-    h = g_new0(having, 1);
+    h = g_new0(reported_version, 1);
     g_hash_table_insert(controller->reported_seq, g_strdup(in->from->id), h);
   }
   if (h->nonce != in->from->nonce || in->version_report->sequence > h->seq) {
@@ -357,9 +362,9 @@
   *got = 0;
   *all = node_count_peers(&controller->node, ROLE_ROUTER);
   list_for_each (peer, &controller->node.peers, peer_node, link) {
-    having *h = peer->role == ROLE_ROUTER && !peer->draining
-                    ? g_hash_table_lookup(controller->reported_seq, peer->self.text)
-                    : NULL;
+    reported_version *h = peer->role == ROLE_ROUTER && !peer->draining
+                              ? g_hash_table_lookup(controller->reported_seq, peer->self.text)
+                              : NULL;
     *got += h && h->nonce == peer->nonce && h->seq >= seq;
   }
   return *got >= (*all + 1) / 2;
@@ -368,12 +373,12 @@
 /* the operators' API */
 typedef struct {
   controller *controller;
-  int which;
+  int resource;
   http_request *request;
-  uint64_t match, seen, hash;
-  bool any, dup;
-  const char *key;
-} write_ctx;
+  uint64_t expected_version, first_seq, request_hash;
+  bool any_version, is_repeat;
+  const char *idempotency_key;
+} resource_write;
 
 static int routing_fits(string_view text, error *err) {
   json *json = json_parse(text, err);
@@ -394,33 +399,34 @@
 }
 
 static int write_make(void *ctx, state *spec, GString *op, error *err) {
-  write_ctx *x = ctx;
-  const idempotency_record *o = x->key ? state_idempotency_record(spec, x->key) : NULL;
+  resource_write *x = ctx;
+  const idempotency_record *o =
+      x->idempotency_key ? state_find_idempotency_record(spec, x->idempotency_key) : NULL;
   if (o) {
-    if (o->hash != x->hash)
+    if (o->hash != x->request_hash)
       return error_set(err, E_IDEMPOTENCY_KEY,
                        "this idempotency key came before with another request");
-    x->dup = true;
-    x->seen = o->seq;
+    x->is_repeat = true;
+    x->first_seq = o->seq;
     return OK;
   }
-  uint64_t is = spec->resources[x->which].version;
-  if (!x->any && x->match != is)
+  uint64_t is = spec->resources[x->resource].version;
+  if (!x->any_version && x->expected_version != is)
     return error_set(err, E_VERSION_CONFLICT, "the version is %" PRIu64 ", not %" PRIu64, is,
-                     x->match);
+                     x->expected_version);
   json *body = json_parse(string_view_of_gstring(x->request->body), err);
   if (!body)
     return err->code;
   if (!strcmp(x->request->method, "PATCH")) {
-    json *was = json_parse(string_view_of_gstring(spec->resources[x->which].text), err);
+    json *was = json_parse(string_view_of_gstring(spec->resources[x->resource].text), err);
     if (!was) {
       json_free(body);
       return err->code;
     }
     /* routing has changes of its own, by name: see the control listener */
     json *next =
-        x->which == RESOURCE_ROUTING ? routing_patch(was, body, err) : json_merge(was, body);
-    if (x->which == RESOURCE_ROUTING)
+        x->resource == RESOURCE_ROUTING ? routing_patch(was, body, err) : json_merge(was, body);
+    if (x->resource == RESOURCE_ROUTING)
       json_free(was);
     json_free(body);
     if (!next)
@@ -428,9 +434,10 @@
     body = next;
   }
   /* gateways go from one version of it to a higher one only */
-  if (x->which == RESOURCE_ROUTING && json_count(body) &&
+  if (x->resource == RESOURCE_ROUTING && json_count(body) &&
       routing_check_successor(
-          body, config_revision(string_view_of_gstring(spec->resources[x->which].text)), err)) {
+          body, config_change_version(string_view_of_gstring(spec->resources[x->resource].text)),
+          err)) {
     json_free(body);
     return err->code;
   }
@@ -442,24 +449,24 @@
   if (t.length > RESOURCE_BYTES_MAX)
     r = error_set(err, E_TOO_LARGE, "%zu bytes; a resource may hold %d", t.length,
                   RESOURCE_BYTES_MAX);
-  config *config = r ? NULL : state_config(spec, x->which, &t, err);
+  config *config = r ? NULL : state_compile_config(spec, x->resource, &t, err);
   if (!r && !config)
     r = err->code;
   config_free(config);
-  if (!r && x->which == RESOURCE_ROUTING)
+  if (!r && x->resource == RESOURCE_ROUTING)
     r = routing_fits(t, err);
-  if (!r && x->which == RESOURCE_CANARY)
+  if (!r && x->resource == RESOURCE_CANARY)
     r = canary_fits(spec, t, err);
   if (!r) {
     Wire__Resource res = WIRE__RESOURCE__INIT;
     Wire__Operation w = WIRE__OPERATION__INIT;
-    res.name = (char *)resource_names[x->which];
+    res.name = (char *)resource_names[x->resource];
     res.text.data = (uint8_t *)text->str;
     res.text.len = text->len;
     w.resource = &res;
-    if (x->key) {
-      w.idempotency_key = (char *)x->key;
-      w.request_hash = x->hash;
+    if (x->idempotency_key) {
+      w.idempotency_key = (char *)x->idempotency_key;
+      w.request_hash = x->request_hash;
     }
     size_t n = wire__operation__get_packed_size(&w);
     g_string_set_size(op, n);
@@ -534,49 +541,50 @@
 }
 
 static void res_write(controller *controller, http_request *request, int which) {
-  core *core = &controller->core;
-  if (!core_heads(core)) {
-    const member *h = core_head(core);
-    if (request->known_fields.values[HEADER_HOP] || !h || core_place(core) == 0) {
+  replica *replica = &controller->replica;
+  if (!replica_is_acting_head(replica)) {
+    const member *h = replica_head(replica);
+    if (request->known_fields.values[HEADER_HOP] || !h || replica_chain_index(replica) == 0) {
       refuse(request, E_NO_CONTROLLER, "no acting head is known here; nothing was written");
       return;
     }
     char addr[48];
-    g_strlcpy(addr, h->addr, sizeof addr);
+    g_strlcpy(addr, h->address, sizeof addr);
     pass(controller, request, addr, true);
     return;
   }
-  write_ctx x = { .controller = controller,
-                  .which = which,
-                  .request = request,
-                  .any = true,
-                  .key = request->known_fields.values[HEADER_IDEMPOTENCY_KEY] };
-  if (x.key && (strlen(x.key) >= 80 || !x.key[0])) {
+  resource_write x = { .controller = controller,
+                       .resource = which,
+                       .request = request,
+                       .any_version = true,
+                       .idempotency_key = request->known_fields.values[HEADER_IDEMPOTENCY_KEY] };
+  if (x.idempotency_key && (strlen(x.idempotency_key) >= 80 || !x.idempotency_key[0])) {
     refuse(request, E_IDEMPOTENCY_KEY, "an idempotency key has 1 to 79 bytes");
     return;
   }
   const char *im = request->known_fields.values[HEADER_IF_MATCH];
   if (im && strcmp(im, "*")) {
     char *end;
-    x.match = strtoull(im[0] == '"' ? im + 1 : im, &end, 10);
+    x.expected_version = strtoull(im[0] == '"' ? im + 1 : im, &end, 10);
     if (*end && *end != '"') {
       refuse(request, E_IF_MATCH, "If-Match takes a version as GET gives it");
       return;
     }
-    x.any = false;
+    x.any_version = false;
   }
-  x.hash = hash_bytes(request->body->str, request->body->len,
-                      hash_two_names(request->method, resource_names[which]));
+  x.request_hash = hash_bytes(request->body->str, request->body->len,
+                              hash_two_names(request->method, resource_names[which]));
   uint64_t seq = 0;
   error err = { 0 };
-  int r = core_write(core, write_make, &x, time_from_ms(5000), &seq, &err);
-  if (!r && x.dup) {
-    seq = x.seen;
+  int r = replica_write(replica, write_make, &x, time_from_ms(5000), &seq, &err);
+  if (!r && x.is_repeat) {
+    seq = x.first_seq;
     time_us till = time_add(world_now(controller->node.world), time_from_ms(5000));
-    while (core->committed.seq < seq)
-      if (condition_wait(&controller->node.world->tasks, &core->moved, till) != WAKE_SIGNALLED)
+    while (replica->committed.seq < seq)
+      if (condition_wait(&controller->node.world->tasks, &replica->state_changed, till) !=
+          WAKE_SIGNALLED)
         break;
-    if (core->committed.seq < seq)
+    if (replica->committed.seq < seq)
       r = error_set(&err, E_OUTCOME_UNKNOWN, "the first try of this write is not confirmed yet");
   }
   time_us till = time_add(world_now(controller->node.world), time_from_ms(4000));
@@ -591,7 +599,7 @@
                     "write %" PRIu64 " stands, but only %d of %d routers have it in force yet", seq,
                     got, all);
   if (r) {
-    controller->refused++;
+    controller->writes_refused++;
     log_info(&controller->node.log, "api", "Refused a write of %s from %s: %s (code %d).",
              resource_names[which], request->client_address, err.text, r);
     refuse(request, r, err.text);
@@ -599,18 +607,18 @@
   }
   log_info(&controller->node.log, "api",
            "%s of %s from %s is write %" PRIu64 " in view %" PRIu64 "%s.", request->method,
-           resource_names[which], request->client_address, seq, core->view.epoch,
-           x.dup ? ", come again" : "");
+           resource_names[which], request->client_address, seq, replica->view.epoch,
+           x.is_repeat ? ", come again" : "");
   char buf[96];
   snprintf(buf, sizeof buf, "%" PRIu64, seq);
   http_headers_set(&request->known_response_fields, HEADER_ETAG, buf);
   snprintf(buf, sizeof buf, "{\"version\":%" PRIu64 ",\"repeated\":%s}\n", seq,
-           x.dup ? "true" : "false");
+           x.is_repeat ? "true" : "false");
   http_request_respond(request, 200, "application/json", string_view_of(buf));
 }
 
 static void res_read(controller *controller, http_request *request, int which) {
-  core *core = &controller->core;
+  replica *replica = &controller->replica;
   uint64_t after = 0;
   bool watch = false;
   char **q = g_strsplit(request->query, "&", 8);
@@ -622,60 +630,64 @@
   g_strfreev(q);
   if (watch) {
     time_us till = time_add(world_now(controller->node.world), time_from_ms(20000));
-    while (core->committed.resources[which].version <= after && !request->client_gone)
-      if (condition_wait(&controller->node.world->tasks, &core->moved, till) != WAKE_SIGNALLED)
+    while (replica->committed.resources[which].version <= after && !request->client_gone)
+      if (condition_wait(&controller->node.world->tasks, &replica->state_changed, till) !=
+          WAKE_SIGNALLED)
         break;
-    if (core->committed.resources[which].version <= after) {
+    if (replica->committed.resources[which].version <= after) {
       http_request_respond(request, 304, NULL, string_view_of(""));
       return;
     }
-    if (!core_acts(core)) {
+    if (!replica_holds_lease(replica)) {
       refuse(request, E_NO_MEMBER_LEASE, "this machine cannot tell how fresh it is");
       return;
     }
-  } else if (!core_tails(core)) {
-    const member *t = core_tail(core);
+  } else if (!replica_is_acting_tail(replica)) {
+    const member *t = replica_tail(replica);
     if (request->known_fields.values[HEADER_HOP] || !t ||
         id_equal(t->self, controller->node.settings.self)) {
       refuse(request, E_NO_MEMBER_LEASE, "no acting tail is known here");
       return;
     }
     char addr[48];
-    g_strlcpy(addr, t->addr, sizeof addr);
+    g_strlcpy(addr, t->address, sizeof addr);
     pass(controller, request, addr, false);
     return;
   }
   GString *b = g_string_new(NULL);
-  json_appendf(b, "{\"version\":%" PRIu64 ",\"value\":", core->committed.resources[which].version);
-  g_string_append(b, core->committed.resources[which].text->str);
+  json_appendf(b,
+               "{\"version\":%" PRIu64 ",\"value\":", replica->committed.resources[which].version);
+  g_string_append(b, replica->committed.resources[which].text->str);
   g_string_append(b, "}\n");
   char tag[32];
-  snprintf(tag, sizeof tag, "%" PRIu64, core->committed.resources[which].version);
+  snprintf(tag, sizeof tag, "%" PRIu64, replica->committed.resources[which].version);
   http_headers_set(&request->known_response_fields, HEADER_ETAG, tag);
   http_request_respond(request, 200, "application/json", string_view_of_gstring(b));
   g_string_free(b, TRUE);
 }
 
 static void status(controller *controller, GString *b) {
-  core *core = &controller->core;
+  replica *replica = &controller->replica;
   json_appendf(b,
                "{\"id\":\"%s\",\"role\":\"controller\",\"area\":\"%s\",\"epoch\":%" PRIu64
                ",\"version\":%" PRIu64 ",\"last\":%" PRIu64
                ",\"place\":%d,\"acts\":%s,\"whole\":%s,\"thin\":%s,",
                controller->node.settings.self.text, controller->node.settings.zone.text,
-               core->view.epoch, core->committed.seq, core->last_seq, core_place(core),
-               core_acts(core) ? "true" : "false", core_whole(core) ? "true" : "false",
-               view_thin(core, &core->view) ? "true" : "false");
+               replica->view.epoch, replica->committed.seq, replica->last_seq,
+               replica_chain_index(replica), replica_holds_lease(replica) ? "true" : "false",
+               replica_in_sync(replica) ? "true" : "false",
+               replica_view_is_under_replicated(replica, &replica->view) ? "true" : "false");
   json_appendf(b, "\"head\":\"%s\",\"tail\":\"%s\",",
-               core->view.chain_length ? core_head(core)->addr : "",
-               core->view.chain_length ? core_tail(core)->addr : "");
+               replica->view.chain_length ? replica_head(replica)->address : "",
+               replica->view.chain_length ? replica_tail(replica)->address : "");
   json_appendf(b,
                "\"disk\":{\"id\":\"%016" PRIx64 "\",\"broken\":%s,\"lastWriteMs\":%" PRId64
                ",\"file\":%u,\"used\":%zu,\"size\":%zu,\"fill\":%.3f},\"refused\":%" PRIu64 ",",
-               core->disk_id, core->disk.broken ? "true" : "false", core->disk.slow.us / 1000,
-               core->disk.cur, core->disk.off, core->disk.size,
-               (double)core->disk.base_size / (double)(core->disk.size ? core->disk.size : 1),
-               controller->refused);
+               replica->disk_id, replica->wal.failed ? "true" : "false",
+               replica->wal.last_write_time.us / 1000, replica->wal.current_file,
+               replica->wal.offset, replica->wal.size,
+               (double)replica->wal.base_size / (double)(replica->wal.size ? replica->wal.size : 1),
+               controller->writes_refused);
   node_status_json(&controller->node, b);
   g_string_append_c(b, '}');
 }
@@ -685,15 +697,16 @@
   gpointer v;
   bool first = true;
   g_string_append_c(b, '[');
-  g_hash_table_iter_init(&it, controller->core.committed.grants);
+  g_hash_table_iter_init(&it, controller->replica.committed.grants);
   while (g_hash_table_iter_next(&it, NULL, &v)) {
-    grant *grant = v;
-    time_us *t = core_place(&controller->core) == 0
-                     ? g_hash_table_lookup(controller->core.renewed, grant->duty.text)
-                     : NULL;
+    singleton_grant *grant = v;
+    time_us *t =
+        replica_chain_index(&controller->replica) == 0
+            ? g_hash_table_lookup(controller->replica.singleton_renewed_at, grant->singleton.text)
+            : NULL;
     json_appendf(
         b, "%s{\"duty\":\"%s\",\"holder\":\"%s\",\"epoch\":%" PRIu64 ",\"renewedMs\":%" PRId64 "}",
-        first ? "" : ",", grant->duty.text, grant->holder.text, grant->epoch,
+        first ? "" : ",", grant->singleton.text, grant->holder.text, grant->epoch,
         t ? time_sub(world_now(controller->node.world), *t).us / 1000 : -1);
     first = false;
   }
@@ -706,10 +719,10 @@
   gpointer v;
   bool first = true;
   g_string_append_c(b, '[');
-  g_hash_table_iter_init(&it, controller->registry.at);
+  g_hash_table_iter_init(&it, controller->registry.engines);
   while (g_hash_table_iter_next(&it, NULL, &v)) {
     Wire__EngineState w;
-    registry_fill(v, world_now(controller->node.world), &w);
+    registry_pack_engine(v, world_now(controller->node.world), &w);
     json_appendf(
         b,
         "%s{\"id\":\"%s\",\"service\":\"%s\",\"area\":\"%s\",\"addr\":\"%s\",\"slots\":%u,\"state\":\"%s\",\"count\":%" PRIu64
@@ -733,15 +746,16 @@
 }
 
 static void metrics(controller *controller, GString *b) {
-  core *core = &controller->core;
+  replica *replica = &controller->replica;
   json_appendf(
       b,
       "asterfall_view_epoch %" PRIu64 "\nasterfall_version %" PRIu64
       "\nasterfall_chain_links %d\nasterfall_acts %d\nasterfall_disk_broken %d\nasterfall_disk_last_write_us %" PRId64
       "\nasterfall_writes_refused %" PRIu64 "\nasterfall_news_sent %" PRIu64
       "\nasterfall_tasks %zu\n",
-      core->view.epoch, core->committed.seq, core->view.chain_length, core_acts(core),
-      core->disk.broken, core->disk.slow.us, controller->refused, controller->news,
+      replica->view.epoch, replica->committed.seq, replica->view.chain_length,
+      replica_holds_lease(replica), replica->wal.failed, replica->wal.last_write_time.us,
+      controller->writes_refused, controller->config_updates_sent,
       controller->node.world->tasks.count);
 }
 
@@ -750,7 +764,7 @@
   controller->http_requests++;
   const char *p = request->path;
   bool get = !strcmp(request->method, "GET");
-  if (!controller->core.running) {
+  if (!controller->replica.running) {
     refuse(request, E_NO_CONTROLLER, "starting");
     return;
   }
@@ -767,7 +781,7 @@
   GString *b = g_string_new(NULL);
   const char *type = "application/json";
   if (!strcmp(p, "/v1/view"))
-    view_json(&controller->core, b);
+    view_json(&controller->replica, b);
   else if (!strcmp(p, "/v1/nodes"))
     node_peers_json(&controller->node, b);
   else if (!strcmp(p, "/v1/status"))
@@ -805,12 +819,12 @@
 static void start_run(void *p) {
   controller *controller = p;
   error err = { 0 };
-  controller->code = core_start(&controller->core, &controller->node, &err);
-  if (controller->code) {
-    if (controller->code != E_STOPPING)
+  controller->exit_code = replica_start(&controller->replica, &controller->node, &err);
+  if (controller->exit_code) {
+    if (controller->exit_code != E_STOPPING)
       log_info(&controller->node.log, "core", "Can't start: %s (code %d).", err.text,
-               controller->code);
-    condition_broadcast(&controller->over);
+               controller->exit_code);
+    condition_broadcast(&controller->stopped);
     return;
   }
   controller->running = true;
@@ -818,7 +832,7 @@
 
 controller *controller_new(world *world, const settings *settings) {
   controller *m = g_new0(controller, 1);
-  condition_init(&m->over);
+  condition_init(&m->stopped);
   node_init(&m->node, world, settings);
   node_register_handler(&m->node, WIRE__ENVELOPE__BODY_SINGLETON_LEASE_REQUEST, on_holds, m);
   node_register_handler(&m->node, WIRE__ENVELOPE__BODY_CONFIG_POLL_REQUEST, on_news, m);
@@ -826,9 +840,9 @@
   node_register_handler(&m->node, WIRE__ENVELOPE__BODY_CANARY_END_REQUEST, on_canary_end, m);
   m->reported_seq = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
   m->grants_in_flight = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-  m->orders = g_hash_table_new(g_str_hash, g_str_equal);
+  m->config_changes = g_hash_table_new(g_str_hash, g_str_equal);
   condition_init(&m->reports_changed);
-  engines_init(m);
+  registry_sync_init(m);
   world->serve = serve;
   world->serve_context = m;
   node_start(&m->node);
@@ -837,15 +851,15 @@
 }
 
 void controller_free(controller *controller) {
-  for (int i = 0; i < PAST_TEXTS; i++)
-    if (controller->past[i].text) {
-      g_string_free(controller->past[i].text, TRUE);
-      g_string_free(controller->past[i].delta, TRUE);
+  for (int i = 0; i < ROUTING_TEXTS_CACHED; i++)
+    if (controller->routing_texts[i].text) {
+      g_string_free(controller->routing_texts[i].text, TRUE);
+      g_string_free(controller->routing_texts[i].delta, TRUE);
     }
-  core_free(&controller->core);
+  replica_free(&controller->replica);
   g_hash_table_destroy(controller->reported_seq);
   g_hash_table_destroy(controller->grants_in_flight);
-  g_hash_table_destroy(controller->orders);
+  g_hash_table_destroy(controller->config_changes);
   registry_free(&controller->registry);
   if (controller->config_text)
     g_string_free(controller->config_text, TRUE);
--- a/lib/controlplane/drain.c
+++ b/lib/controlplane/controller_drain.c
@@ -19,7 +19,7 @@
 
 /* a core machine that may take this one's vote: it is there, and has none itself */
 static bool successor_is_known(controller *controller) {
-  const view *view = &controller->core.view;
+  const view *view = &controller->replica.view;
   list_for_each (peer, &controller->node.peers, peer_node, link) {
     if (peer->role != ROLE_CONTROLLER || peer->gone || peer->draining)
       continue;
@@ -36,12 +36,12 @@
  * decide on only once one of them holds all that it holds; and its vote, when there is one to take
  * it */
 static bool handed_over(controller *controller) {
-  core *core = &controller->core;
-  if (!core->running || !core->view.epoch || core_chain_limit(core) == 1)
+  replica *replica = &controller->replica;
+  if (!replica->running || !replica->view.epoch || replica_chain_max(replica) == 1)
     return true;
-  if (core_place(core) >= 0)
+  if (replica_chain_index(replica) >= 0)
     return false;
-  return core_voter_index(core) < 0 || !successor_is_known(controller);
+  return replica_voter_index(replica) < 0 || !successor_is_known(controller);
 }
 
 static bool sleep_until(world *world, time_us till) {
@@ -53,7 +53,7 @@
  * answer */
 static void finish_calls(controller *controller, time_us end) {
   world *world = controller->node.world;
-  http_listener *control = &controller->control;
+  http_listener *control = &controller->control_listener;
   time_us last = time_sub(end, time_from_ms(EXIT_MS)),
           latest = time_sub(last, time_from_ms(LAST_CALLS_MS)),
           shut = time_add(world_now(world), time_from_ms(LINGER_MS));
@@ -72,28 +72,29 @@
   int64_t grace = controller->node.settings.shutdown_grace_ms > 0
                       ? controller->node.settings.shutdown_grace_ms
                       : GRACE_MS,
-          calls = controller->has_control ? LINGER_LEAST_MS + LAST_CALLS_MS : 0;
+          calls = controller->has_control_listener ? LINGER_LEAST_MS + LAST_CALLS_MS : 0;
   time_us now = world_now(world), end = time_add(now, time_from_ms(grace)),
           latest = time_add(now, time_from_ms(MAX(grace - calls - EXIT_MS, HANDOVER_LEAST_MS)));
   while (!handed_over(controller) && !time_reached(world_now(world), latest))
     if (!world_sleep(world, time_from_ms(STEP_MS)))
       return;
   log_info(&controller->node.log, "core", "%s, stopping.",
-           core_place(&controller->core) < 0 ? "Out of the chain" : "Still in the chain");
-  if (controller->has_control)
+           replica_chain_index(&controller->replica) < 0 ? "Out of the chain"
+                                                         : "Still in the chain");
+  if (controller->has_control_listener)
     finish_calls(controller, end);
   if (world->tasks.stopped)
     return;
-  controller->code = OK;
-  condition_broadcast(&controller->over);
+  controller->exit_code = OK;
+  condition_broadcast(&controller->stopped);
 }
 
 void controller_drain(controller *controller) {
-  if (controller->core.draining)
+  if (controller->replica.draining)
     return;
-  controller->core.draining = true;
-  if (controller->has_control) {
-    controller->control.draining = controller->node.draining = true;
+  controller->replica.draining = true;
+  if (controller->has_control_listener) {
+    controller->control_listener.draining = controller->node.draining = true;
     Wire__Heartbeat b = WIRE__HEARTBEAT__INIT;
     Wire__Envelope w = wire_envelope(WIRE__ENVELOPE__BODY_HEARTBEAT, &b);
     list_for_each (peer, &controller->node.peers, peer_node, link)
--- a/lib/controlplane/decide_lease.h
+++ b/lib/controlplane/member_lease_rules.h
@@ -3,21 +3,23 @@
 /** The decisions about leases: what a voter may grant, and when a member of the chain may act.
  * Nothing here waits, sends or reads a clock; the time is passed in, in terms of this machine's own
  * clock. */
-#include "core.h"
+#include "replica.h"
 
 /** Begins with the start of the process: leases are kept in memory only. */
-void lease_begin(lease_book *b, time_us now);
+void member_leases_init(member_leases *b, time_us now);
 /** True when no lease that this voter gave to a machine outside the view may still run. */
-bool lease_none_outside(const lease_book *b, const view *known, time_us now);
+bool member_leases_none_outside(const member_leases *b, const view *known, time_us now);
 /** Grants a lease to a member of the view that this voter knows; false when it must not. */
-bool lease_grant(lease_book *b, const view *known, bool pending, const member *who, time_us now);
+bool member_leases_grant(member_leases *b, const view *known, bool pending, const member *who,
+                         time_us now);
 /** Takes back what was granted to a machine that says that it knows it was left out. */
-void lease_release(lease_book *b, uint64_t disk);
+void member_leases_release(member_leases *b, uint64_t disk);
 /** Notes a lease that a voter granted; it counts from when it was asked for. */
-void lease_hold(lease_book *b, int voter, uint64_t disk, time_us asked);
+void member_leases_record(member_leases *b, int voter, uint64_t disk, time_us asked);
 /** True when a majority of the voters of the known view grants this machine a lease at this
  * instant. self is its index among the voters, or -1. */
-bool lease_runs(lease_book *b, const view *known, int self, bool pending, time_us now);
+bool member_leases_majority(member_leases *b, const view *known, int self, bool pending,
+                            time_us now);
 /** Goes over to the next view that is known: sets from when this machine may act in it. */
-void lease_enter_view(lease_book *b, const view *was, const view *next, time_us now);
+void member_leases_enter_view(member_leases *b, const view *was, const view *next, time_us now);
 #endif
--- a/lib/controlplane/engines.c
+++ b/lib/controlplane/registry_sync.c
@@ -16,16 +16,16 @@
 static void lot_run(void *p) {
   controller *controller = p;
   for (;;) {
-    if (controller->reg_shown == controller->registry.seq &&
-        condition_wait(&controller->node.world->tasks, &controller->reg_moved, time_never()) ==
-            WAKE_STOPPED)
+    if (controller->registry_seq_announced == controller->registry.seq &&
+        condition_wait(&controller->node.world->tasks, &controller->registry_changed,
+                       time_never()) == WAKE_STOPPED)
       return;
     if (!world_sleep(controller->node.world, time_from_ms(LOT_MS)))
       return;
-    if (controller->reg_shown == controller->registry.seq)
+    if (controller->registry_seq_announced == controller->registry.seq)
       continue;
-    controller->reg_shown = controller->registry.seq;
-    condition_broadcast(&controller->core.moved);
+    controller->registry_seq_announced = controller->registry.seq;
+    condition_broadcast(&controller->replica.state_changed);
   }
 }
 
@@ -48,40 +48,40 @@
 
 static void cast_one(controller *controller, enum role r, const registered_engine *entry) {
   Wire__EngineState w, *one = &w;
-  registry_fill(entry, world_now(controller->node.world), &w);
+  registry_pack_engine(entry, world_now(controller->node.world), &w);
   cast(controller, r, &one, 1);
 }
 
 typedef struct {
   controller *controller;
-  id who;
-} again;
+  id engine;
+} repeat_update;
 
 /* a cast may be lost, and what was acknowledged is a promise */
 static void again_run(void *p) {
-  again *a = p;
+  repeat_update *a = p;
   if (world_sleep(a->controller->node.world, time_from_ms(AGAIN_MS))) {
-    registered_engine *entry = registry_find(&a->controller->registry, a->who.text);
+    registered_engine *entry = registry_find(&a->controller->registry, a->engine.text);
     if (entry)
       cast_one(a->controller, ROLE_ROUTER, entry);
   }
   g_free(a);
 }
 
-void engines_folded(controller *controller, const char *who, enum fold f) {
-  if (f != FOLD_CHANGED && f != FOLD_ENDING)
+void registry_sync_announce(controller *controller, const char *who, enum registry_update f) {
+  if (f != REGISTRY_CHANGED && f != REGISTRY_DRAINING)
     return;
   registered_engine *entry = registry_find(&controller->registry, who);
   if (!entry)
     return;
   cast_one(controller, ROLE_CONTROLLER, entry);
-  if (f == FOLD_ENDING) {
+  if (f == REGISTRY_DRAINING) {
     cast_one(controller, ROLE_ROUTER, entry);
-    again *a = g_new(again, 1);
-    *a = (again){ controller, id_of_text(who) };
+    repeat_update *a = g_new(repeat_update, 1);
+    *a = (repeat_update){ controller, id_of_text(who) };
     task_start(&controller->node.world->tasks, "again", again_run, a);
   }
-  condition_broadcast(&controller->reg_moved);
+  condition_broadcast(&controller->registry_changed);
 }
 
 /* folds what another core machine says; true when it knows of changes whose text is not here */
@@ -91,9 +91,9 @@
   bool want = false;
   for (size_t i = 0; i < in->n_engines; i++)
     if (id_is_valid(string_view_of(in->engines[i]->id)))
-      want |= registry_heard(&controller->registry, in->engines[i], now) == FOLD_WANT;
+      want |= registry_merge(&controller->registry, in->engines[i], now) == REGISTRY_NEEDS_FETCH;
   if (controller->registry.seq != was)
-    condition_broadcast(&controller->reg_moved);
+    condition_broadcast(&controller->registry_changed);
   return want;
 }
 
@@ -114,12 +114,12 @@
 
 typedef struct {
   controller *controller;
-  char addr[48];
-} asking;
+  char address[48];
+} registry_fetch;
 
 static void request_run(void *p) {
-  asking *a = p;
-  fetch_all(a->controller, a->addr);
+  registry_fetch *a = p;
+  fetch_all(a->controller, a->address);
   g_free(a);
 }
 
@@ -130,27 +130,28 @@
   if (!in->engine_update->want_response) {
     time_us now = world_now(controller->node.world);
     if (!hear(controller, in->engine_update) ||
-        !time_reached(now, time_add(controller->reg_asked, time_from_ms(REQUEST_EACH_MS))))
+        !time_reached(now,
+                      time_add(controller->registry_fetched_at, time_from_ms(REQUEST_EACH_MS))))
       return OK;
-    controller->reg_asked = now;
-    asking *a = g_new0(asking, 1);
+    controller->registry_fetched_at = now;
+    registry_fetch *a = g_new0(registry_fetch, 1);
     a->controller = controller;
-    g_strlcpy(a->addr, in->from->address, sizeof a->addr);
+    g_strlcpy(a->address, in->from->address, sizeof a->address);
     task_start(&controller->node.world->tasks, "ask", request_run, a);
     return OK;
   }
-  if (!controller->registry.settled)
+  if (!controller->registry.complete)
     return error_set(err, E_IN_PROGRESS, "this machine has not heard of all engines yet");
   Wire__EngineUpdate *b =
       reply_new_body(reply, WIRE__ENVELOPE__BODY_ENGINE_UPDATE, &wire__engine_update__descriptor);
-  guint n = g_hash_table_size(controller->registry.at), i = 0;
+  guint n = g_hash_table_size(controller->registry.engines), i = 0;
   Wire__EngineState *all = reply_alloc(reply, sizeof *all * (n + 1));
   b->engines = reply_alloc(reply, sizeof(void *) * (n + 1));
   GHashTableIter it;
   gpointer p;
-  g_hash_table_iter_init(&it, controller->registry.at);
+  g_hash_table_iter_init(&it, controller->registry.engines);
   while (g_hash_table_iter_next(&it, NULL, &p)) {
-    registry_fill(p, world_now(controller->node.world), &all[i]);
+    registry_pack_engine(p, world_now(controller->node.world), &all[i]);
     b->engines[i] = &all[i];
     i++;
   }
@@ -158,21 +159,22 @@
   return OK;
 }
 
-bool engines_news(const controller *controller, const Wire__ConfigPollRequest *q) {
-  return q->registry_run == controller->registry.run ? q->registry_sequence < controller->reg_shown
-                                                     : controller->reg_shown > 0;
+bool registry_sync_has_changes(const controller *controller, const Wire__ConfigPollRequest *q) {
+  return q->registry_run == controller->registry.run
+             ? q->registry_sequence < controller->registry_seq_announced
+             : controller->registry_seq_announced > 0;
 }
 
-void engines_fill(controller *controller, const Wire__ConfigPollRequest *q,
-                  Wire__ConfigPollResponse *b, reply *reply) {
+void registry_sync_fill_response(controller *controller, const Wire__ConfigPollRequest *q,
+                                 Wire__ConfigPollResponse *b, reply *reply) {
   registry *registry = &controller->registry;
   bool whole;
-  GPtrArray *all = registry_since(registry, q->registry_run, q->registry_sequence, &whole);
+  GPtrArray *all = registry_changed_since(registry, q->registry_run, q->registry_sequence, &whole);
   Wire__EngineState *w = reply_alloc(reply, sizeof *w * (all->len + 1));
   b->engines = reply_alloc(reply, sizeof(void *) * (all->len + 1));
   time_us now = world_now(controller->node.world);
   for (guint i = 0; i < all->len; i++) {
-    registry_fill(all->pdata[i], now, &w[i]);
+    registry_pack_engine(all->pdata[i], now, &w[i]);
     b->engines[i] = &w[i];
   }
   b->n_engines = all->len;
@@ -199,30 +201,30 @@
   while (world_sleep_with_jitter(controller->node.world, time_from_ms(SWEEP_MS))) {
     time_us now = world_now(controller->node.world);
     if (registry_sweep(&controller->registry, now, all_reached(controller)))
-      condition_broadcast(&controller->reg_moved);
+      condition_broadcast(&controller->registry_changed);
     if (!time_reached(now,
                       time_add(told, time_from_ms(CLAMP(SPREAD_MS * controllers(controller) / 4,
                                                         SPREAD_MS, SPREAD_MOST_MS)))))
       continue;
     told = now;
-    guint n = g_hash_table_size(controller->registry.at), i = 0;
+    guint n = g_hash_table_size(controller->registry.engines), i = 0;
     Wire__EngineState *w = g_new(Wire__EngineState, n + 1),
                       **all = g_new(Wire__EngineState *, n + 1);
     GHashTableIter it;
     gpointer q;
-    g_hash_table_iter_init(&it, controller->registry.at);
+    g_hash_table_iter_init(&it, controller->registry.engines);
     while (g_hash_table_iter_next(&it, NULL, &q)) {
       registered_engine *entry = q;
-      if (!entry->changed_here)
+      if (!entry->unannounced)
         continue;
-      entry->changed_here = false;
+      entry->unannounced = false;
       if (entry->gone)
         continue;
       wire__engine_state__init(&w[i]);
-      w[i].id = entry->beat->id;
-      w[i].heartbeat_count = entry->count;
-      w[i].checksum = entry->sum;
-      w[i].age_ms = (uint64_t)MAX(0, time_sub(now, entry->heard).us / 1000);
+      w[i].id = entry->heartbeat->id;
+      w[i].heartbeat_count = entry->heartbeat_count;
+      w[i].checksum = entry->checksum;
+      w[i].age_ms = (uint64_t)MAX(0, time_sub(now, entry->last_heard_at).us / 1000);
       all[i] = &w[i];
       i++;
     }
@@ -246,7 +248,7 @@
       g_strlcpy(addr, peer->address, sizeof addr);
     time_us now = world_now(controller->node.world);
     if (time_reached(now,
-                     time_add(from, time_from_ms(registry->newest.us > from.us
+                     time_add(from, time_from_ms(registry->newest_heartbeat_at.us > from.us
                                                      ? registry->silent_ms
                                                      : registry->silent_ms * NO_ANSWER_TIMES))) ||
         (addr[0] && fetch_all(controller, addr)))
@@ -254,19 +256,19 @@
     if (!world_sleep_with_jitter(controller->node.world, time_from_ms(250)))
       return;
   }
-  registry_settle(registry);
-  condition_broadcast(&controller->reg_moved);
+  registry_set_complete(registry);
+  condition_broadcast(&controller->registry_changed);
 }
 
-void engines_init(controller *controller) {
-  condition_init(&controller->reg_moved);
+void registry_sync_init(controller *controller) {
+  condition_init(&controller->registry_changed);
   /* the run of a registry is that of its process */
   registry_init(&controller->registry, controller->node.nonce, world_now(controller->node.world));
   node_register_handler(&controller->node, WIRE__ENVELOPE__BODY_ENGINE_UPDATE, on_engines,
                         controller);
 }
 
-void engines_start(controller *controller) {
+void registry_sync_start(controller *controller) {
   scheduler *t = &controller->node.world->tasks;
   task_start(t, "lot", lot_run, controller);
   task_start(t, "spread", spread_run, controller);
--- a/lib/controlplane/state.c
+++ b/lib/controlplane/state.c
@@ -8,7 +8,7 @@
     state->resources[i].text = g_string_new("{}");
   state->grants = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, g_free);
   g_queue_init(&state->idempotency_records);
-  accepted_init(&state->accepted);
+  accepted_changes_init(&state->accepted);
 }
 
 void state_free(state *state) {
@@ -18,14 +18,14 @@
     g_string_free(state->resources[i].text, TRUE);
   g_hash_table_destroy(state->grants);
   g_queue_clear_full(&state->idempotency_records, g_free);
-  accepted_free(&state->accepted);
+  accepted_changes_free(&state->accepted);
   memset(state, 0, sizeof *state);
 }
 
 void state_copy(state *to, const state *from) {
   state_free(to);
   state_init(to);
-  to->fleet = from->fleet;
+  to->fleet_id = from->fleet_id;
   to->seq = from->seq;
   for (int i = 0; i < RESOURCE_COUNT; i++) {
     to->resources[i].version = from->resources[i].version;
@@ -35,21 +35,21 @@
   gpointer v;
   g_hash_table_iter_init(&it, from->grants);
   while (g_hash_table_iter_next(&it, NULL, &v)) {
-    grant *grant = g_memdup2(v, sizeof *grant);
-    g_hash_table_insert(to->grants, grant->duty.text, grant);
+    singleton_grant *grant = g_memdup2(v, sizeof *grant);
+    g_hash_table_insert(to->grants, grant->singleton.text, grant);
   }
   for (GList *l = from->idempotency_records.head; l; l = l->next)
     g_queue_push_tail(&to->idempotency_records, g_memdup2(l->data, sizeof(idempotency_record)));
-  accepted_copy(&to->accepted, &from->accepted);
+  accepted_changes_copy(&to->accepted, &from->accepted);
 }
 
 static void put_grant(state *state, const Wire__SingletonGrant *w) {
-  grant *g = g_new0(grant, 1);
-  g->duty = id_of_text(w->singleton);
+  singleton_grant *g = g_new0(singleton_grant, 1);
+  g->singleton = id_of_text(w->singleton);
   g->holder = id_of_text(w->holder);
   g->nonce = w->nonce;
   g->epoch = w->epoch;
-  g_hash_table_replace(state->grants, g->duty.text, g);
+  g_hash_table_replace(state->grants, g->singleton.text, g);
 }
 
 static void put_idempotency_record(state *state, const char *key, uint64_t seq, uint64_t hash) {
@@ -80,18 +80,19 @@
   if (o->idempotency_key[0])
     put_idempotency_record(state, o->idempotency_key, seq, o->request_hash);
   if (o->accepted_change)
-    accepted_add(&state->accepted, o->accepted_change->base_version, o->accepted_change->hash, seq);
+    accepted_changes_add(&state->accepted, o->accepted_change->base_version,
+                         o->accepted_change->hash, seq);
   wire__operation__free_unpacked(o, NULL);
 }
 
-const idempotency_record *state_idempotency_record(const state *state, const char *key) {
+const idempotency_record *state_find_idempotency_record(const state *state, const char *key) {
   for (GList *l = state->idempotency_records.head; l; l = l->next)
     if (!strcmp(((idempotency_record *)l->data)->key, key))
       return l->data;
   return NULL;
 }
 
-const grant *state_grant(const state *state, const char *duty) {
+const singleton_grant *state_find_grant(const state *state, const char *duty) {
   return g_hash_table_lookup(state->grants, duty);
 }
 
@@ -105,7 +106,7 @@
                        **gp = g_new(Wire__SingletonGrant *, n + 1);
   Wire__IdempotencyRecord *os = g_new(Wire__IdempotencyRecord, k + 1),
                           **op = g_new(Wire__IdempotencyRecord *, k + 1);
-  d.fleet_id = state->fleet;
+  d.fleet_id = state->fleet_id;
   d.sequence = state->seq;
   d.epoch = epoch;
   for (int r = 0; r < RESOURCE_COUNT; r++) {
@@ -127,9 +128,9 @@
   gpointer v;
   g_hash_table_iter_init(&it, state->grants);
   while (g_hash_table_iter_next(&it, NULL, &v)) {
-    grant *grant = v;
+    singleton_grant *grant = v;
     wire__singleton_grant__init(&gs[i]);
-    gs[i].singleton = grant->duty.text;
+    gs[i].singleton = grant->singleton.text;
     gs[i].holder = grant->holder.text;
     gs[i].nonce = grant->nonce;
     gs[i].epoch = grant->epoch;
@@ -154,14 +155,14 @@
   d.idempotency_records = op;
   Wire__AcceptedChanges accepted;
   if (keys) {
-    accepted_pack(&state->accepted, &accepted);
+    accepted_changes_pack(&state->accepted, &accepted);
     d.accepted = &accepted;
   }
   size_t size = wire__state_snapshot__get_packed_size(&d), at = to->len;
   g_string_set_size(to, at + size);
   wire__state_snapshot__pack(&d, (uint8_t *)to->str + at);
   if (keys)
-    accepted_packed_free(&accepted);
+    accepted_changes_packed_free(&accepted);
   g_free(gs);
   g_free(gp);
   g_free(os);
@@ -171,25 +172,27 @@
 void state_pack(const state *state, uint64_t epoch, GString *to) {
   pack(state, epoch, true, NULL, 0, 0, (string_view){ NULL, 0 }, to);
 }
-void state_news(const state *state, uint64_t epoch, const uint64_t *held, size_t n, GString *to) {
+void state_pack_for_router(const state *state, uint64_t epoch, const uint64_t *held, size_t n,
+                           GString *to) {
   pack(state, epoch, false, held, n, 0, (string_view){ NULL, 0 }, to);
 }
-void state_news_delta(const state *state, uint64_t epoch, const uint64_t *held, size_t n,
-                      uint64_t base, string_view delta, GString *to) {
+void state_pack_for_router_with_delta(const state *state, uint64_t epoch, const uint64_t *held,
+                                      size_t n, uint64_t base, string_view delta, GString *to) {
   pack(state, epoch, false, held, n, base, delta, to);
 }
 
-size_t state_size(const state *state) {
-  size_t n = 256 + (sizeof(grant) + 32) * g_hash_table_size(state->grants) +
+size_t state_packed_size_max(const state *state) {
+  size_t n = 256 + (sizeof(singleton_grant) + 32) * g_hash_table_size(state->grants) +
              (sizeof(idempotency_record) + 32) * (state->idempotency_records.length + 1) +
-             accepted_size(&state->accepted);
+             accepted_changes_packed_size(&state->accepted);
   for (int i = 0; i < RESOURCE_COUNT; i++)
     n += state->resources[i].text->len + 64;
   return n;
 }
 
-uint64_t state_sum(const state *state) {
-  uint64_t n = hash_bytes(&state->seq, sizeof state->seq, state->fleet) ^ state->accepted.sum;
+uint64_t state_checksum(const state *state) {
+  uint64_t n =
+      hash_bytes(&state->seq, sizeof state->seq, state->fleet_id) ^ state->accepted.checksum;
   /* the same as on core machines of a version without the later ones, as long as these are blank */
   for (int i = 0; i < RESOURCE_COUNT; i++)
     if (i < RESOURCE_CANARY || state->resources[i].version)
@@ -199,8 +202,8 @@
   gpointer v;
   g_hash_table_iter_init(&it, state->grants);
   while (g_hash_table_iter_next(&it, NULL, &v)) {
-    const grant *grant = v;
-    n ^= hash_two_names(grant->duty.text, grant->holder.text) +
+    const singleton_grant *grant = v;
+    n ^= hash_two_names(grant->singleton.text, grant->holder.text) +
          hash_bytes(&grant->epoch, sizeof grant->epoch, grant->nonce);
   }
   for (GList *l = state->idempotency_records.head; l; l = l->next)
@@ -217,7 +220,7 @@
     return false;
   state_free(state);
   state_init(state);
-  state->fleet = d->fleet_id;
+  state->fleet_id = d->fleet_id;
   state->seq = d->sequence;
   for (size_t i = 0; i < d->n_resources; i++)
     for (int k = 0; k < RESOURCE_COUNT; k++)
@@ -232,12 +235,12 @@
   for (size_t i = 0; i < d->n_idempotency_records; i++)
     put_idempotency_record(state, d->idempotency_records[i]->key,
                            d->idempotency_records[i]->sequence, d->idempotency_records[i]->hash);
-  accepted_unpack(&state->accepted, d->accepted);
+  accepted_changes_unpack(&state->accepted, d->accepted);
   wire__state_snapshot__free_unpacked(d, NULL);
   return true;
 }
 
-config *state_config(const state *state, int which, const string_view *text, error *err) {
+config *state_compile_config(const state *state, int which, const string_view *text, error *err) {
   json *j[RESOURCE_COUNT] = { 0 };
   config *config = NULL;
   bool ok = true;
--- a/lib/controlplane/view.c
+++ b/lib/controlplane/view.c
@@ -1,12 +1,12 @@
 /** Views and members of the core: their comparison, and their form as messages. */
-#include "core_internal.h"
+#include "replica_internal.h"
 
 void member_pack(Wire__Member *w, const member *member) {
   wire__member__init(w);
   w->id = (char *)member->self.text;
-  w->address = (char *)member->addr;
-  w->zone = (char *)member->area.text;
-  w->disk_id = member->disk;
+  w->address = (char *)member->address;
+  w->zone = (char *)member->zone.text;
+  w->disk_id = member->disk_id;
 }
 
 bool member_unpack(member *member, const Wire__Member *w) {
@@ -14,23 +14,23 @@
       !id_is_valid(string_view_of(w->zone)))
     return false;
   member->self = id_of_text(w->id);
-  member->area = id_of_text(w->zone);
-  member->disk = w->disk_id;
-  g_strlcpy(member->addr, w->address, sizeof member->addr);
+  member->zone = id_of_text(w->zone);
+  member->disk_id = w->disk_id;
+  g_strlcpy(member->address, w->address, sizeof member->address);
   return true;
 }
 
-Wire__View *view_pack(view_msg *o, const view *view) {
+Wire__View *view_pack(view_message *o, const view *view) {
   wire__view__init(&o->v);
   o->v.epoch = view->epoch;
-  o->v.fleet_id = view->fleet;
+  o->v.fleet_id = view->fleet_id;
   for (int i = 0; i < view->chain_length; i++) {
     member_pack(&o->m[i], &view->chain[i]);
     o->c[i] = &o->m[i];
   }
   for (int i = 0; i < view->voter_count; i++) {
-    member_pack(&o->m[CHAIN_MOST + i], &view->voters[i]);
-    o->o[i] = &o->m[CHAIN_MOST + i];
+    member_pack(&o->m[CHAIN_MAX + i], &view->voters[i]);
+    o->o[i] = &o->m[CHAIN_MAX + i];
   }
   o->v.n_chain = view->chain_length;
   o->v.chain = o->c;
@@ -41,11 +41,11 @@
 
 bool view_unpack(view *view, const Wire__View *w) {
   memset(view, 0, sizeof *view);
-  if (!w || !w->epoch || !w->fleet_id || !w->n_chain || w->n_chain > CHAIN_MOST || !w->n_voters ||
-      w->n_voters > VOTERS_MOST)
+  if (!w || !w->epoch || !w->fleet_id || !w->n_chain || w->n_chain > CHAIN_MAX || !w->n_voters ||
+      w->n_voters > VOTERS_MAX)
     return false;
   view->epoch = w->epoch;
-  view->fleet = w->fleet_id;
+  view->fleet_id = w->fleet_id;
   view->chain_length = w->n_chain;
   view->voter_count = w->n_voters;
   for (int i = 0; i < view->chain_length; i++)
@@ -57,22 +57,22 @@
   return true;
 }
 
-bool member_same(const member *a, const member *b) {
-  return id_equal(a->self, b->self) && a->disk == b->disk;
+bool member_equal(const member *a, const member *b) {
+  return id_equal(a->self, b->self) && a->disk_id == b->disk_id;
 }
 
-int ballot_cmp(ballot a, const Wire__ProposalNumber *b) {
+int proposal_number_compare_message(proposal_number a, const Wire__ProposalNumber *b) {
   uint64_t n = b ? b->round : 0;
   if (a.round != n)
     return a.round < n ? -1 : 1;
   return strcmp(a.proposer.text, b && b->proposer ? b->proposer : "");
 }
 
-ballot ballot_unpack(const Wire__ProposalNumber *b) {
-  return b ? (ballot){ b->round, id_of_text(b->proposer) } : (ballot){ 0 };
+proposal_number proposal_number_unpack(const Wire__ProposalNumber *b) {
+  return b ? (proposal_number){ b->round, id_of_text(b->proposer) } : (proposal_number){ 0 };
 }
 
-void ballot_pack(Wire__ProposalNumber *w, const ballot *b) {
+void proposal_number_pack(Wire__ProposalNumber *w, const proposal_number *b) {
   wire__proposal_number__init(w);
   w->round = b->round;
   w->proposer = (char *)b->proposer.text;
@@ -80,7 +80,7 @@
 
 int member_index(const member *all, int n, const member *member) {
   for (int i = 0; i < n; i++)
-    if (member_same(&all[i], member))
+    if (member_equal(&all[i], member))
       return i;
   return -1;
 }
@@ -99,21 +99,22 @@
   return true;
 }
 
-bool view_thin(const core *core, const view *view) {
-  bool told = core->node->settings.write_replicas > 0;
-  return chain_thin(view, told ? core->node->settings.write_replicas : 2,
-                    told ? core->node->settings.write_zones : 2);
+bool replica_view_is_under_replicated(const replica *replica, const view *view) {
+  bool told = replica->node->settings.write_replicas > 0;
+  return chain_is_under_replicated(view, told ? replica->node->settings.write_replicas : 2,
+                                   told ? replica->node->settings.write_zones : 2);
 }
 
-void view_json(const core *core, GString *to) {
-  const view *view = &core->view;
+void view_json(const replica *replica, GString *to) {
+  const view *view = &replica->view;
   json_appendf(to, "{\"epoch\":%" PRIu64 ",\"fleet\":\"%016" PRIx64 "\",\"thin\":%s,\"chain\":[",
-               view->epoch, view->fleet, view_thin(core, view) ? "true" : "false");
+               view->epoch, view->fleet_id,
+               replica_view_is_under_replicated(replica, view) ? "true" : "false");
   for (int i = 0; i < view->chain_length; i++)
     json_appendf(to,
                  "%s{\"id\":\"%s\",\"area\":\"%s\",\"addr\":\"%s\",\"disk\":\"%016" PRIx64 "\"}",
-                 i ? "," : "", view->chain[i].self.text, view->chain[i].area.text,
-                 view->chain[i].addr, view->chain[i].disk);
+                 i ? "," : "", view->chain[i].self.text, view->chain[i].zone.text,
+                 view->chain[i].address, view->chain[i].disk_id);
   g_string_append(to, "],\"voters\":[");
   for (int i = 0; i < view->voter_count; i++)
     json_appendf(to, "%s\"%s\"", i ? "," : "", view->voters[i].self.text);
--- a/lib/doctor/doctor.c
+++ b/lib/doctor/doctor.c
@@ -12,7 +12,7 @@
 } examined_node;
 typedef struct {
   world *world;
-  GArray *found, *all;
+  GArray *wal_condition, *all;
 } examination;
 
 static const char *const nexts[] = {
@@ -48,11 +48,11 @@
   va_start(a, form);
   vsnprintf(f.evidence, sizeof f.evidence, form, a);
   va_end(a);
-  for (guint i = 0; i < examination->found->len; i++)
-    if (g_array_index(examination->found, finding, i).code == code &&
-        !strcmp(g_array_index(examination->found, finding, i).evidence, f.evidence))
+  for (guint i = 0; i < examination->wal_condition->len; i++)
+    if (g_array_index(examination->wal_condition, finding, i).code == code &&
+        !strcmp(g_array_index(examination->wal_condition, finding, i).evidence, f.evidence))
       return;
-  g_array_append_val(examination->found, f);
+  g_array_append_val(examination->wal_condition, f);
 }
 
 static json *fetch_page(examination *examination, const char *addr, const char *path, int64_t *ms) {
@@ -433,5 +433,5 @@
     json_free(node->gateway);
   }
   g_array_free(l.all, TRUE);
-  return l.found;
+  return l.wal_condition;
 }
--- a/lib/gateway/canary.c
+++ b/lib/gateway/canary.c
@@ -241,8 +241,8 @@
 
 /* takes a node's totals: those of one run only ever grow, so a repeated or overtaken report changes
  * nothing */
-static void fold(gateway *gateway, canary_judge_t *judge, id who, uint64_t nonce,
-                 const Wire__CanaryReportRequest *q) {
+static void registry_update(gateway *gateway, canary_judge_t *judge, id who, uint64_t nonce,
+                            const Wire__CanaryReportRequest *q) {
   heard_of *h = NULL;
   for (guint i = 0; i < judge->nodes->len && !h; i++)
     if (g_array_index(judge->nodes, heard_of, i).nonce == nonce)
@@ -295,7 +295,7 @@
   canary_judge_t *judge = judge_of(gateway);
   if (!judge || judge->version != q->version)
     return error_set(err, E_NO_LEASE_HOLDER, "this node does not judge this trial");
-  fold(gateway, judge, id_of_text(in->from->id), in->from->nonce, q);
+  registry_update(gateway, judge, id_of_text(in->from->id), in->from->nonce, q);
   Wire__CanaryReportResponse *b = reply_new_body(reply, WIRE__ENVELOPE__BODY_CANARY_REPORT_RESPONSE,
                                                  &wire__canary_report_response__descriptor);
   fill_back(gateway, judge, q, b);
@@ -383,7 +383,8 @@
   canary_judge_t *judge = judge_of(gateway);
   if (judge) {
     Wire__CanaryReportResponse b = WIRE__CANARY_REPORT_RESPONSE__INIT;
-    fold(gateway, judge, gateway->router->node.settings.self, gateway->router->node.nonce, &q);
+    registry_update(gateway, judge, gateway->router->node.settings.self,
+                    gateway->router->node.nonce, &q);
     fill_back(gateway, judge, &q, &b);
     canary->judge = gateway->router->node.settings.self;
     take_back(gateway, &b, sent);
--- a/lib/http/http_server.c
+++ b/lib/http/http_server.c
@@ -13,7 +13,7 @@
   AHEAD_MOST = 16 * 1024,
   PIECE = 64 * 1024,
   LINGER_MS = 1000,
-  STALL_MS = 30000,
+  DISK_STALL_MS = 30000,
   RETRY_MS = 50,
   BACKLOG = 4096,
   BODY_SPANS = 10
@@ -202,7 +202,7 @@
 static void server_finish(server_connection *server) {
   server->conn.closing = true;
   if (server->conn.pending_output) {
-    connection_set_idle_timeout(&server->conn, STALL_MS);
+    connection_set_idle_timeout(&server->conn, DISK_STALL_MS);
     return;
   }
   shutdown(server->conn.sim.fd, SHUT_WR);
@@ -497,7 +497,7 @@
       condition_broadcast(&request->drained);
     /* a caller that reads nothing more of what is left must not hold us for ever */
     if (server->conn.pending_output && visit->output_complete)
-      connection_set_idle_timeout(&server->conn, STALL_MS);
+      connection_set_idle_timeout(&server->conn, DISK_STALL_MS);
   }
 }
 
--- a/tests/catch_up.c
+++ b/tests/catch_up.c
@@ -1,7 +1,7 @@
 /** Catching up: a member that was restarted, or comes back empty, is whole within the span for
  * which it counts as lost (syncS on the pages), whatever the state weighs and however fast it
  * changes; and no machine leads with, or gives out, an old state. */
-#include "core_internal.h"
+#include "replica_internal.h"
 #include "tests.h"
 #include <stdio.h>
 
@@ -153,15 +153,15 @@
 /* in the youngest view that any live machine knows; what one that has just started believes of
  * itself may be old */
 static bool is_whole_member(const fleet *fleet, const host *host) {
-  if (!host->alive || !host->controller->core.running)
+  if (!host->alive || !host->controller->replica.running)
     return false;
   uint64_t youngest = 0;
   for (int i = 0; i < fleet->controllers; i++)
     if (fleet->controller[i]->alive)
-      youngest = MAX(youngest, fleet->controller[i]->controller->core.view.epoch);
-  const core *core = &host->controller->core;
-  return core->view.epoch == youngest && core_place(core) >= 0 && core->whole &&
-         core_voter_index(core) >= 0;
+      youngest = MAX(youngest, fleet->controller[i]->controller->replica.view.epoch);
+  const replica *core = &host->controller->replica;
+  return core->view.epoch == youngest && replica_chain_index(core) >= 0 && core->in_sync &&
+         replica_voter_index(core) >= 0;
 }
 
 /* runs until a machine that came back is whole and votes; it has to be in time */
@@ -215,7 +215,7 @@
   size_t n = 0;
   f.sequence = *seq;
   f.offset = off;
-  if (!on_fetch(&host->controller->core, &in, &out, &err)) {
+  if (!snapshot_on_request(&host->controller->replica, &in, &out, &err)) {
     n = out.envelope.snapshot_response->chunk.len;
     *seq = out.envelope.snapshot_response->sequence;
     g_string_append_len(to, (char *)out.envelope.snapshot_response->chunk.data, (gssize)n);
@@ -255,8 +255,8 @@
     g_string_free(got[i], TRUE);
   }
   sim_run(fleet->sim, time_from_ms(2 * SNAPSHOT_IDLE_MS));
-  for (int i = 0; i < SNAPSHOTS_MOST; i++)
-    if (host->controller->core.snapshots[i].text)
+  for (int i = 0; i < SNAPSHOTS_MAX; i++)
+    if (host->controller->replica.snapshots[i].text)
       violation(fleet, "a state that nobody fetches is still kept");
   return true;
 }
--- a/tests/copies.c
+++ b/tests/copies.c
@@ -52,12 +52,12 @@
     host *host = fleet->controller[i];
     if (!host->alive || host->frozen || !host->controller)
       continue;
-    core *core = &host->controller->core;
-    if (core_tails(core) && core->committed.seq < most)
+    replica *core = &host->controller->replica;
+    if (replica_is_acting_tail(core) && core->committed.seq < most)
       violation(fleet,
                 "the tail %s answers reads at write %" PRIu64 ", %" PRIu64 " was committed before",
                 host->self.text, core->committed.seq, most);
-    if (core_tails(core) || core_heads(core))
+    if (replica_is_acting_tail(core) || replica_is_acting_head(core))
       now = MAX(now, core->committed.seq);
   }
   return now;
@@ -90,7 +90,7 @@
     back = head != NULL;
     if (!back)
       break;
-    view v = head->controller->core.view;
+    view v = head->controller->replica.view;
     host *first = chain_host(fleet, &v, 3), *second = chain_host(fleet, &v, 4);
     host_power(first);
     host_power(second);
@@ -132,7 +132,7 @@
   host *head = fleet_head(fleet), *tail = fleet_tail(fleet);
   if (!head || !tail)
     return false;
-  view v = head->controller->core.view;
+  view v = head->controller->replica.view;
   host *middle = chain_host(fleet, &v, 1);
   host_power(middle);
   if (!wait_chain(fleet, 2, 10000))
@@ -140,7 +140,7 @@
   most = tails_go_forward(fleet, most);
   host_freeze(tail);
   host_start(middle);
-  for (int i = 0; i < 6000 && head->controller->core.view.chain_length > 1; i++)
+  for (int i = 0; i < 6000 && head->controller->replica.view.chain_length > 1; i++)
     sim_run(fleet->sim, time_from_ms(1));
   host_kill(head);
   host_start(head);
--- a/tests/core.c
+++ b/tests/core.c
@@ -59,8 +59,8 @@
   host *host = fleet_head(a->fleet);
   (void)sim;
   return host && fleet_tail(a->fleet) &&
-         host->controller->core.view.chain_length == a->chain_length &&
-         (!a->voter_count || host->controller->core.view.voter_count == a->voter_count);
+         host->controller->replica.view.chain_length == a->chain_length &&
+         (!a->voter_count || host->controller->replica.view.voter_count == a->voter_count);
 }
 
 bool core_wait_shape(fleet *fleet, int links, int votes, int64_t ms) {
@@ -69,8 +69,8 @@
     return true;
   host *host = fleet_head(fleet);
   violation(fleet, "no chain of %d with %d voters after %" PRId64 " ms, but %d with %d", links,
-            votes, ms, host ? host->controller->core.view.chain_length : 0,
-            host ? host->controller->core.view.voter_count : 0);
+            votes, ms, host ? host->controller->replica.view.chain_length : 0,
+            host ? host->controller->replica.view.voter_count : 0);
   return false;
 }
 
@@ -126,10 +126,10 @@
       host_start(f->controller[i]);
   if (!core_wait_shape(f, 3, 3, 9000))
     return false;
-  uint64_t fleet = fleet_head(f)->controller->core.view.fleet;
+  uint64_t fleet = fleet_head(f)->controller->replica.view.fleet_id;
   sim_run(f->sim, time_from_ms(1000));
   for (int i = 0; i < 3; i++)
-    if (f->controller[i]->controller->core.view.fleet != fleet)
+    if (f->controller[i]->controller->replica.view.fleet_id != fleet)
       violation(f, "%s is of another fleet", f->controller[i]->self.text);
   return true;
 }
@@ -234,13 +234,13 @@
   exchange *exchange = p;
   host *host = fleet_head(exchange->fleet);
   (void)sim;
-  if (!host || !fleet_tail(exchange->fleet) || host->controller->core.view.voter_count != 3)
+  if (!host || !fleet_tail(exchange->fleet) || host->controller->replica.view.voter_count != 3)
     return false;
   bool in = false;
-  for (int i = 0; i < host->controller->core.view.chain_length; i++)
-    in |= id_equal(host->controller->core.view.chain[i].self, exchange->fresh->self);
+  for (int i = 0; i < host->controller->replica.view.chain_length; i++)
+    in |= id_equal(host->controller->replica.view.chain[i].self, exchange->fresh->self);
   for (int i = 0; i < 3; i++)
-    in &= !id_equal(host->controller->core.view.voters[i].self, exchange->old->self);
+    in &= !id_equal(host->controller->replica.view.voters[i].self, exchange->old->self);
   return in;
 }
 
@@ -338,7 +338,7 @@
     return false;
   check_watch(fleet);
   sim_run(fleet->sim, time_from_ms(3000));
-  uint64_t epoch = fleet_head(fleet)->controller->core.view.epoch;
+  uint64_t epoch = fleet_head(fleet)->controller->replica.view.epoch;
   int all = sim_draw(fleet->sim, 2), one = sim_draw(fleet->sim, 3);
   for (int i = 0; i < 3; i++)
     if (all || i == one)
@@ -350,7 +350,7 @@
       core_put(fleet, i, "over slow disks");
   }
   host *head = fleet_head(fleet);
-  if (!head || head->controller->core.view.epoch != epoch)
+  if (!head || head->controller->replica.view.epoch != epoch)
     violation(fleet, "a slow disk changed the view");
   for (int i = 0; i < 3; i++)
     fleet->controller[i]->disk->slow_ms = 0;
@@ -386,7 +386,7 @@
   if (!fleet_put(fleet, "catalogue", some))
     violation(fleet, "a catalogue of %zu bytes was not taken again", strlen(some));
   host *host = fleet_head(fleet);
-  if (!host || host->controller->core.view.chain_length != 3)
+  if (!host || host->controller->replica.view.chain_length != 3)
     violation(fleet, "a write that was too large broke the chain");
   acked_stand(fleet);
   for (int i = 0; i < 3; i++)
@@ -406,8 +406,9 @@
   for (;;) {
     host *host = fleet_head(fleet);
     double s = (double)time_sub(fleet->sim->now, from).us / 1e6;
-    if (host && fleet_tail(fleet) && host->controller->core.view.epoch > past &&
-        !view_thin(&host->controller->core, &host->controller->core.view))
+    if (host && fleet_tail(fleet) && host->controller->replica.view.epoch > past &&
+        !replica_view_is_under_replicated(&host->controller->replica,
+                                          &host->controller->replica.view))
       return s;
     if (s * 1000 > (double)most)
       return s;
@@ -434,7 +435,7 @@
       violation(fleet, "no head acts");
       return false;
     }
-    uint64_t epoch = head->controller->core.view.epoch;
+    uint64_t epoch = head->controller->replica.view.epoch;
     fleet_mark(fleet);
     sim_run(fleet->sim, (time_us){ (int64_t)sim_draw(fleet->sim, 5000) });
     time_us loss = fleet->sim->now;
@@ -477,9 +478,9 @@
     host *head = fleet_head(fleet);
     if (!head)
       return false;
-    uint64_t epoch = head->controller->core.view.epoch;
+    uint64_t epoch = head->controller->replica.view.epoch;
     char next[48];
-    g_strlcpy(next, head->controller->core.view.chain[1].self.text, sizeof next);
+    g_strlcpy(next, head->controller->replica.view.chain[1].self.text, sizeof next);
     fleet_mark(fleet);
     time_us loss = fleet->sim->now;
     if (turn == 0)
--- a/tests/drain.c
+++ b/tests/drain.c
@@ -276,9 +276,10 @@
 static void leaver_run(void *p) {
   leaver *leaver = p;
   controller *controller = leaver->host->controller;
-  if (condition_wait(&leaver->host->world.tasks, &controller->over, time_never()) != WAKE_SIGNALLED)
+  if (condition_wait(&leaver->host->world.tasks, &controller->stopped, time_never()) !=
+      WAKE_SIGNALLED)
     return;
-  leaver->left = controller->control.pending_exchanges;
+  leaver->left = controller->control_listener.pending_exchanges;
   leaver->over = true;
 }
 
@@ -298,7 +299,7 @@
       reader *reader = &readers[i * READERS + k];
       *reader = (struct reader){ .world = &deployment->op_host->world };
       snprintf(reader->addr, sizeof reader->addr, "%.*s:%d", (int)strcspn(host->addr, ":"),
-               host->addr, host->controller->control.port);
+               host->addr, host->controller->control_listener.port);
       task_start(&deployment->op_host->world.tasks, "reader", read_run, reader);
     }
     controller_drain(host->controller);
--- a/tests/fuzz.c
+++ b/tests/fuzz.c
@@ -1,4 +1,4 @@
-#include "control.h"
+#include "config_change.h"
 #include "dialect.h"
 #include "deployment.h"
 #include "tests.h"
@@ -131,9 +131,9 @@
     if (!body && !err.code)
       violation(fleet, "JSON is refused without a code: %s", text->str);
     if (body) {
-      uint64_t current = is_whole ? 0 : config_revision(string_view_of(base));
-      int code = config_decide(string_view_of(is_whole ? "" : base), current, is_whole, current,
-                               body, to, &err);
+      uint64_t current = is_whole ? 0 : config_change_version(string_view_of(base));
+      int code = config_change_apply(string_view_of(is_whole ? "" : base), current, is_whole,
+                                     current, body, to, &err);
       if (code)
         refused++;
       else {
@@ -203,7 +203,8 @@
     return deployment_done(deployment, 0);
   }
   const controller *controller = deployment->controllers[0]->host->controller;
-  snprintf(k.address, sizeof k.address, "%s:%d", controller->control.ip, controller->control.port);
+  snprintf(k.address, sizeof k.address, "%s:%d", controller->control_listener.ip,
+           controller->control_listener.port);
   k.from = sim_host(deployment->sim, HOST_OTHER, "fuzzer", "north", "10.9.9.9:7660");
   host_start(k.from);
   task_start(&k.from->world.tasks, "control", control_run, &k);
--- a/tests/main.c
+++ b/tests/main.c
@@ -58,7 +58,7 @@
   host *host = fleet_tail(a->fleet);
   (void)sim;
   return host && fleet_head(a->fleet) &&
-         host->controller->core.view.chain_length == a->chain_length;
+         host->controller->replica.view.chain_length == a->chain_length;
 }
 
 bool wait_chain(fleet *fleet, int links, int64_t ms) {
@@ -150,7 +150,7 @@
     if (gone && !t.noticed.us)
       t.noticed = fleet->sim->now;
     host *head = fleet_head(fleet);
-    if (head && head->controller->core.view.epoch != epoch && !t.viewed.us)
+    if (head && head->controller->replica.view.epoch != epoch && !t.viewed.us)
       t.viewed = fleet->sim->now;
     char d[64];
     for (int k = 0; k < fleet->engines; k++) {
@@ -336,7 +336,7 @@
   const char *area = names[sim_draw(fleet->sim, 3)];
   time_us from = fleet->sim->now;
   host *head = fleet_head(fleet);
-  uint64_t epoch = head ? head->controller->core.view.epoch : 0;
+  uint64_t epoch = head ? head->controller->replica.view.epoch : 0;
   area_dark(fleet, area);
   say_steps(fleet, run_back(fleet, 16000, epoch), from);
   back_within(fleet, from, 12000);
@@ -369,7 +369,7 @@
   for (int i = 0; i < fleet->routers; i++)
     host_start(fleet->router[i]);
   host *head = fleet_head(fleet);
-  say_steps(fleet, run_back(fleet, 16000, head ? head->controller->core.view.epoch : 0), from);
+  say_steps(fleet, run_back(fleet, 16000, head ? head->controller->replica.view.epoch : 0), from);
   back_within(fleet, from, 12000);
   fleet_quiet(fleet);
   return true;
@@ -898,9 +898,9 @@
     g_free(t);
   }
   host *host = fleet->controller[sim_draw(fleet->sim, 3)];
-  uint64_t was = host->controller->core.disk_id;
-  unsigned file = host->controller->core.disk.cur;
-  size_t used = host->controller->core.disk.last_at;
+  uint64_t was = host->controller->replica.disk_id;
+  unsigned file = host->controller->replica.wal.current_file;
+  size_t used = host->controller->replica.wal.last_frame_offset;
   host_power(host);
   /* somewhere before the last record */
   size_t at = 40 + sim_draw(fleet->sim, used - 40);
@@ -913,7 +913,7 @@
   host_start(host);
   if (!wait_chain(fleet, 3, 15000))
     return false;
-  if (host->controller->core.disk_id == was)
+  if (host->controller->replica.disk_id == was)
     violation(fleet, "a machine with a bad record votes on as if nothing were");
   acked_stand(fleet);
   return true;
@@ -929,13 +929,14 @@
     g_free(t);
     sim_run(fleet->sim, (time_us){ (int64_t)sim_draw(fleet->sim, 9000) });
     host *host = fleet->controller[sim_draw(fleet->sim, 3)];
-    uint64_t was =
-        host->controller && host->controller->core.running ? host->controller->core.disk_id : 0;
+    uint64_t was = host->controller && host->controller->replica.running
+                       ? host->controller->replica.disk_id
+                       : 0;
     host_power(host);
     sim_run(fleet->sim, time_from_ms(100));
     host_start(host);
     sim_run(fleet->sim, time_from_ms(7000));
-    if (was && host->controller->core.disk_id != was)
+    if (was && host->controller->replica.disk_id != was)
       violation(fleet, "a torn tail was taken for a bad record");
     sim_run(fleet->sim, time_from_ms(20000));
     call_free(call);
@@ -951,10 +952,10 @@
     return false;
   for (int i = 1; i < 3; i++) {
     host *host = fleet->controller[i];
-    g_string_assign(host->controller->core.committed.resources[RESOURCE_POLICY].text,
+    g_string_assign(host->controller->replica.committed.resources[RESOURCE_POLICY].text,
                     "{\"loadsPerS\":99}");
     sim_run(fleet->sim, time_from_ms(8000));
-    if (strstr(host->controller->core.committed.resources[RESOURCE_POLICY].text->str, "99"))
+    if (strstr(host->controller->replica.committed.resources[RESOURCE_POLICY].text->str, "99"))
       violation(fleet, "the sweep did not find the bad copy of %s", host->self.text);
   }
   if (!wait_chain(fleet, 3, 5000))
@@ -1626,7 +1627,7 @@
   if (!fleet_up(fleet))
     return false;
   check_watch(fleet);
-  uint64_t fleet_id = fleet->controller[0]->controller->core.view.fleet;
+  uint64_t fleet_id = fleet->controller[0]->controller->replica.view.fleet_id;
   /* two of three lose their disks: no majority is left, and nobody may found the fleet anew over
    * the one that knows */
   for (int i = 0; i < 2; i++) {
@@ -1637,7 +1638,7 @@
     host_start(fleet->controller[i]);
   sim_run(fleet->sim, time_from_ms(20000));
   for (int i = 0; i < 3; i++) {
-    uint64_t is = fleet->controller[i]->controller->core.view.fleet;
+    uint64_t is = fleet->controller[i]->controller->replica.view.fleet_id;
     if (is && is != fleet_id)
       violation(fleet, "%s founded another fleet", fleet->controller[i]->self.text);
   }
@@ -1700,7 +1701,7 @@
 /* the doctor, called from the operator's machine */
 typedef struct {
   fleet *fleet;
-  GArray *found;
+  GArray *wal_condition;
   bool done;
 } visit_to;
 static void doctor_run(void *p) {
@@ -1708,7 +1709,7 @@
   char *at[8];
   for (int i = 0; i < v->fleet->controllers; i++)
     at[i] = v->fleet->controller[i]->addr;
-  v->found = doctor_examine(&v->fleet->operator->world, at, v->fleet->controllers);
+  v->wal_condition = doctor_examine(&v->fleet->operator->world, at, v->fleet->controllers);
   v->done = true;
 }
 static bool doctor_done(sim *sim, void *p) {
@@ -1724,16 +1725,16 @@
     violation(fleet, "the doctor does not end");
     return;
   }
-  bool hit = !code && !v.found->len;
-  for (guint i = 0; i < v.found->len; i++)
-    hit |= g_array_index(v.found, finding, i).code == code;
+  bool hit = !code && !v.wal_condition->len;
+  for (guint i = 0; i < v.wal_condition->len; i++)
+    hit |= g_array_index(v.wal_condition, finding, i).code == code;
   if (!hit) {
     violation(fleet, "given %s, the doctor does not say %d", when, code);
-    for (guint i = 0; i < v.found->len; i++)
-      violation(fleet, "  but %d %s", g_array_index(v.found, finding, i).code,
-                g_array_index(v.found, finding, i).evidence);
+    for (guint i = 0; i < v.wal_condition->len; i++)
+      violation(fleet, "  but %d %s", g_array_index(v.wal_condition, finding, i).code,
+                g_array_index(v.wal_condition, finding, i).evidence);
   }
-  g_array_free(v.found, TRUE);
+  g_array_free(v.wal_condition, TRUE);
 }
 
 static bool the_doctor_comes(fleet *fleet) {
--- a/tests/model/events.c
+++ b/tests/model/events.c
@@ -1,5 +1,5 @@
 /** What may happen in the model, and the rules that hold in every state. */
-#include "core_internal.h"
+#include "replica_internal.h"
 #include "model.h"
 #include <stdio.h>
 #include <stdlib.h>
@@ -107,7 +107,7 @@
   return !vote_is_under_way(s, p) && keeps_a_copy(s, &s->decided[newest_view(s)], node);
 }
 
-/* the view that a node may propose; as repair_view does it, but without its patience */
+/* the view that a node may propose; as chain_repair_view does it, but without its patience */
 static bool make_proposal(const model_state *s, const model_scope *p, model_event e,
                           model_view *v) {
   const model_node *n = &s->node[e.a];
@@ -122,7 +122,7 @@
   bool adds = e.c & PROPOSAL_ADDS;
   view known;
   model_expand_view(was, &known);
-  if (adds && (!n->caller || !chain_may_enrol(&known, n->caller_epoch)))
+  if (adds && (!n->caller || !chain_may_join(&known, n->caller_epoch)))
     return false;
   for (int i = 0; i < was->links; i++) {
     bool replaced = adds && model_node_of(was->chain[i]) == model_node_of(n->caller) &&
@@ -143,7 +143,7 @@
     return false;
   if (!(e.c & PROPOSAL_EXCHANGES))
     return true;
-  if (!vote_seats_may_move(left_out))
+  if (!proposer_may_replace_voters(left_out))
     return false;
   for (int i = 0; i < v->votes; i++) {
     if (holds(v->chain, v->links, v->voters[i]))
@@ -174,7 +174,7 @@
       continue;
     add(l, EVENT_DELIVER, i, 0, 0);
     const model_message *m = &s->message[i];
-    /* sums are compared of the same committed record only, see on_put */
+    /* sums are compared of the same committed record only, see replication_on_request */
     if (s->left.refetches && m->kind == MSG_PUT && s->node[m->to].mem.whole &&
         m->commit == s->node[m->to].mem.base && model_may_take(s, m) && may_lose_copy(s, p, m->to))
       add(l, EVENT_REFETCH, i, 0, 0);
@@ -187,13 +187,13 @@
 
 static void add_proposals(const model_state *s, const model_scope *p, int i, event_list *l) {
   const model_node *n = &s->node[i];
-  vote pending = { .epoch = n->mem.vote.epoch, .promised.round = n->mem.vote.turn };
+  acceptor_state pending = { .epoch = n->mem.vote.epoch, .promised.round = n->mem.vote.turn };
   model_view v;
   for (int b = 0; b <= n->mem.now.links; b++)
     for (int c = 0; c < 4; c++) {
       model_event e = { EVENT_PROPOSE, (uint8_t)i, (uint8_t)b, (uint8_t)c };
       bool same = !b && !c;
-      if (same && !vote_pending(&pending, n->mem.now.epoch))
+      if (same && !acceptor_prepare_pending(&pending, n->mem.now.epoch))
         continue;
       if (make_proposal(s, p, e, &v) && keeps_a_copy(s, &v, -1))
         add(l, EVENT_PROPOSE, i, b, c);
@@ -202,16 +202,17 @@
 
 static void add_replication(const model_state *s, const model_scope *p, int i, event_list *l) {
   const model_node *n = &s->node[i];
-  chain_copy c = model_copy(s, i);
+  chain_position c = model_copy(s, i);
   view v;
   model_expand_view(&n->mem.now, &v);
   bool room = !n->queue[DISK_QUEUE - 1].kind;
   if (s->left.writes && !n->busy && room && chain_may_lead(&c) && c.last < RECORDS_MOST &&
-      c.last - c.committed < PENDING_WRITES && !chain_thin(&v, p->copies, 1) && model_acts(s, i))
+      c.last - c.committed < PENDING_WRITES && !chain_is_under_replicated(&v, p->copies, 1) &&
+      model_acts(s, i))
     add(l, EVENT_WRITE, i, 0, 0);
   for (int bare = 0; bare < 2 && s->left.puts && chain_may_send(&c, &v); bare++)
     add(l, EVENT_PUT, i, bare, 0);
-  if (c.place >= 0 || !n->mem.now.epoch || !s->left.enrols)
+  if (c.index >= 0 || !n->mem.now.epoch || !s->left.enrols)
     return;
   if (!n->busy && room)
     add(l, EVENT_FETCH, i, 0, 0);
@@ -301,11 +302,11 @@
   model_view v;
   if (!make_proposal(s, p, e, &v))
     return;
-  vote vote = { .epoch = n->mem.vote.epoch, .promised.round = n->mem.vote.turn };
+  acceptor_state vote = { .epoch = n->mem.vote.epoch, .promised.round = n->mem.vote.turn };
   id self = { { 0 } };
   memset(&n->proposal, 0, sizeof n->proposal);
   n->proposal.phase = 1;
-  n->proposal.turn = (uint8_t)vote_next_ballot(&vote, v.epoch, n->turns, self).round;
+  n->proposal.turn = (uint8_t)proposer_next_number(&vote, v.epoch, n->turns, self).round;
   n->proposal.value = v;
   for (int i = 0; i < n->mem.now.votes; i++) {
     model_message m = { .kind = MSG_PROMISE, .from = e.a };
@@ -575,7 +576,7 @@
     const model_view *d = &s->decided[n->mem.now.epoch];
     if (memcmp(d, &n->mem.now, sizeof *d))
       snprintf(fault, FAULT_SIZE, "n%d acts in a view that was not decided", i);
-    chain_copy c = model_copy(s, i);
+    chain_position c = model_copy(s, i);
     view v;
     model_expand_view(&n->mem.now, &v);
     if (chain_may_lead(&c)) {
--- a/tests/model/model.h
+++ b/tests/model/model.h
@@ -7,9 +7,9 @@
  *
  * Time goes in units of 50 ms. A step of time is 10 units on a slow clock and 11 on a fast one,
  * which is the most that the slack of a lease allows for. */
-#include "decide_chain.h"
-#include "decide_lease.h"
-#include "decide_vote.h"
+#include "chain_rules.h"
+#include "member_lease_rules.h"
+#include "paxos_rules.h"
 
 enum {
   MEMBERS_MOST = 5,
@@ -191,13 +191,13 @@
 int model_node_of(uint8_t member);
 /** A model's view as the daemon has it. */
 void model_expand_view(const model_view *m, view *view);
-void model_expand_lease(const model_lease *m, lease_book *b);
-void model_compress_lease(const lease_book *b, model_lease *m);
+void model_expand_lease(const model_lease *m, member_leases *b);
+void model_compress_lease(const member_leases *b, model_lease *m);
 /** The place of a node in the chain it knows, or -1. */
 int model_place(const model_state *s, int node);
 /** True when a node may act at this instant. */
 bool model_acts(const model_state *s, int node);
-chain_copy model_copy(const model_state *s, int node);
+chain_position model_copy(const model_state *s, int node);
 
 /** Puts a message under way; it is lost when the way is cut or too many are under way. */
 void model_send(model_state *s, model_message m);
--- a/tests/model/node.c
+++ b/tests/model/node.c
@@ -1,7 +1,7 @@
 /** A node of the model: how it handles messages, and what follows a sync. It mirrors the order of
  * steps in agreement.c, lease.c, replication.c, snapshot.c and join.c; all that is decided in
  * between is decided by the daemon's own functions. */
-#include "core_internal.h"
+#include "replica_internal.h"
 #include "model.h"
 #include <stdio.h>
 
@@ -25,17 +25,17 @@
 }
 
 static member expand_member(uint8_t m) {
-  member k = { .self = node_id(model_node_of(m)), .disk = m };
-  k.area = k.self;
-  k.addr[0] = k.self.text[0];
-  k.addr[1] = k.self.text[1];
+  member k = { .self = node_id(model_node_of(m)), .disk_id = m };
+  k.zone = k.self;
+  k.address[0] = k.self.text[0];
+  k.address[1] = k.self.text[1];
   return k;
 }
 
 void model_expand_view(const model_view *m, view *view) {
   memset(view, 0, sizeof *view);
   view->epoch = m->epoch;
-  view->fleet = 1;
+  view->fleet_id = 1;
   view->chain_length = m->links;
   view->voter_count = m->votes;
   for (int i = 0; i < m->links; i++)
@@ -50,39 +50,39 @@
   m.links = (uint8_t)view->chain_length;
   m.votes = (uint8_t)view->voter_count;
   for (int i = 0; i < view->chain_length; i++)
-    m.chain[i] = (uint8_t)view->chain[i].disk;
+    m.chain[i] = (uint8_t)view->chain[i].disk_id;
   for (int i = 0; i < view->voter_count; i++)
-    m.voters[i] = (uint8_t)view->voters[i].disk;
+    m.voters[i] = (uint8_t)view->voters[i].disk_id;
   return m;
 }
 
-static ballot expand_ballot(uint8_t turn, uint8_t by) {
-  ballot b = { 0 };
+static proposal_number expand_ballot(uint8_t turn, uint8_t by) {
+  proposal_number b = { 0 };
   b.round = turn;
   if (turn)
     b.proposer = node_id(by);
   return b;
 }
 
-static void expand_vote(const model_vote *m, vote *v) {
+static void expand_vote(const model_vote *m, acceptor_state *v) {
   memset(v, 0, sizeof *v);
   v->epoch = m->epoch;
   v->promised = expand_ballot(m->turn, m->by);
   v->accepted = expand_ballot(m->took_turn, m->took_by);
-  v->has = m->has;
+  v->has_accepted = m->has;
   if (m->has)
     model_expand_view(&m->value, &v->value);
 }
 
-static model_vote compress_vote(const vote *v) {
+static model_vote compress_vote(const acceptor_state *v) {
   model_vote m = { 0 };
   m.epoch = (uint8_t)v->epoch;
   m.turn = (uint8_t)v->promised.round;
   m.by = (uint8_t)node_of_id(v->promised.proposer);
-  m.has = v->has;
+  m.has = v->has_accepted;
   m.took_turn = (uint8_t)v->accepted.round;
   m.took_by = (uint8_t)node_of_id(v->accepted.proposer);
-  if (v->has)
+  if (v->has_accepted)
     m.value = compress_view(&v->value);
   return m;
 }
@@ -98,15 +98,15 @@
   return (uint8_t)MIN(units, AGE_OLD);
 }
 
-void model_expand_lease(const model_lease *m, lease_book *b) {
+void model_expand_lease(const model_lease *m, member_leases *b) {
   memset(b, 0, sizeof *b);
-  b->up_at = instant(m->up);
-  b->voters_at = instant(m->voters);
-  b->act_from = time_add(NOW, time_from_ms(m->act_in * UNIT_MS));
-  b->acted = m->acted;
+  b->started_at = instant(m->up);
+  b->voters_known_at = instant(m->voters);
+  b->may_act_at = time_add(NOW, time_from_ms(m->act_in * UNIT_MS));
+  b->has_acted = m->acted;
   for (int i = 0; i < MEMBERS_MOST; i++) {
-    b->leases[i].disk = m->held[i].member;
-    b->leases[i].sent = instant(m->held[i].age);
+    b->held[i].disk = m->held[i].member;
+    b->held[i].sent = instant(m->held[i].age);
   }
   for (int i = 0; i < 2 * MEMBERS_MOST; i++) {
     b->granted[i].disk = m->granted[i].member;
@@ -114,14 +114,15 @@
   }
 }
 
-void model_compress_lease(const lease_book *b, model_lease *m) {
-  m->up = age_of(b->up_at);
-  m->voters = age_of(b->voters_at);
-  m->act_in = b->act_from.us > NOW.us ? (uint8_t)((b->act_from.us - NOW.us) / (UNIT_MS * 1000)) : 0;
-  m->acted = b->acted;
+void model_compress_lease(const member_leases *b, model_lease *m) {
+  m->up = age_of(b->started_at);
+  m->voters = age_of(b->voters_known_at);
+  m->act_in =
+      b->may_act_at.us > NOW.us ? (uint8_t)((b->may_act_at.us - NOW.us) / (UNIT_MS * 1000)) : 0;
+  m->acted = b->has_acted;
   for (int i = 0; i < MEMBERS_MOST; i++) {
-    m->held[i].member = (uint8_t)b->leases[i].disk;
-    m->held[i].age = age_of(b->leases[i].sent);
+    m->held[i].member = (uint8_t)b->held[i].disk;
+    m->held[i].age = age_of(b->held[i].sent);
   }
   for (int i = 0; i < 2 * MEMBERS_MOST; i++) {
     m->granted[i].member = (uint8_t)b->granted[i].disk;
@@ -153,36 +154,36 @@
 }
 
 static bool is_pending(const model_state *s, int node) {
-  vote v;
+  acceptor_state v;
   expand_vote(&s->node[node].mem.vote, &v);
-  return vote_pending(&v, s->node[node].mem.now.epoch);
+  return acceptor_prepare_pending(&v, s->node[node].mem.now.epoch);
 }
 
 static bool is_thin(const model_state *s, const model_scope *p, int node) {
   view v;
   model_expand_view(&s->node[node].mem.now, &v);
-  return chain_thin(&v, p->copies, 1);
+  return chain_is_under_replicated(&v, p->copies, 1);
 }
 
-chain_copy model_copy(const model_state *s, int node) {
+chain_position model_copy(const model_state *s, int node) {
   const model_image *m = &s->node[node].mem;
-  return (chain_copy){ .place = model_place(s, node),
-                       .pending = is_pending(s, node),
-                       .whole = m->whole,
-                       .last = m->last,
-                       .committed = m->base };
+  return (chain_position){ .index = model_place(s, node),
+                           .prepare_pending = is_pending(s, node),
+                           .in_sync = m->whole,
+                           .last = m->last,
+                           .committed = m->base };
 }
 
 bool model_acts(const model_state *s, int node) {
   const model_node *n = &s->node[node];
   if (!n->up || model_place(s, node) < 0)
     return false;
-  lease_book b;
+  member_leases b;
   view v;
   model_expand_lease(&n->lease, &b);
   model_expand_view(&n->mem.now, &v);
   int self = voter_index(&n->mem.now, model_member(s, node));
-  return lease_runs(&b, &v, self, is_pending(s, node), NOW);
+  return member_leases_majority(&b, &v, self, is_pending(s, node), NOW);
 }
 
 void model_send(model_state *s, model_message m) {
@@ -239,8 +240,8 @@
   model_node *n = &s->node[node];
   if (!n->waits || n->wait_resets != n->resets)
     return;
-  chain_copy c = model_copy(s, node);
-  if (!chain_acknowledges(&c, n->waits, model_acts(s, node), is_thin(s, p, node)))
+  chain_position c = model_copy(s, node);
+  if (!chain_may_acknowledge(&c, n->waits, model_acts(s, node), is_thin(s, p, node)))
     return;
   acknowledge(s, p, node, n->waits, fault);
   n->waits = 0;
@@ -253,10 +254,10 @@
 }
 
 static void commit_tail(model_state *s, const model_scope *p, int node, char *fault) {
-  chain_copy c = model_copy(s, node);
+  chain_position c = model_copy(s, node);
   view v;
   model_expand_view(&s->node[node].mem.now, &v);
-  model_commit(s, p, node, chain_commits(&c, &v, is_thin(s, p, node)), fault);
+  model_commit(s, p, node, chain_commit_sequence(&c, &v, is_thin(s, p, node)), fault);
 }
 
 static bool may_vote(const model_state *s, int node) {
@@ -266,7 +267,7 @@
 
 static void answer_promise(model_state *s, int node, const disk_write *w) {
   const model_image *n = &s->node[node].mem;
-  vote v;
+  acceptor_state v;
   expand_vote(&n->vote, &v);
   model_message m = { .kind = MSG_PROMISE_BACK, .from = (uint8_t)node, .to = w->peer };
   m.member = model_member(s, node);
@@ -274,7 +275,7 @@
   m.turn = w->turn;
   m.by = w->by;
   m.whole = w->whole;
-  m.ok = vote_has_promised(&v, n->now.epoch, w->epoch, expand_ballot(w->turn, w->by));
+  m.ok = acceptor_has_promised(&v, n->now.epoch, w->epoch, expand_ballot(w->turn, w->by));
   m.has = n->vote.has;
   m.took_turn = n->vote.took_turn;
   m.took_by = n->vote.took_by;
@@ -286,16 +287,17 @@
   model_image *n = &s->node[node].mem;
   if (!may_vote(s, node) || !has_room(s, node))
     return;
-  vote v;
+  acceptor_state v;
   expand_vote(&n->vote, &v);
   disk_write w = { .kind = DISK_PROMISE, .peer = m->from, .epoch = m->epoch, .turn = m->turn };
   w.by = m->by;
   w.whole = n->whole;
-  vote_step step = vote_take_promise(&v, n->now.epoch, m->epoch, expand_ballot(m->turn, m->by));
+  acceptor_action step =
+      acceptor_prepare(&v, n->now.epoch, m->epoch, expand_ballot(m->turn, m->by));
   n->vote = compress_vote(&v);
-  if (step == VOTE_NEWER)
+  if (step == ACCEPTOR_KNOWS_NEWER)
     send_view(s, node, m->from);
-  else if (step == VOTE_ANSWER)
+  else if (step == ACCEPTOR_RESPOND)
     answer_promise(s, node, &w);
   else {
     w.vote = n->vote;
@@ -304,14 +306,14 @@
 }
 
 static void answer_accept(model_state *s, int node, const disk_write *w) {
-  vote v;
+  acceptor_state v;
   expand_vote(&s->node[node].mem.vote, &v);
   model_message m = { .kind = MSG_ACCEPT_BACK, .from = (uint8_t)node, .to = w->peer };
   m.member = model_member(s, node);
   m.epoch = w->epoch;
   m.turn = w->turn;
   m.by = w->by;
-  m.ok = vote_has_accepted(&v, w->epoch, expand_ballot(w->turn, w->by));
+  m.ok = acceptor_has_accepted(&v, w->epoch, expand_ballot(w->turn, w->by));
   model_send(s, m);
 }
 
@@ -319,18 +321,18 @@
   model_image *n = &s->node[node].mem;
   if (!may_vote(s, node) || !has_room(s, node))
     return;
-  vote v;
+  acceptor_state v;
   view value;
   expand_vote(&n->vote, &v);
   model_expand_view(&m->view, &value);
   disk_write w = { .kind = DISK_ACCEPT, .peer = m->from, .epoch = m->epoch, .turn = m->turn };
   w.by = m->by;
-  vote_step step =
-      vote_take_accept(&v, n->now.epoch, m->epoch, expand_ballot(m->turn, m->by), &value);
+  acceptor_action step =
+      acceptor_accept(&v, n->now.epoch, m->epoch, expand_ballot(m->turn, m->by), &value);
   n->vote = compress_vote(&v);
-  if (step == VOTE_NEWER)
+  if (step == ACCEPTOR_KNOWS_NEWER)
     send_view(s, node, m->from);
-  else if (step == VOTE_ANSWER)
+  else if (step == ACCEPTOR_RESPOND)
     answer_accept(s, node, &w);
   else {
     w.vote = n->vote;
@@ -354,13 +356,13 @@
   }
 }
 
-static void expand_answer(const model_answer *m, vote_answer *a) {
+static void expand_answer(const model_answer *m, prepare_result *a) {
   memset(a, 0, sizeof *a);
-  a->ok = m->ok;
-  a->whole = m->whole;
+  a->promised = m->ok;
+  a->in_sync = m->whole;
   a->disk = m->member;
-  a->has = m->has;
-  a->took = expand_ballot(m->took_turn, m->took_by);
+  a->has_accepted = m->has;
+  a->accepted = expand_ballot(m->took_turn, m->took_by);
   if (m->has)
     model_expand_view(&m->value, &a->value);
 }
@@ -382,15 +384,15 @@
   view known, value, use;
   model_expand_view(&n->mem.now, &known);
   model_expand_view(&n->proposal.value, &value);
-  vote_tally t;
-  vote_tally_begin(&t, &known, &value, voter_index(&n->mem.now, model_member(s, node)));
+  proposer_state t;
+  proposer_init(&t, &known, &value, voter_index(&n->mem.now, model_member(s, node)));
   for (int i = 0; i < n->mem.now.votes; i++) {
-    vote_answer a;
+    prepare_result a;
     expand_answer(&n->proposal.answer[i], &a);
     if (n->proposal.answer[i].seen)
-      vote_tally_add(&t, i, &a);
+      proposer_add_result(&t, i, &a);
   }
-  if (vote_tally_choose(&t, &known, &use))
+  if (proposer_choose_view(&t, &known, &use))
     request_acceptance(s, node, &use);
 }
 
@@ -446,7 +448,7 @@
   n->proposal.accepts |= (uint8_t)(1 << at);
   view known;
   model_expand_view(&n->mem.now, &known);
-  if (__builtin_popcount(n->proposal.accepts) < vote_quorum(&known, false))
+  if (__builtin_popcount(n->proposal.accepts) < proposer_quorum(&known, false))
     return;
   check_decided(s, &n->mem.now, &n->proposal.value, fault);
   adopt(s, node, &n->proposal.value);
@@ -459,16 +461,16 @@
     send_view(s, node, m->from);
   if (m->epoch != n->mem.now.epoch)
     return;
-  lease_book b;
+  member_leases b;
   view v;
   member who = expand_member(m->member);
   model_expand_lease(&n->lease, &b);
   model_expand_view(&n->mem.now, &v);
   bool ok = false;
   if (member_index(v.chain, v.chain_length, &who) < 0)
-    lease_release(&b, who.disk);
+    member_leases_release(&b, who.disk_id);
   else if (may_vote(s, node))
-    ok = lease_grant(&b, &v, is_pending(s, node), &who, NOW);
+    ok = member_leases_grant(&b, &v, is_pending(s, node), &who, NOW);
   model_compress_lease(&b, &n->lease);
   if (!ok)
     return;
@@ -484,9 +486,9 @@
   int at = voter_index(&n->mem.now, m->member);
   if (m->epoch != n->mem.now.epoch || at < 0)
     return;
-  lease_book b;
+  member_leases b;
   model_expand_lease(&n->lease, &b);
-  lease_hold(&b, at, m->member, instant(m->age));
+  member_leases_record(&b, at, m->member, instant(m->age));
   model_compress_lease(&b, &n->lease);
 }
 
@@ -506,9 +508,9 @@
 /* after the records of a put are synced */
 static void after_take(model_state *s, const model_scope *p, int node, const disk_write *w,
                        char *fault) {
-  chain_copy c = model_copy(s, node);
+  chain_position c = model_copy(s, node);
   if (w->epoch != s->node[node].mem.now.epoch ||
-      !chain_becomes_whole(&c, w->sender_whole, w->sender_last)) {
+      !chain_becomes_in_sync(&c, w->sender_whole, w->sender_last)) {
     end_put(s, p, node, w, fault);
     return;
   }
@@ -520,11 +522,11 @@
 
 bool model_may_take(const model_state *s, const model_message *m) {
   const model_node *n = &s->node[m->to];
-  chain_copy c = model_copy(s, m->to);
+  chain_position c = model_copy(s, m->to);
   view v;
   model_expand_view(&n->mem.now, &v);
   return n->up && !n->busy && has_room(s, m->to) &&
-         chain_may_take(&c, &v, m->epoch, node_id(m->from));
+         chain_may_accept(&c, &v, m->epoch, node_id(m->from));
 }
 
 void model_refetch(model_state *s, const model_message *m) {
@@ -542,11 +544,11 @@
   model_node *n = &s->node[node];
   if (!model_may_take(s, m))
     return;
-  chain_copy c = model_copy(s, node);
+  chain_position c = model_copy(s, node);
   uint64_t seqs[RECORDS_MOST];
   for (int i = 0; i < m->count; i++)
     seqs[i] = (uint64_t)i + 1;
-  size_t first, fit = chain_fitting(c.last, seqs, m->count, &first);
+  size_t first, fit = chain_appendable(c.last, seqs, m->count, &first);
   disk_write w = { .kind = DISK_TAKE, .peer = m->from, .epoch = m->epoch };
   w.first = (uint8_t)(c.last + 1);
   w.count = (uint8_t)fit;
@@ -593,7 +595,7 @@
   model_node *n = &s->node[node];
   view v;
   model_expand_view(&n->mem.now, &v);
-  if (!v.epoch || !chain_may_enrol(&v, m->epoch))
+  if (!v.epoch || !chain_may_join(&v, m->epoch))
     return;
   n->caller = m->member;
   n->caller_epoch = m->epoch;
@@ -653,12 +655,12 @@
   n->adopting = 0;
   if (v->epoch <= n->mem.now.epoch)
     return;
-  lease_book b;
+  member_leases b;
   view was, next;
   model_expand_lease(&n->lease, &b);
   model_expand_view(&n->mem.now, &was);
   model_expand_view(v, &next);
-  lease_enter_view(&b, &was, &next, NOW);
+  member_leases_enter_view(&b, &was, &next, NOW);
   model_compress_lease(&b, &n->lease);
   n->mem.now = *v;
   memset(&n->proposal, 0, sizeof n->proposal);
@@ -761,8 +763,8 @@
   char fault[FAULT_SIZE];
   n->up = 1;
   n->mem = n->disk;
-  lease_book b;
-  lease_begin(&b, NOW);
+  member_leases b;
+  member_leases_init(&b, NOW);
   model_compress_lease(&b, &n->lease);
   if (n->mem.now.epoch)
     commit_tail(s, p, node, fault);
--- a/tests/orders.c
+++ b/tests/orders.c
@@ -1,4 +1,4 @@
-#include "accepted.h"
+#include "accepted_changes.h"
 #include "deployment.h"
 #include "linearizability.h"
 #include "tests.h"
@@ -627,7 +627,7 @@
 
 static bool an_order_older_than_the_memory(fleet *fleet) {
   run r;
-  long_day d = { .changes = ACCEPTED_MOST + ACCEPTED_LOT + 10 };
+  long_day d = { .changes = ACCEPTED_CHANGES_MAX + ACCEPTED_CHANGES_FORGOTTEN_AT_ONCE + 10 };
   if (run_up(&r, fleet, 3) && as_operator(&r, change_many, &d, 6000000))
     as_operator(&r, send_forgotten, &d, 30000);
   return run_done(&r);
@@ -635,44 +635,44 @@
 
 /* the memory by itself: bounded, the latest known, the same when packed and read again */
 static bool accepted_orders_are_bounded(fleet *fleet) {
-  accepted_orders a, b;
-  accepted_init(&a);
-  accepted_init(&b);
+  accepted_changes a, b;
+  accepted_changes_init(&a);
+  accepted_changes_init(&b);
   const uint64_t count = 30000;
   for (uint64_t i = 1; i <= count; i++) {
-    accepted_add(&a, i * 3, i * 0x9e3779b97f4a7c15u, i * 2);
-    uint64_t oldest = i > ACCEPTED_MOST ? i - ACCEPTED_MOST + 1 : 1;
-    if (a.all->len >= ACCEPTED_MOST + ACCEPTED_LOT)
+    accepted_changes_add(&a, i * 3, i * 0x9e3779b97f4a7c15u, i * 2);
+    uint64_t oldest = i > ACCEPTED_CHANGES_MAX ? i - ACCEPTED_CHANGES_MAX + 1 : 1;
+    if (a.all->len >= ACCEPTED_CHANGES_MAX + ACCEPTED_CHANGES_FORGOTTEN_AT_ONCE)
       violation(fleet, "%u orders are kept", a.all->len);
-    if (!accepted_find(&a, oldest * 3, oldest * 0x9e3779b97f4a7c15u) ||
-        accepted_may_have(&a, oldest * 3))
+    if (!accepted_changes_find(&a, oldest * 3, oldest * 0x9e3779b97f4a7c15u) ||
+        accepted_changes_may_include(&a, oldest * 3))
       violation(fleet, "order %" PRIu64 " of the latest is forgotten at %" PRIu64, oldest, i);
-    if (accepted_find(&a, i * 3, 1))
+    if (accepted_changes_find(&a, i * 3, 1))
       violation(fleet, "another order on a base is taken for the one that was accepted");
   }
-  if (accepted_find(&a, 3, 0x9e3779b97f4a7c15u) || !accepted_may_have(&a, 3))
+  if (accepted_changes_find(&a, 3, 0x9e3779b97f4a7c15u) || !accepted_changes_may_include(&a, 3))
     violation(fleet, "the first of %" PRIu64 " orders is not said to be forgotten", count);
   Wire__AcceptedChanges w;
-  accepted_pack(&a, &w);
+  accepted_changes_pack(&a, &w);
   size_t size = wire__accepted_changes__get_packed_size(&w);
-  accepted_unpack(&b, &w);
-  if (size > accepted_size(&a))
+  accepted_changes_unpack(&b, &w);
+  if (size > accepted_changes_packed_size(&a))
     violation(fleet, "%u orders take %zu bytes, over the bound of %zu", a.all->len, size,
-              accepted_size(&a));
-  if (b.sum != a.sum || b.forgot != a.forgot || b.forgotten != a.forgotten ||
-      b.all->len != a.all->len ||
-      memcmp(a.all->data, b.all->data, a.all->len * sizeof(accepted_order)))
+              accepted_changes_packed_size(&a));
+  if (b.checksum != a.checksum || b.any_forgotten != a.any_forgotten ||
+      b.forgotten_base != a.forgotten_base || b.all->len != a.all->len ||
+      memcmp(a.all->data, b.all->data, a.all->len * sizeof(accepted_change)))
     violation(fleet, "what was packed is read otherwise");
   if (getenv("ORDERS_LOUD"))
     fprintf(stderr, "%u orders, %zu bytes packed, %zu in memory\n", a.all->len, size,
-            a.all->len * sizeof(accepted_order));
-  accepted_packed_free(&w);
-  accepted_copy(&b, &a);
-  accepted_add(&b, count * 3 + 3, 7, count * 2 + 2);
-  if (b.sum == a.sum)
+            a.all->len * sizeof(accepted_change));
+  accepted_changes_packed_free(&w);
+  accepted_changes_copy(&b, &a);
+  accepted_changes_add(&b, count * 3 + 3, 7, count * 2 + 2);
+  if (b.checksum == a.checksum)
     violation(fleet, "a copy with one more order has the same sum");
-  accepted_free(&a);
-  accepted_free(&b);
+  accepted_changes_free(&a);
+  accepted_changes_free(&b);
   return !fleet->faults->len;
 }
 
--- a/tests/random_faults.c
+++ b/tests/random_faults.c
@@ -93,8 +93,8 @@
 /* only one disk is ever lost at a time: the next waits until the chain is whole */
 static bool chain_whole(fleet *fleet) {
   host *t = fleet_tail(fleet), *host = fleet_head(fleet);
-  return host && t && host->controller->core.view.chain_length == 3 &&
-         t->controller->core.view.epoch == host->controller->core.view.epoch;
+  return host && t && host->controller->replica.view.chain_length == 3 &&
+         t->controller->replica.view.epoch == host->controller->replica.view.epoch;
 }
 
 static void happen(fleet *fleet, const fault *x, GPtrArray *out) {
--- a/tests/registry.c
+++ b/tests/registry.c
@@ -1,5 +1,5 @@
-#include "control.h"
-#include "registry.h"
+#include "config_change.h"
+#include "engine_registry.h"
 #include "routing.h"
 #include "tests.h"
 #include <stdio.h>
@@ -21,17 +21,18 @@
   return w;
 }
 
-static enum fold beat(registry *registry, const char *who, const char *addr, uint64_t count,
-                      bool leaving, int64_t ms) {
+static enum registry_update beat(registry *registry, const char *who, const char *addr,
+                                 uint64_t count, bool leaving, int64_t ms) {
   Wire__EngineState w = beat_of(who, addr, count, leaving);
-  return registry_beat(registry, &w, time_from_ms(ms));
+  return registry_heartbeat(registry, &w, time_from_ms(ms));
 }
 
 /* what one core machine tells another of an engine */
-static enum fold pass(registry *to, const registry *from, const char *who, bool whole, int64_t ms) {
+static enum registry_update pass(registry *to, const registry *from, const char *who, bool whole,
+                                 int64_t ms) {
   Wire__EngineState w = WIRE__ENGINE_STATE__INIT;
   registered_engine *entry = registry_find(from, who);
-  registry_fill(entry, time_from_ms(ms), &w);
+  registry_pack_engine(entry, time_from_ms(ms), &w);
   if (!whole) {
     Wire__EngineState s = WIRE__ENGINE_STATE__INIT;
     s.id = w.id;
@@ -40,7 +41,7 @@
     s.age_ms = w.age_ms;
     w = s;
   }
-  return registry_heard(to, &w, time_from_ms(ms));
+  return registry_merge(to, &w, time_from_ms(ms));
 }
 
 static void expect(fleet *fleet, bool is, const char *what) {
@@ -49,7 +50,7 @@
 }
 
 static guint since(registry *registry, uint64_t run, uint64_t seq, bool *whole) {
-  GPtrArray *all = registry_since(registry, run, seq, whole);
+  GPtrArray *all = registry_changed_since(registry, run, seq, whole);
   guint n = all->len;
   g_ptr_array_free(all, TRUE);
   return n;
@@ -58,19 +59,19 @@
 static bool beats_come_late(fleet *fleet) {
   registry r;
   registry_init(&r, 7, time_from_ms(1000));
-  expect(fleet, beat(&r, "e1", "10.0.0.1:80", 3, false, 1000) == FOLD_CHANGED,
+  expect(fleet, beat(&r, "e1", "10.0.0.1:80", 3, false, 1000) == REGISTRY_CHANGED,
          "the first beat is no change");
-  expect(fleet, beat(&r, "e1", "10.0.0.1:80", 4, false, 2000) == FOLD_ALIVE,
+  expect(fleet, beat(&r, "e1", "10.0.0.1:80", 4, false, 2000) == REGISTRY_ALIVE,
          "a plain beat is a change");
   uint64_t seq = r.seq;
-  expect(fleet, beat(&r, "e1", "10.0.0.9:80", 3, false, 2100) == FOLD_LATE,
+  expect(fleet, beat(&r, "e1", "10.0.0.9:80", 3, false, 2100) == REGISTRY_STALE,
          "a lower count is not late");
-  expect(fleet, beat(&r, "e1", "10.0.0.9:80", 4, false, 2100) == FOLD_LATE,
+  expect(fleet, beat(&r, "e1", "10.0.0.9:80", 4, false, 2100) == REGISTRY_STALE,
          "an equal count is not late");
   registered_engine *entry = registry_find(&r, "e1");
   expect(fleet,
-         r.seq == seq && !strcmp(entry->beat->address, "10.0.0.1:80") &&
-             entry->heard.us == time_from_ms(2000).us,
+         r.seq == seq && !strcmp(entry->heartbeat->address, "10.0.0.1:80") &&
+             entry->last_heard_at.us == time_from_ms(2000).us,
          "a late beat changed something");
   Wire__ResidentModel m = WIRE__RESIDENT_MODEL__INIT, *ms = &m;
   m.model = "m1";
@@ -78,16 +79,16 @@
   Wire__EngineState w = beat_of("e1", "10.0.0.1:80", 5, false);
   w.n_models = 1;
   w.models = &ms;
-  expect(fleet, registry_beat(&r, &w, time_from_ms(3000)) == FOLD_CHANGED,
+  expect(fleet, registry_heartbeat(&r, &w, time_from_ms(3000)) == REGISTRY_CHANGED,
          "a model that came is no change");
   w.heartbeat_count = 6;
-  expect(fleet, registry_beat(&r, &w, time_from_ms(4000)) == FOLD_ALIVE,
+  expect(fleet, registry_heartbeat(&r, &w, time_from_ms(4000)) == REGISTRY_ALIVE,
          "the same models are a change");
   m.weights_version = 2;
   w.heartbeat_count = 7;
-  expect(fleet, registry_beat(&r, &w, time_from_ms(5000)) == FOLD_CHANGED,
+  expect(fleet, registry_heartbeat(&r, &w, time_from_ms(5000)) == REGISTRY_CHANGED,
          "other weights are no change");
-  expect(fleet, registry_find(&r, "e1")->beat->models[0]->weights_version == 2,
+  expect(fleet, registry_find(&r, "e1")->heartbeat->models[0]->weights_version == 2,
          "other weights were not kept");
   registry_free(&r);
   return true;
@@ -99,45 +100,46 @@
   beat(&r, "e1", "10.0.0.1:80", 1, false, 1000);
   Wire__EngineState w = beat_of("e1", "10.0.0.1:80", 2, true);
   w.ends_in_ms = 5000;
-  expect(fleet, registry_beat(&r, &w, time_from_ms(2000)) == FOLD_ENDING, "leaving is no news");
+  expect(fleet, registry_heartbeat(&r, &w, time_from_ms(2000)) == REGISTRY_DRAINING,
+         "leaving is no news");
   Wire__EngineState said = WIRE__ENGINE_STATE__INIT;
-  registry_fill(registry_find(&r, "e1"), time_from_ms(3000), &said);
+  registry_pack_engine(registry_find(&r, "e1"), time_from_ms(3000), &said);
   expect(fleet, said.draining && !said.gone && said.age_ms == 1000 && said.ends_in_ms == 5000,
          "the time left does not count from the beat");
   expect(fleet,
-         beat(&r, "e1", "10.0.0.1:80", 3, false, 4000) == FOLD_ALIVE &&
-             registry_find(&r, "e1")->leaving,
+         beat(&r, "e1", "10.0.0.1:80", 3, false, 4000) == REGISTRY_ALIVE &&
+             registry_find(&r, "e1")->draining,
          "an engine came back from leaving");
   expect(fleet,
-         registry_leave(&r, "e1", time_from_ms(5000)) == FOLD_ENDING &&
-             registry_leave(&r, "e1", time_from_ms(5100)) == FOLD_LATE,
+         registry_sign_off(&r, "e1", time_from_ms(5000)) == REGISTRY_DRAINING &&
+             registry_sign_off(&r, "e1", time_from_ms(5100)) == REGISTRY_STALE,
          "a sign-off is no news, or news twice");
   for (uint64_t i = 4; i < 20; i++)
-    expect(fleet, beat(&r, "e1", "10.0.0.1:80", i, false, 6000 + (int64_t)i) == FOLD_LATE,
+    expect(fleet, beat(&r, "e1", "10.0.0.1:80", i, false, 6000 + (int64_t)i) == REGISTRY_STALE,
            "a beat revives an engine that signed off");
   /* and one that was never heard of */
   expect(fleet,
-         registry_leave(&r, "e2", time_from_ms(7000)) == FOLD_ENDING &&
-             beat(&r, "e2", "10.0.0.2:80", 9, false, 7100) == FOLD_LATE,
+         registry_sign_off(&r, "e2", time_from_ms(7000)) == REGISTRY_DRAINING &&
+             beat(&r, "e2", "10.0.0.2:80", 9, false, 7100) == REGISTRY_STALE,
          "a beat before its sign-off revives an engine");
   /* others are told, and hold to it */
   registry o;
   registry_init(&o, 8, time_from_ms(0));
   beat(&o, "e1", "10.0.0.1:80", 30, false, 7000);
   expect(fleet,
-         pass(&o, &r, "e1", true, 8000) == FOLD_ENDING && registry_find(&o, "e1")->signed_off,
+         pass(&o, &r, "e1", true, 8000) == REGISTRY_DRAINING && registry_find(&o, "e1")->signed_off,
          "a sign-off is not passed on over a younger beat");
   expect(fleet,
-         pass(&o, &r, "e2", true, 8000) == FOLD_ENDING &&
-             beat(&o, "e2", "10.0.0.2:80", 10, false, 8100) == FOLD_LATE,
+         pass(&o, &r, "e2", true, 8000) == REGISTRY_DRAINING &&
+             beat(&o, "e2", "10.0.0.2:80", 10, false, 8100) == REGISTRY_STALE,
          "a tombstone is not passed on");
   bool whole;
   expect(fleet, since(&o, 8, 0, &whole) == 2, "those who end are not in the changes");
   /* a tombstone ends by itself, and those who lack it get the whole */
-  registry_settle(&o);
+  registry_set_complete(&o);
   beat(&o, "e4", "10.0.0.4:80", 1, false, 8500);
   uint64_t known = o.seq;
-  registry_leave(&o, "e4", time_from_ms(8600));
+  registry_sign_off(&o, "e4", time_from_ms(8600));
   uint64_t seq = o.seq;
   beat(&o, "e3", "10.0.0.3:80", 1, false, 9000);
   for (int64_t t = 9000; t < 70000; t += 250) {
@@ -161,11 +163,11 @@
   beat(&r, "e1", "10.0.0.1:80", 1, false, 1000);
   beat(&r, "e2", "10.0.0.2:80", 1, false, 1000);
   expect(fleet,
-         beat(&r, "e3", "10.0.0.1:80", 1, false, 3000) == FOLD_CHANGED &&
+         beat(&r, "e3", "10.0.0.1:80", 1, false, 3000) == REGISTRY_CHANGED &&
              registry_find(&r, "e1")->gone && !registry_find(&r, "e2")->gone,
          "an address has two engines");
   expect(fleet,
-         beat(&r, "e1", "10.0.0.1:80", 1, false, 3100) == FOLD_LATE &&
+         beat(&r, "e1", "10.0.0.1:80", 1, false, 3100) == REGISTRY_STALE &&
              registry_find(&r, "e1")->gone,
          "a late beat takes an address back");
   /* old word by way of another machine changes nothing */
@@ -204,10 +206,10 @@
   }
   registered_engine *entry = registry_find(&r, "e2");
   expect(fleet,
-         entry->gone && !entry->leaving && !entry->signed_off && !registry_find(&r, "e1")->gone,
+         entry->gone && !entry->draining && !entry->signed_off && !registry_find(&r, "e1")->gone,
          "silence is for good, or another's");
   expect(fleet,
-         beat(&r, "e2", "10.0.0.2:80", 30000, false, 20100) == FOLD_CHANGED &&
+         beat(&r, "e2", "10.0.0.2:80", 30000, false, 20100) == REGISTRY_CHANGED &&
              !registry_find(&r, "e2")->gone,
          "a beat does not end silence");
   /* heard by another machine is heard */
@@ -218,13 +220,15 @@
   for (int64_t t = 20250; t <= 40000; t += 250) {
     if (t % 1000 == 0) {
       beat(&r, "e1", "10.0.0.1:80", (uint64_t)t + 1, false, t);
-      expect(fleet, pass(&o, &r, "e1", false, t + 10) == FOLD_ALIVE, "a sign of life is not taken");
+      expect(fleet, pass(&o, &r, "e1", false, t + 10) == REGISTRY_ALIVE,
+             "a sign of life is not taken");
     }
     registry_sweep(&o, time_from_ms(t), true);
   }
   expect(fleet, !registry_find(&o, "e1")->gone && registry_find(&o, "e2")->gone,
          "what another machine hears does not count");
-  expect(fleet, pass(&o, &r, "e2", false, 40000) == FOLD_WANT || registry_find(&o, "e2")->gone,
+  expect(fleet,
+         pass(&o, &r, "e2", false, 40000) == REGISTRY_NEEDS_FETCH || registry_find(&o, "e2")->gone,
          "old word ends silence");
   /* while another core machine is out of reach, silence takes longer to count */
   registry c;
@@ -259,24 +263,25 @@
   registry_init(&a, 7, time_from_ms(0));
   registry_init(&b, 8, time_from_ms(0));
   beat(&a, "e1", "10.0.0.1:80", 1, false, 1000);
-  expect(fleet, pass(&b, &a, "e1", false, 1100) == FOLD_WANT,
+  expect(fleet, pass(&b, &a, "e1", false, 1100) == REGISTRY_NEEDS_FETCH,
          "a sign of life of an engine that is not known does not make one ask");
   expect(fleet,
-         pass(&b, &a, "e1", true, 1200) == FOLD_CHANGED &&
-             registry_find(&b, "e1")->heard.us == time_from_ms(1000).us,
+         pass(&b, &a, "e1", true, 1200) == REGISTRY_CHANGED &&
+             registry_find(&b, "e1")->last_heard_at.us == time_from_ms(1000).us,
          "the time of a beat is not passed on");
   /* a cast that was lost shows in the sum */
   beat(&a, "e1", "10.0.0.1:81", 2, false, 2000);
-  expect(fleet, pass(&b, &a, "e1", false, 2100) == FOLD_WANT, "a lost change does not show");
+  expect(fleet, pass(&b, &a, "e1", false, 2100) == REGISTRY_NEEDS_FETCH,
+         "a lost change does not show");
   expect(fleet,
-         pass(&b, &a, "e1", true, 2200) == FOLD_CHANGED &&
-             !strcmp(registry_find(&b, "e1")->beat->address, "10.0.0.1:81"),
+         pass(&b, &a, "e1", true, 2200) == REGISTRY_CHANGED &&
+             !strcmp(registry_find(&b, "e1")->heartbeat->address, "10.0.0.1:81"),
          "a lost change is not made good");
-  expect(fleet, pass(&b, &a, "e1", true, 2300) == FOLD_ALIVE, "the same word is a change");
+  expect(fleet, pass(&b, &a, "e1", true, 2300) == REGISTRY_ALIVE, "the same word is a change");
   /* a young registry is not the whole */
   expect(fleet, since(&b, 0, 0, &whole) == 1 && !whole, "a young registry calls itself whole");
   uint64_t had = b.seq;
-  registry_settle(&b);
+  registry_set_complete(&b);
   expect(fleet, since(&b, 8, had, &whole) == 1 && whole,
          "who has a part does not get the whole once there is one");
   expect(fleet, since(&b, 8, b.seq, &whole) == 0 && !whole, "who has all gets it again");
@@ -304,8 +309,9 @@
     return err.code;
   }
   GString *next = g_string_new(NULL);
-  int r = config_decide(string_view_of_gstring(text), config_revision(string_view_of_gstring(text)),
-                        whole, base, json, next, &err);
+  int r = config_change_apply(string_view_of_gstring(text),
+                              config_change_version(string_view_of_gstring(text)), whole, base,
+                              json, next, &err);
   if (!r)
     g_string_assign(text, next->str);
   if (r && next->len)
@@ -318,7 +324,8 @@
 static bool configurations_are_decided(fleet *fleet) {
   GString *t = g_string_new("{}");
   const char *first = "{\"version\":3,\"routes\":[" ROUTE("r1", "/a/", "s") "]," SERVICES "}";
-  expect(fleet, config_revision(string_view_of_gstring(t)) == 0, "a blank text has a version");
+  expect(fleet, config_change_version(string_view_of_gstring(t)) == 0,
+         "a blank text has a version");
   expect(fleet, decide(fleet, t, true, 1, first) == E_VERSION_CONFLICT,
          "the first one builds on something");
   expect(fleet, decide(fleet, t, true, 0, "{\"version\":0,\"routes\":[]," SERVICES "}"),
@@ -328,7 +335,8 @@
                 "{\"version\":2,\"set\":{\"routes\":[" ROUTE("r1", "/a/", "s") "]}}"),
          "a change of nothing is one");
   expect(fleet,
-         decide(fleet, t, true, 0, first) == OK && config_revision(string_view_of_gstring(t)) == 3,
+         decide(fleet, t, true, 0, first) == OK &&
+             config_change_version(string_view_of_gstring(t)) == 3,
          "the first one is refused");
   /* two on one version: the second is told so, whether it is sound or not */
   expect(fleet, decide(fleet, t, true, 0, first) == E_VERSION_CONFLICT,
@@ -349,14 +357,15 @@
     if (r < E_JSON || r >= E_WIRE_MESSAGE || r == E_VERSION_CONFLICT)
       violation(fleet, "%s is decided to be %d", bad[i], r);
   }
-  expect(fleet, config_revision(string_view_of_gstring(t)) == 3, "a refused one changed something");
+  expect(fleet, config_change_version(string_view_of_gstring(t)) == 3,
+         "a refused one changed something");
   expect(fleet,
          decide(fleet, t, false, 3,
                 "{\"version\":7,\"set\":{\"routes\":[" ROUTE(
                     "r2", "/b/", "s") "]},\"drop\":{\"routes\":[\"r1\"]}}") == OK,
          "a change is refused");
   expect(fleet,
-         config_revision(string_view_of_gstring(t)) == 7 && strstr(t->str, "r2") &&
+         config_change_version(string_view_of_gstring(t)) == 7 && strstr(t->str, "r2") &&
              !strstr(t->str, "r1"),
          "a change is not made");
   expect(fleet, decide(fleet, t, false, 7, "{\"version\":8,\"drop\":{\"services\":[\"s\"]}}"),
@@ -406,7 +415,7 @@
   error err = { 0 };
   char ip[48];
   g_strlcpy(ip, host->addr, (size_t)(strrchr(host->addr, ':') - host->addr) + 1);
-  if (controller_control(host->controller, ip, CONNECTION_LISTENER, NULL, &err))
+  if (controller_open_control_listener(host->controller, ip, CONNECTION_LISTENER, NULL, &err))
     fprintf(stderr, "  no door: %s\n", err.text);
 }
 
@@ -597,7 +606,7 @@
             "ready");
   }
   registered_engine *entry = registry_find(&host->controller->registry, "e1");
-  if (!entry || !entry->leaving || !host->controller->registry.settled)
+  if (!entry || !entry->draining || !host->controller->registry.complete)
     violation(fleet, "%s does not know again that an engine leaves", host->self.text);
   if (beat_at(fleet, host, "e1", "10.0.0.1:80", 12, "off") != 200)
     violation(fleet, "a sign-off is not taken");
--- a/tests/restart.c
+++ b/tests/restart.c
@@ -18,7 +18,7 @@
 static bool is_up(sim *sim, void *ctx) {
   host *host = ctx;
   (void)sim;
-  return host->controller && host->controller->core.running;
+  return host->controller && host->controller->replica.running;
 }
 
 /* a process is killed between a write and its sync; what its next run takes up from the disk, and
@@ -42,21 +42,21 @@
       violation(fleet, "%s does not start", host->self.text);
       return false;
     }
-    uint64_t read = host->controller->core.last_seq,
-             promised = host->controller->core.vote.promised.round,
-             epoch = host->controller->core.vote.epoch;
+    uint64_t read = host->controller->replica.last_seq,
+             promised = host->controller->replica.acceptor.promised.round,
+             epoch = host->controller->replica.acceptor.epoch;
     host_power(host);
     host_start(host);
     if (!sim_until(fleet->sim, is_up, host, time_from_ms(3000))) {
       violation(fleet, "%s does not start again", host->self.text);
       return false;
     }
-    if (host->controller->core.last_seq < read)
+    if (host->controller->replica.last_seq < read)
       violation(fleet, "%s acted on write %" PRIu64 ", and holds %" PRIu64 " after a loss of power",
-                host->self.text, read, host->controller->core.last_seq);
-    if (host->controller->core.vote.epoch < epoch ||
-        (host->controller->core.vote.epoch == epoch &&
-         host->controller->core.vote.promised.round < promised))
+                host->self.text, read, host->controller->replica.last_seq);
+    if (host->controller->replica.acceptor.epoch < epoch ||
+        (host->controller->replica.acceptor.epoch == epoch &&
+         host->controller->replica.acceptor.promised.round < promised))
       violation(fleet, "%s forgot a promise that it had read from its disk", host->self.text);
     sim_run(fleet->sim, time_from_ms(4000));
     call_free(call);
@@ -78,7 +78,7 @@
     acked = MAX(acked, fleet_put(fleet, "evacuation", text));
     g_free(text);
   }
-  const view *now = &fleet_head(fleet)->controller->core.view;
+  const view *now = &fleet_head(fleet)->controller->replica.view;
   host *head = sim_find(fleet->sim, now->chain[0].self.text),
        *middle = sim_find(fleet->sim, now->chain[1].self.text),
        *tail = sim_find(fleet->sim, now->chain[2].self.text), *router = fleet->router[0];
--- a/tests/second_loss.c
+++ b/tests/second_loss.c
@@ -1,7 +1,7 @@
 /** A second loss right after a repair or a replacement: the core must still have a majority of
  * voters and a whole copy of the state. A machine counts as lost until a span (syncS on the pages)
  * has passed since its return or start; the next loss comes at that very instant. */
-#include "core_internal.h"
+#include "replica_internal.h"
 #include "tests.h"
 #include <stdio.h>
 
@@ -37,20 +37,21 @@
   int64_t sync_ms;
   int added;
   int64_t slow_ms;
-  returned back[CHAIN_MOST];
+  returned back[CHAIN_MAX];
   int returns;
 } core_trial;
 
 /* a core machine with its control listener, whose process ends by itself after SIGTERM */
 static void process_ended(void *p) {
   host *host = p;
-  if (host->alive && host->controller->code == OK)
+  if (host->alive && host->controller->exit_code == OK)
     host_kill(host);
 }
 
 static void exit_run(void *p) {
   host *host = p;
-  if (condition_wait(&host->world.tasks, &host->controller->over, time_never()) == WAKE_SIGNALLED)
+  if (condition_wait(&host->world.tasks, &host->controller->stopped, time_never()) ==
+      WAKE_SIGNALLED)
     sim_at(host->sim, host->sim->now, process_ended, host);
 }
 
@@ -58,7 +59,7 @@
   char ip[48];
   error err = { 0 };
   g_strlcpy(ip, host->addr, (size_t)(strrchr(host->addr, ':') - host->addr) + 1);
-  if (controller_control(host->controller, ip, CONTROL_PORT, NULL, &err))
+  if (controller_open_control_listener(host->controller, ip, CONTROL_PORT, NULL, &err))
     fprintf(stderr, "  no control listener: %s\n", err.text);
   task_start(&host->world.tasks, "exit", exit_run, host);
 }
@@ -105,9 +106,9 @@
   const view *young = NULL;
   for (int i = 0; i < t->fleet->controllers; i++) {
     host *host = t->fleet->controller[i];
-    if (host->alive && host->controller->core.running &&
-        (!young || host->controller->core.view.epoch > young->epoch))
-      young = &host->controller->core.view;
+    if (host->alive && host->controller->replica.running &&
+        (!young || host->controller->replica.view.epoch > young->epoch))
+      young = &host->controller->replica.view;
   }
   return young;
 }
@@ -132,12 +133,12 @@
   const view *view = trial_view(t);
   for (int i = 0; view && i < t->returns; i++) {
     returned *r = &t->back[i];
-    if (!r->machine->alive || !r->machine->controller->core.running)
+    if (!r->machine->alive || !r->machine->controller->replica.running)
       continue;
-    member self = core_self(&r->machine->controller->core);
+    member self = replica_as_member(&r->machine->controller->replica);
     double s = (double)time_sub(t->fleet->sim->now, r->started).us / 1e6;
-    bool whole = core_place(&r->machine->controller->core) >= 0 &&
-                 r->machine->controller->core.whole &&
+    bool whole = replica_chain_index(&r->machine->controller->replica) >= 0 &&
+                 r->machine->controller->replica.in_sync &&
                  member_index(view->chain, view->chain_length, &self) >= 0;
     bool votes = whole && member_index(view->voters, view->voter_count, &self) >= 0;
     if (whole && !r->whole && g_getenv("SIM_COUNT"))
