--- a/bench/scale.c
+++ b/bench/scale.c
@@ -195,8 +195,8 @@
   for (int i = 0; i < LEAVES; i++) {
     char name[16];
     snprintf(name, sizeof name, "e%d", i);
-    instance *x = me->left[i] ? NULL : instance_find(me->gateway, name);
-    if (!x || !(x->leaving || x->gone))
+    gateway_engine *x = me->left[i] ? NULL : gateway_engine_find(me->gateway, name);
+    if (!x || !(x->draining || x->gone))
       continue;
     me->left[i] = true;
     announce("L %d %" PRId64 "\n", i, now_us());
@@ -282,7 +282,7 @@
   gateway_settings x = { .front_port = FRONT,
                          .ready_port = READY,
                          .dialect = &dialect_native,
-                         .beat_ms = HEARTBEAT_INTERVAL_MS,
+                         .heartbeat_ms = HEARTBEAT_INTERVAL_MS,
                          .load_window_s = 5,
                          .load_excess = 1.1 };
   g_strlcpy(x.front_ip, h->ip, sizeof x.front_ip);
--- a/emulator/deployment.c
+++ b/emulator/deployment.c
@@ -70,7 +70,7 @@
                          .grace_ms = GRACE_S * 1000,
                          .apply_ms = APPLY_MS,
                          .lease_ms = MEMBER_LEASE_MS,
-                         .beat_ms = 1200,
+                         .heartbeat_ms = 1200,
                          .retry_ratio = RETRY_RATIO,
                          .retry_slack = RETRY_SLACK,
                          .retry_window_s = RETRY_WINDOW_S,
@@ -456,7 +456,8 @@
 
 static void over_run(void *p) {
   unit *unit = p;
-  if (condition_wait(&unit->host->world.tasks, &unit->gateway->over, time_never()) == WAKE_STOPPED)
+  if (condition_wait(&unit->host->world.tasks, &unit->gateway->drained, time_never()) ==
+      WAKE_STOPPED)
     return;
   sim_at(unit->deployment->sim, unit->deployment->sim->now, kill_now,
          ender_of(unit->deployment, unit->host));
--- a/lib/gateway/canary.c
+++ b/lib/gateway/canary.c
@@ -1,19 +1,19 @@
 #include "gateway.h"
 #include <stdlib.h>
 
-/* NEWS_MS: a node that no core machine answered for so long, or JUDGE_MS: no judge, gives new
- * sessions to the old policy. OPEN_MS: from the judge's word until all nodes begin, at about the
- * same instant. */
+/* CONTROLLER_SILENCE_MS: a node that no core machine answered for so long, or JUDGE_SILENCE_MS: no
+ * judge, gives new sessions to the old policy. OPEN_MS: from the judge's word until all nodes
+ * begin, at about the same instant. */
 enum {
-  NEWS_MS = 3000,
-  JUDGE_MS = 10000,
+  CONTROLLER_SILENCE_MS = 3000,
+  JUDGE_SILENCE_MS = 10000,
   REPORT_MS = 1000,
   REPORT_SOON_MS = 250,
-  OPEN_MS = 3000,
+  START_DELAY_MS = 3000,
   HEARD_MS = 3000,
-  NOTHING_HEARD_MS = 5000,
+  NO_REPORT_TIMEOUT_MS = 5000,
   SPARE_MS = 15000,
-  ELDERS_MOST = 1 << 17,
+  MAX_PINNED_SESSIONS = 1 << 17,
   CHUNK = 2048,
   CALL_MS = 1500,
   END_MS = 3500
@@ -21,68 +21,68 @@
 
 /** Sessions that the draw gives to the candidate, and that the old policy has served: they stay
  * there. */
-typedef struct elder_set {
-  GHashTable *at;
-  GArray *list;
-} elder_set;
+typedef struct pinned_sessions {
+  GHashTable *index;
+  GArray *order;
+} pinned_sessions;
 
 /** A trial as one node lives it. */
 typedef struct canary {
   canary_plan plan;
   uint64_t version;
-  time_us from, open_at, heard, cast_at;
-  canary_totals own;
-  elder_set elders;
-  uint64_t list; /* of the judge that was heard last; it has the first `sent` of ours, and we
-                    `known` of its own */
-  size_t sent, known;
+  time_us started_at, open_at, judge_heard_at, broadcast_at;
+  canary_totals totals;
+  pinned_sessions pinned;
+  uint64_t judge_list_id; /* of the judge that was heard last; it has the first `sent` of ours, and
+                    we `known` of its own */
+  size_t sent_count, known_count;
   id judge;
-  bool was_on, recent_sessions; /* young: this run found the trial when it came up, and others may
-                                   be on with it */
+  bool was_active, may_have_begun_elsewhere; /* young: this run found the trial when it came up, and
+                                   others may be on with it */
 } canary;
 
 /** What a judge has heard of one run of one node. */
-typedef struct heard_of {
+typedef struct canary_node_report {
   uint64_t nonce;
-  id who;
-  time_us at;
+  id node_id;
+  time_us received_at;
   uint64_t age_ms;
-  bool warm, whole;
-  canary_totals t;
-} heard_of;
+  bool warmed_up, has_all_sessions;
+  canary_totals totals;
+} canary_node_report;
 /** A trial as its judge sees it, under one epoch. Its list of elders has a number of its own: a
  * judge whose duty lapsed and came back knows nothing any more, and has the same epoch. */
 struct canary_judge {
-  bool began;
-  uint64_t version, epoch, list;
+  bool resumed;
+  uint64_t version, epoch, list_id;
   GArray *nodes;
-  elder_set elders;
-  time_us from, open_at, hears_nobody_since;
-  canary_verdict last;
+  pinned_sessions pinned;
+  time_us started_at, open_at, no_reports_since;
+  canary_verdict last_finding;
 };
 typedef struct canary_judge canary_judge_t;
 
-static void elders_init(elder_set *s) {
-  s->at = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, NULL);
-  s->list = g_array_new(FALSE, FALSE, sizeof(uint64_t));
+static void pinned_sessions_init(pinned_sessions *s) {
+  s->index = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, NULL);
+  s->order = g_array_new(FALSE, FALSE, sizeof(uint64_t));
 }
 
-static void elders_free(elder_set *s) {
-  g_hash_table_destroy(s->at);
-  g_array_free(s->list, TRUE);
+static void pinned_sessions_free(pinned_sessions *s) {
+  g_hash_table_destroy(s->index);
+  g_array_free(s->order, TRUE);
 }
 
-static bool elders_add(elder_set *s, uint64_t x) {
-  if (g_hash_table_contains(s->at, &x) || s->list->len >= ELDERS_MOST)
+static bool pinned_sessions_add(pinned_sessions *s, uint64_t x) {
+  if (g_hash_table_contains(s->index, &x) || s->order->len >= MAX_PINNED_SESSIONS)
     return false;
-  g_hash_table_add(s->at, g_memdup2(&x, sizeof x));
-  g_array_append_val(s->list, x);
+  g_hash_table_add(s->index, g_memdup2(&x, sizeof x));
+  g_array_append_val(s->order, x);
   return true;
 }
 
-static size_t chunk(const elder_set *s, size_t from, uint64_t **at) {
-  *at = from < s->list->len ? &g_array_index(s->list, uint64_t, from) : NULL;
-  return from < s->list->len ? MIN((size_t)CHUNK, s->list->len - from) : 0;
+static size_t pinned_sessions_chunk(const pinned_sessions *s, size_t from, uint64_t **at) {
+  *at = from < s->order->len ? &g_array_index(s->order, uint64_t, from) : NULL;
+  return from < s->order->len ? MIN((size_t)CHUNK, s->order->len - from) : 0;
 }
 
 static time_us now_of(const gateway *gateway) {
@@ -96,16 +96,16 @@
   if (!gateway->canary_judge)
     return;
   g_array_free(gateway->canary_judge->nodes, TRUE);
-  elders_free(&gateway->canary_judge->elders);
+  pinned_sessions_free(&gateway->canary_judge->pinned);
   g_free(gateway->canary_judge);
   gateway->canary_judge = NULL;
 }
 
-static void drop(gateway *gateway) {
+static void canary_drop(gateway *gateway) {
   judge_free(gateway);
   if (!gateway->canary)
     return;
-  elders_free(&gateway->canary->elders);
+  pinned_sessions_free(&gateway->canary->pinned);
   g_free(gateway->canary);
   gateway->canary = NULL;
 }
@@ -145,15 +145,15 @@
 static bool is_on(const gateway *gateway) {
   const canary *canary = gateway->canary;
   return canary->open_at.us && time_reached(now_of(gateway), canary->open_at) &&
-         within(gateway, gateway->router->controller_answered_at, NEWS_MS) &&
-         within(gateway, canary->heard, JUDGE_MS) &&
-         within(gateway, canary->from, canary->plan.max_duration_ms + SPARE_MS) &&
-         canary->elders.list->len < ELDERS_MOST;
+         within(gateway, gateway->router->controller_answered_at, CONTROLLER_SILENCE_MS) &&
+         within(gateway, canary->judge_heard_at, JUDGE_SILENCE_MS) &&
+         within(gateway, canary->started_at, canary->plan.max_duration_ms + SPARE_MS) &&
+         canary->pinned.order->len < MAX_PINNED_SESSIONS;
 }
 
 /* while others may begin any moment, or have begun, they must know of an elder before its next
  * request */
-static void announce_old_session(gateway *gateway, uint64_t x) {
+static void broadcast_pinned_session(gateway *gateway, uint64_t x) {
   Wire__CanaryPinnedSessions q = WIRE__CANARY_PINNED_SESSIONS__INIT;
   q.version = gateway->canary->version;
   q.n_pinned_sessions = 1;
@@ -162,22 +162,23 @@
   node_broadcast(&gateway->router->node, ROLE_ROUTER, &m);
 }
 
-canary_part canary_admit(gateway *gateway, const http_request *request, const route *route) {
+canary_assignment canary_admit(gateway *gateway, const http_request *request, const route *route) {
   canary *canary = gateway->canary;
   if (!canary_includes(&canary->plan, route->name, route->priority))
-    return (canary_part){ 0 };
+    return (canary_assignment){ 0 };
   uint64_t session = session_of(gateway, request, route);
   bool on = is_on(gateway);
   if (!canary_session_is_candidate(&canary->plan, session))
-    return (canary_part){ canary->version, CANARY_ARM_CONTROL, on };
-  if (on && !g_hash_table_contains(canary->elders.at, &session))
-    return (canary_part){ canary->version, CANARY_ARM_CANDIDATE, true };
-  if (elders_add(&canary->elders, session) && (canary->open_at.us || canary->recent_sessions))
-    announce_old_session(gateway, session);
-  return (canary_part){ canary->version, CANARY_ARM_CONTROL, false };
+    return (canary_assignment){ canary->version, CANARY_ARM_CONTROL, on };
+  if (on && !g_hash_table_contains(canary->pinned.index, &session))
+    return (canary_assignment){ canary->version, CANARY_ARM_CANDIDATE, true };
+  if (pinned_sessions_add(&canary->pinned, session) &&
+      (canary->open_at.us || canary->may_have_begun_elsewhere))
+    broadcast_pinned_session(gateway, session);
+  return (canary_assignment){ canary->version, CANARY_ARM_CONTROL, false };
 }
 
-const select_policy *canary_policy(const gateway *gateway, const canary_part *p) {
+const select_policy *canary_policy(const gateway *gateway, const canary_assignment *p) {
   return p->side == CANARY_ARM_CANDIDATE ? &gateway->canary->plan.candidate
                                          : &select_policy_default;
 }
@@ -185,13 +186,13 @@
   return gateway->canary->plan.name.text;
 }
 
-void canary_note(gateway *gateway, const canary_part *p, const route *route, double first_ms,
-                 int status) {
+void canary_record_result(gateway *gateway, const canary_assignment *p, const route *route,
+                          double first_ms, int status) {
   canary *canary = gateway->canary;
-  if (!canary || canary->version != p->run || !p->counts || !status ||
+  if (!canary || canary->version != p->version || !p->is_evidence || !status ||
       (status >= 400 && status < 500 && status != 429 && status != 408))
     return;
-  canary_cell *k = &canary->own.cells[p->side][MIN(route->priority, CANARY_PRIORITIES - 1)];
+  canary_cell *k = &canary->totals.cells[p->side][MIN(route->priority, CANARY_PRIORITIES - 1)];
   if (status == 503 || status == 429)
     k->rejected++;
   else if (status >= 500 || status == 408 || first_ms < 0)
@@ -216,26 +217,27 @@
     canary_judge_t *judge = gateway->canary_judge = g_new0(canary_judge_t, 1);
     judge->version = gateway->canary->version;
     judge->epoch = epoch;
-    judge->list = gateway->router->node.world->random(gateway->router->node.world) | 1;
-    judge->from = now_of(gateway);
-    judge->nodes = g_array_new(FALSE, TRUE, sizeof(heard_of));
-    elders_init(&judge->elders);
+    judge->list_id = gateway->router->node.world->random(gateway->router->node.world) | 1;
+    judge->started_at = now_of(gateway);
+    judge->nodes = g_array_new(FALSE, TRUE, sizeof(canary_node_report));
+    pinned_sessions_init(&judge->pinned);
     log_info(&gateway->router->node.log, "canary", "Judges the trial %s under epoch %" PRIu64 ".",
              gateway->canary->plan.name.text, epoch);
   }
   return gateway->canary_judge;
 }
 
-static int heard_now(gateway *gateway, const canary_judge_t *judge, bool warm) {
+static int count_recent_nodes(gateway *gateway, const canary_judge_t *judge, bool warm) {
   int n = 0;
   for (guint i = 0; i < judge->nodes->len; i++) {
-    const heard_of *h = &g_array_index(judge->nodes, heard_of, i);
-    n += within(gateway, h->at, HEARD_MS) && (!warm || (h->warm && h->whole));
+    const canary_node_report *h = &g_array_index(judge->nodes, canary_node_report, i);
+    n += within(gateway, h->received_at, HEARD_MS) &&
+         (!warm || (h->warmed_up && h->has_all_sessions));
   }
   return n;
 }
 
-static bool most(gateway *gateway, int n) {
+static bool is_majority(gateway *gateway, int n) {
   return n > node_count_peers(&gateway->router->node, ROLE_ROUTER) / 2;
 }
 
@@ -243,23 +245,23 @@
  * nothing */
 static void registry_update(gateway *gateway, canary_judge_t *judge, id who, uint64_t nonce,
                             const Wire__CanaryReportRequest *q) {
-  heard_of *h = NULL;
+  canary_node_report *h = NULL;
   for (guint i = 0; i < judge->nodes->len && !h; i++)
-    if (g_array_index(judge->nodes, heard_of, i).nonce == nonce)
-      h = &g_array_index(judge->nodes, heard_of, i);
+    if (g_array_index(judge->nodes, canary_node_report, i).nonce == nonce)
+      h = &g_array_index(judge->nodes, canary_node_report, i);
   if (!h) {
-    heard_of fresh = { .nonce = nonce, .who = who };
+    canary_node_report fresh = { .nonce = nonce, .node_id = who };
     g_array_append_val(judge->nodes, fresh);
-    h = &g_array_index(judge->nodes, heard_of, judge->nodes->len - 1);
+    h = &g_array_index(judge->nodes, canary_node_report, judge->nodes->len - 1);
   }
-  h->at = now_of(gateway);
+  h->received_at = now_of(gateway);
   h->age_ms = MAX(h->age_ms, q->age_ms);
-  h->warm |= q->warm;
+  h->warmed_up |= q->warm;
   for (size_t i = 0; i < q->n_cells; i++) {
     const Wire__CanaryCell *w = q->cells[i];
     if (w->arm >= CANARY_ARMS || w->priority >= CANARY_PRIORITIES)
       continue;
-    canary_cell *c = &h->t.cells[w->arm][w->priority],
+    canary_cell *c = &h->totals.cells[w->arm][w->priority],
                 x = { w->within_target, w->late, w->rejected, w->failed, { 0 } };
     for (size_t b = 0; b < MIN(w->n_first_event_buckets, (size_t)CANARY_BUCKETS); b++)
       x.first_event_buckets[b] = w->first_event_buckets[b];
@@ -267,23 +269,23 @@
       *c = x;
   }
   for (size_t i = 0; i < q->n_pinned_sessions; i++)
-    elders_add(&judge->elders, q->pinned_sessions[i]);
+    pinned_sessions_add(&judge->pinned, q->pinned_sessions[i]);
   /* what was sent before it knew this list was meant for another */
-  h->whole |= q->pinned_list_id == judge->list && !q->more;
+  h->has_all_sessions |= q->pinned_list_id == judge->list_id && !q->more;
   /* under a judge before this one it began already; but only with all elders may a node begin */
-  judge->began |= q->started;
-  if (!judge->open_at.us && most(gateway, heard_now(gateway, judge, true)))
-    judge->open_at = time_add(now_of(gateway), time_from_ms(judge->began ? 0 : OPEN_MS));
+  judge->resumed |= q->started;
+  if (!judge->open_at.us && is_majority(gateway, count_recent_nodes(gateway, judge, true)))
+    judge->open_at = time_add(now_of(gateway), time_from_ms(judge->resumed ? 0 : START_DELAY_MS));
 }
 
-static void fill_back(gateway *gateway, canary_judge_t *judge, const Wire__CanaryReportRequest *q,
-                      Wire__CanaryReportResponse *b) {
+static void fill_response(gateway *gateway, canary_judge_t *judge,
+                          const Wire__CanaryReportRequest *q, Wire__CanaryReportResponse *b) {
   size_t from =
-      q->pinned_list_id == judge->list ? MIN(q->pinned_known, judge->elders.list->len) : 0;
-  b->pinned_list_id = judge->list;
+      q->pinned_list_id == judge->list_id ? MIN(q->pinned_known, judge->pinned.order->len) : 0;
+  b->pinned_list_id = judge->list_id;
   b->pinned_offset = from;
-  b->pinned_total = judge->elders.list->len;
-  b->n_pinned_sessions = chunk(&judge->elders, from, &b->pinned_sessions);
+  b->pinned_total = judge->pinned.order->len;
+  b->n_pinned_sessions = pinned_sessions_chunk(&judge->pinned, from, &b->pinned_sessions);
   b->starts = judge->open_at.us != 0;
   b->starts_in_ms =
       b->starts ? (uint64_t)MAX(0, time_sub(judge->open_at, now_of(gateway)).us / 1000) : 0;
@@ -298,7 +300,7 @@
   registry_update(gateway, judge, id_of_text(in->from->id), in->from->nonce, q);
   Wire__CanaryReportResponse *b = reply_new_body(reply, WIRE__ENVELOPE__BODY_CANARY_REPORT_RESPONSE,
                                                  &wire__canary_report_response__descriptor);
-  fill_back(gateway, judge, q, b);
+  fill_response(gateway, judge, q, b);
   /* the list may move before the reply is packed */
   uint64_t *own = reply_alloc(reply, sizeof(uint64_t) * (b->n_pinned_sessions + 1));
   if (b->n_pinned_sessions)
@@ -307,57 +309,57 @@
   return OK;
 }
 
-static int on_elders(void *ctx, Wire__Envelope *in, reply *reply, error *err) {
+static int on_pinned_sessions(void *ctx, Wire__Envelope *in, reply *reply, error *err) {
   gateway *gateway = ctx;
   (void)reply;
   (void)err;
   if (!gateway->canary || gateway->canary->version != in->canary_pinned_sessions->version)
     return OK;
   for (size_t i = 0; i < in->canary_pinned_sessions->n_pinned_sessions; i++)
-    elders_add(&gateway->canary->elders, in->canary_pinned_sessions->pinned_sessions[i]);
+    pinned_sessions_add(&gateway->canary->pinned, in->canary_pinned_sessions->pinned_sessions[i]);
   return OK;
 }
 
-static void take_back(gateway *gateway, const Wire__CanaryReportResponse *b, size_t sent) {
+static void apply_response(gateway *gateway, const Wire__CanaryReportResponse *b, size_t sent) {
   canary *canary = gateway->canary;
-  canary->heard = now_of(gateway);
-  if (canary->list != b->pinned_list_id) {
+  canary->judge_heard_at = now_of(gateway);
+  if (canary->judge_list_id != b->pinned_list_id) {
     /* another judge knows nothing yet, and its list is another */
-    canary->list = b->pinned_list_id;
-    canary->sent = canary->known = 0;
+    canary->judge_list_id = b->pinned_list_id;
+    canary->sent_count = canary->known_count = 0;
     if (b->pinned_offset)
       return;
   } else
-    canary->sent = MAX(canary->sent, sent);
+    canary->sent_count = MAX(canary->sent_count, sent);
   for (size_t i = 0; i < b->n_pinned_sessions; i++)
-    elders_add(&canary->elders, b->pinned_sessions[i]);
-  if (b->pinned_offset == canary->known)
-    canary->known += b->n_pinned_sessions;
-  if (!canary->open_at.us && b->starts && canary->known >= b->pinned_total) {
+    pinned_sessions_add(&canary->pinned, b->pinned_sessions[i]);
+  if (b->pinned_offset == canary->known_count)
+    canary->known_count += b->n_pinned_sessions;
+  if (!canary->open_at.us && b->starts && canary->known_count >= b->pinned_total) {
     canary->open_at = time_add(now_of(gateway), time_from_ms((int64_t)b->starts_in_ms));
     log_info(&gateway->router->node.log, "canary",
              "The trial %s begins here in %" PRIu64 " ms; %u sessions stay with the old policy.",
-             canary->plan.name.text, b->starts_in_ms, canary->elders.list->len);
+             canary->plan.name.text, b->starts_in_ms, canary->pinned.order->len);
   }
 }
 
 /* tells the judge what this run of this node has seen; gives false when no judge heard it */
-static bool report(gateway *gateway) {
+static bool report_to_judge(gateway *gateway) {
   canary *canary = gateway->canary;
   uint64_t version = canary->version;
   Wire__CanaryCell cells[CANARY_ARMS * CANARY_PRIORITIES], *at[CANARY_ARMS * CANARY_PRIORITIES];
   uint64_t first[CANARY_ARMS * CANARY_PRIORITIES][CANARY_BUCKETS];
   Wire__CanaryReportRequest q = WIRE__CANARY_REPORT_REQUEST__INIT;
   q.version = version;
-  q.pinned_list_id = canary->list;
-  q.pinned_known = canary->known;
-  q.age_ms = (uint64_t)time_sub(now_of(gateway), canary->from).us / 1000;
+  q.pinned_list_id = canary->judge_list_id;
+  q.pinned_known = canary->known_count;
+  q.age_ms = (uint64_t)time_sub(now_of(gateway), canary->started_at).us / 1000;
   q.warm = q.age_ms >= (uint64_t)canary->plan.warm_up_ms;
   q.started = canary->open_at.us && time_reached(now_of(gateway), canary->open_at);
   q.cells = at;
   for (int s = 0; s < CANARY_ARMS; s++)
     for (unsigned p = 0; p < CANARY_PRIORITIES; p++) {
-      const canary_cell *k = &canary->own.cells[s][p];
+      const canary_cell *k = &canary->totals.cells[s][p];
       if (!canary_cell_requests(k))
         continue;
       Wire__CanaryCell *w = at[q.n_cells] = &cells[q.n_cells];
@@ -374,20 +376,20 @@
       q.n_cells++;
     }
   uint64_t *own;
-  q.n_pinned_sessions = chunk(&canary->elders, canary->sent, &own);
-  q.more = canary->sent + q.n_pinned_sessions < canary->elders.list->len;
+  q.n_pinned_sessions = pinned_sessions_chunk(&canary->pinned, canary->sent_count, &own);
+  q.more = canary->sent_count + q.n_pinned_sessions < canary->pinned.order->len;
   uint64_t *copy = g_memdup2(own, sizeof(uint64_t) * q.n_pinned_sessions);
   q.pinned_sessions = copy;
-  size_t sent = canary->sent + q.n_pinned_sessions;
+  size_t sent = canary->sent_count + q.n_pinned_sessions;
   bool ok = false;
   canary_judge_t *judge = judge_of(gateway);
   if (judge) {
     Wire__CanaryReportResponse b = WIRE__CANARY_REPORT_RESPONSE__INIT;
     registry_update(gateway, judge, gateway->router->node.settings.self,
                     gateway->router->node.nonce, &q);
-    fill_back(gateway, judge, &q, &b);
+    fill_response(gateway, judge, &q, &b);
     canary->judge = gateway->router->node.settings.self;
-    take_back(gateway, &b, sent);
+    apply_response(gateway, &b, sent);
     g_free(copy);
     return true;
   }
@@ -406,7 +408,7 @@
       if (canary && canary->version == version &&
           b->body_case == WIRE__ENVELOPE__BODY_CANARY_REPORT_RESPONSE) {
         canary->judge = who;
-        take_back(gateway, b->canary_report_response, sent);
+        apply_response(gateway, b->canary_report_response, sent);
         ok = true;
       }
       node_reply_free(b);
@@ -429,12 +431,12 @@
   memset(t, 0, sizeof *t);
   *age_ms = 0;
   for (guint i = 0; i < judge->nodes->len; i++) {
-    const heard_of *h = &g_array_index(judge->nodes, heard_of, i);
+    const canary_node_report *h = &g_array_index(judge->nodes, canary_node_report, i);
     *age_ms = MAX(*age_ms, h->age_ms);
     for (int s = 0; s < CANARY_ARMS; s++)
       for (int p = 0; p < CANARY_PRIORITIES; p++) {
         canary_cell *to = &t->cells[s][p];
-        const canary_cell *k = &h->t.cells[s][p];
+        const canary_cell *k = &h->totals.cells[s][p];
         to->within_target += k->within_target;
         to->late += k->late;
         to->rejected += k->rejected;
@@ -447,16 +449,16 @@
 
 /* writes the end through the core; only the holder's word, under its epoch, and only of this very
  * trial is taken there */
-static void end(gateway *gateway, canary_judge_t *judge, const char *verdict) {
+static void judge_end(gateway *gateway, canary_judge_t *judge, const char *verdict) {
   GString *t = g_string_new(NULL);
   json_appendf(
       t, "{\"state\":\"ended\",\"end\":{\"verdict\":\"%s\",\"by\":\"%s\",\"epoch\":%" PRIu64 ",",
       verdict, gateway->router->node.settings.self.text, judge->epoch);
-  view_text(t, "urgent", &judge->last.urgent);
+  view_text(t, "urgent", &judge->last_finding.urgent);
   g_string_append_c(t, ',');
-  view_text(t, "rest", &judge->last.rest);
+  view_text(t, "rest", &judge->last_finding.rest);
   g_string_append(t, "}}");
-  const canary_comparison *u = &judge->last.urgent;
+  const canary_comparison *u = &judge->last_finding.urgent;
   log_info(
       &gateway->router->node.log, "canary",
       "Ends the trial %s: %s. Urgent harm %.4f of %.0f by the old policy (at most %.4f), %.4f of %.0f by the candidate (at least %.4f).",
@@ -496,35 +498,35 @@
   canary_totals t;
   uint64_t age;
   totals_of(judge, &t, &age);
-  judge->last = canary_judge(&gateway->canary->plan, &t);
+  judge->last_finding = canary_judge(&gateway->canary->plan, &t);
   time_us now = now_of(gateway);
-  if (most(gateway, heard_now(gateway, judge, false)))
-    judge->hears_nobody_since = (time_us){ 0 };
-  else if (!judge->hears_nobody_since.us)
-    judge->hears_nobody_since = now;
-  if (judge->last.harm_proven)
-    end(gateway, judge, "harm");
-  else if (judge->hears_nobody_since.us &&
-           time_reached(now, time_add(judge->hears_nobody_since, time_from_ms(NOTHING_HEARD_MS))))
-    end(gateway, judge, "unreachable");
+  if (is_majority(gateway, count_recent_nodes(gateway, judge, false)))
+    judge->no_reports_since = (time_us){ 0 };
+  else if (!judge->no_reports_since.us)
+    judge->no_reports_since = now;
+  if (judge->last_finding.harm_proven)
+    judge_end(gateway, judge, "harm");
+  else if (judge->no_reports_since.us &&
+           time_reached(now, time_add(judge->no_reports_since, time_from_ms(NO_REPORT_TIMEOUT_MS))))
+    judge_end(gateway, judge, "unreachable");
   else if (age >= (uint64_t)gateway->canary->plan.max_duration_ms)
-    end(gateway, judge, judge->last.has_enough_requests ? "no harm" : "too little");
+    judge_end(gateway, judge, judge->last_finding.has_enough_requests ? "no harm" : "too little");
 }
 
-typedef struct watch {
+typedef struct canary_watch {
   gateway *deployment;
   uint64_t version;
-} watch;
+} canary_watch;
 
 static void canary_run(void *p) {
-  watch *k = p;
+  canary_watch *k = p;
   gateway *gateway = k->deployment;
   uint64_t version = k->version;
   g_free(k);
   for (;;) {
     if (!gateway->canary || gateway->canary->version != version)
       return;
-    bool heard = report(gateway);
+    bool heard = report_to_judge(gateway);
     if (!gateway->canary || gateway->canary->version != version)
       return;
     examination(gateway);
@@ -532,24 +534,25 @@
       return;
     canary *canary = gateway->canary;
     bool on = is_on(gateway);
-    if (canary->was_on && !on)
+    if (canary->was_active && !on)
       log_info(&gateway->router->node.log, "canary", "New sessions go by the old policy here: %s.",
-               !within(gateway, gateway->router->controller_answered_at, NEWS_MS) ? "no news"
-               : !within(gateway, canary->heard, JUDGE_MS)
+               !within(gateway, gateway->router->controller_answered_at, CONTROLLER_SILENCE_MS)
+                   ? "no news"
+               : !within(gateway, canary->judge_heard_at, JUDGE_SILENCE_MS)
                    ? "no judge"
                    : "the trial is too old, or has too many elders");
-    else if (!canary->was_on && on)
+    else if (!canary->was_active && on)
       log_info(&gateway->router->node.log, "canary", "The candidate has its share here.");
-    canary->was_on = on;
+    canary->was_active = on;
     bool soon = !heard || !gateway->canary->open_at.us ||
-                gateway->canary->sent < gateway->canary->elders.list->len;
+                gateway->canary->sent_count < gateway->canary->pinned.order->len;
     if (!world_sleep_with_jitter(gateway->router->node.world,
                                  time_from_ms(soon ? REPORT_SOON_MS : REPORT_MS)))
       return;
   }
 }
 
-void canary_installed(gateway *gateway) {
+void canary_config_installed(gateway *gateway) {
   const config *config = gateway->router->config;
   const canary_plan *plan = config ? &config->canary : NULL;
   uint64_t version = gateway->router->resource_versions[RESOURCE_CANARY];
@@ -558,22 +561,22 @@
       log_info(&gateway->router->node.log, "canary",
                "The trial %s is over; every new request goes by the old policy.",
                gateway->canary->plan.name.text);
-    drop(gateway);
+    canary_drop(gateway);
     return;
   }
   if (gateway->canary && gateway->canary->version == version)
     return;
-  drop(gateway);
+  canary_drop(gateway);
   canary *n = gateway->canary = g_new0(canary, 1);
   n->plan = *plan;
   n->version = version;
-  n->from = now_of(gateway);
-  n->recent_sessions = gateway->router->sync_count <= 1;
-  elders_init(&n->elders);
+  n->started_at = now_of(gateway);
+  n->may_have_begun_elsewhere = gateway->router->sync_count <= 1;
+  pinned_sessions_init(&n->pinned);
   log_info(&gateway->router->node.log, "canary", "The trial %s is declared for a share of %.3f.",
            plan->name.text, plan->traffic_share);
-  watch *w = g_new(watch, 1);
-  *w = (watch){ gateway, version };
+  canary_watch *w = g_new(canary_watch, 1);
+  *w = (canary_watch){ gateway, version };
   task_start(&gateway->router->node.world->tasks, "canary", canary_run, w);
 }
 
@@ -581,11 +584,11 @@
   node_register_handler(&gateway->router->node, WIRE__ENVELOPE__BODY_CANARY_REPORT_REQUEST,
                         on_report, gateway);
   node_register_handler(&gateway->router->node, WIRE__ENVELOPE__BODY_CANARY_PINNED_SESSIONS,
-                        on_elders, gateway);
+                        on_pinned_sessions, gateway);
 }
 
 void canary_free(gateway *gateway) {
-  drop(gateway);
+  canary_drop(gateway);
 }
 
 static const char *const side_name[CANARY_ARMS] = { "old", "candidate" };
@@ -619,19 +622,19 @@
   json_appendf(to,
                ",\"canary\":{\"name\":\"%s\",\"on\":%s,\"judge\":\"%s\",\"elders\":%u,\"sides\":",
                canary->plan.name.text, is_on(gateway) ? "true" : "false", canary->judge.text,
-               canary->elders.list->len);
-  sides_json(&canary->own, to);
+               canary->pinned.order->len);
+  sides_json(&canary->totals, to);
   canary_judge_t *judge = judge_of(gateway);
   if (judge) {
     canary_totals t;
     uint64_t age;
     totals_of(judge, &t, &age);
     json_appendf(to, ",\"judges\":{\"nodes\":%d,\"ageMs\":%" PRIu64 ",\"enough\":%s,",
-                 heard_now(gateway, judge, false), age,
-                 judge->last.has_enough_requests ? "true" : "false");
-    view_text(to, "urgent", &judge->last.urgent);
+                 count_recent_nodes(gateway, judge, false), age,
+                 judge->last_finding.has_enough_requests ? "true" : "false");
+    view_text(to, "urgent", &judge->last_finding.urgent);
     g_string_append_c(to, ',');
-    view_text(to, "rest", &judge->last.rest);
+    view_text(to, "rest", &judge->last_finding.rest);
     g_string_append(to, ",\"sides\":");
     sides_json(&t, to);
     g_string_append_c(to, '}');
@@ -644,10 +647,10 @@
   if (!canary)
     return;
   json_appendf(to, "asterfall_canary_on %d\nasterfall_canary_elders %u\n", is_on(gateway),
-               canary->elders.list->len);
+               canary->pinned.order->len);
   for (int s = 0; s < CANARY_ARMS; s++)
     for (int p = 0; p < CANARY_PRIORITIES; p++) {
-      const canary_cell *k = &canary->own.cells[s][p];
+      const canary_cell *k = &canary->totals.cells[s][p];
       if (!canary_cell_requests(k))
         continue;
       json_appendf(
--- a/lib/gateway/drain.c
+++ b/lib/gateway/drain.c
@@ -16,10 +16,10 @@
 
 static time_us before_end(const gateway *gateway, int64_t ms, int64_t least_ms) {
   int64_t grace = gateway->settings.grace_ms > 0 ? gateway->settings.grace_ms : GRACE_MS;
-  return time_add(gateway->drain_at, time_from_ms(MAX(grace - ms, least_ms)));
+  return time_add(gateway->drain_started_at, time_from_ms(MAX(grace - ms, least_ms)));
 }
 
-int64_t gateway_left_ms(const gateway *gateway) {
+int64_t gateway_remaining_ms(const gateway *gateway) {
   if (!gateway->draining)
     return INT64_MAX;
   time_us now = world_now(gateway->router->node.world);
@@ -30,22 +30,22 @@
  * its callers are refused at once, while other machines have the time to serve them. */
 static void stop_admission(gateway *gateway) {
   world *world = gateway->router->node.world;
-  gateway->shut = true;
-  world->listener_stop_accepting(world, &gateway->front);
-  world->listener_close_idle(world, &gateway->front);
+  gateway->admission_stopped = true;
+  world->listener_stop_accepting(world, &gateway->client_listener);
+  world->listener_close_idle(world, &gateway->client_listener);
 }
 
 /* what waits for a place would not be served any more */
 static void refuse_waiting(gateway *gateway) {
-  gateway->ending = true;
-  condition_broadcast(&gateway->moved);
+  gateway->refusing_queued = true;
+  condition_broadcast(&gateway->engines_changed);
 }
 
 /* what no engine has begun to answer is answered here */
 static void answer_unbegun(gateway *gateway) {
-  forward_report_open(gateway);
-  gateway->stopped = true;
-  forward_wake_open(gateway);
+  forward_log_open_requests(gateway);
+  gateway->grace_over = true;
+  forward_wake_open_requests(gateway);
 }
 
 static void drain_run(void *p) {
@@ -53,35 +53,36 @@
   world *world = gateway->router->node.world;
   time_us last = before_end(gateway, LAST_MS, 500), refuse = before_end(gateway, REFUSE_MS, 300),
           shut = before_end(gateway, 0, 0);
-  shut.us = MIN(gateway->drain_at.us + UNREADY_MS * 1000, (gateway->drain_at.us + shut.us) / 2);
+  shut.us = MIN(gateway->drain_started_at.us + UNREADY_MS * 1000,
+                (gateway->drain_started_at.us + shut.us) / 2);
   if (!world_sleep(world, time_sub(shut, world_now(world))))
     return;
   stop_admission(gateway);
-  while ((gateway->open || gateway->front.pending_exchanges) &&
+  while ((gateway->open_request_count || gateway->client_listener.pending_exchanges) &&
          !time_reached(world_now(world), last)) {
-    if (!gateway->ending && time_reached(world_now(world), refuse))
+    if (!gateway->refusing_queued && time_reached(world_now(world), refuse))
       refuse_waiting(gateway);
     if (!world_sleep(world, time_from_ms(STEP_MS)))
       return;
   }
-  world->listener_close_idle(world, &gateway->front);
+  world->listener_close_idle(world, &gateway->client_listener);
   answer_unbegun(gateway);
   if (!world_sleep(world, time_from_ms(FLUSH_MS)))
     return;
   log_info(&gateway->router->node.log, "gateway",
-           "Drained, %d requests left, %" PRIu64 " channels broken off.", gateway->open,
-           gateway->front.requests_aborted);
-  condition_broadcast(&gateway->over);
+           "Drained, %d requests left, %" PRIu64 " channels broken off.",
+           gateway->open_request_count, gateway->client_listener.requests_aborted);
+  condition_broadcast(&gateway->drained);
 }
 
 void gateway_drain(gateway *gateway) {
   if (gateway->draining)
     return;
-  gateway->draining = gateway->front.draining = true;
+  gateway->draining = gateway->client_listener.draining = true;
   gateway->router->draining = true;
   node_start_draining(&gateway->router->node);
-  gateway->drain_at = world_now(gateway->router->node.world);
+  gateway->drain_started_at = world_now(gateway->router->node.world);
   log_info(&gateway->router->node.log, "gateway", "Asked to stop, %d requests are open.",
-           gateway->open);
+           gateway->open_request_count);
   task_start(&gateway->router->node.world->tasks, "leave", drain_run, gateway);
 }
--- a/lib/gateway/event_stream.c
+++ b/lib/gateway/event_stream.c
@@ -3,9 +3,9 @@
 #include <stdlib.h>
 
 /* an id is a number of fewer digits */
-enum { ID_TEXT_MOST = 32 };
+enum { MAX_EVENT_ID_LENGTH = 32 };
 
-size_t event_whole(const char *p, size_t n) {
+size_t event_complete_length(const char *p, size_t n) {
   for (size_t i = n; i > 1; i--) {
     if (p[i - 1] != '\n')
       continue;
@@ -25,14 +25,15 @@
   return (string_view){ p, (size_t)(end - p) };
 }
 
-static void read_id(string_view text, event_head *head) {
+static void read_id(string_view text, event_info *head) {
   char *stop;
   head->id = strtoull(text.data, &stop, 10);
-  head->has_id = text.length && text.length < ID_TEXT_MOST && stop == text.data + text.length;
+  head->has_id =
+      text.length && text.length < MAX_EVENT_ID_LENGTH && stop == text.data + text.length;
 }
 
 static void read_line(const char *line, const char *end, const char *version_name,
-                      event_head *head) {
+                      event_info *head) {
   size_t length = (size_t)(end - line), version_length = strlen(version_name);
   if (length > 2 && !memcmp(line, "id:", 3))
     read_id(trimmed(line + 3, end), head);
@@ -40,12 +41,12 @@
     head->has_data = true;
   else if (length > version_length && line[version_length] == ':' &&
            !g_ascii_strncasecmp(line, version_name, version_length))
-    head->versions = trimmed(line + version_length + 1, end);
+    head->weight_versions = trimmed(line + version_length + 1, end);
 }
 
-size_t event_read(const char *p, size_t n, const char *version_name, event_head *head) {
+size_t event_parse(const char *p, size_t n, const char *version_name, event_info *head) {
   const char *at = p, *end = p + n;
-  *head = (event_head){ 0 };
+  *head = (event_info){ 0 };
   while (at < end) {
     const char *line_end = memchr(at, '\n', (size_t)(end - at));
     if (!line_end)
--- a/lib/gateway/rates.c
+++ b/lib/gateway/fleet_rates.c
@@ -3,7 +3,7 @@
 #include <stdio.h>
 
 /* rates and load times of the whole fleet */
-int rates_on_message(void *ctx, Wire__Envelope *in, reply *reply, error *err) {
+int fleet_rates_on_message(void *ctx, Wire__Envelope *in, reply *reply, error *err) {
   gateway *gateway = ctx;
   (void)reply;
   (void)err;
@@ -11,12 +11,12 @@
   for (size_t i = 0; q->fleet_totals && i < q->n_counts; i++) {
     if (strlen(q->counts[i]->key) >= 100)
       continue;
-    whole_rate *r = g_hash_table_lookup(gateway->rates_whole, q->counts[i]->key);
+    fleet_rate *r = g_hash_table_lookup(gateway->fleet_rates, q->counts[i]->key);
     if (!r) {
-      r = g_new0(whole_rate, 1);
-      g_hash_table_insert(gateway->rates_whole, g_strdup(q->counts[i]->key), r);
+      r = g_new0(fleet_rate, 1);
+      g_hash_table_insert(gateway->fleet_rates, g_strdup(q->counts[i]->key), r);
     }
-    *r = (whole_rate){ (double)q->counts[i]->total / 1000, now_of(gateway) };
+    *r = (fleet_rate){ (double)q->counts[i]->total / 1000, now_of(gateway) };
   }
   rate_exchange_receive(gateway->router, q);
   return OK;
@@ -26,7 +26,7 @@
    live router for it in an order that all agree on. They say what they know of the whole to all;
    every node telling every other one grew with the square */
 static int shard_of(const char *key) {
-  return (int)(hash_bytes(key, strlen(key), 7) % SHARDS);
+  return (int)(hash_bytes(key, strlen(key), 7) % RATE_SHARDS);
 }
 
 static void collector(gateway *gateway, int shard, char addr[48]) {
@@ -56,7 +56,7 @@
 
 /* what this node collects, told to all: only what is asked for at all, and once more when that ends
  */
-static void rates_announce(gateway *gateway, const bool mine[SHARDS]) {
+static void rates_announce(gateway *gateway, const bool mine[RATE_SHARDS]) {
   router *router = gateway->router;
   GPtrArray *some = g_ptr_array_new_with_free_func(g_free);
   GHashTableIter it;
@@ -68,14 +68,14 @@
     double rate =
         0.5 * event_history_request_rate(&router->history, k) +
         0.5 * event_history_recent_rate(&router->history, k, time_from_ms(RECENT_RATE_MS));
-    whole_rate *was = g_hash_table_lookup(gateway->rates_whole, k);
+    fleet_rate *was = g_hash_table_lookup(gateway->fleet_rates, k);
     if (rate <= 0 && (!was || was->rate <= 0))
       continue;
     if (!was) {
-      was = g_new0(whole_rate, 1);
-      g_hash_table_insert(gateway->rates_whole, g_strdup(k), was);
+      was = g_new0(fleet_rate, 1);
+      g_hash_table_insert(gateway->fleet_rates, g_strdup(k), was);
     }
-    *was = (whole_rate){ rate, now_of(gateway) };
+    *was = (fleet_rate){ rate, now_of(gateway) };
     Wire__RequestCount *r = g_new(Wire__RequestCount, 1);
     wire__request_count__init(r);
     r->key = k;
@@ -87,7 +87,7 @@
 }
 
 /* only what has changed since it was last told is told */
-void rates_run(void *p) {
+void fleet_rates_run(void *p) {
   gateway *gateway = p;
   router *router = gateway->router;
   uint64_t met = 0, turns = 0;
@@ -97,7 +97,7 @@
         (time_us){
             (int64_t)((gateway->settings.rate_window_s > 0 ? gateway->settings.rate_window_s : 20) *
                       1e6) });
-    if (!world_sleep_with_jitter(router->node.world, time_from_ms(RATES_MS)))
+    if (!world_sleep_with_jitter(router->node.world, time_from_ms(RATES_INTERVAL_MS)))
       return;
     /* a node that is new here, or has started anew, hears all from the start */
     uint64_t now_met = router->node.nonce;
@@ -105,11 +105,11 @@
       if (x->role == ROLE_ROUTER && !x->gone)
         now_met += x->nonce;
     if (now_met != met)
-      g_hash_table_remove_all(gateway->rates_told);
+      g_hash_table_remove_all(gateway->rates_sent);
     met = now_met;
-    bool many = gateway->nodes > FEW_NODES, own[SHARDS] = { false };
-    char to[SHARDS][48];
-    for (int b = 0; many && b < SHARDS; b++) {
+    bool many = gateway->router_count > SMALL_FLEET_NODES, own[RATE_SHARDS] = { false };
+    char to[RATE_SHARDS][48];
+    for (int b = 0; many && b < RATE_SHARDS; b++) {
       collector(gateway, b, to[b]);
       own[b] = !strcmp(to[b], router->node.settings.address);
     }
@@ -118,13 +118,13 @@
     gpointer k, t;
     g_hash_table_iter_init(&it, router->history.local_rates);
     while (g_hash_table_iter_next(&it, &k, &t)) {
-      int64_t *told = g_hash_table_lookup(gateway->rates_told, k),
+      int64_t *told = g_hash_table_lookup(gateway->rates_sent, k),
               total = (int64_t)((request_rate *)t)->total;
       if (told && *told == total)
         continue;
       if (!told) {
         told = g_new0(int64_t, 1);
-        g_hash_table_insert(gateway->rates_told, g_strdup(k), told);
+        g_hash_table_insert(gateway->rates_sent, g_strdup(k), told);
       }
       *told = total;
       Wire__RequestCount *r = g_new(Wire__RequestCount, 1);
@@ -135,7 +135,7 @@
     }
     if (!many)
       rates_send(gateway, all, NULL, false);
-    for (int b = 0; many && b < SHARDS; b++) {
+    for (int b = 0; many && b < RATE_SHARDS; b++) {
       GPtrArray *some = g_ptr_array_new();
       for (guint n = 0; !own[b] && n < all->len; n++)
         if (shard_of(((Wire__RequestCount *)all->pdata[n])->key) == b)
@@ -145,7 +145,7 @@
       g_ptr_array_free(some, TRUE);
     }
     g_ptr_array_free(all, TRUE);
-    if (many && ++turns % (WHOLE_MS / RATES_MS) == 0)
+    if (many && ++turns % (FLEET_RATES_INTERVAL_MS / RATES_INTERVAL_MS) == 0)
       rates_announce(gateway, own);
   }
 }
--- a/lib/gateway/pace.c
+++ b/lib/gateway/load_rate_limiter.c
@@ -3,18 +3,19 @@
 #include <math.h>
 
 /* the pace of the store */
-int pace_most(double loads_per_s, double window_s, double excess) {
+int load_rate_limiter_max_loads(double loads_per_s, double window_s, double excess) {
   return MAX(1, (int)floor(loads_per_s * window_s * excess + 1e-9) - 1);
 }
 
-time_us pace_next(const GArray *log, time_us now, time_us window, int most) {
+time_us load_rate_limiter_next_at(const GArray *log, time_us now, time_us window, int most) {
   if ((int)log->len < most)
     return now;
   time_us free_at = time_add(g_array_index(log, time_us, log->len - (guint)most), window);
   return free_at.us > now.us ? free_at : now;
 }
 
-void pace_take_over(GArray *log, time_us since, time_us born, time_us window, int most) {
+void load_rate_limiter_take_over(GArray *log, time_us since, time_us born, time_us window,
+                                 int most) {
   /* loads that nobody told of: a few always; all but three when this node is too young to have
    * heard */
   int unheard = time_reached(since, time_add(born, window)) ? MIN(3, most - 1) : MAX(0, most - 3);
@@ -24,24 +25,24 @@
 
 /* when loads out of a service's store began, and the contract under which this node has given
  * tickets for them */
-typedef struct pace {
-  GArray *log;
+typedef struct load_rate_limiter {
+  GArray *load_times;
   uint64_t epoch;
-} pace;
+} load_rate_limiter;
 
-static pace *pace_of(gateway *gateway, id service) {
-  pace *p = g_hash_table_lookup(gateway->paces, service.text);
+static load_rate_limiter *load_rate_limiter_of(gateway *gateway, id service) {
+  load_rate_limiter *p = g_hash_table_lookup(gateway->load_rate_limiters, service.text);
   if (p)
     return p;
-  p = g_new0(pace, 1);
-  p->log = g_array_new(FALSE, TRUE, sizeof(time_us));
-  g_hash_table_insert(gateway->paces, g_strdup(service.text), p);
+  p = g_new0(load_rate_limiter, 1);
+  p->load_times = g_array_new(FALSE, TRUE, sizeof(time_us));
+  g_hash_table_insert(gateway->load_rate_limiters, g_strdup(service.text), p);
   return p;
 }
 
-void pace_free(void *q) {
-  pace *p = q;
-  g_array_free(p->log, TRUE);
+void load_rate_limiter_free(void *q) {
+  load_rate_limiter *p = q;
+  g_array_free(p->load_times, TRUE);
   g_free(p);
 }
 
@@ -53,8 +54,8 @@
   return gateway->settings.load_excess > 0 ? gateway->settings.load_excess : 1;
 }
 
-void pace_add(gateway *gateway, id service, time_us at) {
-  GArray *a = pace_of(gateway, service)->log;
+void load_rate_limiter_record(gateway *gateway, id service, time_us at) {
+  GArray *a = load_rate_limiter_of(gateway, service)->load_times;
   time_us old = time_sub(at, (time_us){ (int64_t)(window_s(gateway) * 1.2e6) });
   while (a->len && g_array_index(a, time_us, 0).us < old.us)
     g_array_remove_index(a, 0);
@@ -63,17 +64,17 @@
 
 /* a call asks for a ticket; a cast says that a load began, so that whoever takes the pace over
  * knows */
-int pace_on_ticket(void *ctx, Wire__Envelope *in, reply *reply, error *err) {
+int load_rate_limiter_on_permit(void *ctx, Wire__Envelope *in, reply *reply, error *err) {
   gateway *gateway = ctx;
   router *router = gateway->router;
-  instance *instance = instance_find(gateway, in->load_permit_request->engine);
+  gateway_engine *engine = gateway_engine_find(gateway, in->load_permit_request->engine);
   if (!in->call) {
-    if (!instance)
+    if (!engine)
       return OK;
     if (in->load_permit_request->key && in->load_permit_request->key[0])
-      pace_add(gateway, instance->service, now_of(gateway));
+      load_rate_limiter_record(gateway, engine->service, now_of(gateway));
     else
-      instance->ordered_at = now_of(gateway);
+      engine->peer_ordered_at = now_of(gateway);
     return OK;
   }
   uint64_t epoch = singleton_lease_epoch(router, "pacer");
@@ -81,28 +82,30 @@
     return error_set(err, E_NO_LEASE_HOLDER, "the pace is not held here");
   if (in->load_permit_request->epoch > epoch)
     return error_set(err, E_STALE_EPOCH, "a younger epoch is known");
-  const service *service = instance ? service_of(gateway, instance->service) : NULL;
+  const service *service = engine ? gateway_service_of(gateway, engine->service) : NULL;
   if (!service)
     return error_set(err, E_NO_ENGINE, "%.40s is not known here", in->load_permit_request->engine);
   Wire__LoadPermitResponse *b = reply_new_body(reply, WIRE__ENVELOPE__BODY_LOAD_PERMIT_RESPONSE,
                                                &wire__load_permit_response__descriptor);
   b->granted = true;
-  b->valid_us = LAST_MS * 1000;
+  b->valid_us = LOAD_PERMIT_VALID_MS * 1000;
   if (service->loads_per_s <= 0)
     return OK;
-  int most = pace_most(service->loads_per_s, window_s(gateway), excess(gateway));
-  time_us window = { (int64_t)(window_s(gateway) * 1e6) + LAST_MS * 1000 }, now = now_of(gateway);
-  pace *p = pace_of(gateway, service->name);
+  int most = load_rate_limiter_max_loads(service->loads_per_s, window_s(gateway), excess(gateway));
+  time_us window = { (int64_t)(window_s(gateway) * 1e6) + LOAD_PERMIT_VALID_MS * 1000 },
+          now = now_of(gateway);
+  load_rate_limiter *p = load_rate_limiter_of(gateway, service->name);
   singleton_lease *singleton_lease = g_hash_table_lookup(router->singleton_leases, "pacer");
   if (p->epoch != epoch) {
     if (epoch > 1)
-      pace_take_over(p->log, singleton_lease->acquired_at, router->node.started_at, window, most);
+      load_rate_limiter_take_over(p->load_times, singleton_lease->acquired_at,
+                                  router->node.started_at, window, most);
     p->epoch = epoch;
   }
-  time_us at = pace_next(p->log, now, window, most);
+  time_us at = load_rate_limiter_next_at(p->load_times, now, window, most);
   int64_t wait = time_sub(at, now).us;
-  b->granted =
-      wait == 0 && !time_reached(time_add(now, time_from_ms(LAST_MS)), singleton_lease->expires_at);
+  b->granted = wait == 0 && !time_reached(time_add(now, time_from_ms(LOAD_PERMIT_VALID_MS)),
+                                          singleton_lease->expires_at);
   b->wait_ms = (uint64_t)(wait + 999) / 1000;
   if (!b->granted) {
     router->load_permits_refused++;
@@ -111,20 +114,20 @@
     return OK;
   }
   router->load_permits++;
-  pace_add(gateway, service->name, now);
+  load_rate_limiter_record(gateway, service->name, now);
   Wire__LoadPermitRequest t = WIRE__LOAD_PERMIT_REQUEST__INIT;
   t.engine = in->load_permit_request->engine;
   t.key = in->load_permit_request->key;
   t.epoch = epoch;
   Wire__Envelope m = wire_envelope(WIRE__ENVELOPE__BODY_LOAD_PERMIT_REQUEST, &t);
-  duty_heirs_cast(gateway, "pacer", &m);
+  singleton_successors_broadcast(gateway, "pacer", &m);
   return OK;
 }
 
 /* asks for a load out of the store; last is how late its order may be sent */
-int pace_ticket(instance *instance, const service *service, const char *key, time_us *last,
-                int64_t *wait, error *err) {
-  gateway *gateway = instance->gateway;
+int load_rate_limiter_request_permit(gateway_engine *engine, const service *service,
+                                     const char *key, time_us *last, int64_t *wait, error *err) {
+  gateway *gateway = engine->gateway;
   router *router = gateway->router;
   /* a new configuration may free the service while the pacer is asked */
   double loads_per_s = service->loads_per_s;
@@ -148,12 +151,12 @@
     int r = E_LOAD_RATE_LIMITED;
     if (addr[0]) {
       Wire__LoadPermitRequest t = WIRE__LOAD_PERMIT_REQUEST__INIT;
-      t.engine = instance->self.text;
+      t.engine = engine->engine_id.text;
       t.key = (char *)key;
       t.epoch = epoch;
       Wire__Envelope q = wire_envelope(WIRE__ENVELOPE__BODY_LOAD_PERMIT_REQUEST, &t), *b;
       time_us sent = now_of(gateway);
-      r = node_call(&router->node, addr, &q, time_from_ms(TICKET_MS), &b, err);
+      r = node_call(&router->node, addr, &q, time_from_ms(LOAD_PERMIT_TIMEOUT_MS), &b, err);
       if (r == E_STOPPING)
         return r;
       if (!r) {
@@ -171,49 +174,50 @@
         r = E_WIRE_MESSAGE;
       }
     }
-    if (since_ms(gateway, from) >= TICKET_MS)
+    if (gateway_ms_since(gateway, from) >= LOAD_PERMIT_TIMEOUT_MS)
       break;
     if (!world_sleep(router->node.world, time_from_ms(100)))
       return error_set(err, E_STOPPING, "stopping");
   }
   /* nobody answers for the pace: a node's own small share of it */
-  double gap = 4 * MAX(gateway->nodes, 1) / loads_per_s * 1000;
-  if (gateway->spare_load.us && since_ms(gateway, gateway->spare_load) < gap) {
+  double gap = 4 * MAX(gateway->router_count, 1) / loads_per_s * 1000;
+  if (gateway->unpermitted_load_at.us &&
+      gateway_ms_since(gateway, gateway->unpermitted_load_at) < gap) {
     *wait = 500;
     return error_set(err, E_LOAD_RATE_LIMITED, "nobody holds the pace");
   }
-  gateway->spare_load = now_of(gateway);
-  pace_add(gateway, name, now_of(gateway));
-  *last = ms_from(gateway, LAST_MS);
+  gateway->unpermitted_load_at = now_of(gateway);
+  load_rate_limiter_record(gateway, name, now_of(gateway));
+  *last = gateway_deadline_in_ms(gateway, LOAD_PERMIT_VALID_MS);
   return OK;
 }
 
 /* sends to those who would come next for a duty, who are all when nodes are few */
-void duty_heirs_cast(gateway *gateway, const char *duty, Wire__Envelope *m) {
-  enum { HEIRS = 3 };
-  peer_node *heir[HEIRS] = { NULL };
-  uint64_t top[HEIRS] = { 0 };
+void singleton_successors_broadcast(gateway *gateway, const char *duty, Wire__Envelope *m) {
+  enum { MAX_SUCCESSORS = 3 };
+  peer_node *heir[MAX_SUCCESSORS] = { NULL };
+  uint64_t top[MAX_SUCCESSORS] = { 0 };
   list_for_each (x, &gateway->router->node.peers, peer_node, link) {
     if (x->role != ROLE_ROUTER || x->gone)
       continue;
-    if (gateway->nodes <= FEW_NODES) {
+    if (gateway->router_count <= SMALL_FLEET_NODES) {
       node_send(&gateway->router->node, x->address, m);
       continue;
     }
     uint64_t h = hash_two_names(duty, x->self.text);
-    int at = HEIRS;
+    int at = MAX_SUCCESSORS;
     while (at > 0 && h > top[at - 1])
       at--;
-    if (at == HEIRS)
+    if (at == MAX_SUCCESSORS)
       continue;
-    for (int k = HEIRS - 1; k > at; k--) {
+    for (int k = MAX_SUCCESSORS - 1; k > at; k--) {
       top[k] = top[k - 1];
       heir[k] = heir[k - 1];
     }
     top[at] = h;
     heir[at] = x;
   }
-  for (int k = 0; k < HEIRS; k++)
+  for (int k = 0; k < MAX_SUCCESSORS; k++)
     if (heir[k])
       node_send(&gateway->router->node, heir[k]->address, m);
 }
--- a/lib/gateway/loader.c
+++ b/lib/gateway/loader.c
@@ -3,33 +3,36 @@
 
 void loader_start(gateway *gateway) {
   router *router = gateway->router;
-  gateway->placings = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, placement_free);
-  gateway->paces = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, pace_free);
-  gateway->rates_whole = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-  gateway->rates_told = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-  node_register_handler(&router->node, WIRE__ENVELOPE__BODY_LOAD_PERMIT_REQUEST, pace_on_ticket,
+  gateway->placement_jobs = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, placement_free);
+  gateway->load_rate_limiters =
+      g_hash_table_new_full(g_str_hash, g_str_equal, g_free, load_rate_limiter_free);
+  gateway->fleet_rates = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+  gateway->rates_sent = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+  node_register_handler(&router->node, WIRE__ENVELOPE__BODY_LOAD_PERMIT_REQUEST,
+                        load_rate_limiter_on_permit, gateway);
+  node_register_handler(&router->node, WIRE__ENVELOPE__BODY_PLACED_LOAD_REQUEST,
+                        load_jobs_on_placement, gateway);
+  node_register_handler(&router->node, WIRE__ENVELOPE__BODY_PLACEMENT_REQUEST,
+                        placement_on_load_request, gateway);
+  node_register_handler(&router->node, WIRE__ENVELOPE__BODY_RATE_REPORT, fleet_rates_on_message,
                         gateway);
-  node_register_handler(&router->node, WIRE__ENVELOPE__BODY_PLACED_LOAD_REQUEST, load_jobs_on_place,
-                        gateway);
-  node_register_handler(&router->node, WIRE__ENVELOPE__BODY_PLACEMENT_REQUEST, placement_on_want,
-                        gateway);
-  node_register_handler(&router->node, WIRE__ENVELOPE__BODY_RATE_REPORT, rates_on_message, gateway);
-  task_start(&router->node.world->tasks, "rates", rates_run, gateway);
+  task_start(&router->node.world->tasks, "rates", fleet_rates_run, gateway);
 }
 
 void loader_free(gateway *gateway) {
-  list_for_each (i, &gateway->instances, instance, link)
-    list_for_each (job, &i->orders, place_job, link) {
+  list_for_each (i, &gateway->engines, gateway_engine, link)
+    list_for_each (job, &i->load_jobs, load_job, link) {
       list_remove(&job->link);
       g_free(job);
     }
-  if (gateway->placings)
-    g_hash_table_destroy(gateway->placings);
-  if (gateway->paces)
-    g_hash_table_destroy(gateway->paces);
-  if (gateway->rates_told)
-    g_hash_table_destroy(gateway->rates_told);
-  if (gateway->rates_whole)
-    g_hash_table_destroy(gateway->rates_whole);
-  gateway->placings = gateway->paces = gateway->rates_told = gateway->rates_whole = NULL;
+  if (gateway->placement_jobs)
+    g_hash_table_destroy(gateway->placement_jobs);
+  if (gateway->load_rate_limiters)
+    g_hash_table_destroy(gateway->load_rate_limiters);
+  if (gateway->rates_sent)
+    g_hash_table_destroy(gateway->rates_sent);
+  if (gateway->fleet_rates)
+    g_hash_table_destroy(gateway->fleet_rates);
+  gateway->placement_jobs = gateway->load_rate_limiters = gateway->rates_sent =
+      gateway->fleet_rates = NULL;
 }
--- a/lib/gateway/loader_internal.h
+++ b/lib/gateway/loader_internal.h
@@ -8,169 +8,170 @@
 
 /** Times in ms and bounds of placement. */
 enum {
-  ALIVE_MS = 1600,
-  LAPSE_MS = 1000,
-  REQUEST_MS = 800,
-  CALL_MS = 1300,
-  ORDER_MS = 1500,
-  REPORT_MS = 800,
-  LAG_MS = 450,
-  YOUNG_MS = 1000,
-  YOUNG_ADAPTER_MS = 600,
+  LOAD_REQUEST_TTL_MS = 1600,
+  LOAD_JOB_EXPIRY_MS = 1000,
+  PLACEMENT_WAIT_MS = 800,
+  PLACEMENT_CALL_TIMEOUT_MS = 1300,
+  ORDER_TIMEOUT_MS = 1500,
+  REPORT_TIMEOUT_MS = 800,
+  ENGINE_REPORT_LAG_MS = 450,
+  RECENT_LOAD_MS = 1000,
+  RECENT_ADAPTER_LOAD_MS = 600,
   /* by then all nodes have told what they had of it */
   RATE_KNOWN_MS = 4000,
-  TICKET_MS = 400,
-  LAST_MS = 150,
-  UNLOAD_MS = 12000,
-  RATES_MS = 1000,
+  LOAD_PERMIT_TIMEOUT_MS = 400,
+  LOAD_PERMIT_VALID_MS = 150,
+  UNLOAD_TIMEOUT_MS = 12000,
+  RATES_INTERVAL_MS = 1000,
   RECENT_RATE_MS = 5000,
-  WHOLE_MS = 2000,
-  FEW_NODES = 16,
-  SHARDS = 8,
-  RECENT_MS = 60,
+  FLEET_RATES_INTERVAL_MS = 2000,
+  SMALL_FLEET_NODES = 16,
+  RATE_SHARDS = 8,
+  PLACEMENT_SETTLE_MS = 60,
   FAIL_MS = 800,
-  ONE_COORDINATOR = 32,
-  PART_NODES = 16,
-  BUSY_COST = 300,
-  DRAIN_LEAST_MS = 1000,
-  SURE_MS = 1800,
-  CANDS = 96,
-  AHEAD_MS = 250,
-  COPIES_AT_ONCE = 4,
-  ADAPTER_LOOKS = 12,
+  SINGLE_COORDINATOR_MAX_NODES = 32,
+  NODES_PER_PLACEMENT_SHARD = 16,
+  BUSY_EVICTION_COST = 300,
+  DRAIN_MIN_MS = 1000,
+  IDENTITY_CONFIRMED_MS = 1800,
+  MAX_EVICTION_CANDIDATES = 96,
+  REPLICA_QUEUE_TARGET_MS = 250,
+  MAX_REPLICAS_AT_ONCE = 4,
+  MAX_ADAPTER_CHECKS = 12,
   /* from the announcement of an unload to its order: the others hear of it, and what they have sent
      meanwhile reaches the engine */
   ANNOUNCE_MS = 40,
-  ANNOUNCE_AGAIN_MS = 1000,
+  ANNOUNCE_REPEAT_MS = 1000,
   /* so many engines may say that only busy things could go, before one is asked to drain */
-  BUSY_ENGINES_MOST = 4
+  MAX_BUSY_ENGINES = 4
 };
 
 /** Any number of orders may have been taken. */
-enum { EXPECT_ANY = -1 };
+enum { ORDER_COUNT_ANY = -1 };
 
 /* at a holder: one job of an engine */
-typedef struct place_job {
+typedef struct load_job {
   list_node link;
   id model, adapter;
   unsigned priority;
-  bool copy, done, begun;
+  bool extra_replica, done, started;
   bool idle_only; /* nothing that runs may go for it */
-  time_us since, asked, due;
-  int code, held;
-  int64_t wait;
-  double cost_most;
+  time_us created_at, last_asked_at, expected_at;
+  int code, refs;
+  int64_t retry_after_ms;
+  double max_cost;
   condition changed;
-} place_job;
+} load_job;
 
 static inline time_us now_of(gateway *gateway) {
   return world_now(gateway->router->node.world);
 }
 
-static inline time_us ms_from(gateway *gateway, double ms) {
+static inline time_us gateway_deadline_in_ms(gateway *gateway, double ms) {
   return time_add(now_of(gateway), (time_us){ (int64_t)(ms * 1000) });
 }
 
-static inline int64_t ms_till(gateway *gateway, time_us t) {
+static inline int64_t gateway_ms_until(gateway *gateway, time_us t) {
   int64_t ms = time_sub(t, now_of(gateway)).us / 1000;
   return MAX(ms, 0);
 }
 
-static inline double since_ms(gateway *gateway, time_us t) {
+static inline double gateway_ms_since(gateway *gateway, time_us t) {
   return (double)time_sub(now_of(gateway), t).us / 1000;
 }
 
 static const id none = { "" };
 
-static inline const service *service_of(gateway *gateway, id name) {
+static inline const service *gateway_service_of(gateway *gateway, id name) {
   return gateway->routing ? routing_find_service(gateway->routing, name.text) : NULL;
 }
 
 /** A key's rate over the whole fleet, as its collector said. */
-typedef struct whole_rate {
+typedef struct fleet_rate {
   double rate;
-  time_us at;
-} whole_rate;
+  time_us received_at;
+} fleet_rate;
 
 /* eviction.c */
 /** The size of a model, or of an adapter alone, in MB; 0 when the configuration does not know it.
  */
-double thing_size_mb(const service *service, id model, id adapter);
+double eviction_size_mb(const service *service, id model, id adapter);
 /** The load time to reckon with, in ms; warm: from the engine's own disk. */
-double thing_load_ms(gateway *gateway, const service *service, id model, id adapter, bool warm);
+double eviction_load_ms(gateway *gateway, const service *service, id model, id adapter, bool warm);
 /** Requests a second for a model (and adapter), over the whole fleet. */
-double thing_rate(gateway *gateway, id model, id adapter);
+double eviction_request_rate(gateway *gateway, id model, id adapter);
 /** Counts copies of all that a service's engines hold, for the time of one choice. */
-void copies_count(gateway *gateway, id service);
-/** Ends the choice that copies_count began. */
-void copies_forget(gateway *gateway);
+void eviction_replica_counts_begin(gateway *gateway, id service);
+/** Ends the choice that eviction_replica_counts_begin began. */
+void eviction_replica_counts_end(gateway *gateway);
 /** What is on an engine, as the rule sees it, in `all`; gives the number of them, and the room that
  * is used. */
-int eviction_candidates(instance *instance, const service *service, id model, id adapter,
+int eviction_candidates(gateway_engine *engine, const service *service, id model, id adapter,
                         eviction_candidate *all, double *mb, unsigned *slots);
 /** A random number for policies that draw; w is the world. */
-uint64_t eviction_chance(void *w);
+uint64_t eviction_random(void *w);
 /** The policy by which the least worth is told. */
 eviction_rule eviction_policy(gateway *gateway);
 /** What is missing in each measure when more is added to what is held. */
-capacity_shortage eviction_lack(const service *service, double mb, unsigned slots, double add_mb,
-                                unsigned add_slots);
+capacity_shortage eviction_shortage(const service *service, double mb, unsigned slots,
+                                    double add_mb, unsigned add_slots);
 
 /* pace.c */
 /** Frees a service's pace. */
-void pace_free(void *q);
+void load_rate_limiter_free(void *q);
 /** Notes a load out of a service's store. */
-void pace_add(gateway *gateway, id service, time_us at);
+void load_rate_limiter_record(gateway *gateway, id service, time_us at);
 /** Handles a request for a ticket, or the news of a load. */
-int pace_on_ticket(void *ctx, Wire__Envelope *in, reply *reply, error *err);
+int load_rate_limiter_on_permit(void *ctx, Wire__Envelope *in, reply *reply, error *err);
 /** Asks for a load out of the store: the code, with the latest instant of its order, or the wait in
  * ms. */
-int pace_ticket(instance *instance, const service *service, const char *key, time_us *last,
-                int64_t *wait, error *err);
+int load_rate_limiter_request_permit(gateway_engine *engine, const service *service,
+                                     const char *key, time_us *last, int64_t *wait, error *err);
 /** Sends to those who would come next for a duty, who are all when nodes are few. */
-void duty_heirs_cast(gateway *gateway, const char *duty, Wire__Envelope *m);
+void singleton_successors_broadcast(gateway *gateway, const char *duty, Wire__Envelope *m);
 
 /* orders.c */
 /** The epoch under which this node may order an engine about; 0 when it may not. */
-uint64_t order_epoch(instance *instance);
+uint64_t engine_order_epoch(gateway_engine *engine);
 /** Reads what an engine itself says that it holds; false when it says nothing. */
-bool engine_report(instance *instance, bool *busy, int *running, error *err);
+bool engine_order_fetch_report(gateway_engine *engine, bool *busy, int *running, error *err);
 /** Sends one order, only while the contract holds: 202 taken, 200 so already; 0 not sent, -1
  * unknown, -2 no contract. */
-int engine_order(instance *instance, bool up, id model, id adapter, int64_t expect, time_us by,
-                 error *err);
+int engine_order_send(gateway_engine *engine, bool up, id model, id adapter, int64_t expect,
+                      time_us by, error *err);
 /** True when nothing more is to be done at an engine. */
-bool engine_stops(instance *instance);
+bool engine_order_stopping(gateway_engine *engine);
 /** Waits; a code when the engine or this process ends meanwhile. */
-int engine_nap(instance *instance, double ms, error *err);
+int engine_order_sleep(gateway_engine *engine, double ms, error *err);
 /** Unloads one thing and waits until the engine confirms it; E_MODEL_IN_USE when it was thought
  * idle and is not. */
-int engine_unload(instance *instance, id model, id adapter, bool thought_idle, error *err);
+int engine_order_unload(gateway_engine *engine, id model, id adapter, bool thought_idle,
+                        error *err);
 
 /* load_jobs.c */
 /** What is gained by a load: those who wait, and those who will come, by urgency. */
-double load_worth(gateway *gateway, unsigned priority, id model, id adapter);
+double load_job_utility(gateway *gateway, unsigned priority, id model, id adapter);
 /** Handles a coordinator's request to load something on an engine that this node holds. */
-int load_jobs_on_place(void *ctx, Wire__Envelope *in, reply *reply, error *err);
+int load_jobs_on_placement(void *ctx, Wire__Envelope *in, reply *reply, error *err);
 
 /* placement.c */
 /** The number of parts by which a fleet of this size places. */
-int placement_parts(gateway *gateway);
+int placement_shard_count(gateway *gateway);
 /** The part of an engine or a model. */
-int placement_part(const char *name, int parts);
+int placement_shard_of(const char *name, int parts);
 /** Frees a placement. */
 void placement_free(void *p);
 /** Handles a node's wish for a model, at the coordinator. */
-int placement_on_want(void *ctx, Wire__Envelope *in, reply *reply, error *err);
+int placement_on_load_request(void *ctx, Wire__Envelope *in, reply *reply, error *err);
 
 /* wants.c */
 /** The key of a wish: "service/model+adapter"; to be freed. */
-char *placement_key(id service, id model, id adapter);
+char *load_request_key(id service, id model, id adapter);
 
 /* rates.c */
 /** Handles rates told by another node. */
-int rates_on_message(void *ctx, Wire__Envelope *in, reply *reply, error *err);
+int fleet_rates_on_message(void *ctx, Wire__Envelope *in, reply *reply, error *err);
 /** The task that tells rates. */
-void rates_run(void *p);
+void fleet_rates_run(void *p);
 
 #endif
--- a/lib/gateway/status.c
+++ b/lib/gateway/status.c
@@ -8,10 +8,10 @@
   return at.us ? time_sub(now, at).us / 1000 : -1;
 }
 
-static void instances_json(gateway *gateway, GString *to) {
+static void engines_to_json(gateway *gateway, GString *to) {
   time_us now = world_now(gateway->router->node.world);
   bool first = true;
-  list_for_each (i, &gateway->instances, instance, link) {
+  list_for_each (i, &gateway->engines, gateway_engine, link) {
     if (i->gone)
       continue;
     json_appendf(
@@ -19,17 +19,18 @@
         "%s{\"id\":\"%s\",\"service\":\"%s\",\"area\":\"%s\",\"version\":\"%s\",\"addr\":\"%s\",\"slots\":%u,\"leaving\":%s,\"usable\":%s,\"suspect\":%s,\"failing\":%s,\"running\":%d,\"othersRunning\":%d,"
         "\"tokens\":%.0f,\"fails\":%d,\"lastBeatMs\":%" PRId64 ",\"heardMs\":%" PRId64
         ",\"firstMs\":%.1f,\"msPerToken\":%.4f,\"models\":[",
-        first ? "" : ",", i->self.text, i->service.text, i->area.text, i->version.text, i->addr,
-        i->slots, yes(i->leaving), yes(instance_usable(i)), yes(i->suspect),
-        yes(i->fails > 0 || instance_ill(i)), i->running, i->others_running, i->tokens, i->fails,
-        ago(now, i->beat_at), ago(now, i->last_byte), i->base_ms, i->ms_per_token);
+        first ? "" : ",", i->engine_id.text, i->service.text, i->zone.text, i->version.text,
+        i->addr, i->slots, yes(i->draining), yes(gateway_engine_usable(i)), yes(i->suspect),
+        yes(i->consecutive_failures > 0 || gateway_engine_unhealthy(i)), i->own_running,
+        i->peers_running, i->own_waiting_tokens, i->consecutive_failures, ago(now, i->heartbeat_at),
+        ago(now, i->last_byte_at), i->base_ms, i->ms_per_token);
     first = false;
     bool f = true;
     list_for_each (r, &i->residents, resident, link) {
       json_appendf(to,
                    "%s{\"model\":\"%s\",\"version\":%" PRIu64
                    ",\"unloading\":%s,\"running\":%d,\"adapters\":[",
-                   f ? "" : ",", r->model.text, r->version, yes(r->unloading), r->running);
+                   f ? "" : ",", r->model.text, r->version, yes(r->unloading), r->own_running);
       for (guint k = 0; k < r->adapters->len; k++)
         json_appendf(to, "%s\"%s\"", k ? "," : "", (const char *)r->adapters->pdata[k]);
       g_string_append(to, "]}");
@@ -39,27 +40,27 @@
   }
 }
 
-const char *gateway_unready(const gateway *gateway) {
-  return gateway->draining   ? "leaving"
-         : !gateway->routing ? "no configuration is known yet"
-         : !gateway->told    ? "no engines are known yet"
-                             : NULL;
+const char *gateway_unready_reason(const gateway *gateway) {
+  return gateway->draining         ? "leaving"
+         : !gateway->routing       ? "no configuration is known yet"
+         : !gateway->engines_known ? "no engines are known yet"
+                                   : NULL;
 }
 
 /* each service that is routed to: who may serve it, what it takes, and what is left of its extra
  * attempts */
-static void services_json(gateway *gateway, GString *to) {
+static void services_to_json(gateway *gateway, GString *to) {
   for (size_t k = 0; gateway->routing && k < gateway->routing->service_count; k++) {
     const service *service = &gateway->routing->services[k];
-    const traffic *traffic = g_hash_table_lookup(gateway->traffic, service->name.text);
-    const budget *budget = g_hash_table_lookup(gateway->budgets, service->name.text);
+    const service_traffic *traffic = g_hash_table_lookup(gateway->traffic, service->name.text);
+    const retry_budget *budget = g_hash_table_lookup(gateway->budgets, service->name.text);
     int all = 0, usable = 0;
     bool routed = false;
-    list_for_each (i, &gateway->instances, instance, link) {
+    list_for_each (i, &gateway->engines, gateway_engine, link) {
       if (i->gone || !id_equal(i->service, service->name))
         continue;
       all++;
-      usable += instance_usable(i);
+      usable += gateway_engine_usable(i);
     }
     for (size_t r = 0; r < gateway->routing->route_count; r++)
       for (size_t l = 0; l < gateway->routing->routes[r].leg_count; l++)
@@ -70,9 +71,10 @@
         "%s{\"service\":\"%s\",\"routed\":%s,\"engines\":%d,\"usable\":%d,\"running\":%d,\"waiting\":%d,\"firstMs\":%.1f,\"runMs\":%.1f,\"freeMs\":%.1f,\"requests\":%" PRId64
         ",\"retries\":%" PRId64 ",\"retryRoom\":%s}",
         k ? "," : "", service->name.text, yes(routed), all, usable, traffic ? traffic->running : 0,
-        traffic ? traffic->waiting : 0, traffic ? traffic->first_ms : 0,
-        traffic ? traffic->run_ms : 0, traffic ? traffic->free_ms : 0, budget ? budget->came : 0,
-        budget ? budget->spent : 0, yes(budget_room(gateway, service)));
+        traffic ? traffic->waiting : 0, traffic ? traffic->mean_first_event_ms : 0,
+        traffic ? traffic->mean_run_ms : 0, traffic ? traffic->mean_slot_interval_ms : 0,
+        budget ? budget->request_count : 0, budget ? budget->retries : 0,
+        yes(retry_budget_available(gateway, service)));
   }
 }
 
@@ -85,7 +87,7 @@
 
 void gateway_status(gateway *gateway, GString *to) {
   const gateway_counts *n = &gateway->counts;
-  const char *why = gateway_unready(gateway);
+  const char *why = gateway_unready_reason(gateway);
   json_appendf(
       to,
       "{\"id\":\"%s\",\"revision\":%" PRIu64
@@ -96,15 +98,16 @@
       ",\"loadFailsInARow\":%d,\"unloads\":%" PRIu64 ",\"orders\":%" PRIu64 ",\"reports\":%" PRIu64
       ",",
       gateway->router->node.settings.self.text, gateway->routing ? gateway->routing->revision : 0,
-      yes(!why), why ? why : "", yes(gateway->told), yes(gateway->draining), gateway->open,
-      gateway->front.connections, n->requests, n->served, n->refused, n->failed, n->left,
-      n->no_route, n->attempts, n->seconds, n->resumed, n->loads, n->failed_loads,
-      gateway->load_fails, n->unloads, n->orders, n->reports);
+      yes(!why), why ? why : "", yes(gateway->engines_known), yes(gateway->draining),
+      gateway->open_request_count, gateway->client_listener.connections, n->requests, n->served,
+      n->refused, n->failed, n->client_left, n->no_route, n->attempts, n->retries, n->resumed,
+      n->loads, n->failed_loads, gateway->consecutive_load_failures, n->unloads, n->orders,
+      n->reports);
   unserved_json(n, to);
   g_string_append(to, ",\"services\":[");
-  services_json(gateway, to);
+  services_to_json(gateway, to);
   g_string_append(to, "],\"engines\":[");
-  instances_json(gateway, to);
+  engines_to_json(gateway, to);
   g_string_append_c(to, ']');
   canary_json(gateway, to);
   g_string_append_c(to, '}');
@@ -113,8 +116,8 @@
 void gateway_metrics(gateway *gateway, GString *to) {
   const gateway_counts *n = &gateway->counts;
   int up = 0;
-  list_for_each (i, &gateway->instances, instance, link)
-    up += instance_usable(i);
+  list_for_each (i, &gateway->engines, gateway_engine, link)
+    up += gateway_engine_usable(i);
   json_appendf(
       to,
       "asterfall_gateway_requests %" PRIu64 "\nasterfall_gateway_served %" PRIu64
@@ -124,9 +127,9 @@
       "\nasterfall_gateway_resumed %" PRIu64 "\nasterfall_gateway_broken_off %" PRIu64
       "\nasterfall_gateway_open %d\nasterfall_gateway_engines %d\nasterfall_gateway_loads %" PRIu64
       "\nasterfall_gateway_loads_failed %" PRIu64 "\nasterfall_gateway_ready %d\n",
-      n->requests, n->served, n->refused, n->failed, n->left, n->no_route, n->attempts, n->seconds,
-      n->resumed, gateway->front.requests_aborted, gateway->open, up, n->loads, n->failed_loads,
-      !gateway_unready(gateway));
+      n->requests, n->served, n->refused, n->failed, n->client_left, n->no_route, n->attempts,
+      n->retries, n->resumed, gateway->client_listener.requests_aborted,
+      gateway->open_request_count, up, n->loads, n->failed_loads, !gateway_unready_reason(gateway));
   for (int k = 0; k < UNSERVED_COUNT; k++)
     json_appendf(to, "asterfall_gateway_unserved{reason=\"%s\"} %" PRIu64 "\n", unserved_name(k),
                  n->unserved[k]);
--- a/lib/gateway/unserved.c
+++ b/lib/gateway/unserved.c
@@ -7,8 +7,8 @@
 static const char *const names[UNSERVED_COUNT] = {
   [UNSERVED_DECLINED] = "declined", [UNSERVED_NO_MODEL] = "noModel",
   [UNSERVED_BUSY] = "busy",         [UNSERVED_NO_ENGINE] = "noEngine",
-  [UNSERVED_LEAVING] = "leaving",   [UNSERVED_BROKEN] = "broken",
-  [UNSERVED_LATE] = "late",         [UNSERVED_LEFT_WAITING] = "leftWaiting",
+  [UNSERVED_DRAINING] = "leaving",  [UNSERVED_BROKEN] = "broken",
+  [UNSERVED_TIMEOUT] = "late",      [UNSERVED_CLIENT_LEFT_WAITING] = "leftWaiting",
 };
 
 const char *unserved_name(enum unserved_reason reason) {
--- a/lib/gateway/unserved.h
+++ b/lib/gateway/unserved.h
@@ -13,13 +13,13 @@
   /** No engine takes work, or could be reached. */
   UNSERVED_NO_ENGINE,
   /** This machine leaves. */
-  UNSERVED_LEAVING,
+  UNSERVED_DRAINING,
   /** The engine broke off. */
   UNSERVED_BROKEN,
   /** The engine gave no answer in time. */
-  UNSERVED_LATE,
+  UNSERVED_TIMEOUT,
   /** The caller left while the request waited here and no engine had it. */
-  UNSERVED_LEFT_WAITING,
+  UNSERVED_CLIENT_LEFT_WAITING,
   UNSERVED_COUNT
 };
 
--- a/lib/router/generate_api.c
+++ b/lib/router/generate_api.c
@@ -126,7 +126,7 @@
   return n;
 }
 
-static int op_admit(routed_request *request) {
+static int request_step_admit(routed_request *request) {
   router *router = request->router;
   request_class *request_class = &router->request_classes[request->request_class];
   int up, cap;
@@ -743,7 +743,7 @@
   for (int i = 0; i < n && !code; i++)
     switch (steps[i].kind) {
     case STEP_ADMIT:
-      code = op_admit(request);
+      code = request_step_admit(request);
       break;
     case STEP_SELECT_ENGINE:
       code = op_select(request);
--- a/tests/budget.c
+++ b/tests/budget.c
@@ -11,7 +11,7 @@
       for (int i = 0; i < nodes; i++) {
         double own = (double)sim_draw(fleet->sim, 400);
         came += own;
-        all += budget_share(slack, ratio, nodes, own);
+        all += retry_budget_node_share(slack, ratio, nodes, own);
       }
       if (all > ratio * came + slack + 1e-9)
         violation(fleet, "%d nodes may take %.1f of %.1f", nodes, all, ratio * came + slack);
@@ -32,11 +32,11 @@
     int64_t rate = i / 200 % 3 == 0 ? 8 : i / 200 % 3 == 1 ? 0 : 2;
     for (int64_t k = 0; k < rate; k++)
       if (sim_draw(fleet->sim, 3) == 0) {
-        budget_came(fixture->gateway, service);
+        retry_budget_record_request(fixture->gateway, service);
         came[i]++;
       }
     for (int k = 0; k < 3; k++)
-      if (budget_take(fixture->gateway, service)) {
+      if (retry_budget_take(fixture->gateway, service)) {
         took[i]++;
         all++;
       }
--- a/tests/drain.c
+++ b/tests/drain.c
@@ -106,12 +106,12 @@
   enum { LONG_TOKENS = 900, SHORT_TOKENS = 150 };
   fixture *fixture = fixture_new(fleet, long_routes, true, 2, 8);
   fixture_request *late = ask_after_stop(fixture, LONG_TOKENS);
-  double most = route_times_most(fixture->gateway->durations, id_of_text("t"));
-  if (most < (double)gateway_left_ms(fixture->gateway))
+  double most = route_durations_upper_ms(fixture->gateway->route_durations, id_of_text("t"));
+  if (most < (double)gateway_remaining_ms(fixture->gateway))
     violation(fleet, "the streams of this test last %.0f ms, too short for it", most);
   if (!late->done || late->status != 503 || fixture_runs(fixture, late, true))
     violation(fleet, "a stream that would be cut was taken (status %d)", late->status);
-  if (fixture->gateway->counts.unserved[UNSERVED_LEAVING] != 1)
+  if (fixture->gateway->counts.unserved[UNSERVED_DRAINING] != 1)
     violation(fleet, "the refusal is not counted by its reason");
   run_to_the_end(fixture);
   fixture_free(fixture);
@@ -207,7 +207,7 @@
     case 0:
       if (gateway->gateway) {
         gateway_settings same = gateway->gateway->settings;
-        gateway_reread(gateway->gateway, &same);
+        gateway_reload_settings(gateway->gateway, &same);
       }
       break;
     case 1:
--- a/tests/fixture.c
+++ b/tests/fixture.c
@@ -72,7 +72,7 @@
   }
   n.engines = ep;
   n.registry_run = 1;
-  instances_news(fixture->gateway, &n);
+  gateway_engines_config_sync(fixture->gateway, &n);
 }
 
 void fixture_run(fixture *fixture, int64_t ms) {
@@ -247,7 +247,7 @@
 
 static void end_run(void *p) {
   fixture *fixture = p;
-  if (condition_wait(&fixture->node->world.tasks, &fixture->gateway->over, time_never()) ==
+  if (condition_wait(&fixture->node->world.tasks, &fixture->gateway->drained, time_never()) ==
       WAKE_SIGNALLED)
     fixture->over = true;
 }
--- a/tests/forward.c
+++ b/tests/forward.c
@@ -298,15 +298,15 @@
     fixture_run(fixture, 50);
   }
   fixture_run(fixture, 1500);
-  expect(fixture, "open", fixture->gateway->open, 0, 0);
+  expect(fixture, "open", fixture->gateway->open_request_count, 0, 0);
   for (guint i = 0; i < fixture->log->runs->len; i++) {
     em_run *run = fixture->log->runs->pdata[i];
     if (run->how == 'r' || (run->how == 'd' && run->events < 20))
       violation(fleet, "%s runs on", run->request);
   }
   for (int i = 0; i < 2; i++) {
-    instance *n = instance_find(fixture->gateway, fixture->engines[i]->self.text);
-    expect(fixture, "running there", n ? n->running : -1, 0, 0);
+    gateway_engine *n = gateway_engine_find(fixture->gateway, fixture->engines[i]->self.text);
+    expect(fixture, "running there", n ? n->own_running : -1, 0, 0);
     expect(fixture, "refs", n ? n->refs : -1, 0, 0);
   }
   fixture_free(fixture);
@@ -348,7 +348,7 @@
   for (int i = 0; i < 70 && !fixture->over; i++)
     fixture_run(fixture, 100);
   expect(fixture, "over", fixture->over, 1, 1);
-  expect(fixture, "open", fixture->gateway->open, 0, 0);
+  expect(fixture, "open", fixture->gateway->open_request_count, 0, 0);
   check(fixture, true);
   expect(fixture, "served", with(fixture, 200), 16, 16);
   fixture_free(fixture);
@@ -363,14 +363,15 @@
   for (int i = 0; i < 4; i++)
     fixture_ask(fixture, "/stream/x", 6000, STREAM);
   fixture_run(fixture, 2000);
-  expect(fixture, "idle channels before", fixture->gateway->front.connections > 0, 1, 1);
+  expect(fixture, "idle channels before", fixture->gateway->client_listener.connections > 0, 1, 1);
   gateway_drain(fixture->gateway);
   for (int i = 0; i < 500 && !fixture->over; i++)
     fixture_run(fixture, 10);
   expect(fixture, "over", fixture->over, 1, 1);
   expect(fixture, "open at the end",
-         fixture->gateway->open + fixture->gateway->front.pending_exchanges, 0, 0);
-  expect(fixture, "channels at the end", fixture->gateway->front.connections, 0, 0);
+         fixture->gateway->open_request_count + fixture->gateway->client_listener.pending_exchanges,
+         0, 0);
+  expect(fixture, "channels at the end", fixture->gateway->client_listener.connections, 0, 0);
   fixture_free(fixture);
   return true;
 }
@@ -395,14 +396,14 @@
   };
   for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
     size_t n = strlen(cases[i].text);
-    event_head head;
-    size_t whole = event_whole(cases[i].text, n),
-           first = event_read(cases[i].text, n, "versions", &head);
+    event_info head;
+    size_t whole = event_complete_length(cases[i].text, n),
+           first = event_parse(cases[i].text, n, "versions", &head);
     if (whole != cases[i].whole || first != cases[i].first)
       violation(fleet, "event %zu: whole %zu, first %zu", i, whole, first);
     if (head.has_id != cases[i].has_id || head.has_data != cases[i].has_data ||
         (head.has_id && head.id != cases[i].id) ||
-        !string_view_equal(head.versions, string_view_of(cases[i].versions)))
+        !string_view_equal(head.weight_versions, string_view_of(cases[i].versions)))
       violation(fleet, "event %zu is read as another", i);
   }
   return true;
--- a/tests/http/gateway.c
+++ b/tests/http/gateway.c
@@ -49,7 +49,7 @@
   news.engines = &engines;
   news.n_engines = 1;
   news.registry_run = 1;
-  instances_news(tested_gateway, &news);
+  gateway_engines_config_sync(tested_gateway, &news);
   g_free(name);
   g_free(address);
 }
@@ -57,7 +57,7 @@
 /* the program ends with its gateway, as on SIGTERM */
 static void stop_when_drained(void *p) {
   (void)p;
-  condition_wait(&here->tasks, &tested_gateway->over, time_never());
+  condition_wait(&here->tasks, &tested_gateway->drained, time_never());
   real_world_stop(here);
 }
 
@@ -70,8 +70,9 @@
   else if (!strcmp(request->path, "/stat")) {
     GString *text = g_string_new(NULL);
     g_string_printf(text, "open=%d channels=%d exchanges=%d attempts=%" PRIu64,
-                    tested_gateway->open, tested_gateway->front.connections,
-                    tested_gateway->front.pending_exchanges, tested_gateway->counts.attempts);
+                    tested_gateway->open_request_count, tested_gateway->client_listener.connections,
+                    tested_gateway->client_listener.pending_exchanges,
+                    tested_gateway->counts.attempts);
     http_request_respond(request, 200, "text/plain", string_view_of_gstring(text));
     g_string_free(text, TRUE);
     return;
@@ -124,7 +125,7 @@
     fprintf(stderr, "%s\n", err.text);
     return 1;
   }
-  printf("%d %d\n", tested_gateway->front.port, control.port);
+  printf("%d %d\n", tested_gateway->client_listener.port, control.port);
   fflush(stdout);
   real_world_run(here, NULL, NULL);
   real_world_free(here);
--- a/tests/loader.c
+++ b/tests/loader.c
@@ -28,11 +28,11 @@
   list_init(&bare->router.node.peers);
   event_history_init(&bare->router.history, bare->router.node.world);
   event_history_fix_window(&bare->router.history, time_from_ms(60000));
-  list_init(&bare->gateway.instances);
-  condition_init(&bare->gateway.moved);
-  bare->gateway.nodes = 1;
-  bare->gateway.instance_at = g_hash_table_new(g_str_hash, g_str_equal);
-  bare->gateway.slow = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+  list_init(&bare->gateway.engines);
+  condition_init(&bare->gateway.engines_changed);
+  bare->gateway.router_count = 1;
+  bare->gateway.engines_by_id = g_hash_table_new(g_str_hash, g_str_equal);
+  bare->gateway.slow_estimates = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
   error err = { 0 };
   json *json = json_parse(string_view_of(SERVICES), &err);
   bare->routing = json ? routing_compile(json, &err) : NULL;
@@ -44,16 +44,16 @@
 }
 
 static void bare_free(bare_gateway *bare) {
-  instances_free(&bare->gateway);
-  g_hash_table_destroy(bare->gateway.instance_at);
+  gateway_engines_free(&bare->gateway);
+  g_hash_table_destroy(bare->gateway.engines_by_id);
   event_history_free(&bare->router.history);
   routing_unref(bare->routing);
   g_free(bare);
 }
 
 /* an engine's beat: models as "m,m+a" */
-static instance *beat(bare_gateway *bare, const char *self, const char *addr, uint64_t count,
-                      uint64_t age, const char *models) {
+static gateway_engine *beat(bare_gateway *bare, const char *self, const char *addr, uint64_t count,
+                            uint64_t age, const char *models) {
   Wire__EngineState w = WIRE__ENGINE_STATE__INIT;
   w.id = (char *)self;
   w.service = "s";
@@ -81,9 +81,9 @@
   }
   w.n_models = n;
   w.models = rp;
-  instance_heard(&bare->gateway, &w);
+  gateway_engine_update(&bare->gateway, &w);
   g_strfreev(parts);
-  return instance_find(&bare->gateway, self);
+  return gateway_engine_find(&bare->gateway, self);
 }
 
 static void asked(bare_gateway *bare, const char *model, const char *adapter, int times) {
@@ -106,51 +106,52 @@
 static bool room_counts_in_both_measures(fleet *fleet) {
   bare_gateway *bare = bare_new(fleet);
   const service *service = routing_find_service(bare->routing, "s");
-  instance *instance = beat(bare, "e1", "10.0.0.1:80", 1, 0, "big,mid");
+  gateway_engine *instance = beat(bare, "e1", "10.0.0.1:80", 1, 0, "big,mid");
   /* half of a rate's weight lies on the last 5 s: of what was asked for 9 s ago, half is left */
   asked(bare, "big", "", 60);
   asked(bare, "mid", "", 30);
   sim_run(fleet->sim, time_from_ms(9000));
   double mb, drain;
   unsigned slots;
-  WANT(fleet,
-       near(place_cost(instance, service, id_of_text("low"), id_of_text(""), &mb, &slots, &drain),
-            0));
+  WANT(fleet, near(eviction_placement_cost(instance, service, id_of_text("low"), id_of_text(""),
+                                           &mb, &slots, &drain),
+                   0));
   WANT(fleet, near(mb, 10000) && slots == 0);
   /* the lesser worth goes: two seconds of load at half of half a request a second */
-  WANT(fleet,
-       near(place_cost(instance, service, id_of_text("new"), id_of_text(""), &mb, &slots, &drain),
-            2000 * 0.5 * 0.5));
+  WANT(fleet, near(eviction_placement_cost(instance, service, id_of_text("new"), id_of_text(""),
+                                           &mb, &slots, &drain),
+                   2000 * 0.5 * 0.5));
   /* an adapter takes a place and its own weights, and its base when that is not there */
-  WANT(fleet,
-       near(place_cost(instance, service, id_of_text("big"), id_of_text("a1"), &mb, &slots, &drain),
-            0) &&
-           near(mb, 40) && slots == 1);
-  place_cost(instance, service, id_of_text("new"), id_of_text("a1"), &mb, &slots, &drain);
+  WANT(fleet, near(eviction_placement_cost(instance, service, id_of_text("big"), id_of_text("a1"),
+                                           &mb, &slots, &drain),
+                   0) &&
+                  near(mb, 40) && slots == 1);
+  eviction_placement_cost(instance, service, id_of_text("new"), id_of_text("a1"), &mb, &slots,
+                          &drain);
   WANT(fleet, near(mb, 35040) && slots == 1);
   /* both places taken: adapters go for an adapter, never the base that it needs */
-  instance_loaded(instance, id_of_text("big"), id_of_text("a2"));
-  instance_loaded(instance, id_of_text("big"), id_of_text("a3"));
+  gateway_engine_mark_loaded(instance, id_of_text("big"), id_of_text("a2"));
+  gateway_engine_mark_loaded(instance, id_of_text("big"), id_of_text("a3"));
   asked(bare, "big", "a2", 12);
   asked(bare, "big", "a3", 6);
   sim_run(fleet->sim, time_from_ms(9000));
-  WANT(fleet,
-       near(place_cost(instance, service, id_of_text("big"), id_of_text("a1"), &mb, &slots, &drain),
-            25 * 0.1 * 0.5));
+  WANT(fleet, near(eviction_placement_cost(instance, service, id_of_text("big"), id_of_text("a1"),
+                                           &mb, &slots, &drain),
+                   25 * 0.1 * 0.5));
   /* what is owed counts as taken */
-  instance->owed_mb = 10000;
-  WANT(fleet,
-       place_cost(instance, service, id_of_text("low"), id_of_text(""), &mb, &slots, &drain) > 0);
-  instance->owed_mb = 60000;
-  WANT(fleet,
-       place_cost(instance, service, id_of_text("new"), id_of_text(""), &mb, &slots, &drain) < 0);
-  instance->owed_mb = 0;
+  instance->reserved_mb = 10000;
+  WANT(fleet, eviction_placement_cost(instance, service, id_of_text("low"), id_of_text(""), &mb,
+                                      &slots, &drain) > 0);
+  instance->reserved_mb = 60000;
+  WANT(fleet, eviction_placement_cost(instance, service, id_of_text("new"), id_of_text(""), &mb,
+                                      &slots, &drain) < 0);
+  instance->reserved_mb = 0;
   /* what is on its way out keeps its room, and can't go twice */
-  instance_going(instance, id_of_text("mid"), id_of_text(""));
-  WANT(fleet, !instance_holds(instance, id_of_text("mid"), id_of_text("")) &&
-                  instance_holds(instance, id_of_text("big"), id_of_text("a2")));
-  WANT(fleet, place_cost(instance, service, id_of_text("new"), id_of_text(""), &mb, &slots,
-                         &drain) > 2000 * 0.9 * 0.5);
+  gateway_engine_mark_unloading(instance, id_of_text("mid"), id_of_text(""));
+  WANT(fleet, !gateway_engine_has_model(instance, id_of_text("mid"), id_of_text("")) &&
+                  gateway_engine_has_model(instance, id_of_text("big"), id_of_text("a2")));
+  WANT(fleet, eviction_placement_cost(instance, service, id_of_text("new"), id_of_text(""), &mb,
+                                      &slots, &drain) > 2000 * 0.9 * 0.5);
   bare_free(bare);
   return true;
 }
@@ -160,25 +161,29 @@
 static bool a_leaving_adapter_gets_no_work(fleet *fleet) {
   bare_gateway *bare = bare_new(fleet);
   const service *service = routing_find_service(bare->routing, "s");
-  instance *instance = beat(bare, "e1", "10.0.0.1:80", 1, 0, "big");
+  gateway_engine *instance = beat(bare, "e1", "10.0.0.1:80", 1, 0, "big");
   id big = id_of_text("big"), first = id_of_text("a1"), second = id_of_text("a2");
-  instance_loaded(instance, big, first);
-  instance_loaded(instance, big, second);
+  gateway_engine_mark_loaded(instance, big, first);
+  gateway_engine_mark_loaded(instance, big, second);
   asked(bare, "big", "a2", 12);
   sim_run(fleet->sim, time_from_ms(700));
-  instance_going(instance, big, first);
-  WANT(fleet, !instance_holds(instance, big, first) && instance_holds(instance, big, second));
+  gateway_engine_mark_unloading(instance, big, first);
+  WANT(fleet, !gateway_engine_has_model(instance, big, first) &&
+                  gateway_engine_has_model(instance, big, second));
   double mb, drain;
   unsigned slots;
   WANT(fleet,
-       place_cost(instance, service, big, id_of_text("a3"), &mb, &slots, &drain) > 0 && slots == 1);
-  instance_unloaded(instance, big, first);
-  WANT(fleet, place_cost(instance, service, big, id_of_text("a3"), &mb, &slots, &drain) == 0);
+       eviction_placement_cost(instance, service, big, id_of_text("a3"), &mb, &slots, &drain) > 0 &&
+           slots == 1);
+  gateway_engine_mark_unloaded(instance, big, first);
+  WANT(fleet,
+       eviction_placement_cost(instance, service, big, id_of_text("a3"), &mb, &slots, &drain) == 0);
   /* one that is loaded again while it leaves is there again, once */
-  instance_going(instance, big, second);
-  instance_loaded(instance, big, second);
-  WANT(fleet, instance_holds(instance, big, second));
-  WANT(fleet, place_cost(instance, service, big, id_of_text("a3"), &mb, &slots, &drain) == 0);
+  gateway_engine_mark_unloading(instance, big, second);
+  gateway_engine_mark_loaded(instance, big, second);
+  WANT(fleet, gateway_engine_has_model(instance, big, second));
+  WANT(fleet,
+       eviction_placement_cost(instance, service, big, id_of_text("a3"), &mb, &slots, &drain) == 0);
   bare_free(bare);
   return true;
 }
@@ -188,23 +193,25 @@
 static bool a_new_adapter_is_not_the_first_to_go(fleet *fleet) {
   bare_gateway *bare = bare_new(fleet);
   const service *service = routing_find_service(bare->routing, "s");
-  instance *instance = beat(bare, "e1", "10.0.0.1:80", 1, 0, "big");
+  gateway_engine *instance = beat(bare, "e1", "10.0.0.1:80", 1, 0, "big");
   id big = id_of_text("big"), wanted = id_of_text("a3");
   double mb, drain;
   unsigned slots;
   asked(bare, "big", "a1", 2);
-  instance_loaded(instance, big, id_of_text("a1"));
+  gateway_engine_mark_loaded(instance, big, id_of_text("a1"));
   sim_run(fleet->sim, time_from_ms(6000));
-  instance_loaded(instance, big, id_of_text("a2"));
+  gateway_engine_mark_loaded(instance, big, id_of_text("a2"));
   /* neither of two that have just come, the older one before the newer one, then by their rates */
-  double older = place_cost(instance, service, big, wanted, &mb, &slots, &drain);
+  double older = eviction_placement_cost(instance, service, big, wanted, &mb, &slots, &drain);
   WANT(fleet, older > 0 && older < 25 * 0.2);
-  instance_loaded(instance, big, id_of_text("a1"));
-  WANT(fleet, place_cost(instance, service, big, wanted, &mb, &slots, &drain) < 0);
+  gateway_engine_mark_loaded(instance, big, id_of_text("a1"));
+  WANT(fleet, eviction_placement_cost(instance, service, big, wanted, &mb, &slots, &drain) < 0);
   sim_run(fleet->sim, time_from_ms(2000));
-  WANT(fleet, near(place_cost(instance, service, big, wanted, &mb, &slots, &drain), 25 * 0.5));
+  WANT(fleet, near(eviction_placement_cost(instance, service, big, wanted, &mb, &slots, &drain),
+                   25 * 0.5));
   sim_run(fleet->sim, time_from_ms(4000));
-  WANT(fleet, place_cost(instance, service, big, wanted, &mb, &slots, &drain) < 25 * 0.1);
+  WANT(fleet,
+       eviction_placement_cost(instance, service, big, wanted, &mb, &slots, &drain) < 25 * 0.1);
   bare_free(bare);
   return true;
 }
@@ -212,118 +219,118 @@
 static bool mechanisms_are_named(fleet *fleet) {
   unsigned set = 0;
   error err = { 0 };
-  WANT(fleet, mechanisms_read("prefix,cremebrulee", &set, &err) &&
-                  set == (1u << MECHANISM_PREFIX | 1u << MECHANISM_CREMEBRULEE));
-  for (int k = 0; k < MECHANISM_COUNT; k++)
-    WANT(fleet, mechanisms_read(mechanism_name(k), &set, &err) && set == 1u << k);
-  WANT(fleet, !mechanisms_read("prefix,nothing", &set, &err) && err.code == E_SETTINGS_KEY);
-  WANT(fleet, mechanisms_read("", &set, &err) && !set);
+  WANT(fleet, feature_flags_parse("prefix,cremebrulee", &set, &err) &&
+                  set == (1u << FEATURE_PREFIX | 1u << FEATURE_CREMEBRULEE));
+  for (int k = 0; k < FEATURE_COUNT; k++)
+    WANT(fleet, feature_flags_parse(feature_flag_name(k), &set, &err) && set == 1u << k);
+  WANT(fleet, !feature_flags_parse("prefix,nothing", &set, &err) && err.code == E_SETTINGS_KEY);
+  WANT(fleet, feature_flags_parse("", &set, &err) && !set);
   return true;
 }
 
 static bool copies_share_a_rate(fleet *fleet) {
   bare_gateway *bare = bare_new(fleet);
   const service *service = routing_find_service(bare->routing, "s");
-  instance *instance = beat(bare, "e1", "10.0.0.1:80", 1, 0, "big,mid");
+  gateway_engine *instance = beat(bare, "e1", "10.0.0.1:80", 1, 0, "big,mid");
   asked(bare, "big", "", 60);
   asked(bare, "mid", "", 36);
   sim_run(fleet->sim, time_from_ms(9000));
   double mb, drain;
   unsigned slots;
-  WANT(fleet,
-       near(place_cost(instance, service, id_of_text("new"), id_of_text(""), &mb, &slots, &drain),
-            2000 * 0.6 * 0.5));
+  WANT(fleet, near(eviction_placement_cost(instance, service, id_of_text("new"), id_of_text(""),
+                                           &mb, &slots, &drain),
+                   2000 * 0.6 * 0.5));
   /* what is asked for now weighs more than what was asked for before: mid stays, big goes */
   asked(bare, "mid", "", 36);
-  WANT(fleet,
-       near(place_cost(instance, service, id_of_text("new"), id_of_text(""), &mb, &slots, &drain),
-            2000 * 1.0 * 0.5));
+  WANT(fleet, near(eviction_placement_cost(instance, service, id_of_text("new"), id_of_text(""),
+                                           &mb, &slots, &drain),
+                   2000 * 1.0 * 0.5));
   sim_run(fleet->sim, time_from_ms(9000));
   /* with a second and third copy of big, each is worth a third of its rate; by size it is the least
    */
   beat(bare, "e2", "10.0.0.2:80", 1, 0, "big");
   beat(bare, "e3", "10.0.0.3:80", 1, 0, "big");
-  WANT(fleet,
-       instance_copies(&bare->gateway, id_of_text("s"), id_of_text("big"), id_of_text("")) == 3);
-  WANT(fleet,
-       near(place_cost(instance, service, id_of_text("new"), id_of_text(""), &mb, &slots, &drain),
-            2000 / 3.0 * 0.5));
+  WANT(fleet, gateway_engines_count_replicas(&bare->gateway, id_of_text("s"), id_of_text("big"),
+                                             id_of_text("")) == 3);
+  WANT(fleet, near(eviction_placement_cost(instance, service, id_of_text("new"), id_of_text(""),
+                                           &mb, &slots, &drain),
+                   2000 / 3.0 * 0.5));
   bare_free(bare);
   return true;
 }
 
 static bool orders_outlast_older_beats(fleet *fleet) {
   bare_gateway *bare = bare_new(fleet);
-  instance *i = beat(bare, "e1", "10.0.0.1:80", 1, 0, "big");
+  gateway_engine *i = beat(bare, "e1", "10.0.0.1:80", 1, 0, "big");
   id none = id_of_text("");
-  instance_loaded(i, id_of_text("mid"), none);
+  gateway_engine_mark_loaded(i, id_of_text("mid"), none);
   beat(bare, "e1", "10.0.0.1:80", 2, 0, "big");
-  WANT(fleet, instance_holds(i, id_of_text("mid"), none));
-  instance_unloaded(i, id_of_text("big"), none);
+  WANT(fleet, gateway_engine_has_model(i, id_of_text("mid"), none));
+  gateway_engine_mark_unloaded(i, id_of_text("big"), none);
   sim_run(fleet->sim, time_from_ms(1000));
   beat(bare, "e1", "10.0.0.1:80", 3, 0, "big");
-  WANT(fleet,
-       !instance_holds(i, id_of_text("big"), none) && instance_holds(i, id_of_text("mid"), none));
+  WANT(fleet, !gateway_engine_has_model(i, id_of_text("big"), none) &&
+                  gateway_engine_has_model(i, id_of_text("mid"), none));
   sim_run(fleet->sim, time_from_ms(4000));
   /* a late beat counts by its own age */
   beat(bare, "e1", "10.0.0.1:80", 4, 4500, "big");
-  WANT(fleet, instance_holds(i, id_of_text("mid"), none));
+  WANT(fleet, gateway_engine_has_model(i, id_of_text("mid"), none));
   beat(bare, "e1", "10.0.0.1:80", 6, 0, "big,low+a1");
-  WANT(fleet, instance_holds(i, id_of_text("big"), none) &&
-                  !instance_holds(i, id_of_text("mid"), none) &&
-                  instance_holds(i, id_of_text("low"), id_of_text("a1")));
+  WANT(fleet, gateway_engine_has_model(i, id_of_text("big"), none) &&
+                  !gateway_engine_has_model(i, id_of_text("mid"), none) &&
+                  gateway_engine_has_model(i, id_of_text("low"), id_of_text("a1")));
   beat(bare, "e1", "10.0.0.1:80", 5, 0, "mid");
-  WANT(fleet,
-       instance_holds(i, id_of_text("big"), none) && g_hash_table_contains(i->held_before, "mid"));
+  WANT(fleet, gateway_engine_has_model(i, id_of_text("big"), none) &&
+                  g_hash_table_contains(i->models_on_disk, "mid"));
   /* a new life at the same address ends the one before, and a life that ended never comes back */
-  instance *n = beat(bare, "e2", "10.0.0.1:80", 1, 0, "");
-  WANT(fleet, i->gone && !n->gone && instance_usable(n) && !instance_usable(i));
+  gateway_engine *n = beat(bare, "e2", "10.0.0.1:80", 1, 0, "");
+  WANT(fleet, i->gone && !n->gone && gateway_engine_usable(n) && !gateway_engine_usable(i));
   beat(bare, "e1", "10.0.0.1:80", 9, 0, "big");
-  WANT(fleet, i->gone && !instance_holds(i, id_of_text("big"), none));
+  WANT(fleet, i->gone && !gateway_engine_has_model(i, id_of_text("big"), none));
   bare_free(bare);
   return true;
 }
 
 static bool failures_shun_and_a_byte_clears(fleet *fleet) {
   bare_gateway *bare = bare_new(fleet);
-  instance *instance = beat(bare, "e1", "10.0.0.1:80", 1, 0, "big"),
-           *k = beat(bare, "e2", "10.0.0.2:80", 1, 0, "big");
-  pick_request q = { .service = routing_find_service(bare->routing, "s"),
-                     .model = id_of_text("big"),
-                     .tokens = 1000,
-                     .left_ms = 4000 };
-  enum pick_none why;
+  gateway_engine *instance = beat(bare, "e1", "10.0.0.1:80", 1, 0, "big"),
+                 *k = beat(bare, "e2", "10.0.0.2:80", 1, 0, "big");
+  engine_select_request q = { .service = routing_find_service(bare->routing, "s"),
+                              .model = id_of_text("big"),
+                              .tokens = 1000,
+                              .remaining_ms = 4000 };
+  enum engine_select_result why;
   double est;
   for (int n = 0; n < 3; n++) {
-    instance_sent(instance, 1000);
-    instance_ended(instance, false);
+    gateway_engine_record_sent(instance, 1000);
+    gateway_engine_record_end(instance, false);
   }
-  WANT(fleet, !instance_usable(instance));
+  WANT(fleet, !gateway_engine_usable(instance));
   for (int n = 0; n < 20; n++)
-    WANT(fleet, pick(&bare->gateway, &q, &why, &est) == k && why == PICK_OK);
-  WANT(fleet,
-       instance_lost(instance) == false || instance_copies(&bare->gateway, id_of_text("s"),
-                                                           id_of_text("big"), id_of_text("")) == 1);
+    WANT(fleet, engine_select(&bare->gateway, &q, &why, &est) == k && why == ENGINE_SELECT_OK);
+  WANT(fleet, gateway_engine_unresponsive(instance) == false ||
+                  gateway_engines_count_replicas(&bare->gateway, id_of_text("s"), id_of_text("big"),
+                                                 id_of_text("")) == 1);
   sim_run(fleet->sim, time_from_ms(700));
-  WANT(fleet, instance_usable(instance));
+  WANT(fleet, gateway_engine_usable(instance));
   /* one trial at a time */
-  instance_sent(instance, 1000);
-  WANT(fleet, !instance_usable(instance));
-  instance_first(instance, 1000, 80, 1);
-  instance_ended(instance, true);
-  WANT(fleet, instance_usable(instance) && !instance->fails);
+  gateway_engine_record_sent(instance, 1000);
+  WANT(fleet, !gateway_engine_usable(instance));
+  gateway_engine_record_first_event(instance, 1000, 80, 1);
+  gateway_engine_record_end(instance, true);
+  WANT(fleet, gateway_engine_usable(instance) && !instance->consecutive_failures);
   /* silence while work is there */
   sim_run(fleet->sim, time_from_ms(5000));
-  instance_sent(instance, 1000);
+  gateway_engine_record_sent(instance, 1000);
   sim_run(fleet->sim, time_from_ms(450));
-  instance_check(instance);
+  gateway_engine_check(instance);
   WANT(fleet, instance->suspect);
   q.run_once = true;
   for (int n = 0; n < 20; n++)
-    WANT(fleet, pick(&bare->gateway, &q, &why, &est) == k);
-  instance_first(instance, 1000, 450, 1);
+    WANT(fleet, engine_select(&bare->gateway, &q, &why, &est) == k);
+  gateway_engine_record_first_event(instance, 1000, 450, 1);
   WANT(fleet, !instance->suspect);
-  instance_ended(instance, true);
+  gateway_engine_record_end(instance, true);
   bare_free(bare);
   return true;
 }
@@ -339,53 +346,53 @@
   uint64_t chain[8], other[8];
   double upto[8];
   id none = id_of_text("");
-  WANT(fleet,
-       parts_read("5c1e:800,91bd:410,e440:250", id_of_text("big"), none, chain, upto, 8) == 3 &&
-           near(upto[2], 1460) && near(upto[0], 800));
-  parts_read("5c1e:800,91bd:410,ffff:250", id_of_text("big"), none, other, upto, 8);
+  WANT(fleet, engine_select_parse_prefix("5c1e:800,91bd:410,e440:250", id_of_text("big"), none,
+                                         chain, upto, 8) == 3 &&
+                  near(upto[2], 1460) && near(upto[0], 800));
+  engine_select_parse_prefix("5c1e:800,91bd:410,ffff:250", id_of_text("big"), none, other, upto, 8);
   WANT(fleet, chain[1] == other[1] && chain[2] != other[2]);
-  parts_read("5c1e:800", id_of_text("big"), id_of_text("a1"), other, upto, 8);
+  engine_select_parse_prefix("5c1e:800", id_of_text("big"), id_of_text("a1"), other, upto, 8);
   WANT(fleet, chain[0] != other[0]);
-  pick_request q = { .service = routing_find_service(bare->routing, "s"),
-                     .model = id_of_text("big"),
-                     .tokens = 1460,
-                     .left_ms = 4000,
-                     .prefix = "5c1e:800,91bd:410,e440:250" };
-  enum pick_none why;
+  engine_select_request q = { .service = routing_find_service(bare->routing, "s"),
+                              .model = id_of_text("big"),
+                              .tokens = 1460,
+                              .remaining_ms = 4000,
+                              .prefix = "5c1e:800,91bd:410,e440:250" };
+  enum engine_select_result why;
   double est, first, busy;
-  instance *home = pick(&bare->gateway, &q, &why, &first);
-  instance_sent(home, 1460);
-  instance_first(home, 1460, 60, 1);
-  instance_ended(home, true);
+  gateway_engine *home = engine_select(&bare->gateway, &q, &why, &first);
+  gateway_engine_record_sent(home, 1460);
+  gateway_engine_record_first_event(home, 1460, 60, 1);
+  gateway_engine_record_end(home, true);
   q.prefix = "5c1e:800,91bd:410,aaaa:250";
   for (int n = 0; n < 10; n++)
-    WANT(fleet, pick(&bare->gateway, &q, &why, &est) == home && est < first);
+    WANT(fleet, engine_select(&bare->gateway, &q, &why, &est) == home && est < first);
   /* it is left only when what waits there costs more than reading again */
-  home->tokens = 1000;
-  WANT(fleet, pick(&bare->gateway, &q, &why, &busy) == home);
-  home->tokens = 8000;
-  WANT(fleet, pick(&bare->gateway, &q, &why, &busy) != home);
-  home->tokens = 0;
-  home->running = 8;
-  WANT(fleet, pick(&bare->gateway, &q, &why, &busy) != home);
-  list_for_each (i, &bare->gateway.instances, instance, link)
-    i->running = 8;
-  WANT(fleet, !pick(&bare->gateway, &q, &why, &busy) && why == PICK_FULL);
+  home->own_waiting_tokens = 1000;
+  WANT(fleet, engine_select(&bare->gateway, &q, &why, &busy) == home);
+  home->own_waiting_tokens = 8000;
+  WANT(fleet, engine_select(&bare->gateway, &q, &why, &busy) != home);
+  home->own_waiting_tokens = 0;
+  home->own_running = 8;
+  WANT(fleet, engine_select(&bare->gateway, &q, &why, &busy) != home);
+  list_for_each (i, &bare->gateway.engines, gateway_engine, link)
+    i->own_running = 8;
+  WANT(fleet, !engine_select(&bare->gateway, &q, &why, &busy) && why == ENGINE_SELECT_ALL_BUSY);
   q.model = id_of_text("low");
-  WANT(fleet, !pick(&bare->gateway, &q, &why, &busy) && why == PICK_NO_MODEL);
-  list_for_each (i, &bare->gateway.instances, instance, link)
-    i->running = 0;
+  WANT(fleet, !engine_select(&bare->gateway, &q, &why, &busy) && why == ENGINE_SELECT_NO_MODEL);
+  list_for_each (i, &bare->gateway.engines, gateway_engine, link)
+    i->own_running = 0;
   bare_free(bare);
   return true;
 }
 
 static bool estimates_rise_with_what_waits(fleet *fleet) {
-  double idle = est_first(20, 0.05, 0, 1000, 0, 64, 400);
+  double idle = engine_select_estimate_ms(20, 0.05, 0, 1000, 0, 64, 400);
   WANT(fleet, near(idle, 70));
-  WANT(fleet, near(est_first(20, 0.05, 2000, 1000, 0, 64, 400), 170));
-  WANT(fleet, est_first(20, 0.05, 0, 1000, 32, 64, 400) > idle &&
-                  est_first(20, 0.05, 0, 1000, 64, 64, 400) >
-                      est_first(20, 0.05, 0, 1000, 63, 64, 400) + 5);
+  WANT(fleet, near(engine_select_estimate_ms(20, 0.05, 2000, 1000, 0, 64, 400), 170));
+  WANT(fleet, engine_select_estimate_ms(20, 0.05, 0, 1000, 32, 64, 400) > idle &&
+                  engine_select_estimate_ms(20, 0.05, 0, 1000, 64, 64, 400) >
+                      engine_select_estimate_ms(20, 0.05, 0, 1000, 63, 64, 400) + 5);
   return true;
 }
 
@@ -393,7 +400,8 @@
  * late */
 static bool the_store_is_never_rushed(fleet *fleet) {
   const double rate = 2.6, window = 5, over = 1.1;
-  int most = pace_most(rate, window, over), limit = (int)(rate * window * over + 3);
+  int most = load_rate_limiter_max_loads(rate, window, over),
+      limit = (int)(rate * window * over + 3);
   time_us span = { (int64_t)(window * 1e6) + 150000 }, now = { 1000000 };
   WANT(fleet, most == 13);
   for (int change = 0; change < 3; change++) {
@@ -409,11 +417,11 @@
         time_us born = change == 1 ? (time_us){ 0 } : now;
         if (change == 2)
           g_array_set_size(log, 0);
-        pace_take_over(log, now, born, span, most);
+        load_rate_limiter_take_over(log, now, born, span, most);
       }
       if (sim_draw(fleet->sim, 4))
         continue;
-      if (pace_next(log, now, span, most).us > now.us)
+      if (load_rate_limiter_next_at(log, now, span, most).us > now.us)
         continue;
       g_array_append_val(log, now);
       time_us late = time_add(now, (time_us){ (int64_t)sim_draw(fleet->sim, 150000) });
@@ -458,7 +466,7 @@
 static bool the_policy_in_force_chooses(fleet *fleet) {
   bare_gateway *bare = bare_new(fleet);
   const service *service = routing_find_service(bare->routing, "s");
-  instance *instance = beat(bare, "e1", "10.0.0.1:80", 1, 0, "big,mid");
+  gateway_engine *instance = beat(bare, "e1", "10.0.0.1:80", 1, 0, "big,mid");
   asked(bare, "big", "", 60);
   sim_run(fleet->sim, time_from_ms(9000));
   asked(bare, "mid", "", 1);
@@ -478,8 +486,8 @@
     bare->router.config = p ? config_compile(res, &err) : NULL;
     double mb, drain;
     unsigned slots;
-    double cost =
-        place_cost(instance, service, id_of_text("new"), id_of_text(""), &mb, &slots, &drain);
+    double cost = eviction_placement_cost(instance, service, id_of_text("new"), id_of_text(""), &mb,
+                                          &slots, &drain);
     if (given[k].big != (cost > 500))
       violation(fleet, "under %s the cost of what goes is %g",
                 given[k].policy ? given[k].policy : "none", cost);
@@ -495,7 +503,7 @@
 /* silence is no end: a later beat brings an engine back; a sign-off is one */
 static bool silent_engines_come_back(fleet *fleet) {
   bare_gateway *bare = bare_new(fleet);
-  instance *instance = beat(bare, "e1", "10.0.0.1:80", 1, 0, "big");
+  gateway_engine *instance = beat(bare, "e1", "10.0.0.1:80", 1, 0, "big");
   Wire__EngineState w = WIRE__ENGINE_STATE__INIT;
   w.id = "e1";
   w.service = "s";
@@ -503,19 +511,19 @@
   w.zone = "north";
   w.heartbeat_count = 1;
   w.gone = true;
-  instance_heard(&bare->gateway, &w);
-  WANT(fleet, instance->gone && !instance_usable(instance));
+  gateway_engine_update(&bare->gateway, &w);
+  WANT(fleet, instance->gone && !gateway_engine_usable(instance));
   beat(bare, "e1", "10.0.0.1:80", 1, 0, "big");
   WANT(fleet, instance->gone);
   beat(bare, "e1", "10.0.0.1:80", 2, 0, "mid");
-  WANT(fleet, !instance->gone && instance_usable(instance) &&
-                  instance_holds(instance, id_of_text("mid"), id_of_text("")) &&
-                  !instance_holds(instance, id_of_text("big"), id_of_text("")));
+  WANT(fleet, !instance->gone && gateway_engine_usable(instance) &&
+                  gateway_engine_has_model(instance, id_of_text("mid"), id_of_text("")) &&
+                  !gateway_engine_has_model(instance, id_of_text("big"), id_of_text("")));
   w.heartbeat_count = 3;
   w.draining = true;
-  instance_heard(&bare->gateway, &w);
+  gateway_engine_update(&bare->gateway, &w);
   beat(bare, "e1", "10.0.0.1:80", 9, 0, "mid");
-  WANT(fleet, instance->gone && !instance_usable(instance));
+  WANT(fleet, instance->gone && !gateway_engine_usable(instance));
   bare_free(bare);
   return true;
 }
@@ -524,7 +532,7 @@
  * its room would look free */
 static bool silent_engines_come_back_with_what_they_hold(fleet *fleet) {
   bare_gateway *bare = bare_new(fleet);
-  instance *instance = beat(bare, "e1", "10.0.0.1:80", 1, 0, "big,mid");
+  gateway_engine *instance = beat(bare, "e1", "10.0.0.1:80", 1, 0, "big,mid");
   instance->reported_at = world_now(bare->router.node.world);
   Wire__EngineState w = WIRE__ENGINE_STATE__INIT;
   w.id = "e1";
@@ -534,12 +542,13 @@
   w.heartbeat_count = 1;
   w.gone = true;
   sim_run(fleet->sim, time_from_ms(200));
-  instance_heard(&bare->gateway, &w);
+  gateway_engine_update(&bare->gateway, &w);
   WANT(fleet, instance->gone);
   sim_run(fleet->sim, time_from_ms(200));
   beat(bare, "e1", "10.0.0.1:80", 2, 0, "big,mid");
-  WANT(fleet, !instance->gone && instance_holds(instance, id_of_text("big"), id_of_text("")) &&
-                  instance_holds(instance, id_of_text("mid"), id_of_text("")));
+  WANT(fleet, !instance->gone &&
+                  gateway_engine_has_model(instance, id_of_text("big"), id_of_text("")) &&
+                  gateway_engine_has_model(instance, id_of_text("mid"), id_of_text("")));
   bare_free(bare);
   return true;
 }
@@ -549,19 +558,19 @@
 static bool what_waits_says_how_many_copies(fleet *fleet) {
   bare_gateway *bare = bare_new(fleet);
   id s = id_of_text("s"), big = id_of_text("big"), none = id_of_text("");
-  instance *instance = beat(bare, "e1", "10.0.0.1:80", 1, 0, "big"),
-           *k = beat(bare, "e2", "10.0.0.2:80", 1, 0, "big");
+  gateway_engine *instance = beat(bare, "e1", "10.0.0.1:80", 1, 0, "big"),
+                 *k = beat(bare, "e2", "10.0.0.2:80", 1, 0, "big");
   beat(bare, "e3", "10.0.0.3:80", 1, 0, "mid");
-  WANT(fleet, copies_short(&bare->gateway, s, big, none) == 0);
-  instance->others_tokens = 4000;
-  WANT(fleet, copies_short(&bare->gateway, s, big, none) == 0);
-  instance->others_tokens = 16000;
-  k->tokens = 4000;
-  WANT(fleet, copies_short(&bare->gateway, s, big, none) == 2);
-  instance->others_tokens = 100000;
-  WANT(fleet, copies_short(&bare->gateway, s, big, none) == 4);
-  WANT(fleet, copies_short(&bare->gateway, s, id_of_text("mid"), none) == 0 &&
-                  copies_short(&bare->gateway, s, id_of_text("low"), none) == 0);
+  WANT(fleet, placement_missing_replicas(&bare->gateway, s, big, none) == 0);
+  instance->peers_waiting_tokens = 4000;
+  WANT(fleet, placement_missing_replicas(&bare->gateway, s, big, none) == 0);
+  instance->peers_waiting_tokens = 16000;
+  k->own_waiting_tokens = 4000;
+  WANT(fleet, placement_missing_replicas(&bare->gateway, s, big, none) == 2);
+  instance->peers_waiting_tokens = 100000;
+  WANT(fleet, placement_missing_replicas(&bare->gateway, s, big, none) == 4);
+  WANT(fleet, placement_missing_replicas(&bare->gateway, s, id_of_text("mid"), none) == 0 &&
+                  placement_missing_replicas(&bare->gateway, s, id_of_text("low"), none) == 0);
   bare_free(bare);
   return true;
 }
@@ -570,53 +579,53 @@
  * together see enough */
 static bool failures_now_and_then_add_up_over_nodes(fleet *fleet) {
   bare_gateway *bare = bare_new(fleet);
-  instance *instance = beat(bare, "e1", "10.0.0.1:80", 1, 0, "big"),
-           *k = beat(bare, "e2", "10.0.0.2:80", 1, 0, "big");
-  pick_request q = { .service = routing_find_service(bare->routing, "s"),
-                     .model = id_of_text("big"),
-                     .tokens = 1000,
-                     .left_ms = 4000 };
-  enum pick_none why;
+  gateway_engine *instance = beat(bare, "e1", "10.0.0.1:80", 1, 0, "big"),
+                 *k = beat(bare, "e2", "10.0.0.2:80", 1, 0, "big");
+  engine_select_request q = { .service = routing_find_service(bare->routing, "s"),
+                              .model = id_of_text("big"),
+                              .tokens = 1000,
+                              .remaining_ms = 4000 };
+  enum engine_select_result why;
   double est;
   /* one failure in some seconds is nobody's illness */
   for (int n = 0; n < 6; n++) {
-    instance_failed(instance, 1);
+    gateway_engine_add_failure(instance, 1);
     sim_run(fleet->sim, time_from_ms(5000));
   }
-  WANT(fleet, !instance_ill(instance));
+  WANT(fleet, !gateway_engine_unhealthy(instance));
   /* three within a moment are, though successes came between; of others from afar it takes more */
   for (int n = 0; n < 3; n++) {
-    instance_sent(instance, 1000);
-    instance_ended(instance, false);
+    gateway_engine_record_sent(instance, 1000);
+    gateway_engine_record_end(instance, false);
     sim_run(fleet->sim, time_from_ms(200));
-    instance_sent(instance, 1000);
-    instance_first(instance, 1000, 70, 1);
-    instance_ended(instance, true);
+    gateway_engine_record_sent(instance, 1000);
+    gateway_engine_record_first_event(instance, 1000, 70, 1);
+    gateway_engine_record_end(instance, true);
   }
-  WANT(fleet, instance_ill(instance) && instance_usable(instance));
+  WANT(fleet, gateway_engine_unhealthy(instance) && gateway_engine_usable(instance));
   for (int n = 0; n < 20; n++)
-    WANT(fleet, pick(&bare->gateway, &q, &why, &est) == k);
+    WANT(fleet, engine_select(&bare->gateway, &q, &why, &est) == k);
   /* where nothing else holds it, an ill one is better than none */
-  q.avoid = &k->self;
-  q.avoided = 1;
-  WANT(fleet, pick(&bare->gateway, &q, &why, &est) == instance);
-  q.avoided = 0;
+  q.excluded = &k->engine_id;
+  q.excluded_count = 1;
+  WANT(fleet, engine_select(&bare->gateway, &q, &why, &est) == instance);
+  q.excluded_count = 0;
   /* it is let in again, and a failure soon after ends that for longer */
   sim_run(fleet->sim, time_from_ms(2100));
-  WANT(fleet, !instance_ill(instance));
-  instance_failed(instance, 1);
-  WANT(fleet, instance_ill(instance));
+  WANT(fleet, !gateway_engine_unhealthy(instance));
+  gateway_engine_add_failure(instance, 1);
+  WANT(fleet, gateway_engine_unhealthy(instance));
   sim_run(fleet->sim, time_from_ms(2100));
-  WANT(fleet, instance_ill(instance));
+  WANT(fleet, gateway_engine_unhealthy(instance));
   sim_run(fleet->sim, time_from_ms(2100));
-  WANT(fleet, !instance_ill(instance));
+  WANT(fleet, !gateway_engine_unhealthy(instance));
   /* what is full, or was just ordered about, declines for good reason */
-  WANT(fleet, instance_at_ease(k));
-  k->others_running = 5;
-  WANT(fleet, !instance_at_ease(k));
-  k->others_running = 0;
-  instance_loaded(k, id_of_text("low"), id_of_text(""));
-  WANT(fleet, !instance_at_ease(k));
+  WANT(fleet, gateway_engine_lightly_loaded(k));
+  k->peers_running = 5;
+  WANT(fleet, !gateway_engine_lightly_loaded(k));
+  k->peers_running = 0;
+  gateway_engine_mark_loaded(k, id_of_text("low"), id_of_text(""));
+  WANT(fleet, !gateway_engine_lightly_loaded(k));
   bare_free(bare);
   return true;
 }
@@ -625,8 +634,8 @@
  * over */
 static bool what_is_not_named_runs_no_more(fleet *fleet) {
   bare_gateway *bare = bare_new(fleet);
-  instance *instance = beat(bare, "e1", "10.0.0.1:80", 1, 0, "big"),
-           *k = beat(bare, "e2", "10.0.0.2:80", 1, 0, "big");
+  gateway_engine *instance = beat(bare, "e1", "10.0.0.1:80", 1, 0, "big"),
+                 *k = beat(bare, "e2", "10.0.0.2:80", 1, 0, "big");
   Wire__EngineTraffic one = WIRE__ENGINE_TRAFFIC__INIT, two = WIRE__ENGINE_TRAFFIC__INIT,
                       *all[2] = { &one, &two };
   Wire__TrafficReport q = WIRE__TRAFFIC_REPORT__INIT;
@@ -638,18 +647,19 @@
   two.waiting_tokens = 500;
   q.engines = all;
   q.n_engines = 2;
-  instances_loads(&bare->gateway, 7, true, &q);
+  gateway_engines_update_loads(&bare->gateway, 7, true, &q);
   sim_run(fleet->sim, time_from_ms(10));
   q.n_engines = 1;
-  instances_loads(&bare->gateway, 8, true, &q);
-  WANT(fleet, instance->others_running == 6 && k->others_running == 2);
+  gateway_engines_update_loads(&bare->gateway, 8, true, &q);
+  WANT(fleet, instance->peers_running == 6 && k->peers_running == 2);
   sim_run(fleet->sim, time_from_ms(10));
-  instances_loads(&bare->gateway, 7, true, &q);
-  WANT(fleet, instance->others_running == 6 && k->others_running == 0 && k->others_tokens == 0);
+  gateway_engines_update_loads(&bare->gateway, 7, true, &q);
+  WANT(fleet,
+       instance->peers_running == 6 && k->peers_running == 0 && k->peers_waiting_tokens == 0);
   q.n_engines = 0;
   sim_run(fleet->sim, time_from_ms(10));
-  instances_loads(&bare->gateway, 7, true, &q);
-  WANT(fleet, instance->others_running == 3 && near(instance->others_tokens, 900));
+  gateway_engines_update_loads(&bare->gateway, 7, true, &q);
+  WANT(fleet, instance->peers_running == 3 && near(instance->peers_waiting_tokens, 900));
   bare_free(bare);
   return true;
 }
@@ -658,21 +668,21 @@
    comes after it: the room would look free, and an engine that is filled past its room falls */
 static bool reports_outlast_older_beats(fleet *fleet) {
   bare_gateway *bare = bare_new(fleet);
-  instance *instance = beat(bare, "e1", "10.0.0.1:80", 1, 0, "big");
+  gateway_engine *instance = beat(bare, "e1", "10.0.0.1:80", 1, 0, "big");
   sim_run(fleet->sim, time_from_ms(2000));
   Wire__ResidentModel r[2], *rp[2] = { &r[0], &r[1] };
   for (int k = 0; k < 2; k++)
     wire__resident_model__init(&r[k]);
   r[0].model = "big";
   r[1].model = "mid";
-  instance_models(instance, rp, 2, world_now(bare->router.node.world), 450);
+  gateway_engine_update_residents(instance, rp, 2, world_now(bare->router.node.world), 450);
   instance->reported_at = world_now(bare->router.node.world);
   sim_run(fleet->sim, time_from_ms(100));
   beat(bare, "e1", "10.0.0.1:80", 2, 900, "big");
-  WANT(fleet, instance_holds(instance, id_of_text("mid"), id_of_text("")));
+  WANT(fleet, gateway_engine_has_model(instance, id_of_text("mid"), id_of_text("")));
   sim_run(fleet->sim, time_from_ms(3000));
   beat(bare, "e1", "10.0.0.1:80", 3, 100, "big");
-  WANT(fleet, !instance_holds(instance, id_of_text("mid"), id_of_text("")));
+  WANT(fleet, !gateway_engine_has_model(instance, id_of_text("mid"), id_of_text("")));
   bare_free(bare);
   return true;
 }
@@ -684,32 +694,34 @@
   const service *service = routing_find_service(bare->routing, "s");
   /* given two engines with the same models, asked for as much, and one of them runs what had to go
    */
-  instance *idle = beat(bare, "e1", "10.0.0.1:80", 1, 0, "big,mid"),
-           *busy = beat(bare, "e2", "10.0.0.2:80", 1, 0, "big,mid");
+  gateway_engine *idle = beat(bare, "e1", "10.0.0.1:80", 1, 0, "big,mid"),
+                 *busy = beat(bare, "e2", "10.0.0.2:80", 1, 0, "big,mid");
   asked(bare, "big", "", 60);
   asked(bare, "mid", "", 60);
   sim_run(fleet->sim, time_from_ms(9000));
   double mb, drain, calm;
   unsigned slots;
-  calm = place_cost(idle, service, id_of_text("new"), id_of_text(""), &mb, &slots, &drain);
+  calm = eviction_placement_cost(idle, service, id_of_text("new"), id_of_text(""), &mb, &slots,
+                                 &drain);
   WANT(fleet, near(drain, 0) &&
-                  near(calm, place_cost(busy, service, id_of_text("new"), id_of_text(""), &mb,
-                                        &slots, &drain)) &&
+                  near(calm, eviction_placement_cost(busy, service, id_of_text("new"),
+                                                     id_of_text(""), &mb, &slots, &drain)) &&
                   near(drain, 0));
   static const char *const run[] = { "big", "mid" };
   for (int k = 0; k < 2; k++) {
-    busy->picked_model = id_of_text(run[k]);
-    instance_sent(busy, 100);
+    busy->selected_model = id_of_text(run[k]);
+    gateway_engine_record_sent(busy, 100);
   }
-  WANT(fleet,
-       near(place_cost(idle, service, id_of_text("new"), id_of_text(""), &mb, &slots, &drain),
-            calm) &&
-           near(drain, 0));
-  double cost = place_cost(busy, service, id_of_text("new"), id_of_text(""), &mb, &slots, &drain);
+  WANT(fleet, near(eviction_placement_cost(idle, service, id_of_text("new"), id_of_text(""), &mb,
+                                           &slots, &drain),
+                   calm) &&
+                  near(drain, 0));
+  double cost = eviction_placement_cost(busy, service, id_of_text("new"), id_of_text(""), &mb,
+                                        &slots, &drain);
   WANT(fleet, near(drain, 1000) && near(cost, calm * 3000 / 2000 + 300));
-  busy->usual_run = 4000;
-  WANT(fleet, place_cost(busy, service, id_of_text("new"), id_of_text(""), &mb, &slots, &drain) >
-                      cost + 300 &&
+  busy->mean_run_ms = 4000;
+  WANT(fleet, eviction_placement_cost(busy, service, id_of_text("new"), id_of_text(""), &mb, &slots,
+                                      &drain) > cost + 300 &&
                   near(drain, 8000));
   bare_free(bare);
   return true;
--- a/tests/operators.c
+++ b/tests/operators.c
@@ -157,7 +157,8 @@
     em_client_send(deployment->client, deployment->note, name);
     sim_run(deployment->sim, time_from_ms(1000));
     for (int i = 0; i < fleet->routers; i++)
-      fails |= fleet->router[i]->alive && deployment->gateways[i]->gateway->load_fails >= 3;
+      fails |= fleet->router[i]->alive &&
+               deployment->gateways[i]->gateway->consecutive_load_failures >= 3;
   }
   doctor_says(fleet, D_LOADS, "loads that fail");
   for (size_t i = 0; i < 4; i++)
--- a/tests/placement.c
+++ b/tests/placement.c
@@ -171,9 +171,9 @@
 
 /* what is held is used, so that it may be unloaded */
 static void use_all(unit *at, const unit *e) {
-  instance *instance = instance_find(at->gateway, e->engine->self.text);
+  gateway_engine *instance = gateway_engine_find(at->gateway, e->engine->self.text);
   list_for_each (r, &instance->residents, resident, link)
-    r->last_used = at->deployment->sim->now;
+    r->last_used_at = at->deployment->sim->now;
 }
 
 static bool rare_loads_are_not_starved(fleet *fleet) {
@@ -409,8 +409,8 @@
   if (!deployment_up(deployment))
     return deployment_done(deployment, 0);
   sim_run(deployment->sim, time_from_ms(1500));
-  if (deployment->gateways[0]->gateway->nodes != fleet->routers)
-    violation(fleet, "%d nodes are known of %d", deployment->gateways[0]->gateway->nodes,
+  if (deployment->gateways[0]->gateway->router_count != fleet->routers)
+    violation(fleet, "%d nodes are known of %d", deployment->gateways[0]->gateway->router_count,
               fleet->routers);
   /* when each of many gateways sees a little demand for some models */
   static const char *const keys[] = { "m0", "m1", "m2", "m3", "m4", "m5" };
@@ -432,7 +432,7 @@
   double least = 1e9;
   for (int i = 0; i < fleet->routers; i++)
     for (size_t k = 0; k < G_N_ELEMENTS(keys); k++) {
-      double *r = g_hash_table_lookup(deployment->gateways[i]->gateway->rates_whole, keys[k]);
+      double *r = g_hash_table_lookup(deployment->gateways[i]->gateway->fleet_rates, keys[k]);
       least = MIN(least, r ? *r : 0);
       low += !r || *r < 0.8 * fleet->routers / 20;
     }
@@ -446,7 +446,8 @@
   bool told[100];
   int knowing = 0;
   for (int i = 0; i < fleet->routers; i++)
-    knowing += told[i] = g_hash_table_size(deployment->gateways[i]->gateway->paces) > 0;
+    knowing += told[i] =
+        g_hash_table_size(deployment->gateways[i]->gateway->load_rate_limiters) > 0;
   if (knowing < 2 || knowing > 6)
     violation(fleet, "%d gateways know of the tickets that were given", knowing);
   if (pacer) {
@@ -463,7 +464,7 @@
       next = holder_of(deployment, "pacer");
     for (int i = 0; i < fleet->routers; i++)
       placed[i] |= deployment->gateways[i]->gateway &&
-                   g_hash_table_size(deployment->gateways[i]->gateway->placings);
+                   g_hash_table_size(deployment->gateways[i]->gateway->placement_jobs);
   }
   /* then the next one is among the few that were told of tickets, and more than one gateway places
    */
--- a/tests/room.c
+++ b/tests/room.c
@@ -297,37 +297,38 @@
   const service *service = routing_find_service(routing, "s");
   id big = id_of_text("big"), mid = id_of_text("mid"), a1 = id_of_text("a1"), base = id_of_text("");
   time_us lag = time_from_ms(450);
-  room account;
+  capacity_account account;
   double mb;
   unsigned slots;
-  room_init(&account);
+  capacity_init(&account);
   /* before a report nothing is known, and orders change nothing */
-  room_taken(&account, true, big, base, time_from_ms(1000));
-  WANT(fleet, !account.known && !account.items->len);
-  room_begin(&account, 7);
-  room_add(&account, big, base);
-  room_taken(&account, true, big, a1, time_from_ms(2000));
-  WANT(fleet, account.count == 8 && room_holds(&account, big, a1));
+  capacity_order_accepted(&account, true, big, base, time_from_ms(1000));
+  WANT(fleet, !account.is_known && !account.items->len);
+  capacity_begin(&account, 7);
+  capacity_add(&account, big, base);
+  capacity_order_accepted(&account, true, big, a1, time_from_ms(2000));
+  WANT(fleet, account.order_count == 8 && capacity_contains(&account, big, a1));
   /* the same load again is no second thing, nor another order */
-  room_taken(&account, true, big, a1, time_from_ms(2100));
-  room_used(&account, service, &mb, &slots);
-  WANT(fleet, account.count == 8 && mb == 40040 && slots == 1);
+  capacity_order_accepted(&account, true, big, a1, time_from_ms(2100));
+  capacity_used(&account, service, &mb, &slots);
+  WANT(fleet, account.order_count == 8 && mb == 40040 && slots == 1);
   /* a report shows an order only when it was asked for long enough after it */
-  WANT(fleet, !room_shown(&account, time_from_ms(2449), lag) &&
-                  room_shown(&account, time_from_ms(2450), lag));
-  /* what is unloaded keeps its room until that is confirmed, and a model takes its adapters along
+  WANT(fleet, !capacity_covered_by_report(&account, time_from_ms(2449), lag) &&
+                  capacity_covered_by_report(&account, time_from_ms(2450), lag));
+  /* what is unloaded keeps its capacity_account until that is confirmed, and a model takes its
+   * adapters along
    */
-  room_taken(&account, false, big, base, time_from_ms(3000));
-  room_taken(&account, false, big, base, time_from_ms(3050));
-  WANT(fleet, account.count == 9 && room_holds(&account, big, base));
-  room_remove(&account, big, base);
-  room_taken(&account, true, mid, base, time_from_ms(3100));
-  room_used(&account, service, &mb, &slots);
-  WANT(fleet, account.count == 10 && mb == 30000 && slots == 0);
+  capacity_order_accepted(&account, false, big, base, time_from_ms(3000));
+  capacity_order_accepted(&account, false, big, base, time_from_ms(3050));
+  WANT(fleet, account.order_count == 9 && capacity_contains(&account, big, base));
+  capacity_remove(&account, big, base);
+  capacity_order_accepted(&account, true, mid, base, time_from_ms(3100));
+  capacity_used(&account, service, &mb, &slots);
+  WANT(fleet, account.order_count == 10 && mb == 30000 && slots == 0);
   /* an unload that was taken of what the account does not have: it is not what the engine holds */
-  room_taken(&account, false, big, base, time_from_ms(4000));
-  WANT(fleet, !account.known && !room_shown(&account, time_from_ms(4449), lag));
-  room_free(&account);
+  capacity_order_accepted(&account, false, big, base, time_from_ms(4000));
+  WANT(fleet, !account.is_known && !capacity_covered_by_report(&account, time_from_ms(4449), lag));
+  capacity_free(&account);
   routing_unref(routing);
   return true;
 }
