--- /dev/null
+++ b/tests/stored_data.c
@@ -0,0 +1,236 @@
+/** Compatibility of data folders: what controllers of an earlier version stored is taken up by this
+ * one. tests/compatibility/controllers/ holds the data folders of three real processes that were
+ * killed, and what they had answered before; README.md beside it says how they were made. What is
+ * compared is read over HTTP, as operators would, except the acceptor's state, which has no page.
+ */
+#include "tests.h"
+#include <stdio.h>
+#include <stdlib.h>
+
+static const char FOLDER[] = "tests/compatibility/controllers";
+
+enum { RING_FILES = 4, STORED_CONTROLLERS = 3, CALL_MS = 10000, START_MS = 8000 };
+
+/** What a data folder has to hold. */
+typedef struct stored_controller {
+  const char *area, *addr, *disk;
+  double last;
+  uint64_t vote_epoch, vote_round;
+  const char *vote_proposer;
+  bool vote_has_view;
+} stored_controller;
+
+static const stored_controller stored[STORED_CONTROLLERS] = {
+  { "colombo", "127.91.1.1:7000", "fae70dbafc7be721", 10, 3, 3, "controller-1", true },
+  { "gampaha", "127.91.1.2:7000", "f2503ffe9d239919", 10, 3, 3, "controller-1", true },
+  { "kalutara", "127.91.1.3:7000", "3dfb5d43a8432dcd", 10, 0, 0, "", false },
+};
+
+static const double stored_epoch = 3;
+static const char stored_key[] = "stored-2";
+static const double stored_key_version = 9;
+static const char stored_patch[] = "{\"loadsPerS\":3.5}\n";
+
+/* puts a stored ring file on the disk of a host; what isn't stored is zero */
+static void load_ring_file(disk *disk, unsigned file, const char *path) {
+  char *bytes = NULL;
+  gsize length = 0;
+  disk->file[file] = calloc(1, disk->size);
+  disk->sure[file] = calloc(1, disk->size);
+  disk->made[file] = true;
+  if (!g_file_get_contents(path, &bytes, &length, NULL))
+    return;
+  g_assert(length <= disk->size);
+  memcpy(disk->file[file], bytes, length);
+  memcpy(disk->sure[file], bytes, length);
+  g_free(bytes);
+}
+
+static void load_data_folder(host *host) {
+  host->disk->size = host->settings.file_bytes;
+  for (unsigned file = 0; file < RING_FILES; file++) {
+    char *path = g_strdup_printf("%s/%s/ring-%02u", FOLDER, host->self.text, file);
+    load_ring_file(host->disk, file, path);
+    g_free(path);
+  }
+}
+
+/* a controller of the emulated fleet becomes the one whose folder is stored */
+static void prepare_controller(host *host, const stored_controller *from) {
+  host->area = host->settings.area = id_of_text(from->area);
+  g_strlcpy(host->addr, from->addr, sizeof host->addr);
+  g_strlcpy(host->settings.addr, from->addr, sizeof host->settings.addr);
+  for (int i = 0; i < STORED_CONTROLLERS; i++)
+    g_strlcpy(host->settings.seeds[i], stored[i].addr, sizeof host->settings.seeds[i]);
+  load_data_folder(host);
+}
+
+static void prepare_controllers(fleet *fleet) {
+  for (int i = 0; i < STORED_CONTROLLERS; i++)
+    prepare_controller(fleet->controller[i], &stored[i]);
+}
+
+static char *stored_text(fleet *fleet, const char *page) {
+  char *path = g_strdup_printf("%s/%s.json", FOLDER, page), *text = NULL;
+  if (!g_file_get_contents(path, &text, NULL, NULL))
+    violation(fleet, "%s can't be read", path);
+  g_free(path);
+  return text;
+}
+
+static json *read_page(fleet *fleet, host *host, const char *page) {
+  char *path = g_strdup_printf("/v1/%s", page);
+  op_call *call = fleet_call(fleet, host, "GET", path, NULL, NULL, NULL, time_from_ms(CALL_MS));
+  json *answer = call->status == 200 ? json_read(string_view_of_gstring(call->body), NULL) : NULL;
+  if (!answer)
+    violation(fleet, "%s: %s gives status %d", host->self.text, path, call->status);
+  call_free(call);
+  g_free(path);
+  return answer;
+}
+
+static void expect_number(fleet *fleet, const char *what, double is, double expected) {
+  if (is != expected)
+    violation(fleet, "%s is %.0f, stored was %.0f", what, is, expected);
+}
+
+static void expect_text(fleet *fleet, const char *what, const char *is, const char *expected) {
+  if (strcmp(is, expected))
+    violation(fleet, "%s is %.200s, stored was %.200s", what, is, expected);
+}
+
+static void expect_same_json(fleet *fleet, const char *what, const json *is, const char *expected) {
+  GString *text = g_string_new(NULL), *wanted = g_string_new(NULL);
+  json *stored_value = json_read(string_view_of(expected ? expected : ""), NULL);
+  json_write(is, text);
+  json_write(stored_value, wanted);
+  expect_text(fleet, what, text->str, wanted->str);
+  json_free(stored_value);
+  g_string_free(text, TRUE);
+  g_string_free(wanted, TRUE);
+}
+
+static bool is_running(sim *sim, void *controller_host) {
+  (void)sim;
+  const host *host = controller_host;
+  return host->controller && host->controller->core.running;
+}
+
+static void expect_acceptor_state(fleet *fleet, const host *host, const stored_controller *from) {
+  const vote *vote = &host->controller->core.vote;
+  expect_number(fleet, "the vote's epoch", (double)vote->epoch, (double)from->vote_epoch);
+  expect_number(fleet, "the promised round", (double)vote->promised.round,
+                (double)from->vote_round);
+  expect_text(fleet, "the promised proposer", vote->promised.proposer.text, from->vote_proposer);
+  expect_number(fleet, "an accepted view", vote->has, from->vote_has_view);
+}
+
+static void expect_view(fleet *fleet, host *host) {
+  char *expected = stored_text(fleet, "view");
+  json *view = read_page(fleet, host, "view");
+  expect_same_json(fleet, "the view", view, expected);
+  json_free(view);
+  g_free(expected);
+}
+
+static void expect_status(fleet *fleet, host *host, const stored_controller *from) {
+  json *status = read_page(fleet, host, "status");
+  expect_text(fleet, "the disk's number", json_text(json_get(status, "disk"), "id", ""),
+              from->disk);
+  expect_number(fleet, "the view's epoch", json_num(status, "epoch", 0), stored_epoch);
+  expect_number(fleet, "the last record", json_num(status, "last", 0), from->last);
+  if (!json_yes(status, "whole", false))
+    violation(fleet, "the stored replica no longer counts as complete");
+  json_free(status);
+}
+
+/* each by itself: what it knows can only come from its disk */
+static bool one_stored_folder_is_taken_up(fleet *fleet) {
+  prepare_controllers(fleet);
+  host_start(fleet->operator);
+  for (int i = 0; i < STORED_CONTROLLERS; i++) {
+    host *host = fleet->controller[i];
+    host_start(host);
+    if (!sim_until(fleet->sim, is_running, host, time_from_ms(START_MS))) {
+      violation(fleet, "%s does not start on its stored folder", host->self.text);
+      return false;
+    }
+    expect_acceptor_state(fleet, host, &stored[i]);
+    expect_status(fleet, host, &stored[i]);
+    expect_view(fleet, host);
+    host_kill(host);
+  }
+  return true;
+}
+
+static void expect_resource(fleet *fleet, const char *resource) {
+  char *expected = stored_text(fleet, resource);
+  json *value = read_page(fleet, fleet_tail(fleet), resource);
+  expect_same_json(fleet, resource, value, expected);
+  json_free(value);
+  g_free(expected);
+}
+
+/* whether a singleton lease that was stored is on the page */
+static bool has_contract(const json *page, const json *contract) {
+  for (size_t i = 0; i < json_count(page); i++) {
+    const json *candidate = json_at(page, i);
+    if (!strcmp(json_text(candidate, "duty", ""), json_text(contract, "duty", "?")) &&
+        !strcmp(json_text(candidate, "holder", ""), json_text(contract, "holder", "?")) &&
+        json_num(candidate, "epoch", 0) == json_num(contract, "epoch", -1))
+      return true;
+  }
+  return false;
+}
+
+static void expect_contracts(fleet *fleet) {
+  char *text = stored_text(fleet, "contracts");
+  json *expected = json_read(string_view_of(text ? text : ""), NULL);
+  json *page = read_page(fleet, fleet_tail(fleet), "contracts");
+  expect_number(fleet, "the number of singleton leases", (double)json_count(page),
+                (double)json_count(expected));
+  for (size_t i = 0; i < json_count(expected); i++)
+    if (!has_contract(page, json_at(expected, i)))
+      violation(fleet, "the singleton lease %s changed",
+                json_text(json_at(expected, i), "duty", ""));
+  json_free(page);
+  json_free(expected);
+  g_free(text);
+}
+
+/* a write that comes again under its stored key is known, and isn't applied twice */
+static void expect_stored_key(fleet *fleet) {
+  op_call *call = fleet_call(fleet, fleet_head(fleet), "PATCH", "/v1/policy", stored_patch, NULL,
+                             stored_key, time_from_ms(CALL_MS));
+  json *answer = json_read(string_view_of_gstring(call->body), NULL);
+  expect_number(fleet, "the status of a repeated write", call->status, 200);
+  expect_number(fleet, "the version of a repeated write", json_num(answer, "version", 0),
+                stored_key_version);
+  if (!json_yes(answer, "repeated", false))
+    violation(fleet, "a write under a stored key was applied again");
+  json_free(answer);
+  call_free(call);
+}
+
+static bool stored_folders_make_a_fleet(fleet *fleet) {
+  prepare_controllers(fleet);
+  host_start(fleet->operator);
+  for (int i = 0; i < STORED_CONTROLLERS; i++)
+    host_start(fleet->controller[i]);
+  if (!wait_chain(fleet, STORED_CONTROLLERS, START_MS))
+    return false;
+  sim_run(fleet->sim, time_from_ms(1000));
+  for (int i = 0; i < RES_COUNT; i++)
+    expect_resource(fleet, res_name[i]);
+  expect_contracts(fleet);
+  expect_stored_key(fleet);
+  if (fleet_put(fleet, "evacuation", "{\"areas\":[]}") <= stored[0].last)
+    violation(fleet, "no new write after the stored ones");
+  return true;
+}
+
+const test_case stored_data_tests[] = {
+  { "one_stored_folder_is_taken_up", one_stored_folder_is_taken_up, 1, 1, 34 },
+  { "stored_folders_make_a_fleet", stored_folders_make_a_fleet, 1, 1, 34 },
+  { NULL, NULL, 0, 0, 0 }
+};
