--- a/Makefile
+++ b/Makefile
@@ -92,12 +92,13 @@
 lint:
 	git ls-files '*.c' '*.h' | xargs -P$$(nproc) -n8 clang-format --dry-run -Werror
 
-# names and codes, the tests under sanitizers, HTTP byte by byte, then a smoke over real processes
+# names and codes, help texts, the tests under sanitizers, HTTP byte by byte, then a smoke over real processes
 check: lint
 	scripts/words
 	scripts/packages-check
 	$(MAKE) -s -j$$(nproc) B=build-san CFLAGS="$(SAN)" all build-san/bin/tests build-san/bin/http-gateway
 	$(MAKE) -s -j$$(nproc) all
+	scripts/outward-check
 	$(MAKE) -s build/bin/model-check
 	build/bin/model-check
 	BUILD=build-san LIMIT=3000 scripts/tests-all
--- a/tests/main.c
+++ b/tests/main.c
@@ -2017,13 +2017,13 @@
   { NULL, NULL, 0, 0, 0 }
 };
 static const test_case *const lists[] = {
-  main_tests,        cut_tests,           loss_tests,       any_tests,    routing_tests,
-  core_tests,        registry_tests,      loader_tests,     budget_tests, gateway_tests,
-  forward_tests,     fields_tests,        operator_tests,   day_tests,    member_tests,
-  canary_tests,      delta_tests,         placement_tests,  log_tests,    restart_tests,
-  wiring_tests,      room_tests,          copy_tests,       order_tests,  cutoff_tests,
-  second_loss_tests, catch_up_tests,      peer_tests,       fuzz_tests,   disk_tests,
-  drain_tests,       compatibility_tests, stored_data_tests
+  main_tests,        cut_tests,           loss_tests,        any_tests,    routing_tests,
+  core_tests,        registry_tests,      loader_tests,      budget_tests, gateway_tests,
+  forward_tests,     fields_tests,        operator_tests,    day_tests,    member_tests,
+  canary_tests,      delta_tests,         placement_tests,   log_tests,    restart_tests,
+  wiring_tests,      room_tests,          copy_tests,        order_tests,  cutoff_tests,
+  second_loss_tests, catch_up_tests,      peer_tests,        fuzz_tests,   disk_tests,
+  drain_tests,       compatibility_tests, stored_data_tests, outward_tests
 };
 
 /* the tests run in the order in which they were added */
--- a/tests/tests.h
+++ b/tests/tests.h
@@ -15,7 +15,8 @@
     fields_tests[], operator_tests[], day_tests[], member_tests[], canary_tests[], delta_tests[],
     placement_tests[], log_tests[], restart_tests[], wiring_tests[], room_tests[], copy_tests[],
     order_tests[], cutoff_tests[], second_loss_tests[], catch_up_tests[], peer_tests[],
-    fuzz_tests[], disk_tests[], drain_tests[], compatibility_tests[], stored_data_tests[];
+    fuzz_tests[], disk_tests[], drain_tests[], compatibility_tests[], stored_data_tests[],
+    outward_tests[];
 
 /** When a test of drawn faults failed: leaves out one step after the other, as long as the run
  * still fails, and says what is left. */
