--- a/tests/compatibility.c
+++ b/tests/compatibility.c
@@ -24,8 +24,8 @@
 
 static const root_message envelope_root = { "envelope", &wire__envelope__descriptor };
 static const root_message stored_roots[] = {
-  { "op", &wire__op__descriptor },         { "digest", &wire__digest__descriptor },
-  { "vote", &wire__vote__descriptor },     { "view", &wire__view__descriptor },
+  { "op", &wire__operation__descriptor },        { "digest", &wire__state_snapshot__descriptor },
+  { "vote", &wire__acceptor_state__descriptor }, { "view", &wire__view__descriptor },
   { "record", &wire__record__descriptor },
 };
 
@@ -35,7 +35,7 @@
 /* a value that differs for each field of each message and each item of a repeated field */
 static uint64_t field_seed(uint64_t seed, const ProtobufCFieldDescriptor *field, size_t item) {
   uint64_t parts[] = { seed, field->id, item };
-  return hash_of(parts, sizeof parts, 0);
+  return hash_bytes(parts, sizeof parts, 0);
 }
 
 static ProtobufCBinaryData filled_bytes(uint64_t value) {
--- a/tests/outward.c
+++ b/tests/outward.c
@@ -53,14 +53,14 @@
 }
 
 static void add_key_paths(outward_lines *to, const char *prefix, const json *value) {
-  if (value->kind == J_ARR) {
+  if (value->kind == JSON_ARRAY) {
     char *path = g_strdup_printf("%s[]", prefix);
     for (size_t i = 0; i < json_count(value); i++)
       add_key_paths(to, path, json_at(value, i));
     g_free(path);
     return;
   }
-  if (value->kind != J_OBJ) {
+  if (value->kind != JSON_OBJECT) {
     add_line(to, "%s", prefix);
     return;
   }
@@ -95,7 +95,7 @@
 static void add_page(outward_lines *to, const char *role, host *host, const char *page) {
   op_call *call = fleet_call(to->fleet, host, "GET", page, NULL, NULL, NULL, time_from_ms(CALL_MS));
   char *prefix = g_strdup_printf("%s %s", role, page);
-  json *value = json_read(string_view_of_gstring(call->body), NULL);
+  json *value = json_parse(string_view_of_gstring(call->body), NULL);
   if (call->status == 200 && value)
     add_key_paths(to, prefix, value);
   else if (call->status == 200)
--- a/tests/stored_data.c
+++ b/tests/stored_data.c
@@ -47,7 +47,7 @@
 }
 
 static void load_data_folder(host *host) {
-  host->disk->size = host->settings.file_bytes;
+  host->disk->size = host->settings.log_file_bytes;
   for (unsigned file = 0; file < RING_FILES; file++) {
     char *path = g_strdup_printf("%s/%s/ring-%02u", FOLDER, host->self.text, file);
     load_ring_file(host->disk, file, path);
@@ -57,11 +57,12 @@
 
 /* a controller of the emulated fleet becomes the one whose folder is stored */
 static void prepare_controller(host *host, const stored_controller *from) {
-  host->area = host->settings.area = id_of_text(from->area);
+  host->area = host->settings.zone = id_of_text(from->area);
   g_strlcpy(host->addr, from->addr, sizeof host->addr);
-  g_strlcpy(host->settings.addr, from->addr, sizeof host->settings.addr);
+  g_strlcpy(host->settings.address, from->addr, sizeof host->settings.address);
   for (int i = 0; i < STORED_CONTROLLERS; i++)
-    g_strlcpy(host->settings.seeds[i], stored[i].addr, sizeof host->settings.seeds[i]);
+    g_strlcpy(host->settings.seed_addresses[i], stored[i].addr,
+              sizeof host->settings.seed_addresses[i]);
   load_data_folder(host);
 }
 
@@ -81,7 +82,7 @@
 static json *read_page(fleet *fleet, host *host, const char *page) {
   char *path = g_strdup_printf("/v1/%s", page);
   op_call *call = fleet_call(fleet, host, "GET", path, NULL, NULL, NULL, time_from_ms(CALL_MS));
-  json *answer = call->status == 200 ? json_read(string_view_of_gstring(call->body), NULL) : NULL;
+  json *answer = call->status == 200 ? json_parse(string_view_of_gstring(call->body), NULL) : NULL;
   if (!answer)
     violation(fleet, "%s: %s gives status %d", host->self.text, path, call->status);
   call_free(call);
@@ -101,7 +102,7 @@
 
 static void expect_same_json(fleet *fleet, const char *what, const json *is, const char *expected) {
   GString *text = g_string_new(NULL), *wanted = g_string_new(NULL);
-  json *stored_value = json_read(string_view_of(expected ? expected : ""), NULL);
+  json *stored_value = json_parse(string_view_of(expected ? expected : ""), NULL);
   json_write(is, text);
   json_write(stored_value, wanted);
   expect_text(fleet, what, text->str, wanted->str);
@@ -113,16 +114,16 @@
 static bool is_running(sim *sim, void *controller_host) {
   (void)sim;
   const host *host = controller_host;
-  return host->controller && host->controller->core.running;
+  return host->controller && host->controller->replica.running;
 }
 
 static void expect_acceptor_state(fleet *fleet, const host *host, const stored_controller *from) {
-  const vote *vote = &host->controller->core.vote;
-  expect_number(fleet, "the vote's epoch", (double)vote->epoch, (double)from->vote_epoch);
-  expect_number(fleet, "the promised round", (double)vote->promised.round,
+  const acceptor_state *acceptor = &host->controller->replica.acceptor;
+  expect_number(fleet, "the vote's epoch", (double)acceptor->epoch, (double)from->vote_epoch);
+  expect_number(fleet, "the promised round", (double)acceptor->promised.round,
                 (double)from->vote_round);
-  expect_text(fleet, "the promised proposer", vote->promised.proposer.text, from->vote_proposer);
-  expect_number(fleet, "an accepted view", vote->has, from->vote_has_view);
+  expect_text(fleet, "the promised proposer", acceptor->promised.proposer.text, from->vote_proposer);
+  expect_number(fleet, "an accepted view", acceptor->has_accepted, from->vote_has_view);
 }
 
 static void expect_view(fleet *fleet, host *host) {
@@ -137,9 +138,9 @@
   json *status = read_page(fleet, host, "status");
   expect_text(fleet, "the disk's number", json_text(json_get(status, "disk"), "id", ""),
               from->disk);
-  expect_number(fleet, "the view's epoch", json_num(status, "epoch", 0), stored_epoch);
-  expect_number(fleet, "the last record", json_num(status, "last", 0), from->last);
-  if (!json_yes(status, "whole", false))
+  expect_number(fleet, "the view's epoch", json_number(status, "epoch", 0), stored_epoch);
+  expect_number(fleet, "the last record", json_number(status, "last", 0), from->last);
+  if (!json_bool(status, "whole", false))
     violation(fleet, "the stored replica no longer counts as complete");
   json_free(status);
 }
@@ -172,25 +173,25 @@
 }
 
 /* whether a singleton lease that was stored is on the page */
-static bool has_contract(const json *page, const json *contract) {
+static bool has_singleton_lease(const json *page, const json *singleton_lease) {
   for (size_t i = 0; i < json_count(page); i++) {
     const json *candidate = json_at(page, i);
-    if (!strcmp(json_text(candidate, "duty", ""), json_text(contract, "duty", "?")) &&
-        !strcmp(json_text(candidate, "holder", ""), json_text(contract, "holder", "?")) &&
-        json_num(candidate, "epoch", 0) == json_num(contract, "epoch", -1))
+    if (!strcmp(json_text(candidate, "duty", ""), json_text(singleton_lease, "duty", "?")) &&
+        !strcmp(json_text(candidate, "holder", ""), json_text(singleton_lease, "holder", "?")) &&
+        json_number(candidate, "epoch", 0) == json_number(singleton_lease, "epoch", -1))
       return true;
   }
   return false;
 }
 
-static void expect_contracts(fleet *fleet) {
+static void expect_singleton_leases(fleet *fleet) {
   char *text = stored_text(fleet, "contracts");
-  json *expected = json_read(string_view_of(text ? text : ""), NULL);
+  json *expected = json_parse(string_view_of(text ? text : ""), NULL);
   json *page = read_page(fleet, fleet_tail(fleet), "contracts");
   expect_number(fleet, "the number of singleton leases", (double)json_count(page),
                 (double)json_count(expected));
   for (size_t i = 0; i < json_count(expected); i++)
-    if (!has_contract(page, json_at(expected, i)))
+    if (!has_singleton_lease(page, json_at(expected, i)))
       violation(fleet, "the singleton lease %s changed",
                 json_text(json_at(expected, i), "duty", ""));
   json_free(page);
@@ -202,11 +203,11 @@
 static void expect_stored_key(fleet *fleet) {
   op_call *call = fleet_call(fleet, fleet_head(fleet), "PATCH", "/v1/policy", stored_patch, NULL,
                              stored_key, time_from_ms(CALL_MS));
-  json *answer = json_read(string_view_of_gstring(call->body), NULL);
+  json *answer = json_parse(string_view_of_gstring(call->body), NULL);
   expect_number(fleet, "the status of a repeated write", call->status, 200);
-  expect_number(fleet, "the version of a repeated write", json_num(answer, "version", 0),
+  expect_number(fleet, "the version of a repeated write", json_number(answer, "version", 0),
                 stored_key_version);
-  if (!json_yes(answer, "repeated", false))
+  if (!json_bool(answer, "repeated", false))
     violation(fleet, "a write under a stored key was applied again");
   json_free(answer);
   call_free(call);
@@ -220,9 +221,9 @@
   if (!wait_chain(fleet, STORED_CONTROLLERS, START_MS))
     return false;
   sim_run(fleet->sim, time_from_ms(1000));
-  for (int i = 0; i < RES_COUNT; i++)
-    expect_resource(fleet, res_name[i]);
-  expect_contracts(fleet);
+  for (int i = 0; i < RESOURCE_COUNT; i++)
+    expect_resource(fleet, resource_names[i]);
+  expect_singleton_leases(fleet);
   expect_stored_key(fleet);
   if (fleet_put(fleet, "evacuation", "{\"areas\":[]}") <= stored[0].last)
     violation(fleet, "no new write after the stored ones");
