--- a/lib/configuration/routing.h
+++ b/lib/configuration/routing.h
@@ -1,16 +1,19 @@
-#ifndef COMMON_ROUTING_H
-#define COMMON_ROUTING_H
+#ifndef CONFIGURATION_ROUTING_H
+#define CONFIGURATION_ROUTING_H
 #include "json.h"
 
-/* The resource "routing", in our own words (an adapter may rename them, see dialect.h):
+/** The resource "routing": which requests go to which services, and what the engines of a service
+ * are like. Its form, in our own words (an adapter may rename them, see dialect.h):
  *  {"version":7,
  *   "routes":[{"name","host","prefix","mode":"once"|"safe"|"stream","timeoutMs","targetMs","priority","service"
  * or "split":[{"service","weight"}],"attempts","affinity":bool,"resumable":bool,"gapTargetMs"}],
  *   "services":[{"name","health","connectionsMost","protocol","tls","engine":{"slots","kvTokens","kvTokenBytes","stride",
- *                "models":[{"name","weights_mb","loadS","adapters","adapterMb"}],"weights_mb","adapter_slots","loads_per_s"}}],
+ *                "models":[{"name","weightsMb","loadS","adapters","adapterMb"}],"weightsMb","adapterSlots","loadsPerS"}}],
  *   "limits":{"headerBytes","bodyBytes","headerMs","idleMs"}}
  * Fields that are not known here are kept and given back. */
 
+/** Whether a request may run more than once: at most once; any number of times (idempotent); as a
+ * stream of events, which may not be run again once it has begun. */
 enum route_mode { ROUTE_MODE_ONCE, ROUTE_MODE_SAFE, ROUTE_MODE_STREAM };
 
 /** A model that a service's engines may hold. load_ms is what the operator says; history knows
@@ -31,6 +34,7 @@
   size_t model_count;
   GHashTable *models_by_name;
 } service;
+/** One of the services of a route; weight 0 gets no requests. */
 typedef struct route_leg {
   const service *service;
   double weight;
@@ -53,7 +57,8 @@
   size_t header_max_bytes, body_max_bytes;
   int64_t header_timeout_ms, idle_timeout_ms;
 } request_limits;
-/** A compiled configuration. */
+/** A compiled configuration. It never changes; it is shared by counting references, since requests
+ * under way go on with the one that they began with. */
 typedef struct routing {
   uint64_t revision;
   route *routes;
@@ -66,24 +71,28 @@
   int reference_count;
 } routing;
 
-/** Compiles a whole configuration; NULL with err (path and reason) when it is invalid: not whole,
+/** Compiles a full configuration; NULL with err (path and reason) when it is invalid: incomplete,
  * an unknown service, two routes with one host and prefix, weights that add up to 0, a timeout of
  * 0, a name that stands twice. */
 routing *routing_compile(const json *json, error *err);
+/** Takes one more reference; NULL is fine. */
 routing *routing_ref(routing *routing);
+/** Gives a reference back; the last one frees it. NULL is fine. */
 void routing_unref(routing *routing);
 /** The route of a host (its port, and case, don't count) and path: the longest prefix; NULL when
  * there is none. */
 const route *routing_find_route(const routing *routing, string_view host, string_view path);
+/** The service of a name, or NULL. */
 const service *routing_find_service(const routing *routing, const char *name);
+/** The model of a name that a service's engines may hold, or NULL. */
 const service_model_spec *service_find_model(const service *service, const char *name);
 /** The leg that a route gives a request: draw is a number from 0 to 1. */
 const service *route_pick_service(const route *route, double draw);
 /** Applies {"version","set":{"routes":[],"services":[]},"drop":{"routes":[names],"services":[]}} to
- * a whole configuration; also "limits" in set. NULL with err set when the change is no such thing.
- * Eats nothing. */
+ * a full configuration; also "limits" in set. NULL with err set when the change is no such thing.
+ * The result is the caller's; base and patch stay as they are. */
 json *routing_patch(const json *base, const json *patch, error *err);
 /** What a new configuration must keep to beside its own validity: its revision lies above the
  * current one. */
-int routing_check_successor(const json *next, uint64_t current, error *err);
+enum error_code routing_check_successor(const json *next, uint64_t current, error *err);
 #endif
