--- a/lib/configuration/delta.c
+++ b/lib/configuration/delta.c
@@ -1,106 +1,164 @@
+/** Deltas between two texts of a configuration.
+ *
+ * A text is cut into chunks, which end where an item of a JSON list does ("},{"). Chunks of the new
+ * text that also stand in the old one are found by a hash and sent as runs of indexes; the others
+ * are sent as text. Configurations are long lists of which a change touches a few items, so a delta
+ * is short, and cutting needs no parsing. */
 #include "delta.h"
 #include "wire.pb-c.h"
 
-typedef struct file_window {
-  size_t off, len;
-} file_window;
+/** Seeds of the two hashes, which must be the same in all processes. */
+enum { CHUNK_HASH_SEED = 1, TEXT_HASH_SEED = 2 };
+/** A delta must be smaller than the text by this factor, or it is not worth its work. */
+enum { SAVING_FACTOR_MIN = 2 };
 
-static GArray *pieces_of(string_view t) {
-  GArray *all = g_array_new(FALSE, FALSE, sizeof(file_window));
-  size_t from = 0;
-  for (size_t i = 0; i < t.length; i++) {
-    bool end = i + 1 == t.length ||
-               (t.data[i] == ',' && i > 0 && t.data[i - 1] == '}' && t.data[i + 1] == '{');
-    if (!end)
+/** A part of a text, in bytes. */
+typedef struct text_chunk {
+  size_t offset, length;
+} text_chunk;
+
+static bool ends_chunk(string_view text, size_t index) {
+  if (index + 1 == text.length)
+    return true;
+  return text.data[index] == ',' && index > 0 && text.data[index - 1] == '}' &&
+         text.data[index + 1] == '{';
+}
+
+/* cuts a text into chunks; free with g_array_free */
+static GArray *cut_into_chunks(string_view text) {
+  GArray *chunks = g_array_new(FALSE, FALSE, sizeof(text_chunk));
+  size_t start = 0;
+  for (size_t i = 0; i < text.length; i++) {
+    if (!ends_chunk(text, i))
       continue;
-    file_window p = { from, i + 1 - from };
-    g_array_append_val(all, p);
-    from = i + 1;
+    text_chunk chunk = { start, i + 1 - start };
+    g_array_append_val(chunks, chunk);
+    start = i + 1;
   }
-  return all;
+  return chunks;
 }
 
-static bool equal(string_view a, file_window x, string_view b, file_window y) {
-  return x.len == y.len && !memcmp(a.data + x.off, b.data + y.off, x.len);
+static bool chunk_equal(string_view a, text_chunk x, string_view b, text_chunk y) {
+  return x.length == y.length && !memcmp(a.data + x.offset, b.data + y.offset, x.length);
 }
 
-bool delta_encode(string_view old, string_view now, GString *to) {
-  GArray *was = pieces_of(old), *is = pieces_of(now),
-         *parts = g_array_new(FALSE, FALSE, sizeof(Wire__TextDeltaChunk));
-  GHashTable *at = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, NULL);
-  for (guint i = 0; i < was->len; i++) {
-    file_window p = g_array_index(was, file_window, i);
-    uint64_t h = hash_bytes(old.data + p.off, p.len, 1);
-    if (!g_hash_table_contains(at, &h))
-      g_hash_table_insert(at, g_memdup2(&h, sizeof h), GUINT_TO_POINTER(i + 1));
+static uint64_t chunk_hash(string_view text, text_chunk chunk) {
+  return hash_bytes(text.data + chunk.offset, chunk.length, CHUNK_HASH_SEED);
+}
+
+/* a table from the hashes of chunks to the index plus 1 of the first one */
+static GHashTable *index_chunks(string_view text, const GArray *chunks) {
+  GHashTable *index = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, NULL);
+  for (guint i = 0; i < chunks->len; i++) {
+    uint64_t hash = chunk_hash(text, g_array_index(chunks, text_chunk, i));
+    if (!g_hash_table_contains(index, &hash))
+      g_hash_table_insert(index, g_memdup2(&hash, sizeof hash), GUINT_TO_POINTER(i + 1));
   }
-  for (guint i = 0; i < is->len; i++) {
-    file_window p = g_array_index(is, file_window, i);
-    uint64_t h = hash_bytes(now.data + p.off, p.len, 1);
-    guint k = GPOINTER_TO_UINT(g_hash_table_lookup(at, &h));
-    bool there = k && equal(old, g_array_index(was, file_window, k - 1), now, p);
-    Wire__TextDeltaChunk *last =
-        parts->len ? &g_array_index(parts, Wire__TextDeltaChunk, parts->len - 1) : NULL;
-    /* a piece that stands more than once is best taken behind the one before it */
-    if (last && last->count && last->first + last->count < was->len &&
-        equal(old, g_array_index(was, file_window, last->first + last->count), now, p)) {
-      last->count++;
-      continue;
-    }
-    if (!there && last && !last->count) {
-      last->text.len += p.len;
-      continue;
-    }
-    Wire__TextDeltaChunk w = WIRE__TEXT_DELTA_CHUNK__INIT;
-    if (there) {
-      w.first = k - 1;
-      w.count = 1;
-    } else {
-      w.text.data = (uint8_t *)now.data + p.off;
-      w.text.len = p.len;
-    }
-    g_array_append_val(parts, w);
+  return index;
+}
+
+/** A delta in the making. */
+typedef struct encoder {
+  string_view old, new;
+  GArray *old_chunks;
+  GHashTable *old_index;
+  /** Of Wire__TextDeltaChunk: runs of old chunks, and new text. */
+  GArray *runs;
+} encoder;
+
+/* adds the next chunk of the new text */
+static void encode_chunk(encoder *encoder, text_chunk chunk) {
+  Wire__TextDeltaChunk *last =
+      encoder->runs->len
+          ? &g_array_index(encoder->runs, Wire__TextDeltaChunk, encoder->runs->len - 1)
+          : NULL;
+  /* a chunk that stands more than once is best taken behind the one before it */
+  if (last && last->count && last->first + last->count < encoder->old_chunks->len &&
+      chunk_equal(encoder->old,
+                  g_array_index(encoder->old_chunks, text_chunk, last->first + last->count),
+                  encoder->new, chunk)) {
+    last->count++;
+    return;
+  }
+  uint64_t hash = chunk_hash(encoder->new, chunk);
+  guint found = GPOINTER_TO_UINT(g_hash_table_lookup(encoder->old_index, &hash));
+  bool is_old =
+      found && chunk_equal(encoder->old, g_array_index(encoder->old_chunks, text_chunk, found - 1),
+                           encoder->new, chunk);
+  if (!is_old && last && !last->count) {
+    last->text.len += chunk.length;
+    return;
   }
-  Wire__TextDelta d = WIRE__TEXT_DELTA__INIT;
-  Wire__TextDeltaChunk **pp = g_new(Wire__TextDeltaChunk *, parts->len + 1);
-  for (guint i = 0; i < parts->len; i++)
-    pp[i] = &g_array_index(parts, Wire__TextDeltaChunk, i);
-  d.n_chunks = parts->len;
-  d.chunks = pp;
-  d.checksum = hash_bytes(now.data, now.length, 2);
-  size_t n = wire__text_delta__get_packed_size(&d);
-  bool worth = n * 2 < now.length;
-  if (worth) {
-    g_string_set_size(to, n);
-    wire__text_delta__pack(&d, (uint8_t *)to->str);
+  Wire__TextDeltaChunk run = WIRE__TEXT_DELTA_CHUNK__INIT;
+  if (is_old) {
+    run.first = found - 1;
+    run.count = 1;
+  } else {
+    run.text.data = (uint8_t *)encoder->new.data + chunk.offset;
+    run.text.len = chunk.length;
   }
-  g_free(pp);
-  g_array_free(was, TRUE);
-  g_array_free(is, TRUE);
-  g_array_free(parts, TRUE);
-  g_hash_table_destroy(at);
-  return worth;
+  g_array_append_val(encoder->runs, run);
 }
 
-bool delta_apply(string_view old, string_view delta, GString *to) {
-  Wire__TextDelta *d = wire__text_delta__unpack(NULL, delta.length, (const uint8_t *)delta.data);
-  if (!d)
+/* packs the runs into a message; false when that saves too little */
+static bool pack_runs(const encoder *encoder, GString *to) {
+  Wire__TextDelta delta = WIRE__TEXT_DELTA__INIT;
+  Wire__TextDeltaChunk **runs = g_new(Wire__TextDeltaChunk *, encoder->runs->len + 1);
+  for (guint i = 0; i < encoder->runs->len; i++)
+    runs[i] = &g_array_index(encoder->runs, Wire__TextDeltaChunk, i);
+  delta.n_chunks = encoder->runs->len;
+  delta.chunks = runs;
+  delta.checksum = hash_bytes(encoder->new.data, encoder->new.length, TEXT_HASH_SEED);
+  size_t size = wire__text_delta__get_packed_size(&delta);
+  bool saves = size * SAVING_FACTOR_MIN < encoder->new.length;
+  if (saves) {
+    g_string_set_size(to, size);
+    wire__text_delta__pack(&delta, (uint8_t *)to->str);
+  }
+  g_free(runs);
+  return saves;
+}
+
+bool delta_encode(string_view old, string_view new, GString *to) {
+  GArray *new_chunks = cut_into_chunks(new);
+  encoder encoder = { .old = old, .new = new, .old_chunks = cut_into_chunks(old) };
+  encoder.old_index = index_chunks(old, encoder.old_chunks);
+  encoder.runs = g_array_new(FALSE, FALSE, sizeof(Wire__TextDeltaChunk));
+  for (guint i = 0; i < new_chunks->len; i++)
+    encode_chunk(&encoder, g_array_index(new_chunks, text_chunk, i));
+  bool saves = pack_runs(&encoder, to);
+  g_array_free(new_chunks, TRUE);
+  g_array_free(encoder.old_chunks, TRUE);
+  g_array_free(encoder.runs, TRUE);
+  g_hash_table_destroy(encoder.old_index);
+  return saves;
+}
+
+/* appends a run of old chunks and new text; false when the old text has no such chunks */
+static bool append_run(string_view old, const GArray *old_chunks, const Wire__TextDeltaChunk *run,
+                       GString *to) {
+  if (run->count > old_chunks->len || run->first > old_chunks->len - run->count)
     return false;
-  GArray *was = pieces_of(old);
+  for (uint32_t i = 0; i < run->count; i++) {
+    text_chunk chunk = g_array_index(old_chunks, text_chunk, run->first + i);
+    g_string_append_len(to, old.data + chunk.offset, (gssize)chunk.length);
+  }
+  g_string_append_len(to, (char *)run->text.data, (gssize)run->text.len);
+  return true;
+}
+
+bool delta_apply(string_view old, string_view packed, GString *to) {
+  Wire__TextDelta *delta =
+      wire__text_delta__unpack(NULL, packed.length, (const uint8_t *)packed.data);
+  if (!delta)
+    return false;
+  GArray *old_chunks = cut_into_chunks(old);
   bool ok = true;
   g_string_truncate(to, 0);
-  for (size_t i = 0; i < d->n_chunks && ok; i++) {
-    const Wire__TextDeltaChunk *p = d->chunks[i];
-    ok = p->count <= was->len && p->first <= was->len - p->count;
-    for (uint32_t k = 0; ok && k < p->count; k++) {
-      file_window q = g_array_index(was, file_window, p->first + k);
-      g_string_append_len(to, old.data + q.off, (gssize)q.len);
-    }
-    if (ok)
-      g_string_append_len(to, (char *)p->text.data, (gssize)p->text.len);
-  }
-  ok = ok && hash_bytes(to->str, to->len, 2) == d->checksum;
-  g_array_free(was, TRUE);
-  wire__text_delta__free_unpacked(d, NULL);
+  for (size_t i = 0; i < delta->n_chunks && ok; i++)
+    ok = append_run(old, old_chunks, delta->chunks[i], to);
+  ok = ok && hash_bytes(to->str, to->len, TEXT_HASH_SEED) == delta->checksum;
+  g_array_free(old_chunks, TRUE);
+  wire__text_delta__free_unpacked(delta, NULL);
   return ok;
 }
--- a/lib/controlplane/controller.c
+++ b/lib/controlplane/controller.c
@@ -392,7 +392,7 @@
 static int canary_fits(const state *spec, string_view text, error *err) {
   json *was = json_parse(string_view_of_gstring(spec->resources[RESOURCE_CANARY].text), err),
        *next = json_parse(text, err);
-  int r = was && next ? canary_check_successor(was, next, err) : err->code;
+  int r = was && next ? (int)canary_check_successor(was, next, err) : err->code;
   json_free(was);
   json_free(next);
   return r;
