--- a/lib/configuration/settings.c
+++ b/lib/configuration/settings.c
@@ -1,53 +1,218 @@
+/** The settings of one process: read from a file or text of JSON, and checked as a whole. */
 #include "node.h"
 #include <arpa/inet.h>
-#include <stdio.h>
 #include <stdlib.h>
 #include <unistd.h>
 
-bool address_is_valid(const char *s) {
+enum {
+  PORT_MAX = 65535,
+  SEEDS = 3,
+  FOUNDERS = 3,
+  /** Members, write replicas and zones that may be asked for. */
+  COUNT_MAX = 5,
+  LOG_FILE_MIN_MB = 4,
+  LOG_FILE_MAX_MB = 1024,
+  /** Members where none are asked for. */
+  CHAIN_MEMBERS_DEFAULT = 3
+};
+
+bool address_is_valid(const char *text) {
   char ip[48];
-  const char *c = strrchr(s, ':');
-  struct in_addr a;
-  if (!c || c == s || (size_t)(c - s) >= sizeof ip)
+  const char *colon = strrchr(text, ':');
+  if (!colon || colon == text || (size_t)(colon - text) >= sizeof ip)
+    return false;
+  g_strlcpy(ip, text, (gsize)(colon - text) + 1);
+  struct in_addr address;
+  if (inet_pton(AF_INET, ip, &address) != 1)
     return false;
-  memcpy(ip, s, c - s);
-  ip[c - s] = 0;
   char *end;
-  long n = strtol(c + 1, &end, 10);
-  return inet_pton(AF_INET, ip, &a) == 1 && c[1] >= '0' && c[1] <= '9' && !*end && n > 0 &&
-         n < 65536;
+  long port = strtol(colon + 1, &end, 10);
+  return colon[1] >= '0' && colon[1] <= '9' && !*end && port > 0 && port <= PORT_MAX;
 }
 
-static int take_id(id *to, const json *v, const char *key, error *err) {
-  if (v->kind != JSON_STRING || !id_is_valid(string_view_of_gstring(v->text)))
+static enum error_code read_id(id *to, const json *value, const char *key, error *err) {
+  if (value->kind != JSON_STRING || !id_is_valid(string_view_of_gstring(value->text)))
     return error_set(err, E_SETTINGS_ID,
                      "%s: not a name of 1 to 47 letters, digits, '-', '_', '.', ':'", key);
-  *to = id_of(string_view_of_gstring(v->text));
+  *to = id_of(string_view_of_gstring(value->text));
   return OK;
 }
 
-static int take_addr(char *to, size_t n, const json *v, const char *key, error *err) {
-  if (v->kind != JSON_STRING || !address_is_valid(v->text->str))
+static enum error_code read_address(char to[48], const json *value, const char *key, error *err) {
+  if (value->kind != JSON_STRING || !address_is_valid(value->text->str))
     return error_set(err, E_SETTINGS_ADDRESS, "%s: not an ip:port", key);
-  g_strlcpy(to, v->text->str, n);
+  g_strlcpy(to, value->text->str, 48);
+  return OK;
+}
+
+static enum error_code read_count(int *to, const json *value, const char *key, error *err) {
+  if (value->kind != JSON_NUMBER || value->number < 1 || value->number > COUNT_MAX ||
+      value->number != (int)value->number)
+    return error_set(err, E_SETTINGS_KEY, "%s: 1 to %d", key, COUNT_MAX);
+  *to = (int)value->number;
+  return OK;
+}
+
+/* One function a setting. They have the signature of setting.read. */
+
+static enum error_code read_self(settings *settings, const json *value, const char *key,
+                                 error *err) {
+  return read_id(&settings->self, value, key, err);
+}
+
+static enum error_code read_zone(settings *settings, const json *value, const char *key,
+                                 error *err) {
+  return read_id(&settings->zone, value, key, err);
+}
+
+static enum error_code read_listen(settings *settings, const json *value, const char *key,
+                                   error *err) {
+  return read_address(settings->address, value, key, err);
+}
+
+static enum error_code read_platform(settings *settings, const json *value, const char *key,
+                                     error *err) {
+  return read_address(settings->platform_address, value, key, err);
+}
+
+static enum error_code read_seeds(settings *settings, const json *value, const char *key,
+                                  error *err) {
+  if (value->kind != JSON_ARRAY || json_count(value) != SEEDS)
+    return error_set(err, E_SETTINGS_SEEDS, "seeds: three addresses are needed");
+  enum error_code code = OK;
+  for (size_t i = 0; i < SEEDS && !code; i++)
+    code = read_address(settings->seed_addresses[i], json_at(value, i), key, err);
+  return code;
+}
+
+static enum error_code read_founders(settings *settings, const json *value, const char *key,
+                                     error *err) {
+  if (value->kind != JSON_ARRAY || json_count(value) != FOUNDERS)
+    return error_set(err, E_SETTINGS_SEEDS, "founders: three names are needed");
+  enum error_code code = OK;
+  for (size_t i = 0; i < FOUNDERS && !code; i++)
+    code = read_id(&settings->founders[i], json_at(value, i), key, err);
+  return code;
+}
+
+static enum error_code read_founder_addresses(settings *settings, const json *value,
+                                              const char *key, error *err) {
+  settings->founder_count = 0;
+  if (value->kind != JSON_ARRAY || !json_count(value) || json_count(value) > FOUNDERS)
+    return error_set(err, E_SETTINGS_SEEDS, "founderAddrs: one to three addresses are needed");
+  enum error_code code = OK;
+  for (size_t i = 0; !code && i < json_count(value); i++, settings->founder_count++)
+    code = read_address(settings->founder_addresses[i], json_at(value, i), key, err);
+  return code;
+}
+
+static enum error_code read_members(settings *settings, const json *value, const char *key,
+                                    error *err) {
+  return read_count(&settings->chain_members, value, key, err);
+}
+
+static enum error_code read_write_replicas(settings *settings, const json *value, const char *key,
+                                           error *err) {
+  return read_count(&settings->write_replicas, value, key, err);
+}
+
+static enum error_code read_write_zones(settings *settings, const json *value, const char *key,
+                                        error *err) {
+  return read_count(&settings->write_zones, value, key, err);
+}
+
+static enum error_code read_data_dir(settings *settings, const json *value, const char *key,
+                                     error *err) {
+  if (value->kind != JSON_STRING || !value->text->len ||
+      value->text->len >= sizeof settings->data_dir)
+    return error_set(err, E_SETTINGS_DATA, "%s: not a folder", key);
+  g_strlcpy(settings->data_dir, value->text->str, sizeof settings->data_dir);
+  return OK;
+}
+
+static enum error_code read_log_file_size(settings *settings, const json *value, const char *key,
+                                          error *err) {
+  if (value->kind != JSON_NUMBER || value->number < LOG_FILE_MIN_MB ||
+      value->number > LOG_FILE_MAX_MB)
+    return error_set(err, E_SETTINGS_KEY, "%s: %d to %d", key, LOG_FILE_MIN_MB, LOG_FILE_MAX_MB);
+  settings->log_file_bytes = (size_t)value->number << 20;
   return OK;
 }
 
-static int take_count(int *to, const json *v, const char *key, error *err) {
-  if (v->kind != JSON_NUMBER || v->number < 1 || v->number > 5 || v->number != (int)v->number)
-    return error_set(err, E_SETTINGS_KEY, "%s: 1 to 5", key);
-  *to = v->number;
+static enum error_code read_wire_version(settings *settings, const json *value, const char *key,
+                                         error *err) {
+  if (value->kind != JSON_NUMBER || value->number < WIRE_VERSION_MIN ||
+      value->number > WIRE_VERSION_CURRENT)
+    return error_set(err, E_SETTINGS_KEY, "%s: %d to %d", key, WIRE_VERSION_MIN,
+                     WIRE_VERSION_CURRENT);
+  settings->wire_version = (unsigned)value->number;
   return OK;
 }
 
+static enum error_code read_debug_log(settings *settings, const json *value, const char *key,
+                                      error *err) {
+  (void)key;
+  (void)err;
+  settings->debug_log = value->boolean;
+  return OK;
+}
+
+static enum error_code read_json_log(settings *settings, const json *value, const char *key,
+                                     error *err) {
+  (void)key;
+  (void)err;
+  settings->json_log = value->boolean;
+  return OK;
+}
+
+/** A setting: its key, whose it is, and the function that reads it. */
+typedef struct setting {
+  const char *key;
+  /** Bits of enum role. */
+  unsigned roles;
+  enum error_code (*read)(settings *settings, const json *value, const char *key, error *err);
+} setting;
+
+enum {
+  OF_CONTROLLERS = 1 << ROLE_CONTROLLER,
+  OF_ROUTERS = 1 << ROLE_ROUTER,
+  OF_ALL = OF_CONTROLLERS | OF_ROUTERS
+};
+
+static const setting all_settings[] = {
+  { "id", OF_ALL, read_self },
+  { "area", OF_ALL, read_zone },
+  { "listen", OF_ALL, read_listen },
+  { "platform", OF_ROUTERS, read_platform },
+  { "seeds", OF_ALL, read_seeds },
+  { "founders", OF_CONTROLLERS, read_founders },
+  { "founderAddrs", OF_CONTROLLERS, read_founder_addresses },
+  { "members", OF_CONTROLLERS, read_members },
+  { "copies", OF_CONTROLLERS, read_write_replicas },
+  { "copyAreas", OF_CONTROLLERS, read_write_zones },
+  { "data", OF_CONTROLLERS, read_data_dir },
+  { "fileMb", OF_CONTROLLERS, read_log_file_size },
+  { "wire", OF_ALL, read_wire_version },
+  { "loud", OF_ALL, read_debug_log },
+  { "jsonLog", OF_ALL, read_json_log },
+};
+
+/* the setting of a key that a process of the role has, or NULL */
+static const setting *find_setting(const char *key, enum role role) {
+  for (size_t i = 0; i < G_N_ELEMENTS(all_settings); i++)
+    if (!strcmp(all_settings[i].key, key) && all_settings[i].roles & 1u << role)
+      return &all_settings[i];
+  return NULL;
+}
+
 int settings_read_file(settings *settings, enum role role, const char *path, error *err) {
   gchar *text;
-  gsize n;
-  if (!g_file_get_contents(path, &text, &n, NULL))
+  gsize length;
+  if (!g_file_get_contents(path, &text, &length, NULL))
     return error_set(err, E_SETTINGS_FILE, "%s: can't be read", path);
-  int r = settings_parse(settings, role, (string_view){ text, n }, path, err);
+  int code = settings_parse(settings, role, (string_view){ text, length }, path, err);
   g_free(text);
-  return r;
+  return code;
 }
 
 int settings_parse(settings *settings, enum role role, string_view text, const char *where,
@@ -55,83 +220,71 @@
   settings->role = role;
   json *value = json_parse(text, err);
   if (!value || value->kind != JSON_OBJECT) {
-    error was = *err;
-    error_set(err, E_SETTINGS_FILE, "%s: %.150s", where, value ? "not an object" : was.text);
+    error reason = *err;
+    error_set(err, E_SETTINGS_FILE, "%s: %.150s", where, value ? "not an object" : reason.text);
     json_free(value);
     return E_SETTINGS_FILE;
   }
-  int r = OK;
-  for (size_t i = 0; i < json_count(value) && !r; i++) {
-    const char *k = json_key(value, i);
-    const json *x = json_at(value, i);
-    if (!strcmp(k, "id"))
-      r = take_id(&settings->self, x, k, err);
-    else if (!strcmp(k, "area"))
-      r = take_id(&settings->zone, x, k, err);
-    else if (!strcmp(k, "listen"))
-      r = take_addr(settings->address, sizeof settings->address, x, k, err);
-    else if (!strcmp(k, "platform") && role == ROLE_ROUTER)
-      r = take_addr(settings->platform_address, sizeof settings->platform_address, x, k, err);
-    else if (!strcmp(k, "seeds")) {
-      if (x->kind != JSON_ARRAY || json_count(x) != 3)
-        r = error_set(err, E_SETTINGS_SEEDS, "seeds: three addresses are needed");
-      for (size_t s = 0; s < 3 && !r; s++)
-        r = take_addr(settings->seed_addresses[s], sizeof settings->seed_addresses[s],
-                      json_at(x, s), k, err);
-    } else if (!strcmp(k, "founders") && role == ROLE_CONTROLLER) {
-      if (x->kind != JSON_ARRAY || json_count(x) != 3)
-        r = error_set(err, E_SETTINGS_SEEDS, "founders: three names are needed");
-      for (size_t s = 0; s < 3 && !r; s++)
-        r = take_id(&settings->founders[s], json_at(x, s), k, err);
-    } else if (!strcmp(k, "founderAddrs") && role == ROLE_CONTROLLER) {
-      settings->founder_count = 0;
-      if (x->kind != JSON_ARRAY || !json_count(x) || json_count(x) > 3)
-        r = error_set(err, E_SETTINGS_SEEDS, "founderAddrs: one to three addresses are needed");
-      for (size_t s = 0; !r && s < json_count(x); s++, settings->founder_count++)
-        r = take_addr(settings->founder_addresses[s], sizeof settings->founder_addresses[s],
-                      json_at(x, s), k, err);
-    } else if (!strcmp(k, "members") && role == ROLE_CONTROLLER)
-      r = take_count(&settings->chain_members, x, k, err);
-    else if (!strcmp(k, "copies") && role == ROLE_CONTROLLER)
-      r = take_count(&settings->write_replicas, x, k, err);
-    else if (!strcmp(k, "copyAreas") && role == ROLE_CONTROLLER)
-      r = take_count(&settings->write_zones, x, k, err);
-    else if (!strcmp(k, "data") && role == ROLE_CONTROLLER) {
-      if (x->kind != JSON_STRING || !x->text->len || x->text->len >= sizeof settings->data_dir)
-        r = error_set(err, E_SETTINGS_DATA, "data: not a folder");
-      else
-        g_strlcpy(settings->data_dir, x->text->str, sizeof settings->data_dir);
-    } else if (!strcmp(k, "fileMb") && role == ROLE_CONTROLLER) {
-      if (x->kind != JSON_NUMBER || x->number < 4 || x->number > 1024)
-        r = error_set(err, E_SETTINGS_KEY, "fileMb: 4 to 1024");
-      else
-        settings->log_file_bytes = (size_t)x->number << 20;
-    } else if (!strcmp(k, "wire")) {
-      if (x->kind != JSON_NUMBER || x->number < WIRE_VERSION_MIN ||
-          x->number > WIRE_VERSION_CURRENT)
-        r = error_set(err, E_SETTINGS_KEY, "wire: %d to %d", WIRE_VERSION_MIN,
-                      WIRE_VERSION_CURRENT);
-      else
-        settings->wire_version = x->number;
-    } else if (!strcmp(k, "loud"))
-      settings->debug_log = x->boolean;
-    else if (!strcmp(k, "jsonLog"))
-      settings->json_log = x->boolean;
+  int code = OK;
+  for (size_t i = 0; i < json_count(value) && !code; i++) {
+    const char *key = json_key(value, i);
+    const setting *setting = find_setting(key, role);
+    if (setting)
+      code = setting->read(settings, json_at(value, i), key, err);
     else
-      r = error_set(err, E_SETTINGS_KEY, "%s: this daemon knows no such setting", k);
+      code = error_set(err, E_SETTINGS_KEY, "%s: this daemon knows no such setting", key);
   }
   json_free(value);
-  return r;
+  return code;
 }
 
 void settings_set_fault_tolerance(settings *settings, int machines, int zones) {
-  /* how many machines an area holds is not known, so all of the core votes where one may be lost */
+  /* how many machines a zone holds is not known, so all controllers vote where one may be lost */
   settings->chain_members =
       zones > 0 ? REPLICAS_MAX : CLAMP(2 * machines + 1, REPLICAS_MIN, REPLICAS_MAX);
   settings->write_replicas = MAX(machines, zones) + 1;
   settings->write_zones = zones + 1;
 }
 
+static enum error_code check_seeds(const settings *settings, error *err) {
+  /* a fleet with one or two controllers has no three seeds */
+  bool may_lack_seeds = settings->founder_count || settings->is_gateway || settings->relaxed;
+  int needed = may_lack_seeds ? 1 : SEEDS;
+  for (int i = 0; i < SEEDS; i++) {
+    const char *seed = settings->seed_addresses[i];
+    if (!address_is_valid(seed)) {
+      if (i >= needed && !seed[0])
+        continue;
+      return error_set(err, E_SETTINGS_SEEDS, "seeds: three addresses are needed, %d given", i);
+    }
+    for (int k = 0; k < i; k++)
+      if (!strcmp(seed, settings->seed_addresses[k]))
+        return error_set(err, E_SETTINGS_SEEDS, "seeds: %s stands twice", seed);
+  }
+  return OK;
+}
+
+static enum error_code check_founders(const settings *settings, error *err) {
+  for (int i = 0; i < FOUNDERS; i++)
+    for (int k = 0; k < i; k++)
+      if (!id_is_empty(settings->founders[i]) &&
+          id_equal(settings->founders[i], settings->founders[k]))
+        return error_set(err, E_SETTINGS_SEEDS, "founders: %s stands twice",
+                         settings->founders[i].text);
+  return OK;
+}
+
+static enum error_code check_controller(const settings *settings, error *err) {
+  int members = settings->chain_members ? settings->chain_members : CHAIN_MEMBERS_DEFAULT;
+  if (settings->write_replicas > members || settings->write_zones > settings->write_replicas)
+    return error_set(err, E_SETTINGS_KEY,
+                     "copies: at most as many as members, and copyAreas at most as many as copies");
+  if (!settings->data_dir[0] || access(settings->data_dir, W_OK | X_OK))
+    return error_set(err, E_SETTINGS_DATA, "data: %s can't be written",
+                     settings->data_dir[0] ? settings->data_dir : "missing");
+  return check_founders(settings, err);
+}
+
 int settings_check(const settings *settings, error *err) {
   if (id_is_empty(settings->self))
     return error_set(err, E_SETTINGS_ID, "id: missing");
@@ -139,37 +292,11 @@
     return error_set(err, E_SETTINGS_ID, "area: missing");
   if (!address_is_valid(settings->address))
     return error_set(err, E_SETTINGS_ADDRESS, "listen: not an ip:port");
-  /* a core of one or two machines has no three seeds */
-  int due = settings->founder_count || settings->is_gateway || settings->relaxed ? 1 : 3;
-  for (int i = 0; i < 3; i++) {
-    if (!address_is_valid(settings->seed_addresses[i])) {
-      if (i >= due && !settings->seed_addresses[i][0])
-        continue;
-      return error_set(err, E_SETTINGS_SEEDS, "seeds: three addresses are needed, %d given", i);
-    }
-    for (int k = 0; k < i; k++)
-      if (!strcmp(settings->seed_addresses[i], settings->seed_addresses[k]))
-        return error_set(err, E_SETTINGS_SEEDS, "seeds: %s stands twice",
-                         settings->seed_addresses[i]);
-  }
+  enum error_code code = check_seeds(settings, err);
+  if (code)
+    return code;
   if (settings->role == ROLE_ROUTER && !settings->is_gateway &&
       !address_is_valid(settings->platform_address))
     return error_set(err, E_SETTINGS_ADDRESS, "platform: not an ip:port");
-  if (settings->role == ROLE_CONTROLLER) {
-    if (settings->write_replicas > (settings->chain_members ? settings->chain_members : 3) ||
-        settings->write_zones > settings->write_replicas)
-      return error_set(
-          err, E_SETTINGS_KEY,
-          "copies: at most as many as members, and copyAreas at most as many as copies");
-    if (!settings->data_dir[0] || access(settings->data_dir, W_OK | X_OK))
-      return error_set(err, E_SETTINGS_DATA, "data: %s can't be written",
-                       settings->data_dir[0] ? settings->data_dir : "missing");
-    for (int i = 0; i < 3; i++)
-      for (int k = 0; k < i; k++)
-        if (!id_is_empty(settings->founders[i]) &&
-            id_equal(settings->founders[i], settings->founders[k]))
-          return error_set(err, E_SETTINGS_SEEDS, "founders: %s stands twice",
-                           settings->founders[i].text);
-  }
-  return OK;
+  return settings->role == ROLE_CONTROLLER ? check_controller(settings, err) : OK;
 }
