--- a/lib/configuration/dialect.c
+++ b/lib/configuration/dialect.c
@@ -1,5 +1,13 @@
+/** Dialects: the names that another platform gives to our header fields, calls, JSON keys and
+ * values.
+ *
+ * JSON is translated in place at the edge: dialect_translate_in makes ours of what came, and
+ * dialect_translate_out the way back, such that out(in(x)) is x. A key or value of ours that
+ * another platform does not know must therefore survive the way in: it gets a mark in front, which
+ * the way out takes away. */
 #include "dialect.h"
 
+/** In front of a key or value that came in our own words though the dialect has another one. */
 #define MARK '~'
 
 const dialect dialect_native = {
@@ -29,127 +37,149 @@
              [DC_REPORT] = { "GET", "/v1/report" } },
 };
 
-/* the tables of one dialect as hashes, made when it is first used */
-typedef struct tables {
-  GHashTable *own, *theirs, *words;
-} tables;
+/** The tables of one dialect as hashes: keys both ways, and values by our key (a GPtrArray of
+ * dialect_value). */
+typedef struct translation {
+  GHashTable *own_to_theirs, *theirs_to_own, *values_by_key;
+} translation;
 
-static const tables *tables_of(const dialect *dialect) {
-  static GHashTable *all;
-  if (!all)
-    all = g_hash_table_new(NULL, NULL);
-  tables *t = g_hash_table_lookup(all, dialect);
-  if (t)
-    return t;
-  t = g_new(tables, 1);
-  t->own = g_hash_table_new(g_str_hash, g_str_equal);
-  t->theirs = g_hash_table_new(g_str_hash, g_str_equal);
-  t->words = g_hash_table_new(g_str_hash, g_str_equal);
+static translation *translation_new(const dialect *dialect) {
+  translation *t = g_new(translation, 1);
+  t->own_to_theirs = g_hash_table_new(g_str_hash, g_str_equal);
+  t->theirs_to_own = g_hash_table_new(g_str_hash, g_str_equal);
+  t->values_by_key = g_hash_table_new(g_str_hash, g_str_equal);
+  /* from the last: of keys that stand twice the first one counts */
   for (size_t i = dialect->key_count; i-- > 0;) {
-    g_hash_table_insert(t->own, (char *)dialect->keys[i].own, (char *)dialect->keys[i].theirs);
-    g_hash_table_insert(t->theirs, (char *)dialect->keys[i].theirs, (char *)dialect->keys[i].own);
+    const dialect_pair *pair = &dialect->keys[i];
+    g_hash_table_insert(t->own_to_theirs, (char *)pair->own, (char *)pair->theirs);
+    g_hash_table_insert(t->theirs_to_own, (char *)pair->theirs, (char *)pair->own);
   }
   for (size_t i = 0; i < dialect->value_count; i++) {
-    GPtrArray *list = g_hash_table_lookup(t->words, dialect->values[i].key);
+    const dialect_value *value = &dialect->values[i];
+    GPtrArray *list = g_hash_table_lookup(t->values_by_key, value->key);
     if (!list) {
       list = g_ptr_array_new();
-      g_hash_table_insert(t->words, (char *)dialect->values[i].key, list);
+      g_hash_table_insert(t->values_by_key, (char *)value->key, list);
     }
-    g_ptr_array_add(list, (void *)&dialect->values[i]);
+    g_ptr_array_add(list, (void *)value);
   }
-  g_hash_table_insert(all, (void *)dialect, t);
   return t;
 }
 
-static char *marked(const char *s) {
-  return g_strdup_printf("%c%s", MARK, s);
+/* the hashes of a dialect, made when it is first used; dialects are constants, so they stay */
+static const translation *translation_of(const dialect *dialect) {
+  static GHashTable *all;
+  if (!all)
+    all = g_hash_table_new(NULL, NULL);
+  translation *t = g_hash_table_lookup(all, dialect);
+  if (!t) {
+    t = translation_new(dialect);
+    g_hash_table_insert(all, (void *)dialect, t);
+  }
+  return t;
 }
 
-static void word_in(const GPtrArray *list, GString *text) {
-  bool ours = text->str[0] == MARK;
-  for (guint i = 0; i < list->len; i++) {
-    const dialect_value *w = list->pdata[i];
-    if (!strcmp(w->theirs, text->str)) {
-      g_string_assign(text, w->own);
+static void value_in(const GPtrArray *values, GString *text) {
+  bool needs_mark = text->str[0] == MARK;
+  for (guint i = 0; i < values->len; i++) {
+    const dialect_value *value = values->pdata[i];
+    if (!strcmp(value->theirs, text->str)) {
+      g_string_assign(text, value->own);
       return;
     }
-    ours |= !strcmp(w->own, text->str);
+    needs_mark |= !strcmp(value->own, text->str);
   }
-  if (ours)
+  if (needs_mark)
     g_string_prepend_c(text, MARK);
 }
 
-static void word_out(const GPtrArray *list, GString *text) {
+static void value_out(const GPtrArray *values, GString *text) {
   if (text->str[0] == MARK) {
     g_string_erase(text, 0, 1);
     return;
   }
-  for (guint i = 0; i < list->len; i++) {
-    const dialect_value *w = list->pdata[i];
-    if (!strcmp(w->own, text->str)) {
-      g_string_assign(text, w->theirs);
+  for (guint i = 0; i < values->len; i++) {
+    const dialect_value *value = values->pdata[i];
+    if (!strcmp(value->own, text->str)) {
+      g_string_assign(text, value->theirs);
       return;
     }
   }
 }
 
-static void rename_all(const tables *t, json *value, bool in) {
+/* our name of a key that came, or NULL when it stays; free with g_free */
+static char *key_in(const translation *t, const char *key) {
+  if (key[0] == MARK)
+    return g_strdup_printf("%c%s", MARK, key);
+  const char *own = g_hash_table_lookup(t->theirs_to_own, key);
+  if (own)
+    return g_strdup(own);
+  return g_hash_table_contains(t->own_to_theirs, key) ? g_strdup_printf("%c%s", MARK, key) : NULL;
+}
+
+/* their name of a key of ours, or NULL when it stays; free with g_free */
+static char *key_out(const translation *t, const char *key) {
+  if (key[0] == MARK)
+    return g_strdup(key + 1);
+  return g_strdup(g_hash_table_lookup(t->own_to_theirs, key));
+}
+
+static void translate_member(const translation *t, json *object, size_t index, bool in) {
+  json *value = object->children->pdata[index];
+  char *key = object->keys->pdata[index];
+  char *new_key = in ? key_in(t, key) : key_out(t, key);
+  const char *own_key = in && new_key ? new_key : key;
+  const GPtrArray *values =
+      value->kind == JSON_STRING ? g_hash_table_lookup(t->values_by_key, own_key) : NULL;
+  if (values && in)
+    value_in(values, value->text);
+  else if (values)
+    value_out(values, value->text);
+  if (!new_key)
+    return;
+  object->keys->pdata[index] = new_key;
+  g_free(key);
+}
+
+static void translate(const translation *t, json *value, bool in) {
   for (size_t i = 0; i < json_count(value); i++) {
-    json *kid = value->children->pdata[i];
-    if (value->kind == JSON_OBJECT) {
-      char *was = value->keys->pdata[i];
-      char *now = NULL;
-      const char *own = was, *to;
-      if (in) {
-        to = was[0] == MARK ? NULL : g_hash_table_lookup(t->theirs, was);
-        if (to)
-          now = g_strdup(to);
-        else if (was[0] == MARK || g_hash_table_contains(t->own, was))
-          now = marked(was);
-        own = now ? now : was;
-      } else {
-        to = was[0] == MARK ? was + 1 : g_hash_table_lookup(t->own, was);
-        if (to)
-          now = g_strdup(to);
-      }
-      const GPtrArray *list = kid->kind == JSON_STRING ? g_hash_table_lookup(t->words, own) : NULL;
-      if (list && in)
-        word_in(list, kid->text);
-      else if (list)
-        word_out(list, kid->text);
-      if (now) {
-        value->keys->pdata[i] = now;
-        g_free(was);
-      }
-    }
-    if (kid->kind >= JSON_ARRAY)
-      rename_all(t, kid, in);
+    if (value->kind == JSON_OBJECT)
+      translate_member(t, value, i, in);
+    json *child = value->children->pdata[i];
+    if (child->kind >= JSON_ARRAY)
+      translate(t, child, in);
   }
 }
 
-void dialect_translate_in(const dialect *dialect, json *json) {
-  if (json && (dialect->key_count || dialect->value_count))
-    rename_all(tables_of(dialect), json, true);
+static bool has_tables(const dialect *dialect) {
+  return dialect->key_count || dialect->value_count;
+}
+
+void dialect_translate_in(const dialect *dialect, json *value) {
+  if (value && has_tables(dialect))
+    translate(translation_of(dialect), value, true);
 }
-void dialect_translate_out(const dialect *dialect, json *json) {
-  if (json && (dialect->key_count || dialect->value_count))
-    rename_all(tables_of(dialect), json, false);
+
+void dialect_translate_out(const dialect *dialect, json *value) {
+  if (value && has_tables(dialect))
+    translate(translation_of(dialect), value, false);
 }
 
-bool dialect_matches_call(const dialect *dialect, enum dialect_call c, const char *verb,
+bool dialect_matches_call(const dialect *dialect, enum dialect_call call, const char *method,
                           const char *path, id *who) {
-  const dialect_path *k = &dialect->calls[c];
-  if (!k->path || strcmp(k->method, verb))
+  const dialect_path *pattern = &dialect->calls[call];
+  if (!pattern->path || strcmp(pattern->method, method))
     return false;
-  size_t n = strcspn(path, "?");
-  const char *gap = strstr(k->path, "{}");
-  if (!gap)
-    return n == strlen(k->path) && !memcmp(path, k->path, n);
-  size_t before = gap - k->path, after = strlen(gap + 2);
-  if (n <= before + after || memcmp(path, k->path, before) ||
-      memcmp(path + n - after, gap + 2, after))
+  size_t length = strcspn(path, "?");
+  const char *placeholder = strstr(pattern->path, "{}");
+  if (!placeholder)
+    return length == strlen(pattern->path) && !memcmp(path, pattern->path, length);
+  const char *suffix = placeholder + 2;
+  size_t before = (size_t)(placeholder - pattern->path), after = strlen(suffix);
+  if (length <= before + after || memcmp(path, pattern->path, before) ||
+      memcmp(path + length - after, suffix, after))
     return false;
-  string_view name = { path + before, n - before - after };
+  string_view name = { path + before, length - before - after };
   if (!id_is_valid(name))
     return false;
   if (who)
--- a/lib/configuration/dialect.h
+++ b/lib/configuration/dialect.h
@@ -1,5 +1,6 @@
-#ifndef COMMON_DIALECT_H
-#define COMMON_DIALECT_H
+#ifndef CONFIGURATION_DIALECT_H
+#define CONFIGURATION_DIALECT_H
+/** Names of our interfaces as another platform speaks them (dialect.c). Meaning stays ours. */
 #include "json.h"
 
 /** Header fields that the data plane reads or writes; a dialect may lack the last two. */
@@ -34,14 +35,15 @@
   DC_REPORT,
   DC_COUNT
 };
+/** A call: its method and path. */
 typedef struct dialect_path {
   const char *method, *path;
 } dialect_path;
-/** A pair of words: ours, and theirs. */
+/** A JSON key: ours, and theirs. */
 typedef struct dialect_pair {
   const char *own, *theirs;
 } dialect_pair;
-/** A word that stands as the value of one of our keys. */
+/** A text that is the value of one of our keys: ours, and theirs. */
 typedef struct dialect_value {
   const char *key, *own, *theirs;
 } dialect_value;
@@ -57,14 +59,15 @@
   size_t value_count;
 } dialect;
 
-/** The product's own words. */
+/** Our own names: nothing is translated. */
 extern const dialect dialect_native;
-/** Renames keys and words from theirs to ours, in place. A key that is unknown to them but one of
- * ours gets a mark, so that dialect_translate_out brings back just what came. */
-void dialect_translate_in(const dialect *dialect, json *json);
-/** The way back. */
-void dialect_translate_out(const dialect *dialect, json *json);
-/** True when a request fits a call; the id in its path, if any, is given. */
-bool dialect_matches_call(const dialect *dialect, enum dialect_call c, const char *verb,
+/** Renames keys and values from theirs to ours, in place. A key that is unknown to them but one of
+ * ours gets a mark, so that dialect_translate_out brings back just what came. NULL is fine. */
+void dialect_translate_in(const dialect *dialect, json *value);
+/** The way back. NULL is fine. */
+void dialect_translate_out(const dialect *dialect, json *value);
+/** True when a request fits a call (its query doesn't count); the id in its path, if any, goes to
+ * who, which may be NULL. */
+bool dialect_matches_call(const dialect *dialect, enum dialect_call call, const char *method,
                           const char *path, id *who);
 #endif
--- a/lib/configuration/json.c
+++ b/lib/configuration/json.c
@@ -1,21 +1,29 @@
+/** JSON values: parsing by yajl's callbacks, look-up, merging and writing. */
 #include "json.h"
 #include <math.h>
 #include <stdarg.h>
 #include <yajl/yajl_gen.h>
 #include <yajl/yajl_parse.h>
 
-enum { DEEP = 24, KEYS_MOST = 256 };
-#define EXACT 9007199254740992.0
-typedef struct {
+/** Bounds on what others send: a parser's recursion and a linear search for a key rest on them. */
+enum { DEPTH_MAX = 24, KEYS_MAX = 256 };
+/** Numbers of digits that a number may have, with the end of its text. */
+enum { NUMBER_TEXT_SIZE = 64 };
+/** 2^53: whole numbers below it are exact as double. */
+static const double exact_integer_max = 9007199254740992.0;
+
+/** A parse in hand: the value so far, the open arrays and objects, and for each the last key. */
+typedef struct parser {
   json *top;
-  json *stack[DEEP];
-  int n;
-  GString *key[DEEP];
+  json *open[DEPTH_MAX];
+  GString *keys[DEPTH_MAX];
+  int depth;
   error *err;
-  int bad;
-} reader;
+  /** The first error, or OK; yajl's own errors come after it. */
+  enum error_code code;
+} parser;
 
-static json *make(enum json_kind k) {
+static json *json_new(enum json_kind k) {
   json *value = g_new0(json, 1);
   value->kind = k;
   if (k >= JSON_ARRAY)
@@ -37,134 +45,145 @@
   g_free(json);
 }
 
-static int put(reader *r, json *value) {
-  if (!r->n) {
-    if (r->top) {
+/* adds a key to the innermost object, before its value; false with the error set */
+static bool add_key(parser *parser, json *object, const char *key) {
+  if (object->keys->len == KEYS_MAX) {
+    parser->code = error_set(parser->err, E_TOO_LARGE, "an object of over %d keys", KEYS_MAX);
+    return false;
+  }
+  if (json_get(object, key)) {
+    parser->code = error_set(parser->err, E_FIELD, "the key \"%.60s\" stands twice", key);
+    return false;
+  }
+  g_ptr_array_add(object->keys, g_strdup(key));
+  return true;
+}
+
+/* what yajl's callbacks return: go on, or stop with the parser's error */
+enum { GO_ON = 1, STOP = 0 };
+
+/* puts a value where the text stands, and opens it if it is an array or object */
+static int add_value(parser *parser, json *value) {
+  if (!parser->depth) {
+    if (parser->top) {
       json_free(value);
-      return 0;
+      return STOP;
     }
-    r->top = value;
+    parser->top = value;
   } else {
-    json *up = r->stack[r->n - 1];
-    if (up->kind == JSON_OBJECT) {
-      GString *k = r->key[r->n - 1];
-      if (up->keys->len == KEYS_MOST) {
-        r->bad = error_set(r->err, E_TOO_LARGE, "an object of over %d keys", KEYS_MOST);
-        json_free(value);
-        return 0;
-      }
-      if (json_get(up, k->str)) {
-        r->bad = error_set(r->err, E_FIELD, "the key \"%.60s\" stands twice", k->str);
-        json_free(value);
-        return 0;
-      }
-      g_ptr_array_add(up->keys, g_strdup(k->str));
+    json *parent = parser->open[parser->depth - 1];
+    if (parent->kind == JSON_OBJECT &&
+        !add_key(parser, parent, parser->keys[parser->depth - 1]->str)) {
+      json_free(value);
+      return STOP;
     }
-    g_ptr_array_add(up->children, value);
+    g_ptr_array_add(parent->children, value);
   }
-  if (value->kind >= JSON_ARRAY) {
-    if (r->n == DEEP) {
-      r->bad = error_set(r->err, E_JSON, "nested deeper than %d", DEEP);
-      return 0;
-    }
-    r->key[r->n] = g_string_new(NULL);
-    r->stack[r->n++] = value;
+  if (value->kind < JSON_ARRAY)
+    return GO_ON;
+  if (parser->depth == DEPTH_MAX) {
+    parser->code = error_set(parser->err, E_JSON, "nested deeper than %d", DEPTH_MAX);
+    return STOP;
   }
-  return 1;
+  parser->keys[parser->depth] = g_string_new(NULL);
+  parser->open[parser->depth++] = value;
+  return GO_ON;
 }
 
-static int on_null(void *c) {
-  return put(c, make(JSON_NULL));
+static int on_null(void *context) {
+  return add_value(context, json_new(JSON_NULL));
 }
-static int on_bool(void *c, int v) {
-  json *json = make(JSON_BOOL);
+static int on_bool(void *context, int v) {
+  json *json = json_new(JSON_BOOL);
   json->boolean = v;
-  return put(c, json);
+  return add_value(context, json);
 }
-static int on_num(void *c, const char *p, size_t n) {
-  char buf[64];
-  reader *r = c;
+static int on_number(void *context, const char *p, size_t n) {
+  char buf[NUMBER_TEXT_SIZE];
+  parser *parser = context;
   if (n >= sizeof buf) {
-    r->bad = error_set(r->err, E_RANGE, "a number of over 63 digits");
-    return 0;
+    parser->code = error_set(parser->err, E_RANGE, "a number of over 63 digits");
+    return STOP;
   }
   memcpy(buf, p, n);
   buf[n] = 0;
   double v = g_ascii_strtod(buf, NULL);
   if (!isfinite(v)) {
-    r->bad = error_set(r->err, E_RANGE, "the number %s is out of range", buf);
-    return 0;
+    parser->code = error_set(parser->err, E_RANGE, "the number %s is out of range", buf);
+    return STOP;
   }
-  json *json = make(JSON_NUMBER);
+  json *json = json_new(JSON_NUMBER);
   json->number = v;
   /* a whole number that a double can't hold keeps its digits */
-  if (fabs(v) >= EXACT && !memchr(p, '.', n) && !memchr(p, 'e', n) && !memchr(p, 'E', n))
+  if (fabs(v) >= exact_integer_max && !memchr(p, '.', n) && !memchr(p, 'e', n) &&
+      !memchr(p, 'E', n))
     json->text = g_string_new(buf);
-  return put(c, json);
+  return add_value(context, json);
 }
-static int on_str(void *c, const unsigned char *p, size_t n) {
-  json *json = make(JSON_STRING);
+static int on_string(void *context, const unsigned char *p, size_t n) {
+  json *json = json_new(JSON_STRING);
   json->text = g_string_new_len((const char *)p, n);
-  reader *r = c;
+  parser *parser = context;
   if (memchr(p, 0, n)) {
-    r->bad = error_set(r->err, E_JSON, "a text holds a zero byte");
+    parser->code = error_set(parser->err, E_JSON, "a text holds a zero byte");
     json_free(json);
-    return 0;
+    return STOP;
   }
-  return put(c, json);
+  return add_value(context, json);
 }
-static int on_map(void *c) {
-  return put(c, make(JSON_OBJECT));
+static int on_object(void *context) {
+  return add_value(context, json_new(JSON_OBJECT));
 }
-static int on_key(void *c, const unsigned char *p, size_t n) {
-  reader *r = c;
-  g_string_truncate(r->key[r->n - 1], 0);
-  g_string_append_len(r->key[r->n - 1], (const char *)p, n);
+static int on_key(void *context, const unsigned char *p, size_t n) {
+  parser *parser = context;
+  g_string_truncate(parser->keys[parser->depth - 1], 0);
+  g_string_append_len(parser->keys[parser->depth - 1], (const char *)p, n);
   if (memchr(p, 0, n)) {
-    r->bad = error_set(r->err, E_JSON, "a key holds a zero byte");
-    return 0;
+    parser->code = error_set(parser->err, E_JSON, "a key holds a zero byte");
+    return STOP;
   }
-  return 1;
+  return GO_ON;
 }
-static int on_end(void *c) {
-  reader *r = c;
-  g_string_free(r->key[--r->n], TRUE);
-  return 1;
+static int on_end(void *context) {
+  parser *parser = context;
+  g_string_free(parser->keys[--parser->depth], TRUE);
+  return GO_ON;
 }
-static int on_arr(void *c) {
-  return put(c, make(JSON_ARRAY));
+static int on_array(void *context) {
+  return add_value(context, json_new(JSON_ARRAY));
 }
 
-static const yajl_callbacks calls = { on_null, on_bool, NULL,   NULL,   on_num, on_str,
-                                      on_map,  on_key,  on_end, on_arr, on_end };
+static const yajl_callbacks callbacks = { on_null,   on_bool,   NULL,      NULL,
+                                          on_number, on_string, on_object, on_key,
+                                          on_end,    on_array,  on_end };
 
 json *json_parse(string_view text, error *err) {
-  reader r = { .err = err };
-  yajl_handle h = yajl_alloc(&calls, NULL, &r);
+  parser parser = { .err = err };
+  yajl_handle h = yajl_alloc(&callbacks, NULL, &parser);
   yajl_status s = yajl_parse(h, (const unsigned char *)text.data, text.length);
   if (s == yajl_status_ok)
     s = yajl_complete_parse(h);
-  if (s != yajl_status_ok && !r.bad) {
+  if (s != yajl_status_ok && !parser.code) {
     unsigned char *t = yajl_get_error(h, 0, (const unsigned char *)text.data, text.length);
     g_strchomp((char *)t);
-    r.bad = error_set(err, E_JSON, "not JSON near byte %zu: %.120s", yajl_get_bytes_consumed(h),
-                      (char *)t);
+    parser.code = error_set(err, E_JSON, "not JSON near byte %zu: %.120s",
+                            yajl_get_bytes_consumed(h), (char *)t);
     yajl_free_error(h, t);
   }
   yajl_free(h);
-  while (r.n)
-    g_string_free(r.key[--r.n], TRUE);
-  if (!r.bad && !r.top)
-    r.bad = error_set(err, E_JSON, "there is no value");
-  if (r.bad) {
-    json_free(r.top);
+  while (parser.depth)
+    g_string_free(parser.keys[--parser.depth], TRUE);
+  if (!parser.code && !parser.top)
+    parser.code = error_set(err, E_JSON, "there is no value");
+  if (parser.code) {
+    json_free(parser.top);
     return NULL;
   }
-  return r.top;
+  return parser.top;
 }
 
 json *json_copy(const json *value) {
-  json *c = make(value->kind);
+  json *c = json_new(value->kind);
   c->boolean = value->boolean;
   c->number = value->number;
   if (value->text)
@@ -177,7 +196,7 @@
   return c;
 }
 
-static int find(const json *json, const char *key) {
+static int index_of_key(const json *json, const char *key) {
   if (!json || json->kind != JSON_OBJECT)
     return -1;
   for (guint i = 0; i < json->keys->len; i++) {
@@ -189,7 +208,7 @@
 }
 
 const json *json_get(const json *json, const char *key) {
-  int i = find(json, key);
+  int i = index_of_key(json, key);
   return i < 0 ? NULL : json->children->pdata[i];
 }
 size_t json_count(const json *json) {
@@ -202,20 +221,20 @@
   return json->keys->pdata[i];
 }
 
-const char *json_text(const json *value, const char *key, const char *fall) {
+const char *json_text(const json *value, const char *key, const char *fallback) {
   const json *v = json_get(value, key);
-  return v && v->kind == JSON_STRING ? v->text->str : fall;
+  return v && v->kind == JSON_STRING ? v->text->str : fallback;
 }
-double json_number(const json *value, const char *key, double fall) {
+double json_number(const json *value, const char *key, double fallback) {
   const json *v = json_get(value, key);
-  return v && v->kind == JSON_NUMBER ? v->number : fall;
+  return v && v->kind == JSON_NUMBER ? v->number : fallback;
 }
-bool json_bool(const json *value, const char *key, bool fall) {
+bool json_bool(const json *value, const char *key, bool fallback) {
   const json *v = json_get(value, key);
-  return v && v->kind == JSON_BOOL ? v->boolean : fall;
+  return v && v->kind == JSON_BOOL ? v->boolean : fallback;
 }
 
-static void gen(yajl_gen g, const json *json) {
+static void generate(yajl_gen g, const json *json) {
   char buf[40];
   switch (json->kind) {
   case JSON_NULL:
@@ -245,7 +264,7 @@
   case JSON_ARRAY:
     yajl_gen_array_open(g);
     for (size_t i = 0; i < json_count(json); i++)
-      gen(g, json_at(json, i));
+      generate(g, json_at(json, i));
     yajl_gen_array_close(g);
     break;
   case JSON_OBJECT:
@@ -253,7 +272,7 @@
     for (size_t i = 0; i < json_count(json); i++) {
       const char *k = json_key(json, i);
       yajl_gen_string(g, (const unsigned char *)k, strlen(k));
-      gen(g, json_at(json, i));
+      generate(g, json_at(json, i));
     }
     yajl_gen_map_close(g);
     break;
@@ -262,7 +281,7 @@
 
 void json_write(const json *json, GString *to) {
   yajl_gen g = yajl_gen_alloc(NULL);
-  gen(g, json);
+  generate(g, json);
   const unsigned char *p;
   size_t n;
   if (yajl_gen_get_buf(g, &p, &n) == yajl_gen_status_ok)
@@ -277,12 +296,12 @@
   }
   if (!target || target->kind != JSON_OBJECT) {
     json_free(target);
-    target = make(JSON_OBJECT);
+    target = json_new(JSON_OBJECT);
   }
   for (size_t i = 0; i < json_count(patch); i++) {
     const char *k = json_key(patch, i);
     const json *v = json_at(patch, i);
-    int at = find(target, k);
+    int at = index_of_key(target, k);
     if (v->kind == JSON_NULL) {
       if (at >= 0) {
         g_ptr_array_remove_index(target->children, at);
