--- a/bin/asterctl.c
+++ b/bin/asterctl.c
@@ -440,7 +440,7 @@
   }
   printf("%-12s %-9s %9s %9s %9s %9s %8s %8s %6s  %s\n", "GATEWAY", "READY", "REVISION", "REQUESTS",
          "SERVED", "REFUSED", "RETRIES", "ENGINES", "OPEN", "ADDRESS");
-  int wal_condition = 0;
+  int found = 0;
   for (size_t i = 0; i < json_count(n); i++) {
     const json *k = json_at(n, i);
     if (strcmp(json_text(k, "role", ""), "router") || !strcmp(json_text(k, "standing", ""), "gone"))
@@ -460,11 +460,11 @@
              json_text(g, "why", ""));
     else
       printf("%-12s %-9s\n", json_text(k, "id", ""), "-");
-    wal_condition += g != NULL;
+    found += g != NULL;
     json_free(g);
   }
   json_free(n);
-  return wal_condition ? X_OK : X_NO;
+  return found ? X_OK : X_NO;
 }
 
 /* the figures of one side and priority, summed over the gateways */
--- a/emulator/gateway_check.c
+++ b/emulator/gateway_check.c
@@ -66,15 +66,15 @@
                 attempt->caller_request->kind->name, attempt->fault);
     if (attempt->how != 'd' || !attempt->stamp[0])
       continue;
-    bool wal_condition = false, whole = false;
+    bool found = false, whole = false;
     GPtrArray *l = g_hash_table_lookup(runs, attempt->request);
     for (guint k = 0; l && k < l->len; k++) {
       em_run *run = l->pdata[k];
-      wal_condition |= !strcmp(run->stamp, attempt->stamp);
+      found |= !strcmp(run->stamp, attempt->stamp);
       whole |= run->how == 'd' &&
                (repeats(attempt->caller_request->kind) || !strcmp(run->stamp, attempt->stamp));
     }
-    if (!wal_condition)
+    if (!found)
       violation(deployment->base, "MIXED %s of %s has a stamp of no run of its own",
                 attempt->request, attempt->caller_request->kind->name);
     else if (!whole)
--- /dev/null
+++ b/lib/doctor/check_engines.c
@@ -0,0 +1,141 @@
+/** Engines of the platform's list, as one router sees them: lease holders, reports, residents; and
+ * the catalogue against the largest engine. Gateways' engines are in check_gateways.c. */
+#include "examination.h"
+
+enum {
+  OLD_REPORT_MS = 3000,
+  /** Residents move: a difference counts when it is there at each of so many looks. */
+  RESIDENT_LOOKS = 3,
+  RESIDENT_LOOK_MS = 700
+};
+
+static bool same_member(const json *a, const json *b, const char *key) {
+  return !strcmp(json_text(a, key, ""), json_text(b, key, ""));
+}
+
+static bool contains_resident(const json *residents, const json *resident) {
+  for (size_t i = 0; i < json_count(residents); i++) {
+    const json *other = json_at(residents, i);
+    if (same_member(resident, other, "model") && same_member(resident, other, "adapter") &&
+        same_member(resident, other, "state"))
+      return true;
+  }
+  return false;
+}
+
+static bool same_residents(const json *a, const json *b) {
+  if (json_count(a) != json_count(b))
+    return false;
+  for (size_t i = 0; i < json_count(a); i++)
+    if (!contains_resident(b, json_at(a, i)))
+      return false;
+  return true;
+}
+
+/* true as well when one of the two gives no page, or the router does not know the engine */
+static bool residents_agree(const examination *examination, const char *router, const char *engine,
+                            const char *address) {
+  json *own = examination_fetch(examination, address, "/v1/state", NULL),
+       *engines = examination_fetch(examination, router, "/v1/holdings", NULL);
+  bool agree = !own || !engines;
+  for (size_t i = 0; i < json_count(engines) && !agree; i++) {
+    const json *entry = json_at(engines, i);
+    if (!strcmp(json_text(entry, "id", ""), engine))
+      agree = same_residents(json_get(own, "holdings"), json_get(entry, "holdings"));
+  }
+  json_free(own);
+  json_free(engines);
+  return agree;
+}
+
+/* an engine's own report against what one router believes */
+static bool residents_differ(const examination *examination, const char *router, const char *engine,
+                             const char *address) {
+  for (int look = 0; look < RESIDENT_LOOKS; look++) {
+    if (residents_agree(examination, router, engine, address))
+      return false;
+    if (!world_sleep(examination->world, time_from_ms(RESIDENT_LOOK_MS)))
+      return false;
+  }
+  return true;
+}
+
+static void check_engine(examination *examination, const examined_node *router,
+                         const json *engine) {
+  const char *name = json_text(engine, "id", ""), *address = json_text(engine, "addr", "");
+  const char *holder = json_text(engine, "holder", "");
+  if (!examination_is_live(examination, holder))
+    examination_add(examination, D_NO_SINGLETON_HOLDER, "the lease on %s is held by %s", name,
+                    holder[0] ? holder : "nobody");
+  double report_ms = json_number(engine, "heardMs", -1);
+  if (report_ms < 0 || report_ms > OLD_REPORT_MS)
+    examination_add(examination, D_NO_ANSWER, "%s at %s gives no report", name, address);
+  else if (json_bool(engine, "odd", false))
+    examination_add(examination, D_RESIDENT_DIFFERS, "the report of %s is malformed", name);
+  else if (residents_differ(examination, router->address, name, address))
+    examination_add(examination, D_RESIDENT_DIFFERS,
+                    "%s reports other resident models than %s believes", name, router->self.text);
+}
+
+static void check_catalogue(examination *examination, const json *catalogue, double weights_mb_max,
+                            double slots_max) {
+  const json *models = json_get(catalogue, "models"), *adapters = json_get(catalogue, "adapters");
+  for (size_t i = 0; i < json_count(models); i++) {
+    const json *model = json_at(models, i);
+    double weights_mb = json_number(model, "weightsMb", 0);
+    if (weights_mb > weights_mb_max)
+      examination_add(examination, D_FITS_NO_ENGINE,
+                      "model %s takes %.0f MB, the largest engine has %.0f",
+                      json_text(model, "id", ""), weights_mb, weights_mb_max);
+  }
+  for (size_t i = 0; i < json_count(adapters); i++) {
+    const json *adapter = json_at(adapters, i);
+    double slots = json_number(adapter, "slots", 1);
+    if (slots > slots_max)
+      examination_add(examination, D_FITS_NO_ENGINE,
+                      "adapter %s takes %.0f slots, the largest engine has %.0f",
+                      json_text(adapter, "id", ""), slots, slots_max);
+  }
+}
+
+/* a router with engines of a platform's list that is to stay, or NULL */
+static const examined_node *choose_router(const examination *examination) {
+  for (guint i = 0; i < examination->nodes->len; i++) {
+    const examined_node *node = examination_node(examination, i);
+    if (!node->is_controller && node->status && !node->draining && !node->gateway)
+      return node;
+  }
+  return NULL;
+}
+
+/* the catalogue of the first controller that gives it, or NULL */
+static json *fetch_catalogue(const examination *examination) {
+  json *catalogue = NULL;
+  for (guint i = 0; i < examination->nodes->len && !catalogue; i++) {
+    const examined_node *node = examination_node(examination, i);
+    if (node->is_controller && node->status)
+      catalogue = examination_fetch(examination, node->address, "/v1/catalogue", NULL);
+  }
+  return catalogue;
+}
+
+void check_engines(examination *examination) {
+  const examined_node *router = choose_router(examination);
+  if (!router)
+    return;
+  json *engines = examination_fetch(examination, router->address, "/v1/engines", NULL);
+  json *catalogue = fetch_catalogue(examination);
+  double weights_mb_max = 0, slots_max = 0;
+  for (size_t i = 0; i < json_count(engines); i++) {
+    const json *engine = json_at(engines, i);
+    weights_mb_max = MAX(weights_mb_max, json_number(engine, "weightsMb", 0));
+    slots_max = MAX(slots_max, json_number(engine, "adapterSlots", 0));
+    check_engine(examination, router, engine);
+  }
+  if (json_count(engines))
+    check_catalogue(examination, json_get(catalogue, "value"), weights_mb_max, slots_max);
+  else
+    examination_add(examination, D_ENGINE_LIST, "%s knows of no engine", router->self.text);
+  json_free(engines);
+  json_free(catalogue);
+}
--- a/lib/doctor/doctor.h
+++ b/lib/doctor/doctor.h
@@ -1,14 +1,18 @@
-#ifndef COMMON_DOCTOR_H
-#define COMMON_DOCTOR_H
+#ifndef DOCTOR_DOCTOR_H
+#define DOCTOR_DOCTOR_H
+/** Checks of a running fleet for common faults, by the pages that its processes serve. It changes
+ * nothing. `asterctl doctor` prints what it finds. */
 #include "node.h"
 
-/** What the doctor found: a code, evidence, and what to do next. */
+/** What was found: a code, evidence, and what to do next. */
 typedef struct finding {
+  /** One of enum diagnosis. */
   int code;
   char evidence[200];
+  /** A constant text. */
   const char *remedy;
 } finding;
-/** The doctor's codes; docs/codes.md has the table. */
+/** The codes of findings; docs/codes.md has the table. The numbers never change. */
 enum diagnosis {
   D_NO_ANSWER = 801,
   D_SEED,
@@ -33,7 +37,8 @@
   D_BUDGET,
   D_LOADS
 };
-/** Asks every machine that the given ones know of, and looks for common faults. Findings are freed
- * by the caller. */
-GArray *doctor_examine(world *world, char **at, int count);
+/** Asks every process that the given ones know of, and looks for common faults. It waits for
+ * responses and looks twice at what moves, so it takes some seconds; run it in a task. Gives an
+ * array of finding, which the caller frees with g_array_free. */
+GArray *doctor_examine(world *world, char **addresses, int count);
 #endif
--- a/tests/routing.c
+++ b/tests/routing.c
@@ -312,17 +312,17 @@
   int64_t t3 = g_get_monotonic_time();
   if (!routing)
     violation(fleet, "refused: %s", err.text);
-  int wal_condition = 0;
+  int found = 0;
   for (int i = 0; i < 1000 && routing; i++) {
     char host[40], path[40];
     g_snprintf(host, sizeof host, "ficu%d.example:80", i % 7);
     g_snprintf(path, sizeof path, "/p%d/2f", i);
     const route *k = routing_find_route(routing, string_view_of(host), string_view_of(path));
-    wal_condition += k && k == &routing->routes[i];
+    found += k && k == &routing->routes[i];
   }
   int64_t t4 = g_get_monotonic_time();
-  if (wal_condition != 1000)
-    violation(fleet, "%d of 1,000 routes are found", wal_condition);
+  if (found != 1000)
+    violation(fleet, "%d of 1,000 routes are found", found);
   if (g_getenv("SIM_COUNT"))
     fprintf(stderr,
             "  1,000 routes: read %" PRId64 " us, renamed %" PRId64 " us, compiled %" PRId64
