--- a/Makefile
+++ b/Makefile
@@ -19,6 +19,11 @@
 	@mkdir -p $(B)
 	@cd lib/common && protoc-c --c_out=$(abspath $(B)) wire.proto
 
+# for scripts/clang-tidy: what has to be made before a source can be read, and with which flags
+generated: $(B)/wire.pb-c.h
+compile-flags:
+	@echo $(filter -std=%,$(WARN)) $(INC)
+
 $(B)/wire.pb-c.o: $(B)/wire.pb-c.c
 	@$(CC) $(CFLAGS) $(WARN) $(INC) -c $< -o $@
 
@@ -79,7 +84,7 @@
 clean:
 	rm -rf build build-san
 
-.PHONY: all clean tests bench
+.PHONY: all clean tests bench generated compile-flags
 .SECONDARY:
 -include $(shell find $(B) -name '*.d' 2>/dev/null)
 
