--- a/tests/http/bytes_check.py
+++ b/tests/http/bytes_check.py
@@ -17,7 +17,6 @@
 Usage: tests/http/bytes_check.py [--fast] [--group NAME] [--jobs N] [--verbose]
 --fast takes the plain build, else that of the sanitizers, which must have been made.
 """
-import json
 import multiprocessing
 import os
 import select
@@ -26,6 +25,7 @@
 import subprocess
 import sys
 import time
+import traceback
 
 TOP = os.path.dirname(os.path.dirname(os.path.dirname(os.path.abspath(__file__))))
 ID, STAMP, NOT_RUN, TIME_LEFT = "Asterfall-Request", "Asterfall-Stamp", "Asterfall-Not-Run", "Asterfall-Time-Left"
@@ -1140,8 +1140,7 @@
         bed.tell("/stop")
         if bed.process.wait(20):
             failed.append(("end", "the gateway ends", f"with {bed.process.returncode}"))
-    except Exception as e:  # noqa: BLE001 - the parent reports it
-        import traceback
+    except Exception:  # the parent reports it
         failed.append(("harness", "runs through", traceback.format_exc()))
     if bed.process.poll() is None:
         bed.process.kill()
