--- a/Makefile
+++ b/Makefile
@@ -93,9 +93,10 @@
 export ASAN_OPTIONS = detect_stack_use_after_return=0
 export SEEDS ?= 6
 
-# the formatter's style
+# the formatter's style, and the linters of the scripts; scripts/static-analysis has those of C
 lint:
 	git ls-files '*.c' '*.h' | xargs -P$$(nproc) -n8 clang-format --dry-run -Werror
+	scripts/lint-scripts
 
 # names and codes, the tests under sanitizers, HTTP byte by byte, then a smoke over real processes
 check: lint
