--- a/Makefile
+++ b/Makefile
@@ -16,6 +16,11 @@
 	@mkdir -p $(B)
 	@cd lib/protocol && protoc-c --c_out=$(abspath $(B)) wire.proto
 
+# for scripts/clang-tidy: what has to be made before a source can be read, and with which flags
+generated: $(B)/wire.pb-c.h
+compile-flags:
+	@echo $(filter -std=%,$(WARN)) $(INC)
+
 $(B)/wire.pb-c.o: $(B)/wire.pb-c.c
 	@$(CC) $(CFLAGS) $(WARN) $(INC) -c $< -o $@
 
@@ -74,7 +79,7 @@
 clean:
 	rm -rf build build-san
 
-.PHONY: all clean tests bench print-inc
+.PHONY: all clean tests bench generated compile-flags print-inc
 .SECONDARY:
 -include $(shell find $(B) -name '*.d' 2>/dev/null)
 
@@ -83,9 +88,10 @@
 export ASAN_OPTIONS = detect_stack_use_after_return=0
 export SEEDS ?= 6
 
-# the formatter's style
+# the formatter's style, and the linters of the scripts; scripts/static-analysis has those of C
 lint:
 	git ls-files '*.c' '*.h' | xargs -P$$(nproc) -n8 clang-format --dry-run -Werror
+	scripts/lint-scripts
 
 # names and codes, help texts, the tests under sanitizers, HTTP byte by byte, then a smoke over real processes
 check: lint
--- a/lib/router/generate_api.c
+++ b/lib/router/generate_api.c
@@ -271,15 +271,15 @@
   unsigned slots, none;
   char key[128];
   int count = 0, n = 0;
-  list_for_each (e, &router->engines, engine, link)
-    count++;
-  load_target *all = g_new(load_target, count + 1);
   *fits = false;
   if (!model_loading_find_size(router, request->model, request->adapter, &megs, &slots))
     return NULL;
   if (!id_is_empty(request->adapter))
     model_loading_find_size(router, request->model, id_of_text(""), &base, &none);
   event_history_format_key(key, sizeof key, request->model, id_of_text(""));
+  list_for_each (e, &router->engines, engine, link)
+    count++;
+  load_target *all = g_new(load_target, count + 1);
   list_for_each (e, &router->engines, engine, link) {
     if (!e->listed || megs + base > e->weights_mb || slots > e->adapter_slots)
       continue;
--- a/tests/stored_data.c
+++ b/tests/stored_data.c
@@ -122,7 +122,8 @@
   expect_number(fleet, "the vote's epoch", (double)acceptor->epoch, (double)from->vote_epoch);
   expect_number(fleet, "the promised round", (double)acceptor->promised.round,
                 (double)from->vote_round);
-  expect_text(fleet, "the promised proposer", acceptor->promised.proposer.text, from->vote_proposer);
+  expect_text(fleet, "the promised proposer", acceptor->promised.proposer.text,
+              from->vote_proposer);
   expect_number(fleet, "an accepted view", acceptor->has_accepted, from->vote_has_view);
 }
 
