--- a/Makefile
+++ b/Makefile
@@ -3,11 +3,16 @@
 PKG = glib-2.0 yajl libprotobuf-c libwebsockets
 CFLAGS ?= -O2 -g
 WARN = -std=gnu11 -Wall -Wextra -Werror
-INC = $(addprefix -I,$(wildcard lib/*)) -Iplatform -Iemulator -Itests -I$(B) $(shell pkg-config --cflags $(PKG))
+INC = $(addprefix -I,$(wildcard lib/*)) -Iplatform -Iemulator -Itests -Itests/gateway -I$(B) $(shell pkg-config --cflags $(PKG))
 LIBS = $(shell pkg-config --libs $(PKG)) -lpcl -lhttp_parser -lz -lm -lpthread
 LIBRARY = $(patsubst %.c,$(B)/%.o,$(wildcard lib/*/*.c)) $(B)/wire.pb-c.o
 PLATFORM = $(patsubst %.c,$(B)/%.o,$(wildcard platform/*.c))
 EMULATOR = $(patsubst %.c,$(B)/%.o,$(wildcard emulator/*.c))
+# folders of tests mirror those of lib; tests/model and the programs in tests/http have rules of their own
+TEST_FOLDERS = configuration controlplane doctor emulator fleet gateway http membership router runtime
+TEST_PROGRAMS = $(addprefix tests/http/,driver.c gateway.c)
+TEST_SOURCES = $(filter-out $(TEST_PROGRAMS),$(wildcard tests/*.c $(addsuffix /*.c,$(addprefix tests/,$(TEST_FOLDERS)))))
+TESTS = $(patsubst %.c,$(B)/%.o,$(TEST_SOURCES))
 PROGS = $(patsubst bin/%.c,$(B)/bin/%,$(wildcard bin/*.c)) $(B)/bin/asterfall-node
 
 all: $(PROGS)
@@ -38,9 +43,9 @@
 	@mkdir -p $(B)/bin
 	@$(CC) $(CFLAGS) $< $(OURS) $(LIBS) -o $@
 
-$(B)/bin/tests: $(patsubst %.c,$(B)/%.o,$(wildcard tests/*.c)) $(OURS)
+$(B)/bin/tests: $(TESTS) $(OURS)
 	@mkdir -p $(B)/bin
-	@$(CC) $(CFLAGS) $(patsubst %.c,$(B)/%.o,$(wildcard tests/*.c)) $(OURS) $(LIBS) -lcunit -o $@
+	@$(CC) $(CFLAGS) $(TESTS) $(OURS) $(LIBS) -lcunit -o $@
 
 $(B)/bin/model-check: $(patsubst %.c,$(B)/%.o,$(wildcard tests/model/*.c)) $(OURS)
 	@mkdir -p $(B)/bin
--- /dev/null
+++ b/tests/configuration/formula.c
@@ -0,0 +1,73 @@
+/** Tests of lib/configuration/formula.c: expressions are compiled, evaluated, and serve as eviction
+ * policies. Fleet: four routers and four engines.
+ */
+#include "scenario.h"
+#include "tests.h"
+
+static bool expressions_are_policies(fleet *fleet) {
+  static const struct {
+    const char *text;
+    int code;
+  } bad[] = { { "", E_TOO_LARGE },
+              { "rate +", E_FIELD },
+              { "rate * speed", E_NAME },
+              { "(rate", E_FIELD },
+              { "rate rate", E_FIELD },
+              { "min(rate)", E_FIELD },
+              { "rate / \"x\"", E_FIELD },
+              { "((((((((((((((((((((((((((rate))))))))))))))))))))))))))", E_TOO_LARGE },
+              { "1+(1+(1+(1+(1+(1+(1+(1+(1+(1+(1+(1+(1+(1+(1+(1+(1+(1+1)))))))))))))))))",
+                E_TOO_LARGE } };
+  for (size_t i = 0; i < G_N_ELEMENTS(bad); i++) {
+    formula x;
+    error err = { 0 };
+    int r = formula_compile(&x, bad[i].text, &err);
+    if (r != bad[i].code)
+      violation(fleet, "\"%s\" got %d %s", bad[i].text, r, err.text);
+  }
+  static const struct {
+    const char *text;
+    double is;
+  } good[] = {
+    { "1 + 2 * 3", 7 },         { "(1 + 2) * 3", 9 }, { "2 - 3 - 4", -5 },
+    { "8 / 4 / 2", 1 },         { "-rate", -2 },      { "max(rate, size) + min(1, 0.5)", 4.5 },
+    { "rate / (size - 4)", 0 }, { "0/0", 0 },         { "penalty*rate/size", 5 }
+  };
+  const double v[F_VARIABLES] = { [F_PENALTY] = 10, [F_RATE] = 2, [F_SIZE] = 4 };
+  for (size_t i = 0; i < G_N_ELEMENTS(good); i++) {
+    formula x;
+    error err = { 0 };
+    int r = formula_compile(&x, good[i].text, &err);
+    if (r || formula_evaluate(&x, v) != good[i].is)
+      violation(fleet, "%s is %g (%s)", good[i].text, r ? 0 : formula_evaluate(&x, v), err.text);
+  }
+  if (!fleet_up(fleet))
+    return false;
+  op_call *call = fleet_call(
+      fleet, fleet->controller[0], "PATCH", "/v1/policy",
+      "{\"eviction\":\"mine\",\"utilities\":[{\"id\":\"mine\",\"worth\":\"penalty * rate / size\"}]}",
+      NULL, NULL, time_from_ms(5000));
+  if (call->status != 200)
+    violation(fleet, "an own policy got %d %s", call->status, call->body->str);
+  call_free(call);
+  call = fleet_call(fleet, fleet->controller[0], "PATCH", "/v1/policy",
+                    "{\"utilities\":[{\"id\":\"mine\",\"worth\":\"speed\"}]}", NULL, NULL,
+                    time_from_ms(5000));
+  if (call->status != 400 || !strstr(call->body->str, "utilities[0].worth"))
+    violation(fleet, "a bad expression got %d %s", call->status, call->body->str);
+  call_free(call);
+  call = fleet_call(fleet, fleet->controller[0], "PATCH", "/v1/policy", "{\"utilities\":null}",
+                    NULL, NULL, time_from_ms(5000));
+  if (call->status != 400)
+    violation(fleet, "an expression in use was dropped: %d", call->status);
+  call_free(call);
+  fleet->callers->loadgen->plan.zipf = 0.3;
+  fleet_traffic(fleet, 6, time_from_ms(15000));
+  fleet_quiet(fleet);
+  return loadgen_count(fleet->callers->loadgen, OUTCOME_DONE) >
+         (int)fleet->callers->loadgen->requests->len / 3;
+}
+
+const test_case formula_tests[] = {
+  { "expressions_are_policies", expressions_are_policies, 4, 4, 50 }, { NULL, NULL, 0, 0, 0 }
+};
--- a/tests/routing.c
+++ b/tests/configuration/routing.c
@@ -1,3 +1,7 @@
+/**
+ * Tests of lib/configuration/routing.c and dialect.c: routes are found, names are translated,
+ * invalid routings are refused and changes are merged. No fleet is started.
+ */
 #include "dialect.h"
 #include "routing.h"
 #include "tests.h"
--- /dev/null
+++ b/tests/configuration/settings.c
@@ -0,0 +1,71 @@
+/** Tests of lib/configuration/settings.c: invalid settings are refused with their code. No fleet is
+ * started. */
+#include "scenario.h"
+#include "tests.h"
+
+static bool bad_settings_are_refused(fleet *fleet) {
+  static const struct {
+    enum role r;
+    const char *text;
+    int code;
+  } bad[] = {
+    { ROLE_ROUTER, "{\"id\":\"v\",\"colour\":1}", E_SETTINGS_KEY },
+    { ROLE_ROUTER, "{\"id\":\"\"}", E_SETTINGS_ID },
+    { ROLE_ROUTER, "{\"id\":\"v\",\"listen\":\"here:1\"}", E_SETTINGS_ADDRESS },
+    { ROLE_ROUTER, "{\"listen\":\"127.0.0.1:99999\"}", E_SETTINGS_ADDRESS },
+    { ROLE_ROUTER, "{\"seeds\":[\"127.0.0.1:1\"]}", E_SETTINGS_SEEDS },
+    { ROLE_ROUTER, "{\"data\":\"/tmp\"}", E_SETTINGS_KEY },
+    { ROLE_ROUTER, "[]", E_SETTINGS_FILE },
+    { ROLE_ROUTER, "{", E_SETTINGS_FILE },
+    { ROLE_CONTROLLER, "{\"founders\":[\"a\"]}", E_SETTINGS_SEEDS },
+    { ROLE_CONTROLLER, "{\"fileMb\":1}", E_SETTINGS_KEY },
+    { ROLE_CONTROLLER,
+      "{\"id\":\"m\",\"area\":\"n\",\"listen\":\"127.0.0.1:1\",\"seeds\":[\"127.0.0.1:1\",\"127.0.0.1:2\",\"127.0.0.1:3\"],\"data\":\"/no/such/folder\"}",
+      E_SETTINGS_DATA },
+    { ROLE_CONTROLLER,
+      "{\"id\":\"m\",\"area\":\"n\",\"listen\":\"127.0.0.1:1\",\"seeds\":[\"127.0.0.1:1\",\"127.0.0.1:1\",\"127.0.0.1:3\"]}",
+      E_SETTINGS_SEEDS },
+    { ROLE_ROUTER,
+      "{\"id\":\"m\",\"area\":\"n\",\"listen\":\"127.0.0.1:1\",\"seeds\":[\"127.0.0.1:1\",\"127.0.0.1:2\",\"127.0.0.1:3\"]}",
+      E_SETTINGS_ADDRESS }
+  };
+  for (size_t i = 0; i < G_N_ELEMENTS(bad); i++) {
+    settings v = { 0 };
+    error err = { 0 };
+    int r = settings_parse(&v, bad[i].r, string_view_of(bad[i].text), "test", &err);
+    if (!r)
+      r = settings_check(&v, &err);
+    if (r != bad[i].code)
+      violation(fleet, "%s got %d %s", bad[i].text, r, err.text);
+  }
+  return true;
+}
+
+static void core_size(fleet *fleet, int machines, int zones, int members, int copies, int areas) {
+  settings v = { 0 };
+  settings_set_fault_tolerance(&v, machines, zones);
+  if (v.chain_members != members || v.write_replicas != copies || v.write_zones != areas)
+    violation(
+        fleet, "%d machines and %d zones: %d members, %d copies in %d areas, not %d, %d in %d",
+        machines, zones, v.chain_members, v.write_replicas, v.write_zones, members, copies, areas);
+}
+
+/* given how many machines and how many zones may be lost at once, the core is large enough that a
+ * majority is left and a copy of every write, and never asks for more areas than copies */
+static bool the_core_fits_what_may_be_lost(fleet *fleet) {
+  core_size(fleet, 0, 0, 3, 1, 1);
+  core_size(fleet, 1, 0, 3, 2, 1);
+  core_size(fleet, 2, 0, 5, 3, 1);
+  core_size(fleet, 3, 0, 7, 4, 1);
+  core_size(fleet, 0, 1, 7, 2, 2);
+  core_size(fleet, 1, 1, 7, 2, 2);
+  core_size(fleet, 2, 1, 7, 3, 2);
+  core_size(fleet, 1, 2, 7, 3, 3);
+  return check_all(fleet);
+}
+
+const test_case settings_tests[] = {
+  { "bad_settings_are_refused", bad_settings_are_refused, 1, 1, 17 },
+  { "the_core_fits_what_may_be_lost", the_core_fits_what_may_be_lost, 1, 1, 5 },
+  { NULL, NULL, 0, 0, 0 }
+};
--- /dev/null
+++ b/tests/controlplane/chain_join.c
@@ -0,0 +1,95 @@
+/** Tests of lib/controlplane/chain_join.c: controllers join the chain with an empty disk, and an
+ * empty controller never bootstraps a second fleet. Fleet: three controllers, a fourth that
+ * replaces one.
+ */
+#include "scenario.h"
+#include "tests.h"
+
+static bool a_disk_machine_is_lost_and_replaced(fleet *fleet) {
+  if (!fleet_up(fleet))
+    return false;
+  check_watch(fleet);
+  host *old = fleet->controller[sim_draw(fleet->sim, 3)];
+  host *replacement = scenario_create_controller(fleet, 4, fleet->controller[0], old->area.text);
+  if (!fleet_put(fleet, "evacuation", "{\"areas\":[]}"))
+    return false;
+  host_power(old);
+  host_wipe(old);
+  if (!wait_chain(fleet, 2, 8000))
+    return false;
+  fleet->controllers = 4;
+  host_start(replacement);
+  if (!wait_chain(fleet, 3, 12000))
+    return false;
+  acked_stand(fleet);
+  /* the replacement is a voter: another one may be lost now */
+  host *next = old == fleet->controller[0] ? fleet->controller[1] : fleet->controller[0];
+  host_power(next);
+  if (!wait_chain(fleet, 2, 8000))
+    return false;
+  char *evacuation = area_text(3);
+  if (!fleet_put(fleet, "evacuation", evacuation))
+    violation(fleet, "no write after the exchange");
+  g_free(evacuation);
+  acked_stand(fleet);
+  /* the old machine comes back with an empty disk, and may neither vote nor bootstrap a fleet */
+  host_start(old);
+  if (!wait_chain(fleet, 3, 15000))
+    return false;
+  acked_stand(fleet);
+  return true;
+}
+
+static bool the_same_machine_comes_back_empty(fleet *fleet) {
+  if (!fleet_up(fleet))
+    return false;
+  check_watch(fleet);
+  for (int i = 0; i < 3; i++) {
+    host *host = fleet->controller[i];
+    char *evacuation = area_text(1 + i);
+    if (!fleet_put(fleet, "evacuation", evacuation))
+      return false;
+    g_free(evacuation);
+    host_power(host);
+    host_wipe(host);
+    if (sim_draw(fleet->sim, 2))
+      sim_run(fleet->sim, time_from_ms(3000));
+    host_start(host);
+    sim_run(fleet->sim, time_from_ms(1500));
+    if (!wait_chain(fleet, 3, 15000))
+      return false;
+    acked_stand(fleet);
+  }
+  return true;
+}
+
+static bool a_blank_machine_hears_of_a_fleet(fleet *fleet) {
+  if (!fleet_up(fleet))
+    return false;
+  check_watch(fleet);
+  uint64_t fleet_id = fleet->controller[0]->controller->replica.view.fleet_id;
+  /* two of three lose their disks: no majority is left, and nobody may bootstrap another
+   * fleet while one replica of the first is left */
+  for (int i = 0; i < 2; i++) {
+    host_power(fleet->controller[i]);
+    host_wipe(fleet->controller[i]);
+  }
+  for (int i = 0; i < 2; i++)
+    host_start(fleet->controller[i]);
+  sim_run(fleet->sim, time_from_ms(20000));
+  for (int i = 0; i < 3; i++) {
+    uint64_t is = fleet->controller[i]->controller->replica.view.fleet_id;
+    if (is && is != fleet_id)
+      violation(fleet, "%s founded another fleet", fleet->controller[i]->self.text);
+  }
+  if (fleet_head(fleet))
+    violation(fleet, "a minority acts");
+  return true;
+}
+
+const test_case chain_join_tests[] = {
+  { "a_disk_machine_is_lost_and_replaced", a_disk_machine_is_lost_and_replaced, 3, 2, 200 },
+  { "the_same_machine_comes_back_empty", the_same_machine_comes_back_empty, 2, 2, 200 },
+  { "a_blank_machine_hears_of_a_fleet", a_blank_machine_hears_of_a_fleet, 2, 2, 100 },
+  { NULL, NULL, 0, 0, 0 }
+};
--- a/tests/second_loss.c
+++ b/tests/controlplane/chain_repair.c
@@ -1,6 +1,7 @@
-/** A second loss right after a repair or a replacement: the core must still have a majority of
- * voters and a whole copy of the state. A machine counts as lost until a span (syncS on the pages)
- * has passed since its return or start; the next loss comes at that very instant. */
+/** Tests of lib/controlplane/chain_repair.c: a second loss right after a repair or a replacement
+ * leaves a majority of voters and a replica that is in sync. A controller counts as lost until a
+ * span (syncS of the users' requirements) after its return or start; the next loss comes at that
+ * instant. Fleet: three or five controllers, one router. */
 #include "replica_internal.h"
 #include "tests.h"
 #include <stdio.h>
@@ -101,16 +102,16 @@
   return core_wait_shape(fleet, members, members, 10000);
 }
 
-/* the machines of the chain that acts, or of the youngest view that any live machine knows */
+/* the machines of the chain that acts, or of the latest view that any live machine knows */
 static const view *trial_view(core_trial *t) {
-  const view *young = NULL;
+  const view *latest = NULL;
   for (int i = 0; i < t->fleet->controllers; i++) {
     host *host = t->fleet->controller[i];
     if (host->alive && host->controller->replica.running &&
-        (!young || host->controller->replica.view.epoch > young->epoch))
-      young = &host->controller->replica.view;
+        (!latest || host->controller->replica.view.epoch > latest->epoch))
+      latest = &host->controller->replica.view;
   }
-  return young;
+  return latest;
 }
 
 static host *trial_member(core_trial *t) {
@@ -150,7 +151,7 @@
   }
 }
 
-static void policy_replay_run(core_trial *t, int64_t ms) {
+static void trial_run(core_trial *t, int64_t ms) {
   for (int64_t at = 0; at < ms; at += 20) {
     sim_run(t->fleet->sim, time_from_ms(MIN(20, ms - at)));
     trial_look(t);
@@ -162,12 +163,12 @@
   t->back[t->returns++] = (returned){ host, t->fleet->sim->now, false, false };
 }
 
-static void seeds_of_the_day(core_trial *t, host *young, host *old) {
+static void use_live_seeds(core_trial *t, host *replacement, host *old) {
   for (int i = t->fleet->controllers - 1, k = 0; i >= 0 && k < 3; i--)
     if (t->fleet->controller[i] != old &&
-        (t->fleet->controller[i]->alive || t->fleet->controller[i] == young))
-      g_strlcpy(young->settings.seed_addresses[k++], t->fleet->controller[i]->addr,
-                sizeof young->settings.seed_addresses[0]);
+        (t->fleet->controller[i]->alive || t->fleet->controller[i] == replacement))
+      g_strlcpy(replacement->settings.seed_addresses[k++], t->fleet->controller[i]->addr,
+                sizeof replacement->settings.seed_addresses[0]);
 }
 
 /* SIGTERM; after the grace SIGKILL. Whether it ended by itself. */
@@ -175,7 +176,7 @@
   uint64_t life = host->life;
   controller_drain(host->controller);
   for (int64_t at = 0; at < GRACE_MS && host->alive && host->life == life; at += 20)
-    policy_replay_run(t, 20);
+    trial_run(t, 20);
   bool by_itself = !host->alive;
   if (!by_itself)
     host_kill(host);
@@ -189,7 +190,7 @@
   list_for_each (k, &t->fleet->sim->hosts, host, link)
     if (kind == LOSS_CUT && k != h)
       sim_part(t->fleet->sim, h->self.text, k->self.text, true);
-  policy_replay_run(t, ms);
+  trial_run(t, ms);
   if (kind == LOSS_FROZEN)
     host_wake(h);
   list_for_each (k, &t->fleet->sim->hosts, host, link)
@@ -203,10 +204,10 @@
   sim *sim = t->fleet->sim;
   int64_t pause = (int64_t)sim_draw(sim, 2500);
   if (kind == LOSS_PLANNED) {
-    host *young = trial_add(t, old);
-    seeds_of_the_day(t, young, old);
-    trial_started(t, young);
-    policy_replay_run(t, (int64_t)sim_draw(sim, (uint64_t)t->sync_ms + 1500));
+    host *replacement = trial_add(t, old);
+    use_live_seeds(t, replacement, old);
+    trial_started(t, replacement);
+    trial_run(t, (int64_t)sim_draw(sim, (uint64_t)t->sync_ms + 1500));
     if (!trial_stop(t, old))
       violation(t->fleet, "%s did not end within its grace", old->self.text);
     host_wipe(old);
@@ -219,11 +220,11 @@
   host_power(old);
   if (kind != LOSS_POWER)
     host_wipe(old);
-  policy_replay_run(t, pause);
+  trial_run(t, pause);
   host *next = old;
   if (kind == LOSS_REPLACED) {
     next = trial_add(t, old);
-    seeds_of_the_day(t, next, old);
+    use_live_seeds(t, next, old);
   }
   trial_started(t, next);
   return true;
@@ -234,7 +235,7 @@
   for (int i = 0; i < t->returns; i++) {
     time_us due = time_add(t->back[i].started, time_from_ms(t->sync_ms));
     if (due.us > t->fleet->sim->now.us)
-      policy_replay_run(t, (due.us - t->fleet->sim->now.us + 999) / 1000);
+      trial_run(t, (due.us - t->fleet->sim->now.us + 999) / 1000);
   }
 }
 
@@ -330,10 +331,10 @@
   if (!trial_up(&t, fleet, sim_draw(fleet->sim, 2) ? 5 : 3))
     return false;
   core_put(fleet, 1, "before the replacement");
-  host *old = trial_member(&t), *young = trial_add(&t, old);
-  seeds_of_the_day(&t, young, old);
-  trial_started(&t, young);
-  policy_replay_run(&t, t.sync_ms + (int64_t)sim_draw(fleet->sim, 1500));
+  host *old = trial_member(&t), *replacement = trial_add(&t, old);
+  use_live_seeds(&t, replacement, old);
+  trial_started(&t, replacement);
+  trial_run(&t, t.sync_ms + (int64_t)sim_draw(fleet->sim, 1500));
   if (!trial_stop(&t, old))
     violation(fleet, "%s did not end within its grace", old->self.text);
   host_wipe(old);
@@ -357,7 +358,7 @@
   int64_t late = 500 + (int64_t)sim_draw(fleet->sim, 4500);
   bool empty = sim_draw(fleet->sim, 2);
   controller_drain(last->controller);
-  policy_replay_run(&t, late);
+  trial_run(&t, late);
   int wiped = (int)sim_draw(fleet->sim, 3);
   for (int i = 0; i < 3; i++) {
     host *host = fleet->controller[i];
@@ -369,7 +370,7 @@
     host_start(host);
   }
   for (int64_t at = 0; at < GRACE_MS - late && last->alive; at += 20)
-    policy_replay_run(&t, 20);
+    trial_run(&t, 20);
   if (last->alive) {
     violation(fleet, "%s did not end within its grace", last->self.text);
     host_kill(last);
@@ -393,7 +394,7 @@
   }
   fleet_mark(fleet);
   int64_t us = (int64_t)sim_draw(fleet->sim, 6000000);
-  policy_replay_run(&t, us / 1000);
+  trial_run(&t, us / 1000);
   sim_run(fleet->sim, (time_us){ us % 1000 });
   GPtrArray *dark = g_ptr_array_new();
   for (int i = 0; i < fleet->controllers; i++)
@@ -442,7 +443,7 @@
   return true;
 }
 
-const test_case second_loss_tests[] = {
+const test_case chain_repair_tests[] = {
   { "disks_are_lost_as_all_lose_power", disks_are_lost_as_all_lose_power, 3, 1, 100 },
   { "three_lose_one_after_the_other", three_lose_one_after_the_other, 1, 1, 400 },
   { "five_lose_two_after_two", five_lose_two_after_two, 1, 1, 200 },
--- /dev/null
+++ b/tests/controlplane/controller.c
@@ -0,0 +1,161 @@
+/** Tests of the operator API in lib/controlplane/controller.c: conditional and repeated writes,
+ * invalid and large resources. Fleet: three controllers, two or three routers and engines.
+ */
+#include "scenario.h"
+#include "tests.h"
+#include <stdio.h>
+
+static bool operators_race(fleet *fleet) {
+  if (!fleet_up(fleet))
+    return false;
+  check_watch(fleet);
+  for (int i = 0; i < 6; i++) {
+    host *t = fleet_tail(fleet);
+    op_call *g =
+        fleet_call(fleet, t, "GET", "/v1/evacuation", NULL, NULL, NULL, time_from_ms(5000));
+    char m[32], ra[32], *x = area_text(i % 4), *y = area_text(4 + i % 4);
+    snprintf(ra, sizeof ra, "race-%d", i);
+    snprintf(m, sizeof m, "%" PRIu64, g->version);
+    call_free(g);
+    op_call *a = fleet_send(fleet, fleet->controller[sim_draw(fleet->sim, 3)], "PUT",
+                            "/v1/evacuation", x, m, ra),
+            *b = fleet_send(fleet, fleet->controller[sim_draw(fleet->sim, 3)], "PATCH",
+                            "/v1/evacuation", y, m, NULL);
+    sim_run(fleet->sim, time_from_ms(3000));
+    if ((a->status == 200) + (b->status == 200) != 1 ||
+        (a->status == 412) + (b->status == 412) != 1)
+      violation(fleet, "two raced and got %d and %d", a->status, b->status);
+    call_free(a);
+    call_free(b);
+    /* a try that comes again is not applied again */
+    char key[32];
+    snprintf(key, sizeof key, "again-%d", i);
+    a = fleet_call(fleet, fleet->controller[0], "PUT", "/v1/evacuation", x, NULL, key,
+                   time_from_ms(5000));
+    b = fleet_call(fleet, fleet->controller[1], "PUT", "/v1/evacuation", x, NULL, key,
+                   time_from_ms(5000));
+    if (a->status != 200 || b->status != 200 || a->version != b->version)
+      violation(fleet, "a write that came again is %" PRIu64 " and %" PRIu64, a->version,
+                b->version);
+    call_free(a);
+    call_free(b);
+    b = fleet_call(fleet, fleet->controller[2], "PUT", "/v1/evacuation", y, NULL, key,
+                   time_from_ms(5000));
+    if (b->status != 422)
+      violation(fleet, "a key was used for two requests and got %d", b->status);
+    call_free(b);
+    g_free(x);
+    g_free(y);
+  }
+  return true;
+}
+
+static bool bad_configurations_come(fleet *fleet) {
+  static const struct {
+    const char *res, *text;
+    int status, code;
+  } bad[] = { { "catalogue", "{", 400, E_JSON },
+              { "catalogue", "{\"models\":[{\"id\":\"x\"}]}", 400, E_FIELD },
+              { "catalogue", "{\"models\":[{\"id\":\"x\",\"weightsMb\":-1}]}", 400, E_RANGE },
+              { "catalogue", "{\"models\":[],\"adapters\":[{\"id\":\"a\",\"model\":\"none\"}]}",
+                400, E_NAME },
+              { "catalogue", "{\"models\":[{\"id\":\"a b\",\"weightsMb\":1}]}", 400, E_NAME },
+              { "policy", "{\"eviction\":\"best\"}", 400, E_NAME },
+              { "policy", "{\"loadsPerS\":\"2\"}", 400, E_TYPE },
+              { "policy", "{\"loadsPerS\":1e999}", 400, E_RANGE },
+              { "policy", "{\"speed\":2}", 400, E_FIELD },
+              { "policy", "{\"rules\":[{\"when\":{\"kind\":\"none\"},\"then\":[\"refuse\"]}]}", 400,
+                E_NAME },
+              { "policy", "{\"rules\":[{\"then\":[\"answer\",\"enrol\"]}]}", 400, E_RANGE },
+              { "policy", "{\"kinds\":[{\"id\":\"a\",\"share\":0.7},{\"id\":\"b\",\"share\":0.7}]}",
+                400, E_RANGE },
+              { "evacuation", "{\"areas\":[{\"area\":\"nowhere\"}]}", 400, E_NAME },
+              { "evacuation", "{\"areas\":[{\"area\":\"north\",\"share\":2}]}", 400, E_RANGE },
+              { "evacuation", "[]", 400, E_TYPE },
+              { "evacuation", "{\"areas\":[],\"areas\":[]}", 400, E_FIELD },
+              { "policy", "", 400, E_JSON } };
+  if (!fleet_up(fleet))
+    return false;
+  for (size_t i = 0; i < G_N_ELEMENTS(bad); i++) {
+    char path[40];
+    snprintf(path, sizeof path, "/v1/%s", bad[i].res);
+    op_call *call = fleet_call(fleet, fleet->controller[i % 3], "PUT", path, bad[i].text, NULL,
+                               NULL, time_from_ms(5000));
+    json *json = json_parse(string_view_of_gstring(call->body), NULL);
+    if (call->status != bad[i].status || (int)json_number(json, "code", 0) != bad[i].code)
+      violation(fleet, "%s got %d, %s", bad[i].text, call->status, call->body->str);
+    json_free(json);
+    call_free(call);
+  }
+  /* a catalogue that drops what an evacuation names is refused as well */
+  if (!fleet_put(fleet, "evacuation", "{\"areas\":[{\"area\":\"north\",\"share\":0}]}"))
+    return false;
+  op_call *call = fleet_call(fleet, fleet->controller[0], "PATCH", "/v1/catalogue",
+                             "{\"areas\":[\"mid\"]}", NULL, NULL, time_from_ms(5000));
+  if (call->status != 400)
+    violation(fleet, "an area in use was dropped: %d", call->status);
+  call_free(call);
+  call = fleet_call(fleet, fleet->controller[0], "GET", "/v1/nothing", NULL, NULL, NULL,
+                    time_from_ms(5000));
+  if (call->status != 404)
+    violation(fleet, "an unknown page got %d", call->status);
+  call_free(call);
+  return true;
+}
+
+static bool configurations_grow_large(fleet *fleet) {
+  for (int i = 0; i < 3; i++)
+    fleet->controller[i]->settings.log_file_bytes = 8 << 20;
+  if (!fleet_up(fleet))
+    return false;
+  check_watch(fleet);
+  char *big = fleet_catalogue(12000, 12000, NULL);
+  uint64_t v = fleet_put(fleet, "catalogue", big);
+  if (!v)
+    violation(fleet, "a catalogue of %zu bytes was not taken", strlen(big));
+  g_free(big);
+  sim_run(fleet->sim, time_from_ms(2500));
+  for (int i = 0; i < fleet->routers; i++)
+    if (fleet->router[i]->router->config_version < v)
+      violation(fleet, "R4 %s has not got the large catalogue after 2.5 s",
+                fleet->router[i]->self.text);
+  /* it comes in parts to a machine with an empty disk, and stands a loss of power */
+  host *host = fleet->controller[sim_draw(fleet->sim, 3)];
+  host_power(host);
+  host_wipe(host);
+  host_start(host);
+  if (!wait_chain(fleet, 3, 20000))
+    return false;
+  for (int i = 0; i < 3; i++)
+    host_power(fleet->controller[i]);
+  for (int i = 0; i < 3; i++)
+    host_start(fleet->controller[i]);
+  if (!wait_chain(fleet, 3, 20000))
+    return false;
+  acked_stand(fleet);
+  GString *over = g_string_new("{\"areas\":[");
+  while (over->len < (1 << 20))
+    json_appendf(over, "%s\"area-with-a-long-name-%zu\"",
+                 over->str[over->len - 1] == '[' ? "" : ",", over->len);
+  g_string_append(over, "]}");
+  op_call *call = fleet_call(fleet, fleet->controller[0], "PUT", "/v1/catalogue", over->str, NULL,
+                             NULL, time_from_ms(9000));
+  for (int i = 0; i < 10 && call->status == 503; i++) {
+    call_free(call);
+    sim_run(fleet->sim, time_from_ms(500));
+    call = fleet_call(fleet, fleet->controller[0], "PUT", "/v1/catalogue", over->str, NULL, NULL,
+                      time_from_ms(9000));
+  }
+  if (call->status != 413 && call->status != 400)
+    violation(fleet, "a resource of %zu bytes got %d", over->len, call->status);
+  call_free(call);
+  g_string_free(over, TRUE);
+  return true;
+}
+
+const test_case controller_tests[] = {
+  { "operators_race", operators_race, 2, 2, 100 },
+  { "bad_configurations_come", bad_configurations_come, 2, 2, 20 },
+  { "configurations_grow_large", configurations_grow_large, 3, 2, 34 },
+  { NULL, NULL, 0, 0, 0 }
+};
--- a/tests/copies.c
+++ b/tests/controlplane/rejoin.c
@@ -1,24 +1,14 @@
+/**
+ * Tests of the rules of lib/controlplane/chain_rules.c: which replicas may lead, answer reads and
+ * count as in sync, while members rejoin. Fleet: three or five controllers, two routers, two
+ * engines.
+ */
 #include "tests.h"
 #include <stdio.h>
 
-/* which copies may lead, answer reads and count, while members come back */
-
-static host *add_member(fleet *fleet, int n) {
-  char name[32], addr[48];
-  snprintf(name, sizeof name, "controller-%d", n);
-  snprintf(addr, sizeof addr, "127.0.1.%d:7000", n + 40);
-  host *host = sim_host(fleet->sim, HOST_CONTROLLER, name, area_names[n % 3], addr);
-  fleet->controller[fleet->controllers++] = host;
-  host->settings = fleet->controller[0]->settings;
-  host->settings.self = host->self;
-  host->settings.zone = host->area;
-  g_strlcpy(host->settings.address, host->addr, sizeof host->settings.address);
-  return host;
-}
-
 static bool found_five(fleet *fleet) {
-  add_member(fleet, 4);
-  add_member(fleet, 5);
+  core_add_controller(fleet, 4);
+  core_add_controller(fleet, 5);
   for (int i = 0; i < fleet->controllers; i++) {
     settings *settings = &fleet->controller[i]->settings;
     memset(settings->founders, 0, sizeof settings->founders);
@@ -101,9 +91,10 @@
     for (int i = 0; i < 8000 && !fleet->faults->len; i++) {
       host *to = fleet_head(fleet);
       if (to && i % 60 == 0) {
-        char *t = area_text(1 + i / 60 % 9);
-        g_ptr_array_add(calls, fleet_send(fleet, to, "PUT", "/v1/evacuation", t, NULL, NULL));
-        g_free(t);
+        char *evacuation = area_text(1 + i / 60 % 9);
+        g_ptr_array_add(calls,
+                        fleet_send(fleet, to, "PUT", "/v1/evacuation", evacuation, NULL, NULL));
+        g_free(evacuation);
       }
       sim_run(fleet->sim, time_from_ms(1));
       most = tails_go_forward(fleet, most);
@@ -124,9 +115,9 @@
   check_watch(fleet);
   uint64_t most = 0;
   for (int i = 0; i < 5; i++) {
-    char *t = area_text(1 + i);
-    fleet_put(fleet, "evacuation", t);
-    g_free(t);
+    char *evacuation = area_text(1 + i);
+    fleet_put(fleet, "evacuation", evacuation);
+    g_free(evacuation);
   }
   most = tails_go_forward(fleet, most);
   host *head = fleet_head(fleet), *tail = fleet_tail(fleet);
@@ -155,7 +146,7 @@
   return !fleet->faults->len;
 }
 
-const test_case copy_tests[] = { { "two_members_come_back_at_once", two_members_come_back_at_once,
-                                   2, 2, 100 },
-                                 { "a_lone_member_restarts", a_lone_member_restarts, 2, 2, 100 },
-                                 { NULL, NULL, 0, 0, 0 } };
+const test_case rejoin_tests[] = { { "two_members_come_back_at_once", two_members_come_back_at_once,
+                                     2, 2, 100 },
+                                   { "a_lone_member_restarts", a_lone_member_restarts, 2, 2, 100 },
+                                   { NULL, NULL, 0, 0, 0 } };
--- /dev/null
+++ b/tests/controlplane/replication.c
@@ -0,0 +1,118 @@
+/** Tests of lib/controlplane/replication.c: a configuration change that was acknowledged survives
+ * the loss, the freezing and the corruption of replicas. Fleet: three controllers, a few routers
+ * and engines.
+ */
+#include "scenario.h"
+#include "tests.h"
+
+/* tests */
+static bool controllers_die_in_turn(fleet *fleet) {
+  if (!fleet_up(fleet))
+    return false;
+  check_watch(fleet);
+  go(fleet, 3);
+  for (int i = 0; i < 4; i++) {
+    host *host = fleet->controller[sim_draw(fleet->sim, 3)];
+    char *evacuation = area_text(1 + i);
+    op_call *call = fleet_send(fleet, fleet->controller[sim_draw(fleet->sim, 3)], "PUT",
+                               "/v1/evacuation", evacuation, NULL, NULL);
+    sim_run(fleet->sim, (time_us){ (int64_t)sim_draw(fleet->sim, 12000) });
+    if (sim_draw(fleet->sim, 2))
+      host_kill(host);
+    else
+      host_power(host);
+    if (!wait_chain(fleet, 2, 8000))
+      return false;
+    sim_run(fleet->sim, time_from_ms(26000));
+    call_free(call);
+    if (!fleet_put(fleet, "evacuation", evacuation))
+      violation(fleet, "no write with two of three");
+    g_free(evacuation);
+    host_start(host);
+    if (!wait_chain(fleet, 3, 10000))
+      return false;
+    acked_stand(fleet);
+  }
+  fleet_quiet(fleet);
+  return true;
+}
+
+static bool power_goes_after_an_answer(fleet *fleet) {
+  if (!fleet_up(fleet))
+    return false;
+  for (int i = 0; i < 5; i++) {
+    char *evacuation = area_text(1 + i);
+    if (!fleet_put(fleet, "evacuation", evacuation))
+      return false;
+    g_free(evacuation);
+    int all = sim_draw(fleet->sim, 2);
+    for (int k = 0; k < 3; k++)
+      if (all || k == (int)sim_draw(fleet->sim, 3))
+        host_power(fleet->controller[k]);
+    sim_run(fleet->sim, time_from_ms((int64_t)sim_draw(fleet->sim, 4000)));
+    for (int k = 0; k < 3; k++)
+      if (!fleet->controller[k]->alive)
+        host_start(fleet->controller[k]);
+    if (!wait_chain(fleet, 3, 15000))
+      return false;
+    acked_stand(fleet);
+  }
+  return true;
+}
+
+static bool heads_and_tails_freeze_and_wake(fleet *fleet) {
+  if (!fleet_up(fleet))
+    return false;
+  check_watch(fleet);
+  go(fleet, 3);
+  for (int i = 0; i < 4; i++) {
+    host *host = sim_draw(fleet->sim, 2) ? fleet_head(fleet) : fleet_tail(fleet);
+    if (!host) {
+      sim_run(fleet->sim, time_from_ms(500));
+      continue;
+    }
+    char *evacuation = area_text(i);
+    op_call *call = fleet_send(fleet, fleet->controller[sim_draw(fleet->sim, 3)], "PUT",
+                               "/v1/evacuation", evacuation, NULL, NULL);
+    sim_run(fleet->sim, (time_us){ (int64_t)sim_draw(fleet->sim, 8000) });
+    host_freeze(host);
+    sim_run(fleet->sim, time_from_ms(200 + (int64_t)sim_draw(fleet->sim, 5000)));
+    if (!fleet_put(fleet, "evacuation", evacuation))
+      violation(fleet, "no write while %s is frozen", host->self.text);
+    g_free(evacuation);
+    host_wake(host);
+    /* what it answers first must not be from before it was frozen */
+    acked_stand(fleet);
+    if (!wait_chain(fleet, 3, 15000))
+      return false;
+    sim_run(fleet->sim, time_from_ms(26000));
+    call_free(call);
+  }
+  fleet_quiet(fleet);
+  return true;
+}
+
+static bool a_copy_in_memory_goes_bad(fleet *fleet) {
+  if (!fleet_up(fleet))
+    return false;
+  for (int i = 1; i < 3; i++) {
+    host *host = fleet->controller[i];
+    g_string_assign(host->controller->replica.committed.resources[RESOURCE_POLICY].text,
+                    "{\"loadsPerS\":99}");
+    sim_run(fleet->sim, time_from_ms(8000));
+    if (strstr(host->controller->replica.committed.resources[RESOURCE_POLICY].text->str, "99"))
+      violation(fleet, "the checksum did not find the corrupt replica of %s", host->self.text);
+  }
+  if (!wait_chain(fleet, 3, 5000))
+    return false;
+  acked_stand(fleet);
+  return true;
+}
+
+const test_case replication_tests[] = {
+  { "controllers_die_in_turn", controllers_die_in_turn, 3, 3, 100 },
+  { "power_goes_after_an_answer", power_goes_after_an_answer, 2, 2, 200 },
+  { "heads_and_tails_freeze_and_wake", heads_and_tails_freeze_and_wake, 3, 3, 100 },
+  { "a_copy_in_memory_goes_bad", a_copy_in_memory_goes_bad, 2, 2, 50 },
+  { NULL, NULL, 0, 0, 0 }
+};
--- /dev/null
+++ b/tests/controlplane/view_change.c
@@ -0,0 +1,60 @@
+/** Tests of lib/controlplane/view_change.c: the majority agrees on a next view while links between
+ * controllers are cut. Fleet: three controllers, two or three routers and engines.
+ */
+#include "scenario.h"
+#include "tests.h"
+
+static bool the_core_is_cut_in_two(fleet *fleet) {
+  if (!fleet_up(fleet))
+    return false;
+  check_watch(fleet);
+  go(fleet, 4);
+  for (int i = 0; i < 4; i++) {
+    host *host = fleet->controller[sim_draw(fleet->sim, 3)];
+    int way = sim_draw(fleet->sim, 3);
+    for (int k = 0; k < 3; k++) {
+      if (way != 1)
+        sim_cut(fleet->sim, host->self.text, fleet->controller[k]->self.text, true);
+      if (way != 2)
+        sim_cut(fleet->sim, fleet->controller[k]->self.text, host->self.text, true);
+    }
+    sim_run(fleet->sim, time_from_ms(500 + (int64_t)sim_draw(fleet->sim, 6000)));
+    char *evacuation = area_text((int)sim_draw(fleet->sim, 9));
+    if (!fleet_put(fleet, "evacuation", evacuation))
+      violation(fleet, "no write while one of three is cut off");
+    g_free(evacuation);
+    sim_run(fleet->sim, time_from_ms(3000));
+    sim_mend(fleet->sim);
+    if (!wait_chain(fleet, 3, 15000))
+      return false;
+    acked_stand(fleet);
+  }
+  fleet_quiet(fleet);
+  return true;
+}
+
+static bool one_link_of_the_core_is_cut(fleet *fleet) {
+  if (!fleet_up(fleet))
+    return false;
+  check_watch(fleet);
+  for (int i = 0; i < 3; i++) {
+    int a = sim_draw(fleet->sim, 3), b = (a + 1) % 3;
+    sim_part(fleet->sim, fleet->controller[a]->self.text, fleet->controller[b]->self.text, true);
+    sim_run(fleet->sim, time_from_ms(6000));
+    char *evacuation = area_text((int)sim_draw(fleet->sim, 9));
+    if (!fleet_put(fleet, "evacuation", evacuation))
+      violation(fleet, "no write while one link is cut");
+    g_free(evacuation);
+    sim_mend(fleet->sim);
+    if (!wait_chain(fleet, 3, 15000))
+      return false;
+    acked_stand(fleet);
+  }
+  return true;
+}
+
+const test_case view_change_tests[] = {
+  { "the_core_is_cut_in_two", the_core_is_cut_in_two, 3, 3, 200 },
+  { "one_link_of_the_core_is_cut", one_link_of_the_core_is_cut, 2, 2, 200 },
+  { NULL, NULL, 0, 0, 0 }
+};
--- /dev/null
+++ b/tests/controlplane/wal.c
@@ -0,0 +1,107 @@
+/** Tests of lib/controlplane/wal.c: corrupt records, torn tails, and disks that stall, fill up or
+ * fail. Fleet: three controllers over simulated disks.
+ */
+#include "scenario.h"
+#include "tests.h"
+
+static bool a_record_on_disk_is_bad(fleet *fleet) {
+  if (!fleet_up(fleet))
+    return false;
+  for (int i = 0; i < 4; i++) {
+    char *evacuation = area_text(i);
+    if (!fleet_put(fleet, "evacuation", evacuation))
+      return false;
+    g_free(evacuation);
+  }
+  host *host = fleet->controller[sim_draw(fleet->sim, 3)];
+  uint64_t disk_id = host->controller->replica.disk_id;
+  unsigned file = host->controller->replica.wal.current_file;
+  size_t used = host->controller->replica.wal.last_frame_offset;
+  host_power(host);
+  size_t at = 40 + sim_draw(fleet->sim, used - 40);
+  /* a byte before the last frame, where a corrupt frame is like a torn one; padding is left alone
+   */
+  while (!host->disk->file[file][at])
+    at = 40 + sim_draw(fleet->sim, used - 40);
+  host->disk->file[file][at] ^= 0x5a;
+  host->disk->sure[file][at] ^= 0x5a;
+  host_start(host);
+  if (!wait_chain(fleet, 3, 15000))
+    return false;
+  if (host->controller->replica.disk_id == disk_id)
+    violation(fleet, "a controller with a corrupt record goes on as a voter");
+  acked_stand(fleet);
+  return true;
+}
+
+static bool a_tail_is_torn(fleet *fleet) {
+  if (!fleet_up(fleet))
+    return false;
+  for (int i = 0; i < 12; i++) {
+    char *evacuation = area_text(i % 9);
+    op_call *call = fleet_send(fleet, fleet->controller[sim_draw(fleet->sim, 3)], "PUT",
+                               "/v1/evacuation", evacuation, NULL, NULL);
+    g_free(evacuation);
+    sim_run(fleet->sim, (time_us){ (int64_t)sim_draw(fleet->sim, 9000) });
+    host *host = fleet->controller[sim_draw(fleet->sim, 3)];
+    uint64_t was = host->controller && host->controller->replica.running
+                       ? host->controller->replica.disk_id
+                       : 0;
+    host_power(host);
+    sim_run(fleet->sim, time_from_ms(100));
+    host_start(host);
+    sim_run(fleet->sim, time_from_ms(7000));
+    if (was && host->controller->replica.disk_id != was)
+      violation(fleet, "a torn tail was taken for a bad record");
+    sim_run(fleet->sim, time_from_ms(20000));
+    call_free(call);
+    if (!wait_chain(fleet, 3, 15000))
+      return false;
+    acked_stand(fleet);
+  }
+  return true;
+}
+
+static bool disks_stall_fill_and_fail(fleet *fleet) {
+  if (!fleet_up(fleet))
+    return false;
+  check_watch(fleet);
+  go(fleet, 3);
+  for (int i = 0; i < 4; i++) {
+    host *host = fleet->controller[sim_draw(fleet->sim, 3)];
+    int how = sim_draw(fleet->sim, 4);
+    if (how == 0)
+      host->disk->stall = time_add(fleet->sim->now, time_from_ms(8000));
+    if (how == 1)
+      host->disk->full = true;
+    if (how == 2)
+      host->disk->fails = true;
+    if (how == 3)
+      host->disk->slow_ms = 150;
+    char *evacuation = area_text((int)sim_draw(fleet->sim, 9));
+    if (!fleet_put(fleet, "evacuation", evacuation))
+      violation(fleet, "no write while one disk of three is out");
+    sim_run(fleet->sim, time_from_ms(6000));
+    if (!fleet_put(fleet, "evacuation", evacuation))
+      violation(fleet, "no write after the chain was mended");
+    g_free(evacuation);
+    sim_run(fleet->sim, time_from_ms(5000));
+    host->disk->full = host->disk->fails = false;
+    host->disk->slow_ms = 0;
+    if (how == 1 || how == 2) {
+      host_kill(host);
+      host_start(host);
+    }
+    if (!wait_chain(fleet, 3, 20000))
+      return false;
+    acked_stand(fleet);
+  }
+  fleet_quiet(fleet);
+  return true;
+}
+
+const test_case wal_tests[] = { { "a_record_on_disk_is_bad", a_record_on_disk_is_bad, 2, 2, 200 },
+                                { "a_tail_is_torn", a_tail_is_torn, 2, 2, 100 },
+                                { "disks_stall_fill_and_fail", disks_stall_fill_and_fail, 3, 3,
+                                  200 },
+                                { NULL, NULL, 0, 0, 0 } };
--- a/tests/restart.c
+++ b/tests/controlplane/wal_restart.c
@@ -1,5 +1,6 @@
-/** What a process wrote but had not synced is still read by its next run, and may be lost by a loss
- * of power after that. */
+/** Tests of lib/controlplane/wal.c over restarts: what a process wrote but had not synced is still
+ * read by its next run, and may be lost when the power goes after that. Fleet: three controllers,
+ * two routers, two engines. */
 #include "tests.h"
 
 /* a core machine that holds bytes which no sync has covered yet */
@@ -117,8 +118,8 @@
   return true;
 }
 
-const test_case restart_tests[] = { { "a_kill_before_a_sync_then_a_power_loss",
-                                      a_kill_before_a_sync_then_a_power_loss, 2, 2, 100 },
-                                    { "a_restarted_member_confirms_nothing_old",
-                                      a_restarted_member_confirms_nothing_old, 2, 2, 1000 },
-                                    { NULL, NULL, 0, 0, 0 } };
+const test_case wal_restart_tests[] = { { "a_kill_before_a_sync_then_a_power_loss",
+                                          a_kill_before_a_sync_then_a_power_loss, 2, 2, 100 },
+                                        { "a_restarted_member_confirms_nothing_old",
+                                          a_restarted_member_confirms_nothing_old, 2, 2, 1000 },
+                                        { NULL, NULL, 0, 0, 0 } };
--- a/tests/day.c
+++ b/tests/emulator/day.c
@@ -1,11 +1,12 @@
+/**
+ * Tests of emulator/day.c: emulated days of a full deployment are read or refused, and report what
+ * happened in them. Each day brings its own deployment.
+ */
 #include "day.h"
 #include "tests.h"
 #include <math.h>
 #include <stdio.h>
 
-/* days of a whole deployment: what is read, what is refused, and that a day says what happened on
- * it */
-
 static const char HEAD[] =
     "{\"name\":\"d\",\"seconds\":12,\"gateways\":3,\"areas\":[\"north\",\"mid\",\"south\"],";
 static const char SERVICES[] =
--- a/tests/fuzz.c
+++ b/tests/fleet/input_fuzzing.c
@@ -1,3 +1,9 @@
+/**
+ * Fuzz targets: readers of bytes from outside (configurations, heartbeats, peer messages, disk
+ * frames) get valid inputs that were changed by the seed. The sanitizers, or a property that holds
+ * for every input, decide. Inputs come from tests/fuzz/corpus; tests/http/fuzz_check.py does the
+ * same for HTTP.
+ */
 #include "config_change.h"
 #include "dialect.h"
 #include "deployment.h"
@@ -5,10 +11,6 @@
 #include <stdio.h>
 #include <stdlib.h>
 
-/* Fuzz targets: readers of bytes from outside get inputs that were sound once and were changed, by
- * the seed. A sanitizer, or a property that holds for every input, judges them. Seeds come from
- * tests/fuzz/corpus; tests/http/fuzz_check.py does the same for HTTP. */
-
 enum { CONFIGURATION_INPUTS = 700, BEAT_INPUTS = 250, PEER_INPUTS = 500, DISK_STARTS = 10 };
 enum { MESSAGES_MOST = 400, CHANGES_MOST = 5 };
 static const char corpus_dir[] = "tests/fuzz/corpus";
@@ -313,8 +315,8 @@
   return true;
 }
 
-const test_case fuzz_tests[] = { { "fuzz_configurations", fuzz_configurations, 1, 1, 100 },
-                                 { "fuzz_beats", fuzz_beats, 2, 0, 34 },
-                                 { "fuzz_peer_messages", fuzz_peer_messages, 3, 3, 50 },
-                                 { "fuzz_disk_frames", fuzz_disk_frames, 2, 2, 100 },
-                                 { NULL, NULL, 0, 0, 0 } };
+const test_case input_fuzzing_tests[] = { { "fuzz_configurations", fuzz_configurations, 1, 1, 100 },
+                                          { "fuzz_beats", fuzz_beats, 2, 0, 34 },
+                                          { "fuzz_peer_messages", fuzz_peer_messages, 3, 3, 50 },
+                                          { "fuzz_disk_frames", fuzz_disk_frames, 2, 2, 100 },
+                                          { NULL, NULL, 0, 0, 0 } };
--- a/tests/losses.c
+++ b/tests/fleet/losses.c
@@ -1,8 +1,10 @@
+/**
+ * Heavy losses under traffic: serving is back, by the callers' own records. Fleet: three
+ * controllers, three to eight routers, two to six engines.
+ */
 #include "tests.h"
 #include <stdio.h>
 
-/* heavy losses under traffic: serving is back, by the callers' own account */
-
 static bool ready(fleet *fleet) {
   if (!fleet_up(fleet))
     return false;
@@ -81,7 +83,7 @@
   if (!ready(fleet))
     return false;
   time_us loss = fleet->sim->now;
-  area_dark(fleet, area_names[sim_draw(fleet->sim, 3)]);
+  scenario_power_off_zone(fleet, area_names[sim_draw(fleet->sim, 3)]);
   return made_good(fleet, loss);
 }
 
@@ -104,18 +106,13 @@
     return false;
   time_us loss = fleet->sim->now;
   host *old = fleet->controller[sim_draw(fleet->sim, 3)],
-       *young = fleet->controller[3] =
-           sim_host(fleet->sim, HOST_CONTROLLER, "controller-4",
-                    area_names[sim_draw(fleet->sim, 3)], "127.0.1.44:7000");
-  young->settings = fleet->controller[0]->settings;
-  young->settings.self = young->self;
-  young->settings.zone = young->area;
-  g_strlcpy(young->settings.address, young->addr, sizeof young->settings.address);
+       *replacement = scenario_create_controller(fleet, 4, fleet->controller[0],
+                                                 area_names[sim_draw(fleet->sim, 3)]);
   host_power(old);
   host_wipe(old);
   fleet->controllers = 4;
   sim_run(fleet->sim, time_from_ms((int64_t)sim_draw(fleet->sim, 3000)));
-  host_start(young);
+  host_start(replacement);
   return made_good(fleet, loss);
 }
 
@@ -147,10 +144,10 @@
   host *head = fleet_head(fleet);
   if (!head)
     return false;
-  char *t = area_text(1 + (int)sim_draw(fleet->sim, 8));
+  char *evacuation = area_text(1 + (int)sim_draw(fleet->sim, 8));
   op_call *call = fleet_send(fleet, fleet->controller[sim_draw(fleet->sim, 3)], "PUT",
-                             "/v1/evacuation", t, NULL, NULL);
-  g_free(t);
+                             "/v1/evacuation", evacuation, NULL, NULL);
+  g_free(evacuation);
   fleet_mark(fleet);
   for (int i = 0; i < 3000 && !call->done; i++)
     sim_run(fleet->sim, time_from_ms(1));
@@ -162,7 +159,7 @@
   if (!wait_chain(fleet, 2, 10000))
     return false;
   acked_stand(fleet);
-  marks_for(fleet, 5000, 1500);
+  scenario_write_markers(fleet, 5000, 1500);
   acked_stand(fleet);
   fleet->probing = false;
   sim_run(fleet->sim, time_from_ms(3500));
@@ -284,11 +281,11 @@
     }
     host_kill(host);
     sim_mend(fleet->sim);
-    marks_for(fleet, 4000, 700);
+    scenario_write_markers(fleet, 4000, 700);
     host_start(host);
     for (int k = 0; k < 3; k++)
       fleet->controller[k]->disk->slow_ms = 0;
-    marks_for(fleet, 5000, 900);
+    scenario_write_markers(fleet, 5000, 900);
   }
   if (!wait_chain(fleet, 3, 15000))
     return false;
--- a/tests/cuts.c
+++ b/tests/fleet/partitions.c
@@ -1,7 +1,8 @@
-#include "tests.h"
-
-/* what a node may do that can't be told: requests to every router show by which policy it answers
+/**
+ * Partitions between controllers, routers, zones and the platform: requests to every router show by
+ * which policy it answers. Fleet: three controllers, four to six routers, three to six engines.
  */
+#include "tests.h"
 
 static bool begin(fleet *fleet, double per_s) {
   if (!fleet_up(fleet))
@@ -18,7 +19,7 @@
 /* marks must go on being acknowledged, and the fleet comes back by itself */
 static bool end(fleet *fleet, bool back) {
   sim_mend(fleet->sim);
-  marks_for(fleet, 10000, 1500);
+  scenario_write_markers(fleet, 10000, 1500);
   note *last = NULL;
   for (guint i = 0; i < fleet->notes->len; i++) {
     note *note = fleet->notes->pdata[i];
@@ -51,7 +52,7 @@
   if (!fleet_put(fleet, "evacuation", "{\"areas\":[{\"area\":\"south\"}]}"))
     violation(fleet, "one router that is cut off stops the operator");
   platform_sim_mark(fleet->platform->platform, fleet->engine[0]->self, true, false);
-  marks_for(fleet, 12000, 1500);
+  scenario_write_markers(fleet, 12000, 1500);
   if (!fleet_put(fleet, "evacuation", "{\"areas\":[]}"))
     violation(fleet, "one router that is cut off stops the operator");
   platform_sim_mark(fleet->platform->platform, fleet->engine[0]->self, false, false);
@@ -78,12 +79,12 @@
   if (!with)
     platform_sim_mark(fleet->platform->platform,
                       fleet->engine[sim_draw(fleet->sim, fleet->engines)]->self, true, false);
-  marks_for(fleet, 6000, 1500);
-  char *t = area_text(10);
+  scenario_write_markers(fleet, 6000, 1500);
+  char *evacuation = area_text(10);
   op_call *call = fleet_send(fleet, fleet->controller[sim_draw(fleet->sim, 3)], "PUT",
                              "/v1/evacuation", "{\"areas\":[{\"area\":\"mid\"}]}", NULL, NULL);
-  marks_for(fleet, 9000, 1500);
-  g_free(t);
+  scenario_write_markers(fleet, 9000, 1500);
+  g_free(evacuation);
   bool ok = end(fleet, true);
   sim_run(fleet->sim, time_from_ms(20000));
   call_free(call);
@@ -102,7 +103,7 @@
       sim_part(fleet->sim, fleet->router[i]->self.text, fleet->router[k]->self.text, true);
   }
   time_us from = fleet->sim->now;
-  marks_for(fleet, 12000, 2500);
+  scenario_write_markers(fleet, 12000, 2500);
   int done = 0, asked = 0;
   GArray *log = fleet->callers->loadgen->log;
   for (guint i = 0; i < log->len; i++) {
@@ -124,11 +125,11 @@
     int n = 1 + (int)sim_draw(fleet->sim, fleet->routers - 1);
     for (int k = 0; k < n; k++)
       host_freeze(fleet->router[(i + k) % fleet->routers]);
-    marks_for(fleet, 1000 + (int64_t)sim_draw(fleet->sim, 8000), 1500);
+    scenario_write_markers(fleet, 1000 + (int64_t)sim_draw(fleet->sim, 8000), 1500);
     for (int k = 0; k < fleet->routers; k++)
       if (fleet->router[k]->frozen)
         host_wake(fleet->router[k]);
-    marks_for(fleet, 4000, 1500);
+    scenario_write_markers(fleet, 4000, 1500);
   }
   return end(fleet, true);
 }
@@ -147,9 +148,9 @@
       else
         sim_cut(fleet->sim, k->self.text, h->self.text, true);
     }
-    marks_for(fleet, 5000, 1500);
+    scenario_write_markers(fleet, 5000, 1500);
     sim_mend(fleet->sim);
-    marks_for(fleet, 3000, 1500);
+    scenario_write_markers(fleet, 3000, 1500);
   }
   return end(fleet, true);
 }
@@ -266,7 +267,7 @@
   return true;
 }
 
-const test_case cut_tests[] = {
+const test_case partition_tests[] = {
   { "a_router_is_alone", a_router_is_alone, 5, 6, 100 },
   { "an_area_is_cut_off", an_area_is_cut_off, 6, 6, 100 },
   { "most_routers_are_cut_from_the_core", most_routers_are_cut_from_the_core, 5, 5, 100 },
--- a/tests/random_faults.c
+++ b/tests/fleet/random_faults.c
@@ -1,9 +1,12 @@
+/**
+ * Random faults: a schedule of faults is drawn from the seed first, so that a failing one can be
+ * made smaller. Fleet: three controllers, five to eight routers, six to nine engines.
+ */
+#include "random_faults.h"
 #include "tests.h"
 #include <stdio.h>
 #include <stdlib.h>
 
-/* anything may happen, as often as it likes: a schedule is drawn first, so that a failing one can
- * be made smaller */
 enum { STEPS = 16 };
 enum wrong {
   W_KILL,
@@ -76,20 +79,6 @@
   sim_free(sim);
 }
 
-void heal_all(fleet *fleet) {
-  list_for_each (k, &fleet->sim->hosts, host, link) {
-    if (!k->alive)
-      host_start(k);
-    if (k->frozen)
-      host_wake(k);
-  }
-  sim_mend(fleet->sim);
-  fleet->sim->loss = 0;
-  fleet->sim->spread_ms = 2;
-  for (int i = 0; i < 3; i++)
-    fleet->controller[i]->disk->slow_ms = 0;
-}
-
 /* only one disk is ever lost at a time: the next waits until the chain is whole */
 static bool chain_whole(fleet *fleet) {
   host *t = fleet_tail(fleet), *host = fleet_head(fleet);
@@ -160,7 +149,7 @@
     }
     break;
   case W_DARK:
-    area_dark(fleet, any[0]->area.text);
+    scenario_power_off_zone(fleet, any[0]->area.text);
     break;
   case W_PLATFORM:
     host_kill(fleet->platform);
@@ -306,9 +295,9 @@
   return ok;
 }
 
-void shrink(bool (*test)(fleet *fleet), uint64_t seed, int routers, int engines) {
+void random_faults_shrink(bool (*test)(fleet *fleet), uint64_t seed, int routers, int engines) {
   bool own = false;
-  for (const test_case *t = any_tests; t->name; t++)
+  for (const test_case *t = random_fault_tests; t->name; t++)
     own |= t->run == test;
   if (!own || mask != ~0u || getenv("WHOLE"))
     return;
@@ -336,7 +325,7 @@
   mask = ~0u;
 }
 
-const test_case any_tests[] = {
+const test_case random_fault_tests[] = {
   { "anything_happens", anything_happens, 5, 6, 300 },
   { "anything_happens_at_lanka", anything_happens_at_lanka, 8, 9, 50 },
   { "anything_happens_at_selam", anything_happens_at_selam, 7, 9, 50 },
--- /dev/null
+++ b/tests/fleet/zone_loss.c
@@ -0,0 +1,69 @@
+/** A zone, or all routers, are lost at once: streams and loads are back in time. Fleet: three
+ * controllers, six routers and six engines over three zones.
+ */
+#include "recovery.h"
+#include "scenario.h"
+#include "tests.h"
+
+/* for how long a recovery is observed: RECOVERY_LIMIT_MS, and some more for the steps it prints */
+enum { RECOVERY_OBSERVED_MS = 16000 };
+
+static bool an_area_goes_dark(fleet *fleet) {
+  if (!fleet_up(fleet))
+    return false;
+  check_watch(fleet);
+  go(fleet, 6);
+  sim_run(fleet->sim, time_from_ms(10000));
+  char *evacuation = area_text(0);
+  if (!fleet_put(fleet, "evacuation", evacuation))
+    return false;
+  g_free(evacuation);
+  const char *area = area_names[sim_draw(fleet->sim, 3)];
+  time_us from = fleet->sim->now;
+  host *head = fleet_head(fleet);
+  uint64_t epoch = head ? head->controller->replica.view.epoch : 0;
+  scenario_power_off_zone(fleet, area);
+  recovery_times times = recovery_observe(fleet, RECOVERY_OBSERVED_MS, epoch);
+  recovery_print(&times, from);
+  recovery_check(fleet, from, RECOVERY_LIMIT_MS);
+  if (!wait_chain(fleet, 2, 1000))
+    return false;
+  acked_stand(fleet);
+  evacuation = area_text(0);
+  if (!fleet_put(fleet, "evacuation", evacuation))
+    violation(fleet, "no write with an area lost");
+  g_free(evacuation);
+  list_for_each (h, &fleet->sim->hosts, host, link)
+    if (!h->alive)
+      host_start(h);
+  if (!wait_chain(fleet, 3, 15000))
+    return false;
+  fleet_quiet(fleet);
+  return true;
+}
+
+static bool all_routers_die_at_once(fleet *fleet) {
+  if (!fleet_up(fleet))
+    return false;
+  check_watch(fleet);
+  go(fleet, 6);
+  sim_run(fleet->sim, time_from_ms(8000));
+  time_us from = fleet->sim->now;
+  for (int i = 0; i < fleet->routers; i++)
+    host_kill(fleet->router[i]);
+  sim_run(fleet->sim, time_from_ms(500));
+  for (int i = 0; i < fleet->routers; i++)
+    host_start(fleet->router[i]);
+  host *head = fleet_head(fleet);
+  uint64_t epoch = head ? head->controller->replica.view.epoch : 0;
+  recovery_times times = recovery_observe(fleet, RECOVERY_OBSERVED_MS, epoch);
+  recovery_print(&times, from);
+  recovery_check(fleet, from, RECOVERY_LIMIT_MS);
+  fleet_quiet(fleet);
+  return true;
+}
+
+const test_case zone_loss_tests[] = { { "an_area_goes_dark", an_area_goes_dark, 6, 6, 100 },
+                                      { "all_routers_die_at_once", all_routers_die_at_once, 6, 6,
+                                        100 },
+                                      { NULL, NULL, 0, 0, 0 } };
--- a/tests/fixture.c
+++ b/tests/gateway/fixture.c
@@ -1,3 +1,6 @@
+/**
+ * One gateway with emulated engines and without controllers; see fixture.h.
+ */
 #include "fixture.h"
 #include <stdio.h>
 #include <stdlib.h>
--- a/tests/fixture.h
+++ b/tests/gateway/fixture.h
@@ -1,38 +1,53 @@
+/**
+ * One gateway without controllers: the test puts its routing and its engines in, so that only the
+ * request path is tested.
+ */
 #ifndef TESTS_FIXTURE_H
 #define TESTS_FIXTURE_H
 #include "gateway.h"
 #include "instance.h"
 #include "tests.h"
 
-/* One gateway without a core: its routing and its engines are put in by hand, so that only the
- * request path is on trial. */
 enum { FIXTURE_ENGINES = 4 };
 typedef struct fixture fixture;
-/** One request of a caller, and what came of it. */
+
+/** One request of a caller, and what came of it. Owned by the fixture. */
 typedef struct fixture_request {
   fixture *fixture;
+  /** Path, body and request id that are sent. */
   char *target, *body, request[24];
+  /** Further header fields, or NULL. */
   fields *more;
+  /** Deadline that the request names (0: none), and after how long its caller disconnects (0: half
+   * a second after the deadline, or after 30 s); both in ms. */
   int64_t left, leave_ms;
+  /** When it was sent, and when the first and the last byte of the response came. */
   time_us sent, first, last;
   int status;
+  /** Header fields and body of the response. */
   fields *in;
   GString *got;
+  /** On a new connection; the response ended, was cut off; the task of the caller has returned. */
   bool fresh, ended, broken, done;
 } fixture_request;
+
 struct fixture {
+  /** The fleet is the test's; hosts are the simulator's. */
   fleet *fleet;
   host *node, *caller, *engine_hosts[FIXTURE_ENGINES];
+  /** Set while its host is alive. */
   gateway *gateway;
   em_engine *engines[FIXTURE_ENGINES];
   em_plan plan[FIXTURE_ENGINES];
   em_log *log;
   em_store store;
   gateway_settings settings;
+  /** JSON of the routing in force. */
   const char *config;
   GPtrArray *requests, *controllers, *first;
   int request_count;
   uint64_t beats;
+  /** The gateway reported that it has drained; engines that send no heartbeats. */
   bool over, silent[FIXTURE_ENGINES];
 };
 
--- /dev/null
+++ b/tests/membership/node.c
@@ -0,0 +1,138 @@
+/** Tests of lib/membership/node.c: peers are found after all seeds were replaced, invalid messages
+ * are ignored, and two wire versions work together. Fleet: three controllers, three or four routers
+ * and engines.
+ */
+#include "scenario.h"
+#include "tests.h"
+
+static bool all_seeds_are_exchanged(fleet *fleet) {
+  if (!fleet_up(fleet))
+    return false;
+  check_watch(fleet);
+  sim_run(fleet->sim, time_from_ms(3000));
+  for (int i = 0; i < 3; i++) {
+    host *old = fleet->controller[i];
+    host *host = scenario_create_controller(fleet, i + 4, old, old->area.text);
+    /* the seeds of a new process are live peers; the settings of the others stay as they are */
+    for (int k = 0; k < 3; k++)
+      g_strlcpy(host->settings.seed_addresses[k], fleet->controller[i + k]->addr,
+                sizeof host->settings.seed_addresses[k]);
+    host_power(old);
+    host_wipe(old);
+    if (!wait_chain(fleet, 2, 8000))
+      return false;
+    fleet->controllers = i + 4;
+    host_start(host);
+    if (!wait_chain(fleet, 3, 15000))
+      return false;
+  }
+  /* no process listens at any seed; the others still know one another, and one that restarts is
+   * found by them */
+  host_kill(fleet->router[0]);
+  sim_run(fleet->sim, time_from_ms(200));
+  host_start(fleet->router[0]);
+  sim_run(fleet->sim, time_from_ms(5000));
+  if (!config_sync_is_recent(fleet->router[0]->router))
+    violation(fleet, "a router whose seeds are all gone does not come back");
+  char *evacuation = area_text(2);
+  if (!fleet_put(fleet, "evacuation", evacuation))
+    violation(fleet, "no write after all seeds went");
+  g_free(evacuation);
+  acked_stand(fleet);
+  return true;
+}
+
+static bool garbage_comes_from_peers(fleet *fleet) {
+  if (!fleet_up(fleet))
+    return false;
+  check_watch(fleet);
+  go(fleet, 5);
+  for (int i = 0; i < 300; i++) {
+    host *host = sim_draw(fleet->sim, 2) ? fleet->controller[sim_draw(fleet->sim, 3)]
+                                         : fleet->router[sim_draw(fleet->sim, fleet->routers)];
+    char buf[300];
+    size_t n = 1 + sim_draw(fleet->sim, sizeof buf - 1);
+    for (size_t k = 0; k < n; k++)
+      buf[k] = (char)sim_draw(fleet->sim, 256);
+    host->world.on_message(host->world.on_message_context, (string_view){ buf, n });
+    /* a message that can be unpacked, from a peer that does not exist */
+    Wire__NodeInfo self = WIRE__NODE_INFO__INIT;
+    self.id = "stranger";
+    self.address = "127.0.9.9:1";
+    self.zone = "north";
+    self.nonce = 7;
+    self.role = ROLE_CONTROLLER;
+    Wire__ReplicateRequest p = WIRE__REPLICATE_REQUEST__INIT;
+    Wire__PrepareRequest q = WIRE__PREPARE_REQUEST__INIT;
+    Wire__SingletonLeaseRequest d = WIRE__SINGLETON_LEASE_REQUEST__INIT;
+    Wire__ViewAnnouncement t = WIRE__VIEW_ANNOUNCEMENT__INIT;
+    Wire__Envelope m =
+        sim_draw(fleet->sim, 2)   ? wire_envelope(WIRE__ENVELOPE__BODY_REPLICATE_REQUEST, &p)
+        : sim_draw(fleet->sim, 2) ? wire_envelope(WIRE__ENVELOPE__BODY_PREPARE_REQUEST, &q)
+        : sim_draw(fleet->sim, 2) ? wire_envelope(WIRE__ENVELOPE__BODY_SINGLETON_LEASE_REQUEST, &d)
+                                  : wire_envelope(WIRE__ENVELOPE__BODY_VIEW_ANNOUNCEMENT, &t);
+    m.version = sim_draw(fleet->sim, 4);
+    m.from = &self;
+    m.call = 9;
+    uint8_t out[200];
+    size_t k = wire__envelope__pack(&m, out);
+    host->world.on_message(host->world.on_message_context, (string_view){ (char *)out, k });
+    sim_run(fleet->sim, time_from_ms(20));
+  }
+  if (!fleet_put(fleet, "evacuation", "{\"areas\":[]}"))
+    violation(fleet, "no write after the garbage");
+  fleet_quiet(fleet);
+  return loadgen_count(fleet->callers->loadgen, OUTCOME_DONE) > 0;
+}
+
+static bool two_wire_versions_side_by_side(fleet *fleet) {
+  list_for_each (h, &fleet->sim->hosts, host, link)
+    if (h->role <= HOST_ROUTER)
+      h->settings.wire_version = 1 + (unsigned)sim_draw(fleet->sim, 2);
+  if (!fleet_up(fleet))
+    return false;
+  check_watch(fleet);
+  go(fleet, 5);
+  /* one process after the other is upgraded to version 2, and two are downgraded */
+  host *all[16];
+  int n = 0;
+  for (int i = 0; i < 3; i++)
+    all[n++] = fleet->controller[2 - i];
+  for (int i = 0; i < fleet->routers; i++)
+    all[n++] = fleet->router[i];
+  for (int i = 0; i < n + 2; i++) {
+    host *h = all[i % n];
+    h->settings.wire_version = i < n ? 2 : 1;
+    if (h->role == HOST_CONTROLLER) {
+      controller_drain(h->controller);
+      sim_run(fleet->sim, time_from_ms(2500));
+    } else {
+      router_drain(h->router);
+      sim_run(fleet->sim, time_from_ms(1500));
+    }
+    host_kill(h);
+    host_start(h);
+    if (!wait_chain(fleet, 3, 15000))
+      return false;
+    sim_run(fleet->sim, time_from_ms(1500));
+  }
+  char *evacuation = area_text(0);
+  if (!fleet_put(fleet, "evacuation", evacuation))
+    violation(fleet, "no write over two wire versions");
+  g_free(evacuation);
+  sim_run(fleet->sim, time_from_ms(3000));
+  for (int i = 0; i < fleet->routers; i++)
+    if (!config_sync_is_recent(fleet->router[i]->router) ||
+        fleet->router[i]->router->node.refused_wire_versions)
+      violation(fleet, "%s is left behind", fleet->router[i]->self.text);
+  acked_stand(fleet);
+  fleet_quiet(fleet);
+  return loadgen_count(fleet->callers->loadgen, OUTCOME_DONE) >
+         (int)fleet->callers->loadgen->requests->len / 2;
+}
+
+const test_case node_tests[] = { { "all_seeds_are_exchanged", all_seeds_are_exchanged, 3, 3, 100 },
+                                 { "garbage_comes_from_peers", garbage_comes_from_peers, 3, 3, 50 },
+                                 { "two_wire_versions_side_by_side", two_wire_versions_side_by_side,
+                                   4, 4, 100 },
+                                 { NULL, NULL, 0, 0, 0 } };
--- a/tests/wiring.c
+++ b/tests/membership/peer_channel_sockets.c
@@ -1,4 +1,6 @@
-/* Tests of a process's real sockets, and of how much of the core may be lost at once. */
+/**
+ * Tests of lib/membership/peer_channels.c over real sockets of this process. No fleet is started.
+ */
 #include "real.h"
 #include "tests.h"
 #include <arpa/inet.h>
@@ -76,31 +78,6 @@
   return check_all(fleet);
 }
 
-static void core_size(fleet *fleet, int machines, int zones, int members, int copies, int areas) {
-  settings v = { 0 };
-  settings_set_fault_tolerance(&v, machines, zones);
-  if (v.chain_members != members || v.write_replicas != copies || v.write_zones != areas)
-    violation(
-        fleet, "%d machines and %d zones: %d members, %d copies in %d areas, not %d, %d in %d",
-        machines, zones, v.chain_members, v.write_replicas, v.write_zones, members, copies, areas);
-}
-
-/* given how many machines and how many zones may be lost at once, the core is large enough that a
- * majority is left and a copy of every write, and never asks for more areas than copies */
-static bool the_core_fits_what_may_be_lost(fleet *fleet) {
-  core_size(fleet, 0, 0, 3, 1, 1);
-  core_size(fleet, 1, 0, 3, 2, 1);
-  core_size(fleet, 2, 0, 5, 3, 1);
-  core_size(fleet, 3, 0, 7, 4, 1);
-  core_size(fleet, 0, 1, 7, 2, 2);
-  core_size(fleet, 1, 1, 7, 2, 2);
-  core_size(fleet, 2, 1, 7, 3, 2);
-  core_size(fleet, 1, 2, 7, 3, 3);
-  return check_all(fleet);
-}
-
-const test_case wiring_tests[] = {
-  { "links_end_when_nothing_is_acknowledged", links_end_when_nothing_is_acknowledged, 1, 1, 5 },
-  { "the_core_fits_what_may_be_lost", the_core_fits_what_may_be_lost, 1, 1, 5 },
-  { NULL, NULL, 0, 0, 0 }
-};
+const test_case peer_channel_socket_tests[] = { { "links_end_when_nothing_is_acknowledged",
+                                                  links_end_when_nothing_is_acknowledged, 1, 1, 5 },
+                                                { NULL, NULL, 0, 0, 0 } };
--- /dev/null
+++ b/tests/router/config_sync.c
@@ -0,0 +1,133 @@
+/** Tests of lib/router/config_sync.c: what routers do while some or all controllers are
+ * unreachable. Fleet: three controllers, five routers, five or six engines, under traffic.
+ */
+#include "recovery.h"
+#include "scenario.h"
+#include "tests.h"
+
+/* a singleton lease lasts 3 s; the rest is the way of an order to its engine */
+enum { LEASES_EXPIRED_MS = 3100 };
+
+/* after the expiry of the leases that stood when the controllers were lost, engines get no orders
+ */
+static void check_no_orders_without_lease(fleet *fleet, time_us lost_at) {
+  time_us expired_at = time_add(lost_at, time_from_ms(LEASES_EXPIRED_MS));
+  for (int i = 0; i < fleet->engines; i++) {
+    const GArray *orders = fleet->engine[i]->engine->orders;
+    for (guint k = 0; k < orders->len; k++)
+      if (g_array_index(orders, engine_sim_order, k).at.us > expired_at.us) {
+        violation(fleet, "an order was given without a lease");
+        return;
+      }
+  }
+}
+
+/* models that were resident go on serving: a quarter of the requests is answered */
+static void check_residents_serve(fleet *fleet, time_us lost_at) {
+  const GPtrArray *requests = fleet->callers->loadgen->requests;
+  guint sent = 0, done = 0;
+  for (guint i = 0; i < requests->len; i++) {
+    const loadgen_request *request = requests->pdata[i];
+    if (request->from.us > lost_at.us) {
+      sent++;
+      done += request->how == OUTCOME_DONE;
+    }
+  }
+  if (done < sent / 4)
+    violation(fleet, "residents did not go on serving: %u of %u", done, sent);
+}
+
+static bool a_router_is_cut_off_from_the_core(fleet *fleet) {
+  if (!fleet_up(fleet))
+    return false;
+  check_watch(fleet);
+  go(fleet, 6);
+  sim_run(fleet->sim, time_from_ms(8000));
+  host *host = fleet->router[0];
+  for (int i = 0; i < 3; i++)
+    sim_part(fleet->sim, host->self.text, fleet->controller[i]->self.text, true);
+  sim_run(fleet->sim, time_from_ms(3000));
+  if (!config_sync_may_admit(host->router))
+    violation(fleet, "a router that hears the others counts as isolated");
+  if (!fleet_put(fleet, "evacuation", "{\"areas\":[]}"))
+    return false;
+  sim_run(fleet->sim, time_from_ms(4000));
+  /* the other routers pass the configuration on, but can not confirm it */
+  if (host->router->config_version < g_array_index(fleet->acks, ack, fleet->acks->len - 1).version)
+    violation(fleet, "the configuration did not come by way of the other routers");
+  sim_mend(fleet->sim);
+  sim_run(fleet->sim, time_from_ms(4000));
+  if (!config_sync_is_recent(host->router))
+    violation(fleet, "a router does not come back");
+  fleet_quiet(fleet);
+  return true;
+}
+
+static bool the_core_is_gone(fleet *fleet) {
+  if (!fleet_up(fleet))
+    return false;
+  check_watch(fleet);
+  go(fleet, 6);
+  sim_run(fleet->sim, time_from_ms(15000));
+  for (int i = 0; i < 3; i++)
+    host_kill(fleet->controller[i]);
+  time_us from = fleet->sim->now;
+  sim_run(fleet->sim, time_from_ms(4000));
+  /* a draining engine still gets no new work, and nothing is ordered any more, while resident
+   * models serve */
+  platform_sim_mark(fleet->platform->platform, fleet->engine[0]->self, true, false);
+  sim_run(fleet->sim, time_from_ms(10000));
+  check_no_orders_without_lease(fleet, from);
+  check_residents_serve(fleet, from);
+  for (int i = 0; i < 3; i++)
+    host_start(fleet->controller[i]);
+  if (!wait_chain(fleet, 3, 10000))
+    return false;
+  sim_run(fleet->sim, time_from_ms(8000));
+  acked_stand(fleet);
+  fleet_quiet(fleet);
+  return true;
+}
+
+static bool the_core_is_cut_off_from_the_routers(fleet *fleet) {
+  if (!fleet_up(fleet))
+    return false;
+  check_watch(fleet);
+  go(fleet, 6);
+  sim_run(fleet->sim, time_from_ms(12000));
+  for (int i = 0; i < fleet->routers; i++)
+    for (int k = 0; k < 3; k++)
+      sim_part(fleet->sim, fleet->router[i]->self.text, fleet->controller[k]->self.text, true);
+  time_us from = fleet->sim->now;
+  sim_run(fleet->sim, time_from_ms(10000));
+  op_call *call =
+      fleet_call(fleet, fleet->controller[0], "PUT", "/v1/evacuation",
+                 "{\"areas\":[{\"area\":\"south\"}]}", NULL, "south", time_from_ms(9000));
+  if (call->status != 504)
+    violation(fleet, "a write that no router can hear of got %d", call->status);
+  call_free(call);
+  for (int i = 0; i < fleet->routers; i++)
+    if (config_sync_is_recent(fleet->router[i]->router))
+      violation(fleet, "%s calls its configuration recent", fleet->router[i]->self.text);
+  check_no_orders_without_lease(fleet, from);
+  check_residents_serve(fleet, from);
+  sim_mend(fleet->sim);
+  time_us back = fleet->sim->now;
+  sim_run(fleet->sim, time_from_ms(3000));
+  call = fleet_call(fleet, fleet->controller[0], "PUT", "/v1/evacuation",
+                    "{\"areas\":[{\"area\":\"south\"}]}", NULL, "south", time_from_ms(9000));
+  if (call->status != 200)
+    violation(fleet, "the same write got %d after all was mended", call->status);
+  call_free(call);
+  sim_run(fleet->sim, time_from_ms(9000));
+  recovery_check(fleet, back, RECOVERY_LIMIT_MS);
+  fleet_quiet(fleet);
+  return true;
+}
+
+const test_case config_sync_tests[] = {
+  { "a_router_is_cut_off_from_the_core", a_router_is_cut_off_from_the_core, 5, 5, 100 },
+  { "the_core_is_gone", the_core_is_gone, 5, 5, 100 },
+  { "the_core_is_cut_off_from_the_routers", the_core_is_cut_off_from_the_routers, 5, 6, 100 },
+  { NULL, NULL, 0, 0, 0 }
+};
--- /dev/null
+++ b/tests/router/engine_list.c
@@ -0,0 +1,80 @@
+/** Tests of lib/router/engine_list.c: engines that drain, are replaced, or stand in an evacuated
+ * zone get no new work. Fleet: five or six routers and six engines, under traffic.
+ */
+#include "scenario.h"
+#include "tests.h"
+
+static bool an_engine_leaves(fleet *fleet) {
+  if (!fleet_up(fleet))
+    return false;
+  check_watch(fleet);
+  go(fleet, 10);
+  sim_run(fleet->sim, time_from_ms(12000));
+  for (int i = 0; i < 2; i++) {
+    platform_sim_engine *engine =
+        &g_array_index(fleet->platform->platform->engines, platform_sim_engine,
+                       sim_draw(fleet->sim, fleet->engines));
+    if (engine->leaving)
+      continue;
+    platform_sim_mark(fleet->platform->platform, engine->self, true, false);
+    sim_run(fleet->sim, time_from_ms(8000));
+  }
+  host_kill(fleet->platform);
+  sim_run(fleet->sim, time_from_ms(5000));
+  fleet_quiet(fleet);
+  return true;
+}
+
+static bool an_area_is_emptied(fleet *fleet) {
+  if (!fleet_up(fleet))
+    return false;
+  check_watch(fleet);
+  go(fleet, 10);
+  sim_run(fleet->sim, time_from_ms(12000));
+  if (!fleet_put(fleet, "evacuation", "{\"areas\":[{\"area\":\"south\"}]}"))
+    return false;
+  sim_run(fleet->sim, time_from_ms(12000));
+  for (int i = 0; i < fleet->engines; i++) {
+    char singleton[64];
+    singleton_engine_name(singleton, sizeof singleton, fleet->engine[i]->self);
+    host *host = fleet_holder(fleet, singleton);
+    if (!host)
+      violation(fleet, "nobody took over %s", singleton);
+    else if (!strcmp(host->area.text, "south"))
+      violation(fleet, "%s stays with %s in the evacuated zone", singleton, host->self.text);
+  }
+  /* a controller is lost, and the evacuation stands */
+  host_power(fleet->controller[sim_draw(fleet->sim, 3)]);
+  sim_run(fleet->sim, time_from_ms(8000));
+  acked_stand(fleet);
+  fleet_quiet(fleet);
+  return true;
+}
+
+static bool engines_are_replaced_one_by_one(fleet *fleet) {
+  if (!fleet_up(fleet))
+    return false;
+  check_watch(fleet);
+  go(fleet, 6);
+  sim_run(fleet->sim, time_from_ms(8000));
+  for (int i = 0; i < 4; i++) {
+    host *host = fleet->engine[i];
+    platform_sim_mark(fleet->platform->platform, host->self, true, false);
+    sim_run(fleet->sim, time_from_ms(4000));
+    host_kill(host);
+    platform_sim_mark(fleet->platform->platform, host->self, true, true);
+    sim_run(fleet->sim, time_from_ms(1500));
+    platform_sim_mark(fleet->platform->platform, host->self, false, false);
+    host_start(host);
+    sim_run(fleet->sim, time_from_ms(4000));
+  }
+  fleet_quiet(fleet);
+  return loadgen_count(fleet->callers->loadgen, OUTCOME_DONE) >
+         (int)fleet->callers->loadgen->requests->len / 2;
+}
+
+const test_case engine_list_tests[] = { { "an_engine_leaves", an_engine_leaves, 5, 6, 100 },
+                                        { "an_area_is_emptied", an_area_is_emptied, 6, 6, 100 },
+                                        { "engines_are_replaced_one_by_one",
+                                          engines_are_replaced_one_by_one, 5, 6, 100 },
+                                        { NULL, NULL, 0, 0, 0 } };
--- /dev/null
+++ b/tests/router/generate_api.c
@@ -0,0 +1,256 @@
+/** Tests of lib/router/generate_api.c: streams while engines crash or report wrongly, callers
+ * disconnect or read slowly, load is shed, and requests are invalid. Fleet: two to five routers and
+ * two to six engines.
+ */
+#include "scenario.h"
+#include "tests.h"
+#include <stdio.h>
+
+static bool engines_crash_in_the_middle(fleet *fleet) {
+  if (!fleet_up(fleet))
+    return false;
+  check_watch(fleet);
+  fleet->callers->loadgen->plan.tokens = 80;
+  go(fleet, 10);
+  for (int i = 0; i < 8; i++) {
+    sim_run(fleet->sim, time_from_ms(3000));
+    host *host = fleet->engine[sim_draw(fleet->sim, fleet->engines)];
+    if (!host->alive) {
+      host_start(host);
+      continue;
+    }
+    switch (sim_draw(fleet->sim, 4)) {
+    case 0:
+      host_kill(host);
+      break;
+    case 1:
+      host_power(host);
+      break;
+    case 2:
+      host->engine->faults.break_after = 3;
+      break;
+    case 3:
+      host_freeze(host);
+      sim_run(fleet->sim, time_from_ms(4000));
+      host_wake(host);
+      break;
+    }
+  }
+  sim_run(fleet->sim, time_from_ms(3000));
+  fleet_quiet(fleet);
+  if (!loadgen_count(fleet->callers->loadgen, OUTCOME_BROKEN))
+    violation(fleet, "no stream broke, so nothing was shown");
+  return true;
+}
+
+static bool engines_lie(fleet *fleet) {
+  if (!fleet_up(fleet))
+    return false;
+  check_watch(fleet);
+  go(fleet, 8);
+  sim_run(fleet->sim, time_from_ms(8000));
+  fleet->engine[0]->engine->faults.wrong_attempt = true;
+  fleet->engine[1]->engine->faults.old_reports = true;
+  platform_sim_engine twin =
+      g_array_index(fleet->platform->platform->engines, platform_sim_engine, 2);
+  g_strlcpy(twin.addr, fleet->engine[3]->addr, sizeof twin.addr);
+  g_array_append_val(fleet->platform->platform->engines, twin);
+  sim_run(fleet->sim, time_from_ms(12000));
+  fleet_quiet(fleet);
+  return loadgen_count(fleet->callers->loadgen, OUTCOME_DONE) > 0;
+}
+
+static bool everyone_comes_at_once(fleet *fleet) {
+  if (!fleet_up(fleet))
+    return false;
+  check_watch(fleet);
+  fleet->callers->loadgen->plan.tokens = 60;
+  go(fleet, 10);
+  sim_run(fleet->sim, time_from_ms(8000));
+  fleet->callers->loadgen->stop = true;
+  sim_run(fleet->sim, time_from_ms(500));
+  go(fleet, 250);
+  sim_run(fleet->sim, time_from_ms(8000));
+  fleet->callers->loadgen->stop = true;
+  fleet_quiet(fleet);
+  /* who is sent away is sent away at once, and the small weighty kind is not starved */
+  int n[3] = { 0 }, done[3] = { 0 };
+  GPtrArray *all = fleet->callers->loadgen->requests;
+  for (guint i = 0; i < all->len; i++) {
+    loadgen_request *request = all->pdata[i];
+    int at = !strcmp(request->kind.text, "live") ? 0 : !strcmp(request->kind.text, "short") ? 1 : 2;
+    n[at]++;
+    done[at] += request->how == OUTCOME_DONE;
+    if (request->code == E_QUEUE_FULL || request->code == E_LOAD_SHED)
+      if (time_sub(request->to, request->from).us > 200000) {
+        violation(fleet, "a caller was shed only after %.1f s",
+                  (double)time_sub(request->to, request->from).us / 1e6);
+        break;
+      }
+  }
+  if (g_getenv("SIM_COUNT")) {
+    GString *b = g_string_new(NULL);
+    loadgen_json(fleet->callers->loadgen, b);
+    fprintf(stderr, "  live %d/%d short %d/%d deferred %d/%d %s", done[0], n[0], done[1], n[1],
+            done[2], n[2], b->str);
+    g_string_free(b, TRUE);
+  }
+  if ((double)done[2] / n[2] < 0.7 * (double)done[0] / n[0])
+    violation(fleet, "the weighty kind starves: %d of %d, live %d of %d", done[2], n[2], done[0],
+              n[0]);
+  return done[0] > 0;
+}
+
+static bool callers_go_away(fleet *fleet) {
+  if (!fleet_up(fleet))
+    return false;
+  check_watch(fleet);
+  fleet->callers->loadgen->plan.leave = 0.6;
+  fleet->callers->loadgen->plan.tokens = 150;
+  go(fleet, 6);
+  sim_run(fleet->sim, time_from_ms(15000));
+  fleet_quiet(fleet);
+  sim_run(fleet->sim, time_from_ms(3000));
+  uint64_t cut = 0;
+  for (int i = 0; i < fleet->engines; i++) {
+    cut += fleet->engine[i]->engine->cut;
+    if (fleet->engine[i]->engine->running)
+      violation(fleet, "%s runs on for a caller who left", fleet->engine[i]->self.text);
+  }
+  if (!cut)
+    violation(fleet, "no engine heard that its caller left");
+  for (int i = 0; i < fleet->routers; i++)
+    if (fleet->router[i]->router->open_requests)
+      violation(fleet, "%s still counts %d open requests", fleet->router[i]->self.text,
+                fleet->router[i]->router->open_requests);
+  return true;
+}
+
+static bool callers_read_slowly(fleet *fleet) {
+  if (!fleet_up(fleet))
+    return false;
+  check_watch(fleet);
+  for (int i = 0; i < fleet->engines; i++)
+    fleet->engine[i]->engine->faults.token_ms = 1;
+  fleet->callers->slow = true;
+  for (int i = 0; i < 4; i++)
+    loadgen_send(fleet->callers->loadgen, fleet->router[i % fleet->routers]->addr, id_of_text("m0"),
+                 id_of_text(""), id_of_text("live"), 12000, false);
+  sim_run(fleet->sim, time_from_ms(45000));
+  int running = 0;
+  for (int i = 0; i < fleet->engines; i++)
+    running += fleet->engine[i]->engine->running;
+  if (running)
+    violation(fleet, "%d streams run on for callers who do not read", running);
+  fleet->callers->slow = false;
+  fleet_quiet(fleet);
+  if (loadgen_count(fleet->callers->loadgen, OUTCOME_DONE))
+    violation(fleet, "a stream that was cut looks complete");
+  return true;
+}
+
+static bool cold_engines_get_few_streams(fleet *fleet) {
+  if (!fleet_up(fleet))
+    return false;
+  check_watch(fleet);
+  fleet->callers->loadgen->plan.zipf = 3;
+  fleet->callers->loadgen->plan.with_adapter = 0;
+  fleet->callers->loadgen->plan.tokens = 100;
+  go(fleet, 12);
+  sim_run(fleet->sim, time_from_ms(15000));
+  /* the engine that serves most is restarted; it must warm up without being flooded */
+  int at = 0;
+  for (int i = 0; i < fleet->engines; i++)
+    if (fleet->engine[i]->engine->streams->len > fleet->engine[at]->engine->streams->len)
+      at = i;
+  host *host = fleet->engine[at];
+  host_kill(host);
+  sim_run(fleet->sim, time_from_ms(300));
+  host_start(host);
+  int most = 0;
+  for (int i = 0; i < 20; i++) {
+    sim_run(fleet->sim, time_from_ms(50));
+    most = MAX(most, host->engine->running);
+  }
+  /* slow start of 5 s to 16 streams: in the first second at most a fifth, and what one router may
+   * not know of another */
+  if (most > 4 + fleet->routers)
+    violation(fleet, "R11 a cold engine ran %d streams within its first second", most);
+  sim_run(fleet->sim, time_from_ms(5000));
+  fleet_quiet(fleet);
+  return true;
+}
+
+static bool a_run_is_lost_and_the_next_is_refused(fleet *fleet) {
+  if (!fleet_up(fleet))
+    return false;
+  check_watch(fleet);
+  loadgen_send(fleet->callers->loadgen, fleet->router[0]->addr, id_of_text("m0"), id_of_text(""),
+               id_of_text("live"), 4, false);
+  fleet_quiet(fleet);
+  /* the engine that holds the model loses a run; the other one loads it, and then refuses */
+  for (int i = 0; i < fleet->engines; i++) {
+    engine_sim *engine = fleet->engine[i]->engine;
+    if (engine->streams->len)
+      engine->faults.die_early = 1;
+    else
+      engine->faults.streams_most = -1;
+  }
+  for (int i = 0; i < 6; i++) {
+    loadgen_send(fleet->callers->loadgen, fleet->router[i % fleet->routers]->addr, id_of_text("m0"),
+                 id_of_text(""), id_of_text("live"), 4, i % 3 != 1);
+    sim_run(fleet->sim, time_from_ms(300));
+  }
+  fleet_quiet(fleet);
+  if (!loadgen_count(fleet->callers->loadgen, OUTCOME_UNKNOWN))
+    violation(fleet, "nobody was told that his run is not known");
+  return true;
+}
+
+static bool bad_requests_come(fleet *fleet) {
+  static const struct {
+    const char *text;
+    int status, code;
+  } bad[] = { { "", 400, E_JSON },
+              { "[1]", 400, E_TYPE },
+              { "{\"model\":7}", 400, E_NAME },
+              { "{}", 400, E_FIELD },
+              { "{\"model\":\"none\"}", 404, E_UNKNOWN_MODEL },
+              { "{\"model\":\"m1\",\"adapter\":\"a0\"}", 404, E_UNKNOWN_MODEL },
+              { "{\"model\":\"m1\",\"kind\":\"none\"}", 400, E_NAME },
+              { "{\"model\":\"m 1\"}", 400, E_NAME },
+              { "{\"model\":\"m1\"", 400, E_JSON },
+              { "{\"model\":\"huge\"}", 422, E_NO_ENGINE_FITS } };
+  if (!fleet_up(fleet))
+    return false;
+  op_call *call = fleet_call(
+      fleet, fleet->controller[0], "PATCH", "/v1/catalogue",
+      "{\"models\":[{\"id\":\"m0\",\"weightsMb\":100},{\"id\":\"m1\",\"weightsMb\":100},{\"id\":\"huge\",\"weightsMb\":900000}],\"adapters\":[{\"id\":\"a0\",\"model\":\"m0\"}]}",
+      NULL, NULL, time_from_ms(5000));
+  if (call->status != 200)
+    violation(fleet, "patch got %d %s", call->status, call->body->str);
+  call_free(call);
+  sim_run(fleet->sim, time_from_ms(2000));
+  for (size_t i = 0; i < G_N_ELEMENTS(bad); i++) {
+    call = fleet_call(fleet, fleet->router[0], "POST", "/v1/generate", bad[i].text, NULL, NULL,
+                      time_from_ms(9000));
+    json *json = json_parse(string_view_of_gstring(call->body), NULL);
+    if (call->status != bad[i].status || (int)json_number(json, "code", 0) != bad[i].code)
+      violation(fleet, "%s got %d, %s", bad[i].text, call->status, call->body->str);
+    json_free(json);
+    call_free(call);
+  }
+  return true;
+}
+
+const test_case generate_api_tests[] = {
+  { "engines_crash_in_the_middle", engines_crash_in_the_middle, 5, 6, 100 },
+  { "engines_lie", engines_lie, 4, 5, 50 },
+  { "everyone_comes_at_once", everyone_comes_at_once, 5, 6, 50 },
+  { "callers_go_away", callers_go_away, 4, 5, 50 },
+  { "callers_read_slowly", callers_read_slowly, 3, 3, 34 },
+  { "cold_engines_get_few_streams", cold_engines_get_few_streams, 4, 5, 50 },
+  { "a_run_is_lost_and_the_next_is_refused", a_run_is_lost_and_the_next_is_refused, 3, 2, 100 },
+  { "bad_requests_come", bad_requests_come, 2, 3, 20 },
+  { NULL, NULL, 0, 0, 0 }
+};
--- /dev/null
+++ b/tests/router/singleton_lease.c
@@ -0,0 +1,55 @@
+/** Tests of lib/router/singleton_lease.c: a singleton has one holder, which keeps its lease over a
+ * stalled disk of the head and gives no orders after it expired. Fleet: three controllers, routers
+ * that hold singletons, engines.
+ */
+#include "scenario.h"
+#include "tests.h"
+
+static bool a_holder_freezes_and_wakes(fleet *fleet) {
+  for (int i = 0; i < fleet->engines; i++)
+    fleet->engine[i]->faults.no_epochs = true;
+  if (!fleet_up(fleet))
+    return false;
+  check_watch(fleet);
+  fleet->callers->loadgen->plan.zipf = 0.2;
+  go(fleet, 6);
+  for (int i = 0; i < 4; i++) {
+    sim_run(fleet->sim, time_from_ms(4000));
+    host *host = fleet_holder(fleet, sim_draw(fleet->sim, 2) ? "pacer" : "engine:engine-1");
+    if (!host)
+      continue;
+    host_freeze(host);
+    sim_run(fleet->sim, time_from_ms(1000 + (int64_t)sim_draw(fleet->sim, 9000)));
+    host_wake(host);
+  }
+  sim_run(fleet->sim, time_from_ms(5000));
+  fleet_quiet(fleet);
+  return true;
+}
+
+static bool a_stalled_head_keeps_contracts(fleet *fleet) {
+  if (!fleet_up(fleet))
+    return false;
+  host *host = fleet_head(fleet), *was = fleet_holder(fleet, "engine:engine-1");
+  uint64_t epoch = singleton_lease_epoch(was->router, "engine:engine-1");
+  host->disk->stall = time_add(fleet->sim->now, time_from_ms(1500));
+  op_call *call = fleet_send(fleet, host, "PUT", "/v1/evacuation", "{\"areas\":[]}", NULL, NULL);
+  for (int i = 0; i < 100; i++) {
+    sim_run(fleet->sim, time_from_ms(50));
+    if (!singleton_lease_epoch(was->router, "engine:engine-1")) {
+      violation(fleet, "a stalled disk let a lease expire");
+      break;
+    }
+  }
+  if (singleton_lease_epoch(was->router, "engine:engine-1") != epoch)
+    violation(fleet, "the lease changed its holder");
+  sim_run(fleet->sim, time_from_ms(26000));
+  call_free(call);
+  return true;
+}
+
+const test_case singleton_lease_tests[] = {
+  { "a_holder_freezes_and_wakes", a_holder_freezes_and_wakes, 5, 5, 100 },
+  { "a_stalled_head_keeps_contracts", a_stalled_head_keeps_contracts, 3, 3, 50 },
+  { NULL, NULL, 0, 0, 0 }
+};
--- /dev/null
+++ b/tests/scenario.c
@@ -0,0 +1,189 @@
+/** Helpers that tests of most modules share; see scenario.h. */
+#include "scenario.h"
+#include "doctor.h"
+#include <stdio.h>
+
+enum {
+  /* a member lease may expire between the choice of a tail and the call to it: a read is repeated
+   */
+  READ_ATTEMPTS_MAX = 21,
+  READ_RETRY_MS = 300,
+  READ_TIMEOUT_MS = 10000,
+  /* all probes of the doctor, each with its own timeout */
+  DOCTOR_TIMEOUT_MS = 200000,
+  /* delay of a link, in ms, between which messages of a healed fleet vary */
+  HEALED_SPREAD_MS = 2
+};
+
+const char *const area_names[3] = { "north", "mid", "south" };
+
+typedef struct chain_expectation {
+  fleet *fleet;
+  int chain_length;
+} chain_expectation;
+
+static bool chain_acts(sim *sim, void *context) {
+  const chain_expectation *expected = context;
+  host *tail = fleet_tail(expected->fleet);
+  (void)sim;
+  return tail && fleet_head(expected->fleet) &&
+         tail->controller->replica.view.chain_length == expected->chain_length;
+}
+
+bool wait_chain(fleet *fleet, int links, int64_t ms) {
+  chain_expectation expected = { fleet, links };
+  if (sim_until(fleet->sim, chain_acts, &expected, time_from_ms(ms)))
+    return true;
+  violation(fleet, "no acting chain of %d after %" PRId64 " ms", links, ms);
+  return false;
+}
+
+char *area_text(int share10) {
+  return g_strdup_printf("{\"areas\":[{\"area\":\"north\",\"share\":0.%d}]}", share10);
+}
+
+/* the version of the latest acknowledged write of a resource; 0 when there was none */
+static uint64_t acknowledged_version(const fleet *fleet, int resource) {
+  uint64_t latest = 0;
+  for (guint i = 0; i < fleet->acks->len; i++) {
+    const ack *write = &g_array_index(fleet->acks, ack, i);
+    if (write->which == resource)
+      latest = MAX(latest, write->version);
+  }
+  return latest;
+}
+
+/* reads a resource at the tail; returns the status, 503 when there is no tail */
+static int read_at_tail(fleet *fleet, int resource, uint64_t *version) {
+  char path[40];
+  snprintf(path, sizeof path, "/v1/%s", resource_names[resource]);
+  *version = 0;
+  host *tail = fleet_tail(fleet);
+  if (!tail)
+    return 503;
+  op_call *call =
+      fleet_call(fleet, tail, "GET", path, NULL, NULL, NULL, time_from_ms(READ_TIMEOUT_MS));
+  int status = call->status;
+  *version = call->version;
+  call_free(call);
+  return status;
+}
+
+static void check_resource_stands(fleet *fleet, int resource, uint64_t acknowledged) {
+  uint64_t version;
+  int status = read_at_tail(fleet, resource, &version);
+  for (int attempt = 1; status == 503 && attempt < READ_ATTEMPTS_MAX; attempt++) {
+    sim_run(fleet->sim, time_from_ms(READ_RETRY_MS));
+    status = read_at_tail(fleet, resource, &version);
+  }
+  if (status != 200 || version < acknowledged)
+    violation(fleet, "R5 %s was acknowledged as write %" PRIu64 " and is read as %" PRIu64 " (%d)",
+              resource_names[resource], acknowledged, version, status);
+}
+
+void acked_stand(fleet *fleet) {
+  for (int resource = 0; resource < RESOURCE_COUNT; resource++) {
+    uint64_t acknowledged = acknowledged_version(fleet, resource);
+    if (acknowledged)
+      check_resource_stands(fleet, resource, acknowledged);
+  }
+}
+
+host *scenario_create_controller(fleet *fleet, int n, const host *like, const char *zone) {
+  char name[32], address[48];
+  snprintf(name, sizeof name, "controller-%d", n);
+  snprintf(address, sizeof address, "127.0.1.%d:7000", n + 40);
+  host *created = sim_host(fleet->sim, HOST_CONTROLLER, name, zone, address);
+  created->settings = like->settings;
+  created->settings.self = created->self;
+  created->settings.zone = created->area;
+  g_strlcpy(created->settings.address, address, sizeof created->settings.address);
+  fleet->controller[n - 1] = created;
+  return created;
+}
+
+void go(fleet *fleet, double per_s) {
+  loadgen *loadgen = fleet->callers->loadgen;
+  loadgen->plan.per_s = per_s;
+  loadgen->stop = false;
+  loadgen_start(loadgen);
+}
+
+void scenario_power_off_zone(fleet *fleet, const char *zone) {
+  list_for_each (h, &fleet->sim->hosts, host, link)
+    if (h->role <= HOST_ENGINE && !strcmp(h->area.text, zone))
+      host_power(h);
+}
+
+void heal_all(fleet *fleet) {
+  list_for_each (h, &fleet->sim->hosts, host, link) {
+    if (!h->alive)
+      host_start(h);
+    if (h->frozen)
+      host_wake(h);
+  }
+  sim_mend(fleet->sim);
+  fleet->sim->loss = 0;
+  fleet->sim->spread_ms = HEALED_SPREAD_MS;
+  for (int i = 0; i < 3; i++)
+    fleet->controller[i]->disk->slow_ms = 0;
+}
+
+void scenario_write_markers(fleet *fleet, int64_t span_ms, int64_t interval_ms) {
+  time_us until = time_add(fleet->sim->now, time_from_ms(span_ms)),
+          interval = time_from_ms(interval_ms);
+  while (fleet->sim->now.us < until.us) {
+    fleet_mark(fleet);
+    time_us left = time_sub(until, fleet->sim->now);
+    sim_run(fleet->sim, left.us < interval.us ? left : interval);
+  }
+}
+
+/* one run of the doctor, as a task of the operator's machine */
+typedef struct doctor_visit {
+  fleet *fleet;
+  GArray *findings; /* of finding; freed by the one who waits for the visit */
+  bool done;
+} doctor_visit;
+
+static void doctor_run(void *context) {
+  doctor_visit *visit = context;
+  fleet *fleet = visit->fleet;
+  char *addresses[G_N_ELEMENTS(fleet->controller)];
+  for (int i = 0; i < fleet->controllers; i++)
+    addresses[i] = fleet->controller[i]->addr;
+  visit->findings = doctor_examine(&fleet->operator->world, addresses, fleet->controllers);
+  visit->done = true;
+}
+
+static bool doctor_done(sim *sim, void *context) {
+  const doctor_visit *visit = context;
+  (void)sim;
+  return visit->done;
+}
+
+static bool has_finding(const GArray *findings, int code) {
+  if (!code)
+    return !findings->len;
+  for (guint i = 0; i < findings->len; i++)
+    if (g_array_index(findings, finding, i).code == code)
+      return true;
+  return false;
+}
+
+void doctor_says(fleet *fleet, int code, const char *when) {
+  doctor_visit visit = { fleet, NULL, false };
+  task_start(&fleet->operator->world.tasks, "doctor", doctor_run, &visit);
+  if (!sim_until(fleet->sim, doctor_done, &visit, time_from_ms(DOCTOR_TIMEOUT_MS))) {
+    violation(fleet, "the doctor does not end");
+    return;
+  }
+  if (!has_finding(visit.findings, code)) {
+    violation(fleet, "given %s, the doctor does not say %d", when, code);
+    for (guint i = 0; i < visit.findings->len; i++) {
+      const finding *found = &g_array_index(visit.findings, finding, i);
+      violation(fleet, "  but %d %s", found->code, found->evidence);
+    }
+  }
+  g_array_free(visit.findings, TRUE);
+}
--- a/tests/tests.h
+++ b/tests/tests.h
@@ -1,55 +1,52 @@
+/**
+ * What a file of tests offers to the runner (main.c): a list of test cases, one list a module. The
+ * helpers that most tests share come with it.
+ */
 #ifndef TESTS_TESTS_H
 #define TESTS_TESTS_H
+#include "chain_scenario.h"
 #include "fleet.h"
+#include "scenario.h"
 
-/** A test, how large its fleet is, and the share of the seeds (in hundredths) that it is run with.
- */
+/** Runs one test over a new fleet that is not started yet; false, or a violation, is a failure. */
+typedef bool (*test_function)(fleet *fleet);
+
+/** A test: how large its fleet is, and for how many of the seeds it runs. */
 typedef struct test_case {
+  /** Name on the command line, in KNOWN-RED.txt and in mutations.txt; NULL ends a list. */
   const char *name;
-  bool (*run)(fleet *fleet);
-  int routers, engines, share;
+  test_function run;
+  /** Numbers of routers and engines; each fleet has three controllers. */
+  int routers, engines;
+  /** Share of the seeds in percent; a test runs for at least one seed. Above 100 for tests whose
+   * fault shows for few seeds. */
+  int seed_percent;
 } test_case;
-/** The tests by subject; each list ends with an empty name. */
-extern const test_case cut_tests[], loss_tests[], any_tests[], routing_tests[], core_tests[],
-    registry_tests[], loader_tests[], budget_tests[], gateway_tests[], forward_tests[],
-    fields_tests[], operator_tests[], day_tests[], member_tests[], canary_tests[], delta_tests[],
-    placement_tests[], log_tests[], restart_tests[], wiring_tests[], room_tests[], copy_tests[],
-    order_tests[], cutoff_tests[], second_loss_tests[], catch_up_tests[], peer_tests[],
-    fuzz_tests[], disk_tests[], drain_tests[];
-
-/** When a test of drawn faults failed: leaves out one step after the other, as long as the run
- * still fails, and says what is left. */
-void shrink(bool (*run)(fleet *fleet), uint64_t seed, int routers, int engines);
 
-/* ways to say what is given */
-/** Waits for an acting chain of so many links; a violation when there is none. */
-bool wait_chain(fleet *fleet, int links, int64_t ms);
-/** An evacuation of so many tenths of the area north. */
-char *area_text(int share10);
-/** Every acknowledged write is there: the latest of each resource, or a younger one. */
-void acked_stand(fleet *fleet);
-/** Starts callers at a rate and goes on. */
-void go(fleet *fleet, double per_s);
-/** Takes the power from every machine of an area. */
-void area_dark(fleet *fleet, const char *area);
-/** Starts what is dead, wakes what is frozen, mends every link. */
-void heal_all(fleet *fleet);
-/** Writes marks for a span, one each so many ms. */
-void marks_for(fleet *fleet, int64_t ms, int64_t each);
-/** The doctor, asked at the controllers, finds a code; 0: nothing at all. */
-void doctor_says(fleet *fleet, int code, const char *when);
-/** Adds a core machine to a fleet, at an address of its own; it is not started. */
-host *core_add_controller(fleet *fleet, int n);
-/** Tells the founders by their addresses only, as at a first start. */
-void core_found_by_address(fleet *fleet, int founders);
-/** What every start after the first is told: no founders. */
-void core_later_starts(fleet *fleet);
-/** How many members the core has, and on how many copies and areas a write is synced. */
-void core_bounds(fleet *fleet, int members, int copies, int areas);
-/** Writes a configuration; a violation when nobody takes it. */
-void core_put(fleet *fleet, int n, const char *when);
-/** Waits until a chain of so many members acts with so many voters (0: any); a violation when there
- * is none in time. */
-bool core_wait_shape(fleet *fleet, int links, int votes, int64_t ms);
-extern const char *const area_names[3];
+/* lib/configuration */
+extern const test_case canary_tests[], delta_tests[], formula_tests[], routing_tests[],
+    settings_tests[];
+/* lib/controlplane */
+extern const test_case catch_up_tests[], chain_join_tests[], chain_repair_tests[],
+    controller_tests[], core_tests[], cutoff_tests[], order_tests[], registry_tests[],
+    rejoin_tests[], replication_tests[], view_change_tests[], wal_tests[], wal_restart_tests[];
+/* lib/doctor, and what operators read */
+extern const test_case doctor_tests[], operator_tests[];
+/* emulator */
+extern const test_case check_tests[], day_tests[];
+/* lib/gateway */
+extern const test_case budget_tests[], drain_tests[], forward_tests[], gateway_tests[],
+    loader_tests[], placement_tests[], room_tests[];
+/* lib/http */
+extern const test_case fields_tests[];
+/* lib/membership */
+extern const test_case member_tests[], node_tests[], peer_channel_socket_tests[], peer_tests[];
+/* lib/router */
+extern const test_case config_sync_tests[], engine_list_tests[], generate_api_tests[],
+    model_loading_tests[], policy_replay_tests[], singleton_lease_tests[];
+/* lib/runtime */
+extern const test_case disk_tests[], log_tests[];
+/* scenarios of a full fleet */
+extern const test_case corrupt_bytes_tests[], input_fuzzing_tests[], loss_tests[],
+    partition_tests[], random_fault_tests[], serving_tests[], zone_loss_tests[];
 #endif
