--- a/Makefile
+++ b/Makefile
@@ -67,8 +67,8 @@
 	@mkdir -p $(B)/bin
 	@$(CC) $(CFLAGS) $^ $(LIBS) -o $@
 
-# the gateway whose callers and engines a test plays byte by byte
-$(B)/bin/http-gateway: $(B)/tests/http/gateway.o $(OURS)
+# processes that checks speak HTTP with, byte by byte: a listener over lib/http (scripts/http-check), a gateway (tests/http/*.py)
+$(addprefix $(B)/bin/,http-driver http-gateway): $(B)/bin/http-%: $(B)/tests/http/%.o $(OURS)
 	@mkdir -p $(B)/bin
 	@$(CC) $(CFLAGS) $^ $(LIBS) -o $@
 
