--- a/tests/doctor/doctor.c
+++ b/tests/doctor/doctor.c
@@ -5,65 +5,90 @@
 #include "scenario.h"
 #include "tests.h"
 
-static bool the_doctor_comes(fleet *fleet) {
-  if (!fleet_up(fleet))
-    return false;
-  fleet_traffic(fleet, 5, time_from_ms(8000));
-  fleet_quiet(fleet);
-  doctor_says(fleet, 0, "a sound fleet");
+/* time in ms until peers declare a lost process gone, or a configuration was synced everywhere */
+enum { NOTICED_MS = 5000 };
+
+static bool put_empty_evacuation(fleet *fleet) {
+  return fleet_put(fleet, "evacuation", "{\"areas\":[]}");
+}
+
+static void set_disk_delay(fleet *fleet, int delay_ms) {
+  for (int i = 0; i < 3; i++)
+    fleet->controller[i]->disk->slow_ms = delay_ms;
+}
+
+static bool diagnose_lost_controller(fleet *fleet) {
   host_kill(fleet->controller[2]);
-  sim_run(fleet->sim, time_from_ms(5000));
+  sim_run(fleet->sim, time_from_ms(NOTICED_MS));
   doctor_says(fleet, D_CHAIN, "a lost controller");
   doctor_says(fleet, D_NO_ANSWER, "a lost controller");
   doctor_says(fleet, D_SEED, "a lost seed");
   host_start(fleet->controller[2]);
-  if (!wait_chain(fleet, 3, 15000))
-    return false;
+  return wait_chain(fleet, 3, 15000);
+}
+
+static void diagnose_partitioned_router(fleet *fleet) {
+  const char *router = fleet->router[0]->self.text;
   sim_run(fleet->sim, time_from_ms(3000));
   for (int i = 0; i < 3; i++)
-    sim_part(fleet->sim, fleet->router[0]->self.text, fleet->controller[i]->self.text, true);
-  sim_run(fleet->sim, time_from_ms(5000));
-  doctor_says(fleet, 0, "a router cut off from the core alone, which others confirm");
+    sim_part(fleet->sim, router, fleet->controller[i]->self.text, true);
+  sim_run(fleet->sim, time_from_ms(NOTICED_MS));
+  doctor_says(fleet, 0, "a router cut off from the controllers alone, which others confirm");
   for (int i = 1; i < fleet->routers; i++)
-    sim_part(fleet->sim, fleet->router[0]->self.text, fleet->router[i]->self.text, true);
-  sim_run(fleet->sim, time_from_ms(5000));
+    sim_part(fleet->sim, router, fleet->router[i]->self.text, true);
+  sim_run(fleet->sim, time_from_ms(NOTICED_MS));
   doctor_says(fleet, D_STALE, "a router cut off");
   sim_mend(fleet->sim);
   sim_run(fleet->sim, time_from_ms(6000));
+}
+
+static bool diagnose_partitioned_controllers(fleet *fleet) {
   for (int i = 1; i < 3; i++)
     sim_part(fleet->sim, fleet->controller[0]->self.text, fleet->controller[i]->self.text, true);
-  sim_run(fleet->sim, time_from_ms(5000));
-  doctor_says(fleet, D_VIEWS_DIFFER, "a core cut in two");
+  sim_run(fleet->sim, time_from_ms(NOTICED_MS));
+  doctor_says(fleet, D_VIEWS_DIFFER, "controllers cut in two");
   sim_mend(fleet->sim);
-  if (!wait_chain(fleet, 3, 15000))
-    return false;
+  return wait_chain(fleet, 3, 15000);
+}
+
+static void diagnose_lost_holder(fleet *fleet) {
   sim_run(fleet->sim, time_from_ms(8000));
-  host *h = fleet_holder(fleet, "engine:engine-1");
-  host_kill(h);
+  host *holder = fleet_holder(fleet, "engine:engine-1");
+  host_kill(holder);
   doctor_says(fleet, D_NO_SINGLETON_HOLDER, "a lost holder");
-  host_start(h);
+  host_start(holder);
   sim_run(fleet->sim, time_from_ms(12000));
-  for (int i = 0; i < 3; i++)
-    fleet->controller[i]->disk->slow_ms = 350;
-  if (!fleet_put(fleet, "evacuation", "{\"areas\":[]}"))
+}
+
+static bool diagnose_slow_disks(fleet *fleet) {
+  set_disk_delay(fleet, 350);
+  if (!put_empty_evacuation(fleet))
     return false;
   doctor_says(fleet, D_DISK, "slow disks");
-  for (int i = 0; i < 3; i++)
-    fleet->controller[i]->disk->slow_ms = 0;
-  if (!fleet_put(fleet, "evacuation", "{\"areas\":[]}"))
+  set_disk_delay(fleet, 0);
+  if (!put_empty_evacuation(fleet))
     return false;
   sim_run(fleet->sim, time_from_ms(3000));
+  return true;
+}
+
+static void diagnose_lost_platform(fleet *fleet) {
   host_kill(fleet->platform);
   sim_run(fleet->sim, time_from_ms(8000));
   doctor_says(fleet, D_ENGINE_LIST, "no platform");
   host_start(fleet->platform);
   sim_run(fleet->sim, time_from_ms(3000));
+}
+
+static bool diagnose_slow_links(fleet *fleet) {
   fleet->sim->delay_ms = 300;
   doctor_says(fleet, D_CLOCK, "slow answers");
   fleet->sim->delay_ms = 1;
   sim_run(fleet->sim, time_from_ms(8000));
-  if (!wait_chain(fleet, 3, 15000))
-    return false;
+  return wait_chain(fleet, 3, 15000);
+}
+
+static void diagnose_duplicate_name(fleet *fleet) {
   host *twin = sim_host(fleet->sim, HOST_ROUTER, "router-1", "mid", "127.0.2.99:7000");
   twin->settings = fleet->router[0]->settings;
   g_strlcpy(twin->settings.address, twin->addr, sizeof twin->settings.address);
@@ -72,38 +97,80 @@
   doctor_says(fleet, D_DUPLICATE_NAME, "two of one name");
   host_kill(twin);
   sim_run(fleet->sim, time_from_ms(9000));
-  engine_sim *g = fleet->engine[0]->engine;
-  g->faults.old_reports = true;
+}
+
+/* routers believe that an engine unloads its models, and its reports start again from the first */
+static void diagnose_wrong_residents(fleet *fleet) {
+  engine_sim *reporter = fleet->engine[0]->engine;
+  reporter->faults.old_reports = true;
   sim_run(fleet->sim, time_from_ms(1500));
   for (int i = 0; i < fleet->routers; i++) {
-    engine *engine = engine_find(fleet->router[i]->router, fleet->engine[0]->self);
-    if (engine)
-      list_for_each (x, &engine->residents, resident_model, link)
-        x->state = RESIDENT_UNLOADING;
+    engine *known = engine_find(fleet->router[i]->router, fleet->engine[0]->self);
+    if (known)
+      list_for_each (resident, &known->residents, resident_model, link)
+        resident->state = RESIDENT_UNLOADING;
   }
-  g->faults.old_reports = false;
-  g->seq = 0;
+  reporter->faults.old_reports = false;
+  reporter->seq = 0;
   doctor_says(fleet, D_RESIDENT_DIFFERS, "an engine whose reports went back");
   host_kill(fleet->engine[0]);
   sim_run(fleet->sim, time_from_ms(500));
   host_start(fleet->engine[0]);
   sim_run(fleet->sim, time_from_ms(3000));
+}
+
+static void diagnose_draining_router(fleet *fleet) {
   router_drain(fleet->router[1]->router);
   sim_run(fleet->sim, time_from_ms(1000));
-  doctor_says(fleet, D_DRAINING, "a router that leaves");
+  doctor_says(fleet, D_DRAINING, "a router that drains");
+}
+
+static void diagnose_model_that_fits_nowhere(fleet *fleet) {
   op_call *call = fleet_call(
       fleet, fleet->controller[0], "PATCH", "/v1/catalogue",
       "{\"models\":[{\"id\":\"m0\",\"weightsMb\":100},{\"id\":\"huge\",\"weightsMb\":900000}],\"adapters\":[]}",
       NULL, NULL, time_from_ms(5000));
   call_free(call);
   doctor_says(fleet, D_FITS_NO_ENGINE, "a model that fits nowhere");
+}
+
+static void diagnose_refused_messages(fleet *fleet) {
   fleet->router[2]->router->node.refused_wire_versions = 3;
   doctor_says(fleet, D_VERSION, "messages of another version");
-  host *p = fleet_holder(fleet, "pacer");
-  if (p) {
-    p->router->permits_refused_recently = p->router->permits_granted_recently + 100;
-    doctor_says(fleet, D_LOAD_RATE_LIMIT, "a pace that is starved");
-  }
+}
+
+static void diagnose_starved_loads(fleet *fleet) {
+  host *holder = fleet_holder(fleet, "pacer");
+  if (!holder)
+    return;
+  router *router = holder->router;
+  router->permits_refused_recently = router->permits_granted_recently + 100;
+  doctor_says(fleet, D_LOAD_RATE_LIMIT, "a load rate limit that refuses most");
+}
+
+static bool the_doctor_comes(fleet *fleet) {
+  if (!fleet_up(fleet))
+    return false;
+  fleet_traffic(fleet, 5, time_from_ms(8000));
+  fleet_quiet(fleet);
+  doctor_says(fleet, 0, "a sound fleet");
+  if (!diagnose_lost_controller(fleet))
+    return false;
+  diagnose_partitioned_router(fleet);
+  if (!diagnose_partitioned_controllers(fleet))
+    return false;
+  diagnose_lost_holder(fleet);
+  if (!diagnose_slow_disks(fleet))
+    return false;
+  diagnose_lost_platform(fleet);
+  if (!diagnose_slow_links(fleet))
+    return false;
+  diagnose_duplicate_name(fleet);
+  diagnose_wrong_residents(fleet);
+  diagnose_draining_router(fleet);
+  diagnose_model_that_fits_nowhere(fleet);
+  diagnose_refused_messages(fleet);
+  diagnose_starved_loads(fleet);
   return true;
 }
 
