--- /dev/null
+++ b/tests/controlplane/rejoin.c
@@ -0,0 +1,144 @@
+/**
+ * Tests of the rules of lib/controlplane/chain_rules.c: which replicas may lead, answer reads and
+ * count as in sync, while members rejoin. Fleet: three or five controllers, two routers, two
+ * engines.
+ */
+#include "tests.h"
+#include <stdio.h>
+
+/* starts five controllers, of which two were added; a write is synced on two replicas */
+static bool start_five(fleet *fleet) {
+  core_add_controller(fleet, 4);
+  core_add_controller(fleet, 5);
+  core_found_by_address(fleet, 3);
+  core_bounds(fleet, 5, 2, 1);
+  if (!fleet_up(fleet) || !wait_chain(fleet, 5, 15000))
+    return false;
+  check_watch(fleet);
+  core_later_starts(fleet);
+  return true;
+}
+
+static host *chain_host(fleet *fleet, const view *view, int index) {
+  for (int i = 0; i < fleet->controllers; i++)
+    if (id_equal(fleet->controller[i]->self, view->chain[index].self))
+      return fleet->controller[i];
+  return NULL;
+}
+
+/* checks that no acting tail has committed less than an acting tail or head had before; returns the
+ * highest sequence number that is committed by now */
+static uint64_t check_tails(fleet *fleet, uint64_t highest) {
+  uint64_t now = highest;
+  for (int i = 0; i < fleet->controllers; i++) {
+    host *host = fleet->controller[i];
+    if (!host->alive || host->frozen || !host->controller)
+      continue;
+    replica *replica = &host->controller->replica;
+    if (replica_is_acting_tail(replica) && replica->committed.seq < highest)
+      violation(fleet,
+                "the tail %s answers reads at write %" PRIu64 ", %" PRIu64 " was committed before",
+                host->self.text, replica->committed.seq, highest);
+    if (replica_is_acting_tail(replica) || replica_is_acting_head(replica))
+      now = MAX(now, replica->committed.seq);
+  }
+  return now;
+}
+
+/* frees the calls, all of which have ended by then */
+static void wait_and_free_calls(fleet *fleet, GPtrArray *calls) {
+  for (guint i = 0; i < calls->len; i++) {
+    op_call *call = calls->pdata[i];
+    for (int k = 0; k < 60 && !call->done; k++)
+      sim_run(fleet->sim, time_from_ms(1000));
+    if (!call->done)
+      violation(fleet, "a call has not ended after a minute");
+    else
+      call_free(call);
+  }
+  g_ptr_array_free(calls, TRUE);
+}
+
+/* given a chain of five under steady writes, two members come back in the same view, the first of
+   them with a slow disk: neither answers reads before it has what was committed */
+static bool two_members_come_back_at_once(fleet *fleet) {
+  if (!start_five(fleet))
+    return false;
+  uint64_t highest = 0;
+  bool acts = true;
+  GPtrArray *calls = g_ptr_array_new();
+  for (int turn = 0; turn < 4 && acts && !fleet->faults->len; turn++) {
+    host *head = fleet_head(fleet);
+    acts = head != NULL;
+    if (!acts)
+      break;
+    view view = head->controller->replica.view;
+    host *first = chain_host(fleet, &view, 3), *second = chain_host(fleet, &view, 4);
+    host_power(first);
+    host_power(second);
+    acts = wait_chain(fleet, 3, 10000);
+    first->disk->slow_ms = 100 + (int64_t)sim_draw(fleet->sim, 150);
+    host_start(first);
+    host_start(second);
+    for (int i = 0; i < 8000 && !fleet->faults->len; i++) {
+      host *to = fleet_head(fleet);
+      if (to && i % 60 == 0) {
+        char *evacuation = area_text(1 + i / 60 % 9);
+        g_ptr_array_add(calls,
+                        fleet_send(fleet, to, "PUT", "/v1/evacuation", evacuation, NULL, NULL));
+        g_free(evacuation);
+      }
+      sim_run(fleet->sim, time_from_ms(1));
+      highest = check_tails(fleet, highest);
+    }
+    first->disk->slow_ms = 0;
+    acts = acts && wait_chain(fleet, 5, 15000);
+  }
+  wait_and_free_calls(fleet, calls);
+  acked_stand(fleet);
+  return acts && !fleet->faults->len;
+}
+
+/* given a chain that has shrunk to its head, a restart of the head: it answers no reads by the
+ * snapshot that its disk begins with, older than what was acknowledged */
+static bool a_lone_member_restarts(fleet *fleet) {
+  if (!fleet_up(fleet) || !wait_chain(fleet, 3, 10000))
+    return false;
+  check_watch(fleet);
+  uint64_t highest = 0;
+  for (int i = 0; i < 5; i++) {
+    char *evacuation = area_text(1 + i);
+    fleet_put(fleet, "evacuation", evacuation);
+    g_free(evacuation);
+  }
+  highest = check_tails(fleet, highest);
+  host *head = fleet_head(fleet), *tail = fleet_tail(fleet);
+  if (!head || !tail)
+    return false;
+  view view = head->controller->replica.view;
+  host *middle = chain_host(fleet, &view, 1);
+  host_power(middle);
+  if (!wait_chain(fleet, 2, 10000))
+    return false;
+  highest = check_tails(fleet, highest);
+  host_freeze(tail);
+  host_start(middle);
+  for (int i = 0; i < 6000 && head->controller->replica.view.chain_length > 1; i++)
+    sim_run(fleet->sim, time_from_ms(1));
+  host_kill(head);
+  host_start(head);
+  for (int i = 0; i < 6000 && !fleet->faults->len; i++) {
+    sim_run(fleet->sim, time_from_ms(1));
+    highest = check_tails(fleet, highest);
+  }
+  host_wake(tail);
+  if (!wait_chain(fleet, 3, 15000))
+    return false;
+  acked_stand(fleet);
+  return !fleet->faults->len;
+}
+
+const test_case rejoin_tests[] = { { "two_members_come_back_at_once", two_members_come_back_at_once,
+                                     2, 2, 100 },
+                                   { "a_lone_member_restarts", a_lone_member_restarts, 2, 2, 100 },
+                                   { NULL, NULL, 0, 0, 0 } };
--- /dev/null
+++ b/tests/membership/peer_channel_sockets.c
@@ -0,0 +1,84 @@
+/**
+ * Tests of lib/membership/peer_channels.c over real sockets of this process. No fleet is started.
+ */
+#include "real.h"
+#include "tests.h"
+#include <arpa/inet.h>
+#include <netinet/tcp.h>
+#include <stdio.h>
+#include <sys/socket.h>
+#include <unistd.h>
+
+enum { DESCRIPTORS_MAX = 1024, ACKNOWLEDGE_TIMEOUT_MAX_MS = 2000 };
+
+/* a channel from this process to itself, and what of its sockets was found */
+typedef struct link_probe {
+  world *world;
+  char address[48];
+  int port, links, unguarded;
+} link_probe;
+
+/* counts the sockets of this process that are one end of a link to the port, and those without a
+ * timeout for bytes that were sent and not acknowledged */
+static void probe_links(link_probe *probe) {
+  for (int fd = 0; fd < DESCRIPTORS_MAX; fd++) {
+    struct sockaddr_in peer;
+    socklen_t size = sizeof peer;
+    if (getpeername(fd, (struct sockaddr *)&peer, &size) || peer.sin_family != AF_INET ||
+        ntohs(peer.sin_port) != probe->port)
+      continue;
+    unsigned silence_ms = 0;
+    size = sizeof silence_ms;
+    getsockopt(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &silence_ms, &size);
+    probe->links++;
+    probe->unguarded += !silence_ms || silence_ms > ACKNOWLEDGE_TIMEOUT_MAX_MS;
+  }
+}
+
+static void post_and_probe(void *context) {
+  link_probe *probe = context;
+  probe->world->post_message(probe->world, probe->address, string_view_of("hello"));
+  world_sleep(probe->world, time_from_ms(300));
+  probe_links(probe);
+  real_world_stop(probe->world);
+}
+
+static int free_port(void) {
+  struct sockaddr_in local = { .sin_family = AF_INET, .sin_addr.s_addr = htonl(INADDR_LOOPBACK) };
+  socklen_t size = sizeof local;
+  int fd = socket(AF_INET, SOCK_STREAM, 0);
+  int port = 0;
+  if (fd >= 0 && !bind(fd, (struct sockaddr *)&local, size) &&
+      !getsockname(fd, (struct sockaddr *)&local, &size))
+    port = ntohs(local.sin_port);
+  if (fd >= 0)
+    close(fd);
+  return port;
+}
+
+/* the kernel closes a link soon after its bytes go unacknowledged, so that after a long partition a
+ * new one is opened instead of a wait for the retransmission timeout of the old one */
+static bool links_end_when_nothing_is_acknowledged(fleet *fleet) {
+  link_probe probe = { .port = free_port() };
+  real_settings settings = { .ip = "127.0.0.1", .port = probe.port };
+  error err = { 0 };
+  probe.world = real_world_new(&settings, &err);
+  if (!probe.world) {
+    violation(fleet, "no world: %s", err.text);
+    return check_all(fleet);
+  }
+  snprintf(probe.address, sizeof probe.address, "127.0.0.1:%d", probe.port);
+  task_start(&probe.world->tasks, "probe", post_and_probe, &probe);
+  real_world_run(probe.world, NULL, NULL);
+  real_world_free(probe.world);
+  if (!probe.links)
+    violation(fleet, "no link was opened");
+  if (probe.unguarded)
+    violation(fleet, "%d of %d links wait for ever for an acknowledgement", probe.unguarded,
+              probe.links);
+  return check_all(fleet);
+}
+
+const test_case peer_channel_socket_tests[] = { { "links_end_when_nothing_is_acknowledged",
+                                                  links_end_when_nothing_is_acknowledged, 1, 1, 5 },
+                                                { NULL, NULL, 0, 0, 0 } };
