--- /dev/null
+++ b/lib/controlplane/api_error.c
@@ -0,0 +1,69 @@
+/** HTTP statuses of error codes, for the two HTTP interfaces of a controller. */
+#include "api_error.h"
+#include "node.h"
+
+enum {
+  HTTP_BAD_REQUEST = 400,
+  HTTP_NOT_FOUND = 404,
+  HTTP_PRECONDITION_FAILED = 412,
+  HTTP_CONTENT_TOO_LARGE = 413,
+  HTTP_UNPROCESSABLE = 422,
+  HTTP_SERVER_ERROR = 500,
+  HTTP_UNAVAILABLE = 503,
+  HTTP_GATEWAY_TIMEOUT = 504
+};
+
+/* Codes from the first to before the second one are faults of the request itself. */
+enum { REQUEST_FAULTS_FIRST = E_JSON, REQUEST_FAULTS_END = E_WIRE_MESSAGE };
+
+/* What an operator may do at once after a 503: try again in a second. */
+static const char retry_after_s[] = "1";
+
+/* Codes whose status differs from the default of their interface. */
+static const struct {
+  int code;
+  int status[API_INTERFACE_COUNT];
+} statuses[] = {
+  { E_VERSION_CONFLICT, { HTTP_PRECONDITION_FAILED, HTTP_PRECONDITION_FAILED } },
+  { E_TOO_LARGE, { HTTP_CONTENT_TOO_LARGE, HTTP_CONTENT_TOO_LARGE } },
+  /* the outcome is not known, or not confirmed in time */
+  { E_OUTCOME_UNKNOWN, { HTTP_GATEWAY_TIMEOUT, HTTP_GATEWAY_TIMEOUT } },
+  { E_NO_RESPONSE, { HTTP_GATEWAY_TIMEOUT, HTTP_GATEWAY_TIMEOUT } },
+  { E_TOO_FEW_ROUTERS, { HTTP_GATEWAY_TIMEOUT, HTTP_GATEWAY_TIMEOUT } },
+  /* nothing was written, and a later attempt may succeed */
+  { E_NO_CONTROLLER, { HTTP_UNAVAILABLE, HTTP_UNAVAILABLE } },
+  { E_TOO_FEW_ZONES, { HTTP_UNAVAILABLE, HTTP_UNAVAILABLE } },
+  { E_OVERLOADED, { HTTP_UNAVAILABLE, HTTP_UNAVAILABLE } },
+  { E_NO_MEMBER_LEASE, { HTTP_UNAVAILABLE, HTTP_UNAVAILABLE } },
+  { E_VIEW_MISMATCH, { HTTP_UNAVAILABLE, HTTP_UNAVAILABLE } },
+  { E_STOPPING, { HTTP_UNAVAILABLE, HTTP_UNAVAILABLE } },
+  { E_DISK_FULL, { HTTP_UNAVAILABLE, HTTP_UNAVAILABLE } },
+  { E_DISK, { HTTP_UNAVAILABLE, HTTP_UNAVAILABLE } },
+  /* Differences between the interfaces. Only the operators' API takes idempotency keys. */
+  { E_IDEMPOTENCY_KEY, { HTTP_UNPROCESSABLE, HTTP_BAD_REQUEST } },
+  /* The operators' API responds to unknown paths without this table. */
+  { E_NOT_FOUND, { HTTP_BAD_REQUEST, HTTP_NOT_FOUND } },
+  /* Only changes that come by the control listener can be joined to one in progress. */
+  { E_IN_PROGRESS, { HTTP_SERVER_ERROR, HTTP_GATEWAY_TIMEOUT } },
+};
+
+/* Codes that are neither in the table nor faults of the request. At the operators' API they are
+ * faults of ours, for a person to look at; callers of the control listener are programs that
+ * retry, and are asked to. */
+static const int default_status[API_INTERFACE_COUNT] = { HTTP_SERVER_ERROR, HTTP_UNAVAILABLE };
+
+int api_error_status(enum api_interface interface, int code) {
+  for (size_t i = 0; i < G_N_ELEMENTS(statuses); i++)
+    if (statuses[i].code == code)
+      return statuses[i].status[interface];
+  if (code >= REQUEST_FAULTS_FIRST && code < REQUEST_FAULTS_END)
+    return HTTP_BAD_REQUEST;
+  return default_status[interface];
+}
+
+void api_error_respond(http_request *request, int code, const char *text) {
+  int status = api_error_status(API_OPERATORS, code);
+  if (status == HTTP_UNAVAILABLE)
+    http_headers_set(&request->known_response_fields, HEADER_RETRY_AFTER, retry_after_s);
+  http_respond_error(request, status, code, text);
+}
--- a/lib/controlplane/config_change.h
+++ b/lib/controlplane/config_change.h
@@ -1,11 +1,16 @@
-#ifndef CONTROLPLANE_CONTROL_H
-#define CONTROLPLANE_CONTROL_H
+/** Decides on a change of the routing configuration of gateways: pure functions of its text. */
+#ifndef CONTROLPLANE_CONFIG_CHANGE_H
+#define CONTROLPLANE_CONFIG_CHANGE_H
 #include "routing.h"
 
-/** Decides on a new configuration: a whole one, or a change on top of text, whose version is
- * current. Gives the new text. */
-int config_change_apply(string_view text, uint64_t current, bool whole, uint64_t base,
+/** Applies a change to a configuration's text, whose version is `current`, and checks the result.
+ *
+ * is_full: `body` is a full configuration, otherwise a patch (routing_patch). base_version is the
+ * version that the change builds on. Appends the new text to `to`. Returns OK, E_VERSION_CONFLICT
+ * when base_version is not the current one, or what is wrong with the body; then `to` may hold a
+ * part. */
+int config_change_apply(string_view text, uint64_t current, bool is_full, uint64_t base_version,
                         const json *body, GString *to, error *err);
-/** The version that a configuration's text names; 0 when it is blank. */
+/** The version that a configuration's text names; 0 when it is blank or no JSON. */
 uint64_t config_change_version(string_view text);
 #endif
--- a/lib/controlplane/controller_drain.c
+++ b/lib/controlplane/controller_drain.c
@@ -1,105 +1,134 @@
-/** The planned end of a core machine: it leaves the chain, hands its vote over, and ends once every
- * call that it has read is answered. Times are in milliseconds. */
+/** Graceful shutdown of a controller: it leaves the chain, hands its vote over, and ends once every
+ * call that it has read is answered. The time from the request to the end is bounded by the grace
+ * period, which is divided from its end: exit, last calls, late callers, handover. */
 #include "controller.h"
 
-/* GRACE_MS: when none is told. Late callers, who are told where the core is now, have LINGER_MS
- * after the handover, or LINGER_LEAST_MS when that took long. LAST_CALLS_MS is for the answers to
- * calls that were read before the listener was shut (a call is answered within 850 ms, and refused
- * within 600 ms by a machine that is out of the chain), EXIT_MS for the exit itself. */
 enum {
-  GRACE_MS = 5500,
+  /** Grace period where the settings name none, in ms. */
+  GRACE_DEFAULT_MS = 5500,
+  /** For so long after the handover late callers are served or redirected, in ms; the minimum is
+   * what remains for them when the handover took long. */
   LINGER_MS = 1500,
-  LINGER_LEAST_MS = 1000,
-  LAST_CALLS_MS = 900,
+  LINGER_MIN_MS = 1000,
+  /** For the responses to calls that were read before the listener was shut, in ms: the longest
+   * response, and some time to send it. */
+  LAST_CALLS_MS = CONFIG_RESPONSE_TIMEOUT_MS + 50,
+  /** For the exit of the process itself, in ms. */
   EXIT_MS = 100,
-  HANDOVER_LEAST_MS = 500,
-  STEP_MS = 100,
-  LAST_STEP_MS = 20
+  /** Shortest time for the handover, whatever the grace period, in ms. */
+  HANDOVER_MIN_MS = 500,
+  /** How often the handover, and the last calls, are looked at, in ms. */
+  HANDOVER_CHECK_MS = 100,
+  LAST_CALLS_CHECK_MS = 20
 };
 
-/* a core machine that may take this one's vote: it is there, and has none itself */
-static bool successor_is_known(controller *controller) {
-  const view *view = &controller->replica.view;
+static bool is_voter(const view *view, id controller) {
+  for (int i = 0; i < view->voter_count; i++)
+    if (id_equal(view->voters[i].self, controller))
+      return true;
+  return false;
+}
+
+/* True when another controller is there that may take this one's vote, since it has none itself. */
+static bool is_vote_successor_known(const controller *controller) {
   list_for_each (peer, &controller->node.peers, peer_node, link) {
-    if (peer->role != ROLE_CONTROLLER || peer->gone || peer->draining)
-      continue;
-    bool votes = false;
-    for (int i = 0; i < view->voter_count; i++)
-      votes |= id_equal(view->voters[i].self, peer->self);
-    if (!votes)
+    bool may_vote = peer->role == ROLE_CONTROLLER && !peer->gone && !peer->draining;
+    if (may_vote && !is_voter(&controller->replica.view, peer->self))
       return true;
   }
   return false;
 }
 
-/* what a member owes the others before it ends: a chain that is whole without it, which the others
- * decide on only once one of them holds all that it holds; and its vote, when there is one to take
- * it */
-static bool handed_over(controller *controller) {
-  replica *replica = &controller->replica;
+/* True when the other controllers need nothing more of this one: the chain is complete without it,
+ * which they decide on only once one of them has all of its writes; and another one has its vote,
+ * if there is one to take it. */
+static bool is_handed_over(const controller *controller) {
+  const replica *replica = &controller->replica;
   if (!replica->running || !replica->view.epoch || replica_chain_max(replica) == 1)
     return true;
   if (replica_chain_index(replica) >= 0)
     return false;
-  return replica_voter_index(replica) < 0 || !successor_is_known(controller);
+  return replica_voter_index(replica) < 0 || !is_vote_successor_known(controller);
 }
 
-static bool sleep_until(world *world, time_us till) {
-  time_us left = time_sub(till, world_now(world));
+/* Returns false when the process was stopped. */
+static bool sleep_until(world *world, time_us deadline) {
+  time_us left = time_sub(deadline, world_now(world));
   return left.us <= 0 || world_sleep(world, left);
 }
 
-/* late callers are answered for a while; then no call is read any more, and what was read gets its
- * answer */
+static time_us earlier(time_us a, time_us b) {
+  return a.us < b.us ? a : b;
+}
+
+/* Serves late callers for a while; then no more calls are read, and those that were read are
+ * answered. Returns at the latest EXIT_MS before `end`. */
 static void finish_calls(controller *controller, time_us end) {
   world *world = controller->node.world;
-  http_listener *control = &controller->control_listener;
-  time_us last = time_sub(end, time_from_ms(EXIT_MS)),
-          latest = time_sub(last, time_from_ms(LAST_CALLS_MS)),
-          shut = time_add(world_now(world), time_from_ms(LINGER_MS));
-  if (!sleep_until(world, shut.us < latest.us ? shut : latest))
+  http_listener *listener = &controller->control_listener.http;
+  time_us calls_deadline = time_sub(end, time_from_ms(EXIT_MS));
+  time_us shut_deadline = time_sub(calls_deadline, time_from_ms(LAST_CALLS_MS));
+  time_us linger_end = time_add(world_now(world), time_from_ms(LINGER_MS));
+  if (!sleep_until(world, earlier(linger_end, shut_deadline)))
     return;
-  world->listener_stop_accepting(world, control);
-  world->listener_close_idle(world, control);
-  while (control->pending_exchanges && !time_reached(world_now(world), last))
-    if (!world_sleep(world, time_from_ms(LAST_STEP_MS)))
+  world->listener_stop_accepting(world, listener);
+  world->listener_close_idle(world, listener);
+  while (listener->pending_exchanges && !time_reached(world_now(world), calls_deadline))
+    if (!world_sleep(world, time_from_ms(LAST_CALLS_CHECK_MS)))
       return;
 }
 
+/* Waits until the handover is done, at the latest until a deadline. Returns false when the process
+ * was stopped. */
+static bool wait_handed_over(controller *controller, time_us deadline) {
+  world *world = controller->node.world;
+  while (!is_handed_over(controller) && !time_reached(world_now(world), deadline))
+    if (!world_sleep(world, time_from_ms(HANDOVER_CHECK_MS)))
+      return false;
+  return true;
+}
+
+/* Task: the shutdown. */
 static void drain_run(void *p) {
   controller *controller = p;
   world *world = controller->node.world;
-  int64_t grace = controller->node.settings.shutdown_grace_ms > 0
-                      ? controller->node.settings.shutdown_grace_ms
-                      : GRACE_MS,
-          calls = controller->has_control_listener ? LINGER_LEAST_MS + LAST_CALLS_MS : 0;
-  time_us now = world_now(world), end = time_add(now, time_from_ms(grace)),
-          latest = time_add(now, time_from_ms(MAX(grace - calls - EXIT_MS, HANDOVER_LEAST_MS)));
-  while (!handed_over(controller) && !time_reached(world_now(world), latest))
-    if (!world_sleep(world, time_from_ms(STEP_MS)))
-      return;
+  const settings *settings = &controller->node.settings;
+  bool has_calls = controller->control_listener.is_open;
+  int64_t grace_ms =
+      settings->shutdown_grace_ms > 0 ? settings->shutdown_grace_ms : GRACE_DEFAULT_MS;
+  int64_t calls_ms = has_calls ? LINGER_MIN_MS + LAST_CALLS_MS : 0;
+  int64_t handover_ms = MAX(grace_ms - calls_ms - EXIT_MS, HANDOVER_MIN_MS);
+  time_us started_at = world_now(world);
+  if (!wait_handed_over(controller, time_add(started_at, time_from_ms(handover_ms))))
+    return;
   log_info(&controller->node.log, "core", "%s, stopping.",
            replica_chain_index(&controller->replica) < 0 ? "Out of the chain"
                                                          : "Still in the chain");
-  if (controller->has_control_listener)
-    finish_calls(controller, end);
+  if (has_calls)
+    finish_calls(controller, time_add(started_at, time_from_ms(grace_ms)));
   if (world->tasks.stopped)
     return;
   controller->exit_code = OK;
   condition_broadcast(&controller->stopped);
 }
 
+/* Tells all peers at once that this node is draining. */
+static void announce_draining(node *node) {
+  Wire__Heartbeat heartbeat = WIRE__HEARTBEAT__INIT;
+  Wire__Envelope envelope = wire_envelope(WIRE__ENVELOPE__BODY_HEARTBEAT, &heartbeat);
+  list_for_each (peer, &node->peers, peer_node, link)
+    if (!peer->gone)
+      node_send(node, peer->address, &envelope);
+}
+
 void controller_drain(controller *controller) {
   if (controller->replica.draining)
     return;
   controller->replica.draining = true;
-  if (controller->has_control_listener) {
-    controller->control_listener.draining = controller->node.draining = true;
-    Wire__Heartbeat b = WIRE__HEARTBEAT__INIT;
-    Wire__Envelope w = wire_envelope(WIRE__ENVELOPE__BODY_HEARTBEAT, &b);
-    list_for_each (peer, &controller->node.peers, peer_node, link)
-      if (!peer->gone)
-        node_send(&controller->node, peer->address, &w);
+  if (controller->control_listener.is_open) {
+    controller->control_listener.http.draining = true;
+    controller->node.draining = true;
+    announce_draining(&controller->node);
   }
   task_start(&controller->node.world->tasks, "drain", drain_run, controller);
 }
--- a/lib/controlplane/engine_registry.c
+++ b/lib/controlplane/engine_registry.c
@@ -1,286 +1,397 @@
+/** The engines that have registered themselves; see engine_registry.h for the rules. */
 #include "engine_registry.h"
 
-enum { COLD_SLACK_MS = 1500, ENDS_SLACK_MS = 500, DISK_STALL_MS = 1500, UNREACHED_TIMES = 3 };
+enum {
+  /** An engine's instants are recomputed from each update, and vary with the time that messages
+   * take. Less than this, in ms, is no change. */
+  SLOW_START_TOLERANCE_MS = 1500,
+  ENDS_AT_TOLERANCE_MS = 500,
+  /** A process that did not sweep for so long was stopped itself, in ms, and knows nothing about
+   * who is silent. */
+  SWEEP_STALL_MS = 1500,
+  /** An engine is silent after this many times silent_ms while another controller is out of reach:
+   * it may be heard there. */
+  UNREACHED_SILENCE_FACTOR = 3
+};
 
-static void enlisted_free(void *p) {
-  registered_engine *entry = p;
-  if (entry->heartbeat)
-    wire__engine_state__free_unpacked(entry->heartbeat, NULL);
-  g_free(entry);
+/** Upper bound on spans in updates of others, in ms: 12 days, and small enough for arithmetic. */
+static const uint64_t SPAN_MAX_MS = 1u << 30;
+
+static void engine_free(void *p) {
+  registered_engine *engine = p;
+  if (engine->heartbeat)
+    wire__engine_state__free_unpacked(engine->heartbeat, NULL);
+  g_free(engine);
 }
 
-void registry_init(registry *registry, uint64_t run, time_us now) {
+void engine_registry_init(engine_registry *registry, uint64_t run, time_us now) {
   memset(registry, 0, sizeof *registry);
   registry->run = run;
-  registry->engines = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, enlisted_free);
+  registry->engines = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, engine_free);
   registry->silent_ms = SILENT_MS;
   registry->tombstone_ms = TOMBSTONE_MS;
   registry->started_at = registry->swept_at = now;
 }
 
-void registry_free(registry *registry) {
+void engine_registry_free(engine_registry *registry) {
   if (registry->engines)
     g_hash_table_destroy(registry->engines);
   registry->engines = NULL;
 }
 
-registered_engine *registry_find(const registry *registry, const char *id) {
+registered_engine *engine_registry_find(const engine_registry *registry, const char *id) {
   return g_hash_table_lookup(registry->engines, id);
 }
 
-static uint64_t add(uint64_t h, const char *s) {
-  return hash_bytes(s, strlen(s), h);
+static uint64_t hash_text(uint64_t hash, const char *text) {
+  return hash_bytes(text, strlen(text), hash);
 }
 
-/* over all that a node must know, but for what only time changes */
-static uint64_t sum_of(const Wire__EngineState *w, bool leaving) {
-  uint64_t h = add(add(add(add(leaving, w->service), w->address), w->zone), w->version);
-  h = hash_bytes(&w->slots, sizeof w->slots, h);
-  for (size_t i = 0; i < w->n_models; i++) {
-    const Wire__ResidentModel *m = w->models[i];
-    h = hash_bytes(&m->weights_version, sizeof m->weights_version, add(h, m->model));
-    for (size_t k = 0; k < m->n_adapters; k++)
-      h = add(h, m->adapters[k]);
+/* Checksum over all that other nodes must know of an engine, without what only time changes. */
+static uint64_t checksum_of(const Wire__EngineState *state, bool draining) {
+  uint64_t hash = draining;
+  hash = hash_text(hash, state->service);
+  hash = hash_text(hash, state->address);
+  hash = hash_text(hash, state->zone);
+  hash = hash_text(hash, state->version);
+  hash = hash_bytes(&state->slots, sizeof state->slots, hash);
+  for (size_t i = 0; i < state->n_models; i++) {
+    const Wire__ResidentModel *model = state->models[i];
+    hash = hash_text(hash, model->model);
+    hash = hash_bytes(&model->weights_version, sizeof model->weights_version, hash);
+    for (size_t k = 0; k < model->n_adapters; k++)
+      hash = hash_text(hash, model->adapters[k]);
   }
-  return h;
+  return hash;
+}
+
+/* A deep copy, to be freed with wire__engine_state__free_unpacked. */
+static Wire__EngineState *state_duplicate(const Wire__EngineState *state) {
+  size_t size = wire__engine_state__get_packed_size(state);
+  uint8_t *packed = g_malloc(size + 1);
+  wire__engine_state__pack(state, packed);
+  Wire__EngineState *copy = wire__engine_state__unpack(NULL, size, packed);
+  g_free(packed);
+  return copy;
 }
 
-static Wire__EngineState *copy(const Wire__EngineState *w) {
-  size_t n = wire__engine_state__get_packed_size(w);
-  uint8_t *p = g_malloc(n + 1);
-  wire__engine_state__pack(w, p);
-  Wire__EngineState *c = wire__engine_state__unpack(NULL, n, p);
-  g_free(p);
-  return c;
+static void mark_changed(engine_registry *registry, registered_engine *engine) {
+  engine->changed_seq = ++registry->seq;
 }
 
-static void change(registry *registry, registered_engine *entry) {
-  entry->changed_seq = ++registry->seq;
+static void mark_gone(engine_registry *registry, registered_engine *engine, time_us now) {
+  engine->gone = true;
+  engine->gone_at = now;
+  mark_changed(registry, engine);
 }
 
-static void go(registry *registry, registered_engine *entry, time_us now) {
-  entry->gone = true;
-  entry->gone_at = now;
-  change(registry, entry);
+static bool have_same_address(const registered_engine *a, const registered_engine *b) {
+  return a->heartbeat->address[0] && !strcmp(a->heartbeat->address, b->heartbeat->address);
 }
 
-/* an address belongs to the life that was heard last */
-static void claim(registry *registry, registered_engine *entry, time_us now) {
+/* An address belongs to the engine that was heard last; others that name it are gone. */
+static void resolve_address(engine_registry *registry, registered_engine *engine, time_us now) {
   GHashTableIter it;
-  gpointer p;
+  gpointer value;
   g_hash_table_iter_init(&it, registry->engines);
-  while (g_hash_table_iter_next(&it, NULL, &p)) {
-    registered_engine *o = p;
-    if (o == entry || o->gone || !o->heartbeat->address[0] ||
-        strcmp(o->heartbeat->address, entry->heartbeat->address))
+  while (g_hash_table_iter_next(&it, NULL, &value)) {
+    registered_engine *other = value;
+    if (other == engine || other->gone || !have_same_address(other, engine))
       continue;
-    if (o->last_heard_at.us > entry->last_heard_at.us) {
-      go(registry, entry, now);
+    if (other->last_heard_at.us > engine->last_heard_at.us) {
+      mark_gone(registry, engine, now);
       return;
     }
-    go(registry, o, now);
+    mark_gone(registry, other, now);
   }
 }
 
-static bool differ(time_us a, time_us b, int64_t ms) {
-  return time_sub(a, b).us > ms * 1000 || time_sub(b, a).us > ms * 1000;
+static bool differ_by_more_than(time_us a, time_us b, int64_t tolerance_ms) {
+  time_us tolerance = time_from_ms(tolerance_ms);
+  return time_sub(a, b).us > tolerance.us || time_sub(b, a).us > tolerance.us;
 }
 
-static enum registry_update end(registry *registry, registered_engine *entry, time_us now) {
-  entry->draining = entry->signed_off = true;
-  entry->checksum = sum_of(entry->heartbeat, true);
-  go(registry, entry, now);
+static enum registry_update sign_off(engine_registry *registry, registered_engine *engine,
+                                     time_us now) {
+  engine->draining = engine->signed_off = true;
+  engine->checksum = checksum_of(engine->heartbeat, true);
+  mark_gone(registry, engine, now);
   return REGISTRY_DRAINING;
 }
 
-static registered_engine *enlist(registry *registry, const Wire__EngineState *w) {
-  registered_engine *entry = g_new0(registered_engine, 1);
-  entry->heartbeat = copy(w);
-  g_hash_table_insert(registry->engines, entry->heartbeat->id, entry);
-  return entry;
+/* Adds an engine with a copy of a text; the caller fills in the rest. */
+static registered_engine *insert_engine(engine_registry *registry, const Wire__EngineState *text) {
+  registered_engine *engine = g_new0(registered_engine, 1);
+  engine->heartbeat = state_duplicate(text);
+  g_hash_table_insert(registry->engines, engine->heartbeat->id, engine);
+  return engine;
+}
+
+/* Replaces the text of an engine; the key in the table is part of the text. */
+static void replace_text(engine_registry *registry, registered_engine *engine,
+                         const Wire__EngineState *text) {
+  Wire__EngineState *old = engine->heartbeat;
+  g_hash_table_steal(registry->engines, old->id);
+  engine->heartbeat = state_duplicate(text);
+  g_hash_table_insert(registry->engines, engine->heartbeat->id, engine);
+  wire__engine_state__free_unpacked(old, NULL);
+}
+
+/** The instants of an update, which names them as spans before and after the heartbeat. */
+typedef struct update_times {
+  time_us heartbeat_at, slow_start_until;
+  /** 0: the engine does not say when it ends. */
+  time_us ends_at;
+} update_times;
+
+static time_us bounded_span(uint64_t ms) {
+  return time_from_ms((int64_t)MIN(ms, SPAN_MAX_MS));
+}
+
+static update_times times_of(const Wire__EngineState *update, time_us now) {
+  update_times times = { .heartbeat_at = time_sub(now, bounded_span(update->age_ms)) };
+  times.slow_start_until = time_add(times.heartbeat_at, bounded_span(update->slow_start_ms));
+  if (update->ends_in_ms)
+    times.ends_at = time_add(times.heartbeat_at, bounded_span(update->ends_in_ms));
+  return times;
 }
 
-static enum registry_update registry_update(registry *registry, const Wire__EngineState *w,
-                                            bool direct, time_us now) {
-  time_us at = time_sub(now, time_from_ms((int64_t)MIN(w->age_ms, 1u << 30)));
-  time_us cold = time_add(at, time_from_ms((int64_t)MIN(w->slow_start_ms, 1u << 30)));
-  time_us ends = w->ends_in_ms ? time_add(at, time_from_ms((int64_t)MIN(w->ends_in_ms, 1u << 30)))
-                               : (time_us){ 0 };
-  bool final = w->gone && w->draining;
-  registered_engine *entry = registry_find(registry, w->id);
+static void note_heartbeat_time(engine_registry *registry, time_us at) {
   if (at.us > registry->newest_heartbeat_at.us)
     registry->newest_heartbeat_at = at;
-  if (!entry) {
-    if (w->gone && !final)
-      return REGISTRY_STALE;
-    entry = enlist(registry, w);
-    entry->heartbeat_count = w->heartbeat_count;
-    entry->last_heard_at = at;
-    entry->slow_start_until = cold;
-    entry->ends_at = ends;
-    entry->draining = w->draining;
-    entry->checksum = sum_of(entry->heartbeat, entry->draining);
-    if (final)
-      return end(registry, entry, now);
-    change(registry, entry);
-    claim(registry, entry, now);
-    return entry->draining ? REGISTRY_DRAINING : REGISTRY_CHANGED;
-  }
-  if (entry->signed_off)
+}
+
+static bool is_sign_off(const Wire__EngineState *update) {
+  return update->gone && update->draining;
+}
+
+static enum registry_update add_engine(engine_registry *registry, const Wire__EngineState *update,
+                                       const update_times *times, time_us now) {
+  if (update->gone && !is_sign_off(update))
     return REGISTRY_STALE;
-  if (final)
-    return end(registry, entry, now);
-  if (w->gone)
+  registered_engine *engine = insert_engine(registry, update);
+  engine->heartbeat_count = update->heartbeat_count;
+  engine->last_heard_at = times->heartbeat_at;
+  engine->slow_start_until = times->slow_start_until;
+  engine->ends_at = times->ends_at;
+  engine->draining = update->draining;
+  engine->checksum = checksum_of(engine->heartbeat, engine->draining);
+  if (is_sign_off(update))
+    return sign_off(registry, engine, now);
+  mark_changed(registry, engine);
+  resolve_address(registry, engine, now);
+  return engine->draining ? REGISTRY_DRAINING : REGISTRY_CHANGED;
+}
+
+/* Of an update that is older than what is known, only that the engine is draining counts. */
+static enum registry_update apply_stale_update(engine_registry *registry, registered_engine *engine,
+                                               bool starts_draining) {
+  if (!starts_draining)
     return REGISTRY_STALE;
-  bool ending = w->draining && !entry->draining;
-  entry->draining |= w->draining;
-  if (direct ? w->heartbeat_count <= entry->heartbeat_count
-             : w->heartbeat_count < entry->heartbeat_count) {
-    if (!ending)
-      return REGISTRY_STALE;
-    entry->checksum = sum_of(entry->heartbeat, true);
-    change(registry, entry);
-    return REGISTRY_DRAINING;
-  }
-  bool later = at.us > entry->last_heard_at.us;
-  bool back =
-      entry->gone && later && !time_reached(now, time_add(at, time_from_ms(registry->silent_ms)));
-  uint64_t sum = sum_of(w, entry->draining);
-  bool moved = strcmp(w->address, entry->heartbeat->address);
-  bool changed = sum != entry->checksum || back || ending ||
-                 (w->heartbeat_count > entry->heartbeat_count && w->slow_start_ms &&
-                  differ(cold, entry->slow_start_until, COLD_SLACK_MS)) ||
-                 (ends.us && (!entry->ends_at.us || differ(ends, entry->ends_at, ENDS_SLACK_MS)));
-  if (sum != entry->checksum && w->heartbeat_count == entry->heartbeat_count && !ending)
-    changed = back;
-  if (changed) {
-    /* the key of the table is the text's own name */
-    Wire__EngineState *was = entry->heartbeat;
-    g_hash_table_steal(registry->engines, was->id);
-    entry->heartbeat = copy(w);
-    g_hash_table_insert(registry->engines, entry->heartbeat->id, entry);
-    wire__engine_state__free_unpacked(was, NULL);
-    entry->checksum = sum;
-    entry->slow_start_until = cold;
-    if (ends.us)
-      entry->ends_at = ends;
+  engine->checksum = checksum_of(engine->heartbeat, true);
+  mark_changed(registry, engine);
+  return REGISTRY_DRAINING;
+}
+
+/* True when the instants of an update differ from the known ones by more than messages take. */
+static bool changes_times(const registered_engine *engine, const Wire__EngineState *update,
+                          const update_times *times) {
+  bool changes_slow_start = update->heartbeat_count > engine->heartbeat_count &&
+                            update->slow_start_ms &&
+                            differ_by_more_than(times->slow_start_until, engine->slow_start_until,
+                                                SLOW_START_TOLERANCE_MS);
+  bool changes_end = times->ends_at.us &&
+                     (!engine->ends_at.us ||
+                      differ_by_more_than(times->ends_at, engine->ends_at, ENDS_AT_TOLERANCE_MS));
+  return changes_slow_start || changes_end;
+}
+
+/* Applies an update that is not older than what is known. */
+static enum registry_update apply_update(engine_registry *registry, registered_engine *engine,
+                                         const Wire__EngineState *update, const update_times *times,
+                                         bool starts_draining, time_us now) {
+  bool is_later = times->heartbeat_at.us > engine->last_heard_at.us;
+  bool is_recent =
+      !time_reached(now, time_add(times->heartbeat_at, time_from_ms(registry->silent_ms)));
+  bool is_back = engine->gone && is_later && is_recent;
+  bool is_moved = strcmp(update->address, engine->heartbeat->address);
+  uint64_t checksum = checksum_of(update, engine->draining);
+  bool is_changed = checksum != engine->checksum || is_back || starts_draining ||
+                    changes_times(engine, update, times);
+  /* two texts under one count: the one that came first stands */
+  if (checksum != engine->checksum && update->heartbeat_count == engine->heartbeat_count &&
+      !starts_draining)
+    is_changed = is_back;
+  if (is_changed) {
+    replace_text(registry, engine, update);
+    engine->checksum = checksum;
+    engine->slow_start_until = times->slow_start_until;
+    if (times->ends_at.us)
+      engine->ends_at = times->ends_at;
   }
-  entry->heartbeat_count = w->heartbeat_count;
-  if (later)
-    entry->last_heard_at = at;
-  if (back)
-    entry->gone = false;
-  if (!changed)
+  engine->heartbeat_count = update->heartbeat_count;
+  if (is_later)
+    engine->last_heard_at = times->heartbeat_at;
+  if (is_back)
+    engine->gone = false;
+  if (!is_changed)
     return REGISTRY_ALIVE;
-  change(registry, entry);
-  if (moved || back)
-    claim(registry, entry, now);
-  return ending ? REGISTRY_DRAINING : REGISTRY_CHANGED;
+  mark_changed(registry, engine);
+  if (is_moved || is_back)
+    resolve_address(registry, engine, now);
+  return starts_draining ? REGISTRY_DRAINING : REGISTRY_CHANGED;
 }
 
-enum registry_update registry_heartbeat(registry *registry, const Wire__EngineState *w,
-                                        time_us now) {
-  enum registry_update f = registry_update(registry, w, true, now);
-  registered_engine *entry = registry_find(registry, w->id);
-  if (entry && f != REGISTRY_STALE)
-    entry->unannounced = f == REGISTRY_ALIVE;
-  return f;
+/* Applies an update with text. is_direct: it came from the engine itself, whose counts rise; an
+ * update of another controller may repeat one. */
+static enum registry_update record(engine_registry *registry, const Wire__EngineState *update,
+                                   bool is_direct, time_us now) {
+  update_times times = times_of(update, now);
+  registered_engine *engine = engine_registry_find(registry, update->id);
+  note_heartbeat_time(registry, times.heartbeat_at);
+  if (!engine)
+    return add_engine(registry, update, &times, now);
+  if (engine->signed_off)
+    return REGISTRY_STALE;
+  if (is_sign_off(update))
+    return sign_off(registry, engine, now);
+  if (update->gone)
+    return REGISTRY_STALE;
+  bool starts_draining = update->draining && !engine->draining;
+  engine->draining |= update->draining;
+  bool is_stale = is_direct ? update->heartbeat_count <= engine->heartbeat_count
+                            : update->heartbeat_count < engine->heartbeat_count;
+  if (is_stale)
+    return apply_stale_update(registry, engine, starts_draining);
+  return apply_update(registry, engine, update, &times, starts_draining, now);
+}
+
+enum registry_update engine_registry_heartbeat(engine_registry *registry,
+                                               const Wire__EngineState *heartbeat, time_us now) {
+  enum registry_update update = record(registry, heartbeat, true, now);
+  registered_engine *engine = engine_registry_find(registry, heartbeat->id);
+  if (engine && update != REGISTRY_STALE)
+    engine->unannounced = update == REGISTRY_ALIVE;
+  return update;
 }
 
-enum registry_update registry_sign_off(registry *registry, const char *id, time_us now) {
-  registered_engine *entry = registry_find(registry, id);
+enum registry_update engine_registry_sign_off(engine_registry *registry, const char *id,
+                                              time_us now) {
+  registered_engine *engine = engine_registry_find(registry, id);
   registry->newest_heartbeat_at = now;
-  if (entry && entry->signed_off)
+  if (engine && engine->signed_off)
     return REGISTRY_STALE;
-  if (!entry) {
-    Wire__EngineState w = WIRE__ENGINE_STATE__INIT;
-    w.id = (char *)id;
-    entry = enlist(registry, &w);
+  if (!engine) {
+    Wire__EngineState text = WIRE__ENGINE_STATE__INIT;
+    text.id = (char *)id;
+    engine = insert_engine(registry, &text);
   }
-  entry->last_heard_at = now;
-  return end(registry, entry, now);
+  engine->last_heard_at = now;
+  return sign_off(registry, engine, now);
 }
 
-enum registry_update registry_merge(registry *registry, const Wire__EngineState *w, time_us now) {
-  if (w->service[0] || w->gone)
-    return registry_update(registry, w, false, now);
-  registered_engine *entry = registry_find(registry, w->id);
-  if (!entry)
+enum registry_update engine_registry_merge(engine_registry *registry,
+                                           const Wire__EngineState *update, time_us now) {
+  bool has_text = update->service[0];
+  if (has_text || update->gone)
+    return record(registry, update, false, now);
+  registered_engine *engine = engine_registry_find(registry, update->id);
+  if (!engine)
     return REGISTRY_NEEDS_FETCH;
-  if (entry->signed_off || w->heartbeat_count < entry->heartbeat_count)
+  if (engine->signed_off || update->heartbeat_count < engine->heartbeat_count)
     return REGISTRY_STALE;
-  if (w->checksum != entry->checksum || entry->gone)
+  if (update->checksum != engine->checksum || engine->gone)
     return REGISTRY_NEEDS_FETCH;
-  time_us at = time_sub(now, time_from_ms((int64_t)MIN(w->age_ms, 1u << 30)));
-  entry->heartbeat_count = w->heartbeat_count;
-  if (at.us > entry->last_heard_at.us)
-    entry->last_heard_at = at;
-  if (at.us > registry->newest_heartbeat_at.us)
-    registry->newest_heartbeat_at = at;
+  time_us heartbeat_at = time_sub(now, bounded_span(update->age_ms));
+  engine->heartbeat_count = update->heartbeat_count;
+  if (heartbeat_at.us > engine->last_heard_at.us)
+    engine->last_heard_at = heartbeat_at;
+  note_heartbeat_time(registry, heartbeat_at);
   return REGISTRY_ALIVE;
 }
 
-bool registry_sweep(registry *registry, time_us now, bool all) {
-  uint64_t was = registry->seq;
-  /* a process that slept, or hears nothing at all, knows nothing of who is silent */
-  if (time_reached(now, time_add(registry->swept_at, time_from_ms(DISK_STALL_MS))) ||
-      time_reached(now,
-                   time_add(registry->newest_heartbeat_at, time_from_ms(registry->silent_ms / 2))))
+/* Silence is counted anew after a pause in which this process could not hear anybody: it was
+ * stopped, or no engine at all was heard. */
+static void restart_after_pause(engine_registry *registry, time_us now) {
+  time_us stalled_at = time_add(registry->swept_at, time_from_ms(SWEEP_STALL_MS));
+  time_us unheard_at =
+      time_add(registry->newest_heartbeat_at, time_from_ms(registry->silent_ms / 2));
+  if (time_reached(now, stalled_at) || time_reached(now, unheard_at))
     registry->started_at = now;
   registry->swept_at = now;
-  time_us silent = time_from_ms(all ? registry->silent_ms : registry->silent_ms * UNREACHED_TIMES);
-  bool judge = time_reached(now, time_add(registry->started_at, silent));
+}
+
+bool engine_registry_sweep(engine_registry *registry, time_us now, bool reaches_all) {
+  uint64_t seq_before = registry->seq;
+  restart_after_pause(registry, now);
+  time_us silence =
+      time_from_ms(registry->silent_ms * (reaches_all ? 1 : UNREACHED_SILENCE_FACTOR));
+  bool judges_silence = time_reached(now, time_add(registry->started_at, silence));
   GHashTableIter it;
-  gpointer p;
+  gpointer value;
   g_hash_table_iter_init(&it, registry->engines);
-  while (g_hash_table_iter_next(&it, NULL, &p)) {
-    registered_engine *entry = p;
-    if (!entry->gone && judge && time_reached(now, time_add(entry->last_heard_at, silent)))
-      go(registry, entry, now);
-    if (!entry->gone ||
-        !time_reached(now, time_add(entry->gone_at, time_from_ms(registry->tombstone_ms))))
+  while (g_hash_table_iter_next(&it, NULL, &value)) {
+    registered_engine *engine = value;
+    bool is_silent = time_reached(now, time_add(engine->last_heard_at, silence));
+    if (!engine->gone && judges_silence && is_silent)
+      mark_gone(registry, engine, now);
+    if (!engine->gone ||
+        !time_reached(now, time_add(engine->gone_at, time_from_ms(registry->tombstone_ms))))
       continue;
-    if (entry->changed_seq > registry->complete_resend_seq)
-      registry->complete_resend_seq = entry->changed_seq;
+    registry->complete_resend_seq = MAX(registry->complete_resend_seq, engine->changed_seq);
     g_hash_table_iter_remove(&it);
   }
-  return registry->seq != was;
+  return registry->seq != seq_before;
 }
 
-void registry_set_complete(registry *registry) {
-  if (registry->complete)
+void engine_registry_set_complete(engine_registry *registry) {
+  if (registry->is_complete)
     return;
-  registry->complete = true;
+  registry->is_complete = true;
   registry->complete_resend_seq = ++registry->seq;
 }
 
-void registry_pack_engine(const registered_engine *entry, time_us now, Wire__EngineState *to) {
-  *to = *entry->heartbeat;
-  to->draining = entry->draining;
-  to->gone = entry->gone;
-  to->heartbeat_count = entry->heartbeat_count;
-  to->checksum = entry->checksum;
-  to->age_ms = (uint64_t)MAX(0, time_sub(now, entry->last_heard_at).us / 1000);
-  /* whoever folds this counts both times from the beat on */
-  to->slow_start_ms =
-      (uint64_t)MAX(0, time_sub(entry->slow_start_until, entry->last_heard_at).us / 1000);
-  to->ends_in_ms = entry->ends_at.us
-                       ? (uint64_t)MAX(1, time_sub(entry->ends_at, entry->last_heard_at).us / 1000)
-                       : 0;
-}
-
-GPtrArray *registry_changed_since(const registry *registry, uint64_t run, uint64_t seq,
-                                  bool *whole) {
-  bool all = run != registry->run || seq < registry->complete_resend_seq;
-  *whole = all && registry->complete;
-  GPtrArray *to = g_ptr_array_new();
+static uint64_t age_ms_of(const registered_engine *engine, time_us now) {
+  return (uint64_t)MAX(0, time_sub(now, engine->last_heard_at).us / 1000);
+}
+
+void engine_registry_pack_engine(const registered_engine *engine, time_us now,
+                                 Wire__EngineState *to) {
+  *to = *engine->heartbeat;
+  to->draining = engine->draining;
+  to->gone = engine->gone;
+  to->heartbeat_count = engine->heartbeat_count;
+  to->checksum = engine->checksum;
+  to->age_ms = age_ms_of(engine, now);
+  /* the receiver counts both spans from the heartbeat */
+  time_us slow_start = time_sub(engine->slow_start_until, engine->last_heard_at);
+  to->slow_start_ms = (uint64_t)MAX(0, slow_start.us / 1000);
+  to->ends_in_ms = 0;
+  if (engine->ends_at.us)
+    to->ends_in_ms = (uint64_t)MAX(1, time_sub(engine->ends_at, engine->last_heard_at).us / 1000);
+}
+
+void engine_registry_pack_heartbeat(const registered_engine *engine, time_us now,
+                                    Wire__EngineState *to) {
+  wire__engine_state__init(to);
+  to->id = engine->heartbeat->id;
+  to->heartbeat_count = engine->heartbeat_count;
+  to->checksum = engine->checksum;
+  to->age_ms = age_ms_of(engine, now);
+}
+
+GPtrArray *engine_registry_changed_since(const engine_registry *registry, uint64_t run,
+                                         uint64_t seq, bool *is_full_list) {
+  bool sends_all = run != registry->run || seq < registry->complete_resend_seq;
+  *is_full_list = sends_all && registry->is_complete;
+  GPtrArray *engines = g_ptr_array_new();
   GHashTableIter it;
-  gpointer p;
+  gpointer value;
   g_hash_table_iter_init(&it, registry->engines);
-  while (g_hash_table_iter_next(&it, NULL, &p)) {
-    registered_engine *entry = p;
-    if (all ? !entry->gone : entry->changed_seq > seq)
-      g_ptr_array_add(to, entry);
+  while (g_hash_table_iter_next(&it, NULL, &value)) {
+    const registered_engine *engine = value;
+    if (sends_all ? !engine->gone : engine->changed_seq > seq)
+      g_ptr_array_add(engines, value);
   }
-  return to;
+  return engines;
 }
--- a/lib/controlplane/registry_sync.c
+++ b/lib/controlplane/registry_sync.c
@@ -1,276 +1,331 @@
-#include "controller.h"
+/** Keeps the engine registries of the controllers in step; see registry_sync.h. */
+#include "registry_sync.h"
 
 enum {
-  LOT_MS = 20,
-  SWEEP_MS = 250,
-  SPREAD_MS = 700,
-  SPREAD_MOST_MS = 2500,
-  AGAIN_MS = 300,
-  REQUEST_EACH_MS = 500,
-  CALL_MS = 600,
-  LOST_MS = 60000,
-  NO_ANSWER_TIMES = 3
+  /** Changes are collected for so long before polls are woken, in ms: engines that start together
+   * cause one response in place of many. */
+  POLL_WAKEUP_DELAY_MS = 20,
+  /** How often engines are checked for silence, in ms; far below SILENT_MS. */
+  SWEEP_INTERVAL_MS = 250,
+  /** Interval of batches of heartbeats to other controllers, in ms. It grows with the number of
+   * controllers, since each sends to all: this long for up to four, and never above the maximum,
+   * which leaves three batches within SILENT_MS. */
+  BATCH_INTERVAL_MS = 700,
+  BATCH_INTERVAL_MAX_MS = 2500,
+  BATCH_INTERVAL_CONTROLLERS = 4,
+  /** After this time a draining engine is announced to routers once more, in ms, since messages may
+   * be lost and the engine's call was acknowledged. */
+  REPEAT_DELAY_MS = 300,
+  /** Shortest time between fetches because of unknown checksums, in ms. */
+  FETCH_INTERVAL_MS = 500,
+  /** Longest wait for another controller's registry, in ms. */
+  FETCH_TIMEOUT_MS = 600,
+  /** How often a starting controller tries to fetch a registry, in ms. */
+  INITIAL_FETCH_INTERVAL_MS = 250,
+  /** A controller that was lost within this time may be alive behind a network partition, and hear
+   * engines that are not heard here; in ms. */
+  PARTITION_MAX_MS = 60000,
+  /** A starting controller that can fetch no registry and hears no engine waits this many times
+   * SILENT_MS before it takes its own registry for complete. */
+  NO_HEARTBEATS_FACTOR = 3
 };
 
-/* wakes the polls of routers, a lot of changes at a time */
-static void lot_run(void *p) {
-  controller *controller = p;
+/* Task: wakes config polls after changes of the registry, a batch of changes at a time. */
+static void wake_polls_run(void *p) {
+  registry_sync *sync = p;
+  world *world = sync->node->world;
   for (;;) {
-    if (controller->registry_seq_announced == controller->registry.seq &&
-        condition_wait(&controller->node.world->tasks, &controller->registry_changed,
-                       time_never()) == WAKE_STOPPED)
+    if (sync->announced_seq == sync->registry.seq &&
+        condition_wait(&world->tasks, &sync->registry_changed, time_never()) == WAKE_STOPPED)
       return;
-    if (!world_sleep(controller->node.world, time_from_ms(LOT_MS)))
+    if (!world_sleep(world, time_from_ms(POLL_WAKEUP_DELAY_MS)))
       return;
-    if (controller->registry_seq_announced == controller->registry.seq)
+    if (sync->announced_seq == sync->registry.seq)
       continue;
-    controller->registry_seq_announced = controller->registry.seq;
-    condition_broadcast(&controller->replica.state_changed);
+    sync->announced_seq = sync->registry.seq;
+    condition_broadcast(sync->polls_wakeup);
   }
 }
 
-static int controllers(controller *controller) {
-  int n = 0;
-  list_for_each (peer, &controller->node.peers, peer_node, link)
-    n += peer->role == ROLE_CONTROLLER && !peer->gone;
-  return n;
+/* Sends the state of engines to all peers of a role that are not gone. */
+static void broadcast_engines(registry_sync *sync, enum role role, Wire__EngineState **engines,
+                              size_t count) {
+  Wire__EngineUpdate update = WIRE__ENGINE_UPDATE__INIT;
+  update.engines = engines;
+  update.n_engines = count;
+  Wire__Envelope envelope = wire_envelope(WIRE__ENVELOPE__BODY_ENGINE_UPDATE, &update);
+  list_for_each (peer, &sync->node->peers, peer_node, link)
+    if (peer->role == role && !peer->gone)
+      node_send(sync->node, peer->address, &envelope);
 }
 
-static void cast(controller *controller, enum role r, Wire__EngineState **all, size_t n) {
-  Wire__EngineUpdate e = WIRE__ENGINE_UPDATE__INIT;
-  e.engines = all;
-  e.n_engines = n;
-  Wire__Envelope w = wire_envelope(WIRE__ENVELOPE__BODY_ENGINE_UPDATE, &e);
-  list_for_each (peer, &controller->node.peers, peer_node, link)
-    if (peer->role == r && !peer->gone)
-      node_send(&controller->node, peer->address, &w);
+static void broadcast_engine(registry_sync *sync, enum role role, const registered_engine *engine) {
+  Wire__EngineState message, *engines = &message;
+  engine_registry_pack_engine(engine, world_now(sync->node->world), &message);
+  broadcast_engines(sync, role, &engines, 1);
 }
 
-static void cast_one(controller *controller, enum role r, const registered_engine *entry) {
-  Wire__EngineState w, *one = &w;
-  registry_pack_engine(entry, world_now(controller->node.world), &w);
-  cast(controller, r, &one, 1);
-}
-
-typedef struct {
-  controller *controller;
+/** The argument of repeat_announcement_run, which frees it. */
+typedef struct announcement {
+  registry_sync *sync;
   id engine;
-} repeat_update;
+} announcement;
 
-/* a cast may be lost, and what was acknowledged is a promise */
-static void again_run(void *p) {
-  repeat_update *a = p;
-  if (world_sleep(a->controller->node.world, time_from_ms(AGAIN_MS))) {
-    registered_engine *entry = registry_find(&a->controller->registry, a->engine.text);
-    if (entry)
-      cast_one(a->controller, ROLE_ROUTER, entry);
+/* Task: announces a draining engine to routers once more. */
+static void repeat_announcement_run(void *p) {
+  announcement *announcement = p;
+  registry_sync *sync = announcement->sync;
+  if (world_sleep(sync->node->world, time_from_ms(REPEAT_DELAY_MS))) {
+    const registered_engine *engine =
+        engine_registry_find(&sync->registry, announcement->engine.text);
+    if (engine)
+      broadcast_engine(sync, ROLE_ROUTER, engine);
   }
-  g_free(a);
+  g_free(announcement);
 }
 
-void registry_sync_announce(controller *controller, const char *who, enum registry_update f) {
-  if (f != REGISTRY_CHANGED && f != REGISTRY_DRAINING)
+void registry_sync_announce(registry_sync *sync, const char *engine_id,
+                            enum registry_update update) {
+  if (update != REGISTRY_CHANGED && update != REGISTRY_DRAINING)
     return;
-  registered_engine *entry = registry_find(&controller->registry, who);
-  if (!entry)
+  const registered_engine *engine = engine_registry_find(&sync->registry, engine_id);
+  if (!engine)
     return;
-  cast_one(controller, ROLE_CONTROLLER, entry);
-  if (f == REGISTRY_DRAINING) {
-    cast_one(controller, ROLE_ROUTER, entry);
-    repeat_update *a = g_new(repeat_update, 1);
-    *a = (repeat_update){ controller, id_of_text(who) };
-    task_start(&controller->node.world->tasks, "again", again_run, a);
+  broadcast_engine(sync, ROLE_CONTROLLER, engine);
+  if (update == REGISTRY_DRAINING) {
+    broadcast_engine(sync, ROLE_ROUTER, engine);
+    announcement *repeated = g_new(announcement, 1);
+    *repeated = (announcement){ sync, id_of_text(engine_id) };
+    task_start(&sync->node->world->tasks, "repeat engine", repeat_announcement_run, repeated);
   }
-  condition_broadcast(&controller->registry_changed);
+  condition_broadcast(&sync->registry_changed);
 }
 
-/* folds what another core machine says; true when it knows of changes whose text is not here */
-static bool hear(controller *controller, const Wire__EngineUpdate *in) {
-  time_us now = world_now(controller->node.world);
-  uint64_t was = controller->registry.seq;
-  bool want = false;
-  for (size_t i = 0; i < in->n_engines; i++)
-    if (id_is_valid(string_view_of(in->engines[i]->id)))
-      want |= registry_merge(&controller->registry, in->engines[i], now) == REGISTRY_NEEDS_FETCH;
-  if (controller->registry.seq != was)
-    condition_broadcast(&controller->registry_changed);
-  return want;
+/* Merges another controller's update. Returns true when it names changes without their text, so
+ * that they have to be fetched. */
+static bool merge_update(registry_sync *sync, const Wire__EngineUpdate *update) {
+  time_us now = world_now(sync->node->world);
+  uint64_t seq_before = sync->registry.seq;
+  bool needs_fetch = false;
+  for (size_t i = 0; i < update->n_engines; i++) {
+    const Wire__EngineState *engine = update->engines[i];
+    if (id_is_valid(string_view_of(engine->id)))
+      needs_fetch |= engine_registry_merge(&sync->registry, engine, now) == REGISTRY_NEEDS_FETCH;
+  }
+  if (sync->registry.seq != seq_before)
+    condition_broadcast(&sync->registry_changed);
+  return needs_fetch;
 }
 
-/* asks one of the others for all it has */
-static bool fetch_all(controller *controller, const char *addr) {
-  Wire__EngineUpdate q = WIRE__ENGINE_UPDATE__INIT;
-  q.want_response = true;
-  Wire__Envelope w = wire_envelope(WIRE__ENVELOPE__BODY_ENGINE_UPDATE, &q), *b;
+/* Fetches and merges another controller's registry. Returns false when it gives none. */
+static bool fetch_registry(registry_sync *sync, const char *address) {
+  Wire__EngineUpdate request = WIRE__ENGINE_UPDATE__INIT;
+  request.want_response = true;
+  Wire__Envelope envelope = wire_envelope(WIRE__ENVELOPE__BODY_ENGINE_UPDATE, &request);
+  Wire__Envelope *response;
   error err = { 0 };
-  if (node_call(&controller->node, addr, &w, time_from_ms(CALL_MS), &b, &err))
+  if (node_call(sync->node, address, &envelope, time_from_ms(FETCH_TIMEOUT_MS), &response, &err))
     return false;
-  bool ok = b->body_case == WIRE__ENVELOPE__BODY_ENGINE_UPDATE;
-  if (ok)
-    hear(controller, b->engine_update);
-  node_reply_free(b);
-  return ok;
+  bool is_update = response->body_case == WIRE__ENVELOPE__BODY_ENGINE_UPDATE;
+  if (is_update)
+    merge_update(sync, response->engine_update);
+  node_reply_free(response);
+  return is_update;
 }
 
-typedef struct {
-  controller *controller;
+/** The argument of fetch_run, which frees it. */
+typedef struct registry_fetch {
+  registry_sync *sync;
   char address[48];
 } registry_fetch;
 
-static void request_run(void *p) {
-  registry_fetch *a = p;
-  fetch_all(a->controller, a->address);
-  g_free(a);
+/* Task: fetches a registry once. */
+static void fetch_run(void *p) {
+  registry_fetch *fetch = p;
+  fetch_registry(fetch->sync, fetch->address);
+  g_free(fetch);
 }
 
-static int on_engines(void *ctx, Wire__Envelope *in, reply *reply, error *err) {
-  controller *controller = ctx;
+/* Starts to fetch the registry at an address, unless one was fetched a moment ago. */
+static void start_fetch(registry_sync *sync, const char *address) {
+  time_us now = world_now(sync->node->world);
+  if (!time_reached(now, time_add(sync->fetched_at, time_from_ms(FETCH_INTERVAL_MS))))
+    return;
+  sync->fetched_at = now;
+  registry_fetch *fetch = g_new0(registry_fetch, 1);
+  fetch->sync = sync;
+  g_strlcpy(fetch->address, address, sizeof fetch->address);
+  task_start(&sync->node->world->tasks, "fetch engines", fetch_run, fetch);
+}
+
+/* Responds with all engines that are known here. */
+static void respond_with_registry(const registry_sync *sync, reply *reply) {
+  Wire__EngineUpdate *response =
+      reply_new_body(reply, WIRE__ENVELOPE__BODY_ENGINE_UPDATE, &wire__engine_update__descriptor);
+  guint count = g_hash_table_size(sync->registry.engines);
+  Wire__EngineState *engines = reply_alloc(reply, sizeof *engines * (count + 1));
+  response->engines = reply_alloc(reply, sizeof(void *) * (count + 1));
+  time_us now = world_now(sync->node->world);
+  GHashTableIter it;
+  gpointer value;
+  g_hash_table_iter_init(&it, sync->registry.engines);
+  while (g_hash_table_iter_next(&it, NULL, &value)) {
+    Wire__EngineState *engine = &engines[response->n_engines];
+    engine_registry_pack_engine(value, now, engine);
+    response->engines[response->n_engines++] = engine;
+  }
+}
+
+/* Handles EngineUpdate: another controller's update, or its request for all engines. */
+static int handle_engine_update(void *ctx, Wire__Envelope *in, reply *reply, error *err) {
+  registry_sync *sync = ctx;
   if (in->from->role != ROLE_CONTROLLER)
     return error_set(err, E_WIRE_MESSAGE, "only core machines tell of engines");
   if (!in->engine_update->want_response) {
-    time_us now = world_now(controller->node.world);
-    if (!hear(controller, in->engine_update) ||
-        !time_reached(now,
-                      time_add(controller->registry_fetched_at, time_from_ms(REQUEST_EACH_MS))))
-      return OK;
-    controller->registry_fetched_at = now;
-    registry_fetch *a = g_new0(registry_fetch, 1);
-    a->controller = controller;
-    g_strlcpy(a->address, in->from->address, sizeof a->address);
-    task_start(&controller->node.world->tasks, "ask", request_run, a);
+    if (merge_update(sync, in->engine_update))
+      start_fetch(sync, in->from->address);
     return OK;
   }
-  if (!controller->registry.complete)
+  if (!sync->registry.is_complete)
     return error_set(err, E_IN_PROGRESS, "this machine has not heard of all engines yet");
-  Wire__EngineUpdate *b =
-      reply_new_body(reply, WIRE__ENVELOPE__BODY_ENGINE_UPDATE, &wire__engine_update__descriptor);
-  guint n = g_hash_table_size(controller->registry.engines), i = 0;
-  Wire__EngineState *all = reply_alloc(reply, sizeof *all * (n + 1));
-  b->engines = reply_alloc(reply, sizeof(void *) * (n + 1));
-  GHashTableIter it;
-  gpointer p;
-  g_hash_table_iter_init(&it, controller->registry.engines);
-  while (g_hash_table_iter_next(&it, NULL, &p)) {
-    registry_pack_engine(p, world_now(controller->node.world), &all[i]);
-    b->engines[i] = &all[i];
-    i++;
-  }
-  b->n_engines = n;
+  respond_with_registry(sync, reply);
   return OK;
 }
 
-bool registry_sync_has_changes(const controller *controller, const Wire__ConfigPollRequest *q) {
-  return q->registry_run == controller->registry.run
-             ? q->registry_sequence < controller->registry_seq_announced
-             : controller->registry_seq_announced > 0;
+bool registry_sync_has_changes(const registry_sync *sync, const Wire__ConfigPollRequest *request) {
+  if (request->registry_run != sync->registry.run)
+    return sync->announced_seq > 0;
+  return request->registry_sequence < sync->announced_seq;
 }
 
-void registry_sync_fill_response(controller *controller, const Wire__ConfigPollRequest *q,
-                                 Wire__ConfigPollResponse *b, reply *reply) {
-  registry *registry = &controller->registry;
-  bool whole;
-  GPtrArray *all = registry_changed_since(registry, q->registry_run, q->registry_sequence, &whole);
-  Wire__EngineState *w = reply_alloc(reply, sizeof *w * (all->len + 1));
-  b->engines = reply_alloc(reply, sizeof(void *) * (all->len + 1));
-  time_us now = world_now(controller->node.world);
-  for (guint i = 0; i < all->len; i++) {
-    registry_pack_engine(all->pdata[i], now, &w[i]);
-    b->engines[i] = &w[i];
+void registry_sync_fill_response(const registry_sync *sync, const Wire__ConfigPollRequest *request,
+                                 Wire__ConfigPollResponse *response, reply *reply) {
+  const engine_registry *registry = &sync->registry;
+  bool is_complete;
+  GPtrArray *changed = engine_registry_changed_since(registry, request->registry_run,
+                                                     request->registry_sequence, &is_complete);
+  Wire__EngineState *engines = reply_alloc(reply, sizeof *engines * (changed->len + 1));
+  response->engines = reply_alloc(reply, sizeof(void *) * (changed->len + 1));
+  time_us now = world_now(sync->node->world);
+  for (guint i = 0; i < changed->len; i++) {
+    engine_registry_pack_engine(changed->pdata[i], now, &engines[i]);
+    response->engines[i] = &engines[i];
   }
-  b->n_engines = all->len;
-  b->registry_run = registry->run;
-  b->registry_sequence = registry->seq;
-  b->engines_complete = whole;
-  g_ptr_array_free(all, TRUE);
+  response->n_engines = changed->len;
+  response->registry_run = registry->run;
+  response->registry_sequence = registry->seq;
+  response->engines_complete = is_complete;
+  g_ptr_array_free(changed, TRUE);
 }
 
-/* false while a core machine is not heard that may well be there, behind a cut */
-static bool all_reached(controller *controller) {
-  time_us from = time_sub(world_now(controller->node.world), time_from_ms(LOST_MS));
-  list_for_each (peer, &controller->node.peers, peer_node, link)
+/* False while another controller is gone that may be alive behind a network partition. */
+static bool reaches_all_controllers(const registry_sync *sync) {
+  time_us from = time_sub(world_now(sync->node->world), time_from_ms(PARTITION_MAX_MS));
+  list_for_each (peer, &sync->node->peers, peer_node, link)
     if (peer->role == ROLE_CONTROLLER && peer->gone && !peer->draining &&
         time_reached(peer->gone_at, from))
       return false;
   return true;
 }
 
-/* tells the other core machines who is alive, and says who is silent */
-static void spread_run(void *p) {
-  controller *controller = p;
-  time_us told = world_now(controller->node.world);
-  while (world_sleep_with_jitter(controller->node.world, time_from_ms(SWEEP_MS))) {
-    time_us now = world_now(controller->node.world);
-    if (registry_sweep(&controller->registry, now, all_reached(controller)))
-      condition_broadcast(&controller->registry_changed);
-    if (!time_reached(now,
-                      time_add(told, time_from_ms(CLAMP(SPREAD_MS * controllers(controller) / 4,
-                                                        SPREAD_MS, SPREAD_MOST_MS)))))
+/* The time between two batches of heartbeats. */
+static time_us batch_interval(const registry_sync *sync) {
+  int controllers = 0;
+  list_for_each (peer, &sync->node->peers, peer_node, link)
+    controllers += peer->role == ROLE_CONTROLLER && !peer->gone;
+  int interval_ms = BATCH_INTERVAL_MS * controllers / BATCH_INTERVAL_CONTROLLERS;
+  return time_from_ms(CLAMP(interval_ms, BATCH_INTERVAL_MS, BATCH_INTERVAL_MAX_MS));
+}
+
+/* Sends count, age and checksum of all engines whose heartbeats came here since the last batch. */
+static void broadcast_heartbeats(registry_sync *sync, time_us now) {
+  guint size = g_hash_table_size(sync->registry.engines), count = 0;
+  Wire__EngineState *messages = g_new(Wire__EngineState, size + 1);
+  Wire__EngineState **engines = g_new(Wire__EngineState *, size + 1);
+  GHashTableIter it;
+  gpointer value;
+  g_hash_table_iter_init(&it, sync->registry.engines);
+  while (g_hash_table_iter_next(&it, NULL, &value)) {
+    registered_engine *engine = value;
+    bool is_due = engine->unannounced && !engine->gone;
+    engine->unannounced = false;
+    if (!is_due)
       continue;
-    told = now;
-    guint n = g_hash_table_size(controller->registry.engines), i = 0;
-    Wire__EngineState *w = g_new(Wire__EngineState, n + 1),
-                      **all = g_new(Wire__EngineState *, n + 1);
-    GHashTableIter it;
-    gpointer q;
-    g_hash_table_iter_init(&it, controller->registry.engines);
-    while (g_hash_table_iter_next(&it, NULL, &q)) {
-      registered_engine *entry = q;
-      if (!entry->unannounced)
-        continue;
-      entry->unannounced = false;
-      if (entry->gone)
-        continue;
-      wire__engine_state__init(&w[i]);
-      w[i].id = entry->heartbeat->id;
-      w[i].heartbeat_count = entry->heartbeat_count;
-      w[i].checksum = entry->checksum;
-      w[i].age_ms = (uint64_t)MAX(0, time_sub(now, entry->last_heard_at).us / 1000);
-      all[i] = &w[i];
-      i++;
-    }
-    if (i)
-      cast(controller, ROLE_CONTROLLER, all, i);
-    g_free(w);
-    g_free(all);
+    engine_registry_pack_heartbeat(engine, now, &messages[count]);
+    engines[count] = &messages[count];
+    count++;
   }
+  if (count)
+    broadcast_engines(sync, ROLE_CONTROLLER, engines, count);
+  g_free(messages);
+  g_free(engines);
 }
 
-/* a young machine asks the others for all they have; where none can say, all that live must have
- * had time to beat */
-static void settle_run(void *p) {
-  controller *controller = p;
-  registry *registry = &controller->registry;
-  time_us from = world_now(controller->node.world);
+/* Task: checks engines for silence, and sends batches of heartbeats to the other controllers. */
+static void sweep_run(void *p) {
+  registry_sync *sync = p;
+  world *world = sync->node->world;
+  time_us batch_sent_at = world_now(world);
+  while (world_sleep_with_jitter(world, time_from_ms(SWEEP_INTERVAL_MS))) {
+    time_us now = world_now(world);
+    if (engine_registry_sweep(&sync->registry, now, reaches_all_controllers(sync)))
+      condition_broadcast(&sync->registry_changed);
+    if (!time_reached(now, time_add(batch_sent_at, batch_interval(sync))))
+      continue;
+    batch_sent_at = now;
+    broadcast_heartbeats(sync, now);
+  }
+}
+
+/* True when all live engines must have sent a heartbeat to a controller that started at an instant,
+ * so that its registry is complete without any other's. */
+static bool all_engines_have_reported(const registry_sync *sync, time_us started_at) {
+  const engine_registry *registry = &sync->registry;
+  bool hears_engines = registry->newest_heartbeat_at.us > started_at.us;
+  int64_t wait_ms =
+      hears_engines ? registry->silent_ms : registry->silent_ms * NO_HEARTBEATS_FACTOR;
+  return time_reached(world_now(sync->node->world), time_add(started_at, time_from_ms(wait_ms)));
+}
+
+/* Task: completes the registry of a controller that has started, with that of another one, or by
+ * waiting until all live engines have sent heartbeats. */
+static void complete_registry_run(void *p) {
+  registry_sync *sync = p;
+  time_us started_at = world_now(sync->node->world);
   for (;;) {
-    peer_node *peer = node_pick_peer(&controller->node, ROLE_CONTROLLER, NULL);
-    char addr[48] = "";
+    const peer_node *peer = node_pick_peer(sync->node, ROLE_CONTROLLER, NULL);
+    /* the peer may go while the task waits for its response */
+    char address[48] = "";
     if (peer)
-      g_strlcpy(addr, peer->address, sizeof addr);
-    time_us now = world_now(controller->node.world);
-    if (time_reached(now,
-                     time_add(from, time_from_ms(registry->newest_heartbeat_at.us > from.us
-                                                     ? registry->silent_ms
-                                                     : registry->silent_ms * NO_ANSWER_TIMES))) ||
-        (addr[0] && fetch_all(controller, addr)))
+      g_strlcpy(address, peer->address, sizeof address);
+    if (all_engines_have_reported(sync, started_at))
       break;
-    if (!world_sleep_with_jitter(controller->node.world, time_from_ms(250)))
+    if (address[0] && fetch_registry(sync, address))
+      break;
+    if (!world_sleep_with_jitter(sync->node->world, time_from_ms(INITIAL_FETCH_INTERVAL_MS)))
       return;
   }
-  registry_set_complete(registry);
-  condition_broadcast(&controller->registry_changed);
+  engine_registry_set_complete(&sync->registry);
+  condition_broadcast(&sync->registry_changed);
 }
 
-void registry_sync_init(controller *controller) {
-  condition_init(&controller->registry_changed);
+void registry_sync_init(registry_sync *sync, node *node, condition *polls_wakeup) {
+  sync->node = node;
+  sync->polls_wakeup = polls_wakeup;
+  condition_init(&sync->registry_changed);
   /* the run of a registry is that of its process */
-  registry_init(&controller->registry, controller->node.nonce, world_now(controller->node.world));
-  node_register_handler(&controller->node, WIRE__ENVELOPE__BODY_ENGINE_UPDATE, on_engines,
-                        controller);
+  engine_registry_init(&sync->registry, node->nonce, world_now(node->world));
+  node_register_handler(node, WIRE__ENVELOPE__BODY_ENGINE_UPDATE, handle_engine_update, sync);
+}
+
+void registry_sync_free(registry_sync *sync) {
+  engine_registry_free(&sync->registry);
 }
 
-void registry_sync_start(controller *controller) {
-  scheduler *t = &controller->node.world->tasks;
-  task_start(t, "lot", lot_run, controller);
-  task_start(t, "spread", spread_run, controller);
-  task_start(t, "settle", settle_run, controller);
+void registry_sync_start(registry_sync *sync) {
+  scheduler *tasks = &sync->node->world->tasks;
+  sync->is_started = true;
+  task_start(tasks, "wake polls", wake_polls_run, sync);
+  task_start(tasks, "sweep engines", sweep_run, sync);
+  task_start(tasks, "complete registry", complete_registry_run, sync);
 }
--- /dev/null
+++ b/lib/controlplane/reply_text.h
@@ -0,0 +1,8 @@
+/** Texts inside replies to messages of other processes. */
+#ifndef CONTROLPLANE_REPLY_TEXT_H
+#define CONTROLPLANE_REPLY_TEXT_H
+#include "node.h"
+
+/** A copy of a text that lasts until the reply is sent. */
+char *reply_copy_text(reply *reply, const char *text);
+#endif
--- /dev/null
+++ b/lib/controlplane/version_reports.c
@@ -0,0 +1,81 @@
+/** Which write each router has applied, as the routers report; see version_reports.h. */
+#include "version_reports.h"
+
+/** What a router has in force. */
+typedef struct reported_version {
+  /** The router's run; what an earlier run has reported does not count. */
+  uint64_t nonce;
+  uint64_t seq;
+} reported_version;
+
+/* The report of a router, made when there is none. */
+static reported_version *report_of(version_reports *reports, const char *router) {
+  reported_version *report = g_hash_table_lookup(reports->by_router, router);
+  if (!report) {
+    report = g_new0(reported_version, 1);
+    g_hash_table_insert(reports->by_router, g_strdup(router), report);
+  }
+  return report;
+}
+
+/* Handles VersionReport, which has no response. */
+static int handle_version_report(void *ctx, Wire__Envelope *in, reply *reply, error *err) {
+  version_reports *reports = ctx;
+  const Wire__VersionReport *message = in->version_report;
+  (void)reply;
+  (void)err;
+  if (!reports->replica->running || message->fleet_id != reports->replica->view.fleet_id ||
+      in->from->role != ROLE_ROUTER)
+    return OK;
+  reported_version *report = report_of(reports, in->from->id);
+  if (report->nonce == in->from->nonce && message->sequence <= report->seq)
+    return OK;
+  report->nonce = in->from->nonce;
+  report->seq = message->sequence;
+  condition_broadcast(&reports->changed);
+  return OK;
+}
+
+/* True when a router has reported a write, and neither restarted since nor is draining. */
+static bool router_has(const version_reports *reports, const peer_node *router, uint64_t seq) {
+  if (router->draining)
+    return false;
+  const reported_version *report = g_hash_table_lookup(reports->by_router, router->self.text);
+  return report && report->nonce == router->nonce && report->seq >= seq;
+}
+
+/* True when half of the known routers have a write in force; counts those that have it, and all. */
+static bool is_in_force(version_reports *reports, uint64_t seq, int *have, int *all) {
+  *have = 0;
+  *all = node_count_peers(reports->node, ROLE_ROUTER);
+  list_for_each (peer, &reports->node->peers, peer_node, link)
+    *have += peer->role == ROLE_ROUTER && router_has(reports, peer, seq);
+  return *have >= (*all + 1) / 2;
+}
+
+enum error_code version_reports_wait(version_reports *reports, uint64_t seq, time_us deadline,
+                                     error *err) {
+  /* Relaxed fleets have gateways: these hold a poll open and do not report, so that a write counts
+   * once the chain has committed it. */
+  if (reports->node->settings.relaxed)
+    return OK;
+  int have, all;
+  while (!is_in_force(reports, seq, &have, &all))
+    if (condition_wait(&reports->node->world->tasks, &reports->changed, deadline) != WAKE_SIGNALLED)
+      return error_set(err, E_TOO_FEW_ROUTERS,
+                       "write %" PRIu64 " stands, but only %d of %d routers have it in force yet",
+                       seq, have, all);
+  return OK;
+}
+
+void version_reports_init(version_reports *reports, node *node, replica *replica) {
+  reports->node = node;
+  reports->replica = replica;
+  reports->by_router = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+  condition_init(&reports->changed);
+  node_register_handler(node, WIRE__ENVELOPE__BODY_VERSION_REPORT, handle_version_report, reports);
+}
+
+void version_reports_free(version_reports *reports) {
+  g_hash_table_destroy(reports->by_router);
+}
--- a/tests/drain.c
+++ b/tests/drain.c
@@ -279,7 +279,7 @@
   if (condition_wait(&leaver->host->world.tasks, &controller->stopped, time_never()) !=
       WAKE_SIGNALLED)
     return;
-  leaver->left = controller->control_listener.pending_exchanges;
+  leaver->left = controller->control_listener.http.pending_exchanges;
   leaver->over = true;
 }
 
@@ -299,7 +299,7 @@
       reader *reader = &readers[i * READERS + k];
       *reader = (struct reader){ .world = &deployment->op_host->world };
       snprintf(reader->addr, sizeof reader->addr, "%.*s:%d", (int)strcspn(host->addr, ":"),
-               host->addr, host->controller->control_listener.port);
+               host->addr, host->controller->control_listener.http.port);
       task_start(&deployment->op_host->world.tasks, "reader", read_run, reader);
     }
     controller_drain(host->controller);
--- a/tests/fuzz.c
+++ b/tests/fuzz.c
@@ -203,8 +203,8 @@
     return deployment_done(deployment, 0);
   }
   const controller *controller = deployment->controllers[0]->host->controller;
-  snprintf(k.address, sizeof k.address, "%s:%d", controller->control_listener.ip,
-           controller->control_listener.port);
+  snprintf(k.address, sizeof k.address, "%s:%d", controller->control_listener.http.ip,
+           controller->control_listener.http.port);
   k.from = sim_host(deployment->sim, HOST_OTHER, "fuzzer", "north", "10.9.9.9:7660");
   host_start(k.from);
   task_start(&k.from->world.tasks, "control", control_run, &k);
--- a/tests/operators.c
+++ b/tests/operators.c
@@ -1,3 +1,4 @@
+#include "api_error.h"
 #include "doctor.h"
 #include "deployment.h"
 #include "tests.h"
@@ -178,9 +179,97 @@
   return ok;
 }
 
+/* Every code of base.h: its HTTP status at the operators' API and at the control listener. */
+static bool error_codes_have_http_statuses(fleet *fleet) {
+  static const struct {
+    int code, operators, control;
+  } expected[] = {
+    { E_STOPPING, 503, 503 },
+    { E_NO_RESPONSE, 504, 504 },
+    { E_PEER_GONE, 500, 503 },
+    { E_CONNECTION_LOST_AFTER_SEND, 500, 503 },
+    { E_NOT_CONNECTED, 500, 503 },
+    { E_SETTINGS_FILE, 500, 503 },
+    { E_SETTINGS_KEY, 500, 503 },
+    { E_SETTINGS_ADDRESS, 500, 503 },
+    { E_SETTINGS_SEEDS, 500, 503 },
+    { E_SETTINGS_DATA, 500, 503 },
+    { E_SETTINGS_ID, 500, 503 },
+    { E_LISTEN, 500, 503 },
+    { E_JSON, 400, 400 },
+    { E_TOO_LARGE, 413, 413 },
+    { E_FIELD, 400, 400 },
+    { E_TYPE, 400, 400 },
+    { E_NAME, 400, 400 },
+    { E_RANGE, 400, 400 },
+    { E_IF_MATCH, 400, 400 },
+    { E_VERSION_CONFLICT, 412, 412 },
+    { E_IDEMPOTENCY_KEY, 422, 400 },
+    { E_OUTCOME_UNKNOWN, 504, 504 },
+    { E_NOT_FOUND, 400, 404 },
+    { E_METHOD_NOT_ALLOWED, 400, 400 },
+    { E_NO_ENGINE_FITS, 400, 400 },
+    { E_TOO_FEW_ROUTERS, 504, 504 },
+    { E_ROUTING_STRUCTURE, 400, 400 },
+    { E_ROUTING_VERSION, 400, 400 },
+    { E_UNKNOWN_SERVICE, 400, 400 },
+    { E_DUPLICATE_ROUTE, 400, 400 },
+    { E_DUPLICATE_NAME, 400, 400 },
+    { E_ROUTE_WEIGHT, 400, 400 },
+    { E_ROUTE_TIMEOUT, 400, 400 },
+    { E_ROUTE_PREFIX, 400, 400 },
+    { E_ROUTE_MODE, 400, 400 },
+    { E_SPEC_RANGE, 400, 400 },
+    { E_STALE_VERSION, 400, 400 },
+    { E_ROUTING_PATCH, 400, 400 },
+    { E_LIMIT_RANGE, 400, 400 },
+    { E_CANARY_INVALID, 400, 400 },
+    { E_CANARY_RUNNING, 400, 400 },
+    { E_CANARY_NAME_REUSED, 400, 400 },
+    { E_CANARY_IMMUTABLE, 400, 400 },
+    { E_NO_CANARY, 400, 400 },
+    { E_WIRE_MESSAGE, 500, 503 },
+    { E_WIRE_VERSION, 500, 503 },
+    { E_STALE_EPOCH, 500, 503 },
+    { E_NO_MEMBER_LEASE, 503, 503 },
+    { E_VIEW_MISMATCH, 503, 503 },
+    { E_TOO_FEW_ZONES, 503, 503 },
+    { E_IN_PROGRESS, 500, 504 },
+    { E_DISK, 503, 503 },
+    { E_DISK_FULL, 503, 503 },
+    { E_DISK_SYNC, 500, 503 },
+    { E_BAD_RECORD, 500, 503 },
+    { E_NO_CONTROLLER, 503, 503 },
+    { E_UNKNOWN_MODEL, 500, 503 },
+    { E_QUEUE_FULL, 500, 503 },
+    { E_NO_CAPACITY, 500, 503 },
+    { E_LOAD_RATE_LIMITED, 500, 503 },
+    { E_NO_LEASE_HOLDER, 500, 503 },
+    { E_NO_ENGINE, 500, 503 },
+    { E_DEADLINE_EXCEEDED, 500, 503 },
+    { E_STREAM_BROKEN, 500, 503 },
+    { E_LOAD_SHED, 500, 503 },
+    { E_DRAINING, 500, 503 },
+    { E_ORDER_FAILED, 500, 503 },
+    { E_REJECTED_BY_RULE, 500, 503 },
+    { E_OVERLOADED, 503, 503 },
+    { E_ISOLATED, 500, 503 },
+    { E_MODEL_IN_USE, 500, 503 },
+  };
+  for (size_t i = 0; i < G_N_ELEMENTS(expected); i++) {
+    int operators = api_error_status(API_OPERATORS, expected[i].code);
+    int control = api_error_status(API_CONTROL, expected[i].code);
+    if (operators != expected[i].operators || control != expected[i].control)
+      violation(fleet, "code %d has status %d at the operators' API and %d at the control listener",
+                expected[i].code, operators, control);
+  }
+  return check_all(fleet);
+}
+
 const test_case operator_tests[] = {
   { "operators_write_routing_by_the_own_api", operators_write_routing_by_the_own_api, 4, 0, 50 },
   { "the_registry_is_a_page", the_registry_is_a_page, 3, 0, 34 },
   { "the_doctor_knows_gateways", the_doctor_knows_gateways, 4, 0, 50 },
+  { "error_codes_have_http_statuses", error_codes_have_http_statuses, 1, 0, 1 },
   { NULL, NULL, 0, 0, 0 }
 };
--- a/tests/registry.c
+++ b/tests/registry.c
@@ -5,7 +5,8 @@
 #include <stdio.h>
 #include <stdlib.h>
 
-/* the registry of engines, and what a configuration is decided to be, without a fleet around them
+/* the registry of engines, and what a configuration is decided to be, without a fleet around
+ * them
  */
 
 static Wire__EngineState beat_of(const char *who, const char *addr, uint64_t count, bool leaving) {
@@ -21,18 +22,18 @@
   return w;
 }
 
-static enum registry_update beat(registry *registry, const char *who, const char *addr,
+static enum registry_update beat(engine_registry *registry, const char *who, const char *addr,
                                  uint64_t count, bool leaving, int64_t ms) {
   Wire__EngineState w = beat_of(who, addr, count, leaving);
-  return registry_heartbeat(registry, &w, time_from_ms(ms));
+  return engine_registry_heartbeat(registry, &w, time_from_ms(ms));
 }
 
 /* what one core machine tells another of an engine */
-static enum registry_update pass(registry *to, const registry *from, const char *who, bool whole,
-                                 int64_t ms) {
+static enum registry_update pass(engine_registry *to, const engine_registry *from, const char *who,
+                                 bool whole, int64_t ms) {
   Wire__EngineState w = WIRE__ENGINE_STATE__INIT;
-  registered_engine *entry = registry_find(from, who);
-  registry_pack_engine(entry, time_from_ms(ms), &w);
+  registered_engine *entry = engine_registry_find(from, who);
+  engine_registry_pack_engine(entry, time_from_ms(ms), &w);
   if (!whole) {
     Wire__EngineState s = WIRE__ENGINE_STATE__INIT;
     s.id = w.id;
@@ -41,7 +42,7 @@
     s.age_ms = w.age_ms;
     w = s;
   }
-  return registry_merge(to, &w, time_from_ms(ms));
+  return engine_registry_merge(to, &w, time_from_ms(ms));
 }
 
 static void expect(fleet *fleet, bool is, const char *what) {
@@ -49,16 +50,16 @@
     violation(fleet, "registry: %s", what);
 }
 
-static guint since(registry *registry, uint64_t run, uint64_t seq, bool *whole) {
-  GPtrArray *all = registry_changed_since(registry, run, seq, whole);
+static guint since(engine_registry *registry, uint64_t run, uint64_t seq, bool *whole) {
+  GPtrArray *all = engine_registry_changed_since(registry, run, seq, whole);
   guint n = all->len;
   g_ptr_array_free(all, TRUE);
   return n;
 }
 
 static bool beats_come_late(fleet *fleet) {
-  registry r;
-  registry_init(&r, 7, time_from_ms(1000));
+  engine_registry r;
+  engine_registry_init(&r, 7, time_from_ms(1000));
   expect(fleet, beat(&r, "e1", "10.0.0.1:80", 3, false, 1000) == REGISTRY_CHANGED,
          "the first beat is no change");
   expect(fleet, beat(&r, "e1", "10.0.0.1:80", 4, false, 2000) == REGISTRY_ALIVE,
@@ -68,7 +69,7 @@
          "a lower count is not late");
   expect(fleet, beat(&r, "e1", "10.0.0.9:80", 4, false, 2100) == REGISTRY_STALE,
          "an equal count is not late");
-  registered_engine *entry = registry_find(&r, "e1");
+  registered_engine *entry = engine_registry_find(&r, "e1");
   expect(fleet,
          r.seq == seq && !strcmp(entry->heartbeat->address, "10.0.0.1:80") &&
              entry->last_heard_at.us == time_from_ms(2000).us,
@@ -79,55 +80,56 @@
   Wire__EngineState w = beat_of("e1", "10.0.0.1:80", 5, false);
   w.n_models = 1;
   w.models = &ms;
-  expect(fleet, registry_heartbeat(&r, &w, time_from_ms(3000)) == REGISTRY_CHANGED,
+  expect(fleet, engine_registry_heartbeat(&r, &w, time_from_ms(3000)) == REGISTRY_CHANGED,
          "a model that came is no change");
   w.heartbeat_count = 6;
-  expect(fleet, registry_heartbeat(&r, &w, time_from_ms(4000)) == REGISTRY_ALIVE,
+  expect(fleet, engine_registry_heartbeat(&r, &w, time_from_ms(4000)) == REGISTRY_ALIVE,
          "the same models are a change");
   m.weights_version = 2;
   w.heartbeat_count = 7;
-  expect(fleet, registry_heartbeat(&r, &w, time_from_ms(5000)) == REGISTRY_CHANGED,
+  expect(fleet, engine_registry_heartbeat(&r, &w, time_from_ms(5000)) == REGISTRY_CHANGED,
          "other weights are no change");
-  expect(fleet, registry_find(&r, "e1")->heartbeat->models[0]->weights_version == 2,
+  expect(fleet, engine_registry_find(&r, "e1")->heartbeat->models[0]->weights_version == 2,
          "other weights were not kept");
-  registry_free(&r);
+  engine_registry_free(&r);
   return true;
 }
 
 static bool leaving_is_for_good(fleet *fleet) {
-  registry r;
-  registry_init(&r, 7, time_from_ms(0));
+  engine_registry r;
+  engine_registry_init(&r, 7, time_from_ms(0));
   beat(&r, "e1", "10.0.0.1:80", 1, false, 1000);
   Wire__EngineState w = beat_of("e1", "10.0.0.1:80", 2, true);
   w.ends_in_ms = 5000;
-  expect(fleet, registry_heartbeat(&r, &w, time_from_ms(2000)) == REGISTRY_DRAINING,
+  expect(fleet, engine_registry_heartbeat(&r, &w, time_from_ms(2000)) == REGISTRY_DRAINING,
          "leaving is no news");
   Wire__EngineState said = WIRE__ENGINE_STATE__INIT;
-  registry_pack_engine(registry_find(&r, "e1"), time_from_ms(3000), &said);
+  engine_registry_pack_engine(engine_registry_find(&r, "e1"), time_from_ms(3000), &said);
   expect(fleet, said.draining && !said.gone && said.age_ms == 1000 && said.ends_in_ms == 5000,
          "the time left does not count from the beat");
   expect(fleet,
          beat(&r, "e1", "10.0.0.1:80", 3, false, 4000) == REGISTRY_ALIVE &&
-             registry_find(&r, "e1")->draining,
+             engine_registry_find(&r, "e1")->draining,
          "an engine came back from leaving");
   expect(fleet,
-         registry_sign_off(&r, "e1", time_from_ms(5000)) == REGISTRY_DRAINING &&
-             registry_sign_off(&r, "e1", time_from_ms(5100)) == REGISTRY_STALE,
+         engine_registry_sign_off(&r, "e1", time_from_ms(5000)) == REGISTRY_DRAINING &&
+             engine_registry_sign_off(&r, "e1", time_from_ms(5100)) == REGISTRY_STALE,
          "a sign-off is no news, or news twice");
   for (uint64_t i = 4; i < 20; i++)
     expect(fleet, beat(&r, "e1", "10.0.0.1:80", i, false, 6000 + (int64_t)i) == REGISTRY_STALE,
            "a beat revives an engine that signed off");
   /* and one that was never heard of */
   expect(fleet,
-         registry_sign_off(&r, "e2", time_from_ms(7000)) == REGISTRY_DRAINING &&
+         engine_registry_sign_off(&r, "e2", time_from_ms(7000)) == REGISTRY_DRAINING &&
              beat(&r, "e2", "10.0.0.2:80", 9, false, 7100) == REGISTRY_STALE,
          "a beat before its sign-off revives an engine");
   /* others are told, and hold to it */
-  registry o;
-  registry_init(&o, 8, time_from_ms(0));
+  engine_registry o;
+  engine_registry_init(&o, 8, time_from_ms(0));
   beat(&o, "e1", "10.0.0.1:80", 30, false, 7000);
   expect(fleet,
-         pass(&o, &r, "e1", true, 8000) == REGISTRY_DRAINING && registry_find(&o, "e1")->signed_off,
+         pass(&o, &r, "e1", true, 8000) == REGISTRY_DRAINING &&
+             engine_registry_find(&o, "e1")->signed_off,
          "a sign-off is not passed on over a younger beat");
   expect(fleet,
          pass(&o, &r, "e2", true, 8000) == REGISTRY_DRAINING &&
@@ -136,85 +138,87 @@
   bool whole;
   expect(fleet, since(&o, 8, 0, &whole) == 2, "those who end are not in the changes");
   /* a tombstone ends by itself, and those who lack it get the whole */
-  registry_set_complete(&o);
+  engine_registry_set_complete(&o);
   beat(&o, "e4", "10.0.0.4:80", 1, false, 8500);
   uint64_t known = o.seq;
-  registry_sign_off(&o, "e4", time_from_ms(8600));
+  engine_registry_sign_off(&o, "e4", time_from_ms(8600));
   uint64_t seq = o.seq;
   beat(&o, "e3", "10.0.0.3:80", 1, false, 9000);
   for (int64_t t = 9000; t < 70000; t += 250) {
     if (t % 1000 == 0)
       beat(&o, "e3", "10.0.0.3:80", 2 + (uint64_t)t, false, t);
-    registry_sweep(&o, time_from_ms(t), true);
+    engine_registry_sweep(&o, time_from_ms(t), true);
   }
-  expect(fleet, !registry_find(&o, "e1") && registry_find(&o, "e3"), "a tombstone stands for ever");
+  expect(fleet, !engine_registry_find(&o, "e1") && engine_registry_find(&o, "e3"),
+         "a tombstone stands for ever");
   expect(fleet, since(&o, 8, seq, &whole) == 1 && !whole,
          "changes since a number are not just those");
   expect(fleet, since(&o, 8, known, &whole) == 1 && whole,
          "one who lacks what was forgotten does not get the whole");
-  registry_free(&r);
-  registry_free(&o);
+  engine_registry_free(&r);
+  engine_registry_free(&o);
   return true;
 }
 
 static bool addresses_are_used_again(fleet *fleet) {
-  registry r;
-  registry_init(&r, 7, time_from_ms(0));
+  engine_registry r;
+  engine_registry_init(&r, 7, time_from_ms(0));
   beat(&r, "e1", "10.0.0.1:80", 1, false, 1000);
   beat(&r, "e2", "10.0.0.2:80", 1, false, 1000);
   expect(fleet,
          beat(&r, "e3", "10.0.0.1:80", 1, false, 3000) == REGISTRY_CHANGED &&
-             registry_find(&r, "e1")->gone && !registry_find(&r, "e2")->gone,
+             engine_registry_find(&r, "e1")->gone && !engine_registry_find(&r, "e2")->gone,
          "an address has two engines");
   expect(fleet,
          beat(&r, "e1", "10.0.0.1:80", 1, false, 3100) == REGISTRY_STALE &&
-             registry_find(&r, "e1")->gone,
+             engine_registry_find(&r, "e1")->gone,
          "a late beat takes an address back");
   /* old word by way of another machine changes nothing */
-  registry o;
-  registry_init(&o, 8, time_from_ms(0));
+  engine_registry o;
+  engine_registry_init(&o, 8, time_from_ms(0));
   beat(&o, "e1", "10.0.0.1:80", 2, false, 2000);
   pass(&r, &o, "e1", true, 3500);
-  expect(fleet, registry_find(&r, "e1")->gone && !registry_find(&r, "e3")->gone,
+  expect(fleet, engine_registry_find(&r, "e1")->gone && !engine_registry_find(&r, "e3")->gone,
          "old word takes an address back");
   /* word of one that ended, come where the new one is known and it never was */
-  registry y;
-  registry_init(&y, 9, time_from_ms(0));
+  engine_registry y;
+  engine_registry_init(&y, 9, time_from_ms(0));
   beat(&y, "e3", "10.0.0.1:80", 2, false, 3600);
   pass(&y, &o, "e1", true, 3700);
-  expect(fleet, registry_find(&y, "e1")->gone && !registry_find(&y, "e3")->gone,
+  expect(fleet, engine_registry_find(&y, "e1")->gone && !engine_registry_find(&y, "e3")->gone,
          "word of an engine that ended takes an address");
-  registry_free(&r);
-  registry_free(&o);
-  registry_free(&y);
+  engine_registry_free(&r);
+  engine_registry_free(&o);
+  engine_registry_free(&y);
   return true;
 }
 
 static bool engines_fall_silent(fleet *fleet) {
-  registry r;
-  registry_init(&r, 7, time_from_ms(0));
+  engine_registry r;
+  engine_registry_init(&r, 7, time_from_ms(0));
   for (int64_t t = 0; t <= 20000; t += 250) {
     if (t % 1000 == 0)
       beat(&r, "e1", "10.0.0.1:80", (uint64_t)t + 1, false, t);
     if (t % 1000 == 0 && t <= 5000)
       beat(&r, "e2", "10.0.0.2:80", (uint64_t)t + 1, false, t);
-    registry_sweep(&r, time_from_ms(t), true);
+    engine_registry_sweep(&r, time_from_ms(t), true);
     if (t == 12750)
-      expect(fleet, !registry_find(&r, "e2")->gone, "an engine is gone too soon");
+      expect(fleet, !engine_registry_find(&r, "e2")->gone, "an engine is gone too soon");
     if (t == 13250)
-      expect(fleet, registry_find(&r, "e2")->gone, "a silent engine is not gone");
+      expect(fleet, engine_registry_find(&r, "e2")->gone, "a silent engine is not gone");
   }
-  registered_engine *entry = registry_find(&r, "e2");
+  registered_engine *entry = engine_registry_find(&r, "e2");
   expect(fleet,
-         entry->gone && !entry->draining && !entry->signed_off && !registry_find(&r, "e1")->gone,
+         entry->gone && !entry->draining && !entry->signed_off &&
+             !engine_registry_find(&r, "e1")->gone,
          "silence is for good, or another's");
   expect(fleet,
          beat(&r, "e2", "10.0.0.2:80", 30000, false, 20100) == REGISTRY_CHANGED &&
-             !registry_find(&r, "e2")->gone,
+             !engine_registry_find(&r, "e2")->gone,
          "a beat does not end silence");
   /* heard by another machine is heard */
-  registry o;
-  registry_init(&o, 8, time_from_ms(0));
+  engine_registry o;
+  engine_registry_init(&o, 8, time_from_ms(0));
   pass(&o, &r, "e1", true, 20100);
   pass(&o, &r, "e2", true, 20100);
   for (int64_t t = 20250; t <= 40000; t += 250) {
@@ -223,51 +227,53 @@
       expect(fleet, pass(&o, &r, "e1", false, t + 10) == REGISTRY_ALIVE,
              "a sign of life is not taken");
     }
-    registry_sweep(&o, time_from_ms(t), true);
+    engine_registry_sweep(&o, time_from_ms(t), true);
   }
-  expect(fleet, !registry_find(&o, "e1")->gone && registry_find(&o, "e2")->gone,
+  expect(fleet, !engine_registry_find(&o, "e1")->gone && engine_registry_find(&o, "e2")->gone,
          "what another machine hears does not count");
   expect(fleet,
-         pass(&o, &r, "e2", false, 40000) == REGISTRY_NEEDS_FETCH || registry_find(&o, "e2")->gone,
+         pass(&o, &r, "e2", false, 40000) == REGISTRY_NEEDS_FETCH ||
+             engine_registry_find(&o, "e2")->gone,
          "old word ends silence");
   /* while another core machine is out of reach, silence takes longer to count */
-  registry c;
-  registry_init(&c, 9, time_from_ms(0));
+  engine_registry c;
+  engine_registry_init(&c, 9, time_from_ms(0));
   beat(&c, "e3", "10.0.0.3:80", 1, false, 0);
   for (int64_t t = 250; t <= 28000; t += 250) {
     if (t % 1000 == 0)
       beat(&c, "e4", "10.0.0.4:80", (uint64_t)t, false, t);
-    registry_sweep(&c, time_from_ms(t), false);
+    engine_registry_sweep(&c, time_from_ms(t), false);
     if (t == 20000)
-      expect(fleet, !registry_find(&c, "e3")->gone, "who may be heard elsewhere is gone");
+      expect(fleet, !engine_registry_find(&c, "e3")->gone, "who may be heard elsewhere is gone");
   }
-  expect(fleet, registry_find(&c, "e3")->gone && !registry_find(&c, "e4")->gone,
+  expect(fleet, engine_registry_find(&c, "e3")->gone && !engine_registry_find(&c, "e4")->gone,
          "silence counts never, or another's");
-  registry_free(&c);
+  engine_registry_free(&c);
   /* a process that slept, or is cut off from all, judges nobody */
-  registry_sweep(&o, time_from_ms(90000), true);
-  registry_sweep(&o, time_from_ms(90250), true);
-  expect(fleet, !registry_find(&o, "e1")->gone, "a process that slept says that others are silent");
+  engine_registry_sweep(&o, time_from_ms(90000), true);
+  engine_registry_sweep(&o, time_from_ms(90250), true);
+  expect(fleet, !engine_registry_find(&o, "e1")->gone,
+         "a process that slept says that others are silent");
   for (int64_t t = 90500; t <= 120000; t += 250)
-    registry_sweep(&o, time_from_ms(t), true);
-  expect(fleet, !registry_find(&o, "e1")->gone,
+    engine_registry_sweep(&o, time_from_ms(t), true);
+  expect(fleet, !engine_registry_find(&o, "e1")->gone,
          "a process that hears nothing says that others are silent");
-  registry_free(&r);
-  registry_free(&o);
+  engine_registry_free(&r);
+  engine_registry_free(&o);
   return true;
 }
 
 static bool registries_tell_each_other(fleet *fleet) {
-  registry a, b;
+  engine_registry a, b;
   bool whole;
-  registry_init(&a, 7, time_from_ms(0));
-  registry_init(&b, 8, time_from_ms(0));
+  engine_registry_init(&a, 7, time_from_ms(0));
+  engine_registry_init(&b, 8, time_from_ms(0));
   beat(&a, "e1", "10.0.0.1:80", 1, false, 1000);
   expect(fleet, pass(&b, &a, "e1", false, 1100) == REGISTRY_NEEDS_FETCH,
          "a sign of life of an engine that is not known does not make one ask");
   expect(fleet,
          pass(&b, &a, "e1", true, 1200) == REGISTRY_CHANGED &&
-             registry_find(&b, "e1")->last_heard_at.us == time_from_ms(1000).us,
+             engine_registry_find(&b, "e1")->last_heard_at.us == time_from_ms(1000).us,
          "the time of a beat is not passed on");
   /* a cast that was lost shows in the sum */
   beat(&a, "e1", "10.0.0.1:81", 2, false, 2000);
@@ -275,13 +281,13 @@
          "a lost change does not show");
   expect(fleet,
          pass(&b, &a, "e1", true, 2200) == REGISTRY_CHANGED &&
-             !strcmp(registry_find(&b, "e1")->heartbeat->address, "10.0.0.1:81"),
+             !strcmp(engine_registry_find(&b, "e1")->heartbeat->address, "10.0.0.1:81"),
          "a lost change is not made good");
   expect(fleet, pass(&b, &a, "e1", true, 2300) == REGISTRY_ALIVE, "the same word is a change");
   /* a young registry is not the whole */
   expect(fleet, since(&b, 0, 0, &whole) == 1 && !whole, "a young registry calls itself whole");
   uint64_t had = b.seq;
-  registry_set_complete(&b);
+  engine_registry_set_complete(&b);
   expect(fleet, since(&b, 8, had, &whole) == 1 && whole,
          "who has a part does not get the whole once there is one");
   expect(fleet, since(&b, 8, b.seq, &whole) == 0 && !whole, "who has all gets it again");
@@ -289,8 +295,8 @@
          "one who knew another run does not get the whole");
   beat(&b, "e2", "10.0.0.2:80", 1, false, 3000);
   expect(fleet, since(&b, 8, b.seq - 1, &whole) == 1 && !whole, "a change is not told by itself");
-  registry_free(&a);
-  registry_free(&b);
+  engine_registry_free(&a);
+  engine_registry_free(&b);
   return true;
 }
 
@@ -570,7 +576,7 @@
     sim_run(fleet->sim, time_from_ms(1200));
   }
   for (int i = 0; i < 3; i++)
-    if (!registry_find(&fleet->controller[i]->controller->registry, "e1"))
+    if (!engine_registry_find(&fleet->controller[i]->controller->registry_sync.registry, "e1"))
       violation(fleet, "%s does not know of an engine", fleet->controller[i]->self.text);
   for (int i = 0; i < fleet->routers; i++)
     if (!last_of(fleet->router[i], "e1") || !last_of(fleet->router[i], "e2"))
@@ -605,8 +611,8 @@
     beat_at(fleet, fleet->controller[(int)sim_draw(fleet->sim, 3)], "e2", "10.0.0.2:80", 20 + i,
             "ready");
   }
-  registered_engine *entry = registry_find(&host->controller->registry, "e1");
-  if (!entry || !entry->draining || !host->controller->registry.complete)
+  registered_engine *entry = engine_registry_find(&host->controller->registry_sync.registry, "e1");
+  if (!entry || !entry->draining || !host->controller->registry_sync.registry.is_complete)
     violation(fleet, "%s does not know again that an engine leaves", host->self.text);
   if (beat_at(fleet, host, "e1", "10.0.0.1:80", 12, "off") != 200)
     violation(fleet, "a sign-off is not taken");
@@ -617,7 +623,8 @@
                 fleet->router[i]->self.text);
   for (int i = 0; i < 3; i++) {
     beat_at(fleet, fleet->controller[i], "e1", "10.0.0.1:80", 30 + i, "ready");
-    if (!registry_find(&fleet->controller[i]->controller->registry, "e1")->signed_off)
+    if (!engine_registry_find(&fleet->controller[i]->controller->registry_sync.registry, "e1")
+             ->signed_off)
       violation(fleet, "a late beat revives an engine");
   }
   /* one that only falls silent is gone, and back with its next beat */
@@ -626,8 +633,9 @@
     sim_run(fleet->sim, time_from_ms(1000));
   }
   for (int i = 0; i < 3; i++)
-    if (!registry_find(&fleet->controller[i]->controller->registry, "e2")->gone ||
-        registry_find(&fleet->controller[i]->controller->registry, "e3")->gone)
+    if (!engine_registry_find(&fleet->controller[i]->controller->registry_sync.registry, "e2")
+             ->gone ||
+        engine_registry_find(&fleet->controller[i]->controller->registry_sync.registry, "e3")->gone)
       violation(fleet, "%s does not know who is silent", fleet->controller[i]->self.text);
   for (int i = 0; i < fleet->routers; i++)
     if (!last_of(fleet->router[i], "e2")->gone || last_of(fleet->router[i], "e2")->leaving)
