--- a/lib/controlplane/api_error.c
+++ b/lib/controlplane/api_error.c
@@ -2,17 +2,6 @@
 #include "api_error.h"
 #include "node.h"
 
-enum {
-  HTTP_BAD_REQUEST = 400,
-  HTTP_NOT_FOUND = 404,
-  HTTP_PRECONDITION_FAILED = 412,
-  HTTP_CONTENT_TOO_LARGE = 413,
-  HTTP_UNPROCESSABLE = 422,
-  HTTP_SERVER_ERROR = 500,
-  HTTP_UNAVAILABLE = 503,
-  HTTP_GATEWAY_TIMEOUT = 504
-};
-
 /* Codes from the first to before the second one are faults of the request itself. */
 enum { REQUEST_FAULTS_FIRST = E_JSON, REQUEST_FAULTS_END = E_WIRE_MESSAGE };
 
@@ -22,7 +11,7 @@
 /* Codes whose status differs from the default of their interface. */
 static const struct {
   int code;
-  int status[API_INTERFACE_COUNT];
+  enum http_status status[API_INTERFACE_COUNT];
 } statuses[] = {
   { E_VERSION_CONFLICT, { HTTP_PRECONDITION_FAILED, HTTP_PRECONDITION_FAILED } },
   { E_TOO_LARGE, { HTTP_CONTENT_TOO_LARGE, HTTP_CONTENT_TOO_LARGE } },
@@ -50,9 +39,10 @@
 /* Codes that are neither in the table nor faults of the request. At the operators' API they are
  * faults of ours, for a person to look at; callers of the control listener are programs that
  * retry, and are asked to. */
-static const int default_status[API_INTERFACE_COUNT] = { HTTP_SERVER_ERROR, HTTP_UNAVAILABLE };
+static const enum http_status default_status[API_INTERFACE_COUNT] = { HTTP_SERVER_ERROR,
+                                                                      HTTP_UNAVAILABLE };
 
-int api_error_status(enum api_interface interface, int code) {
+enum http_status api_error_status(enum api_interface interface, int code) {
   for (size_t i = 0; i < G_N_ELEMENTS(statuses); i++)
     if (statuses[i].code == code)
       return statuses[i].status[interface];
@@ -62,7 +52,7 @@
 }
 
 void api_error_respond(http_request *request, int code, const char *text) {
-  int status = api_error_status(API_OPERATORS, code);
+  enum http_status status = api_error_status(API_OPERATORS, code);
   if (status == HTTP_UNAVAILABLE)
     http_headers_set(&request->known_response_fields, HEADER_RETRY_AFTER, retry_after_s);
   http_respond_error(request, status, code, text);
--- a/lib/controlplane/api_error.h
+++ b/lib/controlplane/api_error.h
@@ -4,6 +4,7 @@
  * table in api_error.c lists these differences. */
 #ifndef CONTROLPLANE_API_ERROR_H
 #define CONTROLPLANE_API_ERROR_H
+#include "http_status.h"
 #include "world.h"
 
 /** The HTTP interfaces of a controller. */
@@ -16,7 +17,7 @@
 };
 
 /** The HTTP status of an error code (enum error_code, not OK) at an interface. */
-int api_error_status(enum api_interface interface, int code);
+enum http_status api_error_status(enum api_interface interface, int code);
 /** Responds with an error at the operators' API; with Retry-After when its status is 503. */
 void api_error_respond(http_request *request, int code, const char *text);
 #endif
--- a/lib/controlplane/config_api.c
+++ b/lib/controlplane/config_api.c
@@ -4,13 +4,11 @@
 #include <stdio.h>
 
 enum {
-  /** Longest wait for a controller that may answer, in ms: callers give up after one second, and an
-   * answer takes its time as well. */
+  /** Longest wait for a controller that may answer, in ms: a response is promised within one
+   * second, and a decision needs a part of it. */
   FIND_CONTROLLER_TIMEOUT_MS = 600,
   /** How often it is looked for, in ms: leases and membership change without a broadcast. */
-  FIND_CONTROLLER_INTERVAL_MS = 50,
-  HTTP_OK = 200,
-  HTTP_TEMPORARY_REDIRECT = 307
+  FIND_CONTROLLER_INTERVAL_MS = 50
 };
 
 /** The end of the chain that answers a request. */
--- a/lib/controlplane/config_poll.c
+++ b/lib/controlplane/config_poll.c
@@ -3,8 +3,8 @@
 #include "reply_text.h"
 
 enum {
-  /** How long a poll is held open, in ms: shorter than the time for which a node trusts a
-   * confirmation. */
+  /** How long a poll is held open, in ms: well below CONFIRMATION_VALID_MS, the time for which a
+   * node trusts a confirmation. */
   POLL_HOLD_MS = 500,
   /** The same with relaxed settings, under which nodes serve on without confirmations. */
   POLL_HOLD_RELAXED_MS = 1000,
--- a/lib/controlplane/config_writer.c
+++ b/lib/controlplane/config_writer.c
@@ -8,9 +8,7 @@
 enum {
   /** Longest time for a write to be committed and in force, in ms; the callers that wait for it
    * have been answered long before. */
-  WRITE_TIMEOUT_MS = 5000,
-  /** HTTP statuses from here on do not tell a caller that its request is at fault. */
-  HTTP_SERVER_ERROR_FIRST = 500
+  WRITE_TIMEOUT_MS = 5000
 };
 
 /* The version of a text; the last one is cached. */
@@ -114,7 +112,7 @@
   if (!code && write->was_accepted_before && !wait_committed(write, write->seq, deadline))
     return error_set(&write->err, E_OUTCOME_UNKNOWN,
                      "the first try of this order is not confirmed yet");
-  bool is_refusal = code && api_error_status(API_CONTROL, code) < HTTP_SERVER_ERROR_FIRST;
+  bool is_refusal = code && api_error_status(API_CONTROL, code) < HTTP_SERVER_ERROR;
   if (is_refusal && write->is_decided && !wait_committed(write, write->decided_at_seq, deadline))
     return error_set(&write->err, E_NO_CONTROLLER,
                      "another order is under way; nothing was written");
--- a/lib/controlplane/config_writer.h
+++ b/lib/controlplane/config_writer.h
@@ -11,8 +11,8 @@
 #include "dialect.h"
 #include "version_reports.h"
 
-/** Longest time from the receipt of a request to its response, in ms: callers give up after one
- * second. A change that has not been decided on by then is not written. */
+/** Longest time from the receipt of a request to its response, in ms: the interface promises one
+ * within one second. A change that has not been decided on by then is not written. */
 enum { CONFIG_RESPONSE_TIMEOUT_MS = 850 };
 
 typedef struct config_writer {
--- a/lib/controlplane/control_listener.c
+++ b/lib/controlplane/control_listener.c
@@ -9,8 +9,7 @@
   HEADER_MAX_BYTES = 16384,
   /** How long a caller may take to send a header, and be idle between requests, in ms. */
   HEADER_TIMEOUT_MS = 3000,
-  IDLE_TIMEOUT_MS = 15000,
-  HTTP_OK = 200
+  IDLE_TIMEOUT_MS = 15000
 };
 
 /* Tells whether this controller is ready to serve. */
--- a/lib/controlplane/control_response.c
+++ b/lib/controlplane/control_response.c
@@ -2,12 +2,10 @@
 #include "control_response.h"
 #include "api_error.h"
 
-enum { HTTP_UNAVAILABLE = 503 };
-
 /* After a 503 a caller may retry as soon as another controller may have become head. */
 static const char retry_after_s[] = "0.3";
 
-void control_respond_json(const dialect *dialect, http_request *request, int status,
+void control_respond_json(const dialect *dialect, http_request *request, enum http_status status,
                           string_view text) {
   json *value = json_parse(text, NULL);
   if (!value) {
@@ -28,8 +26,8 @@
   return request->response_fields;
 }
 
-void control_respond_error_status(const dialect *dialect, http_request *request, int status,
-                                  int code, const char *text) {
+void control_respond_error_status(const dialect *dialect, http_request *request,
+                                  enum http_status status, int code, const char *text) {
   GString *body = g_string_new(NULL);
   json_appendf(body, "{\"code\":%d,\"error\":", code);
   json_append_quoted(body, string_view_of(text));
@@ -40,7 +38,7 @@
 
 void control_respond_error(const dialect *dialect, http_request *request, int code,
                            const char *text) {
-  int status = api_error_status(API_CONTROL, code);
+  enum http_status status = api_error_status(API_CONTROL, code);
   if (status == HTTP_UNAVAILABLE)
     fields_add(control_response_fields(request), "Retry-After", string_view_of(retry_after_s));
   control_respond_error_status(dialect, request, status, code, text);
--- a/lib/controlplane/engine_heartbeat_api.c
+++ b/lib/controlplane/engine_heartbeat_api.c
@@ -2,8 +2,6 @@
 #include "engine_heartbeat_api.h"
 #include "control_response.h"
 
-enum { HTTP_OK = 200, HTTP_BAD_REQUEST = 400 };
-
 /** Whole numbers up to this one, 2^53, are exact in JSON. */
 static const double exact_number_max = 9007199254740992.0;
 /** Upper bounds on numbers of a heartbeat, far above any sensible value. */
--- a/lib/controlplane/operator_api.c
+++ b/lib/controlplane/operator_api.c
@@ -5,8 +5,6 @@
 #include "controller_status.h"
 #include "request_forwarding.h"
 
-enum { HTTP_OK = 200, HTTP_NOT_FOUND = 404, HTTP_METHOD_NOT_ALLOWED = 405 };
-
 static const char resource_path_prefix[] = "/v1/";
 
 /** A page that this controller writes out of what it knows. */
--- a/lib/controlplane/resource_api.c
+++ b/lib/controlplane/resource_api.c
@@ -18,10 +18,7 @@
   /** Longest idempotency key, in bytes; see idempotency_record. */
   IDEMPOTENCY_KEY_MAX = 79,
   /** Query parameters that are looked at; there is one so far. */
-  QUERY_PARAMETERS_MAX = 8,
-  HTTP_OK = 200,
-  HTTP_NOT_MODIFIED = 304,
-  HTTP_METHOD_NOT_ALLOWED = 405
+  QUERY_PARAMETERS_MAX = 8
 };
 
 static_assert(IDEMPOTENCY_KEY_MAX < sizeof(((idempotency_record *)NULL)->key),
--- a/lib/controlplane/routing_text_cache.h
+++ b/lib/controlplane/routing_text_cache.h
@@ -7,8 +7,8 @@
 #define CONTROLPLANE_ROUTING_TEXT_CACHE_H
 #include "base.h"
 
-/** How many versions are cached: a node polls at least twice a second, so one that is further
- * behind has missed several changes, and is sent the full text. */
+/** How many versions are cached. Nodes poll without a break, so one that is further behind has
+ * missed several changes, and is sent the full text. */
 enum { ROUTING_TEXTS_CACHED = 4 };
 
 /** One version of the text. */
