--- a/tests/operators.c
+++ b/tests/operators.c
@@ -1,11 +1,11 @@
+/** Tests of the operators' API in a fleet of gateways, and of the doctor's findings about gateways.
+ */
 #include "api_error.h"
 #include "doctor.h"
 #include "deployment.h"
 #include "tests.h"
 #include <stdio.h>
 
-/* what operators of gateways do by the own API, and what the doctor says of gateways */
-
 static bool is_revision(sim *sim, void *p) {
   (void)sim;
   deployment *deployment = p;
@@ -16,8 +16,8 @@
   return true;
 }
 
-/* a call to the operators' API of any controller; says the status, and looks for a code in the
- * answer */
+/* Calls the operators' API of any controller. Returns the status, and checks the error code of the
+ * response unless `code` is 0. */
 static int api(deployment *deployment, const char *verb, const char *path, const char *text,
                int code) {
   op_call *call = fleet_call(
@@ -47,7 +47,7 @@
   deployment->version = 3;
   if (!sim_until(deployment->sim, is_revision, deployment, time_from_ms(APPLY_MS)))
     violation(fleet, "the routing is not in force within %d ms", APPLY_MS);
-  /* never back, never one that is no whole */
+  /* neither an older version nor an invalid one is accepted */
   if (api(deployment, "PUT", "/v1/routing", old, E_STALE_VERSION) != 400)
     violation(fleet, "an older version was taken");
   if (api(deployment, "PUT", "/v1/routing", bad, E_UNKNOWN_SERVICE) != 400)
@@ -99,8 +99,9 @@
   return ok;
 }
 
-static bool the_doctor_knows_gateways(fleet *fleet) {
-  deployment *deployment = deployment_new(fleet, 4, 2);
+/* The doctor's findings without a configuration, and with the first one. */
+static void doctor_at_start(deployment *deployment) {
+  fleet *fleet = deployment->base;
   list_for_each (h, &deployment->sim->hosts, host, link)
     host_start(h);
   sim_run(deployment->sim, time_from_ms(4000));
@@ -111,8 +112,12 @@
     violation(fleet, "the first configuration was not taken");
   g_free(text);
   sim_run(deployment->sim, time_from_ms(8000));
-  doctor_says(fleet, 0, "a sound fleet of gateways");
-  /* a service without engines */
+  doctor_says(fleet, 0, "a healthy fleet of gateways");
+}
+
+/* The doctor's findings about engines: a service without any, and one that does not respond. */
+static void doctor_at_engine_faults(deployment *deployment) {
+  fleet *fleet = deployment->base;
   for (size_t i = 4; i < 6; i++)
     host_kill(deployment->engine[i]->host);
   sim_run(deployment->sim, time_from_ms(12000));
@@ -121,13 +126,15 @@
     host_start(deployment->engine[i]->host);
   sim_run(deployment->sim, time_from_ms(5000));
   doctor_says(fleet, 0, "engines that are back");
-  /* an engine that takes requests and says nothing */
   deployment_go(deployment, 2);
   deployment->engine[5]->plan.faults.silent = true;
   sim_run(deployment->sim, time_from_ms(5000));
-  doctor_says(fleet, D_ENGINE_EJECTED, "an engine without answers");
+  doctor_says(fleet, D_ENGINE_EJECTED, "an engine without responses");
   deployment->engine[5]->plan.faults.silent = false;
-  /* every first attempt is cut */
+}
+
+/* The doctor's findings when all first attempts of requests are cut off. */
+static void doctor_at_cut_responses(deployment *deployment) {
   for (int t = 0; t < 15; t++) {
     for (size_t i = 0; i < 6; i++) {
       deployment->engine[i]->plan.faults.cut_answers = 60;
@@ -136,19 +143,27 @@
     deployment->client->rate = 6;
     sim_run(deployment->sim, time_from_ms(1000));
   }
-  doctor_says(fleet, D_BUDGET, "answers that are cut");
+  doctor_says(deployment->base, D_BUDGET, "responses that are cut off");
   for (size_t i = 0; i < 6; i++)
     deployment->engine[i]->plan.faults.cut_answers = 0;
   deployment->client->rate = 0.5;
   sim_run(deployment->sim, time_from_ms(25000));
-  /* a gateway that is told to stop, in time to be seen */
+}
+
+/* The doctor's findings about a gateway that drains, looked at before it ends. */
+static void doctor_at_gateway_drain(deployment *deployment) {
+  fleet *fleet = deployment->base;
   deployment_term(deployment, deployment->gateways[0]);
   sim_run(deployment->sim, time_from_ms(200));
   doctor_says(fleet, D_UNREADY, "a gateway that drains");
   sim_run(deployment->sim, time_from_ms(GRACE_S * 1000));
   if (!fleet->router[0]->alive)
     host_start(fleet->router[0]);
-  /* orders that get lost again and again */
+}
+
+/* The doctor's findings when all orders to load models get lost. */
+static void doctor_at_lost_load_orders(deployment *deployment) {
+  fleet *fleet = deployment->base;
   for (size_t i = 0; i < 4; i++)
     deployment->engine[i]->plan.faults.drop_orders = 100000;
   bool fails = false;
@@ -164,16 +179,30 @@
   doctor_says(fleet, D_LOADS, "loads that fail");
   for (size_t i = 0; i < 4; i++)
     deployment->engine[i]->plan.faults.drop_orders = 0;
-  /* the holder of the pace dies, and no other has it yet */
+}
+
+/* The doctor's findings when the load rate limiter has died, and no other node is it yet. */
+static void doctor_at_lost_rate_limiter(deployment *deployment) {
+  fleet *fleet = deployment->base;
   sim_run(deployment->sim, time_from_ms(6000));
   deployment_quiet(deployment);
-  host *h = fleet_holder(fleet, "pacer");
-  if (!h)
-    violation(fleet, "nobody holds the pace");
-  else {
-    host_kill(h);
-    doctor_says(fleet, D_NO_LOAD_RATE_LIMITER, "a pacer that died");
+  host *holder = fleet_holder(fleet, "pacer");
+  if (!holder) {
+    violation(fleet, "no node is the load rate limiter");
+    return;
   }
+  host_kill(holder);
+  doctor_says(fleet, D_NO_LOAD_RATE_LIMITER, "a load rate limiter that died");
+}
+
+static bool the_doctor_knows_gateways(fleet *fleet) {
+  deployment *deployment = deployment_new(fleet, 4, 2);
+  doctor_at_start(deployment);
+  doctor_at_engine_faults(deployment);
+  doctor_at_cut_responses(deployment);
+  doctor_at_gateway_drain(deployment);
+  doctor_at_lost_load_orders(deployment);
+  doctor_at_lost_rate_limiter(deployment);
   bool ok = !fleet->faults->len;
   deployment_free(deployment);
   return ok;
--- a/tests/orders.c
+++ b/tests/orders.c
@@ -4,47 +4,47 @@
 #include "tests.h"
 #include <stdio.h>
 
-/* the configuration as operators see it: conditional changes, sent again after lost answers to any
- * core machine, while the core loses machines; judged by the linearizability checker */
+/** Tests of the configuration as operators see it: conditional changes, repeated at any controller
+ * after lost responses, while controllers fail. The linearizability checker judges the history. */
 
 enum {
-  ANSWER_MS = 1000,
-  REDIRECTS_MOST = 2,
-  OPERATORS_MOST = 8,
-  ORDER_PATIENCE_MS = 12000,
-  TEXT_MOST = 700
+  RESPONSE_TIMEOUT_MS = 1000,
+  REDIRECTS_MAX = 2,
+  OPERATORS_MAX = 8,
+  CHANGE_TIMEOUT_MS = 12000,
+  TEXT_MAX = 700
 };
 
-/** What becomes of one call, by the network between the operator and the core. */
+/** What the network between operator and controller does to a call. */
 enum loss { LOSS_NONE, LOSS_REQUEST, LOSS_ANSWER, LOSS_CALLER_LEAVES };
 
 typedef struct run run;
-/** One order, kept whole so that it can be sent again as it was. */
-typedef struct sent_order {
+/** A change with its text, so that exactly the same can be sent again. */
+typedef struct sent_change {
   uint64_t base, version;
   bool patch, valid;
-  char text[TEXT_MOST];
+  char text[TEXT_MAX];
   enum register_answer last;
-} sent_order;
+} sent_change;
 
 typedef struct operator_task {
   run *run;
   int number;
 } operator_task;
 
-/** A core with an operator's machine, and the history of all that operators saw. */
+/** Controllers, the operators' host, and the history of all that operators saw. */
 struct run {
   deployment *deployment;
   register_history *history;
-  GArray *orders;
+  GArray *changes;
   GArray *addresses;
-  /* shares of calls, in hundredths, that are lost in either direction */
+  /* shares of calls, in percent, that are lost in either direction */
   unsigned request_loss, answer_loss, leaving;
   uint64_t confirmed, refused, unclear;
   uint64_t current;
   int busy;
   bool stop;
-  operator_task tasks[OPERATORS_MOST];
+  operator_task tasks[OPERATORS_MAX];
 };
 
 static uint64_t draw(run *run, uint64_t n) {
@@ -56,7 +56,7 @@
   operator->controllers->pdata[i % run->deployment->operator->controllers->len];
 }
 
-/* the answer of a status as operators read it */
+/* what an operator concludes from an HTTP status */
 static enum register_answer answer_of(int status) {
   switch (status) {
   case 200:
@@ -73,16 +73,17 @@
   }
 }
 
-/* one call to one machine, led on twice at most; 0 when no answer came in time */
-static int call_machine(run *run, const char *address, const dialect_path *how, const sent_order *o,
-                        GString *got, int64_t wait_ms) {
+/* Calls a controller, and follows redirects. Returns the status; 0 when no response came in time.
+ */
+static int call_controller(run *run, const char *address, const dialect_path *how,
+                           const sent_change *o, GString *body, int64_t wait_ms) {
   world *world = run->deployment->operator->world;
   const dialect *words = run->deployment->operator->dialect;
   char to[64], path[128];
   int status = 0;
   g_strlcpy(to, address, sizeof to);
   g_strlcpy(path, how->path, sizeof path);
-  for (int hop = 0; hop <= REDIRECTS_MOST; hop++) {
+  for (int hop = 0; hop <= REDIRECTS_MAX; hop++) {
     fields *fields = g_string_new(NULL);
     fields_add(fields, "Host", string_view_of(to));
     if (o)
@@ -90,8 +91,8 @@
     http_call *call = http_call_open_fields(world, to, how->method, path, fields,
                                             string_view_of(o ? o->text : ""), true, time_never());
     g_string_free(fields, TRUE);
-    g_string_truncate(got, 0);
-    int failed = http_call_read_all(call, got, time_add(world_now(world), time_from_ms(wait_ms)));
+    g_string_truncate(body, 0);
+    int failed = http_call_read_all(call, body, time_add(world_now(world), time_from_ms(wait_ms)));
     status = failed ? 0 : call->status;
     string_view location = { "", 0 };
     char where[160] = "";
@@ -109,32 +110,33 @@
   return status;
 }
 
-/* sends an order once, to one machine, and notes what the operator saw of it */
+/* Sends a change once, to one controller, and records what the operator saw. */
 static enum register_answer send_once(run *run, guint number, const char *address, enum loss loss) {
   world *world = run->deployment->operator->world;
-  sent_order o = g_array_index(run->orders, sent_order, number);
+  sent_change o = g_array_index(run->changes, sent_change, number);
   if (loss == LOSS_REQUEST) {
     world_sleep(world, time_from_ms(50));
     return ANSWER_NONE;
   }
-  GString *got = g_string_new(NULL);
+  GString *body = g_string_new(NULL);
   time_us called = world_now(world);
-  /* one that leaves early takes no answer; one whose answer is lost waits out its second */
-  int64_t wait_ms = loss == LOSS_CALLER_LEAVES ? 1 + (int64_t)draw(run, 60) : ANSWER_MS;
-  int status = call_machine(
+  /* a caller that leaves early gets no response; one whose response is lost waits for its timeout
+   */
+  int64_t wait_ms = loss == LOSS_CALLER_LEAVES ? 1 + (int64_t)draw(run, 60) : RESPONSE_TIMEOUT_MS;
+  int status = call_controller(
       run, address,
       &run->deployment->operator->dialect->calls[o.patch ? DC_CONFIG_PATCH : DC_CONFIG_PUT], &o,
-      got, wait_ms);
+      body, wait_ms);
   enum register_answer answer = loss == LOSS_NONE ? answer_of(status) : ANSWER_NONE;
   register_attempt(run->history, number, (uint64_t)called.us, (uint64_t)world_now(world).us,
                    answer);
-  g_array_index(run->orders, sent_order, number).last = answer;
+  g_array_index(run->changes, sent_change, number).last = answer;
   run->confirmed += answer == ANSWER_CONFIRMED;
   run->refused += answer == ANSWER_CONFLICT;
   run->unclear += answer == ANSWER_NONE;
   if (answer == ANSWER_CONFIRMED)
     run->current = MAX(run->current, o.version);
-  g_string_free(got, TRUE);
+  g_string_free(body, TRUE);
   return answer;
 }
 
@@ -149,9 +151,9 @@
   return n < run->leaving ? LOSS_CALLER_LEAVES : LOSS_NONE;
 }
 
-/* a whole configuration, or a change of one item; both show by the mark which order they are. One
- * that is invalid names a service that there is not. */
-static void write_text(sent_order *o, guint number) {
+/* Writes a full configuration, or a patch of one item; both have a mark that names the change. An
+ * invalid one names a service that does not exist. */
+static void write_text(sent_change *o, guint number) {
   static const char route[] =
       "{\"name\":\"r-mark\",\"host\":\"mark-%u.example\",\"prefix\":\"/mark/\",\"mode\":\"safe\","
       "\"timeoutMs\":4000,\"targetMs\":300,\"priority\":0,\"service\":\"%s\",\"attempts\":1}";
@@ -172,18 +174,18 @@
              o->version, mark);
 }
 
-static guint order_new(run *run, uint64_t base, uint64_t version, bool patch, bool valid) {
+static guint new_change(run *run, uint64_t base, uint64_t version, bool patch, bool valid) {
   guint number = register_order(run->history, base, version, valid);
-  sent_order o = { .base = base, .version = version, .patch = patch, .valid = valid };
+  sent_change o = { .base = base, .version = version, .patch = patch, .valid = valid };
   write_text(&o, number);
-  g_array_append_val(run->orders, o);
+  g_array_append_val(run->changes, o);
   return number;
 }
 
-/* sends an order, again and again as it was, until there is a clear answer or patience ends */
-static enum register_answer send_until_clear(run *run, guint number, int64_t patience_ms) {
+/* Sends a change, and repeats it until there is a clear response or the timeout has passed. */
+static enum register_answer send_until_clear(run *run, guint number, int64_t timeout_ms) {
   world *world = run->deployment->operator->world;
-  time_us till = time_add(world_now(world), time_from_ms(patience_ms));
+  time_us till = time_add(world_now(world), time_from_ms(timeout_ms));
   size_t at = draw(run, run->deployment->operator->controllers->len);
   int64_t pause = 50;
   enum register_answer answer = ANSWER_NONE;
@@ -196,35 +198,36 @@
   return answer;
 }
 
-/* reads the configuration from any machine and notes whose it is; false when nobody answered */
+/* Reads the configuration and records which change made it. Returns false without a response. */
 static bool read_once(run *run, const char *address, uint64_t *version) {
   world *world = run->deployment->operator->world;
-  GString *got = g_string_new(NULL);
+  GString *body = g_string_new(NULL);
   time_us called = world_now(world);
-  int status = call_machine(run, address, &run->deployment->operator->dialect->calls[DC_CONFIG_GET],
-                            NULL, got, ANSWER_MS);
+  int status =
+      call_controller(run, address, &run->deployment->operator->dialect->calls[DC_CONFIG_GET], NULL,
+                      body, RESPONSE_TIMEOUT_MS);
   bool read = status == 200;
   if (read) {
     unsigned number = 0;
-    const char *mark = strstr(got->str, "mark-");
-    json *json = json_parse(string_view_of_gstring(got), NULL);
+    const char *mark = strstr(body->str, "mark-");
+    json *json = json_parse(string_view_of_gstring(body), NULL);
     *version = (uint64_t)json_number(json, "version", 0);
     json_free(json);
-    if (!mark || sscanf(mark, "mark-%u", &number) != 1 || number >= run->orders->len)
-      violation(run->deployment->base, "a configuration of nobody was read: %.200s", got->str);
-    else if (g_array_index(run->orders, sent_order, number).version != *version)
+    if (!mark || sscanf(mark, "mark-%u", &number) != 1 || number >= run->changes->len)
+      violation(run->deployment->base, "a configuration of nobody was read: %.200s", body->str);
+    else if (g_array_index(run->changes, sent_change, number).version != *version)
       violation(run->deployment->base, "version %" PRIu64 " was read with the content of order %u",
                 *version, number);
     else
       register_read(run->history, number, (uint64_t)called.us, (uint64_t)world_now(world).us);
   }
-  g_string_free(got, TRUE);
+  g_string_free(body, TRUE);
   return read;
 }
 
-static bool read_until_clear(run *run, uint64_t *version, int64_t patience_ms) {
+static bool read_until_clear(run *run, uint64_t *version, int64_t timeout_ms) {
   world *world = run->deployment->operator->world;
-  time_us till = time_add(world_now(world), time_from_ms(patience_ms));
+  time_us till = time_add(world_now(world), time_from_ms(timeout_ms));
   size_t at = draw(run, run->deployment->operator->controllers->len);
   while (!time_reached(world_now(world), till) && !world->tasks.stopped) {
     if (read_once(run, address_of(run, at++), version))
@@ -234,25 +237,25 @@
   return false;
 }
 
-/* an operator: reads or remembers what is current, changes it, and now and then sends an old order
- * again to every machine */
+/* Task: an operator, who reads or remembers the current version, changes it, and at times repeats
+ * an old change at each controller. */
 static void operator_run(void *p) {
   operator_task *t = p;
   run *run = t->run;
   world *world = run->deployment->operator->world;
   while (!run->stop && !world->tasks.stopped) {
     uint64_t base = run->current;
-    if (base && !draw(run, 3) && !read_until_clear(run, &base, ORDER_PATIENCE_MS))
+    if (base && !draw(run, 3) && !read_until_clear(run, &base, CHANGE_TIMEOUT_MS))
       continue;
     /* the step is small, so that two operators pick the same number at times */
     bool patch = base && draw(run, 2);
-    guint number = order_new(run, base, base + 1 + draw(run, 2), patch, draw(run, 12) != 0);
-    send_until_clear(run, number, ORDER_PATIENCE_MS);
+    guint number = new_change(run, base, base + 1 + draw(run, 2), patch, draw(run, 12) != 0);
+    send_until_clear(run, number, CHANGE_TIMEOUT_MS);
     if (!draw(run, 4))
       for (size_t i = 0; i < run->deployment->operator->controllers->len; i++)
         send_once(run, number, address_of(run, i), LOSS_NONE);
     if (!draw(run, 8)) {
-      guint old = (guint)draw(run, run->orders->len);
+      guint old = (guint)draw(run, run->changes->len);
       send_once(run, old, address_of(run, draw(run, 8)), draw_loss(run));
     }
     if (!world_sleep(world, time_from_ms((int64_t)draw(run, 150))))
@@ -278,7 +281,7 @@
   j->run->busy--;
 }
 
-/* runs something as the operator, to its end */
+/* Runs a function as a task of the operators' host, to its end. */
 static bool as_operator(run *r, void (*work)(run *r, void *ctx), void *ctx, int64_t ms) {
   job j = { r, work, ctx };
   r->busy++;
@@ -291,14 +294,14 @@
   return false;
 }
 
-static void first_order(run *run, void *ctx) {
+static void write_first(run *run, void *ctx) {
   (void)ctx;
-  guint number = order_new(run, 0, 1, false, true);
+  guint number = new_change(run, 0, 1, false, true);
   if (send_until_clear(run, number, 20000) != ANSWER_CONFIRMED)
     violation(run->deployment->base, "the first configuration was not taken");
 }
 
-static host *add_core_machine(fleet *fleet) {
+static host *add_controller(fleet *fleet) {
   char name[32], address[48];
   int n = fleet->controllers + 1;
   snprintf(name, sizeof name, "controller-%d", n);
@@ -312,11 +315,11 @@
   return host;
 }
 
-/* a core of so many machines that starts, and the operator's machine */
+/* Starts a number of controllers, and the operators' host. */
 static void run_start(run *run, fleet *fleet, int members) {
   memset(run, 0, sizeof *run);
   while (fleet->controllers < members)
-    add_core_machine(fleet);
+    add_controller(fleet);
   for (int i = 0; i < fleet->controllers; i++) {
     fleet->controller[i]->settings.chain_members = members;
     fleet->controller[i]->settings.write_replicas = members / 2 + 1;
@@ -324,17 +327,17 @@
   }
   run->deployment = deployment_new(fleet, 0, 0);
   run->history = register_new();
-  run->orders = g_array_new(FALSE, TRUE, sizeof(sent_order));
+  run->changes = g_array_new(FALSE, TRUE, sizeof(sent_change));
   list_for_each (h, &fleet->sim->hosts, host, link)
     if (h->role == HOST_CONTROLLER || h == run->deployment->op_host)
       host_start(h);
 }
 
-/* the same, with a first configuration */
+/* The same, with a first configuration. */
 static bool run_up(run *run, fleet *fleet, int members) {
   run_start(run, fleet, members);
   sim_run(fleet->sim, time_from_ms(2500));
-  as_operator(run, first_order, NULL, 30000);
+  as_operator(run, write_first, NULL, 30000);
   return wait_chain(fleet, members, 20000) && !fleet->faults->len;
 }
 
@@ -346,7 +349,7 @@
       violation(run->deployment->base, "nobody gave the configuration");
 }
 
-/* mends all, reads back, and holds the history against the rules */
+/* Repairs all faults, reads the configuration, and checks the history. */
 static bool run_done(run *run) {
   fleet *fleet = run->deployment->base;
   run->stop = true;
@@ -364,11 +367,11 @@
     fprintf(stderr,
             "orders %u, confirmed %" PRIu64 ", refused %" PRIu64 ", unclear %" PRIu64
             ", version %" PRIu64 "\n",
-            run->orders->len, run->confirmed, run->refused, run->unclear, run->current);
+            run->changes->len, run->confirmed, run->refused, run->unclear, run->current);
   bool good = !fleet->faults->len;
   deployment_free(run->deployment);
   register_free(run->history);
-  g_array_free(run->orders, TRUE);
+  g_array_free(run->changes, TRUE);
   return good;
 }
 
@@ -381,14 +384,14 @@
   run->deployment->op_host->due = run->deployment->sim->now;
 }
 
-/* trouble of the core */
-static host *any_core_machine(run *run) {
+/* faults of controllers */
+static host *any_controller(run *run) {
   return run->deployment->base->controller[draw(run, (uint64_t)run->deployment->base->controllers)];
 }
 
 static host *head_or_any(run *run) {
   host *host = fleet_head(run->deployment->base);
-  return host ? host : any_core_machine(run);
+  return host ? host : any_controller(run);
 }
 
 static void cut_off(run *run, host *h, bool one_way) {
@@ -403,10 +406,10 @@
   }
 }
 
-/* gives true when a disk was lost: no other may be before it is made good */
-static bool one_trouble(run *run) {
+/* Returns true when a disk was lost: no other may be lost before it is replaced. */
+static bool inject_fault(run *run) {
   fleet *fleet = run->deployment->base;
-  host *host = draw(run, 3) ? head_or_any(run) : any_core_machine(run);
+  host *host = draw(run, 3) ? head_or_any(run) : any_controller(run);
   switch (draw(run, 10)) {
   case 0:
     host_kill(host);
@@ -449,17 +452,17 @@
   return sim_draw(fleet->sim, 2) ? 3 : 5;
 }
 
-static bool operators_under_trouble(fleet *fleet, int members) {
+static bool operators_under_faults(fleet *fleet, int members) {
   run r;
   if (!run_up(&r, fleet, members))
     return run_done(&r);
   r.request_loss = 10;
   r.answer_loss = 30;
   r.leaving = 15;
-  operators_start(&r, 2 + (int)draw(&r, OPERATORS_MOST - 1));
+  operators_start(&r, 2 + (int)draw(&r, OPERATORS_MAX - 1));
   for (int i = 0; i < 6; i++) {
     sim_run(fleet->sim, time_from_ms(500 + (int64_t)draw(&r, 3000)));
-    bool disk_lost = one_trouble(&r);
+    bool disk_lost = inject_fault(&r);
     sim_run(fleet->sim, time_from_ms((int64_t)draw(&r, 6000)));
     fleet->sim->loss = 0;
     heal_all(fleet);
@@ -473,10 +476,10 @@
 /* given two to eight operators under one number, with answers and requests lost, when a core of
  * three loses machines, links and power, then the history is one of a register */
 static bool operators_share_a_core_of_three(fleet *fleet) {
-  return operators_under_trouble(fleet, 3);
+  return operators_under_faults(fleet, 3);
 }
 static bool operators_share_a_core_of_five(fleet *fleet) {
-  return operators_under_trouble(fleet, 5);
+  return operators_under_faults(fleet, 5);
 }
 
 static void reader_run(void *p) {
@@ -499,7 +502,7 @@
   if (!run_up(&r, fleet, draw_members(fleet)))
     return run_done(&r);
   operators_start(&r, 2);
-  for (int i = 2; i < OPERATORS_MOST; i++) {
+  for (int i = 2; i < OPERATORS_MAX; i++) {
     r.tasks[i] = (operator_task){ &r, i };
     r.busy++;
     task_start(&r.deployment->operator->world->tasks, "reader", reader_run, &r.tasks[i]);
@@ -508,7 +511,7 @@
     /* of five, two at once: both join in one view, and the last one behind one that has yet to
        catch up */
     for (int k = 0; k < (fleet->controllers == 5 ? 2 : 1); k++)
-      host_freeze(any_core_machine(&r));
+      host_freeze(any_controller(&r));
     sim_run(fleet->sim, time_from_ms(2500 + (int64_t)draw(&r, 1000)));
     heal_all(fleet);
     wait_chain(fleet, fleet->controllers, 20000);
@@ -524,9 +527,9 @@
   r.request_loss = 10;
   r.answer_loss = 30;
   r.leaving = 15;
-  operators_start(&r, 2 + (int)draw(&r, OPERATORS_MOST - 1));
+  operators_start(&r, 2 + (int)draw(&r, OPERATORS_MAX - 1));
   sim_run(fleet->sim, time_from_ms(500 + (int64_t)draw(&r, 3000)));
-  bool disk_lost = one_trouble(&r);
+  bool disk_lost = inject_fault(&r);
   sim_run(fleet->sim, time_from_ms((int64_t)draw(&r, 3000)));
   fleet->sim->loss = 0;
   heal_all(fleet);
@@ -536,24 +539,24 @@
   return run_done(&r);
 }
 
-/* hundreds and thousands of changes after an order whose answers were lost */
-typedef struct long_day {
+/** Hundreds and thousands of changes after one whose responses were lost. */
+typedef struct long_history {
   guint changes;
   guint first, second;
-} long_day;
+} long_history;
 
 static void change_many(run *run, void *ctx) {
-  long_day *d = ctx;
-  d->first = order_new(run, run->current, run->current + 1, true, true);
+  long_history *d = ctx;
+  d->first = new_change(run, run->current, run->current + 1, true, true);
   send_once(run, d->first, address_of(run, 0), LOSS_ANSWER);
   uint64_t base = run->current + 1;
-  /* it was taken, as the next one shows; the same number for another change is refused */
-  d->second = order_new(run, run->current, base, false, true);
-  if (send_until_clear(run, d->second, ORDER_PATIENCE_MS) != ANSWER_CONFLICT)
+  /* it was accepted, as the next one shows; another change to the same version is refused */
+  d->second = new_change(run, run->current, base, false, true);
+  if (send_until_clear(run, d->second, CHANGE_TIMEOUT_MS) != ANSWER_CONFLICT)
     violation(run->deployment->base, "another change under the same number was not refused");
   for (guint i = 0; i < d->changes; i++) {
-    guint number = order_new(run, base + i, base + i + 1, i % 2 == 0, true);
-    if (send_until_clear(run, number, ORDER_PATIENCE_MS) != ANSWER_CONFIRMED) {
+    guint number = new_change(run, base + i, base + i + 1, i % 2 == 0, true);
+    if (send_until_clear(run, number, CHANGE_TIMEOUT_MS) != ANSWER_CONFIRMED) {
       violation(run->deployment->base, "change %u of %u was not taken", i, d->changes);
       return;
     }
@@ -561,7 +564,7 @@
 }
 
 static void send_first_again(run *run, void *ctx) {
-  long_day *d = ctx;
+  long_history *d = ctx;
   for (size_t i = 0; i < run->deployment->operator->controllers->len; i++) {
     enum register_answer a = send_once(run, d->first, address_of(run, i), LOSS_NONE);
     if (a != ANSWER_CONFIRMED)
@@ -571,7 +574,7 @@
   }
 }
 
-/* the head loses its disk, and comes back as the last in the chain */
+/* The head loses its disk, and comes back as the tail. */
 static void replace_head_disk(fleet *fleet) {
   host *head = fleet_head(fleet);
   if (!head) {
@@ -585,9 +588,9 @@
   wait_chain(fleet, 3, 20000);
 }
 
-static bool an_order_comes_again_after(fleet *fleet, guint changes) {
+static bool repeat_after(fleet *fleet, guint changes) {
   run r;
-  long_day d = { .changes = changes };
+  long_history d = { .changes = changes };
   if (run_up(&r, fleet, 3) && as_operator(&r, change_many, &d, 4000000)) {
     as_operator(&r, send_first_again, &d, 30000);
     /* nor is it forgotten by a restart of all, or by a loss of power */
@@ -606,16 +609,16 @@
 }
 
 static bool an_order_comes_again_after_hundreds(fleet *fleet) {
-  return an_order_comes_again_after(fleet, 700);
+  return repeat_after(fleet, 700);
 }
 static bool an_order_comes_again_after_thousands(fleet *fleet) {
-  return an_order_comes_again_after(fleet, 7300);
+  return repeat_after(fleet, 7300);
 }
 
 /* given an order whose answer was lost and more changes than are remembered, when it comes again,
  * then the answer promises nothing: nobody knows whether it was taken */
 static void send_forgotten(run *run, void *ctx) {
-  long_day *d = ctx;
+  long_history *d = ctx;
   for (size_t i = 0; i < run->deployment->operator->controllers->len; i++)
     for (int k = 0; k < 2; k++) {
       enum register_answer a =
@@ -627,13 +630,13 @@
 
 static bool an_order_older_than_the_memory(fleet *fleet) {
   run r;
-  long_day d = { .changes = ACCEPTED_CHANGES_MAX + ACCEPTED_CHANGES_FORGOTTEN_AT_ONCE + 10 };
+  long_history d = { .changes = ACCEPTED_CHANGES_MAX + ACCEPTED_CHANGES_FORGOTTEN_AT_ONCE + 10 };
   if (run_up(&r, fleet, 3) && as_operator(&r, change_many, &d, 6000000))
     as_operator(&r, send_forgotten, &d, 30000);
   return run_done(&r);
 }
 
-/* the memory by itself: bounded, the latest known, the same when packed and read again */
+/* accepted_changes: bounded, the latest ones known, the same when packed and unpacked */
 static bool accepted_orders_are_bounded(fleet *fleet) {
   accepted_changes a, b;
   accepted_changes_init(&a);
@@ -678,9 +681,9 @@
 
 /* given a head whose links are cut with an order in its suffix that nobody else has, when another
  * order wins and the old head catches up, then nobody is told otherwise by the old head */
-static void order_to_cut_head(run *run, void *ctx) {
+static void write_at_cut_head(run *run, void *ctx) {
   const char *head = ctx;
-  guint lost = order_new(run, run->current, run->current + 1, true, true);
+  guint lost = new_change(run, run->current, run->current + 1, true, true);
   for (int i = 0; i < 40; i++) {
     enum register_answer a = send_once(run, lost, head, LOSS_NONE);
     if (a != ANSWER_NONE)
@@ -696,14 +699,14 @@
 
 static void resend_task(void *p) {
   pair *a = p;
-  order_to_cut_head(a->run, a->address);
+  write_at_cut_head(a->run, a->address);
   a->run->busy--;
 }
 
 static void winner_task(void *p) {
   pair *a = p;
   run *run = a->run;
-  guint won = order_new(run, run->current, run->current + 1, false, true);
+  guint won = new_change(run, run->current, run->current + 1, false, true);
   for (int i = 0; i < 60; i++) {
     const char *to = address_of(run, draw(run, 8));
     if (strcmp(to, a->address) && send_once(run, won, to, LOSS_NONE) != ANSWER_NONE)
@@ -713,11 +716,11 @@
   run->busy--;
 }
 
-/* another order on the same base, sent to the cut head: the one that beats it there may be lost */
+/* Sends another change of the same base to the cut head, where the one that wins may be lost. */
 static void rival_task(void *p) {
   pair *a = p;
   run *run = a->run;
-  guint rival = order_new(run, run->current, run->current + 1, true, true);
+  guint rival = new_change(run, run->current, run->current + 1, true, true);
   world_sleep(run->deployment->operator->world, time_from_ms(20 + (int64_t)draw(run, 800)));
   send_once(run, rival, a->address, LOSS_NONE);
   run->busy--;
@@ -747,14 +750,14 @@
     if (!sim_until(fleet->sim, is_idle, &r, time_from_ms(120000)))
       violation(fleet, "operators did not come to an end");
     as_operator(&r, final_read, NULL, 70000);
-    for (guint i = 0; i < r.orders->len; i++)
-      if (g_array_index(r.orders, sent_order, i).last == ANSWER_CONFIRMED)
-        r.current = MAX(r.current, g_array_index(r.orders, sent_order, i).version);
+    for (guint i = 0; i < r.changes->len; i++)
+      if (g_array_index(r.changes, sent_change, i).last == ANSWER_CONFIRMED)
+        r.current = MAX(r.current, g_array_index(r.changes, sent_change, i).version);
   }
   return run_done(&r);
 }
 
-/* eight orders, each on the one before, sent at once */
+/** Eight changes, each of the version that the one before makes, sent at once. */
 typedef struct chained {
   run *run;
   guint number;
@@ -788,10 +791,10 @@
   if (!run_up(&r, fleet, 3))
     return run_done(&r);
   fleet->sim->delay_ms = 40;
-  chained all[OPERATORS_MOST];
+  chained all[OPERATORS_MAX];
   uint64_t version = r.current;
-  for (int i = 0; i < OPERATORS_MOST; i++) {
-    all[i] = (chained){ &r, order_new(&r, version, version + 1, i % 2, true), { 0 } };
+  for (int i = 0; i < OPERATORS_MAX; i++) {
+    all[i] = (chained){ &r, new_change(&r, version, version + 1, i % 2, true), { 0 } };
     version++;
     r.busy++;
     task_start(&r.deployment->operator->world->tasks, "chained", chained_run, &all[i]);
@@ -799,7 +802,7 @@
     sim_run(fleet->sim, time_from_ms(12));
   }
   sim_until(fleet->sim, is_idle, &r, time_from_ms(30000));
-  for (int i = 0; i < OPERATORS_MOST; i++)
+  for (int i = 0; i < OPERATORS_MAX; i++)
     if (all[i].took.us > 600000)
       violation(fleet, "order %d of eight at once took %" PRId64 " ms", i,
                 (int64_t)all[i].took.us / 1000);
@@ -807,7 +810,7 @@
   return run_done(&r);
 }
 
-/* the checker by itself */
+/* the checker, without a fleet */
 static void expect(fleet *fleet, register_history *h, bool good, const char *what) {
   GString *why = g_string_new(NULL);
   bool is = register_check(h, why);
@@ -862,7 +865,7 @@
   /* hundreds, eight of them open at once, half without an answer */
   h = register_new();
   for (uint64_t v = 0; v < 800; v++)
-    for (int i = 0; i < OPERATORS_MOST; i++) {
+    for (int i = 0; i < OPERATORS_MAX; i++) {
       guint n = register_order(h, v, v + 1, true);
       register_attempt(h, n, v * 10, v * 10 + 9,
                        i       ? ANSWER_NONE
