--- a/lib/controlplane/config_change.c
+++ b/lib/controlplane/config_change.c
@@ -32,8 +32,9 @@
   return OK;
 }
 
-int config_change_apply(string_view text, uint64_t current, bool is_full, uint64_t base_version,
-                        const json *body, GString *to, error *err) {
+enum error_code config_change_apply(string_view text, uint64_t current, bool is_full,
+                                    uint64_t base_version, const json *body, GString *to,
+                                    error *err) {
   if (base_version != current)
     return error_set(err, E_VERSION_CONFLICT, "the version is %" PRIu64 ", not %" PRIu64, current,
                      base_version);
--- a/lib/controlplane/config_change.h
+++ b/lib/controlplane/config_change.h
@@ -9,8 +9,9 @@
  * version that the change builds on. Appends the new text to `to`. Returns OK, E_VERSION_CONFLICT
  * when base_version is not the current one, or what is wrong with the body; then `to` may hold a
  * part. */
-int config_change_apply(string_view text, uint64_t current, bool is_full, uint64_t base_version,
-                        const json *body, GString *to, error *err);
+enum error_code config_change_apply(string_view text, uint64_t current, bool is_full,
+                                    uint64_t base_version, const json *body, GString *to,
+                                    error *err);
 /** The version that a configuration's text names; 0 when it is blank or no JSON. */
 uint64_t config_change_version(string_view text);
 #endif
--- a/lib/controlplane/controller.c
+++ b/lib/controlplane/controller.c
@@ -36,8 +36,8 @@
   return controller;
 }
 
-int controller_open_control_listener(controller *controller, const char *ip, int port,
-                                     const dialect *dialect, error *err) {
+enum error_code controller_open_control_listener(controller *controller, const char *ip, int port,
+                                                 const dialect *dialect, error *err) {
   enum error_code code =
       control_listener_open(&controller->control_listener, ip, port, dialect, err);
   if (!code)
--- a/lib/controlplane/controller.h
+++ b/lib/controlplane/controller.h
@@ -29,7 +29,7 @@
   /** Broadcast when the controller has ended its work, by itself or after controller_drain. */
   condition stopped;
   /** Why it has: OK, or the error of its start; valid once `stopped` was broadcast. */
-  int exit_code;
+  enum error_code exit_code;
 } controller;
 
 /** Makes a controller in a world; its work begins with the first turn of its tasks. Free it with
@@ -37,8 +37,8 @@
 controller *controller_new(world *world, const settings *settings);
 /** Opens the control listener; a dialect of NULL is our own. Returns OK, or an error of the
  * listener. */
-int controller_open_control_listener(controller *controller, const char *ip, int port,
-                                     const dialect *dialect, error *err);
+enum error_code controller_open_control_listener(controller *controller, const char *ip, int port,
+                                                 const dialect *dialect, error *err);
 /** Starts the graceful shutdown, once: the controller leaves the chain and hands over its vote.
  * `stopped` is broadcast when it may end. */
 void controller_drain(controller *controller);
--- a/lib/controlplane/engine_heartbeat_api.c
+++ b/lib/controlplane/engine_heartbeat_api.c
@@ -136,6 +136,7 @@
     dialect_translate_in(dialect, value);
     code = parse_heartbeat(&heartbeat, value, &engine_id, &err);
   }
+  /* each fault is one of the request, also a code that has another status elsewhere */
   if (code)
     control_respond_error_status(dialect, request, HTTP_BAD_REQUEST, code, err.text);
   else {
