--- a/tests/fleet/input_fuzzing.c
+++ b/tests/fleet/input_fuzzing.c
@@ -206,8 +206,8 @@
     return deployment_done(deployment, 0);
   }
   const controller *controller = deployment->controllers[0]->host->controller;
-  snprintf(calls.address, sizeof calls.address, "%s:%d", controller->control_listener.ip,
-           controller->control_listener.port);
+  snprintf(calls.address, sizeof calls.address, "%s:%d", controller->control_listener.http.ip,
+           controller->control_listener.http.port);
   calls.from = sim_host(deployment->sim, HOST_OTHER, "fuzzer", "north", "10.9.9.9:7660");
   host_start(calls.from);
   task_start(&calls.from->world.tasks, "control", control_run, &calls);
