--- a/emulator/deployment.c
+++ b/emulator/deployment.c
@@ -1,5 +1,6 @@
 #include "connections.h"
 #include "deployment.h"
+#include "status.h"
 #include <stdio.h>
 #include <stdlib.h>
 
@@ -66,9 +67,7 @@
   gateway_settings x = { .front_port = FRONT,
                          .ready_port = READY,
                          .dialect = &dialect_native,
-                         .drain_ms = DRAIN_MS,
                          .grace_ms = GRACE_S * 1000,
-                         .apply_ms = APPLY_MS,
                          .lease_ms = MEMBER_LEASE_MS,
                          .heartbeat_ms = 1200,
                          .retry_ratio = RETRY_RATIO,
@@ -456,7 +455,7 @@
 
 static void over_run(void *p) {
   unit *unit = p;
-  if (condition_wait(&unit->host->world.tasks, &unit->gateway->drained, time_never()) ==
+  if (condition_wait(&unit->host->world.tasks, &unit->gateway->drain.finished, time_never()) ==
       WAKE_STOPPED)
     return;
   sim_at(unit->deployment->sim, unit->deployment->sim->now, kill_now,
--- a/lib/gateway/engine_orders.c
+++ b/lib/gateway/engine_orders.c
@@ -1,5 +1,13 @@
 /** Orders to engines and reports of them, under the contract of their holder. */
-#include "loader_internal.h"
+#include "gateway.h"
+
+enum {
+  ORDER_TIMEOUT_MS = 1500,
+  REPORT_TIMEOUT_MS = 800,
+  UNLOAD_TIMEOUT_MS = 12000,
+  ANNOUNCE_MS = 40,
+  ANNOUNCE_REPEAT_MS = 1000
+};
 
 /* orders and reports */
 uint64_t engine_order_epoch(gateway_engine *engine) {
@@ -25,7 +33,7 @@
   if (!singleton_lease)
     return;
   singleton_lease->open_orders += more;
-  singleton_lease->last_order_at = now_of(engine->gateway);
+  singleton_lease->last_order_at = gateway_now(engine->gateway);
 }
 
 static fields *fields_for(gateway_engine *engine) {
@@ -77,7 +85,7 @@
   if (!capacity_covered_by_report(r, asked, time_from_ms(ENGINE_REPORT_LAG_MS))) {
     /* the engine has taken an order that this holder knows nothing of */
     if (r->is_known && count > r->order_count)
-      capacity_forget(r, now_of(engine->gateway));
+      capacity_forget(r, gateway_now(engine->gateway));
     return;
   }
   if (r->is_known && count != r->order_count)
@@ -89,7 +97,7 @@
     if (!id_is_valid(string_view_of(models[k]->model)))
       continue;
     id model = id_of_text(models[k]->model);
-    capacity_add(r, model, none);
+    capacity_add(r, model, id_none);
     for (size_t a = 0; a < models[k]->n_adapters; a++)
       if (id_is_valid(string_view_of(models[k]->adapters[a])))
         capacity_add(r, model, id_of_text(models[k]->adapters[a]));
@@ -100,7 +108,7 @@
 bool engine_order_fetch_report(gateway_engine *engine, bool *busy, int *running, error *err) {
   gateway *gateway = engine->gateway;
   GString *got = g_string_new(NULL);
-  time_us from = now_of(gateway);
+  time_us from = gateway_now(gateway);
   gateway->counts.reports++;
   int st = engine_exchange(engine, DC_REPORT, NULL, got, REPORT_TIMEOUT_MS, time_never(), err);
   json *value = st == 200 ? parse_engine_json(gateway, got) : NULL;
@@ -111,7 +119,7 @@
     json_free(value);
     return false;
   }
-  engine->identity_confirmed_at = now_of(gateway);
+  engine->orders.identity_confirmed_at = gateway_now(gateway);
   const json *m = json_get(value, "models");
   size_t n = m ? json_count(m) : 0;
   Wire__ResidentModel *r = g_new(Wire__ResidentModel, n + 1),
@@ -132,7 +140,7 @@
   *busy = json_bool(value, "busy", false);
   *running = (int)json_number(value, "running", 0) + (int)json_number(value, "waiting", 0);
   gateway_engine_update_residents(engine, rp, n, from, ENGINE_REPORT_LAG_MS);
-  engine->reported_at = from;
+  engine->orders.reported_at = from;
   uint64_t count = (uint64_t)MAX(0, json_number(value, "count", 0));
   if (!*busy)
     capacity_update_from_report(engine, count, rp, n, from);
@@ -185,10 +193,11 @@
   }
   /* an address is not used again at once: one that gave a sign of life lately is still the same; of
    * another an order is never sent */
-  time_us seen = engine->heartbeat_at.us > engine->last_byte_at.us ? engine->heartbeat_at
-                                                                   : engine->last_byte_at;
-  if (engine->identity_confirmed_at.us > seen.us)
-    seen = engine->identity_confirmed_at;
+  time_us seen = engine->heartbeat_at.us > engine->health.last_byte_at.us
+                     ? engine->heartbeat_at
+                     : engine->health.last_byte_at;
+  if (engine->orders.identity_confirmed_at.us > seen.us)
+    seen = engine->orders.identity_confirmed_at;
   if (gateway_ms_since(gateway, seen) > IDENTITY_CONFIRMED_MS) {
     bool busy;
     int running;
@@ -213,9 +222,9 @@
             up ? "Load" : "Unload", model.text, adapter.text[0] ? "+" : "", adapter.text,
             engine->engine_id.text, epoch, expect, engine->capacity.order_count, st);
   if (st == 202)
-    capacity_order_accepted(&engine->capacity, up, model, adapter, now_of(gateway));
+    capacity_order_accepted(&engine->capacity, up, model, adapter, gateway_now(gateway));
   if (st == -1)
-    capacity_forget(&engine->capacity, now_of(gateway));
+    capacity_forget(&engine->capacity, gateway_now(gateway));
   if (st > 0 && st != 200 && st != 202)
     error_set(err, E_ORDER_FAILED, "%s answered %d to %s %s%s%s: %.80s", engine->engine_id.text, st,
               up ? "load" : "unload", model.text, adapter.text[0] ? "+" : "", adapter.text,
@@ -223,7 +232,7 @@
   g_string_free(t, TRUE);
   g_string_free(got, TRUE);
   if (st > 0 && st != 421)
-    engine->identity_confirmed_at = now_of(gateway);
+    engine->orders.identity_confirmed_at = gateway_now(gateway);
   if (st == 412) {
     error_set(err, E_STALE_EPOCH, "%s has seen a higher fence", engine->engine_id.text);
     return -2;
@@ -269,11 +278,11 @@
   gateway *gateway = engine->gateway;
   bool busy = false, took = false;
   int running = 0, probes = 0, r;
-  time_us from = now_of(gateway), began = from, announced = from;
+  time_us from = gateway_now(gateway), began = from, announced = from;
   for (;;) {
     if (gateway_ms_since(gateway, announced) > ANNOUNCE_REPEAT_MS) {
       announce_unload(engine, model, adapter);
-      announced = now_of(gateway);
+      announced = gateway_now(gateway);
     }
     int st = engine_order_send(engine, false, model, adapter, ORDER_COUNT_ANY, time_never(), err);
     if (st == -2)
@@ -294,9 +303,9 @@
     /* 202 again means that it is still under way: its runs have yet to end */
     if (st == 202) {
       if (took)
-        from = now_of(gateway);
+        from = gateway_now(gateway);
       else
-        began = now_of(gateway);
+        began = gateway_now(gateway);
       took = true;
     }
     double ms = gateway_ms_since(gateway, from);
@@ -357,6 +366,6 @@
   }
   r = unload_until_gone(engine, model, adapter, err);
   if (r)
-    capacity_forget(&engine->capacity, now_of(engine->gateway));
+    capacity_forget(&engine->capacity, gateway_now(engine->gateway));
   return r;
 }
--- a/lib/gateway/engine_select.c
+++ b/lib/gateway/engine_select.c
@@ -1,253 +1,387 @@
+/** Choice of an engine for a request; see engine_select.h.
+ *
+ * Candidates are the engines that hold the model. Of these are passed over: the ejected ones,
+ * unless that would leave fewer than half; the suspect ones, as long as others are there; those
+ * without a free slot, or whose estimate is too late for the request. The rest compete by cost, in
+ * ms:
+ *
+ *   load weight * estimated time to the first event
+ *   + affinity weight * prefill of shared prompt parts that are not cached there
+ *   + penalties: an estimate beyond half of the latency target, KV memory near its end, another
+ *     zone, bad health
+ *   + up to 1 ms by random, so that gateways don't all choose the same one
+ *
+ * Shared prompt parts have a home among the candidates by rendezvous hashing: the first request
+ * with a prefix goes there by every gateway's choice, and the next ones find it cached. */
+#include "engine_select.h"
 #include "gateway.h"
+#include "load_requests.h"
 #include <stdio.h>
-#include <stdlib.h>
 
 enum {
-  CANDS = 512,
-  MAX_PREFIX_BLOCKS = 32,
-  SLOW_MS = 1000,
-  REPLICA_REQUEST_INTERVAL_MS = 1500,
+  /* engines of a service that are looked at: beyond, the choice is among the first */
+  MAX_CANDIDATES = 512,
+  /* shared parts of a prompt that are told apart */
+  MAX_PREFIX_PARTS = 32,
+  /* an engine that ends sooner is no candidate */
+  MIN_REMAINING_MS = 1000,
+  /* ejected engines that come back when fewer than half are left: with a byte in this span */
+  RECENT_BYTE_MS = 3000,
+  /* a suspect engine gets a request that may run only once when no other is left, but not sooner */
   SUSPECT_TRIAL_MS = 1000,
-  UNHEALTHY_COST = 3000,
+  /* of a plain service an engine may have so many more requests than slots */
+  PLAIN_EXTRA_REQUESTS = 2,
+  /* a slow estimate within this span of the last one asks for a further replica */
+  SLOW_ESTIMATE_SPAN_MS = 1000,
+  REPLICA_REQUEST_INTERVAL_MS = 1500,
+  /* in larger fleets each gateway sees few requests of a model, and asks at the first one */
   LARGE_FLEET_NODES = 16
 };
+/* Cost in ms of an engine that is unhealthy: more than any estimate that is in time. */
+static const double UNHEALTHY_COST = 3000;
+/* Share of a KV memory that one gateway counts on for its prefixes, divided by the gateways. */
+static const double PREFIX_KV_SHARE = 0.8;
+/* Share of the shared tokens that is expected to be cached at the prefix's home. */
+static const double HOME_CACHED_SHARE = 0.5;
+/* An estimate beyond this share of the target costs LATE_COST_FACTOR times what is beyond. */
+static const double LATE_TARGET_SHARE = 0.5, LATE_COST_FACTOR = 3;
+/* KV memory: growth of a request beyond its prompt; use from which it costs, and cost in ms for all
+ * of it. */
+static const double KV_GROWTH = 1.15, KV_FULL_SHARE = 0.85, KV_FULL_COST = 4000;
+/* Cost of another zone, in units of the policy's zone weight: for a model, for a plain service. */
+static const double ZONE_COST_MODEL = 3, ZONE_COST_PLAIN = 1.5;
+/* A queue of this share of the target asks for a further replica in a large fleet. */
+static const double LONG_QUEUE_TARGET_SHARE = 0.4;
+/* An estimate that is slow in any case: no healthy engine is left. */
+static const double NO_ESTIMATE_MS = 1e9;
 
-double engine_select_estimate_ms(double base_ms, double ms_per_token, double ahead, double fresh,
+double engine_select_estimate_ms(double base_ms, double ms_per_token, double ahead, double uncached,
                                  int running, unsigned slots, double run_ms) {
-  double full = slots ? (double)running / slots : 0;
-  double ms = (base_ms + ms_per_token * (ahead + fresh)) * (1 + 0.3 * MIN(1, full));
+  double ms =
+      (base_ms + ms_per_token * (ahead + uncached)) * engine_load_batch_slowdown(running, slots);
   if (slots && running >= (int)slots)
     ms += (running - (int)slots + 1) * run_ms / slots;
   return ms;
 }
 
-int engine_select_parse_prefix(const char *prefix, id model, id adapter, uint64_t *chain,
-                               double *upto, int most) {
-  int n = 0;
-  double sum = 0;
-  uint64_t h = hash_two_names(model.text, adapter.text);
-  for (const char *p = prefix; p && *p && n < most;) {
-    size_t len = strcspn(p, ","), name = strcspn(p, ":,");
-    h = hash_bytes(p, name, h);
-    if (name < len)
-      sum += CLAMP(atof(p + name + 1), 0, 1e7);
-    chain[n] = h;
-    upto[n++] = sum;
-    p += len;
-    p += *p == ',';
-  }
-  return n;
-}
-
-/* the chain's last part that an engine is known to keep; what was read there since may have pushed
- * it out */
-static int cached_prefix_length(const gateway_engine *engine, const uint64_t *chain, int n,
-                                double kv) {
-  if (!engine->cached_prefixes)
-    return 0;
-  double most = kv > 0 ? 0.8 * kv / MAX(engine->gateway->router_count, 1) : 1e9;
-  int got = 0;
-  for (int k = 0; k < n; k++) {
-    cached_prefix_block *s =
-        &engine->cached_prefixes[chain[k] % PREFIX_CACHE_SETS * PREFIX_CACHE_WAYS];
-    bool there = false;
-    for (int w = 0; w < PREFIX_CACHE_WAYS && !there; w++)
-      there =
-          s[w].prefix_hash == chain[k] && engine->prefilled_tokens - s[w].prefilled_tokens < most;
-    if (!there)
-      break;
-    got = k + 1;
-  }
-  return got;
-}
-
-static void cached_prefix_record(gateway_engine *engine, const uint64_t *chain, int n) {
-  if (!n)
-    return;
-  if (!engine->cached_prefixes)
-    engine->cached_prefixes = g_new0(cached_prefix_block, PREFIX_CACHE_SETS * PREFIX_CACHE_WAYS);
-  for (int k = 0; k < n; k++) {
-    cached_prefix_block
-        *s = &engine->cached_prefixes[chain[k] % PREFIX_CACHE_SETS * PREFIX_CACHE_WAYS],
-        *to = s;
-    for (int w = 0; w < PREFIX_CACHE_WAYS; w++) {
-      if (s[w].prefix_hash == chain[k]) {
-        to = &s[w];
-        break;
-      }
-      if (!s[w].prefix_hash || (to->prefix_hash && s[w].prefilled_tokens < to->prefilled_tokens))
-        to = &s[w];
-    }
-    *to = (cached_prefix_block){ chain[k], engine->prefilled_tokens };
-  }
-}
-
-static bool is_excluded(const engine_select_request *q, id who) {
-  for (int k = 0; k < q->excluded_count; k++)
-    if (id_equal(q->excluded[k], who))
+static bool is_excluded(const engine_select_request *request, id engine_id) {
+  for (int i = 0; i < request->excluded_count; i++)
+    if (id_equal(request->excluded[i], engine_id))
       return true;
   return false;
 }
 
+/** When requests for a model last met a slow estimate, and a replica was last requested. */
 typedef struct slow_estimate {
   time_us seen_at, requested_at;
 } slow_estimate;
 
-/* a model whose best estimate is slow for a second request within a second, or because of others
-   that wait there, gets one more copy: where nodes are many, each of them sees few requests of a
-   model */
-static void request_extra_replica(gateway *gateway, const engine_select_request *q, double est,
-                                  double queue_ms) {
-  if (!q->target_ms || !gateway_feature_enabled(gateway, FEATURE_REPLICAS) ||
-      est < (q->policy ? q->policy : &select_policy_default)->scale_out_threshold *
-                (double)q->target_ms)
-    return;
+static slow_estimate *slow_estimate_of(gateway *gateway, const engine_select_request *request) {
   char key[160];
-  snprintf(key, sizeof key, "%s/%s+%s", q->service->name.text, q->model.text, q->adapter.text);
-  time_us now = world_now(gateway->router->node.world);
-  slow_estimate *s = g_hash_table_lookup(gateway->slow_estimates, key);
-  if (!s) {
-    s = g_new0(slow_estimate, 1);
-    g_hash_table_insert(gateway->slow_estimates, g_strdup(key), s);
-  }
-  bool again =
-      (gateway->router_count > LARGE_FLEET_NODES && queue_ms > 0.4 * (double)q->target_ms) ||
-      (s->seen_at.us && !time_reached(now, time_add(s->seen_at, time_from_ms(SLOW_MS))));
-  s->seen_at = now;
-  if (!again ||
-      (s->requested_at.us &&
-       !time_reached(now, time_add(s->requested_at, time_from_ms(REPLICA_REQUEST_INTERVAL_MS)))))
+  snprintf(key, sizeof key, "%s/%s+%s", request->service->name.text, request->model.text,
+           request->adapter.text);
+  slow_estimate *slow = g_hash_table_lookup(gateway->slow_estimates, key);
+  if (slow)
+    return slow;
+  slow = g_new0(slow_estimate, 1);
+  g_hash_table_insert(gateway->slow_estimates, g_strdup(key), slow);
+  return slow;
+}
+
+static const select_policy *policy_of(const engine_select_request *request) {
+  return request->policy ? request->policy : &select_policy_default;
+}
+
+static bool is_within(time_us now, time_us at, int64_t ms) {
+  return at.us && !time_reached(now, time_add(at, time_from_ms(ms)));
+}
+
+/* Requests one more model replica when the best estimate is slow for a second time in a second, or,
+ * in a large fleet, because of the requests that wait there. */
+static void request_extra_replica(gateway *gateway, const engine_select_request *request,
+                                  double estimate_ms, double queue_ms) {
+  double target_ms = (double)request->target_ms;
+  if (!request->target_ms || !gateway_feature_enabled(gateway, FEATURE_REPLICAS) ||
+      estimate_ms < policy_of(request)->scale_out_threshold * target_ms)
     return;
-  s->requested_at = now;
-  double ms;
-  int64_t wait;
-  load_request_submit(gateway, q->service, q->model, q->adapter, q->priority, true, &ms, &wait);
-}
-
-gateway_engine *engine_select(gateway *gateway, const engine_select_request *q,
-                              enum engine_select_result *why, double *est_ms) {
-  const service *service = q->service;
-  const select_policy *o = q->policy ? q->policy : &select_policy_default;
-  gateway_engine *c[CANDS];
-  int n = 0, held = 0, open = 0, any = 0;
-  time_us now = world_now(gateway->router->node.world);
-  bool llm = !id_is_empty(q->model);
-  list_for_each (i, &gateway->engines, gateway_engine, link) {
-    if (i->gone || i->draining || !id_equal(i->service, service->name))
+  time_us now = gateway_now(gateway);
+  slow_estimate *slow = slow_estimate_of(gateway, request);
+  bool long_queue =
+      gateway->router_count > LARGE_FLEET_NODES && queue_ms > LONG_QUEUE_TARGET_SHARE * target_ms;
+  bool again = is_within(now, slow->seen_at, SLOW_ESTIMATE_SPAN_MS);
+  slow->seen_at = now;
+  if ((!long_queue && !again) || is_within(now, slow->requested_at, REPLICA_REQUEST_INTERVAL_MS))
+    return;
+  slow->requested_at = now;
+  double load_ms;
+  int64_t retry_after_ms;
+  load_request_submit(gateway, request->service, request->model, request->adapter,
+                      request->priority, true, &load_ms, &retry_after_ms);
+}
+
+/** The engines among which one is chosen. */
+typedef struct candidates {
+  gateway_engine *engines[MAX_CANDIDATES];
+  int count;
+  /** Engines of the service; those with the model that show signs of life; candidates that are not
+   * ejected. */
+  int in_service, holding, open;
+  /** Some candidate is neither suspect nor ejected. */
+  bool some_clear;
+} candidates;
+
+static bool is_ejected(const gateway_engine *engine, time_us now) {
+  return engine->health.ejected_until.us > now.us;
+}
+
+static void find_candidates(gateway *gateway, const engine_select_request *request,
+                            candidates *found) {
+  time_us now = gateway_now(gateway), ends_after = time_add(now, time_from_ms(MIN_REMAINING_MS));
+  found->count = found->in_service = found->holding = found->open = 0;
+  found->some_clear = false;
+  list_for_each (engine, &gateway->engines.list, gateway_engine, link) {
+    if (engine->gone || engine->draining || !id_equal(engine->service, request->service->name))
       continue;
-    if (i->ends_at.us && time_reached(time_add(now, time_from_ms(1000)), i->ends_at))
+    if (engine->ends_at.us && time_reached(ends_after, engine->ends_at))
       continue;
-    any++;
-    if (!gateway_engine_has_model(i, q->model, q->adapter))
+    found->in_service++;
+    if (!gateway_engine_has_model(engine, request->model, request->adapter))
       continue;
-    gateway_engine_check(i);
-    held += !gateway_engine_unresponsive(i);
-    if (is_excluded(q, i->engine_id))
+    gateway_engine_check(engine);
+    found->holding += !gateway_engine_unresponsive(engine);
+    if (is_excluded(request, engine->engine_id))
       continue;
-    open += !(i->ejected_until.us > now.us);
-    if (n < CANDS)
-      c[n++] = i;
+    bool ejected = is_ejected(engine, now);
+    found->open += !ejected;
+    if (found->count == MAX_CANDIDATES)
+      continue;
+    found->some_clear |= !engine->health.suspect && !ejected;
+    found->engines[found->count++] = engine;
   }
-  *est_ms = 0;
-  *why = !any ? ENGINE_SELECT_NO_ENGINE : !held ? ENGINE_SELECT_NO_MODEL : ENGINE_SELECT_ALL_BUSY;
-  if (!n)
-    return NULL;
-  /* when fewer than half would be left, those that have answered at all of late are let in again */
-  bool soft = open * 2 < held;
-  uint64_t chain[MAX_PREFIX_BLOCKS];
-  double upto[MAX_PREFIX_BLOCKS];
-  bool by_prefix = llm && q->prefix && gateway_feature_enabled(gateway, FEATURE_PREFIX);
-  int parts = by_prefix ? engine_select_parse_prefix(q->prefix, q->model, q->adapter, chain, upto,
-                                                     MAX_PREFIX_BLOCKS)
-                        : 0;
-  int shared = MAX(parts - 1, 0);
-  double shared_tokens = shared ? MIN(upto[shared - 1], q->tokens) : 0;
+}
+
+/** The shared parts of a prompt. */
+typedef struct prompt_prefix {
+  uint64_t chain[MAX_PREFIX_PARTS];
+  double tokens_up_to[MAX_PREFIX_PARTS];
+  int part_count;
+  /** Tokens of all parts but the last, which is the prompt's own. */
+  double shared_tokens;
+  /** The engine that should cache the shared parts; NULL when there are none. */
+  const gateway_engine *home;
+} prompt_prefix;
+
+static const gateway_engine *find_home(const candidates *found, uint64_t shared_hash) {
   const gateway_engine *home = NULL;
-  uint64_t top = 0;
-  for (int k = 0; shared && k < n; k++) {
-    uint64_t h = hash_bytes(c[k]->engine_id.text, strlen(c[k]->engine_id.text), chain[shared - 1]);
-    if (!home || h > top) {
-      home = c[k];
-      top = h;
+  uint64_t highest = 0;
+  for (int i = 0; i < found->count; i++) {
+    const char *name = found->engines[i]->engine_id.text;
+    uint64_t hash = hash_bytes(name, strlen(name), shared_hash);
+    if (!home || hash > highest) {
+      home = found->engines[i];
+      highest = hash;
     }
   }
-  bool clear = false;
-  for (int k = 0; k < n; k++)
-    clear |= !c[k]->suspect && !(c[k]->ejected_until.us > now.us);
-  gateway_engine *best = NULL;
-  double least = 0, best_est = 0, best_fresh = 0;
-  double soonest = -1, queue_ms = -1;
-  for (int k = 0; k < n; k++) {
-    gateway_engine *i = c[k];
-    unsigned slots = i->slots ? i->slots : service->engine_slots;
-    int running =
-        gateway_feature_enabled(gateway, FEATURE_BATCH) ? gateway_engine_running_requests(i) : 0;
-    if (i->ejected_until.us > now.us &&
-        !(soft && i->last_byte_at.us &&
-          !time_reached(now, time_add(i->last_byte_at, time_from_ms(3000)))))
-      continue;
-    /* where only once-only work comes, one of it must find out in the end, over a channel that has
-     * to come up first */
-    if (i->suspect &&
-        (clear || (q->run_once &&
-                   !time_reached(now, time_add(i->suspect_at, time_from_ms(SUSPECT_TRIAL_MS))))))
-      continue;
-    int kept = cached_prefix_length(i, chain, parts, service->kv_tokens);
-    double fresh = MAX(q->tokens - (kept ? upto[kept - 1] : 0), 0);
-    if (!kept && i == home)
-      fresh = MAX(q->tokens - 0.5 * shared_tokens, 0);
-    double ahead = gateway_engine_waiting_tokens(i), run_ms = i->mean_run_ms;
-    double est = engine_select_estimate_ms(i->base_ms, i->ms_per_token, ahead, fresh, running,
-                                           slots, run_ms);
-    if (soonest < 0 || est < soonest)
-      soonest = est;
-    if (queue_ms < 0 || i->ms_per_token * ahead < queue_ms)
-      queue_ms = i->ms_per_token * ahead;
-    if (slots && running >= (int)slots + (llm ? 0 : 2))
-      continue;
-    if (q->remaining_ms > 0 && est > (double)q->remaining_ms)
+  return home;
+}
+
+static void read_prefix(const gateway *gateway, const engine_select_request *request,
+                        const candidates *found, prompt_prefix *prefix) {
+  prefix->part_count = 0;
+  prefix->shared_tokens = 0;
+  prefix->home = NULL;
+  if (id_is_empty(request->model) || !request->prefix ||
+      !gateway_feature_enabled(gateway, FEATURE_PREFIX))
+    return;
+  prefix->part_count = prefix_cache_parse(request->prefix, request->model, request->adapter,
+                                          prefix->chain, prefix->tokens_up_to, MAX_PREFIX_PARTS);
+  int shared_count = prefix->part_count - 1;
+  if (shared_count <= 0)
+    return;
+  prefix->shared_tokens = MIN(prefix->tokens_up_to[shared_count - 1], request->tokens);
+  prefix->home = find_home(found, prefix->chain[shared_count - 1]);
+}
+
+/* tokens of a prompt that an engine is known to have cached */
+static double cached_tokens(const gateway_engine *engine, const prompt_prefix *prefix,
+                            double kv_tokens) {
+  double max_age_tokens =
+      kv_tokens > 0 ? PREFIX_KV_SHARE * kv_tokens / MAX(engine->gateway->router_count, 1) : 1e9;
+  int cached_parts = prefix_cache_match(&engine->prefix_cache, prefix->chain, prefix->part_count,
+                                        engine->load.prefilled_tokens, max_age_tokens);
+  return cached_parts ? prefix->tokens_up_to[cached_parts - 1] : -1;
+}
+
+/** A candidate's estimate. */
+typedef struct candidate_estimate {
+  unsigned slots;
+  int running;
+  double ahead;    /* tokens that wait there */
+  double cached;   /* of the prompt */
+  double uncached; /* of the prompt, to be prefilled */
+  double ms;       /* to the first event */
+} candidate_estimate;
+
+static candidate_estimate estimate_candidate(const gateway_engine *engine,
+                                             const engine_select_request *request,
+                                             const prompt_prefix *prefix) {
+  const gateway *gateway = engine->gateway;
+  const engine_load *load = &engine->load;
+  candidate_estimate estimate = {
+    .slots = engine->slots ? engine->slots : request->service->engine_slots,
+    .running = gateway_feature_enabled(gateway, FEATURE_BATCH)
+                   ? gateway_engine_running_requests(engine)
+                   : 0,
+    .ahead = gateway_engine_waiting_tokens(engine),
+  };
+  double cached = cached_tokens(engine, prefix, request->service->kv_tokens);
+  estimate.cached = MAX(cached, 0);
+  estimate.uncached = MAX(request->tokens - estimate.cached, 0);
+  if (cached < 0 && engine == prefix->home)
+    estimate.uncached = MAX(request->tokens - HOME_CACHED_SHARE * prefix->shared_tokens, 0);
+  estimate.ms = engine_select_estimate_ms(load->base_ms, load->ms_per_token, estimate.ahead,
+                                          estimate.uncached, estimate.running, estimate.slots,
+                                          load->mean_run_ms);
+  return estimate;
+}
+
+/* true when a candidate's health forbids it; let_ejected_in: fewer than half would be left */
+static bool is_passed_over(const gateway_engine *engine, const engine_select_request *request,
+                           const candidates *found, bool let_ejected_in, time_us now) {
+  const engine_health *health = &engine->health;
+  if (is_ejected(engine, now) &&
+      !(let_ejected_in && is_within(now, health->last_byte_at, RECENT_BYTE_MS)))
+    return true;
+  /* where only requests come that may run once, one of them has to find out in the end */
+  time_us trial_at = time_add(health->suspect_at, time_from_ms(SUSPECT_TRIAL_MS));
+  return health->suspect &&
+         (found->some_clear || (request->run_once && !time_reached(now, trial_at)));
+}
+
+/* true when the request should not go there, however cheap it is */
+static bool is_overloaded(const engine_select_request *request,
+                          const candidate_estimate *estimate) {
+  bool plain = id_is_empty(request->model);
+  if (estimate->slots &&
+      estimate->running >= (int)estimate->slots + (plain ? PLAIN_EXTRA_REQUESTS : 0))
+    return true;
+  if (request->remaining_ms > 0 && estimate->ms > (double)request->remaining_ms)
+    return true;
+  /* in a queue that is already too long it would only delay those behind it */
+  return !plain && request->target_ms &&
+         estimate->ms > policy_of(request)->reject_threshold * (double)request->target_ms &&
+         estimate->ahead > 0;
+}
+
+/* cost of a full KV memory, where requests would be preempted */
+static double kv_cost(const gateway_engine *engine, const service *service, int running) {
+  if (service->kv_tokens <= 0 || !gateway_feature_enabled(engine->gateway, FEATURE_KV))
+    return 0;
+  double use =
+      (running + 1) * MAX(engine->load.mean_prompt_tokens, 1) * KV_GROWTH / service->kv_tokens;
+  return use > KV_FULL_SHARE ? (use - KV_FULL_SHARE) * KV_FULL_COST : 0;
+}
+
+/* cost of a request for a model by its estimate */
+static double model_cost(const gateway_engine *engine, const engine_select_request *request,
+                         const prompt_prefix *prefix, const candidate_estimate *estimate) {
+  const select_policy *policy = policy_of(request);
+  double cost = policy->load_weight * estimate->ms, target_ms = (double)request->target_ms;
+  if (prefix->home && engine != prefix->home)
+    cost += policy->affinity_weight * engine->load.ms_per_token *
+            MAX(prefix->shared_tokens - estimate->cached, 0);
+  if (request->target_ms && estimate->ms > LATE_TARGET_SHARE * target_ms)
+    cost += policy->load_weight * LATE_COST_FACTOR * (estimate->ms - LATE_TARGET_SHARE * target_ms);
+  double kv = kv_cost(engine, request->service, estimate->running);
+  return kv > 0 ? cost + kv : cost;
+}
+
+/* a plain request costs by the share of the slots that are taken */
+static double plain_cost(const engine_select_request *request, const candidate_estimate *estimate) {
+  double running = estimate->running;
+  return policy_of(request)->load_weight * estimate->ms *
+         (1 + (estimate->slots ? running / estimate->slots : running));
+}
+
+static double cost_of(const gateway_engine *engine, const engine_select_request *request,
+                      const prompt_prefix *prefix, const candidate_estimate *estimate) {
+  gateway *gateway = engine->gateway;
+  bool plain = id_is_empty(request->model);
+  double cost =
+      plain ? plain_cost(request, estimate) : model_cost(engine, request, prefix, estimate);
+  if (!id_equal(engine->zone, gateway->router->node.settings.zone) &&
+      gateway_feature_enabled(gateway, FEATURE_ZONE))
+    cost += policy_of(request)->zone_weight * (plain ? ZONE_COST_PLAIN : ZONE_COST_MODEL);
+  if (gateway_engine_unhealthy(engine))
+    cost += UNHEALTHY_COST;
+  return cost + (double)world_random(gateway->router->node.world, 1000) / 1000;
+}
+
+/** The cheapest candidate so far. */
+typedef struct selection {
+  gateway_engine *engine; /* NULL when all are passed over or overloaded */
+  double cost;
+  candidate_estimate estimate;
+  /** Of all that are not passed over: the soonest first event and the shortest queue, in ms;
+   * negative when there are none. */
+  double soonest_ms, queue_ms;
+} selection;
+
+static selection select_cheapest(gateway *gateway, const engine_select_request *request,
+                                 const candidates *found, const prompt_prefix *prefix) {
+  selection best = { .soonest_ms = -1, .queue_ms = -1 };
+  time_us now = gateway_now(gateway);
+  bool let_ejected_in = found->open * 2 < found->holding;
+  for (int i = 0; i < found->count; i++) {
+    gateway_engine *engine = found->engines[i];
+    if (is_passed_over(engine, request, found, let_ejected_in, now))
       continue;
-    /* a place in a line that is already too long helps nobody behind it */
-    if (llm && q->target_ms && est > o->reject_threshold * (double)q->target_ms && ahead > 0)
+    candidate_estimate estimate = estimate_candidate(engine, request, prefix);
+    double queue_ms = engine->load.ms_per_token * estimate.ahead;
+    if (best.soonest_ms < 0 || estimate.ms < best.soonest_ms)
+      best.soonest_ms = estimate.ms;
+    if (best.queue_ms < 0 || queue_ms < best.queue_ms)
+      best.queue_ms = queue_ms;
+    if (is_overloaded(request, &estimate))
       continue;
-    double cost = o->load_weight * est;
-    /* parts that are read again are paid for, beside the time they take */
-    if (shared && i != home)
-      cost += o->affinity_weight * i->ms_per_token *
-              MAX(shared_tokens - (kept ? upto[kept - 1] : 0), 0);
-    if (q->target_ms && est > 0.5 * (double)q->target_ms)
-      cost += o->load_weight * 3 * (est - 0.5 * (double)q->target_ms);
-    if (llm && service->kv_tokens > 0 && gateway_feature_enabled(gateway, FEATURE_KV)) {
-      double use = (running + 1) * MAX(i->mean_prompt_tokens, 1) * 1.15 / service->kv_tokens;
-      if (use > 0.85)
-        cost += (use - 0.85) * 4000;
-    }
-    if (!llm)
-      cost = o->load_weight * est * (1 + (slots ? (double)running / slots : running));
-    if (!id_equal(i->zone, gateway->router->node.settings.zone) &&
-        gateway_feature_enabled(gateway, FEATURE_ZONE))
-      cost += o->zone_weight * (llm ? 3 : 1.5);
-    if (gateway_engine_unhealthy(i))
-      cost += UNHEALTHY_COST;
-    cost += (double)world_random(gateway->router->node.world, 1000) / 1000;
-    if (!best || cost < least) {
-      best = i;
-      least = cost;
-      best_est = est;
-      best_fresh = fresh;
+    double cost = cost_of(engine, request, prefix, &estimate);
+    if (!best.engine || cost < best.cost) {
+      best.engine = engine;
+      best.cost = cost;
+      best.estimate = estimate;
     }
   }
-  *est_ms = best ? best_est : MAX(soonest, 0);
-  if (llm && held)
-    request_extra_replica(gateway, q, best && !gateway_engine_unhealthy(best) ? best_est : 1e9,
-                          best && gateway_engine_unhealthy(best) ? 1e9 : queue_ms);
-  if (!best)
-    return NULL;
-  *why = ENGINE_SELECT_OK;
-  best->selected_model = q->model;
-  best->selected_adapter = q->adapter;
-  best->selected_uncached_tokens = best_fresh;
-  best->selected_tokens = q->tokens;
-  cached_prefix_record(best, chain, parts);
   return best;
 }
+
+gateway_engine *engine_select(gateway *gateway, const engine_select_request *request,
+                              enum engine_select_result *result, double *estimate_ms) {
+  candidates found;
+  find_candidates(gateway, request, &found);
+  *estimate_ms = 0;
+  *result = !found.in_service ? ENGINE_SELECT_NO_ENGINE
+            : !found.holding  ? ENGINE_SELECT_NO_MODEL
+                              : ENGINE_SELECT_ALL_BUSY;
+  if (!found.count)
+    return NULL;
+  prompt_prefix prefix;
+  read_prefix(gateway, request, &found, &prefix);
+  selection best = select_cheapest(gateway, request, &found, &prefix);
+  gateway_engine *engine = best.engine;
+  *estimate_ms = engine ? best.estimate.ms : MAX(best.soonest_ms, 0);
+  if (!id_is_empty(request->model) && found.holding) {
+    bool healthy = engine && !gateway_engine_unhealthy(engine);
+    request_extra_replica(gateway, request, healthy ? best.estimate.ms : NO_ESTIMATE_MS,
+                          engine && !healthy ? NO_ESTIMATE_MS : best.queue_ms);
+  }
+  if (!engine)
+    return NULL;
+  *result = ENGINE_SELECT_OK;
+  engine->selected = (selected_request){ .model = request->model,
+                                         .adapter = request->adapter,
+                                         .tokens = request->tokens,
+                                         .uncached_tokens = best.estimate.uncached };
+  prefix_cache_record(&engine->prefix_cache, prefix.chain, prefix.part_count,
+                      engine->load.prefilled_tokens);
+  return engine;
+}
--- a/lib/gateway/eviction.c
+++ b/lib/gateway/eviction.c
@@ -1,8 +1,16 @@
 /** What an engine may lose for a load: sizes, load times and rates of what it holds, the rule's
  * candidates, and what a placement would cost. */
-#include "loader_internal.h"
+#include "gateway.h"
 #include <math.h>
 
+enum {
+  RATE_KNOWN_MS = 4000,
+  RECENT_LOAD_MS = 1000,
+  RECENT_ADAPTER_LOAD_MS = 600,
+  DRAIN_MIN_MS = 1000,
+  BUSY_EVICTION_COST = 300
+};
+
 /* sizes and times */
 double eviction_size_mb(const service *service, id model, id adapter) {
   const service_model_spec *m = service_find_model(service, model.text);
@@ -33,56 +41,43 @@
   double own =
       0.5 * event_history_request_rate(&gateway->router->history, key) +
       0.5 * event_history_recent_rate(&gateway->router->history, key, time_from_ms(RECENT_RATE_MS));
-  fleet_rate *w = gateway->router_count > SMALL_FLEET_NODES
-                      ? g_hash_table_lookup(gateway->fleet_rates, key)
-                      : NULL;
-  return w && !time_reached(now_of(gateway),
-                            time_add(w->received_at, time_from_ms(4 * FLEET_RATES_INTERVAL_MS)))
-             ? MAX(own, w->rate)
-             : own;
-}
-
-static bool has_load_job_for(gateway_engine *engine, id model, id adapter) {
-  list_for_each (job, &engine->load_jobs, load_job, link)
-    if (!job->done && id_equal(job->model, model) &&
-        (id_is_empty(adapter) || id_equal(job->adapter, adapter)))
-      return true;
-  return false;
+  return MAX(own, fleet_rates_total(gateway, key));
 }
 
 /* counts copies of all that a service's engines hold, for the time of one choice: one by one, each
    engine's each resident would look through all engines again */
 void eviction_replica_counts_begin(gateway *gateway, id service) {
-  gateway->replica_counts = g_hash_table_new(NULL, NULL);
-  list_for_each (i, &gateway->engines, gateway_engine, link) {
+  gateway->eviction.replica_counts = g_hash_table_new(NULL, NULL);
+  list_for_each (i, &gateway->engines.list, gateway_engine, link) {
     if (i->gone || i->draining || !id_equal(i->service, service) || gateway_engine_unresponsive(i))
       continue;
-    list_for_each (r, &i->residents, resident, link) {
+    list_for_each (r, &i->residents.list, resident, link) {
       if (r->unloading)
         continue;
       for (int k = -1; k < (int)r->adapters->len; k++) {
-        gpointer key = GUINT_TO_POINTER(
-            gateway_engine_model_key(r->model, k < 0 ? none : id_of_text(r->adapters->pdata[k])));
+        gpointer key = GUINT_TO_POINTER(gateway_engine_model_key(
+            r->model, k < 0 ? id_none : id_of_text(r->adapters->pdata[k])));
         g_hash_table_insert(
-            gateway->replica_counts, key,
-            GINT_TO_POINTER(GPOINTER_TO_INT(g_hash_table_lookup(gateway->replica_counts, key)) +
-                            1));
+            gateway->eviction.replica_counts, key,
+            GINT_TO_POINTER(
+                GPOINTER_TO_INT(g_hash_table_lookup(gateway->eviction.replica_counts, key)) + 1));
       }
     }
   }
 }
 
 void eviction_replica_counts_end(gateway *gateway) {
-  if (gateway->replica_counts)
-    g_hash_table_destroy(gateway->replica_counts);
-  gateway->replica_counts = NULL;
+  if (gateway->eviction.replica_counts)
+    g_hash_table_destroy(gateway->eviction.replica_counts);
+  gateway->eviction.replica_counts = NULL;
 }
 
 static int replicas_counted(gateway *gateway, id service, id model, id adapter) {
-  if (!gateway->replica_counts)
+  if (!gateway->eviction.replica_counts)
     return gateway_engines_count_replicas(gateway, service, model, adapter);
-  return GPOINTER_TO_INT(g_hash_table_lookup(
-      gateway->replica_counts, GUINT_TO_POINTER(gateway_engine_model_key(model, adapter))));
+  return GPOINTER_TO_INT(
+      g_hash_table_lookup(gateway->eviction.replica_counts,
+                          GUINT_TO_POINTER(gateway_engine_model_key(model, adapter))));
 }
 
 /* The rate of an adapter that was loaded of late is not in the history yet: it comes in some ms,
@@ -111,9 +106,9 @@
                         eviction_candidate *all, double *mb, unsigned *slots) {
   gateway *gateway = engine->gateway;
   int n = 0;
-  *mb = engine->reserved_mb;
-  *slots = engine->reserved_slots;
-  list_for_each (r, &engine->residents, resident, link) {
+  *mb = engine->load_jobs.reserved_mb;
+  *slots = engine->load_jobs.reserved_slots;
+  list_for_each (r, &engine->residents.list, resident, link) {
     for (guint k = 0; k < r->unloading_adapters->len; k++)
       *mb += eviction_size_mb(service, r->model, id_of_text(r->unloading_adapters->pdata[k]));
     *slots += r->unloading_adapters->len;
@@ -142,7 +137,7 @@
       candidate->last_requested_at = k < 0 && r->last_used_at.us > used.us ? r->last_used_at : used;
       candidate->busy = gateway_engine_is_running(engine, candidate->model, candidate->adapter);
       candidate->pinned = r->unloading || just_loaded(gateway, r, candidate->adapter, loaded_at) ||
-                          has_load_job_for(engine, candidate->model, candidate->adapter) ||
+                          engine_load_jobs_need(engine, candidate->model, candidate->adapter) ||
                           (k < 0 && !id_is_empty(adapter) && id_equal(r->model, model));
     }
   }
@@ -158,11 +153,11 @@
 eviction_rule eviction_policy(gateway *gateway) {
   const config *config = gateway->router->config;
   if (!gateway_feature_enabled(gateway, FEATURE_CREMEBRULEE))
-    return (eviction_rule){ "lru", NULL, now_of(gateway) };
-  return config
-             ? (eviction_rule){ config->eviction_policy,
-                                config_formula(config, config->eviction_policy), now_of(gateway) }
-             : (eviction_rule){ "cremebrulee", NULL, now_of(gateway) };
+    return (eviction_rule){ "lru", NULL, gateway_now(gateway) };
+  return config ? (eviction_rule){ config->eviction_policy,
+                                   config_formula(config, config->eviction_policy),
+                                   gateway_now(gateway) }
+                : (eviction_rule){ "cremebrulee", NULL, gateway_now(gateway) };
 }
 
 capacity_shortage eviction_shortage(const service *service, double mb, unsigned slots,
@@ -181,7 +176,7 @@
   *mb = 0;
   *slots = 0;
   if (!gateway_engine_resident(engine, model))
-    *mb += eviction_size_mb(service, model, none);
+    *mb += eviction_size_mb(service, model, id_none);
   if (!id_is_empty(adapter) && !gateway_engine_has_model(engine, model, adapter)) {
     *mb += eviction_size_mb(service, model, adapter);
     *slots += 1;
@@ -212,7 +207,7 @@
   /* what runs has to end first; meanwhile it takes no new work, and holds the engine's other orders
    * up */
   for (int k = 0; k < got; k++) {
-    double drain = all[k].busy ? MAX(DRAIN_MIN_MS, 2 * engine->mean_run_ms) : 0;
+    double drain = all[k].busy ? MAX(DRAIN_MIN_MS, 2 * engine->load.mean_run_ms) : 0;
     *drain_ms = MAX(*drain_ms, drain);
     cost += (all[k].load_ms + drain) * all[k].request_rate + (drain > 0 ? BUSY_EVICTION_COST : 0);
   }
--- a/lib/gateway/fleet_rates.c
+++ b/lib/gateway/fleet_rates.c
@@ -1,7 +1,33 @@
 /** Rates of requests over the whole fleet. */
-#include "loader_internal.h"
+#include "gateway.h"
 #include <stdio.h>
 
+enum { RATES_INTERVAL_MS = 1000, RATE_SHARDS = 8, TOTAL_TTL_INTERVALS = 4 };
+
+void fleet_rates_init(fleet_rates *rates) {
+  rates->totals = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+  rates->counts_sent = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+}
+
+void fleet_rates_free(fleet_rates *rates) {
+  if (rates->totals)
+    g_hash_table_destroy(rates->totals);
+  if (rates->counts_sent)
+    g_hash_table_destroy(rates->counts_sent);
+  rates->totals = rates->counts_sent = NULL;
+}
+
+double fleet_rates_total(gateway *gateway, const char *key) {
+  if (gateway->router_count <= SMALL_FLEET_NODES)
+    return 0;
+  const fleet_rate *total = g_hash_table_lookup(gateway->fleet_rates.totals, key);
+  bool expired =
+      !total || time_reached(gateway_now(gateway),
+                             time_add(total->received_at,
+                                      time_from_ms(TOTAL_TTL_INTERVALS * FLEET_RATES_INTERVAL_MS)));
+  return expired ? 0 : total->rate;
+}
+
 /* rates and load times of the whole fleet */
 int fleet_rates_on_message(void *ctx, Wire__Envelope *in, reply *reply, error *err) {
   gateway *gateway = ctx;
@@ -11,12 +37,12 @@
   for (size_t i = 0; q->fleet_totals && i < q->n_counts; i++) {
     if (strlen(q->counts[i]->key) >= 100)
       continue;
-    fleet_rate *r = g_hash_table_lookup(gateway->fleet_rates, q->counts[i]->key);
+    fleet_rate *r = g_hash_table_lookup(gateway->fleet_rates.totals, q->counts[i]->key);
     if (!r) {
       r = g_new0(fleet_rate, 1);
-      g_hash_table_insert(gateway->fleet_rates, g_strdup(q->counts[i]->key), r);
+      g_hash_table_insert(gateway->fleet_rates.totals, g_strdup(q->counts[i]->key), r);
     }
-    *r = (fleet_rate){ (double)q->counts[i]->total / 1000, now_of(gateway) };
+    *r = (fleet_rate){ (double)q->counts[i]->total / 1000, gateway_now(gateway) };
   }
   rate_exchange_receive(gateway->router, q);
   return OK;
@@ -33,7 +59,7 @@
   char by[24];
   id who;
   snprintf(by, sizeof by, "rates:%d", shard);
-  if (!node_rendezvous_peer(&gateway->router->node, ROLE_ROUTER, by, none, &who, addr))
+  if (!node_rendezvous_peer(&gateway->router->node, ROLE_ROUTER, by, id_none, &who, addr))
     addr[0] = 0;
 }
 
@@ -68,14 +94,14 @@
     double rate =
         0.5 * event_history_request_rate(&router->history, k) +
         0.5 * event_history_recent_rate(&router->history, k, time_from_ms(RECENT_RATE_MS));
-    fleet_rate *was = g_hash_table_lookup(gateway->fleet_rates, k);
+    fleet_rate *was = g_hash_table_lookup(gateway->fleet_rates.totals, k);
     if (rate <= 0 && (!was || was->rate <= 0))
       continue;
     if (!was) {
       was = g_new0(fleet_rate, 1);
-      g_hash_table_insert(gateway->fleet_rates, g_strdup(k), was);
+      g_hash_table_insert(gateway->fleet_rates.totals, g_strdup(k), was);
     }
-    *was = (fleet_rate){ rate, now_of(gateway) };
+    *was = (fleet_rate){ rate, gateway_now(gateway) };
     Wire__RequestCount *r = g_new(Wire__RequestCount, 1);
     wire__request_count__init(r);
     r->key = k;
@@ -105,7 +131,7 @@
       if (x->role == ROLE_ROUTER && !x->gone)
         now_met += x->nonce;
     if (now_met != met)
-      g_hash_table_remove_all(gateway->rates_sent);
+      g_hash_table_remove_all(gateway->fleet_rates.counts_sent);
     met = now_met;
     bool many = gateway->router_count > SMALL_FLEET_NODES, own[RATE_SHARDS] = { false };
     char to[RATE_SHARDS][48];
@@ -118,13 +144,13 @@
     gpointer k, t;
     g_hash_table_iter_init(&it, router->history.local_rates);
     while (g_hash_table_iter_next(&it, &k, &t)) {
-      int64_t *told = g_hash_table_lookup(gateway->rates_sent, k),
+      int64_t *told = g_hash_table_lookup(gateway->fleet_rates.counts_sent, k),
               total = (int64_t)((request_rate *)t)->total;
       if (told && *told == total)
         continue;
       if (!told) {
         told = g_new0(int64_t, 1);
-        g_hash_table_insert(gateway->rates_sent, g_strdup(k), told);
+        g_hash_table_insert(gateway->fleet_rates.counts_sent, g_strdup(k), told);
       }
       *told = total;
       Wire__RequestCount *r = g_new(Wire__RequestCount, 1);
--- /dev/null
+++ b/lib/gateway/fleet_rates.h
@@ -0,0 +1,40 @@
+/** Request rates over the whole fleet, for placement and eviction.
+ *
+ * A small fleet's gateways send each other the counts that have changed. In a larger one that would
+ * grow with the square, so each key has a collector (one of RATE_SHARDS gateways by rendezvous
+ * hashing), which announces the totals of its keys to all. */
+#ifndef GATEWAY_FLEET_RATES_H
+#define GATEWAY_FLEET_RATES_H
+#include "node.h"
+#include "world.h"
+
+typedef struct gateway gateway;
+
+/** Fleets up to this size exchange rates, load times and permits in full. */
+enum { SMALL_FLEET_NODES = 16 };
+/** Span of the recent rate, which has half of the weight: demand moves within seconds. */
+enum { RECENT_RATE_MS = 5000 };
+/** Interval at which collectors announce totals. */
+enum { FLEET_RATES_INTERVAL_MS = 2000 };
+
+/** A key's total rate, as its collector announced it. */
+typedef struct fleet_rate {
+  double rate; /* requests per second */
+  time_us received_at;
+} fleet_rate;
+
+/** Written by fleet_rates.c. */
+typedef struct fleet_rates {
+  GHashTable *totals;      /* key -> fleet_rate; large fleets only */
+  GHashTable *counts_sent; /* key -> int64_t: own count that the others have */
+} fleet_rates;
+
+void fleet_rates_init(fleet_rates *rates);
+void fleet_rates_free(fleet_rates *rates);
+/** The total rate of a key; 0 in a small fleet, or when none was announced lately. */
+double fleet_rates_total(gateway *gateway, const char *key);
+/** Handles a RateReport of another gateway. */
+int fleet_rates_on_message(void *context, Wire__Envelope *in, reply *reply, error *err);
+/** The task that sends rates; context is the gateway. */
+void fleet_rates_run(void *context);
+#endif
--- a/lib/gateway/gateway.c
+++ b/lib/gateway/gateway.c
@@ -1,147 +1,202 @@
+/** Start and end of a gateway, its readiness page, and what the router calls it for: a new
+ * configuration, engines of a config sync, the singletons that it competes for, and its pages. */
 #include "gateway.h"
+#include "forward.h"
+#include "load_jobs.h"
+#include "service_traffic.h"
+#include "status.h"
+#include "traffic_reports.h"
 
-enum { POOLED_IDLE_MS = 4000 };
+enum {
+  /* pooled connections that have been idle for longer are closed */
+  POOLED_IDLE_MS = 4000,
+  /* limits of clients' requests where the configuration has none */
+  HEADER_MAX_BYTES = 16 << 10,
+  BODY_MAX_BYTES = 4 << 20,
+  HEADER_TIMEOUT_MS = 3000,
+  IDLE_TIMEOUT_MS = 15000,
+  /* limits of requests for readiness */
+  HEALTH_HEADER_MAX_BYTES = 8 << 10,
+  HEALTH_BODY_MAX_BYTES = 4 << 10
+};
 
 static void apply_listener_limits(gateway *gateway) {
+  static const request_limits no_limits;
   http_listener *listener = &gateway->client_listener;
-  const request_limits *l = gateway->routing ? &gateway->routing->limits : NULL;
-  listener->header_max_bytes = l && l->header_max_bytes ? l->header_max_bytes : 16384;
-  listener->body_max_bytes = l && l->body_max_bytes ? l->body_max_bytes : 4 << 20;
-  listener->header_timeout_ms = l && l->header_timeout_ms ? l->header_timeout_ms : 3000;
-  listener->idle_timeout_ms = l && l->idle_timeout_ms ? l->idle_timeout_ms : 15000;
+  const request_limits *limits = gateway->routing ? &gateway->routing->limits : &no_limits;
+  listener->header_max_bytes =
+      limits->header_max_bytes ? limits->header_max_bytes : HEADER_MAX_BYTES;
+  listener->body_max_bytes = limits->body_max_bytes ? limits->body_max_bytes : BODY_MAX_BYTES;
+  listener->header_timeout_ms =
+      limits->header_timeout_ms ? limits->header_timeout_ms : HEADER_TIMEOUT_MS;
+  listener->idle_timeout_ms = limits->idle_timeout_ms ? limits->idle_timeout_ms : IDLE_TIMEOUT_MS;
 }
 
-static void on_installed(void *p) {
-  gateway *gateway = p;
+/* takes over the router's newest configuration */
+static void on_installed(void *context) {
+  gateway *gateway = context;
   canary_config_installed(gateway);
-  routing *was = (routing *)gateway->routing;
-  if (gateway->router->routing == was)
+  routing *previous = (routing *)gateway->routing, *current = gateway->router->routing;
+  if (current == previous)
     return;
-  gateway->routing = gateway->router->routing ? routing_ref(gateway->router->routing) : NULL;
-  if (was)
-    routing_unref(was);
+  gateway->routing = current ? routing_ref(current) : NULL;
+  if (previous)
+    routing_unref(previous);
   apply_listener_limits(gateway);
-  condition_broadcast(&gateway->engines_changed);
+  condition_broadcast(&gateway->engines.changed);
 }
 
-static void on_engines(void *p, const Wire__ConfigPollResponse *b) {
-  gateway *gateway = p;
-  gateway_engines_config_sync(gateway, b);
-  if (b->registry_run)
-    gateway->engines_known = true;
+static void on_config_sync(void *context, const Wire__ConfigPollResponse *response) {
+  gateway *gateway = context;
+  gateway_engines_config_sync(gateway, response);
+  if (response->registry_run)
+    gateway->engines.is_known = true;
 }
 
-static void each_singleton(void *p, void (*one)(router *router, const char *duty)) {
-  gateway *gateway = p;
-  char d[64];
+/* calls visit for each singleton that this gateway competes for: the judge of a trial, and the
+ * leases on the engines that hold models */
+static void for_each_singleton(void *context, void (*visit)(router *router, const char *name)) {
+  gateway *gateway = context;
   if (gateway->canary)
-    one(gateway->router, "canary");
-  list_for_each (i, &gateway->engines, gateway_engine, link) {
-    const service *service = i->gone || !gateway->routing
-                                 ? NULL
-                                 : routing_find_service(gateway->routing, i->service.text);
+    visit(gateway->router, "canary");
+  list_for_each (engine, &gateway->engines.list, gateway_engine, link) {
+    const service *service = engine->gone ? NULL : gateway_service_of(gateway, engine->service);
     if (!service || !service->model_count)
       continue;
-    singleton_engine_name(d, sizeof d, i->engine_id);
-    one(gateway->router, d);
+    char name[64];
+    singleton_engine_name(name, sizeof name, engine->engine_id);
+    visit(gateway->router, name);
   }
 }
 
-static void write_page(void *p, GString *to, bool metrics) {
+static void write_status(void *context, GString *to, bool metrics) {
   if (metrics)
-    gateway_metrics(p, to);
+    gateway_metrics(context, to);
   else
-    gateway_status(p, to);
+    gateway_status(context, to);
 }
 
-static void ready_serve(void *p, http_request *request) {
-  gateway *gateway = p;
+static void serve_readiness(void *context, http_request *request) {
+  gateway *gateway = context;
   if (!dialect_matches_call(gateway->settings.dialect, DC_READY, request->method, request->path,
                             NULL)) {
     http_request_respond(request, 404, "text/plain", string_view_of("no such page\n"));
     return;
   }
-  const char *why = gateway_unready_reason(gateway);
-  if (!why)
-    http_request_respond(request, 200, "text/plain", string_view_of("ready\n"));
-  else
-    http_request_respond(request, 503, "text/plain", string_view_of(why));
+  const char *reason = gateway_unready_reason(gateway);
+  http_request_respond(request, reason ? 503 : 200, "text/plain",
+                       string_view_of(reason ? reason : "ready\n"));
 }
 
-gateway *gateway_new(router *router, const gateway_settings *x, error *err) {
-  if (!router->node.settings.is_gateway || !x->dialect) {
-    error_set(err, E_SETTINGS_KEY, "a gateway needs a router that is one, and a dialect");
-    return NULL;
-  }
-  gateway *g = g_new0(gateway, 1);
-  g->router = router;
-  g->settings = *x;
-  list_init(&g->engines);
-  list_init(&g->queue);
-  list_init(&g->open_requests);
-  condition_init(&g->engines_changed);
-  condition_init(&g->drained);
-  g->engines_by_id = g_hash_table_new(g_str_hash, g_str_equal);
-  g->load_requests = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-  g->budgets = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, retry_budget_free);
-  g->route_durations = route_durations_new();
-  g->traffic = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, g_free);
-  world *world = router->node.world;
-  g->client_listener = (http_listener){
-    .world = world, .port = x->front_port, .serve = forward_request, .serve_context = g
+static void init_listeners(gateway *gateway) {
+  const gateway_settings *settings = &gateway->settings;
+  world *world = gateway->router->node.world;
+  gateway->client_listener = (http_listener){
+    .world = world, .port = settings->front_port, .serve = forward_request, .serve_context = gateway
   };
-  g_strlcpy(g->client_listener.ip, x->front_ip, sizeof g->client_listener.ip);
-  g->health_listener = (http_listener){ .world = world,
-                                        .port = x->ready_port,
-                                        .serve = ready_serve,
-                                        .serve_context = g,
-                                        .header_max_bytes = 8192,
-                                        .body_max_bytes = 4096,
-                                        .header_timeout_ms = 3000,
-                                        .idle_timeout_ms = 15000 };
-  g_strlcpy(g->health_listener.ip, x->ready_ip, sizeof g->health_listener.ip);
-  apply_listener_limits(g);
+  g_strlcpy(gateway->client_listener.ip, settings->front_ip, sizeof gateway->client_listener.ip);
+  gateway->health_listener = (http_listener){ .world = world,
+                                              .port = settings->ready_port,
+                                              .serve = serve_readiness,
+                                              .serve_context = gateway,
+                                              .header_max_bytes = HEALTH_HEADER_MAX_BYTES,
+                                              .body_max_bytes = HEALTH_BODY_MAX_BYTES,
+                                              .header_timeout_ms = HEADER_TIMEOUT_MS,
+                                              .idle_timeout_ms = IDLE_TIMEOUT_MS };
+  g_strlcpy(gateway->health_listener.ip, settings->ready_ip, sizeof gateway->health_listener.ip);
+  apply_listener_limits(gateway);
   world->pool_idle_timeout_ms = POOLED_IDLE_MS;
-  router->gateway = g;
+}
+
+static void init_state(gateway *gateway) {
+  list_init(&gateway->engines.list);
+  gateway->engines.by_id = g_hash_table_new(g_str_hash, g_str_equal);
+  condition_init(&gateway->engines.changed);
+  list_init(&gateway->requests.open);
+  list_init(&gateway->requests.queue);
+  condition_init(&gateway->drain.finished);
+  gateway->traffic = service_traffic_table_new();
+  gateway->retry_budgets = retry_budgets_new();
+  gateway->route_durations = route_durations_new();
+  gateway->slow_estimates = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+  gateway->load_requests = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+  placement_init(&gateway->placement);
+  load_rate_limiters_init(&gateway->load_rate_limiters);
+  fleet_rates_init(&gateway->fleet_rates);
+}
+
+static void attach_to_router(gateway *gateway) {
+  router *router = gateway->router;
+  router->gateway = gateway;
   router->on_installed = on_installed;
-  router->on_engines_changed = on_engines;
-  router->for_each_singleton = each_singleton;
-  router->write_status = write_page;
-  on_installed(g);
-  canary_start(g);
-  gateway_engines_start(g);
-  loader_start(g);
-  forward_start(g);
-  unserved_start(g);
-  return g;
+  router->on_engines_changed = on_config_sync;
+  router->for_each_singleton = for_each_singleton;
+  router->write_status = write_status;
+  on_installed(gateway);
+}
+
+/* registers the messages of placement and starts the task that exchanges rates */
+static void start_placement(gateway *gateway) {
+  node *node = &gateway->router->node;
+  node_register_handler(node, WIRE__ENVELOPE__BODY_LOAD_PERMIT_REQUEST, load_rate_limiter_on_permit,
+                        gateway);
+  node_register_handler(node, WIRE__ENVELOPE__BODY_PLACED_LOAD_REQUEST, load_jobs_on_placement,
+                        gateway);
+  node_register_handler(node, WIRE__ENVELOPE__BODY_PLACEMENT_REQUEST, placement_on_load_request,
+                        gateway);
+  node_register_handler(node, WIRE__ENVELOPE__BODY_RATE_REPORT, fleet_rates_on_message, gateway);
+  task_start(&node->world->tasks, "rates", fleet_rates_run, gateway);
+}
+
+gateway *gateway_new(router *router, const gateway_settings *settings, error *err) {
+  if (!router->node.settings.is_gateway || !settings->dialect) {
+    error_set(err, E_SETTINGS_KEY, "a gateway needs a router that is one, and a dialect");
+    return NULL;
+  }
+  gateway *gateway = g_new0(struct gateway, 1);
+  gateway->router = router;
+  gateway->settings = *settings;
+  init_state(gateway);
+  init_listeners(gateway);
+  attach_to_router(gateway);
+  canary_start(gateway);
+  gateway_engines_start(gateway);
+  traffic_reports_start(gateway);
+  start_placement(gateway);
+  request_queue_start(gateway);
+  unserved_start(gateway);
+  return gateway;
 }
 
 int gateway_open(gateway *gateway, error *err) {
   world *world = gateway->router->node.world;
-  int r = world->listener_open(world, &gateway->client_listener, err);
-  return r ? r : world->listener_open(world, &gateway->health_listener, err);
+  int code = world->listener_open(world, &gateway->client_listener, err);
+  return code ? code : world->listener_open(world, &gateway->health_listener, err);
 }
 
-void gateway_reload_settings(gateway *gateway, const gateway_settings *x) {
-  gateway_settings was = gateway->settings;
-  gateway->settings = *x;
-  gateway->settings.dialect = was.dialect;
-  gateway->settings.disabled_features = was.disabled_features;
-  gateway->settings.front_port = was.front_port;
-  gateway->settings.ready_port = was.ready_port;
-  memcpy(gateway->settings.front_ip, was.front_ip, sizeof was.front_ip);
-  memcpy(gateway->settings.ready_ip, was.ready_ip, sizeof was.ready_ip);
+void gateway_reload_settings(gateway *gateway, const gateway_settings *settings) {
+  gateway_settings previous = gateway->settings;
+  gateway->settings = *settings;
+  gateway->settings.dialect = previous.dialect;
+  gateway->settings.disabled_features = previous.disabled_features;
+  gateway->settings.front_port = previous.front_port;
+  gateway->settings.ready_port = previous.ready_port;
+  memcpy(gateway->settings.front_ip, previous.front_ip, sizeof previous.front_ip);
+  memcpy(gateway->settings.ready_ip, previous.ready_ip, sizeof previous.ready_ip);
 }
 
 void gateway_free(gateway *gateway) {
   if (!gateway)
     return;
   canary_free(gateway);
-  loader_free(gateway);
+  placement_state_free(&gateway->placement);
+  load_rate_limiters_free(&gateway->load_rate_limiters);
+  fleet_rates_free(&gateway->fleet_rates);
   gateway_engines_free(gateway);
-  g_hash_table_destroy(gateway->engines_by_id);
+  g_hash_table_destroy(gateway->engines.by_id);
+  g_hash_table_destroy(gateway->slow_estimates);
   g_hash_table_destroy(gateway->load_requests);
-  g_hash_table_destroy(gateway->budgets);
+  g_hash_table_destroy(gateway->retry_budgets);
   g_hash_table_destroy(gateway->traffic);
   route_durations_free(gateway->route_durations);
   if (gateway->routing)
--- a/lib/gateway/load_rate_limiter.c
+++ b/lib/gateway/load_rate_limiter.c
@@ -1,7 +1,9 @@
 /** The pace of loads out of a service's store: one node gives the tickets. */
-#include "loader_internal.h"
+#include "gateway.h"
 #include <math.h>
 
+enum { LOAD_PERMIT_TIMEOUT_MS = 400, LOAD_PERMIT_VALID_MS = 150 };
+
 /* the pace of the store */
 int load_rate_limiter_max_loads(double loads_per_s, double window_s, double excess) {
   return MAX(1, (int)floor(loads_per_s * window_s * excess + 1e-9) - 1);
@@ -31,19 +33,30 @@
 } load_rate_limiter;
 
 static load_rate_limiter *load_rate_limiter_of(gateway *gateway, id service) {
-  load_rate_limiter *p = g_hash_table_lookup(gateway->load_rate_limiters, service.text);
+  load_rate_limiter *p = g_hash_table_lookup(gateway->load_rate_limiters.by_service, service.text);
   if (p)
     return p;
   p = g_new0(load_rate_limiter, 1);
   p->load_times = g_array_new(FALSE, TRUE, sizeof(time_us));
-  g_hash_table_insert(gateway->load_rate_limiters, g_strdup(service.text), p);
+  g_hash_table_insert(gateway->load_rate_limiters.by_service, g_strdup(service.text), p);
   return p;
 }
 
-void load_rate_limiter_free(void *q) {
-  load_rate_limiter *p = q;
-  g_array_free(p->load_times, TRUE);
-  g_free(p);
+static void load_rate_limiter_free(void *context) {
+  load_rate_limiter *limiter = context;
+  g_array_free(limiter->load_times, TRUE);
+  g_free(limiter);
+}
+
+void load_rate_limiters_init(load_rate_limiters *limiters) {
+  limiters->by_service =
+      g_hash_table_new_full(g_str_hash, g_str_equal, g_free, load_rate_limiter_free);
+}
+
+void load_rate_limiters_free(load_rate_limiters *limiters) {
+  if (limiters->by_service)
+    g_hash_table_destroy(limiters->by_service);
+  limiters->by_service = NULL;
 }
 
 static double window_s(gateway *gateway) {
@@ -72,9 +85,9 @@
     if (!engine)
       return OK;
     if (in->load_permit_request->key && in->load_permit_request->key[0])
-      load_rate_limiter_record(gateway, engine->service, now_of(gateway));
+      load_rate_limiter_record(gateway, engine->service, gateway_now(gateway));
     else
-      engine->peer_ordered_at = now_of(gateway);
+      engine->orders.peer_ordered_at = gateway_now(gateway);
     return OK;
   }
   uint64_t epoch = singleton_lease_epoch(router, "pacer");
@@ -93,7 +106,7 @@
     return OK;
   int most = load_rate_limiter_max_loads(service->loads_per_s, window_s(gateway), excess(gateway));
   time_us window = { (int64_t)(window_s(gateway) * 1e6) + LOAD_PERMIT_VALID_MS * 1000 },
-          now = now_of(gateway);
+          now = gateway_now(gateway);
   load_rate_limiter *p = load_rate_limiter_of(gateway, service->name);
   singleton_lease *singleton_lease = g_hash_table_lookup(router->singleton_leases, "pacer");
   if (p->epoch != epoch) {
@@ -136,7 +149,7 @@
     *last = time_never();
     return OK;
   }
-  time_us from = now_of(gateway);
+  time_us from = gateway_now(gateway);
   for (;;) {
     id holder;
     uint64_t epoch;
@@ -155,7 +168,7 @@
       t.key = (char *)key;
       t.epoch = epoch;
       Wire__Envelope q = wire_envelope(WIRE__ENVELOPE__BODY_LOAD_PERMIT_REQUEST, &t), *b;
-      time_us sent = now_of(gateway);
+      time_us sent = gateway_now(gateway);
       r = node_call(&router->node, addr, &q, time_from_ms(LOAD_PERMIT_TIMEOUT_MS), &b, err);
       if (r == E_STOPPING)
         return r;
@@ -181,13 +194,13 @@
   }
   /* nobody answers for the pace: a node's own small share of it */
   double gap = 4 * MAX(gateway->router_count, 1) / loads_per_s * 1000;
-  if (gateway->unpermitted_load_at.us &&
-      gateway_ms_since(gateway, gateway->unpermitted_load_at) < gap) {
+  if (gateway->load_rate_limiters.unpermitted_load_at.us &&
+      gateway_ms_since(gateway, gateway->load_rate_limiters.unpermitted_load_at) < gap) {
     *wait = 500;
     return error_set(err, E_LOAD_RATE_LIMITED, "nobody holds the pace");
   }
-  gateway->unpermitted_load_at = now_of(gateway);
-  load_rate_limiter_record(gateway, name, now_of(gateway));
+  gateway->load_rate_limiters.unpermitted_load_at = gateway_now(gateway);
+  load_rate_limiter_record(gateway, name, gateway_now(gateway));
   *last = gateway_deadline_in_ms(gateway, LOAD_PERMIT_VALID_MS);
   return OK;
 }
--- a/lib/gateway/load_requests.c
+++ b/lib/gateway/load_requests.c
@@ -1,5 +1,6 @@
 /** What this node's requests wait for: wishes that are told to the coordinator. */
-#include "loader_internal.h"
+#include "gateway.h"
+#include "load_requests.h"
 #include <stdio.h>
 
 /* what this node asks for; lives while requests ask again */
@@ -23,7 +24,7 @@
 static void coordinator(gateway *gateway, pending_load_request *j, id *who, char addr[48]) {
   char by[128];
   bool skip = !id_is_empty(j->failed_coordinator) &&
-              !time_reached(now_of(gateway), j->failed_coordinator_until);
+              !time_reached(gateway_now(gateway), j->failed_coordinator_until);
   int parts = placement_shard_count(gateway);
   if (parts == 1)
     snprintf(by, sizeof by, "place:%s", j->service.text);
@@ -31,7 +32,7 @@
     snprintf(by, sizeof by, "place:%s/%d", j->service.text,
              placement_shard_of(j->model.text, parts));
   if (node_rendezvous_peer(&gateway->router->node, ROLE_ROUTER, by,
-                           skip ? j->failed_coordinator : none, who, addr))
+                           skip ? j->failed_coordinator : id_none, who, addr))
     return;
   *who = gateway->router->node.settings.self;
   g_strlcpy(addr, gateway->router->node.settings.address, 48);
@@ -39,7 +40,7 @@
 
 static bool load_request_active(gateway *gateway, pending_load_request *j) {
   return !time_reached(
-      now_of(gateway),
+      gateway_now(gateway),
       time_add(j->last_asked_at,
                time_from_ms(j->extra_replica ? 4 * LOAD_REQUEST_TTL_MS : LOAD_REQUEST_TTL_MS)));
 }
@@ -98,7 +99,7 @@
     if (r == E_NO_CAPACITY || r == E_UNKNOWN_MODEL || r == E_NO_ENGINE_FITS || r == E_NO_ENGINE ||
         r == E_ORDER_FAILED) {
       j->failed_until = gateway_deadline_in_ms(gateway, (double)MAX(wait, 200));
-      condition_broadcast(&gateway->engines_changed);
+      condition_broadcast(&gateway->engines.changed);
       if (!world_sleep_with_jitter(gateway->router->node.world,
                                    time_from_ms(CLAMP(wait, 100, 800))))
         break;
@@ -114,7 +115,7 @@
     world_sleep(gateway->router->node.world, time_from_ms(100));
   g_hash_table_remove(gateway->load_requests, j->key);
   g_free(j);
-  condition_broadcast(&gateway->engines_changed);
+  condition_broadcast(&gateway->engines.changed);
 }
 
 int load_request_submit(gateway *g, const service *service, id model, id adapter, unsigned priority,
@@ -134,7 +135,7 @@
     j->key = g_strdup(key);
     /* where all that hold it are lost to this node, others may not have seen that yet */
     int lost = 0;
-    list_for_each (i, &g->engines, gateway_engine, link)
+    list_for_each (i, &g->engines.list, gateway_engine, link)
       lost += !i->gone && !i->draining && id_equal(i->service, service->name) &&
               gateway_engine_unresponsive(i) && gateway_engine_has_model(i, model, adapter);
     j->replaces_lost =
@@ -144,16 +145,16 @@
     j->adapter = adapter;
     j->priority = priority;
     j->extra_replica = copy || j->replaces_lost;
-    bool there =
-        !id_is_empty(adapter) && gateway_engines_count_replicas(g, service->name, model, none) > 0;
+    bool there = !id_is_empty(adapter) &&
+                 gateway_engines_count_replicas(g, service->name, model, id_none) > 0;
     bool warm = false;
-    list_for_each (i, &g->engines, gateway_engine, link)
+    list_for_each (i, &g->engines.list, gateway_engine, link)
       warm |= !i->gone && !i->draining && id_equal(i->service, service->name) &&
-              g_hash_table_contains(i->models_on_disk, model.text);
+              gateway_engine_has_on_disk(i, model);
     j->expected_at = gateway_deadline_in_ms(
-        g, 30 + (there ? 0 : eviction_load_ms(g, service, model, none, warm)) +
+        g, 30 + (there ? 0 : eviction_load_ms(g, service, model, id_none, warm)) +
                (id_is_empty(adapter) ? 0 : eviction_load_ms(g, service, model, adapter, false)));
-    j->last_asked_at = now_of(g);
+    j->last_asked_at = gateway_now(g);
     g_hash_table_insert(g->load_requests, j->key, j);
     struct {
       gateway *gateway;
@@ -163,11 +164,11 @@
     t->job = j;
     task_start(&g->router->node.world->tasks, "want", load_request_run, t);
   }
-  j->last_asked_at = now_of(g);
+  j->last_asked_at = gateway_now(g);
   j->priority = MIN(j->priority, priority);
   j->extra_replica &= copy || j->replaces_lost;
   *est_ms = (double)MAX(20, gateway_ms_until(g, j->expected_at));
-  if (j->failed_until.us > now_of(g).us) {
+  if (j->failed_until.us > gateway_now(g).us) {
     *wait = gateway_ms_until(g, j->failed_until);
     return j->code ? j->code : E_NO_CAPACITY;
   }
--- a/lib/gateway/placement.c
+++ b/lib/gateway/placement.c
@@ -1,457 +1,672 @@
-/** At a coordinator: which engine gets a model that is wanted. */
-#include "loader_internal.h"
+/** Placement at a model's coordinator; see placement.h.
+ *
+ * A placement chooses the engine where the load costs least, asks the holder of that engine's lease
+ * to load it, and goes on until it is loaded, no engine fits, or nobody asks any more. The cost of
+ * an engine counts in ms times requests per second:
+ *
+ *   eviction cost (eviction.h) + time until the model is there * its request rate
+ *
+ * Large fleets place by shards: each has a coordinator, a share of the models, and a share of the
+ * engines for them, so that coordinators that don't know each other's queues keep out of each
+ * other's way. */
+#include "placement.h"
+#include "gateway.h"
+#include "load_jobs.h"
+#include "load_requests.h"
 
-/* copies beyond the next one go only where next to nothing has to make way */
-static const double EXTRA_REPLICA_COST_SHARE = 0.1;
+enum {
+  /* a fleet of up to so many gateways has one coordinator for each service; a larger one has a
+     shard for each NODES_PER_SHARD */
+  SINGLE_COORDINATOR_MAX_NODES = 32,
+  NODES_PER_SHARD = 16,
+  MIN_SHARDS = 2,
+  MAX_SHARDS = 64,
+  SHARD_HASH_SEED = 11,
+  /* a queue of this length at each of its engines is what one more replica should clear */
+  REPLICA_QUEUE_TARGET_MS = 250,
+  MAX_REPLICAS_AT_ONCE = 4,
+  /* so many engines may say that only busy models could be unloaded, before one is asked to drain
+   */
+  MAX_BUSY_ENGINES = 4,
+  /* passes without an engine before the placement fails: leases change hands within some seconds,
+     while a fleet without room says so soon */
+  MAX_PASSES_NO_ROOM = 4,
+  MAX_PASSES_NO_ENGINE = 12,
+  NO_ENGINE_SLEEP_MS = 150,
+  MAX_REFUSALS = 6,
+  REFUSED_SLEEP_MS = 60,
+  NO_RESPONSE_SLEEP_MS = 20,
+  RATE_LIMITED_SLEEP_MIN_MS = 50,
+  RATE_LIMITED_SLEEP_MAX_MS = 500,
+  RATE_LIMITED_EXTRA_MS = 1000,
+  /* an engine whose lease holder does not reach it is passed over by all placements */
+  UNREACHABLE_MS = 2000,
+  /* an engine that ends sooner is not worth a load */
+  MIN_REMAINING_MS = 30000,
+  /* the holder's broadcast that a model is there arrives within this time */
+  BROADCAST_MS = 60,
+  /* times after which a load request may come back */
+  RETRY_DEFAULT_MS = 400,
+  RETRY_UNKNOWN_MODEL_MS = 2000,
+  RETRY_NO_REPLICA_MS = 3000,
+  RETRY_NO_ENGINE_MS = 500,
+  /* between the loads of an engine, and from a placement to the load's begin */
+  LOAD_EXTRA_MS = 40,
+  PLACEMENT_EXTRA_MS = 30
+};
+/* Further replicas beyond the next one go only where next to nothing has to be unloaded. */
+static const double FURTHER_REPLICA_COST_SHARE = 0.1;
+/* Delay of a load by what runs on the engine, ms for a full one; of weights that are not on its
+ * disk; of a load that has to evict. */
+static const double FULL_ENGINE_DELAY_MS = 300, STORE_DELAY_MS = 300, EVICTION_DELAY_MS = 60;
+/* A model is wanted by someone, or there were no placement: its request rate at least. */
+static const double MIN_REQUEST_RATE = 0.6;
+/* The eviction cost may rise so far between the choice and the load. */
+static const double MAX_COST_FACTOR = 2, MAX_COST_EXTRA = 3000;
 
-/* at a coordinator: one placement for the whole fleet */
+/** A placement; at the coordinator, one for the whole fleet. */
 typedef struct placement_job {
-  char *key;
-  id service, model, adapter, engine;
+  char *key; /* load_request_key, owned */
+  id service, model, adapter;
   unsigned priority;
-  bool extra_replica, done, started, further_replica;
+  /** One more replica although engines hold the model; one beyond the next. */
+  bool extra_replica, further_replica;
   time_us last_asked_at, expected_at;
-  bool may_drain; /* no engine was found where what has to go is idle */
-  int code, refs;
-  int64_t retry_after_ms;
+  /** The engine that was chosen (empty: none now), and the eviction cost there. */
+  id engine;
   double eviction_cost;
+  /** Its lease holder has begun to load. */
+  bool started;
+  /** Running requests may be drained: no engine was found where what has to go is idle. */
+  bool may_drain;
+  bool done;
+  int code;
+  int64_t retry_after_ms;
   condition changed;
+  int refs;
 } placement_job;
 
-/* where a duty's holder is; false when nobody lives */
-static bool lease_holder_addr(gateway *gateway, id engine_id, char addr[48]) {
-  char d[64];
+static void placement_job_free(void *context) {
+  placement_job *job = context;
+  g_free(job->key);
+  g_free(job);
+}
+
+void placement_init(placement_state *placement) {
+  placement->jobs = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, placement_job_free);
+}
+
+void placement_state_free(placement_state *placement) {
+  if (placement->jobs)
+    g_hash_table_destroy(placement->jobs);
+  placement->jobs = NULL;
+}
+
+int placement_shard_count(gateway *gateway) {
+  return gateway->router_count <= SINGLE_COORDINATOR_MAX_NODES
+             ? 1
+             : CLAMP(gateway->router_count / NODES_PER_SHARD, MIN_SHARDS, MAX_SHARDS);
+}
+
+int placement_shard_of(const char *name, int shard_count) {
+  return (int)(hash_bytes(name, strlen(name), SHARD_HASH_SEED) % (uint64_t)shard_count);
+}
+
+/* the address of the gateway that holds an engine's lease; false when none that lives does */
+static bool lease_holder_address(gateway *gateway, id engine_id, char address[48]) {
+  router *router = gateway->router;
+  char name[64];
   id holder;
   uint64_t epoch;
-  singleton_engine_name(d, sizeof d, engine_id);
-  if (singleton_lease_epoch(gateway->router, d)) {
-    g_strlcpy(addr, gateway->router->node.settings.address, 48);
+  singleton_engine_name(name, sizeof name, engine_id);
+  if (singleton_lease_epoch(router, name)) {
+    g_strlcpy(address, router->node.settings.address, 48);
     return true;
   }
-  if (!config_sync_find_grant(gateway->router, d, &holder, &epoch) ||
-      id_equal(holder, gateway->router->node.settings.self))
+  if (!config_sync_find_grant(router, name, &holder, &epoch) ||
+      id_equal(holder, router->node.settings.self))
     return false;
-  peer_node *peer = node_find_peer(&gateway->router->node, holder);
+  peer_node *peer = node_find_peer(&router->node, holder);
   if (!peer || peer->gone || peer->role != ROLE_ROUTER)
     return false;
-  g_strlcpy(addr, peer->address, 48);
+  g_strlcpy(address, peer->address, 48);
   return true;
 }
 
-/* how long the placements of this coordinator keep an engine busy before one may begin, in ms */
-static double queued_ms_on_engine(gateway *gateway, id engine_id, const placement_job *by) {
-  double ms = 0, worth = load_job_utility(gateway, by->priority, by->model, by->adapter);
-  GHashTableIter it;
-  gpointer p;
-  g_hash_table_iter_init(&it, gateway->placement_jobs);
-  while (g_hash_table_iter_next(&it, NULL, &p)) {
-    placement_job *k = p;
-    if (k == by || k->done || !id_equal(k->engine, engine_id) ||
-        (!k->started && load_job_utility(gateway, k->priority, k->model, k->adapter) < worth))
+static double model_load_ms(gateway_engine *engine, const service *service, id model) {
+  return gateway_engine_resident(engine, model)
+             ? 0
+             : eviction_load_ms(engine->gateway, service, model, id_none,
+                                gateway_engine_has_on_disk(engine, model));
+}
+
+/* when all that a placement has to load on an engine is expected to be there, in ms, if the first
+ * load begins after begins_in_ms */
+static double loaded_in_ms(gateway_engine *engine, const service *service, const placement_job *job,
+                           double begins_in_ms) {
+  double ms = begins_in_ms + model_load_ms(engine, service, job->model);
+  if (!id_is_empty(job->adapter))
+    ms += eviction_load_ms(engine->gateway, service, job->model, job->adapter,
+                           gateway_engine_has_on_disk(engine, job->model));
+  return ms;
+}
+
+/* how long other placements of this coordinator keep an engine busy before one may begin, in ms */
+static double queued_ms_on_engine(gateway *gateway, id engine_id, const placement_job *job) {
+  double ms = 0, utility = load_job_utility(gateway, job->priority, job->model, job->adapter);
+  GHashTableIter iter;
+  gpointer value;
+  g_hash_table_iter_init(&iter, gateway->placement.jobs);
+  while (g_hash_table_iter_next(&iter, NULL, &value)) {
+    const placement_job *other = value;
+    if (other == job || other->done || !id_equal(other->engine, engine_id))
       continue;
-    const service *service = gateway_service_of(gateway, k->service);
-    gateway_engine *engine = gateway_engine_find(gateway, engine_id.text);
-    if (!service || !engine)
+    if (!other->started &&
+        load_job_utility(gateway, other->priority, other->model, other->adapter) < utility)
       continue;
-    ms +=
-        40 + (gateway_engine_resident(engine, k->model)
-                  ? 0
-                  : eviction_load_ms(gateway, service, k->model, none,
-                                     g_hash_table_contains(engine->models_on_disk, k->model.text)));
+    const service *service = gateway_service_of(gateway, other->service);
+    gateway_engine *engine = gateway_engine_find(gateway, engine_id.text);
+    if (service && engine)
+      ms += LOAD_EXTRA_MS + model_load_ms(engine, service, other->model);
   }
   return ms;
 }
 
-/* an engine that is about to get the same model for another want of it; NULL when there is none */
-static gateway_engine *engine_loading_base(gateway *gateway, const placement_job *p) {
-  GHashTableIter it;
-  gpointer v;
-  g_hash_table_iter_init(&it, gateway->placement_jobs);
-  while (g_hash_table_iter_next(&it, NULL, &v)) {
-    placement_job *o = v;
-    if (o == p || o->done || id_is_empty(o->engine) || !id_equal(o->model, p->model) ||
-        !id_equal(o->service, p->service))
+/* an engine that is about to load the same model for another placement; NULL when there is none */
+static gateway_engine *engine_loading_base(gateway *gateway, const placement_job *job) {
+  GHashTableIter iter;
+  gpointer value;
+  g_hash_table_iter_init(&iter, gateway->placement.jobs);
+  while (g_hash_table_iter_next(&iter, NULL, &value)) {
+    const placement_job *other = value;
+    if (other == job || other->done || id_is_empty(other->engine) ||
+        !id_equal(other->model, job->model) || !id_equal(other->service, job->service))
       continue;
-    gateway_engine *engine = gateway_engine_find(gateway, o->engine.text);
-    if (engine && !engine->gone && !engine->draining && !gateway_engine_resident(engine, p->model))
+    gateway_engine *engine = gateway_engine_find(gateway, other->engine.text);
+    if (engine && !engine->gone && !engine->draining &&
+        !gateway_engine_resident(engine, job->model))
       return engine;
   }
   return NULL;
 }
 
-/* how many more copies of a thing would clear what waits for their first event at those that hold
- * it, within REPLICA_QUEUE_TARGET_MS each */
 int placement_missing_replicas(gateway *gateway, id service, id model, id adapter) {
-  double ms = 0;
-  int have = 0;
-  list_for_each (i, &gateway->engines, gateway_engine, link) {
-    if (i->gone || i->draining || !id_equal(i->service, service) ||
-        !gateway_engine_has_model(i, model, adapter))
+  double queue_ms = 0;
+  int replicas = 0;
+  list_for_each (engine, &gateway->engines.list, gateway_engine, link) {
+    if (engine->gone || engine->draining || !id_equal(engine->service, service) ||
+        !gateway_engine_has_model(engine, model, adapter))
       continue;
-    have++;
-    ms += i->ms_per_token * gateway_engine_waiting_tokens(i);
+    replicas++;
+    queue_ms += engine->load.ms_per_token * gateway_engine_waiting_tokens(engine);
   }
-  return have ? CLAMP((int)(ms / REPLICA_QUEUE_TARGET_MS) - have, 0, MAX_REPLICAS_AT_ONCE) : 0;
-}
-
-/* copies of a thing that are being placed */
-static int replicas_in_progress(gateway *gateway, const placement_job *p,
-                                const gateway_engine *at) {
-  int n = 0;
-  GHashTableIter it;
-  gpointer v;
-  g_hash_table_iter_init(&it, gateway->placement_jobs);
-  while (g_hash_table_iter_next(&it, NULL, &v)) {
-    placement_job *o = v;
-    if (o == p || o->done || !id_equal(o->model, p->model) || !id_equal(o->adapter, p->adapter) ||
-        !id_equal(o->service, p->service))
+  int needed = (int)(queue_ms / REPLICA_QUEUE_TARGET_MS);
+  return replicas ? CLAMP(needed - replicas, 0, MAX_REPLICAS_AT_ONCE) : 0;
+}
+
+/* replicas of the same model that other placements load, on one engine or (NULL) on any */
+static int replicas_in_progress(gateway *gateway, const placement_job *job,
+                                const gateway_engine *engine) {
+  int count = 0;
+  GHashTableIter iter;
+  gpointer value;
+  g_hash_table_iter_init(&iter, gateway->placement.jobs);
+  while (g_hash_table_iter_next(&iter, NULL, &value)) {
+    const placement_job *other = value;
+    if (other == job || other->done || !id_equal(other->model, job->model) ||
+        !id_equal(other->adapter, job->adapter) || !id_equal(other->service, job->service))
       continue;
-    n += !at || id_equal(o->engine, at->engine_id);
+    count += !engine || id_equal(other->engine, engine->engine_id);
   }
-  return n;
+  return count;
 }
 
-/* large fleets place by parts: each has its coordinator, a share of the models, and a share of the
-   engines for them, so that coordinators who do not know each other's lines keep out of each
-   other's way */
-int placement_shard_count(gateway *gateway) {
-  return gateway->router_count <= SINGLE_COORDINATOR_MAX_NODES
-             ? 1
-             : CLAMP(gateway->router_count / NODES_PER_PLACEMENT_SHARD, 2, 64);
+static bool contains_name(const GPtrArray *names, const char *name) {
+  for (guint i = 0; i < names->len; i++)
+    if (!strcmp(names->pdata[i], name))
+      return true;
+  return false;
 }
 
-int placement_shard_of(const char *name, int parts) {
-  return (int)(hash_bytes(name, strlen(name), 11) % (uint64_t)parts);
+/** One choice of an engine. */
+typedef struct engine_choice {
+  gateway *gateway;
+  placement_job *job;
+  const service *service;
+  const GPtrArray *refused_by; /* names of engines that are not asked again */
+  double request_rate;
+  /** The utility of a further replica: load time times the rate that it would take over. */
+  double replica_utility;
+  int shard_count;
+  /** The first pass takes only healthy engines of the model's shard; the second all. */
+  bool strict;
+  gateway_engine *best;
+  double best_cost;
+  int code; /* why there is none */
+} engine_choice;
+
+static bool is_healthy(const gateway_engine *engine) {
+  return !(engine->unreachable_until.us > gateway_engine_now(engine).us) &&
+         !engine->health.suspect && !gateway_engine_unhealthy(engine) &&
+         gateway_engine_usable(engine);
+}
+
+static bool is_in_shard(const engine_choice *choice, const gateway_engine *engine) {
+  return choice->shard_count <= 1 ||
+         placement_shard_of(engine->engine_id.text, choice->shard_count) ==
+             placement_shard_of(choice->job->model.text, choice->shard_count);
+}
+
+/* true when an engine may be chosen, whatever it costs */
+static bool is_eligible(const engine_choice *choice, gateway_engine *engine) {
+  gateway *gateway = choice->gateway;
+  const placement_job *job = choice->job;
+  char address[48];
+  if (!id_equal(engine->service, choice->service->name) || engine->gone || engine->draining ||
+      !engine->residents.known || (choice->strict && !is_healthy(engine)))
+    return false;
+  if (engine->ends_at.us &&
+      !time_reached(engine->ends_at, gateway_deadline_in_ms(gateway, MIN_REMAINING_MS)))
+    return false;
+  if (choice->strict && !job->extra_replica && !is_in_shard(choice, engine))
+    return false;
+  if (job->extra_replica && (gateway_engine_has_model(engine, job->model, job->adapter) ||
+                             replicas_in_progress(gateway, job, engine)))
+    return false;
+  return !contains_name(choice->refused_by, engine->engine_id.text) &&
+         lease_holder_address(gateway, engine->engine_id, address);
+}
+
+/* the time in ms until a model could be there */
+static double delay_ms(const engine_choice *choice, gateway_engine *engine, double eviction_cost,
+                       double drain_ms) {
+  const placement_job *job = choice->job;
+  unsigned slots = engine->slots ? engine->slots : choice->service->engine_slots;
+  bool near =
+      gateway_engine_resident(engine, job->model) || gateway_engine_has_on_disk(engine, job->model);
+  double running = gateway_engine_running_requests(engine);
+  return loaded_in_ms(engine, choice->service, job, 0) + drain_ms +
+         queued_ms_on_engine(choice->gateway, engine->engine_id, job) +
+         (slots ? FULL_ENGINE_DELAY_MS * running / slots : 0) + (near ? 0 : STORE_DELAY_MS) +
+         (eviction_cost > 0 ? EVICTION_DELAY_MS : 0);
 }
 
-/* the engine where a thing costs least: what had to go, how long it waits and loads, how busy the
- * engine is */
-static gateway_engine *choose_engine(gateway *gateway, placement_job *placing,
-                                     const service *service, const GPtrArray *not_these,
-                                     int *code) {
-  gateway_engine *best = NULL;
-  double least = 0, lambda = eviction_request_rate(gateway, placing->model, placing->adapter);
-  int copies =
-      gateway_engines_count_replicas(gateway, service->name, placing->model, placing->adapter);
-  double worth = eviction_load_ms(gateway, service, placing->model, placing->adapter, false) *
-                 lambda / (copies + 1);
+/* compares an eligible engine with the best so far */
+static void consider(engine_choice *choice, gateway_engine *engine) {
+  placement_job *job = choice->job;
+  double mb, drain_ms;
+  unsigned slots;
+  double eviction_cost = eviction_placement_cost(engine, choice->service, job->model, job->adapter,
+                                                 &mb, &slots, &drain_ms);
+  double max_cost =
+      (job->further_replica ? FURTHER_REPLICA_COST_SHARE : 1) * choice->replica_utility;
+  if (eviction_cost < 0 || (job->extra_replica && eviction_cost > max_cost)) {
+    choice->code = E_NO_CAPACITY;
+    return;
+  }
+  /* a few ms by random, so that equal engines share the loads */
+  double cost = eviction_cost;
+  cost += delay_ms(choice, engine, eviction_cost, drain_ms) *
+              MAX(choice->request_rate, MIN_REQUEST_RATE) +
+          (double)world_random(choice->gateway->router->node.world, 10);
+  if (choice->best && cost >= choice->best_cost)
+    return;
+  choice->best = engine;
+  choice->best_cost = cost;
+  job->eviction_cost = eviction_cost;
+}
+
+/* the engine where a placement costs least; NULL when there is none, with the reason in *code */
+static gateway_engine *choose_engine(gateway *gateway, placement_job *job, const service *service,
+                                     const GPtrArray *refused_by, int *code) {
+  engine_choice choice = {
+    .gateway = gateway,
+    .job = job,
+    .service = service,
+    .refused_by = refused_by,
+    .request_rate = eviction_request_rate(gateway, job->model, job->adapter),
+    .shard_count = placement_shard_count(gateway),
+    .code = E_NO_ENGINE,
+  };
+  int replicas = gateway_engines_count_replicas(gateway, service->name, job->model, job->adapter);
+  choice.replica_utility = eviction_load_ms(gateway, service, job->model, job->adapter, false) *
+                           choice.request_rate / (replicas + 1);
   *code = E_NO_ENGINE;
-  int parts = placement_shard_count(gateway);
-  gateway_engine *soon = placing->extra_replica ? NULL : engine_loading_base(gateway, placing);
-  bool tried = false;
-  for (guint k = 0; soon && k < not_these->len; k++)
-    tried |= !strcmp(not_these->pdata[k], soon->engine_id.text);
-  if (soon && !tried)
-    return soon;
+  gateway_engine *loading = job->extra_replica ? NULL : engine_loading_base(gateway, job);
+  if (loading && !contains_name(refused_by, loading->engine_id.text))
+    return loading;
   eviction_replica_counts_begin(gateway, service->name);
-  for (int round = 0; round < 2 && !best; round++)
-    list_for_each (i, &gateway->engines, gateway_engine, link) {
-      char addr[48];
-      if (!id_equal(i->service, service->name) || i->gone || i->draining || !i->models_known ||
-          (!round && (i->unreachable_until.us > now_of(gateway).us || i->suspect ||
-                      gateway_engine_unhealthy(i) || !gateway_engine_usable(i))))
-        continue;
-      if (i->ends_at.us && !time_reached(i->ends_at, gateway_deadline_in_ms(gateway, 30000)))
-        continue;
-      if (parts > 1 && !round && !placing->extra_replica &&
-          placement_shard_of(i->engine_id.text, parts) !=
-              placement_shard_of(placing->model.text, parts))
-        continue;
-      if (placing->extra_replica &&
-          (gateway_engine_has_model(i, placing->model, placing->adapter) ||
-           replicas_in_progress(gateway, placing, i)))
-        continue;
-      bool barred = false;
-      for (guint k = 0; k < not_these->len; k++)
-        barred |= !strcmp(not_these->pdata[k], i->engine_id.text);
-      if (barred || !lease_holder_addr(gateway, i->engine_id, addr))
-        continue;
-      double mb, drain;
-      unsigned slots;
-      double cost = eviction_placement_cost(i, service, placing->model, placing->adapter, &mb,
-                                            &slots, &drain);
-      if (cost < 0) {
-        *code = E_NO_CAPACITY;
-        continue;
-      }
-      double evict = cost;
-      bool there = gateway_engine_resident(i, placing->model) != NULL,
-           warm = g_hash_table_contains(i->models_on_disk, placing->model.text);
-      if (placing->extra_replica &&
-          cost > (placing->further_replica ? EXTRA_REPLICA_COST_SHARE : 1) * worth) {
-        *code = E_NO_CAPACITY;
-        continue;
-      }
-      double load_ms =
-          (there ? 0 : eviction_load_ms(gateway, service, placing->model, none, warm)) +
-          (id_is_empty(placing->adapter)
-               ? 0
-               : eviction_load_ms(gateway, service, placing->model, placing->adapter, warm));
-      unsigned all = i->slots ? i->slots : service->engine_slots;
-      double delay = load_ms + drain + queued_ms_on_engine(gateway, i->engine_id, placing) +
-                     (all ? 300.0 * gateway_engine_running_requests(i) / all : 0) +
-                     (there || warm ? 0 : 300) + (cost > 0 ? 60 : 0);
-      cost += delay * MAX(lambda, 0.6) + (double)world_random(gateway->router->node.world, 10);
-      if (!best || cost < least) {
-        best = i;
-        least = cost;
-        placing->eviction_cost = evict;
-      }
-    }
+  for (int pass = 0; pass < 2 && !choice.best; pass++) {
+    choice.strict = pass == 0;
+    list_for_each (engine, &gateway->engines.list, gateway_engine, link)
+      if (is_eligible(&choice, engine))
+        consider(&choice, engine);
+  }
   eviction_replica_counts_end(gateway);
-  return best;
+  *code = choice.code;
+  return choice.best;
+}
+
+static void placement_job_unref(gateway *gateway, placement_job *job) {
+  if (--job->refs > 0)
+    return;
+  if (g_hash_table_lookup(gateway->placement.jobs, job->key) == job)
+    g_hash_table_remove(gateway->placement.jobs, job->key);
+  else
+    placement_job_free(job);
+}
+
+/** State of the task that carries one placement out. */
+typedef struct placement_run {
+  gateway *gateway;
+  placement_job *job;
+  GPtrArray *refused_by; /* names of engines, owned */
+  int code;
+  int64_t retry_after_ms;
+  /** Passes without an engine and refusals; engines where only busy models could go. */
+  int failed_passes, busy_engines;
+} placement_run;
+
+/** How one step of a placement went. */
+enum placement_step { PLACEMENT_NEXT, PLACEMENT_END };
+
+static enum placement_step end_with(placement_run *run, int code) {
+  run->code = code;
+  return PLACEMENT_END;
 }
 
-void placement_free(void *p) {
-  placement_job *k = p;
-  g_free(k->key);
-  g_free(k);
+/* the engine that is asked: the one of the last step while its holder lives, or a new choice */
+static gateway_engine *current_engine(placement_run *run, const service *service,
+                                      char address[48]) {
+  gateway *gateway = run->gateway;
+  placement_job *job = run->job;
+  gateway_engine *engine =
+      id_is_empty(job->engine) ? NULL : gateway_engine_find(gateway, job->engine.text);
+  if (engine && !engine->gone && lease_holder_address(gateway, engine->engine_id, address))
+    return engine;
+  engine = choose_engine(gateway, job, service, run->refused_by, &run->code);
+  return engine && lease_holder_address(gateway, engine->engine_id, address) ? engine : NULL;
 }
 
-static void placement_job_unref(gateway *gateway, placement_job *placing) {
-  if (--placing->refs > 0)
+/* no engine fits: begins anew with those that had refused, and with engines that have to drain */
+static enum placement_step retry_without_engine(placement_run *run) {
+  placement_job *job = run->job;
+  world *world = run->gateway->router->node.world;
+  log_debug(&run->gateway->router->node.log, "placing",
+            "No engine for %s+%s: code %d, %u engines have refused.", job->model.text,
+            job->adapter.text, run->code, run->refused_by->len);
+  job->engine = id_none;
+  int max_passes = run->code == E_NO_CAPACITY ? MAX_PASSES_NO_ROOM : MAX_PASSES_NO_ENGINE;
+  if (job->extra_replica || ++run->failed_passes > max_passes) {
+    run->retry_after_ms = job->extra_replica ? RETRY_NO_REPLICA_MS : RETRY_NO_ENGINE_MS;
+    return PLACEMENT_END;
+  }
+  g_ptr_array_set_size(run->refused_by, 0);
+  job->may_drain = true;
+  if (!world_sleep_with_jitter(world, time_from_ms(NO_ENGINE_SLEEP_MS)))
+    return end_with(run, E_STOPPING);
+  return PLACEMENT_NEXT;
+}
+
+static void assign_engine(placement_run *run, gateway_engine *engine, const service *service) {
+  gateway *gateway = run->gateway;
+  placement_job *job = run->job;
+  if (id_equal(job->engine, engine->engine_id))
     return;
-  if (g_hash_table_lookup(gateway->placement_jobs, placing->key) == placing)
-    g_hash_table_remove(gateway->placement_jobs, placing->key);
-  else
-    placement_free(placing);
-}
-
-/* carries one placement out: chooses an engine, and asks its holder until it is done or nobody
- * wants it */
-static void placement_job_run(void *ctx) {
-  struct {
-    gateway *gateway;
-    placement_job *placing;
-  } *a = ctx;
-  gateway *gateway = a->gateway;
-  placement_job *placing = a->placing;
-  g_free(a);
-  GPtrArray *not_these = g_ptr_array_new_with_free_func(g_free);
-  int code = E_NO_ENGINE, blanks = 0, busy_engines = 0;
-  int64_t wait = 400;
-  while (!time_reached(now_of(gateway),
-                       time_add(placing->last_asked_at, time_from_ms(LOAD_REQUEST_TTL_MS)))) {
-    const service *service = gateway_service_of(gateway, placing->service);
-    if (!service || !service_find_model(service, placing->model.text)) {
-      code = E_UNKNOWN_MODEL;
-      wait = 2000;
-      break;
-    }
-    if (!placing->extra_replica &&
-        gateway_engines_count_replicas(gateway, service->name, placing->model, placing->adapter)) {
-      code = OK;
-      break;
-    }
-    gateway_engine *engine =
-        id_is_empty(placing->engine) ? NULL : gateway_engine_find(gateway, placing->engine.text);
-    char addr[48];
-    if (!engine || engine->gone || !lease_holder_addr(gateway, engine->engine_id, addr))
-      engine = choose_engine(gateway, placing, service, not_these, &code);
-    if (!engine || !lease_holder_addr(gateway, engine->engine_id, addr)) {
-      log_debug(&gateway->router->node.log, "placing",
-                "%s+%s has no engine: code %d, %u passed over.", placing->model.text,
-                placing->adapter.text, code, not_these->len);
-      placing->engine = none;
-      /* contracts change hands within some seconds; a fleet without room says so soon */
-      if (placing->extra_replica || ++blanks > (code == E_NO_CAPACITY ? 4 : 12)) {
-        wait = placing->extra_replica ? 3000 : 500;
-        break;
-      }
-      if (not_these->len)
-        g_ptr_array_set_size(not_these, 0);
-      placing->may_drain = !placing->extra_replica;
-      if (!world_sleep_with_jitter(gateway->router->node.world, time_from_ms(150))) {
-        code = E_STOPPING;
-        break;
-      }
-      continue;
-    }
-    if (!id_equal(placing->engine, engine->engine_id)) {
-      placing->engine = engine->engine_id;
-      bool warm = g_hash_table_contains(engine->models_on_disk, placing->model.text);
-      placing->expected_at = gateway_deadline_in_ms(
-          gateway,
-          30 + queued_ms_on_engine(gateway, engine->engine_id, placing) +
-              (gateway_engine_resident(engine, placing->model)
-                   ? 0
-                   : eviction_load_ms(gateway, service, placing->model, none, warm)) +
-              (id_is_empty(placing->adapter)
-                   ? 0
-                   : eviction_load_ms(gateway, service, placing->model, placing->adapter, warm)));
-    }
-    id engine_id = engine->engine_id;
-    Wire__PlacedLoadRequest q = WIRE__PLACED_LOAD_REQUEST__INIT;
-    q.engine = engine_id.text;
-    q.service = placing->service.text;
-    q.model = placing->model.text;
-    q.adapter = placing->adapter.text;
-    q.priority = placing->priority;
-    q.wait_ms = PLACEMENT_WAIT_MS;
-    q.extra_replica = placing->extra_replica;
-    q.evict_idle_only = !placing->may_drain && gateway_feature_enabled(gateway, FEATURE_IDLE_FIRST);
-    /* what is asked for much may push out what is asked for less, however dear the room has become
-     * meanwhile */
-    int shares = placing->extra_replica
-                     ? gateway_engines_count_replicas(gateway, service->name, placing->model,
-                                                      placing->adapter) +
-                           1
-                     : 1;
-    q.max_eviction_cost = (uint64_t)MAX(
-        2 * placing->eviction_cost + 3000,
-        eviction_load_ms(gateway, service, placing->model, placing->adapter, false) *
-            eviction_request_rate(gateway, placing->model, placing->adapter) / shares);
-    Wire__Envelope m = wire_envelope(WIRE__ENVELOPE__BODY_PLACED_LOAD_REQUEST, &q), *b;
-    error err = { 0 };
-    int r = node_call(&gateway->router->node, addr, &m, time_from_ms(PLACEMENT_CALL_TIMEOUT_MS), &b,
-                      &err);
-    if (r == E_STOPPING) {
-      code = r;
-      break;
-    }
-    bool begun = !r && b->body_case == WIRE__ENVELOPE__BODY_PLACED_LOAD_RESPONSE &&
-                 b->placed_load_response->started;
-    if (!r && b->body_case == WIRE__ENVELOPE__BODY_PLACED_LOAD_RESPONSE) {
-      r = (int)b->placed_load_response->error_code;
-      wait = (int64_t)b->placed_load_response->retry_after_ms;
-    } else if (!r)
-      r = E_WIRE_MESSAGE;
-    node_reply_free(b);
-    if (!r) {
-      code = OK;
-      engine = gateway_engine_find(gateway, engine_id.text);
-      /* the holder found it elsewhere: its word comes by cast or beat */
-      if (engine && !placing->extra_replica &&
-          !gateway_engines_count_replicas(gateway, placing->service, placing->model,
-                                          placing->adapter) &&
-          !world_sleep(gateway->router->node.world, time_from_ms(PLACEMENT_SETTLE_MS)))
-        code = E_STOPPING;
-      break;
-    }
-    log_debug(&gateway->router->node.log, "placing",
-              "%s+%s at %s: code %d, begun %d, wait %" PRId64 ", cost %.0f.", placing->model.text,
-              placing->adapter.text, engine_id.text, r, begun, wait, placing->eviction_cost);
-    if (r == E_IN_PROGRESS) {
-      placing->expected_at = gateway_deadline_in_ms(gateway, (double)wait);
-      /* one that still stands in line may be better off elsewhere by now; the old place lapses
-       * unasked */
-      placing->started = begun;
-      if (!begun)
-        placing->engine = none;
-      continue;
-    }
-    code = r;
-    placing->engine = none;
-    if (r == E_LOAD_RATE_LIMITED) {
-      placing->expected_at = gateway_deadline_in_ms(gateway, (double)wait + 1000);
-      if (!world_sleep(gateway->router->node.world, time_from_ms(CLAMP(wait, 50, 500))))
-        break;
-      continue;
-    }
-    g_ptr_array_add(not_these, g_strdup(engine_id.text));
-    if (r == E_NO_CAPACITY && !placing->extra_replica && !placing->may_drain) {
-      placing->may_drain = ++busy_engines >= MAX_BUSY_ENGINES;
-      if (placing->may_drain)
-        g_ptr_array_set_size(not_these, 0);
-      continue;
-    }
-    /* an engine that does not answer its holder is passed over by the other placements too */
-    if (r == E_NO_ENGINE && (engine = gateway_engine_find(gateway, engine_id.text)))
-      engine->unreachable_until = gateway_deadline_in_ms(gateway, 2000);
-    if (r == E_UNKNOWN_MODEL || ++blanks > 6)
-      break;
-    if (!world_sleep_with_jitter(gateway->router->node.world,
-                                 time_from_ms(r == E_NO_RESPONSE ? 20 : 60)))
-      break;
+  job->engine = engine->engine_id;
+  double begins_in_ms = PLACEMENT_EXTRA_MS + queued_ms_on_engine(gateway, job->engine, job);
+  job->expected_at =
+      gateway_deadline_in_ms(gateway, loaded_in_ms(engine, service, job, begins_in_ms));
+}
+
+/* What the placement may cost when the load begins: a popular model may evict less popular ones,
+ * however the eviction cost has risen meanwhile. */
+static uint64_t max_eviction_cost(gateway *gateway, const placement_job *job,
+                                  const service *service) {
+  int shares =
+      job->extra_replica
+          ? gateway_engines_count_replicas(gateway, service->name, job->model, job->adapter) + 1
+          : 1;
+  double utility = eviction_load_ms(gateway, service, job->model, job->adapter, false) *
+                   eviction_request_rate(gateway, job->model, job->adapter) / shares;
+  return (uint64_t)MAX(MAX_COST_FACTOR * job->eviction_cost + MAX_COST_EXTRA, utility);
+}
+
+/* asks an engine's lease holder for the load and waits for a while; returns its code, or that of
+ * the call. *started: the load has begun. */
+static int call_lease_holder(placement_run *run, gateway_engine *engine, const service *service,
+                             const char *address, bool *started) {
+  gateway *gateway = run->gateway;
+  const placement_job *job = run->job;
+  id engine_id = engine->engine_id, service_id = job->service, model = job->model,
+     adapter = job->adapter;
+  Wire__PlacedLoadRequest request = WIRE__PLACED_LOAD_REQUEST__INIT;
+  request.engine = engine_id.text;
+  request.service = service_id.text;
+  request.model = model.text;
+  request.adapter = adapter.text;
+  request.priority = job->priority;
+  request.wait_ms = PLACEMENT_WAIT_MS;
+  request.extra_replica = job->extra_replica;
+  request.evict_idle_only = !job->may_drain && gateway_feature_enabled(gateway, FEATURE_IDLE_FIRST);
+  request.max_eviction_cost = max_eviction_cost(gateway, job, service);
+  Wire__Envelope message = wire_envelope(WIRE__ENVELOPE__BODY_PLACED_LOAD_REQUEST, &request),
+                 *response;
+  error err = { 0 };
+  int code = node_call(&gateway->router->node, address, &message,
+                       time_from_ms(PLACEMENT_CALL_TIMEOUT_MS), &response, &err);
+  *started = false;
+  if (code)
+    return code;
+  code = E_WIRE_MESSAGE;
+  if (response->body_case == WIRE__ENVELOPE__BODY_PLACED_LOAD_RESPONSE) {
+    code = (int)response->placed_load_response->error_code;
+    run->retry_after_ms = (int64_t)response->placed_load_response->retry_after_ms;
+    *started = response->placed_load_response->started;
   }
-  placing->done = true;
-  placing->code = code;
-  placing->retry_after_ms = wait;
-  condition_broadcast(&placing->changed);
-  g_ptr_array_free(not_these, TRUE);
-  placement_job_unref(gateway, placing);
-}
-
-static placement_job *placement_job_start(gateway *g, char *key, id service, id model, id adapter,
-                                          unsigned priority, bool copy) {
-  placement_job *p = g_new0(placement_job, 1);
-  p->key = g_strdup(key);
-  p->service = service;
-  p->model = model;
-  p->adapter = adapter;
-  p->priority = priority;
-  p->extra_replica = copy;
-  p->last_asked_at = now_of(g);
-  condition_init(&p->changed);
-  p->refs = 1;
-  /* one that is done and still read by somebody leaves the table and is freed by the last reader */
-  if (g_hash_table_lookup(g->placement_jobs, key))
-    g_hash_table_steal(g->placement_jobs, key);
-  g_hash_table_insert(g->placement_jobs, p->key, p);
-  struct {
-    gateway *gateway;
-    placement_job *placing;
-  } *t = g_malloc(sizeof *t);
-  t->gateway = g;
-  t->placing = p;
-  task_start(&g->router->node.world->tasks, "placing", placement_job_run, t);
-  return p;
-}
-
-/* a thing that became wanted of a sudden needs several copies, and one after the other would come
- * too late */
-static void add_replicas(gateway *gateway, const placement_job *p) {
-  int more = placement_missing_replicas(gateway, p->service, p->model, p->adapter) - 1 -
-             replicas_in_progress(gateway, p, NULL);
-  for (int k = 2; k <= MAX_REPLICAS_AT_ONCE && more > 0; k++) {
-    char *key = g_strdup_printf("%s#%d", p->key, k);
-    placement_job *o = g_hash_table_lookup(gateway->placement_jobs, key);
-    if (o && !o->done) {
-      o->last_asked_at = now_of(gateway);
-      g_free(key);
-      continue;
+  node_reply_free(response);
+  return code;
+}
+
+/* it is loaded; where the holder has found it on another engine, the broadcast of that is waited
+ * for */
+static enum placement_step handle_loaded(placement_run *run, id engine_id) {
+  gateway *gateway = run->gateway;
+  const placement_job *job = run->job;
+  if (gateway_engine_find(gateway, engine_id.text) && !job->extra_replica &&
+      !gateway_engines_count_replicas(gateway, job->service, job->model, job->adapter) &&
+      !world_sleep(gateway->router->node.world, time_from_ms(BROADCAST_MS)))
+    return end_with(run, E_STOPPING);
+  return end_with(run, OK);
+}
+
+/* the load is under way, or waits in the engine's queue: then another engine may be sooner by now,
+ * and the job there expires when it is not asked for */
+static enum placement_step handle_in_progress(placement_run *run, bool started) {
+  placement_job *job = run->job;
+  job->expected_at = gateway_deadline_in_ms(run->gateway, (double)run->retry_after_ms);
+  job->started = started;
+  if (!started)
+    job->engine = id_none;
+  return PLACEMENT_NEXT;
+}
+
+static enum placement_step handle_rate_limited(placement_run *run) {
+  run->job->expected_at =
+      gateway_deadline_in_ms(run->gateway, (double)run->retry_after_ms + RATE_LIMITED_EXTRA_MS);
+  int64_t sleep_ms =
+      CLAMP(run->retry_after_ms, RATE_LIMITED_SLEEP_MIN_MS, RATE_LIMITED_SLEEP_MAX_MS);
+  return world_sleep(run->gateway->router->node.world, time_from_ms(sleep_ms)) ? PLACEMENT_NEXT
+                                                                               : PLACEMENT_END;
+}
+
+/* the engine can't load it now: another one is chosen */
+static enum placement_step handle_refused(placement_run *run, id engine_id, int code) {
+  gateway *gateway = run->gateway;
+  placement_job *job = run->job;
+  g_ptr_array_add(run->refused_by, g_strdup(engine_id.text));
+  if (code == E_NO_CAPACITY && !job->extra_replica && !job->may_drain) {
+    job->may_drain = ++run->busy_engines >= MAX_BUSY_ENGINES;
+    if (job->may_drain)
+      g_ptr_array_set_size(run->refused_by, 0);
+    return PLACEMENT_NEXT;
+  }
+  gateway_engine *engine = gateway_engine_find(gateway, engine_id.text);
+  if (code == E_NO_ENGINE && engine)
+    engine->unreachable_until = gateway_deadline_in_ms(gateway, UNREACHABLE_MS);
+  if (code == E_UNKNOWN_MODEL || ++run->failed_passes > MAX_REFUSALS)
+    return PLACEMENT_END;
+  int64_t sleep_ms = code == E_NO_RESPONSE ? NO_RESPONSE_SLEEP_MS : REFUSED_SLEEP_MS;
+  return world_sleep_with_jitter(gateway->router->node.world, time_from_ms(sleep_ms))
+             ? PLACEMENT_NEXT
+             : PLACEMENT_END;
+}
+
+/* chooses an engine, if none is, and asks its lease holder once */
+static enum placement_step placement_step(placement_run *run) {
+  gateway *gateway = run->gateway;
+  placement_job *job = run->job;
+  const service *service = gateway_service_of(gateway, job->service);
+  if (!service || !service_find_model(service, job->model.text)) {
+    run->retry_after_ms = RETRY_UNKNOWN_MODEL_MS;
+    return end_with(run, E_UNKNOWN_MODEL);
+  }
+  if (!job->extra_replica &&
+      gateway_engines_count_replicas(gateway, service->name, job->model, job->adapter))
+    return end_with(run, OK);
+  char address[48];
+  gateway_engine *engine = current_engine(run, service, address);
+  if (!engine)
+    return retry_without_engine(run);
+  assign_engine(run, engine, service);
+  id engine_id = engine->engine_id;
+  bool started;
+  int code = call_lease_holder(run, engine, service, address, &started);
+  if (code == E_STOPPING)
+    return end_with(run, code);
+  if (code == OK)
+    return handle_loaded(run, engine_id);
+  log_debug(&gateway->router->node.log, "placing",
+            "%s+%s on engine %s: code %d, started %d, retry after %" PRId64
+            " ms, eviction cost %.0f.",
+            job->model.text, job->adapter.text, engine_id.text, code, started, run->retry_after_ms,
+            job->eviction_cost);
+  if (code == E_IN_PROGRESS)
+    return handle_in_progress(run, started);
+  run->code = code;
+  job->engine = id_none;
+  return code == E_LOAD_RATE_LIMITED ? handle_rate_limited(run)
+                                     : handle_refused(run, engine_id, code);
+}
+
+/* the task of a placement: goes on until it is loaded, fails, or nobody asks any more */
+static void placement_job_run(void *context) {
+  placement_run run = *(placement_run *)context;
+  gateway *gateway = run.gateway;
+  placement_job *job = run.job;
+  g_free(context);
+  run.refused_by = g_ptr_array_new_with_free_func(g_free);
+  run.code = E_NO_ENGINE;
+  run.retry_after_ms = RETRY_DEFAULT_MS;
+  enum placement_step step = PLACEMENT_NEXT;
+  while (step == PLACEMENT_NEXT &&
+         !time_reached(gateway_now(gateway),
+                       time_add(job->last_asked_at, time_from_ms(LOAD_REQUEST_TTL_MS))))
+    step = placement_step(&run);
+  job->done = true;
+  job->code = run.code;
+  job->retry_after_ms = run.retry_after_ms;
+  condition_broadcast(&job->changed);
+  g_ptr_array_free(run.refused_by, TRUE);
+  placement_job_unref(gateway, job);
+}
+
+static placement_job *placement_job_start(gateway *gateway, const char *key, id service, id model,
+                                          id adapter, unsigned priority, bool extra_replica) {
+  GHashTable *jobs = gateway->placement.jobs;
+  placement_job *job = g_new0(placement_job, 1);
+  job->key = g_strdup(key);
+  job->service = service;
+  job->model = model;
+  job->adapter = adapter;
+  job->priority = priority;
+  job->extra_replica = extra_replica;
+  job->last_asked_at = gateway_now(gateway);
+  condition_init(&job->changed);
+  job->refs = 1;
+  /* one that is done and still read by a waiting call is freed by its last reader */
+  if (g_hash_table_lookup(jobs, key))
+    g_hash_table_steal(jobs, key);
+  g_hash_table_insert(jobs, job->key, job);
+  placement_run *run = g_new0(placement_run, 1);
+  run->gateway = gateway;
+  run->job = job;
+  task_start(&gateway->router->node.world->tasks, "placing", placement_job_run, run);
+  return job;
+}
+
+/* A model whose demand has just begun needs several replicas; one after the other would come too
+ * late. */
+static void add_replicas(gateway *gateway, const placement_job *job) {
+  int missing = placement_missing_replicas(gateway, job->service, job->model, job->adapter) - 1 -
+                replicas_in_progress(gateway, job, NULL);
+  for (int number = 2; number <= MAX_REPLICAS_AT_ONCE && missing > 0; number++) {
+    char *key = g_strdup_printf("%s#%d", job->key, number);
+    placement_job *other = g_hash_table_lookup(gateway->placement.jobs, key);
+    if (other && !other->done) {
+      other->last_asked_at = gateway_now(gateway);
+    } else {
+      other = placement_job_start(gateway, key, job->service, job->model, job->adapter,
+                                  job->priority, true);
+      other->further_replica = true;
+      missing--;
     }
-    placement_job_start(gateway, key, p->service, p->model, p->adapter, p->priority, true)
-        ->further_replica = true;
     g_free(key);
-    more--;
   }
 }
 
-int placement_on_load_request(void *ctx, Wire__Envelope *in, reply *reply, error *err) {
-  gateway *gateway = ctx;
-  Wire__PlacementRequest *q = in->placement_request;
-  if (!id_is_valid(string_view_of(q->model)) ||
-      (q->adapter[0] && !id_is_valid(string_view_of(q->adapter))) ||
-      !id_is_valid(string_view_of(q->service)))
-    return error_set(err, E_WIRE_MESSAGE, "no such name");
-  id s = id_of_text(q->service), m = id_of_text(q->model), a = id_of_text(q->adapter);
-  char *key = load_request_key(s, m, a);
-  placement_job *placing = g_hash_table_lookup(gateway->placement_jobs, key);
-  if (placing && placing->done) {
-    placing = NULL;
-  }
-  if (!placing)
-    placing = placement_job_start(gateway, key, s, m, a, q->priority, q->extra_replica);
-  if (q->extra_replica && gateway->router_count > SMALL_FLEET_NODES)
-    add_replicas(gateway, placing);
+/* the placement of a request, started on the first one */
+static placement_job *job_of_request(gateway *gateway, const Wire__PlacementRequest *request) {
+  id service = id_of_text(request->service), model = id_of_text(request->model),
+     adapter = id_of_text(request->adapter);
+  char *key = load_request_key(service, model, adapter);
+  placement_job *job = g_hash_table_lookup(gateway->placement.jobs, key);
+  if (!job || job->done)
+    job = placement_job_start(gateway, key, service, model, adapter, request->priority,
+                              request->extra_replica);
   g_free(key);
-  placing->last_asked_at = now_of(gateway);
-  placing->priority = MIN(placing->priority, q->priority);
-  placing->refs++;
-  time_us till = gateway_deadline_in_ms(gateway, (double)MIN(q->wait_ms, PLACEMENT_WAIT_MS));
-  while (!placing->done)
-    if (condition_wait(&gateway->router->node.world->tasks, &placing->changed, till) !=
-        WAKE_SIGNALLED)
+  if (request->extra_replica && gateway->router_count > SMALL_FLEET_NODES)
+    add_replicas(gateway, job);
+  job->last_asked_at = gateway_now(gateway);
+  job->priority = MIN(job->priority, request->priority);
+  return job;
+}
+
+static void fill_response(gateway *gateway, const placement_job *job, reply *reply) {
+  Wire__PlacementResponse *response = reply_new_body(reply, WIRE__ENVELOPE__BODY_PLACEMENT_RESPONSE,
+                                                     &wire__placement_response__descriptor);
+  response->loaded = job->done && !job->code;
+  response->error_code = (uint32_t)(job->done ? job->code : E_IN_PROGRESS);
+  response->retry_after_ms =
+      (uint64_t)(job->done ? job->retry_after_ms : gateway_ms_until(gateway, job->expected_at));
+  response->engine = reply_alloc(reply, sizeof job->engine.text);
+  memcpy(response->engine, job->engine.text, sizeof job->engine.text);
+}
+
+int placement_on_load_request(void *context, Wire__Envelope *in, reply *reply, error *err) {
+  gateway *gateway = context;
+  const Wire__PlacementRequest *request = in->placement_request;
+  if (!id_is_valid(string_view_of(request->model)) ||
+      (request->adapter[0] && !id_is_valid(string_view_of(request->adapter))) ||
+      !id_is_valid(string_view_of(request->service)))
+    return error_set(err, E_WIRE_MESSAGE, "no such name");
+  placement_job *job = job_of_request(gateway, request);
+  job->refs++;
+  time_us until = gateway_deadline_in_ms(gateway, (double)MIN(request->wait_ms, PLACEMENT_WAIT_MS));
+  while (!job->done)
+    if (condition_wait(&gateway->router->node.world->tasks, &job->changed, until) != WAKE_SIGNALLED)
       break;
-  Wire__PlacementResponse *b = reply_new_body(reply, WIRE__ENVELOPE__BODY_PLACEMENT_RESPONSE,
-                                              &wire__placement_response__descriptor);
-  b->loaded = placing->done && !placing->code;
-  b->error_code = (uint32_t)(placing->done ? placing->code : E_IN_PROGRESS);
-  b->retry_after_ms = (uint64_t)(placing->done ? placing->retry_after_ms
-                                               : gateway_ms_until(gateway, placing->expected_at));
-  b->engine = reply_alloc(reply, sizeof placing->engine.text);
-  memcpy(b->engine, placing->engine.text, sizeof placing->engine.text);
-  placement_job_unref(gateway, placing);
+  fill_response(gateway, job, reply);
+  placement_job_unref(gateway, job);
   return OK;
 }
--- a/lib/gateway/retry_budget.c
+++ b/lib/gateway/retry_budget.c
@@ -21,24 +21,28 @@
 }
 
 retry_budget *retry_budget_of(gateway *gateway, const service *service) {
-  retry_budget *b = g_hash_table_lookup(gateway->budgets, service->name.text);
+  retry_budget *b = g_hash_table_lookup(gateway->retry_budgets, service->name.text);
   if (b)
     return b;
   b = g_new0(retry_budget, 1);
   b->service = service->name;
   b->request_buckets = g_array_new(FALSE, FALSE, sizeof(budget_bucket));
   b->retry_buckets = g_array_new(FALSE, FALSE, sizeof(budget_bucket));
-  g_hash_table_insert(gateway->budgets, b->service.text, b);
+  g_hash_table_insert(gateway->retry_budgets, b->service.text, b);
   return b;
 }
 
-void retry_budget_free(void *p) {
+static void retry_budget_free(void *p) {
   retry_budget *budget = p;
   g_array_free(budget->request_buckets, TRUE);
   g_array_free(budget->retry_buckets, TRUE);
   g_free(budget);
 }
 
+GHashTable *retry_budgets_new(void) {
+  return g_hash_table_new_full(g_str_hash, g_str_equal, NULL, retry_budget_free);
+}
+
 static void bucket_increment(GArray *in, int64_t at) {
   budget_bucket *last = in->len ? &g_array_index(in, budget_bucket, in->len - 1) : NULL;
   if (last && last->index == at) {
--- a/lib/gateway/status.c
+++ b/lib/gateway/status.c
@@ -1,4 +1,7 @@
+#include "status.h"
+#include "canary_status.h"
 #include "gateway.h"
+#include "service_traffic.h"
 
 static const char *yes(bool b) {
   return b ? "true" : "false";
@@ -11,7 +14,7 @@
 static void engines_to_json(gateway *gateway, GString *to) {
   time_us now = world_now(gateway->router->node.world);
   bool first = true;
-  list_for_each (i, &gateway->engines, gateway_engine, link) {
+  list_for_each (i, &gateway->engines.list, gateway_engine, link) {
     if (i->gone)
       continue;
     json_appendf(
@@ -20,13 +23,14 @@
         "\"tokens\":%.0f,\"fails\":%d,\"lastBeatMs\":%" PRId64 ",\"heardMs\":%" PRId64
         ",\"firstMs\":%.1f,\"msPerToken\":%.4f,\"models\":[",
         first ? "" : ",", i->engine_id.text, i->service.text, i->zone.text, i->version.text,
-        i->addr, i->slots, yes(i->draining), yes(gateway_engine_usable(i)), yes(i->suspect),
-        yes(i->consecutive_failures > 0 || gateway_engine_unhealthy(i)), i->own_running,
-        i->peers_running, i->own_waiting_tokens, i->consecutive_failures, ago(now, i->heartbeat_at),
-        ago(now, i->last_byte_at), i->base_ms, i->ms_per_token);
+        i->addr, i->slots, yes(i->draining), yes(gateway_engine_usable(i)), yes(i->health.suspect),
+        yes(i->health.consecutive_failures > 0 || gateway_engine_unhealthy(i)), i->load.own_running,
+        i->load.peers_running, i->load.own_waiting_tokens, i->health.consecutive_failures,
+        ago(now, i->heartbeat_at), ago(now, i->health.last_byte_at), i->load.base_ms,
+        i->load.ms_per_token);
     first = false;
     bool f = true;
-    list_for_each (r, &i->residents, resident, link) {
+    list_for_each (r, &i->residents.list, resident, link) {
       json_appendf(to,
                    "%s{\"model\":\"%s\",\"version\":%" PRIu64
                    ",\"unloading\":%s,\"running\":%d,\"adapters\":[",
@@ -41,10 +45,10 @@
 }
 
 const char *gateway_unready_reason(const gateway *gateway) {
-  return gateway->draining         ? "leaving"
-         : !gateway->routing       ? "no configuration is known yet"
-         : !gateway->engines_known ? "no engines are known yet"
-                                   : NULL;
+  return gateway->drain.draining      ? "leaving"
+         : !gateway->routing          ? "no configuration is known yet"
+         : !gateway->engines.is_known ? "no engines are known yet"
+                                      : NULL;
 }
 
 /* each service that is routed to: who may serve it, what it takes, and what is left of its extra
@@ -53,10 +57,10 @@
   for (size_t k = 0; gateway->routing && k < gateway->routing->service_count; k++) {
     const service *service = &gateway->routing->services[k];
     const service_traffic *traffic = g_hash_table_lookup(gateway->traffic, service->name.text);
-    const retry_budget *budget = g_hash_table_lookup(gateway->budgets, service->name.text);
+    const retry_budget *budget = g_hash_table_lookup(gateway->retry_budgets, service->name.text);
     int all = 0, usable = 0;
     bool routed = false;
-    list_for_each (i, &gateway->engines, gateway_engine, link) {
+    list_for_each (i, &gateway->engines.list, gateway_engine, link) {
       if (i->gone || !id_equal(i->service, service->name))
         continue;
       all++;
@@ -98,8 +102,8 @@
       ",\"loadFailsInARow\":%d,\"unloads\":%" PRIu64 ",\"orders\":%" PRIu64 ",\"reports\":%" PRIu64
       ",",
       gateway->router->node.settings.self.text, gateway->routing ? gateway->routing->revision : 0,
-      yes(!why), why ? why : "", yes(gateway->engines_known), yes(gateway->draining),
-      gateway->open_request_count, gateway->client_listener.connections, n->requests, n->served,
+      yes(!why), why ? why : "", yes(gateway->engines.is_known), yes(gateway->drain.draining),
+      gateway->requests.open_count, gateway->client_listener.connections, n->requests, n->served,
       n->refused, n->failed, n->client_left, n->no_route, n->attempts, n->retries, n->resumed,
       n->loads, n->failed_loads, gateway->consecutive_load_failures, n->unloads, n->orders,
       n->reports);
@@ -116,7 +120,7 @@
 void gateway_metrics(gateway *gateway, GString *to) {
   const gateway_counts *n = &gateway->counts;
   int up = 0;
-  list_for_each (i, &gateway->engines, gateway_engine, link)
+  list_for_each (i, &gateway->engines.list, gateway_engine, link)
     up += gateway_engine_usable(i);
   json_appendf(
       to,
@@ -129,7 +133,8 @@
       "\nasterfall_gateway_loads_failed %" PRIu64 "\nasterfall_gateway_ready %d\n",
       n->requests, n->served, n->refused, n->failed, n->client_left, n->no_route, n->attempts,
       n->retries, n->resumed, gateway->client_listener.requests_aborted,
-      gateway->open_request_count, up, n->loads, n->failed_loads, !gateway_unready_reason(gateway));
+      gateway->requests.open_count, up, n->loads, n->failed_loads,
+      !gateway_unready_reason(gateway));
   for (int k = 0; k < UNSERVED_COUNT; k++)
     json_appendf(to, "asterfall_gateway_unserved{reason=\"%s\"} %" PRIu64 "\n", unserved_name(k),
                  n->unserved[k]);
--- a/lib/gateway/unserved.h
+++ b/lib/gateway/unserved.h
@@ -2,6 +2,8 @@
 #define GATEWAY_UNSERVED_H
 #include "base.h"
 
+typedef struct gateway gateway;
+
 /** Why a request was not served, for metrics and the log. */
 enum unserved_reason {
   /** The engine declined it, as while an order concerns it. */
@@ -25,4 +27,6 @@
 
 /** The name of a reason in metrics and the log. */
 const char *unserved_name(enum unserved_reason reason);
+/** Starts the task that logs why requests were not served. */
+void unserved_start(gateway *gateway);
 #endif
--- a/tests/canary.c
+++ b/tests/canary.c
@@ -1,3 +1,4 @@
+#include "canary_status.h"
 #include "deployment.h"
 #include "tests.h"
 #include <stdio.h>
--- a/tests/drain.c
+++ b/tests/drain.c
@@ -225,7 +225,7 @@
       change_configuration(deployment, &version);
       break;
     default:
-      if (gateway->gateway && !gateway->gateway->draining)
+      if (gateway->gateway && !gateway->gateway->drain.draining)
         deployment_term(deployment, gateway);
     }
     sim_run(deployment->sim, time_from_ms(300 + (int64_t)sim_draw(deployment->sim, 4000)));
--- a/tests/forward.c
+++ b/tests/forward.c
@@ -298,7 +298,7 @@
     fixture_run(fixture, 50);
   }
   fixture_run(fixture, 1500);
-  expect(fixture, "open", fixture->gateway->open_request_count, 0, 0);
+  expect(fixture, "open", fixture->gateway->requests.open_count, 0, 0);
   for (guint i = 0; i < fixture->log->runs->len; i++) {
     em_run *run = fixture->log->runs->pdata[i];
     if (run->how == 'r' || (run->how == 'd' && run->events < 20))
@@ -306,7 +306,7 @@
   }
   for (int i = 0; i < 2; i++) {
     gateway_engine *n = gateway_engine_find(fixture->gateway, fixture->engines[i]->self.text);
-    expect(fixture, "running there", n ? n->own_running : -1, 0, 0);
+    expect(fixture, "running there", n ? n->load.own_running : -1, 0, 0);
     expect(fixture, "refs", n ? n->refs : -1, 0, 0);
   }
   fixture_free(fixture);
@@ -348,7 +348,7 @@
   for (int i = 0; i < 70 && !fixture->over; i++)
     fixture_run(fixture, 100);
   expect(fixture, "over", fixture->over, 1, 1);
-  expect(fixture, "open", fixture->gateway->open_request_count, 0, 0);
+  expect(fixture, "open", fixture->gateway->requests.open_count, 0, 0);
   check(fixture, true);
   expect(fixture, "served", with(fixture, 200), 16, 16);
   fixture_free(fixture);
@@ -369,7 +369,7 @@
     fixture_run(fixture, 10);
   expect(fixture, "over", fixture->over, 1, 1);
   expect(fixture, "open at the end",
-         fixture->gateway->open_request_count + fixture->gateway->client_listener.pending_exchanges,
+         fixture->gateway->requests.open_count + fixture->gateway->client_listener.pending_exchanges,
          0, 0);
   expect(fixture, "channels at the end", fixture->gateway->client_listener.connections, 0, 0);
   fixture_free(fixture);
--- a/tests/http/gateway.c
+++ b/tests/http/gateway.c
@@ -57,7 +57,7 @@
 /* the program ends with its gateway, as on SIGTERM */
 static void stop_when_drained(void *p) {
   (void)p;
-  condition_wait(&here->tasks, &tested_gateway->drained, time_never());
+  condition_wait(&here->tasks, &tested_gateway->drain.finished, time_never());
   real_world_stop(here);
 }
 
@@ -70,7 +70,7 @@
   else if (!strcmp(request->path, "/stat")) {
     GString *text = g_string_new(NULL);
     g_string_printf(text, "open=%d channels=%d exchanges=%d attempts=%" PRIu64,
-                    tested_gateway->open_request_count, tested_gateway->client_listener.connections,
+                    tested_gateway->requests.open_count, tested_gateway->client_listener.connections,
                     tested_gateway->client_listener.pending_exchanges,
                     tested_gateway->counts.attempts);
     http_request_respond(request, 200, "text/plain", string_view_of_gstring(text));
--- a/tests/loader.c
+++ b/tests/loader.c
@@ -1,4 +1,6 @@
+#include "engine_select.h"
 #include "gateway.h"
+#include "traffic_reports.h"
 #include "tests.h"
 #include <stdio.h>
 
@@ -28,10 +30,10 @@
   list_init(&bare->router.node.peers);
   event_history_init(&bare->router.history, bare->router.node.world);
   event_history_fix_window(&bare->router.history, time_from_ms(60000));
-  list_init(&bare->gateway.engines);
-  condition_init(&bare->gateway.engines_changed);
+  list_init(&bare->gateway.engines.list);
+  condition_init(&bare->gateway.engines.changed);
   bare->gateway.router_count = 1;
-  bare->gateway.engines_by_id = g_hash_table_new(g_str_hash, g_str_equal);
+  bare->gateway.engines.by_id = g_hash_table_new(g_str_hash, g_str_equal);
   bare->gateway.slow_estimates = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
   error err = { 0 };
   json *json = json_parse(string_view_of(SERVICES), &err);
@@ -45,7 +47,8 @@
 
 static void bare_free(bare_gateway *bare) {
   gateway_engines_free(&bare->gateway);
-  g_hash_table_destroy(bare->gateway.engines_by_id);
+  g_hash_table_destroy(bare->gateway.slow_estimates);
+  g_hash_table_destroy(bare->gateway.engines.by_id);
   event_history_free(&bare->router.history);
   routing_unref(bare->routing);
   g_free(bare);
@@ -139,13 +142,13 @@
                                            &mb, &slots, &drain),
                    25 * 0.1 * 0.5));
   /* what is owed counts as taken */
-  instance->reserved_mb = 10000;
+  instance->load_jobs.reserved_mb = 10000;
   WANT(fleet, eviction_placement_cost(instance, service, id_of_text("low"), id_of_text(""), &mb,
                                       &slots, &drain) > 0);
-  instance->reserved_mb = 60000;
+  instance->load_jobs.reserved_mb = 60000;
   WANT(fleet, eviction_placement_cost(instance, service, id_of_text("new"), id_of_text(""), &mb,
                                       &slots, &drain) < 0);
-  instance->reserved_mb = 0;
+  instance->load_jobs.reserved_mb = 0;
   /* what is on its way out keeps its room, and can't go twice */
   gateway_engine_mark_unloading(instance, id_of_text("mid"), id_of_text(""));
   WANT(fleet, !gateway_engine_has_model(instance, id_of_text("mid"), id_of_text("")) &&
@@ -281,7 +284,7 @@
                   gateway_engine_has_model(i, id_of_text("low"), id_of_text("a1")));
   beat(bare, "e1", "10.0.0.1:80", 5, 0, "mid");
   WANT(fleet, gateway_engine_has_model(i, id_of_text("big"), none) &&
-                  g_hash_table_contains(i->models_on_disk, "mid"));
+                  g_hash_table_contains(i->residents.models_on_disk, "mid"));
   /* a new life at the same address ends the one before, and a life that ended never comes back */
   gateway_engine *n = beat(bare, "e2", "10.0.0.1:80", 1, 0, "");
   WANT(fleet, i->gone && !n->gone && gateway_engine_usable(n) && !gateway_engine_usable(i));
@@ -318,18 +321,18 @@
   WANT(fleet, !gateway_engine_usable(instance));
   gateway_engine_record_first_event(instance, 1000, 80, 1);
   gateway_engine_record_end(instance, true);
-  WANT(fleet, gateway_engine_usable(instance) && !instance->consecutive_failures);
+  WANT(fleet, gateway_engine_usable(instance) && !instance->health.consecutive_failures);
   /* silence while work is there */
   sim_run(fleet->sim, time_from_ms(5000));
   gateway_engine_record_sent(instance, 1000);
   sim_run(fleet->sim, time_from_ms(450));
   gateway_engine_check(instance);
-  WANT(fleet, instance->suspect);
+  WANT(fleet, instance->health.suspect);
   q.run_once = true;
   for (int n = 0; n < 20; n++)
     WANT(fleet, engine_select(&bare->gateway, &q, &why, &est) == k);
   gateway_engine_record_first_event(instance, 1000, 450, 1);
-  WANT(fleet, !instance->suspect);
+  WANT(fleet, !instance->health.suspect);
   gateway_engine_record_end(instance, true);
   bare_free(bare);
   return true;
@@ -346,12 +349,12 @@
   uint64_t chain[8], other[8];
   double upto[8];
   id none = id_of_text("");
-  WANT(fleet, engine_select_parse_prefix("5c1e:800,91bd:410,e440:250", id_of_text("big"), none,
-                                         chain, upto, 8) == 3 &&
+  WANT(fleet, prefix_cache_parse("5c1e:800,91bd:410,e440:250", id_of_text("big"), none, chain, upto,
+                                 8) == 3 &&
                   near(upto[2], 1460) && near(upto[0], 800));
-  engine_select_parse_prefix("5c1e:800,91bd:410,ffff:250", id_of_text("big"), none, other, upto, 8);
+  prefix_cache_parse("5c1e:800,91bd:410,ffff:250", id_of_text("big"), none, other, upto, 8);
   WANT(fleet, chain[1] == other[1] && chain[2] != other[2]);
-  engine_select_parse_prefix("5c1e:800", id_of_text("big"), id_of_text("a1"), other, upto, 8);
+  prefix_cache_parse("5c1e:800", id_of_text("big"), id_of_text("a1"), other, upto, 8);
   WANT(fleet, chain[0] != other[0]);
   engine_select_request q = { .service = routing_find_service(bare->routing, "s"),
                               .model = id_of_text("big"),
@@ -368,20 +371,20 @@
   for (int n = 0; n < 10; n++)
     WANT(fleet, engine_select(&bare->gateway, &q, &why, &est) == home && est < first);
   /* it is left only when what waits there costs more than reading again */
-  home->own_waiting_tokens = 1000;
+  home->load.own_waiting_tokens = 1000;
   WANT(fleet, engine_select(&bare->gateway, &q, &why, &busy) == home);
-  home->own_waiting_tokens = 8000;
+  home->load.own_waiting_tokens = 8000;
   WANT(fleet, engine_select(&bare->gateway, &q, &why, &busy) != home);
-  home->own_waiting_tokens = 0;
-  home->own_running = 8;
+  home->load.own_waiting_tokens = 0;
+  home->load.own_running = 8;
   WANT(fleet, engine_select(&bare->gateway, &q, &why, &busy) != home);
-  list_for_each (i, &bare->gateway.engines, gateway_engine, link)
-    i->own_running = 8;
+  list_for_each (i, &bare->gateway.engines.list, gateway_engine, link)
+    i->load.own_running = 8;
   WANT(fleet, !engine_select(&bare->gateway, &q, &why, &busy) && why == ENGINE_SELECT_ALL_BUSY);
   q.model = id_of_text("low");
   WANT(fleet, !engine_select(&bare->gateway, &q, &why, &busy) && why == ENGINE_SELECT_NO_MODEL);
-  list_for_each (i, &bare->gateway.engines, gateway_engine, link)
-    i->own_running = 0;
+  list_for_each (i, &bare->gateway.engines.list, gateway_engine, link)
+    i->load.own_running = 0;
   bare_free(bare);
   return true;
 }
@@ -533,7 +536,7 @@
 static bool silent_engines_come_back_with_what_they_hold(fleet *fleet) {
   bare_gateway *bare = bare_new(fleet);
   gateway_engine *instance = beat(bare, "e1", "10.0.0.1:80", 1, 0, "big,mid");
-  instance->reported_at = world_now(bare->router.node.world);
+  instance->orders.reported_at = world_now(bare->router.node.world);
   Wire__EngineState w = WIRE__ENGINE_STATE__INIT;
   w.id = "e1";
   w.service = "s";
@@ -562,12 +565,12 @@
                  *k = beat(bare, "e2", "10.0.0.2:80", 1, 0, "big");
   beat(bare, "e3", "10.0.0.3:80", 1, 0, "mid");
   WANT(fleet, placement_missing_replicas(&bare->gateway, s, big, none) == 0);
-  instance->peers_waiting_tokens = 4000;
+  instance->load.peers_waiting_tokens = 4000;
   WANT(fleet, placement_missing_replicas(&bare->gateway, s, big, none) == 0);
-  instance->peers_waiting_tokens = 16000;
-  k->own_waiting_tokens = 4000;
+  instance->load.peers_waiting_tokens = 16000;
+  k->load.own_waiting_tokens = 4000;
   WANT(fleet, placement_missing_replicas(&bare->gateway, s, big, none) == 2);
-  instance->peers_waiting_tokens = 100000;
+  instance->load.peers_waiting_tokens = 100000;
   WANT(fleet, placement_missing_replicas(&bare->gateway, s, big, none) == 4);
   WANT(fleet, placement_missing_replicas(&bare->gateway, s, id_of_text("mid"), none) == 0 &&
                   placement_missing_replicas(&bare->gateway, s, id_of_text("low"), none) == 0);
@@ -621,9 +624,9 @@
   WANT(fleet, !gateway_engine_unhealthy(instance));
   /* what is full, or was just ordered about, declines for good reason */
   WANT(fleet, gateway_engine_lightly_loaded(k));
-  k->peers_running = 5;
+  k->load.peers_running = 5;
   WANT(fleet, !gateway_engine_lightly_loaded(k));
-  k->peers_running = 0;
+  k->load.peers_running = 0;
   gateway_engine_mark_loaded(k, id_of_text("low"), id_of_text(""));
   WANT(fleet, !gateway_engine_lightly_loaded(k));
   bare_free(bare);
@@ -651,15 +654,15 @@
   sim_run(fleet->sim, time_from_ms(10));
   q.n_engines = 1;
   gateway_engines_update_loads(&bare->gateway, 8, true, &q);
-  WANT(fleet, instance->peers_running == 6 && k->peers_running == 2);
+  WANT(fleet, instance->load.peers_running == 6 && k->load.peers_running == 2);
   sim_run(fleet->sim, time_from_ms(10));
   gateway_engines_update_loads(&bare->gateway, 7, true, &q);
-  WANT(fleet,
-       instance->peers_running == 6 && k->peers_running == 0 && k->peers_waiting_tokens == 0);
+  WANT(fleet, instance->load.peers_running == 6 && k->load.peers_running == 0 &&
+                  k->load.peers_waiting_tokens == 0);
   q.n_engines = 0;
   sim_run(fleet->sim, time_from_ms(10));
   gateway_engines_update_loads(&bare->gateway, 7, true, &q);
-  WANT(fleet, instance->peers_running == 3 && near(instance->peers_waiting_tokens, 900));
+  WANT(fleet, instance->load.peers_running == 3 && near(instance->load.peers_waiting_tokens, 900));
   bare_free(bare);
   return true;
 }
@@ -676,7 +679,7 @@
   r[0].model = "big";
   r[1].model = "mid";
   gateway_engine_update_residents(instance, rp, 2, world_now(bare->router.node.world), 450);
-  instance->reported_at = world_now(bare->router.node.world);
+  instance->orders.reported_at = world_now(bare->router.node.world);
   sim_run(fleet->sim, time_from_ms(100));
   beat(bare, "e1", "10.0.0.1:80", 2, 900, "big");
   WANT(fleet, gateway_engine_has_model(instance, id_of_text("mid"), id_of_text("")));
@@ -709,7 +712,7 @@
                   near(drain, 0));
   static const char *const run[] = { "big", "mid" };
   for (int k = 0; k < 2; k++) {
-    busy->selected_model = id_of_text(run[k]);
+    busy->selected.model = id_of_text(run[k]);
     gateway_engine_record_sent(busy, 100);
   }
   WANT(fleet, near(eviction_placement_cost(idle, service, id_of_text("new"), id_of_text(""), &mb,
@@ -719,7 +722,7 @@
   double cost = eviction_placement_cost(busy, service, id_of_text("new"), id_of_text(""), &mb,
                                         &slots, &drain);
   WANT(fleet, near(drain, 1000) && near(cost, calm * 3000 / 2000 + 300));
-  busy->mean_run_ms = 4000;
+  busy->load.mean_run_ms = 4000;
   WANT(fleet, eviction_placement_cost(busy, service, id_of_text("new"), id_of_text(""), &mb, &slots,
                                       &drain) > cost + 300 &&
                   near(drain, 8000));
--- a/tests/placement.c
+++ b/tests/placement.c
@@ -172,7 +172,7 @@
 /* what is held is used, so that it may be unloaded */
 static void use_all(unit *at, const unit *e) {
   gateway_engine *instance = gateway_engine_find(at->gateway, e->engine->self.text);
-  list_for_each (r, &instance->residents, resident, link)
+  list_for_each (r, &instance->residents.list, resident, link)
     r->last_used_at = at->deployment->sim->now;
 }
 
@@ -432,7 +432,7 @@
   double least = 1e9;
   for (int i = 0; i < fleet->routers; i++)
     for (size_t k = 0; k < G_N_ELEMENTS(keys); k++) {
-      double *r = g_hash_table_lookup(deployment->gateways[i]->gateway->fleet_rates, keys[k]);
+      double *r = g_hash_table_lookup(deployment->gateways[i]->gateway->fleet_rates.totals, keys[k]);
       least = MIN(least, r ? *r : 0);
       low += !r || *r < 0.8 * fleet->routers / 20;
     }
@@ -447,7 +447,7 @@
   int knowing = 0;
   for (int i = 0; i < fleet->routers; i++)
     knowing += told[i] =
-        g_hash_table_size(deployment->gateways[i]->gateway->load_rate_limiters) > 0;
+        g_hash_table_size(deployment->gateways[i]->gateway->load_rate_limiters.by_service) > 0;
   if (knowing < 2 || knowing > 6)
     violation(fleet, "%d gateways know of the tickets that were given", knowing);
   if (pacer) {
@@ -464,7 +464,7 @@
       next = holder_of(deployment, "pacer");
     for (int i = 0; i < fleet->routers; i++)
       placed[i] |= deployment->gateways[i]->gateway &&
-                   g_hash_table_size(deployment->gateways[i]->gateway->placement_jobs);
+                   g_hash_table_size(deployment->gateways[i]->gateway->placement.jobs);
   }
   /* then the next one is among the few that were told of tickets, and more than one gateway places
    */
