--- a/lib/gateway/drain.c
+++ b/lib/gateway/drain.c
@@ -1,35 +1,54 @@
-/** The planned end of a gateway: it says that it is not ready, takes requests until its callers
- * know, serves what it has taken, and ends before its grace is over. Times are in milliseconds. */
+/** Graceful shutdown of a gateway, within the grace that the platform gives. Its phases:
+ *
+ * 1. not ready: requests are served, and responses close their connections, until clients have had
+ *    the time to see that the gateway is not ready;
+ * 2. no admission: the listener is closed, and requests on open connections are refused at once,
+ *    while other gateways have the time to serve them;
+ * 3. shortly before the end, requests that wait for an engine are refused;
+ * 4. at the end, requests that no engine has begun to answer get a 502; streams go on for as long
+ *    as the process does. */
 #include "drain.h"
 #include "forward.h"
 #include "gateway.h"
 
-/* The platform needs two missed questions, a second apart, to send no more connections here.
- * REFUSE_MS and LAST_MS count back from the end of the grace; FLUSH_MS is for the last answers,
- * which are still on their way out. */
 enum {
+  /* the platform needs two failed readiness checks, a second apart, to send no more connections */
   UNREADY_MS = 2600,
-  GRACE_MS = 8000,
-  LAST_MS = 400,
-  REFUSE_MS = 1200,
-  STEP_MS = 50,
+  DEFAULT_GRACE_MS = 8000,
+  /* before the end of the grace: queued requests are refused, the last phase begins; and the
+     shortest time from the begin of the drain to these, for a short grace */
+  REFUSE_QUEUED_MS = 1200,
+  REFUSE_QUEUED_MIN_MS = 300,
+  LAST_PHASE_MS = 400,
+  LAST_PHASE_MIN_MS = 500,
+  /* open requests are counted this often */
+  RECHECK_MS = 50,
+  /* for the last responses, which are on their way out */
   FLUSH_MS = 100
 };
 
-static time_us before_end(const gateway *gateway, int64_t ms, int64_t least_ms) {
-  int64_t grace = gateway->settings.grace_ms > 0 ? gateway->settings.grace_ms : GRACE_MS;
-  return time_add(gateway->drain.started_at, time_from_ms(MAX(grace - ms, least_ms)));
+/* an instant before the end of the grace, but not earlier than min_ms after the begin */
+static time_us before_grace_end(const gateway *gateway, int64_t ms, int64_t min_ms) {
+  int64_t grace_ms = gateway->settings.grace_ms > 0 ? gateway->settings.grace_ms : DEFAULT_GRACE_MS;
+  return time_add(gateway->drain.started_at, time_from_ms(MAX(grace_ms - ms, min_ms)));
+}
+
+static time_us last_phase_at(const gateway *gateway) {
+  return before_grace_end(gateway, LAST_PHASE_MS, LAST_PHASE_MIN_MS);
 }
 
 int64_t gateway_remaining_ms(const gateway *gateway) {
   if (!gateway->drain.draining)
     return INT64_MAX;
-  time_us now = world_now(gateway->router->node.world);
-  return time_sub(before_end(gateway, LAST_MS, 500), now).us / 1000;
+  return time_sub(last_phase_at(gateway), gateway_now(gateway)).us / 1000;
+}
+
+/* when admission ends: after the platform has seen it, but not after half of the grace */
+static time_us admission_ends_at(const gateway *gateway) {
+  time_us started_at = gateway->drain.started_at, grace_end = before_grace_end(gateway, 0, 0);
+  return (time_us){ MIN(started_at.us + UNREADY_MS * 1000, (started_at.us + grace_end.us) / 2) };
 }
 
-/* From here on no request is taken on any connection, also not on one whose answer is under way:
- * its callers are refused at once, while other machines have the time to serve them. */
 static void stop_admission(gateway *gateway) {
   world *world = gateway->router->node.world;
   gateway->drain.admission_stopped = true;
@@ -37,36 +56,40 @@
   world->listener_close_idle(world, &gateway->client_listener);
 }
 
-/* what waits for a place would not be served any more */
-static void refuse_waiting(gateway *gateway) {
+static void refuse_queued(gateway *gateway) {
   gateway->drain.refusing_queued = true;
   condition_broadcast(&gateway->engines.changed);
 }
 
-/* what no engine has begun to answer is answered here */
 static void answer_unbegun(gateway *gateway) {
   forward_log_open_requests(gateway);
   gateway->drain.grace_over = true;
   forward_wake_open_requests(gateway);
 }
 
-static void drain_run(void *p) {
-  gateway *gateway = p;
+/* waits until all requests are served, or the last phase begins; false when the process stops */
+static bool wait_for_open_requests(gateway *gateway, time_us refuse_at, time_us last) {
   world *world = gateway->router->node.world;
-  time_us last = before_end(gateway, LAST_MS, 500), refuse = before_end(gateway, REFUSE_MS, 300),
-          shut = before_end(gateway, 0, 0);
-  shut.us = MIN(gateway->drain.started_at.us + UNREADY_MS * 1000,
-                (gateway->drain.started_at.us + shut.us) / 2);
-  if (!world_sleep(world, time_sub(shut, world_now(world))))
-    return;
-  stop_admission(gateway);
   while ((gateway->requests.open_count || gateway->client_listener.pending_exchanges) &&
          !time_reached(world_now(world), last)) {
-    if (!gateway->drain.refusing_queued && time_reached(world_now(world), refuse))
-      refuse_waiting(gateway);
-    if (!world_sleep(world, time_from_ms(STEP_MS)))
-      return;
+    if (!gateway->drain.refusing_queued && time_reached(world_now(world), refuse_at))
+      refuse_queued(gateway);
+    if (!world_sleep(world, time_from_ms(RECHECK_MS)))
+      return false;
   }
+  return true;
+}
+
+static void drain_run(void *context) {
+  gateway *gateway = context;
+  world *world = gateway->router->node.world;
+  time_us refuse_at = before_grace_end(gateway, REFUSE_QUEUED_MS, REFUSE_QUEUED_MIN_MS),
+          last = last_phase_at(gateway);
+  if (!world_sleep(world, time_sub(admission_ends_at(gateway), world_now(world))))
+    return;
+  stop_admission(gateway);
+  if (!wait_for_open_requests(gateway, refuse_at, last))
+    return;
   world->listener_close_idle(world, &gateway->client_listener);
   answer_unbegun(gateway);
   if (!world_sleep(world, time_from_ms(FLUSH_MS)))
@@ -83,7 +106,7 @@
   gateway->drain.draining = gateway->client_listener.draining = true;
   gateway->router->draining = true;
   node_start_draining(&gateway->router->node);
-  gateway->drain.started_at = world_now(gateway->router->node.world);
+  gateway->drain.started_at = gateway_now(gateway);
   log_info(&gateway->router->node.log, "gateway", "Asked to stop, %d requests are open.",
            gateway->requests.open_count);
   task_start(&gateway->router->node.world->tasks, "leave", drain_run, gateway);
--- a/lib/gateway/engine_orders.c
+++ b/lib/gateway/engine_orders.c
@@ -1,76 +1,91 @@
-/** Orders to engines and reports of them, under the contract of their holder. */
+/** Orders to engines and reports of engines; see engine_orders.h for the fencing.
+ *
+ * An unload is announced to all gateways some time before it is ordered: they send no more requests
+ * for the model, and those that run some object by sending their loads. */
+#include "engine_orders.h"
 #include "gateway.h"
 
 enum {
   ORDER_TIMEOUT_MS = 1500,
   REPORT_TIMEOUT_MS = 800,
+  /* an unload waits for what runs */
   UNLOAD_TIMEOUT_MS = 12000,
+  /* from the announcement of an unload to its order: the others receive it, and what they have sent
+     meanwhile reaches the engine */
   ANNOUNCE_MS = 40,
-  ANNOUNCE_REPEAT_MS = 1000
+  ANNOUNCE_REPEAT_MS = 1000,
+  /* an unload is asked for again after its expected time, then after growing spans, then the
+     reports are watched, which cost the engine less */
+  UNLOAD_DEFAULT_MS = 25,
+  UNLOAD_LOOK_MIN_MS = 5,
+  UNLOAD_LOOK_MAX_MS = 400,
+  UNLOAD_LOOK_STEP_MS = 30,
+  MAX_UNLOAD_LOOKS = 3,
+  UNLOAD_REPORT_MS = 200,
+  BUSY_SLEEP_MS = 150,
+  NOT_SENT_SLEEP_MS = 150,
+  MIN_SLEEP_MS = 1
 };
 
-/* orders and reports */
 uint64_t engine_order_epoch(gateway_engine *engine) {
-  char d[64];
-  singleton_engine_name(d, sizeof d, engine->engine_id);
-  return singleton_lease_epoch(engine->gateway->router, d);
+  char name[64];
+  singleton_engine_name(name, sizeof name, engine->engine_id);
+  return singleton_lease_epoch(engine->gateway->router, name);
 }
 
-static time_us lease_expires_at(gateway_engine *engine) {
-  char d[64];
-  singleton_engine_name(d, sizeof d, engine->engine_id);
-  singleton_lease *singleton_lease =
-      g_hash_table_lookup(engine->gateway->router->singleton_leases, d);
-  return singleton_lease ? singleton_lease->expires_at : (time_us){ 0 };
+static singleton_lease *lease_of(gateway_engine *engine) {
+  char name[64];
+  singleton_engine_name(name, sizeof name, engine->engine_id);
+  return g_hash_table_lookup(engine->gateway->router->singleton_leases, name);
 }
 
-/* notes when an order may last have gone out under a contract, and whether one still may */
-static void lease_note_order(gateway_engine *engine, int more) {
-  char d[64];
-  singleton_engine_name(d, sizeof d, engine->engine_id);
-  singleton_lease *singleton_lease =
-      g_hash_table_lookup(engine->gateway->router->singleton_leases, d);
-  if (!singleton_lease)
+/* counts an order that is under way (1) or has ended (-1), so that the lease is not handed over
+ * meanwhile */
+static void lease_count_order(gateway_engine *engine, int change) {
+  singleton_lease *lease = lease_of(engine);
+  if (!lease)
     return;
-  singleton_lease->open_orders += more;
-  singleton_lease->last_order_at = gateway_now(engine->gateway);
+  lease->open_orders += change;
+  lease->last_order_at = gateway_now(engine->gateway);
 }
 
-static fields *fields_for(gateway_engine *engine) {
+static fields *request_fields_new(const gateway_engine *engine) {
   fields *fields = g_string_new(NULL);
+  const char *expect_engine = engine->gateway->settings.dialect->header_names[DF_EXPECT_ENGINE];
   fields_add(fields, "Host", string_view_of(engine->addr));
-  const char *expect = engine->gateway->settings.dialect->header_names[DF_EXPECT_ENGINE];
-  if (expect)
-    fields_add(fields, expect, string_view_of(engine->engine_id.text));
+  if (expect_engine)
+    fields_add(fields, expect_engine, string_view_of(engine->engine_id.text));
   return fields;
 }
 
-/* one exchange with an engine: the status, 0 when nothing was sent, -1 when nobody knows */
-static int engine_exchange(gateway_engine *engine, enum dialect_call call_, const char *body,
-                           GString *got, int64_t span, time_us by, error *err) {
+/* One HTTP exchange with an engine, sent before the instant send_by: the status, or enum
+ * engine_order_status. body may be NULL. */
+static int engine_exchange(gateway_engine *engine, enum dialect_call call_name, const char *body,
+                           GString *response, int64_t timeout_ms, time_us send_by, error *err) {
   world *world = engine->gateway->router->node.world;
-  const dialect_path *p = &engine->gateway->settings.dialect->calls[call_];
-  fields *fields = fields_for(engine);
+  const dialect_path *path = &engine->gateway->settings.dialect->calls[call_name];
+  fields *fields = request_fields_new(engine);
   if (body)
     fields_add(fields, "Content-Type", string_view_of("application/json"));
-  time_us till = time_add(world_now(world), time_from_ms(span));
-  http_call *call = http_call_open_fields(world, engine->addr, p->method, p->path, fields,
-                                          string_view_of(body), false, by);
-  int st = 0, r = http_call_wait(call, till);
-  if (!r) {
-    st = call->status;
-    if (http_call_read_all(call, got, till))
-      st = st == 200 && got->len ? -1 : st;
+  time_us until = time_add(world_now(world), time_from_ms(timeout_ms));
+  http_call *call = http_call_open_fields(world, engine->addr, path->method, path->path, fields,
+                                          string_view_of(body), false, send_by);
+  int status, code = http_call_wait(call, until);
+  if (code) {
+    status = code == E_STOPPING || call->sent ? ORDER_UNKNOWN : ORDER_NOT_SENT;
+    error_set(err, code, "%s did not answer", engine->engine_id.text);
   } else {
-    st = r == E_STOPPING ? -1 : call->sent ? -1 : 0;
-    error_set(err, r, "%s did not answer", engine->engine_id.text);
+    status = call->status;
+    bool cut = http_call_read_all(call, response, until);
+    if (cut && status == 200 && response->len)
+      status = ORDER_UNKNOWN;
   }
   http_call_close(call);
   g_string_free(fields, TRUE);
-  return st;
+  return status;
 }
 
-static json *parse_engine_json(gateway *gateway, const GString *text) {
+static json *parse_engine_json(const gateway *gateway, const GString *text) {
   error err = { 0 };
   json *json = json_parse(string_view_of_gstring(text), &err);
   if (json)
@@ -78,166 +93,208 @@
   return json;
 }
 
-/* takes an idle report into the account of the engine's room */
-static void capacity_update_from_report(gateway_engine *engine, uint64_t count,
-                                        Wire__ResidentModel **models, size_t n, time_us asked) {
-  capacity_account *r = &engine->capacity;
-  if (!capacity_covered_by_report(r, asked, time_from_ms(ENGINE_REPORT_LAG_MS))) {
-    /* the engine has taken an order that this holder knows nothing of */
-    if (r->is_known && count > r->order_count)
-      capacity_forget(r, gateway_now(engine->gateway));
-    return;
+/** Residents out of a report; they point into its JSON. */
+typedef struct reported_residents {
+  Wire__ResidentModel *models, **list;
+  size_t count;
+} reported_residents;
+
+static void read_adapters(const json *adapters, Wire__ResidentModel *model) {
+  model->n_adapters = adapters ? json_count(adapters) : 0;
+  model->adapters = g_new(char *, model->n_adapters + 1);
+  for (size_t i = 0; i < model->n_adapters; i++) {
+    const json *name = json_at(adapters, i);
+    model->adapters[i] = name->kind == JSON_STRING ? name->text->str : (char *)"";
   }
-  if (r->is_known && count != r->order_count)
-    log_debug(&engine->gateway->router->node.log, "place",
-              "%s has taken %" PRIu64 " orders; %" PRIu64 " were known.", engine->engine_id.text,
-              count, r->order_count);
-  capacity_begin(r, count);
-  for (size_t k = 0; k < n; k++) {
-    if (!id_is_valid(string_view_of(models[k]->model)))
+}
+
+static reported_residents read_residents(const json *report) {
+  const json *models = json_get(report, "models");
+  reported_residents residents = { .count = models ? json_count(models) : 0 };
+  residents.models = g_new(Wire__ResidentModel, residents.count + 1);
+  residents.list = g_new(Wire__ResidentModel *, residents.count + 1);
+  for (size_t i = 0; i < residents.count; i++) {
+    const json *value = json_at(models, i);
+    Wire__ResidentModel *model = residents.list[i] = &residents.models[i];
+    wire__resident_model__init(model);
+    model->model = (char *)json_text(value, "name", "");
+    model->weights_version = (uint64_t)MAX(0, json_number(value, "version", 0));
+    read_adapters(json_get(value, "adapters"), model);
+  }
+  return residents;
+}
+
+static void reported_residents_free(reported_residents *residents) {
+  for (size_t i = 0; i < residents->count; i++)
+    g_free(residents->models[i].adapters);
+  g_free(residents->models);
+  g_free(residents->list);
+}
+
+static void add_to_account(capacity_account *account, const reported_residents *residents) {
+  for (size_t i = 0; i < residents->count; i++) {
+    const Wire__ResidentModel *reported = &residents->models[i];
+    if (!id_is_valid(string_view_of(reported->model)))
       continue;
-    id model = id_of_text(models[k]->model);
-    capacity_add(r, model, id_none);
-    for (size_t a = 0; a < models[k]->n_adapters; a++)
-      if (id_is_valid(string_view_of(models[k]->adapters[a])))
-        capacity_add(r, model, id_of_text(models[k]->adapters[a]));
+    id model = id_of_text(reported->model);
+    capacity_add(account, model, id_none);
+    for (size_t a = 0; a < reported->n_adapters; a++)
+      if (id_is_valid(string_view_of(reported->adapters[a])))
+        capacity_add(account, model, id_of_text(reported->adapters[a]));
   }
 }
 
-/* reads what an engine itself says that it holds; false when it says nothing */
+/* starts the capacity account anew from an idle report that was asked for at an instant */
+static void update_account(gateway_engine *engine, uint64_t order_count,
+                           const reported_residents *residents, time_us asked_at) {
+  capacity_account *account = &engine->capacity;
+  if (!capacity_covered_by_report(account, asked_at, time_from_ms(ENGINE_REPORT_LAG_MS))) {
+    /* the engine has taken an order of which this holder knows nothing */
+    if (account->is_known && order_count > account->order_count)
+      capacity_forget(account, gateway_engine_now(engine));
+    return;
+  }
+  if (account->is_known && order_count != account->order_count)
+    log_debug(&engine->gateway->router->node.log, "place",
+              "Engine %s has taken %" PRIu64 " orders; %" PRIu64 " were known.",
+              engine->engine_id.text, order_count, account->order_count);
+  capacity_begin(account, order_count);
+  add_to_account(account, residents);
+}
+
 bool engine_order_fetch_report(gateway_engine *engine, bool *busy, int *running, error *err) {
   gateway *gateway = engine->gateway;
-  GString *got = g_string_new(NULL);
-  time_us from = gateway_now(gateway);
+  GString *response = g_string_new(NULL);
+  time_us asked_at = gateway_now(gateway);
   gateway->counts.reports++;
-  int st = engine_exchange(engine, DC_REPORT, NULL, got, REPORT_TIMEOUT_MS, time_never(), err);
-  json *value = st == 200 ? parse_engine_json(gateway, got) : NULL;
-  g_string_free(got, TRUE);
-  if (st == 421)
+  int status =
+      engine_exchange(engine, DC_REPORT, NULL, response, REPORT_TIMEOUT_MS, time_never(), err);
+  json *report = status == 200 ? parse_engine_json(gateway, response) : NULL;
+  g_string_free(response, TRUE);
+  if (status == 421)
     gateway_engine_remove(engine, "its address answers for another");
-  if (!value || engine->gone) {
-    json_free(value);
+  if (!report || engine->gone) {
+    json_free(report);
     return false;
   }
+  reported_residents residents = read_residents(report);
   engine->orders.identity_confirmed_at = gateway_now(gateway);
-  const json *m = json_get(value, "models");
-  size_t n = m ? json_count(m) : 0;
-  Wire__ResidentModel *r = g_new(Wire__ResidentModel, n + 1),
-                      **rp = g_new(Wire__ResidentModel *, n + 1);
-  for (size_t k = 0; k < n; k++) {
-    const json *o = json_at(m, k), *a = json_get(o, "adapters");
-    wire__resident_model__init(&r[k]);
-    r[k].model = (char *)json_text(o, "name", "");
-    r[k].weights_version = (uint64_t)MAX(0, json_number(o, "version", 0));
-    r[k].n_adapters = a ? json_count(a) : 0;
-    r[k].adapters = g_new(char *, r[k].n_adapters + 1);
-    for (size_t t = 0; t < r[k].n_adapters; t++) {
-      const json *name = json_at(a, t);
-      r[k].adapters[t] = name->kind == JSON_STRING ? name->text->str : (char *)"";
-    }
-    rp[k] = &r[k];
-  }
-  *busy = json_bool(value, "busy", false);
-  *running = (int)json_number(value, "running", 0) + (int)json_number(value, "waiting", 0);
-  gateway_engine_update_residents(engine, rp, n, from, ENGINE_REPORT_LAG_MS);
-  engine->orders.reported_at = from;
-  uint64_t count = (uint64_t)MAX(0, json_number(value, "count", 0));
+  engine->orders.reported_at = asked_at;
+  *busy = json_bool(report, "busy", false);
+  *running = (int)json_number(report, "running", 0) + (int)json_number(report, "waiting", 0);
+  gateway_engine_update_residents(engine, residents.list, residents.count, asked_at,
+                                  ENGINE_REPORT_LAG_MS);
   if (!*busy)
-    capacity_update_from_report(engine, count, rp, n, from);
-  for (size_t k = 0; k < n; k++)
-    g_free(r[k].adapters);
-  g_free(r);
-  g_free(rp);
-  json_free(value);
+    update_account(engine, (uint64_t)MAX(0, json_number(report, "count", 0)), &residents, asked_at);
+  reported_residents_free(&residents);
+  json_free(report);
   return true;
 }
 
-static GString *order_body(gateway_engine *engine, bool up, id model, id adapter, uint64_t epoch,
-                           int64_t expect) {
-  gateway *gateway = engine->gateway;
-  GString *t = g_string_new(NULL);
-  json_appendf(t, "{\"op\":\"%s\",\"model\":", up ? "load" : "unload");
-  json_append_quoted(t, string_view_of(model.text));
+/* the body of an order in the platform's names; to be freed */
+static GString *order_body(const gateway_engine *engine, bool load, id model, id adapter,
+                           uint64_t epoch, int64_t expected_orders) {
+  const gateway *gateway = engine->gateway;
+  GString *body = g_string_new(NULL);
+  json_appendf(body, "{\"op\":\"%s\",\"model\":", load ? "load" : "unload");
+  json_append_quoted(body, string_view_of(model.text));
   if (!id_is_empty(adapter)) {
-    g_string_append(t, ",\"adapter\":");
-    json_append_quoted(t, string_view_of(adapter.text));
+    g_string_append(body, ",\"adapter\":");
+    json_append_quoted(body, string_view_of(adapter.text));
   }
-  g_string_append(t, ",\"holder\":");
-  json_append_quoted(t, string_view_of(gateway->router->node.settings.self.text));
-  if (expect != ORDER_COUNT_ANY)
-    json_appendf(t, ",\"expect\":%" PRId64, expect);
-  json_appendf(t, ",\"fence\":%" PRIu64 "}", epoch);
+  g_string_append(body, ",\"holder\":");
+  json_append_quoted(body, string_view_of(gateway->router->node.settings.self.text));
+  if (expected_orders != ORDER_COUNT_ANY)
+    json_appendf(body, ",\"expect\":%" PRId64, expected_orders);
+  json_appendf(body, ",\"fence\":%" PRIu64 "}", epoch);
   error err = { 0 };
-  json *json = json_parse(string_view_of_gstring(t), &err);
+  json *json = json_parse(string_view_of_gstring(body), &err);
   dialect_translate_out(gateway->settings.dialect, json);
-  g_string_truncate(t, 0);
-  json_write(json, t);
+  g_string_truncate(body, 0);
+  json_write(json, body);
   json_free(json);
-  return t;
+  return body;
+}
+
+/* An address is not used again at once: an engine with a recent sign of life still has it. Else its
+ * report has to say so, since an order must never reach another engine. */
+static bool identity_is_recent(const gateway_engine *engine) {
+  time_us seen_at = engine->heartbeat_at;
+  if (engine->health.last_byte_at.us > seen_at.us)
+    seen_at = engine->health.last_byte_at;
+  if (engine->orders.identity_confirmed_at.us > seen_at.us)
+    seen_at = engine->orders.identity_confirmed_at;
+  return gateway_ms_since(engine->gateway, seen_at) <= IDENTITY_CONFIRMED_MS;
+}
+
+/* takes an order's result into the capacity account and what is known of the engine */
+static void record_result(gateway_engine *engine, bool load, id model, id adapter, int status) {
+  time_us now = gateway_engine_now(engine);
+  if (status == 202)
+    capacity_order_accepted(&engine->capacity, load, model, adapter, now);
+  if (status == ORDER_UNKNOWN)
+    capacity_forget(&engine->capacity, now);
+  if (status > 0 && status != 421)
+    engine->orders.identity_confirmed_at = now;
 }
 
-/* sends one order, only while the contract holds: 202 taken, 200 so already; 0 not sent, -1
- * unknown, -2 no contract. With an expected number of orders the engine refuses it (409) when it
- * has taken any other meanwhile */
-int engine_order_send(gateway_engine *engine, bool up, id model, id adapter, int64_t expect,
-                      time_us by, error *err) {
+/* sends an order under an epoch; the status of engine_exchange */
+static int send_under_epoch(gateway_engine *engine, bool load, id model, id adapter, uint64_t epoch,
+                            int64_t expected_orders, time_us by, error *err) {
   gateway *gateway = engine->gateway;
+  const singleton_lease *lease = lease_of(engine);
+  time_us till = lease ? lease->expires_at : (time_us){ 0 };
+  GString *body = order_body(engine, load, model, adapter, epoch, expected_orders);
+  GString *response = g_string_new(NULL);
+  const char *separator = adapter.text[0] ? "+" : "";
+  gateway->counts.orders++;
+  history_event event = { EVENT_ORDERED, { 0 }, engine->engine_id, model, adapter, load };
+  event_history_append(&gateway->router->history, event);
+  lease_count_order(engine, 1);
+  int status = engine_exchange(engine, DC_ENGINE_ORDER, body->str, response, ORDER_TIMEOUT_MS,
+                               till.us < by.us ? till : by, err);
+  lease_count_order(engine, -1);
+  log_debug(&gateway->router->node.log, "order",
+            "Order to %s %s%s%s at engine %s: fencing token %" PRIu64 ", %" PRId64
+            " orders expected, %" PRIu64 " known, status %d.",
+            load ? "load" : "unload", model.text, separator, adapter.text, engine->engine_id.text,
+            epoch, expected_orders, engine->capacity.order_count, status);
+  if (status > 0 && status != 200 && status != 202)
+    error_set(err, E_ORDER_FAILED, "%s answered %d to %s %s%s%s: %.80s", engine->engine_id.text,
+              status, load ? "load" : "unload", model.text, separator, adapter.text, response->str);
+  g_string_free(body, TRUE);
+  g_string_free(response, TRUE);
+  return status;
+}
+
+int engine_order_send(gateway_engine *engine, bool load, id model, id adapter,
+                      int64_t expected_orders, time_us by, error *err) {
+  const char *name = engine->engine_id.text;
   uint64_t epoch = engine_order_epoch(engine);
   if (!epoch) {
-    error_set(err, E_NO_LEASE_HOLDER, "no contract for %s", engine->engine_id.text);
-    return -2;
+    error_set(err, E_NO_LEASE_HOLDER, "no lease on %s", name);
+    return ORDER_NOT_ALLOWED;
   }
   if (engine->gone) {
-    error_set(err, E_NO_ENGINE, "%s is gone", engine->engine_id.text);
-    return -2;
+    error_set(err, E_NO_ENGINE, "%s is gone", name);
+    return ORDER_NOT_ALLOWED;
   }
-  /* an address is not used again at once: one that gave a sign of life lately is still the same; of
-   * another an order is never sent */
-  time_us seen = engine->heartbeat_at.us > engine->health.last_byte_at.us
-                     ? engine->heartbeat_at
-                     : engine->health.last_byte_at;
-  if (engine->orders.identity_confirmed_at.us > seen.us)
-    seen = engine->orders.identity_confirmed_at;
-  if (gateway_ms_since(gateway, seen) > IDENTITY_CONFIRMED_MS) {
+  if (!identity_is_recent(engine)) {
     bool busy;
     int running;
     if (!engine_order_fetch_report(engine, &busy, &running, err))
-      return 0;
-    if (engine->gone || !(epoch = engine_order_epoch(engine)))
-      return error_set(err, E_NO_LEASE_HOLDER, "no contract for %s", engine->engine_id.text), -2;
-  }
-  time_us till = lease_expires_at(engine);
-  GString *t = order_body(engine, up, model, adapter, epoch, expect), *got = g_string_new(NULL);
-  gateway->counts.orders++;
-  event_history_append(
-      &gateway->router->history,
-      (history_event){ EVENT_ORDERED, { 0 }, engine->engine_id, model, adapter, up });
-  lease_note_order(engine, 1);
-  int st = engine_exchange(engine, DC_ENGINE_ORDER, t->str, got, ORDER_TIMEOUT_MS,
-                           till.us < by.us ? till : by, err);
-  lease_note_order(engine, -1);
-  log_debug(&gateway->router->node.log, "order",
-            "%s %s%s%s at %s: fence %" PRIu64 ", %" PRId64 " orders expected, %" PRIu64
-            " known, status %d.",
-            up ? "Load" : "Unload", model.text, adapter.text[0] ? "+" : "", adapter.text,
-            engine->engine_id.text, epoch, expect, engine->capacity.order_count, st);
-  if (st == 202)
-    capacity_order_accepted(&engine->capacity, up, model, adapter, gateway_now(gateway));
-  if (st == -1)
-    capacity_forget(&engine->capacity, gateway_now(gateway));
-  if (st > 0 && st != 200 && st != 202)
-    error_set(err, E_ORDER_FAILED, "%s answered %d to %s %s%s%s: %.80s", engine->engine_id.text, st,
-              up ? "load" : "unload", model.text, adapter.text[0] ? "+" : "", adapter.text,
-              got->str);
-  g_string_free(t, TRUE);
-  g_string_free(got, TRUE);
-  if (st > 0 && st != 421)
-    engine->orders.identity_confirmed_at = gateway_now(gateway);
-  if (st == 412) {
-    error_set(err, E_STALE_EPOCH, "%s has seen a higher fence", engine->engine_id.text);
-    return -2;
+      return ORDER_NOT_SENT;
+    if (engine->gone || !(epoch = engine_order_epoch(engine))) {
+      error_set(err, E_NO_LEASE_HOLDER, "no lease on %s", name);
+      return ORDER_NOT_ALLOWED;
+    }
   }
-  return st;
+  int status = send_under_epoch(engine, load, model, adapter, epoch, expected_orders, by, err);
+  record_result(engine, load, model, adapter, status);
+  if (status != 412)
+    return status;
+  error_set(err, E_STALE_EPOCH, "%s has seen a higher fencing token", name);
+  return ORDER_NOT_ALLOWED;
 }
 
 bool engine_order_stopping(gateway_engine *engine) {
@@ -245,24 +302,14 @@
 }
 
 int engine_order_sleep(gateway_engine *engine, double ms, error *err) {
-  if (!world_sleep(engine->gateway->router->node.world,
-                   (time_us){ (int64_t)(MAX(ms, 1) * 1000) }) ||
-      engine_order_stopping(engine))
-    return error_set(err, engine->gone ? E_NO_ENGINE : E_STOPPING, "%s is gone",
-                     engine->engine_id.text);
-  return OK;
-}
-
-/* the time in ms that a kind of step took, learnt under a name of the service's own */
-static double step_expected_ms(gateway_engine *engine, const char *name, double fall) {
-  return event_history_load_ms(&engine->gateway->router->history, engine->service, name, fall);
-}
-
-static void step_record_ms(gateway_engine *engine, const char *name, double ms) {
-  event_history_record_load_ms(&engine->gateway->router->history, engine->service, name, ms);
+  time_us span = { (int64_t)(MAX(ms, MIN_SLEEP_MS) * 1000) };
+  if (world_sleep(engine->gateway->router->node.world, span) && !engine_order_stopping(engine))
+    return OK;
+  return error_set(err, engine->gone ? E_NO_ENGINE : E_STOPPING, "%s is gone",
+                   engine->engine_id.text);
 }
 
-/* tells all nodes that a thing is on its way out, so that they send no more work for it */
+/* sends all gateways that a model is about to be unloaded, so that they send it no more requests */
 static void announce_unload(gateway_engine *engine, id model, id adapter) {
   gateway_engine_mark_unloading(engine, model, adapter);
   gateway_engine_broadcast(engine);
@@ -273,99 +320,140 @@
   gateway_engine_broadcast(engine);
 }
 
-/* orders one thing unloaded and waits until the engine confirms it */
-static int unload_until_gone(gateway_engine *engine, id model, id adapter, error *err) {
-  gateway *gateway = engine->gateway;
-  bool busy = false, took = false;
-  int running = 0, probes = 0, r;
-  time_us from = gateway_now(gateway), began = from, announced = from;
+/** An unload under way. */
+typedef struct unload {
+  gateway_engine *engine;
+  id model, adapter;
+  /** When it was last announced; when the engine accepted the order; when it last said so. */
+  time_us announced_at, accepted_at, last_accepted_at;
+  bool accepted;
+  int looks;
+  error *err;
+} unload;
+
+/* the engine says that there is nothing to unload: without an accepted order its report has to say
+ * so, too */
+static int confirm_not_resident(unload *unload) {
+  gateway_engine *engine = unload->engine;
+  bool busy;
+  int running, code = engine_order_sleep(engine, ENGINE_REPORT_LAG_MS, unload->err);
+  if (code)
+    return code;
+  if (!engine_order_fetch_report(engine, &busy, &running, unload->err))
+    return error_set(unload->err, E_NO_ENGINE, "%s does not report", engine->engine_id.text);
+  if (busy || !engine->capacity.is_known ||
+      capacity_contains(&engine->capacity, unload->model, unload->adapter))
+    return error_set(unload->err, E_ORDER_FAILED, "%s does not unload %s", engine->engine_id.text,
+                     unload->model.text);
+  return OK;
+}
+
+static bool timed_out(const unload *unload) {
+  return gateway_ms_since(unload->engine->gateway, unload->last_accepted_at) > UNLOAD_TIMEOUT_MS;
+}
+
+/* waits until the order may be repeated, which asks whether it is done */
+static int wait_for_next_look(unload *unload) {
+  gateway_engine *engine = unload->engine;
+  double expected_ms = event_history_load_ms(&engine->gateway->router->history, engine->service,
+                                             "@unload", UNLOAD_DEFAULT_MS);
+  int look = unload->looks++;
+  if (look == 0)
+    return engine_order_sleep(engine, CLAMP(expected_ms, UNLOAD_LOOK_MIN_MS, UNLOAD_LOOK_MAX_MS),
+                              unload->err);
+  if (look < MAX_UNLOAD_LOOKS)
+    return engine_order_sleep(engine, UNLOAD_LOOK_STEP_MS * unload->looks, unload->err);
+  int running, code = engine_order_sleep(engine, UNLOAD_REPORT_MS, unload->err);
+  bool busy;
+  while (!code && engine_order_fetch_report(engine, &busy, &running, unload->err) && busy &&
+         gateway_ms_since(engine->gateway, unload->last_accepted_at) < UNLOAD_TIMEOUT_MS)
+    code = engine_order_sleep(engine, BUSY_SLEEP_MS, unload->err);
+  return code;
+}
+
+static void record_accepted(unload *unload) {
+  time_us now = gateway_engine_now(unload->engine);
+  /* 202 again says that it is still under way: what runs has yet to end */
+  if (unload->accepted)
+    unload->last_accepted_at = now;
+  else
+    unload->accepted_at = now;
+  unload->accepted = true;
+}
+
+/* orders the unload again and again until the engine confirms it */
+static int order_until_unloaded(unload *unload) {
+  gateway_engine *engine = unload->engine;
   for (;;) {
-    if (gateway_ms_since(gateway, announced) > ANNOUNCE_REPEAT_MS) {
-      announce_unload(engine, model, adapter);
-      announced = gateway_now(gateway);
-    }
-    int st = engine_order_send(engine, false, model, adapter, ORDER_COUNT_ANY, time_never(), err);
-    if (st == -2)
-      return err->code;
-    if (st == 200 || st == 404 || st == 400 || st == 421) {
-      if (st != 200 && !took) { /* it may not be there at all: its report says */
-        if ((r = engine_order_sleep(engine, ENGINE_REPORT_LAG_MS, err)))
-          return r;
-        if (!engine_order_fetch_report(engine, &busy, &running, err))
-          return error_set(err, E_NO_ENGINE, "%s says nothing of itself", engine->engine_id.text);
-        if (busy || !engine->capacity.is_known ||
-            capacity_contains(&engine->capacity, model, adapter))
-          return error_set(err, E_ORDER_FAILED, "%s does not unload %s", engine->engine_id.text,
-                           model.text);
-      }
-      break;
-    }
-    /* 202 again means that it is still under way: its runs have yet to end */
-    if (st == 202) {
-      if (took)
-        from = gateway_now(gateway);
-      else
-        began = gateway_now(gateway);
-      took = true;
-    }
-    double ms = gateway_ms_since(gateway, from);
-    if (ms > UNLOAD_TIMEOUT_MS)
-      return error_set(err, E_ORDER_FAILED, "%s still holds %s", engine->engine_id.text,
-                       model.text);
-    if (st != 202 && st != 409) {
-      if ((r = engine_order_sleep(engine, 150, err)))
-        return r;
-      continue;
-    }
-    /* the first looks come when it should be done; a busy one is watched by its reports, which cost
-     * less */
-    double guess = step_expected_ms(engine, "@unload", 25);
-    if (!probes++) {
-      if ((r = engine_order_sleep(engine, CLAMP(guess, 5, 400), err)))
-        return r;
-      continue;
+    if (gateway_ms_since(engine->gateway, unload->announced_at) > ANNOUNCE_REPEAT_MS) {
+      announce_unload(engine, unload->model, unload->adapter);
+      unload->announced_at = gateway_engine_now(engine);
     }
-    if (probes < 4) {
-      if ((r = engine_order_sleep(engine, 30 * probes, err)))
-        return r;
-      continue;
-    }
-    if ((r = engine_order_sleep(engine, 200, err)))
-      return r;
-    while (engine_order_fetch_report(engine, &busy, &running, err) && busy &&
-           gateway_ms_since(gateway, from) < UNLOAD_TIMEOUT_MS)
-      if ((r = engine_order_sleep(engine, 150, err)))
-        return r;
+    int status = engine_order_send(engine, false, unload->model, unload->adapter, ORDER_COUNT_ANY,
+                                   time_never(), unload->err);
+    if (status == ORDER_NOT_ALLOWED)
+      return unload->err->code;
+    if (status == 200)
+      return OK;
+    if (status == 404 || status == 400 || status == 421)
+      return unload->accepted ? OK : confirm_not_resident(unload);
+    if (status == 202)
+      record_accepted(unload);
+    if (timed_out(unload))
+      return error_set(unload->err, E_ORDER_FAILED, "%s has not unloaded %s in time",
+                       engine->engine_id.text, unload->model.text);
+    bool under_way = status == 202 || status == 409;
+    int code = under_way ? wait_for_next_look(unload)
+                         : engine_order_sleep(engine, NOT_SENT_SLEEP_MS, unload->err);
+    if (code)
+      return code;
   }
-  if (took && probes <= 3)
-    step_record_ms(engine, "@unload", gateway_ms_since(gateway, began));
-  gateway->counts.unloads++;
-  gateway->router->unload_count++;
-  event_history_append(
-      &gateway->router->history,
-      (history_event){ EVENT_UNLOADED, { 0 }, engine->engine_id, model, adapter, 0 });
-  capacity_remove(&engine->capacity, model, adapter);
-  gateway_engine_mark_unloaded(engine, model, adapter);
-  return OK;
 }
 
-/* Unloads one thing; where that can't be confirmed, the account of the room is read anew. Nodes
- * that run something of it answer the announcement. When it was thought idle, E_MODEL_IN_USE says
- * that it is not and stays. */
+static void record_unloaded(const unload *unload) {
+  gateway_engine *engine = unload->engine;
+  router *router = engine->gateway->router;
+  if (unload->accepted && unload->looks <= MAX_UNLOAD_LOOKS)
+    event_history_record_load_ms(&router->history, engine->service, "@unload",
+                                 gateway_ms_since(engine->gateway, unload->accepted_at));
+  engine->gateway->counts.unloads++;
+  router->unload_count++;
+  history_event event = { EVENT_UNLOADED, { 0 },           engine->engine_id,
+                          unload->model,  unload->adapter, 0 };
+  event_history_append(&router->history, event);
+  capacity_remove(&engine->capacity, unload->model, unload->adapter);
+  gateway_engine_mark_unloaded(engine, unload->model, unload->adapter);
+}
+
+static int unload_announced(gateway_engine *engine, id model, id adapter, error *err) {
+  time_us now = gateway_engine_now(engine);
+  unload unload = { .engine = engine,
+                    .model = model,
+                    .adapter = adapter,
+                    .announced_at = now,
+                    .accepted_at = now,
+                    .last_accepted_at = now,
+                    .err = err };
+  int code = order_until_unloaded(&unload);
+  if (code)
+    capacity_forget(&engine->capacity, gateway_engine_now(engine));
+  else
+    record_unloaded(&unload);
+  return code;
+}
+
 int engine_order_unload(gateway_engine *engine, id model, id adapter, bool thought_idle,
                         error *err) {
   announce_unload(engine, model, adapter);
-  bool waits = gateway_feature_enabled(engine->gateway, FEATURE_ANNOUNCE_UNLOAD);
-  int r = waits ? engine_order_sleep(engine, ANNOUNCE_MS, err) : OK;
-  if (r)
-    return r;
+  int code = OK;
+  if (gateway_feature_enabled(engine->gateway, FEATURE_ANNOUNCE_UNLOAD))
+    code = engine_order_sleep(engine, ANNOUNCE_MS, err);
+  if (code)
+    return code;
   if (thought_idle && gateway_engine_is_running(engine, model, adapter)) {
     retract_unload(engine, model, adapter);
     return error_set(err, E_MODEL_IN_USE, "%s%s%s runs on %s", model.text,
                      adapter.text[0] ? "+" : "", adapter.text, engine->engine_id.text);
   }
-  r = unload_until_gone(engine, model, adapter, err);
-  if (r)
-    capacity_forget(&engine->capacity, gateway_now(engine->gateway));
-  return r;
+  return unload_announced(engine, model, adapter, err);
 }
--- a/lib/gateway/eviction.c
+++ b/lib/gateway/eviction.c
@@ -1,67 +1,75 @@
-/** What an engine may lose for a load: sizes, load times and rates of what it holds, the rule's
- * candidates, and what a placement would cost. */
+/** What an engine would lose by a load; see eviction.h. The policies themselves are in
+ * lib/router/eviction_policy.c. */
+#include "eviction.h"
 #include "gateway.h"
+#include "load_jobs.h"
 #include <math.h>
 
 enum {
+  /* by then all gateways have sent the counts of a model that has just been loaded */
   RATE_KNOWN_MS = 4000,
+  /* what has just been loaded is not evicted before the requests that wanted it arrive */
   RECENT_LOAD_MS = 1000,
   RECENT_ADAPTER_LOAD_MS = 600,
+  /* draining takes this time at least, or so many mean runs */
   DRAIN_MIN_MS = 1000,
-  BUSY_EVICTION_COST = 300
+  DRAIN_MEAN_RUNS = 2
 };
+/* Load times in ms where neither the configuration nor the history has one. */
+static const double DEFAULT_LOAD_MS = 2000, DEFAULT_ADAPTER_LOAD_MS = 25;
+/* A load out of the engine's own disk takes this share of one out of the store. */
+static const double DISK_LOAD_SHARE = 0.25;
+/* Cost of evicting something that runs, beside its drain. */
+static const double BUSY_EVICTION_COST = 300;
 
-/* sizes and times */
 double eviction_size_mb(const service *service, id model, id adapter) {
-  const service_model_spec *m = service_find_model(service, model.text);
-  return !m ? 0 : id_is_empty(adapter) ? m->weights_mb : m->adapter_mb;
+  const service_model_spec *spec = service_find_model(service, model.text);
+  return !spec ? 0 : id_is_empty(adapter) ? spec->weights_mb : spec->adapter_mb;
 }
 
-/* the load time to reckon with: one out of the store and one from the engine's own disk are learnt
- * apart */
-double eviction_load_ms(gateway *gateway, const service *service, id model, id adapter, bool warm) {
+double eviction_load_ms(gateway *gateway, const service *service, id model, id adapter,
+                        bool from_disk) {
+  event_history *history = &gateway->router->history;
+  const service_model_spec *spec = service_find_model(service, model.text);
+  double store_ms = spec && spec->load_ms > 0 ? spec->load_ms : DEFAULT_LOAD_MS;
   char key[140];
-  const service_model_spec *m = service_find_model(service, model.text);
-  double cold = m && m->load_ms > 0 ? m->load_ms : 2000;
   event_history_format_key(key, sizeof key, model, adapter);
-  if (!id_is_empty(adapter))
-    return event_history_load_ms(
-        &gateway->router->history, service->name, key,
-        event_history_load_ms(&gateway->router->history, service->name, "@adapter", 25));
-  if (!warm)
-    return event_history_load_ms(&gateway->router->history, service->name, key, cold);
+  if (!id_is_empty(adapter)) {
+    double any_adapter_ms =
+        event_history_load_ms(history, service->name, "@adapter", DEFAULT_ADAPTER_LOAD_MS);
+    return event_history_load_ms(history, service->name, key, any_adapter_ms);
+  }
+  if (!from_disk)
+    return event_history_load_ms(history, service->name, key, store_ms);
   g_strlcat(key, "@disk", sizeof key);
-  return event_history_load_ms(&gateway->router->history, service->name, key, 0.25 * cold);
+  return event_history_load_ms(history, service->name, key, DISK_LOAD_SHARE * store_ms);
 }
 
 double eviction_request_rate(gateway *gateway, id model, id adapter) {
   char key[140];
   event_history_format_key(key, sizeof key, model, adapter);
-  /* demand moves within seconds: half of the weight lies on the latest of them */
-  double own =
-      0.5 * event_history_request_rate(&gateway->router->history, key) +
-      0.5 * event_history_recent_rate(&gateway->router->history, key, time_from_ms(RECENT_RATE_MS));
-  return MAX(own, fleet_rates_total(gateway, key));
+  double known = fleet_rates_known(gateway, key), total = fleet_rates_total(gateway, key);
+  return MAX(known, total);
+}
+
+static void count_replica(GHashTable *counts, id model, id adapter) {
+  gpointer key = GUINT_TO_POINTER(gateway_engine_model_key(model, adapter));
+  int count = GPOINTER_TO_INT(g_hash_table_lookup(counts, key));
+  g_hash_table_insert(counts, key, GINT_TO_POINTER(count + 1));
 }
 
-/* counts copies of all that a service's engines hold, for the time of one choice: one by one, each
-   engine's each resident would look through all engines again */
 void eviction_replica_counts_begin(gateway *gateway, id service) {
-  gateway->eviction.replica_counts = g_hash_table_new(NULL, NULL);
-  list_for_each (i, &gateway->engines.list, gateway_engine, link) {
-    if (i->gone || i->draining || !id_equal(i->service, service) || gateway_engine_unresponsive(i))
+  GHashTable *counts = gateway->eviction.replica_counts = g_hash_table_new(NULL, NULL);
+  list_for_each (engine, &gateway->engines.list, gateway_engine, link) {
+    if (engine->gone || engine->draining || !id_equal(engine->service, service) ||
+        gateway_engine_unresponsive(engine))
       continue;
-    list_for_each (r, &i->residents.list, resident, link) {
-      if (r->unloading)
+    list_for_each (entry, &engine->residents.list, resident, link) {
+      if (entry->unloading)
         continue;
-      for (int k = -1; k < (int)r->adapters->len; k++) {
-        gpointer key = GUINT_TO_POINTER(gateway_engine_model_key(
-            r->model, k < 0 ? id_none : id_of_text(r->adapters->pdata[k])));
-        g_hash_table_insert(
-            gateway->eviction.replica_counts, key,
-            GINT_TO_POINTER(
-                GPOINTER_TO_INT(g_hash_table_lookup(gateway->eviction.replica_counts, key)) + 1));
-      }
+      count_replica(counts, entry->model, id_none);
+      for (guint i = 0; i < entry->adapters->len; i++)
+        count_replica(counts, entry->model, id_of_text(entry->adapters->pdata[i]));
     }
   }
 }
@@ -72,17 +80,17 @@
   gateway->eviction.replica_counts = NULL;
 }
 
-static int replicas_counted(gateway *gateway, id service, id model, id adapter) {
-  if (!gateway->eviction.replica_counts)
+static int replica_count(gateway *gateway, id service, id model, id adapter) {
+  GHashTable *counts = gateway->eviction.replica_counts;
+  if (!counts)
     return gateway_engines_count_replicas(gateway, service, model, adapter);
-  return GPOINTER_TO_INT(
-      g_hash_table_lookup(gateway->eviction.replica_counts,
-                          GUINT_TO_POINTER(gateway_engine_model_key(model, adapter))));
+  gpointer key = GUINT_TO_POINTER(gateway_engine_model_key(model, adapter));
+  return GPOINTER_TO_INT(g_hash_table_lookup(counts, key));
 }
 
-/* The rate of an adapter that was loaded of late is not in the history yet: it comes in some ms,
- * and counts of other nodes come seconds later. It was wanted once at least, so one request in the
- * time since is its rate at the least. A model takes longer to load than its rate to be known. */
+/* The rate of an adapter that was loaded recently is not in the history yet: it loads in some ms,
+ * and counts of other gateways come seconds later. It was wanted once at least, so one request in
+ * the time since is a lower bound. A model takes longer to load than its rate to be known. */
 static double rate_since_load(gateway *gateway, id adapter, time_us loaded_at) {
   if (id_is_empty(adapter) || !loaded_at.us ||
       !gateway_feature_enabled(gateway, FEATURE_NEW_RATE) ||
@@ -91,8 +99,9 @@
   return 1000 / MAX(gateway_ms_since(gateway, loaded_at), 1000);
 }
 
-/* what came up a moment ago, for requests that are only now told of it */
-static bool just_loaded(gateway *gateway, const resident *resident, id adapter, time_us loaded_at) {
+/* true when the requests for which it was loaded may not have come yet */
+static bool is_just_loaded(gateway *gateway, const resident *resident, id adapter,
+                           time_us loaded_at) {
   if (!id_is_empty(adapter))
     return loaded_at.us && gateway_feature_enabled(gateway, FEATURE_NEW_RATE) &&
            gateway_ms_since(gateway, loaded_at) < RECENT_ADAPTER_LOAD_MS;
@@ -101,78 +110,92 @@
          resident->last_used_at.us < resident->loaded_at.us;
 }
 
-/* what is on an engine, as the rule sees it; gives the number of them */
-int eviction_candidates(gateway_engine *engine, const service *service, id model, id adapter,
-                        eviction_candidate *all, double *mb, unsigned *slots) {
+/** What a load is for: its own base is not evicted. */
+typedef struct eviction_purpose {
+  const service *service;
+  id model, adapter;
+} eviction_purpose;
+
+/* fills in one resident model, or one of its adapters */
+static void fill_candidate(gateway_engine *engine, const eviction_purpose *purpose,
+                           const resident *resident, id adapter, eviction_candidate *candidate) {
   gateway *gateway = engine->gateway;
-  int n = 0;
+  id model = resident->model;
+  bool is_base = id_is_empty(adapter);
+  memset(candidate, 0, sizeof *candidate);
+  candidate->model = model;
+  candidate->adapter = adapter;
+  candidate->weights_mb = (uint64_t)ceil(eviction_size_mb(purpose->service, model, adapter));
+  candidate->slots = !is_base;
+  int replicas = MAX(1, replica_count(gateway, engine->service, model, adapter));
+  time_us loaded_at = gateway_engine_loaded_at(engine, model, adapter);
+  double rate = eviction_request_rate(gateway, model, adapter) / replicas,
+         new_rate = rate_since_load(gateway, adapter, loaded_at);
+  candidate->request_rate = MAX(rate, new_rate);
+  candidate->load_ms = eviction_load_ms(gateway, purpose->service, model, adapter, false);
+  char key[140];
+  event_history_format_key(key, sizeof key, model, adapter);
+  candidate->last_requested_at = event_history_last_requested_at(&gateway->router->history, key);
+  if (is_base && resident->last_used_at.us > candidate->last_requested_at.us)
+    candidate->last_requested_at = resident->last_used_at;
+  candidate->busy = gateway_engine_is_running(engine, model, adapter);
+  candidate->pinned =
+      resident->unloading || is_just_loaded(gateway, resident, adapter, loaded_at) ||
+      engine_load_jobs_need(engine, model, adapter) ||
+      (is_base && !id_is_empty(purpose->adapter) && id_equal(model, purpose->model));
+}
+
+int eviction_candidates(gateway_engine *engine, const service *service, id model, id adapter,
+                        eviction_candidate *candidates, double *mb, unsigned *slots) {
+  const eviction_purpose purpose = { service, model, adapter };
+  int count = 0;
   *mb = engine->load_jobs.reserved_mb;
   *slots = engine->load_jobs.reserved_slots;
-  list_for_each (r, &engine->residents.list, resident, link) {
-    for (guint k = 0; k < r->unloading_adapters->len; k++)
-      *mb += eviction_size_mb(service, r->model, id_of_text(r->unloading_adapters->pdata[k]));
-    *slots += r->unloading_adapters->len;
-    for (int k = -1; k < (int)r->adapters->len && n < MAX_EVICTION_CANDIDATES; k++) {
-      eviction_candidate *candidate = &all[n++];
-      memset(candidate, 0, sizeof *candidate);
-      candidate->model = r->model;
-      if (k >= 0)
-        candidate->adapter = id_of_text(r->adapters->pdata[k]);
-      double size = eviction_size_mb(service, candidate->model, candidate->adapter);
-      *mb += size;
-      *slots += k >= 0;
-      candidate->weights_mb = (uint64_t)ceil(size);
-      candidate->slots = k >= 0;
-      int copies =
-          MAX(1, replicas_counted(gateway, engine->service, candidate->model, candidate->adapter));
-      time_us loaded_at = gateway_engine_loaded_at(engine, candidate->model, candidate->adapter);
-      candidate->request_rate =
-          MAX(eviction_request_rate(gateway, candidate->model, candidate->adapter) / copies,
-              rate_since_load(gateway, candidate->adapter, loaded_at));
-      candidate->load_ms =
-          eviction_load_ms(gateway, service, candidate->model, candidate->adapter, false);
-      char key[140];
-      event_history_format_key(key, sizeof key, candidate->model, candidate->adapter);
-      time_us used = event_history_last_requested_at(&gateway->router->history, key);
-      candidate->last_requested_at = k < 0 && r->last_used_at.us > used.us ? r->last_used_at : used;
-      candidate->busy = gateway_engine_is_running(engine, candidate->model, candidate->adapter);
-      candidate->pinned = r->unloading || just_loaded(gateway, r, candidate->adapter, loaded_at) ||
-                          engine_load_jobs_need(engine, candidate->model, candidate->adapter) ||
-                          (k < 0 && !id_is_empty(adapter) && id_equal(r->model, model));
+  list_for_each (entry, &engine->residents.list, resident, link) {
+    const GPtrArray *unloading = entry->unloading_adapters, *adapters = entry->adapters;
+    for (guint i = 0; i < unloading->len; i++)
+      *mb += eviction_size_mb(service, entry->model, id_of_text(unloading->pdata[i]));
+    *slots += unloading->len;
+    /* the model itself (-1), then its adapters */
+    for (int i = -1; i < (int)adapters->len && count < MAX_EVICTION_CANDIDATES; i++) {
+      id loaded_adapter = i < 0 ? id_none : id_of_text(adapters->pdata[i]);
+      *mb += eviction_size_mb(service, entry->model, loaded_adapter);
+      *slots += i >= 0;
+      fill_candidate(engine, &purpose, entry, loaded_adapter, &candidates[count++]);
     }
   }
-  return n;
+  return count;
 }
 
-uint64_t eviction_random(void *w) {
-  return ((world *)w)->random(w);
+uint64_t eviction_random(void *context) {
+  world *world = context;
+  return world->random(world);
 }
 
-/* the policy resource says by what the least worth is told; the paper's rule stands until there is
- * one */
 eviction_rule eviction_policy(gateway *gateway) {
   const config *config = gateway->router->config;
+  time_us now = gateway_now(gateway);
   if (!gateway_feature_enabled(gateway, FEATURE_CREMEBRULEE))
-    return (eviction_rule){ "lru", NULL, gateway_now(gateway) };
-  return config ? (eviction_rule){ config->eviction_policy,
-                                   config_formula(config, config->eviction_policy),
-                                   gateway_now(gateway) }
-                : (eviction_rule){ "cremebrulee", NULL, gateway_now(gateway) };
+    return (eviction_rule){ "lru", NULL, now };
+  if (!config)
+    return (eviction_rule){ "cremebrulee", NULL, now };
+  const char *name = config->eviction_policy;
+  return (eviction_rule){ name, config_formula(config, name), now };
 }
 
 capacity_shortage eviction_shortage(const service *service, double mb, unsigned slots,
                                     double add_mb, unsigned add_slots) {
-  double over = mb + add_mb - service->weights_mb;
-  capacity_shortage l = { over > 0 ? (uint64_t)ceil(over) : 0,
-                          slots + add_slots > service->adapter_slots
-                              ? slots + add_slots - service->adapter_slots
-                              : 0 };
-  return l;
+  double missing_mb = mb + add_mb - service->weights_mb;
+  unsigned needed_slots = slots + add_slots;
+  return (capacity_shortage){ missing_mb > 0 ? (uint64_t)ceil(missing_mb) : 0,
+                              needed_slots > service->adapter_slots
+                                  ? needed_slots - service->adapter_slots
+                                  : 0 };
 }
 
-/* room that is missing for a thing and its base */
-static void missing_capacity(gateway_engine *engine, const service *service, id model, id adapter,
-                             double *mb, unsigned *slots) {
+/* what a load of a model (and adapter) adds to an engine */
+static void added_by_load(gateway_engine *engine, const service *service, id model, id adapter,
+                          double *mb, unsigned *slots) {
   *mb = 0;
   *slots = 0;
   if (!gateway_engine_resident(engine, model))
@@ -183,33 +206,37 @@
   }
 }
 
+/* the cost of evicting the chosen candidates. What runs has to end first; meanwhile it takes no new
+ * requests and holds up the engine's other orders. */
+static double eviction_cost(const gateway_engine *engine, const eviction_candidate *chosen,
+                            int count, double *drain_ms) {
+  double cost = 0, mean_run_ms = engine->load.mean_run_ms;
+  for (int i = 0; i < count; i++) {
+    double drain = chosen[i].busy ? MAX(DRAIN_MIN_MS, DRAIN_MEAN_RUNS * mean_run_ms) : 0;
+    *drain_ms = MAX(*drain_ms, drain);
+    cost +=
+        (chosen[i].load_ms + drain) * chosen[i].request_rate + (drain > 0 ? BUSY_EVICTION_COST : 0);
+  }
+  return cost;
+}
+
 double eviction_placement_cost(gateway_engine *engine, const service *service, id model, id adapter,
                                double *need_mb, unsigned *need_slots, double *drain_ms) {
-  eviction_candidate all[MAX_EVICTION_CANDIDATES];
-  double mb, add;
-  unsigned slots, more;
-  int n = eviction_candidates(engine, service, model, adapter, all, &mb, &slots);
-  missing_capacity(engine, service, model, adapter, &add, &more);
-  *need_mb = add;
-  *need_slots = more;
+  eviction_candidate candidates[MAX_EVICTION_CANDIDATES];
+  double used_mb;
+  unsigned used_slots;
+  int count =
+      eviction_candidates(engine, service, model, adapter, candidates, &used_mb, &used_slots);
+  added_by_load(engine, service, model, adapter, need_mb, need_slots);
   *drain_ms = 0;
-  if (add > service->weights_mb || more > service->adapter_slots)
+  if (*need_mb > service->weights_mb || *need_slots > service->adapter_slots)
     return -1;
-  capacity_shortage l = eviction_shortage(service, mb, slots, add, more);
-  if (!l.mb && !l.slots)
+  capacity_shortage shortage =
+      eviction_shortage(service, used_mb, used_slots, *need_mb, *need_slots);
+  if (!shortage.mb && !shortage.slots)
     return 0;
   eviction_rule rule = eviction_policy(engine->gateway);
-  int got = eviction_policy_select(&rule, all, n, l, eviction_random,
-                                   engine->gateway->router->node.world);
-  if (got < 0)
-    return -1;
-  double cost = 0;
-  /* what runs has to end first; meanwhile it takes no new work, and holds the engine's other orders
-   * up */
-  for (int k = 0; k < got; k++) {
-    double drain = all[k].busy ? MAX(DRAIN_MIN_MS, 2 * engine->load.mean_run_ms) : 0;
-    *drain_ms = MAX(*drain_ms, drain);
-    cost += (all[k].load_ms + drain) * all[k].request_rate + (drain > 0 ? BUSY_EVICTION_COST : 0);
-  }
-  return cost;
+  int chosen = eviction_policy_select(&rule, candidates, count, shortage, eviction_random,
+                                      engine->gateway->router->node.world);
+  return chosen < 0 ? -1 : eviction_cost(engine, candidates, chosen, drain_ms);
 }
--- a/lib/gateway/fleet_rates.c
+++ b/lib/gateway/fleet_rates.c
@@ -1,8 +1,24 @@
-/** Rates of requests over the whole fleet. */
+/** Exchange of request rates between gateways; see fleet_rates.h. */
+#include "fleet_rates.h"
 #include "gateway.h"
 #include <stdio.h>
 
-enum { RATES_INTERVAL_MS = 1000, RATE_SHARDS = 8, TOTAL_TTL_INTERVALS = 4 };
+enum {
+  RATES_INTERVAL_MS = 1000,
+  /* shards of the keys in a large fleet, each with a collector */
+  RATE_SHARDS = 8,
+  SHARD_HASH_SEED = 7,
+  /* a total that was not announced for so many intervals has expired */
+  TOTAL_TTL_INTERVALS = 4,
+  /* bound of a key's length in messages */
+  MAX_KEY_LENGTH = 100,
+  /* totals travel in thousandths of a request per second */
+  RATE_SCALE = 1000
+};
+/* Window over which rates are counted where the settings have none, in s. */
+static const double DEFAULT_WINDOW_S = 20;
+/* Weight of the rate over the window; the rest is that of the recent rate. */
+static const double WINDOW_RATE_WEIGHT = 0.5;
 
 void fleet_rates_init(fleet_rates *rates) {
   rates->totals = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
@@ -21,157 +37,187 @@
   if (gateway->router_count <= SMALL_FLEET_NODES)
     return 0;
   const fleet_rate *total = g_hash_table_lookup(gateway->fleet_rates.totals, key);
-  bool expired =
-      !total || time_reached(gateway_now(gateway),
-                             time_add(total->received_at,
-                                      time_from_ms(TOTAL_TTL_INTERVALS * FLEET_RATES_INTERVAL_MS)));
+  time_us ttl = time_from_ms(TOTAL_TTL_INTERVALS * FLEET_RATES_INTERVAL_MS);
+  bool expired = !total || time_reached(gateway_now(gateway), time_add(total->received_at, ttl));
   return expired ? 0 : total->rate;
 }
 
-/* rates and load times of the whole fleet */
-int fleet_rates_on_message(void *ctx, Wire__Envelope *in, reply *reply, error *err) {
-  gateway *gateway = ctx;
+double fleet_rates_known(gateway *gateway, const char *key) {
+  event_history *history = &gateway->router->history;
+  return WINDOW_RATE_WEIGHT * event_history_request_rate(history, key) +
+         (1 - WINDOW_RATE_WEIGHT) *
+             event_history_recent_rate(history, key, time_from_ms(RECENT_RATE_MS));
+}
+
+static void set_total(gateway *gateway, const char *key, double rate) {
+  GHashTable *totals = gateway->fleet_rates.totals;
+  fleet_rate *total = g_hash_table_lookup(totals, key);
+  if (!total) {
+    total = g_new0(fleet_rate, 1);
+    g_hash_table_insert(totals, g_strdup(key), total);
+  }
+  *total = (fleet_rate){ rate, gateway_now(gateway) };
+}
+
+int fleet_rates_on_message(void *context, Wire__Envelope *in, reply *reply, error *err) {
+  gateway *gateway = context;
   (void)reply;
   (void)err;
-  Wire__RateReport *q = in->rate_report;
-  for (size_t i = 0; q->fleet_totals && i < q->n_counts; i++) {
-    if (strlen(q->counts[i]->key) >= 100)
-      continue;
-    fleet_rate *r = g_hash_table_lookup(gateway->fleet_rates.totals, q->counts[i]->key);
-    if (!r) {
-      r = g_new0(fleet_rate, 1);
-      g_hash_table_insert(gateway->fleet_rates.totals, g_strdup(q->counts[i]->key), r);
-    }
-    *r = (fleet_rate){ (double)q->counts[i]->total / 1000, gateway_now(gateway) };
-  }
-  rate_exchange_receive(gateway->router, q);
+  const Wire__RateReport *report = in->rate_report;
+  for (size_t i = 0; report->fleet_totals && i < report->n_counts; i++)
+    if (strlen(report->counts[i]->key) < MAX_KEY_LENGTH)
+      set_total(gateway, report->counts[i]->key, (double)report->counts[i]->total / RATE_SCALE);
+  rate_exchange_receive(gateway->router, report);
   return OK;
 }
 
-/* in a large fleet rates are gathered by some collectors, each for a share of the keys: the first
-   live router for it in an order that all agree on. They say what they know of the whole to all;
-   every node telling every other one grew with the square */
 static int shard_of(const char *key) {
-  return (int)(hash_bytes(key, strlen(key), 7) % RATE_SHARDS);
+  return (int)(hash_bytes(key, strlen(key), SHARD_HASH_SEED) % RATE_SHARDS);
 }
 
-static void collector(gateway *gateway, int shard, char addr[48]) {
-  char by[24];
-  id who;
-  snprintf(by, sizeof by, "rates:%d", shard);
-  if (!node_rendezvous_peer(&gateway->router->node, ROLE_ROUTER, by, id_none, &who, addr))
-    addr[0] = 0;
+/* the address of a shard's collector; empty when there is none */
+static void find_collector(gateway *gateway, int shard, char address[48]) {
+  char name[24];
+  id collector;
+  snprintf(name, sizeof name, "rates:%d", shard);
+  if (!node_rendezvous_peer(&gateway->router->node, ROLE_ROUTER, name, id_none, &collector,
+                            address))
+    address[0] = 0;
 }
 
-static void rates_send(gateway *gateway, GPtrArray *some, const char *addr, bool whole) {
-  router *router = gateway->router;
-  if (!some->len)
+/* sends counts (of Wire__RequestCount) to an address, or to all gateways (NULL) */
+static void send_counts(gateway *gateway, const GPtrArray *counts, const char *address,
+                        bool fleet_totals) {
+  node *node = &gateway->router->node;
+  if (!counts->len)
     return;
-  Wire__RateReport q = WIRE__RATE_REPORT__INIT;
-  q.nonce = router->node.nonce;
-  q.n_counts = some->len;
-  q.counts = (Wire__RequestCount **)some->pdata;
-  q.fleet_totals = whole;
-  Wire__Envelope m = wire_envelope(WIRE__ENVELOPE__BODY_RATE_REPORT, &q);
-  if (addr) {
-    node_send(&router->node, addr, &m);
-    return;
-  }
-  node_broadcast(&router->node, ROLE_ROUTER, &m);
-}
-
-/* what this node collects, told to all: only what is asked for at all, and once more when that ends
- */
-static void rates_announce(gateway *gateway, const bool mine[RATE_SHARDS]) {
-  router *router = gateway->router;
-  GPtrArray *some = g_ptr_array_new_with_free_func(g_free);
-  GHashTableIter it;
-  gpointer k;
-  g_hash_table_iter_init(&it, router->history.fleet_rates);
-  while (g_hash_table_iter_next(&it, &k, NULL)) {
-    if (!mine[shard_of(k)])
+  Wire__RateReport report = WIRE__RATE_REPORT__INIT;
+  report.nonce = node->nonce;
+  report.n_counts = counts->len;
+  report.counts = (Wire__RequestCount **)counts->pdata;
+  report.fleet_totals = fleet_totals;
+  Wire__Envelope message = wire_envelope(WIRE__ENVELOPE__BODY_RATE_REPORT, &report);
+  if (address)
+    node_send(node, address, &message);
+  else
+    node_broadcast(node, ROLE_ROUTER, &message);
+}
+
+/* a count that points to its key */
+static Wire__RequestCount *count_new(char *key, uint64_t total) {
+  Wire__RequestCount *count = g_new(Wire__RequestCount, 1);
+  wire__request_count__init(count);
+  count->key = key;
+  count->total = total;
+  return count;
+}
+
+/* announces the totals of the keys that this gateway collects: those that are requested at all, and
+ * once more when that ends */
+static void announce_totals(gateway *gateway, const bool own_shards[RATE_SHARDS]) {
+  GPtrArray *counts = g_ptr_array_new_with_free_func(g_free);
+  GHashTableIter iter;
+  gpointer key;
+  g_hash_table_iter_init(&iter, gateway->router->history.fleet_rates);
+  while (g_hash_table_iter_next(&iter, &key, NULL)) {
+    if (!own_shards[shard_of(key)])
+      continue;
+    double rate = fleet_rates_known(gateway, key);
+    const fleet_rate *announced = g_hash_table_lookup(gateway->fleet_rates.totals, key);
+    if (rate <= 0 && (!announced || announced->rate <= 0))
       continue;
-    double rate =
-        0.5 * event_history_request_rate(&router->history, k) +
-        0.5 * event_history_recent_rate(&router->history, k, time_from_ms(RECENT_RATE_MS));
-    fleet_rate *was = g_hash_table_lookup(gateway->fleet_rates.totals, k);
-    if (rate <= 0 && (!was || was->rate <= 0))
+    set_total(gateway, key, rate);
+    g_ptr_array_add(counts, count_new(key, (uint64_t)(rate * RATE_SCALE)));
+  }
+  send_counts(gateway, counts, NULL, true);
+  g_ptr_array_free(counts, TRUE);
+}
+
+/* changes when a gateway comes, goes or restarts */
+static uint64_t membership_checksum(const gateway *gateway) {
+  const node *node = &gateway->router->node;
+  uint64_t checksum = node->nonce;
+  list_for_each (peer, &node->peers, peer_node, link)
+    if (peer->role == ROLE_ROUTER && !peer->gone)
+      checksum += peer->nonce;
+  return checksum;
+}
+
+/* own counts that have changed since they were sent last */
+static GPtrArray *changed_counts(gateway *gateway) {
+  event_history *history = &gateway->router->history;
+  GHashTable *sent = gateway->fleet_rates.counts_sent;
+  GPtrArray *counts = g_ptr_array_new_with_free_func(g_free);
+  GHashTableIter iter;
+  gpointer key, value;
+  g_hash_table_iter_init(&iter, history->local_rates);
+  while (g_hash_table_iter_next(&iter, &key, &value)) {
+    int64_t *sent_total = g_hash_table_lookup(sent, key),
+            total = (int64_t)((request_rate *)value)->total;
+    if (sent_total && *sent_total == total)
       continue;
-    if (!was) {
-      was = g_new0(fleet_rate, 1);
-      g_hash_table_insert(gateway->fleet_rates.totals, g_strdup(k), was);
+    if (!sent_total) {
+      sent_total = g_new0(int64_t, 1);
+      g_hash_table_insert(sent, g_strdup(key), sent_total);
     }
-    *was = (fleet_rate){ rate, gateway_now(gateway) };
-    Wire__RequestCount *r = g_new(Wire__RequestCount, 1);
-    wire__request_count__init(r);
-    r->key = k;
-    r->total = (uint64_t)(rate * 1000);
-    g_ptr_array_add(some, r);
+    *sent_total = total;
+    Wire__RequestCount *count = count_new(key, 0);
+    count->in_window = event_history_local_count(history, key, &count->total);
+    g_ptr_array_add(counts, count);
+  }
+  return counts;
+}
+
+static void send_shard(gateway *gateway, const GPtrArray *counts, int shard, const char *address) {
+  GPtrArray *in_shard = g_ptr_array_new();
+  for (guint i = 0; i < counts->len; i++) {
+    Wire__RequestCount *count = counts->pdata[i];
+    if (shard_of(count->key) == shard)
+      g_ptr_array_add(in_shard, count);
   }
-  rates_send(gateway, some, NULL, true);
-  g_ptr_array_free(some, TRUE);
+  send_counts(gateway, in_shard, address, false);
+  g_ptr_array_free(in_shard, TRUE);
 }
 
-/* only what has changed since it was last told is told */
-void fleet_rates_run(void *p) {
-  gateway *gateway = p;
-  router *router = gateway->router;
-  uint64_t met = 0, turns = 0;
+/* sends counts to the collectors of their keys; own_shards: those that this gateway collects */
+static void send_to_collectors(gateway *gateway, const GPtrArray *counts,
+                               bool own_shards[RATE_SHARDS]) {
+  for (int shard = 0; shard < RATE_SHARDS; shard++) {
+    char address[48];
+    find_collector(gateway, shard, address);
+    own_shards[shard] = !strcmp(address, gateway->router->node.settings.address);
+    if (!own_shards[shard] && address[0])
+      send_shard(gateway, counts, shard, address);
+  }
+}
+
+static void apply_window(gateway *gateway) {
+  double window_s =
+      gateway->settings.rate_window_s > 0 ? gateway->settings.rate_window_s : DEFAULT_WINDOW_S;
+  event_history_fix_window(&gateway->router->history, (time_us){ (int64_t)(window_s * 1e6) });
+}
+
+void fleet_rates_run(void *context) {
+  gateway *gateway = context;
+  uint64_t known_membership = 0, large_rounds = 0;
   for (;;) {
-    event_history_fix_window(
-        &router->history,
-        (time_us){
-            (int64_t)((gateway->settings.rate_window_s > 0 ? gateway->settings.rate_window_s : 20) *
-                      1e6) });
-    if (!world_sleep_with_jitter(router->node.world, time_from_ms(RATES_INTERVAL_MS)))
+    apply_window(gateway);
+    if (!world_sleep_with_jitter(gateway->router->node.world, time_from_ms(RATES_INTERVAL_MS)))
       return;
-    /* a node that is new here, or has started anew, hears all from the start */
-    uint64_t now_met = router->node.nonce;
-    list_for_each (x, &router->node.peers, peer_node, link)
-      if (x->role == ROLE_ROUTER && !x->gone)
-        now_met += x->nonce;
-    if (now_met != met)
+    /* a gateway that is new, or has restarted, is sent all counts again */
+    uint64_t membership = membership_checksum(gateway);
+    if (membership != known_membership)
       g_hash_table_remove_all(gateway->fleet_rates.counts_sent);
-    met = now_met;
-    bool many = gateway->router_count > SMALL_FLEET_NODES, own[RATE_SHARDS] = { false };
-    char to[RATE_SHARDS][48];
-    for (int b = 0; many && b < RATE_SHARDS; b++) {
-      collector(gateway, b, to[b]);
-      own[b] = !strcmp(to[b], router->node.settings.address);
-    }
-    GPtrArray *all = g_ptr_array_new_with_free_func(g_free);
-    GHashTableIter it;
-    gpointer k, t;
-    g_hash_table_iter_init(&it, router->history.local_rates);
-    while (g_hash_table_iter_next(&it, &k, &t)) {
-      int64_t *told = g_hash_table_lookup(gateway->fleet_rates.counts_sent, k),
-              total = (int64_t)((request_rate *)t)->total;
-      if (told && *told == total)
-        continue;
-      if (!told) {
-        told = g_new0(int64_t, 1);
-        g_hash_table_insert(gateway->fleet_rates.counts_sent, g_strdup(k), told);
-      }
-      *told = total;
-      Wire__RequestCount *r = g_new(Wire__RequestCount, 1);
-      wire__request_count__init(r);
-      r->key = k;
-      r->in_window = event_history_local_count(&router->history, k, &r->total);
-      g_ptr_array_add(all, r);
-    }
-    if (!many)
-      rates_send(gateway, all, NULL, false);
-    for (int b = 0; many && b < RATE_SHARDS; b++) {
-      GPtrArray *some = g_ptr_array_new();
-      for (guint n = 0; !own[b] && n < all->len; n++)
-        if (shard_of(((Wire__RequestCount *)all->pdata[n])->key) == b)
-          g_ptr_array_add(some, all->pdata[n]);
-      if (to[b][0])
-        rates_send(gateway, some, to[b], false);
-      g_ptr_array_free(some, TRUE);
+    known_membership = membership;
+    GPtrArray *counts = changed_counts(gateway);
+    if (gateway->router_count <= SMALL_FLEET_NODES)
+      send_counts(gateway, counts, NULL, false);
+    else {
+      bool own_shards[RATE_SHARDS];
+      send_to_collectors(gateway, counts, own_shards);
+      if (++large_rounds % (FLEET_RATES_INTERVAL_MS / RATES_INTERVAL_MS) == 0)
+        announce_totals(gateway, own_shards);
     }
-    g_ptr_array_free(all, TRUE);
-    if (many && ++turns % (FLEET_RATES_INTERVAL_MS / RATES_INTERVAL_MS) == 0)
-      rates_announce(gateway, own);
+    g_ptr_array_free(counts, TRUE);
   }
 }
--- a/lib/gateway/fleet_rates.h
+++ b/lib/gateway/fleet_rates.h
@@ -33,6 +33,9 @@
 void fleet_rates_free(fleet_rates *rates);
 /** The total rate of a key; 0 in a small fleet, or when none was announced lately. */
 double fleet_rates_total(gateway *gateway, const char *key);
+/** The rate of a key by the counts that this gateway has, its own and those of others: half over
+ * the window, half over the last RECENT_RATE_MS. */
+double fleet_rates_known(gateway *gateway, const char *key);
 /** Handles a RateReport of another gateway. */
 int fleet_rates_on_message(void *context, Wire__Envelope *in, reply *reply, error *err);
 /** The task that sends rates; context is the gateway. */
--- a/lib/gateway/load_rate_limiter.c
+++ b/lib/gateway/load_rate_limiter.c
@@ -1,45 +1,64 @@
-/** The pace of loads out of a service's store: one node gives the tickets. */
+/** Load rate limiter; see load_rate_limiter.h.
+ *
+ * The holder of the singleton "pacer" keeps the times of the loads out of each service's store and
+ * grants a permit when the window has room for one more. Gateways report loads to those that would
+ * hold the singleton next. A new holder may have missed some reports, so it starts with a few loads
+ * that it did not see; one that has just started, with nearly a full window. When nobody holds the
+ * singleton, each gateway loads at a small rate of its own. */
+#include "load_rate_limiter.h"
 #include "gateway.h"
 #include <math.h>
 
-enum { LOAD_PERMIT_TIMEOUT_MS = 400, LOAD_PERMIT_VALID_MS = 150 };
+enum {
+  /* how long the holder is asked for a permit, and the time between two attempts */
+  PERMIT_TIMEOUT_MS = 400,
+  PERMIT_RETRY_MS = 100,
+  /* a load has to begin so long after its permit was requested */
+  PERMIT_VALID_MS = 150,
+  /* loads that a new holder assumes it did not see */
+  UNSEEN_LOADS = 3,
+  /* a permit that would outlast the lease is refused for this time */
+  LEASE_ENDS_RETRY_MS = 100,
+  /* without a holder: the fleet loads at 1 / UNPERMITTED_SHARE of its rate */
+  UNPERMITTED_SHARE = 4,
+  UNPERMITTED_RETRY_MS = 500,
+  /* gateways that come next for a singleton and receive its messages in a large fleet */
+  MAX_SUCCESSORS = 3
+};
+/* Defaults of the settings: the window in s, and the share of the rate that may be used. */
+static const double DEFAULT_WINDOW_S = 5, DEFAULT_EXCESS = 1;
+/* Times of loads are kept for so many windows. */
+static const double KEPT_WINDOWS = 1.2;
+/* Against a product that is an integer but for its last bits. */
+static const double ROUNDING_MARGIN = 1e-9;
+
+/** The loads out of one service's store. */
+typedef struct load_rate_limiter {
+  GArray *load_times; /* of time_us, ascending */
+  /** The lease epoch under which this gateway has granted permits. */
+  uint64_t epoch;
+} load_rate_limiter;
 
-/* the pace of the store */
 int load_rate_limiter_max_loads(double loads_per_s, double window_s, double excess) {
-  return MAX(1, (int)floor(loads_per_s * window_s * excess + 1e-9) - 1);
+  return MAX(1, (int)floor(loads_per_s * window_s * excess + ROUNDING_MARGIN) - 1);
 }
 
-time_us load_rate_limiter_next_at(const GArray *log, time_us now, time_us window, int most) {
-  if ((int)log->len < most)
+time_us load_rate_limiter_next_at(const GArray *load_times, time_us now, time_us window,
+                                  int max_loads) {
+  if ((int)load_times->len < max_loads)
     return now;
-  time_us free_at = time_add(g_array_index(log, time_us, log->len - (guint)most), window);
+  time_us oldest_in_window = g_array_index(load_times, time_us, load_times->len - (guint)max_loads);
+  time_us free_at = time_add(oldest_in_window, window);
   return free_at.us > now.us ? free_at : now;
 }
 
-void load_rate_limiter_take_over(GArray *log, time_us since, time_us born, time_us window,
-                                 int most) {
-  /* loads that nobody told of: a few always; all but three when this node is too young to have
-   * heard */
-  int unheard = time_reached(since, time_add(born, window)) ? MIN(3, most - 1) : MAX(0, most - 3);
-  for (int k = 0; k < unheard; k++)
-    g_array_append_val(log, since);
-}
-
-/* when loads out of a service's store began, and the contract under which this node has given
- * tickets for them */
-typedef struct load_rate_limiter {
-  GArray *load_times;
-  uint64_t epoch;
-} load_rate_limiter;
-
-static load_rate_limiter *load_rate_limiter_of(gateway *gateway, id service) {
-  load_rate_limiter *p = g_hash_table_lookup(gateway->load_rate_limiters.by_service, service.text);
-  if (p)
-    return p;
-  p = g_new0(load_rate_limiter, 1);
-  p->load_times = g_array_new(FALSE, TRUE, sizeof(time_us));
-  g_hash_table_insert(gateway->load_rate_limiters.by_service, g_strdup(service.text), p);
-  return p;
+void load_rate_limiter_take_over(GArray *load_times, time_us acquired_at, time_us started_at,
+                                 time_us window, int max_loads) {
+  bool saw_full_window = time_reached(acquired_at, time_add(started_at, window));
+  int unseen =
+      saw_full_window ? MIN(UNSEEN_LOADS, max_loads - 1) : MAX(0, max_loads - UNSEEN_LOADS);
+  for (int i = 0; i < unseen; i++)
+    g_array_append_val(load_times, acquired_at);
 }
 
 static void load_rate_limiter_free(void *context) {
@@ -59,178 +78,233 @@
   limiters->by_service = NULL;
 }
 
-static double window_s(gateway *gateway) {
-  return gateway->settings.load_window_s > 0 ? gateway->settings.load_window_s : 5;
+static load_rate_limiter *load_rate_limiter_of(gateway *gateway, id service) {
+  GHashTable *by_service = gateway->load_rate_limiters.by_service;
+  load_rate_limiter *limiter = g_hash_table_lookup(by_service, service.text);
+  if (limiter)
+    return limiter;
+  limiter = g_new0(load_rate_limiter, 1);
+  limiter->load_times = g_array_new(FALSE, TRUE, sizeof(time_us));
+  g_hash_table_insert(by_service, g_strdup(service.text), limiter);
+  return limiter;
+}
+
+static double window_s(const gateway *gateway) {
+  return gateway->settings.load_window_s > 0 ? gateway->settings.load_window_s : DEFAULT_WINDOW_S;
 }
 
-static double excess(gateway *gateway) {
-  return gateway->settings.load_excess > 0 ? gateway->settings.load_excess : 1;
+static double excess(const gateway *gateway) {
+  return gateway->settings.load_excess > 0 ? gateway->settings.load_excess : DEFAULT_EXCESS;
 }
 
 void load_rate_limiter_record(gateway *gateway, id service, time_us at) {
-  GArray *a = load_rate_limiter_of(gateway, service)->load_times;
-  time_us old = time_sub(at, (time_us){ (int64_t)(window_s(gateway) * 1.2e6) });
-  while (a->len && g_array_index(a, time_us, 0).us < old.us)
-    g_array_remove_index(a, 0);
-  g_array_append_val(a, at);
+  GArray *load_times = load_rate_limiter_of(gateway, service)->load_times;
+  time_us kept_from =
+      time_sub(at, (time_us){ (int64_t)(window_s(gateway) * (KEPT_WINDOWS * 1e6)) });
+  while (load_times->len && g_array_index(load_times, time_us, 0).us < kept_from.us)
+    g_array_remove_index(load_times, 0);
+  g_array_append_val(load_times, at);
 }
 
-/* a call asks for a ticket; a cast says that a load began, so that whoever takes the pace over
- * knows */
-int load_rate_limiter_on_permit(void *ctx, Wire__Envelope *in, reply *reply, error *err) {
-  gateway *gateway = ctx;
-  router *router = gateway->router;
-  gateway_engine *engine = gateway_engine_find(gateway, in->load_permit_request->engine);
-  if (!in->call) {
-    if (!engine)
-      return OK;
-    if (in->load_permit_request->key && in->load_permit_request->key[0])
-      load_rate_limiter_record(gateway, engine->service, gateway_now(gateway));
-    else
-      engine->orders.peer_ordered_at = gateway_now(gateway);
+/* a report of a load, or (without a key) of an order to an engine */
+static int on_load_report(gateway *gateway, const Wire__LoadPermitRequest *report) {
+  gateway_engine *engine = gateway_engine_find(gateway, report->engine);
+  if (!engine)
     return OK;
+  if (report->key && report->key[0])
+    load_rate_limiter_record(gateway, engine->service, gateway_now(gateway));
+  else
+    engine->orders.peer_ordered_at = gateway_now(gateway);
+  return OK;
+}
+
+/* sends a granted permit to those that may hold the singleton next */
+static void report_load(gateway *gateway, const Wire__LoadPermitRequest *request, uint64_t epoch) {
+  Wire__LoadPermitRequest report = WIRE__LOAD_PERMIT_REQUEST__INIT;
+  report.engine = request->engine;
+  report.key = request->key;
+  report.epoch = epoch;
+  Wire__Envelope message = wire_envelope(WIRE__ENVELOPE__BODY_LOAD_PERMIT_REQUEST, &report);
+  singleton_successors_broadcast(gateway, "pacer", &message);
+}
+
+/* decides on a permit for a service whose loads are limited, and records a granted one */
+static void grant_permit(gateway *gateway, const service *service, uint64_t epoch,
+                         const Wire__LoadPermitRequest *request,
+                         Wire__LoadPermitResponse *response) {
+  router *router = gateway->router;
+  const singleton_lease *lease = g_hash_table_lookup(router->singleton_leases, "pacer");
+  load_rate_limiter *limiter = load_rate_limiter_of(gateway, service->name);
+  int max_loads =
+      load_rate_limiter_max_loads(service->loads_per_s, window_s(gateway), excess(gateway));
+  time_us now = gateway_now(gateway), valid = time_from_ms(PERMIT_VALID_MS),
+          window = time_add((time_us){ (int64_t)(window_s(gateway) * 1e6) }, valid);
+  /* the first holder of all has nothing to take over */
+  if (limiter->epoch != epoch && epoch > 1)
+    load_rate_limiter_take_over(limiter->load_times, lease->acquired_at, router->node.started_at,
+                                window, max_loads);
+  limiter->epoch = epoch;
+  int64_t wait_us =
+      time_sub(load_rate_limiter_next_at(limiter->load_times, now, window, max_loads), now).us;
+  response->granted = wait_us == 0 && !time_reached(time_add(now, valid), lease->expires_at);
+  response->wait_ms = (uint64_t)(wait_us + 999) / 1000;
+  if (response->granted) {
+    router->load_permits++;
+    load_rate_limiter_record(gateway, service->name, now);
+    report_load(gateway, request, epoch);
+    return;
   }
-  uint64_t epoch = singleton_lease_epoch(router, "pacer");
+  router->load_permits_refused++;
+  if (!response->wait_ms)
+    response->wait_ms = LEASE_ENDS_RETRY_MS;
+}
+
+int load_rate_limiter_on_permit(void *context, Wire__Envelope *in, reply *reply, error *err) {
+  gateway *gateway = context;
+  const Wire__LoadPermitRequest *request = in->load_permit_request;
+  if (!in->call)
+    return on_load_report(gateway, request);
+  uint64_t epoch = singleton_lease_epoch(gateway->router, "pacer");
   if (!epoch)
     return error_set(err, E_NO_LEASE_HOLDER, "the pace is not held here");
-  if (in->load_permit_request->epoch > epoch)
+  if (request->epoch > epoch)
     return error_set(err, E_STALE_EPOCH, "a younger epoch is known");
+  const gateway_engine *engine = gateway_engine_find(gateway, request->engine);
   const service *service = engine ? gateway_service_of(gateway, engine->service) : NULL;
   if (!service)
-    return error_set(err, E_NO_ENGINE, "%.40s is not known here", in->load_permit_request->engine);
-  Wire__LoadPermitResponse *b = reply_new_body(reply, WIRE__ENVELOPE__BODY_LOAD_PERMIT_RESPONSE,
-                                               &wire__load_permit_response__descriptor);
-  b->granted = true;
-  b->valid_us = LOAD_PERMIT_VALID_MS * 1000;
-  if (service->loads_per_s <= 0)
-    return OK;
-  int most = load_rate_limiter_max_loads(service->loads_per_s, window_s(gateway), excess(gateway));
-  time_us window = { (int64_t)(window_s(gateway) * 1e6) + LOAD_PERMIT_VALID_MS * 1000 },
-          now = gateway_now(gateway);
-  load_rate_limiter *p = load_rate_limiter_of(gateway, service->name);
-  singleton_lease *singleton_lease = g_hash_table_lookup(router->singleton_leases, "pacer");
-  if (p->epoch != epoch) {
-    if (epoch > 1)
-      load_rate_limiter_take_over(p->load_times, singleton_lease->acquired_at,
-                                  router->node.started_at, window, most);
-    p->epoch = epoch;
+    return error_set(err, E_NO_ENGINE, "%.40s is not known here", request->engine);
+  Wire__LoadPermitResponse *response = reply_new_body(
+      reply, WIRE__ENVELOPE__BODY_LOAD_PERMIT_RESPONSE, &wire__load_permit_response__descriptor);
+  response->granted = true;
+  response->valid_us = PERMIT_VALID_MS * 1000;
+  if (service->loads_per_s > 0)
+    grant_permit(gateway, service, epoch, request, response);
+  return OK;
+}
+
+/* the address of the singleton's holder and its epoch; false when none is known */
+static bool find_holder(gateway *gateway, char address[48], uint64_t *epoch) {
+  router *router = gateway->router;
+  id holder;
+  if (!config_sync_find_grant(router, "pacer", &holder, epoch))
+    return false;
+  const peer_node *peer = node_find_peer(&router->node, holder);
+  if (id_equal(holder, router->node.settings.self))
+    g_strlcpy(address, router->node.settings.address, 48);
+  else if (peer && !peer->gone)
+    g_strlcpy(address, peer->address, 48);
+  else
+    return false;
+  return true;
+}
+
+/* Asks the holder once. OK, E_LOAD_RATE_LIMITED with *retry_after_ms, or E_STOPPING; any other code
+ * says that it did not answer. */
+static int call_holder(gateway *gateway, const char *address, uint64_t epoch, id engine_id,
+                       const char *key, time_us *send_by, int64_t *retry_after_ms, error *err) {
+  Wire__LoadPermitRequest request = WIRE__LOAD_PERMIT_REQUEST__INIT;
+  request.engine = engine_id.text;
+  request.key = (char *)key;
+  request.epoch = epoch;
+  Wire__Envelope message = wire_envelope(WIRE__ENVELOPE__BODY_LOAD_PERMIT_REQUEST, &request),
+                 *response;
+  time_us sent_at = gateway_now(gateway);
+  int code = node_call(&gateway->router->node, address, &message, time_from_ms(PERMIT_TIMEOUT_MS),
+                       &response, err);
+  if (code)
+    return code;
+  code = E_WIRE_MESSAGE;
+  if (response->body_case == WIRE__ENVELOPE__BODY_LOAD_PERMIT_RESPONSE) {
+    const Wire__LoadPermitResponse *permit = response->load_permit_response;
+    *retry_after_ms = (int64_t)permit->wait_ms;
+    if (permit->granted)
+      *send_by = time_add(sent_at, (time_us){ (int64_t)permit->valid_us });
+    code = permit->granted ? OK
+                           : error_set(err, E_LOAD_RATE_LIMITED,
+                                       "no load permit for %" PRId64 " ms", *retry_after_ms);
   }
-  time_us at = load_rate_limiter_next_at(p->load_times, now, window, most);
-  int64_t wait = time_sub(at, now).us;
-  b->granted = wait == 0 && !time_reached(time_add(now, time_from_ms(LOAD_PERMIT_VALID_MS)),
-                                          singleton_lease->expires_at);
-  b->wait_ms = (uint64_t)(wait + 999) / 1000;
-  if (!b->granted) {
-    router->load_permits_refused++;
-    if (!b->wait_ms)
-      b->wait_ms = 100;
-    return OK;
+  node_reply_free(response);
+  return code;
+}
+
+/* nobody grants permits: a gateway's own small share of the rate */
+static int load_without_permit(gateway *gateway, id service, double loads_per_s, time_us *send_by,
+                               int64_t *retry_after_ms, error *err) {
+  load_rate_limiters *limiters = &gateway->load_rate_limiters;
+  double interval_ms = UNPERMITTED_SHARE * MAX(gateway->router_count, 1) / loads_per_s * 1000;
+  if (limiters->unpermitted_load_at.us &&
+      gateway_ms_since(gateway, limiters->unpermitted_load_at) < interval_ms) {
+    *retry_after_ms = UNPERMITTED_RETRY_MS;
+    return error_set(err, E_LOAD_RATE_LIMITED, "nobody grants load permits");
   }
-  router->load_permits++;
-  load_rate_limiter_record(gateway, service->name, now);
-  Wire__LoadPermitRequest t = WIRE__LOAD_PERMIT_REQUEST__INIT;
-  t.engine = in->load_permit_request->engine;
-  t.key = in->load_permit_request->key;
-  t.epoch = epoch;
-  Wire__Envelope m = wire_envelope(WIRE__ENVELOPE__BODY_LOAD_PERMIT_REQUEST, &t);
-  singleton_successors_broadcast(gateway, "pacer", &m);
+  limiters->unpermitted_load_at = gateway_now(gateway);
+  load_rate_limiter_record(gateway, service, gateway_now(gateway));
+  *send_by = gateway_deadline_in_ms(gateway, PERMIT_VALID_MS);
   return OK;
 }
 
-/* asks for a load out of the store; last is how late its order may be sent */
 int load_rate_limiter_request_permit(gateway_engine *engine, const service *service,
-                                     const char *key, time_us *last, int64_t *wait, error *err) {
+                                     const char *key, time_us *send_by, int64_t *retry_after_ms,
+                                     error *err) {
   gateway *gateway = engine->gateway;
-  router *router = gateway->router;
-  /* a new configuration may free the service while the pacer is asked */
+  /* a new configuration may free the service while the holder is asked */
   double loads_per_s = service->loads_per_s;
-  id name = service->name;
+  id service_name = service->name;
   if (loads_per_s <= 0) {
-    *last = time_never();
+    *send_by = time_never();
     return OK;
   }
-  time_us from = gateway_now(gateway);
+  time_us began_at = gateway_now(gateway);
   for (;;) {
-    id holder;
+    char address[48];
     uint64_t epoch;
-    char addr[48] = "";
-    if (config_sync_find_grant(router, "pacer", &holder, &epoch)) {
-      peer_node *peer = node_find_peer(&router->node, holder);
-      if (id_equal(holder, router->node.settings.self))
-        g_strlcpy(addr, router->node.settings.address, sizeof addr);
-      else if (peer && !peer->gone)
-        g_strlcpy(addr, peer->address, sizeof addr);
-    }
-    int r = E_LOAD_RATE_LIMITED;
-    if (addr[0]) {
-      Wire__LoadPermitRequest t = WIRE__LOAD_PERMIT_REQUEST__INIT;
-      t.engine = engine->engine_id.text;
-      t.key = (char *)key;
-      t.epoch = epoch;
-      Wire__Envelope q = wire_envelope(WIRE__ENVELOPE__BODY_LOAD_PERMIT_REQUEST, &t), *b;
-      time_us sent = gateway_now(gateway);
-      r = node_call(&router->node, addr, &q, time_from_ms(LOAD_PERMIT_TIMEOUT_MS), &b, err);
-      if (r == E_STOPPING)
-        return r;
-      if (!r) {
-        bool good = b->body_case == WIRE__ENVELOPE__BODY_LOAD_PERMIT_RESPONSE,
-             ok = good && b->load_permit_response->granted;
-        if (good)
-          *wait = (int64_t)b->load_permit_response->wait_ms;
-        if (ok)
-          *last = time_add(sent, (time_us){ (int64_t)b->load_permit_response->valid_us });
-        node_reply_free(b);
-        if (ok)
-          return OK;
-        if (good)
-          return error_set(err, E_LOAD_RATE_LIMITED, "the pace is taken for %" PRId64 " ms", *wait);
-        r = E_WIRE_MESSAGE;
-      }
-    }
-    if (gateway_ms_since(gateway, from) >= LOAD_PERMIT_TIMEOUT_MS)
-      break;
-    if (!world_sleep(router->node.world, time_from_ms(100)))
+    int code = E_NO_LEASE_HOLDER;
+    if (find_holder(gateway, address, &epoch))
+      code = call_holder(gateway, address, epoch, engine->engine_id, key, send_by, retry_after_ms,
+                         err);
+    if (code == OK || code == E_LOAD_RATE_LIMITED || code == E_STOPPING)
+      return code;
+    if (gateway_ms_since(gateway, began_at) >= PERMIT_TIMEOUT_MS)
+      return load_without_permit(gateway, service_name, loads_per_s, send_by, retry_after_ms, err);
+    if (!world_sleep(gateway->router->node.world, time_from_ms(PERMIT_RETRY_MS)))
       return error_set(err, E_STOPPING, "stopping");
   }
-  /* nobody answers for the pace: a node's own small share of it */
-  double gap = 4 * MAX(gateway->router_count, 1) / loads_per_s * 1000;
-  if (gateway->load_rate_limiters.unpermitted_load_at.us &&
-      gateway_ms_since(gateway, gateway->load_rate_limiters.unpermitted_load_at) < gap) {
-    *wait = 500;
-    return error_set(err, E_LOAD_RATE_LIMITED, "nobody holds the pace");
+}
+
+/** Gateways that come next for a singleton by rendezvous hashing, the first one first. */
+typedef struct successors {
+  const peer_node *peers[MAX_SUCCESSORS];
+  uint64_t hashes[MAX_SUCCESSORS];
+} successors;
+
+static void successors_add(successors *successors, const peer_node *peer, uint64_t hash) {
+  int rank = MAX_SUCCESSORS;
+  while (rank > 0 && hash > successors->hashes[rank - 1])
+    rank--;
+  if (rank == MAX_SUCCESSORS)
+    return;
+  for (int i = MAX_SUCCESSORS - 1; i > rank; i--) {
+    successors->hashes[i] = successors->hashes[i - 1];
+    successors->peers[i] = successors->peers[i - 1];
   }
-  gateway->load_rate_limiters.unpermitted_load_at = gateway_now(gateway);
-  load_rate_limiter_record(gateway, name, gateway_now(gateway));
-  *last = gateway_deadline_in_ms(gateway, LOAD_PERMIT_VALID_MS);
-  return OK;
+  successors->hashes[rank] = hash;
+  successors->peers[rank] = peer;
 }
 
-/* sends to those who would come next for a duty, who are all when nodes are few */
-void singleton_successors_broadcast(gateway *gateway, const char *duty, Wire__Envelope *m) {
-  enum { MAX_SUCCESSORS = 3 };
-  peer_node *heir[MAX_SUCCESSORS] = { NULL };
-  uint64_t top[MAX_SUCCESSORS] = { 0 };
-  list_for_each (x, &gateway->router->node.peers, peer_node, link) {
-    if (x->role != ROLE_ROUTER || x->gone)
-      continue;
-    if (gateway->router_count <= SMALL_FLEET_NODES) {
-      node_send(&gateway->router->node, x->address, m);
+void singleton_successors_broadcast(gateway *gateway, const char *singleton,
+                                    Wire__Envelope *message) {
+  node *node = &gateway->router->node;
+  bool to_all = gateway->router_count <= SMALL_FLEET_NODES;
+  successors next = { 0 };
+  list_for_each (peer, &node->peers, peer_node, link) {
+    if (peer->role != ROLE_ROUTER || peer->gone)
       continue;
-    }
-    uint64_t h = hash_two_names(duty, x->self.text);
-    int at = MAX_SUCCESSORS;
-    while (at > 0 && h > top[at - 1])
-      at--;
-    if (at == MAX_SUCCESSORS)
-      continue;
-    for (int k = MAX_SUCCESSORS - 1; k > at; k--) {
-      top[k] = top[k - 1];
-      heir[k] = heir[k - 1];
-    }
-    top[at] = h;
-    heir[at] = x;
+    if (to_all)
+      node_send(node, peer->address, message);
+    else
+      successors_add(&next, peer, hash_two_names(singleton, peer->self.text));
   }
-  for (int k = 0; k < MAX_SUCCESSORS; k++)
-    if (heir[k])
-      node_send(&gateway->router->node, heir[k]->address, m);
+  for (int i = 0; i < MAX_SUCCESSORS; i++)
+    if (next.peers[i])
+      node_send(node, next.peers[i]->address, message);
 }
--- a/lib/gateway/load_requests.c
+++ b/lib/gateway/load_requests.c
@@ -1,16 +1,44 @@
-/** What this node's requests wait for: wishes that are told to the coordinator. */
-#include "gateway.h"
+/** Load requests of this gateway; see load_requests.h. One task for each model that requests wait
+ * for calls the model's coordinator, which holds the call for a while; so a load is asked for as
+ * long as it is wanted, and a coordinator that is lost is replaced by the next call. */
 #include "load_requests.h"
+#include "gateway.h"
 #include <stdio.h>
 
-/* what this node asks for; lives while requests ask again */
+enum {
+  /* a further replica is wanted for longer than the requests that asked for it wait */
+  EXTRA_REPLICA_TTL_FACTOR = 4,
+  /* a coordinator whose call failed is passed over for this time */
+  FAILED_COORDINATOR_MS = 1500,
+  /* after a refusal: for how long it is passed on to requests, and when the coordinator is called
+     again */
+  REFUSED_MIN_MS = 200,
+  REFUSED_SLEEP_MIN_MS = 100,
+  REFUSED_SLEEP_MAX_MS = 800,
+  NO_RESPONSE_RETRY_MS = 300,
+  CALL_AGAIN_MS = 50,
+  /* what a coordinator thinks is loaded and this gateway does not see is not requested at once
+     again */
+  UNSEEN_SLEEP_MS = 100,
+  /* from a request to the load's begin; the expected time that is said at least */
+  LOAD_EXTRA_MS = 30,
+  MIN_EXPECTED_MS = 20,
+  UNKNOWN_MODEL_RETRY_MS = 2000
+};
+
+/** A model (and adapter) that requests of this gateway wait for; it lives while they ask. */
 typedef struct pending_load_request {
-  char *key;
+  char *key; /* owned by gateway.load_requests */
   id service, model, adapter;
   unsigned priority;
-  bool extra_replica, replaces_lost;
-  time_us last_asked_at, expected_at, failed_until;
+  bool extra_replica;
+  /** All engines that hold it are unresponsive here, which others may not see yet: so it is placed
+   * like a further replica. */
+  bool replaces_lost;
+  time_us last_asked_at, expected_at;
+  /** The last refusal, and until when it holds. */
   int code;
+  time_us failed_until;
   id failed_coordinator;
   time_us failed_coordinator_until;
 } pending_load_request;
@@ -19,158 +47,203 @@
   return g_strdup_printf("%s/%s+%s", service.text, model.text, adapter.text);
 }
 
-/* the router that places a service's models, by an order that all agree on; one whose call failed
- * is passed over for a while */
-static void coordinator(gateway *gateway, pending_load_request *j, id *who, char addr[48]) {
-  char by[128];
-  bool skip = !id_is_empty(j->failed_coordinator) &&
-              !time_reached(gateway_now(gateway), j->failed_coordinator_until);
-  int parts = placement_shard_count(gateway);
-  if (parts == 1)
-    snprintf(by, sizeof by, "place:%s", j->service.text);
+/* the gateway that places a model, by rendezvous hashing; one whose call failed is passed over */
+static void find_coordinator(gateway *gateway, const pending_load_request *request, id *coordinator,
+                             char address[48]) {
+  const node *node = &gateway->router->node;
+  char name[128];
+  int shard_count = placement_shard_count(gateway);
+  if (shard_count == 1)
+    snprintf(name, sizeof name, "place:%s", request->service.text);
   else
-    snprintf(by, sizeof by, "place:%s/%d", j->service.text,
-             placement_shard_of(j->model.text, parts));
-  if (node_rendezvous_peer(&gateway->router->node, ROLE_ROUTER, by,
-                           skip ? j->failed_coordinator : id_none, who, addr))
+    snprintf(name, sizeof name, "place:%s/%d", request->service.text,
+             placement_shard_of(request->model.text, shard_count));
+  bool skip = !id_is_empty(request->failed_coordinator) &&
+              !time_reached(gateway_now(gateway), request->failed_coordinator_until);
+  if (node_rendezvous_peer(&gateway->router->node, ROLE_ROUTER, name,
+                           skip ? request->failed_coordinator : id_none, coordinator, address))
     return;
-  *who = gateway->router->node.settings.self;
-  g_strlcpy(addr, gateway->router->node.settings.address, 48);
+  *coordinator = node->settings.self;
+  g_strlcpy(address, node->settings.address, 48);
+}
+
+static bool is_wanted(const gateway *gateway, const pending_load_request *request) {
+  int64_t ttl_ms = (request->extra_replica ? EXTRA_REPLICA_TTL_FACTOR : 1) * LOAD_REQUEST_TTL_MS;
+  return !time_reached(gateway_now(gateway),
+                       time_add(request->last_asked_at, time_from_ms(ttl_ms)));
+}
+
+static bool is_loaded(gateway *gateway, const pending_load_request *request) {
+  return gateway_engines_count_replicas(gateway, request->service, request->model,
+                                        request->adapter) > 0;
 }
 
-static bool load_request_active(gateway *gateway, pending_load_request *j) {
-  return !time_reached(
-      gateway_now(gateway),
-      time_add(j->last_asked_at,
-               time_from_ms(j->extra_replica ? 4 * LOAD_REQUEST_TTL_MS : LOAD_REQUEST_TTL_MS)));
+/* takes over a coordinator's response; returns its code */
+static int apply_response(gateway *gateway, const pending_load_request *request,
+                          const Wire__PlacementResponse *response, int64_t *retry_after_ms) {
+  int code = (int)response->error_code;
+  *retry_after_ms = (int64_t)response->retry_after_ms;
+  gateway_engine *engine = !code && response->engine && response->engine[0]
+                               ? gateway_engine_find(gateway, response->engine)
+                               : NULL;
+  if (engine && !request->extra_replica && !is_loaded(gateway, request))
+    gateway_engine_mark_loaded(engine, request->model, request->adapter);
+  return code;
 }
 
-static void load_request_run(void *ctx) {
-  struct {
-    gateway *gateway;
-    pending_load_request *job;
-  } *a = ctx;
-  gateway *gateway = a->gateway;
-  pending_load_request *j = a->job;
-  g_free(a);
-  while (load_request_active(gateway, j)) {
-    id who;
-    char addr[48];
-    coordinator(gateway, j, &who, addr);
-    Wire__PlacementRequest q = WIRE__PLACEMENT_REQUEST__INIT;
-    q.service = j->service.text;
-    q.model = j->model.text;
-    q.adapter = j->adapter.text;
-    q.priority = j->priority;
-    q.wait_ms = PLACEMENT_WAIT_MS;
-    q.extra_replica = j->extra_replica;
-    Wire__Envelope m = wire_envelope(WIRE__ENVELOPE__BODY_PLACEMENT_REQUEST, &q), *b;
-    error err = { 0 };
-    int r = node_call(&gateway->router->node, addr, &m, time_from_ms(PLACEMENT_CALL_TIMEOUT_MS), &b,
-                      &err);
-    if (r == E_STOPPING)
-      break;
-    int64_t wait = 300;
-    if (!r && b->body_case == WIRE__ENVELOPE__BODY_PLACEMENT_RESPONSE) {
-      r = (int)b->placement_response->error_code;
-      wait = (int64_t)b->placement_response->retry_after_ms;
-      if (!r && b->placement_response->engine && b->placement_response->engine[0]) {
-        gateway_engine *engine = gateway_engine_find(gateway, b->placement_response->engine);
-        if (engine && !j->extra_replica &&
-            !gateway_engines_count_replicas(gateway, j->service, j->model, j->adapter))
-          gateway_engine_mark_loaded(engine, j->model, j->adapter);
-      }
-    } else {
-      if (!r)
-        r = E_WIRE_MESSAGE;
-      else {
-        j->failed_coordinator = who;
-        j->failed_coordinator_until = gateway_deadline_in_ms(gateway, 1500);
-      }
-    }
-    node_reply_free(b);
-    j->code = r;
-    if (r == E_IN_PROGRESS) {
-      j->expected_at = gateway_deadline_in_ms(gateway, (double)wait);
-      continue;
-    }
-    if (!r || (j->extra_replica && r))
-      break;
-    if (r == E_NO_CAPACITY || r == E_UNKNOWN_MODEL || r == E_NO_ENGINE_FITS || r == E_NO_ENGINE ||
-        r == E_ORDER_FAILED) {
-      j->failed_until = gateway_deadline_in_ms(gateway, (double)MAX(wait, 200));
-      condition_broadcast(&gateway->engines.changed);
-      if (!world_sleep_with_jitter(gateway->router->node.world,
-                                   time_from_ms(CLAMP(wait, 100, 800))))
-        break;
-      continue;
-    }
-    if (!world_sleep_with_jitter(gateway->router->node.world, time_from_ms(50)))
-      break;
+/* calls the coordinator once; returns its code or that of the call */
+static int call_coordinator(gateway *gateway, pending_load_request *request,
+                            int64_t *retry_after_ms) {
+  id coordinator;
+  char address[48];
+  find_coordinator(gateway, request, &coordinator, address);
+  Wire__PlacementRequest placement = WIRE__PLACEMENT_REQUEST__INIT;
+  placement.service = request->service.text;
+  placement.model = request->model.text;
+  placement.adapter = request->adapter.text;
+  placement.priority = request->priority;
+  placement.wait_ms = PLACEMENT_WAIT_MS;
+  placement.extra_replica = request->extra_replica;
+  Wire__Envelope message = wire_envelope(WIRE__ENVELOPE__BODY_PLACEMENT_REQUEST, &placement),
+                 *response;
+  error err = { 0 };
+  int code = node_call(&gateway->router->node, address, &message,
+                       time_from_ms(PLACEMENT_CALL_TIMEOUT_MS), &response, &err);
+  *retry_after_ms = NO_RESPONSE_RETRY_MS;
+  if (code == E_STOPPING)
+    return code;
+  if (code) {
+    request->failed_coordinator = coordinator;
+    request->failed_coordinator_until = gateway_deadline_in_ms(gateway, FAILED_COORDINATOR_MS);
+    return code;
   }
-  /* what a coordinator thinks is there and this node does not see must not be asked for again and
-   * again */
-  if (!j->extra_replica &&
-      !gateway_engines_count_replicas(gateway, j->service, j->model, j->adapter))
-    world_sleep(gateway->router->node.world, time_from_ms(100));
-  g_hash_table_remove(gateway->load_requests, j->key);
-  g_free(j);
+  code = response->body_case == WIRE__ENVELOPE__BODY_PLACEMENT_RESPONSE
+             ? apply_response(gateway, request, response->placement_response, retry_after_ms)
+             : E_WIRE_MESSAGE;
+  node_reply_free(response);
+  return code;
+}
+
+/* codes by which a coordinator says that the model can't be loaded now */
+static bool is_refusal(int code) {
+  return code == E_NO_CAPACITY || code == E_UNKNOWN_MODEL || code == E_NO_ENGINE_FITS ||
+         code == E_NO_ENGINE || code == E_ORDER_FAILED;
+}
+
+/* requests the load once and waits until the next time; false when it is done or the process stops
+ */
+static bool request_once(gateway *gateway, pending_load_request *request) {
+  world *world = gateway->router->node.world;
+  int64_t retry_after_ms;
+  int code = call_coordinator(gateway, request, &retry_after_ms);
+  if (code == E_STOPPING)
+    return false;
+  request->code = code;
+  if (code == E_IN_PROGRESS) {
+    request->expected_at = gateway_deadline_in_ms(gateway, (double)retry_after_ms);
+    return true;
+  }
+  if (!code || request->extra_replica)
+    return false;
+  if (!is_refusal(code))
+    return world_sleep_with_jitter(world, time_from_ms(CALL_AGAIN_MS));
+  request->failed_until =
+      gateway_deadline_in_ms(gateway, (double)MAX(retry_after_ms, REFUSED_MIN_MS));
+  condition_broadcast(&gateway->engines.changed);
+  int64_t sleep_ms = CLAMP(retry_after_ms, REFUSED_SLEEP_MIN_MS, REFUSED_SLEEP_MAX_MS);
+  return world_sleep_with_jitter(world, time_from_ms(sleep_ms));
+}
+
+typedef struct load_request_task {
+  gateway *gateway;
+  pending_load_request *request;
+} load_request_task;
+
+static void load_request_run(void *context) {
+  load_request_task task = *(load_request_task *)context;
+  gateway *gateway = task.gateway;
+  pending_load_request *request = task.request;
+  g_free(context);
+  while (is_wanted(gateway, request) && request_once(gateway, request))
+    ;
+  if (!request->extra_replica && !is_loaded(gateway, request))
+    world_sleep(gateway->router->node.world, time_from_ms(UNSEEN_SLEEP_MS));
+  g_hash_table_remove(gateway->load_requests, request->key);
+  g_free(request);
   condition_broadcast(&gateway->engines.changed);
 }
 
-int load_request_submit(gateway *g, const service *service, id model, id adapter, unsigned priority,
-                        bool copy, double *est_ms, int64_t *wait) {
-  const service_model_spec *m = service_find_model(service, model.text);
-  *est_ms = 0;
-  *wait = 0;
-  if (!m) {
-    *wait = 2000;
+/* true when engines hold a model, and all of them are unresponsive here */
+static bool all_replicas_lost(gateway *gateway, const service *service, id model, id adapter) {
+  int lost = 0;
+  list_for_each (engine, &gateway->engines.list, gateway_engine, link)
+    lost += !engine->gone && !engine->draining && id_equal(engine->service, service->name) &&
+            gateway_engine_unresponsive(engine) && gateway_engine_has_model(engine, model, adapter);
+  return lost && !gateway_engines_count_replicas(gateway, service->name, model, adapter);
+}
+
+static bool some_engine_has_on_disk(const gateway *gateway, const service *service, id model) {
+  list_for_each (engine, &gateway->engines.list, gateway_engine, link)
+    if (!engine->gone && !engine->draining && id_equal(engine->service, service->name) &&
+        gateway_engine_has_on_disk(engine, model))
+      return true;
+  return false;
+}
+
+/* how long a load is expected to take, in ms, before a coordinator has said so */
+static double expected_load_ms(gateway *gateway, const service *service, id model, id adapter) {
+  bool base_is_loaded = !id_is_empty(adapter) &&
+                        gateway_engines_count_replicas(gateway, service->name, model, id_none) > 0;
+  bool from_disk = some_engine_has_on_disk(gateway, service, model);
+  double ms = LOAD_EXTRA_MS;
+  if (!base_is_loaded)
+    ms += eviction_load_ms(gateway, service, model, id_none, from_disk);
+  if (!id_is_empty(adapter))
+    ms += eviction_load_ms(gateway, service, model, adapter, false);
+  return ms;
+}
+
+static pending_load_request *request_start(gateway *gateway, const char *key,
+                                           const service *service, id model, id adapter,
+                                           unsigned priority, bool extra_replica) {
+  pending_load_request *request = g_new0(pending_load_request, 1);
+  request->key = g_strdup(key);
+  request->service = service->name;
+  request->model = model;
+  request->adapter = adapter;
+  request->priority = priority;
+  request->replaces_lost = !extra_replica && all_replicas_lost(gateway, service, model, adapter);
+  request->extra_replica = extra_replica || request->replaces_lost;
+  request->expected_at =
+      gateway_deadline_in_ms(gateway, expected_load_ms(gateway, service, model, adapter));
+  request->last_asked_at = gateway_now(gateway);
+  g_hash_table_insert(gateway->load_requests, request->key, request);
+  load_request_task *task = g_new(load_request_task, 1);
+  *task = (load_request_task){ gateway, request };
+  task_start(&gateway->router->node.world->tasks, "want", load_request_run, task);
+  return request;
+}
+
+int load_request_submit(gateway *gateway, const service *service, id model, id adapter,
+                        unsigned priority, bool extra_replica, double *estimate_ms,
+                        int64_t *retry_after_ms) {
+  *estimate_ms = 0;
+  *retry_after_ms = 0;
+  if (!service_find_model(service, model.text)) {
+    *retry_after_ms = UNKNOWN_MODEL_RETRY_MS;
     return E_UNKNOWN_MODEL;
   }
   char key[180];
   snprintf(key, sizeof key, "%s/%s+%s", service->name.text, model.text, adapter.text);
-  pending_load_request *j = g_hash_table_lookup(g->load_requests, key);
-  if (!j) {
-    j = g_new0(pending_load_request, 1);
-    j->key = g_strdup(key);
-    /* where all that hold it are lost to this node, others may not have seen that yet */
-    int lost = 0;
-    list_for_each (i, &g->engines.list, gateway_engine, link)
-      lost += !i->gone && !i->draining && id_equal(i->service, service->name) &&
-              gateway_engine_unresponsive(i) && gateway_engine_has_model(i, model, adapter);
-    j->replaces_lost =
-        !copy && lost && !gateway_engines_count_replicas(g, service->name, model, adapter);
-    j->service = service->name;
-    j->model = model;
-    j->adapter = adapter;
-    j->priority = priority;
-    j->extra_replica = copy || j->replaces_lost;
-    bool there = !id_is_empty(adapter) &&
-                 gateway_engines_count_replicas(g, service->name, model, id_none) > 0;
-    bool warm = false;
-    list_for_each (i, &g->engines.list, gateway_engine, link)
-      warm |= !i->gone && !i->draining && id_equal(i->service, service->name) &&
-              gateway_engine_has_on_disk(i, model);
-    j->expected_at = gateway_deadline_in_ms(
-        g, 30 + (there ? 0 : eviction_load_ms(g, service, model, id_none, warm)) +
-               (id_is_empty(adapter) ? 0 : eviction_load_ms(g, service, model, adapter, false)));
-    j->last_asked_at = gateway_now(g);
-    g_hash_table_insert(g->load_requests, j->key, j);
-    struct {
-      gateway *gateway;
-      pending_load_request *job;
-    } *t = g_malloc(sizeof *t);
-    t->gateway = g;
-    t->job = j;
-    task_start(&g->router->node.world->tasks, "want", load_request_run, t);
-  }
-  j->last_asked_at = gateway_now(g);
-  j->priority = MIN(j->priority, priority);
-  j->extra_replica &= copy || j->replaces_lost;
-  *est_ms = (double)MAX(20, gateway_ms_until(g, j->expected_at));
-  if (j->failed_until.us > gateway_now(g).us) {
-    *wait = gateway_ms_until(g, j->failed_until);
-    return j->code ? j->code : E_NO_CAPACITY;
-  }
-  return OK;
+  pending_load_request *request = g_hash_table_lookup(gateway->load_requests, key);
+  if (!request)
+    request = request_start(gateway, key, service, model, adapter, priority, extra_replica);
+  request->last_asked_at = gateway_now(gateway);
+  request->priority = MIN(request->priority, priority);
+  request->extra_replica &= extra_replica || request->replaces_lost;
+  *estimate_ms = (double)MAX(MIN_EXPECTED_MS, gateway_ms_until(gateway, request->expected_at));
+  if (!(request->failed_until.us > gateway_now(gateway).us))
+    return OK;
+  *retry_after_ms = gateway_ms_until(gateway, request->failed_until);
+  return request->code ? request->code : E_NO_CAPACITY;
 }
--- a/lib/gateway/retry_budget.c
+++ b/lib/gateway/retry_budget.c
@@ -1,39 +1,35 @@
+/** Retry budget; see retry_budget.h. Requests and retries are counted in buckets of BUCKET_MS, so
+ * that a window costs a bounded amount of memory. */
+#include "retry_budget.h"
 #include "gateway.h"
 
-/* A node takes at most its share, reckoned so that the shares of all nodes together stay below what
- * is allowed even when some nodes don't know of each other yet or have just forgotten what they
- * took. */
-enum { BUCKET_MS = 500 };
+enum { BUCKET_MS = 500, DEFAULT_WINDOW_MS = 10000 };
+/* Defaults of the settings. */
+static const double DEFAULT_RATIO = 0.2, DEFAULT_SLACK = 20;
+/* Shares of the fleet's bound that the gateways take together; the rest is for gateways that don't
+ * know of each other or have restarted within the window. */
+static const double SLACK_SHARE = 0.5, RATIO_SHARE = 0.6;
+
 typedef struct budget_bucket {
-  int64_t index;
+  int64_t index; /* time / BUCKET_MS */
   int count;
 } budget_bucket;
 
 static double retry_ratio_of(const gateway *gateway) {
-  return gateway->settings.retry_ratio > 0 ? gateway->settings.retry_ratio : 0.2;
+  return gateway->settings.retry_ratio > 0 ? gateway->settings.retry_ratio : DEFAULT_RATIO;
 }
+
 static double retry_slack_of(const gateway *gateway) {
-  return gateway->settings.retry_slack > 0 ? gateway->settings.retry_slack : 20;
+  return gateway->settings.retry_slack > 0 ? gateway->settings.retry_slack : DEFAULT_SLACK;
 }
+
 static int64_t window_ms(const gateway *gateway) {
   return gateway->settings.retry_window_s > 0 ? (int64_t)(gateway->settings.retry_window_s * 1000)
-                                              : 10000;
+                                              : DEFAULT_WINDOW_MS;
 }
 
-retry_budget *retry_budget_of(gateway *gateway, const service *service) {
-  retry_budget *b = g_hash_table_lookup(gateway->retry_budgets, service->name.text);
-  if (b)
-    return b;
-  b = g_new0(retry_budget, 1);
-  b->service = service->name;
-  b->request_buckets = g_array_new(FALSE, FALSE, sizeof(budget_bucket));
-  b->retry_buckets = g_array_new(FALSE, FALSE, sizeof(budget_bucket));
-  g_hash_table_insert(gateway->retry_budgets, b->service.text, b);
-  return b;
-}
-
-static void retry_budget_free(void *p) {
-  retry_budget *budget = p;
+static void retry_budget_free(void *context) {
+  retry_budget *budget = context;
   g_array_free(budget->request_buckets, TRUE);
   g_array_free(budget->retry_buckets, TRUE);
   g_free(budget);
@@ -43,51 +39,64 @@
   return g_hash_table_new_full(g_str_hash, g_str_equal, NULL, retry_budget_free);
 }
 
-static void bucket_increment(GArray *in, int64_t at) {
-  budget_bucket *last = in->len ? &g_array_index(in, budget_bucket, in->len - 1) : NULL;
-  if (last && last->index == at) {
+retry_budget *retry_budget_of(gateway *gateway, const service *service) {
+  retry_budget *budget = g_hash_table_lookup(gateway->retry_budgets, service->name.text);
+  if (budget)
+    return budget;
+  budget = g_new0(retry_budget, 1);
+  budget->service = service->name;
+  budget->request_buckets = g_array_new(FALSE, FALSE, sizeof(budget_bucket));
+  budget->retry_buckets = g_array_new(FALSE, FALSE, sizeof(budget_bucket));
+  g_hash_table_insert(gateway->retry_budgets, budget->service.text, budget);
+  return budget;
+}
+
+static void bucket_increment(GArray *buckets, int64_t index) {
+  budget_bucket *last =
+      buckets->len ? &g_array_index(buckets, budget_bucket, buckets->len - 1) : NULL;
+  if (last && last->index == index) {
     last->count++;
     return;
   }
-  budget_bucket fresh = { at, 1 };
-  g_array_append_val(in, fresh);
+  budget_bucket first = { index, 1 };
+  g_array_append_val(buckets, first);
 }
 
-/* the sum over the buckets after one, with the older ones dropped */
-static int count_since(GArray *in, int64_t after) {
-  guint old = 0;
-  int n = 0;
-  for (guint i = 0; i < in->len; i++) {
-    const budget_bucket *b = &g_array_index(in, budget_bucket, i);
-    if (b->index <= after)
-      old = i + 1;
+/* the sum over the buckets behind an index; the others are dropped */
+static int count_since(GArray *buckets, int64_t index) {
+  guint expired = 0;
+  int count = 0;
+  for (guint i = 0; i < buckets->len; i++) {
+    const budget_bucket *bucket = &g_array_index(buckets, budget_bucket, i);
+    if (bucket->index <= index)
+      expired = i + 1;
     else
-      n += b->count;
+      count += bucket->count;
   }
-  if (old)
-    g_array_remove_range(in, 0, old);
-  return n;
+  if (expired)
+    g_array_remove_range(buckets, 0, expired);
+  return count;
 }
 
-double retry_budget_node_share(double retry_slack, double retry_ratio, int nodes,
+double retry_budget_node_share(double retry_slack, double retry_ratio, int node_count,
                                double own_requests) {
-  return 0.5 * retry_slack / MAX(nodes, 1) + 0.6 * retry_ratio * own_requests;
+  return SLACK_SHARE * retry_slack / MAX(node_count, 1) + RATIO_SHARE * retry_ratio * own_requests;
 }
 
-static int64_t bucket_now(gateway *gateway) {
-  return world_now(gateway->router->node.world).us / (BUCKET_MS * 1000);
+static int64_t current_bucket(const gateway *gateway) {
+  return gateway_now(gateway).us / (BUCKET_MS * 1000);
 }
 
-static int live_node_count(gateway *gateway) {
-  int n = 1;
+static int live_node_count(const gateway *gateway) {
+  int count = 1;
   list_for_each (peer, &gateway->router->node.peers, peer_node, link)
-    n += peer->role == ROLE_ROUTER && peer_is_live(peer) && !peer->gone;
-  return n;
+    count += peer->role == ROLE_ROUTER && peer_is_live(peer) && !peer->gone;
+  return count;
 }
 
 void retry_budget_record_request(gateway *gateway, const service *service) {
   retry_budget *budget = retry_budget_of(gateway, service);
-  int64_t now = bucket_now(gateway);
+  int64_t now = current_bucket(gateway);
   count_since(budget->request_buckets, now - window_ms(gateway) / BUCKET_MS);
   bucket_increment(budget->request_buckets, now);
   budget->request_count++;
@@ -95,20 +104,20 @@
 
 bool retry_budget_available(gateway *gateway, const service *service) {
   retry_budget *budget = retry_budget_of(gateway, service);
-  int64_t now = bucket_now(gateway), span = window_ms(gateway) / BUCKET_MS;
-  /* an extra counts for one bucket longer than the window, a request for no longer: a window may
-   * lie anywhere */
-  int came = count_since(budget->request_buckets, now - span),
-      spent = count_since(budget->retry_buckets, now - span - 1);
-  return spent + 1 <= retry_budget_node_share(retry_slack_of(gateway), retry_ratio_of(gateway),
-                                              live_node_count(gateway), came);
+  int64_t now = current_bucket(gateway), span = window_ms(gateway) / BUCKET_MS;
+  /* a retry counts for one bucket longer than the window, a request for no longer: the window of
+   * the bound may lie anywhere */
+  int requests = count_since(budget->request_buckets, now - span),
+      retries = count_since(budget->retry_buckets, now - span - 1);
+  return retries + 1 <= retry_budget_node_share(retry_slack_of(gateway), retry_ratio_of(gateway),
+                                                live_node_count(gateway), requests);
 }
 
 bool retry_budget_take(gateway *gateway, const service *service) {
   if (!retry_budget_available(gateway, service))
     return false;
   retry_budget *budget = retry_budget_of(gateway, service);
-  bucket_increment(budget->retry_buckets, bucket_now(gateway));
+  bucket_increment(budget->retry_buckets, current_bucket(gateway));
   budget->retries++;
   gateway->counts.retries++;
   return true;
--- a/lib/gateway/traffic_reports.c
+++ b/lib/gateway/traffic_reports.c
@@ -76,8 +76,8 @@
   }
 }
 
-void gateway_engines_update_loads(gateway *gateway, uint64_t nonce, bool same_zone,
-                                  const Wire__TrafficReport *report) {
+void traffic_reports_apply(gateway *gateway, uint64_t nonce, bool same_zone,
+                           const Wire__TrafficReport *report) {
   for (size_t i = 0; i < report->n_engines; i++) {
     const Wire__EngineTraffic *reported = report->engines[i];
     gateway_engine *engine = gateway_engine_find(gateway, reported->engine);
@@ -99,7 +99,7 @@
   (void)reply;
   (void)err;
   bool same_zone = !strcmp(in->from->zone, gateway->router->node.settings.zone.text);
-  gateway_engines_update_loads(gateway, in->from->nonce, same_zone, in->traffic_report);
+  traffic_reports_apply(gateway, in->from->nonce, same_zone, in->traffic_report);
   return OK;
 }
 
--- a/lib/gateway/traffic_reports.h
+++ b/lib/gateway/traffic_reports.h
@@ -10,8 +10,8 @@
 typedef struct gateway gateway;
 
 /** Takes over all that another gateway runs; failures weigh more when it is in the same zone. */
-void gateway_engines_update_loads(gateway *gateway, uint64_t nonce, bool same_zone,
-                                  const Wire__TrafficReport *report);
+void traffic_reports_apply(gateway *gateway, uint64_t nonce, bool same_zone,
+                           const Wire__TrafficReport *report);
 /** Sends all that this gateway runs to one address, without failures. */
 void traffic_reports_send(gateway *gateway, const char *address);
 /** Registers the message and starts the task that reports. */
--- a/lib/gateway/unserved.c
+++ b/lib/gateway/unserved.c
@@ -1,7 +1,9 @@
-/** Why requests were not served: counts by reason, and a line of the log now and then. */
+/** Why requests were not served: names of the reasons, and a line of the log for each interval in
+ * which some were not. */
 #include "unserved.h"
 #include "gateway.h"
 
+/* Between two lines of the log: short enough to tell one fault from the next. */
 enum { SUMMARY_MS = 10000 };
 
 static const char *const names[UNSERVED_COUNT] = {
@@ -15,14 +17,14 @@
   return names[reason];
 }
 
-/* one line for all that was not served since the last one; none when all was */
-static void summarize(gateway *gateway, uint64_t told[UNSERVED_COUNT]) {
+/* logs what was not served since the last time, and updates the counts that were logged */
+static void log_summary(gateway *gateway, uint64_t logged[UNSERVED_COUNT]) {
   GString *line = g_string_new(NULL);
-  for (int k = 0; k < UNSERVED_COUNT; k++) {
-    uint64_t more = gateway->counts.unserved[k] - told[k];
-    if (more)
-      g_string_append_printf(line, "%s %" PRIu64 " %s", line->len ? "," : "", more, names[k]);
-    told[k] = gateway->counts.unserved[k];
+  for (int reason = 0; reason < UNSERVED_COUNT; reason++) {
+    uint64_t count = gateway->counts.unserved[reason], added = count - logged[reason];
+    if (added)
+      g_string_append_printf(line, "%s %" PRIu64 " %s", line->len ? "," : "", added, names[reason]);
+    logged[reason] = count;
   }
   if (line->len)
     log_info(&gateway->router->node.log, "gateway", "Not served in the last %d s:%s.",
@@ -30,11 +32,11 @@
   g_string_free(line, TRUE);
 }
 
-static void summary_run(void *p) {
-  gateway *gateway = p;
-  uint64_t told[UNSERVED_COUNT] = { 0 };
+static void summary_run(void *context) {
+  gateway *gateway = context;
+  uint64_t logged[UNSERVED_COUNT] = { 0 };
   while (world_sleep_with_jitter(gateway->router->node.world, time_from_ms(SUMMARY_MS)))
-    summarize(gateway, told);
+    log_summary(gateway, logged);
 }
 
 void unserved_start(gateway *gateway) {
--- a/tests/loader.c
+++ b/tests/loader.c
@@ -650,18 +650,18 @@
   two.waiting_tokens = 500;
   q.engines = all;
   q.n_engines = 2;
-  gateway_engines_update_loads(&bare->gateway, 7, true, &q);
+  traffic_reports_apply(&bare->gateway, 7, true, &q);
   sim_run(fleet->sim, time_from_ms(10));
   q.n_engines = 1;
-  gateway_engines_update_loads(&bare->gateway, 8, true, &q);
+  traffic_reports_apply(&bare->gateway, 8, true, &q);
   WANT(fleet, instance->load.peers_running == 6 && k->load.peers_running == 2);
   sim_run(fleet->sim, time_from_ms(10));
-  gateway_engines_update_loads(&bare->gateway, 7, true, &q);
+  traffic_reports_apply(&bare->gateway, 7, true, &q);
   WANT(fleet, instance->load.peers_running == 6 && k->load.peers_running == 0 &&
                   k->load.peers_waiting_tokens == 0);
   q.n_engines = 0;
   sim_run(fleet->sim, time_from_ms(10));
-  gateway_engines_update_loads(&bare->gateway, 7, true, &q);
+  traffic_reports_apply(&bare->gateway, 7, true, &q);
   WANT(fleet, instance->load.peers_running == 3 && near(instance->load.peers_waiting_tokens, 900));
   bare_free(bare);
   return true;
--- a/tests/room.c
+++ b/tests/room.c
@@ -315,8 +315,7 @@
   /* a report shows an order only when it was asked for long enough after it */
   WANT(fleet, !capacity_covered_by_report(&account, time_from_ms(2449), lag) &&
                   capacity_covered_by_report(&account, time_from_ms(2450), lag));
-  /* what is unloaded keeps its capacity_account until that is confirmed, and a model takes its
-   * adapters along
+  /* what is unloaded keeps its room until that is confirmed, and a model takes its adapters along
    */
   capacity_order_accepted(&account, false, big, base, time_from_ms(3000));
   capacity_order_accepted(&account, false, big, base, time_from_ms(3050));
