--- a/lib/gateway/engine_orders.c
+++ b/lib/gateway/engine_orders.c
@@ -243,7 +243,7 @@
                             int64_t expected_orders, time_us by, error *err) {
   gateway *gateway = engine->gateway;
   const singleton_lease *lease = lease_of(engine);
-  time_us till = lease ? lease->expires_at : (time_us){ 0 };
+  time_us lease_expires_at = lease ? lease->expires_at : (time_us){ 0 };
   GString *body = order_body(engine, load, model, adapter, epoch, expected_orders);
   GString *response = g_string_new(NULL);
   const char *separator = adapter.text[0] ? "+" : "";
@@ -252,7 +252,7 @@
   event_history_append(&gateway->router->history, event);
   lease_count_order(engine, 1);
   int status = engine_exchange(engine, DC_ENGINE_ORDER, body->str, response, ORDER_TIMEOUT_MS,
-                               till.us < by.us ? till : by, err);
+                               lease_expires_at.us < by.us ? lease_expires_at : by, err);
   lease_count_order(engine, -1);
   log_debug(&gateway->router->node.log, "order",
             "Order to %s %s%s%s at engine %s: fencing token %" PRIu64 ", %" PRId64
--- a/lib/gateway/feature_flags.c
+++ b/lib/gateway/feature_flags.c
@@ -1,4 +1,4 @@
-/** Names of the mechanisms that can be switched off. */
+/** Names of the features that can be switched off; they are part of the command line. */
 #include "feature_flags.h"
 
 static const char *const names[FEATURE_COUNT] = {
@@ -24,10 +24,11 @@
   return names[feature_flag];
 }
 
-static int mechanism_of(const char *name) {
-  for (int k = 0; k < FEATURE_COUNT; k++)
-    if (!strcmp(names[k], name))
-      return k;
+/* the flag of a name; -1 when there is none */
+static int feature_of(const char *name) {
+  for (int flag = 0; flag < FEATURE_COUNT; flag++)
+    if (!strcmp(names[flag], name))
+      return flag;
   return -1;
 }
 
@@ -36,7 +37,7 @@
   bool known = true;
   *set = 0;
   for (char **part = parts; *part && known; part++) {
-    int feature_flag = mechanism_of(*part);
+    int feature_flag = feature_of(*part);
     known = feature_flag >= 0;
     if (known)
       *set |= 1u << feature_flag;
--- a/lib/gateway/feature_flags.h
+++ b/lib/gateway/feature_flags.h
@@ -1,48 +1,49 @@
-#ifndef GATEWAY_MECHANISMS_H
-#define GATEWAY_MECHANISMS_H
+/** Parts of the gateway's policy that can be switched off one by one, to measure what each of them
+ * gains (scripts/ablation). All are on unless the settings say otherwise. */
+#ifndef GATEWAY_FEATURE_FLAGS_H
+#define GATEWAY_FEATURE_FLAGS_H
 #include "base.h"
 
-/** Parts of the gateway's policy that can be switched off one by one, to measure what each is worth
- * (scripts/ablation). All are on unless the settings say otherwise. */
 enum feature_flag {
-  /** An engine is chosen by the prompt parts that it keeps. */
+  /** An engine is chosen by the prompt prefixes that it has cached. */
   FEATURE_PREFIX,
   /** An engine is chosen by how many requests run there. */
   FEATURE_BATCH,
-  /** An engine whose memory fills is avoided. */
+  /** An engine whose KV memory fills is avoided. */
   FEATURE_KV,
-  /** Requests wait for a place when all engines are full; off: they are refused. */
+  /** Requests wait for a slot when all engines are full; off: they are refused. */
   FEATURE_QUEUE,
-  /** A request that would get its place too late is refused early. */
+  /** A request whose slot would come too late is refused early. */
   FEATURE_EARLY_REFUSAL,
-  /** Models whose requests wait get further copies. */
+  /** Models whose requests wait get further replicas. */
   FEATURE_REPLICAS,
-  /** The rule for what is unloaded is CremeBrulee; off: the least recently used. */
+  /** The eviction policy is the configured one (CremeBrulee by default); off: the least recently
+   * used goes. */
   FEATURE_CREMEBRULEE,
   /** A request may be sent to a second engine. */
   FEATURE_RETRIES,
-  /** A stream goes on at another engine within one answer. */
+  /** A stream is continued by another engine within one response. */
   FEATURE_RESUME,
   /** Engines of other zones cost more. */
   FEATURE_ZONE,
-  /** Engines that fail part of their work although they live are avoided. */
+  /** Engines that fail part of their requests are avoided. */
   FEATURE_OUTLIER_EJECTION,
   /** An unload is ordered some time after it was announced. */
   FEATURE_ANNOUNCE_UNLOAD,
-  /** What was loaded a moment ago has a rate, and its place for a while. */
+  /** What was just loaded has a request rate, and is not evicted for a while. */
   FEATURE_NEW_RATE,
-  /** Nodes that run what is to be unloaded say so. */
+  /** Gateways that run what is to be unloaded object. */
   FEATURE_UNLOAD_OBJECTIONS,
-  /** Loads go first to engines where nothing that runs has to make way. */
+  /** Loads go first to engines where nothing that runs has to be evicted. */
   FEATURE_IDLE_FIRST,
-  /** A leaving gateway refuses streams that would outlast it. */
+  /** A draining gateway refuses streams that would outlast it. */
   FEATURE_DRAIN_STREAMS,
   FEATURE_COUNT
 };
 
-/** The name of a mechanism in settings and reports. */
+/** The name of a feature in settings and reports. */
 const char *feature_flag_name(enum feature_flag feature_flag);
-/** Reads names separated by commas into a set, a bit for each; false when there is an unknown one,
- * which error_set tells. */
+/** Reads names separated by commas into a set, a bit for each; false, with the error set, when one
+ * is unknown. */
 bool feature_flags_parse(const char *names, unsigned *set, error *err);
 #endif
--- a/lib/gateway/load_rate_limiter.h
+++ b/lib/gateway/load_rate_limiter.h
@@ -31,7 +31,8 @@
                                  time_us window, int max_loads);
 /** Records a load out of a service's store. */
 void load_rate_limiter_record(gateway *gateway, id service, time_us at);
-/** Handles a LoadPermitRequest: as a call it asks for a permit; as a cast it reports a load. */
+/** Handles a LoadPermitRequest: as a call it asks for a permit; as a one-way message it reports a
+ * load. */
 int load_rate_limiter_on_permit(void *context, Wire__Envelope *in, reply *reply, error *err);
 /** Requests a permit. OK: the order must be sent before *send_by; E_LOAD_RATE_LIMITED: again in
  * *retry_after_ms. */
--- a/lib/gateway/route_durations.c
+++ b/lib/gateway/route_durations.c
@@ -1,9 +1,12 @@
-/** Durations of requests by route: a smoothed mean, and a smoothed distance from it. */
+/** Durations of requests by route: an exponential mean and an exponential mean deviation from it,
+ * as TCP estimates its retransmission timeout. */
 #include "route_durations.h"
 #include <math.h>
 
+/* Fewer samples say nothing; nearly all requests end within so many deviations of the mean. */
 enum { MIN_SAMPLES = 4, DEVIATIONS = 2 };
-static const double WEIGHT = 0.15;
+/* Weight of one sample. */
+static const double SAMPLE_WEIGHT = 0.15;
 
 typedef struct route_duration {
   unsigned sample_count;
@@ -15,31 +18,31 @@
 };
 
 route_durations *route_durations_new(void) {
-  route_durations *times = g_new0(route_durations, 1);
-  times->by_route = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-  return times;
+  route_durations *durations = g_new0(route_durations, 1);
+  durations->by_route = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+  return durations;
 }
 
-void route_durations_free(route_durations *times) {
-  g_hash_table_destroy(times->by_route);
-  g_free(times);
+void route_durations_free(route_durations *durations) {
+  g_hash_table_destroy(durations->by_route);
+  g_free(durations);
 }
 
-void route_durations_record(route_durations *times, id route, double ms) {
-  route_duration *time = g_hash_table_lookup(times->by_route, route.text);
-  if (!time) {
-    time = g_new0(route_duration, 1);
-    time->mean_ms = ms;
-    g_hash_table_insert(times->by_route, g_strdup(route.text), time);
+void route_durations_record(route_durations *durations, id route, double ms) {
+  route_duration *duration = g_hash_table_lookup(durations->by_route, route.text);
+  if (!duration) {
+    duration = g_new0(route_duration, 1);
+    duration->mean_ms = ms;
+    g_hash_table_insert(durations->by_route, g_strdup(route.text), duration);
   }
-  time->sample_count++;
-  time->deviation_ms += WEIGHT * (fabs(ms - time->mean_ms) - time->deviation_ms);
-  time->mean_ms += WEIGHT * (ms - time->mean_ms);
+  duration->sample_count++;
+  duration->deviation_ms += SAMPLE_WEIGHT * (fabs(ms - duration->mean_ms) - duration->deviation_ms);
+  duration->mean_ms += SAMPLE_WEIGHT * (ms - duration->mean_ms);
 }
 
-double route_durations_upper_ms(const route_durations *times, id route) {
-  const route_duration *time = g_hash_table_lookup(times->by_route, route.text);
-  if (!time || time->sample_count < MIN_SAMPLES)
+double route_durations_upper_ms(const route_durations *durations, id route) {
+  const route_duration *duration = g_hash_table_lookup(durations->by_route, route.text);
+  if (!duration || duration->sample_count < MIN_SAMPLES)
     return 0;
-  return time->mean_ms + DEVIATIONS * time->deviation_ms;
+  return duration->mean_ms + DEVIATIONS * duration->deviation_ms;
 }
--- a/lib/gateway/route_durations.h
+++ b/lib/gateway/route_durations.h
@@ -1,15 +1,15 @@
-#ifndef GATEWAY_ROUTE_TIMES_H
-#define GATEWAY_ROUTE_TIMES_H
+/** How long the requests of each route last, as this gateway has seen lately. */
+#ifndef GATEWAY_ROUTE_DURATIONS_H
+#define GATEWAY_ROUTE_DURATIONS_H
 #include "base.h"
 
-/** How long the requests of each route last, as this node has seen of late. */
 typedef struct route_durations route_durations;
 
+/** To be freed by route_durations_free. */
 route_durations *route_durations_new(void);
-void route_durations_free(route_durations *times);
-/** Notes a request that was served whole. */
-void route_durations_record(route_durations *times, id route, double ms);
-/** The time in ms within which nearly all requests of a route end; 0 while too few have been seen.
- */
-double route_durations_upper_ms(const route_durations *times, id route);
+void route_durations_free(route_durations *durations);
+/** Records a request that was served in full. */
+void route_durations_record(route_durations *durations, id route, double ms);
+/** The time in ms within which nearly all requests of a route end; 0 while too few were seen. */
+double route_durations_upper_ms(const route_durations *durations, id route);
 #endif
--- a/lib/gateway/unserved.h
+++ b/lib/gateway/unserved.h
@@ -1,12 +1,12 @@
+/** Reasons for which requests are not served, for metrics and the log. */
 #ifndef GATEWAY_UNSERVED_H
 #define GATEWAY_UNSERVED_H
 #include "base.h"
 
 typedef struct gateway gateway;
 
-/** Why a request was not served, for metrics and the log. */
 enum unserved_reason {
-  /** The engine declined it, as while an order concerns it. */
+  /** The engine declined it, for example while an order concerns its model. */
   UNSERVED_DECLINED,
   /** No engine holds its model, and a load would come too late. */
   UNSERVED_NO_MODEL,
@@ -14,13 +14,13 @@
   UNSERVED_BUSY,
   /** No engine takes work, or could be reached. */
   UNSERVED_NO_ENGINE,
-  /** This machine leaves. */
+  /** This gateway drains. */
   UNSERVED_DRAINING,
   /** The engine broke off. */
   UNSERVED_BROKEN,
-  /** The engine gave no answer in time. */
+  /** The engine did not respond in time. */
   UNSERVED_TIMEOUT,
-  /** The caller left while the request waited here and no engine had it. */
+  /** The client left while the request waited here and no engine had it. */
   UNSERVED_CLIENT_LEFT_WAITING,
   UNSERVED_COUNT
 };
