--- a/lib/gateway/engine_loading.c
+++ b/lib/gateway/engine_loading.c
@@ -106,7 +106,8 @@
   error *err;
 } load_order;
 
-static int fail(const load_order *order, int code, int64_t retry_after_ms, const char *what) {
+static enum error_code fail(const load_order *order, enum error_code code, int64_t retry_after_ms,
+                            const char *what) {
   *order->retry_after_ms = retry_after_ms;
   return error_set(order->err, code, "%s %s %s", order->engine->engine_id.text, what, order->key);
 }
@@ -130,8 +131,8 @@
 }
 
 /* unloads the first of the chosen candidates; a model takes its adapters along */
-static int evict_one(gateway_engine *engine, const eviction_candidate *chosen, int count,
-                     bool thought_idle, error *err) {
+static enum error_code evict_one(gateway_engine *engine, const eviction_candidate *chosen,
+                                 int count, bool thought_idle, error *err) {
   id adapter = chosen[0].adapter;
   for (int i = 0; i < count; i++)
     if (id_equal(chosen[i].model, chosen[0].model) && id_is_empty(chosen[i].adapter))
@@ -141,8 +142,8 @@
 
 /* Makes room by the eviction policy: what has the least utility first, no more than is needed.
  * idle_only: nothing that runs may go, since a drain holds up the engine's other orders. */
-static int evict_for_load(gateway_engine *engine, id model, id adapter, double mb, unsigned slots,
-                          bool idle_only, error *err) {
+static enum error_code evict_for_load(gateway_engine *engine, id model, id adapter, double mb,
+                                      unsigned slots, bool idle_only, error *err) {
   gateway *gateway = engine->gateway;
   eviction_candidate candidates[MAX_EVICTION_CANDIDATES];
   for (int evictions = 0; evictions < MAX_EVICTIONS; evictions++) {
@@ -172,7 +173,7 @@
         "%s is evicted from %s for %s+%s: %.2f requests/s a replica, utility %.0f, one of %d.",
         candidates[0].model.text, engine->engine_id.text, model.text, adapter.text,
         candidates[0].request_rate, candidates[0].load_ms * candidates[0].request_rate, chosen);
-    int code = evict_one(engine, candidates, chosen, thought_idle, err);
+    enum error_code code = evict_one(engine, candidates, chosen, thought_idle, err);
     if (code && code != E_MODEL_IN_USE)
       return code;
   }
@@ -201,7 +202,7 @@
 
 /* A new lease holder, and one that can't tell what became of an order, reads the residents from the
  * engine itself. */
-static int sync_engine_state(gateway_engine *engine, error *err) {
+static enum error_code sync_engine_state(gateway_engine *engine, error *err) {
   gateway *gateway = engine->gateway;
   uint64_t epoch = engine_order_epoch(engine);
   if (!epoch)
@@ -210,7 +211,7 @@
     return OK;
   if (engine->load_jobs.residents_epoch != epoch)
     capacity_forget(&engine->capacity, engine->capacity.changed_at);
-  int code;
+  enum error_code code;
   time_us now = gateway_now(gateway), current_at = reports_are_current_at(engine, epoch);
   if (current_at.us > now.us &&
       (code = engine_order_sleep(engine, (double)time_sub(current_at, now).us / 1000, err)))
@@ -251,7 +252,7 @@
   order->reserved = false;
 }
 
-static void count_failure(const load_order *order, int code) {
+static void count_failure(const load_order *order, enum error_code code) {
   if (code != E_ORDER_FAILED)
     return;
   order->gateway->consecutive_load_failures++;
@@ -273,11 +274,12 @@
 
 /* gets a permit of the load rate limiter; *again when it was waited for and has to be asked again
  */
-static int acquire_permit(load_order *order, int attempt, const service *service, bool *again) {
+static enum error_code acquire_permit(load_order *order, int attempt, const service *service,
+                                      bool *again) {
   gateway_engine *engine = order->engine;
   int64_t *wait_ms = order->retry_after_ms;
-  int code = load_rate_limiter_request_permit(engine, service, order->key, &order->send_by, wait_ms,
-                                              order->err);
+  enum error_code code = load_rate_limiter_request_permit(engine, service, order->key,
+                                                          &order->send_by, wait_ms, order->err);
   if (code != E_LOAD_RATE_LIMITED || *wait_ms >= MAX_PERMIT_WAIT_MS ||
       engine_order_stopping(engine) || attempt >= MAX_PERMIT_ATTEMPTS)
     return code;
@@ -291,7 +293,7 @@
 
 /* An engine that is filled beyond its memory crashes: before a model goes there, its residents must
  * be known from itself and from a short time ago. */
-static int confirm_identity(load_order *order) {
+static enum error_code confirm_identity(load_order *order) {
   gateway_engine *engine = order->engine;
   time_us reported_at = engine->orders.reported_at;
   bool busy;
@@ -306,7 +308,7 @@
 }
 
 /* the room is still there: others may have used it while a permit was waited for */
-static int check_capacity(load_order *order) {
+static enum error_code check_capacity(load_order *order) {
   gateway_engine *engine = order->engine;
   const service *service = current_service(order);
   if (!service)
@@ -326,14 +328,14 @@
 
 /* all that has to hold before an order is sent; *again: from the start, *resident: there is nothing
  * to do */
-static int prepare(load_order *order, int attempt, bool *again, bool *resident) {
+static enum error_code prepare(load_order *order, int attempt, bool *again, bool *resident) {
   gateway_engine *engine = order->engine;
   const service *service = current_service(order);
   if (!service)
     return E_UNKNOWN_MODEL;
   if (engine->draining)
     return error_set(order->err, E_NO_ENGINE, "%s is draining", engine->engine_id.text);
-  int code;
+  enum error_code code;
   if (needs_permit(order, attempt)) {
     code = acquire_permit(order, attempt, service, again);
     if (code || *again)
@@ -369,14 +371,14 @@
 
 /* waits until the order that is in the way has been carried out; what it has brought shows only in
  * a report after it */
-static int wait_while_busy(load_order *order) {
+static enum error_code wait_while_busy(load_order *order) {
   gateway_engine *engine = order->engine;
   bool busy = true;
   int running;
   for (int reports = 0; busy && reports < MAX_BUSY_REPORTS; reports++) {
     if (!engine_order_fetch_report(engine, &busy, &running, order->err))
       return error_set(order->err, E_NO_ENGINE, "%s does not report", engine->engine_id.text);
-    int code = busy ? engine_order_sleep(engine, BUSY_SLEEP_MS, order->err) : OK;
+    enum error_code code = busy ? engine_order_sleep(engine, BUSY_SLEEP_MS, order->err) : OK;
     if (code)
       return code;
   }
@@ -386,7 +388,7 @@
 }
 
 /* an order that the engine has not taken: OK when it may be sent again */
-static int handle_refusal(load_order *order, int attempt) {
+static enum error_code handle_refusal(load_order *order, int attempt) {
   gateway_engine *engine = order->engine;
   error *err = order->err;
   unreserve(order);
@@ -405,7 +407,8 @@
     return error_set(err, E_NO_ENGINE, "%s can't be reached", engine->engine_id.text);
   }
   bool conflict = order->status == 409;
-  int code = engine_order_sleep(engine, conflict ? CONFLICT_SLEEP_MS : UNREACHABLE_SLEEP_MS, err);
+  enum error_code code =
+      engine_order_sleep(engine, conflict ? CONFLICT_SLEEP_MS : UNREACHABLE_SLEEP_MS, err);
   if (code || !conflict)
     return code;
   if (++order->conflicts > 1)
@@ -418,10 +421,10 @@
 
 /* sends the order until the engine has taken it, or may have; *resident when there is nothing to
  * load */
-static int send_until_taken(load_order *order, bool *resident) {
+static enum error_code send_until_taken(load_order *order, bool *resident) {
   for (int attempt = 0; attempt < MAX_SEND_ATTEMPTS; attempt++) {
     bool again = false;
-    int code = prepare(order, attempt, &again, resident);
+    enum error_code code = prepare(order, attempt, &again, resident);
     if (code || *resident)
       return code;
     if (again)
@@ -452,7 +455,7 @@
 }
 
 /* only a report that is younger than an order without a response tells whether it was taken */
-static int confirm_accepted(load_order *order, bool *again, bool *loaded) {
+static enum error_code confirm_accepted(load_order *order, bool *again, bool *loaded) {
   gateway_engine *engine = order->engine;
   bool busy;
   int running;
@@ -475,7 +478,7 @@
 
 /* The same order again says 200 once the load is done. It loads nothing else, as long as the
  * account has this load: the number of orders would not fit. */
-static int look_by_order(load_order *order, bool *loaded) {
+static enum error_code look_by_order(load_order *order, bool *loaded) {
   gateway_engine *engine = order->engine;
   int status = engine_order_send(engine, true, order->model, order->adapter,
                                  (int64_t)engine->capacity.order_count, time_never(), order->err);
@@ -485,7 +488,7 @@
   return status == ORDER_NOT_ALLOWED ? order->err->code : OK;
 }
 
-static int look_by_report(load_order *order, bool *loaded) {
+static enum error_code look_by_report(load_order *order, bool *loaded) {
   gateway_engine *engine = order->engine;
   bool busy;
   int running;
@@ -503,7 +506,7 @@
   return OK;
 }
 
-static int look(load_order *order, bool *loaded) {
+static enum error_code look(load_order *order, bool *loaded) {
   const capacity_account *capacity = &order->engine->capacity;
   int max_checks = order->is_base ? MAX_MODEL_CHECKS : MAX_ADAPTER_CHECKS;
   bool by_order = order->looks < max_checks && capacity->is_known &&
@@ -527,11 +530,11 @@
              : order->expected_ms * ADAPTER_FIRST_LOOK_FACTOR + ADAPTER_FIRST_LOOK_EXTRA_MS;
 }
 
-static int wait_until_loaded(load_order *order) {
+static enum error_code wait_until_loaded(load_order *order) {
   if (order->status == 200)
     return OK;
   order->assumed = may_assume_loaded(order);
-  int code = engine_order_sleep(order->engine, first_look_ms(order), order->err);
+  enum error_code code = engine_order_sleep(order->engine, first_look_ms(order), order->err);
   if (code || order->assumed)
     return code;
   double max_ms = order->expected_ms * MAX_EXPECTED_TIMES + MAX_EXPECTED_EXTRA_MS;
@@ -560,7 +563,7 @@
   }
 }
 
-static int record_failed(load_order *order, int code) {
+static enum error_code record_failed(load_order *order, enum error_code code) {
   gateway_engine *engine = order->engine;
   history_event event = { EVENT_LOAD_FAILED, { 0 },          engine->engine_id,
                           order->model,      order->adapter, 0 };
@@ -641,11 +644,11 @@
 }
 
 /* loads a job's model, or with an adapter the adapter */
-static int load_one(gateway_engine *engine, load_job *job, const service *service, id adapter,
-                    int64_t *retry_after_ms, error *err) {
+static enum error_code load_one(gateway_engine *engine, load_job *job, const service *service,
+                                id adapter, int64_t *retry_after_ms, error *err) {
   load_order order;
   load_order_init(&order, engine, job, service, adapter, retry_after_ms, err);
-  int code =
+  enum error_code code =
       evict_for_load(engine, order.model, adapter, order.mb, order.slots, job->idle_only, err);
   if (code)
     *retry_after_ms = code == E_NO_CAPACITY ? RETRY_NO_ROOM_MS : RETRY_EVICTION_FAILED_MS;
@@ -677,9 +680,10 @@
                                                       &mb, &slots, &drain_ms) > job->max_cost;
 }
 
-int engine_loading_run(gateway_engine *engine, load_job *job, int64_t *retry_after_ms, error *err) {
+enum error_code engine_loading_run(gateway_engine *engine, load_job *job, int64_t *retry_after_ms,
+                                   error *err) {
   gateway *gateway = engine->gateway;
-  int code = sync_engine_state(engine, err);
+  enum error_code code = sync_engine_state(engine, err);
   if (code) {
     *retry_after_ms = RETRY_NO_SYNC_MS;
     return code;
--- a/lib/gateway/engine_loading.h
+++ b/lib/gateway/engine_loading.h
@@ -5,5 +5,6 @@
 
 /** Loads a job's model and adapter. On an error retry_after_ms is the time after which another
  * attempt makes sense. */
-int engine_loading_run(gateway_engine *engine, load_job *job, int64_t *retry_after_ms, error *err);
+enum error_code engine_loading_run(gateway_engine *engine, load_job *job, int64_t *retry_after_ms,
+                                   error *err);
 #endif
--- a/lib/gateway/engine_orders.c
+++ b/lib/gateway/engine_orders.c
@@ -70,7 +70,8 @@
   time_us until = time_add(world_now(world), time_from_ms(timeout_ms));
   http_call *call = http_call_open_fields(world, engine->addr, path->method, path->path, fields,
                                           string_view_of(body), false, send_by);
-  int status, code = http_call_wait(call, until);
+  int status;
+  enum error_code code = http_call_wait(call, until);
   if (code) {
     status = code == E_STOPPING || call->sent ? ORDER_UNKNOWN : ORDER_NOT_SENT;
     error_set(err, code, "%s did not answer", engine->engine_id.text);
@@ -301,7 +302,7 @@
   return engine->gone || engine->gateway->router->node.world->tasks.stopped;
 }
 
-int engine_order_sleep(gateway_engine *engine, double ms, error *err) {
+enum error_code engine_order_sleep(gateway_engine *engine, double ms, error *err) {
   time_us span = { (int64_t)(MAX(ms, MIN_SLEEP_MS) * 1000) };
   if (world_sleep(engine->gateway->router->node.world, span) && !engine_order_stopping(engine))
     return OK;
@@ -333,10 +334,11 @@
 
 /* the engine says that there is nothing to unload: without an accepted order its report has to say
  * so, too */
-static int confirm_not_resident(unload *unload) {
+static enum error_code confirm_not_resident(unload *unload) {
   gateway_engine *engine = unload->engine;
   bool busy;
-  int running, code = engine_order_sleep(engine, ENGINE_REPORT_LAG_MS, unload->err);
+  int running;
+  enum error_code code = engine_order_sleep(engine, ENGINE_REPORT_LAG_MS, unload->err);
   if (code)
     return code;
   if (!engine_order_fetch_report(engine, &busy, &running, unload->err))
@@ -353,7 +355,7 @@
 }
 
 /* waits until the order may be repeated, which asks whether it is done */
-static int wait_for_next_look(unload *unload) {
+static enum error_code wait_for_next_look(unload *unload) {
   gateway_engine *engine = unload->engine;
   double expected_ms = event_history_load_ms(&engine->gateway->router->history, engine->service,
                                              "@unload", UNLOAD_DEFAULT_MS);
@@ -363,7 +365,8 @@
                               unload->err);
   if (look < MAX_UNLOAD_LOOKS)
     return engine_order_sleep(engine, UNLOAD_LOOK_STEP_MS * unload->looks, unload->err);
-  int running, code = engine_order_sleep(engine, UNLOAD_REPORT_MS, unload->err);
+  int running;
+  enum error_code code = engine_order_sleep(engine, UNLOAD_REPORT_MS, unload->err);
   bool busy;
   while (!code && engine_order_fetch_report(engine, &busy, &running, unload->err) && busy &&
          gateway_ms_since(engine->gateway, unload->last_accepted_at) < UNLOAD_TIMEOUT_MS)
@@ -382,7 +385,7 @@
 }
 
 /* orders the unload again and again until the engine confirms it */
-static int order_until_unloaded(unload *unload) {
+static enum error_code order_until_unloaded(unload *unload) {
   gateway_engine *engine = unload->engine;
   for (;;) {
     if (gateway_ms_since(engine->gateway, unload->announced_at) > ANNOUNCE_REPEAT_MS) {
@@ -403,8 +406,8 @@
       return error_set(unload->err, E_ORDER_FAILED, "%s has not unloaded %s in time",
                        engine->engine_id.text, unload->model.text);
     bool under_way = status == 202 || status == 409;
-    int code = under_way ? wait_for_next_look(unload)
-                         : engine_order_sleep(engine, NOT_SENT_SLEEP_MS, unload->err);
+    enum error_code code = under_way ? wait_for_next_look(unload)
+                                     : engine_order_sleep(engine, NOT_SENT_SLEEP_MS, unload->err);
     if (code)
       return code;
   }
@@ -425,7 +428,7 @@
   gateway_engine_mark_unloaded(engine, unload->model, unload->adapter);
 }
 
-static int unload_announced(gateway_engine *engine, id model, id adapter, error *err) {
+static enum error_code unload_announced(gateway_engine *engine, id model, id adapter, error *err) {
   time_us now = gateway_engine_now(engine);
   unload unload = { .engine = engine,
                     .model = model,
@@ -434,7 +437,7 @@
                     .accepted_at = now,
                     .last_accepted_at = now,
                     .err = err };
-  int code = order_until_unloaded(&unload);
+  enum error_code code = order_until_unloaded(&unload);
   if (code)
     capacity_forget(&engine->capacity, gateway_engine_now(engine));
   else
@@ -442,10 +445,10 @@
   return code;
 }
 
-int engine_order_unload(gateway_engine *engine, id model, id adapter, bool thought_idle,
-                        error *err) {
+enum error_code engine_order_unload(gateway_engine *engine, id model, id adapter, bool thought_idle,
+                                    error *err) {
   announce_unload(engine, model, adapter);
-  int code = OK;
+  enum error_code code = OK;
   if (gateway_feature_enabled(engine->gateway, FEATURE_ANNOUNCE_UNLOAD))
     code = engine_order_sleep(engine, ANNOUNCE_MS, err);
   if (code)
--- a/lib/gateway/engine_orders.h
+++ b/lib/gateway/engine_orders.h
@@ -49,10 +49,10 @@
                       int64_t expected_orders, time_us by, error *err);
 /** Unloads a model or adapter and waits until the engine confirms it. E_MODEL_IN_USE when it was
  * thought idle and is not: it stays loaded. On other errors the capacity account is forgotten. */
-int engine_order_unload(gateway_engine *engine, id model, id adapter, bool thought_idle,
-                        error *err);
+enum error_code engine_order_unload(gateway_engine *engine, id model, id adapter, bool thought_idle,
+                                    error *err);
 /** True when the engine is gone or the process stops. */
 bool engine_order_stopping(gateway_engine *engine);
 /** Sleeps; E_NO_ENGINE or E_STOPPING when the engine or the process ends meanwhile. */
-int engine_order_sleep(gateway_engine *engine, double ms, error *err);
+enum error_code engine_order_sleep(gateway_engine *engine, double ms, error *err);
 #endif
--- a/lib/gateway/forward.c
+++ b/lib/gateway/forward.c
@@ -77,7 +77,7 @@
 }
 
 /* admission: the configuration allows the request, and it is counted */
-static int request_step_admit(inflight_request *request) {
+static enum error_code request_step_admit(inflight_request *request) {
   gateway *gateway = request->gateway;
   string_view value;
   bool named = fields_get(request->http->fields, request_field_name(request, DF_MODEL), &value) &&
@@ -103,7 +103,7 @@
 }
 
 /* an engine now, unless others wait for the same model and come first */
-static int request_step_select(inflight_request *request) {
+static enum error_code request_step_select(inflight_request *request) {
   if (list_is_empty(&request->gateway->requests.queue) || !request_queue_count_ahead(request))
     reserved_slot_take(request, &request->slot);
   else
@@ -111,13 +111,14 @@
   return OK;
 }
 
-static int fail_unreachable(inflight_request *request) {
+static enum error_code fail_unreachable(inflight_request *request) {
   request_fail(request, 503, NO_ENGINE_RETRY_AFTER_MS, "no engine could be reached\n");
   return E_NO_ENGINE;
 }
 
 /* after an attempt that was not sent: another engine, without taking from the retry budget */
-static int reserve_after_failed_connect(inflight_request *request, int connect_attempts) {
+static enum error_code reserve_after_failed_connect(inflight_request *request,
+                                                    int connect_attempts) {
   if (connect_attempts >= MAX_CONNECT_ATTEMPTS || request->http->client_gone)
     return fail_unreachable(request);
   /* a first attempt that finds no engine waits for one; a retry does not */
@@ -127,7 +128,7 @@
 }
 
 /* the end of a request whose attempt was the last one */
-static int fail_by_outcome(inflight_request *request, enum attempt_outcome outcome) {
+static enum error_code fail_by_outcome(inflight_request *request, enum attempt_outcome outcome) {
   switch (outcome) {
   case ATTEMPT_OUTCOME_NOT_RUN:
     request_fail(request, 503, DECLINED_RETRY_AFTER_MS, "the engine did not take it\n");
@@ -152,9 +153,9 @@
 }
 
 /* attempts, until one succeeds or no other is allowed */
-static int request_step_forward(inflight_request *request) {
+static enum error_code request_step_forward(inflight_request *request) {
   for (int connect_attempts = 0;;) {
-    int code = request_queue_wait(request);
+    enum error_code code = request_queue_wait(request);
     if (code)
       return code;
     if (request->http->client_gone) {
@@ -173,10 +174,11 @@
 }
 
 /* the steps are the same for all modes of a route; what a mode allows is decided within them */
-static int run_steps(inflight_request *request) {
-  static int (*const steps[])(inflight_request *) = { request_step_admit, request_step_select,
-                                                      request_queue_wait, request_step_forward };
-  int code = OK;
+static enum error_code run_steps(inflight_request *request) {
+  static enum error_code (*const steps[])(inflight_request *) = {
+    request_step_admit, request_step_select, request_queue_wait, request_step_forward
+  };
+  enum error_code code = OK;
   for (size_t i = 0; !code && i < G_N_ELEMENTS(steps); i++)
     code = steps[i](request);
   return code;
@@ -184,7 +186,8 @@
 
 /* why a request that ended with a code was not served; UNSERVED_COUNT when that is the client's
  * doing */
-static enum unserved_reason unserved_reason_of(const inflight_request *request, int code) {
+static enum unserved_reason unserved_reason_of(const inflight_request *request,
+                                               enum error_code code) {
   switch (code) {
   case E_OVERLOADED:
     return UNSERVED_DECLINED;
@@ -204,7 +207,7 @@
   }
 }
 
-static void log_end(const inflight_request *request, int code) {
+static void log_end(const inflight_request *request, enum error_code code) {
   const http_request *http = request->http;
   log_debug(
       &request->gateway->router->node.log, "forward",
@@ -218,7 +221,7 @@
 }
 
 /* ends a request that was not served with a response by the gateway, or by cutting the stream */
-static void respond_unserved(inflight_request *request, int code) {
+static void respond_unserved(inflight_request *request, enum error_code code) {
   gateway *gateway = request->gateway;
   http_request *http = request->http;
   int status = request->status ? request->status : 503;
@@ -240,7 +243,7 @@
                         request->error_text ? request->error_text : "not served\n");
 }
 
-static void finish_request(inflight_request *request, int code) {
+static void finish_request(inflight_request *request, enum error_code code) {
   gateway *gateway = request->gateway;
   http_request *http = request->http;
   log_end(request, code);
@@ -391,7 +394,7 @@
   list_append(&gateway->requests.open, &request->open_link);
   if (gateway->canary)
     canary_assign(request);
-  int code = run_steps(request);
+  enum error_code code = run_steps(request);
   bool client_left = code == E_PEER_GONE || http->client_gone;
   bool cut = code && http->response_started;
   double took_ms = request_ms_since(request, request->received_at);
--- a/lib/gateway/gateway.c
+++ b/lib/gateway/gateway.c
@@ -168,10 +168,12 @@
   return gateway;
 }
 
-int gateway_open(gateway *gateway, error *err) {
+enum error_code gateway_open(gateway *gateway, error *err) {
   world *world = gateway->router->node.world;
-  int code = world->listener_open(world, &gateway->client_listener, err);
-  return code ? code : world->listener_open(world, &gateway->health_listener, err);
+  enum error_code code = world->listener_open(world, &gateway->client_listener, err);
+  if (!code)
+    code = world->listener_open(world, &gateway->health_listener, err);
+  return code;
 }
 
 void gateway_reload_settings(gateway *gateway, const gateway_settings *settings) {
--- a/lib/gateway/gateway.h
+++ b/lib/gateway/gateway.h
@@ -65,7 +65,7 @@
  * must outlive it. */
 gateway *gateway_new(router *router, const gateway_settings *settings, error *err);
 /** Opens the listeners. */
-int gateway_open(gateway *gateway, error *err);
+enum error_code gateway_open(gateway *gateway, error *err);
 void gateway_free(gateway *gateway);
 /** Takes over the bounds of new settings; addresses, dialect and features stay. */
 void gateway_reload_settings(gateway *gateway, const gateway_settings *settings);
--- a/lib/gateway/load_jobs.c
+++ b/lib/gateway/load_jobs.c
@@ -53,7 +53,7 @@
          gateway_ms_since(gateway, job->created_at) / AGE_MS_PER_UTILITY;
 }
 
-static void job_finish(load_job *job, int code, int64_t retry_after_ms) {
+static void job_finish(load_job *job, enum error_code code, int64_t retry_after_ms) {
   job->code = code;
   job->retry_after_ms = retry_after_ms;
   job->done = true;
@@ -68,7 +68,7 @@
 }
 
 /* ends a job that nobody may wait for any more; it is freed then */
-static void job_drop(load_job *job, int code, int64_t retry_after_ms) {
+static void job_drop(load_job *job, enum error_code code, int64_t retry_after_ms) {
   job->refs++;
   job_finish(job, code, retry_after_ms);
   job_unref(job);
@@ -96,7 +96,7 @@
   return best;
 }
 
-static void log_failed_job(const gateway_engine *engine, const load_job *job, int code,
+static void log_failed_job(const gateway_engine *engine, const load_job *job, enum error_code code,
                            const error *err) {
   if (code == E_NO_CAPACITY)
     log_debug(&engine->gateway->router->node.log, "place",
@@ -115,7 +115,7 @@
   int64_t retry_after_ms = 0;
   job->refs++;
   job->started = true;
-  int code = engine_loading_run(engine, job, &retry_after_ms, &err);
+  enum error_code code = engine_loading_run(engine, job, &retry_after_ms, &err);
   log_failed_job(engine, job, code, &err);
   job_finish(job, code, retry_after_ms);
   job_unref(job);
--- a/lib/gateway/load_jobs.h
+++ b/lib/gateway/load_jobs.h
@@ -28,7 +28,7 @@
   time_us expected_at;
   bool started, done;
   /** Result once it is done, and the time after which another attempt makes sense. */
-  int code;
+  enum error_code code;
   int64_t retry_after_ms;
   condition changed;
   int refs;
--- a/lib/gateway/load_rate_limiter.c
+++ b/lib/gateway/load_rate_limiter.c
@@ -107,7 +107,7 @@
 }
 
 /* a report of a load, or (without a key) of an order to an engine */
-static int on_load_report(gateway *gateway, const Wire__LoadPermitRequest *report) {
+static enum error_code on_load_report(gateway *gateway, const Wire__LoadPermitRequest *report) {
   gateway_engine *engine = gateway_engine_find(gateway, report->engine);
   if (!engine)
     return OK;
@@ -200,8 +200,9 @@
 
 /* Asks the holder once. OK, E_LOAD_RATE_LIMITED with *retry_after_ms, or E_STOPPING; any other code
  * says that it did not answer. */
-static int call_holder(gateway *gateway, const char *address, uint64_t epoch, id engine_id,
-                       const char *key, time_us *send_by, int64_t *retry_after_ms, error *err) {
+static enum error_code call_holder(gateway *gateway, const char *address, uint64_t epoch,
+                                   id engine_id, const char *key, time_us *send_by,
+                                   int64_t *retry_after_ms, error *err) {
   Wire__LoadPermitRequest request = WIRE__LOAD_PERMIT_REQUEST__INIT;
   request.engine = engine_id.text;
   request.key = (char *)key;
@@ -209,8 +210,8 @@
   Wire__Envelope message = wire_envelope(WIRE__ENVELOPE__BODY_LOAD_PERMIT_REQUEST, &request),
                  *response;
   time_us sent_at = gateway_now(gateway);
-  int code = node_call(&gateway->router->node, address, &message, time_from_ms(PERMIT_TIMEOUT_MS),
-                       &response, err);
+  enum error_code code = node_call(&gateway->router->node, address, &message,
+                                   time_from_ms(PERMIT_TIMEOUT_MS), &response, err);
   if (code)
     return code;
   code = E_WIRE_MESSAGE;
@@ -228,8 +229,8 @@
 }
 
 /* nobody grants permits: a gateway's own small share of the rate */
-static int load_without_permit(gateway *gateway, id service, double loads_per_s, time_us *send_by,
-                               int64_t *retry_after_ms, error *err) {
+static enum error_code load_without_permit(gateway *gateway, id service, double loads_per_s,
+                                           time_us *send_by, int64_t *retry_after_ms, error *err) {
   load_rate_limiters *limiters = &gateway->load_rate_limiters;
   double interval_ms = UNPERMITTED_SHARE * MAX(gateway->router_count, 1) / loads_per_s * 1000;
   if (limiters->unpermitted_load_at.us &&
@@ -243,9 +244,9 @@
   return OK;
 }
 
-int load_rate_limiter_request_permit(gateway_engine *engine, const service *service,
-                                     const char *key, time_us *send_by, int64_t *retry_after_ms,
-                                     error *err) {
+enum error_code load_rate_limiter_request_permit(gateway_engine *engine, const service *service,
+                                                 const char *key, time_us *send_by,
+                                                 int64_t *retry_after_ms, error *err) {
   gateway *gateway = engine->gateway;
   /* a new configuration may free the service while the holder is asked */
   double loads_per_s = service->loads_per_s;
@@ -258,7 +259,7 @@
   for (;;) {
     char address[48];
     uint64_t epoch;
-    int code = E_NO_LEASE_HOLDER;
+    enum error_code code = E_NO_LEASE_HOLDER;
     if (find_holder(gateway, address, &epoch))
       code = call_holder(gateway, address, epoch, engine->engine_id, key, send_by, retry_after_ms,
                          err);
--- a/lib/gateway/load_rate_limiter.h
+++ b/lib/gateway/load_rate_limiter.h
@@ -36,9 +36,9 @@
 int load_rate_limiter_on_permit(void *context, Wire__Envelope *in, reply *reply, error *err);
 /** Requests a permit. OK: the order must be sent before *send_by; E_LOAD_RATE_LIMITED: again in
  * *retry_after_ms. */
-int load_rate_limiter_request_permit(gateway_engine *engine, const service *service,
-                                     const char *key, time_us *send_by, int64_t *retry_after_ms,
-                                     error *err);
+enum error_code load_rate_limiter_request_permit(gateway_engine *engine, const service *service,
+                                                 const char *key, time_us *send_by,
+                                                 int64_t *retry_after_ms, error *err);
 /** Sends a message to the gateways that are first in line for a singleton; to all in a small
  * fleet. */
 void singleton_successors_broadcast(gateway *gateway, const char *singleton,
--- a/lib/gateway/load_requests.c
+++ b/lib/gateway/load_requests.c
@@ -37,7 +37,7 @@
   bool replaces_lost;
   time_us last_asked_at, expected_at;
   /** The last refusal, and until when it holds. */
-  int code;
+  enum error_code code;
   time_us failed_until;
   id failed_coordinator;
   time_us failed_coordinator_until;
@@ -79,9 +79,10 @@
 }
 
 /* takes over a coordinator's response; returns its code */
-static int apply_response(gateway *gateway, const pending_load_request *request,
-                          const Wire__PlacementResponse *response, int64_t *retry_after_ms) {
-  int code = (int)response->error_code;
+static enum error_code apply_response(gateway *gateway, const pending_load_request *request,
+                                      const Wire__PlacementResponse *response,
+                                      int64_t *retry_after_ms) {
+  enum error_code code = (enum error_code)response->error_code;
   *retry_after_ms = (int64_t)response->retry_after_ms;
   gateway_engine *engine = !code && response->engine && response->engine[0]
                                ? gateway_engine_find(gateway, response->engine)
@@ -92,8 +93,8 @@
 }
 
 /* calls the coordinator once; returns its code or that of the call */
-static int call_coordinator(gateway *gateway, pending_load_request *request,
-                            int64_t *retry_after_ms) {
+static enum error_code call_coordinator(gateway *gateway, pending_load_request *request,
+                                        int64_t *retry_after_ms) {
   id coordinator;
   char address[48];
   find_coordinator(gateway, request, &coordinator, address);
@@ -107,8 +108,8 @@
   Wire__Envelope message = wire_envelope(WIRE__ENVELOPE__BODY_PLACEMENT_REQUEST, &placement),
                  *response;
   error err = { 0 };
-  int code = node_call(&gateway->router->node, address, &message,
-                       time_from_ms(PLACEMENT_CALL_TIMEOUT_MS), &response, &err);
+  enum error_code code = node_call(&gateway->router->node, address, &message,
+                                   time_from_ms(PLACEMENT_CALL_TIMEOUT_MS), &response, &err);
   *retry_after_ms = NO_RESPONSE_RETRY_MS;
   if (code == E_STOPPING)
     return code;
@@ -125,7 +126,7 @@
 }
 
 /* codes by which a coordinator says that the model can't be loaded now */
-static bool is_refusal(int code) {
+static bool is_refusal(enum error_code code) {
   return code == E_NO_CAPACITY || code == E_UNKNOWN_MODEL || code == E_NO_ENGINE_FITS ||
          code == E_NO_ENGINE || code == E_ORDER_FAILED;
 }
@@ -135,7 +136,7 @@
 static bool request_once(gateway *gateway, pending_load_request *request) {
   world *world = gateway->router->node.world;
   int64_t retry_after_ms;
-  int code = call_coordinator(gateway, request, &retry_after_ms);
+  enum error_code code = call_coordinator(gateway, request, &retry_after_ms);
   if (code == E_STOPPING)
     return false;
   request->code = code;
@@ -224,9 +225,9 @@
   return request;
 }
 
-int load_request_submit(gateway *gateway, const service *service, id model, id adapter,
-                        unsigned priority, bool extra_replica, double *estimate_ms,
-                        int64_t *retry_after_ms) {
+enum error_code load_request_submit(gateway *gateway, const service *service, id model, id adapter,
+                                    unsigned priority, bool extra_replica, double *estimate_ms,
+                                    int64_t *retry_after_ms) {
   *estimate_ms = 0;
   *retry_after_ms = 0;
   if (!service_find_model(service, model.text)) {
--- a/lib/gateway/load_requests.h
+++ b/lib/gateway/load_requests.h
@@ -14,9 +14,9 @@
  * gateway->engines.changed. extra_replica: one more although engines hold it. estimate_ms: how long
  * it is expected to take. An error says why it can't be loaded now, with the time after which to
  * ask again. */
-int load_request_submit(gateway *gateway, const service *service, id model, id adapter,
-                        unsigned priority, bool extra_replica, double *estimate_ms,
-                        int64_t *retry_after_ms);
+enum error_code load_request_submit(gateway *gateway, const service *service, id model, id adapter,
+                                    unsigned priority, bool extra_replica, double *estimate_ms,
+                                    int64_t *retry_after_ms);
 /** "service/model+adapter"; the caller frees it. */
 char *load_request_key(id service, id model, id adapter);
 #endif
--- a/lib/gateway/placement.c
+++ b/lib/gateway/placement.c
@@ -80,7 +80,7 @@
   /** Running requests may be drained: no engine was found where what has to go is idle. */
   bool may_drain;
   bool done;
-  int code;
+  enum error_code code;
   int64_t retry_after_ms;
   condition changed;
   int refs;
@@ -242,7 +242,7 @@
   bool strict;
   gateway_engine *best;
   double best_cost;
-  int code; /* why there is none */
+  enum error_code code; /* why there is none */
 } engine_choice;
 
 static bool is_healthy(const gateway_engine *engine) {
@@ -318,7 +318,7 @@
 
 /* the engine where a placement costs least; NULL when there is none, with the reason in *code */
 static gateway_engine *choose_engine(gateway *gateway, placement_job *job, const service *service,
-                                     const GPtrArray *refused_by, int *code) {
+                                     const GPtrArray *refused_by, enum error_code *code) {
   engine_choice choice = {
     .gateway = gateway,
     .job = job,
@@ -361,7 +361,7 @@
   gateway *gateway;
   placement_job *job;
   GPtrArray *refused_by; /* names of engines, owned */
-  int code;
+  enum error_code code;
   int64_t retry_after_ms;
   /** Passes without an engine and refusals; engines where only busy models could go. */
   int failed_passes, busy_engines;
@@ -370,7 +370,7 @@
 /** How one step of a placement went. */
 enum placement_step { PLACEMENT_NEXT, PLACEMENT_END };
 
-static enum placement_step end_with(placement_run *run, int code) {
+static enum placement_step end_with(placement_run *run, enum error_code code) {
   run->code = code;
   return PLACEMENT_END;
 }
@@ -434,8 +434,9 @@
 
 /* asks an engine's lease holder for the load and waits for a while; returns its code, or that of
  * the call. *started: the load has begun. */
-static int call_lease_holder(placement_run *run, gateway_engine *engine, const service *service,
-                             const char *address, bool *started) {
+static enum error_code call_lease_holder(placement_run *run, gateway_engine *engine,
+                                         const service *service, const char *address,
+                                         bool *started) {
   gateway *gateway = run->gateway;
   const placement_job *job = run->job;
   id engine_id = engine->engine_id, service_id = job->service, model = job->model,
@@ -453,14 +454,14 @@
   Wire__Envelope message = wire_envelope(WIRE__ENVELOPE__BODY_PLACED_LOAD_REQUEST, &request),
                  *response;
   error err = { 0 };
-  int code = node_call(&gateway->router->node, address, &message,
-                       time_from_ms(PLACEMENT_CALL_TIMEOUT_MS), &response, &err);
+  enum error_code code = node_call(&gateway->router->node, address, &message,
+                                   time_from_ms(PLACEMENT_CALL_TIMEOUT_MS), &response, &err);
   *started = false;
   if (code)
     return code;
   code = E_WIRE_MESSAGE;
   if (response->body_case == WIRE__ENVELOPE__BODY_PLACED_LOAD_RESPONSE) {
-    code = (int)response->placed_load_response->error_code;
+    code = (enum error_code)response->placed_load_response->error_code;
     run->retry_after_ms = (int64_t)response->placed_load_response->retry_after_ms;
     *started = response->placed_load_response->started;
   }
@@ -501,7 +502,7 @@
 }
 
 /* the engine can't load it now: another one is chosen */
-static enum placement_step handle_refused(placement_run *run, id engine_id, int code) {
+static enum placement_step handle_refused(placement_run *run, id engine_id, enum error_code code) {
   gateway *gateway = run->gateway;
   placement_job *job = run->job;
   g_ptr_array_add(run->refused_by, g_strdup(engine_id.text));
@@ -541,7 +542,7 @@
   assign_engine(run, engine, service);
   id engine_id = engine->engine_id;
   bool started;
-  int code = call_lease_holder(run, engine, service, address, &started);
+  enum error_code code = call_lease_holder(run, engine, service, address, &started);
   if (code == E_STOPPING)
     return end_with(run, code);
   if (code == OK)
--- a/lib/gateway/request_queue.c
+++ b/lib/gateway/request_queue.c
@@ -92,15 +92,16 @@
 }
 
 /* no engine holds the model: requests a load, while it can be done in time */
-static int wait_for_load(queue_wait *wait, time_us now, int64_t left_ms, double first_event_ms,
-                         time_us *until) {
+static enum error_code wait_for_load(queue_wait *wait, time_us now, int64_t left_ms,
+                                     double first_event_ms, time_us *until) {
   inflight_request *request = wait->request;
   gateway *gateway = request->gateway;
   if (!wait->load_requested || time_reached(now, wait->request_load_at)) {
     double load_ms = 0;
     int64_t retry_after_ms = 0;
-    int code = load_request_submit(gateway, request->service, request->model, request->adapter,
-                                   request->route->priority, false, &load_ms, &retry_after_ms);
+    enum error_code code =
+        load_request_submit(gateway, request->service, request->model, request->adapter,
+                            request->route->priority, false, &load_ms, &retry_after_ms);
     gateway->counts.load_requests++;
     if (code) {
       retry_after_ms = MAX(retry_after_ms, LOAD_RETRY_MIN_MS);
@@ -123,7 +124,8 @@
 }
 
 /* all engines that hold the model are full */
-static int wait_for_slot(queue_wait *wait, time_us now, double first_event_ms, time_us *until) {
+static enum error_code wait_for_slot(queue_wait *wait, time_us now, double first_event_ms,
+                                     time_us *until) {
   inflight_request *request = wait->request;
   const gateway *gateway = request->gateway;
   double estimate_ms = slot_wait_ms(request, first_event_ms),
@@ -144,7 +146,7 @@
 }
 
 /* no engine of the service takes requests now */
-static int wait_for_engine(queue_wait *wait, time_us now, time_us *until) {
+static enum error_code wait_for_engine(queue_wait *wait, time_us now, time_us *until) {
   int64_t max_ms =
       wait->target_ms >= NO_ENGINE_LONG_TARGET_MS ? NO_ENGINE_WAIT_MS : wait->target_ms / 4;
   time_us give_up_at = time_add(wait->began_at, time_from_ms(max_ms));
@@ -158,7 +160,7 @@
 
 /* one look at a waiting request: an error ends the wait, a reserved slot as well; else *until is
  * when to look again */
-static int look(queue_wait *wait, time_us *until) {
+static enum error_code look(queue_wait *wait, time_us *until) {
   inflight_request *request = wait->request;
   gateway *gateway = request->gateway;
   time_us now = request_now(request);
@@ -205,11 +207,11 @@
   };
 }
 
-int request_queue_wait(inflight_request *request) {
+enum error_code request_queue_wait(inflight_request *request) {
   if (request->slot.engine)
     return OK;
   queue_wait wait = wait_begin(request);
-  int code;
+  enum error_code code;
   join(request);
   request->http->client_gone_condition = &request->wake;
   for (;;) {
--- a/lib/gateway/request_queue.h
+++ b/lib/gateway/request_queue.h
@@ -18,7 +18,7 @@
 
 /** Waits for a slot or a load, for as long as that can help. OK with a slot reserved; else the
  * request's status and text are set. */
-int request_queue_wait(inflight_request *request);
+enum error_code request_queue_wait(inflight_request *request);
 /** Number of requests that wait for the same model and come first. */
 int request_queue_count_ahead(const inflight_request *request);
 /** Starts the task that gives slots that come free to requests in the queue. */
--- a/lib/gateway/response_relay.c
+++ b/lib/gateway/response_relay.c
@@ -119,7 +119,7 @@
   if (new_from < length) {
     begin_stream(request, call);
     string_view events = { body->str + new_from, length - new_from };
-    int code = http_request_write(request->http, events, attempt_deadline(request));
+    enum error_code code = http_request_write(request->http, events, attempt_deadline(request));
     *outcome = code == E_STOPPING || code == E_PEER_GONE ? ATTEMPT_OUTCOME_CLIENT_LEFT
                                                          : ATTEMPT_OUTCOME_TIMEOUT;
     if (code)
