--- a/tests/loader.c
+++ b/tests/loader.c
@@ -54,9 +54,9 @@
   g_free(bare);
 }
 
-/* an engine's beat: models as "m,m+a" */
-static gateway_engine *beat(bare_gateway *bare, const char *self, const char *addr, uint64_t count,
-                            uint64_t age, const char *models) {
+/* takes over an engine's heartbeat: models as "m,m+a" */
+static gateway_engine *heartbeat(bare_gateway *bare, const char *self, const char *addr,
+                                 uint64_t count, uint64_t age, const char *models) {
   Wire__EngineState w = WIRE__ENGINE_STATE__INIT;
   w.id = (char *)self;
   w.service = "s";
@@ -109,84 +109,85 @@
 static bool room_counts_in_both_measures(fleet *fleet) {
   bare_gateway *bare = bare_new(fleet);
   const service *service = routing_find_service(bare->routing, "s");
-  gateway_engine *instance = beat(bare, "e1", "10.0.0.1:80", 1, 0, "big,mid");
+  gateway_engine *engine = heartbeat(bare, "e1", "10.0.0.1:80", 1, 0, "big,mid");
   /* half of a rate's weight lies on the last 5 s: of what was asked for 9 s ago, half is left */
   asked(bare, "big", "", 60);
   asked(bare, "mid", "", 30);
   sim_run(fleet->sim, time_from_ms(9000));
   double mb, drain;
   unsigned slots;
-  WANT(fleet, near(eviction_placement_cost(instance, service, id_of_text("low"), id_of_text(""),
-                                           &mb, &slots, &drain),
+  WANT(fleet, near(eviction_placement_cost(engine, service, id_of_text("low"), id_of_text(""), &mb,
+                                           &slots, &drain),
                    0));
   WANT(fleet, near(mb, 10000) && slots == 0);
   /* the lesser worth goes: two seconds of load at half of half a request a second */
-  WANT(fleet, near(eviction_placement_cost(instance, service, id_of_text("new"), id_of_text(""),
-                                           &mb, &slots, &drain),
+  WANT(fleet, near(eviction_placement_cost(engine, service, id_of_text("new"), id_of_text(""), &mb,
+                                           &slots, &drain),
                    2000 * 0.5 * 0.5));
-  /* an adapter takes a place and its own weights, and its base when that is not there */
-  WANT(fleet, near(eviction_placement_cost(instance, service, id_of_text("big"), id_of_text("a1"),
+  /* an adapter takes a slot and its own weights, and those of its model when that is not resident
+   */
+  WANT(fleet, near(eviction_placement_cost(engine, service, id_of_text("big"), id_of_text("a1"),
                                            &mb, &slots, &drain),
                    0) &&
                   near(mb, 40) && slots == 1);
-  eviction_placement_cost(instance, service, id_of_text("new"), id_of_text("a1"), &mb, &slots,
+  eviction_placement_cost(engine, service, id_of_text("new"), id_of_text("a1"), &mb, &slots,
                           &drain);
   WANT(fleet, near(mb, 35040) && slots == 1);
   /* both places taken: adapters go for an adapter, never the base that it needs */
-  gateway_engine_mark_loaded(instance, id_of_text("big"), id_of_text("a2"));
-  gateway_engine_mark_loaded(instance, id_of_text("big"), id_of_text("a3"));
+  gateway_engine_mark_loaded(engine, id_of_text("big"), id_of_text("a2"));
+  gateway_engine_mark_loaded(engine, id_of_text("big"), id_of_text("a3"));
   asked(bare, "big", "a2", 12);
   asked(bare, "big", "a3", 6);
   sim_run(fleet->sim, time_from_ms(9000));
-  WANT(fleet, near(eviction_placement_cost(instance, service, id_of_text("big"), id_of_text("a1"),
+  WANT(fleet, near(eviction_placement_cost(engine, service, id_of_text("big"), id_of_text("a1"),
                                            &mb, &slots, &drain),
                    25 * 0.1 * 0.5));
   /* what is owed counts as taken */
-  instance->load_jobs.reserved_mb = 10000;
-  WANT(fleet, eviction_placement_cost(instance, service, id_of_text("low"), id_of_text(""), &mb,
+  engine->load_jobs.reserved_mb = 10000;
+  WANT(fleet, eviction_placement_cost(engine, service, id_of_text("low"), id_of_text(""), &mb,
                                       &slots, &drain) > 0);
-  instance->load_jobs.reserved_mb = 60000;
-  WANT(fleet, eviction_placement_cost(instance, service, id_of_text("new"), id_of_text(""), &mb,
+  engine->load_jobs.reserved_mb = 60000;
+  WANT(fleet, eviction_placement_cost(engine, service, id_of_text("new"), id_of_text(""), &mb,
                                       &slots, &drain) < 0);
-  instance->load_jobs.reserved_mb = 0;
-  /* what is on its way out keeps its room, and can't go twice */
-  gateway_engine_mark_unloading(instance, id_of_text("mid"), id_of_text(""));
-  WANT(fleet, !gateway_engine_has_model(instance, id_of_text("mid"), id_of_text("")) &&
-                  gateway_engine_has_model(instance, id_of_text("big"), id_of_text("a2")));
-  WANT(fleet, eviction_placement_cost(instance, service, id_of_text("new"), id_of_text(""), &mb,
+  engine->load_jobs.reserved_mb = 0;
+  /* what is being unloaded keeps its memory, and can't be evicted twice */
+  gateway_engine_mark_unloading(engine, id_of_text("mid"), id_of_text(""));
+  WANT(fleet, !gateway_engine_has_model(engine, id_of_text("mid"), id_of_text("")) &&
+                  gateway_engine_has_model(engine, id_of_text("big"), id_of_text("a2")));
+  WANT(fleet, eviction_placement_cost(engine, service, id_of_text("new"), id_of_text(""), &mb,
                                       &slots, &drain) > 2000 * 0.9 * 0.5);
   bare_free(bare);
   return true;
 }
 
 /* an adapter that is ordered away is announced as gone at once, so that nobody sends work for it
- * that the engine must decline; its place counts until the engine has confirmed the order */
+ * that the engine must decline; its slot counts until the engine has confirmed the order */
 static bool a_leaving_adapter_gets_no_work(fleet *fleet) {
   bare_gateway *bare = bare_new(fleet);
   const service *service = routing_find_service(bare->routing, "s");
-  gateway_engine *instance = beat(bare, "e1", "10.0.0.1:80", 1, 0, "big");
+  gateway_engine *engine = heartbeat(bare, "e1", "10.0.0.1:80", 1, 0, "big");
   id big = id_of_text("big"), first = id_of_text("a1"), second = id_of_text("a2");
-  gateway_engine_mark_loaded(instance, big, first);
-  gateway_engine_mark_loaded(instance, big, second);
+  gateway_engine_mark_loaded(engine, big, first);
+  gateway_engine_mark_loaded(engine, big, second);
   asked(bare, "big", "a2", 12);
   sim_run(fleet->sim, time_from_ms(700));
-  gateway_engine_mark_unloading(instance, big, first);
-  WANT(fleet, !gateway_engine_has_model(instance, big, first) &&
-                  gateway_engine_has_model(instance, big, second));
+  gateway_engine_mark_unloading(engine, big, first);
+  WANT(fleet, !gateway_engine_has_model(engine, big, first) &&
+                  gateway_engine_has_model(engine, big, second));
   double mb, drain;
   unsigned slots;
   WANT(fleet,
-       eviction_placement_cost(instance, service, big, id_of_text("a3"), &mb, &slots, &drain) > 0 &&
+       eviction_placement_cost(engine, service, big, id_of_text("a3"), &mb, &slots, &drain) > 0 &&
            slots == 1);
-  gateway_engine_mark_unloaded(instance, big, first);
+  gateway_engine_mark_unloaded(engine, big, first);
   WANT(fleet,
-       eviction_placement_cost(instance, service, big, id_of_text("a3"), &mb, &slots, &drain) == 0);
+       eviction_placement_cost(engine, service, big, id_of_text("a3"), &mb, &slots, &drain) == 0);
   /* one that is loaded again while it leaves is there again, once */
-  gateway_engine_mark_unloading(instance, big, second);
-  gateway_engine_mark_loaded(instance, big, second);
-  WANT(fleet, gateway_engine_has_model(instance, big, second));
+  gateway_engine_mark_unloading(engine, big, second);
+  gateway_engine_mark_loaded(engine, big, second);
+  WANT(fleet, gateway_engine_has_model(engine, big, second));
   WANT(fleet,
-       eviction_placement_cost(instance, service, big, id_of_text("a3"), &mb, &slots, &drain) == 0);
+       eviction_placement_cost(engine, service, big, id_of_text("a3"), &mb, &slots, &drain) == 0);
   bare_free(bare);
   return true;
 }
@@ -196,25 +197,25 @@
 static bool a_new_adapter_is_not_the_first_to_go(fleet *fleet) {
   bare_gateway *bare = bare_new(fleet);
   const service *service = routing_find_service(bare->routing, "s");
-  gateway_engine *instance = beat(bare, "e1", "10.0.0.1:80", 1, 0, "big");
+  gateway_engine *engine = heartbeat(bare, "e1", "10.0.0.1:80", 1, 0, "big");
   id big = id_of_text("big"), wanted = id_of_text("a3");
   double mb, drain;
   unsigned slots;
   asked(bare, "big", "a1", 2);
-  gateway_engine_mark_loaded(instance, big, id_of_text("a1"));
+  gateway_engine_mark_loaded(engine, big, id_of_text("a1"));
   sim_run(fleet->sim, time_from_ms(6000));
-  gateway_engine_mark_loaded(instance, big, id_of_text("a2"));
+  gateway_engine_mark_loaded(engine, big, id_of_text("a2"));
   /* neither of two that have just come, the older one before the newer one, then by their rates */
-  double older = eviction_placement_cost(instance, service, big, wanted, &mb, &slots, &drain);
+  double older = eviction_placement_cost(engine, service, big, wanted, &mb, &slots, &drain);
   WANT(fleet, older > 0 && older < 25 * 0.2);
-  gateway_engine_mark_loaded(instance, big, id_of_text("a1"));
-  WANT(fleet, eviction_placement_cost(instance, service, big, wanted, &mb, &slots, &drain) < 0);
+  gateway_engine_mark_loaded(engine, big, id_of_text("a1"));
+  WANT(fleet, eviction_placement_cost(engine, service, big, wanted, &mb, &slots, &drain) < 0);
   sim_run(fleet->sim, time_from_ms(2000));
-  WANT(fleet, near(eviction_placement_cost(instance, service, big, wanted, &mb, &slots, &drain),
-                   25 * 0.5));
+  WANT(fleet,
+       near(eviction_placement_cost(engine, service, big, wanted, &mb, &slots, &drain), 25 * 0.5));
   sim_run(fleet->sim, time_from_ms(4000));
   WANT(fleet,
-       eviction_placement_cost(instance, service, big, wanted, &mb, &slots, &drain) < 25 * 0.1);
+       eviction_placement_cost(engine, service, big, wanted, &mb, &slots, &drain) < 25 * 0.1);
   bare_free(bare);
   return true;
 }
@@ -234,29 +235,30 @@
 static bool copies_share_a_rate(fleet *fleet) {
   bare_gateway *bare = bare_new(fleet);
   const service *service = routing_find_service(bare->routing, "s");
-  gateway_engine *instance = beat(bare, "e1", "10.0.0.1:80", 1, 0, "big,mid");
+  gateway_engine *engine = heartbeat(bare, "e1", "10.0.0.1:80", 1, 0, "big,mid");
   asked(bare, "big", "", 60);
   asked(bare, "mid", "", 36);
   sim_run(fleet->sim, time_from_ms(9000));
   double mb, drain;
   unsigned slots;
-  WANT(fleet, near(eviction_placement_cost(instance, service, id_of_text("new"), id_of_text(""),
-                                           &mb, &slots, &drain),
+  WANT(fleet, near(eviction_placement_cost(engine, service, id_of_text("new"), id_of_text(""), &mb,
+                                           &slots, &drain),
                    2000 * 0.6 * 0.5));
   /* what is asked for now weighs more than what was asked for before: mid stays, big goes */
   asked(bare, "mid", "", 36);
-  WANT(fleet, near(eviction_placement_cost(instance, service, id_of_text("new"), id_of_text(""),
-                                           &mb, &slots, &drain),
+  WANT(fleet, near(eviction_placement_cost(engine, service, id_of_text("new"), id_of_text(""), &mb,
+                                           &slots, &drain),
                    2000 * 1.0 * 0.5));
   sim_run(fleet->sim, time_from_ms(9000));
-  /* with a second and third copy of big, each is worth a third of its rate; by size it is the least
+  /* with a second and third replica of big, each is worth a third of its rate; by size it is the
+   * least
    */
-  beat(bare, "e2", "10.0.0.2:80", 1, 0, "big");
-  beat(bare, "e3", "10.0.0.3:80", 1, 0, "big");
+  heartbeat(bare, "e2", "10.0.0.2:80", 1, 0, "big");
+  heartbeat(bare, "e3", "10.0.0.3:80", 1, 0, "big");
   WANT(fleet, gateway_engines_count_replicas(&bare->gateway, id_of_text("s"), id_of_text("big"),
                                              id_of_text("")) == 3);
-  WANT(fleet, near(eviction_placement_cost(instance, service, id_of_text("new"), id_of_text(""),
-                                           &mb, &slots, &drain),
+  WANT(fleet, near(eviction_placement_cost(engine, service, id_of_text("new"), id_of_text(""), &mb,
+                                           &slots, &drain),
                    2000 / 3.0 * 0.5));
   bare_free(bare);
   return true;
@@ -264,31 +266,31 @@
 
 static bool orders_outlast_older_beats(fleet *fleet) {
   bare_gateway *bare = bare_new(fleet);
-  gateway_engine *i = beat(bare, "e1", "10.0.0.1:80", 1, 0, "big");
+  gateway_engine *i = heartbeat(bare, "e1", "10.0.0.1:80", 1, 0, "big");
   id none = id_of_text("");
   gateway_engine_mark_loaded(i, id_of_text("mid"), none);
-  beat(bare, "e1", "10.0.0.1:80", 2, 0, "big");
+  heartbeat(bare, "e1", "10.0.0.1:80", 2, 0, "big");
   WANT(fleet, gateway_engine_has_model(i, id_of_text("mid"), none));
   gateway_engine_mark_unloaded(i, id_of_text("big"), none);
   sim_run(fleet->sim, time_from_ms(1000));
-  beat(bare, "e1", "10.0.0.1:80", 3, 0, "big");
+  heartbeat(bare, "e1", "10.0.0.1:80", 3, 0, "big");
   WANT(fleet, !gateway_engine_has_model(i, id_of_text("big"), none) &&
                   gateway_engine_has_model(i, id_of_text("mid"), none));
   sim_run(fleet->sim, time_from_ms(4000));
-  /* a late beat counts by its own age */
-  beat(bare, "e1", "10.0.0.1:80", 4, 4500, "big");
+  /* a late heartbeat counts by its own age */
+  heartbeat(bare, "e1", "10.0.0.1:80", 4, 4500, "big");
   WANT(fleet, gateway_engine_has_model(i, id_of_text("mid"), none));
-  beat(bare, "e1", "10.0.0.1:80", 6, 0, "big,low+a1");
+  heartbeat(bare, "e1", "10.0.0.1:80", 6, 0, "big,low+a1");
   WANT(fleet, gateway_engine_has_model(i, id_of_text("big"), none) &&
                   !gateway_engine_has_model(i, id_of_text("mid"), none) &&
                   gateway_engine_has_model(i, id_of_text("low"), id_of_text("a1")));
-  beat(bare, "e1", "10.0.0.1:80", 5, 0, "mid");
+  heartbeat(bare, "e1", "10.0.0.1:80", 5, 0, "mid");
   WANT(fleet, gateway_engine_has_model(i, id_of_text("big"), none) &&
                   g_hash_table_contains(i->residents.models_on_disk, "mid"));
   /* a new life at the same address ends the one before, and a life that ended never comes back */
-  gateway_engine *n = beat(bare, "e2", "10.0.0.1:80", 1, 0, "");
+  gateway_engine *n = heartbeat(bare, "e2", "10.0.0.1:80", 1, 0, "");
   WANT(fleet, i->gone && !n->gone && gateway_engine_usable(n) && !gateway_engine_usable(i));
-  beat(bare, "e1", "10.0.0.1:80", 9, 0, "big");
+  heartbeat(bare, "e1", "10.0.0.1:80", 9, 0, "big");
   WANT(fleet, i->gone && !gateway_engine_has_model(i, id_of_text("big"), none));
   bare_free(bare);
   return true;
@@ -296,8 +298,8 @@
 
 static bool failures_shun_and_a_byte_clears(fleet *fleet) {
   bare_gateway *bare = bare_new(fleet);
-  gateway_engine *instance = beat(bare, "e1", "10.0.0.1:80", 1, 0, "big"),
-                 *k = beat(bare, "e2", "10.0.0.2:80", 1, 0, "big");
+  gateway_engine *engine = heartbeat(bare, "e1", "10.0.0.1:80", 1, 0, "big"),
+                 *k = heartbeat(bare, "e2", "10.0.0.2:80", 1, 0, "big");
   engine_select_request q = { .service = routing_find_service(bare->routing, "s"),
                               .model = id_of_text("big"),
                               .tokens = 1000,
@@ -305,35 +307,35 @@
   enum engine_select_result why;
   double est;
   for (int n = 0; n < 3; n++) {
-    gateway_engine_record_sent(instance, 1000);
-    gateway_engine_record_end(instance, false);
+    gateway_engine_record_sent(engine, 1000);
+    gateway_engine_record_end(engine, false);
   }
-  WANT(fleet, !gateway_engine_usable(instance));
+  WANT(fleet, !gateway_engine_usable(engine));
   for (int n = 0; n < 20; n++)
     WANT(fleet, engine_select(&bare->gateway, &q, &why, &est) == k && why == ENGINE_SELECT_OK);
-  WANT(fleet, gateway_engine_unresponsive(instance) == false ||
+  WANT(fleet, gateway_engine_unresponsive(engine) == false ||
                   gateway_engines_count_replicas(&bare->gateway, id_of_text("s"), id_of_text("big"),
                                                  id_of_text("")) == 1);
   sim_run(fleet->sim, time_from_ms(700));
-  WANT(fleet, gateway_engine_usable(instance));
+  WANT(fleet, gateway_engine_usable(engine));
   /* one trial at a time */
-  gateway_engine_record_sent(instance, 1000);
-  WANT(fleet, !gateway_engine_usable(instance));
-  gateway_engine_record_first_event(instance, 1000, 80, 1);
-  gateway_engine_record_end(instance, true);
-  WANT(fleet, gateway_engine_usable(instance) && !instance->health.consecutive_failures);
+  gateway_engine_record_sent(engine, 1000);
+  WANT(fleet, !gateway_engine_usable(engine));
+  gateway_engine_record_first_event(engine, 1000, 80, 1);
+  gateway_engine_record_end(engine, true);
+  WANT(fleet, gateway_engine_usable(engine) && !engine->health.consecutive_failures);
   /* silence while work is there */
   sim_run(fleet->sim, time_from_ms(5000));
-  gateway_engine_record_sent(instance, 1000);
+  gateway_engine_record_sent(engine, 1000);
   sim_run(fleet->sim, time_from_ms(450));
-  gateway_engine_check(instance);
-  WANT(fleet, instance->health.suspect);
+  gateway_engine_check(engine);
+  WANT(fleet, engine->health.suspect);
   q.run_once = true;
   for (int n = 0; n < 20; n++)
     WANT(fleet, engine_select(&bare->gateway, &q, &why, &est) == k);
-  gateway_engine_record_first_event(instance, 1000, 450, 1);
-  WANT(fleet, !instance->health.suspect);
-  gateway_engine_record_end(instance, true);
+  gateway_engine_record_first_event(engine, 1000, 450, 1);
+  WANT(fleet, !engine->health.suspect);
+  gateway_engine_record_end(engine, true);
   bare_free(bare);
   return true;
 }
@@ -344,7 +346,7 @@
   for (int n = 0; n < 4; n++) {
     snprintf(name, sizeof name, "e%d", n);
     snprintf(addr, sizeof addr, "10.0.0.%d:80", n + 1);
-    beat(bare, name, addr, 1, 0, "big");
+    heartbeat(bare, name, addr, 1, 0, "big");
   }
   uint64_t chain[8], other[8];
   double upto[8];
@@ -469,7 +471,7 @@
 static bool the_policy_in_force_chooses(fleet *fleet) {
   bare_gateway *bare = bare_new(fleet);
   const service *service = routing_find_service(bare->routing, "s");
-  gateway_engine *instance = beat(bare, "e1", "10.0.0.1:80", 1, 0, "big,mid");
+  gateway_engine *engine = heartbeat(bare, "e1", "10.0.0.1:80", 1, 0, "big,mid");
   asked(bare, "big", "", 60);
   sim_run(fleet->sim, time_from_ms(9000));
   asked(bare, "mid", "", 1);
@@ -489,7 +491,7 @@
     bare->router.config = p ? config_compile(res, &err) : NULL;
     double mb, drain;
     unsigned slots;
-    double cost = eviction_placement_cost(instance, service, id_of_text("new"), id_of_text(""), &mb,
+    double cost = eviction_placement_cost(engine, service, id_of_text("new"), id_of_text(""), &mb,
                                           &slots, &drain);
     if (given[k].big != (cost > 500))
       violation(fleet, "under %s the cost of what goes is %g",
@@ -503,10 +505,10 @@
   return true;
 }
 
-/* silence is no end: a later beat brings an engine back; a sign-off is one */
+/* silence is no end: a later heartbeat brings an engine back; a sign-off is one */
 static bool silent_engines_come_back(fleet *fleet) {
   bare_gateway *bare = bare_new(fleet);
-  gateway_engine *instance = beat(bare, "e1", "10.0.0.1:80", 1, 0, "big");
+  gateway_engine *engine = heartbeat(bare, "e1", "10.0.0.1:80", 1, 0, "big");
   Wire__EngineState w = WIRE__ENGINE_STATE__INIT;
   w.id = "e1";
   w.service = "s";
@@ -515,28 +517,28 @@
   w.heartbeat_count = 1;
   w.gone = true;
   gateway_engine_update(&bare->gateway, &w);
-  WANT(fleet, instance->gone && !gateway_engine_usable(instance));
-  beat(bare, "e1", "10.0.0.1:80", 1, 0, "big");
-  WANT(fleet, instance->gone);
-  beat(bare, "e1", "10.0.0.1:80", 2, 0, "mid");
-  WANT(fleet, !instance->gone && gateway_engine_usable(instance) &&
-                  gateway_engine_has_model(instance, id_of_text("mid"), id_of_text("")) &&
-                  !gateway_engine_has_model(instance, id_of_text("big"), id_of_text("")));
+  WANT(fleet, engine->gone && !gateway_engine_usable(engine));
+  heartbeat(bare, "e1", "10.0.0.1:80", 1, 0, "big");
+  WANT(fleet, engine->gone);
+  heartbeat(bare, "e1", "10.0.0.1:80", 2, 0, "mid");
+  WANT(fleet, !engine->gone && gateway_engine_usable(engine) &&
+                  gateway_engine_has_model(engine, id_of_text("mid"), id_of_text("")) &&
+                  !gateway_engine_has_model(engine, id_of_text("big"), id_of_text("")));
   w.heartbeat_count = 3;
   w.draining = true;
   gateway_engine_update(&bare->gateway, &w);
-  beat(bare, "e1", "10.0.0.1:80", 9, 0, "mid");
-  WANT(fleet, instance->gone && !gateway_engine_usable(instance));
+  heartbeat(bare, "e1", "10.0.0.1:80", 9, 0, "mid");
+  WANT(fleet, engine->gone && !gateway_engine_usable(engine));
   bare_free(bare);
   return true;
 }
 
-/* an engine that was silent soon after its own report is back with what its beat says, not empty:
- * its room would look free */
+/* an engine that was silent soon after its own report is back with what its heartbeat says, not
+ * empty: its memory would look free */
 static bool silent_engines_come_back_with_what_they_hold(fleet *fleet) {
   bare_gateway *bare = bare_new(fleet);
-  gateway_engine *instance = beat(bare, "e1", "10.0.0.1:80", 1, 0, "big,mid");
-  instance->orders.reported_at = world_now(bare->router.node.world);
+  gateway_engine *engine = heartbeat(bare, "e1", "10.0.0.1:80", 1, 0, "big,mid");
+  engine->orders.reported_at = world_now(bare->router.node.world);
   Wire__EngineState w = WIRE__ENGINE_STATE__INIT;
   w.id = "e1";
   w.service = "s";
@@ -546,31 +548,31 @@
   w.gone = true;
   sim_run(fleet->sim, time_from_ms(200));
   gateway_engine_update(&bare->gateway, &w);
-  WANT(fleet, instance->gone);
+  WANT(fleet, engine->gone);
   sim_run(fleet->sim, time_from_ms(200));
-  beat(bare, "e1", "10.0.0.1:80", 2, 0, "big,mid");
-  WANT(fleet, !instance->gone &&
-                  gateway_engine_has_model(instance, id_of_text("big"), id_of_text("")) &&
-                  gateway_engine_has_model(instance, id_of_text("mid"), id_of_text("")));
+  heartbeat(bare, "e1", "10.0.0.1:80", 2, 0, "big,mid");
+  WANT(fleet, !engine->gone &&
+                  gateway_engine_has_model(engine, id_of_text("big"), id_of_text("")) &&
+                  gateway_engine_has_model(engine, id_of_text("mid"), id_of_text("")));
   bare_free(bare);
   return true;
 }
 
-/* one model becomes wanted of a sudden: as many copies as clear what waits, and none for a queue
- * that is short */
+/* the demand for one model begins suddenly: as many replicas as clear its queue, and none for a
+ * queue that is short */
 static bool what_waits_says_how_many_copies(fleet *fleet) {
   bare_gateway *bare = bare_new(fleet);
   id s = id_of_text("s"), big = id_of_text("big"), none = id_of_text("");
-  gateway_engine *instance = beat(bare, "e1", "10.0.0.1:80", 1, 0, "big"),
-                 *k = beat(bare, "e2", "10.0.0.2:80", 1, 0, "big");
-  beat(bare, "e3", "10.0.0.3:80", 1, 0, "mid");
+  gateway_engine *engine = heartbeat(bare, "e1", "10.0.0.1:80", 1, 0, "big"),
+                 *k = heartbeat(bare, "e2", "10.0.0.2:80", 1, 0, "big");
+  heartbeat(bare, "e3", "10.0.0.3:80", 1, 0, "mid");
   WANT(fleet, placement_missing_replicas(&bare->gateway, s, big, none) == 0);
-  instance->load.peers_waiting_tokens = 4000;
+  engine->load.peers_waiting_tokens = 4000;
   WANT(fleet, placement_missing_replicas(&bare->gateway, s, big, none) == 0);
-  instance->load.peers_waiting_tokens = 16000;
+  engine->load.peers_waiting_tokens = 16000;
   k->load.own_waiting_tokens = 4000;
   WANT(fleet, placement_missing_replicas(&bare->gateway, s, big, none) == 2);
-  instance->load.peers_waiting_tokens = 100000;
+  engine->load.peers_waiting_tokens = 100000;
   WANT(fleet, placement_missing_replicas(&bare->gateway, s, big, none) == 4);
   WANT(fleet, placement_missing_replicas(&bare->gateway, s, id_of_text("mid"), none) == 0 &&
                   placement_missing_replicas(&bare->gateway, s, id_of_text("low"), none) == 0);
@@ -582,8 +584,8 @@
  * together see enough */
 static bool failures_now_and_then_add_up_over_nodes(fleet *fleet) {
   bare_gateway *bare = bare_new(fleet);
-  gateway_engine *instance = beat(bare, "e1", "10.0.0.1:80", 1, 0, "big"),
-                 *k = beat(bare, "e2", "10.0.0.2:80", 1, 0, "big");
+  gateway_engine *engine = heartbeat(bare, "e1", "10.0.0.1:80", 1, 0, "big"),
+                 *k = heartbeat(bare, "e2", "10.0.0.2:80", 1, 0, "big");
   engine_select_request q = { .service = routing_find_service(bare->routing, "s"),
                               .model = id_of_text("big"),
                               .tokens = 1000,
@@ -592,36 +594,36 @@
   double est;
   /* one failure in some seconds is nobody's illness */
   for (int n = 0; n < 6; n++) {
-    gateway_engine_add_failure(instance, 1);
+    gateway_engine_add_failure(engine, 1);
     sim_run(fleet->sim, time_from_ms(5000));
   }
-  WANT(fleet, !gateway_engine_unhealthy(instance));
+  WANT(fleet, !gateway_engine_unhealthy(engine));
   /* three within a moment are, though successes came between; of others from afar it takes more */
   for (int n = 0; n < 3; n++) {
-    gateway_engine_record_sent(instance, 1000);
-    gateway_engine_record_end(instance, false);
+    gateway_engine_record_sent(engine, 1000);
+    gateway_engine_record_end(engine, false);
     sim_run(fleet->sim, time_from_ms(200));
-    gateway_engine_record_sent(instance, 1000);
-    gateway_engine_record_first_event(instance, 1000, 70, 1);
-    gateway_engine_record_end(instance, true);
+    gateway_engine_record_sent(engine, 1000);
+    gateway_engine_record_first_event(engine, 1000, 70, 1);
+    gateway_engine_record_end(engine, true);
   }
-  WANT(fleet, gateway_engine_unhealthy(instance) && gateway_engine_usable(instance));
+  WANT(fleet, gateway_engine_unhealthy(engine) && gateway_engine_usable(engine));
   for (int n = 0; n < 20; n++)
     WANT(fleet, engine_select(&bare->gateway, &q, &why, &est) == k);
   /* where nothing else holds it, an ill one is better than none */
   q.excluded = &k->engine_id;
   q.excluded_count = 1;
-  WANT(fleet, engine_select(&bare->gateway, &q, &why, &est) == instance);
+  WANT(fleet, engine_select(&bare->gateway, &q, &why, &est) == engine);
   q.excluded_count = 0;
   /* it is let in again, and a failure soon after ends that for longer */
   sim_run(fleet->sim, time_from_ms(2100));
-  WANT(fleet, !gateway_engine_unhealthy(instance));
-  gateway_engine_add_failure(instance, 1);
-  WANT(fleet, gateway_engine_unhealthy(instance));
+  WANT(fleet, !gateway_engine_unhealthy(engine));
+  gateway_engine_add_failure(engine, 1);
+  WANT(fleet, gateway_engine_unhealthy(engine));
   sim_run(fleet->sim, time_from_ms(2100));
-  WANT(fleet, gateway_engine_unhealthy(instance));
+  WANT(fleet, gateway_engine_unhealthy(engine));
   sim_run(fleet->sim, time_from_ms(2100));
-  WANT(fleet, !gateway_engine_unhealthy(instance));
+  WANT(fleet, !gateway_engine_unhealthy(engine));
   /* what is full, or was just ordered about, declines for good reason */
   WANT(fleet, gateway_engine_lightly_loaded(k));
   k->load.peers_running = 5;
@@ -637,8 +639,8 @@
  * over */
 static bool what_is_not_named_runs_no_more(fleet *fleet) {
   bare_gateway *bare = bare_new(fleet);
-  gateway_engine *instance = beat(bare, "e1", "10.0.0.1:80", 1, 0, "big"),
-                 *k = beat(bare, "e2", "10.0.0.2:80", 1, 0, "big");
+  gateway_engine *engine = heartbeat(bare, "e1", "10.0.0.1:80", 1, 0, "big"),
+                 *k = heartbeat(bare, "e2", "10.0.0.2:80", 1, 0, "big");
   Wire__EngineTraffic one = WIRE__ENGINE_TRAFFIC__INIT, two = WIRE__ENGINE_TRAFFIC__INIT,
                       *all[2] = { &one, &two };
   Wire__TrafficReport q = WIRE__TRAFFIC_REPORT__INIT;
@@ -654,51 +656,52 @@
   sim_run(fleet->sim, time_from_ms(10));
   q.n_engines = 1;
   traffic_reports_apply(&bare->gateway, 8, true, &q);
-  WANT(fleet, instance->load.peers_running == 6 && k->load.peers_running == 2);
+  WANT(fleet, engine->load.peers_running == 6 && k->load.peers_running == 2);
   sim_run(fleet->sim, time_from_ms(10));
   traffic_reports_apply(&bare->gateway, 7, true, &q);
-  WANT(fleet, instance->load.peers_running == 6 && k->load.peers_running == 0 &&
+  WANT(fleet, engine->load.peers_running == 6 && k->load.peers_running == 0 &&
                   k->load.peers_waiting_tokens == 0);
   q.n_engines = 0;
   sim_run(fleet->sim, time_from_ms(10));
   traffic_reports_apply(&bare->gateway, 7, true, &q);
-  WANT(fleet, instance->load.peers_running == 3 && near(instance->load.peers_waiting_tokens, 900));
+  WANT(fleet, engine->load.peers_running == 3 && near(engine->load.peers_waiting_tokens, 900));
   bare_free(bare);
   return true;
 }
 
-/* a holder that has read an engine's own report must not lose sight of a load by an older beat that
-   comes after it: the room would look free, and an engine that is filled past its room falls */
+/* a holder that has read an engine's own report must not lose sight of a load by an older heartbeat
+   that comes after it: its memory would look free, and an engine that is filled beyond it crashes
+ */
 static bool reports_outlast_older_beats(fleet *fleet) {
   bare_gateway *bare = bare_new(fleet);
-  gateway_engine *instance = beat(bare, "e1", "10.0.0.1:80", 1, 0, "big");
+  gateway_engine *engine = heartbeat(bare, "e1", "10.0.0.1:80", 1, 0, "big");
   sim_run(fleet->sim, time_from_ms(2000));
   Wire__ResidentModel r[2], *rp[2] = { &r[0], &r[1] };
   for (int k = 0; k < 2; k++)
     wire__resident_model__init(&r[k]);
   r[0].model = "big";
   r[1].model = "mid";
-  gateway_engine_update_residents(instance, rp, 2, world_now(bare->router.node.world), 450);
-  instance->orders.reported_at = world_now(bare->router.node.world);
+  gateway_engine_update_residents(engine, rp, 2, world_now(bare->router.node.world), 450);
+  engine->orders.reported_at = world_now(bare->router.node.world);
   sim_run(fleet->sim, time_from_ms(100));
-  beat(bare, "e1", "10.0.0.1:80", 2, 900, "big");
-  WANT(fleet, gateway_engine_has_model(instance, id_of_text("mid"), id_of_text("")));
+  heartbeat(bare, "e1", "10.0.0.1:80", 2, 900, "big");
+  WANT(fleet, gateway_engine_has_model(engine, id_of_text("mid"), id_of_text("")));
   sim_run(fleet->sim, time_from_ms(3000));
-  beat(bare, "e1", "10.0.0.1:80", 3, 100, "big");
-  WANT(fleet, !gateway_engine_has_model(instance, id_of_text("mid"), id_of_text("")));
+  heartbeat(bare, "e1", "10.0.0.1:80", 3, 100, "big");
+  WANT(fleet, !gateway_engine_has_model(engine, id_of_text("mid"), id_of_text("")));
   bare_free(bare);
   return true;
 }
 
-/* what runs has to end before it goes: room under a busy model costs its drain, and more the longer
- * runs usually take */
+/* what runs has to end before it goes: memory under a busy model costs its drain, and more the
+ * longer runs usually take */
 static bool busy_victims_cost_their_drain(fleet *fleet) {
   bare_gateway *bare = bare_new(fleet);
   const service *service = routing_find_service(bare->routing, "s");
   /* given two engines with the same models, asked for as much, and one of them runs what had to go
    */
-  gateway_engine *idle = beat(bare, "e1", "10.0.0.1:80", 1, 0, "big,mid"),
-                 *busy = beat(bare, "e2", "10.0.0.2:80", 1, 0, "big,mid");
+  gateway_engine *idle = heartbeat(bare, "e1", "10.0.0.1:80", 1, 0, "big,mid"),
+                 *busy = heartbeat(bare, "e2", "10.0.0.2:80", 1, 0, "big,mid");
   asked(bare, "big", "", 60);
   asked(bare, "mid", "", 60);
   sim_run(fleet->sim, time_from_ms(9000));
--- a/tests/placement.c
+++ b/tests/placement.c
@@ -171,8 +171,8 @@
 
 /* what is held is used, so that it may be unloaded */
 static void use_all(unit *at, const unit *e) {
-  gateway_engine *instance = gateway_engine_find(at->gateway, e->engine->self.text);
-  list_for_each (r, &instance->residents.list, resident, link)
+  gateway_engine *engine = gateway_engine_find(at->gateway, e->engine->self.text);
+  list_for_each (r, &engine->residents.list, resident, link)
     r->last_used_at = at->deployment->sim->now;
 }
 
@@ -432,7 +432,8 @@
   double least = 1e9;
   for (int i = 0; i < fleet->routers; i++)
     for (size_t k = 0; k < G_N_ELEMENTS(keys); k++) {
-      double *r = g_hash_table_lookup(deployment->gateways[i]->gateway->fleet_rates.totals, keys[k]);
+      double *r =
+          g_hash_table_lookup(deployment->gateways[i]->gateway->fleet_rates.totals, keys[k]);
       least = MIN(least, r ? *r : 0);
       low += !r || *r < 0.8 * fleet->routers / 20;
     }
