--- a/tests/http/gateway.c
+++ b/tests/http/gateway.c
@@ -69,10 +69,10 @@
     beat(request, true);
   else if (!strcmp(request->path, "/stat")) {
     GString *text = g_string_new(NULL);
-    g_string_printf(text, "open=%d channels=%d exchanges=%d attempts=%" PRIu64,
-                    tested_gateway->requests.open_count, tested_gateway->client_listener.connections,
-                    tested_gateway->client_listener.pending_exchanges,
-                    tested_gateway->counts.attempts);
+    g_string_printf(
+        text, "open=%d channels=%d exchanges=%d attempts=%" PRIu64,
+        tested_gateway->requests.open_count, tested_gateway->client_listener.connections,
+        tested_gateway->client_listener.pending_exchanges, tested_gateway->counts.attempts);
     http_request_respond(request, 200, "text/plain", string_view_of_gstring(text));
     g_string_free(text, TRUE);
     return;
