--- a/tests/fixture.c
+++ b/tests/fixture.c
@@ -247,8 +247,8 @@
 
 static void end_run(void *p) {
   fixture *fixture = p;
-  if (condition_wait(&fixture->node->world.tasks, &fixture->gateway->drain.finished, time_never()) ==
-      WAKE_SIGNALLED)
+  if (condition_wait(&fixture->node->world.tasks, &fixture->gateway->drain.finished,
+                     time_never()) == WAKE_SIGNALLED)
     fixture->over = true;
 }
 
--- a/tests/forward.c
+++ b/tests/forward.c
@@ -369,7 +369,8 @@
     fixture_run(fixture, 10);
   expect(fixture, "over", fixture->over, 1, 1);
   expect(fixture, "open at the end",
-         fixture->gateway->requests.open_count + fixture->gateway->client_listener.pending_exchanges,
+         fixture->gateway->requests.open_count +
+             fixture->gateway->client_listener.pending_exchanges,
          0, 0);
   expect(fixture, "channels at the end", fixture->gateway->client_listener.connections, 0, 0);
   fixture_free(fixture);
