--- a/lib/controlplane/chain_join.c
+++ b/lib/controlplane/chain_join.c
@@ -1,254 +1,229 @@
-/** Founding a fleet, and coming into the chain of one. */
-#include "replica_internal.h"
+/** Joining the chain.
+ *
+ * A controller outside the chain asks other controllers for the view until it knows one. It then
+ * fetches a snapshot from a member of the chain, and tells all that may propose a view that it has
+ * caught up. The next view takes it in as the last of the chain, where its predecessor sends it the
+ * records after the snapshot. */
+#include "replica.h"
 
-bool bootstrap_is_by_name(const replica *replica) {
-  return !id_is_empty(replica->node->settings.founders[0]);
-}
-
-static const char *first_founder(const replica *replica) {
-  const char *low = NULL;
-  for (int i = 0; i < replica->founder_count; i++)
-    if (!low || strcmp(replica->founder_addresses[i], low) < 0)
-      low = replica->founder_addresses[i];
-  return low;
-}
+enum {
+  /** A controller outside the chain tries again after about so many ms. */
+  JOIN_INTERVAL_MS = 300,
+  /** A request for the view has so many ms to be answered. */
+  VIEW_REQUEST_TIMEOUT_MS = 600,
+  /** Once it knows a view, one in so many attempts asks some controller in place of the tail. */
+  ASK_OTHER_THAN_TAIL = 3,
+  /** One in so many attempts asks a random controller in place of the one heard last. */
+  ASK_RANDOM_PEER = 3,
+  /** Waiting for the lock of replication ends after so many ms. */
+  LOCK_TIMEOUT_MS = 1000,
+  /** A request to join is valid for so many ms at a voter, and repeated more often. */
+  JOIN_REQUEST_VALID_MS = 1500,
+  JOIN_REQUEST_REPEAT_MS = 500,
+  /** A controller that is not taken in after so many ms fetches a new snapshot. */
+  JOIN_REQUEST_TIMEOUT_MS = 3000
+};
 
-bool bootstrap_is_founder(const replica *replica) {
-  for (int i = 0; i < 3 && bootstrap_is_by_name(replica); i++)
-    if (id_equal(replica->node->settings.founders[i], replica->node->settings.self))
-      return true;
-  for (int i = 0; i < replica->founder_count && !bootstrap_is_by_name(replica); i++)
-    if (!strcmp(replica->founder_addresses[i], replica->node->settings.address))
-      return true;
-  return false;
+const member *chain_join_candidate(const replica *replica, int index) {
+  time_us now = world_now(replica->node->world);
+  time_us received_at = replica->join_requests.entries[index].received_at;
+  if (!received_at.us ||
+      time_reached(now, time_add(received_at, time_from_ms(JOIN_REQUEST_VALID_MS))))
+    return NULL;
+  if (!chain_may_join(&replica->view, replica->join_requests.entries[index].epoch))
+    return NULL;
+  return &replica->join_requests.entries[index].member;
 }
 
-bool bootstrap_is_first_founder(const replica *replica, const char *name, const char *addr) {
-  if (bootstrap_is_by_name(replica))
-    return !strcmp(replica->node->settings.founders[0].text, name);
-  return replica->founder_count && !strcmp(first_founder(replica), addr);
+/* the entry of a controller, else the one that was received longest ago */
+static int find_entry(const join_requests *requests, id controller) {
+  int oldest = 0;
+  for (int i = 0; i < JOIN_REQUESTS_MAX; i++) {
+    if (id_equal(requests->entries[i].member.self, controller))
+      return i;
+    if (requests->entries[i].received_at.us < requests->entries[oldest].received_at.us)
+      oldest = i;
+  }
+  return oldest;
 }
 
-int bootstrap_on_request(void *ctx, Wire__Envelope *in, reply *reply, error *err) {
-  replica *replica = ctx;
-  if (!replica->running)
-    return error_set(err, E_NO_CONTROLLER, "starting");
-  Wire__BootstrapResponse *b = reply_new_body(reply, WIRE__ENVELOPE__BODY_BOOTSTRAP_RESPONSE,
-                                              &wire__bootstrap_response__descriptor);
-  b->self = response_self(reply, replica);
-  b->blank = !replica->view.epoch && !replica->wal.failed && bootstrap_is_founder(replica) &&
-             bootstrap_is_first_founder(replica, in->from->id, in->from->address);
-  b->disk_id = replica->disk_id;
-  if (replica->view.epoch)
-    b->view = response_view(reply, &replica->view);
-  return OK;
+static void remember_request(join_requests *requests, const member *member, uint64_t epoch,
+                             time_us now) {
+  int i = find_entry(requests, member->self);
+  requests->entries[i].member = *member;
+  requests->entries[i].epoch = epoch;
+  requests->entries[i].received_at = now;
 }
 
 int chain_join_on_request(void *ctx, Wire__Envelope *in, reply *reply, error *err) {
   replica *replica = ctx;
-  member m;
+  const Wire__JoinRequest *request = in->join_request;
+  member member;
   if (!replica->running || !replica->view.epoch)
     return error_set(err, E_NO_CONTROLLER, "no view is known here");
-  if (!member_unpack(&m, in->join_request->self))
+  if (!member_unpack(&member, request->self))
     return error_set(err, E_WIRE_MESSAGE, "no member");
-  if (in->join_request->ready && chain_may_join(&replica->view, in->join_request->epoch)) {
-    int at = 0;
-    for (size_t i = 0; i < G_N_ELEMENTS(replica->join_requests); i++) {
-      if (id_equal(replica->join_requests[i].who.self, m.self)) {
-        at = i;
-        break;
-      }
-      if (replica->join_requests[i].at.us < replica->join_requests[at].at.us)
-        at = i;
-    }
-    replica->join_requests[at].who = m;
-    replica->join_requests[at].epoch = in->join_request->epoch;
-    replica->join_requests[at].at = world_now(replica->node->world);
-  }
-  Wire__JoinResponse *b =
+  if (request->ready && chain_may_join(&replica->view, request->epoch))
+    remember_request(&replica->join_requests, &member, request->epoch,
+                     world_now(replica->node->world));
+  Wire__JoinResponse *response =
       reply_new_body(reply, WIRE__ENVELOPE__BODY_JOIN_RESPONSE, &wire__join_response__descriptor);
-  b->ok = true;
-  b->view = response_view(reply, &replica->view);
+  response->ok = true;
+  response->view = response_view(reply, &replica->view);
   return OK;
 }
 
-/* asks a machine for the view that it knows */
-static int chain_join_ask_view(replica *replica, const char *addr) {
-  Wire__JoinRequest q = WIRE__JOIN_REQUEST__INIT;
-  Wire__Member w;
+/* asks a controller for the view that it knows, and adopts it */
+static void request_view(replica *replica, const char *address) {
+  Wire__JoinRequest request = WIRE__JOIN_REQUEST__INIT;
+  Wire__Member self_message;
   member self = replica_as_member(replica);
-  member_pack(&w, &self);
-  q.self = &w;
-  Wire__Envelope m = wire_envelope(WIRE__ENVELOPE__BODY_JOIN_REQUEST, &q);
-  Wire__Envelope *b;
+  member_pack(&self_message, &self);
+  request.self = &self_message;
+  Wire__Envelope message = wire_envelope(WIRE__ENVELOPE__BODY_JOIN_REQUEST, &request);
+  Wire__Envelope *response;
   error err = { 0 };
-  int r = node_call(replica->node, addr, &m, time_from_ms(600), &b, &err);
-  if (r)
-    return r;
-  if (b->body_case == WIRE__ENVELOPE__BODY_JOIN_RESPONSE)
-    view_change_adopt(replica, b->join_response->view);
-  node_reply_free(b);
-  return OK;
+  if (node_call(replica->node, address, &message, time_from_ms(VIEW_REQUEST_TIMEOUT_MS), &response,
+                &err))
+    return;
+  if (response->body_case == WIRE__ENVELOPE__BODY_JOIN_RESPONSE)
+    view_change_adopt(replica, response->join_response->view);
+  node_reply_free(response);
 }
 
-static void bootstrap_try(replica *replica) {
-  if (!bootstrap_is_founder(replica) ||
-      !bootstrap_is_first_founder(replica, replica->node->settings.self.text,
-                                  replica->node->settings.address))
-    return;
-  int n = bootstrap_is_by_name(replica) ? 3 : replica->founder_count;
-  view v = { .epoch = 1,
-             .fleet_id = replica->acceptor.has_accepted
-                             ? replica->acceptor.value.fleet_id
-                             : replica->node->world->random(replica->node->world) | 1,
-             .chain_length = 1,
-             .voter_count = 1 };
-  v.chain[0] = v.voters[0] = replica_as_member(replica);
-  for (int i = 0; i < n; i++) {
-    char addr[48] = "";
-    if (bootstrap_is_by_name(replica)) {
-      peer_node *peer = node_find_peer(replica->node, replica->node->settings.founders[i]);
-      if (id_equal(replica->node->settings.founders[i], replica->node->settings.self))
-        continue;
-      if (!peer || peer->gone)
-        return;
-      g_strlcpy(addr, peer->address, sizeof addr);
-    } else {
-      g_strlcpy(addr, replica->founder_addresses[i], sizeof addr);
-      if (!strcmp(addr, replica->node->settings.address))
-        continue;
-    }
-    Wire__BootstrapRequest q = WIRE__BOOTSTRAP_REQUEST__INIT;
-    q.id = replica->node->settings.self.text;
-    q.disk_id = replica->disk_id;
-    q.blank = true;
-    Wire__Envelope m = wire_envelope(WIRE__ENVELOPE__BODY_BOOTSTRAP_REQUEST, &q);
-    Wire__Envelope *b;
-    error err = { 0 };
-    if (node_call(replica->node, addr, &m, time_from_ms(600), &b, &err))
-      return;
-    member *new = &v.chain[v.chain_length];
-    bool ok = b->body_case == WIRE__ENVELOPE__BODY_BOOTSTRAP_RESPONSE &&
-              b->bootstrap_response->blank && member_unpack(new, b->bootstrap_response->self);
-    ok = ok &&
-         (bootstrap_is_by_name(replica) ? id_equal(new->self, replica->node->settings.founders[i])
-                                        : !strcmp(new->address, addr)) &&
-         member_index(v.chain, v.chain_length, new) < 0;
-    if (b->body_case == WIRE__ENVELOPE__BODY_BOOTSTRAP_RESPONSE && b->bootstrap_response->view)
-      view_change_adopt(replica, b->bootstrap_response->view);
-    node_reply_free(b);
-    if (!ok || replica->view.epoch)
-      return;
-    v.chain_length++;
+/* the controller that was heard last, or at times a random one, since what is known of peers may
+ * come from others and name dead ones; NULL when none is known */
+static const peer_node *choose_peer(const replica *replica) {
+  world *world = replica->node->world;
+  const peer_node *chosen = NULL;
+  bool random = !world_random(world, ASK_RANDOM_PEER);
+  uint64_t seen = 0;
+  list_for_each (peer, &replica->node->peers, peer_node, link) {
+    if (peer->role != ROLE_CONTROLLER || peer->gone)
+      continue;
+    if (random ? !world_random(world, ++seen)
+               : !chosen || peer->last_heard_at.us > chosen->last_heard_at.us)
+      chosen = peer;
   }
-  /* two voters would be worse than one */
-  v.voter_count = v.chain_length == 3 ? 3 : 1;
-  memcpy(v.voters, v.chain, sizeof v.chain[0] * v.voter_count);
-  v.chain_length = MIN(v.chain_length, replica_chain_max(replica));
-  if (view_change_propose(replica, &v, NULL, 0, false))
-    log_info(&replica->node->log, "core", "Founded fleet %016" PRIx64 ".", v.fleet_id);
-}
-
-/* fetches the state from the member nearest to the tail that has it: one that was lost may stand in
- * the chain for a while, and one that came back lately is not whole */
-static int chain_join_fetch(replica *replica, error *err) {
-  view v = replica->view;
-  int r = error_set(err, E_NO_CONTROLLER, "no other member is heard");
-  for (int i = v.chain_length - 1; i >= 0 && r; i--) {
-    if (id_equal(v.chain[i].self, replica->node->settings.self) ||
-        chain_repair_is_silent(replica, &v.chain[i], MEMBER_LEASE_EXPIRED_MS))
+  return chosen;
+}
+
+/* learns the newest view from the tail of the known one, or from another controller */
+static void discover_view(replica *replica) {
+  char address[MEMBER_ADDRESS_SIZE] = "";
+  const peer_node *peer = choose_peer(replica);
+  if (replica->view.epoch && world_random(replica->node->world, ASK_OTHER_THAN_TAIL))
+    g_strlcpy(address, replica_tail(replica)->address, sizeof address);
+  else if (peer)
+    g_strlcpy(address, peer->address, sizeof address);
+  if (address[0] && strcmp(address, replica->node->settings.address))
+    request_view(replica, address);
+}
+
+/* whether the chain has space for this controller, or a member that is this controller with an
+ * earlier disk */
+static bool chain_has_space(const replica *replica) {
+  return replica->view.chain_length < replica_chain_max(replica) ||
+         view_chain_index_of_controller(&replica->view, replica->node->settings.self) >= 0;
+}
+
+/* Fetches a snapshot from the member nearest to the tail that can give one: a member that is lost
+ * stays in the chain for a while, and one that joined lately is out of sync. */
+static enum error_code fetch_from_chain(replica *replica, error *err) {
+  view view = replica->view;
+  enum error_code r = error_set(err, E_NO_CONTROLLER, "no other member is heard");
+  for (int i = view.chain_length - 1; i >= 0 && r; i--) {
+    if (id_equal(view.chain[i].self, replica->node->settings.self) ||
+        chain_repair_is_silent(replica, &view.chain[i], MEMBER_LEASE_EXPIRED_MS))
       continue;
-    r = snapshot_fetch(replica, v.chain[i].address, err);
+    r = snapshot_fetch(replica, view.chain[i].address, err);
     if (r == E_STOPPING)
       return r;
   }
   return r;
 }
 
-/* tells all who may propose a view that this machine has caught up; nobody is waited for, since
- * some of them may be lost */
-static void chain_join_announce(replica *replica) {
-  view v = replica->view;
-  Wire__JoinRequest q = WIRE__JOIN_REQUEST__INIT;
-  Wire__Member w;
+static enum error_code catch_up(replica *replica, error *err) {
+  time_us deadline = time_add(world_now(replica->node->world), time_from_ms(LOCK_TIMEOUT_MS));
+  if (!replication_lock(replica, deadline))
+    return error_set(err, E_OVERLOADED, "another write holds the lock");
+  enum error_code r = fetch_from_chain(replica, err);
+  replication_unlock(replica);
+  return r;
+}
+
+/* Tells all that may propose a view that this controller has caught up. No response is waited for,
+ * since some of them may be lost. */
+static void announce_ready(replica *replica) {
+  view view = replica->view;
+  id controller = replica->node->settings.self;
+  Wire__JoinRequest request = WIRE__JOIN_REQUEST__INIT;
+  Wire__Member self_message;
   member self = replica_as_member(replica);
-  member_pack(&w, &self);
-  q.self = &w;
-  q.ready = true;
-  q.epoch = v.epoch;
-  Wire__Envelope m = wire_envelope(WIRE__ENVELOPE__BODY_JOIN_REQUEST, &q);
-  for (int i = 0; i < v.voter_count; i++)
-    if (!id_equal(v.voters[i].self, replica->node->settings.self))
-      node_send(replica->node, v.voters[i].address, &m);
-  for (int i = 0; i < v.chain_length; i++)
-    if (!id_equal(v.chain[i].self, replica->node->settings.self) &&
-        member_index(v.voters, v.voter_count, &v.chain[i]) < 0)
-      node_send(replica->node, v.chain[i].address, &m);
-}
-
-/* asks to be taken in, again under each view. What was fetched stays good meanwhile: whoever comes
- * before this machine in the chain sends it the records after it. Once this copy was whole, it was
- * in the chain, and has to be fetched anew when it is left out. */
-static void chain_join_request(replica *replica) {
+  member_pack(&self_message, &self);
+  request.self = &self_message;
+  request.ready = true;
+  request.epoch = view.epoch;
+  Wire__Envelope message = wire_envelope(WIRE__ENVELOPE__BODY_JOIN_REQUEST, &request);
+  for (int i = 0; i < view.voter_count; i++)
+    if (!id_equal(view.voters[i].self, controller))
+      node_send(replica->node, view.voters[i].address, &message);
+  for (int i = 0; i < view.chain_length; i++)
+    if (!id_equal(view.chain[i].self, controller) &&
+        member_index(view.voters, view.voter_count, &view.chain[i]) < 0)
+      node_send(replica->node, view.chain[i].address, &message);
+}
+
+static bool wants_to_join(const replica *replica) {
+  return replica_chain_index(replica) < 0 && !replica->wal.failed && !replica->node->draining;
+}
+
+/* waits for a new view until it is time to repeat the request */
+static void wait_for_view_after(replica *replica, uint64_t epoch) {
+  world *world = replica->node->world;
+  time_us repeat_at = time_add(world_now(world), time_from_ms(JOIN_REQUEST_REPEAT_MS));
+  while (replica->view.epoch == epoch)
+    if (condition_wait(&world->tasks, &replica->state_changed, repeat_at) != WAKE_SIGNALLED)
+      return;
+}
+
+/* Asks to join, again under each new view. The snapshot stays usable meanwhile, since the
+ * predecessor sends the records after it. A replica that is in sync has been in the chain since it
+ * was fetched; when it is left out it has to be fetched again. */
+static void request_join(replica *replica) {
   world *world = replica->node->world;
-  time_us till = time_add(world_now(world), time_from_ms(JOIN_REQUEST_TIMEOUT_MS));
-  while (replica_chain_index(replica) < 0 && !replica->in_sync && !replica->wal.failed &&
-         !replica->node->draining && !time_reached(world_now(world), till)) {
+  time_us deadline = time_add(world_now(world), time_from_ms(JOIN_REQUEST_TIMEOUT_MS));
+  while (wants_to_join(replica) && !replica->in_sync && !time_reached(world_now(world), deadline)) {
     uint64_t epoch = replica->view.epoch;
-    chain_join_announce(replica);
-    time_us again = time_add(world_now(world), time_from_ms(JOIN_REQUEST_REPEAT_MS));
-    while (replica->view.epoch == epoch)
-      if (condition_wait(&world->tasks, &replica->state_changed, again) != WAKE_SIGNALLED)
-        break;
+    announce_ready(replica);
+    wait_for_view_after(replica, epoch);
     if (world->tasks.stopped)
       return;
   }
 }
 
-void chain_join_run(void *p) {
-  replica *replica = p;
-  world *world = replica->node->world;
-  while (world_sleep_with_jitter(world, time_from_ms(300))) {
-    if (replica_chain_index(replica) >= 0 || replica->wal.failed || replica->node->draining)
-      continue;
-    /* the one that was heard last, or any: a table that came from others may name the dead */
-    peer_node *peer = NULL;
-    bool any = !world_random(world, 3);
-    uint64_t seen = 0;
-    list_for_each (x, &replica->node->peers, peer_node, link)
-      if (x->role == ROLE_CONTROLLER && !x->gone &&
-          (any ? !world_random(world, ++seen)
-               : !peer || x->last_heard_at.us > peer->last_heard_at.us))
-        peer = x;
-    char addr[48] = "";
-    if (replica->view.epoch && world_random(world, 3))
-      g_strlcpy(addr, replica_tail(replica)->address, sizeof addr);
-    else if (peer)
-      g_strlcpy(addr, peer->address, sizeof addr);
-    if (addr[0] && strcmp(addr, replica->node->settings.address))
-      chain_join_ask_view(replica, addr);
-    if (!replica->view.epoch) {
-      bootstrap_try(replica);
-      continue;
-    }
-    if (replica_chain_index(replica) >= 0)
-      continue;
-    if (replica->view.chain_length >= replica_chain_max(replica)) {
-      bool own = false;
-      for (int i = 0; i < replica->view.chain_length; i++)
-        own |= id_equal(replica->view.chain[i].self, replica->node->settings.self);
-      if (!own)
-        continue;
-    }
-    if (!replication_lock(replica, time_add(world_now(world), time_from_ms(1000))))
-      continue;
-    error err = { 0 };
-    int r = chain_join_fetch(replica, &err);
-    replication_unlock(replica);
-    if (r) {
-      log_debug(&replica->node->log, "core", "Could not catch up: %s (code %d).", err.text, r);
-      continue;
-    }
-    chain_join_request(replica);
+/* one attempt to bootstrap a fleet or to join the chain */
+static void attempt_join(replica *replica) {
+  if (!wants_to_join(replica))
+    return;
+  discover_view(replica);
+  if (!replica->view.epoch) {
+    bootstrap_attempt(replica);
+    return;
   }
+  if (replica_chain_index(replica) >= 0 || !chain_has_space(replica))
+    return;
+  error err = { 0 };
+  enum error_code r = catch_up(replica, &err);
+  if (r) {
+    log_debug(&replica->node->log, "replica", "Could not catch up: %s (code %d).", err.text, r);
+    return;
+  }
+  request_join(replica);
+}
+
+void chain_join_run(void *ctx) {
+  replica *replica = ctx;
+  while (world_sleep_with_jitter(replica->node->world, time_from_ms(JOIN_INTERVAL_MS)))
+    attempt_join(replica);
 }
--- a/lib/controlplane/chain_rules.c
+++ b/lib/controlplane/chain_rules.c
@@ -1,62 +1,78 @@
-/** Chain replication: what a copy may send, take, commit and answer. */
+/** The rules of chain replication.
+ *
+ * Each member appends the records of its predecessor in order and syncs them before it sends them
+ * on, so that what the tail has synced is on the disk of every member: that is committed. A member
+ * that joins is out of sync until it has all that an in-sync predecessor had. */
 #include "chain_rules.h"
-#include "replica_internal.h"
 
-bool chain_may_send(const chain_position *c, const view *known) {
-  return c->index >= 0 && c->index + 1 < known->chain_length && !c->prepare_pending && c->in_sync;
+static bool is_tail(const chain_position *position, const view *known) {
+  return position->index >= 0 && position->index == known->chain_length - 1;
 }
 
-bool chain_may_accept(const chain_position *c, const view *known, uint64_t epoch, id from) {
-  return epoch == known->epoch && !c->prepare_pending && c->index >= 1 &&
-         id_equal(known->chain[c->index - 1].self, from);
+bool chain_may_send(const chain_position *position, const view *known) {
+  return position->index >= 0 && position->index + 1 < known->chain_length &&
+         !position->prepare_pending && position->in_sync;
 }
 
-size_t chain_appendable(uint64_t last, const uint64_t *seqs, size_t n, size_t *first) {
-  size_t fit = 0;
+bool chain_may_accept(const chain_position *position, const view *known, uint64_t epoch,
+                      id sender) {
+  return epoch == known->epoch && !position->prepare_pending && position->index >= 1 &&
+         id_equal(known->chain[position->index - 1].self, sender);
+}
+
+size_t chain_appendable(uint64_t last, const uint64_t *sequences, size_t count, size_t *first) {
+  size_t appendable = 0;
   *first = 0;
-  for (size_t i = 0; i < n; i++) {
-    if (seqs[i] != last + 1 + fit)
+  for (size_t i = 0; i < count; i++) {
+    if (sequences[i] != last + 1 + appendable)
       continue;
-    if (!fit)
+    if (!appendable)
       *first = i;
-    fit++;
+    appendable++;
   }
-  return fit;
+  return appendable;
 }
 
-bool chain_becomes_in_sync(const chain_position *c, bool sender_whole, uint64_t sender_last) {
-  return !c->in_sync && sender_whole && sender_last <= c->last;
+bool chain_becomes_in_sync(const chain_position *position, bool sender_in_sync,
+                           uint64_t sender_last) {
+  return !position->in_sync && sender_in_sync && sender_last <= position->last;
 }
 
-uint64_t chain_commit_sequence(const chain_position *c, const view *known, bool thin) {
-  bool tail = c->index >= 0 && c->index == known->chain_length - 1;
-  return tail && c->in_sync && !thin ? MAX(c->last, c->committed) : c->committed;
+uint64_t chain_commit_sequence(const chain_position *position, const view *known,
+                               bool under_replicated) {
+  if (!is_tail(position, known) || !position->in_sync || under_replicated)
+    return position->committed;
+  return MAX(position->last, position->committed);
 }
 
-bool chain_is_under_replicated(const view *view, int copies, int areas) {
-  int n = 0;
+static int count_zones(const view *view) {
+  int zones = 0;
   for (int i = 0; i < view->chain_length; i++) {
-    int k = 0;
-    while (k < i && !id_equal(view->chain[i].zone, view->chain[k].zone))
-      k++;
-    n += k == i;
+    int first = 0;
+    while (!id_equal(view->chain[i].zone, view->chain[first].zone))
+      first++;
+    zones += first == i;
   }
-  return view->chain_length < copies || n < areas;
+  return zones;
+}
+
+bool chain_is_under_replicated(const view *view, int min_replicas, int min_zones) {
+  return view->chain_length < min_replicas || count_zones(view) < min_zones;
 }
 
-bool chain_may_acknowledge(const chain_position *c, uint64_t seq, bool acts, bool thin) {
-  return c->committed >= seq && acts && !thin;
+bool chain_may_acknowledge(const chain_position *position, uint64_t sequence, bool holds_lease,
+                           bool under_replicated) {
+  return position->committed >= sequence && holds_lease && !under_replicated;
 }
 
-bool chain_may_lead(const chain_position *c) {
-  return c->index == 0 && c->in_sync;
+bool chain_may_lead(const chain_position *position) {
+  return position->index == 0 && position->in_sync;
 }
 
-bool chain_may_read(const chain_position *c, const view *known) {
-  bool tail = c->index >= 0 && c->index == known->chain_length - 1;
-  return tail && c->in_sync && c->committed >= c->last;
+bool chain_may_read(const chain_position *position, const view *known) {
+  return is_tail(position, known) && position->in_sync && position->committed >= position->last;
 }
 
-bool chain_may_join(const view *known, uint64_t enrolled_epoch) {
-  return enrolled_epoch == known->epoch;
+bool chain_may_join(const view *known, uint64_t request_epoch) {
+  return request_epoch == known->epoch;
 }
--- a/lib/controlplane/member_lease.c
+++ b/lib/controlplane/member_lease.c
@@ -1,20 +1,41 @@
-/** Leases: a machine of the chain acts only while a majority of voters has granted it a lease in
- * the view that it knows, and a voter grants none while an older one of a machine that was left out
- * may run. */
-#include "replica_internal.h"
-#include "chain_rules.h"
-#include "member_lease_rules.h"
-#include "paxos_rules.h"
+/** Member leases: requests and grants. The rules are in member_lease_rules.c.
+ *
+ * One task for each index among the voters requests a lease from that voter, again and again. Also
+ * a controller that is not in the chain asks, once in each view: the voters thereby learn that it
+ * knows that it was left out, and release what they had granted it. A requester reports when it has
+ * heard nothing from the voter for a while, since the voter can't know that its messages are lost.
+ */
+#include "replica.h"
 
-bool view_change_prepare_pending(const replica *replica) {
-  return acceptor_prepare_pending(&replica->acceptor, replica->view.epoch);
-}
+enum {
+  /** A lease is renewed so many ms after it was granted: four attempts while it is valid. */
+  MEMBER_LEASE_RENEW_MS = 250,
+  /** A request that was not granted is retried after so many ms. */
+  MEMBER_LEASE_RETRY_MS = 80,
+  /** A request has so many ms to be answered. */
+  MEMBER_LEASE_REQUEST_TIMEOUT_MS = 600,
+  /** A report that a peer hears nothing is valid for so many ms; requests repeat it more often. */
+  DEAF_REPORT_VALID_MS = 600
+};
+
+/* the task that requests leases from one voter */
+typedef struct {
+  replica *replica;
+  int voter_index;
+  /* the voter that was asked last, and when it answered last */
+  member voter;
+  time_us answered_at;
+  /* the epoch in which it was last told that this controller is not in the chain */
+  uint64_t left_out_epoch;
+  /* whether the last request had the result that was wanted */
+  bool satisfied;
+} lease_requester;
 
 bool replica_holds_lease(replica *replica) {
   time_us now = world_now(replica->node->world);
   if (!replica->running || replica->wal.failed || replica_chain_index(replica) < 0)
     return false;
-  if (!member_leases_majority(&replica->leases, &replica->view, replica_voter_index(replica),
+  if (!member_leases_majority(&replica->lease.leases, &replica->view, replica_voter_index(replica),
                               view_change_prepare_pending(replica), now))
     return false;
   /* from here on no other head can have granted anything */
@@ -23,123 +44,163 @@
   return true;
 }
 
-bool replica_is_acting_head(replica *replica) {
-  chain_position copy = replica_chain_position(replica);
-  return chain_may_lead(&copy) && replica_holds_lease(replica);
-}
-
-bool replica_is_acting_tail(replica *replica) {
-  chain_position copy = replica_chain_position(replica);
-  return chain_may_read(&copy, &replica->view) && replica_is_current(replica) &&
-         replica_holds_lease(replica);
-}
-
-bool member_lease_peer_hears_nothing(replica *replica, id who) {
-  for (size_t i = 0; i < G_N_ELEMENTS(replica->peers_hearing_nothing); i++)
-    if (id_equal(replica->peers_hearing_nothing[i].who, who))
-      return replica->peers_hearing_nothing[i].at.us &&
+bool member_lease_peer_hears_nothing(const replica *replica, id peer) {
+  const member_lease_state *lease = &replica->lease;
+  for (size_t i = 0; i < G_N_ELEMENTS(lease->deaf_peers); i++) {
+    time_us reported_at = lease->deaf_peers[i].reported_at;
+    if (id_equal(lease->deaf_peers[i].peer, peer))
+      return reported_at.us &&
              !time_reached(world_now(replica->node->world),
-                           time_add(replica->peers_hearing_nothing[i].at, time_from_ms(HEARD_MS)));
+                           time_add(reported_at, time_from_ms(DEAF_REPORT_VALID_MS)));
+  }
   return false;
 }
 
-static void member_lease_note_hearing(replica *replica, id who, bool hears_nothing) {
-  size_t at = 0;
-  for (size_t i = 0; i < G_N_ELEMENTS(replica->peers_hearing_nothing); i++) {
-    if (id_equal(replica->peers_hearing_nothing[i].who, who)) {
-      at = i;
-      break;
-    }
-    if (replica->peers_hearing_nothing[i].at.us < replica->peers_hearing_nothing[at].at.us)
-      at = i;
+/* the entry of a peer, else the one with the oldest report */
+static size_t find_deaf_entry(const member_lease_state *lease, id peer) {
+  size_t oldest = 0;
+  for (size_t i = 0; i < G_N_ELEMENTS(lease->deaf_peers); i++) {
+    if (id_equal(lease->deaf_peers[i].peer, peer))
+      return i;
+    if (lease->deaf_peers[i].reported_at.us < lease->deaf_peers[oldest].reported_at.us)
+      oldest = i;
   }
-  if (!hears_nothing && !id_equal(replica->peers_hearing_nothing[at].who, who))
+  return oldest;
+}
+
+static void note_hearing(member_lease_state *lease, id peer, bool hears_nothing, time_us now) {
+  size_t i = find_deaf_entry(lease, peer);
+  if (!hears_nothing && !id_equal(lease->deaf_peers[i].peer, peer))
     return;
-  replica->peers_hearing_nothing[at].who = who;
-  replica->peers_hearing_nothing[at].at =
-      hears_nothing ? world_now(replica->node->world) : (time_us){ 0 };
+  lease->deaf_peers[i].peer = peer;
+  lease->deaf_peers[i].reported_at = hears_nothing ? now : (time_us){ 0 };
 }
 
 int member_lease_on_request(void *ctx, Wire__Envelope *in, reply *reply, error *err) {
   replica *replica = ctx;
-  Wire__MemberLeaseRequest *l = in->member_lease_request;
+  const Wire__MemberLeaseRequest *request = in->member_lease_request;
+  const view *view = &replica->view;
+  member_lease_state *lease = &replica->lease;
+  time_us now = world_now(replica->node->world);
   if (!replica->running || replica->wal.failed)
     return error_set(err, E_NO_CONTROLLER, "no voter");
-  if (l->fleet_id != replica->view.fleet_id && replica->view.epoch && l->epoch)
+  if (request->fleet_id != view->fleet_id && view->epoch && request->epoch)
     return error_set(err, E_VIEW_MISMATCH, "another fleet");
-  Wire__MemberLeaseResponse *b = reply_new_body(reply, WIRE__ENVELOPE__BODY_MEMBER_LEASE_RESPONSE,
-                                                &wire__member_lease_response__descriptor);
-  member who = { id_of_text(l->id), id_of_text(""), "", l->disk_id };
-  member_lease_note_hearing(replica, who.self, l->hears_nothing);
-  if (l->epoch < replica->view.epoch)
-    b->newer = response_view(reply, &replica->view);
-  else if (l->epoch > replica->view.epoch)
-    b->behind = true;
-  else if (member_index(replica->view.chain, replica->view.chain_length, &who) < 0) {
-    /* it knows that it was left out, so what it was given in an older view is void */
-    member_leases_release(&replica->leases, l->disk_id);
-  } else if (replica_voter_index(replica) >= 0)
-    b->granted =
-        member_leases_grant(&replica->leases, &replica->view, view_change_prepare_pending(replica),
-                            &who, world_now(replica->node->world));
+  Wire__MemberLeaseResponse *response = reply_new_body(
+      reply, WIRE__ENVELOPE__BODY_MEMBER_LEASE_RESPONSE, &wire__member_lease_response__descriptor);
+  member requester = { .self = id_of_text(request->id), .disk_id = request->disk_id };
+  note_hearing(lease, requester.self, request->hears_nothing, now);
+  if (request->epoch < view->epoch)
+    response->newer = response_view(reply, view);
+  else if (request->epoch > view->epoch)
+    response->behind = true;
+  else if (member_index(view->chain, view->chain_length, &requester) < 0)
+    /* it knows that it was left out, so it uses no lease of an earlier view any more */
+    member_leases_release(&lease->leases, request->disk_id);
+  else if (replica_voter_index(replica) >= 0)
+    response->granted = member_leases_grant(&lease->leases, view,
+                                            view_change_prepare_pending(replica), &requester, now);
   return OK;
 }
 
-void member_lease_run(void *p) {
-  member_lease_task *a = p;
-  replica *replica = a->replica;
-  int i = a->voter_index;
-  g_free(a);
-  member last = { 0 };
-  time_us heard = { 0 };
-  uint64_t told = 0;
-  bool got = false;
-  while (condition_wait(&replica->node->world->tasks, &replica->lease_renewal_wanted,
-                        time_add(world_now(replica->node->world),
-                                 time_from_ms(got ? MEMBER_LEASE_RENEW_MS
-                                                  : MEMBER_LEASE_RETRY_MS))) != WAKE_STOPPED) {
-    bool out = replica_chain_index(replica) < 0;
-    got = true;
-    if (i >= replica->view.voter_count || i == replica_voter_index(replica) ||
-        !replica->view.epoch || (out && told == replica->view.epoch)) {
-      heard = world_now(replica->node->world);
-      continue;
-    }
-    member who = replica->view.voters[i];
-    if (!member_equal(&who, &last)) {
-      last = who;
-      heard = world_now(replica->node->world);
-    }
-    uint64_t epoch = replica->view.epoch;
-    time_us sent = world_now(replica->node->world);
-    Wire__MemberLeaseRequest l = WIRE__MEMBER_LEASE_REQUEST__INIT;
-    l.epoch = epoch;
-    l.fleet_id = replica->view.fleet_id;
-    l.id = replica->node->settings.self.text;
-    l.disk_id = replica->disk_id;
-    l.hears_nothing = time_reached(sent, time_add(heard, time_from_ms(MEMBER_LEASE_EXPIRED_MS)));
-    Wire__Envelope m = wire_envelope(WIRE__ENVELOPE__BODY_MEMBER_LEASE_REQUEST, &l);
-    Wire__Envelope *b;
-    error err = { 0 };
-    int r = node_call(replica->node, who.address, &m, time_from_ms(600), &b, &err);
-    if (r != E_NO_RESPONSE)
-      heard = world_now(replica->node->world);
-    got = !r && epoch == replica->view.epoch;
-    if (r)
-      continue;
-    if (b->body_case == WIRE__ENVELOPE__BODY_MEMBER_LEASE_RESPONSE) {
-      got &= b->member_lease_response->granted || out;
-      if (out)
-        told = epoch;
-      else if (b->member_lease_response->granted && epoch == replica->view.epoch &&
-               i < replica->view.voter_count && member_equal(&who, &replica->view.voters[i])) {
-        member_leases_record(&replica->leases, i, who.disk_id, sent);
-        replica_holds_lease(replica);
-      }
-      if (b->member_lease_response->behind)
-        view_change_announce(replica, who.address);
-      view_change_adopt(replica, b->member_lease_response->newer);
-    }
-    node_reply_free(b);
+/* whether there is a voter to ask, and something to ask it for */
+static bool has_request(const lease_requester *requester) {
+  const replica *replica = requester->replica;
+  if (!replica->view.epoch || requester->voter_index >= replica->view.voter_count ||
+      requester->voter_index == replica_voter_index(replica))
+    return false;
+  return replica_chain_index(replica) >= 0 || requester->left_out_epoch != replica->view.epoch;
+}
+
+static enum error_code send_request(const lease_requester *requester, time_us now,
+                                    Wire__Envelope **response) {
+  replica *replica = requester->replica;
+  time_us deaf_at = time_add(requester->answered_at, time_from_ms(MEMBER_LEASE_EXPIRED_MS));
+  Wire__MemberLeaseRequest request = WIRE__MEMBER_LEASE_REQUEST__INIT;
+  request.epoch = replica->view.epoch;
+  request.fleet_id = replica->view.fleet_id;
+  request.id = replica->node->settings.self.text;
+  request.disk_id = replica->disk_id;
+  request.hears_nothing = time_reached(now, deaf_at);
+  Wire__Envelope message = wire_envelope(WIRE__ENVELOPE__BODY_MEMBER_LEASE_REQUEST, &request);
+  error err = { 0 };
+  return node_call(replica->node, requester->voter.address, &message,
+                   time_from_ms(MEMBER_LEASE_REQUEST_TIMEOUT_MS), response, &err);
+}
+
+/* whether the voter that was asked in an epoch is still the one with this index */
+static bool is_current_voter(const lease_requester *requester, uint64_t epoch) {
+  const view *view = &requester->replica->view;
+  return epoch == view->epoch && requester->voter_index < view->voter_count &&
+         member_equal(&requester->voter, &view->voters[requester->voter_index]);
+}
+
+static void take_response(lease_requester *requester, const Wire__MemberLeaseResponse *response,
+                          bool was_member, uint64_t epoch, time_us requested_at) {
+  replica *replica = requester->replica;
+  if (was_member && !response->granted)
+    requester->satisfied = false;
+  if (!was_member)
+    requester->left_out_epoch = epoch;
+  else if (response->granted && is_current_voter(requester, epoch)) {
+    member_leases_record(&replica->lease.leases, requester->voter_index, requester->voter.disk_id,
+                         requested_at);
+    replica_holds_lease(replica);
+  }
+  if (response->behind)
+    view_change_announce(replica, requester->voter.address);
+  view_change_adopt(replica, response->newer);
+}
+
+/* requests a lease once */
+static void request_lease(lease_requester *requester) {
+  replica *replica = requester->replica;
+  time_us now = world_now(replica->node->world);
+  requester->satisfied = true;
+  if (!has_request(requester)) {
+    requester->answered_at = now;
+    return;
+  }
+  const member *voter = &replica->view.voters[requester->voter_index];
+  if (!member_equal(voter, &requester->voter))
+    requester->answered_at = now;
+  requester->voter = *voter;
+  bool was_member = replica_chain_index(replica) >= 0;
+  uint64_t epoch = replica->view.epoch;
+  Wire__Envelope *response;
+  enum error_code r = send_request(requester, now, &response);
+  if (r != E_NO_RESPONSE)
+    requester->answered_at = world_now(replica->node->world);
+  requester->satisfied = !r && epoch == replica->view.epoch;
+  if (r)
+    return;
+  if (response->body_case == WIRE__ENVELOPE__BODY_MEMBER_LEASE_RESPONSE)
+    take_response(requester, response->member_lease_response, was_member, epoch, now);
+  node_reply_free(response);
+}
+
+/* waits until the next request; false when the tasks are stopped */
+static bool wait_for_renewal(const lease_requester *requester) {
+  replica *replica = requester->replica;
+  world *world = replica->node->world;
+  time_us pause =
+      time_from_ms(requester->satisfied ? MEMBER_LEASE_RENEW_MS : MEMBER_LEASE_RETRY_MS);
+  return condition_wait(&world->tasks, &replica->lease.renewal_wanted,
+                        time_add(world_now(world), pause)) != WAKE_STOPPED;
+}
+
+static void requester_run(void *ctx) {
+  lease_requester *requester = ctx;
+  while (wait_for_renewal(requester))
+    request_lease(requester);
+  g_free(requester);
+}
+
+void member_lease_start(replica *replica) {
+  for (int i = 0; i < VOTERS_MAX; i++) {
+    lease_requester *requester = g_new0(lease_requester, 1);
+    requester->replica = replica;
+    requester->voter_index = i;
+    task_start(&replica->node->world->tasks, "member-lease", requester_run, requester);
   }
 }
--- a/lib/controlplane/member_lease_rules.c
+++ b/lib/controlplane/member_lease_rules.c
@@ -1,100 +1,123 @@
-/** Which leases may be granted, held and relied on. */
+/** The rules of member leases.
+ *
+ * A member acts as head or tail only while a majority of voters has granted it a lease in the view
+ * that it knows. A voter grants nothing, to itself neither, while a lease that it granted to a
+ * member outside its view may still be valid. Two majorities of the same voters share one of them,
+ * so a member that was left out and one that took its position never act at once. When the voters
+ * change, or the process restarts and has forgotten what it granted, waiting replaces this. */
 #include "member_lease_rules.h"
-#include "replica_internal.h"
 
-/* how long a voter waits, by its own clock, for a lease that it granted to be over by any clock */
-static time_us lease_over(time_us granted) {
-  return time_add(granted, time_from_ms(MEMBER_LEASE_MS + MEMBER_LEASE_CLOCK_SLACK_MS));
+/* when a lease that was granted at an instant has expired by any clock */
+static time_us expiry_at_voter(time_us granted_at) {
+  return time_add(granted_at, time_from_ms(MEMBER_LEASE_EXPIRED_MS));
 }
 
-void member_leases_init(member_leases *b, time_us now) {
-  memset(b, 0, sizeof *b);
-  b->started_at = now;
-  b->voters_known_at = now;
-  b->may_act_at = lease_over(now);
+void member_leases_init(member_leases *leases, time_us now) {
+  memset(leases, 0, sizeof *leases);
+  leases->started_at = now;
+  leases->voters_known_at = now;
+  leases->may_act_at = expiry_at_voter(now);
 }
 
-bool member_leases_none_outside(const member_leases *b, const view *known, time_us now) {
-  if (!time_reached(now, lease_over(b->started_at)))
+static bool chain_has_disk(const view *view, uint64_t disk_id) {
+  bool found = false;
+  for (int i = 0; i < view->chain_length; i++)
+    found |= view->chain[i].disk_id == disk_id;
+  return found;
+}
+
+bool member_leases_none_outside(const member_leases *leases, const view *known, time_us now) {
+  if (!time_reached(now, expiry_at_voter(leases->started_at)))
     return false;
-  for (size_t i = 0; i < G_N_ELEMENTS(b->granted); i++) {
-    if (!b->granted[i].at.us || time_reached(now, lease_over(b->granted[i].at)))
+  for (size_t i = 0; i < G_N_ELEMENTS(leases->granted); i++) {
+    time_us granted_at = leases->granted[i].granted_at;
+    if (!granted_at.us || time_reached(now, expiry_at_voter(granted_at)))
       continue;
-    bool in = false;
-    for (int k = 0; k < known->chain_length; k++)
-      in |= known->chain[k].disk_id == b->granted[i].disk;
-    if (!in)
+    if (!chain_has_disk(known, leases->granted[i].disk_id))
       return false;
   }
   return true;
 }
 
-/* notes a lease that is granted; false when there is no room to remember it */
-static bool lease_note(member_leases *b, uint64_t disk, time_us now) {
-  size_t at = 0;
-  for (size_t i = 0; i < G_N_ELEMENTS(b->granted); i++) {
-    if (b->granted[i].disk == disk) {
-      at = i;
-      break;
-    }
-    if (b->granted[i].at.us < b->granted[at].at.us)
-      at = i;
+/* the entry of a disk, else the one that was granted longest ago */
+static size_t find_granted_entry(const member_leases *leases, uint64_t disk_id) {
+  size_t oldest = 0;
+  for (size_t i = 0; i < G_N_ELEMENTS(leases->granted); i++) {
+    if (leases->granted[i].disk_id == disk_id)
+      return i;
+    if (leases->granted[i].granted_at.us < leases->granted[oldest].granted_at.us)
+      oldest = i;
   }
-  if (b->granted[at].disk != disk && b->granted[at].at.us &&
-      !time_reached(now, lease_over(b->granted[at].at)))
+  return oldest;
+}
+
+/* remembers a lease that is granted; false when each entry holds another one that may be valid */
+static bool remember_granted(member_leases *leases, uint64_t disk_id, time_us now) {
+  size_t i = find_granted_entry(leases, disk_id);
+  time_us granted_at = leases->granted[i].granted_at;
+  if (leases->granted[i].disk_id != disk_id && granted_at.us &&
+      !time_reached(now, expiry_at_voter(granted_at)))
     return false;
-  b->granted[at].disk = disk;
-  b->granted[at].at = now;
+  leases->granted[i].disk_id = disk_id;
+  leases->granted[i].granted_at = now;
   return true;
 }
 
-bool member_leases_grant(member_leases *b, const view *known, bool pending, const member *who,
-                         time_us now) {
-  if (pending || member_index(known->chain, known->chain_length, who) < 0)
+bool member_leases_grant(member_leases *leases, const view *known, bool prepare_pending,
+                         const member *member, time_us now) {
+  if (prepare_pending || member_index(known->chain, known->chain_length, member) < 0)
     return false;
-  return member_leases_none_outside(b, known, now) && lease_note(b, who->disk_id, now);
+  return member_leases_none_outside(leases, known, now) &&
+         remember_granted(leases, member->disk_id, now);
 }
 
-void member_leases_release(member_leases *b, uint64_t disk) {
-  for (size_t i = 0; i < G_N_ELEMENTS(b->granted); i++)
-    if (b->granted[i].disk == disk)
-      b->granted[i].at = (time_us){ 0 };
+void member_leases_release(member_leases *leases, uint64_t disk_id) {
+  for (size_t i = 0; i < G_N_ELEMENTS(leases->granted); i++)
+    if (leases->granted[i].disk_id == disk_id)
+      leases->granted[i].granted_at = (time_us){ 0 };
 }
 
-void member_leases_record(member_leases *b, int voter, uint64_t disk, time_us asked) {
-  b->held[voter].disk = disk;
-  b->held[voter].sent = asked;
+void member_leases_record(member_leases *leases, int voter_index, uint64_t disk_id,
+                          time_us requested_at) {
+  leases->held[voter_index].disk_id = disk_id;
+  leases->held[voter_index].requested_at = requested_at;
 }
 
-bool member_leases_majority(member_leases *b, const view *known, int self, bool pending,
-                            time_us now) {
-  if (pending || !time_reached(now, b->may_act_at))
+/* whether the lease of the voter with an index was granted by this very member and is valid */
+static bool holds_lease_of(const member_leases *leases, const view *known, int voter_index,
+                           time_us now) {
+  time_us requested_at = leases->held[voter_index].requested_at;
+  return leases->held[voter_index].disk_id == known->voters[voter_index].disk_id &&
+         requested_at.us &&
+         !time_reached(now, time_add(requested_at, time_from_ms(MEMBER_LEASE_TERM_MS)));
+}
+
+bool member_leases_majority(member_leases *leases, const view *known, int self,
+                            bool prepare_pending, time_us now) {
+  if (prepare_pending || !time_reached(now, leases->may_act_at))
     return false;
-  int n = 0;
-  for (int i = 0; i < known->voter_count; i++) {
-    if (i == self)
-      n += member_leases_none_outside(b, known, now);
-    else
-      n += b->held[i].disk == known->voters[i].disk_id && b->held[i].sent.us &&
-           !time_reached(now, time_add(b->held[i].sent, time_from_ms(MEMBER_LEASE_MS)));
-  }
-  if (n <= known->voter_count / 2)
+  int granted = 0;
+  for (int i = 0; i < known->voter_count; i++)
+    granted += i == self ? member_leases_none_outside(leases, known, now)
+                         : holds_lease_of(leases, known, i, now);
+  if (granted <= known->voter_count / 2)
     return false;
-  b->has_acted = true;
+  leases->has_acted = true;
   return true;
 }
 
-void member_leases_enter_view(member_leases *b, const view *was, const view *next, time_us now) {
-  bool follows = next->epoch == was->epoch + 1;
-  /* Nobody who was left out can act any longer when this machine acted and nobody is left out now;
-     and when the voters have long been the same, each of them sees to it by itself. */
-  bool kept = follows && b->has_acted && view_keeps_chain(was, next);
-  if (!follows || !view_same_voters(was, next))
-    b->voters_known_at = now;
-  time_us over = lease_over(b->voters_known_at);
-  if (!kept && !time_reached(b->may_act_at, over))
-    b->may_act_at = over;
-  if (!kept)
-    b->has_acted = false;
-  memset(b->held, 0, sizeof b->held);
+void member_leases_enter_view(member_leases *leases, const view *earlier, const view *next,
+                              time_us now) {
+  bool follows = next->epoch == earlier->epoch + 1;
+  /* Nobody who was left out can act any longer when this member acted and nobody is left out now;
+     and when the voters have long been the same, each of them enforces it by itself. */
+  bool may_go_on = follows && leases->has_acted && view_keeps_chain(earlier, next);
+  if (!follows || !view_same_voters(earlier, next))
+    leases->voters_known_at = now;
+  time_us others_expired_at = expiry_at_voter(leases->voters_known_at);
+  if (!may_go_on && !time_reached(leases->may_act_at, others_expired_at))
+    leases->may_act_at = others_expired_at;
+  if (!may_go_on)
+    leases->has_acted = false;
+  memset(leases->held, 0, sizeof leases->held);
 }
--- a/lib/controlplane/paxos_rules.c
+++ b/lib/controlplane/paxos_rules.c
@@ -1,6 +1,14 @@
-/** Promise, acceptance and the choice of the value: single-decree Paxos for each epoch. */
+/** Single-decree Paxos for each epoch.
+ *
+ * The voters of view e decide the view of epoch e + 1. A proposer asks them to promise that they
+ * accept nothing under a lower proposal number, takes over the value of the highest proposal that
+ * one of a majority has accepted, if any, and asks them to accept it. Two majorities share a voter,
+ * so a decided value is found by each later proposer. An acceptor keeps the state of one epoch:
+ * that of an earlier epoch has lost its meaning once the view of that epoch is known.
+ *
+ * Beyond Paxos, a proposal that changes the head waits until it knows that the new head's replica
+ * is in sync, see proposer_choose_view. */
 #include "paxos_rules.h"
-#include "replica_internal.h"
 
 int proposal_number_compare(const proposal_number *a, const proposal_number *b) {
   if (a->round != b->round)
@@ -8,133 +16,150 @@
   return strcmp(a->proposer.text, b->proposer.text);
 }
 
-bool acceptor_prepare_pending(const acceptor_state *v, uint64_t known_epoch) {
-  return v->epoch == known_epoch + 1 && v->promised.round > 0;
+proposal_number proposal_number_unpack(const Wire__ProposalNumber *message) {
+  if (!message)
+    return (proposal_number){ 0 };
+  return (proposal_number){ message->round, id_of_text(message->proposer) };
 }
 
+void proposal_number_pack(Wire__ProposalNumber *message, const proposal_number *number) {
+  wire__proposal_number__init(message);
+  message->round = number->round;
+  message->proposer = (char *)number->proposer.text;
+}
+
+bool acceptor_prepare_pending(const acceptor_state *acceptor, uint64_t known_epoch) {
+  return acceptor->epoch == known_epoch + 1 && acceptor->promised.round > 0;
+}
+
+/* what to do with a request for an epoch, going by the epoch alone */
 static acceptor_action acceptor_check_epoch(uint64_t known_epoch, uint64_t epoch) {
   if (epoch <= known_epoch)
     return ACCEPTOR_KNOWS_NEWER;
   return epoch == known_epoch + 1 ? ACCEPTOR_SYNC : ACCEPTOR_RESPOND;
 }
 
-static void acceptor_start_epoch(acceptor_state *v, uint64_t epoch) {
-  if (v->epoch == epoch)
+static void acceptor_start_epoch(acceptor_state *acceptor, uint64_t epoch) {
+  if (acceptor->epoch == epoch)
     return;
-  memset(v, 0, sizeof *v);
-  v->epoch = epoch;
+  memset(acceptor, 0, sizeof *acceptor);
+  acceptor->epoch = epoch;
 }
 
-acceptor_action acceptor_prepare(acceptor_state *v, uint64_t known_epoch, uint64_t epoch,
-                                 proposal_number b) {
-  acceptor_action step = acceptor_check_epoch(known_epoch, epoch);
-  if (step != ACCEPTOR_SYNC)
-    return step;
-  acceptor_start_epoch(v, epoch);
-  if (proposal_number_compare(&v->promised, &b) > 0)
+acceptor_action acceptor_prepare(acceptor_state *acceptor, uint64_t known_epoch, uint64_t epoch,
+                                 proposal_number number) {
+  acceptor_action action = acceptor_check_epoch(known_epoch, epoch);
+  if (action != ACCEPTOR_SYNC)
+    return action;
+  acceptor_start_epoch(acceptor, epoch);
+  if (proposal_number_compare(&acceptor->promised, &number) > 0)
     return ACCEPTOR_RESPOND;
-  /* also for a ballot that was promised before: the sync of that promise may still be under way */
-  v->promised = b;
+  /* also for a number that was promised before: the sync of that promise may still be in flight */
+  acceptor->promised = number;
   return ACCEPTOR_SYNC;
 }
 
-bool acceptor_has_promised(const acceptor_state *v, uint64_t known_epoch, uint64_t epoch,
-                           proposal_number b) {
-  return v->epoch == epoch && known_epoch < epoch && !proposal_number_compare(&v->promised, &b);
+bool acceptor_has_promised(const acceptor_state *acceptor, uint64_t known_epoch, uint64_t epoch,
+                           proposal_number number) {
+  return acceptor->epoch == epoch && known_epoch < epoch &&
+         !proposal_number_compare(&acceptor->promised, &number);
 }
 
-acceptor_action acceptor_accept(acceptor_state *v, uint64_t known_epoch, uint64_t epoch,
-                                proposal_number b, const view *value) {
-  acceptor_action step = acceptor_check_epoch(known_epoch, epoch);
-  if (step != ACCEPTOR_SYNC)
-    return step;
-  acceptor_start_epoch(v, epoch);
-  if (proposal_number_compare(&v->promised, &b) > 0)
+acceptor_action acceptor_accept(acceptor_state *acceptor, uint64_t known_epoch, uint64_t epoch,
+                                proposal_number number, const view *value) {
+  acceptor_action action = acceptor_check_epoch(known_epoch, epoch);
+  if (action != ACCEPTOR_SYNC)
+    return action;
+  acceptor_start_epoch(acceptor, epoch);
+  if (proposal_number_compare(&acceptor->promised, &number) > 0)
     return ACCEPTOR_RESPOND;
-  v->promised = b;
-  v->accepted = b;
-  v->value = *value;
-  v->has_accepted = true;
+  acceptor->promised = number;
+  acceptor->accepted = number;
+  acceptor->value = *value;
+  acceptor->has_accepted = true;
   return ACCEPTOR_SYNC;
 }
 
-bool acceptor_has_accepted(const acceptor_state *v, uint64_t epoch, proposal_number b) {
-  return v->epoch == epoch && v->has_accepted && !proposal_number_compare(&v->accepted, &b);
+bool acceptor_has_accepted(const acceptor_state *acceptor, uint64_t epoch, proposal_number number) {
+  return acceptor->epoch == epoch && acceptor->has_accepted &&
+         !proposal_number_compare(&acceptor->accepted, &number);
 }
 
-proposal_number proposer_next_number(const acceptor_state *v, uint64_t epoch, uint64_t highest_turn,
-                                     id self) {
-  uint64_t promised = v->epoch == epoch ? v->promised.round : 0;
-  return (proposal_number){ MAX(highest_turn, promised) + 1, self };
+proposal_number proposer_next_number(const acceptor_state *acceptor, uint64_t epoch,
+                                     uint64_t highest_round, id self) {
+  uint64_t promised_round = acceptor->epoch == epoch ? acceptor->promised.round : 0;
+  return (proposal_number){ MAX(highest_round, promised_round) + 1, self };
 }
 
-int proposer_quorum(const view *asked, bool founding) {
-  return founding ? asked->voter_count : asked->voter_count / 2 + 1;
+int proposer_quorum(const view *voting, bool bootstrapping) {
+  return bootstrapping ? voting->voter_count : voting->voter_count / 2 + 1;
 }
 
-void proposer_init(proposer_state *t, const view *known, const view *proposed, int self) {
-  memset(t, 0, sizeof *t);
-  t->proposed = *proposed;
-  t->value = *proposed;
-  t->bootstrapping = !known->epoch;
-  t->quorum = proposer_quorum(t->bootstrapping ? proposed : known, t->bootstrapping);
-  t->self = self;
-  t->head_changes = proposed->chain_length && known->chain_length &&
-                    !member_equal(&proposed->chain[0], &known->chain[0]);
+void proposer_init(proposer_state *proposer, const view *known, const view *proposed, int self) {
+  memset(proposer, 0, sizeof *proposer);
+  proposer->proposed = *proposed;
+  proposer->value = *proposed;
+  proposer->bootstrapping = !known->epoch;
+  proposer->quorum =
+      proposer_quorum(proposer->bootstrapping ? proposed : known, proposer->bootstrapping);
+  proposer->self = self;
+  proposer->head_changes = proposed->chain_length && known->chain_length &&
+                           !member_equal(&proposed->chain[0], &known->chain[0]);
 }
 
-static void proposer_note_in_sync(proposer_state *t, const prepare_result *a) {
-  for (int i = 0; i < t->proposed.chain_length; i++) {
-    if (t->proposed.chain[i].disk_id != a->disk)
+static void proposer_note_in_sync(proposer_state *proposer, const prepare_result *result) {
+  for (int i = 0; i < proposer->proposed.chain_length; i++) {
+    if (proposer->proposed.chain[i].disk_id != result->disk_id)
       continue;
-    t->in_sync[i] = a->in_sync;
-    t->out_of_sync[i] = !a->in_sync;
+    proposer->in_sync[i] = result->in_sync;
+    proposer->out_of_sync[i] = !result->in_sync;
   }
 }
 
-void proposer_add_result(proposer_state *t, int voter, const prepare_result *a) {
-  if (!a->promised || t->seen[voter])
+void proposer_add_result(proposer_state *proposer, int voter_index, const prepare_result *result) {
+  if (!result->promised || proposer->counted[voter_index])
     return;
-  t->seen[voter] = true;
-  t->promises++;
-  t->own_promise |= voter == t->self;
-  proposer_note_in_sync(t, a);
-  if (!a->has_accepted || proposal_number_compare(&t->accepted, &a->accepted) >= 0)
+  proposer->counted[voter_index] = true;
+  proposer->promises++;
+  proposer->own_promise |= voter_index == proposer->self;
+  proposer_note_in_sync(proposer, result);
+  if (!result->has_accepted || proposal_number_compare(&proposer->accepted, &result->accepted) >= 0)
     return;
-  /* a first view that another disk of a founder was part of can't be decided any more */
-  if (t->bootstrapping && !view_same_voters(&a->value, &t->proposed))
+  /* a first view that names another disk of a founder can't be decided any more */
+  if (proposer->bootstrapping && !view_same_voters(&result->value, &proposer->proposed))
     return;
-  t->accepted = a->accepted;
-  t->value = a->value;
+  proposer->accepted = result->accepted;
+  proposer->value = result->value;
 }
 
-/* the first of the chain that may be whole, when it is known to be; -1 when it is not */
-static int proposer_first_in_sync(const proposer_state *t) {
+/* the first member of the proposed chain that is not known to be out of sync, if it is known to be
+ * in sync; else -1 */
+static int proposer_first_in_sync(const proposer_state *proposer) {
   int i = 0;
-  while (i < t->proposed.chain_length && t->out_of_sync[i])
+  while (i < proposer->proposed.chain_length && proposer->out_of_sync[i])
     i++;
-  return i < t->proposed.chain_length && t->in_sync[i] ? i : -1;
+  return i < proposer->proposed.chain_length && proposer->in_sync[i] ? i : -1;
 }
 
-bool proposer_choose_view(const proposer_state *t, const view *known, view *use) {
-  /* The proposer's own promise is among them and synced, so that after a crash it does not use the
-     same ballot for another value. */
-  if (t->promises < t->quorum || !t->own_promise)
+bool proposer_choose_view(const proposer_state *proposer, const view *known, view *chosen) {
+  /* The proposer's own promise is required among them: it is synced, so that after a crash the
+     proposer does not use the same number for another value. */
+  if (proposer->promises < proposer->quorum || !proposer->own_promise)
     return false;
-  *use = t->value;
-  if (t->accepted.round || !t->head_changes)
+  *chosen = proposer->value;
+  if (proposer->accepted.round || !proposer->head_changes)
     return true;
-  int head = proposer_first_in_sync(t);
+  int head = proposer_first_in_sync(proposer);
   if (head < 0)
     return false;
   if (!head)
     return true;
-  /* copies that are not whole can't lead: they are left out, and come back by a fetch. A view that
-     leaves a machine out keeps its voters. */
-  use->chain_length -= head;
-  memmove(use->chain, use->chain + head, sizeof use->chain[0] * use->chain_length);
-  use->voter_count = known->voter_count;
-  memcpy(use->voters, known->voters, sizeof use->voters);
+  /* Replicas that are out of sync can't lead: they are left out, and join again after they have
+     fetched a snapshot. A view that leaves a member out keeps its voters. */
+  chosen->chain_length -= head;
+  memmove(chosen->chain, chosen->chain + head, sizeof chosen->chain[0] * chosen->chain_length);
+  chosen->voter_count = known->voter_count;
+  memcpy(chosen->voters, known->voters, sizeof chosen->voters);
   return true;
 }
 
--- a/lib/controlplane/replica.h
+++ b/lib/controlplane/replica.h
@@ -1,133 +1,113 @@
-#ifndef CONTROLPLANE_CORE_H
-#define CONTROLPLANE_CORE_H
+#ifndef CONTROLPLANE_REPLICA_H
+#define CONTROLPLANE_REPLICA_H
+/** One controller's replica of the control state: its disk, its view, its position in the chain.
+ * This header only puts the modules' states together; each module writes its own. */
+#include "bootstrap.h"
+#include "chain_join.h"
+#include "chain_repair.h"
+#include "chain_rules.h"
+#include "member_lease.h"
+#include "parallel_call.h"
+#include "paxos_rules.h"
+#include "recent_records.h"
+#include "replica_write.h"
+#include "replication.h"
+#include "replication_sender.h"
+#include "snapshot.h"
 #include "state.h"
+#include "view.h"
+#include "view_change.h"
 #include "wal.h"
+#include "wal_entries.h"
 
-enum { CHAIN_MAX = REPLICAS_MAX, VOTERS_MAX = REPLICAS_MAX, SNAPSHOTS_MAX = 2 };
-/** A machine of the core under one disk; a new disk makes a new member. */
-typedef struct member {
-  id self, zone;
-  char address[48];
-  uint64_t disk_id;
-} member;
-/** What the core has agreed on: the order of the chain and who votes on the next view. */
-typedef struct view {
-  uint64_t epoch, fleet_id;
-  member chain[CHAIN_MAX], voters[VOTERS_MAX];
-  int chain_length, voter_count;
-} view;
-typedef struct proposal_number {
-  uint64_t round;
-  id proposer;
-} proposal_number;
-/** What a voter has promised for the view after the one it knows. */
-typedef struct acceptor_state {
-  uint64_t epoch;
-  proposal_number promised, accepted;
-  view value;
-  bool has_accepted;
-} acceptor_state;
-/** A record that is kept in memory for the next in the chain. */
-typedef struct record {
-  uint64_t seq, epoch;
-  GString *op;
-} record;
-
-/** The state as it was at one write, packed, while others fetch it in parts. */
-typedef struct snapshot {
-  uint64_t seq;
-  GString *text;
-  time_us used_at;
-} snapshot;
-
-/** The leases of one process: those that it holds as a member, those that it granted as a voter.
- * up_at is when it started, voters_at when it learnt of the present voters, act_from the earliest
- * instant at which it may act; acted says that it has acted in the known view, or in an older one
- * with nobody left out since. */
-typedef struct member_leases {
-  time_us started_at, voters_known_at, may_act_at;
-  bool has_acted;
-  struct {
-    uint64_t disk;
-    time_us sent;
-  } held[VOTERS_MAX];
-  struct {
-    uint64_t disk;
-    time_us at;
-  } granted[2 * CHAIN_MAX];
-} member_leases;
-
-/** One core machine: its disk, its view, its place in the chain. */
 typedef struct replica {
+  /** The process that this replica belongs to; not owned. */
   node *node;
   wal wal;
-  /** whole: this copy holds every write that may be acknowledged; in_sync_marking: its mark on the
-   * disk is not synced yet, and nothing may rest on it. */
-  bool running, in_sync, in_sync_marking, ordered_valid, write_locked, draining;
-  /** The last write that was on the disk at the start; until the chain has confirmed all up to it,
-   * the state here may be older than what is acknowledged. */
-  uint64_t last_seq_at_start;
+  /** Set once the log has been replayed; nothing is answered before. */
+  bool running;
+  /** Set by the controller when the process is asked to stop; see chain_repair.c. */
+  bool draining;
+
+  /* What the log holds, as it is in memory. It is replayed by wal_entries.c. */
+
+  /** Number of the disk; never 0 once the replica runs. */
   uint64_t disk_id;
+  /** Whether this replica holds each write that may be acknowledged. Written by replication.c and
+   * snapshot.c; see replica_in_sync. */
+  bool in_sync;
+  /** The known view, epoch 0 when there is none. Written by view_change.c. */
   view view;
+  /** Written by view_change.c. */
   acceptor_state acceptor;
-  state committed, ordered;
-  GQueue recent_records;
-  size_t recent_bytes;
-  uint64_t last_seq, log_resets, highest_round, adopting_epoch, wal_synced_seen;
-  time_us repair_at, prepare_pending_since, head_since, successor_answered_at, last_proposal_at,
-      loss_noticed_at, write_locked_since, last_sweep_at;
-  member_leases leases;
-  struct {
-    member who;
-    uint64_t epoch;
-    time_us at;
-  } join_requests[2 * CHAIN_MAX];
-  struct {
-    id who;
-    time_us at;
-  } peers_hearing_nothing[CHAIN_MAX];
+  /** The state with all records that are known to be committed. */
+  state committed;
+  /** The last record that is synced here, and the records in memory. Written by replication.c,
+   * replica_write.c and snapshot.c, under the lock of replication. */
+  uint64_t last_seq;
+  recent_records recent_records;
+
+  /* In memory only. */
+
+  /** The last record that was in the log at the start. Until the chain has confirmed all records up
+   * to it, the committed state may be older than what is acknowledged. 0 after a snapshot. */
+  uint64_t last_seq_at_start;
+  /** How often the state was replaced by a snapshot since the start: numbers of records from before
+   * may belong to other records since. Written by snapshot.c. */
+  uint64_t log_resets;
+  /** Signalled when the committed state or the view has changed. */
+  condition state_changed;
+  /** Signalled when there may be something to send to the successor. */
+  condition replication_wanted;
+  /** Since when this replica acts as the head, as the controller counts for singleton leases; 0: it
+   * does not. Written by member_lease.c, reset by view_change.c. */
+  time_us head_since;
+  /** The controller's own: when each singleton lease was renewed last, as name to time_us. Reset by
+   * view_change.c when this replica is no longer the head. */
   GHashTable *singleton_renewed_at;
-  condition state_changed, replication_wanted, write_unlocked, lease_renewal_wanted;
-  int founder_count;
-  char founder_addresses[3][48];
-  /* the states that are being fetched from here; see snapshot.c */
-  snapshot snapshots[SNAPSHOTS_MAX];
-} replica;
 
-/** Fills op out of the state that a write is checked against; a code other than OK refuses the
- * write. */
-typedef int (*operation_builder)(void *ctx, state *spec, GString *op, error *err);
+  view_change_state view_change;
+  member_lease_state lease;
+  replication_state replication;
+  snapshot_cache snapshot_cache;
+  chain_repair_state chain_repair;
+  join_requests join_requests;
+  bootstrap_state bootstrap;
+} replica;
 
-/** Opens the disk and takes up the work of a core machine; err says why not. Run it in a task. */
-int replica_start(replica *replica, node *node, error *err);
+/** Opens the log, replays it and starts the replica's tasks. It waits for a disk that refuses to be
+ * opened, so it runs in a task. Returns OK, E_STOPPING or the disk's error. */
+enum error_code replica_start(replica *replica, node *node, error *err);
+/** Frees the replica's memory, once no task is left. */
 void replica_free(replica *replica);
 
-/** This machine's place in the chain, or -1. */
+/** Returns this controller as a member, with the disk that it has now. */
+member replica_as_member(const replica *replica);
+/** Returns this member's index in the chain, or -1. */
 int replica_chain_index(const replica *replica);
-/** The index of this machine among the voters, or -1. */
+/** Returns this member's index among the voters, or -1. */
 int replica_voter_index(const replica *replica);
-/** The most members that the chain takes. */
+/** Returns this member's position for the rules of replication. */
+chain_position replica_chain_position(const replica *replica);
+/** Returns the most members that the chain may have, by the settings. */
 int replica_chain_max(const replica *replica);
-/** True when this copy holds every write that may be acknowledged, and its mark is synced. */
+/** Returns whether this replica holds each write that may be acknowledged, and its log says so. */
 bool replica_in_sync(const replica *replica);
-/** True when this copy is whole and its state holds every acknowledged write that its disk held at
- * the start. */
+/** Returns whether this replica is in sync and its committed state holds each acknowledged write
+ * that its log held at the start. */
 bool replica_is_current(const replica *replica);
-/** True when this machine may act for the view that it knows: its lease runs. */
-bool replica_holds_lease(replica *replica);
+/** Returns whether this replica leads the chain and holds a lease. */
 bool replica_is_acting_head(replica *replica);
+/** Returns whether this replica may answer reads: it is the tail, knows all its records to be
+ * committed, and holds a lease. */
 bool replica_is_acting_tail(replica *replica);
-/** True when the chain of a view has too few copies, or spans too few areas, to take writes. */
+/** Returns whether the chain of a view has too few members, or spans too few zones, to take writes.
+ */
 bool replica_view_is_under_replicated(const replica *replica, const view *view);
-/** The state with all that is ordered here, whether the tail has it yet or not. */
-const state *replica_ordered_state(replica *replica);
-/** Makes an op under the head's lock, orders it, and waits until the tail has it. Blank op: nothing
- * to do. */
-int replica_write(replica *replica, operation_builder make, void *ctx, time_us span, uint64_t *seq,
-                  error *err);
-/** The member at the head or the tail that this machine knows of; NULL when there is none. */
+/** Returns the first member of the known chain, or NULL when no view is known. */
 const member *replica_head(const replica *replica);
+/** Returns the last member of the known chain, or NULL when no view is known. */
 const member *replica_tail(const replica *replica);
-/** The view that this machine knows, as JSON. */
+/** Appends the known view as JSON. */
 void view_json(const replica *replica, GString *to);
 #endif
--- /dev/null
+++ b/lib/controlplane/replica_write.c
@@ -0,0 +1,149 @@
+/** Writes at the head.
+ *
+ * A write is checked against the state with all writes that were ordered before it, since these may
+ * still be committed. How many may wait for the tail is bounded, in number and by what a log file
+ * can hold. */
+#include "replica.h"
+
+enum {
+  /** So many writes may wait for the tail; replication_free_bytes bounds them further. */
+  PENDING_WRITES_MAX = 32,
+  /** Once so many bytes wait for the tail, only a few writes may: a backlog of large ones would
+   * hold up a member that catches up over a slow link. */
+  PENDING_BYTES_LARGE = 128 * 1024,
+  PENDING_LARGE_WRITES_MAX = 3,
+  /** Bytes that a record takes in the log beside its operation, at most. */
+  RECORD_OVERHEAD_BYTES = 64
+};
+
+const state *replica_ordered_state(replica *replica) {
+  replication_state *replication = &replica->replication;
+  state *ordered = &replication->ordered;
+  if (replication->ordered_valid)
+    return ordered;
+  state_copy(ordered, &replica->committed);
+  for (GList *l = replica->recent_records.queue.head; l; l = l->next) {
+    const record *record = l->data;
+    if (record->seq > ordered->seq && record->seq <= replica->last_seq)
+      state_apply(ordered, record->seq, string_view_of_gstring(record->operation));
+  }
+  replication->ordered_valid = true;
+  return ordered;
+}
+
+/* whether no more writes may wait for the tail */
+static bool backlog_is_full(const replica *replica) {
+  size_t bytes;
+  recent_records_count_after(&replica->recent_records, replica->committed.seq, &bytes);
+  uint64_t waiting = replica->last_seq - replica->committed.seq;
+  return waiting > (bytes > PENDING_BYTES_LARGE ? PENDING_LARGE_WRITES_MAX : PENDING_WRITES_MAX);
+}
+
+/* what a log file can hold beside the state and the writes that wait for the tail, in bytes */
+static size_t replication_free_bytes(const replica *replica) {
+  size_t bytes;
+  size_t waiting =
+      recent_records_count_after(&replica->recent_records, replica->committed.seq, &bytes);
+  size_t used = state_packed_size_max(&replica->replication.ordered) +
+                replication_batch_bytes(replica) + bytes + waiting * RECORD_OVERHEAD_BYTES;
+  return used < replica->wal.size ? replica->wal.size - used : 0;
+}
+
+static enum error_code check_may_write(replica *replica, error *err) {
+  if (!replica_is_acting_head(replica))
+    return error_set(err, E_NO_CONTROLLER, "this machine is not the acting head");
+  if (replica_view_is_under_replicated(replica, &replica->view))
+    return error_set(err, E_TOO_FEW_ZONES,
+                     "the chain has too few copies or areas; nothing was written");
+  if (backlog_is_full(replica))
+    return error_set(err, E_OVERLOADED, "too many writes wait for the tail; nothing was written");
+  return OK;
+}
+
+/* builds the operation of a write that may be made */
+static enum error_code build_operation(replica *replica, operation_builder build, void *ctx,
+                                       GString *operation, error *err) {
+  enum error_code r = check_may_write(replica, err);
+  if (r)
+    return r;
+  replica_ordered_state(replica);
+  r = build(ctx, &replica->replication.ordered, operation, err);
+  if (r || !operation->len)
+    return r;
+  if (replication_free_bytes(replica) < operation->len)
+    return error_set(
+        err, E_DISK_FULL,
+        "a write of %zu bytes does not fit into a ring file any more; nothing was written",
+        operation->len);
+  return OK;
+}
+
+/* writes a record to the log, and waits for the sync */
+static enum error_code store_record(replica *replica, uint64_t seq, uint64_t epoch,
+                                    string_view operation, error *err) {
+  uint64_t log_resets = replica->log_resets;
+  GString *entries = g_string_new(NULL);
+  wal_entries_add_record(entries, seq, epoch, operation);
+  enum error_code r = wal_append_all(&replica->wal, string_view_of_gstring(entries), err);
+  g_string_free(entries, TRUE);
+  if (r == E_DISK)
+    return error_set(err, E_OUTCOME_UNKNOWN, "the head's disk failed; the outcome is not known");
+  if (!r && log_resets != replica->log_resets)
+    return error_set(err, E_OUTCOME_UNKNOWN, "the view changed; the outcome is not known");
+  return r;
+}
+
+/* orders an operation: syncs it as the next record, and lets it be sent down the chain */
+static enum error_code order_operation(replica *replica, string_view operation, uint64_t *seq,
+                                       error *err) {
+  replication_state *replication = &replica->replication;
+  uint64_t number = replica->last_seq + 1, epoch = replica->view.epoch;
+  enum error_code r = store_record(replica, number, epoch, operation, err);
+  if (r)
+    return r;
+  recent_records_add(&replica->recent_records, number, epoch, operation, replica->committed.seq);
+  replica->last_seq = number;
+  if (replication->ordered_valid)
+    state_apply(&replication->ordered, number, operation);
+  *seq = number;
+  /* a head without a successor is the tail as well */
+  replication_commit_as_tail(replica);
+  condition_broadcast(&replica->replication_wanted);
+  return OK;
+}
+
+/* waits until the tail has committed a record, and returns whether it may be acknowledged */
+static enum error_code wait_for_acknowledgement(replica *replica, uint64_t seq, uint64_t log_resets,
+                                                time_us deadline, error *err) {
+  scheduler *tasks = &replica->node->world->tasks;
+  while (replica->committed.seq < seq && log_resets == replica->log_resets)
+    if (condition_wait(tasks, &replica->state_changed, deadline) != WAKE_SIGNALLED)
+      break;
+  chain_position position = replica_chain_position(replica);
+  if (log_resets == replica->log_resets &&
+      chain_may_acknowledge(&position, seq, replica_holds_lease(replica),
+                            replica_view_is_under_replicated(replica, &replica->view)))
+    return OK;
+  return error_set(err, E_OUTCOME_UNKNOWN,
+                   "the tail has not confirmed write %" PRIu64 "; the outcome is not known", seq);
+}
+
+enum error_code replica_write(replica *replica, operation_builder build, void *ctx, time_us timeout,
+                              uint64_t *seq, error *err) {
+  time_us deadline = time_add(world_now(replica->node->world), timeout);
+  if (!replication_lock(replica, deadline))
+    return error_set(err, E_NO_CONTROLLER, "the head is busy; nothing was written");
+  GString *operation = g_string_new(NULL);
+  enum error_code r = build_operation(replica, build, ctx, operation, err);
+  uint64_t log_resets = replica->log_resets, written = 0;
+  if (!r && operation->len) {
+    r = order_operation(replica, string_view_of_gstring(operation), &written, err);
+    if (!r)
+      *seq = written;
+  }
+  g_string_free(operation, TRUE);
+  replication_unlock(replica);
+  if (r || !written)
+    return r;
+  return wait_for_acknowledgement(replica, written, log_resets, deadline, err);
+}
--- a/lib/controlplane/snapshot.c
+++ b/lib/controlplane/snapshot.c
@@ -1,103 +1,142 @@
-/** Transfer of the whole state to a member that comes in or has fallen too far behind. */
-#include "replica_internal.h"
+/** Snapshots of the committed state.
+ *
+ * A member that fetches asks for one chunk after the other. The first chunk (offset 0) names no
+ * write and is answered from a cached snapshot, if the records after it are still in memory, else
+ * from a new one; the later chunks belong to the snapshot of the write that the first one named. */
+#include "replica.h"
 
-int snapshot_fetch(replica *replica, const char *addr, error *err) {
-  GString *all = g_string_new(NULL);
-  uint64_t seq = 0, size = 1;
-  int r = OK;
-  while (!r && all->len < size) {
-    Wire__SnapshotRequest f = WIRE__SNAPSHOT_REQUEST__INIT;
-    f.sequence = seq;
-    f.offset = all->len;
-    Wire__Envelope m = wire_envelope(WIRE__ENVELOPE__BODY_SNAPSHOT_REQUEST, &f);
-    Wire__Envelope *b;
-    r = node_call(replica->node, addr, &m, time_from_ms(1500), &b, err);
-    if (r)
-      break;
-    if (b->body_case != WIRE__ENVELOPE__BODY_SNAPSHOT_RESPONSE ||
-        (all->len &&
-         (b->snapshot_response->sequence != seq || b->snapshot_response->size != size)) ||
-        !b->snapshot_response->chunk.len)
-      r = error_set(err, E_WIRE_MESSAGE, "the digest changed while it came");
-    else {
-      seq = b->snapshot_response->sequence;
-      size = b->snapshot_response->size;
-      g_string_append_len(all, (char *)b->snapshot_response->chunk.data,
-                          b->snapshot_response->chunk.len);
-    }
-    node_reply_free(b);
-  }
-  state t;
-  state_init(&t);
-  if (!r && !state_unpack(&t, string_view_of_gstring(all)))
-    r = error_set(err, E_WIRE_MESSAGE, "the digest can't be read");
-  if (!r && replica->view.fleet_id && t.fleet_id != replica->view.fleet_id)
-    r = error_set(err, E_VIEW_MISMATCH, "the digest is another fleet's");
-  g_string_free(all, TRUE);
-  if (r) {
-    state_free(&t);
+enum {
+  /** Size of a chunk, in bytes. */
+  SNAPSHOT_CHUNK_BYTES = 256 * 1024,
+  /** A chunk has so many ms to arrive. */
+  SNAPSHOT_CHUNK_TIMEOUT_MS = 1500
+};
+
+/* a snapshot that is being fetched */
+typedef struct {
+  GString *text;
+  uint64_t seq, size;
+} download;
+
+static enum error_code take_chunk(download *download, const Wire__Envelope *response, error *err) {
+  const Wire__SnapshotResponse *chunk = response->snapshot_response;
+  if (response->body_case != WIRE__ENVELOPE__BODY_SNAPSHOT_RESPONSE || !chunk->chunk.len)
+    return error_set(err, E_WIRE_MESSAGE, "no chunk of a snapshot");
+  if (download->text->len && (chunk->sequence != download->seq || chunk->size != download->size))
+    return error_set(err, E_WIRE_MESSAGE, "the snapshot changed while it was fetched");
+  download->seq = chunk->sequence;
+  download->size = chunk->size;
+  g_string_append_len(download->text, (char *)chunk->chunk.data, chunk->chunk.len);
+  return OK;
+}
+
+static enum error_code fetch_chunk(replica *replica, const char *address, download *download,
+                                   error *err) {
+  Wire__SnapshotRequest request = WIRE__SNAPSHOT_REQUEST__INIT;
+  request.sequence = download->seq;
+  request.offset = download->text->len;
+  Wire__Envelope message = wire_envelope(WIRE__ENVELOPE__BODY_SNAPSHOT_REQUEST, &request);
+  Wire__Envelope *response;
+  enum error_code r = node_call(replica->node, address, &message,
+                                time_from_ms(SNAPSHOT_CHUNK_TIMEOUT_MS), &response, err);
+  if (r)
     return r;
-  }
-  snapshots_free(replica);
+  r = take_chunk(download, response, err);
+  node_reply_free(response);
+  return r;
+}
+
+/* fetches and unpacks the state of a member; the caller frees *fetched, also on an error */
+static enum error_code fetch_state(replica *replica, const char *address, state *fetched,
+                                   error *err) {
+  download download = { .text = g_string_new(NULL) };
+  enum error_code r;
+  do {
+    r = fetch_chunk(replica, address, &download, err);
+  } while (!r && download.text->len < download.size);
+  if (!r && !state_unpack(fetched, string_view_of_gstring(download.text)))
+    r = error_set(err, E_WIRE_MESSAGE, "the snapshot can't be read");
+  if (!r && replica->view.fleet_id && fetched->fleet_id != replica->view.fleet_id)
+    r = error_set(err, E_VIEW_MISMATCH, "the snapshot is another fleet's");
+  g_string_free(download.text, TRUE);
+  return r;
+}
+
+/* replaces the state by a fetched one, and takes over its ownership */
+static void install_state(replica *replica, const state *fetched) {
+  snapshot_cache_clear(&replica->snapshot_cache);
   state_free(&replica->committed);
-  replica->committed = t;
-  recent_records_clear(replica);
-  replica->last_seq = t.seq;
+  replica->committed = *fetched;
+  recent_records_clear(&replica->recent_records);
+  replica->last_seq = fetched->seq;
   replica->in_sync = false;
   replica->last_seq_at_start = 0;
-  replica->ordered_valid = false;
+  replica->replication.ordered_valid = false;
   replica->log_resets++;
+}
+
+enum error_code snapshot_fetch(replica *replica, const char *address, error *err) {
+  state fetched;
+  state_init(&fetched);
+  enum error_code r = fetch_state(replica, address, &fetched, err);
+  if (r) {
+    state_free(&fetched);
+    return r;
+  }
+  install_state(replica, &fetched);
   return wal_rotate(&replica->wal, err);
 }
 
-static void snapshot_drop(snapshot *s) {
-  if (s->text)
-    g_string_free(s->text, TRUE);
-  *s = (snapshot){ 0 };
+static void drop(snapshot *snapshot) {
+  if (snapshot->text)
+    g_string_free(snapshot->text, TRUE);
+  memset(snapshot, 0, sizeof *snapshot);
 }
 
-void snapshots_expire(replica *replica) {
-  time_us now = world_now(replica->node->world);
+void snapshot_cache_expire(snapshot_cache *cache, time_us now) {
   for (int i = 0; i < SNAPSHOTS_MAX; i++) {
-    snapshot *s = &replica->snapshots[i];
-    if (s->text && time_reached(now, time_add(s->used_at, time_from_ms(SNAPSHOT_IDLE_MS))))
-      snapshot_drop(s);
+    snapshot *entry = &cache->entries[i];
+    time_us idle_at = time_add(entry->used_at, time_from_ms(SNAPSHOT_IDLE_MS));
+    if (entry->text && time_reached(now, idle_at))
+      drop(entry);
   }
 }
 
-void snapshots_free(replica *replica) {
+void snapshot_cache_clear(snapshot_cache *cache) {
   for (int i = 0; i < SNAPSHOTS_MAX; i++)
-    snapshot_drop(&replica->snapshots[i]);
+    drop(&cache->entries[i]);
 }
 
-/* the snapshot of a write, or NULL */
-static snapshot *snapshot_of(replica *replica, uint64_t seq) {
+/* the cached snapshot of a write, or NULL */
+static snapshot *find_snapshot(snapshot_cache *cache, uint64_t seq) {
   for (int i = 0; i < SNAPSHOTS_MAX; i++)
-    if (replica->snapshots[i].text && replica->snapshots[i].seq == seq)
-      return &replica->snapshots[i];
+    if (cache->entries[i].text && cache->entries[i].seq == seq)
+      return &cache->entries[i];
   return NULL;
 }
 
-/* true when every record after a snapshot is still kept, so that it need not be made anew */
-static bool snapshot_can_be_followed(const replica *replica, const snapshot *s) {
-  const record *oldest = replica->recent_records.head ? replica->recent_records.head->data : NULL;
-  return s->seq == replica->last_seq || (oldest && oldest->seq <= s->seq + 1);
+/* whether all records after a snapshot are still in memory, so that a member that installs it can
+ * be sent the rest */
+static bool has_records_after(const replica *replica, const snapshot *snapshot) {
+  const record *oldest = recent_records_oldest(&replica->recent_records);
+  return snapshot->seq == replica->last_seq || (oldest && oldest->seq <= snapshot->seq + 1);
 }
 
-/* what one that begins to fetch is given: the snapshot that others fetch, when the records after it
- * are kept; else a new one, in the place of none or of the one that was asked for longest ago */
-static snapshot *snapshot_begin(replica *replica) {
-  snapshot *best = NULL, *oldest = &replica->snapshots[0];
+/* the newest cached snapshot whose later records are in memory; else a new one, in the entry that
+ * is free or was used longest ago */
+static snapshot *begin_transfer(replica *replica) {
+  snapshot_cache *cache = &replica->snapshot_cache;
+  snapshot *newest = NULL, *oldest = &cache->entries[0];
   for (int i = 0; i < SNAPSHOTS_MAX; i++) {
-    snapshot *s = &replica->snapshots[i];
-    if (s->text && snapshot_can_be_followed(replica, s) && (!best || s->seq > best->seq))
-      best = s;
-    if (s->used_at.us < oldest->used_at.us)
-      oldest = s;
+    snapshot *entry = &cache->entries[i];
+    if (entry->text && has_records_after(replica, entry) && (!newest || entry->seq > newest->seq))
+      newest = entry;
+    if (entry->used_at.us < oldest->used_at.us)
+      oldest = entry;
   }
-  if (best)
-    return best;
-  snapshot_drop(oldest);
+  if (newest)
+    return newest;
+  drop(oldest);
   oldest->seq = replica->committed.seq;
   oldest->text = g_string_new(NULL);
   state_pack(&replica->committed, replica->view.epoch, oldest->text);
@@ -106,22 +145,23 @@
 
 int snapshot_on_request(void *ctx, Wire__Envelope *in, reply *reply, error *err) {
   replica *replica = ctx;
+  const Wire__SnapshotRequest *request = in->snapshot_request;
+  time_us now = world_now(replica->node->world);
   if (replica_chain_index(replica) < 0 || !replica_in_sync(replica))
-    return error_set(err, E_NO_CONTROLLER, "not in the chain");
-  uint64_t off = in->snapshot_request->offset;
-  snapshots_expire(replica);
-  snapshot *s =
-      off ? snapshot_of(replica, in->snapshot_request->sequence) : snapshot_begin(replica);
-  if (!s || off >= s->text->len)
-    return error_set(err, E_WIRE_MESSAGE, "no such part");
-  s->used_at = world_now(replica->node->world);
-  Wire__SnapshotResponse *b = reply_new_body(reply, WIRE__ENVELOPE__BODY_SNAPSHOT_RESPONSE,
-                                             &wire__snapshot_response__descriptor);
-  b->sequence = s->seq;
-  b->size = s->text->len;
-  b->offset = off;
-  b->chunk.len = MIN((size_t)SNAPSHOT_CHUNK_BYTES, s->text->len - off);
-  b->chunk.data = reply_alloc(reply, b->chunk.len + 1);
-  memcpy(b->chunk.data, s->text->str + off, b->chunk.len);
+    return error_set(err, E_NO_CONTROLLER, "not an in-sync member of the chain");
+  snapshot_cache_expire(&replica->snapshot_cache, now);
+  snapshot *snapshot = request->offset ? find_snapshot(&replica->snapshot_cache, request->sequence)
+                                       : begin_transfer(replica);
+  if (!snapshot || request->offset >= snapshot->text->len)
+    return error_set(err, E_WIRE_MESSAGE, "no such chunk");
+  snapshot->used_at = now;
+  Wire__SnapshotResponse *response = reply_new_body(reply, WIRE__ENVELOPE__BODY_SNAPSHOT_RESPONSE,
+                                                    &wire__snapshot_response__descriptor);
+  response->sequence = snapshot->seq;
+  response->size = snapshot->text->len;
+  response->offset = request->offset;
+  response->chunk.len = MIN((size_t)SNAPSHOT_CHUNK_BYTES, snapshot->text->len - request->offset);
+  response->chunk.data = reply_alloc(reply, response->chunk.len + 1);
+  memcpy(response->chunk.data, snapshot->text->str + request->offset, response->chunk.len);
   return OK;
 }
--- /dev/null
+++ b/lib/controlplane/wal_recovery.c
@@ -0,0 +1,284 @@
+/** Recovery of the write-ahead log.
+ *
+ * The newest file is the one whose first frame is sound and has the highest generation. Its frames
+ * are sound and of that generation up to the first one that is not: that is the end of the log.
+ *
+ * A torn last frame is the trace of a crash during a write that nobody rested on. A sound frame of
+ * this or a later generation behind a bad one is not: what was synced there is lost, and with it
+ * perhaps a promise, so the disk counts as corrupt. To find such frames the rest of the newest file
+ * and all other files whose first frame is bad are searched at each aligned offset.
+ *
+ * Files are read through windows of WINDOW_BYTES, so that none is in memory in full. */
+#include "wal_recovery.h"
+#include <zlib.h>
+
+enum {
+  /** Size of a window onto a file, in bytes. */
+  WINDOW_BYTES = 256 << 10,
+  /** So many bytes after the end of the log tell whether its end is torn: a file is zeroed when it
+     is allocated. */
+  TORN_END_BYTES = 4096
+};
+
+/* a window onto a file */
+typedef struct {
+  wal *wal;
+  unsigned file;
+  size_t offset, length;
+  char *buffer;
+} file_window;
+
+/* what recovery knows while it runs */
+typedef struct {
+  wal *wal;
+  /* two windows: one for the search, one for the bodies of what it finds */
+  file_window scan, body;
+  /* which files have a sound first frame, the newest of them or -1, and its generation */
+  bool has_base[WAL_FILE_COUNT];
+  int newest_file;
+  uint64_t generation;
+  /* the end of the log in the newest file */
+  size_t end;
+} recovery;
+
+static void move_windows(recovery *recovery, unsigned file) {
+  recovery->scan.file = recovery->body.file = file;
+  recovery->scan.length = recovery->body.length = 0;
+}
+
+/* Sets *bytes to length bytes of the file from an offset on; they are valid until the window is
+ * used again. */
+static enum error_code window_read(file_window *window, size_t offset, size_t length,
+                                   const char **bytes, error *err) {
+  if (offset < window->offset || offset + length > window->offset + window->length) {
+    world *world = window->wal->node->world;
+    size_t available = MIN((size_t)WINDOW_BYTES, window->wal->size - offset);
+    window->length = 0;
+    int r = world->disk_read(world, window->file, offset, window->buffer, available, err);
+    if (r)
+      return r;
+    window->offset = offset;
+    window->length = available;
+  }
+  *bytes = window->buffer + (offset - window->offset);
+  return OK;
+}
+
+/* Reads the header of a frame; *plausible is false when there can be no frame at this offset. */
+static enum error_code read_frame_header(file_window *window, size_t offset, wal_frame *frame,
+                                         bool *plausible, error *err) {
+  size_t size = window->wal->size;
+  const char *bytes;
+  *plausible = false;
+  if (offset + sizeof *frame > size)
+    return OK;
+  enum error_code r = window_read(window, offset, sizeof *frame, &bytes, err);
+  if (r)
+    return r;
+  memcpy(frame, bytes, sizeof *frame);
+  *plausible = frame->magic == WAL_FRAME_MAGIC && frame->length <= size - offset - sizeof *frame;
+  return OK;
+}
+
+/* Reads the frame at an offset; *sound is false when there is none or its CRC is wrong. body takes
+ * its body unless NULL. */
+static enum error_code read_frame(file_window *window, size_t offset, wal_frame *frame, bool *sound,
+                                  GString *body, error *err) {
+  enum error_code r = read_frame_header(window, offset, frame, sound, err);
+  if (r || !*sound)
+    return r;
+  *sound = false;
+  uint32_t crc = wal_frame_header_crc(frame);
+  if (body)
+    g_string_truncate(body, 0);
+  size_t at = offset + sizeof *frame, left = frame->length;
+  while (left) {
+    bool in_window = at >= window->offset && at < window->offset + window->length;
+    size_t available = in_window ? window->offset + window->length - at : WINDOW_BYTES;
+    size_t length = MIN(left, MIN(available, (size_t)WINDOW_BYTES));
+    const char *bytes;
+    r = window_read(window, at, length, &bytes, err);
+    if (r)
+      return r;
+    crc = crc32(crc, (const Bytef *)bytes, length);
+    if (body)
+      g_string_append_len(body, bytes, length);
+    at += length;
+    left -= length;
+  }
+  *sound = crc == frame->crc;
+  return OK;
+}
+
+/* Looks for frames in the bytes that a window holds from an offset on, and raises *highest to the
+ * generation of each sound one from min_generation on. */
+static enum error_code search_bytes(recovery *recovery, const char *bytes, size_t length,
+                                    size_t offset, uint64_t min_generation, uint64_t *highest,
+                                    size_t *searched, error *err) {
+  size_t i = 0;
+  for (; i + sizeof(wal_frame) <= length; i += WAL_ALIGNMENT) {
+    wal_frame frame;
+    memcpy(&frame, bytes + i, sizeof frame);
+    if (frame.magic != WAL_FRAME_MAGIC || frame.generation < min_generation ||
+        frame.generation <= *highest)
+      continue;
+    bool sound;
+    enum error_code r = read_frame(&recovery->body, offset + i, &frame, &sound, NULL, err);
+    if (r)
+      return r;
+    if (sound)
+      *highest = frame.generation;
+  }
+  *searched = i;
+  return OK;
+}
+
+/* Sets *highest to the highest generation of a sound frame of the windows' file from an offset on,
+ * among those from min_generation on; 0 when there is none. */
+static enum error_code find_highest_generation(recovery *recovery, size_t offset,
+                                               uint64_t min_generation, uint64_t *highest,
+                                               error *err) {
+  size_t size = recovery->wal->size;
+  *highest = 0;
+  size_t at = wal_align(offset);
+  while (at + sizeof(wal_frame) <= size) {
+    size_t length = MIN((size_t)WINDOW_BYTES, size - at) & ~(size_t)(WAL_ALIGNMENT - 1);
+    size_t searched = 0;
+    const char *bytes;
+    enum error_code r = window_read(&recovery->scan, at, length, &bytes, err);
+    if (!r)
+      r = search_bytes(recovery, bytes, length, at, min_generation, highest, &searched, err);
+    if (r)
+      return r;
+    at += searched;
+  }
+  return OK;
+}
+
+static enum error_code find_newest_file(recovery *recovery, error *err) {
+  for (unsigned i = 0; i < WAL_FILE_COUNT; i++) {
+    wal_frame frame;
+    move_windows(recovery, i);
+    enum error_code r = read_frame(&recovery->scan, 0, &frame, &recovery->has_base[i], NULL, err);
+    if (r)
+      return r;
+    if (recovery->has_base[i] && frame.generation > recovery->generation) {
+      recovery->generation = frame.generation;
+      recovery->newest_file = i;
+    }
+  }
+  return OK;
+}
+
+/* Finds where the sound frames of the newest file end. */
+static enum error_code find_end(recovery *recovery, error *err) {
+  wal_frame frame;
+  bool sound;
+  move_windows(recovery, recovery->newest_file);
+  for (;;) {
+    enum error_code r = read_frame(&recovery->scan, recovery->end, &frame, &sound, NULL, err);
+    if (r || !sound || frame.generation != recovery->generation)
+      return r;
+    recovery->end += wal_align(sizeof frame + frame.length);
+  }
+}
+
+static enum error_code check_torn_end(recovery *recovery, error *err) {
+  wal *wal = recovery->wal;
+  if (recovery->end >= wal->size)
+    return OK;
+  size_t length = MIN((size_t)TORN_END_BYTES, wal->size - recovery->end);
+  const char *bytes;
+  enum error_code r = window_read(&recovery->scan, recovery->end, length, &bytes, err);
+  if (r)
+    return r;
+  for (size_t i = 0; i < length; i++)
+    wal->has_torn_end |= bytes[i] != 0;
+  return OK;
+}
+
+static enum error_code replay_newest_file(recovery *recovery, error *err) {
+  wal *wal = recovery->wal;
+  GString *body = g_string_new(NULL);
+  enum error_code r = OK;
+  size_t offset = 0;
+  while (!r && offset < recovery->end) {
+    wal_frame frame;
+    bool sound;
+    r = read_frame(&recovery->scan, offset, &frame, &sound, body, err);
+    if (r)
+      break;
+    wal_entries_for_each(string_view_of_gstring(body), wal->replay_entry, wal->ctx);
+    offset += wal_align(sizeof frame + frame.length);
+  }
+  g_string_free(body, TRUE);
+  return r;
+}
+
+/* Examines the newest file, and replays it unless it is corrupt. */
+static enum error_code recover_newest_file(recovery *recovery, enum wal_condition *condition,
+                                           error *err) {
+  uint64_t later;
+  enum error_code r = find_end(recovery, err);
+  if (!r)
+    r = find_highest_generation(recovery, recovery->end, recovery->generation, &later, err);
+  if (r)
+    return r;
+  *condition = later ? WAL_CORRUPT : WAL_INTACT;
+  r = check_torn_end(recovery, err);
+  if (!r && *condition == WAL_INTACT)
+    r = replay_newest_file(recovery, err);
+  recovery->wal->current_file = recovery->newest_file;
+  recovery->wal->offset = recovery->end;
+  return r;
+}
+
+/* A file without a sound first frame must hold no frame that is newer than the newest file. */
+static enum error_code check_other_files(recovery *recovery, enum wal_condition *condition,
+                                         error *err) {
+  for (unsigned i = 0; i < WAL_FILE_COUNT; i++) {
+    if ((int)i == recovery->newest_file || recovery->has_base[i])
+      continue;
+    uint64_t later;
+    move_windows(recovery, i);
+    enum error_code r =
+        find_highest_generation(recovery, WAL_ALIGNMENT, recovery->generation + 1, &later, err);
+    if (r)
+      return r;
+    if (later)
+      *condition = WAL_CORRUPT;
+  }
+  return OK;
+}
+
+/* A corrupt log is begun anew above all generations that are on the disk. */
+static enum error_code raise_generation(recovery *recovery, error *err) {
+  for (unsigned i = 0; i < WAL_FILE_COUNT; i++) {
+    uint64_t later;
+    move_windows(recovery, i);
+    enum error_code r = find_highest_generation(recovery, 0, recovery->generation + 1, &later, err);
+    if (r)
+      return r;
+    if (later)
+      recovery->generation = later;
+  }
+  return OK;
+}
+
+enum error_code wal_recover(wal *wal, enum wal_condition *condition, error *err) {
+  recovery recovery = { .wal = wal, .newest_file = -1 };
+  recovery.scan = (file_window){ .wal = wal, .buffer = g_malloc(WINDOW_BYTES) };
+  recovery.body = (file_window){ .wal = wal, .buffer = g_malloc(WINDOW_BYTES) };
+  *condition = WAL_BLANK;
+  enum error_code r = find_newest_file(&recovery, err);
+  if (!r && recovery.newest_file >= 0)
+    r = recover_newest_file(&recovery, condition, err);
+  if (!r)
+    r = check_other_files(&recovery, condition, err);
+  if (!r && *condition == WAL_CORRUPT)
+    r = raise_generation(&recovery, err);
+  wal->generation = recovery.generation;
+  g_free(recovery.scan.buffer);
+  g_free(recovery.body.buffer);
+  return r;
+}
--- a/tests/catch_up.c
+++ b/tests/catch_up.c
@@ -1,7 +1,7 @@
 /** Catching up: a member that was restarted, or comes back empty, is whole within the span for
  * which it counts as lost (syncS on the pages), whatever the state weighs and however fast it
  * changes; and no machine leads with, or gives out, an old state. */
-#include "replica_internal.h"
+#include "replica.h"
 #include "tests.h"
 #include <stdio.h>
 
@@ -256,7 +256,7 @@
   }
   sim_run(fleet->sim, time_from_ms(2 * SNAPSHOT_IDLE_MS));
   for (int i = 0; i < SNAPSHOTS_MAX; i++)
-    if (host->controller->replica.snapshots[i].text)
+    if (host->controller->replica.snapshot_cache.entries[i].text)
       violation(fleet, "a state that nobody fetches is still kept");
   return true;
 }
--- a/tests/model/events.c
+++ b/tests/model/events.c
@@ -1,5 +1,5 @@
 /** What may happen in the model, and the rules that hold in every state. */
-#include "replica_internal.h"
+#include "replica.h"
 #include "model.h"
 #include <stdio.h>
 #include <stdlib.h>
--- a/tests/model/node.c
+++ b/tests/model/node.c
@@ -1,7 +1,7 @@
 /** A node of the model: how it handles messages, and what follows a sync. It mirrors the order of
  * steps in agreement.c, lease.c, replication.c, snapshot.c and join.c; all that is decided in
  * between is decided by the daemon's own functions. */
-#include "replica_internal.h"
+#include "replica.h"
 #include "model.h"
 #include <stdio.h>
 
@@ -105,12 +105,12 @@
   b->may_act_at = time_add(NOW, time_from_ms(m->act_in * UNIT_MS));
   b->has_acted = m->acted;
   for (int i = 0; i < MEMBERS_MOST; i++) {
-    b->held[i].disk = m->held[i].member;
-    b->held[i].sent = instant(m->held[i].age);
+    b->held[i].disk_id = m->held[i].member;
+    b->held[i].requested_at = instant(m->held[i].age);
   }
   for (int i = 0; i < 2 * MEMBERS_MOST; i++) {
-    b->granted[i].disk = m->granted[i].member;
-    b->granted[i].at = instant(m->granted[i].age);
+    b->granted[i].disk_id = m->granted[i].member;
+    b->granted[i].granted_at = instant(m->granted[i].age);
   }
 }
 
@@ -121,12 +121,12 @@
       b->may_act_at.us > NOW.us ? (uint8_t)((b->may_act_at.us - NOW.us) / (UNIT_MS * 1000)) : 0;
   m->acted = b->has_acted;
   for (int i = 0; i < MEMBERS_MOST; i++) {
-    m->held[i].member = (uint8_t)b->held[i].disk;
-    m->held[i].age = age_of(b->held[i].sent);
+    m->held[i].member = (uint8_t)b->held[i].disk_id;
+    m->held[i].age = age_of(b->held[i].requested_at);
   }
   for (int i = 0; i < 2 * MEMBERS_MOST; i++) {
-    m->granted[i].member = (uint8_t)b->granted[i].disk;
-    m->granted[i].age = age_of(b->granted[i].at);
+    m->granted[i].member = (uint8_t)b->granted[i].disk_id;
+    m->granted[i].age = age_of(b->granted[i].granted_at);
   }
 }
 
@@ -360,7 +360,7 @@
   memset(a, 0, sizeof *a);
   a->promised = m->ok;
   a->in_sync = m->whole;
-  a->disk = m->member;
+  a->disk_id = m->member;
   a->has_accepted = m->has;
   a->accepted = expand_ballot(m->took_turn, m->took_by);
   if (m->has)
--- a/tests/second_loss.c
+++ b/tests/second_loss.c
@@ -1,7 +1,7 @@
 /** A second loss right after a repair or a replacement: the core must still have a majority of
  * voters and a whole copy of the state. A machine counts as lost until a span (syncS on the pages)
  * has passed since its return or start; the next loss comes at that very instant. */
-#include "replica_internal.h"
+#include "replica.h"
 #include "tests.h"
 #include <stdio.h>
 
