--- a/lib/controlplane/accepted_changes.c
+++ b/lib/controlplane/accepted_changes.c
@@ -1,14 +1,21 @@
+/** The accepted changes as an array in the order of their writes. Lookups walk back from the
+ * newest, since a change is mostly sent again soon; they end at the first lower base version. */
 #include "accepted_changes.h"
 
-void accepted_changes_init(accepted_changes *a) {
-  memset(a, 0, sizeof *a);
-  a->all = g_array_new(FALSE, FALSE, sizeof(accepted_change));
+enum {
+  /** Upper bound of the bytes that the list itself takes in a snapshot. */
+  PACKED_FIXED_BYTES = 32
+};
+
+void accepted_changes_init(accepted_changes *changes) {
+  memset(changes, 0, sizeof *changes);
+  changes->all = g_array_new(FALSE, FALSE, sizeof(accepted_change));
 }
 
-void accepted_changes_free(accepted_changes *a) {
-  if (a->all)
-    g_array_free(a->all, TRUE);
-  memset(a, 0, sizeof *a);
+void accepted_changes_free(accepted_changes *changes) {
+  if (changes->all)
+    g_array_free(changes->all, TRUE);
+  memset(changes, 0, sizeof *changes);
 }
 
 void accepted_changes_copy(accepted_changes *to, const accepted_changes *from) {
@@ -19,86 +26,95 @@
   to->checksum = from->checksum;
 }
 
-static const accepted_change *at(const accepted_changes *a, guint i) {
-  return &g_array_index(a->all, accepted_change, i);
+static const accepted_change *change_at(const accepted_changes *changes, guint index) {
+  return &g_array_index(changes->all, accepted_change, index);
+}
+
+static uint64_t checksum_of(const accepted_change *change) {
+  return hash_bytes(change, sizeof *change, 0);
 }
 
-static uint64_t sum_of(const accepted_change *o) {
-  return hash_bytes(o, sizeof *o, 0);
+static void append(accepted_changes *changes, const accepted_change *change) {
+  changes->checksum ^= checksum_of(change);
+  g_array_append_vals(changes->all, change, 1);
 }
 
-static void forget(accepted_changes *a, guint count) {
+static void forget_oldest(accepted_changes *changes, guint count) {
   for (guint i = 0; i < count; i++)
-    a->checksum ^= sum_of(at(a, i));
-  a->forgotten_base = at(a, count - 1)->base_version;
-  a->any_forgotten = true;
-  g_array_remove_range(a->all, 0, count);
+    changes->checksum ^= checksum_of(change_at(changes, i));
+  changes->forgotten_base = change_at(changes, count - 1)->base_version;
+  changes->any_forgotten = true;
+  g_array_remove_range(changes->all, 0, count);
 }
 
-void accepted_changes_add(accepted_changes *a, uint64_t base, uint64_t hash, uint64_t seq) {
-  accepted_change o = { base, hash, seq };
-  a->checksum ^= sum_of(&o);
-  g_array_append_val(a->all, o);
-  if (a->all->len >= ACCEPTED_CHANGES_MAX + ACCEPTED_CHANGES_FORGOTTEN_AT_ONCE)
-    forget(a, ACCEPTED_CHANGES_FORGOTTEN_AT_ONCE);
+void accepted_changes_add(accepted_changes *changes, uint64_t base_version, uint64_t hash,
+                          uint64_t seq) {
+  accepted_change change = { base_version, hash, seq };
+  append(changes, &change);
+  if (changes->all->len >= ACCEPTED_CHANGES_MAX + ACCEPTED_CHANGES_FORGOTTEN_AT_ONCE)
+    forget_oldest(changes, ACCEPTED_CHANGES_FORGOTTEN_AT_ONCE);
 }
 
-const accepted_change *accepted_changes_find(const accepted_changes *a, uint64_t base,
+const accepted_change *accepted_changes_find(const accepted_changes *changes, uint64_t base_version,
                                              uint64_t hash) {
-  for (guint i = a->all->len; i-- > 0 && at(a, i)->base_version >= base;)
-    if (at(a, i)->base_version == base && at(a, i)->hash == hash)
-      return at(a, i);
+  for (guint i = changes->all->len; i-- > 0;) {
+    const accepted_change *change = change_at(changes, i);
+    if (change->base_version < base_version)
+      return NULL;
+    if (change->base_version == base_version && change->hash == hash)
+      return change;
+  }
   return NULL;
 }
 
-bool accepted_changes_may_include(const accepted_changes *a, uint64_t base) {
-  return a->any_forgotten && base <= a->forgotten_base;
+bool accepted_changes_may_include(const accepted_changes *changes, uint64_t base_version) {
+  return changes->any_forgotten && base_version <= changes->forgotten_base;
 }
 
-size_t accepted_changes_packed_size(const accepted_changes *a) {
-  return 32 + (size_t)a->all->len * ACCEPTED_CHANGE_PACKED_MAX;
+size_t accepted_changes_packed_size(const accepted_changes *changes) {
+  return PACKED_FIXED_BYTES + (size_t)changes->all->len * ACCEPTED_CHANGE_PACKED_MAX;
 }
 
-/* bases and numbers of writes rise slowly, and are packed as steps from the one before */
-void accepted_changes_pack(const accepted_changes *a, Wire__AcceptedChanges *to) {
-  guint n = a->all->len;
-  uint64_t base = 0, seq = 0;
-  wire__accepted_changes__init(to);
-  to->forgotten_base = a->forgotten_base;
-  to->any_forgotten = a->any_forgotten;
-  to->n_base_versions = to->n_sequences = to->n_hashes = n;
-  to->base_versions = g_new(uint64_t, n);
-  to->sequences = g_new(uint64_t, n);
-  to->hashes = g_new(uint64_t, n);
-  for (guint i = 0; i < n; i++) {
-    to->base_versions[i] = at(a, i)->base_version - base;
-    to->sequences[i] = at(a, i)->seq - seq;
-    to->hashes[i] = at(a, i)->hash;
-    base = at(a, i)->base_version;
-    seq = at(a, i)->seq;
+/* base versions and numbers of writes rise slowly, and are packed as differences */
+void accepted_changes_pack(const accepted_changes *changes, Wire__AcceptedChanges *message) {
+  guint count = changes->all->len;
+  accepted_change previous = { 0, 0, 0 };
+  wire__accepted_changes__init(message);
+  message->forgotten_base = changes->forgotten_base;
+  message->any_forgotten = changes->any_forgotten;
+  message->n_base_versions = message->n_sequences = message->n_hashes = count;
+  message->base_versions = g_new(uint64_t, count);
+  message->sequences = g_new(uint64_t, count);
+  message->hashes = g_new(uint64_t, count);
+  for (guint i = 0; i < count; i++) {
+    const accepted_change *change = change_at(changes, i);
+    message->base_versions[i] = change->base_version - previous.base_version;
+    message->sequences[i] = change->seq - previous.seq;
+    message->hashes[i] = change->hash;
+    previous = *change;
   }
 }
 
-void accepted_changes_packed_free(Wire__AcceptedChanges *w) {
-  g_free(w->base_versions);
-  g_free(w->sequences);
-  g_free(w->hashes);
+void accepted_changes_packed_free(Wire__AcceptedChanges *message) {
+  g_free(message->base_versions);
+  g_free(message->sequences);
+  g_free(message->hashes);
 }
 
-void accepted_changes_unpack(accepted_changes *a, const Wire__AcceptedChanges *w) {
-  g_array_set_size(a->all, 0);
-  a->checksum = a->forgotten_base = 0;
-  a->any_forgotten = false;
-  if (!w || w->n_base_versions != w->n_sequences || w->n_base_versions != w->n_hashes)
+void accepted_changes_unpack(accepted_changes *changes, const Wire__AcceptedChanges *message) {
+  g_array_set_size(changes->all, 0);
+  changes->checksum = changes->forgotten_base = 0;
+  changes->any_forgotten = false;
+  if (!message || message->n_base_versions != message->n_sequences ||
+      message->n_base_versions != message->n_hashes)
     return;
-  a->forgotten_base = w->forgotten_base;
-  a->any_forgotten = w->any_forgotten;
-  accepted_change o = { 0, 0, 0 };
-  for (size_t i = 0; i < w->n_base_versions; i++) {
-    o.base_version += w->base_versions[i];
-    o.seq += w->sequences[i];
-    o.hash = w->hashes[i];
-    a->checksum ^= sum_of(&o);
-    g_array_append_val(a->all, o);
+  changes->forgotten_base = message->forgotten_base;
+  changes->any_forgotten = message->any_forgotten;
+  accepted_change change = { 0, 0, 0 };
+  for (size_t i = 0; i < message->n_base_versions; i++) {
+    change.base_version += message->base_versions[i];
+    change.seq += message->sequences[i];
+    change.hash = message->hashes[i];
+    append(changes, &change);
   }
 }
