--- a/tests/model/search.c
+++ b/tests/model/search.c
@@ -3,7 +3,7 @@
 #include <stdio.h>
 #include <stdlib.h>
 
-enum { WALK_STEPS_MOST = 400, PROGRESS_OF_TEN = 7 };
+enum { WALK_STEPS_MAX = 400, PROGRESS_OF_TEN = 7 };
 
 static uint64_t hash_state(const model_state *s) {
   uint64_t h = 0xcbf29ce484222325u, word;
@@ -57,7 +57,7 @@
     path[n++] = o[at].by;
   model_state s;
   char fault[FAULT_SIZE];
-  model_first(&s, p);
+  model_init(&s, p);
   while (n--) {
     trace_step(r->trace, &s, path[n]);
     model_apply(&s, p, path[n], fault);
@@ -66,10 +66,10 @@
 
 static void note(search_result *r, const model_state *s) {
   uint64_t views = 0;
-  for (int i = 0; i < EPOCHS_MOST; i++)
+  for (int i = 0; i < EPOCHS_MAX; i++)
     views += s->decided[i].epoch > 0;
   r->views = MAX(r->views, views);
-  r->acked = MAX(r->acked, s->acked);
+  r->acknowledged = MAX(r->acknowledged, s->acknowledged);
 }
 
 void search_breadth(const model_scope *p, search_result *r) {
@@ -82,16 +82,16 @@
   GArray *level = g_array_new(FALSE, FALSE, sizeof(model_state));
   GArray *next = g_array_new(FALSE, FALSE, sizeof(model_state));
   model_state first;
-  model_first(&first, p);
+  model_init(&first, p);
   g_array_append_val(level, first);
   set_add(&seen, hash_state(&first));
   r->states = 1;
-  r->whole = true;
+  r->complete = true;
   uint32_t base = 0;
-  model_event e[EVENTS_MOST];
-  while (level->len && !r->fault[0] && r->whole) {
+  model_event e[EVENTS_MAX];
+  while (level->len && !r->fault[0] && r->complete) {
     uint32_t next_base = (uint32_t)r->states;
-    for (guint i = 0; i < level->len && !r->fault[0] && r->whole; i++) {
+    for (guint i = 0; i < level->len && !r->fault[0] && r->complete; i++) {
       const model_state *from = &g_array_index(level, model_state, i);
       int n = model_events(from, p, e);
       for (int k = 0; k < n; k++) {
@@ -105,7 +105,7 @@
         if (!set_add(&seen, hash_state(&s)))
           continue;
         if (r->states == p->states) {
-          r->whole = false;
+          r->complete = false;
           break;
         }
         o[r->states++] = (origin){ base + i, e[k] };
@@ -118,7 +118,7 @@
     next = old;
     g_array_set_size(next, 0);
     base = next_base;
-    r->depth += level->len && r->whole && !r->fault[0];
+    r->depth += level->len && r->complete && !r->fault[0];
   }
   g_array_free(level, TRUE);
   g_array_free(next, TRUE);
@@ -153,9 +153,9 @@
 static void walk(const model_scope *p, uint64_t seed, search_result *r) {
   uint64_t x = seed * 0x9e3779b97f4a7c15u | 1;
   model_state s;
-  model_event e[EVENTS_MOST], path[WALK_STEPS_MOST];
+  model_event e[EVENTS_MAX], path[WALK_STEPS_MAX];
   int n = 0;
-  model_first(&s, p);
+  model_init(&s, p);
   for (; n < (int)p->steps && !r->fault[0]; n++) {
     int may = model_events(&s, p, e);
     if (!may)
@@ -168,7 +168,7 @@
   if (!r->fault[0])
     return;
   char fault[FAULT_SIZE];
-  model_first(&s, p);
+  model_init(&s, p);
   for (int i = 0; i < n; i++) {
     trace_step(r->trace, &s, path[i]);
     model_apply(&s, p, path[i], fault);
--- a/tests/model/search.h
+++ b/tests/model/search.h
@@ -4,9 +4,10 @@
 
 /** What a search found. */
 typedef struct search_result {
-  uint64_t states, steps, acked, views;
+  uint64_t states, steps, acknowledged, views;
   uint32_t depth;
-  bool whole;
+  /** Whether all states of the scope were visited. */
+  bool complete;
   char fault[FAULT_SIZE];
   GString *trace;
 } search_result;
