--- a/lib/controlplane/bootstrap.c
+++ b/lib/controlplane/bootstrap.c
@@ -183,6 +183,6 @@
   first->voter_count = first->chain_length == 3 ? 3 : 1;
   memcpy(first->voters, first->chain, sizeof first->chain[0] * first->voter_count);
   first->chain_length = MIN(first->chain_length, replica_chain_max(replica));
-  if (view_change_propose(replica, &proposal))
+  if (paxos_propose(replica, &proposal))
     log_info(&replica->node->log, "replica", "Bootstrapped fleet %016" PRIx64 ".", first->fleet_id);
 }
--- a/lib/controlplane/chain_join.c
+++ b/lib/controlplane/chain_join.c
@@ -134,7 +134,7 @@
   enum error_code r = error_set(err, E_NO_CONTROLLER, "no other member is heard");
   for (int i = view.chain_length - 1; i >= 0 && r; i--) {
     if (id_equal(view.chain[i].self, replica->node->settings.self) ||
-        chain_repair_is_silent(replica, &view.chain[i], MEMBER_LEASE_EXPIRED_MS))
+        repair_plan_member_is_silent(replica, &view.chain[i], MEMBER_LEASE_EXPIRED_MS))
       continue;
     r = snapshot_fetch(replica, view.chain[i].address, err);
     if (r == E_STOPPING)
--- a/lib/controlplane/chain_repair.h
+++ b/lib/controlplane/chain_repair.h
@@ -1,8 +1,7 @@
 #ifndef CONTROLPLANE_CHAIN_REPAIR_H
 #define CONTROLPLANE_CHAIN_REPAIR_H
-/** Repair of the view: members that are lost are left out, members that have caught up join, and
- * votes move to members of the chain. */
-#include "view.h"
+/** Repair of the view: when this process proposes the next one, and when it drains. */
+#include "node.h"
 
 struct replica;
 
@@ -23,9 +22,6 @@
 void chain_repair_init(chain_repair_state *repair, time_us may_act_at);
 /** Notes that a view was entered: the next one is not proposed at once. */
 void chain_repair_on_new_view(chain_repair_state *repair, time_us now);
-/** Returns whether a member has not been heard for so many ms. This controller's own member counts
- * as silent when it has another disk. */
-bool chain_repair_is_silent(const struct replica *replica, const member *member, int64_t ms);
 /** The task: checks the view and the disk ten times a second. Its context is the replica. */
 void chain_repair_run(void *ctx);
 #endif
--- /dev/null
+++ b/lib/controlplane/paxos_acceptor.c
@@ -0,0 +1,143 @@
+/** The acceptor's side of the vote on the next view: handlers of PrepareRequest and AcceptRequest.
+ * The rules are in paxos_rules.c; here the acceptor's state is synced before a response rests on
+ * it, and a voter refuses to help leaving out a member that it would keep. */
+#include "replica.h"
+
+enum {
+  /** A voter does not help to leave out a peer that it has heard within so many ms. */
+  PEER_HEARD_MS = 600
+};
+
+/* whether this controller votes on the view of an epoch that a peer proposes; on the first view of
+ * a fleet the founders vote */
+static bool may_vote(const replica *replica, uint64_t epoch, const Wire__NodeInfo *proposer) {
+  if (!replica->running || replica->wal.failed)
+    return false;
+  if (replica->view.epoch)
+    return replica_voter_index(replica) >= 0;
+  return epoch == 1 && bootstrap_is_founder(replica) &&
+         bootstrap_is_first_founder(replica, proposer->id, proposer->address);
+}
+
+/* a vote for another epoch than the last one is not the one that may be stuck */
+static void forget_stuck_vote(replica *replica, uint64_t epoch) {
+  if (replica->acceptor.epoch != epoch)
+    replica->view_change.prepare_pending_since = (time_us){ 0 };
+}
+
+static enum error_code store_acceptor(replica *replica, error *err) {
+  GString *entries = g_string_new(NULL);
+  wal_entries_add_acceptor(entries, &replica->acceptor);
+  if (!replica->view_change.prepare_pending_since.us)
+    replica->view_change.prepare_pending_since = world_now(replica->node->world);
+  enum error_code r = wal_append_all(&replica->wal, string_view_of_gstring(entries), err);
+  g_string_free(entries, TRUE);
+  return r;
+}
+
+/* whether this process hears a peer, and the peer hears it and wants to stay */
+static bool is_well_connected(const replica *replica, id who) {
+  const peer_node *peer = node_find_peer(replica->node, who);
+  if (!peer || peer->draining || member_lease_peer_hears_nothing(replica, peer->self))
+    return false;
+  return !time_reached(world_now(replica->node->world),
+                       time_add(peer->last_heard_at, time_from_ms(PEER_HEARD_MS)));
+}
+
+/* whether a proposal leaves out a member that this voter would keep */
+static bool objects_to_dropped(const replica *replica, const Wire__PrepareRequest *request) {
+  if (request->link_broken)
+    return false;
+  for (size_t i = 0; i < request->n_dropped; i++) {
+    const char *dropped = request->dropped[i];
+    if (!strcmp(dropped, replica->node->settings.self.text) && !replica->node->draining)
+      return true;
+    if (is_well_connected(replica, id_of_text(dropped)))
+      return true;
+  }
+  return false;
+}
+
+static Wire__ProposalNumber *response_proposal_number(reply *reply, const proposal_number *number) {
+  proposal_number *copy = reply_alloc(reply, sizeof *copy);
+  Wire__ProposalNumber *message = reply_alloc(reply, sizeof *message);
+  *copy = *number;
+  proposal_number_pack(message, copy);
+  return message;
+}
+
+static enum error_code promise(replica *replica, const Wire__PrepareRequest *request, reply *reply,
+                               Wire__PrepareResponse *response, error *err) {
+  acceptor_state *acceptor = &replica->acceptor;
+  proposal_number number = proposal_number_unpack(request->number);
+  forget_stuck_vote(replica, request->epoch);
+  if (acceptor_prepare(acceptor, replica->view.epoch, request->epoch, number) == ACCEPTOR_SYNC) {
+    enum error_code r = store_acceptor(replica, err);
+    if (r)
+      return r;
+  }
+  response->promised_now =
+      acceptor_has_promised(acceptor, replica->view.epoch, request->epoch, number);
+  response->promised = response_proposal_number(reply, &acceptor->promised);
+  if (acceptor->has_accepted) {
+    response->accepted = response_proposal_number(reply, &acceptor->accepted);
+    response->view = response_view(reply, &acceptor->value);
+  }
+  return OK;
+}
+
+int paxos_acceptor_on_prepare(void *ctx, Wire__Envelope *in, reply *reply, error *err) {
+  replica *replica = ctx;
+  const Wire__PrepareRequest *request = in->prepare_request;
+  if (!request->number)
+    return error_set(err, E_WIRE_MESSAGE, "no proposal number");
+  if (!may_vote(replica, request->epoch, in->from))
+    return error_set(err, E_VIEW_MISMATCH, "no voter");
+  member self = replica_as_member(replica);
+  Wire__PrepareResponse *response = reply_new_body(reply, WIRE__ENVELOPE__BODY_PREPARE_RESPONSE,
+                                                   &wire__prepare_response__descriptor);
+  response->in_sync = replica_in_sync(replica);
+  response->self = response_member(reply, &self);
+  if (request->epoch <= replica->view.epoch) {
+    response->newer = response_view(reply, &replica->view);
+    return OK;
+  }
+  if (request->epoch != replica->view.epoch + 1 || objects_to_dropped(replica, request))
+    return OK;
+  if (request->pre_vote) {
+    response->promised_now = true;
+    return OK;
+  }
+  return promise(replica, request, reply, response, err);
+}
+
+int paxos_acceptor_on_accept(void *ctx, Wire__Envelope *in, reply *reply, error *err) {
+  replica *replica = ctx;
+  const Wire__AcceptRequest *request = in->accept_request;
+  view value;
+  if (!request->number || !view_unpack(&value, request->view) || value.epoch != request->epoch)
+    return error_set(err, E_WIRE_MESSAGE, "no view");
+  if (!may_vote(replica, request->epoch, in->from))
+    return error_set(err, E_VIEW_MISMATCH, "no voter");
+  Wire__AcceptResponse *response = reply_new_body(reply, WIRE__ENVELOPE__BODY_ACCEPT_RESPONSE,
+                                                  &wire__accept_response__descriptor);
+  proposal_number number = proposal_number_unpack(request->number);
+  if (request->epoch == replica->view.epoch + 1)
+    forget_stuck_vote(replica, request->epoch);
+  enum error_code r = OK;
+  switch (
+      acceptor_accept(&replica->acceptor, replica->view.epoch, request->epoch, number, &value)) {
+  case ACCEPTOR_KNOWS_NEWER:
+    response->newer = response_view(reply, &replica->view);
+    return OK;
+  case ACCEPTOR_RESPOND:
+    break;
+  case ACCEPTOR_SYNC:
+    r = store_acceptor(replica, err);
+    break;
+  }
+  if (r)
+    return r;
+  response->accepted_now = acceptor_has_accepted(&replica->acceptor, request->epoch, number);
+  return OK;
+}
--- a/lib/controlplane/paxos_rules.h
+++ b/lib/controlplane/paxos_rules.h
@@ -2,7 +2,8 @@
 #define CONTROLPLANE_PAXOS_RULES_H
 /** Single-decree Paxos on the next view: the decisions of acceptor and proposer as functions of
  * their state and of one message. Nothing here waits, sends, writes or reads a clock;
- * view_change.c does that, and tests/model runs the same functions over many orders of events. */
+ * paxos_acceptor.c and paxos_proposer.c do that, and tests/model runs the same functions over many
+ * orders of events. */
 #include "view.h"
 
 /** A proposal number (ballot): ordered by round, then by the proposer's name. It stands for one
--- a/lib/controlplane/replica.c
+++ b/lib/controlplane/replica.c
@@ -102,8 +102,8 @@
     node_handler handler;
   } handlers[] = { { WIRE__ENVELOPE__BODY_SNAPSHOT_REQUEST, snapshot_on_request },
                    { WIRE__ENVELOPE__BODY_REPLICATE_REQUEST, replication_on_request },
-                   { WIRE__ENVELOPE__BODY_PREPARE_REQUEST, view_change_on_prepare },
-                   { WIRE__ENVELOPE__BODY_ACCEPT_REQUEST, view_change_on_accept },
+                   { WIRE__ENVELOPE__BODY_PREPARE_REQUEST, paxos_acceptor_on_prepare },
+                   { WIRE__ENVELOPE__BODY_ACCEPT_REQUEST, paxos_acceptor_on_accept },
                    { WIRE__ENVELOPE__BODY_VIEW_ANNOUNCEMENT, view_change_on_announcement },
                    { WIRE__ENVELOPE__BODY_MEMBER_LEASE_REQUEST, member_lease_on_request },
                    { WIRE__ENVELOPE__BODY_BOOTSTRAP_REQUEST, bootstrap_on_request },
--- a/lib/controlplane/replica.h
+++ b/lib/controlplane/replica.h
@@ -8,8 +8,11 @@
 #include "chain_rules.h"
 #include "member_lease.h"
 #include "parallel_call.h"
+#include "paxos_acceptor.h"
+#include "paxos_proposer.h"
 #include "paxos_rules.h"
 #include "recent_records.h"
+#include "repair_plan.h"
 #include "replica_write.h"
 #include "replication.h"
 #include "replication_sender.h"
@@ -38,7 +41,7 @@
   bool in_sync;
   /** The known view, epoch 0 when there is none. Written by view_change.c. */
   view view;
-  /** Written by view_change.c. */
+  /** Written by paxos_acceptor.c. */
   acceptor_state acceptor;
   /** The state with all records that are known to be committed. */
   state committed;
--- a/tests/model/events.c
+++ b/tests/model/events.c
@@ -107,7 +107,7 @@
   return !vote_is_under_way(s, p) && keeps_a_replica(s, &s->decided[model_newest_view(s)], node);
 }
 
-/* the view that a node may propose: like make_plan in chain_repair.c, but without its delays */
+/* the view that a node may propose: like repair_plan_make, but without its delays */
 static bool make_proposal(const model_state *s, const model_scope *p, model_event e,
                           model_view *v) {
   const model_node *n = &s->node[e.a];
--- a/tests/model/vote.c
+++ b/tests/model/vote.c
@@ -1,5 +1,6 @@
-/** Votes on views in the model. The order of steps mirrors lib/controlplane/view_change.c and must
- * be kept like it; all that is decided in between is decided by the daemon's own functions. */
+/** Votes on views in the model. The order of steps mirrors paxos_acceptor.c, paxos_proposer.c and
+ * view_change.c of lib/controlplane and must be kept like it; all that is decided in between is
+ * decided by the daemon's own functions. */
 #include "model_parts.h"
 #include <stdio.h>
 
