--- a/tests/core.c
+++ b/tests/core.c
@@ -1,8 +1,8 @@
+/** The control plane by itself: how a fleet is bootstrapped, how many members may be lost, and how
+ * long it takes until a head acts again. */
 #include "tests.h"
 #include <stdio.h>
 
-/* the core by itself: how it is founded, how many it may lose, how long it takes to act again */
-
 host *core_add_controller(fleet *fleet, int n) {
   char name[32], addr[48];
   snprintf(name, sizeof name, "controller-%d", n);
@@ -16,7 +16,7 @@
   return host;
 }
 
-/* founders are told by their addresses only, as at a first start */
+/* the settings name founders by address only, as at a first start */
 void core_found_by_address(fleet *fleet, int founders) {
   for (int i = 0; i < fleet->controllers; i++) {
     settings *settings = &fleet->controller[i]->settings;
@@ -28,17 +28,17 @@
   }
 }
 
-/* what a later start is told */
+/* the settings of a later start name no founders */
 void core_later_starts(fleet *fleet) {
   for (int i = 0; i < fleet->controllers; i++)
     fleet->controller[i]->settings.founder_count = 0;
 }
 
-void core_bounds(fleet *fleet, int members, int copies, int areas) {
+void core_bounds(fleet *fleet, int members, int replicas, int zones) {
   for (int i = 0; i < fleet->controllers; i++) {
     fleet->controller[i]->settings.chain_members = members;
-    fleet->controller[i]->settings.write_replicas = copies;
-    fleet->controller[i]->settings.write_zones = areas;
+    fleet->controller[i]->settings.write_replicas = replicas;
+    fleet->controller[i]->settings.write_zones = zones;
   }
 }
 
@@ -54,22 +54,23 @@
   int chain_length, voter_count;
 } shape;
 
-static bool shaped(sim *sim, void *p) {
-  shape *a = p;
-  host *host = fleet_head(a->fleet);
+static bool has_shape(sim *sim, void *ctx) {
+  const shape *wanted = ctx;
+  host *host = fleet_head(wanted->fleet);
   (void)sim;
-  return host && fleet_tail(a->fleet) &&
-         host->controller->replica.view.chain_length == a->chain_length &&
-         (!a->voter_count || host->controller->replica.view.voter_count == a->voter_count);
+  return host && fleet_tail(wanted->fleet) &&
+         host->controller->replica.view.chain_length == wanted->chain_length &&
+         (!wanted->voter_count ||
+          host->controller->replica.view.voter_count == wanted->voter_count);
 }
 
-bool core_wait_shape(fleet *fleet, int links, int votes, int64_t ms) {
-  shape a = { fleet, links, votes };
-  if (sim_until(fleet->sim, shaped, &a, time_from_ms(ms)))
+bool core_wait_shape(fleet *fleet, int chain_length, int voter_count, int64_t ms) {
+  shape wanted = { fleet, chain_length, voter_count };
+  if (sim_until(fleet->sim, has_shape, &wanted, time_from_ms(ms)))
     return true;
   host *host = fleet_head(fleet);
-  violation(fleet, "no chain of %d with %d voters after %" PRId64 " ms, but %d with %d", links,
-            votes, ms, host ? host->controller->replica.view.chain_length : 0,
+  violation(fleet, "no chain of %d with %d voters after %" PRId64 " ms, but %d with %d",
+            chain_length, voter_count, ms, host ? host->controller->replica.view.chain_length : 0,
             host ? host->controller->replica.view.voter_count : 0);
   return false;
 }
@@ -84,8 +85,8 @@
   core_later_starts(fleet);
   if (!core_wait_shape(fleet, 3, 3, 8000))
     return false;
-  core_put(fleet, 1, "after the founding");
-  /* one comes back empty, and joins */
+  core_put(fleet, 1, "after the bootstrap");
+  /* one comes back with a blank disk, and joins */
   host *host = fleet->controller[sim_draw(fleet->sim, 3)];
   host_power(host);
   host_wipe(host);
@@ -93,7 +94,7 @@
   if (!core_wait_shape(fleet, 3, 3, 10000))
     return false;
   acked_stand(fleet);
-  /* when all are empty nobody may found anew */
+  /* when all disks are blank nobody may bootstrap a new fleet */
   for (int i = 0; i < 3; i++) {
     host_power(fleet->controller[i]);
     host_wipe(fleet->controller[i]);
@@ -103,7 +104,7 @@
   for (int i = 0; i < 40; i++) {
     sim_run(fleet->sim, time_from_ms(500));
     if (fleet_head(fleet)) {
-      violation(fleet, "a core of empty disks was founded at a later start");
+      violation(fleet, "a fleet was bootstrapped from blank disks at a later start");
       break;
     }
   }
@@ -114,7 +115,7 @@
   core_found_by_address(f, 3);
   for (int i = 0; i < 3; i++)
     host_start(f->controller[i]);
-  /* a machine whose disk never took its first record is an empty one */
+  /* a controller whose disk never synced its first record is a blank one */
   sim_run(f->sim, (time_us){ 60000 + (int64_t)sim_draw(f->sim, 840000) });
   for (int i = 0; i < 3; i++)
     if (sim_draw(f->sim, 2))
@@ -134,7 +135,7 @@
   return true;
 }
 
-/* given a core that need not bear any loss, a chain of one machine commits by itself */
+/* given settings that allow no loss, a chain of one member commits by itself */
 static bool a_chain_of_one_commits(fleet *fleet) {
   core_bounds(fleet, 1, 1, 1);
   if (!fleet_up(fleet))
@@ -145,7 +146,7 @@
   return true;
 }
 
-/* given seven machines, any three of them may be lost at once, with their disks */
+/* given seven members, any three of them may be lost at once, with their disks */
 static bool seven_members_lose_three(fleet *fleet) {
   enum { MEMBERS = 7, LOST = 3 };
   for (int n = 4; n <= MEMBERS; n++)
@@ -212,7 +213,7 @@
       return false;
     acked_stand(fleet);
   }
-  /* two are gone for good: their votes are taken from them, and one more may go */
+  /* two are lost for good: they lose their votes, and one more may be lost */
   host_power(fleet->controller[1]);
   host_power(fleet->controller[3]);
   if (!core_wait_shape(fleet, 3, 3, 40000))
@@ -227,21 +228,22 @@
 
 typedef struct {
   fleet *fleet;
-  host *old, *fresh;
-} exchange;
+  host *old, *successor;
+} replacement;
 
-static bool exchanged(sim *sim, void *p) {
-  exchange *exchange = p;
-  host *host = fleet_head(exchange->fleet);
+static bool is_replaced(sim *sim, void *ctx) {
+  const replacement *replacement = ctx;
+  host *host = fleet_head(replacement->fleet);
   (void)sim;
-  if (!host || !fleet_tail(exchange->fleet) || host->controller->replica.view.voter_count != 3)
+  if (!host || !fleet_tail(replacement->fleet) || host->controller->replica.view.voter_count != 3)
     return false;
-  bool in = false;
+  bool replaced = false;
   for (int i = 0; i < host->controller->replica.view.chain_length; i++)
-    in |= id_equal(host->controller->replica.view.chain[i].self, exchange->fresh->self);
+    replaced |=
+        id_equal(host->controller->replica.view.chain[i].self, replacement->successor->self);
   for (int i = 0; i < 3; i++)
-    in &= !id_equal(host->controller->replica.view.voters[i].self, exchange->old->self);
-  return in;
+    replaced &= !id_equal(host->controller->replica.view.voters[i].self, replacement->old->self);
+  return replaced;
 }
 
 static bool a_machine_is_replaced_at_a_new_address(fleet *fleet) {
@@ -252,30 +254,30 @@
   check_watch(fleet);
   core_later_starts(fleet);
   for (int turn = 0; turn < 3; turn++) {
-    core_put(fleet, turn, "before the exchange");
+    core_put(fleet, turn, "before the replacement");
     host *head = fleet_head(fleet), *old = turn ? head : fleet->controller[sim_draw(fleet->sim, 3)];
     if (!old)
       return false;
     host_power(old);
     host_wipe(old);
-    host *young = core_add_controller(fleet, 4 + turn);
+    host *successor = core_add_controller(fleet, 4 + turn);
     /* the list of seeds is one of its day */
     for (int i = 0, k = 0; i < fleet->controllers && k < 3; i++)
       if (fleet->controller[i] != old &&
-          (fleet->controller[i]->alive || fleet->controller[i] == young))
-        g_strlcpy(young->settings.seed_addresses[k++], fleet->controller[i]->addr,
-                  sizeof young->settings.seed_addresses[0]);
+          (fleet->controller[i]->alive || fleet->controller[i] == successor))
+        g_strlcpy(successor->settings.seed_addresses[k++], fleet->controller[i]->addr,
+                  sizeof successor->settings.seed_addresses[0]);
     sim_run(fleet->sim, time_from_ms((int64_t)sim_draw(fleet->sim, 3000)));
-    host_start(young);
-    exchange x = { fleet, old, young };
-    if (!sim_until(fleet->sim, exchanged, &x, time_from_ms(12000))) {
-      violation(fleet, "%s did not take the place of %s", young->self.text, old->self.text);
+    host_start(successor);
+    replacement wanted = { fleet, old, successor };
+    if (!sim_until(fleet->sim, is_replaced, &wanted, time_from_ms(12000))) {
+      violation(fleet, "%s did not replace %s", successor->self.text, old->self.text);
       return false;
     }
     acked_stand(fleet);
-    core_put(fleet, turn + 5, "after the exchange");
+    core_put(fleet, turn + 5, "after the replacement");
   }
-  /* all who founded may be gone by now: any one of those left may go too */
+  /* all founders may be gone by now: any one of those left may be lost, too */
   host *host = fleet_tail(fleet);
   if (!host)
     return false;
@@ -401,26 +403,26 @@
   return true;
 }
 
-/* the time until a head acts that is not of the old view; asked every 10 ms */
-static double acting_again(fleet *fleet, time_us from, uint64_t past, int64_t most) {
+/* seconds from an instant until a head of a later view acts, looked at every 10 ms, up to max_ms */
+static double seconds_to_next_head(fleet *fleet, time_us from, uint64_t old_epoch, int64_t max_ms) {
   for (;;) {
     host *host = fleet_head(fleet);
-    double s = (double)time_sub(fleet->sim->now, from).us / 1e6;
-    if (host && fleet_tail(fleet) && host->controller->replica.view.epoch > past &&
+    double seconds = (double)time_sub(fleet->sim->now, from).us / 1e6;
+    if (host && fleet_tail(fleet) && host->controller->replica.view.epoch > old_epoch &&
         !replica_view_is_under_replicated(&host->controller->replica,
                                           &host->controller->replica.view))
-      return s;
-    if (s * 1000 > (double)most)
-      return s;
+      return seconds;
+    if (seconds * 1000 > (double)max_ms)
+      return seconds;
     sim_run(fleet->sim, time_from_ms(10));
   }
 }
 
-static void in_time(fleet *fleet, double s, double most, const char *what) {
+static void check_in_time(fleet *fleet, double seconds, double max_seconds, const char *what) {
   if (g_getenv("SIM_COUNT"))
-    fprintf(stderr, "  step %s %.2f\n", what, s);
-  if (s > most)
-    violation(fleet, "R12 the core acted %.2f s after %s", s, what);
+    fprintf(stderr, "  step %s %.2f\n", what, seconds);
+  if (seconds > max_seconds)
+    violation(fleet, "R12 a head acted %.2f s after %s", seconds, what);
 }
 
 static bool a_head_is_lost_and_the_next_acts(fleet *fleet) {
@@ -451,7 +453,7 @@
       controller_drain(head->controller);
     static const char *const what[] = { "a-frozen-head", "a-dead-head", "a-head-cut-off",
                                         "a-head-that-left" };
-    in_time(fleet, acting_again(fleet, loss, epoch, 6000), 2.5, what[turn]);
+    check_in_time(fleet, seconds_to_next_head(fleet, loss, epoch, 6000), 2.5, what[turn]);
     core_put(fleet, turn + 4, "under the next head");
     sim_run(fleet->sim, time_from_ms((int64_t)sim_draw(fleet->sim, 3000)));
     if (turn == 0)
@@ -489,7 +491,7 @@
       sim_cut(fleet->sim, head->self.text, next, true);
     if (turn == 2)
       sim_cut(fleet->sim, next, head->self.text, true);
-    in_time(fleet, acting_again(fleet, loss, epoch, 8000), 4, "a-cut-link");
+    check_in_time(fleet, seconds_to_next_head(fleet, loss, epoch, 8000), 4, "a-cut-link");
     core_put(fleet, turn, "round a cut link");
     sim_mend(fleet->sim);
     if (!wait_chain(fleet, 3, 12000))
@@ -518,7 +520,8 @@
       sim_run(fleet->sim, time_from_ms((int64_t)sim_draw(fleet->sim, 330)));
       host_start(fleet->controller[i]);
     }
-    in_time(fleet, acting_again(fleet, fleet->sim->now, 0, 6000), 2.5, "all-came-back");
+    check_in_time(fleet, seconds_to_next_head(fleet, fleet->sim->now, 0, 6000), 2.5,
+                  "all-came-back");
     core_put(fleet, turn + 5, "after all came back");
     acked_stand(fleet);
     if (!wait_chain(fleet, 3, 9000))
--- a/tests/disk.c
+++ b/tests/disk.c
@@ -10,11 +10,11 @@
 
 enum { RING_FILE = 64 << 10 };
 
-/* what was synced since the last look, and whether the next sync fails */
+/* what was synced since the last call of open_ring_file, and whether the next sync fails */
 static int files_synced, folders_synced;
 static bool next_sync_fails;
 
-/* stands before that of the C library in this program */
+/* replaces that of the C library in this program */
 int fsync(int fd) {
   struct stat st;
   if (next_sync_fails) {
@@ -47,9 +47,9 @@
   }
   next_sync_fails = true;
   if (open_ring_file(world) != E_DISK_SYNC)
-    violation(fleet, "a sync that failed was not told");
+    violation(fleet, "a failed sync was not reported");
   if (open_ring_file(world) || !files_synced || !folders_synced)
-    violation(fleet, "after a sync that failed, %d files and %d folders were synced", files_synced,
+    violation(fleet, "after a failed sync, %d files and %d folders were synced", files_synced,
               folders_synced);
   real_world_free(world);
   /* the process that made it was killed before it could sync: the next one can't know */
--- a/tests/member.c
+++ b/tests/member.c
@@ -1,3 +1,4 @@
+/** Membership: the ring of heartbeats, and when a silent peer counts as gone. */
 #include "tests.h"
 #include <stdlib.h>
 
@@ -8,16 +9,16 @@
                             : NULL;
 }
 
-static int place_cmp(const void *a, const void *b) {
+static int compare_positions(const void *a, const void *b) {
   const ring_position *x = a, *y = b;
   return x->hash < y->hash ? -1 : x->hash > y->hash;
 }
 
-/* the rule said plainly: clockwise from the name, first those of areas that are not among the
- * chosen yet, then the others */
-static int by_the_rule(node *node, id who, ring_position out[HEARTBEAT_WATCHERS]) {
+/* the rule in its plainest form: clockwise from the name, first those of zones that are not among
+ * the chosen yet, then the others */
+static int expected_watchers(node *node, id who, ring_position out[HEARTBEAT_WATCHERS]) {
   ring_position all[200];
-  int n = 0, got = 0;
+  int n = 0, chosen = 0;
   uint64_t from = hash_two_names("ring", who.text);
   if (!id_equal(who, node->settings.self)) {
     all[n] = (ring_position){ hash_two_names("ring", node->settings.self.text) - from,
@@ -31,52 +32,53 @@
                               peer->zone, "" };
     g_strlcpy(all[n++].address, peer->address, 48);
   }
-  qsort(all, (size_t)n, sizeof *all, place_cmp);
+  qsort(all, (size_t)n, sizeof *all, compare_positions);
   for (int round = 0; round < 2; round++)
-    for (int i = 0; i < n && got < HEARTBEAT_WATCHERS; i++) {
+    for (int i = 0; i < n && chosen < HEARTBEAT_WATCHERS; i++) {
       bool skip = false;
-      for (int k = 0; k < got; k++)
+      for (int k = 0; k < chosen; k++)
         skip |=
             id_equal(out[k].self, all[i].self) || (!round && id_equal(out[k].zone, all[i].zone));
       if (!skip)
-        out[got++] = all[i];
+        out[chosen++] = all[i];
     }
-  return got;
+  return chosen;
 }
 
-static void compare(fleet *fleet, node *node, id who) {
-  ring_position is[HEARTBEAT_WATCHERS], should[HEARTBEAT_WATCHERS];
-  int n = node_watchers(node, who, is), k = by_the_rule(node, who, should);
+static void check_watchers(fleet *fleet, node *node, id who) {
+  ring_position actual[HEARTBEAT_WATCHERS], expected[HEARTBEAT_WATCHERS];
+  int n = node_watchers(node, who, actual), k = expected_watchers(node, who, expected);
   if (n != k) {
     violation(fleet, "%s names %d watchers of %s, not %d", node->settings.self.text, n, who.text,
               k);
     return;
   }
   for (int i = 0; i < n; i++)
-    if (!id_equal(is[i].self, should[i].self) || !id_equal(is[i].zone, should[i].zone) ||
-        strcmp(is[i].address, should[i].address))
+    if (!id_equal(actual[i].self, expected[i].self) ||
+        !id_equal(actual[i].zone, expected[i].zone) ||
+        strcmp(actual[i].address, expected[i].address))
       violation(fleet, "%s names %s as watcher %d of %s, not %s", node->settings.self.text,
-                is[i].self.text, i, who.text, should[i].self.text);
+                actual[i].self.text, i, who.text, expected[i].self.text);
 }
 
-static void note_word(void *p) {
+static void append_text(void *p) {
   g_string_append(((void **)p)[0], ((void **)p)[1]);
 }
 
-static time_us stands_still(void *p) {
+static time_us constant_time(void *p) {
   (void)p;
   return (time_us){ 1000 };
 }
 
-/* heartbeats run before all else that is ready, in the order in which they were woken */
+/* urgent tasks run before all others that are ready, in the order in which they were woken */
 static bool urgent_tasks_run_first(fleet *fleet) {
   scheduler scheduler;
-  scheduler_init(&scheduler, stands_still, NULL);
+  scheduler_init(&scheduler, constant_time, NULL);
   GString *order = g_string_new(NULL);
-  void *words[3][2] = { { order, "a" }, { order, "b" }, { order, "!" } };
-  task_start(&scheduler, "a", note_word, words[0]);
-  task_start(&scheduler, "b", note_word, words[1]);
-  task_start_urgent(&scheduler, "!", note_word, words[2]);
+  void *contexts[3][2] = { { order, "a" }, { order, "b" }, { order, "!" } };
+  task_start(&scheduler, "a", append_text, contexts[0]);
+  task_start(&scheduler, "b", append_text, contexts[1]);
+  task_start_urgent(&scheduler, "!", append_text, contexts[2]);
   scheduler_run(&scheduler);
   if (strcmp(order->str, "!ab"))
     violation(fleet, "tasks ran as %s", order->str);
@@ -86,8 +88,8 @@
   return true;
 }
 
-/* given machines that come, go, are cut off and are heard again, at any moment each one names the
- * watchers that the rule names */
+/* given processes that start, end, are cut off and are heard again, each one names the watchers
+ * that the rule names, at any moment */
 static bool watchers_follow_the_ring(fleet *fleet) {
   if (!fleet_up(fleet))
     return false;
@@ -121,63 +123,63 @@
       node *node = node_of(x);
       if (!node)
         continue;
-      compare(fleet, node, node->settings.self);
+      check_watchers(fleet, node, node->settings.self);
       list_for_each (peer, &node->peers, peer_node, link)
-        compare(fleet, node, peer->self);
+        check_watchers(fleet, node, peer->self);
     }
   }
   heal_all(fleet);
   return !fleet->faults->len;
 }
 
-/* given a fleet in which nobody comes or goes, its heartbeats need no look at all machines again
- * and again */
+/* given a fleet without changes, the ring of heartbeats is built once, not again and again */
 static bool a_quiet_ring_is_made_once(fleet *fleet) {
   if (!fleet_up(fleet))
     return false;
   sim_run(fleet->sim, time_from_ms(10000));
-  uint64_t was = 0, is = 0;
+  uint64_t builds_before = 0, builds_after = 0;
   list_for_each (h, &fleet->sim->hosts, host, link)
     if (node_of(h))
-      was += node_of(h)->ring_builds;
+      builds_before += node_of(h)->ring_builds;
   sim_run(fleet->sim, time_from_ms(10000));
   list_for_each (h, &fleet->sim->hosts, host, link)
     if (node_of(h))
-      is += node_of(h)->ring_builds;
-  if (is != was)
-    violation(fleet, "the ring was made %" PRIu64 " times in ten quiet seconds", is - was);
+      builds_after += node_of(h)->ring_builds;
+  if (builds_after != builds_before)
+    violation(fleet, "the ring was built %" PRIu64 " times in ten quiet seconds",
+              builds_after - builds_before);
   return !fleet->faults->len;
 }
 
-/* what the others know of a machine: the number of those that think it gone; when told to, they
- * learn how late it is */
-static int others_of(fleet *fleet, host *whom, int64_t late_ms) {
+/* sets how late the tasks of a process run, as all others know it, and returns how many of them
+ * have declared it gone */
+static int set_lateness_and_count_gone(fleet *fleet, host *subject, int64_t late_ms) {
   int gone = 0;
   for (int i = 0; i < fleet->routers + fleet->controllers; i++) {
     host *host = i < fleet->routers ? fleet->router[i] : fleet->controller[i - fleet->routers];
-    peer_node *machine = host == whom ? NULL : node_find_peer(node_of(host), whom->self);
-    if (!machine)
+    peer_node *peer = host == subject ? NULL : node_find_peer(node_of(host), subject->self);
+    if (!peer)
       continue;
-    gone += machine->gone;
-    machine->lateness_ms = late_ms;
+    gone += peer->gone;
+    peer->lateness_ms = late_ms;
   }
   return gone;
 }
 
-/* how many of the others think that a machine is gone, after it was silent for a time */
+/* how many of the others have declared a process gone after it was silent for a time */
 static int gone_after_silence(fleet *fleet, host *silent, int64_t late_ms, int64_t silent_ms) {
   enum { IN_FLIGHT_MS = 200, BACK_MS = 5000 };
   host_freeze(silent);
   sim_run(fleet->sim, time_from_ms(IN_FLIGHT_MS));
-  others_of(fleet, silent, late_ms);
+  set_lateness_and_count_gone(fleet, silent, late_ms);
   sim_run(fleet->sim, time_from_ms(silent_ms));
-  int gone = others_of(fleet, silent, late_ms);
+  int gone = set_lateness_and_count_gone(fleet, silent, late_ms);
   host_wake(silent);
   sim_run(fleet->sim, time_from_ms(BACK_MS));
   return gone;
 }
 
-/* a machine that has said how late its tasks run is given that much longer, up to a bound */
+/* a peer that has reported how late its tasks run gets that much longer, up to a bound */
 static bool late_machines_are_given_time(fleet *fleet) {
   enum { SHORT_MS = 2000, LONG_MS = 4500, LATE_MS = 1300, VERY_LATE_MS = 60000 };
   if (!fleet_up(fleet))
@@ -188,9 +190,9 @@
     violation(fleet, "a silence of %d ms is not noticed", SHORT_MS);
   int gone = gone_after_silence(fleet, silent, LATE_MS, SHORT_MS);
   if (gone)
-    violation(fleet, "%d machines think that one which is late is gone", gone);
+    violation(fleet, "%d peers have declared one gone that is late", gone);
   if (!gone_after_silence(fleet, silent, VERY_LATE_MS, LONG_MS))
-    violation(fleet, "a silence of %d ms of a late machine is not noticed", LONG_MS);
+    violation(fleet, "a silence of %d ms of a late peer is not noticed", LONG_MS);
   return true;
 }
 
--- a/tests/tests.h
+++ b/tests/tests.h
@@ -45,11 +45,11 @@
 /** What every start after the first is told: no founders. */
 void core_later_starts(fleet *fleet);
 /** How many members the core has, and on how many copies and areas a write is synced. */
-void core_bounds(fleet *fleet, int members, int copies, int areas);
+void core_bounds(fleet *fleet, int members, int replicas, int zones);
 /** Writes a configuration; a violation when nobody takes it. */
 void core_put(fleet *fleet, int n, const char *when);
 /** Waits until a chain of so many members acts with so many voters (0: any); a violation when there
  * is none in time. */
-bool core_wait_shape(fleet *fleet, int links, int votes, int64_t ms);
+bool core_wait_shape(fleet *fleet, int chain_length, int voter_count, int64_t ms);
 extern const char *const area_names[3];
 #endif
