--- a/tests/controlplane/chain_repair.c
+++ b/tests/controlplane/chain_repair.c
@@ -2,7 +2,7 @@
  * leaves a majority of voters and a replica that is in sync. A controller counts as lost until a
  * span (syncS of the users' requirements) after its return or start; the next loss comes at that
  * instant. Fleet: three or five controllers, one router. */
-#include "replica_internal.h"
+#include "replica.h"
 #include "tests.h"
 #include <stdio.h>
 
