--- /dev/null
+++ b/lib/router/engine.c
@@ -0,0 +1,121 @@
+/**
+ * Capacity of engines, and the slow start of those that came up.
+ *
+ * Slow start: an engine that came up takes its first streams slowly (they fill its caches), so the
+ * limit grows over slow_start_s. Each router knows only its own streams since the last report; to
+ * keep all routers together within the small limit, it is divided among them, and the remainder is
+ * given to each router in turn.
+ */
+#include "engine.h"
+#include "router.h"
+
+enum {
+  /* An engine holds a request for its report open for up to about two seconds. */
+  REPORT_VALID_MS = 2500,
+  /* How long one router has the larger share of the slow start's limit. */
+  SLOW_START_TURN_MS = 500,
+  MIN_SLOW_START_STREAMS = 2
+};
+
+engine *engine_new(router *router, const char *self, const char *address) {
+  engine *new_engine = g_new0(engine, 1);
+  new_engine->router = router;
+  new_engine->refs = 2;
+  new_engine->self = id_of_text(self);
+  g_strlcpy(new_engine->address, address, sizeof new_engine->address);
+  list_init(&new_engine->residents);
+  list_init(&new_engine->load_requests);
+  condition_init(&new_engine->report_changed);
+  condition_init(&new_engine->work_changed);
+  list_append(&router->engine_list.engines, &new_engine->link);
+  return new_engine;
+}
+
+void engine_unref(engine *engine) {
+  if (--engine->refs)
+    return;
+  list_for_each (resident, &engine->residents, resident_model, link) {
+    list_remove(&resident->link);
+    g_free(resident);
+  }
+  list_remove(&engine->link);
+  g_free(engine);
+}
+
+void engine_remove(engine *engine) {
+  engine->removed = true;
+  engine->listed = false;
+  condition_broadcast(&engine->work_changed);
+  condition_broadcast(&engine->report_changed);
+}
+
+engine *engine_find(router *router, id self) {
+  list_for_each (engine_, &router->engine_list.engines, engine, link)
+    if (id_equal(engine_->self, self))
+      return engine_;
+  return NULL;
+}
+
+resident_model *engine_find_resident(engine *engine, id model, id adapter) {
+  list_for_each (resident, &engine->residents, resident_model, link)
+    if (id_equal(resident->model, model) && id_equal(resident->adapter, adapter))
+      return resident;
+  return NULL;
+}
+
+bool engine_accepts_work(engine *engine) {
+  router *router = engine->router;
+  time_us now = world_now(router->node.world);
+  return config_sync_may_admit(router) && engine->listed && !engine->draining && engine->reported &&
+         !engine->removed &&
+         router_happened_within(router, engine->last_report_at, REPORT_VALID_MS) &&
+         time_reached(now, engine->excluded_until) &&
+         !(router->config &&
+           config_is_engine_evacuated(router->config, engine->self, engine->zone));
+}
+
+static int64_t slow_start_us(const engine *engine) {
+  const config *config = engine->router->config;
+  return config ? config->slow_start_s * 1000000 : 0;
+}
+
+static int64_t age_us(const engine *engine) {
+  return time_sub(world_now(engine->router->node.world), engine->started_at).us;
+}
+
+/* This router's share of the limit during a slow start. The order of the routers is one of the
+ * engine's own, and moves on by one each turn. */
+static int slow_start_share(engine *engine, int cap, int64_t age) {
+  router *router = engine->router;
+  int all = 1, before = 0;
+  uint64_t mine = hash_two_names(engine->self.text, router->node.settings.self.text);
+  list_for_each (peer, &router->node.peers, peer_node, link) {
+    if (peer->role != ROLE_ROUTER || peer->gone || peer->draining)
+      continue;
+    all++;
+    before += hash_two_names(engine->self.text, peer->self.text) > mine;
+  }
+  int position = (int)((before + age / (SLOW_START_TURN_MS * 1000)) % all);
+  return (cap + all - 1 - position) / all;
+}
+
+bool engine_has_free_slot(engine *engine) {
+  int cap = engine_max_streams(engine);
+  int64_t slow = slow_start_us(engine), age = age_us(engine);
+  return engine_running_streams(engine) < cap &&
+         (age >= slow || engine->own_running < slow_start_share(engine, cap, age));
+}
+
+int engine_max_streams(engine *engine) {
+  int max = engine->router->config ? engine->router->config->streams_max : 1;
+  int64_t slow = slow_start_us(engine), age = age_us(engine);
+  if (!slow || age >= slow)
+    return max;
+  int cap = (int)(max * (age + 1) / slow);
+  return cap < MIN_SLOW_START_STREAMS ? MIN(MIN_SLOW_START_STREAMS, max) : cap;
+}
+
+int engine_running_streams(engine *engine) {
+  return MAX(engine->own_running,
+             engine->running + engine->own_running - engine->own_running_at_report);
+}
--- a/lib/router/event_history.h
+++ b/lib/router/event_history.h
@@ -12,8 +12,7 @@
   EVENT_UNLOADED,
   EVENT_REFUSED,
   EVENT_STREAM_BROKEN,
-  EVENT_COMPLETED,
-  EVENT_SHED
+  EVENT_COMPLETED
 };
 /** An event: what, when, on which engine, and of which model and adapter. */
 typedef struct history_event {
--- a/lib/router/generate_api.c
+++ b/lib/router/generate_api.c
@@ -3,6 +3,14 @@
 #include <stdio.h>
 #include <stdlib.h>
 
+void generate_api_init(generate_api *api) {
+  list_init(&api->outgoing_load_requests);
+  list_init(&api->admitted_requests);
+  api->smoothed_service_ms = 2000;
+  /* a young node may try a few times before its traffic has earned it */
+  api->retry_budget = 2;
+}
+
 enum {
   STREAM_IDLE_MS = 15000,
   MAX_ATTEMPTS = 3,
@@ -100,7 +108,7 @@
   for (int i = 0; i < router->config->kind_count; i++) {
     double own = router->config->kinds[i].quota_share * most;
     if (i != request_class)
-      spare -= MAX(own, router->request_classes[i].waiting);
+      spare -= MAX(own, router->requests.classes[i].waiting);
   }
   return spare;
 }
@@ -108,7 +116,7 @@
 static int resident_capacity(router *router, id m, id a, int *up) {
   int cap = 0;
   *up = 0;
-  list_for_each (e, &router->engines, engine, link) {
+  list_for_each (e, &router->engine_list.engines, engine, link) {
     resident_model *resident_model = engine_accepts_work(e) ? engine_find_resident(e, m, a) : NULL;
     if (resident_model && resident_model->state == RESIDENT_UP) {
       cap += engine_max_streams(e);
@@ -128,13 +136,13 @@
 
 static int request_step_admit(routed_request *request) {
   router *router = request->router;
-  request_class *request_class = &router->request_classes[request->request_class];
+  request_class *request_class = &router->requests.classes[request->request_class];
   int up, cap;
   if (request_class->waiting + 1 > free_queue_share(router, request->request_class)) {
     request_class->shed++;
     /* when about half of the line is through, there is room again */
     int64_t back =
-        (int64_t)(router->smoothed_service_ms * (request_class->waiting + 1) / 2 /
+        (int64_t)(router->requests.smoothed_service_ms * (request_class->waiting + 1) / 2 /
                   MAX(1, resident_capacity(router, request->model, request->adapter, &up) /
                              count_routers(router))) +
         500;
@@ -146,21 +154,22 @@
   int64_t est = 0;
   if (up) {
     int same = 0;
-    list_for_each (o, &router->admitted_requests, routed_request, queue_link)
+    list_for_each (o, &router->requests.admitted_requests, routed_request, queue_link)
       same += id_equal(o->model, request->model) && id_equal(o->adapter, request->adapter) &&
               o->kind_copy.weight >= request->kind_copy.weight;
-    est = (int64_t)(router->smoothed_service_ms * same * count_routers(router) / MAX(cap, 1));
+    est = (int64_t)(router->requests.smoothed_service_ms * same * count_routers(router) /
+                    MAX(cap, 1));
   } else {
     int ahead = 0;
     bool joined = false;
-    list_for_each (m, &router->outgoing_load_requests, outgoing_load_request, link) {
+    list_for_each (m, &router->requests.outgoing_load_requests, outgoing_load_request, link) {
       if (m->done)
         continue;
       joined |= id_equal(m->model, request->model) && id_equal(m->adapter, request->adapter);
       ahead++;
     }
     int open = 0;
-    list_for_each (e, &router->engines, engine, link)
+    list_for_each (e, &router->engine_list.engines, engine, link)
       open += engine_accepts_work(e);
     if (!joined && open) {
       double one = model_loading_estimate_ms(router, id_of_text("any"), request->model,
@@ -198,7 +207,7 @@
 }
 
 static bool is_next_in_queue(routed_request *request) {
-  list_for_each (o, &request->router->admitted_requests, routed_request, queue_link)
+  list_for_each (o, &request->router->requests.admitted_requests, routed_request, queue_link)
     if (o != request && o->awaiting_engine && id_equal(o->model, request->model) &&
         id_equal(o->adapter, request->adapter) && queue_rank(o) < queue_rank(request))
       return false;
@@ -210,11 +219,11 @@
 static engine *select_resident(routed_request *request, bool *any) {
   router *router = request->router;
   int count = 0, n = 0, sum = 0;
-  list_for_each (e, &router->engines, engine, link)
+  list_for_each (e, &router->engine_list.engines, engine, link)
     count++;
   engine **all = g_new(engine *, count + 1);
   *any = false;
-  list_for_each (e, &router->engines, engine, link) {
+  list_for_each (e, &router->engine_list.engines, engine, link) {
     if (!engine_accepts_work(e) || is_excluded(request, e))
       continue;
     resident_model *h = engine_find_resident(e, request->model, request->adapter);
@@ -271,7 +280,7 @@
   unsigned slots, none;
   char key[128];
   int count = 0, n = 0;
-  list_for_each (e, &router->engines, engine, link)
+  list_for_each (e, &router->engine_list.engines, engine, link)
     count++;
   load_target *all = g_new(load_target, count + 1);
   *fits = false;
@@ -280,7 +289,7 @@
   if (!id_is_empty(request->adapter))
     model_loading_find_size(router, request->model, id_of_text(""), &base, &none);
   event_history_format_key(key, sizeof key, request->model, id_of_text(""));
-  list_for_each (e, &router->engines, engine, link) {
+  list_for_each (e, &router->engine_list.engines, engine, link) {
     if (!e->listed || megs + base > e->weights_mb || slots > e->adapter_slots)
       continue;
     *fits = true;
@@ -388,7 +397,7 @@
 static outgoing_load_request *load_request_join(routed_request *request, engine *engine) {
   router *router = request->router;
   outgoing_load_request *m = NULL;
-  list_for_each (k, &router->outgoing_load_requests, outgoing_load_request, link)
+  list_for_each (k, &router->requests.outgoing_load_requests, outgoing_load_request, link)
     if (!k->done && id_equal(k->engine_id, engine->self) && id_equal(k->model, request->model) &&
         id_equal(k->adapter, request->adapter))
       m = k;
@@ -399,7 +408,7 @@
     m->model = request->model;
     m->adapter = request->adapter;
     condition_init(&m->changed);
-    list_append(&router->outgoing_load_requests, &m->link);
+    list_append(&router->requests.outgoing_load_requests, &m->link);
     m->deadline = request->deadline;
     task_start(&router->node.world->tasks, "miss", load_request_run, m);
   }
@@ -434,8 +443,8 @@
       code = set_error(request, E_PEER_GONE, 0, "the caller went away");
       break;
     }
-    if (!config_sync_wait_may_admit(router)) {
-      router->isolated_refusals++;
+    if (!admission_wait(router)) {
+      router->requests.isolated_refusals++;
       code = set_error(request, E_ISOLATED, 2000,
                        "this machine is cut off and can't know what is in force");
       break;
@@ -452,7 +461,7 @@
       double pen =
           model_loading_estimate_ms(router, id_of_text("any"), request->model, request->adapter);
       code = set_error(request, E_DEADLINE_EXCEEDED,
-                       any ? (int64_t)router->smoothed_service_ms : (int64_t)pen,
+                       any ? (int64_t)router->requests.smoothed_service_ms : (int64_t)pen,
                        "no engine was free for %s%s%s in time", request->model.text,
                        request->adapter.text[0] ? "+" : "", request->adapter.text);
       break;
@@ -462,7 +471,7 @@
       if (!copy && !e &&
           time_reached(now, time_add(request->received_at, time_from_ms(ADD_REPLICA_AFTER_MS)))) {
         routed_request probe = *request;
-        list_for_each (x, &router->engines, engine, link)
+        list_for_each (x, &router->engine_list.engines, engine, link)
           if (engine_find_resident(x, request->model, request->adapter))
             exclude_engine(&probe, x);
         engine *t = select_load_target(&probe, &fits);
@@ -494,7 +503,7 @@
       if (miss->error_code) {
         why = miss->error_code;
         back = miss->retry_after_ms;
-        list_for_each (x, &router->engines, engine, link)
+        list_for_each (x, &router->engine_list.engines, engine, link)
           if (id_equal(x->self, miss->engine_id))
             exclude_engine(request, x);
       } else
@@ -522,9 +531,9 @@
 
 /* second tries come out of a budget that first tries fill */
 static bool take_retry(router *router) {
-  if (router->retry_budget < 1)
+  if (router->requests.retry_budget < 1)
     return false;
-  router->retry_budget -= 1;
+  router->requests.retry_budget -= 1;
   router->retry_count++;
   return true;
 }
@@ -602,7 +611,7 @@
     char *at = strstr(got->str, name);
     if (x || !end || !at || at > end) {
       if (!x) {
-        router->mismatched_runs++;
+        router->requests.mismatched_runs++;
         log_info(&router->node.log, "route",
                  "%s answered attempt %s with another run; it is not passed on (code %d).",
                  engine->self.text, attempt, E_STREAM_BROKEN);
@@ -639,7 +648,7 @@
         http_request_end(request->http, true);
         res = ATTEMPT_COMPLETED;
         double ms = (double)time_sub(world_now(world), from).us / 1000;
-        router->smoothed_service_ms += 0.1 * (ms - router->smoothed_service_ms);
+        router->requests.smoothed_service_ms += 0.1 * (ms - router->requests.smoothed_service_ms);
         event_history_append(&router->history, (history_event){ EVENT_COMPLETED,
                                                                 { 0 },
                                                                 engine->self,
@@ -686,7 +695,7 @@
       if (c)
         return c;
     }
-    request_class *request_class = &router->request_classes[request->request_class];
+    request_class *request_class = &router->requests.classes[request->request_class];
     if (request->counted_waiting) {
       request->counted_waiting = false;
       request_class->waiting--;
@@ -704,7 +713,7 @@
       request->run_outcome = UNKNOWN;
     request->may_have_run |= request->run_outcome != NOT_RUN;
     if (s == ATTEMPT_RETRYABLE)
-      list_for_each (x, &router->engines, engine, link)
+      list_for_each (x, &router->engine_list.engines, engine, link)
         if (!strcmp(x->self.text, self))
           exclude_engine(request, x);
     g_free(self);
@@ -725,7 +734,7 @@
   bool any;
   engine *engine = select_resident(request, &any);
   bool turn = true;
-  list_for_each (o, &request->router->admitted_requests, routed_request, queue_link)
+  list_for_each (o, &request->router->requests.admitted_requests, routed_request, queue_link)
     turn &= !(o->awaiting_engine && id_equal(o->model, request->model) &&
               id_equal(o->adapter, request->adapter));
   if (engine && turn)
@@ -771,7 +780,7 @@
           set_error(request, E_REJECTED_BY_RULE, steps[i].argument, "a rule refuses this request");
       break;
     }
-  request_class *request_class = &router->request_classes[request->request_class];
+  request_class *request_class = &router->requests.classes[request->request_class];
   if (request->counted_waiting)
     request_class->waiting--;
   if (request->counted_running)
@@ -834,8 +843,8 @@
     http_respond_error(request, 400, c, err.text);
     return;
   }
-  if (router->config && !router->draining && !config_sync_wait_may_admit(router)) {
-    router->isolated_refusals++;
+  if (router->config && !router->draining && !admission_wait(router)) {
+    router->requests.isolated_refusals++;
     r.run_outcome = NOT_RUN;
     set_error(&r, E_ISOLATED, 2000, "this machine is cut off and can't know what is in force");
     send_error(&r);
@@ -870,7 +879,7 @@
     send_error(&r);
     return;
   }
-  router->request_classes[r.request_class].requested++;
+  router->requests.classes[r.request_class].requested++;
   if (!model_loading_find_size(router, r.model, r.adapter, &megs, &slots)) {
     r.run_outcome = NOT_RUN;
     set_error(&r, E_UNKNOWN_MODEL, 0, "the catalogue has no such model or adapter");
@@ -886,9 +895,10 @@
   event_history_append(
       &router->history,
       (history_event){ EVENT_ROUTED, { 0 }, id_of_text(""), r.model, r.adapter, r.request_class });
-  router->retry_budget = MIN(10.0, router->retry_budget + router->config->retry_ratio);
+  router->requests.retry_budget =
+      MIN(10.0, router->requests.retry_budget + router->config->retry_ratio);
   router->open_requests++;
-  list_append(&router->admitted_requests, &r.queue_link);
+  list_append(&router->requests.admitted_requests, &r.queue_link);
   run_rule(&r, &own);
   list_remove(&r.queue_link);
   router->open_requests--;
@@ -915,7 +925,7 @@
   bool first = true;
   time_us now = world_now(router->node.world);
   g_string_append_c(b, '[');
-  list_for_each (e, &router->engines, engine, link) {
+  list_for_each (e, &router->engine_list.engines, engine, link) {
     if (e->removed || (only && strcmp(only, e->self.text)))
       continue;
     char duty[64];
@@ -974,19 +984,19 @@
   while (g_hash_table_iter_next(&it, NULL, &p))
     held += singleton_lease_epoch(router, ((singleton_lease *)p)->name.text) > 0;
   peer_node *peer = node_pick_peer(&router->node, ROLE_CONTROLLER, router->polled_controller);
-  json_appendf(b,
-               "{\"id\":\"%s\",\"role\":\"router\",\"area\":\"%s\",\"epoch\":%" PRIu64
-               ",\"version\":%" PRIu64
-               ",\"fresh\":%s,\"core\":\"%s\",\"enrols\":%s,\"alone\":%" PRIu64
-               ",\"duties\":%d,\"listMs\":%" PRId64 ",\"draining\":%s,\"open\":%d,",
-               router->node.settings.self.text, router->node.settings.zone.text, router->view_epoch,
-               router->config_version, config_sync_is_recent(router) ? "true" : "false",
-               peer ? peer->address : "", config_sync_may_admit(router) ? "true" : "false",
-               router->isolated_refusals, held,
-               router->engine_list_known
-                   ? time_sub(world_now(router->node.world), router->engine_list_at).us / 1000
-                   : -1,
-               router->draining ? "true" : "false", router->open_requests);
+  json_appendf(
+      b,
+      "{\"id\":\"%s\",\"role\":\"router\",\"area\":\"%s\",\"epoch\":%" PRIu64
+      ",\"version\":%" PRIu64 ",\"fresh\":%s,\"core\":\"%s\",\"enrols\":%s,\"alone\":%" PRIu64
+      ",\"duties\":%d,\"listMs\":%" PRId64 ",\"draining\":%s,\"open\":%d,",
+      router->node.settings.self.text, router->node.settings.zone.text, router->sync.view_epoch,
+      router->config_version, config_sync_is_recent(router) ? "true" : "false",
+      peer ? peer->address : "", config_sync_may_admit(router) ? "true" : "false",
+      router->requests.isolated_refusals, held,
+      router->engine_list.known
+          ? time_sub(world_now(router->node.world), router->engine_list.received_at).us / 1000
+          : -1,
+      router->draining ? "true" : "false", router->open_requests);
   json_appendf(b,
                "\"requests\":%" PRIu64 ",\"attempts\":%" PRIu64 ",\"seconds\":%" PRIu64
                ",\"loads\":%" PRIu64 ",\"loadFails\":%" PRIu64 ",\"unloads\":%" PRIu64
@@ -999,7 +1009,7 @@
   node_status_json(&router->node, b);
   g_string_append(b, ",\"kinds\":{");
   for (int i = 0; router->config && i < router->config->kind_count; i++) {
-    request_class *request_class = &router->request_classes[i];
+    request_class *request_class = &router->requests.classes[i];
     json_appendf(b,
                  "%s\"%s\":{\"waiting\":%d,\"running\":%d,\"asked\":%" PRIu64 ",\"done\":%" PRIu64
                  ",\"refused\":%" PRIu64 ",\"failed\":%" PRIu64 ",\"shed\":%" PRIu64 "}",
@@ -1022,15 +1032,15 @@
                router->config_version, config_sync_is_recent(router), router->request_count,
                router->attempt_count, router->retry_count, router->load_count, router->failed_loads,
                router->wasted_loads, router->unload_count, router->busy_unloads,
-               router->load_permits, router->isolated_refusals, router->node.world->tasks.count,
-               router->sync_count, router->sync_bytes);
+               router->load_permits, router->requests.isolated_refusals,
+               router->node.world->tasks.count, router->sync_count, router->sync_bytes);
   for (int i = 0; router->config && i < router->config->kind_count; i++)
     json_appendf(b,
                  "asterfall_waiting{kind=\"%s\"} %d\nasterfall_done{kind=\"%s\"} %" PRIu64
                  "\nasterfall_refused{kind=\"%s\"} %" PRIu64 "\n",
-                 router->config->kinds[i].self.text, router->request_classes[i].waiting,
-                 router->config->kinds[i].self.text, router->request_classes[i].completed,
-                 router->config->kinds[i].self.text, router->request_classes[i].refused);
+                 router->config->kinds[i].self.text, router->requests.classes[i].waiting,
+                 router->config->kinds[i].self.text, router->requests.classes[i].completed,
+                 router->config->kinds[i].self.text, router->requests.classes[i].refused);
 }
 
 static void write_journal(router *router, GString *b, const char *engine_, const char *model_,
--- a/lib/router/router.c
+++ b/lib/router/router.c
@@ -1,45 +1,59 @@
+/**
+ * Start, graceful shutdown and end of a router.
+ */
 #include "router.h"
 #include "routing.h"
 
-router *router_new(world *world, const settings *x) {
-  router *v = g_new0(router, 1);
-  node_init(&v->node, world, x);
-  for (int i = 0; i < RESOURCE_COUNT; i++)
-    v->resources[i] = g_string_new("{}");
-  v->engine_list_json = g_string_new(NULL);
-  v->singleton_grants = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-  v->singleton_leases = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, g_free);
-  v->load_backoffs = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-  v->smoothed_service_ms = 2000;
-  /* a young node may try a few times before its traffic has earned it */
-  v->retry_budget = 2;
-  condition_init(&v->singleton_grants_changed);
-  condition_init(&v->state_changed);
-  condition_init(&v->drain_completed);
-  list_init(&v->engines);
-  list_init(&v->outgoing_load_requests);
-  list_init(&v->admitted_requests);
-  event_history_init(&v->history, world);
+enum {
+  /* Requests that are open when a shutdown begins get this long. */
+  DRAIN_TIMEOUT_MS = 30000,
+  DRAIN_CHECK_INTERVAL_MS = 100,
+  /* Time for the last responses to leave, and for releases of leases. */
+  DRAIN_LINGER_MS = 800
+};
+
+static void init_state(router *router) {
+  condition_init(&router->state_changed);
+  condition_init(&router->drain_completed);
+  config_sync_init(router);
+  router->singleton_leases = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, g_free);
+  event_history_init(&router->history, router->node.world);
+  engine_list_init(&router->engine_list);
+  model_loading_init(&router->loading);
+  generate_api_init(&router->requests);
+}
+
+router *router_new(world *world, const settings *settings) {
+  router *new_router = g_new0(router, 1);
+  node_init(&new_router->node, world, settings);
+  init_state(new_router);
   world->serve = generate_api_serve;
-  world->serve_context = v;
-  node_start(&v->node);
-  config_sync_start(v);
-  /* a gateway's engines register themselves, and it places by itself */
-  if (!x->is_gateway) {
-    engine_list_start(v);
-    model_loading_start(v);
+  world->serve_context = new_router;
+  node_start(&new_router->node);
+  config_sync_start(new_router);
+  /* a gateway's engines register themselves, and it places models in its own way */
+  if (!settings->is_gateway) {
+    engine_list_start(new_router);
+    model_loading_start(new_router);
+    rate_exchange_start(new_router);
   }
-  singleton_lease_start(v);
-  return v;
+  singleton_lease_start(new_router);
+  return new_router;
 }
 
-static void wait_drained_run(void *p) {
-  router *router = p;
-  for (int i = 0; i < 300 && router->open_requests; i++)
-    if (!world_sleep(router->node.world, time_from_ms(100)))
+bool router_happened_within(const router *router, time_us at, int64_t ms) {
+  return at.us && !time_reached(world_now(router->node.world), time_add(at, time_from_ms(ms)));
+}
+
+static void drain_run(void *context) {
+  router *router = context;
+  world *world = router->node.world;
+  for (int i = 0; i < DRAIN_TIMEOUT_MS / DRAIN_CHECK_INTERVAL_MS && router->open_requests; i++)
+    if (!world_sleep(world, time_from_ms(DRAIN_CHECK_INTERVAL_MS)))
       return;
-  world_sleep(router->node.world, time_from_ms(800));
-  log_info(&router->node.log, "router", "Drained, %d requests left.", router->open_requests);
+  world_sleep(world, time_from_ms(DRAIN_LINGER_MS));
+  log_info(&router->node.log, "router", "Drained, %d requests are still open.",
+           router->open_requests);
   condition_broadcast(&router->drain_completed);
 }
 
@@ -48,22 +62,16 @@
     return;
   router->draining = true;
   node_start_draining(&router->node);
-  log_info(&router->node.log, "router", "Asked to stop; takes no new requests, %d are open.",
+  log_info(&router->node.log, "router", "Drains: accepts no new requests, %d are open.",
            router->open_requests);
-  task_start(&router->node.world->tasks, "drain", wait_drained_run, router);
+  task_start(&router->node.world->tasks, "drain", drain_run, router);
 }
 
 void router_free(router *router) {
-  list_for_each (e, &router->engines, engine, link) {
-    e->refs = 1;
-    engine_unref(e);
-  }
-  for (int i = 0; i < RESOURCE_COUNT; i++)
-    g_string_free(router->resources[i], TRUE);
-  g_string_free(router->engine_list_json, TRUE);
-  g_hash_table_destroy(router->singleton_grants);
+  engine_list_free(&router->engine_list);
+  model_loading_free(&router->loading);
+  config_sync_free(router);
   g_hash_table_destroy(router->singleton_leases);
-  g_hash_table_destroy(router->load_backoffs);
   config_free(router->config);
   routing_unref(router->routing);
   event_history_free(&router->history);
--- /dev/null
+++ b/lib/router/router_sync.c
@@ -0,0 +1,214 @@
+/**
+ * Polls among routers, the response to them, and reports of the version in force.
+ */
+#include "router_sync.h"
+#include "config_snapshot.h"
+#include "router.h"
+
+enum {
+  ROUTER_POLL_TIMEOUT_MS = 600,
+
+  /* Strict: all routers are polled this often while the last confirmation or the engine list is
+     older than these ages. Both ages leave a second or so of the 2000 ms for which confirmation and
+     list are valid, to hear from a majority before work has to be refused. */
+  POLL_ALL_INTERVAL_MS = 250,
+  MAX_CONFIRMATION_AGE_MS = 900,
+  MAX_ENGINE_LIST_AGE_MS = 1300,
+  /* Strict: reports may be lost and the head may be a new one, so they are repeated. */
+  REPORT_VERSION_INTERVAL_MS = 500,
+
+  /* Relaxed: one router is polled this often while no controller has responded for so long. */
+  POLL_ONE_INTERVAL_MS = 500,
+  CONTROLLERS_SILENT_MS = 2000,
+
+  /* A peer gets the engine list only if its own is older by this much. */
+  ENGINE_LIST_MIN_GAIN_MS = 200,
+
+  /* Ages and counts above these are taken for errors of the sender. */
+  MAX_PLAUSIBLE_CONFIRMATION_AGE_MS = 100000,
+  MAX_PLAUSIBLE_ENGINE_LIST_AGE_MS = 100000000,
+  MAX_PLAUSIBLE_ROUTERS = 10000
+};
+
+/* The router that a task polls. */
+typedef struct router_poll_task {
+  router *router;
+  id peer_id;
+  char address[48];
+} router_poll_task;
+
+void router_sync_report_version(router *router) {
+  Wire__VersionReport report = WIRE__VERSION_REPORT__INIT;
+  report.sequence = router->config_version;
+  report.fleet_id = router->sync.fleet_id;
+  Wire__Envelope message = wire_envelope(WIRE__ENVELOPE__BODY_VERSION_REPORT, &report);
+  list_for_each (peer, &router->node.peers, peer_node, link)
+    if (peer->role == ROLE_CONTROLLER && !peer->gone)
+      node_send(&router->node, peer->address, &message);
+}
+
+/* The instant at which something was so old, as a response to a poll says. It counts from when the
+ * poll was sent, since clocks of processes are never compared; so it is never too young. */
+static time_us instant_of_age(const config_exchange *exchange, uint64_t age_ms) {
+  return time_sub(exchange->sent_at, time_from_ms((int64_t)age_ms));
+}
+
+static void apply_confirmation(router *router, peer_node *peer, const config_exchange *exchange) {
+  const Wire__ConfigPollResponse *response = exchange->response;
+  if (!config_sync_is_up_to_date(router, exchange))
+    return;
+  time_us confirmed_at = instant_of_age(exchange, response->confirmed_age_ms);
+  if (response->confirmed_age_ms &&
+      router_happened_within(router, confirmed_at, CONFIRMATION_VALID_MS))
+    config_sync_confirm(router, confirmed_at);
+  if (response->ever_confirmed) {
+    peer->confirmed_at = exchange->sent_at;
+    peer->known_routers = MIN(response->known_routers, MAX_PLAUSIBLE_ROUTERS);
+  }
+}
+
+static void apply_engine_list(router *router, peer_node *peer, const config_exchange *exchange) {
+  const Wire__ConfigPollResponse *response = exchange->response;
+  uint64_t age_ms = response->engine_list_age_ms;
+  if (!age_ms || age_ms > ENGINE_LIST_VALID_MS)
+    peer->list_outdated_at = exchange->sent_at;
+  if (!age_ms || !response->engine_list.len)
+    return;
+  time_us listed_at = instant_of_age(exchange, age_ms);
+  string_view list = { (char *)response->engine_list.data, response->engine_list.len };
+  if (engine_list_is_newer(router, listed_at) && !engine_list_merge(router, list, listed_at))
+    log_info(&router->node.log, "platform",
+             "Refused the engine list received from %s: it is malformed (code %d).",
+             peer->self.text, E_WIRE_MESSAGE);
+}
+
+static bool ages_are_plausible(const Wire__ConfigPollResponse *response) {
+  return response->confirmed_age_ms < MAX_PLAUSIBLE_CONFIRMATION_AGE_MS &&
+         response->engine_list_age_ms < MAX_PLAUSIBLE_ENGINE_LIST_AGE_MS;
+}
+
+static void poll_router(router *router, const char *address, id peer_id) {
+  Wire__ConfigPollRequest request;
+  config_sync_prepare(router, &request);
+  config_exchange exchange;
+  if (!config_sync_call(router, address, &request, ROUTER_POLL_TIMEOUT_MS, &exchange))
+    return;
+  if (exchange.response) {
+    config_sync_install(router, &exchange, address);
+    peer_node *peer = node_find_peer(&router->node, peer_id);
+    if (peer && ages_are_plausible(exchange.response)) {
+      apply_confirmation(router, peer, &exchange);
+      apply_engine_list(router, peer, &exchange);
+    }
+  }
+  config_sync_finish(router, &exchange);
+}
+
+static void poll_router_run(void *context) {
+  router_poll_task *task = context;
+  poll_router(task->router, task->address, task->peer_id);
+  peer_node *peer = node_find_peer(&task->router->node, task->peer_id);
+  if (peer)
+    peer->poll_pending = false;
+  g_free(task);
+}
+
+static void start_poll(router *router, peer_node *peer) {
+  peer->poll_pending = true;
+  router_poll_task *task = g_new0(router_poll_task, 1);
+  task->router = router;
+  task->peer_id = peer->self;
+  g_strlcpy(task->address, peer->address, sizeof task->address);
+  task_start(&router->node.world->tasks, "peer", poll_router_run, task);
+}
+
+/* Strict: polls all routers while controllers or the platform are silent. */
+static void poll_all_routers_run(void *context) {
+  router *router = context;
+  while (world_sleep_with_jitter(router->node.world, time_from_ms(POLL_ALL_INTERVAL_MS))) {
+    bool recent =
+        router_happened_within(router, router->sync.config_confirmed_at, MAX_CONFIRMATION_AGE_MS) &&
+        router_happened_within(router, router->engine_list.received_at, MAX_ENGINE_LIST_AGE_MS);
+    /* keeps the instant at which admission was lost up to date while no request comes */
+    config_sync_may_admit(router);
+    if (recent)
+      continue;
+    list_for_each (peer, &router->node.peers, peer_node, link)
+      if (peer->role == ROLE_ROUTER && !peer->draining && !peer->poll_pending)
+        start_poll(router, peer);
+  }
+}
+
+/* Relaxed: polls one router now and then while controllers are silent. */
+static void poll_one_router_run(void *context) {
+  router *router = context;
+  while (world_sleep_with_jitter(router->node.world, time_from_ms(POLL_ONE_INTERVAL_MS))) {
+    if (router->config && controller_poll_answered_within(router, CONTROLLERS_SILENT_MS))
+      continue;
+    const peer_node *peer = node_pick_peer(&router->node, ROLE_ROUTER, NULL);
+    if (!peer || peer->gone)
+      continue;
+    /* the peer may be forgotten while the poll waits */
+    id peer_id = peer->self;
+    char address[sizeof peer->address];
+    g_strlcpy(address, peer->address, sizeof address);
+    poll_router(router, address, peer_id);
+  }
+}
+
+static void report_version_run(void *context) {
+  router *router = context;
+  while (world_sleep_with_jitter(router->node.world, time_from_ms(REPORT_VERSION_INTERVAL_MS)))
+    if (router->config)
+      router_sync_report_version(router);
+}
+
+static void fill_engine_list(router *router, reply *reply, const Wire__ConfigPollRequest *request,
+                             Wire__ConfigPollResponse *response) {
+  const GString *list = router->engine_list.json;
+  response->engine_list_age_ms = engine_list_age_ms(router);
+  if (!response->engine_list_age_ms || !list->len)
+    return;
+  if (request->engine_list_age_ms &&
+      request->engine_list_age_ms <= response->engine_list_age_ms + ENGINE_LIST_MIN_GAIN_MS)
+    return;
+  response->engine_list.len = list->len;
+  response->engine_list.data = reply_alloc(reply, list->len + 1);
+  memcpy(response->engine_list.data, list->str, list->len);
+}
+
+/* Responds to the poll of another router. */
+static int on_config_poll(void *context, Wire__Envelope *in, reply *reply, error *err) {
+  router *router = context;
+  const config_sync *sync = &router->sync;
+  const Wire__ConfigPollRequest *request = in->config_poll_request;
+  if (request->fleet_id && sync->fleet_id && request->fleet_id != sync->fleet_id)
+    return error_set(err, E_VIEW_MISMATCH, "another fleet");
+  Wire__ConfigPollResponse *response = reply_new_body(
+      reply, WIRE__ENVELOPE__BODY_CONFIG_POLL_RESPONSE, &wire__config_poll_response__descriptor);
+  response->epoch = sync->view_epoch;
+  response->sequence = router->config_version;
+  if (config_sync_is_recent(router))
+    response->confirmed_age_ms = config_sync_age_ms(router, sync->config_confirmed_at);
+  response->ever_confirmed = sync->ever_confirmed;
+  response->known_routers = (uint32_t)node_count_peers(&router->node, ROLE_ROUTER);
+  fill_engine_list(router, reply, request, response);
+  response->changed = router->config && router->config_version > request->sequence;
+  if (response->changed)
+    config_snapshot_pack(router, reply, &response->snapshot);
+  return OK;
+}
+
+void router_sync_register(router *router) {
+  node_register_handler(&router->node, WIRE__ENVELOPE__BODY_CONFIG_POLL_REQUEST, on_config_poll,
+                        router);
+}
+
+void router_sync_start(router *router) {
+  if (router->node.settings.relaxed) {
+    task_start(&router->node.world->tasks, "peers", poll_one_router_run, router);
+    return;
+  }
+  task_start(&router->node.world->tasks, "peers", poll_all_routers_run, router);
+  task_start(&router->node.world->tasks, "have", report_version_run, router);
+}
--- a/lib/router/singleton_lease.c
+++ b/lib/router/singleton_lease.c
@@ -1,141 +1,204 @@
+/**
+ * Renews the leases that this router holds, and acquires those that it should hold. Two tasks do
+ * so, since a grant waits for the controllers' disks, and a renewal must not wait with it.
+ */
+#include "singleton_lease.h"
 #include "router.h"
 #include <stdio.h>
 
 enum {
   RENEW_INTERVAL_MS = 600,
   ACQUIRE_INTERVAL_MS = 300,
+  /* Renewals and releases are answered from the head's memory. */
+  RENEW_TIMEOUT_MS = 500,
+  /* A grant waits until an earlier holder's lease has expired and the grant is on disk. */
+  ACQUIRE_TIMEOUT_MS = 3300,
   HAND_OVER_AFTER_MS = 20000,
+  /* How long entries of singletons that no longer exist are retained on gateways. */
   RELEASED_LEASE_RETENTION_MS = 10000,
+  /* A process that just started knows few other routers and would take itself for the preferred
+     holder of everything. */
   STARTUP_DELAY_MS = 1500,
-  STARTUP_DELAY_RELAXED_MS = 1500,
+  /* A router that the head does not answer for so long tells the others that it is idle, so that
+     they take over. */
   HEAD_UNANSWERED_MS = 2500
 };
 
-void singleton_engine_name(char *buf, size_t n, id e) {
-  snprintf(buf, n, "engine:%s", e.text);
+enum claim_kind { CLAIM_HOLD, CLAIM_RELEASE };
+
+void singleton_engine_name(char *buf, size_t n, id engine) {
+  snprintf(buf, n, "engine:%s", engine.text);
 }
 
-uint64_t singleton_lease_epoch(router *router, const char *duty) {
-  singleton_lease *singleton_lease = g_hash_table_lookup(router->singleton_leases, duty);
-  return singleton_lease && singleton_lease->held &&
-                 !time_reached(world_now(router->node.world), singleton_lease->expires_at)
-             ? singleton_lease->epoch
-             : 0;
+singleton_lease *singleton_lease_find(router *router, const char *singleton) {
+  return g_hash_table_lookup(router->singleton_leases, singleton);
 }
 
-/* the first live router for a duty, in the order that all agree on */
-static bool is_first_choice(router *router, const char *duty) {
-  uint64_t mine = hash_two_names(duty, router->node.settings.self.text);
-  list_for_each (peer, &router->node.peers, peer_node, link) {
-    /* one whom the head does not answer can't do a duty, however well it is heard here */
-    if (peer->role != ROLE_ROUTER || peer->gone || peer->draining ||
-        (peer->idle && !router->node.idle) ||
-        (router->config && config_is_zone_evacuated(router->config, peer->zone)))
-      continue;
-    if (hash_two_names(duty, peer->self.text) > mine)
+uint64_t singleton_lease_epoch(router *router, const char *singleton) {
+  const singleton_lease *lease = singleton_lease_find(router, singleton);
+  bool valid =
+      lease && lease->held && !time_reached(world_now(router->node.world), lease->expires_at);
+  return valid ? lease->epoch : 0;
+}
+
+/* True when a peer could do a singleton's work as far as this router knows. */
+static bool may_hold_leases(router *router, const peer_node *peer) {
+  if (peer->role != ROLE_ROUTER || peer->gone || peer->draining)
+    return false;
+  /* one that the head does not answer gets no lease, unless all are in that state */
+  if (peer->idle && !router->node.idle)
+    return false;
+  return !router->config || !config_is_zone_evacuated(router->config, peer->zone);
+}
+
+/* Rendezvous hashing: of all live routers the one with the highest hash is preferred. */
+static bool is_preferred_holder(router *router, const char *singleton) {
+  uint64_t own_rank = hash_two_names(singleton, router->node.settings.self.text);
+  list_for_each (peer, &router->node.peers, peer_node, link)
+    if (may_hold_leases(router, peer) && hash_two_names(singleton, peer->self.text) > own_rank)
       return false;
-  }
   return true;
 }
 
-static singleton_lease *find_or_add_lease(router *router, const char *duty) {
-  singleton_lease *c = g_hash_table_lookup(router->singleton_leases, duty);
-  if (!c) {
-    c = g_new0(singleton_lease, 1);
-    c->name = id_of_text(duty);
-    g_hash_table_insert(router->singleton_leases, c->name.text, c);
+static singleton_lease *find_or_add_lease(router *router, const char *singleton) {
+  singleton_lease *lease = singleton_lease_find(router, singleton);
+  if (!lease) {
+    lease = g_new0(singleton_lease, 1);
+    lease->name = id_of_text(singleton);
+    g_hash_table_insert(router->singleton_leases, lease->name.text, lease);
   }
-  return c;
+  return lease;
 }
 
-static void release_lease(router *router, singleton_lease *singleton_lease, const char *why) {
-  if (!singleton_lease->held)
+static void end_lease(router *router, singleton_lease *lease, const char *reason) {
+  if (!lease->held)
     return;
-  singleton_lease->held = false;
-  log_info(&router->node.log, "duty", "Gave up %s, epoch %" PRIu64 ": %s.",
-           singleton_lease->name.text, singleton_lease->epoch, why);
+  lease->held = false;
+  log_info(&router->node.log, "duty", "Lost the lease on %s, epoch %" PRIu64 ": %s.",
+           lease->name.text, lease->epoch, reason);
+}
+
+/* Makes sure that the address of the head, or of a controller that knows it, is set. */
+static bool find_head(router *router) {
+  if (router->head_address[0])
+    return true;
+  const peer_node *peer = node_pick_peer(&router->node, ROLE_CONTROLLER, NULL);
+  if (!peer)
+    return false;
+  g_strlcpy(router->head_address, peer->address, sizeof router->head_address);
+  return true;
+}
+
+/* Ms since the last work under a lease. The next holder keeps its distance from that rather than
+ * from the last renewal, so it may begin sooner. */
+static uint64_t quiet_ms(router *router, const singleton_lease *lease) {
+  time_us last_used_at = lease->last_order_at.us ? lease->last_order_at : lease->acquired_at;
+  int64_t ms = time_sub(world_now(router->node.world), last_used_at).us / 1000;
+  return (uint64_t)MAX(1, ms);
 }
 
-/* asks the head: renewals and new asks never share a message, since new ones wait for disks */
-static void request_leases(router *router, GPtrArray *list, bool leave, time_us span) {
-  if (!list->len)
+static void fill_claim(router *router, const singleton_lease *lease, enum claim_kind kind,
+                       Wire__SingletonClaim *claim) {
+  wire__singleton_claim__init(claim);
+  claim->singleton = (char *)lease->name.text;
+  claim->epoch = lease->held ? lease->epoch : 0;
+  claim->release = kind == CLAIM_RELEASE;
+  /* only gateways, which run in relaxed mode, record their work under a lease */
+  if (kind == CLAIM_RELEASE && router->node.settings.relaxed && !lease->open_orders)
+    claim->quiet_ms = quiet_ms(router, lease);
+}
+
+/* Sends claims to the head; the caller frees the response. */
+static int send_claims(router *router, const GPtrArray *leases, enum claim_kind kind,
+                       time_us timeout, Wire__Envelope **response, error *err) {
+  Wire__SingletonClaim *claims = g_new0(Wire__SingletonClaim, leases->len),
+                       **pointers = g_new0(Wire__SingletonClaim *, leases->len);
+  for (guint i = 0; i < leases->len; i++) {
+    fill_claim(router, leases->pdata[i], kind, &claims[i]);
+    pointers[i] = &claims[i];
+  }
+  Wire__SingletonLeaseRequest request = WIRE__SINGLETON_LEASE_REQUEST__INIT;
+  request.nonce = router->node.nonce;
+  request.n_claims = leases->len;
+  request.claims = pointers;
+  Wire__Envelope message = wire_envelope(WIRE__ENVELOPE__BODY_SINGLETON_LEASE_REQUEST, &request);
+  char address[sizeof router->head_address];
+  g_strlcpy(address, router->head_address, sizeof address);
+  int code = node_call(&router->node, address, &message, timeout, response, err);
+  g_free(claims);
+  g_free(pointers);
+  return code;
+}
+
+/* A controller that is not the head names it; one that neither names it nor acts knows none. */
+static void update_head_address(router *router, const Wire__SingletonLeaseResponse *response) {
+  const char *head = response->head_address;
+  if (head && head[0]) {
+    g_strlcpy(router->head_address, address_is_valid(head) ? head : "",
+              sizeof router->head_address);
     return;
-  if (!router->head_address[0]) {
-    peer_node *peer = node_pick_peer(&router->node, ROLE_CONTROLLER, NULL);
-    if (!peer)
-      return;
-    g_strlcpy(router->head_address, peer->address, sizeof router->head_address);
   }
-  char addr[48];
-  g_strlcpy(addr, router->head_address, sizeof addr);
-  Wire__SingletonLeaseRequest q = WIRE__SINGLETON_LEASE_REQUEST__INIT;
-  Wire__SingletonClaim *h = g_new0(Wire__SingletonClaim, list->len),
-                       **hp = g_new0(Wire__SingletonClaim *, list->len);
-  for (guint i = 0; i < list->len; i++) {
-    singleton_lease *c = list->pdata[i];
-    wire__singleton_claim__init(&h[i]);
-    h[i].singleton = c->name.text;
-    h[i].epoch = c->held ? c->epoch : 0;
-    h[i].release = leave;
-    /* the next holder must keep its distance from this one's last order, not from its last renewal
-     */
-    if (leave && router->node.settings.relaxed && !c->open_orders)
-      h[i].quiet_ms =
-          (uint64_t)MAX(1, time_sub(world_now(router->node.world),
-                                    c->last_order_at.us ? c->last_order_at : c->acquired_at)
-                                   .us /
-                               1000);
-    hp[i] = &h[i];
+  router->leases.head_answered_at = world_now(router->node.world);
+  if (!response->n_results)
+    router->head_address[0] = 0;
+}
+
+static void apply_grant(router *router, singleton_lease *lease, uint64_t epoch,
+                        time_us requested_at) {
+  if (!lease->held || lease->epoch != epoch) {
+    log_info(&router->node.log, "duty", "Acquired the lease on %s under epoch %" PRIu64 ".",
+             lease->name.text, epoch);
+    lease->acquired_at = world_now(router->node.world);
   }
-  q.nonce = router->node.nonce;
-  q.n_claims = list->len;
-  q.claims = hp;
-  Wire__Envelope m = wire_envelope(WIRE__ENVELOPE__BODY_SINGLETON_LEASE_REQUEST, &q), *b;
+  time_us expires_at = time_add(requested_at, time_from_ms(SINGLETON_LEASE_MS));
+  lease->held = true;
+  lease->epoch = epoch;
+  if (expires_at.us > lease->expires_at.us)
+    lease->expires_at = expires_at;
+  condition_broadcast(&router->state_changed);
+}
+
+static void apply_result(router *router, const Wire__SingletonClaimResult *result,
+                         time_us requested_at) {
+  singleton_lease *lease = singleton_lease_find(router, result->singleton);
+  if (!lease)
+    return;
+  bool held_by_other = result->holder && result->holder[0] &&
+                       strcmp(result->holder, router->node.settings.self.text);
+  if (result->granted)
+    apply_grant(router, lease, result->epoch, requested_at);
+  else if (held_by_other)
+    end_lease(router, lease, "another router holds it");
+}
+
+static void handle_failure(router *router, int code, const error *err) {
+  if (code == E_NO_RESPONSE || code == E_NO_CONTROLLER)
+    router->head_address[0] = 0;
+  else if (code != E_STOPPING)
+    log_debug(&router->node.log, "duty", "The head refused a lease request: %s (code %d).",
+              err->text, code);
+}
+
+/* Asks the head for leases, for renewals, or to release them. */
+static void request_leases(router *router, const GPtrArray *leases, enum claim_kind kind,
+                           time_us timeout) {
+  if (!leases->len || !find_head(router))
+    return;
+  time_us requested_at = world_now(router->node.world);
+  Wire__Envelope *envelope;
   error err = { 0 };
-  time_us sent = world_now(router->node.world);
-  int r = node_call(&router->node, addr, &m, span, &b, &err);
-  g_free(h);
-  g_free(hp);
-  if (r) {
-    if (r == E_NO_RESPONSE || r == E_NO_CONTROLLER)
-      router->head_address[0] = 0;
-    else if (r != E_STOPPING)
-      log_debug(&router->node.log, "duty", "The head says no: %s (code %d).", err.text, r);
+  int code = send_claims(router, leases, kind, timeout, &envelope, &err);
+  if (code) {
+    handle_failure(router, code, &err);
     return;
   }
-  if (b->body_case == WIRE__ENVELOPE__BODY_SINGLETON_LEASE_RESPONSE) {
-    Wire__SingletonLeaseResponse *k = b->singleton_lease_response;
-    if (!k->head_address || !k->head_address[0])
-      router->head_answered_at = world_now(router->node.world);
-    if (k->head_address && k->head_address[0])
-      g_strlcpy(router->head_address, address_is_valid(k->head_address) ? k->head_address : "",
-                sizeof router->head_address);
-    else if (!k->n_results)
-      router->head_address[0] = 0;
-    for (size_t i = 0; i < k->n_results; i++) {
-      singleton_lease *c = g_hash_table_lookup(router->singleton_leases, k->results[i]->singleton);
-      if (!c || leave)
-        continue;
-      if (k->results[i]->granted) {
-        time_us till = time_add(sent, time_from_ms(SINGLETON_LEASE_MS));
-        if (!c->held || c->epoch != k->results[i]->epoch) {
-          log_info(&router->node.log, "duty", "Holds %s under epoch %" PRIu64 ".", c->name.text,
-                   k->results[i]->epoch);
-          c->acquired_at = world_now(router->node.world);
-          if (!strcmp(c->name.text, "pacer"))
-            router->rate_limiter_since = c->acquired_at;
-        }
-        c->held = true;
-        c->epoch = k->results[i]->epoch;
-        if (till.us > c->expires_at.us)
-          c->expires_at = till;
-        condition_broadcast(&router->state_changed);
-      } else if (k->results[i]->holder && k->results[i]->holder[0] &&
-                 strcmp(k->results[i]->holder, router->node.settings.self.text))
-        release_lease(router, c, "another holds it");
-    }
+  if (envelope->body_case == WIRE__ENVELOPE__BODY_SINGLETON_LEASE_RESPONSE) {
+    const Wire__SingletonLeaseResponse *response = envelope->singleton_lease_response;
+    update_head_address(router, response);
+    for (size_t i = 0; kind == CLAIM_HOLD && i < response->n_results; i++)
+      apply_result(router, response->results[i], requested_at);
   }
-  node_reply_free(b);
+  node_reply_free(envelope);
 }
 
 static bool is_ineligible(router *router) {
@@ -143,102 +206,121 @@
          (router->config && config_is_zone_evacuated(router->config, router->node.settings.zone));
 }
 
-static void mark_wanted(router *router, const char *duty) {
-  find_or_add_lease(router, duty)->wanted = true;
+static void mark_wanted(router *router, const char *singleton) {
+  find_or_add_lease(router, singleton)->wanted = true;
 }
 
-/* which duties there are, and which of them this router should have */
+/* Sets `wanted` of all entries: the singletons that exist, while this router may hold any. */
 static void plan_leases(router *router) {
-  GHashTableIter it;
-  gpointer p;
-  g_hash_table_iter_init(&it, router->singleton_leases);
-  while (g_hash_table_iter_next(&it, NULL, &p))
-    ((singleton_lease *)p)->wanted = false;
+  GHashTableIter iterator;
+  gpointer value;
+  g_hash_table_iter_init(&iterator, router->singleton_leases);
+  while (g_hash_table_iter_next(&iterator, NULL, &value))
+    ((singleton_lease *)value)->wanted = false;
   if (is_ineligible(router) || !router->config)
     return;
   if (router->for_each_singleton)
     router->for_each_singleton(router->gateway, mark_wanted);
-  char d[64];
-  list_for_each (e, &router->engines, engine, link) {
-    if (e->removed || !e->listed)
-      continue;
-    singleton_engine_name(d, sizeof d, e->self);
-    find_or_add_lease(router, d)->wanted = true;
+  engine_list_for_each_singleton(router, mark_wanted);
+  mark_wanted(router, SINGLETON_LOAD_RATE_LIMITER);
+}
+
+/* Forgets entries of singletons that are gone for long. Gateways only: engines that register
+ * themselves come and go, while a list of a platform is short. No other task removes entries, and
+ * this one uses none across a wait. */
+static void remove_unused_leases(router *router, time_us now) {
+  if (!router->for_each_singleton)
+    return;
+  GHashTableIter iterator;
+  gpointer value;
+  g_hash_table_iter_init(&iterator, router->singleton_leases);
+  while (g_hash_table_iter_next(&iterator, NULL, &value)) {
+    const singleton_lease *lease = value;
+    time_us retained_until = time_add(lease->expires_at, time_from_ms(RELEASED_LEASE_RETENTION_MS));
+    if (!lease->wanted && !lease->held && time_reached(now, retained_until))
+      g_hash_table_iter_remove(&iterator);
   }
-  find_or_add_lease(router, "pacer")->wanted = true;
-}
-
-static void renew_leases_run(void *p) {
-  router *router = p;
-  do {
-    GPtrArray *keep = g_ptr_array_new(), *leave = g_ptr_array_new();
-    time_us now = world_now(router->node.world);
-    plan_leases(router);
-    GHashTableIter it;
-    gpointer q;
-    g_hash_table_iter_init(&it, router->singleton_leases);
-    /* only this task forgets, where it holds none across a wait */
-    while (router->for_each_singleton && g_hash_table_iter_next(&it, NULL, &q)) {
-      singleton_lease *c = q;
-      if (!c->wanted && !c->held &&
-          time_reached(now, time_add(c->expires_at, time_from_ms(RELEASED_LEASE_RETENTION_MS))))
-        g_hash_table_iter_remove(&it);
-    }
-    g_hash_table_iter_init(&it, router->singleton_leases);
-    while (g_hash_table_iter_next(&it, NULL, &q)) {
-      singleton_lease *c = q;
-      if (!c->held)
-        continue;
-      bool own = is_first_choice(router, c->name.text);
-      if (own)
-        c->outranked_since = (time_us){ 0 };
-      else if (!c->outranked_since.us)
-        c->outranked_since = now;
-      bool give =
-          !c->wanted ||
-          (c->outranked_since.us &&
-           time_reached(now, time_add(c->outranked_since, time_from_ms(HAND_OVER_AFTER_MS))));
-      if (time_reached(now, c->expires_at))
-        release_lease(router, c, "the contract ran out");
-      else
-        g_ptr_array_add(give ? leave : keep, c);
-      if (give && c->held)
-        release_lease(router, c, !c->wanted ? "this machine leaves it" : "another comes first");
-    }
-    request_leases(router, leave, true, time_from_ms(500));
-    request_leases(router, keep, false, time_from_ms(500));
-    g_ptr_array_free(keep, TRUE);
-    g_ptr_array_free(leave, TRUE);
-  } while (world_sleep_with_jitter(router->node.world, time_from_ms(RENEW_INTERVAL_MS)));
-}
-
-static void acquire_leases_run(void *p) {
-  router *router = p;
-  time_us from = router->head_answered_at = world_now(router->node.world);
+}
+
+static bool should_hand_over(router *router, singleton_lease *lease, time_us now) {
+  if (is_preferred_holder(router, lease->name.text))
+    lease->outranked_since = (time_us){ 0 };
+  else if (!lease->outranked_since.us)
+    lease->outranked_since = now;
+  return lease->outranked_since.us &&
+         time_reached(now, time_add(lease->outranked_since, time_from_ms(HAND_OVER_AFTER_MS)));
+}
+
+/* Sorts a lease that is held into those to renew and those to release, or ends it if it expired. */
+static void review_lease(router *router, singleton_lease *lease, time_us now, GPtrArray *renewals,
+                         GPtrArray *releases) {
+  bool hand_over = should_hand_over(router, lease, now);
+  if (time_reached(now, lease->expires_at)) {
+    end_lease(router, lease, "it expired");
+  } else if (!lease->wanted || hand_over) {
+    g_ptr_array_add(releases, lease);
+    end_lease(router, lease,
+              !lease->wanted ? "this router no longer needs it or may not hold it"
+                             : "released to the preferred holder");
+  } else {
+    g_ptr_array_add(renewals, lease);
+  }
+}
+
+static void renew_leases(router *router) {
+  GPtrArray *renewals = g_ptr_array_new(), *releases = g_ptr_array_new();
+  time_us now = world_now(router->node.world);
+  plan_leases(router);
+  remove_unused_leases(router, now);
+  GHashTableIter iterator;
+  gpointer value;
+  g_hash_table_iter_init(&iterator, router->singleton_leases);
+  while (g_hash_table_iter_next(&iterator, NULL, &value)) {
+    singleton_lease *lease = value;
+    if (lease->held)
+      review_lease(router, lease, now, renewals, releases);
+  }
+  request_leases(router, releases, CLAIM_RELEASE, time_from_ms(RENEW_TIMEOUT_MS));
+  request_leases(router, renewals, CLAIM_HOLD, time_from_ms(RENEW_TIMEOUT_MS));
+  g_ptr_array_free(renewals, TRUE);
+  g_ptr_array_free(releases, TRUE);
+}
+
+static void renew_leases_run(void *context) {
+  router *router = context;
+  do
+    renew_leases(router);
+  while (world_sleep_with_jitter(router->node.world, time_from_ms(RENEW_INTERVAL_MS)));
+}
+
+static void acquire_leases(router *router) {
+  GPtrArray *missing = g_ptr_array_new();
+  GHashTableIter iterator;
+  gpointer value;
+  g_hash_table_iter_init(&iterator, router->singleton_leases);
+  while (g_hash_table_iter_next(&iterator, NULL, &value)) {
+    singleton_lease *lease = value;
+    if (!lease->held && lease->wanted && !is_ineligible(router) &&
+        is_preferred_holder(router, lease->name.text))
+      g_ptr_array_add(missing, lease);
+  }
+  if (!missing->len)
+    router->leases.head_answered_at = world_now(router->node.world);
+  request_leases(router, missing, CLAIM_HOLD, time_from_ms(ACQUIRE_TIMEOUT_MS));
+  g_ptr_array_free(missing, TRUE);
+}
+
+static void acquire_leases_run(void *context) {
+  router *router = context;
+  time_us started_at = world_now(router->node.world);
+  router->leases.head_answered_at = started_at;
   while (world_sleep_with_jitter(router->node.world, time_from_ms(ACQUIRE_INTERVAL_MS))) {
-    /* a young process knows few others yet and would think itself first */
-    if (!time_reached(
-            world_now(router->node.world),
-            time_add(from, time_from_ms(router->node.settings.relaxed ? STARTUP_DELAY_RELAXED_MS
-                                                                      : STARTUP_DELAY_MS))))
+    if (!time_reached(world_now(router->node.world),
+                      time_add(started_at, time_from_ms(STARTUP_DELAY_MS))))
       continue;
-    GPtrArray *ask = g_ptr_array_new();
-    GHashTableIter it;
-    gpointer q;
-    g_hash_table_iter_init(&it, router->singleton_leases);
-    while (g_hash_table_iter_next(&it, NULL, &q)) {
-      singleton_lease *singleton_lease = q;
-      if (!singleton_lease->held && singleton_lease->wanted && !is_ineligible(router) &&
-          is_first_choice(router, singleton_lease->name.text))
-        g_ptr_array_add(ask, singleton_lease);
-    }
-    if (!ask->len)
-      router->head_answered_at = world_now(router->node.world);
-    request_leases(router, ask, false, time_from_ms(3300));
-    node_set_idle(&router->node, time_reached(world_now(router->node.world),
-                                              time_add(router->head_answered_at,
-                                                       time_from_ms(HEAD_UNANSWERED_MS))));
-    g_ptr_array_free(ask, TRUE);
+    acquire_leases(router);
+    time_us idle_at = time_add(router->leases.head_answered_at, time_from_ms(HEAD_UNANSWERED_MS));
+    node_set_idle(&router->node, time_reached(world_now(router->node.world), idle_at));
   }
 }
 
