--- /dev/null
+++ b/lib/router/router_pages.h
@@ -0,0 +1,13 @@
+#ifndef ROUTER_ROUTER_PAGES_H
+#define ROUTER_ROUTER_PAGES_H
+/**
+ * The router's pages: status, engines, peers, journal and metrics; on a gateway also its own
+ * status. docs/api.md describes them.
+ */
+#include "http.h"
+
+typedef struct router router;
+
+/** Responds to a request for a page. */
+void router_pages_serve(router *router, http_request *request);
+#endif
