--- a/bin/asterfall-router.c
+++ b/bin/asterfall-router.c
@@ -1,3 +1,6 @@
+/**
+ * asterfall-router: runs a router until it has drained after SIGTERM.
+ */
 #include "args.h"
 #include "real.h"
 #include "router.h"
@@ -5,38 +8,41 @@
 
 const char *argp_program_version = "asterfall-router (asterfall) 0.1";
 
-typedef struct {
+enum { MAX_BODY_BYTES = 1 << 20, EXIT_NO_WORLD = 2 };
+
+typedef struct process {
   router *router;
   world *world;
-} run;
+} process;
 
-static void wait_run(void *p) {
-  run *run = p;
-  condition_wait(&run->world->tasks, &run->router->drain_completed, time_never());
-  real_world_stop(run->world);
+static void stop_when_drained_run(void *context) {
+  process *process = context;
+  condition_wait(&process->world->tasks, &process->router->drain_completed, time_never());
+  real_world_stop(process->world);
 }
 
-static void on_term(void *p) {
-  router_drain(((run *)p)->router);
+static void on_sigterm(void *context) {
+  process *process = context;
+  router_drain(process->router);
 }
 
 int main(int argc, char **argv) {
-  settings v;
+  settings settings;
   if (args_settings(argc, argv, ROLE_ROUTER, "asterfall-router: a data-plane machine of asterfall",
-                    &v))
+                    &settings))
     return 0;
-  real_settings e = { .body_max_bytes = 1 << 20 };
-  address_split(v.address, e.ip, sizeof e.ip, &e.port);
+  real_settings real = { .body_max_bytes = MAX_BODY_BYTES };
+  address_split(settings.address, real.ip, sizeof real.ip, &real.port);
   error err = { 0 };
-  world *world = real_world_new(&e, &err);
+  world *world = real_world_new(&real, &err);
   if (!world) {
     fprintf(stderr, "asterfall-router: %s (code %d)\n", err.text, err.code);
-    return 2;
+    return EXIT_NO_WORLD;
   }
-  run r = { router_new(world, &v), world };
-  task_start(&world->tasks, "over", wait_run, &r);
-  real_world_run(world, on_term, &r);
+  process process = { router_new(world, &settings), world };
+  task_start(&world->tasks, "over", stop_when_drained_run, &process);
+  real_world_run(world, on_sigterm, &process);
   real_world_free(world);
-  router_free(r.router);
+  router_free(process.router);
   return 0;
 }
--- a/lib/router/controller_selection.c
+++ b/lib/router/controller_selection.c
@@ -1,37 +1,43 @@
+/**
+ * Picks the controller to ask next.
+ */
 #include "controller_selection.h"
 
-/* a machine that failed is passed over for this long while there are others */
+/* A controller that failed is passed over for this long while there are others. */
 enum { FAILURE_PENALTY_MS = 1500 };
 
-static controller_contact *find_contact(controller_selection *s, const char *addr) {
+static controller_contact *find_contact(controller_selection *selection, const char *address) {
   for (size_t i = 0; i < MAX_KNOWN_CONTROLLERS; i++)
-    if (!strcmp(s->contacts[i].address, addr))
-      return &s->contacts[i];
+    if (!strcmp(selection->contacts[i].address, address))
+      return &selection->contacts[i];
   return NULL;
 }
 
-static controller_contact *find_or_add_contact(controller_selection *s, const char *addr) {
-  controller_contact *known = find_contact(s, addr);
+static controller_contact *find_or_add_contact(controller_selection *selection,
+                                               const char *address) {
+  controller_contact *known = find_contact(selection, address);
   if (known)
     return known;
-  controller_contact *oldest = &s->contacts[0];
+  controller_contact *oldest = &selection->contacts[0];
   for (size_t i = 1; i < MAX_KNOWN_CONTROLLERS; i++)
-    if (s->contacts[i].asked_at.us < oldest->asked_at.us)
-      oldest = &s->contacts[i];
+    if (selection->contacts[i].asked_at.us < oldest->asked_at.us)
+      oldest = &selection->contacts[i];
   *oldest = (controller_contact){ .address = "" };
-  g_strlcpy(oldest->address, addr, sizeof oldest->address);
+  g_strlcpy(oldest->address, address, sizeof oldest->address);
   return oldest;
 }
 
-void controller_selection_mark_asked(controller_selection *s, const char *addr, time_us now) {
-  find_or_add_contact(s, addr)->asked_at = now;
+void controller_selection_mark_asked(controller_selection *selection, const char *address,
+                                     time_us now) {
+  find_or_add_contact(selection, address)->asked_at = now;
 }
 
-void controller_selection_mark_failed(controller_selection *s, const char *addr, time_us now) {
-  find_or_add_contact(s, addr)->failed_at = now;
+void controller_selection_mark_failed(controller_selection *selection, const char *address,
+                                      time_us now) {
+  find_or_add_contact(selection, address)->failed_at = now;
 }
 
-/* a machine that is held to be gone may be back before anybody has said so, so it is asked at times
+/* One that is declared gone may be back before anybody has noticed, so it is not skipped for good.
  */
 static bool is_likely_available(const peer_node *peer, const controller_contact *known,
                                 time_us now) {
@@ -41,28 +47,43 @@
          time_reached(now, time_add(known->failed_at, time_from_ms(FAILURE_PENALTY_MS)));
 }
 
-peer_node *controller_selection_next(controller_selection *s, node *from, const char *except) {
+/* How good a choice a controller is: available ones first, then the one asked longest ago. */
+typedef struct preference {
+  bool likely_available;
+  int64_t asked_at_us;
+} preference;
+
+static preference preference_of(controller_selection *selection, const peer_node *peer,
+                                time_us now) {
+  const controller_contact *known = find_contact(selection, peer->address);
+  return (preference){ is_likely_available(peer, known, now), known ? known->asked_at.us : 0 };
+}
+
+/* Below 0 when a is preferred to b, 0 when they are equal. */
+static int compare_preferences(preference a, preference b) {
+  if (a.likely_available != b.likely_available)
+    return a.likely_available ? -1 : 1;
+  return a.asked_at_us < b.asked_at_us ? -1 : a.asked_at_us > b.asked_at_us;
+}
+
+peer_node *controller_selection_next(controller_selection *selection, node *from,
+                                     const char *except) {
   time_us now = world_now(from->world);
   peer_node *best = NULL;
-  bool best_promises = false;
-  int64_t best_asked = 0;
+  preference best_preference = { false, 0 };
   uint64_t equals = 0;
   list_for_each (peer, &from->peers, peer_node, link) {
     if (peer->role != ROLE_CONTROLLER || (except && !strcmp(peer->address, except)))
       continue;
-    const controller_contact *known = find_contact(s, peer->address);
-    bool promises = is_likely_available(peer, known, now);
-    int64_t asked = known ? known->asked_at.us : 0;
-    bool better =
-        !best || (promises && !best_promises) || (promises == best_promises && asked < best_asked);
-    bool equal = best && promises == best_promises && asked == best_asked;
-    if (better)
+    preference candidate = preference_of(selection, peer, now);
+    int order = best ? compare_preferences(candidate, best_preference) : -1;
+    if (order < 0)
       equals = 1;
-    else if (!equal || world_random(from->world, ++equals))
+    /* of n equal ones, the n-th replaces the choice with probability 1/n, so all are as likely */
+    else if (order > 0 || world_random(from->world, ++equals))
       continue;
     best = peer;
-    best_promises = promises;
-    best_asked = asked;
+    best_preference = candidate;
   }
   return best;
 }
--- a/lib/router/eviction_policy.c
+++ b/lib/router/eviction_policy.c
@@ -1,61 +1,69 @@
+/**
+ * Scores candidates and selects those to evict.
+ */
 #include "eviction_policy.h"
 #include <stdlib.h>
 
-double eviction_policy_score(const eviction_rule *policy, const eviction_candidate *candidate,
+double eviction_policy_score(const eviction_rule *rule, const eviction_candidate *candidate,
                              double size, uint64_t chance) {
-  if (policy->custom_formula) {
+  if (rule->custom_formula) {
     double v[F_VARIABLES] = {
       [F_PENALTY] = candidate->load_ms,
       [F_RATE] = candidate->request_rate,
       [F_SIZE] = size > 0 ? size : 1,
       [F_MB] = (double)candidate->weights_mb,
       [F_SLOTS] = candidate->slots,
-      [F_IDLE] = (double)time_sub(policy->now, candidate->last_requested_at).us / 1e6
+      [F_IDLE] = (double)time_sub(rule->now, candidate->last_requested_at).us / 1e6
     };
-    return formula_evaluate(policy->custom_formula, v);
+    return formula_evaluate(rule->custom_formula, v);
   }
-  if (!strcmp(policy->name, "popularity"))
+  if (!strcmp(rule->name, "popularity"))
     return candidate->request_rate;
-  if (!strcmp(policy->name, "lru"))
+  if (!strcmp(rule->name, "lru"))
     return (double)candidate->last_requested_at.us;
-  if (!strcmp(policy->name, "random"))
+  if (!strcmp(rule->name, "random"))
     return (double)(chance >> 11);
   return candidate->load_ms * candidate->request_rate / (size > 0 ? size : 1);
 }
 
-static bool is_base(const eviction_candidate *candidate) {
+static bool is_model(const eviction_candidate *candidate) {
   return id_is_empty(candidate->adapter);
 }
 
-/* takes a thing, and with a base model its adapters, which cannot stay without it */
-static void select_with_dependents(eviction_candidate *all, int n, int i, capacity_shortage *left) {
+/* True when candidate k goes with candidate i: it is the same, or an adapter on that model. */
+static bool goes_with(const eviction_candidate *all, int i, int k) {
+  return k == i || (is_model(&all[i]) && id_equal(all[k].model, all[i].model));
+}
+
+/* Selects a candidate, and with a model its adapters, which cannot stay without it. */
+static void select_with_dependents(eviction_candidate *all, int n, int i,
+                                   capacity_shortage *shortage) {
   for (int k = 0; k < n; k++) {
-    if (all[k].selected || !(k == i || (is_base(&all[i]) && id_equal(all[k].model, all[i].model))))
+    if (all[k].selected || !goes_with(all, i, k))
       continue;
     all[k].selected = true;
-    left->mb -= MIN(left->mb, all[k].weights_mb);
-    left->slots -= MIN(left->slots, all[k].slots);
+    shortage->mb -= MIN(shortage->mb, all[k].weights_mb);
+    shortage->slots -= MIN(shortage->slots, all[k].slots);
   }
 }
 
-/* a base goes only when all that stands on it may go as well */
-static bool is_evictable(const eviction_candidate *all, int n, int i, bool busy) {
+/* A model may go only when all adapters on it may. */
+static bool is_evictable(const eviction_candidate *all, int n, int i, bool allow_busy) {
   for (int k = 0; k < n; k++) {
-    if (all[k].selected || !(k == i || (is_base(&all[i]) && id_equal(all[k].model, all[i].model))))
+    if (all[k].selected || !goes_with(all, i, k))
       continue;
-    if (all[k].pinned || (all[k].busy && !busy))
+    if (all[k].pinned || (all[k].busy && !allow_busy))
       return false;
   }
   return true;
 }
 
-/* what goes with a base counts by the size of the base, and goes before it, so that the order is
- * one for all pairs */
+/* What is evicted with a model is ordered by the size of the model, so that the order is total. */
 static void set_group_sizes(eviction_candidate *all, int n) {
   for (int i = 0; i < n; i++) {
     all[i].group_mb = all[i].weights_mb;
     for (int k = 0; k < n; k++)
-      if (all[k].selected && is_base(&all[k]) && id_equal(all[k].model, all[i].model))
+      if (all[k].selected && is_model(&all[k]) && id_equal(all[k].model, all[i].model))
         all[i].group_mb = all[k].weights_mb;
   }
 }
@@ -71,49 +79,55 @@
   int same = strcmp(x->model.text, y->model.text);
   if (same)
     return same;
-  if (is_base(x) != is_base(y))
-    return is_base(x) ? 1 : -1;
+  if (is_model(x) != is_model(y))
+    return is_model(x) ? 1 : -1;
   if (x->weights_mb != y->weights_mb)
     return x->weights_mb > y->weights_mb ? -1 : 1;
   return strcmp(x->adapter.text, y->adapter.text);
 }
 
-int eviction_policy_select(const eviction_rule *policy, eviction_candidate *all, int n,
-                           capacity_shortage want, uint64_t (*draw)(void *), void *ctx) {
-  capacity_shortage left = want;
-  bool busy = false;
+/* Index of the candidate with the lowest score among those that may go and help in the measure that
+ * is short; -1 when there is none. */
+static int find_lowest(const eviction_rule *rule, eviction_candidate *all, int n, bool by_slots,
+                       bool allow_busy, uint64_t (*draw)(void *), void *context) {
+  int lowest = -1;
+  for (int i = 0; i < n; i++) {
+    eviction_candidate *candidate = &all[i];
+    uint64_t size = by_slots ? candidate->slots : candidate->weights_mb;
+    if (candidate->selected || !is_evictable(all, n, i, allow_busy) || !size)
+      continue;
+    candidate->score = eviction_policy_score(rule, candidate, (double)size, draw(context));
+    if (lowest < 0 || candidate->score < all[lowest].score)
+      lowest = i;
+  }
+  return lowest;
+}
+
+/* Selects until the shortage is met; false when the candidates do not suffice. */
+static bool select_greedily(const eviction_rule *rule, eviction_candidate *all, int n,
+                            capacity_shortage shortage, bool allow_busy, uint64_t (*draw)(void *),
+                            void *context) {
   for (int i = 0; i < n; i++)
     all[i].selected = false;
-  while (left.mb || left.slots) {
-    bool slots = left.slots > 0;
-    int best = -1;
-    for (int i = 0; i < n; i++) {
-      eviction_candidate *candidate = &all[i];
-      if (candidate->selected || !is_evictable(all, n, i, busy))
-        continue;
-      if (slots ? !candidate->slots : !candidate->weights_mb)
-        continue;
-      candidate->score = eviction_policy_score(
-          policy, candidate, slots ? candidate->slots : candidate->weights_mb, draw(ctx));
-      if (best < 0 || candidate->score < all[best].score)
-        best = i;
-    }
-    if (best >= 0) {
-      select_with_dependents(all, n, best, &left);
-      continue;
-    }
-    if (busy)
-      return -1;
-    /* start again with the busy ones let in, so that the greedy order holds over them all */
-    busy = true;
-    left = want;
-    for (int i = 0; i < n; i++)
-      all[i].selected = false;
+  while (shortage.mb || shortage.slots) {
+    int lowest = find_lowest(rule, all, n, shortage.slots > 0, allow_busy, draw, context);
+    if (lowest < 0)
+      return false;
+    select_with_dependents(all, n, lowest, &shortage);
   }
-  int got = 0;
+  return true;
+}
+
+int eviction_policy_select(const eviction_rule *rule, eviction_candidate *all, int n,
+                           capacity_shortage shortage, uint64_t (*draw)(void *), void *context) {
+  /* where the idle ones do not suffice it begins anew, so that the order is greedy over all */
+  if (!select_greedily(rule, all, n, shortage, false, draw, context) &&
+      !select_greedily(rule, all, n, shortage, true, draw, context))
+    return -1;
+  int selected = 0;
   for (int i = 0; i < n; i++)
-    got += all[i].selected;
+    selected += all[i].selected;
   set_group_sizes(all, n);
-  qsort(all, n, sizeof *all, compare_unload_order);
-  return got;
+  qsort(all, (size_t)n, sizeof *all, compare_unload_order);
+  return selected;
 }
