--- a/bin/asterfall-router.c
+++ b/bin/asterfall-router.c
@@ -40,7 +40,7 @@
     return EXIT_NO_WORLD;
   }
   process process = { router_new(world, &settings), world };
-  task_start(&world->tasks, "over", stop_when_drained_run, &process);
+  task_start(&world->tasks, "drained", stop_when_drained_run, &process);
   real_world_run(world, on_sigterm, &process);
   real_world_free(world);
   router_free(process.router);
--- a/lib/router/config_snapshot.c
+++ b/lib/router/config_snapshot.c
@@ -31,7 +31,7 @@
   const config_sync *sync = &router->sync;
   const Wire__StateSnapshot *snapshot = candidate->snapshot;
   if (sync->fleet_id && snapshot->fleet_id != sync->fleet_id) {
-    log_info(&router->node.log, "news", "Refused a snapshot of another fleet from %s (code %d).",
+    log_info(&router->node.log, "config", "Refused a snapshot of another fleet from %s (code %d).",
              candidate->from, E_VIEW_MISMATCH);
     return false;
   }
@@ -110,7 +110,7 @@
   error err = { 0 };
   candidate->routing = routing_compile(document, &err);
   if (!candidate->routing)
-    log_info(&router->node.log, "news",
+    log_info(&router->node.log, "config",
              "Refused the routing of snapshot %" PRIu64 " from %s: %s (code %d).",
              candidate->snapshot->sequence, candidate->from, err.text, err.code);
   return candidate->routing != NULL;
@@ -120,7 +120,7 @@
   error err = { 0 };
   candidate->config = config_compile((const json **)candidate->documents, &err);
   if (!candidate->config)
-    log_info(&router->node.log, "news", "Refused snapshot %" PRIu64 " from %s: %s (code %d).",
+    log_info(&router->node.log, "config", "Refused snapshot %" PRIu64 " from %s: %s (code %d).",
              candidate->snapshot->sequence, candidate->from, err.text, err.code);
   return candidate->config != NULL;
 }
@@ -175,7 +175,7 @@
 }
 
 static void notify_installed(router *router, const candidate *candidate) {
-  log_debug(&router->node.log, "news",
+  log_debug(&router->node.log, "config",
             "Version %" PRIu64 " of view %" PRIu64 " is in force, received from %s.",
             candidate->snapshot->sequence, candidate->snapshot->epoch, candidate->from);
   /* in relaxed mode no write waits for routers */
--- a/lib/router/controller_poll.c
+++ b/lib/router/controller_poll.c
@@ -266,7 +266,7 @@
   task->router = router;
   task->poll_index = index;
   g_strlcpy(task->address, peer->address, sizeof task->address);
-  task_start(&router->node.world->tasks, "second", hedged_poll_run, task);
+  task_start(&router->node.world->tasks, "hedged poll", hedged_poll_run, task);
 }
 
 static void hedging_run(void *context) {
@@ -301,9 +301,9 @@
 }
 
 void controller_poll_start(router *router) {
-  task_start(&router->node.world->tasks, "news", poll_controllers_run, router);
+  task_start(&router->node.world->tasks, "controller poll", poll_controllers_run, router);
   if (router->node.settings.relaxed)
-    task_start(&router->node.world->tasks, "second", hedging_run, router);
+    task_start(&router->node.world->tasks, "hedging", hedging_run, router);
   /* a gateway replaces this handler by its own, since gateways send these messages as well */
   node_register_handler(&router->node, WIRE__ENVELOPE__BODY_ENGINE_UPDATE, on_engine_update,
                         router);
--- a/lib/router/engine.h
+++ b/lib/router/engine.h
@@ -109,6 +109,12 @@
 /** Streams that run on an engine, as well as this router can tell. */
 int engine_running_streams(engine *engine);
 
+/** True when the process stops or the engine is removed: nothing more is to be done there. */
+bool engine_is_stopping(const engine *engine);
+/** Waits for an engine's next report, for a moment at most. False when the process stops. */
+bool engine_wait_next_report(engine *engine);
+/** The same; E_STOPPING when the process stops or the engine is removed. */
+enum error_code engine_await_report(engine *engine, error *err);
 /** Task that fetches an engine's reports until it is removed; takes over one reference. */
 void engine_report_run(void *engine);
 #endif
--- a/lib/router/engine_list.c
+++ b/lib/router/engine_list.c
@@ -57,7 +57,7 @@
   added->type = id_of_text(json_text(entry, "type", "any"));
   added->weights_mb = json_number(entry, "weightsMb", 0);
   added->adapter_slots = json_number(entry, "adapterSlots", 0);
-  task_start(&router->node.world->tasks, "engine", engine_report_run, added);
+  task_start(&router->node.world->tasks, "engine report", engine_report_run, added);
   model_loading_start_engine(added);
   return added;
 }
@@ -179,5 +179,5 @@
 }
 
 void engine_list_start(router *router) {
-  task_start(&router->node.world->tasks, "platform", poll_list_run, router);
+  task_start(&router->node.world->tasks, "engine list", poll_list_run, router);
 }
--- a/lib/router/engine_report.c
+++ b/lib/router/engine_report.c
@@ -12,6 +12,8 @@
 
 enum {
   REPORT_TIMEOUT_MS = 2200,
+  /* Those who wait for a report look at the engine at least this often. */
+  REPORT_WAIT_MS = 300,
   /* After a gap this long, the engine's caches count as cold. */
   SLOW_START_AFTER_GAP_MS = 5000,
   /* Polls that end sooner than MIN_REPORT_INTERVAL_MS are followed by a longer pause, so that an
@@ -22,6 +24,22 @@
   PAUSE_AFTER_EARLY_FAILURE_MS = 300
 };
 
+bool engine_is_stopping(const engine *engine) {
+  return engine->removed || engine->router->node.world->tasks.stopped;
+}
+
+bool engine_wait_next_report(engine *engine) {
+  world *world = engine->router->node.world;
+  time_us deadline = time_add(world_now(world), time_from_ms(REPORT_WAIT_MS));
+  return condition_wait(&world->tasks, &engine->report_changed, deadline) != WAKE_STOPPED;
+}
+
+enum error_code engine_await_report(engine *engine, error *err) {
+  if (!engine_wait_next_report(engine) || engine_is_stopping(engine))
+    return error_set(err, E_STOPPING, "stopping");
+  return OK;
+}
+
 static bool is_report_of(const engine *engine, const json *report) {
   const json *residents = json_get(report, "holdings");
   return !strcmp(json_text(report, "id", ""), engine->self.text) && residents &&
--- a/lib/router/model_loading.h
+++ b/lib/router/model_loading.h
@@ -17,7 +17,7 @@
 
 /** Owned by model_loading.c. */
 typedef struct model_loading {
-  /** "engine/model+adapter" -> backoff: failures of loads, and when it was last unloaded. */
+  /** "engine/model+adapter" -> load_backoff; entries of load_backoff.c. */
   GHashTable *backoffs;
 } model_loading;
 
--- a/lib/router/outgoing_load_request.c
+++ b/lib/router/outgoing_load_request.c
@@ -117,7 +117,7 @@
   load->model = model;
   load->adapter = adapter;
   list_append(&router->requests.outgoing_load_requests, &load->link);
-  task_start(&router->node.world->tasks, "miss", load_request_run, load);
+  task_start(&router->node.world->tasks, "load request", load_request_run, load);
   return load;
 }
 
--- a/lib/router/router_sync.c
+++ b/lib/router/router_sync.c
@@ -119,7 +119,7 @@
   task->router = router;
   task->peer_id = peer->self;
   g_strlcpy(task->address, peer->address, sizeof task->address);
-  task_start(&router->node.world->tasks, "peer", poll_router_run, task);
+  task_start(&router->node.world->tasks, "router poll", poll_router_run, task);
 }
 
 /* Strict: polls all routers while controllers or the platform are silent. */
@@ -206,9 +206,9 @@
 
 void router_sync_start(router *router) {
   if (router->node.settings.relaxed) {
-    task_start(&router->node.world->tasks, "peers", poll_one_router_run, router);
+    task_start(&router->node.world->tasks, "router polls", poll_one_router_run, router);
     return;
   }
-  task_start(&router->node.world->tasks, "peers", poll_all_routers_run, router);
-  task_start(&router->node.world->tasks, "have", report_version_run, router);
+  task_start(&router->node.world->tasks, "router polls", poll_all_routers_run, router);
+  task_start(&router->node.world->tasks, "version report", report_version_run, router);
 }
--- a/lib/router/singleton_lease.c
+++ b/lib/router/singleton_lease.c
@@ -74,7 +74,7 @@
   if (!lease->held)
     return;
   lease->held = false;
-  log_info(&router->node.log, "duty", "Lost the lease on %s, epoch %" PRIu64 ": %s.",
+  log_info(&router->node.log, "lease", "Lost the lease on %s, epoch %" PRIu64 ": %s.",
            lease->name.text, lease->epoch, reason);
 }
 
@@ -146,7 +146,7 @@
 static void apply_grant(router *router, singleton_lease *lease, uint64_t epoch,
                         time_us requested_at) {
   if (!lease->held || lease->epoch != epoch) {
-    log_info(&router->node.log, "duty", "Acquired the lease on %s under epoch %" PRIu64 ".",
+    log_info(&router->node.log, "lease", "Acquired the lease on %s under epoch %" PRIu64 ".",
              lease->name.text, epoch);
     lease->acquired_at = world_now(router->node.world);
   }
@@ -175,7 +175,7 @@
   if (code == E_NO_RESPONSE || code == E_NO_CONTROLLER)
     router->head_address[0] = 0;
   else if (code != E_STOPPING)
-    log_debug(&router->node.log, "duty", "The head refused a lease request: %s (code %d).",
+    log_debug(&router->node.log, "lease", "The head refused a lease request: %s (code %d).",
               err->text, code);
 }
 
@@ -325,6 +325,6 @@
 }
 
 void singleton_lease_start(router *router) {
-  task_start(&router->node.world->tasks, "renew", renew_leases_run, router);
-  task_start(&router->node.world->tasks, "duty", acquire_leases_run, router);
+  task_start(&router->node.world->tasks, "lease renewal", renew_leases_run, router);
+  task_start(&router->node.world->tasks, "lease acquisition", acquire_leases_run, router);
 }
