--- a/bench/growth.c
+++ b/bench/growth.c
@@ -21,21 +21,21 @@
          (double)(fleet->sim->bytes - bytes) / 20 / nodes);
   uint64_t news = 0;
   for (int i = 0; i < routers; i++)
-    news -= fleet->router[i]->router->sync_bytes;
+    news -= fleet->router[i]->router->sync.sync_bytes;
   fleet_put(fleet, "evacuation", "{\"areas\":[{\"area\":\"north\",\"share\":0.01}]}");
   sim_run(fleet->sim, time_from_ms(3000));
   for (int i = 0; i < routers; i++)
-    news += fleet->router[i]->router->sync_bytes;
+    news += fleet->router[i]->router->sync.sync_bytes;
   printf("  a small change costs %7.0f B a router", (double)news / routers);
   news = 0;
   for (int i = 0; i < routers; i++)
-    news -= fleet->router[i]->router->sync_bytes;
+    news -= fleet->router[i]->router->sync.sync_bytes;
   char *cat = fleet_catalogue(models, models, NULL);
   fleet_put(fleet, "catalogue", cat);
   g_free(cat);
   sim_run(fleet->sim, time_from_ms(3000));
   for (int i = 0; i < routers; i++)
-    news += fleet->router[i]->router->sync_bytes;
+    news += fleet->router[i]->router->sync.sync_bytes;
   printf(", the catalogue %8.0f B\n", (double)news / routers);
   fleet_free(fleet);
 }
--- a/bench/load.c
+++ b/bench/load.c
@@ -141,11 +141,11 @@
   g_array_free(first, TRUE);
   for (int i = 0; i < fleet->routers; i++) {
     router *router = fleet->router[i]->router;
-    r.seconds += (double)router->retry_count;
-    r.attempts += (double)router->attempt_count;
-    r.loads += (double)router->load_count;
-    r.wasted += (double)router->wasted_loads;
-    r.busy += (double)router->busy_unloads;
+    r.seconds += (double)router->requests.retry_count;
+    r.attempts += (double)router->requests.attempt_count;
+    r.loads += (double)router->loading.load_count;
+    r.wasted += (double)router->loading.wasted_loads;
+    r.busy += (double)router->loading.busy_unloads;
   }
   r.chance = by_chance(fleet, from, &r.even);
   fleet_free(fleet);
--- a/bench/policies.c
+++ b/bench/policies.c
@@ -102,8 +102,8 @@
   int all = asked[0] + asked[1] + asked[2];
   uint64_t busy = 0, gone = 0;
   for (int i = 0; i < fleet->routers; i++) {
-    busy += fleet->router[i]->router->busy_unloads;
-    gone += fleet->router[i]->router->unload_count;
+    busy += fleet->router[i]->router->loading.busy_unloads;
+    gone += fleet->router[i]->router->loading.unload_count;
   }
   printf("%s %s %s loads %d wasted %d wait %.0f answered %.4f kinds %.4f %.4f %.4f busy %.4f\n",
          argv[1], argv[2], argv[3], loads, wasted, n ? wait / n : 0,
--- a/bench/scale.c
+++ b/bench/scale.c
@@ -205,7 +205,7 @@
 
 static void installed(void *gateway) {
   me->on_installed(gateway);
-  const char *text = strstr(me->router->resources[RESOURCE_ROUTING]->str, "\"version\":");
+  const char *text = strstr(me->router->sync.resources[RESOURCE_ROUTING]->str, "\"version\":");
   uint64_t version = text ? strtoull(text + 10, NULL, 10) : 0;
   if (!version || version == me->version)
     return;
--- a/emulator/check.c
+++ b/emulator/check.c
@@ -701,10 +701,10 @@
     host *h = fleet->router[i];
     if (!h->alive || h->frozen || !h->router->config)
       continue;
-    if (h->router->config_version < h->seq_seen)
+    if (h->router->sync.config_version < h->seq_seen)
       violation(fleet, "R4 %s slipped back from %" PRIu64 " to %" PRIu64, h->self.text, h->seq_seen,
-                h->router->config_version);
-    h->seq_seen = h->router->config_version;
+                h->router->sync.config_version);
+    h->seq_seen = h->router->sync.config_version;
   }
   fleet_head(fleet);
   fleet_tail(fleet);
--- a/lib/gateway/canary.c
+++ b/lib/gateway/canary.c
@@ -145,7 +145,8 @@
 static bool is_on(const gateway *gateway) {
   const canary *canary = gateway->canary;
   return canary->open_at.us && time_reached(now_of(gateway), canary->open_at) &&
-         within(gateway, gateway->router->controller_answered_at, CONTROLLER_SILENCE_MS) &&
+         within(gateway, gateway->router->controllers.controller_answered_at,
+                CONTROLLER_SILENCE_MS) &&
          within(gateway, canary->judge_heard_at, JUDGE_SILENCE_MS) &&
          within(gateway, canary->started_at, canary->plan.max_duration_ms + SPARE_MS) &&
          canary->pinned.order->len < MAX_PINNED_SESSIONS;
@@ -471,13 +472,13 @@
   q.verdict.data = (uint8_t *)t->str;
   q.verdict.len = t->len;
   char addr[48];
-  peer_node *peer = gateway->router->head_address[0]
+  peer_node *peer = gateway->router->leases.head_address[0]
                         ? NULL
                         : node_pick_peer(&gateway->router->node, ROLE_CONTROLLER, NULL);
   g_strlcpy(addr,
-            gateway->router->head_address[0] ? gateway->router->head_address
-            : peer                           ? peer->address
-                                             : "",
+            gateway->router->leases.head_address[0] ? gateway->router->leases.head_address
+            : peer                                  ? peer->address
+                                                    : "",
             sizeof addr);
   Wire__Envelope m = wire_envelope(WIRE__ENVELOPE__BODY_CANARY_END_REQUEST, &q), *b;
   error err = { 0 };
@@ -536,7 +537,8 @@
     bool on = is_on(gateway);
     if (canary->was_active && !on)
       log_info(&gateway->router->node.log, "canary", "New sessions go by the old policy here: %s.",
-               !within(gateway, gateway->router->controller_answered_at, CONTROLLER_SILENCE_MS)
+               !within(gateway, gateway->router->controllers.controller_answered_at,
+                       CONTROLLER_SILENCE_MS)
                    ? "no news"
                : !within(gateway, canary->judge_heard_at, JUDGE_SILENCE_MS)
                    ? "no judge"
@@ -555,7 +557,7 @@
 void canary_config_installed(gateway *gateway) {
   const config *config = gateway->router->config;
   const canary_plan *plan = config ? &config->canary : NULL;
-  uint64_t version = gateway->router->resource_versions[RESOURCE_CANARY];
+  uint64_t version = gateway->router->sync.resource_versions[RESOURCE_CANARY];
   if (!plan || plan->state != CANARY_RUNNING) {
     if (gateway->canary)
       log_info(&gateway->router->node.log, "canary",
@@ -571,7 +573,7 @@
   n->plan = *plan;
   n->version = version;
   n->started_at = now_of(gateway);
-  n->may_have_begun_elsewhere = gateway->router->sync_count <= 1;
+  n->may_have_begun_elsewhere = gateway->router->sync.sync_count <= 1;
   pinned_sessions_init(&n->pinned);
   log_info(&gateway->router->node.log, "canary", "The trial %s is declared for a share of %.3f.",
            plan->name.text, plan->traffic_share);
--- a/lib/gateway/engine_orders.c
+++ b/lib/gateway/engine_orders.c
@@ -11,8 +11,7 @@
 static time_us lease_expires_at(gateway_engine *engine) {
   char d[64];
   singleton_engine_name(d, sizeof d, engine->engine_id);
-  singleton_lease *singleton_lease =
-      g_hash_table_lookup(engine->gateway->router->singleton_leases, d);
+  singleton_lease *singleton_lease = singleton_lease_find(engine->gateway->router, d);
   return singleton_lease ? singleton_lease->expires_at : (time_us){ 0 };
 }
 
@@ -20,8 +19,7 @@
 static void lease_note_order(gateway_engine *engine, int more) {
   char d[64];
   singleton_engine_name(d, sizeof d, engine->engine_id);
-  singleton_lease *singleton_lease =
-      g_hash_table_lookup(engine->gateway->router->singleton_leases, d);
+  singleton_lease *singleton_lease = singleton_lease_find(engine->gateway->router, d);
   if (!singleton_lease)
     return;
   singleton_lease->open_orders += more;
@@ -331,7 +329,7 @@
   if (took && probes <= 3)
     step_record_ms(engine, "@unload", gateway_ms_since(gateway, began));
   gateway->counts.unloads++;
-  gateway->router->unload_count++;
+  gateway->router->loading.unload_count++;
   event_history_append(
       &gateway->router->history,
       (history_event){ EVENT_UNLOADED, { 0 }, engine->engine_id, model, adapter, 0 });
--- a/lib/gateway/load_jobs.c
+++ b/lib/gateway/load_jobs.c
@@ -82,7 +82,7 @@
     capacity_forget(&engine->capacity, engine->capacity.changed_at);
   char d[64];
   singleton_engine_name(d, sizeof d, engine->engine_id);
-  singleton_lease *singleton_lease = g_hash_table_lookup(gateway->router->singleton_leases, d);
+  singleton_lease *singleton_lease = singleton_lease_find(gateway->router, d);
   int64_t lease = (gateway->settings.lease_ms > 0 ? gateway->settings.lease_ms : 3000) + 200;
   time_us from = epoch > 1 ? time_add(singleton_lease->acquired_at, time_from_ms(600))
                            : singleton_lease->acquired_at;
@@ -273,7 +273,7 @@
   }
   if (base && st != 200) {
     gateway->counts.loads++;
-    gateway->router->load_count++;
+    gateway->router->loading.load_count++;
     Wire__LoadPermitRequest t = WIRE__LOAD_PERMIT_REQUEST__INIT;
     t.engine = engine->engine_id.text;
     t.key = "";
--- a/lib/gateway/load_rate_limiter.c
+++ b/lib/gateway/load_rate_limiter.c
@@ -95,7 +95,7 @@
   time_us window = { (int64_t)(window_s(gateway) * 1e6) + LOAD_PERMIT_VALID_MS * 1000 },
           now = now_of(gateway);
   load_rate_limiter *p = load_rate_limiter_of(gateway, service->name);
-  singleton_lease *singleton_lease = g_hash_table_lookup(router->singleton_leases, "pacer");
+  singleton_lease *singleton_lease = singleton_lease_find(router, "pacer");
   if (p->epoch != epoch) {
     if (epoch > 1)
       load_rate_limiter_take_over(p->load_times, singleton_lease->acquired_at,
@@ -108,12 +108,12 @@
                                           singleton_lease->expires_at);
   b->wait_ms = (uint64_t)(wait + 999) / 1000;
   if (!b->granted) {
-    router->load_permits_refused++;
+    router->permits.refused++;
     if (!b->wait_ms)
       b->wait_ms = 100;
     return OK;
   }
-  router->load_permits++;
+  router->permits.granted++;
   load_rate_limiter_record(gateway, service->name, now);
   Wire__LoadPermitRequest t = WIRE__LOAD_PERMIT_REQUEST__INIT;
   t.engine = in->load_permit_request->engine;
--- a/lib/router/config_snapshot.c
+++ b/lib/router/config_snapshot.c
@@ -24,7 +24,7 @@
 } candidate;
 
 size_t config_snapshot_resource_count(const router *router) {
-  return router->resource_versions[RESOURCE_CANARY] ? RESOURCE_COUNT : RESOURCE_CANARY;
+  return router->sync.resource_versions[RESOURCE_CANARY] ? RESOURCE_COUNT : RESOURCE_CANARY;
 }
 
 static bool check_is_newer(router *router, const candidate *candidate) {
@@ -35,7 +35,7 @@
              candidate->from, E_VIEW_MISMATCH);
     return false;
   }
-  return !router->config || snapshot->sequence > router->config_version;
+  return !router->config || snapshot->sequence > router->sync.config_version;
 }
 
 static void find_resources(candidate *candidate) {
@@ -48,16 +48,16 @@
 
 static void request_full_snapshot(router *router, const candidate *candidate) {
   if (!candidate->versions_moved)
-    memset(router->resource_versions, 0, sizeof router->resource_versions);
+    memset(router->sync.resource_versions, 0, sizeof router->sync.resource_versions);
 }
 
 /* Replaces the delta of a resource by its full text. */
 static bool apply_delta(const router *router, int k, Wire__Resource *resource) {
-  if (resource->base_version != router->resource_versions[k])
+  if (resource->base_version != router->sync.resource_versions[k])
     return false;
   GString *text = g_string_new(NULL);
   string_view delta = { (char *)resource->delta.data, resource->delta.len };
-  if (!delta_apply(string_view_of_gstring(router->resources[k]), delta, text)) {
+  if (!delta_apply(string_view_of_gstring(router->sync.resources[k]), delta, text)) {
     g_string_free(text, TRUE);
     return false;
   }
@@ -70,7 +70,8 @@
 /* True when the full text of a resource is known: it came, or it is the version in force. */
 static bool resolve_text(router *router, const candidate *candidate, int k) {
   Wire__Resource *resource = candidate->resources[k];
-  bool fits = resource && (!resource->same || resource->version == router->resource_versions[k]);
+  bool fits =
+      resource && (!resource->same || resource->version == router->sync.resource_versions[k]);
   if (fits && resource->delta.len)
     fits = apply_delta(router, k, resource);
   if (!fits)
@@ -87,10 +88,10 @@
     if (!resolve_text(router, candidate, k))
       return false;
     /* the routing in force is compiled already */
-    if (k == RESOURCE_ROUTING && resource->version == router->resource_versions[k])
+    if (k == RESOURCE_ROUTING && resource->version == router->sync.resource_versions[k])
       continue;
     string_view text = resource->same
-                           ? string_view_of_gstring(router->resources[k])
+                           ? string_view_of_gstring(router->sync.resources[k])
                            : (string_view){ (char *)resource->text.data, resource->text.len };
     error err = { 0 };
     candidate->documents[k] = json_parse(text, &err);
@@ -126,10 +127,10 @@
 }
 
 static void replace_resources(router *router, const candidate *candidate) {
-  GString **texts = router->resources;
+  GString **texts = router->sync.resources;
   for (int k = 0; k < RESOURCE_COUNT; k++) {
     const Wire__Resource *resource = candidate->resources[k];
-    router->resource_versions[k] = resource ? resource->version : 0;
+    router->sync.resource_versions[k] = resource ? resource->version : 0;
     if (!resource) {
       g_string_assign(texts[k], "{}");
       continue;
@@ -164,12 +165,12 @@
     candidate->routing = NULL;
   }
   sync->fleet_id = snapshot->fleet_id;
-  router->config_version = snapshot->sequence;
+  router->sync.config_version = snapshot->sequence;
   sync->view_epoch = MAX(sync->view_epoch, snapshot->epoch);
   replace_resources(router, candidate);
   replace_grants(sync, snapshot);
-  router->sync_bytes += packed_size;
-  router->sync_count++;
+  router->sync.sync_bytes += packed_size;
+  router->sync.sync_count++;
   event_history_set_window(&router->history, time_from_ms(router->config->rate_window_s * 1000));
   router->history.smoothing_factor = router->config->smoothing_factor;
 }
@@ -216,9 +217,9 @@
   for (int k = 0; k < RESOURCE_COUNT; k++) {
     wire__resource__init(&resources[k]);
     resources[k].name = (char *)resource_names[k];
-    resources[k].version = router->resource_versions[k];
-    resources[k].text.data = (uint8_t *)router->resources[k]->str;
-    resources[k].text.len = router->resources[k]->len;
+    resources[k].version = router->sync.resource_versions[k];
+    resources[k].text.data = (uint8_t *)router->sync.resources[k]->str;
+    resources[k].text.len = router->sync.resources[k]->len;
     pointers[k] = &resources[k];
   }
 }
@@ -250,7 +251,7 @@
   fill_grants(sync, grants, grant_pointers);
   Wire__StateSnapshot snapshot = WIRE__STATE_SNAPSHOT__INIT;
   snapshot.fleet_id = sync->fleet_id;
-  snapshot.sequence = router->config_version;
+  snapshot.sequence = router->sync.config_version;
   snapshot.epoch = sync->view_epoch;
   snapshot.n_resources = config_snapshot_resource_count(router);
   snapshot.resources = resource_pointers;
--- a/lib/router/config_sync.c
+++ b/lib/router/config_sync.c
@@ -8,16 +8,16 @@
 #include "router.h"
 #include "router_sync.h"
 
-void config_sync_init(router *router) {
+void config_sync_init(config_sync *sync) {
   for (int i = 0; i < RESOURCE_COUNT; i++)
-    router->resources[i] = g_string_new("{}");
-  router->sync.singleton_grants = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+    sync->resources[i] = g_string_new("{}");
+  sync->singleton_grants = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 }
 
-void config_sync_free(router *router) {
+void config_sync_free(config_sync *sync) {
   for (int i = 0; i < RESOURCE_COUNT; i++)
-    g_string_free(router->resources[i], TRUE);
-  g_hash_table_destroy(router->sync.singleton_grants);
+    g_string_free(sync->resources[i], TRUE);
+  g_hash_table_destroy(sync->singleton_grants);
 }
 
 bool config_sync_is_recent(router *router) {
@@ -47,17 +47,17 @@
   config_sync *sync = &router->sync;
   wire__config_poll_request__init(request);
   request->epoch = sync->view_epoch;
-  request->sequence = router->config_version;
+  request->sequence = router->sync.config_version;
   request->fleet_id = sync->fleet_id;
   request->n_resource_versions = config_snapshot_resource_count(router);
-  request->resource_versions = router->resource_versions;
+  request->resource_versions = router->sync.resource_versions;
   request->engine_list_age_ms = engine_list_age_ms(router);
 }
 
 bool config_sync_call(router *router, const char *address, Wire__ConfigPollRequest *request,
                       int64_t timeout_ms, config_exchange *exchange) {
   *exchange = (config_exchange){ .sent_at = world_now(router->node.world) };
-  memcpy(exchange->sent_versions, router->resource_versions, sizeof exchange->sent_versions);
+  memcpy(exchange->sent_versions, router->sync.resource_versions, sizeof exchange->sent_versions);
   Wire__Envelope message = wire_envelope(WIRE__ENVELOPE__BODY_CONFIG_POLL_REQUEST, request);
   error err = { 0 };
   if (node_call(&router->node, address, &message, time_from_ms(timeout_ms), &exchange->envelope,
@@ -72,13 +72,13 @@
   const Wire__ConfigPollResponse *response = exchange->response;
   if (!response->changed || !response->snapshot.len)
     return false;
-  bool versions_moved = memcmp(exchange->sent_versions, router->resource_versions,
+  bool versions_moved = memcmp(exchange->sent_versions, router->sync.resource_versions,
                                sizeof exchange->sent_versions) != 0;
   return config_snapshot_install(router, &response->snapshot, address, versions_moved);
 }
 
 bool config_sync_is_up_to_date(router *router, const config_exchange *exchange) {
-  return router->config && exchange->response->sequence <= router->config_version;
+  return router->config && exchange->response->sequence <= router->sync.config_version;
 }
 
 void config_sync_finish(router *router, config_exchange *exchange) {
--- a/lib/router/config_sync.h
+++ b/lib/router/config_sync.h
@@ -36,6 +36,14 @@
   /** Highest epoch of the controllers' view that any controller named; also by controller_poll.c.
    */
   uint64_t view_epoch;
+  /** Sequence number of the last write in force. */
+  uint64_t config_version;
+  /** Version and text of each resource. Versions are zeroed to have the next response bring all
+   * resources in full. */
+  uint64_t resource_versions[RESOURCE_COUNT];
+  GString *resources[RESOURCE_COUNT];
+  /** Snapshots installed, and their size on the wire in bytes. */
+  uint64_t sync_count, sync_bytes;
   /** Singleton name -> known_grant, as of the last snapshot. */
   GHashTable *singleton_grants;
   /** When a controller last confirmed that config_version is the latest, by this node's clock; 0:
@@ -64,8 +72,8 @@
   uint64_t sent_versions[RESOURCE_COUNT];
 } config_exchange;
 
-void config_sync_init(router *router);
-void config_sync_free(router *router);
+void config_sync_init(config_sync *sync);
+void config_sync_free(config_sync *sync);
 /** Starts all tasks that exchange configuration with controllers and routers. */
 void config_sync_start(router *router);
 
--- a/lib/router/controller_poll.c
+++ b/lib/router/controller_poll.c
@@ -52,7 +52,7 @@
 } hedged_poll_task;
 
 bool controller_poll_answered_within(router *router, int64_t ms) {
-  return router_happened_within(router, router->controller_answered_at, ms);
+  return router_happened_within(router, router->controllers.controller_answered_at, ms);
 }
 
 static registry_position *find_registry_position(controller_poll *controllers,
@@ -116,7 +116,7 @@
   if (response->epoch > router->sync.view_epoch)
     router->sync.view_epoch = response->epoch;
   if (response->epoch)
-    router->controller_answered_at = world_now(router->node.world);
+    router->controllers.controller_answered_at = world_now(router->node.world);
 }
 
 static void record_hint(router *router, const Wire__ConfigPollResponse *response) {
@@ -171,8 +171,9 @@
 static peer_node *choose_controller(router *router) {
   controller_poll *controllers = &router->controllers;
   const char *preferred = controllers->controller_hint[0] ? controllers->controller_hint
-                          : router->polled_controller[0]  ? router->polled_controller
-                                                          : controllers->confirming_controller;
+                          : router->controllers.polled_controller[0]
+                              ? router->controllers.polled_controller
+                              : controllers->confirming_controller;
   peer_node *peer = preferred[0] ? node_pick_peer(&router->node, ROLE_CONTROLLER, preferred) : NULL;
   if (!peer || strcmp(peer->address, preferred))
     peer = controller_selection_next(&controllers->selection, &router->node, NULL);
@@ -193,8 +194,8 @@
   controller_poll *controllers = &router->controllers;
   /* one that could not confirm is polled again only when none could */
   if (polled)
-    mark_failed(router, router->polled_controller);
-  router->polled_controller[0] = 0;
+    mark_failed(router, router->controllers.polled_controller);
+  router->controllers.polled_controller[0] = 0;
   bool hinted = controllers->controller_hint[0] || controllers->confirming_controller[0];
   int64_t pause_ms = hinted ? RETRY_HINTED_MS : polled ? RETRY_MS : RETRY_NO_CONTROLLER_MS;
   return world_sleep_with_jitter(router->node.world, time_from_ms(pause_ms));
@@ -209,10 +210,11 @@
     peer_node *peer = choose_controller(router);
     bool confirmed = false;
     if (peer) {
-      g_strlcpy(router->polled_controller, peer->address, sizeof router->polled_controller);
-      controller_selection_mark_asked(&controllers->selection, router->polled_controller,
-                                      started_at);
-      confirmed = poll_controller(router, router->polled_controller, POLL_LONG);
+      g_strlcpy(router->controllers.polled_controller, peer->address,
+                sizeof router->controllers.polled_controller);
+      controller_selection_mark_asked(&controllers->selection,
+                                      router->controllers.polled_controller, started_at);
+      confirmed = poll_controller(router, router->controllers.polled_controller, POLL_LONG);
     }
     running = confirmed ? pause_after_success(router, started_at)
                         : pause_after_failure(router, peer != NULL);
@@ -253,7 +255,7 @@
   int index = find_free_hedged_poll(router, now);
   if (index < 0)
     return;
-  const char *polled = router->polled_controller;
+  const char *polled = router->controllers.polled_controller;
   peer_node *peer =
       controller_selection_next(&controllers->selection, &router->node, polled[0] ? polled : NULL);
   if (!peer)
--- a/lib/router/controller_poll.h
+++ b/lib/router/controller_poll.h
@@ -38,12 +38,16 @@
 
 /** Owned by controller_poll.c. */
 typedef struct controller_poll {
+  /** The controller that the main task polls, or polled last; blank after it failed. */
+  char polled_controller[48];
   /** A controller that holds the state, as one that holds none named it; blank: none. */
   char controller_hint[48];
   /** The controller that confirmed the configuration to a hedged poll; blank: none. */
   char confirming_controller[48];
   /** How controllers responded so far, for the choice of the next one. */
   controller_selection selection;
+  /** When any controller last responded with its state; 0: never. */
+  time_us controller_answered_at;
   /** When a controller last confirmed what is in force here, at the latest: the time for which it
    * held the poll open is added. */
   time_us controller_confirmed_at;
--- a/lib/router/engine_capacity.c
+++ b/lib/router/engine_capacity.c
@@ -31,9 +31,9 @@
 }
 
 static void count_unload(router *router, bool was_busy, bool was_wasted) {
-  router->unload_count++;
-  router->busy_unloads += was_busy;
-  router->wasted_loads += was_wasted;
+  router->loading.unload_count++;
+  router->loading.busy_unloads += was_busy;
+  router->loading.wasted_loads += was_wasted;
 }
 
 static enum error_code order_unload(engine *engine, resident_model *resident, error *err) {
--- a/lib/router/generate_api.c
+++ b/lib/router/generate_api.c
@@ -211,7 +211,8 @@
   request->deadline = request->hold_deadline =
       time_add(request->received_at, time_from_ms(request->kind.deadline_ms));
   snprintf(request->request_id, sizeof request->request_id, "%s.%" PRIx64 ".%" PRIu64,
-           router->node.settings.self.text, router->node.nonce >> 32, ++router->request_count);
+           router->node.settings.self.text, router->node.nonce >> 32,
+           ++router->requests.request_count);
 }
 
 /* Checks that this router may serve a request at all; responds when it may not. */
--- a/lib/router/generate_api.h
+++ b/lib/router/generate_api.h
@@ -30,6 +30,8 @@
   double retry_budget;
   /** Smoothed duration of a stream in ms. */
   double smoothed_service_ms;
+  /** Counts since the start. */
+  uint64_t request_count, attempt_count, retry_count;
   /** Streams that belonged to another run, and requests refused because this router is isolated. */
   uint64_t mismatched_runs, isolated_refusals;
 } generate_api;
--- a/lib/router/load_backoff.c
+++ b/lib/router/load_backoff.c
@@ -33,7 +33,7 @@
   known->failures++;
   int64_t jitter_ms = (int64_t)world_random(world, (uint64_t)ms / 2 + 1);
   known->retry_at = time_add(world_now(world), time_from_ms(ms + jitter_ms));
-  engine->router->failed_loads++;
+  engine->router->loading.failed_loads++;
   event_history_append(&engine->router->history, (history_event){ .kind = EVENT_LOAD_FAILED,
                                                                   .engine = engine->self,
                                                                   .model = model,
--- a/lib/router/load_permit.c
+++ b/lib/router/load_permit.c
@@ -107,20 +107,20 @@
   response->wait_ms = (uint64_t)(wait.us + 999) / 1000;
   response->valid_us = (uint64_t)slack_us;
   if (!response->granted) {
-    router->load_permits_refused++;
-    router->permits_refused_recently++;
+    router->permits.refused++;
+    router->permits.refused_recently++;
     return OK;
   }
   time_us begins_at = time_add(now, time_from_ms((int64_t)response->wait_ms));
   router->permits.next_permit_at = time_add(begins_at, spacing);
-  router->load_permits++;
-  router->permits_granted_recently++;
+  router->permits.granted++;
+  router->permits.granted_recently++;
   return OK;
 }
 
 void load_permit_decay_counts(router *router) {
-  router->permits_granted_recently *= RECENT_COUNT_DECAY;
-  router->permits_refused_recently *= RECENT_COUNT_DECAY;
+  router->permits.granted_recently *= RECENT_COUNT_DECAY;
+  router->permits.refused_recently *= RECENT_COUNT_DECAY;
 }
 
 void load_permit_start(router *router) {
--- a/lib/router/load_permit.h
+++ b/lib/router/load_permit.h
@@ -11,8 +11,12 @@
  */
 #include "engine.h"
 
-/** Owned by load_permit.c. */
+/** Owned by load_permit.c, on gateways by lib/gateway/load_rate_limiter.c. */
 typedef struct load_permits {
+  /** Permits granted and refused since the start. */
+  uint64_t granted, refused;
+  /** The same for the last seconds; they fade. Not on gateways. */
+  double granted_recently, refused_recently;
   /** Earliest start of the next slot to give out. */
   time_us next_permit_at;
 } load_permits;
--- a/lib/router/model_loading.c
+++ b/lib/router/model_loading.c
@@ -187,14 +187,14 @@
   const order_subject *subject = &load->subject;
   time_us unloaded_at =
       load_backoff_find(load->engine, subject->model, subject->adapter)->unloaded_at;
-  router->load_count++;
+  router->loading.load_count++;
   if (!unloaded_at.us)
     return;
   int64_t load_ms = (int64_t)model_loading_estimate_ms(router, load->engine->type, subject->model,
                                                        subject->adapter);
   time_us window = time_from_ms(WASTED_LOAD_WINDOW_FACTOR * load_ms);
   if (!time_reached(load->started_at, time_add(unloaded_at, window)))
-    router->wasted_loads++;
+    router->loading.wasted_loads++;
 }
 
 /* Records that the engine failed a load; it is not tried again at once. */
--- a/lib/router/model_loading.h
+++ b/lib/router/model_loading.h
@@ -15,8 +15,11 @@
  * what was unloaded less than this many of its load times before. */
 enum { WASTED_LOAD_WINDOW_FACTOR = 10 };
 
-/** Owned by model_loading.c. */
+/** Owned by model_loading.c; load_count and unload_count on gateways by lib/gateway. */
 typedef struct model_loading {
+  uint64_t load_count, failed_loads, unload_count;
+  /** Loads in vain, see WASTED_LOAD_WINDOW_FACTOR, and unloads of what ran streams. */
+  uint64_t wasted_loads, busy_unloads;
   /** "engine/model+adapter" -> load_backoff; entries of load_backoff.c. */
   GHashTable *backoffs;
 } model_loading;
--- a/lib/router/request_attempt.c
+++ b/lib/router/request_attempt.c
@@ -68,7 +68,7 @@
   snprintf(attempt->name, sizeof attempt->name, "%s.%d", request->request_id, ++request->attempts);
   engine->refs++;
   engine->own_running++;
-  router->attempt_count++;
+  router->requests.attempt_count++;
   attempt->started_at = world_now(router->node.world);
   attempt->received = g_string_new(NULL);
   attempt->tail = g_string_new(NULL);
@@ -293,7 +293,7 @@
   if (router->requests.retry_budget < 1)
     return false;
   router->requests.retry_budget -= 1;
-  router->retry_count++;
+  router->requests.retry_count++;
   return true;
 }
 
--- a/lib/router/router.c
+++ b/lib/router/router.c
@@ -15,8 +15,8 @@
 static void init_state(router *router) {
   condition_init(&router->state_changed);
   condition_init(&router->drain_completed);
-  config_sync_init(router);
-  router->singleton_leases = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, g_free);
+  config_sync_init(&router->sync);
+  singleton_leases_init(&router->leases);
   event_history_init(&router->history, router->node.world);
   engine_list_init(&router->engine_list);
   model_loading_init(&router->loading);
@@ -70,8 +70,8 @@
 void router_free(router *router) {
   engine_list_free(&router->engine_list);
   model_loading_free(&router->loading);
-  config_sync_free(router);
-  g_hash_table_destroy(router->singleton_leases);
+  config_sync_free(&router->sync);
+  singleton_leases_free(&router->leases);
   config_free(router->config);
   routing_unref(router->routing);
   event_history_free(&router->history);
--- a/lib/router/router.h
+++ b/lib/router/router.h
@@ -33,57 +33,23 @@
    * reports of engines, streams that ended. */
   condition state_changed;
 
-  /* Configuration in force; written by config_snapshot.c. */
+  /* Compiled parts of the configuration in force; written by config_snapshot.c. */
   /** Catalogue and policy; NULL before the first snapshot. */
   config *config;
   /** Routes of a gateway; NULL while that resource is empty. */
   struct routing *routing;
-  /** Sequence number of the last write in force. */
-  uint64_t config_version;
-  /** Version and text of each resource. Versions are zeroed to have the next response bring all
-   * resources in full. */
-  uint64_t resource_versions[RESOURCE_COUNT];
-  GString *resources[RESOURCE_COUNT];
-  /** Snapshots installed, and their size on the wire in bytes. */
-  uint64_t sync_count, sync_bytes;
-  config_sync sync;
 
-  /* Of controller_poll.c. */
-  /** The controller that the main task polls, or polled last; blank after it failed. */
-  char polled_controller[48];
-  /** When any controller last responded with its state; 0: never. */
-  time_us controller_answered_at;
+  config_sync sync;
   controller_poll controllers;
-
   admission admission;
-
-  /* Of singleton_lease.c. */
-  /** Singleton name -> singleton_lease. */
-  GHashTable *singleton_leases;
-  /** Address of the head, or of a controller to ask for it; blank: none is known. */
-  char head_address[48];
   singleton_leases leases;
 
   /** Events and request rates; written by whoever routes requests and loads models. */
   event_history history;
 
   engine_list engine_list;
-
-  /* Of load_permit.c, or on gateways of lib/gateway/load_rate_limiter.c. */
-  /** Permits given out and refused. */
-  uint64_t load_permits, load_permits_refused;
-  /** The same for the last seconds; they fade. */
-  double permits_granted_recently, permits_refused_recently;
   load_permits permits;
-
-  /* Of model_loading.c; load_count and unload_count on gateways also of lib/gateway. */
-  uint64_t load_count, failed_loads, unload_count;
-  /** Loads in vain, see WASTED_LOAD_WINDOW_FACTOR, and unloads of what ran streams. */
-  uint64_t wasted_loads, busy_unloads;
   model_loading loading;
-
-  /* Of generate_api.c. */
-  uint64_t request_count, attempt_count, retry_count;
   generate_api requests;
 
   /* Graceful shutdown; of router.c. */
--- a/lib/router/router_pages.c
+++ b/lib/router/router_pages.c
@@ -145,7 +145,7 @@
   int held = 0;
   GHashTableIter iterator;
   gpointer name;
-  g_hash_table_iter_init(&iterator, router->singleton_leases);
+  g_hash_table_iter_init(&iterator, router->leases.by_name);
   while (g_hash_table_iter_next(&iterator, &name, NULL))
     held += singleton_lease_epoch(router, name) > 0;
   return held;
@@ -155,7 +155,7 @@
   const engine_list *list = &router->engine_list;
   int held_leases = count_held_leases(router);
   const peer_node *controller =
-      node_pick_peer(&router->node, ROLE_CONTROLLER, router->polled_controller);
+      node_pick_peer(&router->node, ROLE_CONTROLLER, router->controllers.polled_controller);
   int64_t list_age_ms =
       list->known ? time_sub(world_now(router->node.world), list->received_at).us / 1000 : -1;
   json_appendf(to,
@@ -164,22 +164,22 @@
                ",\"fresh\":%s,\"core\":\"%s\",\"enrols\":%s,\"alone\":%" PRIu64
                ",\"duties\":%d,\"listMs\":%" PRId64 ",\"draining\":%s,\"open\":%d,",
                router->node.settings.self.text, router->node.settings.zone.text,
-               router->sync.view_epoch, router->config_version,
+               router->sync.view_epoch, router->sync.config_version,
                json_bool_text(config_sync_is_recent(router)), controller ? controller->address : "",
                json_bool_text(config_sync_may_admit(router)), router->requests.isolated_refusals,
                held_leases, list_age_ms, json_bool_text(router->draining), router->open_requests);
 }
 
 static void append_counters(const router *router, GString *to) {
-  json_appendf(to,
-               "\"requests\":%" PRIu64 ",\"attempts\":%" PRIu64 ",\"seconds\":%" PRIu64
-               ",\"loads\":%" PRIu64 ",\"loadFails\":%" PRIu64 ",\"unloads\":%" PRIu64
-               ",\"wasted\":%" PRIu64 ",\"tickets\":%" PRIu64 ",\"ticketsLate\":%" PRIu64
-               ",\"paceGiven\":%.1f,\"paceFull\":%.1f,",
-               router->request_count, router->attempt_count, router->retry_count,
-               router->load_count, router->failed_loads, router->unload_count, router->wasted_loads,
-               router->load_permits, router->load_permits_refused, router->permits_granted_recently,
-               router->permits_refused_recently);
+  json_appendf(
+      to,
+      "\"requests\":%" PRIu64 ",\"attempts\":%" PRIu64 ",\"seconds\":%" PRIu64 ",\"loads\":%" PRIu64
+      ",\"loadFails\":%" PRIu64 ",\"unloads\":%" PRIu64 ",\"wasted\":%" PRIu64
+      ",\"tickets\":%" PRIu64 ",\"ticketsLate\":%" PRIu64 ",\"paceGiven\":%.1f,\"paceFull\":%.1f,",
+      router->requests.request_count, router->requests.attempt_count, router->requests.retry_count,
+      router->loading.load_count, router->loading.failed_loads, router->loading.unload_count,
+      router->loading.wasted_loads, router->permits.granted, router->permits.refused,
+      router->permits.granted_recently, router->permits.refused_recently);
 }
 
 static void append_classes(const router *router, GString *to) {
@@ -217,19 +217,20 @@
 }
 
 static void write_metrics(router *router, GString *to) {
-  json_appendf(to,
-               "asterfall_version %" PRIu64 "\nasterfall_fresh %d\nasterfall_requests %" PRIu64
-               "\nasterfall_attempts %" PRIu64 "\nasterfall_second_tries %" PRIu64
-               "\nasterfall_loads %" PRIu64 "\nasterfall_loads_failed %" PRIu64
-               "\nasterfall_loads_wasted %" PRIu64 "\nasterfall_unloads %" PRIu64
-               "\nasterfall_unloads_of_busy %" PRIu64 "\nasterfall_tickets %" PRIu64
-               "\nasterfall_alone %" PRIu64 "\nasterfall_tasks %zu\nasterfall_news %" PRIu64
-               "\nasterfall_news_bytes %" PRIu64 "\n",
-               router->config_version, config_sync_is_recent(router), router->request_count,
-               router->attempt_count, router->retry_count, router->load_count, router->failed_loads,
-               router->wasted_loads, router->unload_count, router->busy_unloads,
-               router->load_permits, router->requests.isolated_refusals,
-               router->node.world->tasks.count, router->sync_count, router->sync_bytes);
+  json_appendf(
+      to,
+      "asterfall_version %" PRIu64 "\nasterfall_fresh %d\nasterfall_requests %" PRIu64
+      "\nasterfall_attempts %" PRIu64 "\nasterfall_second_tries %" PRIu64
+      "\nasterfall_loads %" PRIu64 "\nasterfall_loads_failed %" PRIu64
+      "\nasterfall_loads_wasted %" PRIu64 "\nasterfall_unloads %" PRIu64
+      "\nasterfall_unloads_of_busy %" PRIu64 "\nasterfall_tickets %" PRIu64
+      "\nasterfall_alone %" PRIu64 "\nasterfall_tasks %zu\nasterfall_news %" PRIu64
+      "\nasterfall_news_bytes %" PRIu64 "\n",
+      router->sync.config_version, config_sync_is_recent(router), router->requests.request_count,
+      router->requests.attempt_count, router->requests.retry_count, router->loading.load_count,
+      router->loading.failed_loads, router->loading.wasted_loads, router->loading.unload_count,
+      router->loading.busy_unloads, router->permits.granted, router->requests.isolated_refusals,
+      router->node.world->tasks.count, router->sync.sync_count, router->sync.sync_bytes);
   append_class_metrics(router, to);
 }
 
--- a/lib/router/router_sync.c
+++ b/lib/router/router_sync.c
@@ -39,7 +39,7 @@
 
 void router_sync_report_version(router *router) {
   Wire__VersionReport report = WIRE__VERSION_REPORT__INIT;
-  report.sequence = router->config_version;
+  report.sequence = router->sync.config_version;
   report.fleet_id = router->sync.fleet_id;
   Wire__Envelope message = wire_envelope(WIRE__ENVELOPE__BODY_VERSION_REPORT, &report);
   list_for_each (peer, &router->node.peers, peer_node, link)
@@ -187,13 +187,13 @@
   Wire__ConfigPollResponse *response = reply_new_body(
       reply, WIRE__ENVELOPE__BODY_CONFIG_POLL_RESPONSE, &wire__config_poll_response__descriptor);
   response->epoch = sync->view_epoch;
-  response->sequence = router->config_version;
+  response->sequence = router->sync.config_version;
   if (config_sync_is_recent(router))
     response->confirmed_age_ms = config_sync_age_ms(router, sync->config_confirmed_at);
   response->ever_confirmed = sync->ever_confirmed;
   response->known_routers = (uint32_t)node_count_peers(&router->node, ROLE_ROUTER);
   fill_engine_list(router, reply, request, response);
-  response->changed = router->config && router->config_version > request->sequence;
+  response->changed = router->config && router->sync.config_version > request->sequence;
   if (response->changed)
     config_snapshot_pack(router, reply, &response->snapshot);
   return OK;
--- a/lib/router/singleton_lease.c
+++ b/lib/router/singleton_lease.c
@@ -30,8 +30,16 @@
   snprintf(buf, n, "engine:%s", engine.text);
 }
 
+void singleton_leases_init(singleton_leases *leases) {
+  leases->by_name = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, g_free);
+}
+
+void singleton_leases_free(singleton_leases *leases) {
+  g_hash_table_destroy(leases->by_name);
+}
+
 singleton_lease *singleton_lease_find(router *router, const char *singleton) {
-  return g_hash_table_lookup(router->singleton_leases, singleton);
+  return g_hash_table_lookup(router->leases.by_name, singleton);
 }
 
 uint64_t singleton_lease_epoch(router *router, const char *singleton) {
@@ -65,7 +73,7 @@
   if (!lease) {
     lease = g_new0(singleton_lease, 1);
     lease->name = id_of_text(singleton);
-    g_hash_table_insert(router->singleton_leases, lease->name.text, lease);
+    g_hash_table_insert(router->leases.by_name, lease->name.text, lease);
   }
   return lease;
 }
@@ -80,12 +88,12 @@
 
 /* Makes sure that the address of the head, or of a controller that knows it, is set. */
 static bool find_head(router *router) {
-  if (router->head_address[0])
+  if (router->leases.head_address[0])
     return true;
   const peer_node *peer = node_pick_peer(&router->node, ROLE_CONTROLLER, NULL);
   if (!peer)
     return false;
-  g_strlcpy(router->head_address, peer->address, sizeof router->head_address);
+  g_strlcpy(router->leases.head_address, peer->address, sizeof router->leases.head_address);
   return true;
 }
 
@@ -122,8 +130,8 @@
   request.n_claims = leases->len;
   request.claims = pointers;
   Wire__Envelope message = wire_envelope(WIRE__ENVELOPE__BODY_SINGLETON_LEASE_REQUEST, &request);
-  char address[sizeof router->head_address];
-  g_strlcpy(address, router->head_address, sizeof address);
+  char address[sizeof router->leases.head_address];
+  g_strlcpy(address, router->leases.head_address, sizeof address);
   int code = node_call(&router->node, address, &message, timeout, response, err);
   g_free(claims);
   g_free(pointers);
@@ -134,13 +142,13 @@
 static void update_head_address(router *router, const Wire__SingletonLeaseResponse *response) {
   const char *head = response->head_address;
   if (head && head[0]) {
-    g_strlcpy(router->head_address, address_is_valid(head) ? head : "",
-              sizeof router->head_address);
+    g_strlcpy(router->leases.head_address, address_is_valid(head) ? head : "",
+              sizeof router->leases.head_address);
     return;
   }
   router->leases.head_answered_at = world_now(router->node.world);
   if (!response->n_results)
-    router->head_address[0] = 0;
+    router->leases.head_address[0] = 0;
 }
 
 static void apply_grant(router *router, singleton_lease *lease, uint64_t epoch,
@@ -173,7 +181,7 @@
 
 static void handle_failure(router *router, int code, const error *err) {
   if (code == E_NO_RESPONSE || code == E_NO_CONTROLLER)
-    router->head_address[0] = 0;
+    router->leases.head_address[0] = 0;
   else if (code != E_STOPPING)
     log_debug(&router->node.log, "lease", "The head refused a lease request: %s (code %d).",
               err->text, code);
@@ -214,7 +222,7 @@
 static void plan_leases(router *router) {
   GHashTableIter iterator;
   gpointer value;
-  g_hash_table_iter_init(&iterator, router->singleton_leases);
+  g_hash_table_iter_init(&iterator, router->leases.by_name);
   while (g_hash_table_iter_next(&iterator, NULL, &value))
     ((singleton_lease *)value)->wanted = false;
   if (is_ineligible(router) || !router->config)
@@ -233,7 +241,7 @@
     return;
   GHashTableIter iterator;
   gpointer value;
-  g_hash_table_iter_init(&iterator, router->singleton_leases);
+  g_hash_table_iter_init(&iterator, router->leases.by_name);
   while (g_hash_table_iter_next(&iterator, NULL, &value)) {
     const singleton_lease *lease = value;
     time_us retained_until = time_add(lease->expires_at, time_from_ms(RELEASED_LEASE_RETENTION_MS));
@@ -274,7 +282,7 @@
   remove_unused_leases(router, now);
   GHashTableIter iterator;
   gpointer value;
-  g_hash_table_iter_init(&iterator, router->singleton_leases);
+  g_hash_table_iter_init(&iterator, router->leases.by_name);
   while (g_hash_table_iter_next(&iterator, NULL, &value)) {
     singleton_lease *lease = value;
     if (lease->held)
@@ -297,7 +305,7 @@
   GPtrArray *missing = g_ptr_array_new();
   GHashTableIter iterator;
   gpointer value;
-  g_hash_table_iter_init(&iterator, router->singleton_leases);
+  g_hash_table_iter_init(&iterator, router->leases.by_name);
   while (g_hash_table_iter_next(&iterator, NULL, &value)) {
     singleton_lease *lease = value;
     if (!lease->held && lease->wanted && !is_ineligible(router) &&
--- a/lib/router/singleton_lease.h
+++ b/lib/router/singleton_lease.h
@@ -42,12 +42,18 @@
   bool held;
 } singleton_lease;
 
-/** Exchange with the head. Owned by singleton_lease.c. */
+/** All leases of this router, and the exchange with the head. Owned by singleton_lease.c. */
 typedef struct singleton_leases {
+  /** Singleton name -> singleton_lease. */
+  GHashTable *by_name;
+  /** Address of the head, or of a controller to ask for it; blank: none is known. */
+  char head_address[48];
   /** When the head last responded, or there was nothing to ask it for. */
   time_us head_answered_at;
 } singleton_leases;
 
+void singleton_leases_init(singleton_leases *leases);
+void singleton_leases_free(singleton_leases *leases);
 /** Starts the tasks that renew and acquire leases. */
 void singleton_lease_start(router *router);
 /** The lease of a singleton, held or not; NULL when it never concerned this router. Borrowed until
--- a/tests/canary.c
+++ b/tests/canary.c
@@ -611,7 +611,7 @@
     violation(fleet, "nobody judges");
     return over(deployment, "guarded", at, 0);
   }
-  uint64_t version = unit->host->router->resource_versions[RESOURCE_CANARY],
+  uint64_t version = unit->host->router->sync.resource_versions[RESOURCE_CANARY],
            epoch = singleton_lease_epoch(unit->host->router, "canary");
   int x = told_to_end(deployment, other, version, epoch);
   if (x != E_STALE_EPOCH)
--- a/tests/cutoff.c
+++ b/tests/cutoff.c
@@ -245,7 +245,8 @@
     int polls = 0;
     for (int v = 0; v < fleet->routers; v++)
       polls += fleet->router[v]->router &&
-               !strcmp(fleet->router[v]->router->polled_controller, fleet->controller[m]->addr);
+               !strcmp(fleet->router[v]->router->controllers.polled_controller,
+                       fleet->controller[m]->addr);
     if (polls > max_polls) {
       max_polls = polls;
       best = m;
--- a/tests/main.c
+++ b/tests/main.c
@@ -511,7 +511,8 @@
     return false;
   sim_run(fleet->sim, time_from_ms(4000));
   /* the others tell it what is new, though never that it is fresh */
-  if (host->router->config_version < g_array_index(fleet->acks, ack, fleet->acks->len - 1).version)
+  if (host->router->sync.config_version <
+      g_array_index(fleet->acks, ack, fleet->acks->len - 1).version)
     violation(fleet, "news did not come by way of the others");
   sim_mend(fleet->sim);
   sim_run(fleet->sim, time_from_ms(4000));
@@ -1213,7 +1214,7 @@
   g_free(big);
   sim_run(fleet->sim, time_from_ms(2500));
   for (int i = 0; i < fleet->routers; i++)
-    if (fleet->router[i]->router->config_version < v)
+    if (fleet->router[i]->router->sync.config_version < v)
       violation(fleet, "R4 %s has not got the large catalogue after 2.5 s",
                 fleet->router[i]->self.text);
   /* it comes in parts to a machine with an empty disk, and stands a loss of power */
@@ -1833,7 +1834,7 @@
   doctor_says(fleet, D_VERSION, "messages of another version");
   host *p = fleet_holder(fleet, "pacer");
   if (p) {
-    p->router->permits_refused_recently = p->router->permits_granted_recently + 100;
+    p->router->permits.refused_recently = p->router->permits.granted_recently + 100;
     doctor_says(fleet, D_LOAD_RATE_LIMIT, "a pace that is starved");
   }
   return true;
--- a/tests/restart.c
+++ b/tests/restart.c
@@ -102,11 +102,11 @@
   for (int i = 0; i < 200; i++) {
     sim_run(fleet->sim, time_from_ms(20));
     if (router->router && router->router->config && config_sync_is_recent(router->router) &&
-        router->router->config_version < acked) {
+        router->router->sync.config_version < acked) {
       violation(fleet,
                 "%s was confirmed version %" PRIu64 " by a restarted member, %" PRIu64
                 " is acknowledged",
-                router->self.text, router->router->config_version, acked);
+                router->self.text, router->router->sync.config_version, acked);
       break;
     }
   }
