--- a/lib/router/admission.c
+++ b/lib/router/admission.c
@@ -5,8 +5,7 @@
 #include "router.h"
 
 enum {
-  /* Requests wait for admission this long after it was lost: most gaps are a controller that took
-     over, and end sooner. */
+  /* Requests wait for admission this long after it was lost, since short gaps end by themselves. */
   MAX_ADMISSION_GAP_MS = 1000,
   RECHECK_INTERVAL_MS = 100
 };
--- a/lib/router/controller_poll.c
+++ b/lib/router/controller_poll.c
@@ -18,7 +18,7 @@
   MAX_CONFIRMED_HOLD_MS = POLL_TIMEOUT_RELAXED_MS,
 
   /* Pause after a response that came sooner than this, so that responses which come at once don't
-     make a busy loop. Relaxed fleets have more routers for each controller. */
+     make a busy loop. Strict: shorter, since an operator's write waits for routers. */
   MIN_POLL_INTERVAL_MS = 50,
   MIN_POLL_INTERVAL_RELAXED_MS = 100,
   /* Pauses after a poll that failed: when another controller was named, when none was, and when no
--- a/lib/router/engine.c
+++ b/lib/router/engine.c
@@ -1,16 +1,15 @@
 /**
  * Capacity of engines, and the slow start of those that came up.
  *
- * Slow start: an engine that came up takes its first streams slowly (they fill its caches), so the
- * limit grows over slow_start_s. Each router knows only its own streams since the last report; to
- * keep all routers together within the small limit, it is divided among them, and the remainder is
- * given to each router in turn.
+ * Slow start: the limit on the streams of an engine that came up grows over slow_start_s. Each
+ * router knows only its own streams since the last report; to keep all routers together within the
+ * small limit, it is divided among them, and the remainder is given to each router in turn.
  */
 #include "engine.h"
 #include "router.h"
 
 enum {
-  /* An engine holds a request for its report open for up to about two seconds. */
+  /* Longer than a poll for a report may take (engine_report.c). */
   REPORT_VALID_MS = 2500,
   /* How long one router has the larger share of the slow start's limit. */
   SLOW_START_TURN_MS = 500,
--- a/lib/router/engine_report.c
+++ b/lib/router/engine_report.c
@@ -14,7 +14,7 @@
   REPORT_TIMEOUT_MS = 2200,
   /* Those who wait for a report look at the engine at least this often. */
   REPORT_WAIT_MS = 300,
-  /* After a gap this long, the engine's caches count as cold. */
+  /* After a gap this long, the slow start begins anew. */
   SLOW_START_AFTER_GAP_MS = 5000,
   /* Polls that end sooner than MIN_REPORT_INTERVAL_MS are followed by a longer pause, so that an
      engine which responds at once makes no busy loop. */
--- a/lib/router/engine_wait.c
+++ b/lib/router/engine_wait.c
@@ -27,7 +27,7 @@
   /* A load on the engine where the model is to be, and one of an additional replica; NULL: none. */
   outgoing_load_request *load, *replica_load;
   /* Outcome of the last load that failed. */
-  int load_error;
+  enum error_code load_error;
   int64_t load_retry_after_ms;
 } wait_state;
 
@@ -36,7 +36,7 @@
 }
 
 /* Ends the wait when its reason is gone. May wait for admission. */
-static int check_interrupted(routed_request *request) {
+static enum error_code check_interrupted(routed_request *request) {
   router *router = request->router;
   if (router->node.world->tasks.stopped)
     return routed_request_set_error(request, E_DRAINING, RETRY_DRAINING_MS,
@@ -51,7 +51,7 @@
   return OK;
 }
 
-static int set_timeout_error(routed_request *request, bool is_up) {
+static enum error_code set_timeout_error(routed_request *request, bool is_up) {
   router *router = request->router;
   double load_ms =
       model_loading_estimate_ms(router, id_of_text("any"), request->model, request->adapter);
@@ -81,7 +81,7 @@
 }
 
 /* The model can't be loaded anywhere now: an error if that is not going to change soon. */
-static int set_no_target_error(wait_state *wait, time_us now, bool fits) {
+static enum error_code set_no_target_error(wait_state *wait, time_us now, bool fits) {
   routed_request *request = wait->request;
   if (!fits)
     return routed_request_set_error(request, E_NO_ENGINE_FITS, 0, "%s%s%s fits no engine",
@@ -99,7 +99,7 @@
   return OK;
 }
 
-static int start_load(wait_state *wait, time_us now) {
+static enum error_code start_load(wait_state *wait, time_us now) {
   routed_request *request = wait->request;
   bool fits = true;
   engine *target = request->load_attempts < MAX_LOAD_ATTEMPTS
@@ -132,12 +132,12 @@
 }
 
 /* Sets the request's engine if one is free, else does what may free one and waits a moment. */
-static int wait_step(wait_state *wait) {
+static enum error_code wait_step(wait_state *wait) {
   routed_request *request = wait->request;
   router *router = request->router;
   world *world = router->node.world;
   time_us now = world_now(world);
-  int code = check_interrupted(request);
+  enum error_code code = check_interrupted(request);
   if (code)
     return code;
   bool is_up;
@@ -170,9 +170,9 @@
   return OK;
 }
 
-int engine_wait(routed_request *request) {
+enum error_code engine_wait(routed_request *request) {
   wait_state wait = { .request = request };
-  int code = OK;
+  enum error_code code = OK;
   request->awaiting_engine = true;
   condition_broadcast(&request->router->state_changed);
   while (!code && !request->engine)
--- a/lib/router/generate_api.c
+++ b/lib/router/generate_api.c
@@ -28,7 +28,7 @@
   api->retry_budget = INITIAL_RETRY_BUDGET;
 }
 
-static int status_of_error(int code) {
+static int status_of_error(enum error_code code) {
   switch (code) {
   case E_UNKNOWN_MODEL:
     return 404;
@@ -75,14 +75,14 @@
   g_string_free(body, TRUE);
 }
 
-static int step_hold(routed_request *request, int64_t max_ms) {
+static enum error_code step_hold(routed_request *request, int64_t max_ms) {
   request->hold_deadline =
       max_ms ? time_add(request->received_at, time_from_ms(max_ms)) : request->deadline;
   return request->engine ? OK : engine_wait(request);
 }
 
 /* `after_hold`: the step before was a hold; without one, a request that found no engine ends. */
-static int step_proxy(routed_request *request, bool after_hold) {
+static enum error_code step_proxy(routed_request *request, bool after_hold) {
   if (!request->engine && !after_hold)
     return routed_request_set_error(
         request, E_NO_ENGINE, (int64_t)request->router->config->default_load_ms,
@@ -90,7 +90,8 @@
   return request_attempt_run(request);
 }
 
-static int run_step(routed_request *request, const rule_step *step, const rule_step *previous) {
+static enum error_code run_step(routed_request *request, const rule_step *step,
+                                const rule_step *previous) {
   switch (step->kind) {
   case STEP_ADMIT:
     return request_admission_admit(request);
@@ -111,7 +112,7 @@
 }
 
 /* Takes a request out of its class and counts how it ended. */
-static void count_end(routed_request *request, int code) {
+static void count_end(routed_request *request, enum error_code code) {
   request_class *class = &request->router->requests.classes[request->class_index];
   if (request->counted_waiting)
     class->waiting--;
@@ -141,7 +142,7 @@
 
 /* Takes a request through the steps of a rule, up to one that fails. */
 static void run_rule(routed_request *request, const policy_rule *rule) {
-  int code = OK;
+  enum error_code code = OK;
   for (int i = 0; i < rule->step_count && !code; i++)
     code = run_step(request, &rule->steps[i], i ? &rule->steps[i - 1] : NULL);
   count_end(request, code);
@@ -150,7 +151,8 @@
 }
 
 /* Reads a name; a blank or missing one is allowed unless it is required. */
-static int read_name(const json *object, const char *key, bool required, id *name, error *err) {
+static enum error_code read_name(const json *object, const char *key, bool required, id *name,
+                                 error *err) {
   const json *value = json_get(object, key);
   *name = id_of_text("");
   if (!value || value->kind == JSON_NULL)
@@ -163,7 +165,7 @@
   return OK;
 }
 
-static int read_prefix(const json *object, routed_request *request, error *err) {
+static enum error_code read_prefix(const json *object, routed_request *request, error *err) {
   const char *prefix = json_text(object, "prefix", "");
   if (strlen(prefix) >= sizeof request->prefix)
     return error_set(err, E_TOO_LARGE, "prefix: over %zu bytes", sizeof request->prefix - 1);
@@ -171,10 +173,11 @@
   return OK;
 }
 
-static int read_fields(const json *object, routed_request *request, id *kind, error *err) {
+static enum error_code read_fields(const json *object, routed_request *request, id *kind,
+                                   error *err) {
   if (object->kind != JSON_OBJECT)
     return error_set(err, E_TYPE, "not an object");
-  int code = read_name(object, "model", true, &request->model, err);
+  enum error_code code = read_name(object, "model", true, &request->model, err);
   if (!code)
     code = read_name(object, "adapter", false, &request->adapter, err);
   if (!code)
@@ -185,11 +188,11 @@
   return code;
 }
 
-static int parse_request(routed_request *request, id *kind, error *err) {
+static enum error_code parse_request(routed_request *request, id *kind, error *err) {
   json *object = json_parse(string_view_of_gstring(request->http->body), err);
   if (!object)
     return err->code;
-  int code = read_fields(object, request, kind, err);
+  enum error_code code = read_fields(object, request, kind, err);
   json_free(object);
   return code;
 }
@@ -235,7 +238,7 @@
 }
 
 /* Checks that a request may be run; sets its error when it may not. */
-static int check_request(routed_request *request, const policy_rule *rule) {
+static enum error_code check_request(routed_request *request, const policy_rule *rule) {
   router *router = request->router;
   if (router->draining)
     return routed_request_set_error(request, E_DRAINING, RETRY_DRAINING_MS,
@@ -274,7 +277,7 @@
   routed_request request = { .router = router, .http = http, .run_outcome = NOT_RUN };
   id kind = id_of_text("");
   error err = { 0 };
-  int code = parse_request(&request, &kind, &err);
+  enum error_code code = parse_request(&request, &kind, &err);
   if (code) {
     http_respond_error(http, 400, code, err.text);
     return;
--- a/lib/router/load_queue.c
+++ b/lib/router/load_queue.c
@@ -22,7 +22,8 @@
   g_free(request);
 }
 
-static void complete_request(queued_load_request *request, int code, uint64_t retry_after_ms) {
+static void complete_request(queued_load_request *request, enum error_code code,
+                             uint64_t retry_after_ms) {
   request->error_code = code;
   request->retry_after_ms = retry_after_ms;
   request->done = true;
--- a/lib/router/load_queue.h
+++ b/lib/router/load_queue.h
@@ -20,7 +20,7 @@
   time_us expires_at;
   /** Once it is done: the outcome, and when to ask again. */
   bool done;
-  int error_code;
+  enum error_code error_code;
   uint64_t retry_after_ms;
   condition changed;
 } queued_load_request;
--- a/lib/router/outgoing_load_request.c
+++ b/lib/router/outgoing_load_request.c
@@ -32,7 +32,7 @@
   return true;
 }
 
-static int send(outgoing_load_request *load, Wire__Envelope **response) {
+static enum error_code send(outgoing_load_request *load, Wire__Envelope **response) {
   char address[48];
   if (!find_holder(load, address, sizeof address))
     return E_NO_LEASE_HOLDER;
@@ -48,7 +48,7 @@
                    &err);
 }
 
-static void complete(outgoing_load_request *load, int code, uint64_t retry_after_ms) {
+static void complete(outgoing_load_request *load, enum error_code code, uint64_t retry_after_ms) {
   load->error_code = code;
   load->retry_after_ms = retry_after_ms;
   load->done = true;
@@ -59,7 +59,7 @@
   if (envelope->body_case != WIRE__ENVELOPE__BODY_MODEL_LOAD_RESPONSE)
     return;
   const Wire__ModelLoadResponse *response = envelope->model_load_response;
-  int code = (int)response->error_code;
+  enum error_code code = (enum error_code)response->error_code;
   if (response->loaded)
     complete(load, OK, 0);
   else if (code && code != E_IN_PROGRESS && code != E_NO_LEASE_HOLDER)
@@ -74,7 +74,7 @@
     return;
   }
   Wire__Envelope *envelope = NULL;
-  int code = send(load, &envelope);
+  enum error_code code = send(load, &envelope);
   if (code == E_STOPPING) {
     complete(load, E_STOPPING, 0);
     return;
--- a/lib/router/outgoing_load_request.h
+++ b/lib/router/outgoing_load_request.h
@@ -18,7 +18,7 @@
   int waiters;
   /** Once done: the outcome, and when to ask again. */
   bool done;
-  int error_code;
+  enum error_code error_code;
   uint64_t retry_after_ms;
 } outgoing_load_request;
 
--- a/lib/router/request_admission.c
+++ b/lib/router/request_admission.c
@@ -7,8 +7,8 @@
 
 enum { MAX_QUEUE_RETRY_MS = 10000, MAX_SHED_RETRY_MS = 60000, RETRY_MARGIN_MS = 500 };
 
-/* Share of a load time that a request waits on average for a load under way. */
-static const double MEAN_REMAINING_LOAD = 0.5;
+/* The request's own load counts with this share of its estimated time. */
+static const double OWN_LOAD_SHARE = 0.5;
 
 int request_admission_count_routers(router *router) {
   int count = 1;
@@ -48,7 +48,7 @@
   return capacity;
 }
 
-static int refuse_for_full_queue(routed_request *request) {
+static enum error_code refuse_for_full_queue(routed_request *request) {
   router *router = request->router;
   request_class *class = &router->requests.classes[request->class_index];
   class->shed++;
@@ -90,10 +90,10 @@
   double load_ms =
              model_loading_estimate_ms(router, id_of_text("any"), request->model, request->adapter),
          queue_ms = MAX(load_ms * ahead / usable, ahead * 1000.0 / router->config->loads_per_s);
-  return (int64_t)(load_ms * MEAN_REMAINING_LOAD + queue_ms);
+  return (int64_t)(load_ms * OWN_LOAD_SHARE + queue_ms);
 }
 
-int request_admission_admit(routed_request *request) {
+enum error_code request_admission_admit(routed_request *request) {
   router *router = request->router;
   request_class *class = &router->requests.classes[request->class_index];
   if (class->waiting + 1 > free_queue_share(router, request->class_index))
--- a/lib/router/request_attempt.c
+++ b/lib/router/request_attempt.c
@@ -314,10 +314,10 @@
   request->may_have_run |= request->run_outcome != NOT_RUN;
 }
 
-int request_attempt_run(routed_request *request) {
+enum error_code request_attempt_run(routed_request *request) {
   for (;;) {
     if (!request->engine) {
-      int code = engine_wait(request);
+      enum error_code code = engine_wait(request);
       if (code)
         return code;
     }
--- a/lib/router/routed_request.c
+++ b/lib/router/routed_request.c
@@ -13,8 +13,8 @@
   return names[outcome];
 }
 
-int routed_request_set_error(routed_request *request, int code, int64_t retry_after_ms,
-                             const char *format, ...) {
+enum error_code routed_request_set_error(routed_request *request, enum error_code code,
+                                         int64_t retry_after_ms, const char *format, ...) {
   va_list arguments;
   va_start(arguments, format);
   vsnprintf(request->error_text, sizeof request->error_text, format, arguments);
--- a/lib/router/routed_request.h
+++ b/lib/router/routed_request.h
@@ -61,7 +61,7 @@
   bool may_have_run;
 
   /** The last error, what to respond, and when the client may retry in ms (0: a default). */
-  int error_code;
+  enum error_code error_code;
   char error_text[200];
   int64_t retry_after_ms;
 } routed_request;
@@ -69,8 +69,9 @@
 /** The outcome as clients are told: "not run", "unknown", "failed" or "run". */
 const char *run_outcome_name(enum run_outcome outcome);
 /** Sets the error of a request; returns its code. */
-int routed_request_set_error(routed_request *request, int code, int64_t retry_after_ms,
-                             const char *format, ...) __attribute__((format(printf, 4, 5)));
+enum error_code routed_request_set_error(routed_request *request, enum error_code code,
+                                         int64_t retry_after_ms, const char *format, ...)
+    __attribute__((format(printf, 4, 5)));
 /** True when an engine failed this request. */
 bool routed_request_excludes(const routed_request *request, const engine *engine);
 /** Excludes an engine from further attempts, while there is room to note it. */
@@ -80,7 +81,7 @@
 
 /** Admits a request to the queue, or sheds it: when the queue is full, or when the work ahead of it
  * takes longer than its deadline. */
-int request_admission_admit(routed_request *request);
+enum error_code request_admission_admit(routed_request *request);
 /** Routers that share the engines, this one included. */
 int request_admission_count_routers(router *router);
 
@@ -97,8 +98,8 @@
 void engine_selection_select(routed_request *request);
 
 /** Waits for a free engine, has the model loaded where it is up nowhere, and sets the engine. */
-int engine_wait(routed_request *request);
+enum error_code engine_wait(routed_request *request);
 
 /** Runs the request on an engine and passes the stream on; retries elsewhere while that is safe. */
-int request_attempt_run(routed_request *request);
+enum error_code request_attempt_run(routed_request *request);
 #endif
--- a/lib/router/router.h
+++ b/lib/router/router.h
@@ -54,7 +54,7 @@
 
   /* Graceful shutdown; of router.c. */
   bool draining;
-  /** Requests in progress. */
+  /** Requests to /v1/generate in progress; written by generate_api.c. */
   int open_requests;
   condition drain_completed;
 
--- a/lib/router/singleton_lease.c
+++ b/lib/router/singleton_lease.c
@@ -9,9 +9,9 @@
 enum {
   RENEW_INTERVAL_MS = 600,
   ACQUIRE_INTERVAL_MS = 300,
-  /* Renewals and releases are answered from the head's memory. */
+  /* Renewals and releases don't wait for disks. */
   RENEW_TIMEOUT_MS = 500,
-  /* A grant waits until an earlier holder's lease has expired and the grant is on disk. */
+  /* A grant waits until it is on the disks of the chain. */
   ACQUIRE_TIMEOUT_MS = 3300,
   HAND_OVER_AFTER_MS = 20000,
   /* How long entries of singletons that no longer exist are retained on gateways. */
@@ -117,8 +117,8 @@
 }
 
 /* Sends claims to the head; the caller frees the response. */
-static int send_claims(router *router, const GPtrArray *leases, enum claim_kind kind,
-                       time_us timeout, Wire__Envelope **response, error *err) {
+static enum error_code send_claims(router *router, const GPtrArray *leases, enum claim_kind kind,
+                                   time_us timeout, Wire__Envelope **response, error *err) {
   Wire__SingletonClaim *claims = g_new0(Wire__SingletonClaim, leases->len),
                        **pointers = g_new0(Wire__SingletonClaim *, leases->len);
   for (guint i = 0; i < leases->len; i++) {
@@ -132,7 +132,7 @@
   Wire__Envelope message = wire_envelope(WIRE__ENVELOPE__BODY_SINGLETON_LEASE_REQUEST, &request);
   char address[sizeof router->leases.head_address];
   g_strlcpy(address, router->leases.head_address, sizeof address);
-  int code = node_call(&router->node, address, &message, timeout, response, err);
+  enum error_code code = node_call(&router->node, address, &message, timeout, response, err);
   g_free(claims);
   g_free(pointers);
   return code;
@@ -179,7 +179,7 @@
     end_lease(router, lease, "another router holds it");
 }
 
-static void handle_failure(router *router, int code, const error *err) {
+static void handle_failure(router *router, enum error_code code, const error *err) {
   if (code == E_NO_RESPONSE || code == E_NO_CONTROLLER)
     router->leases.head_address[0] = 0;
   else if (code != E_STOPPING)
@@ -195,7 +195,7 @@
   time_us requested_at = world_now(router->node.world);
   Wire__Envelope *envelope;
   error err = { 0 };
-  int code = send_claims(router, leases, kind, timeout, &envelope, &err);
+  enum error_code code = send_claims(router, leases, kind, timeout, &envelope, &err);
   if (code) {
     handle_failure(router, code, &err);
     return;
