--- a/lib/gateway/canary_judging.c
+++ b/lib/gateway/canary_judging.c
@@ -220,11 +220,11 @@
 static void controller_address(gateway *gateway, char address[48]) {
   router *router = gateway->router;
   peer_node *peer =
-      router->head_address[0] ? NULL : node_pick_peer(&router->node, ROLE_CONTROLLER, NULL);
+      router->leases.head_address[0] ? NULL : node_pick_peer(&router->node, ROLE_CONTROLLER, NULL);
   g_strlcpy(address,
-            router->head_address[0] ? router->head_address
-            : peer                  ? peer->address
-                                    : "",
+            router->leases.head_address[0] ? router->leases.head_address
+            : peer                         ? peer->address
+                                           : "",
             48);
 }
 
--- a/lib/gateway/canary_trial.c
+++ b/lib/gateway/canary_trial.c
@@ -69,7 +69,7 @@
 bool canary_trial_is_on(const gateway *gateway) {
   const canary_trial *canary = gateway->canary;
   return canary->open_at.us && time_reached(gateway_now(gateway), canary->open_at) &&
-         canary_is_within(gateway, gateway->router->controller_answered_at,
+         canary_is_within(gateway, gateway->router->controllers.controller_answered_at,
                           CONTROLLER_SILENCE_MS) &&
          canary_is_within(gateway, canary->judge_heard_at, JUDGE_SILENCE_MS) &&
          canary_is_within(gateway, canary->started_at,
@@ -286,7 +286,8 @@
 }
 
 static const char *why_off(const gateway *gateway) {
-  if (!canary_is_within(gateway, gateway->router->controller_answered_at, CONTROLLER_SILENCE_MS))
+  if (!canary_is_within(gateway, gateway->router->controllers.controller_answered_at,
+                        CONTROLLER_SILENCE_MS))
     return "no controller answers";
   if (!canary_is_within(gateway, gateway->canary->judge_heard_at, JUDGE_SILENCE_MS))
     return "no judge answers";
@@ -340,7 +341,7 @@
   canary->plan = *plan;
   canary->version = version;
   canary->started_at = gateway_now(gateway);
-  canary->may_have_begun_elsewhere = gateway->router->sync_count <= 1;
+  canary->may_have_begun_elsewhere = gateway->router->sync.sync_count <= 1;
   pinned_sessions_init(&canary->pinned);
   log_info(&gateway->router->node.log, "canary",
            "Trial %s is declared for a share of %.3f of the sessions.", plan->name.text,
@@ -353,7 +354,7 @@
 void canary_config_installed(gateway *gateway) {
   const config *config = gateway->router->config;
   const canary_plan *plan = config ? &config->canary : NULL;
-  uint64_t version = gateway->router->resource_versions[RESOURCE_CANARY];
+  uint64_t version = gateway->router->sync.resource_versions[RESOURCE_CANARY];
   if (!plan || plan->state != CANARY_RUNNING) {
     if (gateway->canary)
       log_info(&gateway->router->node.log, "canary",
--- a/lib/gateway/engine_loading.c
+++ b/lib/gateway/engine_loading.c
@@ -185,7 +185,7 @@
   const gateway *gateway = engine->gateway;
   char name[64];
   singleton_engine_name(name, sizeof name, engine->engine_id);
-  const singleton_lease *lease = g_hash_table_lookup(gateway->router->singleton_leases, name);
+  const singleton_lease *lease = singleton_lease_find(gateway->router, name);
   int64_t lease_ms =
       (gateway->settings.lease_ms > 0 ? gateway->settings.lease_ms : LEASE_DEFAULT_MS) +
       LEASE_MARGIN_MS;
@@ -444,7 +444,7 @@
   gateway *gateway = order->gateway;
   gateway_engine *engine = order->engine;
   gateway->counts.loads++;
-  gateway->router->load_count++;
+  gateway->router->loading.load_count++;
   Wire__LoadPermitRequest taken = WIRE__LOAD_PERMIT_REQUEST__INIT;
   taken.engine = engine->engine_id.text;
   taken.key = "";
--- a/lib/gateway/engine_orders.c
+++ b/lib/gateway/engine_orders.c
@@ -36,7 +36,7 @@
 static singleton_lease *lease_of(gateway_engine *engine) {
   char name[64];
   singleton_engine_name(name, sizeof name, engine->engine_id);
-  return g_hash_table_lookup(engine->gateway->router->singleton_leases, name);
+  return singleton_lease_find(engine->gateway->router, name);
 }
 
 /* counts an order that is under way (1) or has ended (-1), so that the lease is not handed over
@@ -420,7 +420,7 @@
     event_history_record_load_ms(&router->history, engine->service, "@unload",
                                  gateway_ms_since(engine->gateway, unload->accepted_at));
   engine->gateway->counts.unloads++;
-  router->unload_count++;
+  router->loading.unload_count++;
   history_event event = { EVENT_UNLOADED, { 0 },           engine->engine_id,
                           unload->model,  unload->adapter, 0 };
   event_history_append(&router->history, event);
--- a/lib/gateway/load_rate_limiter.c
+++ b/lib/gateway/load_rate_limiter.c
@@ -133,7 +133,7 @@
                          const Wire__LoadPermitRequest *request,
                          Wire__LoadPermitResponse *response) {
   router *router = gateway->router;
-  const singleton_lease *lease = g_hash_table_lookup(router->singleton_leases, "pacer");
+  const singleton_lease *lease = singleton_lease_find(router, "pacer");
   load_rate_limiter *limiter = load_rate_limiter_of(gateway, service->name);
   int max_loads =
       load_rate_limiter_max_loads(service->loads_per_s, window_s(gateway), excess(gateway));
@@ -149,12 +149,12 @@
   response->granted = wait_us == 0 && !time_reached(time_add(now, valid), lease->expires_at);
   response->wait_ms = (uint64_t)(wait_us + 999) / 1000;
   if (response->granted) {
-    router->load_permits++;
+    router->permits.granted++;
     load_rate_limiter_record(gateway, service->name, now);
     report_load(gateway, request, epoch);
     return;
   }
-  router->load_permits_refused++;
+  router->permits.refused++;
   if (!response->wait_ms)
     response->wait_ms = LEASE_ENDS_RETRY_MS;
 }
--- a/tests/controlplane/controller.c
+++ b/tests/controlplane/controller.c
@@ -116,7 +116,7 @@
   g_free(big);
   sim_run(fleet->sim, time_from_ms(2500));
   for (int i = 0; i < fleet->routers; i++)
-    if (fleet->router[i]->router->config_version < v)
+    if (fleet->router[i]->router->sync.config_version < v)
       violation(fleet, "R4 %s has not got the large catalogue after 2.5 s",
                 fleet->router[i]->self.text);
   /* it is sent in parts to a controller with an empty disk, and survives a loss of power */
--- a/tests/doctor/doctor.c
+++ b/tests/doctor/doctor.c
@@ -144,7 +144,7 @@
   if (!holder)
     return;
   router *router = holder->router;
-  router->permits_refused_recently = router->permits_granted_recently + 100;
+  router->permits.refused_recently = router->permits.granted_recently + 100;
   doctor_says(fleet, D_LOAD_RATE_LIMIT, "a load rate limit that refuses most");
 }
 
--- a/tests/router/config_sync.c
+++ b/tests/router/config_sync.c
@@ -53,7 +53,8 @@
     return false;
   sim_run(fleet->sim, time_from_ms(4000));
   /* the other routers pass the configuration on, but can not confirm it */
-  if (host->router->config_version < g_array_index(fleet->acks, ack, fleet->acks->len - 1).version)
+  if (host->router->sync.config_version <
+      g_array_index(fleet->acks, ack, fleet->acks->len - 1).version)
     violation(fleet, "the configuration did not come by way of the other routers");
   sim_mend(fleet->sim);
   sim_run(fleet->sim, time_from_ms(4000));
