--- a/bench/scale.c
+++ b/bench/scale.c
@@ -299,8 +299,8 @@
   h->router->on_installed = installed;
   h->on_engines = h->router->on_engines_changed;
   h->router->on_engines_changed = heard_news;
-  h->engines_hand = h->router->node.handlers[WIRE__ENVELOPE__BODY_ENGINE_UPDATE].fn;
-  h->router->node.handlers[WIRE__ENVELOPE__BODY_ENGINE_UPDATE].fn = heard_cast;
+  h->engines_hand = h->router->node.rpc.handlers[WIRE__ENVELOPE__BODY_ENGINE_UPDATE].fn;
+  h->router->node.rpc.handlers[WIRE__ENVELOPE__BODY_ENGINE_UPDATE].fn = heard_cast;
   task_start(&h->world->tasks, "sample", sample_run, h->alone ? "alone" : "node");
   real_world_run(h->world, NULL, NULL);
   return NULL;
--- a/emulator/connections.c
+++ b/emulator/connections.c
@@ -585,7 +585,7 @@
 static void send_request(exchange *exchange) {
   channel *channel = exchange->channel;
   sim *sim = channel->sim;
-  exchange->call->linked = exchange->call->sent = true;
+  exchange->call->sent = true;
   exchange->call->sent_at = sim->now;
   if (!exchange->call->connected_at.us)
     exchange->call->connected_at = sim->now;
--- a/emulator/sim.c
+++ b/emulator/sim.c
@@ -425,7 +425,7 @@
       }
     } else if (!sim_is_cut(sim, conn->a, conn->b) && !sim_is_cut(sim, conn->b, conn->a)) {
       conn->life_b = conn->b->life;
-      conn->call->linked = conn->call->sent = true;
+      conn->call->sent = true;
       event *k = later(sim, time_add(sim->now, sim_trip(sim)), conn->b, request_in);
       k->conn = conn;
       g_strlcpy(k->addr, "x", sizeof k->addr);
--- a/lib/configuration/settings.c
+++ b/lib/configuration/settings.c
@@ -1,4 +1,5 @@
-#include "node.h"
+#include "settings.h"
+#include "json.h"
 #include <arpa/inet.h>
 #include <stdio.h>
 #include <stdlib.h>
--- a/lib/membership/peer_channels.c
+++ b/lib/membership/peer_channels.c
@@ -1,4 +1,4 @@
-/** Messages between our processes: see peer_channels.h. */
+/** Channels between the processes of a fleet: see peer_channels.h. */
 #include "peer_channels.h"
 #include "dial.h"
 #include <libwebsockets.h>
@@ -7,33 +7,49 @@
 #include <sys/socket.h>
 
 enum {
-  MESSAGE_MOST = 8 << 20,
-  WAITING_MOST = 16 << 20,
-  /* the first packet of a channel is sent again after this, and its opening given up after that */
-  CONNECT_S = 1,
-  OPEN_MS = 2500,
-  OPEN_AGAIN_MS = 100
+  /* a peer that sends a larger message is cut off */
+  MESSAGE_MAX_BYTES = 8 << 20,
+  /* messages beyond this are dropped until the channel has taken some */
+  QUEUE_MAX_BYTES = 16 << 20,
+  /* How long libwebsockets may take for the TCP connection, in s, and the channel to be open
+   * altogether. The first is short: with it the first packet is sent again. */
+  CONNECT_TIMEOUT_S = 1,
+  OPEN_TIMEOUT_MS = 2500,
+  /* pause after an attempt to open a channel */
+  REOPEN_INTERVAL_MS = 100,
+  /* TCP keepalive of channels that come in: silence before the first probe, time between probes,
+   * and probes that may stay unanswered */
+  KEEPALIVE_IDLE_S = 20,
+  KEEPALIVE_INTERVAL_S = 5,
+  KEEPALIVE_PROBES = 3
 };
+/* results of the library's callbacks */
+enum { KEEP_OPEN = 0, CLOSE = -1 };
 
 typedef struct message {
   list_node link;
   size_t length;
-  unsigned char *bytes; /* LWS_PRE bytes of the library's own come first */
+  /* length bytes, behind LWS_PRE bytes that the library writes its framing to */
+  unsigned char *bytes;
 } message;
 
-/** A channel from this process to a peer. */
+/** A channel from this process to a peer. It is kept when its connection is lost. */
 typedef struct outbound {
+  /** Not attached while there is no connection, open or being opened. */
   connection_owner owner;
-  char addr[48];
-  list_node waiting;
-  size_t waiting_bytes;
-  time_us tried;
+  char address[48];
+  /** Messages that were not written yet (message), and their size. */
+  list_node queue;
+  size_t queued_bytes;
+  /** When the last attempt to open it began. */
+  time_us attempted_at;
   bool open;
 } outbound;
 
 /** A channel from a peer to this process. */
 typedef struct inbound {
   connection_owner owner;
+  /** What has come of a message so far. */
   GString *received;
 } inbound;
 
@@ -42,16 +58,17 @@
   struct lws_context *context;
   struct lws_vhost *vhost;
   char own_ip[48];
-  GHashTable *outbound; /* address -> outbound */
+  /** Address -> outbound. Those of peers that are gone for good stay; they are few. */
+  GHashTable *outbound;
 };
 
 static void outbound_drop_messages(outbound *peer) {
-  list_for_each (waiting, &peer->waiting, message, link) {
-    list_remove(&waiting->link);
-    g_free(waiting->bytes);
-    g_free(waiting);
+  list_for_each (queued, &peer->queue, message, link) {
+    list_remove(&queued->link);
+    g_free(queued->bytes);
+    g_free(queued);
   }
-  peer->waiting_bytes = 0;
+  peer->queued_bytes = 0;
 }
 
 static void outbound_free(void *p) {
@@ -81,24 +98,24 @@
   g_free(channels);
 }
 
-static outbound *outbound_of(peer_channels *channels, const char *addr) {
-  outbound *peer = g_hash_table_lookup(channels->outbound, addr);
+static outbound *outbound_of(peer_channels *channels, const char *address) {
+  outbound *peer = g_hash_table_lookup(channels->outbound, address);
   if (peer)
     return peer;
   peer = g_new0(outbound, 1);
   peer->owner.on_destroyed = outbound_destroyed;
-  g_strlcpy(peer->addr, addr, sizeof peer->addr);
-  list_init(&peer->waiting);
-  peer->tried = (time_us){ INT64_MIN / 4 };
-  g_hash_table_insert(channels->outbound, peer->addr, peer);
+  g_strlcpy(peer->address, address, sizeof peer->address);
+  list_init(&peer->queue);
+  peer->attempted_at = (time_us){ INT64_MIN / 4 };
+  g_hash_table_insert(channels->outbound, peer->address, peer);
   return peer;
 }
 
-/* the library sets no bound of use on the handshake, and the other side may lose power in its
- * middle */
+/* The library has no useful timeout for the websocket handshake, and the other side may lose power
+ * in its middle. */
 static void drop_stuck_opening(outbound *peer, time_us now) {
   if (!peer->owner.wsi || peer->open ||
-      !time_reached(now, time_add(peer->tried, time_from_ms(OPEN_MS))))
+      !time_reached(now, time_add(peer->attempted_at, time_from_ms(OPEN_TIMEOUT_MS))))
     return;
   struct lws *wsi = connection_owner_wsi(&peer->owner);
   connection_owner_detach(&peer->owner);
@@ -106,73 +123,76 @@
   outbound_drop_messages(peer);
 }
 
-/* true when there is a channel, open or being opened */
+/* True when there is a connection, open or being opened. */
 static bool outbound_open(peer_channels *channels, outbound *peer) {
   time_us now = world_now(channels->world);
   drop_stuck_opening(peer, now);
   if (peer->owner.wsi)
     return true;
-  if (!time_reached(now, time_add(peer->tried, time_from_ms(OPEN_AGAIN_MS))))
+  if (!time_reached(now, time_add(peer->attempted_at, time_from_ms(REOPEN_INTERVAL_MS))))
     return false;
-  peer->tried = now;
+  peer->attempted_at = now;
   peer->open = false;
-  dial_target target = { channels->context, channels->vhost, channels->own_ip, peer->addr, NULL,
+  dial_target target = { channels->context, channels->vhost, channels->own_ip, peer->address, NULL,
                          "/peer",           PEER_PROTOCOL };
   if (!dial_open(&target, &peer->owner))
     return false;
   lws_set_timeout(connection_owner_wsi(&peer->owner), PENDING_TIMEOUT_AWAITING_CONNECT_RESPONSE,
-                  CONNECT_S);
+                  CONNECT_TIMEOUT_S);
   return true;
 }
 
-void peer_channels_post(peer_channels *channels, const char *addr, string_view bytes) {
+void peer_channels_post(peer_channels *channels, const char *address, string_view bytes) {
   if (channels->world->tasks.stopped)
     return;
-  outbound *peer = outbound_of(channels, addr);
-  if (peer->waiting_bytes + bytes.length > WAITING_MOST || !outbound_open(channels, peer))
+  outbound *peer = outbound_of(channels, address);
+  if (peer->queued_bytes + bytes.length > QUEUE_MAX_BYTES || !outbound_open(channels, peer))
     return;
   message *next = g_new0(message, 1);
   next->length = bytes.length;
   next->bytes = g_malloc(LWS_PRE + bytes.length);
   memcpy(next->bytes + LWS_PRE, bytes.data, bytes.length);
-  list_append(&peer->waiting, &next->link);
-  peer->waiting_bytes += bytes.length;
+  list_append(&peer->queue, &next->link);
+  peer->queued_bytes += bytes.length;
   if (peer->open)
     lws_callback_on_writable(connection_owner_wsi(&peer->owner));
 }
 
-/* A channel that stood through a cut would wait for its next retransmission, which comes later the
- * longer the cut was. The kernel is told to give such a channel up, and the next message opens a
- * new one. */
+/* TCP doubles its retransmission timeout, so a connection that outlived a cut may stay silent for
+ * as long again after it. The kernel is told to close a connection whose bytes are not acknowledged
+ * for some time; the next message opens a new one. */
 static void give_up_silent_channel(struct lws *wsi) {
   unsigned silence_ms = PEER_CHANNEL_TIMEOUT_MS;
   setsockopt(lws_get_socket_fd(wsi), IPPROTO_TCP, TCP_USER_TIMEOUT, &silence_ms, sizeof silence_ms);
 }
 
-/* the other end of such a channel only reads, so it has to ask whether anybody is left */
+/* The receiving end of such a connection has nothing to send, so only keepalive probes show that
+ * the sender is gone. */
 static void close_when_abandoned(struct lws *wsi) {
-  int fd = lws_get_socket_fd(wsi), yes = 1, idle = 20, each = 5, tries = 3;
-  setsockopt(fd, SOL_SOCKET, SO_KEEPALIVE, &yes, sizeof yes);
-  setsockopt(fd, IPPROTO_TCP, TCP_KEEPIDLE, &idle, sizeof idle);
-  setsockopt(fd, IPPROTO_TCP, TCP_KEEPINTVL, &each, sizeof each);
-  setsockopt(fd, IPPROTO_TCP, TCP_KEEPCNT, &tries, sizeof tries);
+  int fd = lws_get_socket_fd(wsi);
+  int enabled = 1, idle_s = KEEPALIVE_IDLE_S, interval_s = KEEPALIVE_INTERVAL_S;
+  int probes = KEEPALIVE_PROBES;
+  setsockopt(fd, SOL_SOCKET, SO_KEEPALIVE, &enabled, sizeof enabled);
+  setsockopt(fd, IPPROTO_TCP, TCP_KEEPIDLE, &idle_s, sizeof idle_s);
+  setsockopt(fd, IPPROTO_TCP, TCP_KEEPINTVL, &interval_s, sizeof interval_s);
+  setsockopt(fd, IPPROTO_TCP, TCP_KEEPCNT, &probes, sizeof probes);
 }
 
-/* one message a call; -1 to close */
+/* writes one message, since the library allows one write a callback */
 static int outbound_write(outbound *peer, struct lws *wsi) {
-  if (list_is_empty(&peer->waiting))
-    return 0;
-  message *next = list_item(peer->waiting.next, message, link);
+  if (list_is_empty(&peer->queue))
+    return KEEP_OPEN;
+  message *next = list_item(peer->queue.next, message, link);
   list_remove(&next->link);
-  peer->waiting_bytes -= next->length;
+  peer->queued_bytes -= next->length;
   int written = lws_write(wsi, next->bytes + LWS_PRE, next->length, LWS_WRITE_BINARY);
   g_free(next->bytes);
   g_free(next);
   if (written < 0)
-    return -1;
-  if (!list_is_empty(&peer->waiting))
+    return CLOSE;
+  if (!list_is_empty(&peer->queue))
     lws_callback_on_writable(wsi);
-  return 0;
+  return KEEP_OPEN;
 }
 
 static void inbound_destroyed(connection_owner *owner) {
@@ -189,40 +209,40 @@
   close_when_abandoned(wsi);
 }
 
-/* -1 to close */
+/* takes a fragment, and delivers the message with its last one */
 static int inbound_read(peer_channels *channels, inbound *peer, struct lws *wsi, const char *bytes,
                         size_t length) {
   world *world = channels->world;
-  if (peer->received->len + length > MESSAGE_MOST)
-    return -1;
+  if (peer->received->len + length > MESSAGE_MAX_BYTES)
+    return CLOSE;
   g_string_append_len(peer->received, bytes, (gssize)length);
   if (!lws_is_final_fragment(wsi) || lws_remaining_packet_payload(wsi))
-    return 0;
+    return KEEP_OPEN;
   if (world->on_message && !world->tasks.stopped)
     world->on_message(world->on_message_context, string_view_of_gstring(peer->received));
   g_string_truncate(peer->received, 0);
-  return 0;
+  return KEEP_OPEN;
 }
 
-int peer_channels_event(peer_channels *channels, struct lws *wsi, int why, void *user, void *in,
-                        size_t len) {
+int peer_channels_event(peer_channels *channels, struct lws *wsi, int reason, void *user, void *in,
+                        size_t length) {
   connection_owner *owner = connection_owner_of(wsi);
-  switch (why) {
+  switch (reason) {
   case LWS_CALLBACK_CLIENT_ESTABLISHED:
     if (!owner)
-      return -1;
+      return CLOSE;
     ((outbound *)owner)->open = true;
     give_up_silent_channel(wsi);
     lws_callback_on_writable(wsi);
-    return 0;
+    return KEEP_OPEN;
   case LWS_CALLBACK_CLIENT_WRITEABLE:
-    return owner ? outbound_write((outbound *)owner, wsi) : -1;
+    return owner ? outbound_write((outbound *)owner, wsi) : CLOSE;
   case LWS_CALLBACK_ESTABLISHED:
     inbound_accept(wsi);
-    return 0;
+    return KEEP_OPEN;
   case LWS_CALLBACK_RECEIVE:
-    return owner ? inbound_read(channels, (inbound *)owner, wsi, in, len) : -1;
+    return owner ? inbound_read(channels, (inbound *)owner, wsi, in, length) : CLOSE;
   default:
-    return lws_callback_http_dummy(wsi, (enum lws_callback_reasons)why, user, in, len);
+    return lws_callback_http_dummy(wsi, (enum lws_callback_reasons)reason, user, in, length);
   }
 }
--- a/lib/runtime/args.c
+++ b/lib/runtime/args.c
@@ -1,4 +1,5 @@
 #include "args.h"
+#include "json.h"
 #include <argp.h>
 #include <stdio.h>
 #include <stdlib.h>
--- a/lib/runtime/args.h
+++ b/lib/runtime/args.h
@@ -1,6 +1,6 @@
 #ifndef COMMON_ARGS_H
 #define COMMON_ARGS_H
-#include "node.h"
+#include "settings.h"
 
 /** Reads the command line of a daemon into an env; says true when it should only be checked. Ends
  * the program with 2 on bad input. */
--- a/tests/main.c
+++ b/tests/main.c
@@ -1104,7 +1104,7 @@
   sim_run(fleet->sim, time_from_ms(3000));
   for (int i = 0; i < fleet->routers; i++)
     if (!config_sync_is_recent(fleet->router[i]->router) ||
-        fleet->router[i]->router->node.refused_wire_versions)
+        fleet->router[i]->router->node.rpc.refused_wire_versions)
       violation(fleet, "%s is left behind", fleet->router[i]->self.text);
   acked_stand(fleet);
   fleet_quiet(fleet);
@@ -1829,7 +1829,7 @@
       NULL, NULL, time_from_ms(5000));
   call_free(call);
   doctor_says(fleet, D_FITS_NO_ENGINE, "a model that fits nowhere");
-  fleet->router[2]->router->node.refused_wire_versions = 3;
+  fleet->router[2]->router->node.rpc.refused_wire_versions = 3;
   doctor_says(fleet, D_VERSION, "messages of another version");
   host *p = fleet_holder(fleet, "pacer");
   if (p) {
--- a/tests/member.c
+++ b/tests/member.c
@@ -139,11 +139,11 @@
   uint64_t was = 0, is = 0;
   list_for_each (h, &fleet->sim->hosts, host, link)
     if (node_of(h))
-      was += node_of(h)->ring_builds;
+      was += node_of(h)->ring.build_count;
   sim_run(fleet->sim, time_from_ms(10000));
   list_for_each (h, &fleet->sim->hosts, host, link)
     if (node_of(h))
-      is += node_of(h)->ring_builds;
+      is += node_of(h)->ring.build_count;
   if (is != was)
     violation(fleet, "the ring was made %" PRIu64 " times in ten quiet seconds", is - was);
   return !fleet->faults->len;
