--- a/bench/scale.c
+++ b/bench/scale.c
@@ -5,7 +5,7 @@
 #define _GNU_SOURCE
 #include "gateway.h"
 #include "controller.h"
-#include "real.h"
+#include "real_world.h"
 #include <arpa/inet.h>
 #include <errno.h>
 #include <fcntl.h>
--- a/bin/asterctl.c
+++ b/bin/asterctl.c
@@ -1,6 +1,6 @@
 #include "config.h"
 #include "doctor.h"
-#include "real.h"
+#include "real_world.h"
 #include "node.h"
 #include "policy_replay.h"
 #include <argp.h>
--- a/bin/asterfall-controller.c
+++ b/bin/asterfall-controller.c
@@ -1,6 +1,6 @@
 #include "args.h"
 #include "controller.h"
-#include "real.h"
+#include "real_world.h"
 #include <stdio.h>
 
 const char *argp_program_version = "asterfall-controller (asterfall) 0.1";
--- a/bin/asterfall-loadgen.c
+++ b/bin/asterfall-loadgen.c
@@ -1,6 +1,6 @@
 #include "args.h"
 #include "config.h"
-#include "real.h"
+#include "real_world.h"
 #include "simulators.h"
 #include <argp.h>
 #include <stdio.h>
--- a/bin/asterfall-router.c
+++ b/bin/asterfall-router.c
@@ -1,5 +1,5 @@
 #include "args.h"
-#include "real.h"
+#include "real_world.h"
 #include "router.h"
 #include <stdio.h>
 
--- a/lib/runtime/args.c
+++ b/lib/runtime/args.c
@@ -1,18 +1,24 @@
+/** The command line of the daemons: see args.h. Flags become the text of a settings file, so that
+ * settings_parse checks both in the same way. */
 #include "args.h"
 #include "json.h"
 #include <argp.h>
 #include <stdio.h>
 #include <stdlib.h>
 
-typedef struct {
+enum { EXIT_BAD_SETTINGS = 2 };
+
+typedef struct arguments {
   settings *settings;
   enum role role;
-  bool check;
-  GString *extra;
+  bool check_only;
+  /** The settings that flags have set, as a JSON object that is not closed yet. */
+  GString *flags;
+  /** The settings file; NULL: none. */
   const char *file;
-} args;
+} arguments;
 
-static const struct argp_option opts[] = {
+static const struct argp_option options[] = {
   { "env", 'e', "FILE", 0, "settings file (JSON)", 0 },
   { "id", 'i', "NAME", 0, "name of this machine", 0 },
   { "area", 'a', "NAME", 0, "area it stands in", 0 },
@@ -27,98 +33,105 @@
   { 0 }
 };
 
-static void set_key(args *a, const char *key, char *arg, bool many) {
-  GString *g = a->extra;
-  json_appendf(g, "%s\"%s\":", g->len > 1 ? "," : "", key);
-  if (!many) {
-    json_append_quoted(g, string_view_of(arg));
-    return;
-  }
-  char **p = g_strsplit(arg, ",", -1);
-  g_string_append_c(g, '[');
-  for (char **k = p; *k; k++) {
-    if (k != p)
-      g_string_append_c(g, ',');
-    json_append_quoted(g, string_view_of(*k));
+static void append_key(arguments *arguments, const char *key) {
+  if (arguments->flags->len > 1)
+    g_string_append_c(arguments->flags, ',');
+  json_appendf(arguments->flags, "\"%s\":", key);
+}
+
+static void set_text(arguments *arguments, const char *key, const char *value) {
+  append_key(arguments, key);
+  json_append_quoted(arguments->flags, string_view_of(value));
+}
+
+/* a list whose items are separated by commas */
+static void set_list(arguments *arguments, const char *key, const char *values) {
+  append_key(arguments, key);
+  char **items = g_strsplit(values, ",", -1);
+  g_string_append_c(arguments->flags, '[');
+  for (char **item = items; *item; item++) {
+    if (item != items)
+      g_string_append_c(arguments->flags, ',');
+    json_append_quoted(arguments->flags, string_view_of(*item));
   }
-  g_string_append_c(g, ']');
-  g_strfreev(p);
+  g_string_append_c(arguments->flags, ']');
+  g_strfreev(items);
 }
 
-static error_t parse(int key, char *arg, struct argp_state *st) {
-  args *a = st->input;
+static error_t parse_option(int key, char *value, struct argp_state *state) {
+  arguments *arguments = state->input;
   switch (key) {
   case 'e':
-    a->file = arg;
+    arguments->file = value;
     return 0;
   case 'i':
-    set_key(a, "id", arg, false);
+    set_text(arguments, "id", value);
     return 0;
   case 'a':
-    set_key(a, "area", arg, false);
+    set_text(arguments, "area", value);
     return 0;
   case 'l':
-    set_key(a, "listen", arg, false);
+    set_text(arguments, "listen", value);
     return 0;
   case 's':
-    set_key(a, "seeds", arg, true);
+    set_list(arguments, "seeds", value);
     return 0;
   case 'd':
-    set_key(a, "data", arg, false);
+    set_text(arguments, "data", value);
     return 0;
   case 'f':
-    set_key(a, "founders", arg, true);
+    set_list(arguments, "founders", value);
     return 0;
   case 'p':
-    set_key(a, "platform", arg, false);
+    set_text(arguments, "platform", value);
     return 0;
   case 'v':
-    a->settings->debug_log = true;
+    arguments->settings->debug_log = true;
     return 0;
   case 'j':
-    a->settings->json_log = true;
+    arguments->settings->json_log = true;
     return 0;
   case 'c':
-    a->check = true;
+    arguments->check_only = true;
     return 0;
   case ARGP_KEY_ARG:
-    argp_error(st, "no such argument: %s", arg);
+    argp_error(state, "no such argument: %s", value);
     return 0;
   default:
     return ARGP_ERR_UNKNOWN;
   }
 }
 
-bool address_split(const char *addr, char *ip, size_t n, int *port) {
-  const char *c = strrchr(addr, ':');
-  if (!c || (size_t)(c - addr) >= n)
-    return false;
-  memcpy(ip, addr, c - addr);
-  ip[c - addr] = 0;
-  *port = atoi(c + 1);
-  return true;
+/* The flags after those of the file, so that they win. */
+static enum error_code read_settings(const arguments *arguments, error *err) {
+  enum error_code code = OK;
+  if (arguments->file)
+    code = settings_read_file(arguments->settings, arguments->role, arguments->file, err);
+  if (!code)
+    code = settings_parse(arguments->settings, arguments->role,
+                          string_view_of_gstring(arguments->flags), "command line", err);
+  if (!code)
+    code = settings_check(arguments->settings, err);
+  return code;
 }
 
-bool args_settings(int argc, char **argv, enum role role, const char *doc, settings *settings) {
+bool args_settings(int argc, char **argv, enum role role, const char *description,
+                   settings *settings) {
   memset(settings, 0, sizeof *settings);
-  args a = { settings, role, false, g_string_new("{"), NULL };
   settings->role = role;
-  struct argp p = { opts, parse, NULL, doc, NULL, NULL, NULL };
-  argp_parse(&p, argc, argv, 0, NULL, &a);
-  g_string_append_c(a.extra, '}');
+  arguments arguments = { .settings = settings, .role = role, .flags = g_string_new("{") };
+  struct argp parser = { .options = options, .parser = parse_option, .doc = description };
+  argp_parse(&parser, argc, argv, 0, NULL, &arguments);
+  g_string_append_c(arguments.flags, '}');
   error err = { 0 };
-  int r = a.file ? settings_read_file(settings, role, a.file, &err) : OK;
-  if (!r)
-    r = settings_parse(settings, role, string_view_of_gstring(a.extra), "command line", &err);
-  if (!r)
-    r = settings_check(settings, &err);
-  g_string_free(a.extra, TRUE);
-  if (r) {
-    fprintf(stderr, "%s: %s (code %d)\n", argv[0], err.text, r);
-    exit(2);
+  enum error_code code = read_settings(&arguments, &err);
+  g_string_free(arguments.flags, TRUE);
+  if (code) {
+    fprintf(stderr, "%s: %s (code %d)\n", argv[0], err.text, (int)code);
+    exit(EXIT_BAD_SETTINGS);
   }
-  if (a.check)
+  if (arguments.check_only)
     printf("%s %s: the settings are sound\n", role == ROLE_CONTROLLER ? "controller" : "router",
            settings->self.text);
-  return a.check;
+  return arguments.check_only;
 }
--- a/lib/runtime/args.h
+++ b/lib/runtime/args.h
@@ -1,10 +1,12 @@
-#ifndef COMMON_ARGS_H
-#define COMMON_ARGS_H
+#ifndef RUNTIME_ARGS_H
+#define RUNTIME_ARGS_H
+/** The command line of the daemons. */
+#include "address.h"
 #include "settings.h"
 
-/** Reads the command line of a daemon into an env; says true when it should only be checked. Ends
- * the program with 2 on bad input. */
-bool args_settings(int argc, char **argv, enum role role, const char *doc, settings *settings);
-/** Splits ip:port. */
-bool address_split(const char *addr, char *ip, size_t n, int *port);
+/** Reads the settings of a daemon from its settings file, if one is named, and its flags, which go
+ * over the file's, and checks them. description is shown by --help. True if they were only to be
+ * checked (--check), which is reported. Ends the program with status 2 on bad settings. */
+bool args_settings(int argc, char **argv, enum role role, const char *description,
+                   settings *settings);
 #endif
--- a/lib/runtime/base.c
+++ b/lib/runtime/base.c
@@ -1,15 +1,16 @@
+/** What all code uses: see base.h. */
 #include "base.h"
 #include <stdarg.h>
 #include <stdio.h>
 
-int error_set(error *err, int code, const char *form, ...) {
+int error_set(error *err, int code, const char *format, ...) {
   if (!err)
     return code;
   err->code = code;
-  va_list a;
-  va_start(a, form);
-  vsnprintf(err->text, sizeof err->text, form, a);
-  va_end(a);
+  va_list arguments;
+  va_start(arguments, format);
+  vsnprintf(err->text, sizeof err->text, format, arguments);
+  va_end(arguments);
   return code;
 }
 
@@ -24,16 +25,17 @@
   return true;
 }
 
+/* FNV-1a, and the finalizer of MurmurHash3 since FNV mixes the last bytes badly */
 uint64_t hash_bytes(const void *p, size_t n, uint64_t seed) {
-  const unsigned char *b = p;
-  uint64_t h = 0xcbf29ce484222325ull ^ seed;
+  const unsigned char *bytes = p;
+  uint64_t hash = 0xcbf29ce484222325ull ^ seed;
   for (size_t i = 0; i < n; i++)
-    h = (h ^ b[i]) * 0x100000001b3ull;
-  h ^= h >> 33;
-  h *= 0xff51afd7ed558ccdull;
-  h ^= h >> 33;
-  h *= 0xc4ceb9fe1a85ec53ull;
-  return h ^ (h >> 33);
+    hash = (hash ^ bytes[i]) * 0x100000001b3ull;
+  hash ^= hash >> 33;
+  hash *= 0xff51afd7ed558ccdull;
+  hash ^= hash >> 33;
+  hash *= 0xc4ceb9fe1a85ec53ull;
+  return hash ^ (hash >> 33);
 }
 
 uint64_t hash_two_names(const char *a, const char *b) {
--- a/lib/runtime/base.h
+++ b/lib/runtime/base.h
@@ -1,5 +1,8 @@
-#ifndef COMMON_BASE_H
-#define COMMON_BASE_H
+#ifndef RUNTIME_BASE_H
+#define RUNTIME_BASE_H
+/**
+ * What all code uses: error codes, names, times, views of bytes, hashes, and intrusive lists.
+ */
 #include <glib.h>
 #include <inttypes.h>
 #include <stdbool.h>
@@ -7,42 +10,48 @@
 #include <stdint.h>
 #include <string.h>
 
-/** A length-counted run of bytes; it does not say who owns them. */
+/** Bytes with their length. It borrows them. */
 typedef struct {
   const char *data;
   size_t length;
 } string_view;
-/** A monotonic instant or span, in microseconds. Wall time never takes this type. */
+/** An instant of the monotonic clock, or a span, in microseconds. Wall-clock time never has this
+ * type.
+ */
 typedef struct {
   int64_t us;
 } time_us;
-/** A name of a machine, engine, model, adapter, area or duty: at most 47 bytes. */
+/** Name of a process, engine, model, adapter, zone or singleton: at most 47 bytes, and zeros behind
+ * its end. */
 typedef struct {
   char text[48];
 } id;
-/** The number of a write that the chain has ordered. */
+/** Number of a write, in the order of the chain of controllers. */
 typedef struct {
   uint64_t number;
 } version;
-/** The number of a view of the chain, or of a contract. */
+/** Fencing token: number of a view of the chain, or of a singleton lease. */
 typedef struct {
   uint64_t number;
 } epoch;
 
-/** An error that is passed down: a numbered code and a short text. */
+/** An error for the caller: a code of enum error_code and a short text for people. */
 typedef struct {
   int code;
   char text[200];
 } error;
 
-/** Result codes; docs/codes.md has the table. */
+/** Result codes. They go over the wire and into logs, so a number never changes; docs/codes.md
+ * explains each. */
 enum error_code {
   OK = 0,
+  /* tasks and connections */
   E_STOPPING = 100,
   E_NO_RESPONSE = 101,
   E_PEER_GONE = 102,
   E_CONNECTION_LOST_AFTER_SEND = 103,
   E_NOT_CONNECTED = 104,
+  /* settings and start */
   E_SETTINGS_FILE = 200,
   E_SETTINGS_KEY = 201,
   E_SETTINGS_ADDRESS = 202,
@@ -50,6 +59,7 @@
   E_SETTINGS_DATA = 204,
   E_SETTINGS_ID = 205,
   E_LISTEN = 206,
+  /* requests that the control API refuses */
   E_JSON = 300,
   E_TOO_LARGE = 301,
   E_FIELD = 302,
@@ -82,6 +92,7 @@
   E_CANARY_NAME_REUSED = 342,
   E_CANARY_IMMUTABLE = 343,
   E_NO_CANARY = 344,
+  /* messages between processes */
   E_WIRE_MESSAGE = 400,
   E_WIRE_VERSION = 401,
   E_STALE_EPOCH = 402,
@@ -89,11 +100,13 @@
   E_VIEW_MISMATCH = 404,
   E_TOO_FEW_ZONES = 405,
   E_IN_PROGRESS = 406,
+  /* storage */
   E_DISK = 500,
   E_DISK_FULL = 501,
   E_DISK_SYNC = 502,
   E_BAD_RECORD = 503,
   E_NO_CONTROLLER = 504,
+  /* requests to models */
   E_UNKNOWN_MODEL = 600,
   E_QUEUE_FULL = 601,
   E_NO_CAPACITY = 602,
@@ -111,26 +124,27 @@
   E_MODEL_IN_USE = 614,
 };
 
-/** Sets err (if any) to a code and a text, and gives the code back. */
-int error_set(error *err, int code, const char *form, ...) __attribute__((format(printf, 3, 4)));
+/** Sets *err, unless err is NULL, to a code and a formatted text. Returns the code. */
+int error_set(error *err, int code, const char *format, ...) __attribute__((format(printf, 3, 4)));
 
-/** A str over a C string. */
+/** A view of a C string; an empty one for NULL. */
 static inline string_view string_view_of(const char *s) {
   return (string_view){ s ? s : "", s ? strlen(s) : 0 };
 }
-/** A str over a GString. */
+/** A view of a GString, until that changes. */
 static inline string_view string_view_of_gstring(const GString *g) {
   return (string_view){ g->str, g->len };
 }
-/** True when two runs hold the same bytes. */
+/** True if two views hold the same bytes. */
 static inline bool string_view_equal(string_view a, string_view b) {
   return a.length == b.length && (!a.length || !memcmp(a.data, b.data, a.length));
 }
-/** True when a begins with b. */
+/** True if a begins with b. */
 static inline bool string_view_starts_with(string_view a, string_view b) {
   return a.length >= b.length && !memcmp(a.data, b.data, b.length);
 }
-/** An id out of bytes; too long a name is cut, so check with id_is_valid first. */
+/** An id with a text; one that is too long is cut, so it should be checked with id_is_valid first.
+ */
 static inline id id_of(string_view s) {
   id d = { "" };
   size_t n = s.length < sizeof d.text ? s.length : sizeof d.text - 1;
@@ -138,27 +152,27 @@
     memcpy(d.text, s.data, n);
   return d;
 }
-/** An id out of a C string. */
+/** The same for a C string. */
 static inline id id_of_text(const char *s) {
   return id_of(string_view_of(s));
 }
-/** True when a name may serve as an id. */
+/** True for 1 to 47 letters, digits and '-', '_', '.', ':'. */
 bool id_is_valid(string_view s);
-/** True when two ids are the same. */
+
+/** True if two ids are the same. */
 static inline bool id_equal(id a, id b) {
-  /* names are compared by the thousand: the first word settles nearly all, since an id is blank
-   * behind its end */
+  /* Names are compared by the thousand. The first eight bytes decide nearly always, since an id is
+   * zero behind its end. */
   uint64_t x, y;
   memcpy(&x, a.text, 8);
   memcpy(&y, b.text, 8);
   return x == y && (!a.text[7] || !strcmp(a.text + 8, b.text + 8));
 }
-/** True when an id is empty. */
+/** True for the empty id. */
 static inline bool id_is_empty(id a) {
   return !a.text[0];
 }
 
-/** Spans of time. */
 static inline time_us time_from_ms(int64_t n) {
   return (time_us){ n * 1000 };
 }
@@ -168,43 +182,49 @@
 static inline time_us time_sub(time_us a, time_us b) {
   return (time_us){ a.us - b.us };
 }
-static inline bool time_reached(time_us a, time_us b) {
-  return a.us >= b.us;
+/** True if `now` is `deadline` or later. */
+static inline bool time_reached(time_us now, time_us deadline) {
+  return now.us >= deadline.us;
 }
-/** An instant that never comes. */
+/** An instant that never comes; spans may still be added to it. */
 static inline time_us time_never(void) {
   return (time_us){ INT64_MAX / 4 };
 }
 
-/** A well-mixed hash of bytes, the same on every machine. */
+/** A well-mixed hash of bytes, the same on every machine. It is part of the protocol: all processes
+ * of a fleet must compute the same. */
 uint64_t hash_bytes(const void *p, size_t n, uint64_t seed);
-/** The hash of two names, for rendezvous orders and ring places. */
+/** The hash of two names, for rendezvous hashing and positions on the heartbeat ring. */
 uint64_t hash_two_names(const char *a, const char *b);
 
-/** A link of an intrusive list. */
+/** An intrusive, circular list with a head: the head and each item's link are nodes. A node that is
+ * in no list, once it was initialized, links to itself, so it may be removed again. */
 typedef struct list_node {
   struct list_node *next, *prev;
 } list_node;
-static inline void list_init(list_node *h) {
-  h->next = h->prev = h;
-}
-static inline bool list_is_empty(const list_node *h) {
-  return h->next == h;
-}
-static inline void list_append(list_node *h, list_node *n) {
-  n->prev = h->prev;
-  n->next = h;
-  h->prev->next = n;
-  h->prev = n;
-}
-static inline void list_remove(list_node *n) {
-  n->prev->next = n->next;
-  n->next->prev = n->prev;
-  n->next = n->prev = n;
-}
-/** The struct that embeds a link. */
+/** Makes an empty list, or an item that is in none. */
+static inline void list_init(list_node *node) {
+  node->next = node->prev = node;
+}
+static inline bool list_is_empty(const list_node *head) {
+  return head->next == head;
+}
+/** Inserts an item before a node: at the end, if that is the head. */
+static inline void list_append(list_node *before, list_node *item) {
+  item->prev = before->prev;
+  item->next = before;
+  before->prev->next = item;
+  before->prev = item;
+}
+/** Removes an item from the list that it is in, if any. */
+static inline void list_remove(list_node *item) {
+  item->prev->next = item->next;
+  item->next->prev = item->prev;
+  item->next = item->prev = item;
+}
+/** The struct that embeds a node. */
 #define list_item(n, type, field) ((type *)((char *)(n)-offsetof(type, field)))
-/** Walks a list; the item may be cut while it is walked. */
+/** Iterates over the items of a list; the present item may be removed and freed. */
 #define list_for_each(it, h, type, field)                                                          \
   for (type *it = list_item((h)->next, type, field),                                               \
             *it##_n = list_item(it->field.next, type, field);                                      \
--- a/lib/runtime/connection_owner.c
+++ b/lib/runtime/connection_owner.c
@@ -1,5 +1,4 @@
-/** Ownership of the library's connections: see connection_owner.h. The owner stands in the opaque
- * pointer of a connection, and nowhere else. */
+/** Ownership of libwebsockets' connections: see connection_owner.h. */
 #include "connection_owner.h"
 #include <libwebsockets.h>
 
--- a/lib/runtime/connection_owner.h
+++ b/lib/runtime/connection_owner.h
@@ -1,25 +1,31 @@
-#ifndef COMMON_CONNECTION_OWNER_H
-#define COMMON_CONNECTION_OWNER_H
-#include "base.h"
-
-struct lws;
-struct lws_vhost;
-
-/** Who owns a connection of libwebsockets, and until when.
+#ifndef RUNTIME_CONNECTION_OWNER_H
+#define RUNTIME_CONNECTION_OWNER_H
+/**
+ * Who owns a connection of libwebsockets, and until when.
  *
  * An owner holds the only pointer to a connection that the rest of the program has, from
  * connection_owner_attach until one of two ends: its own connection_owner_detach, after which the
  * library closes the connection by itself, or the destruction of the connection by the library. The
  * library does not call a close callback for every connection that it frees (it calls none when a
  * connection is reset while it is opened), so an owner must not go by those: on_destroyed is called
- * in every case. An owner may be freed when it is not attached. */
+ * in every case. An owner may be freed when it is not attached.
+ *
+ * The owner stands in the connection's opaque pointer, and nowhere else.
+ */
+#include "base.h"
+
+struct lws;
+struct lws_vhost;
+
+/** The owner's part in it; first in the owner's struct. */
 typedef struct connection_owner {
   /** The connection; NULL while there is none. */
   struct lws *wsi;
   /** The connection is gone, and wsi is NULL. Called once for each attachment that was not ended by
-   * a detachment; not while dial runs, whose result says as much. It may free the owner. */
+   * a detachment; not while dial_open runs, whose result says as much. It may free the owner. */
   void (*on_destroyed)(struct connection_owner *owner);
-  /** While dial runs: whether the connection that it opens has been destroyed already. */
+  /** For dial_open: it is opening a connection for this owner, and that one has been destroyed
+   * already. */
   bool opening, destroyed;
 } connection_owner;
 
--- a/lib/runtime/dial.c
+++ b/lib/runtime/dial.c
@@ -1,43 +1,34 @@
-/** Opening connections to others. */
+/** Opening connections to others: see dial.h. */
 #include "dial.h"
+#include "address.h"
 #include <libwebsockets.h>
-#include <stdlib.h>
 
-enum { IP_MOST = 48 };
-
-static bool split_address(const char *addr, char ip[IP_MOST], int *port) {
-  const char *colon = strrchr(addr, ':');
-  if (!colon || colon - addr >= IP_MOST)
-    return false;
-  memcpy(ip, addr, (size_t)(colon - addr));
-  ip[colon - addr] = 0;
-  *port = atoi(colon + 1);
-  return *port > 0;
-}
+enum { IP_BYTES = 48 };
 
 bool dial_open(const dial_target *target, connection_owner *owner) {
-  char ip[IP_MOST];
+  char ip[IP_BYTES];
   int port;
   g_assert(!owner->wsi);
-  if (!split_address(target->addr, ip, &port))
+  if (!address_split(target->address, ip, sizeof ip, &port) || port <= 0)
     return false;
-  struct lws_client_connect_info info = { 0 };
-  info.context = target->context;
-  info.vhost = target->vhost;
-  info.address = ip;
-  info.port = port;
-  info.path = target->path;
-  info.host = target->addr;
-  info.origin = target->addr;
-  info.method = target->method;
-  info.local_protocol_name = target->protocol;
-  info.protocol = target->method ? NULL : target->protocol;
-  info.iface = target->own_ip[0] ? target->own_ip : NULL;
-  /* The library may fail and destroy the connection before it returns, and return it all the same.
-   */
-  info.opaque_user_data = owner;
-  /* a redirect would be a second try that nobody counted */
-  info.ssl_connection = LCCSCF_HTTP_NO_FOLLOW_REDIRECT;
+  struct lws_client_connect_info info = {
+    .context = target->context,
+    .vhost = target->vhost,
+    .address = ip,
+    .port = port,
+    .path = target->path,
+    .host = target->address,
+    .origin = target->address,
+    .method = target->method,
+    .local_protocol_name = target->protocol,
+    .protocol = target->method ? NULL : target->protocol,
+    .iface = target->own_ip[0] ? target->own_ip : NULL,
+    /* The library may fail and destroy the connection before it returns, and return it all the
+     * same. */
+    .opaque_user_data = owner,
+    /* a redirect would be a second attempt that nobody counted */
+    .ssl_connection = LCCSCF_HTTP_NO_FOLLOW_REDIRECT,
+  };
   owner->opening = true;
   owner->destroyed = false;
   struct lws *wsi = lws_client_connect_via_info(&info);
--- a/lib/runtime/fault.c
+++ b/lib/runtime/fault.c
@@ -1,4 +1,5 @@
-/** Crash reports; only functions that are safe in a signal handler are called from the handler. */
+/** Crash reports: see fault.h. Only functions that are safe in a signal handler are called from the
+ * handler. */
 #define _GNU_SOURCE
 #include "fault.h"
 #include <execinfo.h>
@@ -8,7 +9,7 @@
 #include <string.h>
 #include <unistd.h>
 
-enum { FRAMES_MOST = 48, HANDLER_STACK_BYTES = 64 * 1024, LINE_MOST = 160, HEX_DIGITS = 16 };
+enum { FRAMES_MAX = 48, HANDLER_STACK_BYTES = 64 * 1024, LINE_BYTES = 160, HEX_DIGITS = 16 };
 
 static const int fatal_signals[] = { SIGSEGV, SIGBUS, SIGILL, SIGFPE, SIGABRT };
 
@@ -31,11 +32,11 @@
 }
 
 static void append_text(char *line, size_t *length, const char *text) {
-  size_t n = strlen(text);
-  if (*length + n > LINE_MOST)
-    n = LINE_MOST - *length;
-  memcpy(line + *length, text, n);
-  *length += n;
+  size_t added = strlen(text);
+  if (*length + added > LINE_BYTES)
+    added = LINE_BYTES - *length;
+  memcpy(line + *length, text, added);
+  *length += added;
 }
 
 static void append_address(char *line, size_t *length, uintptr_t address) {
@@ -47,7 +48,7 @@
 }
 
 static void write_report(int number, const siginfo_t *info) {
-  char line[LINE_MOST];
+  char line[LINE_BYTES];
   size_t length = 0;
   append_text(line, &length, "fault: ");
   append_text(line, &length, signal_name(number));
@@ -56,8 +57,8 @@
   append_text(line, &length, "; backtrace:\n");
   if (write(STDERR_FILENO, line, length) < 0)
     return;
-  void *frames[FRAMES_MOST];
-  int count = backtrace(frames, FRAMES_MOST);
+  void *frames[FRAMES_MAX];
+  int count = backtrace(frames, FRAMES_MAX);
   backtrace_symbols_fd(frames, count, STDERR_FILENO);
 }
 
--- a/lib/runtime/fault.h
+++ b/lib/runtime/fault.h
@@ -1,5 +1,5 @@
-#ifndef COMMON_FAULT_H
-#define COMMON_FAULT_H
+#ifndef RUNTIME_FAULT_H
+#define RUNTIME_FAULT_H
 /** Crash reports: what a process prints about a fatal signal before it ends by it. */
 
 /** Installs handlers for SIGSEGV, SIGBUS, SIGILL, SIGFPE and SIGABRT. A handler prints the signal,
--- a/lib/runtime/http_call.h
+++ b/lib/runtime/http_call.h
@@ -41,10 +41,6 @@
   GString *response_body;
   /** The response is complete; the connection failed before it was. */
   bool ended, broken;
-  /** Calls that are not pooled: bytes are being read at this moment; the length that the response
-   * announced (UINT64_MAX: none). */
-  bool reading;
-  uint64_t read_bytes;
   /** Bytes of the body that have come so far. */
   uint64_t received_bytes;
   /** http_call_read_all gives up beyond this. */
--- a/lib/runtime/log.h
+++ b/lib/runtime/log.h
@@ -1,5 +1,12 @@
-#ifndef COMMON_LOG_H
-#define COMMON_LOG_H
+#ifndef RUNTIME_LOG_H
+#define RUNTIME_LOG_H
+/**
+ * The log of one process: one sentence a line, to the world's write_log.
+ *
+ * A line is "TIME NODE PART: sentence", or with json an object of time, node, part and text. A
+ * sentence about an error ends with "(code N)"; that number is a member of the object, too, and
+ * docs/codes.md explains it. Lines beyond about 700 bytes are cut.
+ */
 #include "world.h"
 
 /** Where one process writes its log. */
@@ -8,11 +15,11 @@
   id node_id;
   bool debug, json;
 } logger;
-/** Writes one short sentence behind the prefix of its part; as a line of JSON (time, node, part,
- * text and, when the sentence bears one, code) where that was asked for. */
-void log_info(logger *l, const char *part, const char *form, ...)
+
+/** Writes a line. part names the part of the program, such as "member" or "wire". */
+void log_info(logger *logger, const char *part, const char *format, ...)
     __attribute__((format(printf, 3, 4)));
-/** The same, but only when the log is loud. */
-void log_debug(logger *l, const char *part, const char *form, ...)
+/** The same, but only if logger->debug is set. */
+void log_debug(logger *logger, const char *part, const char *format, ...)
     __attribute__((format(printf, 3, 4)));
 #endif
--- /dev/null
+++ b/lib/runtime/real_http_client.c
@@ -0,0 +1,196 @@
+/** HTTP calls on connections of their own: see real_http_client.h. */
+#include "real_http_client.h"
+#include "connection_owner.h"
+#include "dial.h"
+#include "lws_fields.h"
+#include <stdio.h>
+#include <stdlib.h>
+#include <sys/socket.h>
+
+enum {
+  /* a body is written in pieces of this size */
+  PIECE_BYTES = 16 * 1024,
+  /* The library can't be made to stop reading for a slow reader, so a call is given up if more than
+   * this is unread beyond its bound. */
+  UNREAD_SLACK_BYTES = 1 << 20
+};
+/* results of the library's callbacks */
+enum { KEEP_OPEN = 0, CLOSE = -1 };
+
+static const uint64_t LENGTH_UNKNOWN = UINT64_MAX;
+
+/** The connection of a call. It is freed with the connection, or when the call is cancelled. */
+typedef struct outgoing_call {
+  connection_owner owner;
+  http_call *call;
+  /** As the head announced. */
+  uint64_t content_length;
+  /** Bytes of the response are being read at this moment. */
+  bool reading;
+} outgoing_call;
+
+/* The connection is gone; what has come until then is all that will. */
+static void connection_destroyed(connection_owner *owner) {
+  outgoing_call *outgoing = (outgoing_call *)owner;
+  http_call *call = outgoing->call;
+  call->impl = NULL;
+  call->broken = !call->ended;
+  condition_broadcast(&call->progressed);
+  g_free(outgoing);
+}
+
+void real_http_client_start(http_call *call, struct lws_context *context, struct lws_vhost *vhost,
+                            const char *own_ip) {
+  if (call->world->tasks.stopped) {
+    call->broken = true;
+    return;
+  }
+  outgoing_call *outgoing = g_new0(outgoing_call, 1);
+  outgoing->owner.on_destroyed = connection_destroyed;
+  outgoing->call = call;
+  call->impl = outgoing;
+  dial_target target = { .context = context,
+                         .vhost = vhost,
+                         .own_ip = own_ip,
+                         .address = call->address,
+                         .method = call->method,
+                         .path = call->path,
+                         .protocol = REAL_HTTP_CLIENT_PROTOCOL };
+  if (!dial_open(&target, &outgoing->owner))
+    connection_destroyed(&outgoing->owner);
+}
+
+void real_http_client_cancel(http_call *call) {
+  outgoing_call *outgoing = call->impl;
+  if (!outgoing)
+    return;
+  call->impl = NULL;
+  struct lws *wsi = connection_owner_wsi(&outgoing->owner);
+  connection_owner_detach(&outgoing->owner);
+  g_free(outgoing);
+  lws_set_timeout(wsi, PENDING_TIMEOUT_USER_OK, LWS_TO_KILL_ASYNC);
+}
+
+static bool is_too_late_to_send(const http_call *call) {
+  return time_reached(world_now(call->world), call->send_deadline);
+}
+
+static int append_head(http_call *call, struct lws *wsi, unsigned char **at, unsigned char *end) {
+  if (is_too_late_to_send(call))
+    return CLOSE;
+  call->sent = true;
+  if (!lws_fields_append(wsi, &call->known_request_fields, at, end))
+    return CLOSE;
+  char length[24];
+  snprintf(length, sizeof length, "%zu", call->body->len);
+  if (strcmp(call->method, "GET") &&
+      lws_add_http_header_by_token(wsi, WSI_TOKEN_HTTP_CONTENT_LENGTH, (unsigned char *)length,
+                                   (int)strlen(length), at, end))
+    return CLOSE;
+  if (call->body->len) {
+    lws_client_http_body_pending(wsi, 1);
+    lws_callback_on_writable(wsi);
+  }
+  return KEEP_OPEN;
+}
+
+static int write_body_piece(http_call *call, struct lws *wsi) {
+  if (is_too_late_to_send(call))
+    return CLOSE;
+  if (!call->body->len)
+    return KEEP_OPEN;
+  unsigned char buffer[LWS_PRE + PIECE_BYTES];
+  size_t length = MIN(call->body->len, (size_t)PIECE_BYTES);
+  memcpy(buffer + LWS_PRE, call->body->str, length);
+  g_string_erase(call->body, 0, (gssize)length);
+  bool is_last = !call->body->len;
+  if (is_last)
+    lws_client_http_body_pending(wsi, 0);
+  enum lws_write_protocol kind = is_last ? LWS_WRITE_HTTP_FINAL : LWS_WRITE_HTTP;
+  if (lws_write(wsi, buffer + LWS_PRE, length, kind) < 0)
+    return CLOSE;
+  if (!is_last)
+    lws_callback_on_writable(wsi);
+  return KEEP_OPEN;
+}
+
+static uint64_t read_content_length(struct lws *wsi, int status) {
+  if (status == 204 || status == 304)
+    return 0;
+  char *text = lws_field_dup(wsi, WSI_TOKEN_HTTP_CONTENT_LENGTH);
+  uint64_t length = text ? strtoull(text, NULL, 10) : LENGTH_UNKNOWN;
+  g_free(text);
+  return length;
+}
+
+static void on_response_head(outgoing_call *outgoing, struct lws *wsi) {
+  http_call *call = outgoing->call;
+  char **fields = call->known_response_fields.values;
+  fields[HEADER_RETRY_AFTER] = lws_field_dup(wsi, WSI_TOKEN_HTTP_RETRY_AFTER);
+  fields[HEADER_ETAG] = lws_field_dup(wsi, WSI_TOKEN_HTTP_ETAG);
+  fields[HEADER_CONTENT_TYPE] = lws_field_dup(wsi, WSI_TOKEN_HTTP_CONTENT_TYPE);
+  call->status = (int)lws_http_client_http_response(wsi);
+  outgoing->content_length = read_content_length(wsi, call->status);
+  lws_set_timeout(wsi, NO_PENDING_TIMEOUT, 0);
+  condition_broadcast(&call->progressed);
+}
+
+/* At the end of the bytes the library's reader calls the response complete, whether the last chunk
+ * has come or not. So it is noted whether the socket has any. */
+static int read_response(outgoing_call *outgoing, struct lws *wsi) {
+  char buffer[LWS_PRE + REAL_HTTP_CLIENT_READ_BYTES], *at = buffer + LWS_PRE, next_byte;
+  int length = REAL_HTTP_CLIENT_READ_BYTES;
+  outgoing->reading = recv(lws_get_socket_fd(wsi), &next_byte, 1, MSG_PEEK | MSG_DONTWAIT) != 0;
+  int result = lws_http_client_read(wsi, &at, &length);
+  /* the call may have been cancelled meanwhile, and outgoing freed */
+  if (connection_owner_of(wsi) == &outgoing->owner)
+    outgoing->reading = false;
+  return result < 0 ? CLOSE : KEEP_OPEN;
+}
+
+static int take_body(http_call *call, const char *bytes, size_t length) {
+  g_string_append_len(call->response_body, bytes, (gssize)length);
+  call->received_bytes += length;
+  if (call->response_body->len > call->response_max_bytes + UNREAD_SLACK_BYTES)
+    return CLOSE;
+  condition_broadcast(&call->progressed);
+  return KEEP_OPEN;
+}
+
+static void on_response_end(const outgoing_call *outgoing) {
+  http_call *call = outgoing->call;
+  if (outgoing->reading || call->received_bytes == outgoing->content_length)
+    call->ended = true;
+  else
+    call->broken = true;
+  condition_broadcast(&call->progressed);
+}
+
+int real_http_client_callback(struct lws *wsi, enum lws_callback_reasons reason, void *user,
+                              void *in, size_t length) {
+  outgoing_call *outgoing = (outgoing_call *)connection_owner_of(wsi);
+  http_call *call = outgoing ? outgoing->call : NULL;
+  switch (reason) {
+  case LWS_CALLBACK_CLIENT_APPEND_HANDSHAKE_HEADER: {
+    unsigned char **at = in;
+    return call ? append_head(call, wsi, at, *at + length) : CLOSE;
+  }
+  case LWS_CALLBACK_CLIENT_HTTP_WRITEABLE:
+    return call ? write_body_piece(call, wsi) : CLOSE;
+  case LWS_CALLBACK_ESTABLISHED_CLIENT_HTTP:
+    if (!call)
+      return CLOSE;
+    on_response_head(outgoing, wsi);
+    return KEEP_OPEN;
+  case LWS_CALLBACK_RECEIVE_CLIENT_HTTP:
+    return call ? read_response(outgoing, wsi) : CLOSE;
+  case LWS_CALLBACK_RECEIVE_CLIENT_HTTP_READ:
+    return call ? take_body(call, in, length) : CLOSE;
+  case LWS_CALLBACK_COMPLETED_CLIENT_HTTP:
+    if (call)
+      on_response_end(outgoing);
+    return CLOSE;
+  default:
+    return lws_callback_http_dummy(wsi, reason, user, in, length);
+  }
+}
--- a/lib/runtime/task.c
+++ b/lib/runtime/task.c
@@ -1,3 +1,19 @@
+/**
+ * Tasks on coroutines of libpcl: see task.h.
+ *
+ * Each task has a stack of 128 KiB, of which only pages that were touched cost memory, above a
+ * guard page, so that an overflow faults instead of overwriting other memory. The coroutine and
+ * stack of a task that has ended are kept for the next one, since most tasks are short: a
+ * coroutine's body is a loop that runs one task after the other.
+ *
+ * libpcl switches with swapcontext. The C library's asks the kernel for the signal mask each time,
+ * which would be most of the cost of a switch. On x86-64 a swapcontext of our own, which the linker
+ * finds first, saves and loads the registers only. It is enough because all tasks have the same
+ * signal mask and floating-point modes.
+ *
+ * The address sanitizer has to be told of each switch of stacks, before and after it; it keeps the
+ * C library's swapcontext, since it intercepts that one.
+ */
 #define _GNU_SOURCE
 #include "task.h"
 #include <pcl.h>
@@ -11,33 +27,45 @@
 #define ASAN_ON 0
 #endif
 
-enum { STACK = 128 * 1024, GUARD = 4096, SPARE_MOST = 64, TASKS_A_LOOK = 16 };
+enum {
+  STACK_BYTES = 128 * 1024,
+  GUARD_BYTES = 4096,
+  /* ended tasks that are kept for reuse */
+  IDLE_TASKS_MAX = 64,
+  /* tasks that run before deadlines are looked at again */
+  TASKS_PER_DEADLINE_CHECK = 16
+};
 
 struct task {
-  list_node all, ready, wait;
+  /** In scheduler.all, or in idle_tasks; in scheduler.ready; in condition.waiters. */
+  list_node all, ready, waiting;
   scheduler *scheduler;
-  coroutine_t co;
-  GSequenceIter *due;
-  time_us till;
-  enum wake why;
+  coroutine_t coroutine;
+  /** Its entry of scheduler.sleepers; NULL while it doesn't wait. */
+  GSequenceIter *sleeper;
+  time_us deadline;
+  /** Why the last wait ended. */
+  enum wake wake;
   const char *name;
-  void (*run)(void *);
-  void *arg;
+  void (*run)(void *argument);
+  void *argument;
   void *stack;
-  const void *low;
-  size_t size;
+  /** The stack of the thread that runs the scheduler, for the address sanitizer. */
+  const void *scheduler_stack;
+  size_t scheduler_stack_bytes;
   bool done, urgent;
 };
 
-/* tasks that are over, with their stacks: the next ones of this thread run on them */
-static _Thread_local list_node spare;
-static _Thread_local int spares;
+/* Ended tasks of this thread, the latest last. The list is made with its first entry. */
+static _Thread_local list_node idle_tasks;
+static _Thread_local int idle_task_count;
 
 #if defined(__x86_64__) && !ASAN_ON
 #include <ucontext.h>
 #define GREG(r) offsetof(ucontext_t, uc_mcontext.gregs[r])
-/* what libpcl calls; the C library's asks the kernel for the signal mask at each switch, and no
- * task has one of its own */
+/* Saves the registers that a callee must preserve, the return address and the stack pointer of the
+ * caller into *from, and loads them from *to, with those that pass arguments: makecontext puts the
+ * arguments of a coroutine's first call there. Returns 0 in the context that it loads. */
 __attribute__((naked)) int swapcontext(ucontext_t *restrict from, const ucontext_t *restrict to) {
   (void)from;
   (void)to;
@@ -57,151 +85,172 @@
 
 static void switch_to_scheduler(task *task) {
 #if ASAN_ON
-  void *fake = NULL;
-  __sanitizer_start_switch_fiber(task->done ? NULL : &fake, task->low, task->size);
+  void *fake_stack = NULL;
+  /* a task that has ended doesn't need its fake stack any more */
+  __sanitizer_start_switch_fiber(task->done ? NULL : &fake_stack, task->scheduler_stack,
+                                 task->scheduler_stack_bytes);
   co_resume();
-  __sanitizer_finish_switch_fiber(fake, NULL, NULL);
+  __sanitizer_finish_switch_fiber(fake_stack, NULL, NULL);
 #else
   (void)task;
   co_resume();
 #endif
 }
 
-static void body(void *p) {
-  task *task = p;
+static void switch_to_task(task *task) {
 #if ASAN_ON
-  __sanitizer_finish_switch_fiber(NULL, &task->low, &task->size);
+  void *fake_stack = NULL;
+  __sanitizer_start_switch_fiber(&fake_stack, task->stack, STACK_BYTES);
+  co_call(task->coroutine);
+  __sanitizer_finish_switch_fiber(fake_stack, NULL, NULL);
+#else
+  co_call(task->coroutine);
 #endif
-  for (;;) {
-    task->run(task->arg);
-    task->done = true;
-    switch_to_scheduler(task);
-  }
 }
 
-static void switch_to_task(task *task) {
+/* the body of a coroutine: runs one task after the other */
+static void run_tasks(void *context) {
+  task *task = context;
 #if ASAN_ON
-  void *fake = NULL;
-  __sanitizer_start_switch_fiber(&fake, task->stack, STACK);
-  co_call(task->co);
-  __sanitizer_finish_switch_fiber(fake, NULL, NULL);
-#else
-  co_call(task->co);
+  __sanitizer_finish_switch_fiber(NULL, &task->scheduler_stack, &task->scheduler_stack_bytes);
 #endif
+  for (;;) {
+    task->run(task->argument);
+    task->done = true;
+    switch_to_scheduler(task);
+  }
 }
 
-static int deadline_compare(gconstpointer a, gconstpointer b, gpointer ctx) {
-  (void)ctx;
-  const task *x = a, *y = b;
-  return x->till.us < y->till.us ? -1 : x->till.us > y->till.us;
+static int compare_deadlines(gconstpointer left, gconstpointer right, gpointer context) {
+  (void)context;
+  const task *a = left, *b = right;
+  return a->deadline.us < b->deadline.us ? -1 : a->deadline.us > b->deadline.us;
 }
 
-void scheduler_init(scheduler *scheduler, time_us (*now)(void *), void *ctx) {
+void scheduler_init(scheduler *scheduler, time_us (*now)(void *now_context), void *now_context) {
   memset(scheduler, 0, sizeof *scheduler);
   list_init(&scheduler->ready);
   list_init(&scheduler->all);
   scheduler->sleepers = g_sequence_new(NULL);
   scheduler->now = now;
-  scheduler->now_context = ctx;
+  scheduler->now_context = now_context;
 }
 
-/* pages that are never touched cost no memory; a stack that overflows meets a page that can't be
- * touched */
 static task *task_new(void) {
-  task *t = g_new0(task, 1);
-  char *p = mmap(NULL, GUARD + STACK, PROT_READ | PROT_WRITE,
-                 MAP_PRIVATE | MAP_ANONYMOUS | MAP_NORESERVE | MAP_STACK, -1, 0);
-  if (p == MAP_FAILED)
+  char *memory = mmap(NULL, GUARD_BYTES + STACK_BYTES, PROT_READ | PROT_WRITE,
+                      MAP_PRIVATE | MAP_ANONYMOUS | MAP_NORESERVE | MAP_STACK, -1, 0);
+  if (memory == MAP_FAILED)
     abort();
-  mprotect(p, GUARD, PROT_NONE);
-  t->stack = p + GUARD;
-  t->co = co_create(body, t, t->stack, STACK);
-  if (!t->co)
+  /* fails at the kernel's limit on mappings (tens of thousands of tasks); such a task goes without
+   * a guard page */
+  (void)mprotect(memory, GUARD_BYTES, PROT_NONE);
+  task *created = g_new0(task, 1);
+  created->stack = memory + GUARD_BYTES;
+  created->coroutine = co_create(run_tasks, created, created->stack, STACK_BYTES);
+  if (!created->coroutine)
     abort();
-  return t;
+  return created;
 }
 
-static void ready_add(task *task) {
+static void task_free(task *task) {
+  co_delete(task->coroutine);
+#if ASAN_ON
+  __asan_unpoison_memory_region(task->stack, STACK_BYTES);
+#endif
+  munmap((char *)task->stack - GUARD_BYTES, GUARD_BYTES + STACK_BYTES);
+  g_free(task);
+}
+
+/* an idle one, or a new one */
+static task *take_task(void) {
+  if (!idle_task_count)
+    return task_new();
+  task *latest = list_item(idle_tasks.prev, task, all);
+  list_remove(&latest->all);
+  idle_task_count--;
+  return latest;
+}
+
+/* keeps a task that has ended, or frees it */
+static void release_task(task *task) {
+  list_remove(&task->all);
+  task->scheduler->count--;
+  if (idle_task_count >= IDLE_TASKS_MAX) {
+    task_free(task);
+    return;
+  }
+  task->scheduler = NULL;
+  if (!idle_task_count++)
+    list_init(&idle_tasks);
+  list_append(&idle_tasks, &task->all);
+}
+
+/* list_append inserts before the node that it is given: before the list's head is at the end of the
+ * queue, before the first entry is in front. */
+static void make_ready(task *task) {
   list_node *ready = &task->scheduler->ready;
   list_append(task->urgent ? ready->next : ready, &task->ready);
 }
 
-static void start(scheduler *scheduler, const char *name, void (*run)(void *), void *arg,
-                  bool urgent) {
-  task *t;
-  if (spares) {
-    t = list_item(spare.prev, task, all);
-    list_remove(&t->all);
-    spares--;
-  } else
-    t = task_new();
-  t->scheduler = scheduler;
-  t->name = name;
-  t->run = run;
-  t->arg = arg;
-  t->done = false;
-  t->urgent = urgent;
-  list_init(&t->wait);
-  list_append(&scheduler->all, &t->all);
-  ready_add(t);
+static void start(scheduler *scheduler, const char *name, void (*run)(void *argument),
+                  void *argument, bool urgent) {
+  task *started = take_task();
+  started->scheduler = scheduler;
+  started->name = name;
+  started->run = run;
+  started->argument = argument;
+  started->done = false;
+  started->urgent = urgent;
+  list_init(&started->waiting);
+  list_append(&scheduler->all, &started->all);
+  make_ready(started);
   scheduler->count++;
 }
 
-void task_start(scheduler *scheduler, const char *name, void (*run)(void *), void *arg) {
-  start(scheduler, name, run, arg, false);
+void task_start(scheduler *scheduler, const char *name, void (*run)(void *argument),
+                void *argument) {
+  start(scheduler, name, run, argument, false);
 }
 
-void task_start_urgent(scheduler *scheduler, const char *name, void (*run)(void *), void *arg) {
-  start(scheduler, name, run, arg, true);
+void task_start_urgent(scheduler *scheduler, const char *name, void (*run)(void *argument),
+                       void *argument) {
+  start(scheduler, name, run, argument, true);
 }
 
-static void drop(task *task) {
-  list_remove(&task->all);
-  task->scheduler->count--;
-  if (spares < SPARE_MOST) {
-    task->scheduler = NULL;
-    if (!spares++)
-      list_init(&spare);
-    list_append(&spare, &task->all);
-    return;
+static void wake_up(task *task, enum wake wake) {
+  task->wake = wake;
+  if (task->sleeper) {
+    g_sequence_remove(task->sleeper);
+    task->sleeper = NULL;
   }
-  co_delete(task->co);
-#if ASAN_ON
-  __asan_unpoison_memory_region(task->stack, STACK);
-#endif
-  munmap((char *)task->stack - GUARD, GUARD + STACK);
-  g_free(task);
+  list_remove(&task->waiting);
+  make_ready(task);
 }
 
-static void wake_up(task *task, enum wake why) {
-  task->why = why;
-  if (task->due) {
-    g_sequence_remove(task->due);
-    task->due = NULL;
-  }
-  list_remove(&task->wait);
-  ready_add(task);
+/* NULL if no task waits */
+static task *next_sleeper(const scheduler *scheduler) {
+  GSequenceIter *first = g_sequence_get_begin_iter(scheduler->sleepers);
+  return g_sequence_iter_is_end(first) ? NULL : g_sequence_get(first);
 }
 
 static void wake_sleepers(scheduler *scheduler) {
   time_us now = scheduler->now(scheduler->now_context);
-  GSequenceIter *it;
-  while (!g_sequence_iter_is_end(it = g_sequence_get_begin_iter(scheduler->sleepers))) {
-    task *t = g_sequence_get(it);
-    if (t->till.us > now.us && !scheduler->stopped)
+  task *sleeper;
+  while ((sleeper = next_sleeper(scheduler))) {
+    if (!scheduler->stopped && !time_reached(now, sleeper->deadline))
       break;
-    wake_up(t, scheduler->stopped ? WAKE_STOPPED : WAKE_TIMEOUT);
+    wake_up(sleeper, scheduler->stopped ? WAKE_STOPPED : WAKE_TIMEOUT);
   }
 }
 
 static void run_first(scheduler *scheduler) {
-  task *t = list_item(scheduler->ready.next, task, ready);
-  list_remove(&t->ready);
-  scheduler->current = t;
-  switch_to_task(t);
+  task *first = list_item(scheduler->ready.next, task, ready);
+  list_remove(&first->ready);
+  scheduler->current = first;
+  switch_to_task(first);
   scheduler->current = NULL;
-  if (t->done)
-    drop(t);
+  if (first->done)
+    release_task(first);
 }
 
 time_us scheduler_run(scheduler *scheduler) {
@@ -209,19 +258,18 @@
     wake_sleepers(scheduler);
     if (list_is_empty(&scheduler->ready))
       break;
-    /* sleepers are looked at now and then, so that urgent ones don't wait for a long line */
-    for (int k = 0; k < TASKS_A_LOOK && !list_is_empty(&scheduler->ready); k++)
+    /* deadlines are looked at now and then, so that urgent tasks don't wait for a long queue */
+    for (int i = 0; i < TASKS_PER_DEADLINE_CHECK && !list_is_empty(&scheduler->ready); i++)
       run_first(scheduler);
   }
-  GSequenceIter *it = g_sequence_get_begin_iter(scheduler->sleepers);
-  return g_sequence_iter_is_end(it) ? time_never() : ((task *)g_sequence_get(it))->till;
+  const task *sleeper = next_sleeper(scheduler);
+  return sleeper ? sleeper->deadline : time_never();
 }
 
 void scheduler_stop(scheduler *scheduler) {
   scheduler->stopped = true;
-  while (scheduler->count) {
-    if (!scheduler->sleepers ||
-        (g_sequence_is_empty(scheduler->sleepers) && list_is_empty(&scheduler->ready)))
+  while (scheduler->count && scheduler->sleepers) {
+    if (g_sequence_is_empty(scheduler->sleepers) && list_is_empty(&scheduler->ready))
       break;
     scheduler_run(scheduler);
   }
@@ -233,31 +281,32 @@
   scheduler->sleepers = NULL;
 }
 
-static enum wake suspend(scheduler *scheduler, condition *b, time_us till) {
+/* makes the running task wait; condition is NULL for a deadline alone */
+static enum wake suspend(scheduler *scheduler, condition *condition, time_us deadline) {
   task *task = scheduler->current;
   if (scheduler->stopped)
     return WAKE_STOPPED;
-  task->till = till;
-  task->due = g_sequence_insert_sorted(scheduler->sleepers, task, deadline_compare, NULL);
-  if (b)
-    list_append(&b->waiters, &task->wait);
+  task->deadline = deadline;
+  task->sleeper = g_sequence_insert_sorted(scheduler->sleepers, task, compare_deadlines, NULL);
+  if (condition)
+    list_append(&condition->waiters, &task->waiting);
   switch_to_scheduler(task);
-  return scheduler->stopped ? WAKE_STOPPED : task->why;
+  return scheduler->stopped ? WAKE_STOPPED : task->wake;
 }
 
 enum wake task_sleep(scheduler *scheduler, time_us span) {
   return suspend(scheduler, NULL, time_add(scheduler->now(scheduler->now_context), span));
 }
 
-void condition_init(condition *b) {
-  list_init(&b->waiters);
+void condition_init(condition *condition) {
+  list_init(&condition->waiters);
 }
 
-enum wake condition_wait(scheduler *scheduler, condition *b, time_us till) {
-  return suspend(scheduler, b, till);
+enum wake condition_wait(scheduler *scheduler, condition *condition, time_us deadline) {
+  return suspend(scheduler, condition, deadline);
 }
 
-void condition_broadcast(condition *b) {
-  while (!list_is_empty(&b->waiters))
-    wake_up(list_item(b->waiters.next, task, wait), WAKE_SIGNALLED);
+void condition_broadcast(condition *condition) {
+  while (!list_is_empty(&condition->waiters))
+    wake_up(list_item(condition->waiters.next, task, waiting), WAKE_SIGNALLED);
 }
--- a/tests/disk.c
+++ b/tests/disk.c
@@ -1,6 +1,6 @@
 /** The files of the disk in the real world: whatever became of the process that made a file, the
  * file and its name are synced before anything is written to it. */
-#include "real.h"
+#include "real_world.h"
 #include "tests.h"
 #include <glib/gstdio.h>
 #include <errno.h>
--- a/tests/http/driver.c
+++ b/tests/http/driver.c
@@ -1,5 +1,5 @@
 /* a process with a listener whose paths make its HTTP do things; scripts/http-check talks to it */
-#include "real.h"
+#include "real_world.h"
 #include <stdio.h>
 #include <stdlib.h>
 
--- a/tests/http/gateway.c
+++ b/tests/http/gateway.c
@@ -1,7 +1,7 @@
 /* A gateway in a process of its own, without a core: its configuration stands here, and the test
  * names its engines. tests/http/bytes_check.py plays its callers and engines byte by byte. */
 #include "gateway.h"
-#include "real.h"
+#include "real_world.h"
 #include <stdio.h>
 #include <stdlib.h>
 
--- a/tests/peers.c
+++ b/tests/peers.c
@@ -1,4 +1,4 @@
-#include "real.h"
+#include "real_world.h"
 #include "tests.h"
 #include <arpa/inet.h>
 #include <poll.h>
--- a/tests/wiring.c
+++ b/tests/wiring.c
@@ -1,5 +1,5 @@
 /* Tests of a process's real sockets, and of how much of the core may be lost at once. */
-#include "real.h"
+#include "real_world.h"
 #include "tests.h"
 #include <arpa/inet.h>
 #include <netinet/tcp.h>
