--- a/lib/http/fields.h
+++ b/lib/http/fields.h
@@ -1,27 +1,37 @@
-#ifndef COMMON_FIELDS_H
-#define COMMON_FIELDS_H
+#ifndef HTTP_FIELDS_H
+#define HTTP_FIELDS_H
+/**
+ * All header fields of a message, as one text: lines of "Name: value\r\n" in the order in which
+ * they came. Names are compared without regard to case; values are trimmed of blanks when they are
+ * read. Lookups go through the text, which is short, so that fields can be passed on without being
+ * parsed and written again. NULL is taken for no fields by functions that read.
+ */
 #include "base.h"
 
-/** Header fields of a message as they came: lines of "Name: value\r\n", in order, in one text. */
 typedef GString fields;
-/** Finds the first field of a name, whatever its case; false when there is none. The value lasts as
- * long as the text. */
+
+/** Finds the first field with a name. False, with *value untouched, if there is none. The value is
+ * borrowed from the text. */
 bool fields_get(const fields *fields, const char *name, string_view *value);
-/** How many fields there are of a name, whatever its case. */
+/** The number of fields with a name. */
 size_t fields_count(const fields *fields, const char *name);
-/** Copies the value of a field; NULL when there is none. */
+/** A copy of the value of the first field with a name, which the caller frees; NULL if there is
+ * none. */
 char *fields_dup(const fields *fields, const char *name);
-/** Reads a field as a whole number from 0 up; the fallback when it is absent or none. */
-int64_t fields_get_number(const fields *fields, const char *name, int64_t fall);
-/** Adds a field. Bytes that would end the line are left out. */
+/** The value of the first field with a name as a decimal number; the fallback if there is none or
+ * if it is anything but digits that fit. */
+int64_t fields_get_number(const fields *fields, const char *name, int64_t fallback);
+/** Iterates over the fields: *position is 0 at first, and kept between calls. False at the end.
+ * Lines without a colon are skipped. Name and value are borrowed from the text. */
+bool fields_next(const fields *fields, size_t *position, string_view *name, string_view *value);
+
+/** Appends a field. Bytes that would end the line (CR, LF, NUL) are left out. */
 void fields_add(fields *fields, const char *name, string_view value);
-/** The same by printf. */
-void fields_add_format(fields *fields, const char *name, const char *form, ...)
+/** The same with a formatted value. */
+void fields_add_format(fields *fields, const char *name, const char *format, ...)
     __attribute__((format(printf, 3, 4)));
-/** Walks the fields: at begins at 0; false at the end. */
-bool fields_next(const fields *fields, size_t *at, string_view *name, string_view *value);
-/** Copies all fields but those that concern one connection only (connection, those it names,
- * keep-alive, te, trailer, transfer-encoding, upgrade, proxy-*, content-length, host when not kept)
- * and those named in skip, a NULL-ended list. */
+/** Appends to `to` all fields of `from` except those that concern one connection only (Connection
+ * and the fields that it names, Keep-Alive, TE, Trailer, Transfer-Encoding, Upgrade, Proxy-*), the
+ * length, and those named in skip, a list that ends with NULL, or NULL. */
 void fields_forward(const fields *from, fields *to, const char *const *skip);
 #endif
--- a/lib/http/http_client.c
+++ b/lib/http/http_client.c
@@ -1,5 +1,9 @@
-/** Calls to others, over connections that are kept and shared: one request at a time on each. */
-#include "http_internal.h"
+/** Pooled calls of the HTTP engine: see http_client.h. */
+#include "http_client.h"
+#include "address.h"
+#include "http_connection.h"
+#include "http_engine_state.h"
+#include "http_framing.h"
 #include <arpa/inet.h>
 #include <errno.h>
 #include <netinet/tcp.h>
@@ -7,354 +11,534 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-enum { GOT_MOST = 256 * 1024, SLACK_MS = 500, KEEP_ALIVE_MOST_S = 86400 };
+enum {
+  /* a connection is paused beyond so much unread body, and read again below half of it */
+  UNREAD_MAX_BYTES = 256 * 1024,
+  /* a connection is given up so long before its other side is to close it */
+  KEEP_ALIVE_MARGIN_MS = 500,
+  KEEP_ALIVE_MAX_S = 86400
+};
 
-static connection_pool *pool_of(http_engine *http, const char *addr) {
-  connection_pool *p = g_hash_table_lookup(http->pools, addr);
-  if (p)
-    return p;
+/** The connections to an address. Freed with the last of them. */
+typedef struct connection_pool {
+  char *address;
+  struct sockaddr_in sockaddr;
+  /** client_connection, the latest last. */
+  list_node idle;
+  /** Open connections, and functions that use the pool at this moment. */
+  int references;
+} connection_pool;
+
+typedef struct client_connection {
+  http_connection connection;
+  connection_pool *pool;
+  /** In pool->idle; in http->paused_clients. */
+  list_node idle, paused;
+  /** NULL while it is idle. */
+  http_call *call;
+  bool connected, request_sent;
+  /** While it is idle: since when, and when its other side may close it. */
+  time_us idle_since, idle_deadline;
+
+  /** The response that is being read; reset for each. */
+  http_parser parser;
+  head_scan scan;
+  chunk_check chunk;
+  field_reader field_reader;
+  size_t head_bytes;
+  bool head_read;
+  /** An interim response (1xx); a response to another request. Both are followed by another. */
+  bool is_interim, is_skipped;
+  /** The connection may be used again after it. */
+  bool keep_alive;
+} client_connection;
+
+/* ---- pools ---- */
+
+static bool resolve(const char *address, struct sockaddr_in *sockaddr) {
   char ip[48];
-  const char *colon = strrchr(addr, ':');
-  struct sockaddr_in to = { .sin_family = AF_INET };
-  if (!colon || (size_t)(colon - addr) >= sizeof ip)
-    return NULL;
-  memcpy(ip, addr, (size_t)(colon - addr));
-  ip[colon - addr] = 0;
-  int port = atoi(colon + 1);
-  if (port < 1 || port > 65535)
-    return NULL;
-  to.sin_port = htons((uint16_t)port);
-  if (inet_pton(AF_INET, strcmp(ip, "localhost") ? ip : "127.0.0.1", &to.sin_addr) != 1)
-    return NULL;
-  p = g_new0(connection_pool, 1);
-  p->addr = g_strdup(addr);
-  p->sockaddr = to;
-  list_init(&p->idle);
-  g_hash_table_insert(http->pools, p->addr, p);
-  return p;
-}
-
-static void pool_leave(http_engine *http, connection_pool *pool) {
-  if (--pool->connection_count > 0)
+  int port;
+  if (!address_split(address, ip, sizeof ip, &port) || port < 1 || port > 65535)
+    return false;
+  const char *numeric = strcmp(ip, "localhost") ? ip : "127.0.0.1";
+  *sockaddr = (struct sockaddr_in){ .sin_family = AF_INET, .sin_port = htons((uint16_t)port) };
+  return inet_pton(AF_INET, numeric, &sockaddr->sin_addr) == 1;
+}
+
+/* the pool of an address with a reference for the caller; NULL for a bad address */
+static connection_pool *hold_pool(http_engine *http, const char *address) {
+  connection_pool *pool = g_hash_table_lookup(http->pools, address);
+  struct sockaddr_in sockaddr;
+  if (!pool) {
+    if (!resolve(address, &sockaddr))
+      return NULL;
+    pool = g_new0(connection_pool, 1);
+    pool->address = g_strdup(address);
+    pool->sockaddr = sockaddr;
+    list_init(&pool->idle);
+    g_hash_table_insert(http->pools, pool->address, pool);
+  }
+  pool->references++;
+  return pool;
+}
+
+static void release_pool(http_engine *http, connection_pool *pool) {
+  if (--pool->references > 0)
     return;
-  g_hash_table_remove(http->pools, pool->addr);
-  g_free(pool->addr);
+  g_hash_table_remove(http->pools, pool->address);
+  g_free(pool->address);
   g_free(pool);
 }
 
-static int on_answer_begin(http_parser *p) {
-  client_connection *client = p->data;
-  client->head_read = client->skips_response = client->interim_response = client->keep_alive =
-      false;
-  client->last_field_kind = 0;
+void http_engine_pool_close_idle(http_engine *http, const char *address) {
+  connection_pool *pool = g_hash_table_lookup(http->pools, address);
+  if (!pool)
+    return;
+  pool->references++;
+  while (!list_is_empty(&pool->idle)) {
+    client_connection *client = list_item(pool->idle.next, client_connection, idle);
+    list_remove(&client->idle);
+    sock_close(&client->connection.sock);
+  }
+  release_pool(http, pool);
+}
+
+/* ---- responses: http-parser's callbacks ---- */
+
+static int on_response_begin(http_parser *parser) {
+  client_connection *client = parser->data;
+  client->head_read = client->is_skipped = client->is_interim = client->keep_alive = false;
+  client->field_reader = (field_reader){ 0 };
   g_string_truncate(client->call->response_fields, 0);
   return 0;
 }
 
-static int on_answer_name(http_parser *p, const char *at, size_t n) {
-  client_connection *client = p->data;
+/* fields behind the body (trailers) are dropped */
+static int on_field_name(http_parser *parser, const char *bytes, size_t length) {
+  client_connection *client = parser->data;
   if (!client->head_read)
-    field_append(client->call->response_fields, &client->last_field_kind, 'n', at, n);
+    field_reader_add_name(&client->field_reader, client->call->response_fields, bytes, length);
   return 0;
 }
 
-static int on_answer_value(http_parser *p, const char *at, size_t n) {
-  client_connection *client = p->data;
+static int on_field_value(http_parser *parser, const char *bytes, size_t length) {
+  client_connection *client = parser->data;
   if (!client->head_read)
-    field_append(client->call->response_fields, &client->last_field_kind, 'v', at, n);
+    field_reader_add_value(&client->field_reader, client->call->response_fields, bytes, length);
   return 0;
 }
 
-static bool answer_is_named(const http_call *call) {
-  string_view name;
-  return !call->match_name || fields_get(call->response_fields, call->match_name, &name);
+/* the value of the field that the call requires */
+static bool get_match_value(const http_call *call, string_view *value) {
+  return fields_get(call->response_fields, call->match_name, value);
 }
 
-/* an answer to another request; one that names no request may be a refusal that came before the
- * name was read */
-static bool answers_other(const http_call *call, int status) {
-  string_view v;
+/* True for a response to another request. One without the field may be a refusal that was sent
+ * before the field was read; a success is not. */
+static bool is_response_to_other(const http_call *call, int status) {
+  string_view value;
   if (!call->match_name)
     return false;
-  if (!fields_get(call->response_fields, call->match_name, &v))
+  if (!get_match_value(call, &value))
     return status / 100 == 2;
-  return !string_view_equal(v, string_view_of(call->match_value));
+  return !string_view_equal(value, string_view_of(call->match_value));
 }
 
-/* On a connection that had served before, or that brought another's answer, a failure without a
- * name may be left over from an earlier request: it proves nothing, and least of all that this
- * request has not run. */
+/* On a connection that had served before, or that brought a response to another request, a failure
+ * without the required field may be left over from an earlier request: it proves nothing, and least
+ * of all that this request has not run. */
 static bool response_is_ambiguous(const http_call *call, int status) {
-  return status / 100 != 2 && (call->reused_connection || call->skipped_responses) &&
-         !answer_is_named(call);
+  string_view value;
+  bool may_be_late = call->reused_connection || call->skipped_responses;
+  return status / 100 != 2 && may_be_late && call->match_name && !get_match_value(call, &value);
 }
 
-static int on_answer_head(http_parser *p) {
-  client_connection *client = p->data;
+static int on_head(http_parser *parser) {
+  client_connection *client = parser->data;
   http_call *call = client->call;
-  int status = p->status_code;
-  field_end(call->response_fields, &client->last_field_kind);
+  int status = (int)parser->status_code;
+  field_reader_end(&client->field_reader, call->response_fields);
   client->head_read = true;
-  if (p->http_major != 1 || status < 100 || status == 101 ||
+  if (parser->http_major != 1 || status < 100 || status == 101 ||
       !field_names_are_valid(call->response_fields))
     return -1;
-  p->upgrade = 0;
-  client->interim_response = status < 200;
-  if (client->interim_response)
+  parser->upgrade = 0;
+  client->is_interim = status < 200;
+  if (client->is_interim)
     return 0;
   if (response_is_ambiguous(call, status))
     return -1;
-  bool head = !strcmp(call->method, "HEAD");
-  client->skips_response = answers_other(call, status);
-  /* whether a late second answer to HEAD has a body could not be known */
-  client->keep_alive = p->http_minor >= 1 && http_should_keep_alive(p) && !head;
-  if (!client->skips_response) {
-    call->closes_connection = !client->keep_alive;
-    call->status = status;
-    condition_broadcast(&call->progressed);
-  }
-  return head && !client->skips_response;
+  bool is_head_request = !strcmp(call->method, "HEAD");
+  client->is_skipped = is_response_to_other(call, status);
+  /* whether a late second response to HEAD has a body could not be known */
+  client->keep_alive =
+      parser->http_minor >= 1 && http_should_keep_alive(parser) && !is_head_request;
+  if (client->is_skipped)
+    return 0;
+  call->closes_connection = !client->keep_alive;
+  call->status = status;
+  condition_broadcast(&call->progressed);
+  /* 1: there is no body, whatever the fields say */
+  return is_head_request ? 1 : 0;
 }
 
-static int on_answer_body(http_parser *p, const char *at, size_t n) {
-  client_connection *client = p->data;
+static int on_body(http_parser *parser, const char *bytes, size_t length) {
+  client_connection *client = parser->data;
   http_call *call = client->call;
-  if (!chunk_check_data(&client->chunk, p, at, n))
+  if (!chunk_check_data(&client->chunk, parser, bytes, length))
     return -1;
-  if (client->skips_response)
+  if (client->is_skipped)
     return 0;
-  g_string_append_len(call->response_body, at, (gssize)n);
-  call->received_bytes += n;
+  g_string_append_len(call->response_body, bytes, (gssize)length);
+  call->received_bytes += length;
   condition_broadcast(&call->progressed);
   return 0;
 }
 
-static const http_parser_settings client_settings = { .on_message_begin = on_answer_begin,
-                                                      .on_header_field = on_answer_name,
-                                                      .on_header_value = on_answer_value,
-                                                      .on_headers_complete = on_answer_head,
-                                                      .on_body = on_answer_body,
-                                                      .on_message_complete = on_message_end };
+static const http_parser_settings parser_settings = {
+  .on_message_begin = on_response_begin,
+  .on_header_field = on_field_name,
+  .on_header_value = on_field_value,
+  .on_headers_complete = on_head,
+  .on_body = on_body,
+  .on_message_complete = http_framing_on_message_end,
+};
 
-static void client_parser(client_connection *client) {
+static void reset_parser(client_connection *client) {
   http_parser_init(&client->parser, HTTP_RESPONSE);
   client->parser.data = client;
-  client->head_length = 0;
   client->scan = (head_scan){ 0 };
-  client->chunk = (chunk_end){ 0 };
+  client->chunk = (chunk_check){ 0 };
+  client->head_bytes = 0;
   client->head_read = false;
 }
 
-void client_resume_reading(client_connection *client) {
+/* ---- reading ---- */
+
+static void pause_reading(client_connection *client) {
+  if (!list_is_empty(&client->paused))
+    return;
+  list_append(&client->connection.http->paused_clients, &client->paused);
+  sock_set_reading(&client->connection.sock, false);
+}
+
+static void resume_reading(client_connection *client) {
   if (list_is_empty(&client->paused))
     return;
   list_remove(&client->paused);
-  sock_set_reading(&client->conn.sim, true);
+  sock_set_reading(&client->connection.sock, true);
 }
 
-/* until when a connection may be used again, as its other side says; never without a word */
+void http_client_resume_reading(http_engine *http) {
+  list_for_each (client, &http->paused_clients, client_connection, paused)
+    if (!client->call || client->call->response_body->len <= UNREAD_MAX_BYTES / 2)
+      resume_reading(client);
+}
+
+/* until when the other side keeps the connection; never, if it doesn't say */
 static time_us keep_alive_deadline(const http_call *call, time_us now) {
-  string_view v;
-  if (!fields_get(call->response_fields, "keep-alive", &v))
+  static const char key[] = "timeout=";
+  const size_t key_length = sizeof key - 1;
+  string_view value;
+  if (!fields_get(call->response_fields, "keep-alive", &value))
     return time_never();
-  for (size_t i = 0; i + 8 < v.length; i++)
-    if (!g_ascii_strncasecmp(v.data + i, "timeout=", 8)) {
-      int64_t seconds = CLAMP(strtoll(v.data + i + 8, NULL, 10), 0, KEEP_ALIVE_MOST_S);
-      return time_add(now, time_from_ms(seconds * 1000 - SLACK_MS));
+  for (size_t i = 0; i + key_length < value.length; i++)
+    if (!g_ascii_strncasecmp(value.data + i, key, key_length)) {
+      int64_t seconds = strtoll(value.data + i + key_length, NULL, 10);
+      seconds = CLAMP(seconds, 0, KEEP_ALIVE_MAX_S);
+      return time_add(now, time_from_ms(seconds * 1000 - KEEP_ALIVE_MARGIN_MS));
     }
   return time_never();
 }
 
-/* the call has its whole answer; -1 when the connection is not to be kept */
-static int client_done(client_connection *client, bool more) {
-  http_engine *http = client->conn.http;
+/* puts a connection whose call has ended into its pool */
+static int make_idle(client_connection *client, time_us keep_until) {
+  world *world = client->connection.http->world;
+  time_us now = world_now(world);
+  if (time_reached(now, keep_until))
+    return CONNECTION_CLOSE;
+  client->idle_since = now;
+  client->idle_deadline = keep_until;
+  resume_reading(client);
+  list_append(&client->pool->idle, &client->idle);
+  time_us deadline = keep_until;
+  if (world->pool_idle_timeout_ms > 0)
+    deadline.us = MIN(deadline.us, now.us + world->pool_idle_timeout_ms * 1000);
+  http_connection_set_deadline(&client->connection, deadline);
+  return CONNECTION_KEEP;
+}
+
+/* The call has its full response. Bytes behind it belong to no request, so such a connection is not
+ * kept, nor is one on which the request was not sent in full. */
+static int end_call(client_connection *client, bool bytes_follow) {
+  http_engine *http = client->connection.http;
   http_call *call = client->call;
   client->call = NULL;
   call->impl = NULL;
   call->ended = true;
   condition_broadcast(&call->progressed);
-  if (!client->keep_alive || more || !client->request_sent || http->world->tasks.stopped)
-    return -1;
-  time_us now = world_now(http->world), till = keep_alive_deadline(call, now);
-  client->idle_since = now;
-  client->idle_deadline = till;
-  if (time_reached(now, till))
-    return -1;
-  client_resume_reading(client);
-  list_append(&client->pool->idle, &client->idle);
-  time_us due = till;
-  if (http->world->pool_idle_timeout_ms > 0)
-    due.us = MIN(due.us, now.us + http->world->pool_idle_timeout_ms * 1000);
-  connection_set_deadline(&client->conn, due);
-  return 0;
+  if (!client->keep_alive || bytes_follow || !client->request_sent || http->world->tasks.stopped)
+    return CONNECTION_CLOSE;
+  return make_idle(client, keep_alive_deadline(call, world_now(http->world)));
 }
 
-int client_receive(client_connection *client, const char *p, size_t n) {
+enum parse_result { PARSE_FAILED, PARSE_NEEDS_MORE, PARSE_MESSAGE_ENDED };
+
+/* parses bytes up to the end of a response; *used tells how many */
+static enum parse_result parse(client_connection *client, const char *bytes, size_t length,
+                               size_t *used) {
+  bool had_head = client->head_read;
+  client->chunk.position = bytes;
+  *used = http_parser_execute(&client->parser, &parser_settings, bytes, length);
+  enum http_errno error_number = HTTP_PARSER_ERRNO(&client->parser);
+  if (head_scan_finds_folding(&client->scan, bytes, *used) ||
+      !chunk_check_line_end(&client->chunk, bytes + *used))
+    return PARSE_FAILED;
+  if (!had_head)
+    client->head_bytes += *used;
+  if (client->head_bytes > HEAD_MAX_BYTES && !client->head_read)
+    return PARSE_FAILED;
+  if (error_number == HPE_PAUSED)
+    return PARSE_MESSAGE_ENDED;
+  return error_number == HPE_OK ? PARSE_NEEDS_MORE : PARSE_FAILED;
+}
+
+static int on_read(http_connection *connection, const char *bytes, size_t length) {
+  client_connection *client = (client_connection *)connection;
   http_call *call = client->call;
+  /* nothing may come unless something was asked */
   if (!call || !call->sent)
-    return -1;
-  call->last_byte_at = world_now(client->conn.http->world);
-  while (n) {
-    bool headed = client->head_read;
-    client->chunk.position = p;
-    size_t used = http_parser_execute(&client->parser, &client_settings, p, n);
-    enum http_errno bad = HTTP_PARSER_ERRNO(&client->parser);
-    if (head_is_folded(&client->scan, p, used) || !chunk_end_is_valid(&client->chunk, p + used))
-      return -1;
-    p += used;
-    n -= used;
-    if (!headed && (client->head_length += used) > HEAD_BYTES_MAX && !client->head_read)
-      return -1;
-    if (bad == HPE_PAUSED) {
-      if (!client->interim_response && !client->skips_response)
-        return client_done(client, n > 0);
-      if (client->skips_response) {
-        call->skipped_responses++;
-        if (!client->keep_alive)
-          return -1;
-      }
-      client_parser(client);
+    return CONNECTION_CLOSE;
+  call->last_byte_at = world_now(connection->http->world);
+  while (length) {
+    size_t used;
+    enum parse_result result = parse(client, bytes, length, &used);
+    if (result == PARSE_FAILED)
+      return CONNECTION_CLOSE;
+    bytes += used;
+    length -= used;
+    if (result == PARSE_NEEDS_MORE)
       continue;
+    if (!client->is_interim && !client->is_skipped)
+      return end_call(client, length > 0);
+    if (client->is_skipped) {
+      call->skipped_responses++;
+      if (!client->keep_alive)
+        return CONNECTION_CLOSE;
     }
-    if (bad != HPE_OK)
-      return -1;
+    reset_parser(client);
   }
-  if (call->response_body->len > GOT_MOST && list_is_empty(&client->paused)) {
-    list_append(&client->conn.http->paused_clients, &client->paused);
-    sock_set_reading(&client->conn.sim, false);
-  }
-  return 0;
+  if (call->response_body->len > UNREAD_MAX_BYTES)
+    pause_reading(client);
+  return CONNECTION_KEEP;
+}
+
+static bool is_reading_paused(const http_connection *connection) {
+  const client_connection *client = (const client_connection *)connection;
+  return !list_is_empty(&client->paused) || !client->call;
+}
+
+/* ---- writing ---- */
+
+static bool method_has_body(const char *method) {
+  return !strcmp(method, "POST") || !strcmp(method, "PUT") || !strcmp(method, "PATCH");
+}
+
+static void write_head(const http_call *call, GString *head) {
+  g_string_truncate(head, 0);
+  g_string_append(head, call->method);
+  g_string_append_c(head, ' ');
+  g_string_append(head, call->path);
+  g_string_append(head, " HTTP/1.1\r\n");
+  g_string_append_len(head, call->request_fields->str, (gssize)call->request_fields->len);
+  if (call->body->len || method_has_body(call->method))
+    g_string_append_printf(head, "Content-Length: %zu\r\n", call->body->len);
+  g_string_append(head, "\r\n");
+}
+
+static int finish_connecting(client_connection *client, time_us now) {
+  int error_number = 0;
+  socklen_t size = sizeof error_number;
+  int fd = client->connection.sock.fd;
+  if (getsockopt(fd, SOL_SOCKET, SO_ERROR, &error_number, &size) || error_number)
+    return CONNECTION_CLOSE;
+  client->connected = true;
+  client->call->connected_at = now;
+  return CONNECTION_KEEP;
+}
+
+static int write_request(client_connection *client) {
+  http_connection *connection = &client->connection;
+  http_call *call = client->call;
+  GString *head = connection->http->scratch;
+  write_head(call, head);
+  struct iovec parts[2] = { { head->str, head->len }, { call->body->str, call->body->len } };
+  ssize_t sent_bytes = http_connection_send(connection, parts, call->body->len ? 2 : 1);
+  if (sent_bytes < 0)
+    return CONNECTION_CLOSE;
+  if (sent_bytes > 0)
+    call->sent = true;
+  return CONNECTION_KEEP;
 }
 
-static void put_request(const http_call *call, GString *g) {
-  g_string_truncate(g, 0);
-  g_string_append(g, call->method);
-  g_string_append_c(g, ' ');
-  g_string_append(g, call->path);
-  g_string_append_len(g, " HTTP/1.1\r\n", 11);
-  g_string_append_len(g, call->request_fields->str, (gssize)call->request_fields->len);
-  if (call->body->len || !strcmp(call->method, "POST") || !strcmp(call->method, "PUT") ||
-      !strcmp(call->method, "PATCH"))
-    g_string_append_printf(g, "Content-Length: %zu\r\n", call->body->len);
-  g_string_append_len(g, "\r\n", 2);
+static int write_rest(client_connection *client) {
+  http_connection *connection = &client->connection;
+  http_call *call = client->call;
+  if (http_connection_flush(connection))
+    return CONNECTION_CLOSE;
+  if (!connection->pending_output || connection->pending_output_offset)
+    call->sent = true;
+  return CONNECTION_KEEP;
 }
 
-int client_write(client_connection *client) {
+/* writes the request, or what is left of it */
+static int on_writable(http_connection *connection) {
+  client_connection *client = (client_connection *)connection;
   http_call *call = client->call;
   if (!call)
-    return -1;
+    return CONNECTION_CLOSE;
   if (client->request_sent)
-    return 0;
-  world *world = client->conn.http->world;
-  time_us now = world_now(world);
+    return CONNECTION_KEEP;
+  time_us now = world_now(connection->http->world);
   if (time_reached(now, call->send_deadline))
-    return -1;
-  if (!client->connected) {
-    int bad = 0;
-    socklen_t n = sizeof bad;
-    if (getsockopt(client->conn.sim.fd, SOL_SOCKET, SO_ERROR, &bad, &n) || bad)
-      return -1;
-    client->connected = true;
-    call->connected_at = now;
-  }
-  if (!client->conn.pending_output) {
-    GString *g = client->conn.http->scratch;
-    put_request(call, g);
-    struct iovec i[2] = { { g->str, g->len }, { call->body->str, call->body->len } };
-    ssize_t took = connection_send(&client->conn, i, call->body->len ? 2 : 1, true);
-    if (took < 0)
-      return -1;
-    if (took)
-      call->sent = true;
-  } else {
-    if (connection_flush(&client->conn))
-      return -1;
-    call->sent = call->sent || !client->conn.pending_output || client->conn.pending_output_offset;
-  }
-  if (!client->conn.pending_output) {
+    return CONNECTION_CLOSE;
+  if (!client->connected && finish_connecting(client, now))
+    return CONNECTION_CLOSE;
+  if (connection->pending_output ? write_rest(client) : write_request(client))
+    return CONNECTION_CLOSE;
+  if (!connection->pending_output) {
     client->request_sent = true;
     call->sent_at = now;
   }
-  return 0;
+  return CONNECTION_KEEP;
 }
 
-/* nothing has come on an idle connection, and it has not ended */
-static bool client_is_idle(const client_connection *client) {
-  char b;
-  return recv(client->conn.sim.fd, &b, 1, MSG_PEEK | MSG_DONTWAIT) < 0 && errno == EAGAIN;
+/* ---- the life of a connection ---- */
+
+/* an idle connection has been idle for long enough */
+static int on_timeout(http_connection *connection) {
+  (void)connection;
+  return CONNECTION_CLOSE;
 }
 
-static bool take_idle(http_engine *http, connection_pool *pool, http_call *call) {
-  time_us now = world_now(http->world);
-  while (!list_is_empty(&pool->idle)) {
-    client_connection *k = list_item(pool->idle.prev, client_connection, idle);
-    list_remove(&k->idle);
-    bool old = time_reached(now, k->idle_deadline) ||
-               (http->world->pool_idle_timeout_ms > 0 &&
-                now.us - k->idle_since.us >= http->world->pool_idle_timeout_ms * 1000);
-    if (!old && client_is_idle(k)) {
-      connection_set_deadline(&k->conn, time_never());
-      client_parser(k);
-      k->request_sent = false;
-      k->call = call;
-      call->impl = k;
-      call->reused_connection = true;
-      call->connected_at = now;
-      if (!client_write(k))
-        return true;
-      k->call = NULL;
-      call->impl = NULL;
-      call->reused_connection = false;
-    }
-    sock_close(&k->conn.sim);
-    if (call->sent) {
-      call->broken = true;
-      return true;
-    }
+static void on_closed(http_connection *connection) {
+  client_connection *client = (client_connection *)connection;
+  list_remove(&client->idle);
+  list_remove(&client->paused);
+  if (client->call) {
+    client->call->impl = NULL;
+    client->call->broken = true;
+    condition_broadcast(&client->call->progressed);
   }
-  return false;
+  release_pool(connection->http, client->pool);
+}
+
+static const http_connection_callbacks client_callbacks = {
+  .on_read = on_read,
+  .on_writable = on_writable,
+  .on_timeout = on_timeout,
+  .on_closed = on_closed,
+  .is_reading_paused = is_reading_paused,
+};
+
+/* a connected socket, or one that is being connected; -1 if there is none */
+static int open_socket(const struct sockaddr_in *sockaddr) {
+  int enabled = 1, fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
+  if (fd < 0)
+    return -1;
+  setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &enabled, sizeof enabled);
+  if (connect(fd, (const struct sockaddr *)sockaddr, sizeof *sockaddr) && errno != EINPROGRESS) {
+    close(fd);
+    return -1;
+  }
+  return fd;
 }
 
-static void client_new(http_engine *http, connection_pool *pool, http_call *call) {
-  int one = 1, fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
+static void start_on_new_connection(http_engine *http, connection_pool *pool, http_call *call) {
+  int fd = open_socket(&pool->sockaddr);
   if (fd < 0) {
     call->broken = true;
     return;
   }
-  setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &one, sizeof one);
-  if (connect(fd, (struct sockaddr *)&pool->sockaddr, sizeof pool->sockaddr) &&
-      errno != EINPROGRESS) {
+  client_connection *client = g_new0(client_connection, 1);
+  list_init(&client->idle);
+  list_init(&client->paused);
+  if (!http_connection_adopt(http, &client->connection, fd, false, &client_callbacks)) {
+    g_free(client);
     call->broken = true;
-    close(fd);
     return;
   }
-  client_connection *k = g_new0(client_connection, 1);
-  list_init(&k->idle);
-  list_init(&k->paused);
-  if (!connection_adopt(http, &k->conn, fd, CONNECTION_CLIENT)) {
-    g_free(k);
-    call->broken = true;
-    return;
+  client->pool = pool;
+  pool->references++;
+  reset_parser(client);
+  client->call = call;
+  call->impl = client;
+  sock_request_writable(&client->connection.sock);
+}
+
+/* nothing has come on an idle connection, and it has not ended */
+static bool is_silent(const client_connection *client) {
+  char byte;
+  ssize_t result = recv(client->connection.sock.fd, &byte, 1, MSG_PEEK | MSG_DONTWAIT);
+  return result < 0 && errno == EAGAIN;
+}
+
+static bool is_reusable(const client_connection *client, time_us now) {
+  int64_t timeout_ms = client->connection.http->world->pool_idle_timeout_ms;
+  if (time_reached(now, client->idle_deadline))
+    return false;
+  if (timeout_ms > 0 && time_reached(now, time_add(client->idle_since, time_from_ms(timeout_ms))))
+    return false;
+  return is_silent(client);
+}
+
+/* False, with the call as it was before but perhaps sent, if the connection turns out to be broken.
+ */
+static bool start_on_idle_connection(client_connection *client, http_call *call, time_us now) {
+  http_connection_set_deadline(&client->connection, time_never());
+  reset_parser(client);
+  client->request_sent = false;
+  client->call = call;
+  call->impl = client;
+  call->reused_connection = true;
+  call->connected_at = now;
+  if (on_writable(&client->connection) == CONNECTION_KEEP)
+    return true;
+  client->call = NULL;
+  call->impl = NULL;
+  call->reused_connection = false;
+  return false;
+}
+
+/* True if the call was started on an idle connection, or was broken by the attempt. */
+static bool start_from_pool(http_engine *http, connection_pool *pool, http_call *call) {
+  time_us now = world_now(http->world);
+  while (!list_is_empty(&pool->idle)) {
+    client_connection *client = list_item(pool->idle.prev, client_connection, idle);
+    list_remove(&client->idle);
+    if (is_reusable(client, now) && start_on_idle_connection(client, call, now))
+      return true;
+    sock_close(&client->connection.sock);
+    if (call->sent) {
+      call->broken = true;
+      return true;
+    }
   }
-  k->pool = pool;
-  pool->connection_count++;
-  client_parser(k);
-  k->call = call;
-  call->impl = k;
-  sock_request_writable(&k->conn.sim);
+  return false;
 }
 
 void http_engine_start_call(http_engine *http, http_call *call) {
-  connection_pool *pool;
-  if (http->world->tasks.stopped || time_reached(world_now(http->world), call->send_deadline) ||
-      !(pool = pool_of(http, call->address))) {
+  connection_pool *pool = NULL;
+  bool too_late = time_reached(world_now(http->world), call->send_deadline);
+  if (!http->world->tasks.stopped && !too_late)
+    pool = hold_pool(http, call->address);
+  if (!pool) {
     call->broken = true;
     return;
   }
-  pool->connection_count++;
-  if (call->needs_new_connection || !take_idle(http, pool, call))
-    client_new(http, pool, call);
-  pool_leave(http, pool);
+  if (call->needs_new_connection || !start_from_pool(http, pool, call))
+    start_on_new_connection(http, pool, call);
+  release_pool(http, pool);
 }
 
 void http_engine_cancel_call(http_engine *http, http_call *call) {
@@ -364,35 +548,5 @@
     return;
   call->impl = NULL;
   client->call = NULL;
-  sock_close(&client->conn.sim);
-}
-
-void http_engine_pool_close_idle(http_engine *http, const char *addr) {
-  connection_pool *pool = g_hash_table_lookup(http->pools, addr);
-  if (!pool)
-    return;
-  pool->connection_count++;
-  while (!list_is_empty(&pool->idle)) {
-    client_connection *k = list_item(pool->idle.next, client_connection, idle);
-    list_remove(&k->idle);
-    sock_close(&k->conn.sim);
-  }
-  pool_leave(http, pool);
-}
-
-void client_closed(client_connection *client) {
-  list_remove(&client->idle);
-  list_remove(&client->paused);
-  if (client->call) {
-    client->call->impl = NULL;
-    client->call->broken = true;
-    condition_broadcast(&client->call->progressed);
-  }
-  pool_leave(client->conn.http, client->pool);
-}
-
-void clients_resume_reading(http_engine *http) {
-  list_for_each (k, &http->paused_clients, client_connection, paused)
-    if (!k->call || k->call->response_body->len <= GOT_MOST / 2)
-      client_resume_reading(k);
+  sock_close(&client->connection.sock);
 }
--- a/lib/http/http_connection.c
+++ b/lib/http/http_connection.c
@@ -1,177 +1,179 @@
-/** Connections of the HTTP engine: what is alike in listeners, callers' connections and calls. */
-#include "http_internal.h"
+/** What all sockets of the HTTP engine have in common: see http_connection.h. */
+#include "http_connection.h"
+#include "http_engine_state.h"
 #include <errno.h>
 #include <sys/socket.h>
 
-enum { READS_MOST = 8, TIMER_US = 50000 };
-
-/* the life of a socket */
-static void conn_closed(sock *k) {
-  http_connection *c = (http_connection *)k;
-  if (c->timer)
-    g_sequence_remove(c->timer);
-  list_remove(&c->dirty);
-  if (c->pending_output)
-    g_string_free(c->pending_output, TRUE);
-  if (c->kind == CONNECTION_LISTENER)
-    ((listener_socket *)c)->listener->impl = NULL;
-  if (c->kind == CONNECTION_SERVER)
-    server_closed((server_connection *)c);
-  if (c->kind == CONNECTION_CLIENT)
-    client_closed((client_connection *)c);
-  g_free(c);
-}
-
-static int conn_rx(http_connection *conn, const char *p, size_t n) {
-  if (conn->kind == CONNECTION_LISTENER) {
-    listener_accept((listener_socket *)conn);
-    return 0;
-  }
-  return conn->kind == CONNECTION_SERVER ? server_receive((server_connection *)conn, p, n)
-                                         : client_receive((client_connection *)conn, p, n);
-}
+enum {
+  /* further reads after one that filled the library's buffer, before others get their turn */
+  MORE_READS_MAX = 8,
+  TIMER_GRANULARITY_US = 50000
+};
 
-static bool conn_reading_paused(http_connection *conn) {
-  if (conn->kind == CONNECTION_SERVER)
-    return ((server_connection *)conn)->reading_paused;
-  return !list_is_empty(&((client_connection *)conn)->paused) || !((client_connection *)conn)->call;
+static void on_closed(sock *sock) {
+  http_connection *connection = (http_connection *)sock;
+  if (connection->timer)
+    g_sequence_remove(connection->timer);
+  if (connection->pending_output)
+    g_string_free(connection->pending_output, TRUE);
+  connection->callbacks->on_closed(connection);
+  g_free(connection);
 }
 
-/* the library reads once a poll; what is there beyond its buffer is read here */
-static int conn_read(sock *k, const char *p, size_t n) {
-  static _Thread_local char more[SOCK_READ_BYTES];
-  http_connection *c = (http_connection *)k;
-  int r = conn_rx(c, p, n);
-  for (int i = 0; !r && n >= SOCK_READ_BYTES && i < READS_MOST && !conn_reading_paused(c); i++) {
-    ssize_t got = recv(k->fd, more, SOCK_READ_BYTES, MSG_DONTWAIT);
-    if (got < 0 && (errno == EAGAIN || errno == EINTR))
+/* libwebsockets reads once a turn; what is there beyond its buffer is read here */
+static int on_read(sock *sock, const char *bytes, size_t length) {
+  static _Thread_local char buffer[SOCK_READ_BYTES];
+  http_connection *connection = (http_connection *)sock;
+  const http_connection_callbacks *callbacks = connection->callbacks;
+  int result = callbacks->on_read(connection, bytes, length);
+  for (int i = 0; !result && length >= SOCK_READ_BYTES && i < MORE_READS_MAX; i++) {
+    if (callbacks->is_reading_paused(connection))
+      break;
+    ssize_t count = recv(sock->fd, buffer, SOCK_READ_BYTES, MSG_DONTWAIT);
+    if (count < 0 && (errno == EAGAIN || errno == EINTR))
       return 0;
-    if (got <= 0)
+    if (count <= 0)
       return -1;
-    n = (size_t)got;
-    r = conn_rx(c, more, n);
+    length = (size_t)count;
+    result = callbacks->on_read(connection, buffer, length);
   }
-  return r;
+  return result;
 }
 
-static int conn_room(sock *k) {
-  http_connection *c = (http_connection *)k;
-  return c->kind == CONNECTION_SERVER ? server_write((server_connection *)c)
-                                      : client_write((client_connection *)c);
+static int on_writable(sock *sock) {
+  http_connection *connection = (http_connection *)sock;
+  return connection->callbacks->on_writable(connection);
+}
+
+bool http_connection_adopt(http_engine *http, http_connection *connection, int fd, bool listening,
+                           const http_connection_callbacks *callbacks) {
+  connection->sock =
+      (sock){ .fd = fd, .on_read = on_read, .on_writable = on_writable, .on_closed = on_closed };
+  connection->http = http;
+  connection->callbacks = callbacks;
+  connection->deadline = connection->timer_at = time_never();
+  return sock_watch(&connection->sock, http->vhost, listening);
+}
+
+/* the bytes of the parts behind those that were sent */
+static GString *copy_rest(const struct iovec *parts, int count, size_t total, size_t sent) {
+  GString *rest = g_string_sized_new(total - sent + 1);
+  for (int i = 0; i < count; i++) {
+    size_t skipped = MIN(sent, parts[i].iov_len);
+    sent -= skipped;
+    g_string_append_len(rest, (const char *)parts[i].iov_base + skipped,
+                        (gssize)(parts[i].iov_len - skipped));
+  }
+  return rest;
 }
 
-/* what is to be done when the timer of a connection fires; -1 to close */
-static int connection_timed_out(http_connection *conn) {
-  if (conn->kind == CONNECTION_LISTENER) {
-    sock_set_reading(&conn->sim, true);
+ssize_t http_connection_send(http_connection *connection, const struct iovec *parts, int count) {
+  size_t total = 0;
+  for (int i = 0; i < count; i++)
+    total += parts[i].iov_len;
+  struct msghdr message = { .msg_iov = (struct iovec *)parts, .msg_iovlen = (size_t)count };
+  ssize_t result;
+  do
+    result = sendmsg(connection->sock.fd, &message, MSG_NOSIGNAL | MSG_DONTWAIT);
+  while (result < 0 && errno == EINTR);
+  if (result < 0 && errno != EAGAIN)
+    return -1;
+  size_t sent = result < 0 ? 0 : (size_t)result;
+  if (sent < total) {
+    sock_request_writable(&connection->sock);
+    connection->pending_output = copy_rest(parts, count, total, sent);
+    connection->pending_output_offset = 0;
+  }
+  return (ssize_t)sent;
+}
+
+int http_connection_flush(http_connection *connection) {
+  GString *output = connection->pending_output;
+  if (!output)
+    return 0;
+  size_t *offset = &connection->pending_output_offset;
+  ssize_t sent;
+  do
+    sent = send(connection->sock.fd, output->str + *offset, output->len - *offset,
+                MSG_NOSIGNAL | MSG_DONTWAIT);
+  while (sent < 0 && errno == EINTR);
+  if (sent < 0 && errno != EAGAIN)
+    return -1;
+  if (sent > 0)
+    *offset += (size_t)sent;
+  if (*offset < output->len) {
+    sock_request_writable(&connection->sock);
     return 0;
   }
-  return conn->kind == CONNECTION_SERVER ? server_timed_out((server_connection *)conn) : -1;
+  g_string_free(output, TRUE);
+  connection->pending_output = NULL;
+  return 0;
+}
+
+static int compare_timers(gconstpointer left, gconstpointer right, gpointer context) {
+  (void)context;
+  const http_connection *a = left, *b = right;
+  return a->timer_at.us < b->timer_at.us ? -1 : a->timer_at.us > b->timer_at.us;
 }
 
-static int armed_cmp(gconstpointer a, gconstpointer b, gpointer ctx) {
-  (void)ctx;
-  int64_t x = ((const http_connection *)a)->timer_at.us,
-          y = ((const http_connection *)b)->timer_at.us;
-  return x < y ? -1 : x > y;
+static bool is_never(time_us at) {
+  return time_reached(at, time_never());
 }
 
-/* a timer that is put off keeps its place and is looked at again when it fires, so that putting off
- * costs nothing */
-void connection_set_deadline(http_connection *conn, time_us due) {
-  if (due.us < time_never().us)
-    due.us = (due.us / TIMER_US + 1) * TIMER_US;
-  conn->deadline = due;
-  if (due.us >= time_never().us || (conn->timer && conn->timer_at.us <= due.us))
+/* sees to it that the timer fires at the deadline or before */
+static void arm_timer(http_connection *connection) {
+  time_us deadline = connection->deadline;
+  if (is_never(deadline) || (connection->timer && connection->timer_at.us <= deadline.us))
     return;
-  if (conn->timer)
-    g_sequence_remove(conn->timer);
-  conn->timer_at = due;
-  conn->timer = g_sequence_insert_sorted(conn->http->timers, conn, armed_cmp, NULL);
+  if (connection->timer)
+    g_sequence_remove(connection->timer);
+  connection->timer_at = deadline;
+  connection->timer =
+      g_sequence_insert_sorted(connection->http->timers, connection, compare_timers, NULL);
 }
 
-void connection_set_idle_timeout(http_connection *conn, int64_t ms) {
-  connection_set_deadline(conn, ms > 0 ? time_add(world_now(conn->http->world), time_from_ms(ms))
-                                       : time_never());
+void http_connection_set_deadline(http_connection *connection, time_us deadline) {
+  if (!is_never(deadline))
+    deadline.us = (deadline.us / TIMER_GRANULARITY_US + 1) * TIMER_GRANULARITY_US;
+  connection->deadline = deadline;
+  arm_timer(connection);
 }
 
-bool connection_adopt(http_engine *http, http_connection *conn, int fd, enum connection_kind kind) {
-  conn->sim =
-      (sock){ .fd = fd, .on_read = conn_read, .on_writable = conn_room, .on_closed = conn_closed };
-  conn->http = http;
-  conn->kind = kind;
-  list_init(&conn->dirty);
-  conn->deadline = conn->timer_at = time_never();
-  return sock_watch(&conn->sim, http->vhost, kind == CONNECTION_LISTENER);
+void http_connection_set_timeout(http_connection *connection, int64_t timeout_ms) {
+  time_us deadline = time_never();
+  if (timeout_ms > 0)
+    deadline = time_add(world_now(connection->http->world), time_from_ms(timeout_ms));
+  http_connection_set_deadline(connection, deadline);
 }
 
-ssize_t connection_send(http_connection *conn, struct iovec *v, int n, bool keep) {
-  size_t all = 0;
-  for (int i = 0; i < n; i++)
-    all += v[i].iov_len;
-  struct msghdr m = { .msg_iov = v, .msg_iovlen = (size_t)n };
-  ssize_t k;
-  do
-    k = sendmsg(conn->sim.fd, &m, MSG_NOSIGNAL | MSG_DONTWAIT);
-  while (k < 0 && errno == EINTR);
-  if (k < 0 && errno != EAGAIN)
-    return -1;
-  size_t took = k < 0 ? 0 : (size_t)k;
-  if (took == all)
-    return (ssize_t)took;
-  sock_request_writable(&conn->sim);
-  if (!keep)
-    return (ssize_t)took;
-  conn->pending_output = g_string_sized_new(all - took + 1);
-  conn->pending_output_offset = 0;
-  for (size_t i = 0, skip = took; i < (size_t)n; i++) {
-    size_t s = MIN(skip, v[i].iov_len);
-    skip -= s;
-    g_string_append_len(conn->pending_output, (char *)v[i].iov_base + s,
-                        (gssize)(v[i].iov_len - s));
-  }
-  return (ssize_t)took;
+/* NULL if there is none */
+static http_connection *next_timer(const http_engine *http) {
+  GSequenceIter *first = g_sequence_get_begin_iter(http->timers);
+  return g_sequence_iter_is_end(first) ? NULL : g_sequence_get(first);
 }
 
-int connection_flush(http_connection *conn) {
-  if (!conn->pending_output)
-    return 0;
-  ssize_t k;
-  do
-    k = send(conn->sim.fd, conn->pending_output->str + conn->pending_output_offset,
-             conn->pending_output->len - conn->pending_output_offset, MSG_NOSIGNAL | MSG_DONTWAIT);
-  while (k < 0 && errno == EINTR);
-  if (k < 0 && errno != EAGAIN)
-    return -1;
-  if (k > 0)
-    conn->pending_output_offset += (size_t)k;
-  if (conn->pending_output_offset < conn->pending_output->len) {
-    sock_request_writable(&conn->sim);
-    return 0;
+time_us http_connection_next_timer(const http_engine *http) {
+  const http_connection *connection = next_timer(http);
+  return connection ? connection->timer_at : time_never();
+}
+
+static void on_timer(http_connection *connection, time_us now) {
+  g_sequence_remove(connection->timer);
+  connection->timer = NULL;
+  if (!time_reached(now, connection->deadline)) {
+    arm_timer(connection);
+    return;
   }
-  g_string_free(conn->pending_output, TRUE);
-  conn->pending_output = NULL;
-  return 0;
+  connection->deadline = time_never();
+  if (connection->callbacks->on_timeout(connection))
+    sock_close(&connection->sock);
 }
 
-void connection_run_timers(http_engine *http) {
-  GSequenceIter *it;
-  if (g_sequence_is_empty(http->timers))
+void http_connection_run_timers(http_engine *http) {
+  http_connection *connection = next_timer(http);
+  if (!connection)
     return;
   time_us now = world_now(http->world);
-  while (!g_sequence_iter_is_end(it = g_sequence_get_begin_iter(http->timers))) {
-    http_connection *c = g_sequence_get(it);
-    if (!time_reached(now, c->timer_at))
-      break;
-    g_sequence_remove(it);
-    c->timer = NULL;
-    if (time_reached(now, c->deadline)) {
-      c->deadline = time_never();
-      if (connection_timed_out(c))
-        sock_close(&c->sim);
-    } else if (c->deadline.us < time_never().us) {
-      c->deadline.us -= TIMER_US;
-      connection_set_deadline(c, c->deadline);
-    }
-  }
+  for (; connection && time_reached(now, connection->timer_at); connection = next_timer(http))
+    on_timer(connection, now);
 }
--- a/lib/http/http_server.c
+++ b/lib/http/http_server.c
@@ -1,32 +1,101 @@
-/** Listeners, and callers' connections: requests are read whole, served by a task, and answered in
- * the order in which they came. */
+/** Listeners of the HTTP engine: see http_server.h. */
 #define _GNU_SOURCE
-#include "http_internal.h"
+#include "http_server.h"
+#include "http_connection.h"
+#include "http_engine_state.h"
+#include "http_framing.h"
 #include <arpa/inet.h>
 #include <errno.h>
+#include <netinet/in.h>
 #include <netinet/tcp.h>
 #include <stdio.h>
 #include <sys/socket.h>
 #include <unistd.h>
 
 enum {
-  AHEAD_MOST = 16 * 1024,
-  PIECE = 64 * 1024,
+  /* a connection is not read while more pipelined bytes than this are kept */
+  READ_AHEAD_MAX_BYTES = 16 * 1024,
+  /* a response is written in pieces of this size */
+  PIECE_BYTES = 64 * 1024,
+  /* how long a connection that was shut down waits for the caller to close it */
   LINGER_MS = 1000,
-  DISK_STALL_MS = 30000,
-  RETRY_MS = 50,
-  BACKLOG = 4096,
-  BODY_SPANS = 10
+  /* how long a caller may leave the rest of a finished response unread */
+  UNREAD_RESPONSE_TIMEOUT_MS = 30000,
+  /* pause before accepting again when the process is out of descriptors */
+  ACCEPT_RETRY_MS = 50,
+  LISTEN_BACKLOG = 4096,
+  /* a body that goes on coming may take so many times the listener's header_timeout_ms */
+  BODY_TIMEOUT_FACTOR = 10
 };
 
-static http_exchange *visit_new(server_connection *server) {
-  http_engine *http = server->conn.http;
-  http_exchange *v = g_new0(http_exchange, 1);
-  http_request *request = &v->request;
-  v->node = server;
-  server->visit = v;
-  v->first_byte_at = world_now(http->world);
-  v->url = g_string_sized_new(64);
+typedef struct http_exchange http_exchange;
+
+/** A listening socket; http_listener.impl. */
+typedef struct listener_socket {
+  http_connection connection;
+  http_listener *listener;
+} listener_socket;
+
+/** A caller's connection. */
+typedef struct server_connection {
+  http_connection connection;
+  http_listener *listener;
+  /** In http->servers; in http->unflushed_servers. */
+  list_node all, unflushed;
+  /** The request that is being read or served; NULL between requests. */
+  http_exchange *exchange;
+  http_parser parser;
+  /** Bytes behind the present request; NULL: none. */
+  GString *read_ahead;
+  struct sockaddr_in client_sockaddr;
+  unsigned request_count;
+  bool reading_paused;
+  /** No more requests are taken; and all has been written, and the sending side is shut down. */
+  bool closing, lingering;
+} server_connection;
+
+/** A request and its response. */
+struct http_exchange {
+  /** First, so that http_request_free frees the exchange. */
+  http_request request;
+  /** NULL once the connection is done with it. */
+  server_connection *server;
+
+  /** Reading. The target, until the head has been read. */
+  GString *url;
+  head_scan scan;
+  chunk_check chunk;
+  field_reader field_reader;
+  size_t head_bytes;
+  time_us first_byte_at;
+  bool head_read, expects_continue;
+  /** The status with which it is refused; 0: it isn't. */
+  int fault_status;
+
+  /** It was read in full and handed to its task; the task is over. */
+  bool in_progress, served;
+
+  /** Writing. How the response is framed, settled with its head. */
+  bool head_sent, is_chunked, has_no_body, close_after;
+  /** All of it was written, or is pending output. */
+  bool output_complete;
+};
+
+/* ---- exchanges ---- */
+
+static void format_client_address(const struct sockaddr_in *sockaddr, char *to, size_t size) {
+  uint32_t ip = ntohl(sockaddr->sin_addr.s_addr);
+  snprintf(to, size, "%u.%u.%u.%u:%u", ip >> 24, ip >> 16 & 255, ip >> 8 & 255, ip & 255,
+           ntohs(sockaddr->sin_port));
+}
+
+static void begin_exchange(server_connection *server) {
+  http_engine *http = server->connection.http;
+  http_exchange *exchange = g_new0(http_exchange, 1);
+  exchange->server = server;
+  exchange->first_byte_at = world_now(http->world);
+  exchange->url = g_string_sized_new(64);
+  http_request *request = &exchange->request;
   request->world = http->world;
   request->listener = server->listener;
   request->connection_request_number = ++server->request_count;
@@ -34,86 +103,144 @@
   request->pending_output = g_string_new(NULL);
   request->fields = g_string_sized_new(256);
   request->response_fields = g_string_new(NULL);
-  request->impl = v;
+  request->impl = exchange;
   condition_init(&request->drained);
-  uint32_t ip = ntohl(server->client_sockaddr.sin_addr.s_addr);
-  snprintf(request->client_address, sizeof request->client_address, "%u.%u.%u.%u:%u", ip >> 24,
-           ip >> 16 & 255, ip >> 8 & 255, ip & 255, ntohs(server->client_sockaddr.sin_port));
+  format_client_address(&server->client_sockaddr, request->client_address,
+                        sizeof request->client_address);
   http_parser_init(&server->parser, HTTP_REQUEST);
   server->parser.data = server;
-  return v;
+  server->exchange = exchange;
+}
+
+static void exchange_free(http_exchange *exchange) {
+  if (exchange->url)
+    g_string_free(exchange->url, TRUE);
+  http_request_free(&exchange->request);
+}
+
+/* the connection is done with an exchange that is in progress, because it was answered or the
+ * caller is gone */
+static void leave_exchange(server_connection *server, bool client_gone) {
+  http_exchange *exchange = server->exchange;
+  http_request *request = &exchange->request;
+  server->listener->pending_exchanges--;
+  server->exchange = NULL;
+  exchange->server = NULL;
+  if (client_gone) {
+    request->client_gone = true;
+    condition_broadcast(&request->drained);
+    if (request->client_gone_condition)
+      condition_broadcast(request->client_gone_condition);
+  }
+  if (exchange->served)
+    exchange_free(exchange);
+}
+
+static void serve_run(void *context) {
+  http_exchange *exchange = context;
+  http_request *request = &exchange->request;
+  if (!request->world->tasks.stopped)
+    request->listener->serve(request->listener->serve_context, request);
+  if (!request->response_ended)
+    http_request_end(request, false);
+  exchange->served = true;
+  if (!exchange->server)
+    exchange_free(exchange);
+}
+
+static int start_serving(server_connection *server) {
+  http_exchange *exchange = server->exchange;
+  world *world = server->connection.http->world;
+  if (world->tasks.stopped)
+    return CONNECTION_CLOSE;
+  exchange->in_progress = true;
+  exchange->request.received_at = world_now(world);
+  server->listener->pending_exchanges++;
+  server->listener->requests_received++;
+  http_connection_set_deadline(&server->connection, time_never());
+  task_start(&world->tasks, "serve", serve_run, exchange);
+  return CONNECTION_KEEP;
+}
+
+/* ---- requests: http-parser's callbacks ---- */
+
+static http_exchange *exchange_of(const http_parser *parser) {
+  return ((const server_connection *)parser->data)->exchange;
 }
 
-static void visit_free(http_exchange *visit) {
-  if (visit->url)
-    g_string_free(visit->url, TRUE);
-  http_request_free(&visit->request);
+static size_t body_max_bytes(const server_connection *server) {
+  size_t bound = server->listener->body_max_bytes;
+  return bound ? bound : server->connection.http->world->body_max_bytes;
 }
 
-static size_t body_most(const server_connection *server) {
-  return server->listener->body_max_bytes ? server->listener->body_max_bytes
-                                          : server->conn.http->world->body_max_bytes;
+static int refuse(http_exchange *exchange, int status) {
+  exchange->fault_status = status;
+  return -1;
 }
 
-static int on_url(http_parser *p, const char *at, size_t n) {
-  g_string_append_len(((server_connection *)p->data)->visit->url, at, (gssize)n);
+static int on_url(http_parser *parser, const char *bytes, size_t length) {
+  g_string_append_len(exchange_of(parser)->url, bytes, (gssize)length);
   return 0;
 }
 
-static int on_name(http_parser *p, const char *at, size_t n) {
-  http_exchange *visit = ((server_connection *)p->data)->visit;
-  if (!visit->head_read)
-    field_append(visit->request.fields, &visit->last_field_kind, 'n', at, n);
+/* fields behind the body (trailers) are dropped */
+static int on_field_name(http_parser *parser, const char *bytes, size_t length) {
+  http_exchange *exchange = exchange_of(parser);
+  if (!exchange->head_read)
+    field_reader_add_name(&exchange->field_reader, exchange->request.fields, bytes, length);
   return 0;
 }
 
-static int on_value(http_parser *p, const char *at, size_t n) {
-  http_exchange *visit = ((server_connection *)p->data)->visit;
-  if (!visit->head_read)
-    field_append(visit->request.fields, &visit->last_field_kind, 'v', at, n);
+static int on_field_value(http_parser *parser, const char *bytes, size_t length) {
+  http_exchange *exchange = exchange_of(parser);
+  if (!exchange->head_read)
+    field_reader_add_value(&exchange->field_reader, exchange->request.fields, bytes, length);
   return 0;
 }
 
-/* the name without its port, in lower case */
-static char *host_of(string_view s) {
-  size_t n = s.length;
-  if (n && *s.data == '[') {
-    const char *e = memchr(s.data, ']', n);
-    if (e)
-      n = (size_t)(e - s.data) + 1;
-  } else {
-    const char *e = memchr(s.data, ':', n);
-    if (e)
-      n = (size_t)(e - s.data);
-  }
-  return g_ascii_strdown(s.data, (gssize)n);
+/* the name without its port, in lower case; the caller frees it */
+static char *host_of(string_view authority) {
+  size_t length = authority.length;
+  bool is_ipv6 = length && *authority.data == '[';
+  const char *end = length ? memchr(authority.data, is_ipv6 ? ']' : ':', length) : NULL;
+  if (end)
+    length = (size_t)(end - authority.data) + is_ipv6;
+  return g_ascii_strdown(authority.data, (gssize)length);
+}
+
+static bool equals_ignoring_case(string_view text, const char *to) {
+  return text.length == strlen(to) && !g_ascii_strncasecmp(text.data, to, text.length);
+}
+
+/* the first value of each field counts */
+static void take_known_field(http_headers *known, string_view name, string_view value) {
+  for (int i = 0; i < HEADER_COUNT; i++)
+    if (!known->values[i] && equals_ignoring_case(name, http_header_names[i])) {
+      known->values[i] = g_strndup(value.data, value.length);
+      return;
+    }
 }
 
-static bool read_fields(http_exchange *visit, const http_parser *p) {
-  http_request *request = &visit->request;
+/* False unless there is exactly one Host, which HTTP/1.0 may leave out. */
+static bool read_fields(http_exchange *exchange, const http_parser *parser) {
+  http_request *request = &exchange->request;
   size_t at = 0;
-  string_view k, x;
+  string_view name, value;
   int hosts = 0;
-  while (fields_next(request->fields, &at, &k, &x)) {
-    if (k.length == 4 && !g_ascii_strncasecmp(k.data, "host", 4)) {
+  while (fields_next(request->fields, &at, &name, &value)) {
+    if (equals_ignoring_case(name, "host")) {
       if (!hosts++)
-        request->host = host_of(x);
-    } else if (k.length == 6 && !g_ascii_strncasecmp(k.data, "expect", 6))
-      visit->expects_continue = x.length == 12 && !g_ascii_strncasecmp(x.data, "100-continue", 12);
+        request->host = host_of(value);
+    } else if (equals_ignoring_case(name, "expect"))
+      exchange->expects_continue = equals_ignoring_case(value, "100-continue");
     else
-      for (int i = 0; i < HEADER_COUNT; i++)
-        if (!request->known_fields.values[i] &&
-            !g_ascii_strncasecmp(k.data, http_header_names[i], k.length) &&
-            !http_header_names[i][k.length]) {
-          request->known_fields.values[i] = g_strndup(x.data, x.length);
-          break;
-        }
+      take_known_field(&request->known_fields, name, value);
   }
-  bool eleven = p->http_major == 1 && p->http_minor >= 1;
-  return hosts == 1 || (!hosts && !eleven);
+  bool is_http_1_1 = parser->http_major == 1 && parser->http_minor >= 1;
+  return hosts == 1 || (!hosts && !is_http_1_1);
 }
 
-/* the library lets tabs and form feeds pass, at which others may part a line */
+/* http-parser lets tabs and form feeds pass, at which others may split a line */
 static bool target_is_valid(const char *target) {
   for (const unsigned char *c = (const unsigned char *)target; *c; c++)
     if (*c <= ' ' || *c == 127 || *c == '#')
@@ -121,480 +248,618 @@
   return true;
 }
 
-/* a target with a scheme brings the host that counts */
-static bool read_target(http_exchange *visit) {
-  http_request *request = &visit->request;
-  char *all = g_string_free(visit->url, FALSE), *path = all;
-  visit->url = NULL;
-  if (!target_is_valid(all)) {
-    g_free(all);
-    return false;
-  }
-  if (*all != '/' && strcmp(all, "*")) {
-    char *host = strstr(all, "://");
-    if (!host) {
-      g_free(all);
-      return false;
-    }
-    host += 3;
-    path = host + strcspn(host, "/?");
-    g_free(request->host);
-    request->host = host_of((string_view){ host, (size_t)(path - host) });
-  }
-  request->target = *path == '/' || *path == '*' ? g_strdup(path) : g_strconcat("/", path, NULL);
-  g_free(all);
-  size_t n = strcspn(request->target, "?");
-  request->path = g_strndup(request->target, n);
-  request->query = g_strdup(request->target[n] ? request->target + n + 1 : "");
-  return true;
+/* Splits a target into host and path. A target with a scheme brings the host that counts; NULL if
+ * it is neither a path nor has a scheme. */
+static const char *read_authority(http_request *request, const char *target) {
+  if (*target == '/' || !strcmp(target, "*"))
+    return target;
+  const char *host = strstr(target, "://");
+  if (!host)
+    return NULL;
+  host += strlen("://");
+  const char *path = host + strcspn(host, "/?");
+  g_free(request->host);
+  request->host = host_of((string_view){ host, (size_t)(path - host) });
+  return path;
 }
 
-static int on_head(http_parser *p) {
-  server_connection *server = p->data;
-  http_exchange *visit = server->visit;
-  http_request *request = &visit->request;
-  field_end(request->fields, &visit->last_field_kind);
-  visit->head_read = true;
-  p->upgrade = 0;
-  request->method = g_strdup(http_method_str(p->method));
-  if (p->http_major != 1 || p->method == HTTP_CONNECT || !field_names_are_valid(request->fields) ||
-      !read_fields(visit, p) || !read_target(visit)) {
-    visit->fault = 400;
-    return -1;
-  }
+static void set_target(http_request *request, const char *path) {
+  bool is_rooted = *path == '/' || *path == '*';
+  request->target = is_rooted ? g_strdup(path) : g_strconcat("/", path, NULL);
+  size_t path_length = strcspn(request->target, "?");
+  request->path = g_strndup(request->target, path_length);
+  request->query = g_strdup(request->target[path_length] ? request->target + path_length + 1 : "");
+}
+
+static bool read_target(http_exchange *exchange) {
+  char *url = g_string_free(exchange->url, FALSE);
+  exchange->url = NULL;
+  const char *path = NULL;
+  if (target_is_valid(url))
+    path = read_authority(&exchange->request, url);
+  if (path)
+    set_target(&exchange->request, path);
+  g_free(url);
+  return path != NULL;
+}
+
+static int on_head(http_parser *parser) {
+  server_connection *server = parser->data;
+  http_exchange *exchange = server->exchange;
+  http_request *request = &exchange->request;
+  field_reader_end(&exchange->field_reader, request->fields);
+  exchange->head_read = true;
+  parser->upgrade = 0;
+  request->method = g_strdup(http_method_str(parser->method));
+  if (parser->http_major != 1 || parser->method == HTTP_CONNECT ||
+      !field_names_are_valid(request->fields) || !read_fields(exchange, parser) ||
+      !read_target(exchange))
+    return refuse(exchange, 400);
   if (!request->host)
     request->host = g_strdup("");
-  request->close_connection = !http_should_keep_alive(p);
-  if (p->content_length != UINT64_MAX && p->content_length > body_most(server)) {
-    visit->fault = 413;
-    return -1;
-  }
-  if (p->http_minor == 0)
-    visit->expects_continue = false;
+  request->close_connection = !http_should_keep_alive(parser);
+  bool has_length = parser->content_length != UINT64_MAX;
+  if (has_length && parser->content_length > body_max_bytes(server))
+    return refuse(exchange, 413);
+  if (parser->http_minor == 0)
+    exchange->expects_continue = false;
   return 0;
 }
 
-static int on_body(http_parser *p, const char *at, size_t n) {
-  server_connection *server = p->data;
-  http_exchange *visit = server->visit;
-  if (!chunk_check_data(&visit->chunk, p, at, n)) {
-    visit->fault = 400;
-    return -1;
-  }
-  if (visit->request.body->len + n > body_most(server)) {
-    visit->fault = 413;
-    return -1;
-  }
-  g_string_append_len(visit->request.body, at, (gssize)n);
+static int on_body(http_parser *parser, const char *bytes, size_t length) {
+  server_connection *server = parser->data;
+  http_exchange *exchange = server->exchange;
+  GString *body = exchange->request.body;
+  if (!chunk_check_data(&exchange->chunk, parser, bytes, length))
+    return refuse(exchange, 400);
+  if (body->len + length > body_max_bytes(server))
+    return refuse(exchange, 413);
+  g_string_append_len(body, bytes, (gssize)length);
   return 0;
 }
 
-static const http_parser_settings server_settings = { .on_url = on_url,
-                                                      .on_header_field = on_name,
-                                                      .on_header_value = on_value,
-                                                      .on_headers_complete = on_head,
-                                                      .on_body = on_body,
-                                                      .on_message_complete = on_message_end };
+static const http_parser_settings parser_settings = {
+  .on_url = on_url,
+  .on_header_field = on_field_name,
+  .on_header_value = on_field_value,
+  .on_headers_complete = on_head,
+  .on_body = on_body,
+  .on_message_complete = http_framing_on_message_end,
+};
+
+/* ---- ends of a connection ---- */
+
+static void pause_reading(server_connection *server) {
+  if (server->reading_paused)
+    return;
+  server->reading_paused = true;
+  sock_set_reading(&server->connection.sock, false);
+}
 
-static int server_parse(server_connection *server, const char *p, size_t n);
+static void resume_reading(server_connection *server) {
+  if (!server->reading_paused)
+    return;
+  server->reading_paused = false;
+  sock_set_reading(&server->connection.sock, true);
+}
 
-/* the other side must have read all before the socket is closed, or a reset may destroy it */
-static void server_finish(server_connection *server) {
-  server->conn.closing = true;
-  if (server->conn.pending_output) {
-    connection_set_idle_timeout(&server->conn, DISK_STALL_MS);
+/* Takes no more requests, and lingers once all has been written. */
+static void finish(server_connection *server) {
+  server->closing = true;
+  if (server->connection.pending_output) {
+    http_connection_set_timeout(&server->connection, UNREAD_RESPONSE_TIMEOUT_MS);
     return;
   }
-  shutdown(server->conn.sim.fd, SHUT_WR);
+  shutdown(server->connection.sock.fd, SHUT_WR);
   server->lingering = true;
-  if (server->reading_paused) {
-    server->reading_paused = false;
-    sock_set_reading(&server->conn.sim, true);
-  }
-  connection_set_idle_timeout(&server->conn, LINGER_MS);
+  resume_reading(server);
+  http_connection_set_timeout(&server->connection, LINGER_MS);
 }
 
-static int reject_request(server_connection *server, int status) {
-  static const struct {
-    int status, code;
-    const char *why;
-  } whys[] = { { 400, E_FIELD, "not a proper request" },
-               { 408, E_NO_RESPONSE, "the request did not come whole in time" },
-               { 413, E_TOO_LARGE, "body too large" },
-               { 431, E_TOO_LARGE, "header fields too large" } };
+typedef struct rejection {
+  int status, code;
+  const char *reason;
+} rejection;
+
+static const rejection *find_rejection(int status) {
+  static const rejection rejections[] = {
+    { 400, E_FIELD, "not a proper request" },
+    { 408, E_NO_RESPONSE, "the request did not come whole in time" },
+    { 413, E_TOO_LARGE, "body too large" },
+    { 431, E_TOO_LARGE, "header fields too large" },
+  };
   size_t i = 0;
-  while (i < G_N_ELEMENTS(whys) - 1 && whys[i].status != status)
+  while (i < G_N_ELEMENTS(rejections) - 1 && rejections[i].status != status)
     i++;
-  if (server->visit) {
-    visit_free(server->visit);
-    server->visit = NULL;
+  return &rejections[i];
+}
+
+/* Answers a request that was not read in full, and finishes the connection, since it is not known
+ * where the next request begins. */
+static int reject_request(server_connection *server, int status) {
+  if (server->exchange) {
+    exchange_free(server->exchange);
+    server->exchange = NULL;
   }
-  if (server->conn.pending_output)
-    return -1;
+  if (server->connection.pending_output)
+    return CONNECTION_CLOSE;
+  const rejection *rejection = find_rejection(status);
   char body[128], head[256];
-  int n = snprintf(body, sizeof body, "{\"code\":%d,\"error\":\"%s\"}", whys[i].code, whys[i].why);
-  int m = snprintf(
-      head, sizeof head,
-      "HTTP/1.1 %d %s\r\nContent-Type: application/json\r\nContent-Length: %d\r\nConnection: close\r\n\r\n",
-      status, http_status_str((enum http_status)status), n);
-  struct iovec v[2] = { { head, (size_t)m }, { body, (size_t)n } };
-  if (connection_send(&server->conn, v, 2, true) < 0)
-    return -1;
-  server_finish(server);
-  return 0;
+  int body_length = snprintf(body, sizeof body, "{\"code\":%d,\"error\":\"%s\"}", rejection->code,
+                             rejection->reason);
+  int head_length = snprintf(head, sizeof head,
+                             "HTTP/1.1 %d %s\r\n"
+                             "Content-Type: application/json\r\n"
+                             "Content-Length: %d\r\n"
+                             "Connection: close\r\n\r\n",
+                             status, http_status_str((enum http_status)status), body_length);
+  struct iovec parts[2] = { { head, (size_t)head_length }, { body, (size_t)body_length } };
+  if (http_connection_send(&server->connection, parts, 2) < 0)
+    return CONNECTION_CLOSE;
+  finish(server);
+  return CONNECTION_KEEP;
 }
 
-static void serve_task(void *p) {
-  http_exchange *visit = p;
-  http_request *request = &visit->request;
-  if (!request->world->tasks.stopped)
-    request->listener->serve(request->listener->serve_context, request);
-  if (!request->response_ended)
-    http_request_end(request, false);
-  visit->served = true;
-  if (!visit->node)
-    visit_free(visit);
-}
+/* ---- reading ---- */
 
-static void server_keep(server_connection *server, const char *p, size_t n) {
-  if (!n)
+static void keep_read_ahead(server_connection *server, const char *bytes, size_t length) {
+  if (!length)
     return;
   if (!server->read_ahead)
-    server->read_ahead = g_string_sized_new(n + 1);
-  g_string_append_len(server->read_ahead, p, (gssize)n);
-  if (server->read_ahead->len > AHEAD_MOST && !server->reading_paused) {
-    server->reading_paused = true;
-    sock_set_reading(&server->conn.sim, false);
+    server->read_ahead = g_string_sized_new(length + 1);
+  g_string_append_len(server->read_ahead, bytes, (gssize)length);
+  if (server->read_ahead->len > READ_AHEAD_MAX_BYTES)
+    pause_reading(server);
+}
+
+static int send_continue(server_connection *server) {
+  static const char text[] = "HTTP/1.1 100 Continue\r\n\r\n";
+  struct iovec part = { (char *)text, sizeof text - 1 };
+  server->exchange->expects_continue = false;
+  if (server->connection.pending_output)
+    return CONNECTION_KEEP;
+  return http_connection_send(&server->connection, &part, 1) < 0 ? CONNECTION_CLOSE
+                                                                 : CONNECTION_KEEP;
+}
+
+/* A head must have come in full within the listener's timeout. A body may take as long after each
+ * of its pieces, up to a multiple in all. */
+static void set_request_deadline(server_connection *server) {
+  const http_exchange *exchange = server->exchange;
+  int64_t timeout_ms = server->listener->header_timeout_ms;
+  if (timeout_ms <= 0) {
+    http_connection_set_deadline(&server->connection, time_never());
+    return;
+  }
+  time_us deadline = time_add(exchange->first_byte_at, time_from_ms(timeout_ms));
+  if (exchange->head_read) {
+    time_us max = time_add(exchange->first_byte_at, time_from_ms(timeout_ms * BODY_TIMEOUT_FACTOR));
+    deadline = time_add(world_now(server->connection.http->world), time_from_ms(timeout_ms));
+    if (deadline.us > max.us)
+      deadline = max;
   }
+  http_connection_set_deadline(&server->connection, deadline);
 }
 
-static int serve(server_connection *server) {
-  http_exchange *visit = server->visit;
-  world *world = server->conn.http->world;
-  if (world->tasks.stopped)
-    return -1;
-  visit->in_hand = true;
-  visit->request.received_at = world_now(world);
-  server->listener->pending_exchanges++;
-  server->listener->requests_received++;
-  connection_set_deadline(&server->conn, time_never());
-  task_start(&world->tasks, "serve", serve_task, visit);
-  return 0;
+/* all bytes were parsed, and the request needs more */
+static int wait_for_more(server_connection *server) {
+  const http_exchange *exchange = server->exchange;
+  if (!exchange)
+    return CONNECTION_KEEP;
+  if (exchange->head_read && exchange->expects_continue && send_continue(server))
+    return CONNECTION_CLOSE;
+  set_request_deadline(server);
+  return CONNECTION_KEEP;
 }
 
-static int server_parse(server_connection *server, const char *p, size_t n) {
-  size_t most =
-      server->listener->header_max_bytes ? server->listener->header_max_bytes : HEAD_BYTES_MAX;
-  bool body = false;
-  while (n) {
-    if (!server->visit) {
-      while (n && (*p == '\r' || *p == '\n')) {
-        p++;
-        n--;
-      }
-      if (!n)
-        break;
-      visit_new(server);
+/* how many of the bytes may be parsed at once: up to the bound on the head, while that is read */
+static size_t parsable_bytes(const server_connection *server, size_t length) {
+  const http_exchange *exchange = server->exchange;
+  size_t head_max = server->listener->header_max_bytes;
+  if (!head_max)
+    head_max = HEAD_MAX_BYTES;
+  if (exchange->head_read || exchange->head_bytes + length <= head_max)
+    return length;
+  return head_max > exchange->head_bytes ? head_max - exchange->head_bytes : 0;
+}
+
+/* Parses bytes of a request. Returns 0, or the status with which it is refused; *used tells how
+ * many bytes were parsed, and *ended whether the request ends with them. */
+static int parse(server_connection *server, const char *bytes, size_t length, size_t *used,
+                 bool *ended) {
+  http_exchange *exchange = server->exchange;
+  size_t parsable = parsable_bytes(server, length);
+  *used = 0;
+  *ended = false;
+  if (!parsable)
+    return 431;
+  bool had_head = exchange->head_read;
+  exchange->chunk.position = bytes;
+  *used = http_parser_execute(&server->parser, &parser_settings, bytes, parsable);
+  if (!had_head)
+    exchange->head_bytes += *used;
+  enum http_errno error_number = HTTP_PARSER_ERRNO(&server->parser);
+  if (exchange->fault_status)
+    return exchange->fault_status;
+  if (head_scan_finds_folding(&exchange->scan, bytes, *used) ||
+      !chunk_check_line_end(&exchange->chunk, bytes + *used))
+    return 400;
+  if (error_number == HPE_PAUSED) {
+    *ended = true;
+    return 0;
+  }
+  return error_number == HPE_OK && *used == parsable ? 0 : 400;
+}
+
+static int parse_requests(server_connection *server, const char *bytes, size_t length) {
+  while (length) {
+    /* line ends between requests are skipped */
+    if (!server->exchange && (*bytes == '\r' || *bytes == '\n')) {
+      bytes++;
+      length--;
+      continue;
     }
-    http_exchange *v = server->visit;
-    size_t take = n;
-    if (!v->head_read && v->head_length + take > most)
-      take = most > v->head_length ? most - v->head_length : 0;
-    if (!take)
-      return reject_request(server, 431);
-    body = v->head_read;
-    v->chunk.position = p;
-    size_t used = http_parser_execute(&server->parser, &server_settings, p, take);
-    if (!body)
-      v->head_length += used;
-    enum http_errno bad = HTTP_PARSER_ERRNO(&server->parser);
-    if (!v->fault &&
-        (head_is_folded(&v->scan, p, used) || !chunk_end_is_valid(&v->chunk, p + used)))
-      v->fault = 400;
-    p += used;
-    n -= used;
-    if (v->fault)
-      return reject_request(server, v->fault);
-    if (bad == HPE_PAUSED) {
-      server_keep(server, p, n);
-      return serve(server);
+    if (!server->exchange)
+      begin_exchange(server);
+    size_t used;
+    bool ended;
+    int fault_status = parse(server, bytes, length, &used, &ended);
+    if (fault_status)
+      return reject_request(server, fault_status);
+    bytes += used;
+    length -= used;
+    if (ended) {
+      keep_read_ahead(server, bytes, length);
+      return start_serving(server);
     }
-    if (bad != HPE_OK || used != take)
-      return reject_request(server, 400);
   }
-  http_exchange *v = server->visit;
-  if (!v)
-    return 0;
-  if (v->head_read && v->expects_continue) {
-    static const char go[] = "HTTP/1.1 100 Continue\r\n\r\n";
-    v->expects_continue = false;
-    struct iovec i = { (char *)go, sizeof go - 1 };
-    if (!server->conn.pending_output && connection_send(&server->conn, &i, 1, true) < 0)
-      return -1;
+  return wait_for_more(server);
+}
+
+static int on_read(http_connection *connection, const char *bytes, size_t length) {
+  server_connection *server = (server_connection *)connection;
+  if (server->closing)
+    return CONNECTION_KEEP;
+  if (server->exchange && server->exchange->in_progress) {
+    keep_read_ahead(server, bytes, length);
+    return CONNECTION_KEEP;
   }
-  /* a body that goes on coming may take longer than the head, up to a bound */
-  if (server->listener->header_timeout_ms > 0) {
-    time_us due = time_add(v->first_byte_at, time_from_ms(server->listener->header_timeout_ms)),
-            most_due = time_add(v->first_byte_at,
-                                time_from_ms(server->listener->header_timeout_ms * BODY_SPANS));
-    if (v->head_read) {
-      due = time_add(world_now(server->conn.http->world),
-                     time_from_ms(server->listener->header_timeout_ms));
-      if (due.us > most_due.us)
-        due = most_due;
-    }
-    connection_set_deadline(&server->conn, due);
-  } else
-    connection_set_deadline(&server->conn, time_never());
-  return 0;
+  return parse_requests(server, bytes, length);
 }
 
-int server_receive(server_connection *server, const char *p, size_t n) {
-  if (server->lingering || server->conn.closing)
-    return 0;
-  if (server->visit && server->visit->in_hand) {
-    server_keep(server, p, n);
-    return 0;
+static bool is_reading_paused(const http_connection *connection) {
+  return ((const server_connection *)connection)->reading_paused;
+}
+
+/* ---- writing ---- */
+
+static void append_known_fields(GString *head, const http_headers *headers) {
+  for (int i = 0; i < HEADER_COUNT; i++) {
+    if (!headers->values[i])
+      continue;
+    g_string_append(head, http_header_names[i]);
+    g_string_append(head, ": ");
+    g_string_append(head, headers->values[i]);
+    g_string_append(head, "\r\n");
   }
-  return server_parse(server, p, n);
-}
-
-static void visit_leave(http_exchange *visit, bool gone) {
-  visit->node->listener->pending_exchanges--;
-  visit->node->visit = NULL;
-  visit->node = NULL;
-  if (gone) {
-    visit->request.client_gone = true;
-    condition_broadcast(&visit->request.drained);
-    if (visit->request.client_gone_condition)
-      condition_broadcast(visit->request.client_gone_condition);
+}
+
+/* A response that is complete when its head is written has a length. Others come in chunks, or end
+ * with the connection if the caller speaks HTTP/1.0. */
+static void write_head(http_exchange *exchange, GString *head) {
+  http_request *request = &exchange->request;
+  const server_connection *server = exchange->server;
+  bool is_http_1_0 = server->parser.http_minor == 0;
+  bool is_complete = request->response_ended && request->ended_cleanly;
+  bool status_has_no_body = request->status == 204 || request->status == 304;
+  exchange->has_no_body = status_has_no_body || server->parser.method == HTTP_HEAD;
+  bool is_streamed = !is_complete && !exchange->has_no_body;
+  exchange->is_chunked = is_streamed && !is_http_1_0;
+  exchange->close_after =
+      request->close_connection || server->listener->draining || (is_streamed && is_http_1_0);
+  g_string_append_printf(head, "HTTP/1.1 %d %s\r\n", request->status,
+                         http_status_str((enum http_status)request->status));
+  append_known_fields(head, &request->known_response_fields);
+  if (request->response_fields)
+    g_string_append_len(head, request->response_fields->str, (gssize)request->response_fields->len);
+  size_t length = request->pending_output->len;
+  /* the length of a response to HEAD is sent if its body was made */
+  if (!status_has_no_body && is_complete && (length || !exchange->has_no_body))
+    g_string_append_printf(head, "Content-Length: %zu\r\n", length);
+  else if (exchange->is_chunked)
+    g_string_append(head, "Transfer-Encoding: chunked\r\n");
+  if (exchange->close_after)
+    g_string_append(head, "Connection: close\r\n");
+  else if (is_http_1_0)
+    g_string_append(head, "Connection: keep-alive\r\n");
+  g_string_append(head, "\r\n");
+}
+
+/* what follows a piece of a body in chunks */
+static const char *chunk_tail(size_t length, bool is_last) {
+  if (!is_last)
+    return length ? "\r\n" : "";
+  return length ? "\r\n0\r\n\r\n" : "0\r\n\r\n";
+}
+
+/* writes the head, if it wasn't sent, and a piece of the body */
+static int write_piece(server_connection *server) {
+  http_connection *connection = &server->connection;
+  http_exchange *exchange = server->exchange;
+  http_request *request = &exchange->request;
+  GString *output = request->pending_output, *head = connection->http->scratch;
+  g_string_truncate(head, 0);
+  if (!exchange->head_sent)
+    write_head(exchange, head);
+  exchange->head_sent = true;
+  if (exchange->has_no_body)
+    g_string_truncate(output, 0);
+  size_t length = MIN(output->len, (size_t)PIECE_BYTES);
+  exchange->output_complete =
+      request->response_ended && request->ended_cleanly && length == output->len;
+  if (length && exchange->is_chunked)
+    g_string_append_printf(head, "%zx\r\n", length);
+  const char *tail = exchange->is_chunked ? chunk_tail(length, exchange->output_complete) : "";
+  struct iovec parts[3] = { { head->str, head->len },
+                            { output->str, length },
+                            { (char *)tail, strlen(tail) } };
+  if (http_connection_send(connection, parts, 3) < 0)
+    return CONNECTION_CLOSE;
+  g_string_erase(output, 0, (gssize)length);
+  if (length)
+    condition_broadcast(&request->drained);
+  /* a caller that reads nothing more of what is left must not keep the connection for ever */
+  if (connection->pending_output && exchange->output_complete)
+    http_connection_set_timeout(connection, UNREAD_RESPONSE_TIMEOUT_MS);
+  return CONNECTION_KEEP;
+}
+
+/* The response in progress will never be complete. Where its end would be the connection's, that
+ * must not look like a clean end, so the connection will be reset. The caller closes it. */
+static void abort_response(server_connection *server) {
+  const http_exchange *exchange = server->exchange;
+  if (exchange->head_sent && !exchange->is_chunked) {
+    struct linger reset = { .l_onoff = 1, .l_linger = 0 };
+    setsockopt(server->connection.sock.fd, SOL_SOCKET, SO_LINGER, &reset, sizeof reset);
   }
-  if (visit->served)
-    visit_free(visit);
+  server->listener->requests_aborted++;
 }
 
-/* The answer is over: the next request, which may have come, is read. Whether this process leaves
- * is asked now, since it may have begun to leave after the answer's head was written. A request
- * that was read behind the answer gets an answer of its own. */
-static int server_next(server_connection *server) {
-  bool close = server->visit->close_after || (server->listener->draining && !server->read_ahead);
-  visit_leave(server->visit, false);
+/* The response has been sent; the next request, which may have come, is read. Whether the listener
+ * drains is asked now, since it may have begun after the response's head was written. A request
+ * that was read behind the response gets a response of its own. */
+static int end_exchange(server_connection *server) {
+  bool close = server->exchange->close_after || (server->listener->draining && !server->read_ahead);
+  leave_exchange(server, false);
   if (close) {
-    server_finish(server);
-    return 0;
-  }
-  connection_set_idle_timeout(&server->conn, server->listener->idle_timeout_ms);
-  if (server->reading_paused) {
-    server->reading_paused = false;
-    sock_set_reading(&server->conn.sim, true);
+    finish(server);
+    return CONNECTION_KEEP;
   }
+  http_connection_set_timeout(&server->connection, server->listener->idle_timeout_ms);
+  resume_reading(server);
   if (!server->read_ahead)
-    return 0;
-  GString *g = server->read_ahead;
+    return CONNECTION_KEEP;
+  GString *read_ahead = server->read_ahead;
   server->read_ahead = NULL;
-  int r = server_parse(server, g->str, g->len);
-  g_string_free(g, TRUE);
-  return r;
-}
-
-static void put_head(http_exchange *visit, GString *g) {
-  http_request *request = &visit->request;
-  server_connection *server = visit->node;
-  bool ten = server->parser.http_minor == 0,
-       plain = request->response_ended && request->ended_cleanly;
-  visit->has_no_body =
-      request->status == 204 || request->status == 304 || server->parser.method == HTTP_HEAD;
-  visit->chunked = !plain && !ten && !visit->has_no_body;
-  visit->close_after = request->close_connection || server->listener->draining ||
-                       (!plain && ten && !visit->has_no_body);
-  g_string_append_printf(g, "HTTP/1.1 %d %s\r\n", request->status,
-                         http_status_str((enum http_status)request->status));
-  for (int k = 0; k < HEADER_COUNT; k++)
-    if (request->known_response_fields.values[k]) {
-      g_string_append(g, http_header_names[k]);
-      g_string_append_len(g, ": ", 2);
-      g_string_append(g, request->known_response_fields.values[k]);
-      g_string_append_len(g, "\r\n", 2);
-    }
-  if (request->response_fields)
-    g_string_append_len(g, request->response_fields->str, (gssize)request->response_fields->len);
-  if (request->status != 204 && request->status != 304) {
-    if (plain && !(visit->has_no_body && !request->pending_output->len))
-      g_string_append_printf(g, "Content-Length: %zu\r\n", request->pending_output->len);
-    else if (visit->chunked)
-      g_string_append(g, "Transfer-Encoding: chunked\r\n");
+  int result = parse_requests(server, read_ahead->str, read_ahead->len);
+  g_string_free(read_ahead, TRUE);
+  return result;
+}
+
+enum write_step { STEP_FAILED, STEP_DONE, STEP_NOTHING_TO_DO };
+
+/* one step of what is to be written; more may follow when it is done */
+static enum write_step write_step(server_connection *server) {
+  if (http_connection_flush(&server->connection))
+    return STEP_FAILED;
+  if (server->connection.pending_output)
+    return STEP_NOTHING_TO_DO;
+  if (server->closing && !server->lingering) {
+    finish(server);
+    return STEP_NOTHING_TO_DO;
+  }
+  http_exchange *exchange = server->exchange;
+  if (!exchange || !exchange->in_progress)
+    return STEP_NOTHING_TO_DO;
+  if (exchange->output_complete)
+    return end_exchange(server) ? STEP_FAILED : STEP_DONE;
+  http_request *request = &exchange->request;
+  bool is_broken = request->response_ended && !request->ended_cleanly;
+  bool all_written = exchange->head_sent && !request->pending_output->len;
+  if (is_broken && (!exchange->head_sent || all_written)) {
+    abort_response(server);
+    return STEP_FAILED;
   }
-  if (visit->close_after)
-    g_string_append(g, "Connection: close\r\n");
-  else if (ten)
-    g_string_append(g, "Connection: keep-alive\r\n");
-  g_string_append_len(g, "\r\n", 2);
+  if (!request->response_started || (all_written && !request->response_ended))
+    return STEP_NOTHING_TO_DO;
+  return write_piece(server) ? STEP_FAILED : STEP_DONE;
 }
 
-/* the answer in hand will never be whole; -1, to close */
-static int server_break_off(server_connection *server) {
-  server->listener->requests_aborted++;
-  return -1;
+/* writes what the task has made, as far as the socket takes it */
+static int on_writable(http_connection *connection) {
+  enum write_step step;
+  do
+    step = write_step((server_connection *)connection);
+  while (step == STEP_DONE);
+  return step == STEP_FAILED ? CONNECTION_CLOSE : CONNECTION_KEEP;
 }
 
-int server_write(server_connection *server) {
-  for (;;) {
-    if (connection_flush(&server->conn))
-      return -1;
-    if (server->conn.pending_output)
-      return 0;
-    if (server->conn.closing && !server->lingering) {
-      server_finish(server);
-      return 0;
-    }
-    http_exchange *visit = server->visit;
-    if (!visit || !visit->in_hand)
-      return 0;
-    http_request *request = &visit->request;
-    if (visit->output_complete) {
-      if (server_next(server))
-        return -1;
-      continue;
-    }
-    bool broke = request->response_ended && !request->ended_cleanly;
-    if (broke && !visit->head_sent)
-      return server_break_off(server);
-    if (!request->response_started)
-      return 0;
-    if (visit->head_sent && !request->pending_output->len) {
-      if (broke) {
-        struct linger l = { 1, 0 };
-        if (!visit->chunked)
-          setsockopt(server->conn.sim.fd, SOL_SOCKET, SO_LINGER, &l, sizeof l);
-        return server_break_off(server);
-      }
-      if (!request->response_ended)
-        return 0;
-    }
-    GString *g = server->conn.http->scratch;
-    g_string_truncate(g, 0);
-    if (!visit->head_sent)
-      put_head(visit, g);
-    visit->head_sent = true;
-    if (visit->has_no_body)
-      g_string_truncate(request->pending_output, 0);
-    size_t n = MIN(request->pending_output->len, PIECE);
-    visit->output_complete =
-        request->response_ended && request->ended_cleanly && n == request->pending_output->len;
-    if (n && visit->chunked)
-      g_string_append_printf(g, "%zx\r\n", n);
-    const char *tail = !visit->chunked          ? ""
-                       : visit->output_complete ? n ? "\r\n0\r\n\r\n" : "0\r\n\r\n"
-                       : n                      ? "\r\n"
-                                                : "";
-    struct iovec i[3] = { { g->str, g->len },
-                          { request->pending_output->str, n },
-                          { (char *)tail, strlen(tail) } };
-    if (connection_send(&server->conn, i, 3, true) < 0)
-      return -1;
-    g_string_erase(request->pending_output, 0, (gssize)n);
-    if (n)
-      condition_broadcast(&request->drained);
-    /* a caller that reads nothing more of what is left must not hold us for ever */
-    if (server->conn.pending_output && visit->output_complete)
-      connection_set_idle_timeout(&server->conn, DISK_STALL_MS);
+void http_engine_flush_request(http_engine *http, http_request *request) {
+  server_connection *server = ((http_exchange *)request->impl)->server;
+  if (server && list_is_empty(&server->unflushed))
+    list_append(&http->unflushed_servers, &server->unflushed);
+}
+
+void http_server_flush_all(http_engine *http) {
+  while (!list_is_empty(&http->unflushed_servers)) {
+    server_connection *server =
+        list_item(http->unflushed_servers.next, server_connection, unflushed);
+    list_remove(&server->unflushed);
+    if (on_writable(&server->connection))
+      sock_close(&server->connection.sock);
   }
 }
 
-void listener_accept(listener_socket *l) {
-  http_engine *http = l->conn.http;
+/* ---- the life of a connection ---- */
+
+static int on_timeout(http_connection *connection) {
+  server_connection *server = (server_connection *)connection;
+  bool is_half_read = server->exchange && !server->exchange->in_progress;
+  if (is_half_read && !server->closing)
+    return reject_request(server, 408);
+  return CONNECTION_CLOSE;
+}
+
+static void on_closed(http_connection *connection) {
+  server_connection *server = (server_connection *)connection;
+  server->listener->connections--;
+  list_remove(&server->all);
+  list_remove(&server->unflushed);
+  if (server->exchange && server->exchange->in_progress)
+    leave_exchange(server, true);
+  else if (server->exchange)
+    exchange_free(server->exchange);
+  if (server->read_ahead)
+    g_string_free(server->read_ahead, TRUE);
+}
+
+static const http_connection_callbacks server_callbacks = {
+  .on_read = on_read,
+  .on_writable = on_writable,
+  .on_timeout = on_timeout,
+  .on_closed = on_closed,
+  .is_reading_paused = is_reading_paused,
+};
+
+static void add_server(http_engine *http, http_listener *listener, int fd,
+                       const struct sockaddr_in *client_sockaddr) {
+  int enabled = 1;
+  setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &enabled, sizeof enabled);
+  server_connection *server = g_new0(server_connection, 1);
+  server->listener = listener;
+  server->client_sockaddr = *client_sockaddr;
+  list_init(&server->all);
+  list_init(&server->unflushed);
+  if (!http_connection_adopt(http, &server->connection, fd, false, &server_callbacks)) {
+    g_free(server);
+    return;
+  }
+  listener->connections++;
+  list_append(&http->servers, &server->all);
+  http_connection_set_timeout(&server->connection, listener->idle_timeout_ms);
+}
+
+/* ---- listeners ---- */
+
+static void accept_all(listener_socket *socket) {
+  http_connection *connection = &socket->connection;
   for (;;) {
-    struct sockaddr_in from;
-    socklen_t n = sizeof from;
-    int fd = accept4(l->conn.sim.fd, (struct sockaddr *)&from, &n, SOCK_NONBLOCK | SOCK_CLOEXEC);
-    if (fd < 0 && (errno == EINTR || errno == ECONNABORTED))
+    struct sockaddr_in client_sockaddr;
+    socklen_t size = sizeof client_sockaddr;
+    int fd = accept4(connection->sock.fd, (struct sockaddr *)&client_sockaddr, &size,
+                     SOCK_NONBLOCK | SOCK_CLOEXEC);
+    if (fd >= 0) {
+      add_server(connection->http, socket->listener, fd, &client_sockaddr);
       continue;
-    if (fd < 0) {
-      if (errno == EAGAIN)
-        return;
-      /* no descriptors left: it would be called again at once */
-      sock_set_reading(&l->conn.sim, false);
-      connection_set_idle_timeout(&l->conn, RETRY_MS);
-      return;
     }
-    int one = 1;
-    setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &one, sizeof one);
-    server_connection *s = g_new0(server_connection, 1);
-    s->listener = l->listener;
-    s->client_sockaddr = from;
-    list_init(&s->all);
-    if (!connection_adopt(http, &s->conn, fd, CONNECTION_SERVER)) {
-      g_free(s);
+    if (errno == EINTR || errno == ECONNABORTED)
       continue;
+    if (errno != EAGAIN) {
+      /* no descriptors are left: the socket would be reported as readable again at once */
+      sock_set_reading(&connection->sock, false);
+      http_connection_set_timeout(connection, ACCEPT_RETRY_MS);
     }
-    l->listener->connections++;
-    list_append(&http->servers, &s->all);
-    connection_set_idle_timeout(&s->conn, l->listener->idle_timeout_ms);
+    return;
   }
 }
 
-int http_engine_listener_open(http_engine *http, http_listener *d, error *err) {
-  struct sockaddr_in to = { .sin_family = AF_INET, .sin_port = htons((uint16_t)d->port) };
-  int one = 1;
-  if (inet_pton(AF_INET, d->ip[0] ? d->ip : "0.0.0.0", &to.sin_addr) != 1)
-    return error_set(err, E_LISTEN, "%s is not an address", d->ip);
-  int fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
-  if (fd < 0)
-    return error_set(err, E_LISTEN, "no socket: %s", strerror(errno));
-  setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &one, sizeof one);
-  if (bind(fd, (struct sockaddr *)&to, sizeof to) || listen(fd, BACKLOG)) {
-    error_set(err, E_LISTEN, "can't listen on %s:%d: %s", d->ip, d->port, strerror(errno));
-    close(fd);
-    return E_LISTEN;
+static int on_listener_read(http_connection *connection, const char *bytes, size_t length) {
+  (void)bytes;
+  (void)length;
+  accept_all((listener_socket *)connection);
+  return CONNECTION_KEEP;
+}
+
+static int on_listener_writable(http_connection *connection) {
+  (void)connection;
+  return CONNECTION_KEEP;
+}
+
+static int on_listener_timeout(http_connection *connection) {
+  sock_set_reading(&connection->sock, true);
+  return CONNECTION_KEEP;
+}
+
+static void on_listener_closed(http_connection *connection) {
+  ((listener_socket *)connection)->listener->impl = NULL;
+}
+
+static bool is_listener_reading_paused(const http_connection *connection) {
+  (void)connection;
+  return true;
+}
+
+static const http_connection_callbacks listener_callbacks = {
+  .on_read = on_listener_read,
+  .on_writable = on_listener_writable,
+  .on_timeout = on_listener_timeout,
+  .on_closed = on_listener_closed,
+  .is_reading_paused = is_listener_reading_paused,
+};
+
+/* a listening socket; -1 with err set. Port 0 is replaced by the one that the kernel chose. */
+static int open_listening_socket(const char *ip, int *port, error *err) {
+  struct sockaddr_in sockaddr = { .sin_family = AF_INET, .sin_port = htons((uint16_t)*port) };
+  if (inet_pton(AF_INET, ip, &sockaddr.sin_addr) != 1) {
+    error_set(err, E_LISTEN, "%s is not an address", ip);
+    return -1;
+  }
+  int enabled = 1, fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
+  if (fd < 0) {
+    error_set(err, E_LISTEN, "no socket: %s", strerror(errno));
+    return -1;
   }
-  socklen_t n = sizeof to;
-  if (!d->port && !getsockname(fd, (struct sockaddr *)&to, &n))
-    d->port = ntohs(to.sin_port);
-  listener_socket *l = g_new0(listener_socket, 1);
-  l->listener = d;
-  d->world = http->world;
-  if (!connection_adopt(http, &l->conn, fd, CONNECTION_LISTENER)) {
-    g_free(l);
+  setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &enabled, sizeof enabled);
+  if (bind(fd, (struct sockaddr *)&sockaddr, sizeof sockaddr) || listen(fd, LISTEN_BACKLOG)) {
+    error_set(err, E_LISTEN, "can't listen on %s:%d: %s", ip, *port, strerror(errno));
     close(fd);
+    return -1;
+  }
+  socklen_t size = sizeof sockaddr;
+  if (!*port && !getsockname(fd, (struct sockaddr *)&sockaddr, &size))
+    *port = ntohs(sockaddr.sin_port);
+  return fd;
+}
+
+enum error_code http_engine_listener_open(http_engine *http, http_listener *listener, error *err) {
+  const char *ip = listener->ip[0] ? listener->ip : "0.0.0.0";
+  int fd = open_listening_socket(ip, &listener->port, err);
+  if (fd < 0)
+    return E_LISTEN;
+  listener_socket *socket = g_new0(listener_socket, 1);
+  socket->listener = listener;
+  listener->world = http->world;
+  /* on failure the library has closed the descriptor */
+  if (!http_connection_adopt(http, &socket->connection, fd, true, &listener_callbacks)) {
+    g_free(socket);
     return error_set(err, E_LISTEN, "can't watch the listening socket");
   }
-  d->impl = l;
+  listener->impl = socket;
   return OK;
 }
 
-void http_engine_listener_stop_accepting(http_engine *http, http_listener *d) {
+void http_engine_listener_stop_accepting(http_engine *http, http_listener *listener) {
   (void)http;
-  listener_socket *l = d->impl;
-  if (l)
-    sock_close(&l->conn.sim);
+  listener_socket *socket = listener->impl;
+  if (socket)
+    sock_close(&socket->connection.sock);
 }
 
 void http_engine_listener_close_idle(http_engine *http, http_listener *listener) {
-  list_for_each (s, &http->servers, server_connection, all)
-    if (s->listener == listener && !(s->visit && s->visit->in_hand) && !s->lingering &&
-        !s->conn.pending_output)
-      sock_close(&s->conn.sim);
-}
-
-void http_engine_flush_request(http_engine *http, http_request *request) {
-  server_connection *server = ((http_exchange *)request->impl)->node;
-  if (server && list_is_empty(&server->conn.dirty))
-    list_append(&http->dirty, &server->conn.dirty);
-}
-
-void server_closed(server_connection *server) {
-  server->listener->connections--;
-  list_remove(&server->all);
-  if (server->visit && server->visit->in_hand)
-    visit_leave(server->visit, true);
-  else if (server->visit)
-    visit_free(server->visit);
-  if (server->read_ahead)
-    g_string_free(server->read_ahead, TRUE);
-}
-
-int server_timed_out(server_connection *server) {
-  bool half_read = server->visit && !server->visit->in_hand;
-  return half_read && !server->lingering && !server->conn.closing ? reject_request(server, 408)
-                                                                  : -1;
+  list_for_each (server, &http->servers, server_connection, all) {
+    bool in_progress = server->exchange && server->exchange->in_progress;
+    if (server->listener == listener && !in_progress && !server->lingering &&
+        !server->connection.pending_output)
+      sock_close(&server->connection.sock);
+  }
 }
--- a/lib/membership/peer_channels.c
+++ b/lib/membership/peer_channels.c
@@ -23,8 +23,6 @@
   KEEPALIVE_INTERVAL_S = 5,
   KEEPALIVE_PROBES = 3
 };
-/* results of the library's callbacks */
-enum { KEEP_OPEN = 0, CLOSE = -1 };
 
 typedef struct message {
   list_node link;
@@ -181,7 +179,7 @@
 /* writes one message, since the library allows one write a callback */
 static int outbound_write(outbound *peer, struct lws *wsi) {
   if (list_is_empty(&peer->queue))
-    return KEEP_OPEN;
+    return CONNECTION_KEEP;
   message *next = list_item(peer->queue.next, message, link);
   list_remove(&next->link);
   peer->queued_bytes -= next->length;
@@ -189,10 +187,10 @@
   g_free(next->bytes);
   g_free(next);
   if (written < 0)
-    return CLOSE;
+    return CONNECTION_CLOSE;
   if (!list_is_empty(&peer->queue))
     lws_callback_on_writable(wsi);
-  return KEEP_OPEN;
+  return CONNECTION_KEEP;
 }
 
 static void inbound_destroyed(connection_owner *owner) {
@@ -214,14 +212,14 @@
                         size_t length) {
   world *world = channels->world;
   if (peer->received->len + length > MESSAGE_MAX_BYTES)
-    return CLOSE;
+    return CONNECTION_CLOSE;
   g_string_append_len(peer->received, bytes, (gssize)length);
   if (!lws_is_final_fragment(wsi) || lws_remaining_packet_payload(wsi))
-    return KEEP_OPEN;
+    return CONNECTION_KEEP;
   if (world->on_message && !world->tasks.stopped)
     world->on_message(world->on_message_context, string_view_of_gstring(peer->received));
   g_string_truncate(peer->received, 0);
-  return KEEP_OPEN;
+  return CONNECTION_KEEP;
 }
 
 int peer_channels_event(peer_channels *channels, struct lws *wsi, int reason, void *user, void *in,
@@ -230,18 +228,18 @@
   switch (reason) {
   case LWS_CALLBACK_CLIENT_ESTABLISHED:
     if (!owner)
-      return CLOSE;
+      return CONNECTION_CLOSE;
     ((outbound *)owner)->open = true;
     give_up_silent_channel(wsi);
     lws_callback_on_writable(wsi);
-    return KEEP_OPEN;
+    return CONNECTION_KEEP;
   case LWS_CALLBACK_CLIENT_WRITEABLE:
-    return owner ? outbound_write((outbound *)owner, wsi) : CLOSE;
+    return owner ? outbound_write((outbound *)owner, wsi) : CONNECTION_CLOSE;
   case LWS_CALLBACK_ESTABLISHED:
     inbound_accept(wsi);
-    return KEEP_OPEN;
+    return CONNECTION_KEEP;
   case LWS_CALLBACK_RECEIVE:
-    return owner ? inbound_read(channels, (inbound *)owner, wsi, in, length) : CLOSE;
+    return owner ? inbound_read(channels, (inbound *)owner, wsi, in, length) : CONNECTION_CLOSE;
   default:
     return lws_callback_http_dummy(wsi, (enum lws_callback_reasons)reason, user, in, length);
   }
--- a/lib/runtime/connection_owner.h
+++ b/lib/runtime/connection_owner.h
@@ -29,6 +29,9 @@
   bool opening, destroyed;
 } connection_owner;
 
+/** Results of callbacks for events of a connection, as the library takes them. */
+enum { CONNECTION_KEEP = 0, CONNECTION_CLOSE = -1 };
+
 /** Begins to own a connection that has no owner. */
 void connection_owner_attach(connection_owner *owner, struct lws *wsi);
 /** Ends the ownership: no callback comes any more. Nothing happens when there is no connection. */
--- a/lib/runtime/http_request.h
+++ b/lib/runtime/http_request.h
@@ -37,7 +37,7 @@
    * a default, or no bound on time. */
   size_t header_max_bytes, body_max_bytes;
   int64_t header_timeout_ms, idle_timeout_ms;
-  /** Connections beyond this number are reset; 0: no bound. */
+  /** Connections beyond this number are reset; 0: no bound. Only the emulator's world does that. */
   int connections_max;
   /** Set while the process drains: responses bear "Connection: close", and connections end after
    * the response that is under way, even if its head was sent before. */
--- a/lib/runtime/real_http_client.c
+++ b/lib/runtime/real_http_client.c
@@ -14,8 +14,6 @@
    * this is unread beyond its bound. */
   UNREAD_SLACK_BYTES = 1 << 20
 };
-/* results of the library's callbacks */
-enum { KEEP_OPEN = 0, CLOSE = -1 };
 
 static const uint64_t LENGTH_UNKNOWN = UINT64_MAX;
 
@@ -77,28 +75,28 @@
 
 static int append_head(http_call *call, struct lws *wsi, unsigned char **at, unsigned char *end) {
   if (is_too_late_to_send(call))
-    return CLOSE;
+    return CONNECTION_CLOSE;
   call->sent = true;
   if (!lws_fields_append(wsi, &call->known_request_fields, at, end))
-    return CLOSE;
+    return CONNECTION_CLOSE;
   char length[24];
   snprintf(length, sizeof length, "%zu", call->body->len);
   if (strcmp(call->method, "GET") &&
       lws_add_http_header_by_token(wsi, WSI_TOKEN_HTTP_CONTENT_LENGTH, (unsigned char *)length,
                                    (int)strlen(length), at, end))
-    return CLOSE;
+    return CONNECTION_CLOSE;
   if (call->body->len) {
     lws_client_http_body_pending(wsi, 1);
     lws_callback_on_writable(wsi);
   }
-  return KEEP_OPEN;
+  return CONNECTION_KEEP;
 }
 
 static int write_body_piece(http_call *call, struct lws *wsi) {
   if (is_too_late_to_send(call))
-    return CLOSE;
+    return CONNECTION_CLOSE;
   if (!call->body->len)
-    return KEEP_OPEN;
+    return CONNECTION_KEEP;
   unsigned char buffer[LWS_PRE + PIECE_BYTES];
   size_t length = MIN(call->body->len, (size_t)PIECE_BYTES);
   memcpy(buffer + LWS_PRE, call->body->str, length);
@@ -108,10 +106,10 @@
     lws_client_http_body_pending(wsi, 0);
   enum lws_write_protocol kind = is_last ? LWS_WRITE_HTTP_FINAL : LWS_WRITE_HTTP;
   if (lws_write(wsi, buffer + LWS_PRE, length, kind) < 0)
-    return CLOSE;
+    return CONNECTION_CLOSE;
   if (!is_last)
     lws_callback_on_writable(wsi);
-  return KEEP_OPEN;
+  return CONNECTION_KEEP;
 }
 
 static uint64_t read_content_length(struct lws *wsi, int status) {
@@ -145,16 +143,16 @@
   /* the call may have been cancelled meanwhile, and outgoing freed */
   if (connection_owner_of(wsi) == &outgoing->owner)
     outgoing->reading = false;
-  return result < 0 ? CLOSE : KEEP_OPEN;
+  return result < 0 ? CONNECTION_CLOSE : CONNECTION_KEEP;
 }
 
 static int take_body(http_call *call, const char *bytes, size_t length) {
   g_string_append_len(call->response_body, bytes, (gssize)length);
   call->received_bytes += length;
   if (call->response_body->len > call->response_max_bytes + UNREAD_SLACK_BYTES)
-    return CLOSE;
+    return CONNECTION_CLOSE;
   condition_broadcast(&call->progressed);
-  return KEEP_OPEN;
+  return CONNECTION_KEEP;
 }
 
 static void on_response_end(const outgoing_call *outgoing) {
@@ -173,23 +171,23 @@
   switch (reason) {
   case LWS_CALLBACK_CLIENT_APPEND_HANDSHAKE_HEADER: {
     unsigned char **at = in;
-    return call ? append_head(call, wsi, at, *at + length) : CLOSE;
+    return call ? append_head(call, wsi, at, *at + length) : CONNECTION_CLOSE;
   }
   case LWS_CALLBACK_CLIENT_HTTP_WRITEABLE:
-    return call ? write_body_piece(call, wsi) : CLOSE;
+    return call ? write_body_piece(call, wsi) : CONNECTION_CLOSE;
   case LWS_CALLBACK_ESTABLISHED_CLIENT_HTTP:
     if (!call)
-      return CLOSE;
+      return CONNECTION_CLOSE;
     on_response_head(outgoing, wsi);
-    return KEEP_OPEN;
+    return CONNECTION_KEEP;
   case LWS_CALLBACK_RECEIVE_CLIENT_HTTP:
-    return call ? read_response(outgoing, wsi) : CLOSE;
+    return call ? read_response(outgoing, wsi) : CONNECTION_CLOSE;
   case LWS_CALLBACK_RECEIVE_CLIENT_HTTP_READ:
-    return call ? take_body(call, in, length) : CLOSE;
+    return call ? take_body(call, in, length) : CONNECTION_CLOSE;
   case LWS_CALLBACK_COMPLETED_CLIENT_HTTP:
     if (call)
       on_response_end(outgoing);
-    return CLOSE;
+    return CONNECTION_CLOSE;
   default:
     return lws_callback_http_dummy(wsi, reason, user, in, length);
   }
--- a/lib/runtime/real_http_server.c
+++ b/lib/runtime/real_http_server.c
@@ -13,8 +13,6 @@
   /* a body may pause for no longer */
   BODY_TIMEOUT_S = 10
 };
-/* results of the library's callbacks */
-enum { KEEP_OPEN = 0, CLOSE = -1 };
 enum write_result { WRITE_FAILED = -1, WRITE_UNFINISHED = 0, WRITE_FINISHED = 1 };
 
 /** A request and its response. */
@@ -173,11 +171,11 @@
 static int on_body(const exchange *exchange, const char *bytes, size_t length) {
   http_request *request = exchange->request;
   if (request->too_large)
-    return KEEP_OPEN;
+    return CONNECTION_KEEP;
   if (request->body->len + length > exchange->world->body_max_bytes)
-    return CLOSE;
+    return CONNECTION_CLOSE;
   g_string_append_len(request->body, bytes, (gssize)length);
-  return KEEP_OPEN;
+  return CONNECTION_KEEP;
 }
 
 static void on_body_complete(exchange *exchange, struct lws *wsi) {
@@ -269,16 +267,16 @@
 static int on_writable(exchange **user, struct lws *wsi) {
   switch (write_response(*user)) {
   case WRITE_FAILED:
-    return CLOSE;
+    return CONNECTION_CLOSE;
   case WRITE_UNFINISHED:
-    return KEEP_OPEN;
+    return CONNECTION_KEEP;
   default:
     break;
   }
   /* the rest of a body that is too large is not read */
   bool close = (*user)->request->too_large;
   abandon_current(user);
-  return close || lws_http_transaction_completed(wsi) ? CLOSE : KEEP_OPEN;
+  return close || lws_http_transaction_completed(wsi) ? CONNECTION_CLOSE : CONNECTION_KEEP;
 }
 
 int real_http_server_callback(struct lws *wsi, enum lws_callback_reasons reason, void *user,
@@ -288,23 +286,23 @@
   case LWS_CALLBACK_WSI_DESTROY:
     /* for connections of all protocols: it goes to the first one of the vhost */
     connection_owner_destroyed(wsi);
-    return KEEP_OPEN;
+    return CONNECTION_KEEP;
   case LWS_CALLBACK_HTTP:
     abandon_current(current);
     on_head(lws_context_user(lws_get_context(wsi)), wsi, current);
-    return KEEP_OPEN;
+    return CONNECTION_KEEP;
   case LWS_CALLBACK_HTTP_BODY:
-    return *current ? on_body(*current, in, length) : KEEP_OPEN;
+    return *current ? on_body(*current, in, length) : CONNECTION_KEEP;
   case LWS_CALLBACK_HTTP_BODY_COMPLETION:
     if (*current)
       on_body_complete(*current, wsi);
-    return KEEP_OPEN;
+    return CONNECTION_KEEP;
   case LWS_CALLBACK_HTTP_WRITEABLE:
-    return *current ? on_writable(current, wsi) : KEEP_OPEN;
+    return *current ? on_writable(current, wsi) : CONNECTION_KEEP;
   case LWS_CALLBACK_CLOSED_HTTP:
     if (current)
       abandon_current(current);
-    return KEEP_OPEN;
+    return CONNECTION_KEEP;
   default:
     return lws_callback_http_dummy(wsi, reason, user, in, length);
   }
--- a/lib/runtime/real_world.c
+++ b/lib/runtime/real_world.c
@@ -2,7 +2,7 @@
 #include "real_world.h"
 #include "dial.h"
 #include "fault.h"
-#include "http.h"
+#include "http_engine.h"
 #include "peer_channels.h"
 #include "real_disk.h"
 #include "real_http_client.h"
