--- a/lib/membership/peer_table.h
+++ b/lib/membership/peer_table.h
@@ -13,7 +13,7 @@
  * mistake. A receiver takes over an entry with a higher incarnation, or with the same one and the
  * same nonce, and ignores others. A receiver that hears a restarted peer directly under an
  * incarnation that is not higher than the one it knows sends it that one, because a peer that is
- * held to be gone is in nobody's gossip, and would never learn of its former run otherwise.
+ * declared gone is in nobody's gossip, and would never learn of its former run otherwise.
  *
  * A peer is live, draining (it has announced its end) or gone (the failure detector has declared it
  * dead). A gone peer is live again as soon as it is heard directly. Ten minutes after it was
--- a/tests/log.c
+++ b/tests/log.c
@@ -1,47 +1,49 @@
+/** The log (lib/runtime/log.h): plain lines and lines of JSON. */
 #include "json.h"
 #include "log.h"
 #include "tests.h"
 
-static char *heard;
-static void hear(world *world, const char *line) {
+/* the line that was written last */
+static char *last_line;
+static void keep_line(world *world, const char *line) {
   (void)world;
-  g_free(heard);
-  heard = g_strdup(line);
+  g_free(last_line);
+  last_line = g_strdup(line);
 }
 
-/* given both forms, a sentence with quotes, line ends and a code comes out as one line, and the
- * JSON one can be read back */
+/* In both forms a sentence with quotes, line ends and a code becomes one line, and the one of JSON
+ * can be parsed. */
 static bool logs_have_two_forms(fleet *fleet) {
   host *host = fleet->operator;
   host_start(host);
-  world *w = &host->world;
-  void (*was)(world *, const char *) = w->write_log;
-  w->write_log = hear;
-  logger plain = { w, id_of_text("node-1"), false, false },
-         lines = { w, id_of_text("node-1"), false, true };
+  world *world = &host->world;
+  void (*original_write_log)(struct world *, const char *) = world->write_log;
+  world->write_log = keep_line;
+  logger plain = { world, id_of_text("node-1"), false, false },
+         json_lines = { world, id_of_text("node-1"), false, true };
   log_info(&plain, "gateway", "Refused \"%s\"\nof %s (code %d).", "x", "y", 504);
-  if (!heard || !strstr(heard, "node-1 gateway: Refused \"x\" of y (code 504).") ||
-      strchr(heard, '\n'))
-    violation(fleet, "plain: %s", heard ? heard : "nothing");
-  log_info(&lines, "gateway", "Refused \"%s\"\nof %s (code %d).", "x", "y", 504);
+  if (!last_line || !strstr(last_line, "node-1 gateway: Refused \"x\" of y (code 504).") ||
+      strchr(last_line, '\n'))
+    violation(fleet, "plain: %s", last_line ? last_line : "nothing");
+  log_info(&json_lines, "gateway", "Refused \"%s\"\nof %s (code %d).", "x", "y", 504);
   error err = { 0 };
-  json *json = heard ? json_parse(string_view_of(heard), &err) : NULL;
-  if (!json || strchr(heard, '\n') || strcmp(json_text(json, "node", ""), "node-1") ||
-      strcmp(json_text(json, "part", ""), "gateway") || json_number(json, "code", 0) != 504 ||
-      strcmp(json_text(json, "text", ""), "Refused \"x\"\nof y (code 504)."))
-    violation(fleet, "JSON: %s", heard ? heard : "nothing");
-  json_free(json);
-  log_info(&lines, "gateway", "All is well.");
-  json = json_parse(string_view_of(heard), &err);
-  if (!json || json_get(json, "code"))
-    violation(fleet, "JSON without a code: %s", heard);
-  json_free(json);
-  log_debug(&lines, "gateway", "Not loud.");
-  if (strstr(heard, "Not loud"))
+  json *object = last_line ? json_parse(string_view_of(last_line), &err) : NULL;
+  if (!object || strchr(last_line, '\n') || strcmp(json_text(object, "node", ""), "node-1") ||
+      strcmp(json_text(object, "part", ""), "gateway") || json_number(object, "code", 0) != 504 ||
+      strcmp(json_text(object, "text", ""), "Refused \"x\"\nof y (code 504)."))
+    violation(fleet, "JSON: %s", last_line ? last_line : "nothing");
+  json_free(object);
+  log_info(&json_lines, "gateway", "All is well.");
+  object = json_parse(string_view_of(last_line), &err);
+  if (!object || json_get(object, "code"))
+    violation(fleet, "JSON without a code: %s", last_line);
+  json_free(object);
+  log_debug(&json_lines, "gateway", "Not loud.");
+  if (strstr(last_line, "Not loud"))
     violation(fleet, "debug lines were shown");
-  w->write_log = was;
-  g_free(heard);
-  heard = NULL;
+  world->write_log = original_write_log;
+  g_free(last_line);
+  last_line = NULL;
   return true;
 }
 
