--- a/lib/http/http_engine.h
+++ b/lib/http/http_engine.h
@@ -12,7 +12,9 @@
  *
  *   http_connection.h  what connections have in common: output, one timer
  *   http_framing.h     checks that http-parser leaves out, and fields that come in pieces
- *   http_server.h      listeners and callers' connections
+ *   http_listener.c    listening sockets
+ *   http_server.h      callers' connections
+ *   http_exchange.h    requests as they are read, and their responses
  *   http_client.h      calls and pools of connections
  *
  * Everything runs in the event loop's thread. Tasks write into requests and open calls at any time;
--- a/lib/http/http_server.c
+++ b/lib/http/http_server.c
@@ -1,16 +1,12 @@
-/** Listeners of the HTTP engine: see http_server.h. */
-#define _GNU_SOURCE
+/** Callers' connections of the HTTP engine: see http_server.h. */
 #include "http_server.h"
 #include "http_connection.h"
 #include "http_engine_state.h"
-#include "http_framing.h"
-#include <arpa/inet.h>
-#include <errno.h>
+#include "http_exchange.h"
 #include <netinet/in.h>
 #include <netinet/tcp.h>
 #include <stdio.h>
 #include <sys/socket.h>
-#include <unistd.h>
 
 enum {
   /* a connection is not read while more pipelined bytes than this are kept */
@@ -21,21 +17,10 @@
   LINGER_MS = 1000,
   /* how long a caller may leave the rest of a finished response unread */
   UNREAD_RESPONSE_TIMEOUT_MS = 30000,
-  /* pause before accepting again when the process is out of descriptors */
-  ACCEPT_RETRY_MS = 50,
-  LISTEN_BACKLOG = 4096,
   /* a body that goes on coming may take so many times the listener's header_timeout_ms */
   BODY_TIMEOUT_FACTOR = 10
 };
 
-typedef struct http_exchange http_exchange;
-
-/** A listening socket; http_listener.impl. */
-typedef struct listener_socket {
-  http_connection connection;
-  http_listener *listener;
-} listener_socket;
-
 /** A caller's connection. */
 typedef struct server_connection {
   http_connection connection;
@@ -44,7 +29,6 @@
   list_node all, unflushed;
   /** The request that is being read or served; NULL between requests. */
   http_exchange *exchange;
-  http_parser parser;
   /** Bytes behind the present request; NULL: none. */
   GString *read_ahead;
   struct sockaddr_in client_sockaddr;
@@ -54,68 +38,12 @@
   bool closing, lingering;
 } server_connection;
 
-/** A request and its response. */
-struct http_exchange {
-  /** First, so that http_request_free frees the exchange. */
-  http_request request;
-  /** NULL once the connection is done with it. */
-  server_connection *server;
-
-  /** Reading. The target, until the head has been read. */
-  GString *url;
-  head_scan scan;
-  chunk_check chunk;
-  field_reader field_reader;
-  size_t head_bytes;
-  time_us first_byte_at;
-  bool head_read, expects_continue;
-  /** The status with which it is refused; 0: it isn't. */
-  int fault_status;
-
-  /** It was read in full and handed to its task; the task is over. */
-  bool in_progress, served;
-
-  /** Writing. How the response is framed, settled with its head. */
-  bool head_sent, is_chunked, has_no_body, close_after;
-  /** All of it was written, or is pending output. */
-  bool output_complete;
-};
-
 /* ---- exchanges ---- */
 
-static void format_client_address(const struct sockaddr_in *sockaddr, char *to, size_t size) {
-  uint32_t ip = ntohl(sockaddr->sin_addr.s_addr);
-  snprintf(to, size, "%u.%u.%u.%u:%u", ip >> 24, ip >> 16 & 255, ip >> 8 & 255, ip & 255,
-           ntohs(sockaddr->sin_port));
-}
-
 static void begin_exchange(server_connection *server) {
-  http_engine *http = server->connection.http;
-  http_exchange *exchange = g_new0(http_exchange, 1);
-  exchange->server = server;
-  exchange->first_byte_at = world_now(http->world);
-  exchange->url = g_string_sized_new(64);
-  http_request *request = &exchange->request;
-  request->world = http->world;
-  request->listener = server->listener;
-  request->connection_request_number = ++server->request_count;
-  request->body = g_string_new(NULL);
-  request->pending_output = g_string_new(NULL);
-  request->fields = g_string_sized_new(256);
-  request->response_fields = g_string_new(NULL);
-  request->impl = exchange;
-  condition_init(&request->drained);
-  format_client_address(&server->client_sockaddr, request->client_address,
-                        sizeof request->client_address);
-  http_parser_init(&server->parser, HTTP_REQUEST);
-  server->parser.data = server;
-  server->exchange = exchange;
-}
-
-static void exchange_free(http_exchange *exchange) {
-  if (exchange->url)
-    g_string_free(exchange->url, TRUE);
-  http_request_free(&exchange->request);
+  server->exchange =
+      http_exchange_new(server->listener, ++server->request_count, &server->client_sockaddr);
+  server->exchange->server = server;
 }
 
 /* the connection is done with an exchange that is in progress, because it was answered or the
@@ -133,7 +61,7 @@
       condition_broadcast(request->client_gone_condition);
   }
   if (exchange->served)
-    exchange_free(exchange);
+    http_exchange_free(exchange);
 }
 
 static void serve_run(void *context) {
@@ -145,7 +73,7 @@
     http_request_end(request, false);
   exchange->served = true;
   if (!exchange->server)
-    exchange_free(exchange);
+    http_exchange_free(exchange);
 }
 
 static int start_serving(server_connection *server) {
@@ -162,171 +90,6 @@
   return CONNECTION_KEEP;
 }
 
-/* ---- requests: http-parser's callbacks ---- */
-
-static http_exchange *exchange_of(const http_parser *parser) {
-  return ((const server_connection *)parser->data)->exchange;
-}
-
-static size_t body_max_bytes(const server_connection *server) {
-  size_t bound = server->listener->body_max_bytes;
-  return bound ? bound : server->connection.http->world->body_max_bytes;
-}
-
-static int refuse(http_exchange *exchange, int status) {
-  exchange->fault_status = status;
-  return -1;
-}
-
-static int on_url(http_parser *parser, const char *bytes, size_t length) {
-  g_string_append_len(exchange_of(parser)->url, bytes, (gssize)length);
-  return 0;
-}
-
-/* fields behind the body (trailers) are dropped */
-static int on_field_name(http_parser *parser, const char *bytes, size_t length) {
-  http_exchange *exchange = exchange_of(parser);
-  if (!exchange->head_read)
-    field_reader_add_name(&exchange->field_reader, exchange->request.fields, bytes, length);
-  return 0;
-}
-
-static int on_field_value(http_parser *parser, const char *bytes, size_t length) {
-  http_exchange *exchange = exchange_of(parser);
-  if (!exchange->head_read)
-    field_reader_add_value(&exchange->field_reader, exchange->request.fields, bytes, length);
-  return 0;
-}
-
-/* the name without its port, in lower case; the caller frees it */
-static char *host_of(string_view authority) {
-  size_t length = authority.length;
-  bool is_ipv6 = length && *authority.data == '[';
-  const char *end = length ? memchr(authority.data, is_ipv6 ? ']' : ':', length) : NULL;
-  if (end)
-    length = (size_t)(end - authority.data) + is_ipv6;
-  return g_ascii_strdown(authority.data, (gssize)length);
-}
-
-static bool equals_ignoring_case(string_view text, const char *to) {
-  return text.length == strlen(to) && !g_ascii_strncasecmp(text.data, to, text.length);
-}
-
-/* the first value of each field counts */
-static void take_known_field(http_headers *known, string_view name, string_view value) {
-  for (int i = 0; i < HEADER_COUNT; i++)
-    if (!known->values[i] && equals_ignoring_case(name, http_header_names[i])) {
-      known->values[i] = g_strndup(value.data, value.length);
-      return;
-    }
-}
-
-/* False unless there is exactly one Host, which HTTP/1.0 may leave out. */
-static bool read_fields(http_exchange *exchange, const http_parser *parser) {
-  http_request *request = &exchange->request;
-  size_t at = 0;
-  string_view name, value;
-  int hosts = 0;
-  while (fields_next(request->fields, &at, &name, &value)) {
-    if (equals_ignoring_case(name, "host")) {
-      if (!hosts++)
-        request->host = host_of(value);
-    } else if (equals_ignoring_case(name, "expect"))
-      exchange->expects_continue = equals_ignoring_case(value, "100-continue");
-    else
-      take_known_field(&request->known_fields, name, value);
-  }
-  bool is_http_1_1 = parser->http_major == 1 && parser->http_minor >= 1;
-  return hosts == 1 || (!hosts && !is_http_1_1);
-}
-
-/* http-parser lets tabs and form feeds pass, at which others may split a line */
-static bool target_is_valid(const char *target) {
-  for (const unsigned char *c = (const unsigned char *)target; *c; c++)
-    if (*c <= ' ' || *c == 127 || *c == '#')
-      return false;
-  return true;
-}
-
-/* Splits a target into host and path. A target with a scheme brings the host that counts; NULL if
- * it is neither a path nor has a scheme. */
-static const char *read_authority(http_request *request, const char *target) {
-  if (*target == '/' || !strcmp(target, "*"))
-    return target;
-  const char *host = strstr(target, "://");
-  if (!host)
-    return NULL;
-  host += strlen("://");
-  const char *path = host + strcspn(host, "/?");
-  g_free(request->host);
-  request->host = host_of((string_view){ host, (size_t)(path - host) });
-  return path;
-}
-
-static void set_target(http_request *request, const char *path) {
-  bool is_rooted = *path == '/' || *path == '*';
-  request->target = is_rooted ? g_strdup(path) : g_strconcat("/", path, NULL);
-  size_t path_length = strcspn(request->target, "?");
-  request->path = g_strndup(request->target, path_length);
-  request->query = g_strdup(request->target[path_length] ? request->target + path_length + 1 : "");
-}
-
-static bool read_target(http_exchange *exchange) {
-  char *url = g_string_free(exchange->url, FALSE);
-  exchange->url = NULL;
-  const char *path = NULL;
-  if (target_is_valid(url))
-    path = read_authority(&exchange->request, url);
-  if (path)
-    set_target(&exchange->request, path);
-  g_free(url);
-  return path != NULL;
-}
-
-static int on_head(http_parser *parser) {
-  server_connection *server = parser->data;
-  http_exchange *exchange = server->exchange;
-  http_request *request = &exchange->request;
-  field_reader_end(&exchange->field_reader, request->fields);
-  exchange->head_read = true;
-  parser->upgrade = 0;
-  request->method = g_strdup(http_method_str(parser->method));
-  if (parser->http_major != 1 || parser->method == HTTP_CONNECT ||
-      !field_names_are_valid(request->fields) || !read_fields(exchange, parser) ||
-      !read_target(exchange))
-    return refuse(exchange, 400);
-  if (!request->host)
-    request->host = g_strdup("");
-  request->close_connection = !http_should_keep_alive(parser);
-  bool has_length = parser->content_length != UINT64_MAX;
-  if (has_length && parser->content_length > body_max_bytes(server))
-    return refuse(exchange, 413);
-  if (parser->http_minor == 0)
-    exchange->expects_continue = false;
-  return 0;
-}
-
-static int on_body(http_parser *parser, const char *bytes, size_t length) {
-  server_connection *server = parser->data;
-  http_exchange *exchange = server->exchange;
-  GString *body = exchange->request.body;
-  if (!chunk_check_data(&exchange->chunk, parser, bytes, length))
-    return refuse(exchange, 400);
-  if (body->len + length > body_max_bytes(server))
-    return refuse(exchange, 413);
-  g_string_append_len(body, bytes, (gssize)length);
-  return 0;
-}
-
-static const http_parser_settings parser_settings = {
-  .on_url = on_url,
-  .on_header_field = on_field_name,
-  .on_header_value = on_field_value,
-  .on_headers_complete = on_head,
-  .on_body = on_body,
-  .on_message_complete = http_framing_on_message_end,
-};
-
 /* ---- ends of a connection ---- */
 
 static void pause_reading(server_connection *server) {
@@ -378,7 +141,7 @@
  * where the next request begins. */
 static int reject_request(server_connection *server, int status) {
   if (server->exchange) {
-    exchange_free(server->exchange);
+    http_exchange_free(server->exchange);
     server->exchange = NULL;
   }
   if (server->connection.pending_output)
@@ -452,45 +215,6 @@
   return CONNECTION_KEEP;
 }
 
-/* how many of the bytes may be parsed at once: up to the bound on the head, while that is read */
-static size_t parsable_bytes(const server_connection *server, size_t length) {
-  const http_exchange *exchange = server->exchange;
-  size_t head_max = server->listener->header_max_bytes;
-  if (!head_max)
-    head_max = HEAD_MAX_BYTES;
-  if (exchange->head_read || exchange->head_bytes + length <= head_max)
-    return length;
-  return head_max > exchange->head_bytes ? head_max - exchange->head_bytes : 0;
-}
-
-/* Parses bytes of a request. Returns 0, or the status with which it is refused; *used tells how
- * many bytes were parsed, and *ended whether the request ends with them. */
-static int parse(server_connection *server, const char *bytes, size_t length, size_t *used,
-                 bool *ended) {
-  http_exchange *exchange = server->exchange;
-  size_t parsable = parsable_bytes(server, length);
-  *used = 0;
-  *ended = false;
-  if (!parsable)
-    return 431;
-  bool had_head = exchange->head_read;
-  exchange->chunk.position = bytes;
-  *used = http_parser_execute(&server->parser, &parser_settings, bytes, parsable);
-  if (!had_head)
-    exchange->head_bytes += *used;
-  enum http_errno error_number = HTTP_PARSER_ERRNO(&server->parser);
-  if (exchange->fault_status)
-    return exchange->fault_status;
-  if (head_scan_finds_folding(&exchange->scan, bytes, *used) ||
-      !chunk_check_line_end(&exchange->chunk, bytes + *used))
-    return 400;
-  if (error_number == HPE_PAUSED) {
-    *ended = true;
-    return 0;
-  }
-  return error_number == HPE_OK && *used == parsable ? 0 : 400;
-}
-
 static int parse_requests(server_connection *server, const char *bytes, size_t length) {
   while (length) {
     /* line ends between requests are skipped */
@@ -503,7 +227,7 @@
       begin_exchange(server);
     size_t used;
     bool ended;
-    int fault_status = parse(server, bytes, length, &used, &ended);
+    int fault_status = http_exchange_parse(server->exchange, bytes, length, &used, &ended);
     if (fault_status)
       return reject_request(server, fault_status);
     bytes += used;
@@ -549,10 +273,10 @@
 static void write_head(http_exchange *exchange, GString *head) {
   http_request *request = &exchange->request;
   const server_connection *server = exchange->server;
-  bool is_http_1_0 = server->parser.http_minor == 0;
+  bool is_http_1_0 = exchange->parser.http_minor == 0;
   bool is_complete = request->response_ended && request->ended_cleanly;
   bool status_has_no_body = request->status == 204 || request->status == 304;
-  exchange->has_no_body = status_has_no_body || server->parser.method == HTTP_HEAD;
+  exchange->has_no_body = status_has_no_body || exchange->parser.method == HTTP_HEAD;
   bool is_streamed = !is_complete && !exchange->has_no_body;
   exchange->is_chunked = is_streamed && !is_http_1_0;
   exchange->close_after =
@@ -718,7 +442,7 @@
   if (server->exchange && server->exchange->in_progress)
     leave_exchange(server, true);
   else if (server->exchange)
-    exchange_free(server->exchange);
+    http_exchange_free(server->exchange);
   if (server->read_ahead)
     g_string_free(server->read_ahead, TRUE);
 }
@@ -731,8 +455,8 @@
   .is_reading_paused = is_reading_paused,
 };
 
-static void add_server(http_engine *http, http_listener *listener, int fd,
-                       const struct sockaddr_in *client_sockaddr) {
+void http_server_add(http_engine *http, http_listener *listener, int fd,
+                     const struct sockaddr_in *client_sockaddr) {
   int enabled = 1;
   setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &enabled, sizeof enabled);
   server_connection *server = g_new0(server_connection, 1);
@@ -749,112 +473,6 @@
   http_connection_set_timeout(&server->connection, listener->idle_timeout_ms);
 }
 
-/* ---- listeners ---- */
-
-static void accept_all(listener_socket *socket) {
-  http_connection *connection = &socket->connection;
-  for (;;) {
-    struct sockaddr_in client_sockaddr;
-    socklen_t size = sizeof client_sockaddr;
-    int fd = accept4(connection->sock.fd, (struct sockaddr *)&client_sockaddr, &size,
-                     SOCK_NONBLOCK | SOCK_CLOEXEC);
-    if (fd >= 0) {
-      add_server(connection->http, socket->listener, fd, &client_sockaddr);
-      continue;
-    }
-    if (errno == EINTR || errno == ECONNABORTED)
-      continue;
-    if (errno != EAGAIN) {
-      /* no descriptors are left: the socket would be reported as readable again at once */
-      sock_set_reading(&connection->sock, false);
-      http_connection_set_timeout(connection, ACCEPT_RETRY_MS);
-    }
-    return;
-  }
-}
-
-static int on_listener_read(http_connection *connection, const char *bytes, size_t length) {
-  (void)bytes;
-  (void)length;
-  accept_all((listener_socket *)connection);
-  return CONNECTION_KEEP;
-}
-
-static int on_listener_writable(http_connection *connection) {
-  (void)connection;
-  return CONNECTION_KEEP;
-}
-
-static int on_listener_timeout(http_connection *connection) {
-  sock_set_reading(&connection->sock, true);
-  return CONNECTION_KEEP;
-}
-
-static void on_listener_closed(http_connection *connection) {
-  ((listener_socket *)connection)->listener->impl = NULL;
-}
-
-static bool is_listener_reading_paused(const http_connection *connection) {
-  (void)connection;
-  return true;
-}
-
-static const http_connection_callbacks listener_callbacks = {
-  .on_read = on_listener_read,
-  .on_writable = on_listener_writable,
-  .on_timeout = on_listener_timeout,
-  .on_closed = on_listener_closed,
-  .is_reading_paused = is_listener_reading_paused,
-};
-
-/* a listening socket; -1 with err set. Port 0 is replaced by the one that the kernel chose. */
-static int open_listening_socket(const char *ip, int *port, error *err) {
-  struct sockaddr_in sockaddr = { .sin_family = AF_INET, .sin_port = htons((uint16_t)*port) };
-  if (inet_pton(AF_INET, ip, &sockaddr.sin_addr) != 1) {
-    error_set(err, E_LISTEN, "%s is not an address", ip);
-    return -1;
-  }
-  int enabled = 1, fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
-  if (fd < 0) {
-    error_set(err, E_LISTEN, "no socket: %s", strerror(errno));
-    return -1;
-  }
-  setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &enabled, sizeof enabled);
-  if (bind(fd, (struct sockaddr *)&sockaddr, sizeof sockaddr) || listen(fd, LISTEN_BACKLOG)) {
-    error_set(err, E_LISTEN, "can't listen on %s:%d: %s", ip, *port, strerror(errno));
-    close(fd);
-    return -1;
-  }
-  socklen_t size = sizeof sockaddr;
-  if (!*port && !getsockname(fd, (struct sockaddr *)&sockaddr, &size))
-    *port = ntohs(sockaddr.sin_port);
-  return fd;
-}
-
-enum error_code http_engine_listener_open(http_engine *http, http_listener *listener, error *err) {
-  const char *ip = listener->ip[0] ? listener->ip : "0.0.0.0";
-  int fd = open_listening_socket(ip, &listener->port, err);
-  if (fd < 0)
-    return E_LISTEN;
-  listener_socket *socket = g_new0(listener_socket, 1);
-  socket->listener = listener;
-  listener->world = http->world;
-  /* on failure the library has closed the descriptor */
-  if (!http_connection_adopt(http, &socket->connection, fd, true, &listener_callbacks)) {
-    g_free(socket);
-    return error_set(err, E_LISTEN, "can't watch the listening socket");
-  }
-  listener->impl = socket;
-  return OK;
-}
-
-void http_engine_listener_stop_accepting(http_engine *http, http_listener *listener) {
-  (void)http;
-  listener_socket *socket = listener->impl;
-  if (socket)
-    sock_close(&socket->connection.sock);
-}
-
 void http_engine_listener_close_idle(http_engine *http, http_listener *listener) {
   list_for_each (server, &http->servers, server_connection, all) {
     bool in_progress = server->exchange && server->exchange->in_progress;
--- a/lib/http/http_server.h
+++ b/lib/http/http_server.h
@@ -1,7 +1,7 @@
 #ifndef HTTP_HTTP_SERVER_H
 #define HTTP_HTTP_SERVER_H
 /**
- * Listeners of the HTTP engine, and the connections of their callers.
+ * Callers' connections of the HTTP engine.
  *
  * A connection reads one request at a time (an exchange). When the request has come in full, a task
  * serves it; what the caller sends meanwhile (pipelined requests) is kept, up to a bound beyond
@@ -23,6 +23,11 @@
  */
 #include "http_engine.h"
 
+struct sockaddr_in;
+
+/** Takes over a connection that a listener has accepted. */
+void http_server_add(http_engine *http, http_listener *listener, int fd,
+                     const struct sockaddr_in *client_sockaddr);
 /** Writes what tasks have added to responses since the last call. */
 void http_server_flush_all(http_engine *http);
 #endif
--- a/lib/runtime/http_call.c
+++ b/lib/runtime/http_call.c
@@ -57,22 +57,22 @@
   call->match_value = g_strndup(value.data, value.length);
 }
 
-int http_call_wait(http_call *call, time_us deadline) {
+enum error_code http_call_wait(http_call *call, time_us deadline) {
   while (!call->status && !call->ended && !call->broken) {
     enum wake wake = condition_wait(&call->world->tasks, &call->progressed, deadline);
     if (wake != WAKE_SIGNALLED)
-      return (int)wake;
+      return (enum error_code)wake;
   }
   if (call->status)
     return OK;
   return call->sent ? E_CONNECTION_LOST_AFTER_SEND : E_NOT_CONNECTED;
 }
 
-int http_call_read(http_call *call, GString *to, time_us deadline) {
+enum error_code http_call_read(http_call *call, GString *to, time_us deadline) {
   while (!call->response_body->len && !call->ended && !call->broken) {
     enum wake wake = condition_wait(&call->world->tasks, &call->progressed, deadline);
     if (wake != WAKE_SIGNALLED)
-      return (int)wake;
+      return (enum error_code)wake;
   }
   if (call->response_body->len) {
     g_string_append_len(to, call->response_body->str, (gssize)call->response_body->len);
@@ -82,8 +82,8 @@
   return call->broken ? E_STREAM_BROKEN : E_PEER_GONE;
 }
 
-int http_call_read_all(http_call *call, GString *to, time_us deadline) {
-  int code = http_call_wait(call, deadline);
+enum error_code http_call_read_all(http_call *call, GString *to, time_us deadline) {
+  enum error_code code = http_call_wait(call, deadline);
   if (code)
     return code;
   while (!(code = http_call_read(call, to, deadline)))
@@ -124,7 +124,7 @@
                            time_us timeout, time_us send_deadline, error *err) {
   http_call *call = http_call_open_before(world, address, method, path, headers, body,
                                           FETCH_MAX_BYTES, send_deadline);
-  int code = http_call_read_all(call, to, time_add(world_now(world), timeout));
+  enum error_code code = http_call_read_all(call, to, time_add(world_now(world), timeout));
   int status = call->status;
   if (code) {
     error_set(err, code, "%s %s at %s: %s", method, path, address,
--- a/lib/runtime/http_call.h
+++ b/lib/runtime/http_call.h
@@ -87,13 +87,13 @@
 void http_call_require_field(http_call *call, const char *name, string_view value);
 /** Waits for the status. OK, E_NO_RESPONSE at the deadline, E_STOPPING, E_NOT_CONNECTED, or
  * E_CONNECTION_LOST_AFTER_SEND when bytes may have reached the other side. */
-int http_call_wait(http_call *call, time_us deadline);
+enum error_code http_call_wait(http_call *call, time_us deadline);
 /** Appends what has come of the body since, waiting for some. OK with bytes, E_PEER_GONE at the
  * clean end, E_STREAM_BROKEN, E_NO_RESPONSE at the deadline, E_STOPPING. */
-int http_call_read(http_call *call, GString *to, time_us deadline);
+enum error_code http_call_read(http_call *call, GString *to, time_us deadline);
 /** Waits for the status and appends the full body. OK only if it ended cleanly; E_TOO_LARGE beyond
  * response_max_bytes, otherwise the errors of the two above. */
-int http_call_read_all(http_call *call, GString *to, time_us deadline);
+enum error_code http_call_read_all(http_call *call, GString *to, time_us deadline);
 /** Drops a call, however far it is, and frees it; NULL is allowed. */
 void http_call_close(http_call *call);
 
--- a/lib/runtime/http_request.c
+++ b/lib/runtime/http_request.c
@@ -17,7 +17,7 @@
   request->world->request_flush(request);
 }
 
-int http_request_write(http_request *request, string_view bytes, time_us deadline) {
+enum error_code http_request_write(http_request *request, string_view bytes, time_us deadline) {
   if (request->client_gone)
     return E_PEER_GONE;
   g_string_append_len(request->pending_output, bytes.data, (gssize)bytes.length);
@@ -25,7 +25,7 @@
   while (request->pending_output->len > PENDING_OUTPUT_MAX_BYTES && !request->client_gone) {
     enum wake wake = condition_wait(&request->world->tasks, &request->drained, deadline);
     if (wake != WAKE_SIGNALLED)
-      return (int)wake;
+      return (enum error_code)wake;
   }
   return request->client_gone ? E_PEER_GONE : OK;
 }
--- a/lib/runtime/http_request.h
+++ b/lib/runtime/http_request.h
@@ -105,7 +105,7 @@
 void http_request_begin(http_request *request, int status, const char *type);
 /** Adds to a streamed response, and waits while more than a bound waits to be sent. OK,
  * E_PEER_GONE when the caller is gone, E_NO_RESPONSE at the deadline, E_STOPPING. */
-int http_request_write(http_request *request, string_view bytes, time_us deadline);
+enum error_code http_request_write(http_request *request, string_view bytes, time_us deadline);
 /** Ends a streamed response: cleanly, or so that the caller sees that it is incomplete. */
 void http_request_end(http_request *request, bool clean);
 /** Frees a request and all its texts; for worlds only. */
