--- a/bin/asterfall-controller.c
+++ b/bin/asterfall-controller.c
@@ -1,7 +1,7 @@
 /** asterfall-controller: a controller process, with the operators' API and no control listener. */
 #include "args.h"
 #include "controller.h"
-#include "real.h"
+#include "real_world.h"
 #include <stdio.h>
 
 const char *argp_program_version = "asterfall-controller (asterfall) 0.1";
--- a/bin/asterfall-router.c
+++ b/bin/asterfall-router.c
@@ -2,7 +2,7 @@
  * asterfall-router: runs a router until it has drained after SIGTERM.
  */
 #include "args.h"
-#include "real.h"
+#include "real_world.h"
 #include "router.h"
 #include <stdio.h>
 
--- a/lib/configuration/settings.c
+++ b/lib/configuration/settings.c
@@ -1,5 +1,6 @@
 /** The settings of one process: read from a file or text of JSON, and checked as a whole. */
-#include "node.h"
+#include "settings.h"
+#include "json.h"
 #include <arpa/inet.h>
 #include <stdlib.h>
 #include <unistd.h>
--- a/lib/controlplane/bootstrap.h
+++ b/lib/controlplane/bootstrap.h
@@ -5,11 +5,6 @@
 
 struct replica;
 
-enum {
-  /** The most founders. */
-  FOUNDERS_MAX = 3
-};
-
 /** The founders by address, each once. They are kept in the log until a view is known. */
 typedef struct bootstrap_state {
   int founder_count;
--- a/lib/gateway/canary_trial.h
+++ b/lib/gateway/canary_trial.h
@@ -6,7 +6,7 @@
 #ifndef GATEWAY_CANARY_TRIAL_H
 #define GATEWAY_CANARY_TRIAL_H
 #include "canary.h"
-#include "http.h"
+#include "http_request.h"
 #include "pinned_sessions.h"
 #include "routing.h"
 #include "world.h"
--- a/lib/gateway/forward.h
+++ b/lib/gateway/forward.h
@@ -5,7 +5,7 @@
  * on. */
 #ifndef GATEWAY_FORWARD_H
 #define GATEWAY_FORWARD_H
-#include "http.h"
+#include "http_request.h"
 
 typedef struct gateway gateway;
 
--- a/lib/router/generate_api.h
+++ b/lib/router/generate_api.h
@@ -5,7 +5,7 @@
  * of the policy that matches it (routed_request.h); everything else is a page (router_pages.c).
  */
 #include "config.h"
-#include "http.h"
+#include "http_request.h"
 #include "task.h"
 
 typedef struct router router;
--- a/lib/router/routed_request.h
+++ b/lib/router/routed_request.h
@@ -9,7 +9,7 @@
  */
 #include "config.h"
 #include "engine.h"
-#include "http.h"
+#include "http_request.h"
 
 typedef struct router router;
 
--- a/lib/router/router_pages.h
+++ b/lib/router/router_pages.h
@@ -4,7 +4,7 @@
  * The router's pages: status, engines, peers, journal and metrics; on a gateway also its own
  * status. docs/api.md describes them.
  */
-#include "http.h"
+#include "http_request.h"
 
 typedef struct router router;
 
--- a/tests/doctor/doctor.c
+++ b/tests/doctor/doctor.c
@@ -135,7 +135,7 @@
 }
 
 static void diagnose_refused_messages(fleet *fleet) {
-  fleet->router[2]->router->node.refused_wire_versions = 3;
+  fleet->router[2]->router->node.rpc.refused_wire_versions = 3;
   doctor_says(fleet, D_VERSION, "messages of another version");
 }
 
--- a/tests/member.c
+++ b/tests/member.c
@@ -140,11 +140,11 @@
   uint64_t builds_before = 0, builds_after = 0;
   list_for_each (h, &fleet->sim->hosts, host, link)
     if (node_of(h))
-      builds_before += node_of(h)->ring_builds;
+      builds_before += node_of(h)->ring.build_count;
   sim_run(fleet->sim, time_from_ms(10000));
   list_for_each (h, &fleet->sim->hosts, host, link)
     if (node_of(h))
-      builds_after += node_of(h)->ring_builds;
+      builds_after += node_of(h)->ring.build_count;
   if (builds_after != builds_before)
     violation(fleet, "the ring was built %" PRIu64 " times in ten quiet seconds",
               builds_after - builds_before);
--- a/tests/membership/node.c
+++ b/tests/membership/node.c
@@ -123,7 +123,7 @@
   sim_run(fleet->sim, time_from_ms(3000));
   for (int i = 0; i < fleet->routers; i++)
     if (!config_sync_is_recent(fleet->router[i]->router) ||
-        fleet->router[i]->router->node.refused_wire_versions)
+        fleet->router[i]->router->node.rpc.refused_wire_versions)
       violation(fleet, "%s is left behind", fleet->router[i]->self.text);
   acked_stand(fleet);
   fleet_quiet(fleet);
--- a/tests/membership/peer_channel_sockets.c
+++ b/tests/membership/peer_channel_sockets.c
@@ -1,7 +1,7 @@
 /**
  * Tests of lib/membership/peer_channels.c over real sockets of this process. No fleet is started.
  */
-#include "real.h"
+#include "real_world.h"
 #include "tests.h"
 #include <arpa/inet.h>
 #include <netinet/tcp.h>
