--- a/bench/scale.c
+++ b/bench/scale.c
@@ -58,7 +58,7 @@
   void (*on_post)(void *ctx, string_view msg);
   void (*on_installed)(void *gateway);
   void (*on_engines)(void *gateway, const Wire__ConfigPollResponse *b);
-  node_handler engines_hand;
+  peer_rpc_handler engines_hand;
   void *engines_ctx;
   uint64_t version;
   bool left[LEAVES];
--- a/emulator/deployment.c
+++ b/emulator/deployment.c
@@ -68,7 +68,7 @@
                          .ready_port = READY,
                          .dialect = &dialect_native,
                          .grace_ms = GRACE_S * 1000,
-                         .lease_ms = MEMBER_LEASE_MS,
+                         .lease_ms = DEPLOYMENT_LEASE_MS,
                          .heartbeat_ms = 1200,
                          .retry_ratio = RETRY_RATIO,
                          .retry_slack = RETRY_SLACK,
--- a/emulator/gateway_check.c
+++ b/emulator/gateway_check.c
@@ -616,12 +616,12 @@
       if (id_is_empty(other) || other_at.us < p->at.us)
         continue;
     }
-    if (id_is_empty(other) || order->at.us - other_at.us > MEMBER_LEASE_MS * 1000)
+    if (id_is_empty(other) || order->at.us - other_at.us > DEPLOYMENT_LEASE_MS * 1000)
       continue;
     for (guint k = 0; k < i; k++) {
       em_order *p = all->pdata[k];
       if (id_equal(p->engine, order->engine) && id_equal(p->holder, order->holder) &&
-          p->at.us < other_at.us && order->at.us - p->at.us <= MEMBER_LEASE_MS * 1000) {
+          p->at.us < other_at.us && order->at.us - p->at.us <= DEPLOYMENT_LEASE_MS * 1000) {
         violation(deployment->base, "ONE %s: %s and %s take turns within %.1f s",
                   order->engine.text, order->holder.text, other.text,
                   (double)(order->at.us - p->at.us) / 1e6);
--- a/lib/configuration/canary.h
+++ b/lib/configuration/canary.h
@@ -90,7 +90,7 @@
 typedef struct canary_comparison {
   double requests[CANARY_ARMS], mean_harm[CANARY_ARMS];
   /** A lower bound of the candidate's harm, and an upper one of the control's. */
-  double harm_difference_low, harm_difference_high;
+  double candidate_harm_lower_bound, control_harm_upper_bound;
   /** The candidate does more harm by more than the margin. */
   bool proven;
 } canary_comparison;
--- a/lib/configuration/canary_evaluation.c
+++ b/lib/configuration/canary_evaluation.c
@@ -101,9 +101,9 @@
     sums[arm] = sum_harm(plan, totals->cells[arm], urgent, requests);
     comparison.mean_harm[arm] = *requests > 0 ? sums[arm] / *requests : 0;
   }
-  comparison.harm_difference_high = canary_bound(
+  comparison.control_harm_upper_bound = canary_bound(
       sums[CANARY_ARM_CONTROL], comparison.requests[CANARY_ARM_CONTROL], error / 2, true);
-  comparison.harm_difference_low = canary_bound(
+  comparison.candidate_harm_lower_bound = canary_bound(
       sums[CANARY_ARM_CANDIDATE], comparison.requests[CANARY_ARM_CANDIDATE], error / 2, false);
   comparison.proven =
       has_enough(plan, &comparison) &&
--- a/lib/controlplane/api_error.c
+++ b/lib/controlplane/api_error.c
@@ -55,5 +55,5 @@
   enum http_status status = api_error_status(API_OPERATORS, code);
   if (status == HTTP_UNAVAILABLE)
     http_headers_set(&request->known_response_fields, HEADER_RETRY_AFTER, retry_after_s);
-  http_respond_error(request, status, code, text);
+  http_request_respond_error(request, status, code, text);
 }
--- a/lib/controlplane/bootstrap.c
+++ b/lib/controlplane/bootstrap.c
@@ -110,7 +110,7 @@
     g_strlcpy(address, replica->bootstrap.founder_addresses[index], MEMBER_ADDRESS_SIZE);
     return true;
   }
-  const peer_node *peer = node_find_peer(replica->node, replica->node->settings.founders[index]);
+  const peer_node *peer = peer_table_find(replica->node, replica->node->settings.founders[index]);
   if (!peer || peer->gone)
     return false;
   g_strlcpy(address, peer->address, MEMBER_ADDRESS_SIZE);
@@ -141,8 +141,8 @@
   Wire__Envelope message = wire_envelope(WIRE__ENVELOPE__BODY_BOOTSTRAP_REQUEST, &request);
   Wire__Envelope *response;
   error err = { 0 };
-  if (node_call(replica->node, address, &message, time_from_ms(BOOTSTRAP_TIMEOUT_MS), &response,
-                &err))
+  if (peer_rpc_call(replica->node, address, &message, time_from_ms(BOOTSTRAP_TIMEOUT_MS), &response,
+                    &err))
     return false;
   bool added = false;
   if (response->body_case == WIRE__ENVELOPE__BODY_BOOTSTRAP_RESPONSE) {
@@ -151,7 +151,7 @@
                              &first->chain[first->chain_length]);
     view_change_adopt(replica, bootstrap->view);
   }
-  node_reply_free(response);
+  peer_rpc_message_free(response);
   if (!added || replica->view.epoch)
     return false;
   first->chain_length++;
--- a/lib/controlplane/canary_end.c
+++ b/lib/controlplane/canary_end.c
@@ -88,6 +88,6 @@
 void canary_end_init(canary_end *canary_end, node *node, replica *replica) {
   canary_end->node = node;
   canary_end->replica = replica;
-  node_register_handler(node, WIRE__ENVELOPE__BODY_CANARY_END_REQUEST, handle_canary_end,
-                        canary_end);
+  peer_rpc_register_handler(node, WIRE__ENVELOPE__BODY_CANARY_END_REQUEST, handle_canary_end,
+                            canary_end);
 }
--- a/lib/controlplane/chain_join.c
+++ b/lib/controlplane/chain_join.c
@@ -83,12 +83,12 @@
   Wire__Envelope message = wire_envelope(WIRE__ENVELOPE__BODY_JOIN_REQUEST, &request);
   Wire__Envelope *response;
   error err = { 0 };
-  if (node_call(replica->node, address, &message, time_from_ms(VIEW_REQUEST_TIMEOUT_MS), &response,
-                &err))
+  if (peer_rpc_call(replica->node, address, &message, time_from_ms(VIEW_REQUEST_TIMEOUT_MS),
+                    &response, &err))
     return;
   if (response->body_case == WIRE__ENVELOPE__BODY_JOIN_RESPONSE)
     view_change_adopt(replica, response->join_response->view);
-  node_reply_free(response);
+  peer_rpc_message_free(response);
 }
 
 /* the controller that was heard last, or at times a random one, since what is known of peers may
@@ -167,11 +167,11 @@
   Wire__Envelope message = wire_envelope(WIRE__ENVELOPE__BODY_JOIN_REQUEST, &request);
   for (int i = 0; i < view.voter_count; i++)
     if (!id_equal(view.voters[i].self, controller))
-      node_send(replica->node, view.voters[i].address, &message);
+      peer_rpc_send(replica->node, view.voters[i].address, &message);
   for (int i = 0; i < view.chain_length; i++)
     if (!id_equal(view.chain[i].self, controller) &&
         member_index(view.voters, view.voter_count, &view.chain[i]) < 0)
-      node_send(replica->node, view.chain[i].address, &message);
+      peer_rpc_send(replica->node, view.chain[i].address, &message);
 }
 
 static bool wants_to_join(const replica *replica) {
--- a/lib/controlplane/config_api.c
+++ b/lib/controlplane/config_api.c
@@ -34,7 +34,7 @@
 
 /* True when another controller is not known to be gone or draining. */
 static bool may_serve(const config_api *api, const member *member) {
-  const peer_node *peer = node_find_peer(api->node, member->self);
+  const peer_node *peer = peer_table_find(api->node, member->self);
   return !peer || (!peer->gone && !peer->draining);
 }
 
--- a/lib/controlplane/config_poll.c
+++ b/lib/controlplane/config_poll.c
@@ -153,8 +153,8 @@
   config_poll->node = node;
   config_poll->replica = replica;
   config_poll->registry_sync = registry_sync;
-  node_register_handler(node, WIRE__ENVELOPE__BODY_CONFIG_POLL_REQUEST, handle_config_poll,
-                        config_poll);
+  peer_rpc_register_handler(node, WIRE__ENVELOPE__BODY_CONFIG_POLL_REQUEST, handle_config_poll,
+                            config_poll);
 }
 
 void config_poll_free(config_poll *config_poll) {
--- a/lib/controlplane/controller_drain.c
+++ b/lib/controlplane/controller_drain.c
@@ -118,7 +118,7 @@
   Wire__Envelope envelope = wire_envelope(WIRE__ENVELOPE__BODY_HEARTBEAT, &heartbeat);
   list_for_each (peer, &node->peers, peer_node, link)
     if (!peer->gone)
-      node_send(node, peer->address, &envelope);
+      peer_rpc_send(node, peer->address, &envelope);
 }
 
 void controller_drain(controller *controller) {
--- a/lib/controlplane/controller_status.c
+++ b/lib/controlplane/controller_status.c
@@ -39,7 +39,7 @@
                has_chain ? replica_tail(replica)->address : "");
   write_disk(controller, to);
   json_appendf(to, "\"refused\":%" PRIu64 ",", writes_refused(controller));
-  node_status_json(&controller->node, to);
+  node_append_status_json(&controller->node, to);
   g_string_append_c(to, '}');
 }
 
--- a/lib/controlplane/member_lease.c
+++ b/lib/controlplane/member_lease.c
@@ -124,8 +124,8 @@
   request.hears_nothing = time_reached(now, deaf_at);
   Wire__Envelope message = wire_envelope(WIRE__ENVELOPE__BODY_MEMBER_LEASE_REQUEST, &request);
   error err = { 0 };
-  return node_call(replica->node, requester->voter.address, &message,
-                   time_from_ms(MEMBER_LEASE_REQUEST_TIMEOUT_MS), response, &err);
+  return peer_rpc_call(replica->node, requester->voter.address, &message,
+                       time_from_ms(MEMBER_LEASE_REQUEST_TIMEOUT_MS), response, &err);
 }
 
 /* whether the voter that was asked in an epoch is still the one with this index */
@@ -176,7 +176,7 @@
     return;
   if (response->body_case == WIRE__ENVELOPE__BODY_MEMBER_LEASE_RESPONSE)
     take_response(requester, response->member_lease_response, was_member, epoch, now);
-  node_reply_free(response);
+  peer_rpc_message_free(response);
 }
 
 /* waits until the next request; false when the tasks are stopped */
--- a/lib/controlplane/operator_api.c
+++ b/lib/controlplane/operator_api.c
@@ -14,11 +14,11 @@
 } status_page;
 
 static void write_view(controller *controller, GString *to) {
-  view_json(&controller->replica, to);
+  replica_view_json(&controller->replica, to);
 }
 
 static void write_nodes(controller *controller, GString *to) {
-  node_peers_json(&controller->node, to);
+  peer_table_append_json(&controller->node, to);
 }
 
 static void write_grants(controller *controller, GString *to) {
@@ -62,11 +62,11 @@
 }
 
 static void respond_get_only(http_request *request) {
-  http_respond_error(request, HTTP_METHOD_NOT_ALLOWED, E_METHOD_NOT_ALLOWED, "GET");
+  http_request_respond_error(request, HTTP_METHOD_NOT_ALLOWED, E_METHOD_NOT_ALLOWED, "GET");
 }
 
 static void forward_to_router(controller *controller, http_request *request) {
-  const peer_node *router = node_pick_peer(&controller->node, ROLE_ROUTER, NULL);
+  const peer_node *router = peer_table_pick(&controller->node, ROLE_ROUTER, NULL);
   if (strcmp(request->method, "GET"))
     respond_get_only(request);
   else if (!router)
@@ -102,5 +102,5 @@
   else if (is_router_page(request->path))
     forward_to_router(controller, request);
   else
-    http_respond_error(request, HTTP_NOT_FOUND, E_NOT_FOUND, "there is no such page");
+    http_request_respond_error(request, HTTP_NOT_FOUND, E_NOT_FOUND, "there is no such page");
 }
--- a/lib/controlplane/parallel_call.c
+++ b/lib/controlplane/parallel_call.c
@@ -25,7 +25,7 @@
   if (--call->references)
     return;
   for (int i = 0; i < VOTERS_MAX; i++)
-    node_reply_free(call->responses[i]);
+    peer_rpc_message_free(call->responses[i]);
   g_bytes_unref(call->packed_request);
   g_free(call);
 }
@@ -40,9 +40,9 @@
   error err = { 0 };
   /* a failed call leaves no response, which is all that the caller needs to know */
   if (request)
-    node_call(call->node, call->targets[task->index].address, request, call->timeout, &response,
-              &err);
-  node_reply_free(request);
+    peer_rpc_call(call->node, call->targets[task->index].address, request, call->timeout, &response,
+                  &err);
+  peer_rpc_message_free(request);
   call->responses[task->index] = response;
   call->outstanding--;
   condition_broadcast(&call->changed);
--- a/lib/controlplane/paxos_acceptor.c
+++ b/lib/controlplane/paxos_acceptor.c
@@ -37,7 +37,7 @@
 
 /* whether this process hears a peer, and the peer hears it and wants to stay */
 static bool is_well_connected(const replica *replica, id who) {
-  const peer_node *peer = node_find_peer(replica->node, who);
+  const peer_node *peer = peer_table_find(replica->node, who);
   if (!peer || peer->draining || member_lease_peer_hears_nothing(replica, peer->self))
     return false;
   return !time_reached(world_now(replica->node->world),
--- a/lib/controlplane/registry_sync.c
+++ b/lib/controlplane/registry_sync.c
@@ -56,7 +56,7 @@
   Wire__Envelope envelope = wire_envelope(WIRE__ENVELOPE__BODY_ENGINE_UPDATE, &update);
   list_for_each (peer, &sync->node->peers, peer_node, link)
     if (peer->role == role && !peer->gone)
-      node_send(sync->node, peer->address, &envelope);
+      peer_rpc_send(sync->node, peer->address, &envelope);
 }
 
 static void broadcast_engine(registry_sync *sync, enum role role, const registered_engine *engine) {
@@ -124,12 +124,13 @@
   Wire__Envelope envelope = wire_envelope(WIRE__ENVELOPE__BODY_ENGINE_UPDATE, &request);
   Wire__Envelope *response;
   error err = { 0 };
-  if (node_call(sync->node, address, &envelope, time_from_ms(FETCH_TIMEOUT_MS), &response, &err))
+  if (peer_rpc_call(sync->node, address, &envelope, time_from_ms(FETCH_TIMEOUT_MS), &response,
+                    &err))
     return false;
   bool is_update = response->body_case == WIRE__ENVELOPE__BODY_ENGINE_UPDATE;
   if (is_update)
     merge_update(sync, response->engine_update);
-  node_reply_free(response);
+  peer_rpc_message_free(response);
   return is_update;
 }
 
@@ -293,7 +294,7 @@
   registry_sync *sync = p;
   time_us started_at = world_now(sync->node->world);
   for (;;) {
-    const peer_node *peer = node_pick_peer(sync->node, ROLE_CONTROLLER, NULL);
+    const peer_node *peer = peer_table_pick(sync->node, ROLE_CONTROLLER, NULL);
     /* the peer may go while the task waits for its response */
     char address[48] = "";
     if (peer)
@@ -315,7 +316,7 @@
   condition_init(&sync->registry_changed);
   /* the run of a registry is that of its process */
   engine_registry_init(&sync->registry, node->nonce, world_now(node->world));
-  node_register_handler(node, WIRE__ENVELOPE__BODY_ENGINE_UPDATE, handle_engine_update, sync);
+  peer_rpc_register_handler(node, WIRE__ENVELOPE__BODY_ENGINE_UPDATE, handle_engine_update, sync);
 }
 
 void registry_sync_free(registry_sync *sync) {
--- a/lib/controlplane/repair_plan.c
+++ b/lib/controlplane/repair_plan.c
@@ -19,7 +19,7 @@
 bool repair_plan_member_is_silent(const replica *replica, const member *member, int64_t ms) {
   if (id_equal(member->self, replica->node->settings.self))
     return member->disk_id != replica->disk_id;
-  const peer_node *peer = node_find_peer(replica->node, member->self);
+  const peer_node *peer = peer_table_find(replica->node, member->self);
   /* a peer that is not known yet counts as heard soon after the start */
   time_us heard_at =
       peer ? peer->last_heard_at
@@ -29,7 +29,7 @@
 
 bool repair_plan_member_is_out(const replica *replica, const member *member) {
   if (!id_equal(member->self, replica->node->settings.self)) {
-    const peer_node *peer = node_find_peer(replica->node, member->self);
+    const peer_node *peer = peer_table_find(replica->node, member->self);
     if (peer && (peer->draining || member_lease_peer_hears_nothing(replica, peer->self)))
       return true;
   }
--- a/lib/controlplane/replica.c
+++ b/lib/controlplane/replica.c
@@ -99,7 +99,7 @@
 static void register_handlers(replica *replica) {
   static const struct {
     Wire__Envelope__BodyCase kind;
-    node_handler handler;
+    peer_rpc_handler handler;
   } handlers[] = { { WIRE__ENVELOPE__BODY_SNAPSHOT_REQUEST, snapshot_on_request },
                    { WIRE__ENVELOPE__BODY_REPLICATE_REQUEST, replication_on_request },
                    { WIRE__ENVELOPE__BODY_PREPARE_REQUEST, paxos_acceptor_on_prepare },
@@ -109,7 +109,7 @@
                    { WIRE__ENVELOPE__BODY_BOOTSTRAP_REQUEST, bootstrap_on_request },
                    { WIRE__ENVELOPE__BODY_JOIN_REQUEST, chain_join_on_request } };
   for (size_t i = 0; i < G_N_ELEMENTS(handlers); i++)
-    node_register_handler(replica->node, handlers[i].kind, handlers[i].handler, replica);
+    peer_rpc_register_handler(replica->node, handlers[i].kind, handlers[i].handler, replica);
 }
 
 static bool may_open_later(enum error_code code) {
@@ -224,7 +224,7 @@
                member->self.text, member->zone.text, member->address, member->disk_id);
 }
 
-void view_json(const replica *replica, GString *to) {
+void replica_view_json(const replica *replica, GString *to) {
   const view *view = &replica->view;
   json_appendf(to, "{\"epoch\":%" PRIu64 ",\"fleet\":\"%016" PRIx64 "\",\"thin\":%s,\"chain\":[",
                view->epoch, view->fleet_id,
--- a/lib/controlplane/replication_sender.c
+++ b/lib/controlplane/replication_sender.c
@@ -132,7 +132,7 @@
   time_us timeout =
       time_from_ms(link->needs_snapshot ? REPLICATE_SNAPSHOT_TIMEOUT_MS : REPLICATE_TIMEOUT_MS);
   link->needs_snapshot = false;
-  return node_call(replica->node, address, &message, timeout, response, err);
+  return peer_rpc_call(replica->node, address, &message, timeout, response, err);
 }
 
 static void take_response(successor_link *link, const char *address,
@@ -165,7 +165,7 @@
     return false;
   if (!r) {
     take_response(link, address, response);
-    node_reply_free(response);
+    peer_rpc_message_free(response);
     return true;
   }
   if (r == E_VIEW_MISMATCH)
--- a/lib/controlplane/resource_api.c
+++ b/lib/controlplane/resource_api.c
@@ -357,5 +357,6 @@
   else if (!strcmp(request->method, "PUT") || !strcmp(request->method, "PATCH"))
     serve_write(api, request, resource);
   else
-    http_respond_error(request, HTTP_METHOD_NOT_ALLOWED, E_METHOD_NOT_ALLOWED, "GET, PUT or PATCH");
+    http_request_respond_error(request, HTTP_METHOD_NOT_ALLOWED, E_METHOD_NOT_ALLOWED,
+                               "GET, PUT or PATCH");
 }
--- a/lib/controlplane/singleton_grants.c
+++ b/lib/controlplane/singleton_grants.c
@@ -228,8 +228,8 @@
   grants->node = node;
   grants->replica = replica;
   grants->decided_epochs = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-  node_register_handler(node, WIRE__ENVELOPE__BODY_SINGLETON_LEASE_REQUEST, handle_lease_request,
-                        grants);
+  peer_rpc_register_handler(node, WIRE__ENVELOPE__BODY_SINGLETON_LEASE_REQUEST,
+                            handle_lease_request, grants);
 }
 
 void singleton_grants_free(singleton_grants *grants) {
--- a/lib/controlplane/snapshot.c
+++ b/lib/controlplane/snapshot.c
@@ -37,12 +37,12 @@
   request.offset = download->text->len;
   Wire__Envelope message = wire_envelope(WIRE__ENVELOPE__BODY_SNAPSHOT_REQUEST, &request);
   Wire__Envelope *response;
-  enum error_code r = node_call(replica->node, address, &message,
-                                time_from_ms(SNAPSHOT_CHUNK_TIMEOUT_MS), &response, err);
+  enum error_code r = peer_rpc_call(replica->node, address, &message,
+                                    time_from_ms(SNAPSHOT_CHUNK_TIMEOUT_MS), &response, err);
   if (r)
     return r;
   r = take_chunk(download, response, err);
-  node_reply_free(response);
+  peer_rpc_message_free(response);
   return r;
 }
 
--- a/lib/controlplane/version_reports.c
+++ b/lib/controlplane/version_reports.c
@@ -47,7 +47,7 @@
 /* True when half of the known routers have a write in force; counts those that have it, and all. */
 static bool is_in_force(version_reports *reports, uint64_t seq, int *have, int *all) {
   *have = 0;
-  *all = node_count_peers(reports->node, ROLE_ROUTER);
+  *all = peer_table_count(reports->node, ROLE_ROUTER);
   list_for_each (peer, &reports->node->peers, peer_node, link)
     *have += peer->role == ROLE_ROUTER && router_has(reports, peer, seq);
   return *have >= (*all + 1) / 2;
@@ -73,7 +73,8 @@
   reports->replica = replica;
   reports->by_router = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
   condition_init(&reports->changed);
-  node_register_handler(node, WIRE__ENVELOPE__BODY_VERSION_REPORT, handle_version_report, reports);
+  peer_rpc_register_handler(node, WIRE__ENVELOPE__BODY_VERSION_REPORT, handle_version_report,
+                            reports);
 }
 
 void version_reports_free(version_reports *reports) {
--- a/lib/controlplane/view_change.c
+++ b/lib/controlplane/view_change.c
@@ -77,7 +77,7 @@
   Wire__ViewAnnouncement announcement = WIRE__VIEW_ANNOUNCEMENT__INIT;
   announcement.view = view_pack(&memory, &replica->view);
   Wire__Envelope message = wire_envelope(WIRE__ENVELOPE__BODY_VIEW_ANNOUNCEMENT, &announcement);
-  node_send(replica->node, address, &message);
+  peer_rpc_send(replica->node, address, &message);
 }
 
 int view_change_on_announcement(void *ctx, Wire__Envelope *in, reply *reply, error *err) {
--- a/lib/gateway/canary_judging.c
+++ b/lib/gateway/canary_judging.c
@@ -77,7 +77,7 @@
 }
 
 static bool is_majority(gateway *gateway, int count) {
-  return count > node_count_peers(&gateway->router->node, ROLE_ROUTER) / 2;
+  return count > peer_table_count(&gateway->router->node, ROLE_ROUTER) / 2;
 }
 
 /* the report of one run; added when it is the first */
@@ -186,8 +186,8 @@
       to,
       "\"%s\":{\"old\":{\"requests\":%.0f,\"harm\":%.4f,\"atMost\":%.4f},\"candidate\":{\"requests\":%.0f,\"harm\":%.4f,\"atLeast\":%.4f}}",
       name, comparison->requests[CANARY_ARM_CONTROL], comparison->mean_harm[CANARY_ARM_CONTROL],
-      comparison->harm_difference_high, comparison->requests[CANARY_ARM_CANDIDATE],
-      comparison->mean_harm[CANARY_ARM_CANDIDATE], comparison->harm_difference_low);
+      comparison->control_harm_upper_bound, comparison->requests[CANARY_ARM_CANDIDATE],
+      comparison->mean_harm[CANARY_ARM_CANDIDATE], comparison->candidate_harm_lower_bound);
 }
 
 /* the resource by which the trial ends; to be freed */
@@ -210,9 +210,9 @@
       &gateway->router->node.log, "canary",
       "The judge ends trial %s: %s. Harm to urgent requests: %.4f of %.0f by the control policy (at most %.4f), %.4f of %.0f by the candidate (at least %.4f).",
       gateway->canary->plan.name.text, verdict, urgent->mean_harm[CANARY_ARM_CONTROL],
-      urgent->requests[CANARY_ARM_CONTROL], urgent->harm_difference_high,
+      urgent->requests[CANARY_ARM_CONTROL], urgent->control_harm_upper_bound,
       urgent->mean_harm[CANARY_ARM_CANDIDATE], urgent->requests[CANARY_ARM_CANDIDATE],
-      urgent->harm_difference_low);
+      urgent->candidate_harm_lower_bound);
 }
 
 /* where to send a write: the head of the chain, or else some controller; empty when none is known
@@ -220,7 +220,7 @@
 static void controller_address(gateway *gateway, char address[48]) {
   router *router = gateway->router;
   peer_node *peer =
-      router->leases.head_address[0] ? NULL : node_pick_peer(&router->node, ROLE_CONTROLLER, NULL);
+      router->leases.head_address[0] ? NULL : peer_table_pick(&router->node, ROLE_CONTROLLER, NULL);
   g_strlcpy(address,
             router->leases.head_address[0] ? router->leases.head_address
             : peer                         ? peer->address
@@ -244,9 +244,9 @@
                  *response;
   error err = { 0 };
   if (address[0]) {
-    if (!node_call(&gateway->router->node, address, &message, time_from_ms(END_TIMEOUT_MS),
-                   &response, &err))
-      node_reply_free(response);
+    if (!peer_rpc_call(&gateway->router->node, address, &message, time_from_ms(END_TIMEOUT_MS),
+                       &response, &err))
+      peer_rpc_message_free(response);
     else if (err.code != E_STOPPING)
       log_info(&gateway->router->node.log, "canary",
                "The end of the trial was not accepted by %s: %s (code %d).", address, err.text,
--- a/lib/gateway/canary_trial.c
+++ b/lib/gateway/canary_trial.c
@@ -85,7 +85,7 @@
   pinned.n_pinned_sessions = 1;
   pinned.pinned_sessions = &session;
   Wire__Envelope message = wire_envelope(WIRE__ENVELOPE__BODY_CANARY_PINNED_SESSIONS, &pinned);
-  node_broadcast(&gateway->router->node, ROLE_ROUTER, &message);
+  peer_rpc_broadcast(&gateway->router->node, ROLE_ROUTER, &message);
 }
 
 canary_assignment canary_admit(gateway *gateway, const http_request *request, const route *route) {
@@ -249,8 +249,8 @@
                      wire_envelope(WIRE__ENVELOPE__BODY_CANARY_REPORT_REQUEST, &report->request),
                  *response;
   error err = { 0 };
-  if (node_call(&gateway->router->node, address, &message, time_from_ms(REPORT_TIMEOUT_MS),
-                &response, &err))
+  if (peer_rpc_call(&gateway->router->node, address, &message, time_from_ms(REPORT_TIMEOUT_MS),
+                    &response, &err))
     return false;
   canary_trial *canary = gateway->canary;
   bool accepted = canary && canary->version == version &&
@@ -259,7 +259,7 @@
     canary->judge = judge;
     apply_response(gateway, response->canary_report_response, report->sent_count);
   }
-  node_reply_free(response);
+  peer_rpc_message_free(response);
   return accepted;
 }
 
@@ -277,7 +277,7 @@
     id judge;
     uint64_t epoch;
     peer_node *peer = config_sync_find_grant(gateway->router, "canary", &judge, &epoch)
-                          ? node_find_peer(&gateway->router->node, judge)
+                          ? peer_table_find(&gateway->router->node, judge)
                           : NULL;
     accepted = peer && report_to_peer(gateway, judge, peer->address, &report);
   }
@@ -370,10 +370,10 @@
 }
 
 void canary_start(gateway *gateway) {
-  node_register_handler(&gateway->router->node, WIRE__ENVELOPE__BODY_CANARY_REPORT_REQUEST,
-                        canary_judging_on_report, gateway);
-  node_register_handler(&gateway->router->node, WIRE__ENVELOPE__BODY_CANARY_PINNED_SESSIONS,
-                        on_pinned_sessions, gateway);
+  peer_rpc_register_handler(&gateway->router->node, WIRE__ENVELOPE__BODY_CANARY_REPORT_REQUEST,
+                            canary_judging_on_report, gateway);
+  peer_rpc_register_handler(&gateway->router->node, WIRE__ENVELOPE__BODY_CANARY_PINNED_SESSIONS,
+                            on_pinned_sessions, gateway);
 }
 
 void canary_free(gateway *gateway) {
--- a/lib/gateway/fleet_rates.c
+++ b/lib/gateway/fleet_rates.c
@@ -80,8 +80,8 @@
   char name[24];
   id collector;
   snprintf(name, sizeof name, "rates:%d", shard);
-  if (!node_rendezvous_peer(&gateway->router->node, ROLE_ROUTER, name, id_none, &collector,
-                            address))
+  if (!peer_table_rendezvous(&gateway->router->node, ROLE_ROUTER, name, id_none, &collector,
+                             address))
     address[0] = 0;
 }
 
@@ -98,9 +98,9 @@
   report.fleet_totals = fleet_totals;
   Wire__Envelope message = wire_envelope(WIRE__ENVELOPE__BODY_RATE_REPORT, &report);
   if (address)
-    node_send(node, address, &message);
+    peer_rpc_send(node, address, &message);
   else
-    node_broadcast(node, ROLE_ROUTER, &message);
+    peer_rpc_broadcast(node, ROLE_ROUTER, &message);
 }
 
 /* a count that points to its key */
--- a/lib/gateway/gateway.c
+++ b/lib/gateway/gateway.c
@@ -138,13 +138,14 @@
 /* registers the messages of placement and starts the task that exchanges rates */
 static void start_placement(gateway *gateway) {
   node *node = &gateway->router->node;
-  node_register_handler(node, WIRE__ENVELOPE__BODY_LOAD_PERMIT_REQUEST, load_rate_limiter_on_permit,
-                        gateway);
-  node_register_handler(node, WIRE__ENVELOPE__BODY_PLACED_LOAD_REQUEST, load_jobs_on_placement,
-                        gateway);
-  node_register_handler(node, WIRE__ENVELOPE__BODY_PLACEMENT_REQUEST, placement_on_load_request,
-                        gateway);
-  node_register_handler(node, WIRE__ENVELOPE__BODY_RATE_REPORT, fleet_rates_on_message, gateway);
+  peer_rpc_register_handler(node, WIRE__ENVELOPE__BODY_LOAD_PERMIT_REQUEST,
+                            load_rate_limiter_on_permit, gateway);
+  peer_rpc_register_handler(node, WIRE__ENVELOPE__BODY_PLACED_LOAD_REQUEST, load_jobs_on_placement,
+                            gateway);
+  peer_rpc_register_handler(node, WIRE__ENVELOPE__BODY_PLACEMENT_REQUEST, placement_on_load_request,
+                            gateway);
+  peer_rpc_register_handler(node, WIRE__ENVELOPE__BODY_RATE_REPORT, fleet_rates_on_message,
+                            gateway);
   task_start(&node->world->tasks, "rates", fleet_rates_run, gateway);
 }
 
--- a/lib/gateway/gateway_engines.c
+++ b/lib/gateway/gateway_engines.c
@@ -276,8 +276,8 @@
 }
 
 void gateway_engines_start(gateway *gateway) {
-  node_register_handler(&gateway->router->node, WIRE__ENVELOPE__BODY_ENGINE_UPDATE,
-                        on_engine_update, gateway);
+  peer_rpc_register_handler(&gateway->router->node, WIRE__ENVELOPE__BODY_ENGINE_UPDATE,
+                            on_engine_update, gateway);
 }
 
 void gateway_engines_free(gateway *gateway) {
--- a/lib/gateway/load_rate_limiter.c
+++ b/lib/gateway/load_rate_limiter.c
@@ -188,7 +188,7 @@
   id holder;
   if (!config_sync_find_grant(router, "pacer", &holder, epoch))
     return false;
-  const peer_node *peer = node_find_peer(&router->node, holder);
+  const peer_node *peer = peer_table_find(&router->node, holder);
   if (id_equal(holder, router->node.settings.self))
     g_strlcpy(address, router->node.settings.address, 48);
   else if (peer && !peer->gone)
@@ -210,8 +210,8 @@
   Wire__Envelope message = wire_envelope(WIRE__ENVELOPE__BODY_LOAD_PERMIT_REQUEST, &request),
                  *response;
   time_us sent_at = gateway_now(gateway);
-  enum error_code code = node_call(&gateway->router->node, address, &message,
-                                   time_from_ms(PERMIT_TIMEOUT_MS), &response, err);
+  enum error_code code = peer_rpc_call(&gateway->router->node, address, &message,
+                                       time_from_ms(PERMIT_TIMEOUT_MS), &response, err);
   if (code)
     return code;
   code = E_WIRE_MESSAGE;
@@ -224,7 +224,7 @@
                            : error_set(err, E_LOAD_RATE_LIMITED,
                                        "no load permit for %" PRId64 " ms", *retry_after_ms);
   }
-  node_reply_free(response);
+  peer_rpc_message_free(response);
   return code;
 }
 
@@ -301,11 +301,11 @@
     if (peer->role != ROLE_ROUTER || peer->gone)
       continue;
     if (to_all)
-      node_send(node, peer->address, message);
+      peer_rpc_send(node, peer->address, message);
     else
       successors_add(&next, peer, hash_two_names(singleton, peer->self.text));
   }
   for (int i = 0; i < MAX_SUCCESSORS; i++)
     if (next.peers[i])
-      node_send(node, next.peers[i]->address, message);
+      peer_rpc_send(node, next.peers[i]->address, message);
 }
--- a/lib/gateway/load_requests.c
+++ b/lib/gateway/load_requests.c
@@ -60,8 +60,8 @@
              placement_shard_of(request->model.text, shard_count));
   bool skip = !id_is_empty(request->failed_coordinator) &&
               !time_reached(gateway_now(gateway), request->failed_coordinator_until);
-  if (node_rendezvous_peer(&gateway->router->node, ROLE_ROUTER, name,
-                           skip ? request->failed_coordinator : id_none, coordinator, address))
+  if (peer_table_rendezvous(&gateway->router->node, ROLE_ROUTER, name,
+                            skip ? request->failed_coordinator : id_none, coordinator, address))
     return;
   *coordinator = node->settings.self;
   g_strlcpy(address, node->settings.address, 48);
@@ -108,8 +108,8 @@
   Wire__Envelope message = wire_envelope(WIRE__ENVELOPE__BODY_PLACEMENT_REQUEST, &placement),
                  *response;
   error err = { 0 };
-  enum error_code code = node_call(&gateway->router->node, address, &message,
-                                   time_from_ms(PLACEMENT_CALL_TIMEOUT_MS), &response, &err);
+  enum error_code code = peer_rpc_call(&gateway->router->node, address, &message,
+                                       time_from_ms(PLACEMENT_CALL_TIMEOUT_MS), &response, &err);
   *retry_after_ms = NO_RESPONSE_RETRY_MS;
   if (code == E_STOPPING)
     return code;
@@ -121,7 +121,7 @@
   code = response->body_case == WIRE__ENVELOPE__BODY_PLACEMENT_RESPONSE
              ? apply_response(gateway, request, response->placement_response, retry_after_ms)
              : E_WIRE_MESSAGE;
-  node_reply_free(response);
+  peer_rpc_message_free(response);
   return code;
 }
 
--- a/lib/gateway/placement.c
+++ b/lib/gateway/placement.c
@@ -126,7 +126,7 @@
   if (!config_sync_find_grant(router, name, &holder, &epoch) ||
       id_equal(holder, router->node.settings.self))
     return false;
-  peer_node *peer = node_find_peer(&router->node, holder);
+  peer_node *peer = peer_table_find(&router->node, holder);
   if (!peer || peer->gone || peer->role != ROLE_ROUTER)
     return false;
   g_strlcpy(address, peer->address, 48);
@@ -454,8 +454,8 @@
   Wire__Envelope message = wire_envelope(WIRE__ENVELOPE__BODY_PLACED_LOAD_REQUEST, &request),
                  *response;
   error err = { 0 };
-  enum error_code code = node_call(&gateway->router->node, address, &message,
-                                   time_from_ms(PLACEMENT_CALL_TIMEOUT_MS), &response, &err);
+  enum error_code code = peer_rpc_call(&gateway->router->node, address, &message,
+                                       time_from_ms(PLACEMENT_CALL_TIMEOUT_MS), &response, &err);
   *started = false;
   if (code)
     return code;
@@ -465,7 +465,7 @@
     run->retry_after_ms = (int64_t)response->placed_load_response->retry_after_ms;
     *started = response->placed_load_response->started;
   }
-  node_reply_free(response);
+  peer_rpc_message_free(response);
   return code;
 }
 
--- a/lib/gateway/traffic_reports.c
+++ b/lib/gateway/traffic_reports.c
@@ -160,7 +160,7 @@
       g_ptr_array_add(loads, engine_traffic_new(engine, 0));
   Wire__TrafficReport report = report_of(loads);
   Wire__Envelope message = wire_envelope(WIRE__ENVELOPE__BODY_TRAFFIC_REPORT, &report);
-  node_send(&gateway->router->node, address, &message);
+  peer_rpc_send(&gateway->router->node, address, &message);
   g_ptr_array_free(loads, TRUE);
 }
 
@@ -215,7 +215,7 @@
     guint pick = i + (guint)world_random(node->world, routers->len - i);
     peer_node *peer = routers->pdata[pick];
     routers->pdata[pick] = routers->pdata[i];
-    node_send(node, peer->address, message);
+    peer_rpc_send(node, peer->address, message);
   }
 }
 
@@ -241,7 +241,7 @@
 
 void traffic_reports_start(gateway *gateway) {
   gateway->router_count = 1;
-  node_register_handler(&gateway->router->node, WIRE__ENVELOPE__BODY_TRAFFIC_REPORT,
-                        on_traffic_report, gateway);
+  peer_rpc_register_handler(&gateway->router->node, WIRE__ENVELOPE__BODY_TRAFFIC_REPORT,
+                            on_traffic_report, gateway);
   task_start(&gateway->router->node.world->tasks, "loads", report_run, gateway);
 }
--- a/lib/membership/failure_detector.c
+++ b/lib/membership/failure_detector.c
@@ -34,13 +34,13 @@
   node *node = context;
   while (world_sleep_with_jitter(node->world, time_from_ms(HEARTBEAT_INTERVAL_MS))) {
     ring_position watchers[HEARTBEAT_WATCHERS];
-    int count = node_watchers(node, node->settings.self, watchers);
+    int count = heartbeat_ring_watchers(node, node->settings.self, watchers);
     Wire__Heartbeat heartbeat = WIRE__HEARTBEAT__INIT;
     heartbeat.sequence = ++node->failure_detector.last_sequence;
     heartbeat.lateness_ms = (uint64_t)node->failure_detector.lateness_ms;
     Wire__Envelope message = wire_envelope(WIRE__ENVELOPE__BODY_HEARTBEAT, &heartbeat);
     for (int i = 0; i < count; i++)
-      node_send(node, watchers[i].address, &message);
+      peer_rpc_send(node, watchers[i].address, &message);
   }
 }
 
@@ -48,7 +48,7 @@
 static int on_heartbeat(void *context, Wire__Envelope *message, reply *reply, error *err) {
   (void)reply;
   (void)err;
-  peer_node *peer = node_find_peer(context, id_of_text(message->from->id));
+  peer_node *peer = peer_table_find(context, id_of_text(message->from->id));
   if (peer)
     peer->lateness_ms = (int64_t)MIN(message->heartbeat->lateness_ms, LATENESS_MAX_MS);
   return OK;
@@ -118,7 +118,7 @@
       failure_detector_announce_self(node);
     return OK;
   }
-  peer_node *peer = node_find_peer(node, suspect);
+  peer_node *peer = peer_table_find(node, suspect);
   if (!peer || peer->nonce != suspicion->nonce)
     return OK;
   if (suspicion->clear)
@@ -144,7 +144,7 @@
 
 static bool is_watched_here(node *node, const peer_node *peer) {
   ring_position watchers[HEARTBEAT_WATCHERS];
-  int count = node_watchers(node, peer->self, watchers);
+  int count = heartbeat_ring_watchers(node, peer->self, watchers);
   for (int i = 0; i < count; i++)
     if (id_equal(watchers[i].self, node->settings.self))
       return true;
@@ -195,8 +195,8 @@
 }
 
 void failure_detector_init(node *node) {
-  node_register_handler(node, WIRE__ENVELOPE__BODY_HEARTBEAT, on_heartbeat, node);
-  node_register_handler(node, WIRE__ENVELOPE__BODY_SUSPICION, on_suspicion, node);
+  peer_rpc_register_handler(node, WIRE__ENVELOPE__BODY_HEARTBEAT, on_heartbeat, node);
+  peer_rpc_register_handler(node, WIRE__ENVELOPE__BODY_SUSPICION, on_suspicion, node);
 }
 
 void failure_detector_start(node *node) {
--- a/lib/membership/gossip.c
+++ b/lib/membership/gossip.c
@@ -44,7 +44,7 @@
   table.nodes = (Wire__NodeInfo **)entries->pdata;
   table.want_response = want_response;
   Wire__Envelope message = wire_envelope(WIRE__ENVELOPE__BODY_MEMBERSHIP_TABLE, &table);
-  node_send(node, address, &message);
+  peer_rpc_send(node, address, &message);
   g_ptr_array_free(entries, TRUE);
 }
 
@@ -57,7 +57,7 @@
   table.checksum = table_checksum(node);
   table.want_response = true;
   Wire__Envelope message = wire_envelope(WIRE__ENVELOPE__BODY_MEMBERSHIP_TABLE, &table);
-  node_send(node, address, &message);
+  peer_rpc_send(node, address, &message);
 }
 
 static int on_table(void *context, Wire__Envelope *message, reply *reply, error *err) {
@@ -117,7 +117,7 @@
 }
 
 void gossip_init(node *node) {
-  node_register_handler(node, WIRE__ENVELOPE__BODY_MEMBERSHIP_TABLE, on_table, node);
+  peer_rpc_register_handler(node, WIRE__ENVELOPE__BODY_MEMBERSHIP_TABLE, on_table, node);
 }
 
 void gossip_start(node *node) {
--- a/lib/membership/heartbeat_ring.c
+++ b/lib/membership/heartbeat_ring.c
@@ -94,7 +94,7 @@
   return count;
 }
 
-int node_watchers(node *node, id who, ring_position watchers[HEARTBEAT_WATCHERS]) {
+int heartbeat_ring_watchers(node *node, id who, ring_position watchers[HEARTBEAT_WATCHERS]) {
   rebuild_if_stale(node);
   const heartbeat_ring *ring = &node->ring;
   guint start = find_first_from(ring, hash_two_names(RING_HASH_KEY, who.text));
--- a/lib/membership/heartbeat_ring.h
+++ b/lib/membership/heartbeat_ring.h
@@ -41,5 +41,5 @@
 /** To be called when a process becomes live or gone, or changes its address or zone. */
 void heartbeat_ring_invalidate(heartbeat_ring *ring);
 /** Fills in the watchers of a process, which need not be on the ring. Returns their number. */
-int node_watchers(node *node, id who, ring_position watchers[HEARTBEAT_WATCHERS]);
+int heartbeat_ring_watchers(node *node, id who, ring_position watchers[HEARTBEAT_WATCHERS]);
 #endif
--- a/lib/membership/node.c
+++ b/lib/membership/node.c
@@ -56,7 +56,7 @@
                        time_add(node->duplicate_seen_at, time_from_ms(DUPLICATE_REPORTED_MS)));
 }
 
-void node_status_json(node *node, GString *to) {
+void node_append_status_json(node *node, GString *to) {
   json_appendf(to, "\"twin\":%s,\"wireOdd\":%" PRIu64 ",\"seeds\":[\"%s\",\"%s\",\"%s\"]",
                has_duplicate(node) ? "true" : "false", node->rpc.refused_wire_versions,
                node->settings.seed_addresses[0], node->settings.seed_addresses[1],
--- a/lib/membership/node.h
+++ b/lib/membership/node.h
@@ -67,5 +67,5 @@
 void node_start_draining(node *node);
 /** Appends what the status pages of controllers and routers have in common, as members of a JSON
  * object without its braces. */
-void node_status_json(node *node, GString *to);
+void node_append_status_json(node *node, GString *to);
 #endif
--- a/lib/membership/peer_rpc.c
+++ b/lib/membership/peer_rpc.c
@@ -49,26 +49,26 @@
   message->from = NULL;
 }
 
-void node_send(node *node, const char *address, Wire__Envelope *message) {
+void peer_rpc_send(node *node, const char *address, Wire__Envelope *message) {
   message->call = 0;
   message->response = false;
   send_envelope(node, address, message);
 }
 
-void node_broadcast(node *node, enum role role, Wire__Envelope *message) {
+void peer_rpc_broadcast(node *node, enum role role, Wire__Envelope *message) {
   list_for_each (peer, &node->peers, peer_node, link)
     if (peer->role == role && !peer->gone)
-      node_send(node, peer->address, message);
+      peer_rpc_send(node, peer->address, message);
 }
 
 void peer_rpc_send_to_live_peers(node *node, Wire__Envelope *message) {
   list_for_each (peer, &node->peers, peer_node, link)
     if (!peer->gone)
-      node_send(node, peer->address, message);
+      peer_rpc_send(node, peer->address, message);
 }
 
-enum error_code node_call(node *node, const char *address, Wire__Envelope *request, time_us timeout,
-                          Wire__Envelope **response, error *err) {
+enum error_code peer_rpc_call(node *node, const char *address, Wire__Envelope *request,
+                              time_us timeout, Wire__Envelope **response, error *err) {
   peer_rpc *rpc = &node->rpc;
   time_us deadline = time_add(world_now(node->world), timeout);
   uint64_t number = ++rpc->last_call_number;
@@ -87,14 +87,14 @@
     return error_set(err, (int)wake, "no reply from %s", address);
   if (call.response->error_code) {
     int code = error_set(err, (int)call.response->error_code, "%s", call.response->error_text);
-    node_reply_free(call.response);
+    peer_rpc_message_free(call.response);
     return code;
   }
   *response = call.response;
   return OK;
 }
 
-void node_reply_free(Wire__Envelope *message) {
+void peer_rpc_message_free(Wire__Envelope *message) {
   if (message)
     wire__envelope__free_unpacked(message, NULL);
 }
@@ -116,7 +116,7 @@
   return body;
 }
 
-void node_register_handler(node *node, int kind, node_handler fn, void *context) {
+void peer_rpc_register_handler(node *node, int kind, peer_rpc_handler fn, void *context) {
   g_assert(kind > 0 && kind < MESSAGE_KINDS_MAX);
   node->rpc.handlers[kind].fn = fn;
   node->rpc.handlers[kind].context = context;
@@ -160,7 +160,7 @@
   handler_run *run = context;
   handle_message(run->node, run->message);
   run->node->rpc.running_handlers--;
-  node_reply_free(run->message);
+  peer_rpc_message_free(run->message);
   g_free(run);
 }
 
@@ -177,7 +177,7 @@
   uint64_t number = response->call;
   pending_call *call = g_hash_table_lookup(node->rpc.pending_calls, &number);
   if (!call || call->response) {
-    node_reply_free(response);
+    peer_rpc_message_free(response);
     return;
   }
   call->response = response;
@@ -206,12 +206,12 @@
   if (!message || !sender_is_valid(message)) {
     log_info(&node->log, "wire", "Refused %zu bytes that are no message of a process (code %d).",
              bytes.length, E_WIRE_MESSAGE);
-    node_reply_free(message);
+    peer_rpc_message_free(message);
     return;
   }
   if (!wire_version_is_known(message)) {
     refuse_wire_version(node, message);
-    node_reply_free(message);
+    peer_rpc_message_free(message);
     return;
   }
   peer_table_merge(node, message->from, true);
@@ -221,7 +221,7 @@
   }
   if (node->rpc.running_handlers >= RUNNING_HANDLERS_MAX) {
     send_error(node, message, E_OVERLOADED, "too many calls at once");
-    node_reply_free(message);
+    peer_rpc_message_free(message);
     return;
   }
   start_handler(node, message);
--- a/lib/membership/peer_rpc.h
+++ b/lib/membership/peer_rpc.h
@@ -29,7 +29,7 @@
 /** Handles a message. The response has no body unless the handler makes one. Anything but OK is
  * sent to a caller as the error code, with err's text, in place of a body. message is freed after
  * the handler returns. */
-typedef int (*node_handler)(void *context, Wire__Envelope *message, reply *reply, error *err);
+typedef int (*peer_rpc_handler)(void *context, Wire__Envelope *message, reply *reply, error *err);
 
 /** More than there are kinds of bodies in wire.proto (numbers of the fields of Envelope's oneof).
  */
@@ -44,7 +44,7 @@
   GHashTable *pending_calls;
   /** By kind of body (Wire__Envelope__BodyCase); fn is NULL where none is registered. */
   struct {
-    node_handler fn;
+    peer_rpc_handler fn;
     void *context;
   } handlers[MESSAGE_KINDS_MAX];
   int running_handlers;
@@ -58,7 +58,7 @@
 void peer_rpc_free(node *node);
 
 /** Registers the handler of a kind of body (Wire__Envelope__BodyCase), in place of a former one. */
-void node_register_handler(node *node, int kind, node_handler fn, void *context);
+void peer_rpc_register_handler(node *node, int kind, peer_rpc_handler fn, void *context);
 
 /** An envelope with a body, which it borrows. */
 static inline Wire__Envelope wire_envelope(Wire__Envelope__BodyCase kind, void *body) {
@@ -69,18 +69,18 @@
   return message;
 }
 /** Sends a notification. */
-void node_send(node *node, const char *address, Wire__Envelope *message);
+void peer_rpc_send(node *node, const char *address, Wire__Envelope *message);
 /** Sends a notification to all live peers of a role. */
-void node_broadcast(node *node, enum role role, Wire__Envelope *message);
+void peer_rpc_broadcast(node *node, enum role role, Wire__Envelope *message);
 /** Sends a notification to all live peers. */
 void peer_rpc_send_to_live_peers(node *node, Wire__Envelope *message);
 /** Sends a request and waits for the response for a time. OK with *response, which the caller frees
- * with node_reply_free; otherwise *response is NULL and err is set: E_NO_RESPONSE, E_STOPPING, or
- * the error code that the peer responded. */
-enum error_code node_call(node *node, const char *address, Wire__Envelope *request, time_us timeout,
-                          Wire__Envelope **response, error *err);
+ * with peer_rpc_message_free; otherwise *response is NULL and err is set: E_NO_RESPONSE,
+ * E_STOPPING, or the error code that the peer responded. */
+enum error_code peer_rpc_call(node *node, const char *address, Wire__Envelope *request,
+                              time_us timeout, Wire__Envelope **response, error *err);
 /** Frees a message that was received; NULL is allowed. */
-void node_reply_free(Wire__Envelope *message);
+void peer_rpc_message_free(Wire__Envelope *message);
 
 /** Zeroed memory that lasts until the response is sent. */
 void *reply_alloc(reply *reply, size_t bytes);
--- a/lib/membership/peer_table.c
+++ b/lib/membership/peer_table.c
@@ -11,7 +11,7 @@
   KNOWN_INCARNATION_INTERVAL_MS = 200
 };
 
-peer_node *node_find_peer(node *node, id who) {
+peer_node *peer_table_find(node *node, id who) {
   list_for_each (peer, &node->peers, peer_node, link)
     if (id_equal(peer->self, who))
       return peer;
@@ -39,7 +39,7 @@
   return false;
 }
 
-peer_node *node_pick_peer(node *node, enum role role, const char *last) {
+peer_node *peer_table_pick(node *node, enum role role, const char *last) {
   GPtrArray *candidates = g_ptr_array_new();
   peer_node *picked = NULL;
   bool skip_gone = has_live_peer(node, role);
@@ -56,15 +56,15 @@
   return picked;
 }
 
-int node_count_peers(node *node, enum role role) {
+int peer_table_count(node *node, enum role role) {
   int count = node->settings.role == role;
   list_for_each (peer, &node->peers, peer_node, link)
     count += peer->role == role && !peer->draining;
   return count;
 }
 
-bool node_rendezvous_peer(node *node, enum role role, const char *key, id exclude, id *who,
-                          char address[ADDRESS_BYTES]) {
+bool peer_table_rendezvous(node *node, enum role role, const char *key, id exclude, id *who,
+                           char address[ADDRESS_BYTES]) {
   uint64_t highest = 0;
   bool found =
       node->settings.role == role && !node->draining && !id_equal(exclude, node->settings.self);
@@ -95,7 +95,7 @@
                self.text, role_name(role), zone.text, address, incarnation, state, silent_ms);
 }
 
-void node_peers_json(node *node, GString *to) {
+void peer_table_append_json(node *node, GString *to) {
   time_us now = world_now(node->world);
   const settings *own = &node->settings;
   g_string_append_c(to, '[');
@@ -127,7 +127,7 @@
   table.n_nodes = 1;
   table.nodes = &entries;
   Wire__Envelope message = wire_envelope(WIRE__ENVELOPE__BODY_MEMBERSHIP_TABLE, &table);
-  node_send(node, address, &message);
+  peer_rpc_send(node, address, &message);
 }
 
 /* A restarted peer may be known here under its former run, gone or not. It is sent the incarnation
@@ -197,7 +197,7 @@
     merge_self(node, info);
     return;
   }
-  peer_node *peer = node_find_peer(node, who);
+  peer_node *peer = peer_table_find(node, who);
   bool is_new_peer = !peer;
   if (is_new_peer)
     peer = add_peer(node, who);
--- a/lib/membership/peer_table.h
+++ b/lib/membership/peer_table.h
@@ -62,24 +62,24 @@
 } peer_node;
 
 /** The peer with a name; NULL if it is not known. */
-peer_node *node_find_peer(node *node, id who);
+peer_node *peer_table_find(node *node, id who);
 /** True unless the peer was declared dead. A draining peer is live. */
 bool peer_is_live(const peer_node *peer);
 /** The state of a peer as status pages give it: "live", "leaving" or "gone". */
 const char *peer_state_name(const peer_node *peer);
 /** A random live peer of a role, but the one at the address `last` if it is among them (NULL or "":
  * no preference). If none is live, the same among those that are gone. NULL if none is known. */
-peer_node *node_pick_peer(node *node, enum role role, const char *last);
+peer_node *peer_table_pick(node *node, enum role role, const char *last);
 /** The number of peers of a role that have not announced their end, gone ones included; this
  * process counts if it has the role. */
-int node_count_peers(node *node, enum role role);
+int peer_table_count(node *node, enum role role);
 /** The process of a role that comes first by rendezvous hashing of `key`, among those that are
  * neither gone nor draining; this process takes part if it has the role. exclude is left out (an
  * empty id: nobody). False, with the results untouched, if there is none. */
-bool node_rendezvous_peer(node *node, enum role role, const char *key, id exclude, id *who,
-                          char address[ADDRESS_BYTES]);
+bool peer_table_rendezvous(node *node, enum role role, const char *key, id exclude, id *who,
+                           char address[ADDRESS_BYTES]);
 /** Appends the table, this process first, as a JSON array. */
-void node_peers_json(node *node, GString *to);
+void peer_table_append_json(node *node, GString *to);
 
 /** Takes over what a message says of a process, if it is newer than what is known. direct: the
  * process says it of itself. The fields of info must be valid. */
--- a/lib/router/admission.c
+++ b/lib/router/admission.c
@@ -12,7 +12,7 @@
 
 /* How many routers there are, as far as any router in reach knows. */
 static int count_known_routers(router *router) {
-  int count = node_count_peers(&router->node, ROLE_ROUTER);
+  int count = peer_table_count(&router->node, ROLE_ROUTER);
   list_for_each (peer, &router->node.peers, peer_node, link)
     if (peer->role == ROLE_ROUTER &&
         router_happened_within(router, peer->confirmed_at, CONFIRMATION_VALID_MS))
@@ -38,7 +38,7 @@
   return count > count_known_routers(router) / 2;
 }
 
-bool config_sync_may_admit(router *router) {
+bool admission_may_admit(router *router) {
   bool admits =
       router->config && router->engine_list.known &&
       (config_sync_is_recent(router) || majority_confirmed(router)) &&
@@ -52,7 +52,7 @@
 }
 
 bool admission_wait(router *router) {
-  while (!config_sync_may_admit(router)) {
+  while (!admission_may_admit(router)) {
     time_us deadline = time_add(router->admission.lost_at, time_from_ms(MAX_ADMISSION_GAP_MS)),
             now = world_now(router->node.world),
             recheck_at = time_add(now, time_from_ms(RECHECK_INTERVAL_MS));
--- a/lib/router/admission.h
+++ b/lib/router/admission.h
@@ -22,7 +22,7 @@
 } admission;
 
 /** True when this router may take new work. Also keeps lost_at up to date. */
-bool config_sync_may_admit(router *router);
+bool admission_may_admit(router *router);
 /** The same, but waits for it up to a second after admission was lost. */
 bool admission_wait(router *router);
 #endif
--- a/lib/router/config_sync.c
+++ b/lib/router/config_sync.c
@@ -60,8 +60,8 @@
   memcpy(exchange->sent_versions, router->sync.resource_versions, sizeof exchange->sent_versions);
   Wire__Envelope message = wire_envelope(WIRE__ENVELOPE__BODY_CONFIG_POLL_REQUEST, request);
   error err = { 0 };
-  if (node_call(&router->node, address, &message, time_from_ms(timeout_ms), &exchange->envelope,
-                &err))
+  if (peer_rpc_call(&router->node, address, &message, time_from_ms(timeout_ms), &exchange->envelope,
+                    &err))
     return false;
   if (exchange->envelope->body_case == WIRE__ENVELOPE__BODY_CONFIG_POLL_RESPONSE)
     exchange->response = exchange->envelope->config_poll_response;
@@ -84,7 +84,7 @@
 void config_sync_finish(router *router, config_exchange *exchange) {
   if (exchange->response)
     condition_broadcast(&router->state_changed);
-  node_reply_free(exchange->envelope);
+  peer_rpc_message_free(exchange->envelope);
 }
 
 void config_sync_start(router *router) {
--- a/lib/router/controller_poll.c
+++ b/lib/router/controller_poll.c
@@ -174,7 +174,8 @@
                           : router->controllers.polled_controller[0]
                               ? router->controllers.polled_controller
                               : controllers->confirming_controller;
-  peer_node *peer = preferred[0] ? node_pick_peer(&router->node, ROLE_CONTROLLER, preferred) : NULL;
+  peer_node *peer =
+      preferred[0] ? peer_table_pick(&router->node, ROLE_CONTROLLER, preferred) : NULL;
   if (!peer || strcmp(peer->address, preferred))
     peer = controller_selection_next(&controllers->selection, &router->node, NULL);
   controllers->controller_hint[0] = controllers->confirming_controller[0] = 0;
@@ -307,6 +308,6 @@
   if (router->node.settings.relaxed)
     task_start(&router->node.world->tasks, "hedging", hedging_run, router);
   /* a gateway replaces this handler by its own, since gateways send these messages as well */
-  node_register_handler(&router->node, WIRE__ENVELOPE__BODY_ENGINE_UPDATE, on_engine_update,
-                        router);
+  peer_rpc_register_handler(&router->node, WIRE__ENVELOPE__BODY_ENGINE_UPDATE, on_engine_update,
+                            router);
 }
--- a/lib/router/engine.c
+++ b/lib/router/engine.c
@@ -65,7 +65,7 @@
 bool engine_accepts_work(engine *engine) {
   router *router = engine->router;
   time_us now = world_now(router->node.world);
-  return config_sync_may_admit(router) && engine->listed && !engine->draining && engine->reported &&
+  return admission_may_admit(router) && engine->listed && !engine->draining && engine->reported &&
          !engine->removed &&
          router_happened_within(router, engine->last_report_at, REPORT_VALID_MS) &&
          time_reached(now, engine->excluded_until) &&
--- a/lib/router/generate_api.c
+++ b/lib/router/generate_api.c
@@ -230,8 +230,8 @@
   }
   if (!router->config) {
     http_headers_set(&request->http->known_response_fields, HEADER_RETRY_AFTER, "2");
-    http_respond_error(request->http, 503, E_NO_CONTROLLER,
-                       "no configuration is known here yet; not run");
+    http_request_respond_error(request->http, 503, E_NO_CONTROLLER,
+                               "no configuration is known here yet; not run");
     return false;
   }
   return true;
@@ -279,13 +279,13 @@
   error err = { 0 };
   enum error_code code = parse_request(&request, &kind, &err);
   if (code) {
-    http_respond_error(http, 400, code, err.text);
+    http_request_respond_error(http, 400, code, err.text);
     return;
   }
   if (!check_router(&request))
     return;
   if (!set_kind(&request, kind)) {
-    http_respond_error(http, 400, E_NAME, "kind: the policy has no such kind");
+    http_request_respond_error(http, 400, E_NAME, "kind: the policy has no such kind");
     return;
   }
   set_identity(&request);
@@ -302,7 +302,7 @@
   if (strcmp(request->path, "/v1/generate"))
     router_pages_serve(router, request);
   else if (strcmp(request->method, "POST"))
-    http_respond_error(request, 405, E_METHOD_NOT_ALLOWED, "POST");
+    http_request_respond_error(request, 405, E_METHOD_NOT_ALLOWED, "POST");
   else
     generate(router, request);
 }
--- a/lib/router/load_permit.c
+++ b/lib/router/load_permit.c
@@ -23,7 +23,7 @@
     error_set(err, E_LOAD_RATE_LIMITED, "no router holds the lease of the load rate limiter");
     return false;
   }
-  const peer_node *peer = node_find_peer(&router->node, holder);
+  const peer_node *peer = peer_table_find(&router->node, holder);
   if (id_equal(holder, router->node.settings.self)) {
     g_strlcpy(address, router->node.settings.address, size);
   } else if (peer && !peer->gone) {
@@ -56,8 +56,8 @@
   Wire__Envelope message = wire_envelope(WIRE__ENVELOPE__BODY_LOAD_PERMIT_REQUEST, &request),
                  *envelope;
   time_us requested_at = world_now(router->node.world);
-  enum error_code code =
-      node_call(&router->node, address, &message, time_from_ms(PERMIT_TIMEOUT_MS), &envelope, err);
+  enum error_code code = peer_rpc_call(&router->node, address, &message,
+                                       time_from_ms(PERMIT_TIMEOUT_MS), &envelope, err);
   if (code)
     return code;
   const Wire__LoadPermitResponse *response = envelope->load_permit_response;
@@ -70,7 +70,7 @@
   } else {
     *slot = slot_of_response(router, response, requested_at);
   }
-  node_reply_free(envelope);
+  peer_rpc_message_free(envelope);
   return code;
 }
 
@@ -124,6 +124,6 @@
 }
 
 void load_permit_start(router *router) {
-  node_register_handler(&router->node, WIRE__ENVELOPE__BODY_LOAD_PERMIT_REQUEST, on_permit_request,
-                        router);
+  peer_rpc_register_handler(&router->node, WIRE__ENVELOPE__BODY_LOAD_PERMIT_REQUEST,
+                            on_permit_request, router);
 }
--- a/lib/router/load_queue.c
+++ b/lib/router/load_queue.c
@@ -172,6 +172,6 @@
 }
 
 void load_queue_start(router *router) {
-  node_register_handler(&router->node, WIRE__ENVELOPE__BODY_MODEL_LOAD_REQUEST, on_load_request,
-                        router);
+  peer_rpc_register_handler(&router->node, WIRE__ENVELOPE__BODY_MODEL_LOAD_REQUEST, on_load_request,
+                            router);
 }
--- a/lib/router/outgoing_load_request.c
+++ b/lib/router/outgoing_load_request.c
@@ -22,7 +22,7 @@
   singleton_engine_name(singleton, sizeof singleton, load->engine_id);
   if (!config_sync_find_grant(router, singleton, &holder, &epoch))
     return false;
-  const peer_node *peer = node_find_peer(&router->node, holder);
+  const peer_node *peer = peer_table_find(&router->node, holder);
   if (id_equal(holder, router->node.settings.self))
     g_strlcpy(address, router->node.settings.address, size);
   else if (peer && !peer->gone)
@@ -44,8 +44,8 @@
   request.wait_ms = WAIT_MS;
   Wire__Envelope message = wire_envelope(WIRE__ENVELOPE__BODY_MODEL_LOAD_REQUEST, &request);
   error err = { 0 };
-  return node_call(&load->router->node, address, &message, time_from_ms(CALL_TIMEOUT_MS), response,
-                   &err);
+  return peer_rpc_call(&load->router->node, address, &message, time_from_ms(CALL_TIMEOUT_MS),
+                       response, &err);
 }
 
 static void complete(outgoing_load_request *load, enum error_code code, uint64_t retry_after_ms) {
@@ -81,7 +81,7 @@
   }
   if (!code)
     apply_response(load, envelope);
-  node_reply_free(envelope);
+  peer_rpc_message_free(envelope);
   if (load->done)
     return;
   if (!load->waiters)
--- a/lib/router/rate_exchange.c
+++ b/lib/router/rate_exchange.c
@@ -14,7 +14,7 @@
 static void broadcast_report(router *router, Wire__RateReport *report) {
   report->nonce = router->node.nonce;
   Wire__Envelope message = wire_envelope(WIRE__ENVELOPE__BODY_RATE_REPORT, report);
-  node_broadcast(&router->node, ROLE_ROUTER, &message);
+  peer_rpc_broadcast(&router->node, ROLE_ROUTER, &message);
 }
 
 void rate_exchange_send_load_time(router *router, id type, const char *key, double ms) {
@@ -88,6 +88,7 @@
 }
 
 void rate_exchange_start(router *router) {
-  node_register_handler(&router->node, WIRE__ENVELOPE__BODY_RATE_REPORT, on_rate_report, router);
+  peer_rpc_register_handler(&router->node, WIRE__ENVELOPE__BODY_RATE_REPORT, on_rate_report,
+                            router);
   task_start(&router->node.world->tasks, "rates", report_rates_run, router);
 }
--- a/lib/router/router_pages.c
+++ b/lib/router/router_pages.c
@@ -155,7 +155,7 @@
   const engine_list *list = &router->engine_list;
   int held_leases = count_held_leases(router);
   const peer_node *controller =
-      node_pick_peer(&router->node, ROLE_CONTROLLER, router->controllers.polled_controller);
+      peer_table_pick(&router->node, ROLE_CONTROLLER, router->controllers.polled_controller);
   int64_t list_age_ms =
       list->known ? time_sub(world_now(router->node.world), list->received_at).us / 1000 : -1;
   json_appendf(to,
@@ -166,7 +166,7 @@
                router->node.settings.self.text, router->node.settings.zone.text,
                router->sync.view_epoch, router->sync.config_version,
                json_bool_text(config_sync_is_recent(router)), controller ? controller->address : "",
-               json_bool_text(config_sync_may_admit(router)), router->requests.isolated_refusals,
+               json_bool_text(admission_may_admit(router)), router->requests.isolated_refusals,
                held_leases, list_age_ms, json_bool_text(router->draining), router->open_requests);
 }
 
@@ -199,7 +199,7 @@
   g_string_append_c(to, '{');
   append_node_status(router, to);
   append_counters(router, to);
-  node_status_json(&router->node, to);
+  node_append_status_json(&router->node, to);
   g_string_append(to, ",\"kinds\":{");
   append_classes(router, to);
   g_string_append(to, "}}");
@@ -282,7 +282,7 @@
     await_report(router, query);
     write_holdings(router, query, to);
   } else if (!strcmp(path, "/v1/nodes")) {
-    node_peers_json(&router->node, to);
+    peer_table_append_json(&router->node, to);
   } else if (!strcmp(path, "/v1/status")) {
     write_status(router, to);
   } else if (!strcmp(path, "/v1/journal")) {
@@ -300,7 +300,7 @@
 
 void router_pages_serve(router *router, http_request *request) {
   if (strcmp(request->method, "GET")) {
-    http_respond_error(request, 405, E_METHOD_NOT_ALLOWED, "GET");
+    http_request_respond_error(request, 405, E_METHOD_NOT_ALLOWED, "GET");
     return;
   }
   page_query query = { .http = request,
@@ -312,8 +312,9 @@
   if (body->len)
     http_request_respond(request, 200, type, string_view_of_gstring(body));
   else
-    http_respond_error(request, 404, E_NOT_FOUND,
-                       "there is no such page here; the resources are at the core, see /v1/status");
+    http_request_respond_error(
+        request, 404, E_NOT_FOUND,
+        "there is no such page here; the resources are at the core, see /v1/status");
   g_free(query.engine);
   g_free(query.model);
   g_free(query.after);
--- a/lib/router/router_sync.c
+++ b/lib/router/router_sync.c
@@ -44,7 +44,7 @@
   Wire__Envelope message = wire_envelope(WIRE__ENVELOPE__BODY_VERSION_REPORT, &report);
   list_for_each (peer, &router->node.peers, peer_node, link)
     if (peer->role == ROLE_CONTROLLER && !peer->gone)
-      node_send(&router->node, peer->address, &message);
+      peer_rpc_send(&router->node, peer->address, &message);
 }
 
 /* The instant at which something was so old, as a response to a poll says. It counts from when the
@@ -95,7 +95,7 @@
     return;
   if (exchange.response) {
     config_sync_install(router, &exchange, address);
-    peer_node *peer = node_find_peer(&router->node, peer_id);
+    peer_node *peer = peer_table_find(&router->node, peer_id);
     if (peer && ages_are_plausible(exchange.response)) {
       apply_confirmation(router, peer, &exchange);
       apply_engine_list(router, peer, &exchange);
@@ -107,7 +107,7 @@
 static void poll_router_run(void *context) {
   router_poll_task *task = context;
   poll_router(task->router, task->address, task->peer_id);
-  peer_node *peer = node_find_peer(&task->router->node, task->peer_id);
+  peer_node *peer = peer_table_find(&task->router->node, task->peer_id);
   if (peer)
     peer->poll_pending = false;
   g_free(task);
@@ -130,7 +130,7 @@
         router_happened_within(router, router->sync.config_confirmed_at, MAX_CONFIRMATION_AGE_MS) &&
         router_happened_within(router, router->engine_list.received_at, MAX_ENGINE_LIST_AGE_MS);
     /* keeps the instant at which admission was lost up to date while no request comes */
-    config_sync_may_admit(router);
+    admission_may_admit(router);
     if (recent)
       continue;
     list_for_each (peer, &router->node.peers, peer_node, link)
@@ -145,7 +145,7 @@
   while (world_sleep_with_jitter(router->node.world, time_from_ms(POLL_ONE_INTERVAL_MS))) {
     if (router->config && controller_poll_answered_within(router, CONTROLLERS_SILENT_MS))
       continue;
-    const peer_node *peer = node_pick_peer(&router->node, ROLE_ROUTER, NULL);
+    const peer_node *peer = peer_table_pick(&router->node, ROLE_ROUTER, NULL);
     if (!peer || peer->gone)
       continue;
     /* the peer may be forgotten while the poll waits */
@@ -191,7 +191,7 @@
   if (config_sync_is_recent(router))
     response->confirmed_age_ms = config_sync_age_ms(router, sync->config_confirmed_at);
   response->ever_confirmed = sync->ever_confirmed;
-  response->known_routers = (uint32_t)node_count_peers(&router->node, ROLE_ROUTER);
+  response->known_routers = (uint32_t)peer_table_count(&router->node, ROLE_ROUTER);
   fill_engine_list(router, reply, request, response);
   response->changed = router->config && router->sync.config_version > request->sequence;
   if (response->changed)
@@ -200,8 +200,8 @@
 }
 
 void router_sync_register(router *router) {
-  node_register_handler(&router->node, WIRE__ENVELOPE__BODY_CONFIG_POLL_REQUEST, on_config_poll,
-                        router);
+  peer_rpc_register_handler(&router->node, WIRE__ENVELOPE__BODY_CONFIG_POLL_REQUEST, on_config_poll,
+                            router);
 }
 
 void router_sync_start(router *router) {
--- a/lib/router/singleton_lease.c
+++ b/lib/router/singleton_lease.c
@@ -90,7 +90,7 @@
 static bool find_head(router *router) {
   if (router->leases.head_address[0])
     return true;
-  const peer_node *peer = node_pick_peer(&router->node, ROLE_CONTROLLER, NULL);
+  const peer_node *peer = peer_table_pick(&router->node, ROLE_CONTROLLER, NULL);
   if (!peer)
     return false;
   g_strlcpy(router->leases.head_address, peer->address, sizeof router->leases.head_address);
@@ -132,7 +132,7 @@
   Wire__Envelope message = wire_envelope(WIRE__ENVELOPE__BODY_SINGLETON_LEASE_REQUEST, &request);
   char address[sizeof router->leases.head_address];
   g_strlcpy(address, router->leases.head_address, sizeof address);
-  enum error_code code = node_call(&router->node, address, &message, timeout, response, err);
+  enum error_code code = peer_rpc_call(&router->node, address, &message, timeout, response, err);
   g_free(claims);
   g_free(pointers);
   return code;
@@ -206,7 +206,7 @@
     for (size_t i = 0; kind == CLAIM_HOLD && i < response->n_results; i++)
       apply_result(router, response->results[i], requested_at);
   }
-  node_reply_free(envelope);
+  peer_rpc_message_free(envelope);
 }
 
 static bool is_ineligible(router *router) {
--- a/lib/runtime/http_request.c
+++ b/lib/runtime/http_request.c
@@ -44,7 +44,7 @@
   http_request_end(request, true);
 }
 
-void http_respond_error(http_request *request, int status, int code, const char *text) {
+void http_request_respond_error(http_request *request, int status, int code, const char *text) {
   GString *body = g_string_new(NULL);
   json_appendf(body, "{\"code\":%d,\"error\":", code);
   json_append_quoted(body, string_view_of(text));
--- a/lib/runtime/http_request.h
+++ b/lib/runtime/http_request.h
@@ -100,7 +100,7 @@
 /** Sends a complete response. type NULL: without Content-Type. */
 void http_request_respond(http_request *request, int status, const char *type, string_view body);
 /** Sends {"code":...,"error":...} as a complete response. */
-void http_respond_error(http_request *request, int status, int code, const char *text);
+void http_request_respond_error(http_request *request, int status, int code, const char *text);
 /** Begins a streamed response; nothing happens if one has begun. */
 void http_request_begin(http_request *request, int status, const char *type);
 /** Adds to a streamed response, and waits while more than a bound waits to be sent. OK,
--- a/tests/canary.c
+++ b/tests/canary.c
@@ -578,9 +578,9 @@
   q.verdict.len = strlen(text);
   Wire__Envelope m = wire_envelope(WIRE__ENVELOPE__BODY_CANARY_END_REQUEST, &q), *b;
   error err = { 0 };
-  t->code = node_call(&t->host->router->node, t->head, &m, time_from_ms(3000), &b, &err);
+  t->code = peer_rpc_call(&t->host->router->node, t->head, &m, time_from_ms(3000), &b, &err);
   if (!t->code)
-    node_reply_free(b);
+    peer_rpc_message_free(b);
   t->done = true;
 }
 
--- a/tests/fleet/partitions.c
+++ b/tests/fleet/partitions.c
@@ -267,7 +267,7 @@
       if (a == h || a->role > HOST_ROUTER)
         continue;
       peer_node *peer =
-          node_find_peer(a->controller ? &a->controller->node : &a->router->node, h->self);
+          peer_table_find(a->controller ? &a->controller->node : &a->router->node, h->self);
       node *node = h->controller ? &h->controller->node : &h->router->node;
       if (!peer || peer->gone || peer->nonce != node->nonce)
         violation(fleet, "%s does not know that %s is back", a->self.text, h->self.text);
--- a/tests/loads.c
+++ b/tests/loads.c
@@ -33,7 +33,7 @@
     q.max_eviction_cost = l->most;
     Wire__Envelope m = wire_envelope(WIRE__ENVELOPE__BODY_PLACED_LOAD_REQUEST, &q), *b;
     error err = { 0 };
-    int r = to ? node_call(&router->node, to->host->addr, &m, time_from_ms(1300), &b, &err)
+    int r = to ? peer_rpc_call(&router->node, to->host->addr, &m, time_from_ms(1300), &b, &err)
                : E_NO_LEASE_HOLDER;
     if (r == E_STOPPING)
       return;
@@ -42,7 +42,7 @@
               ? (int)b->placed_load_response->error_code
               : E_WIRE_MESSAGE;
     if (to)
-      node_reply_free(b);
+      peer_rpc_message_free(b);
     if (r == E_IN_PROGRESS)
       continue;
     l->code = r;
--- a/tests/member.c
+++ b/tests/member.c
@@ -47,7 +47,7 @@
 
 static void check_watchers(fleet *fleet, node *node, id who) {
   ring_position actual[HEARTBEAT_WATCHERS], expected[HEARTBEAT_WATCHERS];
-  int n = node_watchers(node, who, actual), k = expected_watchers(node, who, expected);
+  int n = heartbeat_ring_watchers(node, who, actual), k = expected_watchers(node, who, expected);
   if (n != k) {
     violation(fleet, "%s names %d watchers of %s, not %d", node->settings.self.text, n, who.text,
               k);
@@ -157,7 +157,7 @@
   int gone = 0;
   for (int i = 0; i < fleet->routers + fleet->controllers; i++) {
     host *host = i < fleet->routers ? fleet->router[i] : fleet->controller[i - fleet->routers];
-    peer_node *peer = host == subject ? NULL : node_find_peer(node_of(host), subject->self);
+    peer_node *peer = host == subject ? NULL : peer_table_find(node_of(host), subject->self);
     if (!peer)
       continue;
     gone += peer->gone;
--- a/tests/placement.c
+++ b/tests/placement.c
@@ -272,7 +272,7 @@
       em_order *p = deployment->log->orders->pdata[m];
       int64_t us = order->at.us - p->at.us;
       if (id_equal(order->engine, p->engine) && !id_equal(order->holder, p->holder) &&
-          us < MEMBER_LEASE_MS * 1000) {
+          us < DEPLOYMENT_LEASE_MS * 1000) {
         violation(deployment->base, "%s and %s order %s within %.2f s", p->holder.text,
                   order->holder.text, order->engine.text, (double)us / 1e6);
         return;
--- a/tests/router/config_sync.c
+++ b/tests/router/config_sync.c
@@ -47,7 +47,7 @@
   for (int i = 0; i < 3; i++)
     sim_part(fleet->sim, host->self.text, fleet->controller[i]->self.text, true);
   sim_run(fleet->sim, time_from_ms(3000));
-  if (!config_sync_may_admit(host->router))
+  if (!admission_may_admit(host->router))
     violation(fleet, "a router that hears the others counts as isolated");
   if (!fleet_put(fleet, "evacuation", "{\"areas\":[]}"))
     return false;
