--- a/tests/compatibility/outward.c
+++ b/tests/compatibility/outward.c
@@ -206,7 +206,7 @@
   if (!fleet_up(fleet))
     return false;
   outward_lines lines = lines_of(fleet);
-  go(fleet, 12);
+  scenario_start_traffic(fleet, 12);
   for (int i = 0; i < POLLS; i++) {
     sim_run(fleet->sim, time_from_ms(POLL_EACH_MS));
     add_pages(&lines, "controller", fleet->controller, fleet->controllers, controller_pages);
--- a/tests/compatibility/stored_data.c
+++ b/tests/compatibility/stored_data.c
@@ -219,7 +219,7 @@
   host_start(fleet->operator);
   for (int i = 0; i < STORED_CONTROLLERS; i++)
     host_start(fleet->controller[i]);
-  if (!wait_chain(fleet, STORED_CONTROLLERS, START_MS))
+  if (!scenario_wait_for_chain(fleet, STORED_CONTROLLERS, START_MS))
     return false;
   sim_run(fleet->sim, time_from_ms(1000));
   for (int i = 0; i < RESOURCE_COUNT; i++)
--- a/tests/catch_up.c
+++ b/tests/controlplane/catch_up.c
@@ -52,7 +52,7 @@
 static void workload_send_change(workload *workload) {
   fleet *fleet = workload->fleet;
   char *text = workload->entries ? catalogue_text(workload->entries + workload->sent % 2)
-                                 : area_text(1 + workload->sent % 9);
+                                 : scenario_evacuation_json(1 + workload->sent % 9);
   host *to = fleet->controller[sim_draw(fleet->sim, (uint64_t)fleet->controllers)];
   workload->sent++;
   if (to->alive && !to->frozen)
@@ -137,16 +137,16 @@
 
 static bool start_controllers(fleet *fleet, int members, size_t ring) {
   while (fleet->controllers < members)
-    core_add_controller(fleet, fleet->controllers + 1);
+    chain_add_controller(fleet, fleet->controllers + 1);
   for (int i = 0; i < fleet->controllers; i++)
     fleet->controller[i]->settings.log_file_bytes = ring;
-  core_found_by_address(fleet, 3);
-  core_bounds(fleet, members, members / 2 + 1, 1);
+  chain_bootstrap_by_address(fleet, 3);
+  chain_set_size(fleet, members, members / 2 + 1, 1);
   if (!fleet_up(fleet))
     return false;
   check_watch(fleet);
-  core_later_starts(fleet);
-  return core_wait_shape(fleet, members, members, 10000);
+  chain_clear_founders(fleet);
+  return chain_wait_for_shape(fleet, members, members, 10000);
 }
 
 static void put_catalogue(fleet *fleet, int entries) {
@@ -211,7 +211,7 @@
     check_catch_up_time(&load, fleet->controller[b], second, GROWN_SYNC_MS, "empty-second");
   }
   workload_end(&load);
-  acked_stand(fleet);
+  scenario_check_acknowledged_writes(fleet);
   return true;
 }
 
@@ -248,10 +248,10 @@
   /* the first is half through; the second begins after a change, and fetches all */
   if (!fetch_part(host, &seq[0], 0, got[0]))
     violation(fleet, "a first part was refused");
-  core_put(fleet, 1, "while a state is fetched");
+  chain_put_evacuation(fleet, 1, "while a state is fetched");
   for (size_t n; (n = fetch_part(host, &seq[1], got[1]->len, got[1]));)
     ;
-  core_put(fleet, 2, "while a state is fetched");
+  chain_put_evacuation(fleet, 2, "while a state is fetched");
   fetch_part(host, &seq[2], 0, got[2]);
   for (int i = 0; i < 3; i++) {
     while (fetch_part(host, &seq[i], got[i]->len, got[i]))
@@ -298,7 +298,7 @@
   workload_end(&load);
   if (acked < 20)
     violation(fleet, "only %d changes were taken", acked);
-  acked_stand(fleet);
+  scenario_check_acknowledged_writes(fleet);
   return true;
 }
 
@@ -335,7 +335,7 @@
   if (load.acked < 3000)
     violation(fleet, "only %d changes were taken", load.acked);
   workload_end(&load);
-  acked_stand(fleet);
+  scenario_check_acknowledged_writes(fleet);
   return true;
 }
 
@@ -372,11 +372,11 @@
       }
     int64_t max_ms = members > 3 ? GROWN_SYNC_MS : SMALL_SYNC_MS;
     check_catch_up_time(&load, host, began, max_ms, "power-in-a-fetch");
-    if (!core_wait_shape(fleet, members, members, max_ms))
+    if (!chain_wait_for_shape(fleet, members, members, max_ms))
       return false;
   }
   workload_end(&load);
-  acked_stand(fleet);
+  scenario_check_acknowledged_writes(fleet);
   return true;
 }
 
@@ -402,7 +402,7 @@
   host_start(host);
   check_catch_up_time(&load, host, fleet->sim->now, SMALL_SYNC_MS, "after-it-left");
   workload_end(&load);
-  acked_stand(fleet);
+  scenario_check_acknowledged_writes(fleet);
   return true;
 }
 
@@ -430,7 +430,7 @@
   load.at = NULL;
   load.read_interval_ms = 0;
   workload_end(&load);
-  acked_stand(fleet);
+  scenario_check_acknowledged_writes(fleet);
   return true;
 }
 
--- a/tests/controlplane/chain_join.c
+++ b/tests/controlplane/chain_join.c
@@ -15,28 +15,28 @@
     return false;
   host_power(old);
   host_wipe(old);
-  if (!wait_chain(fleet, 2, 8000))
+  if (!scenario_wait_for_chain(fleet, 2, 8000))
     return false;
   fleet->controllers = 4;
   host_start(replacement);
-  if (!wait_chain(fleet, 3, 12000))
+  if (!scenario_wait_for_chain(fleet, 3, 12000))
     return false;
-  acked_stand(fleet);
+  scenario_check_acknowledged_writes(fleet);
   /* the replacement is a voter: another one may be lost now */
   host *next = old == fleet->controller[0] ? fleet->controller[1] : fleet->controller[0];
   host_power(next);
-  if (!wait_chain(fleet, 2, 8000))
+  if (!scenario_wait_for_chain(fleet, 2, 8000))
     return false;
-  char *evacuation = area_text(3);
+  char *evacuation = scenario_evacuation_json(3);
   if (!fleet_put(fleet, "evacuation", evacuation))
     violation(fleet, "no write after the exchange");
   g_free(evacuation);
-  acked_stand(fleet);
+  scenario_check_acknowledged_writes(fleet);
   /* the old controller comes back with an empty disk, and may neither vote nor bootstrap a fleet */
   host_start(old);
-  if (!wait_chain(fleet, 3, 15000))
+  if (!scenario_wait_for_chain(fleet, 3, 15000))
     return false;
-  acked_stand(fleet);
+  scenario_check_acknowledged_writes(fleet);
   return true;
 }
 
@@ -46,7 +46,7 @@
   check_watch(fleet);
   for (int i = 0; i < 3; i++) {
     host *host = fleet->controller[i];
-    char *evacuation = area_text(1 + i);
+    char *evacuation = scenario_evacuation_json(1 + i);
     if (!fleet_put(fleet, "evacuation", evacuation))
       return false;
     g_free(evacuation);
@@ -56,9 +56,9 @@
       sim_run(fleet->sim, time_from_ms(3000));
     host_start(host);
     sim_run(fleet->sim, time_from_ms(1500));
-    if (!wait_chain(fleet, 3, 15000))
+    if (!scenario_wait_for_chain(fleet, 3, 15000))
       return false;
-    acked_stand(fleet);
+    scenario_check_acknowledged_writes(fleet);
   }
   return true;
 }
--- a/tests/controlplane/chain_repair.c
+++ b/tests/controlplane/chain_repair.c
@@ -71,7 +71,7 @@
 
 /* adds a controller, in the zone of another one when that is not NULL */
 static host *trial_add(core_trial *trial, const host *old) {
-  host *host = core_add_controller(trial->fleet, 10 + trial->added++);
+  host *host = chain_add_controller(trial->fleet, 10 + trial->added++);
   host->begin = process_began;
   host->disk->slow_ms = trial->slow_ms;
   if (old)
@@ -88,22 +88,22 @@
     fleet->controller[i]->begin = process_began;
   while (fleet->controllers < members)
     trial_add(trial, NULL);
-  core_found_by_address(fleet, 3);
+  chain_bootstrap_by_address(fleet, 3);
   /* three controllers are in three zones; a write may then have to be in two of them */
   int zones = members == 3 ? 1 + (int)sim_draw(fleet->sim, 2) : 1;
-  core_bounds(fleet, members, trial->tolerated + 1, zones);
+  chain_set_size(fleet, members, trial->tolerated + 1, zones);
   for (int i = 0; i < fleet->controllers; i++)
     fleet->controller[i]->settings.shutdown_grace_ms = GRACE_MS;
   if (!fleet_up(fleet))
     return false;
   check_watch(fleet);
-  core_later_starts(fleet);
+  chain_clear_founders(fleet);
   /* in a third of the runs every disk takes 15 to 30 times as long */
   int64_t slow = sim_draw(fleet->sim, 3) ? 0 : 15 + (int64_t)sim_draw(fleet->sim, 16);
   for (int i = 0; i < fleet->controllers; i++)
     fleet->controller[i]->disk->slow_ms = slow;
   trial->slow_ms = slow;
-  return core_wait_shape(fleet, members, members, 10000);
+  return chain_wait_for_shape(fleet, members, members, 10000);
 }
 
 /* the latest view that any live controller knows; NULL when none runs */
@@ -262,17 +262,17 @@
 /* a majority and a replica in sync are left: the chain acts, commits a write, and reads what it
  * acknowledged */
 static void trial_check_available(core_trial *trial, int links, const char *when) {
-  if (!wait_chain(trial->fleet, links, ACTS_AGAIN_MS)) {
+  if (!scenario_wait_for_chain(trial->fleet, links, ACTS_AGAIN_MS)) {
     violation(trial->fleet, "%s: no majority or no replica in sync is left", when);
     return;
   }
-  core_put(trial->fleet, (int)sim_draw(trial->fleet->sim, 9), when);
-  acked_stand(trial->fleet);
+  chain_put_evacuation(trial->fleet, (int)sim_draw(trial->fleet->sim, 9), when);
+  scenario_check_acknowledged_writes(trial->fleet);
 }
 
 /* loses as many controllers at once as are tolerated, for good */
 static void trial_last_loss(core_trial *trial, const char *when) {
-  char *text = area_text(1 + (int)sim_draw(trial->fleet->sim, 8));
+  char *text = scenario_evacuation_json(1 + (int)sim_draw(trial->fleet->sim, 8));
   op_call *call = fleet_send(trial->fleet, trial->fleet->controller[0], "PUT", "/v1/evacuation",
                              text, NULL, NULL);
   g_free(text);
@@ -295,7 +295,7 @@
   if (!trial_up(&trial, fleet, members))
     return false;
   for (int turn = 0; turn < 3; turn++) {
-    core_put(fleet, turn, "before a loss");
+    chain_put_evacuation(fleet, turn, "before a loss");
     int count = 1 + (int)sim_draw(fleet->sim, (uint64_t)trial.tolerated);
     for (int i = 0; i < count; i++) {
       host *host = trial_member(&trial);
@@ -336,7 +336,7 @@
   core_trial trial;
   if (!trial_up(&trial, fleet, sim_draw(fleet->sim, 2) ? 5 : 3))
     return false;
-  core_put(fleet, 1, "before the replacement");
+  chain_put_evacuation(fleet, 1, "before the replacement");
   host *old = trial_member(&trial), *replacement = trial_add(&trial, old);
   use_live_seeds(&trial, replacement, old);
   trial_start(&trial, replacement);
@@ -354,7 +354,7 @@
   core_trial trial;
   if (!trial_up(&trial, fleet, 3))
     return false;
-  core_put(fleet, 2, "before the losses");
+  chain_put_evacuation(fleet, 2, "before the losses");
   host *last = fleet_head(fleet);
   if (!last)
     return false;
@@ -392,7 +392,7 @@
   core_trial trial;
   if (!trial_up(&trial, fleet, sim_draw(fleet->sim, 2) ? 5 : 3))
     return false;
-  core_put(fleet, 3, "before the losses");
+  chain_put_evacuation(fleet, 3, "before the losses");
   for (int i = 0; i < trial.tolerated; i++) {
     host *host = trial_member(&trial);
     if (host)
@@ -426,7 +426,7 @@
   core_trial trial;
   if (!trial_up(&trial, fleet, sim_draw(fleet->sim, 2) ? 5 : 3))
     return false;
-  core_put(fleet, (int)sim_draw(fleet->sim, 9), "just before the losses");
+  chain_put_evacuation(fleet, (int)sim_draw(fleet->sim, 9), "just before the losses");
   sim_run(fleet->sim, (time_us){ (int64_t)sim_draw(fleet->sim, 30000) });
   for (int i = 0; i < trial.tolerated; i++) {
     host *host = trial_member(&trial);
--- a/tests/orders.c
+++ b/tests/controlplane/config_change.c
@@ -307,7 +307,7 @@
   snprintf(name, sizeof name, "controller-%d", n);
   snprintf(address, sizeof address, "127.0.1.%d:7000", n);
   host *host = fleet->controller[fleet->controllers++] =
-      sim_host(fleet->sim, HOST_CONTROLLER, name, area_names[n % 3], address);
+      sim_host(fleet->sim, HOST_CONTROLLER, name, zone_names[n % 3], address);
   host->settings = fleet->controller[0]->settings;
   host->settings.self = host->self;
   host->settings.zone = host->area;
@@ -338,7 +338,7 @@
   run_start(run, fleet, members);
   sim_run(fleet->sim, time_from_ms(2500));
   as_operator(run, write_first, NULL, 30000);
-  return wait_chain(fleet, members, 20000) && !fleet->faults->len;
+  return scenario_wait_for_chain(fleet, members, 20000) && !fleet->faults->len;
 }
 
 static void final_read(run *run, void *ctx) {
@@ -354,7 +354,7 @@
   fleet *fleet = run->deployment->base;
   run->stop = true;
   run->request_loss = run->answer_loss = run->leaving = 0;
-  heal_all(fleet);
+  scenario_heal_all(fleet);
   if (!sim_until(fleet->sim, is_idle, run, time_from_ms(60000)))
     violation(fleet, "operators did not come to an end");
   sim_run(fleet->sim, time_from_ms(3000));
@@ -465,10 +465,10 @@
     bool disk_lost = inject_fault(&r);
     sim_run(fleet->sim, time_from_ms((int64_t)draw(&r, 6000)));
     fleet->sim->loss = 0;
-    heal_all(fleet);
+    scenario_heal_all(fleet);
     sim_run(fleet->sim, time_from_ms(2000));
     if (disk_lost)
-      wait_chain(fleet, members, 40000);
+      scenario_wait_for_chain(fleet, members, 40000);
   }
   return run_done(&r);
 }
@@ -513,8 +513,8 @@
     for (int k = 0; k < (fleet->controllers == 5 ? 2 : 1); k++)
       host_freeze(any_controller(&r));
     sim_run(fleet->sim, time_from_ms(2500 + (int64_t)draw(&r, 1000)));
-    heal_all(fleet);
-    wait_chain(fleet, fleet->controllers, 20000);
+    scenario_heal_all(fleet);
+    scenario_wait_for_chain(fleet, fleet->controllers, 20000);
   }
   return run_done(&r);
 }
@@ -532,7 +532,7 @@
   bool disk_lost = inject_fault(&r);
   sim_run(fleet->sim, time_from_ms((int64_t)draw(&r, 3000)));
   fleet->sim->loss = 0;
-  heal_all(fleet);
+  scenario_heal_all(fleet);
   sim_run(fleet->sim, time_from_ms(20000));
   if (!r.current && !disk_lost)
     violation(fleet, "no first configuration was taken");
@@ -585,7 +585,7 @@
   host_wipe(head);
   sim_run(fleet->sim, time_from_ms(4000));
   host_start(head);
-  wait_chain(fleet, 3, 20000);
+  scenario_wait_for_chain(fleet, 3, 20000);
 }
 
 static bool repeat_after(fleet *fleet, guint changes) {
@@ -596,7 +596,7 @@
     /* nor is it forgotten by a restart of all, or by a loss of power */
     for (int i = 0; i < fleet->controllers; i++)
       host_power(fleet->controller[i]);
-    heal_all(fleet);
+    scenario_heal_all(fleet);
     sim_run(fleet->sim, time_from_ms(4000));
     as_operator(&r, send_first_again, &d, 30000);
     /* nor by machines that came with an empty disk and then lead: each is wiped once */
@@ -731,7 +731,7 @@
   if (!run_up(&r, fleet, 3))
     return run_done(&r);
   for (int round = 0; round < 10 && !fleet->faults->len; round++) {
-    wait_chain(fleet, 3, 20000);
+    scenario_wait_for_chain(fleet, 3, 20000);
     host *head = fleet_head(fleet);
     if (!head)
       continue;
@@ -746,7 +746,7 @@
     task_start(&r.deployment->operator->world->tasks, "winner", winner_task, &a);
     r.deployment->op_host->due = fleet->sim->now;
     sim_run(fleet->sim, time_from_ms(1300 + (int64_t)draw(&r, 500)));
-    heal_all(fleet);
+    scenario_heal_all(fleet);
     if (!sim_until(fleet->sim, is_idle, &r, time_from_ms(120000)))
       violation(fleet, "operators did not come to an end");
     as_operator(&r, final_read, NULL, 70000);
@@ -955,7 +955,7 @@
   return !fleet->faults->len;
 }
 
-const test_case order_tests[] = {
+const test_case config_change_tests[] = {
   { "the_checker_accepts_good_histories", the_checker_accepts_good_histories, 0, 0, 10 },
   { "the_checker_rejects_bad_histories", the_checker_rejects_bad_histories, 0, 0, 10 },
   { "operators_share_a_core_of_three", operators_share_a_core_of_three, 0, 0, 100 },
--- a/tests/controlplane/controller.c
+++ b/tests/controlplane/controller.c
@@ -13,7 +13,8 @@
     host *t = fleet_tail(fleet);
     op_call *g =
         fleet_call(fleet, t, "GET", "/v1/evacuation", NULL, NULL, NULL, time_from_ms(5000));
-    char m[32], ra[32], *x = area_text(i % 4), *y = area_text(4 + i % 4);
+    char m[32], ra[32], *x = scenario_evacuation_json(i % 4),
+                        *y = scenario_evacuation_json(4 + i % 4);
     snprintf(ra, sizeof ra, "race-%d", i);
     snprintf(m, sizeof m, "%" PRIu64, g->version);
     call_free(g);
@@ -124,15 +125,15 @@
   host_power(host);
   host_wipe(host);
   host_start(host);
-  if (!wait_chain(fleet, 3, 20000))
+  if (!scenario_wait_for_chain(fleet, 3, 20000))
     return false;
   for (int i = 0; i < 3; i++)
     host_power(fleet->controller[i]);
   for (int i = 0; i < 3; i++)
     host_start(fleet->controller[i]);
-  if (!wait_chain(fleet, 3, 20000))
+  if (!scenario_wait_for_chain(fleet, 3, 20000))
     return false;
-  acked_stand(fleet);
+  scenario_check_acknowledged_writes(fleet);
   GString *over = g_string_new("{\"areas\":[");
   while (over->len < (1 << 20))
     json_appendf(over, "%s\"area-with-a-long-name-%zu\"",
--- a/tests/registry.c
+++ b/tests/controlplane/engine_registry.c
@@ -746,7 +746,7 @@
   for (int i = 0; i < 3; i++)
     if (fleet->controller[i] != isolated)
       host_start(fleet->controller[i]);
-  if (!wait_chain(fleet, 3, 15000))
+  if (!scenario_wait_for_chain(fleet, 3, 15000))
     return false;
   sim_run(fleet->sim, time_from_ms(3000));
   st = status_at(fleet, fleet->controller[0], "PUT", "/v1/routing", d, 20);
@@ -770,7 +770,7 @@
   return true;
 }
 
-const test_case registry_tests[] = {
+const test_case engine_registry_tests[] = {
   { "beats_come_late", beats_come_late, 1, 1, 10 },
   { "leaving_is_for_good", leaving_is_for_good, 1, 1, 10 },
   { "addresses_are_used_again", addresses_are_used_again, 1, 1, 10 },
--- a/tests/controlplane/rejoin.c
+++ b/tests/controlplane/rejoin.c
@@ -8,14 +8,14 @@
 
 /* starts five controllers, of which two were added; a write is synced on two replicas */
 static bool start_five(fleet *fleet) {
-  core_add_controller(fleet, 4);
-  core_add_controller(fleet, 5);
-  core_found_by_address(fleet, 3);
-  core_bounds(fleet, 5, 2, 1);
-  if (!fleet_up(fleet) || !wait_chain(fleet, 5, 15000))
+  chain_add_controller(fleet, 4);
+  chain_add_controller(fleet, 5);
+  chain_bootstrap_by_address(fleet, 3);
+  chain_set_size(fleet, 5, 2, 1);
+  if (!fleet_up(fleet) || !scenario_wait_for_chain(fleet, 5, 15000))
     return false;
   check_watch(fleet);
-  core_later_starts(fleet);
+  chain_clear_founders(fleet);
   return true;
 }
 
@@ -76,14 +76,14 @@
     host *first = chain_host(fleet, &view, 3), *second = chain_host(fleet, &view, 4);
     host_power(first);
     host_power(second);
-    acts = wait_chain(fleet, 3, 10000);
+    acts = scenario_wait_for_chain(fleet, 3, 10000);
     first->disk->slow_ms = 100 + (int64_t)sim_draw(fleet->sim, 150);
     host_start(first);
     host_start(second);
     for (int i = 0; i < 8000 && !fleet->faults->len; i++) {
       host *to = fleet_head(fleet);
       if (to && i % 60 == 0) {
-        char *evacuation = area_text(1 + i / 60 % 9);
+        char *evacuation = scenario_evacuation_json(1 + i / 60 % 9);
         g_ptr_array_add(calls,
                         fleet_send(fleet, to, "PUT", "/v1/evacuation", evacuation, NULL, NULL));
         g_free(evacuation);
@@ -92,22 +92,22 @@
       highest = check_tails(fleet, highest);
     }
     first->disk->slow_ms = 0;
-    acts = acts && wait_chain(fleet, 5, 15000);
+    acts = acts && scenario_wait_for_chain(fleet, 5, 15000);
   }
   wait_and_free_calls(fleet, calls);
-  acked_stand(fleet);
+  scenario_check_acknowledged_writes(fleet);
   return acts && !fleet->faults->len;
 }
 
 /* given a chain that has shrunk to its head, a restart of the head: it answers no reads by the
  * snapshot that its disk begins with, older than what was acknowledged */
 static bool a_lone_member_restarts(fleet *fleet) {
-  if (!fleet_up(fleet) || !wait_chain(fleet, 3, 10000))
+  if (!fleet_up(fleet) || !scenario_wait_for_chain(fleet, 3, 10000))
     return false;
   check_watch(fleet);
   uint64_t highest = 0;
   for (int i = 0; i < 5; i++) {
-    char *evacuation = area_text(1 + i);
+    char *evacuation = scenario_evacuation_json(1 + i);
     fleet_put(fleet, "evacuation", evacuation);
     g_free(evacuation);
   }
@@ -118,7 +118,7 @@
   view view = head->controller->replica.view;
   host *middle = chain_host(fleet, &view, 1);
   host_power(middle);
-  if (!wait_chain(fleet, 2, 10000))
+  if (!scenario_wait_for_chain(fleet, 2, 10000))
     return false;
   highest = check_tails(fleet, highest);
   host_freeze(tail);
@@ -132,9 +132,9 @@
     highest = check_tails(fleet, highest);
   }
   host_wake(tail);
-  if (!wait_chain(fleet, 3, 15000))
+  if (!scenario_wait_for_chain(fleet, 3, 15000))
     return false;
-  acked_stand(fleet);
+  scenario_check_acknowledged_writes(fleet);
   return !fleet->faults->len;
 }
 
--- a/tests/core.c
+++ b/tests/controlplane/replica.c
@@ -3,12 +3,12 @@
 #include "tests.h"
 #include <stdio.h>
 
-host *core_add_controller(fleet *fleet, int n) {
+host *chain_add_controller(fleet *fleet, int n) {
   char name[32], addr[48];
   snprintf(name, sizeof name, "controller-%d", n);
   snprintf(addr, sizeof addr, "127.0.1.%d:7000", n + 40);
   host *host = fleet->controller[fleet->controllers++] =
-      sim_host(fleet->sim, HOST_CONTROLLER, name, area_names[n % 3], addr);
+      sim_host(fleet->sim, HOST_CONTROLLER, name, zone_names[n % 3], addr);
   host->settings = fleet->controller[0]->settings;
   host->settings.self = host->self;
   host->settings.zone = host->area;
@@ -17,7 +17,7 @@
 }
 
 /* the settings name founders by address only, as at a first start */
-void core_found_by_address(fleet *fleet, int founders) {
+void chain_bootstrap_by_address(fleet *fleet, int founders) {
   for (int i = 0; i < fleet->controllers; i++) {
     settings *settings = &fleet->controller[i]->settings;
     memset(settings->founders, 0, sizeof settings->founders);
@@ -29,12 +29,12 @@
 }
 
 /* the settings of a later start name no founders */
-void core_later_starts(fleet *fleet) {
+void chain_clear_founders(fleet *fleet) {
   for (int i = 0; i < fleet->controllers; i++)
     fleet->controller[i]->settings.founder_count = 0;
 }
 
-void core_bounds(fleet *fleet, int members, int replicas, int zones) {
+void chain_set_size(fleet *fleet, int members, int replicas, int zones) {
   for (int i = 0; i < fleet->controllers; i++) {
     fleet->controller[i]->settings.chain_members = members;
     fleet->controller[i]->settings.write_replicas = replicas;
@@ -42,8 +42,8 @@
   }
 }
 
-void core_put(fleet *fleet, int n, const char *when) {
-  char *t = area_text(1 + n % 9);
+void chain_put_evacuation(fleet *fleet, int n, const char *when) {
+  char *t = scenario_evacuation_json(1 + n % 9);
   if (!fleet_put(fleet, "evacuation", t))
     violation(fleet, "no write %s", when);
   g_free(t);
@@ -64,7 +64,7 @@
           host->controller->replica.view.voter_count == wanted->voter_count);
 }
 
-bool core_wait_shape(fleet *fleet, int chain_length, int voter_count, int64_t ms) {
+bool chain_wait_for_shape(fleet *fleet, int chain_length, int voter_count, int64_t ms) {
   shape wanted = { fleet, chain_length, voter_count };
   if (sim_until(fleet->sim, has_shape, &wanted, time_from_ms(ms)))
     return true;
@@ -77,23 +77,23 @@
 
 static bool a_core_is_founded_by_addresses(fleet *fleet) {
   int founders = 1 + (int)sim_draw(fleet->sim, 3);
-  core_found_by_address(fleet, founders);
-  core_bounds(fleet, 3, founders == 1 ? 1 : 2, 1);
+  chain_bootstrap_by_address(fleet, founders);
+  chain_set_size(fleet, 3, founders == 1 ? 1 : 2, 1);
   if (!fleet_up(fleet))
     return false;
   check_watch(fleet);
-  core_later_starts(fleet);
-  if (!core_wait_shape(fleet, 3, 3, 8000))
+  chain_clear_founders(fleet);
+  if (!chain_wait_for_shape(fleet, 3, 3, 8000))
     return false;
-  core_put(fleet, 1, "after the bootstrap");
+  chain_put_evacuation(fleet, 1, "after the bootstrap");
   /* one comes back with a blank disk, and joins */
   host *host = fleet->controller[sim_draw(fleet->sim, 3)];
   host_power(host);
   host_wipe(host);
   host_start(host);
-  if (!core_wait_shape(fleet, 3, 3, 10000))
+  if (!chain_wait_for_shape(fleet, 3, 3, 10000))
     return false;
-  acked_stand(fleet);
+  scenario_check_acknowledged_writes(fleet);
   /* when all disks are blank nobody may bootstrap a new fleet */
   for (int i = 0; i < 3; i++) {
     host_power(fleet->controller[i]);
@@ -112,7 +112,7 @@
 }
 
 static bool a_founding_is_broken_off(fleet *f) {
-  core_found_by_address(f, 3);
+  chain_bootstrap_by_address(f, 3);
   for (int i = 0; i < 3; i++)
     host_start(f->controller[i]);
   /* a controller whose disk never synced its first record is a blank one */
@@ -121,11 +121,11 @@
     if (sim_draw(f->sim, 2))
       host_power(f->controller[i]);
   sim_run(f->sim, time_from_ms((int64_t)sim_draw(f->sim, 1500)));
-  core_later_starts(f);
+  chain_clear_founders(f);
   for (int i = 0; i < 3; i++)
     if (!f->controller[i]->alive)
       host_start(f->controller[i]);
-  if (!core_wait_shape(f, 3, 3, 9000))
+  if (!chain_wait_for_shape(f, 3, 3, 9000))
     return false;
   uint64_t fleet = fleet_head(f)->controller->replica.view.fleet_id;
   sim_run(f->sim, time_from_ms(1000));
@@ -137,12 +137,12 @@
 
 /* given settings that allow no loss, a chain of one member commits by itself */
 static bool a_chain_of_one_commits(fleet *fleet) {
-  core_bounds(fleet, 1, 1, 1);
+  chain_set_size(fleet, 1, 1, 1);
   if (!fleet_up(fleet))
     return false;
   for (int turn = 0; turn < 3; turn++)
-    core_put(fleet, turn, "with one of one");
-  acked_stand(fleet);
+    chain_put_evacuation(fleet, turn, "with one of one");
+  scenario_check_acknowledged_writes(fleet);
   return true;
 }
 
@@ -150,16 +150,16 @@
 static bool seven_members_lose_three(fleet *fleet) {
   enum { MEMBERS = 7, LOST = 3 };
   for (int n = 4; n <= MEMBERS; n++)
-    core_add_controller(fleet, n);
-  core_found_by_address(fleet, 3);
-  core_bounds(fleet, MEMBERS, LOST + 1, 1);
+    chain_add_controller(fleet, n);
+  chain_bootstrap_by_address(fleet, 3);
+  chain_set_size(fleet, MEMBERS, LOST + 1, 1);
   if (!fleet_up(fleet))
     return false;
   check_watch(fleet);
-  core_later_starts(fleet);
-  if (!core_wait_shape(fleet, MEMBERS, MEMBERS, 15000))
+  chain_clear_founders(fleet);
+  if (!chain_wait_for_shape(fleet, MEMBERS, MEMBERS, 15000))
     return false;
-  core_put(fleet, 1, "with seven of seven");
+  chain_put_evacuation(fleet, 1, "with seven of seven");
   int first = sim_draw(fleet->sim, MEMBERS);
   fleet_mark(fleet);
   sim_run(fleet->sim, (time_us){ (int64_t)sim_draw(fleet->sim, 9000) });
@@ -168,32 +168,32 @@
     host_power(lost);
     host_wipe(lost);
   }
-  if (!wait_chain(fleet, MEMBERS - LOST, 10000))
+  if (!scenario_wait_for_chain(fleet, MEMBERS - LOST, 10000))
     return false;
-  core_put(fleet, 2, "with four of seven");
-  acked_stand(fleet);
+  chain_put_evacuation(fleet, 2, "with four of seven");
+  scenario_check_acknowledged_writes(fleet);
   for (int i = 0; i < LOST; i++)
     host_start(fleet->controller[(first + i) % MEMBERS]);
-  if (!core_wait_shape(fleet, MEMBERS, MEMBERS, 20000))
+  if (!chain_wait_for_shape(fleet, MEMBERS, MEMBERS, 20000))
     return false;
-  core_put(fleet, 3, "with seven again");
-  acked_stand(fleet);
+  chain_put_evacuation(fleet, 3, "with seven again");
+  scenario_check_acknowledged_writes(fleet);
   return true;
 }
 
 static bool five_members_lose_two(fleet *fleet) {
-  core_add_controller(fleet, 4);
-  core_add_controller(fleet, 5);
-  core_found_by_address(fleet, 3);
-  core_bounds(fleet, 5, 2, 1);
+  chain_add_controller(fleet, 4);
+  chain_add_controller(fleet, 5);
+  chain_bootstrap_by_address(fleet, 3);
+  chain_set_size(fleet, 5, 2, 1);
   if (!fleet_up(fleet))
     return false;
   check_watch(fleet);
-  core_later_starts(fleet);
-  if (!core_wait_shape(fleet, 5, 5, 10000))
+  chain_clear_founders(fleet);
+  if (!chain_wait_for_shape(fleet, 5, 5, 10000))
     return false;
   for (int turn = 0; turn < 3; turn++) {
-    core_put(fleet, turn, "with five of five");
+    chain_put_evacuation(fleet, turn, "with five of five");
     int a = sim_draw(fleet->sim, 5), b = (a + 1 + (int)sim_draw(fleet->sim, 4)) % 5;
     fleet_mark(fleet);
     sim_run(fleet->sim, (time_us){ (int64_t)sim_draw(fleet->sim, 9000) });
@@ -203,26 +203,26 @@
     host_power(fleet->controller[b]);
     if (turn)
       host_wipe(fleet->controller[a]);
-    if (!wait_chain(fleet, 3, 10000))
+    if (!scenario_wait_for_chain(fleet, 3, 10000))
       return false;
-    core_put(fleet, turn + 4, "with three of five");
-    acked_stand(fleet);
+    chain_put_evacuation(fleet, turn + 4, "with three of five");
+    scenario_check_acknowledged_writes(fleet);
     host_start(fleet->controller[a]);
     host_start(fleet->controller[b]);
-    if (!core_wait_shape(fleet, 5, 5, 15000))
+    if (!chain_wait_for_shape(fleet, 5, 5, 15000))
       return false;
-    acked_stand(fleet);
+    scenario_check_acknowledged_writes(fleet);
   }
   /* two are lost for good: they lose their votes, and one more may be lost */
   host_power(fleet->controller[1]);
   host_power(fleet->controller[3]);
-  if (!core_wait_shape(fleet, 3, 3, 40000))
+  if (!chain_wait_for_shape(fleet, 3, 3, 40000))
     return false;
   host_power(fleet->controller[sim_draw(fleet->sim, 2) ? 0 : 4]);
-  if (!wait_chain(fleet, 2, 10000))
+  if (!scenario_wait_for_chain(fleet, 2, 10000))
     return false;
-  core_put(fleet, 3, "with two of three");
-  acked_stand(fleet);
+  chain_put_evacuation(fleet, 3, "with two of three");
+  scenario_check_acknowledged_writes(fleet);
   return true;
 }
 
@@ -247,20 +247,20 @@
 }
 
 static bool a_machine_is_replaced_at_a_new_address(fleet *fleet) {
-  core_found_by_address(fleet, 3);
-  core_bounds(fleet, 3, 2, 1);
+  chain_bootstrap_by_address(fleet, 3);
+  chain_set_size(fleet, 3, 2, 1);
   if (!fleet_up(fleet))
     return false;
   check_watch(fleet);
-  core_later_starts(fleet);
+  chain_clear_founders(fleet);
   for (int turn = 0; turn < 3; turn++) {
-    core_put(fleet, turn, "before the replacement");
+    chain_put_evacuation(fleet, turn, "before the replacement");
     host *head = fleet_head(fleet), *old = turn ? head : fleet->controller[sim_draw(fleet->sim, 3)];
     if (!old)
       return false;
     host_power(old);
     host_wipe(old);
-    host *successor = core_add_controller(fleet, 4 + turn);
+    host *successor = chain_add_controller(fleet, 4 + turn);
     /* the list of seeds is one of its day */
     for (int i = 0, k = 0; i < fleet->controllers && k < 3; i++)
       if (fleet->controller[i] != old &&
@@ -274,18 +274,18 @@
       violation(fleet, "%s did not replace %s", successor->self.text, old->self.text);
       return false;
     }
-    acked_stand(fleet);
-    core_put(fleet, turn + 5, "after the replacement");
+    scenario_check_acknowledged_writes(fleet);
+    chain_put_evacuation(fleet, turn + 5, "after the replacement");
   }
   /* all founders may be gone by now: any one of those left may be lost, too */
   host *host = fleet_tail(fleet);
   if (!host)
     return false;
   host_power(host);
-  if (!wait_chain(fleet, 2, 8000))
+  if (!scenario_wait_for_chain(fleet, 2, 8000))
     return false;
-  core_put(fleet, 2, "with two of three");
-  acked_stand(fleet);
+  chain_put_evacuation(fleet, 2, "with two of three");
+  scenario_check_acknowledged_writes(fleet);
   return true;
 }
 
@@ -297,21 +297,21 @@
     host *h = turn ? fleet->controller[sim_draw(fleet->sim, 3)] : fleet_head(fleet);
     uint64_t life = h->life;
     h->disk->full = true;
-    core_put(fleet, turn, "while one disk of three is full");
-    if (!wait_chain(fleet, 2, 8000))
+    chain_put_evacuation(fleet, turn, "while one disk of three is full");
+    if (!scenario_wait_for_chain(fleet, 2, 8000))
       return false;
-    core_put(fleet, turn + 3, "with two of three");
+    chain_put_evacuation(fleet, turn + 3, "with two of three");
     sim_run(fleet->sim, time_from_ms((int64_t)sim_draw(fleet->sim, 6000)));
     h->disk->full = false;
-    if (!wait_chain(fleet, 3, 8000))
+    if (!scenario_wait_for_chain(fleet, 3, 8000))
       return false;
     if (h->life != life)
       violation(fleet, "%s had to start anew", h->self.text);
-    acked_stand(fleet);
+    scenario_check_acknowledged_writes(fleet);
   }
   for (int i = 0; i < 3; i++)
     fleet->controller[i]->disk->full = true;
-  char *t = area_text(5);
+  char *t = scenario_evacuation_json(5);
   op_call *call = fleet_call(fleet, fleet->controller[0], "PUT", "/v1/evacuation", t, NULL, NULL,
                              time_from_ms(9000));
   if (call->status == 200)
@@ -328,10 +328,10 @@
   }
   for (int i = 0; i < 3; i++)
     fleet->controller[i]->disk->full = false;
-  if (!wait_chain(fleet, 3, 8000))
+  if (!scenario_wait_for_chain(fleet, 3, 8000))
     return false;
-  core_put(fleet, 7, "after the disks were emptied");
-  acked_stand(fleet);
+  chain_put_evacuation(fleet, 7, "after the disks were emptied");
+  scenario_check_acknowledged_writes(fleet);
   return true;
 }
 
@@ -349,7 +349,7 @@
     fleet_mark(fleet);
     sim_run(fleet->sim, time_from_ms(100));
     if (i % 4 == 0)
-      core_put(fleet, i, "over slow disks");
+      chain_put_evacuation(fleet, i, "over slow disks");
   }
   host *head = fleet_head(fleet);
   if (!head || head->controller->replica.view.epoch != epoch)
@@ -362,11 +362,11 @@
       return false;
     host->disk->stall =
         time_add(fleet->sim->now, time_from_ms(5000 + (int64_t)sim_draw(fleet->sim, 3000)));
-    core_put(fleet, turn, "while a disk hangs");
-    core_put(fleet, turn + 2, "while a disk hangs or after");
-    if (!wait_chain(fleet, 3, 15000))
+    chain_put_evacuation(fleet, turn, "while a disk hangs");
+    chain_put_evacuation(fleet, turn + 2, "while a disk hangs or after");
+    if (!scenario_wait_for_chain(fleet, 3, 15000))
       return false;
-    acked_stand(fleet);
+    scenario_check_acknowledged_writes(fleet);
   }
   return true;
 }
@@ -384,20 +384,20 @@
     violation(fleet, "a catalogue of %zu bytes got %d %s", strlen(over), call->status,
               call->body->str);
   call_free(call);
-  core_put(fleet, 1, "after one that was too large");
+  chain_put_evacuation(fleet, 1, "after one that was too large");
   if (!fleet_put(fleet, "catalogue", some))
     violation(fleet, "a catalogue of %zu bytes was not taken again", strlen(some));
   host *host = fleet_head(fleet);
   if (!host || host->controller->replica.view.chain_length != 3)
     violation(fleet, "a write that was too large broke the chain");
-  acked_stand(fleet);
+  scenario_check_acknowledged_writes(fleet);
   for (int i = 0; i < 3; i++)
     host_power(fleet->controller[i]);
   for (int i = 0; i < 3; i++)
     host_start(fleet->controller[i]);
-  if (!wait_chain(fleet, 3, 8000))
+  if (!scenario_wait_for_chain(fleet, 3, 8000))
     return false;
-  acked_stand(fleet);
+  scenario_check_acknowledged_writes(fleet);
   g_free(some);
   g_free(over);
   return true;
@@ -430,7 +430,7 @@
     return false;
   check_watch(fleet);
   for (int turn = 0; turn < 4; turn++) {
-    core_put(fleet, turn, "before the head was lost");
+    chain_put_evacuation(fleet, turn, "before the head was lost");
     sim_run(fleet->sim, time_from_ms(2000 + (int64_t)sim_draw(fleet->sim, 1000)));
     host *head = fleet_head(fleet);
     if (!head) {
@@ -454,7 +454,7 @@
     static const char *const what[] = { "a-frozen-head", "a-dead-head", "a-head-cut-off",
                                         "a-head-that-left" };
     check_in_time(fleet, seconds_to_next_head(fleet, loss, epoch, 6000), 2.5, what[turn]);
-    core_put(fleet, turn + 4, "under the next head");
+    chain_put_evacuation(fleet, turn + 4, "under the next head");
     sim_run(fleet->sim, time_from_ms((int64_t)sim_draw(fleet->sim, 3000)));
     if (turn == 0)
       host_wake(head);
@@ -464,9 +464,9 @@
       host_start(head);
     if (turn == 2)
       sim_mend(fleet->sim);
-    if (!wait_chain(fleet, 3, 12000))
+    if (!scenario_wait_for_chain(fleet, 3, 12000))
       return false;
-    acked_stand(fleet);
+    scenario_check_acknowledged_writes(fleet);
   }
   return true;
 }
@@ -492,11 +492,11 @@
     if (turn == 2)
       sim_cut(fleet->sim, next, head->self.text, true);
     check_in_time(fleet, seconds_to_next_head(fleet, loss, epoch, 8000), 4, "a-cut-link");
-    core_put(fleet, turn, "round a cut link");
+    chain_put_evacuation(fleet, turn, "round a cut link");
     sim_mend(fleet->sim);
-    if (!wait_chain(fleet, 3, 12000))
+    if (!scenario_wait_for_chain(fleet, 3, 12000))
       return false;
-    acked_stand(fleet);
+    scenario_check_acknowledged_writes(fleet);
   }
   return true;
 }
@@ -506,7 +506,7 @@
     return false;
   check_watch(fleet);
   for (int turn = 0; turn < 4; turn++) {
-    core_put(fleet, turn, "before all were killed");
+    chain_put_evacuation(fleet, turn, "before all were killed");
     if (turn % 2) {
       fleet_mark(fleet);
       sim_run(fleet->sim, (time_us){ (int64_t)sim_draw(fleet->sim, 9000) });
@@ -522,16 +522,16 @@
     }
     check_in_time(fleet, seconds_to_next_head(fleet, fleet->sim->now, 0, 6000), 2.5,
                   "all-came-back");
-    core_put(fleet, turn + 5, "after all came back");
-    acked_stand(fleet);
-    if (!wait_chain(fleet, 3, 9000))
+    chain_put_evacuation(fleet, turn + 5, "after all came back");
+    scenario_check_acknowledged_writes(fleet);
+    if (!scenario_wait_for_chain(fleet, 3, 9000))
       return false;
     sim_run(fleet->sim, time_from_ms(2000));
   }
   return true;
 }
 
-const test_case core_tests[] = {
+const test_case replica_tests[] = {
   { "a_core_is_founded_by_addresses", a_core_is_founded_by_addresses, 2, 2, 200 },
   { "a_founding_is_broken_off", a_founding_is_broken_off, 1, 1, 300 },
   { "a_chain_of_one_commits", a_chain_of_one_commits, 1, 1, 50 },
--- a/tests/controlplane/replication.c
+++ b/tests/controlplane/replication.c
@@ -10,10 +10,10 @@
   if (!fleet_up(fleet))
     return false;
   check_watch(fleet);
-  go(fleet, 3);
+  scenario_start_traffic(fleet, 3);
   for (int i = 0; i < 4; i++) {
     host *host = fleet->controller[sim_draw(fleet->sim, 3)];
-    char *evacuation = area_text(1 + i);
+    char *evacuation = scenario_evacuation_json(1 + i);
     op_call *call = fleet_send(fleet, fleet->controller[sim_draw(fleet->sim, 3)], "PUT",
                                "/v1/evacuation", evacuation, NULL, NULL);
     sim_run(fleet->sim, (time_us){ (int64_t)sim_draw(fleet->sim, 12000) });
@@ -21,7 +21,7 @@
       host_kill(host);
     else
       host_power(host);
-    if (!wait_chain(fleet, 2, 8000))
+    if (!scenario_wait_for_chain(fleet, 2, 8000))
       return false;
     sim_run(fleet->sim, time_from_ms(26000));
     call_free(call);
@@ -29,9 +29,9 @@
       violation(fleet, "no write with two of three");
     g_free(evacuation);
     host_start(host);
-    if (!wait_chain(fleet, 3, 10000))
+    if (!scenario_wait_for_chain(fleet, 3, 10000))
       return false;
-    acked_stand(fleet);
+    scenario_check_acknowledged_writes(fleet);
   }
   fleet_quiet(fleet);
   return true;
@@ -41,7 +41,7 @@
   if (!fleet_up(fleet))
     return false;
   for (int i = 0; i < 5; i++) {
-    char *evacuation = area_text(1 + i);
+    char *evacuation = scenario_evacuation_json(1 + i);
     if (!fleet_put(fleet, "evacuation", evacuation))
       return false;
     g_free(evacuation);
@@ -53,9 +53,9 @@
     for (int k = 0; k < 3; k++)
       if (!fleet->controller[k]->alive)
         host_start(fleet->controller[k]);
-    if (!wait_chain(fleet, 3, 15000))
+    if (!scenario_wait_for_chain(fleet, 3, 15000))
       return false;
-    acked_stand(fleet);
+    scenario_check_acknowledged_writes(fleet);
   }
   return true;
 }
@@ -64,14 +64,14 @@
   if (!fleet_up(fleet))
     return false;
   check_watch(fleet);
-  go(fleet, 3);
+  scenario_start_traffic(fleet, 3);
   for (int i = 0; i < 4; i++) {
     host *host = sim_draw(fleet->sim, 2) ? fleet_head(fleet) : fleet_tail(fleet);
     if (!host) {
       sim_run(fleet->sim, time_from_ms(500));
       continue;
     }
-    char *evacuation = area_text(i);
+    char *evacuation = scenario_evacuation_json(i);
     op_call *call = fleet_send(fleet, fleet->controller[sim_draw(fleet->sim, 3)], "PUT",
                                "/v1/evacuation", evacuation, NULL, NULL);
     sim_run(fleet->sim, (time_us){ (int64_t)sim_draw(fleet->sim, 8000) });
@@ -82,8 +82,8 @@
     g_free(evacuation);
     host_wake(host);
     /* what it answers first must not be from before it was frozen */
-    acked_stand(fleet);
-    if (!wait_chain(fleet, 3, 15000))
+    scenario_check_acknowledged_writes(fleet);
+    if (!scenario_wait_for_chain(fleet, 3, 15000))
       return false;
     sim_run(fleet->sim, time_from_ms(26000));
     call_free(call);
@@ -103,9 +103,9 @@
     if (strstr(host->controller->replica.committed.resources[RESOURCE_POLICY].text->str, "99"))
       violation(fleet, "the checksum did not find the corrupt replica of %s", host->self.text);
   }
-  if (!wait_chain(fleet, 3, 5000))
+  if (!scenario_wait_for_chain(fleet, 3, 5000))
     return false;
-  acked_stand(fleet);
+  scenario_check_acknowledged_writes(fleet);
   return true;
 }
 
--- a/tests/controlplane/view_change.c
+++ b/tests/controlplane/view_change.c
@@ -8,7 +8,7 @@
   if (!fleet_up(fleet))
     return false;
   check_watch(fleet);
-  go(fleet, 4);
+  scenario_start_traffic(fleet, 4);
   for (int i = 0; i < 4; i++) {
     host *host = fleet->controller[sim_draw(fleet->sim, 3)];
     int way = sim_draw(fleet->sim, 3);
@@ -19,15 +19,15 @@
         sim_cut(fleet->sim, fleet->controller[k]->self.text, host->self.text, true);
     }
     sim_run(fleet->sim, time_from_ms(500 + (int64_t)sim_draw(fleet->sim, 6000)));
-    char *evacuation = area_text((int)sim_draw(fleet->sim, 9));
+    char *evacuation = scenario_evacuation_json((int)sim_draw(fleet->sim, 9));
     if (!fleet_put(fleet, "evacuation", evacuation))
       violation(fleet, "no write while one of three is cut off");
     g_free(evacuation);
     sim_run(fleet->sim, time_from_ms(3000));
     sim_mend(fleet->sim);
-    if (!wait_chain(fleet, 3, 15000))
+    if (!scenario_wait_for_chain(fleet, 3, 15000))
       return false;
-    acked_stand(fleet);
+    scenario_check_acknowledged_writes(fleet);
   }
   fleet_quiet(fleet);
   return true;
@@ -41,14 +41,14 @@
     int a = sim_draw(fleet->sim, 3), b = (a + 1) % 3;
     sim_part(fleet->sim, fleet->controller[a]->self.text, fleet->controller[b]->self.text, true);
     sim_run(fleet->sim, time_from_ms(6000));
-    char *evacuation = area_text((int)sim_draw(fleet->sim, 9));
+    char *evacuation = scenario_evacuation_json((int)sim_draw(fleet->sim, 9));
     if (!fleet_put(fleet, "evacuation", evacuation))
       violation(fleet, "no write while one link is cut");
     g_free(evacuation);
     sim_mend(fleet->sim);
-    if (!wait_chain(fleet, 3, 15000))
+    if (!scenario_wait_for_chain(fleet, 3, 15000))
       return false;
-    acked_stand(fleet);
+    scenario_check_acknowledged_writes(fleet);
   }
   return true;
 }
--- a/tests/controlplane/wal.c
+++ b/tests/controlplane/wal.c
@@ -8,7 +8,7 @@
   if (!fleet_up(fleet))
     return false;
   for (int i = 0; i < 4; i++) {
-    char *evacuation = area_text(i);
+    char *evacuation = scenario_evacuation_json(i);
     if (!fleet_put(fleet, "evacuation", evacuation))
       return false;
     g_free(evacuation);
@@ -26,11 +26,11 @@
   host->disk->file[file][at] ^= 0x5a;
   host->disk->sure[file][at] ^= 0x5a;
   host_start(host);
-  if (!wait_chain(fleet, 3, 15000))
+  if (!scenario_wait_for_chain(fleet, 3, 15000))
     return false;
   if (host->controller->replica.disk_id == disk_id)
     violation(fleet, "a controller with a corrupt record goes on as a voter");
-  acked_stand(fleet);
+  scenario_check_acknowledged_writes(fleet);
   return true;
 }
 
@@ -38,7 +38,7 @@
   if (!fleet_up(fleet))
     return false;
   for (int i = 0; i < 12; i++) {
-    char *evacuation = area_text(i % 9);
+    char *evacuation = scenario_evacuation_json(i % 9);
     op_call *call = fleet_send(fleet, fleet->controller[sim_draw(fleet->sim, 3)], "PUT",
                                "/v1/evacuation", evacuation, NULL, NULL);
     g_free(evacuation);
@@ -55,9 +55,9 @@
       violation(fleet, "a torn tail was taken for a bad record");
     sim_run(fleet->sim, time_from_ms(20000));
     call_free(call);
-    if (!wait_chain(fleet, 3, 15000))
+    if (!scenario_wait_for_chain(fleet, 3, 15000))
       return false;
-    acked_stand(fleet);
+    scenario_check_acknowledged_writes(fleet);
   }
   return true;
 }
@@ -66,7 +66,7 @@
   if (!fleet_up(fleet))
     return false;
   check_watch(fleet);
-  go(fleet, 3);
+  scenario_start_traffic(fleet, 3);
   for (int i = 0; i < 4; i++) {
     host *host = fleet->controller[sim_draw(fleet->sim, 3)];
     int how = sim_draw(fleet->sim, 4);
@@ -78,7 +78,7 @@
       host->disk->fails = true;
     if (how == 3)
       host->disk->slow_ms = 150;
-    char *evacuation = area_text((int)sim_draw(fleet->sim, 9));
+    char *evacuation = scenario_evacuation_json((int)sim_draw(fleet->sim, 9));
     if (!fleet_put(fleet, "evacuation", evacuation))
       violation(fleet, "no write while one disk of three is out");
     sim_run(fleet->sim, time_from_ms(6000));
@@ -92,9 +92,9 @@
       host_kill(host);
       host_start(host);
     }
-    if (!wait_chain(fleet, 3, 20000))
+    if (!scenario_wait_for_chain(fleet, 3, 20000))
       return false;
-    acked_stand(fleet);
+    scenario_check_acknowledged_writes(fleet);
   }
   fleet_quiet(fleet);
   return true;
--- a/tests/controlplane/wal_restart.c
+++ b/tests/controlplane/wal_restart.c
@@ -28,7 +28,7 @@
   if (!fleet_up(fleet))
     return false;
   for (int attempt = 0; attempt < 10; attempt++) {
-    char *text = area_text(attempt % 9);
+    char *text = scenario_evacuation_json(attempt % 9);
     op_call *call = fleet_send(fleet, fleet->controller[sim_draw(fleet->sim, 3)], "PUT",
                                "/v1/evacuation", text, NULL, NULL);
     g_free(text);
@@ -61,9 +61,9 @@
       violation(fleet, "%s forgot a promise that it had read from its disk", host->self.text);
     sim_run(fleet->sim, time_from_ms(4000));
     call_free(call);
-    if (!wait_chain(fleet, 3, 15000))
+    if (!scenario_wait_for_chain(fleet, 3, 15000))
       return false;
-    acked_stand(fleet);
+    scenario_check_acknowledged_writes(fleet);
   }
   return true;
 }
@@ -71,11 +71,11 @@
 /* a member that restarts reads an old state and the writes after it from its disk; until it knows
    which of those are acknowledged it confirms that state to no router */
 static bool a_restarted_member_confirms_nothing_old(fleet *fleet) {
-  if (!fleet_up(fleet) || !wait_chain(fleet, 3, 8000))
+  if (!fleet_up(fleet) || !scenario_wait_for_chain(fleet, 3, 8000))
     return false;
   uint64_t acked = 0;
   for (int i = 0; i < 5; i++) {
-    char *text = area_text(1 + i);
+    char *text = scenario_evacuation_json(1 + i);
     acked = MAX(acked, fleet_put(fleet, "evacuation", text));
     g_free(text);
   }
@@ -111,10 +111,10 @@
       break;
     }
   }
-  heal_all(fleet);
-  if (!wait_chain(fleet, 3, 15000))
+  scenario_heal_all(fleet);
+  if (!scenario_wait_for_chain(fleet, 3, 15000))
     return false;
-  acked_stand(fleet);
+  scenario_check_acknowledged_writes(fleet);
   return true;
 }
 
--- a/tests/doctor/doctor.c
+++ b/tests/doctor/doctor.c
@@ -20,11 +20,11 @@
 static bool diagnose_lost_controller(fleet *fleet) {
   host_kill(fleet->controller[2]);
   sim_run(fleet->sim, time_from_ms(NOTICED_MS));
-  doctor_says(fleet, D_CHAIN, "a lost controller");
-  doctor_says(fleet, D_NO_ANSWER, "a lost controller");
-  doctor_says(fleet, D_SEED, "a lost seed");
+  scenario_expect_diagnosis(fleet, D_CHAIN, "a lost controller");
+  scenario_expect_diagnosis(fleet, D_NO_ANSWER, "a lost controller");
+  scenario_expect_diagnosis(fleet, D_SEED, "a lost seed");
   host_start(fleet->controller[2]);
-  return wait_chain(fleet, 3, 15000);
+  return scenario_wait_for_chain(fleet, 3, 15000);
 }
 
 static void diagnose_partitioned_router(fleet *fleet) {
@@ -33,11 +33,12 @@
   for (int i = 0; i < 3; i++)
     sim_part(fleet->sim, router, fleet->controller[i]->self.text, true);
   sim_run(fleet->sim, time_from_ms(NOTICED_MS));
-  doctor_says(fleet, 0, "a router cut off from the controllers alone, which others confirm");
+  scenario_expect_diagnosis(fleet, 0,
+                            "a router cut off from the controllers alone, which others confirm");
   for (int i = 1; i < fleet->routers; i++)
     sim_part(fleet->sim, router, fleet->router[i]->self.text, true);
   sim_run(fleet->sim, time_from_ms(NOTICED_MS));
-  doctor_says(fleet, D_STALE, "a router cut off");
+  scenario_expect_diagnosis(fleet, D_STALE, "a router cut off");
   sim_mend(fleet->sim);
   sim_run(fleet->sim, time_from_ms(6000));
 }
@@ -46,16 +47,16 @@
   for (int i = 1; i < 3; i++)
     sim_part(fleet->sim, fleet->controller[0]->self.text, fleet->controller[i]->self.text, true);
   sim_run(fleet->sim, time_from_ms(NOTICED_MS));
-  doctor_says(fleet, D_VIEWS_DIFFER, "controllers cut in two");
+  scenario_expect_diagnosis(fleet, D_VIEWS_DIFFER, "controllers cut in two");
   sim_mend(fleet->sim);
-  return wait_chain(fleet, 3, 15000);
+  return scenario_wait_for_chain(fleet, 3, 15000);
 }
 
 static void diagnose_lost_holder(fleet *fleet) {
   sim_run(fleet->sim, time_from_ms(8000));
   host *holder = fleet_holder(fleet, "engine:engine-1");
   host_kill(holder);
-  doctor_says(fleet, D_NO_SINGLETON_HOLDER, "a lost holder");
+  scenario_expect_diagnosis(fleet, D_NO_SINGLETON_HOLDER, "a lost holder");
   host_start(holder);
   sim_run(fleet->sim, time_from_ms(12000));
 }
@@ -64,7 +65,7 @@
   set_disk_delay(fleet, 350);
   if (!put_empty_evacuation(fleet))
     return false;
-  doctor_says(fleet, D_DISK, "slow disks");
+  scenario_expect_diagnosis(fleet, D_DISK, "slow disks");
   set_disk_delay(fleet, 0);
   if (!put_empty_evacuation(fleet))
     return false;
@@ -75,17 +76,17 @@
 static void diagnose_lost_platform(fleet *fleet) {
   host_kill(fleet->platform);
   sim_run(fleet->sim, time_from_ms(8000));
-  doctor_says(fleet, D_ENGINE_LIST, "no platform");
+  scenario_expect_diagnosis(fleet, D_ENGINE_LIST, "no platform");
   host_start(fleet->platform);
   sim_run(fleet->sim, time_from_ms(3000));
 }
 
 static bool diagnose_slow_links(fleet *fleet) {
   fleet->sim->delay_ms = 300;
-  doctor_says(fleet, D_CLOCK, "slow answers");
+  scenario_expect_diagnosis(fleet, D_CLOCK, "slow answers");
   fleet->sim->delay_ms = 1;
   sim_run(fleet->sim, time_from_ms(8000));
-  return wait_chain(fleet, 3, 15000);
+  return scenario_wait_for_chain(fleet, 3, 15000);
 }
 
 static void diagnose_duplicate_name(fleet *fleet) {
@@ -94,7 +95,7 @@
   g_strlcpy(twin->settings.address, twin->addr, sizeof twin->settings.address);
   host_start(twin);
   sim_run(fleet->sim, time_from_ms(12000));
-  doctor_says(fleet, D_DUPLICATE_NAME, "two of one name");
+  scenario_expect_diagnosis(fleet, D_DUPLICATE_NAME, "two of one name");
   host_kill(twin);
   sim_run(fleet->sim, time_from_ms(9000));
 }
@@ -112,7 +113,7 @@
   }
   reporter->faults.old_reports = false;
   reporter->seq = 0;
-  doctor_says(fleet, D_RESIDENT_DIFFERS, "an engine whose reports went back");
+  scenario_expect_diagnosis(fleet, D_RESIDENT_DIFFERS, "an engine whose reports went back");
   host_kill(fleet->engine[0]);
   sim_run(fleet->sim, time_from_ms(500));
   host_start(fleet->engine[0]);
@@ -122,7 +123,7 @@
 static void diagnose_draining_router(fleet *fleet) {
   router_drain(fleet->router[1]->router);
   sim_run(fleet->sim, time_from_ms(1000));
-  doctor_says(fleet, D_DRAINING, "a router that drains");
+  scenario_expect_diagnosis(fleet, D_DRAINING, "a router that drains");
 }
 
 static void diagnose_model_that_fits_nowhere(fleet *fleet) {
@@ -131,12 +132,12 @@
       "{\"models\":[{\"id\":\"m0\",\"weightsMb\":100},{\"id\":\"huge\",\"weightsMb\":900000}],\"adapters\":[]}",
       NULL, NULL, time_from_ms(5000));
   call_free(call);
-  doctor_says(fleet, D_FITS_NO_ENGINE, "a model that fits nowhere");
+  scenario_expect_diagnosis(fleet, D_FITS_NO_ENGINE, "a model that fits nowhere");
 }
 
 static void diagnose_refused_messages(fleet *fleet) {
   fleet->router[2]->router->node.rpc.refused_wire_versions = 3;
-  doctor_says(fleet, D_VERSION, "messages of another version");
+  scenario_expect_diagnosis(fleet, D_VERSION, "messages of another version");
 }
 
 static void diagnose_starved_loads(fleet *fleet) {
@@ -145,7 +146,7 @@
     return;
   router *router = holder->router;
   router->permits.refused_recently = router->permits.granted_recently + 100;
-  doctor_says(fleet, D_LOAD_RATE_LIMIT, "a load rate limit that refuses most");
+  scenario_expect_diagnosis(fleet, D_LOAD_RATE_LIMIT, "a load rate limit that refuses most");
 }
 
 static bool the_doctor_comes(fleet *fleet) {
@@ -153,7 +154,7 @@
     return false;
   fleet_traffic(fleet, 5, time_from_ms(8000));
   fleet_quiet(fleet);
-  doctor_says(fleet, 0, "a sound fleet");
+  scenario_expect_diagnosis(fleet, 0, "a sound fleet");
   if (!diagnose_lost_controller(fleet))
     return false;
   diagnose_partitioned_router(fleet);
--- a/tests/operators.c
+++ b/tests/doctor/operators.c
@@ -105,14 +105,14 @@
   list_for_each (h, &deployment->sim->hosts, host, link)
     host_start(h);
   sim_run(deployment->sim, time_from_ms(4000));
-  doctor_says(fleet, D_ROUTING, "no configuration");
-  doctor_says(fleet, D_UNREADY, "no configuration");
+  scenario_expect_diagnosis(fleet, D_ROUTING, "no configuration");
+  scenario_expect_diagnosis(fleet, D_UNREADY, "no configuration");
   char *text = deployment_config(deployment, 1, NULL);
   if (!deployment_put(deployment, 1, 0, text, true)->acked.us)
     violation(fleet, "the first configuration was not taken");
   g_free(text);
   sim_run(deployment->sim, time_from_ms(8000));
-  doctor_says(fleet, 0, "a healthy fleet of gateways");
+  scenario_expect_diagnosis(fleet, 0, "a healthy fleet of gateways");
 }
 
 /* The doctor's findings about engines: a service without any, and one that does not respond. */
@@ -121,15 +121,15 @@
   for (size_t i = 4; i < 6; i++)
     host_kill(deployment->engine[i]->host);
   sim_run(deployment->sim, time_from_ms(12000));
-  doctor_says(fleet, D_SERVICE, "a service without an engine");
+  scenario_expect_diagnosis(fleet, D_SERVICE, "a service without an engine");
   for (size_t i = 4; i < 6; i++)
     host_start(deployment->engine[i]->host);
   sim_run(deployment->sim, time_from_ms(5000));
-  doctor_says(fleet, 0, "engines that are back");
+  scenario_expect_diagnosis(fleet, 0, "engines that are back");
   deployment_go(deployment, 2);
   deployment->engine[5]->plan.faults.silent = true;
   sim_run(deployment->sim, time_from_ms(5000));
-  doctor_says(fleet, D_ENGINE_EJECTED, "an engine without responses");
+  scenario_expect_diagnosis(fleet, D_ENGINE_EJECTED, "an engine without responses");
   deployment->engine[5]->plan.faults.silent = false;
 }
 
@@ -143,7 +143,7 @@
     deployment->client->rate = 6;
     sim_run(deployment->sim, time_from_ms(1000));
   }
-  doctor_says(deployment->base, D_BUDGET, "responses that are cut off");
+  scenario_expect_diagnosis(deployment->base, D_BUDGET, "responses that are cut off");
   for (size_t i = 0; i < 6; i++)
     deployment->engine[i]->plan.faults.cut_answers = 0;
   deployment->client->rate = 0.5;
@@ -155,7 +155,7 @@
   fleet *fleet = deployment->base;
   deployment_term(deployment, deployment->gateways[0]);
   sim_run(deployment->sim, time_from_ms(200));
-  doctor_says(fleet, D_UNREADY, "a gateway that drains");
+  scenario_expect_diagnosis(fleet, D_UNREADY, "a gateway that drains");
   sim_run(deployment->sim, time_from_ms(GRACE_S * 1000));
   if (!fleet->router[0]->alive)
     host_start(fleet->router[0]);
@@ -176,7 +176,7 @@
       fails |= fleet->router[i]->alive &&
                deployment->gateways[i]->gateway->consecutive_load_failures >= 3;
   }
-  doctor_says(fleet, D_LOADS, "loads that fail");
+  scenario_expect_diagnosis(fleet, D_LOADS, "loads that fail");
   for (size_t i = 0; i < 4; i++)
     deployment->engine[i]->plan.faults.drop_orders = 0;
 }
@@ -192,7 +192,7 @@
     return;
   }
   host_kill(holder);
-  doctor_says(fleet, D_NO_LOAD_RATE_LIMITER, "a load rate limiter that died");
+  scenario_expect_diagnosis(fleet, D_NO_LOAD_RATE_LIMITER, "a load rate limiter that died");
 }
 
 static bool the_doctor_knows_gateways(fleet *fleet) {
--- a/tests/emulator/check.c
+++ b/tests/emulator/check.c
@@ -101,7 +101,7 @@
   fleet *fleet = run->fleet;
   ack lost = { 1000000, RESOURCE_POLICY, fleet->sim->now };
   g_array_append_val(fleet->acks, lost);
-  acked_stand(fleet);
+  scenario_check_acknowledged_writes(fleet);
   g_array_set_size(fleet->acks, fleet->acks->len - 1);
   return was_seen(fleet, "R5");
 }
--- a/tests/cutoff.c
+++ b/tests/fleet/controller_cutoff.c
@@ -582,7 +582,7 @@
   return watch_done(w);
 }
 
-const test_case cutoff_tests[] = {
+const test_case controller_cutoff_tests[] = {
   { "a_gateway_returns_and_the_core_is_cut", a_gateway_returns_and_the_core_is_cut, 4, 0, 100 },
   { "a_core_machine_is_cut_off_for_long", a_core_machine_is_cut_off_for_long, 4, 0, 100 },
   { "two_of_five_are_cut_off_for_long", two_of_five_are_cut_off_for_long, 4, 0, 100 },
--- a/tests/fleet/corrupt_bytes.c
+++ b/tests/fleet/corrupt_bytes.c
@@ -106,7 +106,7 @@
     corrupt_disk(fleet->sim, host->disk);
     host_start(host);
     sim_run(fleet->sim, time_from_ms(2500));
-    if (!wait_chain(fleet, 3, 20000))
+    if (!scenario_wait_for_chain(fleet, 3, 20000))
       return false;
   }
   return true;
@@ -116,7 +116,7 @@
   read_corrupt_texts(fleet);
   if (!fleet_up(fleet) || !start_with_corrupt_disks(fleet))
     return false;
-  acked_stand(fleet);
+  scenario_check_acknowledged_writes(fleet);
   return true;
 }
 
--- a/tests/fleet/input_fuzzing.c
+++ b/tests/fleet/input_fuzzing.c
@@ -255,7 +255,7 @@
   messages = g_ptr_array_new_with_free_func(free_message);
   if (!fleet_up(fleet))
     return false;
-  go(fleet, 5);
+  scenario_start_traffic(fleet, 5);
   record_messages(fleet, true);
   fleet_put(fleet, "evacuation", "{\"areas\":[]}");
   sim_run(sim, time_from_ms(400));
@@ -312,10 +312,10 @@
     change_disk(fleet->sim, host->disk);
     host_start(host);
     sim_run(fleet->sim, time_from_ms(2500));
-    if (!wait_chain(fleet, 3, 20000))
+    if (!scenario_wait_for_chain(fleet, 3, 20000))
       return false;
   }
-  acked_stand(fleet);
+  scenario_check_acknowledged_writes(fleet);
   return true;
 }
 
--- a/tests/fleet/losses.c
+++ b/tests/fleet/losses.c
@@ -10,7 +10,7 @@
   if (!fleet_up(fleet))
     return false;
   check_watch(fleet);
-  go(fleet, 14);
+  scenario_start_traffic(fleet, 14);
   sim_run(fleet->sim, time_from_ms(20000));
   return true;
 }
@@ -85,7 +85,7 @@
   if (!start_with_traffic(fleet))
     return false;
   time_us loss = fleet->sim->now;
-  scenario_power_off_zone(fleet, area_names[sim_draw(fleet->sim, 3)]);
+  scenario_power_off_zone(fleet, zone_names[sim_draw(fleet->sim, 3)]);
   return check_recovery(fleet, loss);
 }
 
@@ -94,7 +94,7 @@
     return false;
   time_us loss = fleet->sim->now;
   host *head = fleet_head(fleet);
-  const char *area = area_names[sim_draw(fleet->sim, 3)];
+  const char *area = zone_names[sim_draw(fleet->sim, 3)];
   if (head)
     host_power(head);
   for (int i = 0; i < fleet->engines; i++)
@@ -109,7 +109,7 @@
   time_us loss = fleet->sim->now;
   host *old = fleet->controller[sim_draw(fleet->sim, 3)],
        *replacement = scenario_create_controller(fleet, 4, fleet->controller[0],
-                                                 area_names[sim_draw(fleet->sim, 3)]);
+                                                 zone_names[sim_draw(fleet->sim, 3)]);
   host_power(old);
   host_wipe(old);
   fleet->controllers = 4;
@@ -146,7 +146,7 @@
   host *head = fleet_head(fleet);
   if (!head)
     return false;
-  char *evacuation = area_text(1 + (int)sim_draw(fleet->sim, 8));
+  char *evacuation = scenario_evacuation_json(1 + (int)sim_draw(fleet->sim, 8));
   op_call *call = fleet_send(fleet, fleet->controller[sim_draw(fleet->sim, 3)], "PUT",
                              "/v1/evacuation", evacuation, NULL, NULL);
   g_free(evacuation);
@@ -158,11 +158,11 @@
   if (call->status != 200)
     violation(fleet, "a write over slow disks got %d", call->status);
   call_free(call);
-  if (!wait_chain(fleet, 2, 10000))
+  if (!scenario_wait_for_chain(fleet, 2, 10000))
     return false;
-  acked_stand(fleet);
+  scenario_check_acknowledged_writes(fleet);
   scenario_write_markers(fleet, 5000, 1500);
-  acked_stand(fleet);
+  scenario_check_acknowledged_writes(fleet);
   fleet->probing = false;
   sim_run(fleet->sim, time_from_ms(3500));
   return true;
@@ -190,7 +190,7 @@
   check_watch(fleet);
   fleet->callers->loadgen->plan.zipf = 0;
   fleet->callers->loadgen->plan.with_adapter = 0;
-  go(fleet, 12);
+  scenario_start_traffic(fleet, 12);
   for (int i = 0; i < 5; i++) {
     sim_run(fleet->sim, time_from_ms(5000 + (int64_t)sim_draw(fleet->sim, 2000)));
     host *host = fleet_holder(fleet, "pacer");
@@ -212,7 +212,7 @@
   if (!fleet_up(fleet))
     return false;
   check_watch(fleet);
-  go(fleet, 20);
+  scenario_start_traffic(fleet, 20);
   sim_run(fleet->sim, time_from_ms(8000));
   for (int i = 0; i < fleet->engines; i++)
     fleet->engine[i]->engine->faults.streams_most = -1;
@@ -235,7 +235,7 @@
   loadgen->plan.zipf = 6;
   loadgen->plan.with_adapter = 0;
   loadgen->plan.tokens = 200;
-  go(fleet, 14);
+  scenario_start_traffic(fleet, 14);
   sim_run(fleet->sim, time_from_ms(14000));
   for (int i = 0; i < 3; i++) {
     for (int k = 0; k < fleet->engines; k++)
@@ -260,7 +260,7 @@
   fleet_mark(fleet);
   sim_run(fleet->sim, time_from_ms(1500));
   fleet_probe(fleet);
-  go(fleet, 4);
+  scenario_start_traffic(fleet, 4);
   for (int i = 0; i < 5; i++) {
     host *host = fleet_tail(fleet);
     if (!host) {
@@ -292,9 +292,9 @@
       fleet->controller[k]->disk->slow_ms = 0;
     scenario_write_markers(fleet, 5000, 900);
   }
-  if (!wait_chain(fleet, 3, 15000))
+  if (!scenario_wait_for_chain(fleet, 3, 15000))
     return false;
-  acked_stand(fleet);
+  scenario_check_acknowledged_writes(fleet);
   fleet->probing = false;
   fleet_quiet(fleet);
   sim_run(fleet->sim, time_from_ms(3500));
@@ -308,7 +308,7 @@
   check_watch(fleet);
   fleet->callers->loadgen->plan.zipf = 0.3;
   fleet->callers->loadgen->plan.with_adapter = 0.9;
-  go(fleet, 14);
+  scenario_start_traffic(fleet, 14);
   sim_run(fleet->sim, time_from_ms(5000));
   for (int i = 0; i < 40; i++) {
     host *host = fleet->engine[sim_draw(fleet->sim, fleet->engines)];
--- a/tests/fleet/partitions.c
+++ b/tests/fleet/partitions.c
@@ -36,7 +36,7 @@
   fleet_mark(fleet);
   sim_run(fleet->sim, time_from_ms(1500));
   fleet_probe(fleet);
-  go(fleet, per_s);
+  scenario_start_traffic(fleet, per_s);
   sim_run(fleet->sim, time_from_ms(6000));
   return true;
 }
@@ -88,7 +88,7 @@
 static bool an_area_is_cut_off(fleet *fleet) {
   if (!start_with_probes(fleet, 10))
     return false;
-  const char *area = area_names[sim_draw(fleet->sim, 3)];
+  const char *area = zone_names[sim_draw(fleet->sim, 3)];
   /* the platform stands on either side */
   bool with = sim_draw(fleet->sim, 2);
   list_for_each (a, &fleet->sim->hosts, host, link)
@@ -195,7 +195,7 @@
               attempts.done, attempts.sent);
   for (int i = 0; i < 3; i++)
     host_start(fleet->controller[i]);
-  return wait_chain(fleet, 3, 15000) && mend_and_check(fleet);
+  return scenario_wait_for_chain(fleet, 3, 15000) && mend_and_check(fleet);
 }
 
 static bool a_router_loses_the_platform(fleet *fleet) {
@@ -223,7 +223,7 @@
   if (!fleet_up(fleet))
     return false;
   check_watch(fleet);
-  go(fleet, 4);
+  scenario_start_traffic(fleet, 4);
   for (int i = 0; i < 3; i++)
     fleet->controller[i]->disk->slow_ms = 300;
   for (int i = 0; i < 7; i++) {
--- a/tests/fleet/random_faults.c
+++ b/tests/fleet/random_faults.c
@@ -284,14 +284,14 @@
     sim_run(fleet->sim, time_from_ms(fault->wait_ms - fault->wait_ms / 2));
     if (!fault->heals)
       continue;
-    heal_all(fleet);
+    scenario_heal_all(fleet);
     sim_run(fleet->sim, time_from_ms(fault->heal_ms));
     fleet_mark(fleet);
   }
 }
 
 static void heal_fleet_and_engines(fleet *fleet) {
-  heal_all(fleet);
+  scenario_heal_all(fleet);
   for (int i = 0; i < fleet->engines; i++) {
     platform_sim_mark(fleet->platform->platform, fleet->engine[i]->self, false, false);
     engine_faults *faults = &fleet->engine[i]->engine->faults;
@@ -302,7 +302,7 @@
 
 /* the healed fleet keeps what it acknowledged, takes a write, and serves */
 static void check_healed(fleet *fleet) {
-  acked_stand(fleet);
+  scenario_check_acknowledged_writes(fleet);
   if (!fleet_put(fleet, "evacuation", "{\"areas\":[]}"))
     violation(fleet, "no write though all was healed");
   time_us from = fleet->sim->now;
@@ -345,11 +345,11 @@
   sim_run(fleet->sim, time_from_ms(MARKER_MS));
   fleet_probe(fleet);
   fleet->callers->loadgen->plan.zipf = 0.7;
-  go(fleet, 6);
+  scenario_start_traffic(fleet, 6);
   GPtrArray *calls = g_ptr_array_new();
   run_schedule(fleet, schedule, calls);
   heal_fleet_and_engines(fleet);
-  bool acts = wait_chain(fleet, 3, 25000);
+  bool acts = scenario_wait_for_chain(fleet, 3, 25000);
   sim_run(fleet->sim, time_from_ms(CALL_END_MS));
   free_calls(calls);
   if (!acts)
--- a/tests/fleet/zone_loss.c
+++ b/tests/fleet/zone_loss.c
@@ -12,13 +12,13 @@
   if (!fleet_up(fleet))
     return false;
   check_watch(fleet);
-  go(fleet, 6);
+  scenario_start_traffic(fleet, 6);
   sim_run(fleet->sim, time_from_ms(10000));
-  char *evacuation = area_text(0);
+  char *evacuation = scenario_evacuation_json(0);
   if (!fleet_put(fleet, "evacuation", evacuation))
     return false;
   g_free(evacuation);
-  const char *area = area_names[sim_draw(fleet->sim, 3)];
+  const char *area = zone_names[sim_draw(fleet->sim, 3)];
   time_us from = fleet->sim->now;
   host *head = fleet_head(fleet);
   uint64_t epoch = head ? head->controller->replica.view.epoch : 0;
@@ -26,17 +26,17 @@
   recovery_times times = recovery_observe(fleet, RECOVERY_OBSERVED_MS, epoch);
   recovery_print(&times, from);
   recovery_check(fleet, from, RECOVERY_LIMIT_MS);
-  if (!wait_chain(fleet, 2, 1000))
+  if (!scenario_wait_for_chain(fleet, 2, 1000))
     return false;
-  acked_stand(fleet);
-  evacuation = area_text(0);
+  scenario_check_acknowledged_writes(fleet);
+  evacuation = scenario_evacuation_json(0);
   if (!fleet_put(fleet, "evacuation", evacuation))
     violation(fleet, "no write with an area lost");
   g_free(evacuation);
   list_for_each (h, &fleet->sim->hosts, host, link)
     if (!h->alive)
       host_start(h);
-  if (!wait_chain(fleet, 3, 15000))
+  if (!scenario_wait_for_chain(fleet, 3, 15000))
     return false;
   fleet_quiet(fleet);
   return true;
@@ -46,7 +46,7 @@
   if (!fleet_up(fleet))
     return false;
   check_watch(fleet);
-  go(fleet, 6);
+  scenario_start_traffic(fleet, 6);
   sim_run(fleet->sim, time_from_ms(8000));
   time_us from = fleet->sim->now;
   for (int i = 0; i < fleet->routers; i++)
--- a/tests/room.c
+++ b/tests/gateway/capacity_account.c
@@ -150,7 +150,7 @@
 }
 
 static void heal(room_trial *t) {
-  heal_all(t->fleet);
+  scenario_heal_all(t->fleet);
   for (int i = 0; i < t->fleet->routers; i++)
     start_later(t->deployment->gateways[i]->host);
   for (size_t i = 0; i < t->deployment->engines; i++) {
@@ -332,7 +332,7 @@
   return true;
 }
 
-const test_case room_tests[] = {
+const test_case capacity_account_tests[] = {
   { "an_account_follows_taken_orders", an_account_follows_taken_orders, 1, 1, 10 },
   { "a_refused_request_frees_no_place", a_refused_request_frees_no_place, 4, 0, 50 },
   { "an_order_arrives_late", an_order_arrives_late, 4, 0, 50 },
--- a/tests/budget.c
+++ b/tests/gateway/retry_budget.c
@@ -62,7 +62,8 @@
   return true;
 }
 
-const test_case budget_tests[] = { { "shares_stay_within_the_whole", shares_stay_within_the_whole,
-                                     1, 1, 50 },
-                                   { "no_window_is_overdrawn", no_window_is_overdrawn, 1, 1, 50 },
-                                   { NULL, NULL, 0, 0, 0 } };
+const test_case retry_budget_tests[] = {
+  { "shares_stay_within_the_whole", shares_stay_within_the_whole, 1, 1, 50 },
+  { "no_window_is_overdrawn", no_window_is_overdrawn, 1, 1, 50 },
+  { NULL, NULL, 0, 0, 0 }
+};
--- a/tests/main.c
+++ b/tests/main.c
@@ -34,10 +34,10 @@
   chain_join_tests,
   chain_repair_tests,
   controller_tests,
-  core_tests,
-  cutoff_tests,
-  order_tests,
-  registry_tests,
+  replica_tests,
+  controller_cutoff_tests,
+  config_change_tests,
+  engine_registry_tests,
   rejoin_tests,
   replication_tests,
   view_change_tests,
@@ -50,20 +50,20 @@
   check_tests,
   day_tests,
   /* gateway */
-  budget_tests,
+  retry_budget_tests,
   drain_tests,
   forward_tests,
   gateway_tests,
   loader_tests,
   placement_tests,
-  room_tests,
+  capacity_account_tests,
   /* HTTP */
   fields_tests,
   /* membership */
-  member_tests,
+  failure_detector_tests,
   node_tests,
   peer_channel_socket_tests,
-  peer_tests,
+  peer_channel_tests,
   /* router */
   config_sync_tests,
   engine_list_tests,
@@ -72,7 +72,7 @@
   policy_replay_tests,
   singleton_lease_tests,
   /* runtime */
-  disk_tests,
+  real_disk_tests,
   log_tests,
   /* compatibility with earlier versions */
   compatibility_tests,
--- a/tests/member.c
+++ b/tests/membership/failure_detector.c
@@ -128,7 +128,7 @@
         check_watchers(fleet, node, peer->self);
     }
   }
-  heal_all(fleet);
+  scenario_heal_all(fleet);
   return !fleet->faults->len;
 }
 
@@ -196,7 +196,7 @@
   return true;
 }
 
-const test_case member_tests[] = {
+const test_case failure_detector_tests[] = {
   { "late_machines_are_given_time", late_machines_are_given_time, 6, 2, 34 },
   { "urgent_tasks_run_first", urgent_tasks_run_first, 1, 1, 20 },
   { "watchers_follow_the_ring", watchers_follow_the_ring, 9, 2, 34 },
--- a/tests/membership/node.c
+++ b/tests/membership/node.c
@@ -19,11 +19,11 @@
                 sizeof host->settings.seed_addresses[k]);
     host_power(old);
     host_wipe(old);
-    if (!wait_chain(fleet, 2, 8000))
+    if (!scenario_wait_for_chain(fleet, 2, 8000))
       return false;
     fleet->controllers = i + 4;
     host_start(host);
-    if (!wait_chain(fleet, 3, 15000))
+    if (!scenario_wait_for_chain(fleet, 3, 15000))
       return false;
   }
   /* no process listens at any seed; the others still know one another, and one that restarts is
@@ -34,11 +34,11 @@
   sim_run(fleet->sim, time_from_ms(5000));
   if (!config_sync_is_recent(fleet->router[0]->router))
     violation(fleet, "a router whose seeds are all gone does not come back");
-  char *evacuation = area_text(2);
+  char *evacuation = scenario_evacuation_json(2);
   if (!fleet_put(fleet, "evacuation", evacuation))
     violation(fleet, "no write after all seeds went");
   g_free(evacuation);
-  acked_stand(fleet);
+  scenario_check_acknowledged_writes(fleet);
   return true;
 }
 
@@ -46,7 +46,7 @@
   if (!fleet_up(fleet))
     return false;
   check_watch(fleet);
-  go(fleet, 5);
+  scenario_start_traffic(fleet, 5);
   for (int i = 0; i < 300; i++) {
     host *host = sim_draw(fleet->sim, 2) ? fleet->controller[sim_draw(fleet->sim, 3)]
                                          : fleet->router[sim_draw(fleet->sim, fleet->routers)];
@@ -92,7 +92,7 @@
   if (!fleet_up(fleet))
     return false;
   check_watch(fleet);
-  go(fleet, 5);
+  scenario_start_traffic(fleet, 5);
   /* one process after the other is upgraded to version 2, and two are downgraded */
   host *all[16];
   int n = 0;
@@ -112,11 +112,11 @@
     }
     host_kill(h);
     host_start(h);
-    if (!wait_chain(fleet, 3, 15000))
+    if (!scenario_wait_for_chain(fleet, 3, 15000))
       return false;
     sim_run(fleet->sim, time_from_ms(1500));
   }
-  char *evacuation = area_text(0);
+  char *evacuation = scenario_evacuation_json(0);
   if (!fleet_put(fleet, "evacuation", evacuation))
     violation(fleet, "no write over two wire versions");
   g_free(evacuation);
@@ -125,7 +125,7 @@
     if (!config_sync_is_recent(fleet->router[i]->router) ||
         fleet->router[i]->router->node.rpc.refused_wire_versions)
       violation(fleet, "%s is left behind", fleet->router[i]->self.text);
-  acked_stand(fleet);
+  scenario_check_acknowledged_writes(fleet);
   fleet_quiet(fleet);
   return loadgen_count(fleet->callers->loadgen, OUTCOME_DONE) >
          (int)fleet->callers->loadgen->requests->len / 2;
--- a/tests/peers.c
+++ b/tests/membership/peer_channels.c
@@ -135,6 +135,6 @@
   return !fleet->faults->len;
 }
 
-const test_case peer_tests[] = { { "a_silent_channel_is_opened_anew",
-                                   a_silent_channel_is_opened_anew, 1, 0, 1 },
-                                 { NULL, NULL, 0, 0, 0 } };
+const test_case peer_channel_tests[] = { { "a_silent_channel_is_opened_anew",
+                                           a_silent_channel_is_opened_anew, 1, 0, 1 },
+                                         { NULL, NULL, 0, 0, 0 } };
--- a/tests/router/config_sync.c
+++ b/tests/router/config_sync.c
@@ -41,7 +41,7 @@
   if (!fleet_up(fleet))
     return false;
   check_watch(fleet);
-  go(fleet, 6);
+  scenario_start_traffic(fleet, 6);
   sim_run(fleet->sim, time_from_ms(8000));
   host *host = fleet->router[0];
   for (int i = 0; i < 3; i++)
@@ -68,7 +68,7 @@
   if (!fleet_up(fleet))
     return false;
   check_watch(fleet);
-  go(fleet, 6);
+  scenario_start_traffic(fleet, 6);
   sim_run(fleet->sim, time_from_ms(15000));
   for (int i = 0; i < 3; i++)
     host_kill(fleet->controller[i]);
@@ -82,10 +82,10 @@
   check_residents_serve(fleet, from);
   for (int i = 0; i < 3; i++)
     host_start(fleet->controller[i]);
-  if (!wait_chain(fleet, 3, 10000))
+  if (!scenario_wait_for_chain(fleet, 3, 10000))
     return false;
   sim_run(fleet->sim, time_from_ms(8000));
-  acked_stand(fleet);
+  scenario_check_acknowledged_writes(fleet);
   fleet_quiet(fleet);
   return true;
 }
@@ -94,7 +94,7 @@
   if (!fleet_up(fleet))
     return false;
   check_watch(fleet);
-  go(fleet, 6);
+  scenario_start_traffic(fleet, 6);
   sim_run(fleet->sim, time_from_ms(12000));
   for (int i = 0; i < fleet->routers; i++)
     for (int k = 0; k < 3; k++)
--- a/tests/router/engine_list.c
+++ b/tests/router/engine_list.c
@@ -8,7 +8,7 @@
   if (!fleet_up(fleet))
     return false;
   check_watch(fleet);
-  go(fleet, 10);
+  scenario_start_traffic(fleet, 10);
   sim_run(fleet->sim, time_from_ms(12000));
   for (int i = 0; i < 2; i++) {
     platform_sim_engine *engine =
@@ -29,7 +29,7 @@
   if (!fleet_up(fleet))
     return false;
   check_watch(fleet);
-  go(fleet, 10);
+  scenario_start_traffic(fleet, 10);
   sim_run(fleet->sim, time_from_ms(12000));
   if (!fleet_put(fleet, "evacuation", "{\"areas\":[{\"area\":\"south\"}]}"))
     return false;
@@ -46,7 +46,7 @@
   /* a controller is lost, and the evacuation stands */
   host_power(fleet->controller[sim_draw(fleet->sim, 3)]);
   sim_run(fleet->sim, time_from_ms(8000));
-  acked_stand(fleet);
+  scenario_check_acknowledged_writes(fleet);
   fleet_quiet(fleet);
   return true;
 }
@@ -55,7 +55,7 @@
   if (!fleet_up(fleet))
     return false;
   check_watch(fleet);
-  go(fleet, 6);
+  scenario_start_traffic(fleet, 6);
   sim_run(fleet->sim, time_from_ms(8000));
   for (int i = 0; i < 4; i++) {
     host *host = fleet->engine[i];
--- a/tests/router/generate_api.c
+++ b/tests/router/generate_api.c
@@ -11,7 +11,7 @@
     return false;
   check_watch(fleet);
   fleet->callers->loadgen->plan.tokens = 80;
-  go(fleet, 10);
+  scenario_start_traffic(fleet, 10);
   for (int i = 0; i < 8; i++) {
     sim_run(fleet->sim, time_from_ms(3000));
     host *host = fleet->engine[sim_draw(fleet->sim, fleet->engines)];
@@ -47,7 +47,7 @@
   if (!fleet_up(fleet))
     return false;
   check_watch(fleet);
-  go(fleet, 8);
+  scenario_start_traffic(fleet, 8);
   sim_run(fleet->sim, time_from_ms(8000));
   fleet->engine[0]->engine->faults.wrong_attempt = true;
   fleet->engine[1]->engine->faults.old_reports = true;
@@ -65,11 +65,11 @@
     return false;
   check_watch(fleet);
   fleet->callers->loadgen->plan.tokens = 60;
-  go(fleet, 10);
+  scenario_start_traffic(fleet, 10);
   sim_run(fleet->sim, time_from_ms(8000));
   fleet->callers->loadgen->stop = true;
   sim_run(fleet->sim, time_from_ms(500));
-  go(fleet, 250);
+  scenario_start_traffic(fleet, 250);
   sim_run(fleet->sim, time_from_ms(8000));
   fleet->callers->loadgen->stop = true;
   fleet_quiet(fleet);
@@ -107,7 +107,7 @@
   check_watch(fleet);
   fleet->callers->loadgen->plan.leave = 0.6;
   fleet->callers->loadgen->plan.tokens = 150;
-  go(fleet, 6);
+  scenario_start_traffic(fleet, 6);
   sim_run(fleet->sim, time_from_ms(15000));
   fleet_quiet(fleet);
   sim_run(fleet->sim, time_from_ms(3000));
@@ -156,7 +156,7 @@
   fleet->callers->loadgen->plan.zipf = 3;
   fleet->callers->loadgen->plan.with_adapter = 0;
   fleet->callers->loadgen->plan.tokens = 100;
-  go(fleet, 12);
+  scenario_start_traffic(fleet, 12);
   sim_run(fleet->sim, time_from_ms(15000));
   /* the engine that serves most is restarted; it must warm up without being flooded */
   int at = 0;
--- a/tests/router/model_loading.c
+++ b/tests/router/model_loading.c
@@ -34,7 +34,7 @@
     return false;
   check_watch(fleet);
   fleet->callers->loadgen->plan.zipf = 0;
-  go(fleet, 12);
+  scenario_start_traffic(fleet, 12);
   for (int i = 0; i < 5; i++) {
     sim_run(fleet->sim, time_from_ms(3000 + (int64_t)sim_draw(fleet->sim, 2000)));
     host *host = fleet_holder(fleet, "pacer");
@@ -60,7 +60,7 @@
     return false;
   check_watch(fleet);
   fleet->callers->loadgen->plan.zipf = 0.4;
-  go(fleet, 8);
+  scenario_start_traffic(fleet, 8);
   for (int i = 0; i < 6; i++) {
     engine_sim *engine = fleet->engine[sim_draw(fleet->sim, fleet->engines)]->engine;
     switch (sim_draw(fleet->sim, 6)) {
@@ -101,7 +101,7 @@
   check_watch(fleet);
   for (int i = 0; i < fleet->engines; i++)
     fleet->engine[i]->engine->faults.fail_loads = 100000;
-  go(fleet, 10);
+  scenario_start_traffic(fleet, 10);
   sim_run(fleet->sim, time_from_ms(30000));
   guint loads = load_orders(fleet);
   if (loads > FAILED_LOADS_MAX)
@@ -119,7 +119,7 @@
   fleet->callers->loadgen->plan.zipf = 8;
   fleet->callers->loadgen->plan.with_adapter = 0;
   fleet->callers->loadgen->plan.tokens = 120;
-  go(fleet, 20);
+  scenario_start_traffic(fleet, 20);
   sim_run(fleet->sim, time_from_ms(40000));
   int replicas = model_replicas(fleet, "m0");
   fleet_quiet(fleet);
--- a/tests/router/singleton_lease.c
+++ b/tests/router/singleton_lease.c
@@ -12,7 +12,7 @@
     return false;
   check_watch(fleet);
   fleet->callers->loadgen->plan.zipf = 0.2;
-  go(fleet, 6);
+  scenario_start_traffic(fleet, 6);
   for (int i = 0; i < 4; i++) {
     sim_run(fleet->sim, time_from_ms(4000));
     host *host = fleet_holder(fleet, sim_draw(fleet->sim, 2) ? "pacer" : "engine:engine-1");
--- a/tests/disk.c
+++ b/tests/runtime/real.c
@@ -67,6 +67,6 @@
   return true;
 }
 
-const test_case disk_tests[] = { { "a_ring_file_is_synced_whoever_made_it",
-                                   a_ring_file_is_synced_whoever_made_it, 1, 1, 17 },
-                                 { NULL, NULL, 0, 0, 0 } };
+const test_case real_disk_tests[] = { { "a_ring_file_is_synced_whoever_made_it",
+                                        a_ring_file_is_synced_whoever_made_it, 1, 1, 17 },
+                                      { NULL, NULL, 0, 0, 0 } };
--- a/tests/scenario.c
+++ b/tests/scenario.c
@@ -15,7 +15,7 @@
   HEALED_SPREAD_MS = 2
 };
 
-const char *const area_names[3] = { "north", "mid", "south" };
+const char *const zone_names[3] = { "north", "mid", "south" };
 
 typedef struct chain_expectation {
   fleet *fleet;
@@ -30,7 +30,7 @@
          tail->controller->replica.view.chain_length == expected->chain_length;
 }
 
-bool wait_chain(fleet *fleet, int links, int64_t ms) {
+bool scenario_wait_for_chain(fleet *fleet, int links, int64_t ms) {
   chain_expectation expected = { fleet, links };
   if (sim_until(fleet->sim, chain_acts, &expected, time_from_ms(ms)))
     return true;
@@ -38,7 +38,7 @@
   return false;
 }
 
-char *area_text(int share10) {
+char *scenario_evacuation_json(int share10) {
   return g_strdup_printf("{\"areas\":[{\"area\":\"north\",\"share\":0.%d}]}", share10);
 }
 
@@ -81,7 +81,7 @@
               resource_names[resource], acknowledged, version, status);
 }
 
-void acked_stand(fleet *fleet) {
+void scenario_check_acknowledged_writes(fleet *fleet) {
   for (int resource = 0; resource < RESOURCE_COUNT; resource++) {
     uint64_t acknowledged = acknowledged_version(fleet, resource);
     if (acknowledged)
@@ -102,7 +102,7 @@
   return created;
 }
 
-void go(fleet *fleet, double per_s) {
+void scenario_start_traffic(fleet *fleet, double per_s) {
   loadgen *loadgen = fleet->callers->loadgen;
   loadgen->plan.per_s = per_s;
   loadgen->stop = false;
@@ -115,7 +115,7 @@
       host_power(h);
 }
 
-void heal_all(fleet *fleet) {
+void scenario_heal_all(fleet *fleet) {
   list_for_each (h, &fleet->sim->hosts, host, link) {
     if (!h->alive)
       host_start(h);
@@ -171,7 +171,7 @@
   return false;
 }
 
-void doctor_says(fleet *fleet, int code, const char *when) {
+void scenario_expect_diagnosis(fleet *fleet, int code, const char *when) {
   doctor_visit visit = { fleet, NULL, false };
   task_start(&fleet->operator->world.tasks, "doctor", doctor_run, &visit);
   if (!sim_until(fleet->sim, doctor_done, &visit, time_from_ms(DOCTOR_TIMEOUT_MS))) {
--- a/tests/tests.h
+++ b/tests/tests.h
@@ -28,24 +28,26 @@
     settings_tests[];
 /* lib/controlplane */
 extern const test_case catch_up_tests[], chain_join_tests[], chain_repair_tests[],
-    controller_tests[], core_tests[], cutoff_tests[], order_tests[], registry_tests[],
-    rejoin_tests[], replication_tests[], view_change_tests[], wal_tests[], wal_restart_tests[];
+    controller_tests[], replica_tests[], controller_cutoff_tests[], config_change_tests[],
+    engine_registry_tests[], rejoin_tests[], replication_tests[], view_change_tests[], wal_tests[],
+    wal_restart_tests[];
 /* lib/doctor, and what operators read */
 extern const test_case doctor_tests[], operator_tests[];
 /* emulator */
 extern const test_case check_tests[], day_tests[];
 /* lib/gateway */
-extern const test_case budget_tests[], drain_tests[], forward_tests[], gateway_tests[],
-    loader_tests[], placement_tests[], room_tests[];
+extern const test_case retry_budget_tests[], drain_tests[], forward_tests[], gateway_tests[],
+    loader_tests[], placement_tests[], capacity_account_tests[];
 /* lib/http */
 extern const test_case fields_tests[];
 /* lib/membership */
-extern const test_case member_tests[], node_tests[], peer_channel_socket_tests[], peer_tests[];
+extern const test_case failure_detector_tests[], node_tests[], peer_channel_socket_tests[],
+    peer_channel_tests[];
 /* lib/router */
 extern const test_case config_sync_tests[], engine_list_tests[], generate_api_tests[],
     model_loading_tests[], policy_replay_tests[], singleton_lease_tests[];
 /* lib/runtime */
-extern const test_case disk_tests[], log_tests[];
+extern const test_case real_disk_tests[], log_tests[];
 /* messages, stored data and outward texts of earlier versions */
 extern const test_case compatibility_tests[], outward_tests[], stored_data_tests[];
 /* scenarios of a full fleet */
