--- a/tests/configuration/routing.c
+++ b/tests/configuration/routing.c
@@ -39,7 +39,7 @@
   g_string_free(b, TRUE);
 }
 
-static bool words_go_there_and_back(fleet *fleet) {
+static bool names_are_translated_both_ways(fleet *fleet) {
   static const char *const texts[][2] = {
     { "{\"issue\":7,\"ways\":[{\"seat\":\"a\",\"mode\":\"again\",\"parts\":[{\"shop\":\"s\",\"part\":90}]}],\"x\":{\"shops\":[1,null,true]}}",
       "{\"version\":7,\"routes\":[{\"host\":\"a\",\"mode\":\"safe\",\"split\":[{\"service\":\"s\",\"weight\":90}]}],\"x\":{\"services\":[1,null,true]}}" },
@@ -339,7 +339,7 @@
 }
 
 const test_case routing_tests[] = {
-  { "words_go_there_and_back", words_go_there_and_back, 1, 1, 10 },
+  { "names_are_translated_both_ways", names_are_translated_both_ways, 1, 1, 10 },
   { "numbers_keep_their_values", numbers_keep_their_values, 1, 1, 10 },
   { "routes_are_found", routes_are_found, 1, 1, 10 },
   { "invalid_routings_are_refused", invalid_routings_are_refused, 1, 1, 10 },
--- a/tests/configuration/settings.c
+++ b/tests/configuration/settings.c
@@ -54,7 +54,7 @@
 
 /* for how many machines and zones may be lost at once, the chain is large enough that a majority
  * and a replica of every write are left; it never asks for more zones than replicas */
-static bool the_core_fits_what_may_be_lost(fleet *fleet) {
+static bool the_chain_fits_tolerated_losses(fleet *fleet) {
   check_fault_tolerance(fleet, 0, 0, 3, 1, 1);
   check_fault_tolerance(fleet, 1, 0, 3, 2, 1);
   check_fault_tolerance(fleet, 2, 0, 5, 3, 1);
@@ -68,6 +68,6 @@
 
 const test_case settings_tests[] = {
   { "bad_settings_are_refused", bad_settings_are_refused, 1, 1, 17 },
-  { "the_core_fits_what_may_be_lost", the_core_fits_what_may_be_lost, 1, 1, 5 },
+  { "the_chain_fits_tolerated_losses", the_chain_fits_tolerated_losses, 1, 1, 5 },
   { NULL, NULL, 0, 0, 0 }
 };
--- a/tests/controlplane/chain_join.c
+++ b/tests/controlplane/chain_join.c
@@ -5,7 +5,7 @@
 #include "scenario.h"
 #include "tests.h"
 
-static bool a_disk_machine_is_lost_and_replaced(fleet *fleet) {
+static bool a_controller_is_lost_and_replaced(fleet *fleet) {
   if (!fleet_up(fleet))
     return false;
   check_watch(fleet);
@@ -40,7 +40,7 @@
   return true;
 }
 
-static bool the_same_machine_comes_back_empty(fleet *fleet) {
+static bool a_controller_rejoins_with_an_empty_disk(fleet *fleet) {
   if (!fleet_up(fleet))
     return false;
   check_watch(fleet);
@@ -63,7 +63,7 @@
   return true;
 }
 
-static bool a_blank_machine_hears_of_a_fleet(fleet *fleet) {
+static bool an_empty_controller_bootstraps_no_second_fleet(fleet *fleet) {
   if (!fleet_up(fleet))
     return false;
   check_watch(fleet);
@@ -88,8 +88,9 @@
 }
 
 const test_case chain_join_tests[] = {
-  { "a_disk_machine_is_lost_and_replaced", a_disk_machine_is_lost_and_replaced, 3, 2, 200 },
-  { "the_same_machine_comes_back_empty", the_same_machine_comes_back_empty, 2, 2, 200 },
-  { "a_blank_machine_hears_of_a_fleet", a_blank_machine_hears_of_a_fleet, 2, 2, 100 },
+  { "a_controller_is_lost_and_replaced", a_controller_is_lost_and_replaced, 3, 2, 200 },
+  { "a_controller_rejoins_with_an_empty_disk", a_controller_rejoins_with_an_empty_disk, 2, 2, 200 },
+  { "an_empty_controller_bootstraps_no_second_fleet",
+    an_empty_controller_bootstraps_no_second_fleet, 2, 2, 100 },
   { NULL, NULL, 0, 0, 0 }
 };
--- a/tests/controlplane/chain_repair.c
+++ b/tests/controlplane/chain_repair.c
@@ -350,7 +350,7 @@
 
 /* the others are not in sync yet when a member gets SIGTERM: it has the only replica, and its disk
  * is lost. The others are back in time for it to hand over within its grace. */
-static bool a_member_with_the_only_copy_is_stopped(fleet *fleet) {
+static bool a_member_with_the_only_replica_is_stopped(fleet *fleet) {
   core_trial trial;
   if (!trial_up(&trial, fleet, 3))
     return false;
@@ -456,7 +456,8 @@
   { "a_member_is_replaced_by_plan", a_member_is_replaced_by_plan, 1, 1, 200 },
   { "a_member_of_five_is_replaced_by_plan", a_member_of_five_is_replaced_by_plan, 1, 1, 100 },
   { "another_is_lost_as_a_member_ends", another_is_lost_as_a_member_ends, 1, 1, 200 },
-  { "a_member_with_the_only_copy_is_stopped", a_member_with_the_only_copy_is_stopped, 1, 1, 200 },
+  { "a_member_with_the_only_replica_is_stopped", a_member_with_the_only_replica_is_stopped, 1, 1,
+    200 },
   { "all_lose_power_in_a_repair", all_lose_power_in_a_repair, 1, 1, 200 },
   { NULL, NULL, 0, 0, 0 }
 };
--- a/tests/controlplane/controller.c
+++ b/tests/controlplane/controller.c
@@ -51,7 +51,7 @@
   return true;
 }
 
-static bool bad_configurations_come(fleet *fleet) {
+static bool invalid_configurations_are_refused(fleet *fleet) {
   static const struct {
     const char *res, *text;
     int status, code;
@@ -156,7 +156,7 @@
 
 const test_case controller_tests[] = {
   { "operators_race", operators_race, 2, 2, 100 },
-  { "bad_configurations_come", bad_configurations_come, 2, 2, 20 },
+  { "invalid_configurations_are_refused", invalid_configurations_are_refused, 2, 2, 20 },
   { "configurations_grow_large", configurations_grow_large, 3, 2, 34 },
   { NULL, NULL, 0, 0, 0 }
 };
--- a/tests/controlplane/rejoin.c
+++ b/tests/controlplane/rejoin.c
@@ -61,7 +61,7 @@
 
 /* given a chain of five under steady writes, two members come back in the same view, the first of
    them with a slow disk: neither answers reads before it has what was committed */
-static bool two_members_come_back_at_once(fleet *fleet) {
+static bool two_members_rejoin_at_once(fleet *fleet) {
   if (!start_five(fleet))
     return false;
   uint64_t highest = 0;
@@ -138,7 +138,7 @@
   return !fleet->faults->len;
 }
 
-const test_case rejoin_tests[] = { { "two_members_come_back_at_once", two_members_come_back_at_once,
-                                     2, 2, 100 },
+const test_case rejoin_tests[] = { { "two_members_rejoin_at_once", two_members_rejoin_at_once, 2, 2,
+                                     100 },
                                    { "a_lone_member_restarts", a_lone_member_restarts, 2, 2, 100 },
                                    { NULL, NULL, 0, 0, 0 } };
--- a/tests/controlplane/replication.c
+++ b/tests/controlplane/replication.c
@@ -37,7 +37,7 @@
   return true;
 }
 
-static bool power_goes_after_an_answer(fleet *fleet) {
+static bool power_is_lost_after_an_acknowledgement(fleet *fleet) {
   if (!fleet_up(fleet))
     return false;
   for (int i = 0; i < 5; i++) {
@@ -92,7 +92,7 @@
   return true;
 }
 
-static bool a_copy_in_memory_goes_bad(fleet *fleet) {
+static bool a_replica_in_memory_is_corrupted(fleet *fleet) {
   if (!fleet_up(fleet))
     return false;
   for (int i = 1; i < 3; i++) {
@@ -111,8 +111,8 @@
 
 const test_case replication_tests[] = {
   { "controllers_die_in_turn", controllers_die_in_turn, 3, 3, 100 },
-  { "power_goes_after_an_answer", power_goes_after_an_answer, 2, 2, 200 },
+  { "power_is_lost_after_an_acknowledgement", power_is_lost_after_an_acknowledgement, 2, 2, 200 },
   { "heads_and_tails_freeze_and_wake", heads_and_tails_freeze_and_wake, 3, 3, 100 },
-  { "a_copy_in_memory_goes_bad", a_copy_in_memory_goes_bad, 2, 2, 50 },
+  { "a_replica_in_memory_is_corrupted", a_replica_in_memory_is_corrupted, 2, 2, 50 },
   { NULL, NULL, 0, 0, 0 }
 };
--- a/tests/controlplane/view_change.c
+++ b/tests/controlplane/view_change.c
@@ -4,7 +4,7 @@
 #include "scenario.h"
 #include "tests.h"
 
-static bool the_core_is_cut_in_two(fleet *fleet) {
+static bool controllers_are_partitioned(fleet *fleet) {
   if (!fleet_up(fleet))
     return false;
   check_watch(fleet);
@@ -33,7 +33,7 @@
   return true;
 }
 
-static bool one_link_of_the_core_is_cut(fleet *fleet) {
+static bool one_link_between_controllers_is_cut(fleet *fleet) {
   if (!fleet_up(fleet))
     return false;
   check_watch(fleet);
@@ -54,7 +54,7 @@
 }
 
 const test_case view_change_tests[] = {
-  { "the_core_is_cut_in_two", the_core_is_cut_in_two, 3, 3, 200 },
-  { "one_link_of_the_core_is_cut", one_link_of_the_core_is_cut, 2, 2, 200 },
+  { "controllers_are_partitioned", controllers_are_partitioned, 3, 3, 200 },
+  { "one_link_between_controllers_is_cut", one_link_between_controllers_is_cut, 2, 2, 200 },
   { NULL, NULL, 0, 0, 0 }
 };
--- a/tests/controlplane/wal.c
+++ b/tests/controlplane/wal.c
@@ -4,7 +4,7 @@
 #include "scenario.h"
 #include "tests.h"
 
-static bool a_record_on_disk_is_bad(fleet *fleet) {
+static bool a_record_on_disk_is_corrupt(fleet *fleet) {
   if (!fleet_up(fleet))
     return false;
   for (int i = 0; i < 4; i++) {
@@ -34,7 +34,7 @@
   return true;
 }
 
-static bool a_tail_is_torn(fleet *fleet) {
+static bool the_end_of_the_log_is_torn(fleet *fleet) {
   if (!fleet_up(fleet))
     return false;
   for (int i = 0; i < 12; i++) {
@@ -100,8 +100,9 @@
   return true;
 }
 
-const test_case wal_tests[] = { { "a_record_on_disk_is_bad", a_record_on_disk_is_bad, 2, 2, 200 },
-                                { "a_tail_is_torn", a_tail_is_torn, 2, 2, 100 },
-                                { "disks_stall_fill_and_fail", disks_stall_fill_and_fail, 3, 3,
-                                  200 },
-                                { NULL, NULL, 0, 0, 0 } };
+const test_case wal_tests[] = {
+  { "a_record_on_disk_is_corrupt", a_record_on_disk_is_corrupt, 2, 2, 200 },
+  { "the_end_of_the_log_is_torn", the_end_of_the_log_is_torn, 2, 2, 100 },
+  { "disks_stall_fill_and_fail", disks_stall_fill_and_fail, 3, 3, 200 },
+  { NULL, NULL, 0, 0, 0 }
+};
--- a/tests/doctor/doctor.c
+++ b/tests/doctor/doctor.c
@@ -149,7 +149,7 @@
   scenario_expect_diagnosis(fleet, D_LOAD_RATE_LIMIT, "a load rate limit that refuses most");
 }
 
-static bool the_doctor_comes(fleet *fleet) {
+static bool the_doctor_diagnoses_each_fault(fleet *fleet) {
   if (!fleet_up(fleet))
     return false;
   fleet_traffic(fleet, 5, time_from_ms(8000));
@@ -175,5 +175,6 @@
   return true;
 }
 
-const test_case doctor_tests[] = { { "the_doctor_comes", the_doctor_comes, 5, 4, 50 },
+const test_case doctor_tests[] = { { "the_doctor_diagnoses_each_fault",
+                                     the_doctor_diagnoses_each_fault, 5, 4, 50 },
                                    { NULL, NULL, 0, 0, 0 } };
--- a/tests/fleet/corrupt_bytes.c
+++ b/tests/fleet/corrupt_bytes.c
@@ -112,7 +112,7 @@
   return true;
 }
 
-static bool readers_meet_spoilt_bytes(fleet *fleet) {
+static bool readers_refuse_corrupt_bytes(fleet *fleet) {
   read_corrupt_texts(fleet);
   if (!fleet_up(fleet) || !start_with_corrupt_disks(fleet))
     return false;
@@ -120,6 +120,6 @@
   return true;
 }
 
-const test_case corrupt_bytes_tests[] = {
-  { "readers_meet_spoilt_bytes", readers_meet_spoilt_bytes, 2, 2, 50 }, { NULL, NULL, 0, 0, 0 }
-};
+const test_case corrupt_bytes_tests[] = { { "readers_refuse_corrupt_bytes",
+                                            readers_refuse_corrupt_bytes, 2, 2, 50 },
+                                          { NULL, NULL, 0, 0, 0 } };
--- a/tests/fleet/input_fuzzing.c
+++ b/tests/fleet/input_fuzzing.c
@@ -198,7 +198,7 @@
 }
 
 /* changed heartbeats come to a controller: each is answered, and gateways go on */
-static bool fuzz_beats(fleet *fleet) {
+static bool fuzz_heartbeats(fleet *fleet) {
   deployment *deployment = deployment_new(fleet, 2, 1);
   control_calls calls = { .fleet = fleet, .heartbeats = corpus_read(fleet, "beat") };
   if (!deployment_up(deployment) || !calls.heartbeats->len) {
@@ -320,7 +320,7 @@
 }
 
 const test_case input_fuzzing_tests[] = { { "fuzz_configurations", fuzz_configurations, 1, 1, 100 },
-                                          { "fuzz_beats", fuzz_beats, 2, 0, 34 },
+                                          { "fuzz_heartbeats", fuzz_heartbeats, 2, 0, 34 },
                                           { "fuzz_peer_messages", fuzz_peer_messages, 3, 3, 50 },
                                           { "fuzz_disk_frames", fuzz_disk_frames, 2, 2, 100 },
                                           { NULL, NULL, 0, 0, 0 } };
--- a/tests/fleet/losses.c
+++ b/tests/fleet/losses.c
@@ -81,7 +81,7 @@
   return check_recovery(fleet, loss);
 }
 
-static bool an_area_is_lost(fleet *fleet) {
+static bool a_zone_is_lost(fleet *fleet) {
   if (!start_with_traffic(fleet))
     return false;
   time_us loss = fleet->sim->now;
@@ -103,7 +103,7 @@
   return check_recovery(fleet, loss);
 }
 
-static bool a_core_machine_is_replaced_in_traffic(fleet *fleet) {
+static bool a_controller_is_replaced_under_traffic(fleet *fleet) {
   if (!start_with_traffic(fleet))
     return false;
   time_us loss = fleet->sim->now;
@@ -118,7 +118,7 @@
   return check_recovery(fleet, loss);
 }
 
-static bool a_herd_freezes_and_wakes(fleet *fleet) {
+static bool many_processes_freeze_and_wake(fleet *fleet) {
   if (!start_with_traffic(fleet))
     return false;
   list_for_each (h, &fleet->sim->hosts, host, link)
@@ -133,7 +133,7 @@
 }
 
 /* the head is lost with its disk right after the answer to a write, and never comes back */
-static bool the_head_is_lost_after_an_answer(fleet *fleet) {
+static bool the_head_is_lost_after_an_acknowledgement(fleet *fleet) {
   if (!fleet_up(fleet))
     return false;
   check_watch(fleet);
@@ -182,7 +182,7 @@
 
 /* the load rate limiter can not renew its lease, and grants permits until it expires; the next one
    must not start before that, and must start, though all other routers still reach the old one */
-static bool a_pacer_is_cut_from_the_core(fleet *fleet) {
+static bool the_load_rate_limiter_is_cut_off_from_controllers(fleet *fleet) {
   fleet->pace = 1;
   fleet->models = 40;
   if (!fleet_up(fleet))
@@ -225,7 +225,7 @@
 }
 
 /* one model, many routers, long queues: when its engines come back, all routers send at once */
-static bool cold_engines_meet_many_routers(fleet *fleet) {
+static bool warming_engines_meet_many_routers(fleet *fleet) {
   fleet->slow_s = 10;
   fleet->models = 3;
   if (!fleet_up(fleet))
@@ -253,7 +253,7 @@
 
 /* markers show a configuration that goes back: the tail is ahead of the others for a moment, and
  * then it is lost */
-static bool tails_die_while_marks_come(fleet *fleet) {
+static bool tails_are_killed_while_markers_are_written(fleet *fleet) {
   if (!fleet_up(fleet))
     return false;
   check_watch(fleet);
@@ -326,15 +326,18 @@
   { "all_routers_are_killed", all_routers_are_killed, 6, 6, 50 },
   { "every_process_is_killed", every_process_is_killed, 6, 6, 50 },
   { "all_engines_restart_empty", all_engines_restart_empty, 6, 6, 50 },
-  { "an_area_is_lost", an_area_is_lost, 6, 6, 50 },
+  { "a_zone_is_lost", a_zone_is_lost, 6, 6, 50 },
   { "the_head_and_engines_are_lost", the_head_and_engines_are_lost, 6, 6, 50 },
-  { "a_core_machine_is_replaced_in_traffic", a_core_machine_is_replaced_in_traffic, 6, 6, 50 },
-  { "a_herd_freezes_and_wakes", a_herd_freezes_and_wakes, 6, 6, 50 },
-  { "the_head_is_lost_after_an_answer", the_head_is_lost_after_an_answer, 3, 2, 200 },
-  { "a_pacer_is_cut_from_the_core", a_pacer_is_cut_from_the_core, 5, 5, 100 },
+  { "a_controller_is_replaced_under_traffic", a_controller_is_replaced_under_traffic, 6, 6, 50 },
+  { "many_processes_freeze_and_wake", many_processes_freeze_and_wake, 6, 6, 50 },
+  { "the_head_is_lost_after_an_acknowledgement", the_head_is_lost_after_an_acknowledgement, 3, 2,
+    200 },
+  { "the_load_rate_limiter_is_cut_off_from_controllers",
+    the_load_rate_limiter_is_cut_off_from_controllers, 5, 5, 100 },
   { "engines_refuse_every_run", engines_refuse_every_run, 4, 5, 50 },
-  { "cold_engines_meet_many_routers", cold_engines_meet_many_routers, 8, 3, 50 },
+  { "warming_engines_meet_many_routers", warming_engines_meet_many_routers, 8, 3, 50 },
   { "engines_restart_between_reports", engines_restart_between_reports, 4, 4, 100 },
-  { "tails_die_while_marks_come", tails_die_while_marks_come, 4, 3, 100 },
+  { "tails_are_killed_while_markers_are_written", tails_are_killed_while_markers_are_written, 4, 3,
+    100 },
   { NULL, NULL, 0, 0, 0 }
 };
--- a/tests/fleet/partitions.c
+++ b/tests/fleet/partitions.c
@@ -66,7 +66,7 @@
       sim_part(fleet->sim, from->self.text, other->self.text, true);
 }
 
-static bool a_router_is_alone(fleet *fleet) {
+static bool a_router_is_isolated(fleet *fleet) {
   if (!start_with_probes(fleet, 10))
     return false;
   host *host = fleet->router[sim_draw(fleet->sim, fleet->routers)];
@@ -85,7 +85,7 @@
   return mend_and_check(fleet);
 }
 
-static bool an_area_is_cut_off(fleet *fleet) {
+static bool a_zone_is_cut_off(fleet *fleet) {
   if (!start_with_probes(fleet, 10))
     return false;
   const char *area = zone_names[sim_draw(fleet->sim, 3)];
@@ -115,7 +115,7 @@
   return ok;
 }
 
-static bool most_routers_are_cut_from_the_core(fleet *fleet) {
+static bool most_routers_are_cut_off_from_controllers(fleet *fleet) {
   if (!start_with_probes(fleet, 10))
     return false;
   int keep = (int)sim_draw(fleet->sim, fleet->routers / 2 + 1);
@@ -172,7 +172,7 @@
   return mend_and_check(fleet);
 }
 
-static bool routers_restart_while_the_core_is_gone(fleet *fleet) {
+static bool routers_restart_while_controllers_are_gone(fleet *fleet) {
   if (!start_with_probes(fleet, 10))
     return false;
   for (int i = 0; i < 3; i++)
@@ -246,7 +246,7 @@
 
 /* a process that restarts at once counts as gone under its old incarnation, and must be found all
  * the same */
-static bool a_machine_held_as_gone_comes_back(fleet *fleet) {
+static bool a_peer_declared_gone_comes_back(fleet *fleet) {
   if (!fleet_up(fleet))
     return false;
   check_watch(fleet);
@@ -277,14 +277,16 @@
 }
 
 const test_case partition_tests[] = {
-  { "a_router_is_alone", a_router_is_alone, 5, 6, 100 },
-  { "an_area_is_cut_off", an_area_is_cut_off, 6, 6, 100 },
-  { "most_routers_are_cut_from_the_core", most_routers_are_cut_from_the_core, 5, 5, 100 },
+  { "a_router_is_isolated", a_router_is_isolated, 5, 6, 100 },
+  { "a_zone_is_cut_off", a_zone_is_cut_off, 6, 6, 100 },
+  { "most_routers_are_cut_off_from_controllers", most_routers_are_cut_off_from_controllers, 5, 5,
+    100 },
   { "routers_freeze_over_an_answer", routers_freeze_over_an_answer, 5, 5, 100 },
   { "a_router_is_cut_one_way", a_router_is_cut_one_way, 5, 5, 100 },
-  { "routers_restart_while_the_core_is_gone", routers_restart_while_the_core_is_gone, 5, 5, 100 },
+  { "routers_restart_while_controllers_are_gone", routers_restart_while_controllers_are_gone, 5, 5,
+    100 },
   { "a_router_loses_the_platform", a_router_loses_the_platform, 5, 6, 100 },
   { "a_renewal_meets_a_grant", a_renewal_meets_a_grant, 5, 5, 100 },
-  { "a_machine_held_as_gone_comes_back", a_machine_held_as_gone_comes_back, 4, 3, 100 },
+  { "a_peer_declared_gone_comes_back", a_peer_declared_gone_comes_back, 4, 3, 100 },
   { NULL, NULL, 0, 0, 0 }
 };
--- a/tests/fleet/zone_loss.c
+++ b/tests/fleet/zone_loss.c
@@ -8,7 +8,7 @@
 /* for how long a recovery is observed: RECOVERY_LIMIT_MS, and some more for the steps it prints */
 enum { RECOVERY_OBSERVED_MS = 16000 };
 
-static bool an_area_goes_dark(fleet *fleet) {
+static bool a_zone_loses_power(fleet *fleet) {
   if (!fleet_up(fleet))
     return false;
   check_watch(fleet);
@@ -63,7 +63,7 @@
   return true;
 }
 
-const test_case zone_loss_tests[] = { { "an_area_goes_dark", an_area_goes_dark, 6, 6, 100 },
+const test_case zone_loss_tests[] = { { "a_zone_loses_power", a_zone_loses_power, 6, 6, 100 },
                                       { "all_routers_die_at_once", all_routers_die_at_once, 6, 6,
                                         100 },
                                       { NULL, NULL, 0, 0, 0 } };
--- a/tests/membership/node.c
+++ b/tests/membership/node.c
@@ -5,7 +5,7 @@
 #include "scenario.h"
 #include "tests.h"
 
-static bool all_seeds_are_exchanged(fleet *fleet) {
+static bool all_seeds_are_replaced(fleet *fleet) {
   if (!fleet_up(fleet))
     return false;
   check_watch(fleet);
@@ -42,7 +42,7 @@
   return true;
 }
 
-static bool garbage_comes_from_peers(fleet *fleet) {
+static bool invalid_messages_are_ignored(fleet *fleet) {
   if (!fleet_up(fleet))
     return false;
   check_watch(fleet);
@@ -131,8 +131,9 @@
          (int)fleet->callers->loadgen->requests->len / 2;
 }
 
-const test_case node_tests[] = { { "all_seeds_are_exchanged", all_seeds_are_exchanged, 3, 3, 100 },
-                                 { "garbage_comes_from_peers", garbage_comes_from_peers, 3, 3, 50 },
-                                 { "two_wire_versions_side_by_side", two_wire_versions_side_by_side,
-                                   4, 4, 100 },
-                                 { NULL, NULL, 0, 0, 0 } };
+const test_case node_tests[] = {
+  { "all_seeds_are_replaced", all_seeds_are_replaced, 3, 3, 100 },
+  { "invalid_messages_are_ignored", invalid_messages_are_ignored, 3, 3, 50 },
+  { "two_wire_versions_side_by_side", two_wire_versions_side_by_side, 4, 4, 100 },
+  { NULL, NULL, 0, 0, 0 }
+};
--- a/tests/router/config_sync.c
+++ b/tests/router/config_sync.c
@@ -37,7 +37,7 @@
     violation(fleet, "residents did not go on serving: %u of %u", done, sent);
 }
 
-static bool a_router_is_cut_off_from_the_core(fleet *fleet) {
+static bool a_router_is_cut_off_from_controllers(fleet *fleet) {
   if (!fleet_up(fleet))
     return false;
   check_watch(fleet);
@@ -64,7 +64,7 @@
   return true;
 }
 
-static bool the_core_is_gone(fleet *fleet) {
+static bool all_controllers_are_gone(fleet *fleet) {
   if (!fleet_up(fleet))
     return false;
   check_watch(fleet);
@@ -90,7 +90,7 @@
   return true;
 }
 
-static bool the_core_is_cut_off_from_the_routers(fleet *fleet) {
+static bool controllers_are_cut_off_from_all_routers(fleet *fleet) {
   if (!fleet_up(fleet))
     return false;
   check_watch(fleet);
@@ -127,8 +127,9 @@
 }
 
 const test_case config_sync_tests[] = {
-  { "a_router_is_cut_off_from_the_core", a_router_is_cut_off_from_the_core, 5, 5, 100 },
-  { "the_core_is_gone", the_core_is_gone, 5, 5, 100 },
-  { "the_core_is_cut_off_from_the_routers", the_core_is_cut_off_from_the_routers, 5, 6, 100 },
+  { "a_router_is_cut_off_from_controllers", a_router_is_cut_off_from_controllers, 5, 5, 100 },
+  { "all_controllers_are_gone", all_controllers_are_gone, 5, 5, 100 },
+  { "controllers_are_cut_off_from_all_routers", controllers_are_cut_off_from_all_routers, 5, 6,
+    100 },
   { NULL, NULL, 0, 0, 0 }
 };
--- a/tests/router/engine_list.c
+++ b/tests/router/engine_list.c
@@ -4,7 +4,7 @@
 #include "scenario.h"
 #include "tests.h"
 
-static bool an_engine_leaves(fleet *fleet) {
+static bool an_engine_drains(fleet *fleet) {
   if (!fleet_up(fleet))
     return false;
   check_watch(fleet);
@@ -25,7 +25,7 @@
   return true;
 }
 
-static bool an_area_is_emptied(fleet *fleet) {
+static bool a_zone_is_evacuated(fleet *fleet) {
   if (!fleet_up(fleet))
     return false;
   check_watch(fleet);
@@ -73,8 +73,8 @@
          (int)fleet->callers->loadgen->requests->len / 2;
 }
 
-const test_case engine_list_tests[] = { { "an_engine_leaves", an_engine_leaves, 5, 6, 100 },
-                                        { "an_area_is_emptied", an_area_is_emptied, 6, 6, 100 },
+const test_case engine_list_tests[] = { { "an_engine_drains", an_engine_drains, 5, 6, 100 },
+                                        { "a_zone_is_evacuated", a_zone_is_evacuated, 6, 6, 100 },
                                         { "engines_are_replaced_one_by_one",
                                           engines_are_replaced_one_by_one, 5, 6, 100 },
                                         { NULL, NULL, 0, 0, 0 } };
--- a/tests/router/generate_api.c
+++ b/tests/router/generate_api.c
@@ -43,7 +43,7 @@
   return true;
 }
 
-static bool engines_lie(fleet *fleet) {
+static bool engines_report_wrongly(fleet *fleet) {
   if (!fleet_up(fleet))
     return false;
   check_watch(fleet);
@@ -60,7 +60,7 @@
   return loadgen_count(fleet->callers->loadgen, OUTCOME_DONE) > 0;
 }
 
-static bool everyone_comes_at_once(fleet *fleet) {
+static bool a_burst_is_shed(fleet *fleet) {
   if (!fleet_up(fleet))
     return false;
   check_watch(fleet);
@@ -101,7 +101,7 @@
   return done[0] > 0;
 }
 
-static bool callers_go_away(fleet *fleet) {
+static bool callers_disconnect(fleet *fleet) {
   if (!fleet_up(fleet))
     return false;
   check_watch(fleet);
@@ -149,7 +149,7 @@
   return true;
 }
 
-static bool cold_engines_get_few_streams(fleet *fleet) {
+static bool warming_engines_get_few_streams(fleet *fleet) {
   if (!fleet_up(fleet))
     return false;
   check_watch(fleet);
@@ -207,7 +207,7 @@
   return true;
 }
 
-static bool bad_requests_come(fleet *fleet) {
+static bool invalid_requests_are_refused(fleet *fleet) {
   static const struct {
     const char *text;
     int status, code;
@@ -245,12 +245,12 @@
 
 const test_case generate_api_tests[] = {
   { "engines_crash_in_the_middle", engines_crash_in_the_middle, 5, 6, 100 },
-  { "engines_lie", engines_lie, 4, 5, 50 },
-  { "everyone_comes_at_once", everyone_comes_at_once, 5, 6, 50 },
-  { "callers_go_away", callers_go_away, 4, 5, 50 },
+  { "engines_report_wrongly", engines_report_wrongly, 4, 5, 50 },
+  { "a_burst_is_shed", a_burst_is_shed, 5, 6, 50 },
+  { "callers_disconnect", callers_disconnect, 4, 5, 50 },
   { "callers_read_slowly", callers_read_slowly, 3, 3, 34 },
-  { "cold_engines_get_few_streams", cold_engines_get_few_streams, 4, 5, 50 },
+  { "warming_engines_get_few_streams", warming_engines_get_few_streams, 4, 5, 50 },
   { "a_run_is_lost_and_the_next_is_refused", a_run_is_lost_and_the_next_is_refused, 3, 2, 100 },
-  { "bad_requests_come", bad_requests_come, 2, 3, 20 },
+  { "invalid_requests_are_refused", invalid_requests_are_refused, 2, 3, 20 },
   { NULL, NULL, 0, 0, 0 }
 };
--- a/tests/router/model_loading.c
+++ b/tests/router/model_loading.c
@@ -55,7 +55,7 @@
   return true;
 }
 
-static bool orders_fail_and_room_comes_late(fleet *fleet) {
+static bool orders_fail_and_capacity_is_reported_late(fleet *fleet) {
   if (!fleet_up(fleet))
     return false;
   check_watch(fleet);
@@ -112,7 +112,7 @@
   return true;
 }
 
-static bool a_hot_model_gets_copies(fleet *fleet) {
+static bool a_hot_model_gets_replicas(fleet *fleet) {
   if (!fleet_up(fleet))
     return false;
   check_watch(fleet);
@@ -131,8 +131,9 @@
 
 const test_case model_loading_tests[] = {
   { "rare_models_are_asked_for_at_once", rare_models_are_asked_for_at_once, 5, 6, 100 },
-  { "orders_fail_and_room_comes_late", orders_fail_and_room_comes_late, 5, 6, 100 },
+  { "orders_fail_and_capacity_is_reported_late", orders_fail_and_capacity_is_reported_late, 5, 6,
+    100 },
   { "every_load_fails", every_load_fails, 4, 4, 50 },
-  { "a_hot_model_gets_copies", a_hot_model_gets_copies, 4, 5, 50 },
+  { "a_hot_model_gets_replicas", a_hot_model_gets_replicas, 4, 5, 50 },
   { NULL, NULL, 0, 0, 0 }
 };
--- a/tests/router/policy_replay.c
+++ b/tests/router/policy_replay.c
@@ -59,7 +59,7 @@
               rule.loads, popularity.loads);
 }
 
-static bool the_paper_is_met(fleet *fleet) {
+static bool reference_costs_are_reproduced(fleet *fleet) {
   check_reference_example(fleet);
   /* over drawn traces the policy is better than chance, and the oracle better than the policy */
   double rule_ms = 0, random_ms = 0, oracle_ms = 0;
@@ -79,5 +79,6 @@
   return true;
 }
 
-const test_case policy_replay_tests[] = { { "the_paper_is_met", the_paper_is_met, 1, 1, 50 },
+const test_case policy_replay_tests[] = { { "reference_costs_are_reproduced",
+                                            reference_costs_are_reproduced, 1, 1, 50 },
                                           { NULL, NULL, 0, 0, 0 } };
--- a/tests/router/singleton_lease.c
+++ b/tests/router/singleton_lease.c
@@ -27,7 +27,7 @@
   return true;
 }
 
-static bool a_stalled_head_keeps_contracts(fleet *fleet) {
+static bool leases_outlast_a_stalled_disk_of_the_head(fleet *fleet) {
   if (!fleet_up(fleet))
     return false;
   host *host = fleet_head(fleet), *was = fleet_holder(fleet, "engine:engine-1");
@@ -48,8 +48,8 @@
   return true;
 }
 
-const test_case singleton_lease_tests[] = {
-  { "a_holder_freezes_and_wakes", a_holder_freezes_and_wakes, 5, 5, 100 },
-  { "a_stalled_head_keeps_contracts", a_stalled_head_keeps_contracts, 3, 3, 50 },
-  { NULL, NULL, 0, 0, 0 }
-};
+const test_case singleton_lease_tests[] = { { "a_holder_freezes_and_wakes",
+                                              a_holder_freezes_and_wakes, 5, 5, 100 },
+                                            { "leases_outlast_a_stalled_disk_of_the_head",
+                                              leases_outlast_a_stalled_disk_of_the_head, 3, 3, 50 },
+                                            { NULL, NULL, 0, 0, 0 } };
