--- a/tests/controlplane/config_change.c
+++ b/tests/controlplane/config_change.c
@@ -48,7 +48,7 @@
 };
 
 static uint64_t draw(run *run, uint64_t n) {
-  return sim_draw(run->deployment->sim, n);
+  return sim_random(run->deployment->sim, n);
 }
 
 static const char *address_of(run *run, size_t i) {
@@ -128,8 +128,8 @@
       &run->deployment->operator->dialect->calls[o.patch ? DC_CONFIG_PATCH : DC_CONFIG_PUT], &o,
       body, wait_ms);
   enum register_answer answer = loss == LOSS_NONE ? answer_of(status) : ANSWER_NONE;
-  register_attempt(run->history, number, (uint64_t)called.us, (uint64_t)world_now(world).us,
-                   answer);
+  register_history_add_attempt(run->history, number, (uint64_t)called.us,
+                               (uint64_t)world_now(world).us, answer);
   g_array_index(run->changes, sent_change, number).last = answer;
   run->confirmed += answer == ANSWER_CONFIRMED;
   run->refused += answer == ANSWER_CONFLICT;
@@ -175,7 +175,7 @@
 }
 
 static guint new_change(run *run, uint64_t base, uint64_t version, bool patch, bool valid) {
-  guint number = register_order(run->history, base, version, valid);
+  guint number = register_history_add_order(run->history, base, version, valid);
   sent_change o = { .base = base, .version = version, .patch = patch, .valid = valid };
   write_text(&o, number);
   g_array_append_val(run->changes, o);
@@ -214,12 +214,15 @@
     *version = (uint64_t)json_number(json, "version", 0);
     json_free(json);
     if (!mark || sscanf(mark, "mark-%u", &number) != 1 || number >= run->changes->len)
-      violation(run->deployment->base, "a configuration of nobody was read: %.200s", body->str);
+      fleet_add_violation(run->deployment->fleet, "a configuration of nobody was read: %.200s",
+                          body->str);
     else if (g_array_index(run->changes, sent_change, number).version != *version)
-      violation(run->deployment->base, "version %" PRIu64 " was read with the content of order %u",
-                *version, number);
+      fleet_add_violation(run->deployment->fleet,
+                          "version %" PRIu64 " was read with the content of order %u", *version,
+                          number);
     else
-      register_read(run->history, number, (uint64_t)called.us, (uint64_t)world_now(world).us);
+      register_history_add_read(run->history, number, (uint64_t)called.us,
+                                (uint64_t)world_now(world).us);
   }
   g_string_free(body, TRUE);
   return read;
@@ -286,11 +289,11 @@
   job j = { r, work, ctx };
   r->busy++;
   task_start(&r->deployment->operator->world->tasks, "operator", job_run, &j);
-  r->deployment->op_host->due = r->deployment->sim->now;
-  if (sim_until(r->deployment->sim, is_idle, r, time_from_ms(ms)))
+  r->deployment->operator_host->next_wake_at = r->deployment->sim->now;
+  if (sim_run_until(r->deployment->sim, is_idle, r, time_from_ms(ms)))
     return true;
-  violation(r->deployment->base, "the operator did not come to an end");
-  host_kill(r->deployment->op_host);
+  fleet_add_violation(r->deployment->fleet, "the operator did not come to an end");
+  host_kill(r->deployment->operator_host);
   return false;
 }
 
@@ -298,7 +301,7 @@
   (void)ctx;
   guint number = new_change(run, 0, 1, false, true);
   if (send_until_clear(run, number, 20000) != ANSWER_CONFIRMED)
-    violation(run->deployment->base, "the first configuration was not taken");
+    fleet_add_violation(run->deployment->fleet, "the first configuration was not taken");
 }
 
 static host *add_controller(fleet *fleet) {
@@ -307,7 +310,7 @@
   snprintf(name, sizeof name, "controller-%d", n);
   snprintf(address, sizeof address, "127.0.1.%d:7000", n);
   host *host = fleet->controller[fleet->controllers++] =
-      sim_host(fleet->sim, HOST_CONTROLLER, name, zone_names[n % 3], address);
+      sim_add_host(fleet->sim, HOST_CONTROLLER, name, zone_names[n % 3], address);
   host->settings = fleet->controller[0]->settings;
   host->settings.self = host->self;
   host->settings.zone = host->area;
@@ -326,10 +329,10 @@
     fleet->controller[i]->settings.write_zones = 1;
   }
   run->deployment = deployment_new(fleet, 0, 0);
-  run->history = register_new();
+  run->history = register_history_new();
   run->changes = g_array_new(FALSE, TRUE, sizeof(sent_change));
   list_for_each (h, &fleet->sim->hosts, host, link)
-    if (h->role == HOST_CONTROLLER || h == run->deployment->op_host)
+    if (h->role == HOST_CONTROLLER || h == run->deployment->operator_host)
       host_start(h);
 }
 
@@ -338,7 +341,7 @@
   run_start(run, fleet, members);
   sim_run(fleet->sim, time_from_ms(2500));
   as_operator(run, write_first, NULL, 30000);
-  return scenario_wait_for_chain(fleet, members, 20000) && !fleet->faults->len;
+  return scenario_wait_for_chain(fleet, members, 20000) && !fleet->violations->len;
 }
 
 static void final_read(run *run, void *ctx) {
@@ -346,31 +349,31 @@
   uint64_t version;
   for (int i = 0; i < 3; i++)
     if (!read_until_clear(run, &version, 20000))
-      violation(run->deployment->base, "nobody gave the configuration");
+      fleet_add_violation(run->deployment->fleet, "nobody gave the configuration");
 }
 
 /* Repairs all faults, reads the configuration, and checks the history. */
 static bool run_done(run *run) {
-  fleet *fleet = run->deployment->base;
+  fleet *fleet = run->deployment->fleet;
   run->stop = true;
   run->request_loss = run->answer_loss = run->leaving = 0;
   scenario_heal_all(fleet);
-  if (!sim_until(fleet->sim, is_idle, run, time_from_ms(60000)))
-    violation(fleet, "operators did not come to an end");
+  if (!sim_run_until(fleet->sim, is_idle, run, time_from_ms(60000)))
+    fleet_add_violation(fleet, "operators did not come to an end");
   sim_run(fleet->sim, time_from_ms(3000));
   as_operator(run, final_read, NULL, 70000);
   GString *why = g_string_new(NULL);
-  if (!register_check(run->history, why))
-    violation(fleet, "%s", why->str);
+  if (!register_history_check(run->history, why))
+    fleet_add_violation(fleet, "%s", why->str);
   g_string_free(why, TRUE);
   if (getenv("ORDERS_LOUD"))
     fprintf(stderr,
             "orders %u, confirmed %" PRIu64 ", refused %" PRIu64 ", unclear %" PRIu64
             ", version %" PRIu64 "\n",
             run->changes->len, run->confirmed, run->refused, run->unclear, run->current);
-  bool good = !fleet->faults->len;
+  bool good = !fleet->violations->len;
   deployment_free(run->deployment);
-  register_free(run->history);
+  register_history_free(run->history);
   g_array_free(run->changes, TRUE);
   return good;
 }
@@ -381,41 +384,42 @@
     run->busy++;
     task_start(&run->deployment->operator->world->tasks, "operator", operator_run, &run->tasks[i]);
   }
-  run->deployment->op_host->due = run->deployment->sim->now;
+  run->deployment->operator_host->next_wake_at = run->deployment->sim->now;
 }
 
 /* faults of controllers */
 static host *any_controller(run *run) {
-  return run->deployment->base->controller[draw(run, (uint64_t)run->deployment->base->controllers)];
+  return run->deployment->fleet
+      ->controller[draw(run, (uint64_t)run->deployment->fleet->controllers)];
 }
 
 static host *head_or_any(run *run) {
-  host *host = fleet_head(run->deployment->base);
+  host *host = fleet_find_head(run->deployment->fleet);
   return host ? host : any_controller(run);
 }
 
 static void cut_off(run *run, host *h, bool one_way) {
-  for (int i = 0; i < run->deployment->base->controllers; i++) {
-    host *other = run->deployment->base->controller[i];
+  for (int i = 0; i < run->deployment->fleet->controllers; i++) {
+    host *other = run->deployment->fleet->controller[i];
     if (other == h)
       continue;
     if (one_way)
-      sim_cut(run->deployment->sim, h->self.text, other->self.text, true);
+      sim_set_partition(run->deployment->sim, h->self.text, other->self.text, true);
     else
-      sim_part(run->deployment->sim, h->self.text, other->self.text, true);
+      sim_set_partition_both_ways(run->deployment->sim, h->self.text, other->self.text, true);
   }
 }
 
 /* Returns true when a disk was lost: no other may be lost before it is replaced. */
 static bool inject_fault(run *run) {
-  fleet *fleet = run->deployment->base;
+  fleet *fleet = run->deployment->fleet;
   host *host = draw(run, 3) ? head_or_any(run) : any_controller(run);
   switch (draw(run, 10)) {
   case 0:
     host_kill(host);
     break;
   case 1:
-    host_power(host);
+    host_power_off(host);
     break;
   case 2:
     host_freeze(host);
@@ -432,24 +436,25 @@
     break;
   case 6:
     for (int i = 0; i < fleet->controllers; i++)
-      host_power(fleet->controller[i]);
+      host_power_off(fleet->controller[i]);
     break;
   case 7:
-    host->disk->stall = time_add(fleet->sim->now, time_from_ms(1000 + (int64_t)draw(run, 3000)));
+    host->disk->stalled_until =
+        time_add(fleet->sim->now, time_from_ms(1000 + (int64_t)draw(run, 3000)));
     break;
   case 8:
-    fleet->sim->loss = 0.05 + 0.01 * (double)draw(run, 15);
+    fleet->sim->loss_ratio = 0.05 + 0.01 * (double)draw(run, 15);
     break;
   default:
-    host_power(host);
-    host_wipe(host);
+    host_power_off(host);
+    host_wipe_disk(host);
     return true;
   }
   return false;
 }
 
 static int draw_members(fleet *fleet) {
-  return sim_draw(fleet->sim, 2) ? 3 : 5;
+  return sim_random(fleet->sim, 2) ? 3 : 5;
 }
 
 static bool operators_under_faults(fleet *fleet, int members) {
@@ -464,7 +469,7 @@
     sim_run(fleet->sim, time_from_ms(500 + (int64_t)draw(&r, 3000)));
     bool disk_lost = inject_fault(&r);
     sim_run(fleet->sim, time_from_ms((int64_t)draw(&r, 6000)));
-    fleet->sim->loss = 0;
+    fleet->sim->loss_ratio = 0;
     scenario_heal_all(fleet);
     sim_run(fleet->sim, time_from_ms(2000));
     if (disk_lost)
@@ -531,11 +536,11 @@
   sim_run(fleet->sim, time_from_ms(500 + (int64_t)draw(&r, 3000)));
   bool disk_lost = inject_fault(&r);
   sim_run(fleet->sim, time_from_ms((int64_t)draw(&r, 3000)));
-  fleet->sim->loss = 0;
+  fleet->sim->loss_ratio = 0;
   scenario_heal_all(fleet);
   sim_run(fleet->sim, time_from_ms(20000));
   if (!r.current && !disk_lost)
-    violation(fleet, "no first configuration was taken");
+    fleet_add_violation(fleet, "no first configuration was taken");
   return run_done(&r);
 }
 
@@ -553,11 +558,12 @@
   /* it was accepted, as the next one shows; another change to the same version is refused */
   d->second = new_change(run, run->current, base, false, true);
   if (send_until_clear(run, d->second, CHANGE_TIMEOUT_MS) != ANSWER_CONFLICT)
-    violation(run->deployment->base, "another change under the same number was not refused");
+    fleet_add_violation(run->deployment->fleet,
+                        "another change under the same number was not refused");
   for (guint i = 0; i < d->changes; i++) {
     guint number = new_change(run, base + i, base + i + 1, i % 2 == 0, true);
     if (send_until_clear(run, number, CHANGE_TIMEOUT_MS) != ANSWER_CONFIRMED) {
-      violation(run->deployment->base, "change %u of %u was not taken", i, d->changes);
+      fleet_add_violation(run->deployment->fleet, "change %u of %u was not taken", i, d->changes);
       return;
     }
   }
@@ -568,21 +574,22 @@
   for (size_t i = 0; i < run->deployment->operator->controllers->len; i++) {
     enum register_answer a = send_once(run, d->first, address_of(run, i), LOSS_NONE);
     if (a != ANSWER_CONFIRMED)
-      violation(run->deployment->base,
-                "an order that was taken got %d when it came again after %u others", a, d->changes);
+      fleet_add_violation(run->deployment->fleet,
+                          "an order that was taken got %d when it came again after %u others", a,
+                          d->changes);
     send_once(run, d->second, address_of(run, i), LOSS_NONE);
   }
 }
 
 /* The head loses its disk, and comes back as the tail. */
 static void replace_head_disk(fleet *fleet) {
-  host *head = fleet_head(fleet);
+  host *head = fleet_find_head(fleet);
   if (!head) {
-    violation(fleet, "there is no head");
+    fleet_add_violation(fleet, "there is no head");
     return;
   }
-  host_power(head);
-  host_wipe(head);
+  host_power_off(head);
+  host_wipe_disk(head);
   sim_run(fleet->sim, time_from_ms(4000));
   host_start(head);
   scenario_wait_for_chain(fleet, 3, 20000);
@@ -595,7 +602,7 @@
     as_operator(&r, send_first_again, &d, 30000);
     /* nor is it forgotten by a restart of all, or by a loss of power */
     for (int i = 0; i < fleet->controllers; i++)
-      host_power(fleet->controller[i]);
+      host_power_off(fleet->controller[i]);
     scenario_heal_all(fleet);
     sim_run(fleet->sim, time_from_ms(4000));
     as_operator(&r, send_first_again, &d, 30000);
@@ -624,7 +631,7 @@
       enum register_answer a =
           send_once(run, k ? d->second : d->first, address_of(run, i), LOSS_NONE);
       if (a != ANSWER_NONE)
-        violation(run->deployment->base, "an order older than the memory got %d", a);
+        fleet_add_violation(run->deployment->fleet, "an order older than the memory got %d", a);
     }
 }
 
@@ -646,26 +653,28 @@
     accepted_changes_add(&a, i * 3, i * 0x9e3779b97f4a7c15u, i * 2);
     uint64_t oldest = i > ACCEPTED_CHANGES_MAX ? i - ACCEPTED_CHANGES_MAX + 1 : 1;
     if (a.all->len >= ACCEPTED_CHANGES_MAX + ACCEPTED_CHANGES_FORGOTTEN_AT_ONCE)
-      violation(fleet, "%u orders are kept", a.all->len);
+      fleet_add_violation(fleet, "%u orders are kept", a.all->len);
     if (!accepted_changes_find(&a, oldest * 3, oldest * 0x9e3779b97f4a7c15u) ||
         accepted_changes_may_include(&a, oldest * 3))
-      violation(fleet, "order %" PRIu64 " of the latest is forgotten at %" PRIu64, oldest, i);
+      fleet_add_violation(fleet, "order %" PRIu64 " of the latest is forgotten at %" PRIu64, oldest,
+                          i);
     if (accepted_changes_find(&a, i * 3, 1))
-      violation(fleet, "another order on a base is taken for the one that was accepted");
+      fleet_add_violation(fleet, "another order on a base is taken for the one that was accepted");
   }
   if (accepted_changes_find(&a, 3, 0x9e3779b97f4a7c15u) || !accepted_changes_may_include(&a, 3))
-    violation(fleet, "the first of %" PRIu64 " orders is not said to be forgotten", count);
+    fleet_add_violation(fleet, "the first of %" PRIu64 " orders is not said to be forgotten",
+                        count);
   Wire__AcceptedChanges w;
   accepted_changes_pack(&a, &w);
   size_t size = wire__accepted_changes__get_packed_size(&w);
   accepted_changes_unpack(&b, &w);
   if (size > accepted_changes_packed_size(&a))
-    violation(fleet, "%u orders take %zu bytes, over the bound of %zu", a.all->len, size,
-              accepted_changes_packed_size(&a));
+    fleet_add_violation(fleet, "%u orders take %zu bytes, over the bound of %zu", a.all->len, size,
+                        accepted_changes_packed_size(&a));
   if (b.checksum != a.checksum || b.any_forgotten != a.any_forgotten ||
       b.forgotten_base != a.forgotten_base || b.all->len != a.all->len ||
       memcmp(a.all->data, b.all->data, a.all->len * sizeof(accepted_change)))
-    violation(fleet, "what was packed is read otherwise");
+    fleet_add_violation(fleet, "what was packed is read otherwise");
   if (getenv("ORDERS_LOUD"))
     fprintf(stderr, "%u orders, %zu bytes packed, %zu in memory\n", a.all->len, size,
             a.all->len * sizeof(accepted_change));
@@ -673,10 +682,10 @@
   accepted_changes_copy(&b, &a);
   accepted_changes_add(&b, count * 3 + 3, 7, count * 2 + 2);
   if (b.checksum == a.checksum)
-    violation(fleet, "a copy with one more order has the same sum");
+    fleet_add_violation(fleet, "a copy with one more order has the same sum");
   accepted_changes_free(&a);
   accepted_changes_free(&b);
-  return !fleet->faults->len;
+  return !fleet->violations->len;
 }
 
 /* given a head whose links are cut with an order in its suffix that nobody else has, when another
@@ -730,9 +739,9 @@
   run r;
   if (!run_up(&r, fleet, 3))
     return run_done(&r);
-  for (int round = 0; round < 10 && !fleet->faults->len; round++) {
+  for (int round = 0; round < 10 && !fleet->violations->len; round++) {
     scenario_wait_for_chain(fleet, 3, 20000);
-    host *head = fleet_head(fleet);
+    host *head = fleet_find_head(fleet);
     if (!head)
       continue;
     pair a = { &r, "" };
@@ -744,11 +753,11 @@
     task_start(&r.deployment->operator->world->tasks, "again", resend_task, &a);
     task_start(&r.deployment->operator->world->tasks, "rival", rival_task, &a);
     task_start(&r.deployment->operator->world->tasks, "winner", winner_task, &a);
-    r.deployment->op_host->due = fleet->sim->now;
+    r.deployment->operator_host->next_wake_at = fleet->sim->now;
     sim_run(fleet->sim, time_from_ms(1300 + (int64_t)draw(&r, 500)));
     scenario_heal_all(fleet);
-    if (!sim_until(fleet->sim, is_idle, &r, time_from_ms(120000)))
-      violation(fleet, "operators did not come to an end");
+    if (!sim_run_until(fleet->sim, is_idle, &r, time_from_ms(120000)))
+      fleet_add_violation(fleet, "operators did not come to an end");
     as_operator(&r, final_read, NULL, 70000);
     for (guint i = 0; i < r.changes->len; i++)
       if (g_array_index(r.changes, sent_change, i).last == ANSWER_CONFIRMED)
@@ -769,7 +778,7 @@
   run *run = c->run;
   world *world = run->deployment->operator->world;
   time_us sent = world_now(world);
-  host *head = fleet_head(run->deployment->base);
+  host *head = fleet_find_head(run->deployment->fleet);
   char address[64];
   g_strlcpy(address, head->addr, sizeof address);
   *strchr(address, ':') = 0;
@@ -781,7 +790,7 @@
       world_sleep(world, time_from_ms(300));
   }
   if (a != ANSWER_CONFIRMED)
-    violation(run->deployment->base, "order %u of eight at once got %d", c->number, a);
+    fleet_add_violation(run->deployment->fleet, "order %u of eight at once got %d", c->number, a);
   c->took = time_sub(world_now(world), sent);
   run->busy--;
 }
@@ -798,14 +807,14 @@
     version++;
     r.busy++;
     task_start(&r.deployment->operator->world->tasks, "chained", chained_run, &all[i]);
-    r.deployment->op_host->due = fleet->sim->now;
+    r.deployment->operator_host->next_wake_at = fleet->sim->now;
     sim_run(fleet->sim, time_from_ms(12));
   }
-  sim_until(fleet->sim, is_idle, &r, time_from_ms(30000));
+  sim_run_until(fleet->sim, is_idle, &r, time_from_ms(30000));
   for (int i = 0; i < OPERATORS_MAX; i++)
     if (all[i].took.us > 600000)
-      violation(fleet, "order %d of eight at once took %" PRId64 " ms", i,
-                (int64_t)all[i].took.us / 1000);
+      fleet_add_violation(fleet, "order %d of eight at once took %" PRId64 " ms", i,
+                          (int64_t)all[i].took.us / 1000);
   fleet->sim->delay_ms = 1;
   return run_done(&r);
 }
@@ -813,146 +822,149 @@
 /* the checker, without a fleet */
 static void expect(fleet *fleet, register_history *h, bool good, const char *what) {
   GString *why = g_string_new(NULL);
-  bool is = register_check(h, why);
+  bool is = register_history_check(h, why);
   if (is != good)
-    violation(fleet, "%s was %s: %s", what, is ? "accepted" : "rejected", why->str);
+    fleet_add_violation(fleet, "%s was %s: %s", what, is ? "accepted" : "rejected", why->str);
   g_string_free(why, TRUE);
-  register_free(h);
+  register_history_free(h);
 }
 
 static bool the_checker_accepts_good_histories(fleet *fleet) {
-  register_history *h = register_new();
-  guint a = register_order(h, 0, 1, true), b = register_order(h, 1, 2, true),
-        c = register_order(h, 1, 2, true), d = register_order(h, 2, 5, true);
-  register_attempt(h, a, 1, 2, ANSWER_NONE);
-  register_attempt(h, a, 3, 4, ANSWER_CONFIRMED);
-  register_attempt(h, b, 5, 9, ANSWER_CONFIRMED);
-  register_attempt(h, c, 5, 9, ANSWER_CONFLICT);
-  register_read(h, a, 5, 6);
-  register_read(h, b, 6, 7);
-  register_attempt(h, b, 10, 11, ANSWER_CONFIRMED);
+  register_history *h = register_history_new();
+  guint a = register_history_add_order(h, 0, 1, true),
+        b = register_history_add_order(h, 1, 2, true),
+        c = register_history_add_order(h, 1, 2, true),
+        d = register_history_add_order(h, 2, 5, true);
+  register_history_add_attempt(h, a, 1, 2, ANSWER_NONE);
+  register_history_add_attempt(h, a, 3, 4, ANSWER_CONFIRMED);
+  register_history_add_attempt(h, b, 5, 9, ANSWER_CONFIRMED);
+  register_history_add_attempt(h, c, 5, 9, ANSWER_CONFLICT);
+  register_history_add_read(h, a, 5, 6);
+  register_history_add_read(h, b, 6, 7);
+  register_history_add_attempt(h, b, 10, 11, ANSWER_CONFIRMED);
   /* without a clear answer, and yet read later */
-  register_attempt(h, d, 12, 13, ANSWER_NONE);
-  register_read(h, b, 14, 15);
-  register_read(h, d, 16, 17);
+  register_history_add_attempt(h, d, 12, 13, ANSWER_NONE);
+  register_history_add_read(h, b, 14, 15);
+  register_history_add_read(h, d, 16, 17);
   expect(fleet, h, true, "a good history");
 
-  h = register_new();
-  a = register_order(h, 0, 1, true);
-  b = register_order(h, 1, 2, true);
-  c = register_order(h, 1, 2, true);
-  d = register_order(h, 2, 3, true);
-  register_attempt(h, a, 1, 2, ANSWER_CONFIRMED);
-  register_attempt(h, b, 3, 4, ANSWER_NONE);
-  register_attempt(h, c, 3, 4, ANSWER_NONE);
-  register_attempt(h, d, 5, 6, ANSWER_CONFIRMED);
+  h = register_history_new();
+  a = register_history_add_order(h, 0, 1, true);
+  b = register_history_add_order(h, 1, 2, true);
+  c = register_history_add_order(h, 1, 2, true);
+  d = register_history_add_order(h, 2, 3, true);
+  register_history_add_attempt(h, a, 1, 2, ANSWER_CONFIRMED);
+  register_history_add_attempt(h, b, 3, 4, ANSWER_NONE);
+  register_history_add_attempt(h, c, 3, 4, ANSWER_NONE);
+  register_history_add_attempt(h, d, 5, 6, ANSWER_CONFIRMED);
   expect(fleet, h, true, "one of two orders without an answer");
 
-  h = register_new();
-  a = register_order(h, 0, 1, true);
-  b = register_order(h, 7, 9, true);
-  register_attempt(h, a, 1, 2, ANSWER_CONFIRMED);
-  register_attempt(h, b, 3, 4, ANSWER_CONFLICT);
+  h = register_history_new();
+  a = register_history_add_order(h, 0, 1, true);
+  b = register_history_add_order(h, 7, 9, true);
+  register_history_add_attempt(h, a, 1, 2, ANSWER_CONFIRMED);
+  register_history_add_attempt(h, b, 3, 4, ANSWER_CONFLICT);
   expect(fleet, h, true, "a base that never was");
 
-  h = register_new();
-  a = register_order(h, 0, 1, true);
-  b = register_order(h, 0, 4, false);
-  register_attempt(h, b, 1, 2, ANSWER_INVALID);
-  register_attempt(h, a, 1, 2, ANSWER_CONFIRMED);
+  h = register_history_new();
+  a = register_history_add_order(h, 0, 1, true);
+  b = register_history_add_order(h, 0, 4, false);
+  register_history_add_attempt(h, b, 1, 2, ANSWER_INVALID);
+  register_history_add_attempt(h, a, 1, 2, ANSWER_CONFIRMED);
   expect(fleet, h, true, "an invalid order that was refused");
 
   /* hundreds, eight of them open at once, half without an answer */
-  h = register_new();
+  h = register_history_new();
   for (uint64_t v = 0; v < 800; v++)
     for (int i = 0; i < OPERATORS_MAX; i++) {
-      guint n = register_order(h, v, v + 1, true);
-      register_attempt(h, n, v * 10, v * 10 + 9,
-                       i       ? ANSWER_NONE
-                       : v % 2 ? ANSWER_CONFIRMED
-                               : ANSWER_NONE);
+      guint n = register_history_add_order(h, v, v + 1, true);
+      register_history_add_attempt(h, n, v * 10, v * 10 + 9,
+                                   i       ? ANSWER_NONE
+                                   : v % 2 ? ANSWER_CONFIRMED
+                                           : ANSWER_NONE);
     }
   expect(fleet, h, true, "a long history");
-  return !fleet->faults->len;
+  return !fleet->violations->len;
 }
 
 static bool the_checker_rejects_bad_histories(fleet *fleet) {
-  register_history *h = register_new();
-  guint a = register_order(h, 0, 1, true), b = register_order(h, 1, 2, true),
-        c = register_order(h, 1, 3, true);
-  register_attempt(h, a, 1, 2, ANSWER_CONFIRMED);
-  register_attempt(h, b, 3, 4, ANSWER_CONFIRMED);
-  register_attempt(h, c, 5, 6, ANSWER_CONFIRMED);
+  register_history *h = register_history_new();
+  guint a = register_history_add_order(h, 0, 1, true),
+        b = register_history_add_order(h, 1, 2, true),
+        c = register_history_add_order(h, 1, 3, true);
+  register_history_add_attempt(h, a, 1, 2, ANSWER_CONFIRMED);
+  register_history_add_attempt(h, b, 3, 4, ANSWER_CONFIRMED);
+  register_history_add_attempt(h, c, 5, 6, ANSWER_CONFIRMED);
   expect(fleet, h, false, "two winners on one base");
 
-  h = register_new();
-  a = register_order(h, 0, 1, true);
-  b = register_order(h, 0, 1, true);
-  register_attempt(h, a, 1, 9, ANSWER_CONFIRMED);
-  register_attempt(h, b, 1, 9, ANSWER_CONFIRMED);
+  h = register_history_new();
+  a = register_history_add_order(h, 0, 1, true);
+  b = register_history_add_order(h, 0, 1, true);
+  register_history_add_attempt(h, a, 1, 9, ANSWER_CONFIRMED);
+  register_history_add_attempt(h, b, 1, 9, ANSWER_CONFIRMED);
   expect(fleet, h, false, "two winners under one number");
 
-  h = register_new();
-  a = register_order(h, 0, 1, true);
-  b = register_order(h, 1, 2, true);
-  register_attempt(h, a, 1, 2, ANSWER_CONFIRMED);
-  register_attempt(h, b, 3, 4, ANSWER_CONFIRMED);
-  register_read(h, a, 5, 6);
+  h = register_history_new();
+  a = register_history_add_order(h, 0, 1, true);
+  b = register_history_add_order(h, 1, 2, true);
+  register_history_add_attempt(h, a, 1, 2, ANSWER_CONFIRMED);
+  register_history_add_attempt(h, b, 3, 4, ANSWER_CONFIRMED);
+  register_history_add_read(h, a, 5, 6);
   expect(fleet, h, false, "a stale read, or a lost write");
 
-  h = register_new();
-  a = register_order(h, 0, 1, true);
-  b = register_order(h, 1, 2, true);
-  register_attempt(h, a, 1, 2, ANSWER_CONFIRMED);
-  register_attempt(h, b, 3, 20, ANSWER_CONFIRMED);
-  register_read(h, b, 4, 5);
-  register_read(h, a, 6, 7);
+  h = register_history_new();
+  a = register_history_add_order(h, 0, 1, true);
+  b = register_history_add_order(h, 1, 2, true);
+  register_history_add_attempt(h, a, 1, 2, ANSWER_CONFIRMED);
+  register_history_add_attempt(h, b, 3, 20, ANSWER_CONFIRMED);
+  register_history_add_read(h, b, 4, 5);
+  register_history_add_read(h, a, 6, 7);
   expect(fleet, h, false, "a read that goes back");
 
-  h = register_new();
-  a = register_order(h, 0, 1, true);
-  b = register_order(h, 1, 2, true);
-  register_attempt(h, a, 1, 2, ANSWER_CONFIRMED);
-  register_attempt(h, b, 3, 4, ANSWER_CONFLICT);
-  register_read(h, b, 5, 6);
+  h = register_history_new();
+  a = register_history_add_order(h, 0, 1, true);
+  b = register_history_add_order(h, 1, 2, true);
+  register_history_add_attempt(h, a, 1, 2, ANSWER_CONFIRMED);
+  register_history_add_attempt(h, b, 3, 4, ANSWER_CONFLICT);
+  register_history_add_read(h, b, 5, 6);
   expect(fleet, h, false, "a refused order in force");
 
-  h = register_new();
-  a = register_order(h, 0, 1, true);
-  b = register_order(h, 1, 2, true);
-  register_attempt(h, a, 1, 2, ANSWER_CONFIRMED);
-  register_attempt(h, b, 3, 4, ANSWER_CONFLICT);
+  h = register_history_new();
+  a = register_history_add_order(h, 0, 1, true);
+  b = register_history_add_order(h, 1, 2, true);
+  register_history_add_attempt(h, a, 1, 2, ANSWER_CONFIRMED);
+  register_history_add_attempt(h, b, 3, 4, ANSWER_CONFLICT);
   expect(fleet, h, false, "a refusal while the base is current");
 
-  h = register_new();
-  a = register_order(h, 0, 1, true);
-  b = register_order(h, 1, 2, true);
-  register_attempt(h, a, 1, 2, ANSWER_CONFIRMED);
-  register_attempt(h, b, 3, 4, ANSWER_CONFIRMED);
-  register_attempt(h, a, 5, 6, ANSWER_CONFLICT);
+  h = register_history_new();
+  a = register_history_add_order(h, 0, 1, true);
+  b = register_history_add_order(h, 1, 2, true);
+  register_history_add_attempt(h, a, 1, 2, ANSWER_CONFIRMED);
+  register_history_add_attempt(h, b, 3, 4, ANSWER_CONFIRMED);
+  register_history_add_attempt(h, a, 5, 6, ANSWER_CONFLICT);
   expect(fleet, h, false, "a taken order refused when it came again");
 
-  h = register_new();
-  a = register_order(h, 0, 1, true);
-  b = register_order(h, 1, 2, true);
-  c = register_order(h, 1, 2, true);
-  register_attempt(h, a, 1, 2, ANSWER_CONFIRMED);
-  register_attempt(h, b, 3, 4, ANSWER_CONFLICT);
-  register_attempt(h, c, 5, 6, ANSWER_CONFIRMED);
+  h = register_history_new();
+  a = register_history_add_order(h, 0, 1, true);
+  b = register_history_add_order(h, 1, 2, true);
+  c = register_history_add_order(h, 1, 2, true);
+  register_history_add_attempt(h, a, 1, 2, ANSWER_CONFIRMED);
+  register_history_add_attempt(h, b, 3, 4, ANSWER_CONFLICT);
+  register_history_add_attempt(h, c, 5, 6, ANSWER_CONFIRMED);
   expect(fleet, h, false, "a refusal before the winner was sent");
 
-  h = register_new();
-  a = register_order(h, 0, 1, true);
-  b = register_order(h, 1, 2, false);
-  register_attempt(h, a, 1, 2, ANSWER_CONFIRMED);
-  register_attempt(h, b, 3, 4, ANSWER_CONFIRMED);
+  h = register_history_new();
+  a = register_history_add_order(h, 0, 1, true);
+  b = register_history_add_order(h, 1, 2, false);
+  register_history_add_attempt(h, a, 1, 2, ANSWER_CONFIRMED);
+  register_history_add_attempt(h, b, 3, 4, ANSWER_CONFIRMED);
   expect(fleet, h, false, "an invalid order that was confirmed");
 
-  h = register_new();
-  a = register_order(h, 3, 4, true);
-  register_attempt(h, a, 1, 2, ANSWER_CONFIRMED);
+  h = register_history_new();
+  a = register_history_add_order(h, 3, 4, true);
+  register_history_add_attempt(h, a, 1, 2, ANSWER_CONFIRMED);
   expect(fleet, h, false, "an order on a base that never was");
-  return !fleet->faults->len;
+  return !fleet->violations->len;
 }
 
 const test_case config_change_tests[] = {
--- a/tests/controlplane/controller.c
+++ b/tests/controlplane/controller.c
@@ -6,28 +6,28 @@
 #include <stdio.h>
 
 static bool operators_race(fleet *fleet) {
-  if (!fleet_up(fleet))
+  if (!fleet_bring_up(fleet))
     return false;
-  check_watch(fleet);
+  fleet_start_sampling(fleet);
   for (int i = 0; i < 6; i++) {
-    host *t = fleet_tail(fleet);
-    op_call *g =
+    host *t = fleet_find_tail(fleet);
+    operator_call *g =
         fleet_call(fleet, t, "GET", "/v1/evacuation", NULL, NULL, NULL, time_from_ms(5000));
     char m[32], ra[32], *x = scenario_evacuation_json(i % 4),
                         *y = scenario_evacuation_json(4 + i % 4);
     snprintf(ra, sizeof ra, "race-%d", i);
     snprintf(m, sizeof m, "%" PRIu64, g->version);
-    call_free(g);
-    op_call *a = fleet_send(fleet, fleet->controller[sim_draw(fleet->sim, 3)], "PUT",
-                            "/v1/evacuation", x, m, ra),
-            *b = fleet_send(fleet, fleet->controller[sim_draw(fleet->sim, 3)], "PATCH",
-                            "/v1/evacuation", y, m, NULL);
+    operator_call_free(g);
+    operator_call *a = fleet_send(fleet, fleet->controller[sim_random(fleet->sim, 3)], "PUT",
+                                  "/v1/evacuation", x, m, ra),
+                  *b = fleet_send(fleet, fleet->controller[sim_random(fleet->sim, 3)], "PATCH",
+                                  "/v1/evacuation", y, m, NULL);
     sim_run(fleet->sim, time_from_ms(3000));
     if ((a->status == 200) + (b->status == 200) != 1 ||
         (a->status == 412) + (b->status == 412) != 1)
-      violation(fleet, "two raced and got %d and %d", a->status, b->status);
-    call_free(a);
-    call_free(b);
+      fleet_add_violation(fleet, "two raced and got %d and %d", a->status, b->status);
+    operator_call_free(a);
+    operator_call_free(b);
     /* a try that comes again is not applied again */
     char key[32];
     snprintf(key, sizeof key, "again-%d", i);
@@ -36,15 +36,15 @@
     b = fleet_call(fleet, fleet->controller[1], "PUT", "/v1/evacuation", x, NULL, key,
                    time_from_ms(5000));
     if (a->status != 200 || b->status != 200 || a->version != b->version)
-      violation(fleet, "a write that came again is %" PRIu64 " and %" PRIu64, a->version,
-                b->version);
-    call_free(a);
-    call_free(b);
+      fleet_add_violation(fleet, "a write that came again is %" PRIu64 " and %" PRIu64, a->version,
+                          b->version);
+    operator_call_free(a);
+    operator_call_free(b);
     b = fleet_call(fleet, fleet->controller[2], "PUT", "/v1/evacuation", y, NULL, key,
                    time_from_ms(5000));
     if (b->status != 422)
-      violation(fleet, "a key was used for two requests and got %d", b->status);
-    call_free(b);
+      fleet_add_violation(fleet, "a key was used for two requests and got %d", b->status);
+    operator_call_free(b);
     g_free(x);
     g_free(y);
   }
@@ -75,60 +75,60 @@
               { "evacuation", "[]", 400, E_TYPE },
               { "evacuation", "{\"areas\":[],\"areas\":[]}", 400, E_FIELD },
               { "policy", "", 400, E_JSON } };
-  if (!fleet_up(fleet))
+  if (!fleet_bring_up(fleet))
     return false;
   for (size_t i = 0; i < G_N_ELEMENTS(bad); i++) {
     char path[40];
     snprintf(path, sizeof path, "/v1/%s", bad[i].res);
-    op_call *call = fleet_call(fleet, fleet->controller[i % 3], "PUT", path, bad[i].text, NULL,
-                               NULL, time_from_ms(5000));
+    operator_call *call = fleet_call(fleet, fleet->controller[i % 3], "PUT", path, bad[i].text,
+                                     NULL, NULL, time_from_ms(5000));
     json *json = json_parse(string_view_of_gstring(call->body), NULL);
     if (call->status != bad[i].status || (int)json_number(json, "code", 0) != bad[i].code)
-      violation(fleet, "%s got %d, %s", bad[i].text, call->status, call->body->str);
+      fleet_add_violation(fleet, "%s got %d, %s", bad[i].text, call->status, call->body->str);
     json_free(json);
-    call_free(call);
+    operator_call_free(call);
   }
   /* a catalogue that drops what an evacuation names is refused as well */
   if (!fleet_put(fleet, "evacuation", "{\"areas\":[{\"area\":\"north\",\"share\":0}]}"))
     return false;
-  op_call *call = fleet_call(fleet, fleet->controller[0], "PATCH", "/v1/catalogue",
-                             "{\"areas\":[\"mid\"]}", NULL, NULL, time_from_ms(5000));
+  operator_call *call = fleet_call(fleet, fleet->controller[0], "PATCH", "/v1/catalogue",
+                                   "{\"areas\":[\"mid\"]}", NULL, NULL, time_from_ms(5000));
   if (call->status != 400)
-    violation(fleet, "an area in use was dropped: %d", call->status);
-  call_free(call);
+    fleet_add_violation(fleet, "an area in use was dropped: %d", call->status);
+  operator_call_free(call);
   call = fleet_call(fleet, fleet->controller[0], "GET", "/v1/nothing", NULL, NULL, NULL,
                     time_from_ms(5000));
   if (call->status != 404)
-    violation(fleet, "an unknown page got %d", call->status);
-  call_free(call);
+    fleet_add_violation(fleet, "an unknown page got %d", call->status);
+  operator_call_free(call);
   return true;
 }
 
 static bool configurations_grow_large(fleet *fleet) {
   for (int i = 0; i < 3; i++)
     fleet->controller[i]->settings.log_file_bytes = 8 << 20;
-  if (!fleet_up(fleet))
+  if (!fleet_bring_up(fleet))
     return false;
-  check_watch(fleet);
-  char *big = fleet_catalogue(12000, 12000, NULL);
+  fleet_start_sampling(fleet);
+  char *big = fleet_catalogue_json(12000, 12000, NULL);
   uint64_t v = fleet_put(fleet, "catalogue", big);
   if (!v)
-    violation(fleet, "a catalogue of %zu bytes was not taken", strlen(big));
+    fleet_add_violation(fleet, "a catalogue of %zu bytes was not taken", strlen(big));
   g_free(big);
   sim_run(fleet->sim, time_from_ms(2500));
   for (int i = 0; i < fleet->routers; i++)
     if (fleet->router[i]->router->sync.config_version < v)
-      violation(fleet, "R4 %s has not got the large catalogue after 2.5 s",
-                fleet->router[i]->self.text);
+      fleet_add_violation(fleet, "R4 %s has not got the large catalogue after 2.5 s",
+                          fleet->router[i]->self.text);
   /* it is sent in parts to a controller with an empty disk, and survives a loss of power */
-  host *host = fleet->controller[sim_draw(fleet->sim, 3)];
-  host_power(host);
-  host_wipe(host);
+  host *host = fleet->controller[sim_random(fleet->sim, 3)];
+  host_power_off(host);
+  host_wipe_disk(host);
   host_start(host);
   if (!scenario_wait_for_chain(fleet, 3, 20000))
     return false;
   for (int i = 0; i < 3; i++)
-    host_power(fleet->controller[i]);
+    host_power_off(fleet->controller[i]);
   for (int i = 0; i < 3; i++)
     host_start(fleet->controller[i]);
   if (!scenario_wait_for_chain(fleet, 3, 20000))
@@ -139,17 +139,17 @@
     json_appendf(over, "%s\"area-with-a-long-name-%zu\"",
                  over->str[over->len - 1] == '[' ? "" : ",", over->len);
   g_string_append(over, "]}");
-  op_call *call = fleet_call(fleet, fleet->controller[0], "PUT", "/v1/catalogue", over->str, NULL,
-                             NULL, time_from_ms(9000));
+  operator_call *call = fleet_call(fleet, fleet->controller[0], "PUT", "/v1/catalogue", over->str,
+                                   NULL, NULL, time_from_ms(9000));
   for (int i = 0; i < 10 && call->status == 503; i++) {
-    call_free(call);
+    operator_call_free(call);
     sim_run(fleet->sim, time_from_ms(500));
     call = fleet_call(fleet, fleet->controller[0], "PUT", "/v1/catalogue", over->str, NULL, NULL,
                       time_from_ms(9000));
   }
   if (call->status != 413 && call->status != 400)
-    violation(fleet, "a resource of %zu bytes got %d", over->len, call->status);
-  call_free(call);
+    fleet_add_violation(fleet, "a resource of %zu bytes got %d", over->len, call->status);
+  operator_call_free(call);
   g_string_free(over, TRUE);
   return true;
 }
--- a/tests/controlplane/engine_registry.c
+++ b/tests/controlplane/engine_registry.c
@@ -48,7 +48,7 @@
 
 static void expect(fleet *fleet, bool is, const char *what) {
   if (!is)
-    violation(fleet, "registry: %s", what);
+    fleet_add_violation(fleet, "registry: %s", what);
 }
 
 static guint count_changed_since(engine_registry *registry, uint64_t run, uint64_t seq,
@@ -319,7 +319,7 @@
   error err = { 0 };
   json *json = json_parse(string_view_of(body), &err);
   if (!json) {
-    violation(fleet, "%s: %s", body, err.text);
+    fleet_add_violation(fleet, "%s: %s", body, err.text);
     return err.code;
   }
   GString *next = g_string_new(NULL);
@@ -329,7 +329,7 @@
   if (!r)
     g_string_assign(text, next->str);
   if (r && next->len)
-    violation(fleet, "a refused configuration leaves a text");
+    fleet_add_violation(fleet, "a refused configuration leaves a text");
   g_string_free(next, TRUE);
   json_free(json);
   return r;
@@ -369,7 +369,7 @@
   for (size_t i = 0; i < G_N_ELEMENTS(bad); i++) {
     int r = decide(fleet, t, true, 3, bad[i]);
     if (r < E_JSON || r >= E_WIRE_MESSAGE || r == E_VERSION_CONFLICT)
-      violation(fleet, "%s is decided to be %d", bad[i], r);
+      fleet_add_violation(fleet, "%s is decided to be %d", bad[i], r);
   }
   expect(fleet, config_change_version(string_view_of_gstring(t)) == 3,
          "a refused one changed something");
@@ -418,7 +418,7 @@
 }
 
 static engine_notice *last_notice(host *host, const char *engine_id) {
-  engine_recorder *e = host->extra;
+  engine_recorder *e = host->context;
   for (guint i = e->all->len; i-- > 0;)
     if (!strcmp(g_array_index(e->all, engine_notice, i).id, engine_id))
       return &g_array_index(e->all, engine_notice, i);
@@ -434,23 +434,23 @@
 }
 
 static void recorder_begin(host *host) {
-  if (!host->extra) {
+  if (!host->context) {
     engine_recorder *e = g_new0(engine_recorder, 1);
     e->world = &host->world;
     e->all = g_array_new(FALSE, TRUE, sizeof(engine_notice));
-    host->extra = e;
+    host->context = e;
   }
-  host->router->gateway = host->extra;
+  host->router->gateway = host->context;
   host->router->on_engines_changed = record_engines;
 }
 
 static void recorder_dispose(host *host) {
-  engine_recorder *e = host->extra;
+  engine_recorder *e = host->context;
   if (e) {
     g_array_free(e->all, TRUE);
     g_free(e);
   }
-  host->extra = NULL;
+  host->context = NULL;
 }
 
 typedef struct {
@@ -520,17 +520,17 @@
   char *addr = listener_of(host);
   for (int i = 0;; i++) {
     test_call *test = test_call_send(fleet, addr, verb, path, text, base);
-    sim_until(fleet->sim, test_call_done, test, time_from_ms(2000));
+    sim_run_until(fleet->sim, test_call_done, test, time_from_ms(2000));
     if (test->at.us - test->sent.us > 1000000)
-      violation(fleet, "%s %s took %" PRId64 " ms", verb, path,
-                (test->at.us - test->sent.us) / 1000);
+      fleet_add_violation(fleet, "%s %s took %" PRId64 " ms", verb, path,
+                          (test->at.us - test->sent.us) / 1000);
     char *slash = g_str_has_prefix(test->to, "http://") ? strchr(test->to + 7, '/') : NULL;
     if (test->status != 307 || i == 2) {
       g_free(addr);
       return test;
     }
     if (!slash || strcmp(slash, path)) {
-      violation(fleet, "redirected to %s", test->to);
+      fleet_add_violation(fleet, "redirected to %s", test->to);
       g_free(addr);
       return test;
     }
@@ -566,12 +566,12 @@
 
 static bool listeners_up(fleet *fleet) {
   for (int i = 0; i < fleet->controllers; i++)
-    fleet->controller[i]->begin = open_listener;
+    fleet->controller[i]->on_start = open_listener;
   for (int i = 0; i < fleet->routers; i++) {
-    fleet->router[i]->begin = recorder_begin;
-    fleet->router[i]->dispose = recorder_dispose;
+    fleet->router[i]->on_start = recorder_begin;
+    fleet->router[i]->on_dispose = recorder_dispose;
   }
-  return fleet_up(fleet);
+  return fleet_bring_up(fleet);
 }
 
 static bool engines_come_and_go_by_beats(fleet *fleet) {
@@ -579,39 +579,40 @@
     return false;
   for (int i = 1; i <= 4; i++) {
     if (send_heartbeat(fleet, fleet->controller[i % 3], "e1", "10.0.0.1:80", i, "ready") != 200)
-      violation(fleet, "a heartbeat is refused");
+      fleet_add_violation(fleet, "a heartbeat is refused");
     if (send_heartbeat(fleet, fleet->controller[(i + 1) % 3], "e2", "10.0.0.2:80", i, "ready") !=
         200)
-      violation(fleet, "a heartbeat is refused");
+      fleet_add_violation(fleet, "a heartbeat is refused");
     sim_run(fleet->sim, time_from_ms(1200));
   }
   for (int i = 0; i < 3; i++)
     if (!engine_registry_find(&fleet->controller[i]->controller->registry_sync.registry, "e1"))
-      violation(fleet, "%s does not know of an engine", fleet->controller[i]->self.text);
+      fleet_add_violation(fleet, "%s does not know of an engine", fleet->controller[i]->self.text);
   for (int i = 0; i < fleet->routers; i++)
     if (!last_notice(fleet->router[i], "e1") || !last_notice(fleet->router[i], "e2"))
-      violation(fleet, "%s does not know of an engine", fleet->router[i]->self.text);
+      fleet_add_violation(fleet, "%s does not know of an engine", fleet->router[i]->self.text);
   if (status_at(fleet, fleet->controller[0], "POST", "/v1/engines/e1/beat", "{", -1) != 400 ||
       status_at(fleet, fleet->controller[0], "POST", "/v1/engines/e1/beat", "{\"service\":\"x\"}",
                 -1) != 400)
-    violation(fleet, "an invalid heartbeat is accepted");
+    fleet_add_violation(fleet, "an invalid heartbeat is accepted");
   if (status_at(fleet, fleet->controller[0], "GET", "/v1/nothing", NULL, -1) != 404 ||
       status_at(fleet, fleet->controller[0], "GET", "/ready", NULL, -1) != 200)
-    violation(fleet, "a page is not as it should be");
+    fleet_add_violation(fleet, "a page is not as it should be");
   /* that an engine is draining reaches every router at once, whichever controller received it */
-  host *host = fleet->controller[sim_draw(fleet->sim, 3)];
+  host *host = fleet->controller[sim_random(fleet->sim, 3)];
   for (int i = 0; i < fleet->routers; i++)
     for (int k = 0; k < 3; k++)
       if (fleet->controller[k] != host)
-        sim_part(fleet->sim, fleet->router[i]->self.text, fleet->controller[k]->self.text, true);
+        sim_set_partition_both_ways(fleet->sim, fleet->router[i]->self.text,
+                                    fleet->controller[k]->self.text, true);
   if (send_heartbeat(fleet, host, "e1", "10.0.0.1:80", 9, "leaving") != 200)
-    violation(fleet, "leaving is not taken");
+    fleet_add_violation(fleet, "leaving is not taken");
   sim_run(fleet->sim, time_from_ms(100));
-  sim_mend(fleet->sim);
+  sim_heal_partitions(fleet->sim);
   for (int i = 0; i < fleet->routers; i++)
     if (!last_notice(fleet->router[i], "e1")->draining)
-      violation(fleet, "%s does not know 100 ms later that an engine leaves",
-                fleet->router[i]->self.text);
+      fleet_add_violation(fleet, "%s does not know 100 ms later that an engine leaves",
+                          fleet->router[i]->self.text);
   /* a controller that restarts fetches the registry from the others, and gives routers the full
    * list */
   host_kill(host);
@@ -619,24 +620,24 @@
   host_start(host);
   for (int i = 0; i < 3; i++) {
     sim_run(fleet->sim, time_from_ms(1000));
-    send_heartbeat(fleet, fleet->controller[(int)sim_draw(fleet->sim, 3)], "e2", "10.0.0.2:80",
+    send_heartbeat(fleet, fleet->controller[(int)sim_random(fleet->sim, 3)], "e2", "10.0.0.2:80",
                    20 + i, "ready");
   }
   registered_engine *engine = engine_registry_find(&host->controller->registry_sync.registry, "e1");
   if (!engine || !engine->draining || !host->controller->registry_sync.registry.is_complete)
-    violation(fleet, "%s does not know again that an engine leaves", host->self.text);
+    fleet_add_violation(fleet, "%s does not know again that an engine leaves", host->self.text);
   if (send_heartbeat(fleet, host, "e1", "10.0.0.1:80", 12, "off") != 200)
-    violation(fleet, "a sign-off is not taken");
+    fleet_add_violation(fleet, "a sign-off is not taken");
   sim_run(fleet->sim, time_from_ms(100));
   for (int i = 0; i < fleet->routers; i++)
     if (!last_notice(fleet->router[i], "e1")->gone)
-      violation(fleet, "%s does not know 100 ms later that an engine is gone",
-                fleet->router[i]->self.text);
+      fleet_add_violation(fleet, "%s does not know 100 ms later that an engine is gone",
+                          fleet->router[i]->self.text);
   for (int i = 0; i < 3; i++) {
     send_heartbeat(fleet, fleet->controller[i], "e1", "10.0.0.1:80", 30 + i, "ready");
     if (!engine_registry_find(&fleet->controller[i]->controller->registry_sync.registry, "e1")
              ->signed_off)
-      violation(fleet, "a late heartbeat revives an engine");
+      fleet_add_violation(fleet, "a late heartbeat revives an engine");
   }
   /* an engine that is only silent is gone, and back with its next heartbeat */
   for (int i = 1; i <= 11; i++) {
@@ -647,18 +648,18 @@
     if (!engine_registry_find(&fleet->controller[i]->controller->registry_sync.registry, "e2")
              ->gone ||
         engine_registry_find(&fleet->controller[i]->controller->registry_sync.registry, "e3")->gone)
-      violation(fleet, "%s does not know who is silent", fleet->controller[i]->self.text);
+      fleet_add_violation(fleet, "%s does not know who is silent", fleet->controller[i]->self.text);
   for (int i = 0; i < fleet->routers; i++)
     if (!last_notice(fleet->router[i], "e2")->gone || last_notice(fleet->router[i], "e2")->draining)
-      violation(fleet, "a silent engine is not gone, or for good, at %s",
-                fleet->router[i]->self.text);
+      fleet_add_violation(fleet, "a silent engine is not gone, or for good, at %s",
+                          fleet->router[i]->self.text);
   send_heartbeat(fleet, fleet->controller[0], "e2", "10.0.0.2:80", 90, "ready");
   sim_run(fleet->sim, time_from_ms(1500));
   for (int i = 0; i < fleet->routers; i++) {
     if (last_notice(fleet->router[i], "e2")->gone)
-      violation(fleet, "an engine is not back at %s", fleet->router[i]->self.text);
-    if (!((engine_recorder *)fleet->router[i]->extra)->full_lists)
-      violation(fleet, "%s never had the full list", fleet->router[i]->self.text);
+      fleet_add_violation(fleet, "an engine is not back at %s", fleet->router[i]->self.text);
+    if (!((engine_recorder *)fleet->router[i]->context)->full_lists)
+      fleet_add_violation(fleet, "%s never had the full list", fleet->router[i]->self.text);
   }
   return true;
 }
@@ -678,63 +679,64 @@
 static bool configurations_come_to_listeners(fleet *fleet) {
   if (!listeners_up(fleet))
     return false;
-  host *h = fleet->controller[sim_draw(fleet->sim, 3)];
+  host *h = fleet->controller[sim_random(fleet->sim, 3)];
   if (status_at(fleet, h, "GET", "/v1/routing", NULL, -1) != 404)
-    violation(fleet, "there is a configuration before the first");
+    fleet_add_violation(fleet, "there is a configuration before the first");
   char *a = config_text(2, 3), *b = config_text(5, 4), *c = config_text(6, 5),
        *large = config_text(20, 1200);
   if (status_at(fleet, h, "PUT", "/v1/routing", a, -1) != 400)
-    violation(fleet, "one that builds on nothing known is taken");
+    fleet_add_violation(fleet, "one that builds on nothing known is taken");
   if (status_at(fleet, h, "PUT", "/v1/routing", a, 0) != 200)
-    violation(fleet, "the first one is not taken");
+    fleet_add_violation(fleet, "the first one is not taken");
   for (int i = 0; i < 3; i++)
     if (status_at(fleet, fleet->controller[i], "PUT", "/v1/routing", a, 0) != 200)
-      violation(fleet, "the first one is refused when it comes again");
+      fleet_add_violation(fleet, "the first one is refused when it comes again");
   if (status_at(fleet, h, "PUT", "/v1/routing", b, 1) != 412 ||
       status_at(fleet, h, "PUT", "/v1/routing", a, 2) != 400)
-    violation(fleet, "a wrong one is taken, or refused otherwise");
+    fleet_add_violation(fleet, "a wrong one is taken, or refused otherwise");
   /* two changes of the same version at the same time, and a repeat of one of them */
-  char *at = listener_of(fleet_head(fleet));
+  char *at = listener_of(fleet_find_head(fleet));
   test_call *x = test_call_send(fleet, at, "PUT", "/v1/routing", b, 2),
             *y = test_call_send(fleet, at, "PUT", "/v1/routing", c, 2),
             *again = test_call_send(fleet, at, "PUT", "/v1/routing", b, 2);
   g_free(at);
-  sim_until(fleet->sim, test_call_done, x, time_from_ms(2000));
-  sim_until(fleet->sim, test_call_done, y, time_from_ms(2000));
-  sim_until(fleet->sim, test_call_done, again, time_from_ms(2000));
+  sim_run_until(fleet->sim, test_call_done, x, time_from_ms(2000));
+  sim_run_until(fleet->sim, test_call_done, y, time_from_ms(2000));
+  sim_run_until(fleet->sim, test_call_done, again, time_from_ms(2000));
   if ((x->status == 200) + (y->status == 200) != 1 || (x->status == 412) + (y->status == 412) != 1)
-    violation(fleet, "two raced and got %d and %d", x->status, y->status);
+    fleet_add_violation(fleet, "two raced and got %d and %d", x->status, y->status);
   if (again->status != x->status)
-    violation(fleet, "the same came again meanwhile and got %d, not %d", again->status, x->status);
+    fleet_add_violation(fleet, "the same came again meanwhile and got %d, not %d", again->status,
+                        x->status);
   int now = x->status == 200 ? 5 : 6;
   test_call_free(x);
   test_call_free(y);
   test_call_free(again);
   if (status_at(fleet, fleet->controller[0], "PATCH", "/v1/routing",
                 "{\"version\":11,\"drop\":{\"routes\":[\"r0\"]}}", now) != 200)
-    violation(fleet, "a change is not taken");
+    fleet_add_violation(fleet, "a change is not taken");
   if (status_at(fleet, fleet->controller[1], "PATCH", "/v1/routing",
                 "{\"version\":11,\"drop\":{\"routes\":[\"r0\"]}}", now) != 200)
-    violation(fleet, "a change is refused when it comes again");
+    fleet_add_violation(fleet, "a change is refused when it comes again");
   if (status_at(fleet, fleet->controller[2], "PUT", "/v1/routing", a, 0) != 200)
-    violation(fleet, "an old one that was taken is refused when it comes again");
+    fleet_add_violation(fleet, "an old one that was taken is refused when it comes again");
   test_call *test = request_listener(fleet, fleet->controller[1], "GET", "/v1/routing", NULL, -1);
   json *json = json_parse(string_view_of_gstring(test->body), NULL);
   if (test->status != 200 || json_number(json, "version", 0) != 11 ||
       json_count(json_get(json, "routes")) != (size_t)(now == 5 ? 3 : 4))
-    violation(fleet, "it reads %d, %.200s", test->status, test->body->str);
+    fleet_add_violation(fleet, "it reads %d, %.200s", test->status, test->body->str);
   json_free(json);
   test_call_free(test);
   if (status_at(fleet, h, "PUT", "/v1/routing", large, 11) != 200)
-    violation(fleet, "a large one is not taken");
+    fleet_add_violation(fleet, "a large one is not taken");
   sim_run(fleet->sim, time_from_ms(1000));
   for (int i = 0; i < fleet->routers; i++) {
     const routing *routing = fleet->router[i]->router->routing;
     if (!routing || routing->revision != 20 || routing->route_count != 1200)
-      violation(fleet, "%s has not compiled it", fleet->router[i]->self.text);
+      fleet_add_violation(fleet, "%s has not compiled it", fleet->router[i]->self.text);
   }
   /* no head: 503 or 504 in time; acknowledged changes are there when the others are back */
-  host *isolated = fleet_tail(fleet);
+  host *isolated = fleet_find_tail(fleet);
   for (int i = 0; i < 3; i++)
     if (fleet->controller[i] != isolated)
       host_kill(fleet->controller[i]);
@@ -742,7 +744,7 @@
   char *d = config_text(30, 2);
   int st = status_at(fleet, isolated, "PUT", "/v1/routing", d, 20);
   if (st != 503 && st != 504)
-    violation(fleet, "a machine without the others gave %d", st);
+    fleet_add_violation(fleet, "a machine without the others gave %d", st);
   for (int i = 0; i < 3; i++)
     if (fleet->controller[i] != isolated)
       host_start(fleet->controller[i]);
@@ -751,16 +753,16 @@
   sim_run(fleet->sim, time_from_ms(3000));
   st = status_at(fleet, fleet->controller[0], "PUT", "/v1/routing", d, 20);
   if (st != 200)
-    violation(fleet, "with the core back it is %d", st);
+    fleet_add_violation(fleet, "with the core back it is %d", st);
   /* the head drains: another one acts soon, and callers are redirected while the old head's process
    * is there */
-  host *head = fleet_head(fleet);
+  host *head = fleet_find_head(fleet);
   controller_drain(head->controller);
   sim_run(fleet->sim, time_from_ms(1500));
   char *e = config_text(31, 2);
   st = status_at(fleet, head, "PUT", "/v1/routing", e, 30);
   if (st != 200)
-    violation(fleet, "a head that leaves gave %d", st);
+    fleet_add_violation(fleet, "a head that leaves gave %d", st);
   g_free(a);
   g_free(b);
   g_free(c);
--- a/tests/controlplane/rejoin.c
+++ b/tests/controlplane/rejoin.c
@@ -12,9 +12,9 @@
   chain_add_controller(fleet, 5);
   chain_bootstrap_by_address(fleet, 3);
   chain_set_size(fleet, 5, 2, 1);
-  if (!fleet_up(fleet) || !scenario_wait_for_chain(fleet, 5, 15000))
+  if (!fleet_bring_up(fleet) || !scenario_wait_for_chain(fleet, 5, 15000))
     return false;
-  check_watch(fleet);
+  fleet_start_sampling(fleet);
   chain_clear_founders(fleet);
   return true;
 }
@@ -36,9 +36,9 @@
       continue;
     replica *replica = &host->controller->replica;
     if (replica_is_acting_tail(replica) && replica->committed.seq < highest)
-      violation(fleet,
-                "the tail %s answers reads at write %" PRIu64 ", %" PRIu64 " was committed before",
-                host->self.text, replica->committed.seq, highest);
+      fleet_add_violation(
+          fleet, "the tail %s answers reads at write %" PRIu64 ", %" PRIu64 " was committed before",
+          host->self.text, replica->committed.seq, highest);
     if (replica_is_acting_tail(replica) || replica_is_acting_head(replica))
       now = MAX(now, replica->committed.seq);
   }
@@ -48,13 +48,13 @@
 /* frees the calls, all of which have ended by then */
 static void wait_and_free_calls(fleet *fleet, GPtrArray *calls) {
   for (guint i = 0; i < calls->len; i++) {
-    op_call *call = calls->pdata[i];
+    operator_call *call = calls->pdata[i];
     for (int k = 0; k < 60 && !call->done; k++)
       sim_run(fleet->sim, time_from_ms(1000));
     if (!call->done)
-      violation(fleet, "a call has not ended after a minute");
+      fleet_add_violation(fleet, "a call has not ended after a minute");
     else
-      call_free(call);
+      operator_call_free(call);
   }
   g_ptr_array_free(calls, TRUE);
 }
@@ -67,21 +67,21 @@
   uint64_t highest = 0;
   bool acts = true;
   GPtrArray *calls = g_ptr_array_new();
-  for (int turn = 0; turn < 4 && acts && !fleet->faults->len; turn++) {
-    host *head = fleet_head(fleet);
+  for (int turn = 0; turn < 4 && acts && !fleet->violations->len; turn++) {
+    host *head = fleet_find_head(fleet);
     acts = head != NULL;
     if (!acts)
       break;
     view view = head->controller->replica.view;
     host *first = chain_host(fleet, &view, 3), *second = chain_host(fleet, &view, 4);
-    host_power(first);
-    host_power(second);
+    host_power_off(first);
+    host_power_off(second);
     acts = scenario_wait_for_chain(fleet, 3, 10000);
-    first->disk->slow_ms = 100 + (int64_t)sim_draw(fleet->sim, 150);
+    first->disk->sync_delay_ms = 100 + (int64_t)sim_random(fleet->sim, 150);
     host_start(first);
     host_start(second);
-    for (int i = 0; i < 8000 && !fleet->faults->len; i++) {
-      host *to = fleet_head(fleet);
+    for (int i = 0; i < 8000 && !fleet->violations->len; i++) {
+      host *to = fleet_find_head(fleet);
       if (to && i % 60 == 0) {
         char *evacuation = scenario_evacuation_json(1 + i / 60 % 9);
         g_ptr_array_add(calls,
@@ -91,20 +91,20 @@
       sim_run(fleet->sim, time_from_ms(1));
       highest = check_tails(fleet, highest);
     }
-    first->disk->slow_ms = 0;
+    first->disk->sync_delay_ms = 0;
     acts = acts && scenario_wait_for_chain(fleet, 5, 15000);
   }
   wait_and_free_calls(fleet, calls);
   scenario_check_acknowledged_writes(fleet);
-  return acts && !fleet->faults->len;
+  return acts && !fleet->violations->len;
 }
 
 /* given a chain that has shrunk to its head, a restart of the head: it answers no reads by the
  * snapshot that its disk begins with, older than what was acknowledged */
 static bool a_lone_member_restarts(fleet *fleet) {
-  if (!fleet_up(fleet) || !scenario_wait_for_chain(fleet, 3, 10000))
+  if (!fleet_bring_up(fleet) || !scenario_wait_for_chain(fleet, 3, 10000))
     return false;
-  check_watch(fleet);
+  fleet_start_sampling(fleet);
   uint64_t highest = 0;
   for (int i = 0; i < 5; i++) {
     char *evacuation = scenario_evacuation_json(1 + i);
@@ -112,12 +112,12 @@
     g_free(evacuation);
   }
   highest = check_tails(fleet, highest);
-  host *head = fleet_head(fleet), *tail = fleet_tail(fleet);
+  host *head = fleet_find_head(fleet), *tail = fleet_find_tail(fleet);
   if (!head || !tail)
     return false;
   view view = head->controller->replica.view;
   host *middle = chain_host(fleet, &view, 1);
-  host_power(middle);
+  host_power_off(middle);
   if (!scenario_wait_for_chain(fleet, 2, 10000))
     return false;
   highest = check_tails(fleet, highest);
@@ -127,15 +127,15 @@
     sim_run(fleet->sim, time_from_ms(1));
   host_kill(head);
   host_start(head);
-  for (int i = 0; i < 6000 && !fleet->faults->len; i++) {
+  for (int i = 0; i < 6000 && !fleet->violations->len; i++) {
     sim_run(fleet->sim, time_from_ms(1));
     highest = check_tails(fleet, highest);
   }
-  host_wake(tail);
+  host_unfreeze(tail);
   if (!scenario_wait_for_chain(fleet, 3, 15000))
     return false;
   scenario_check_acknowledged_writes(fleet);
-  return !fleet->faults->len;
+  return !fleet->violations->len;
 }
 
 const test_case rejoin_tests[] = { { "two_members_rejoin_at_once", two_members_rejoin_at_once, 2, 2,
--- a/tests/controlplane/replica.c
+++ b/tests/controlplane/replica.c
@@ -8,7 +8,7 @@
   snprintf(name, sizeof name, "controller-%d", n);
   snprintf(addr, sizeof addr, "127.0.1.%d:7000", n + 40);
   host *host = fleet->controller[fleet->controllers++] =
-      sim_host(fleet->sim, HOST_CONTROLLER, name, zone_names[n % 3], addr);
+      sim_add_host(fleet->sim, HOST_CONTROLLER, name, zone_names[n % 3], addr);
   host->settings = fleet->controller[0]->settings;
   host->settings.self = host->self;
   host->settings.zone = host->area;
@@ -45,7 +45,7 @@
 void chain_put_evacuation(fleet *fleet, int n, const char *when) {
   char *t = scenario_evacuation_json(1 + n % 9);
   if (!fleet_put(fleet, "evacuation", t))
-    violation(fleet, "no write %s", when);
+    fleet_add_violation(fleet, "no write %s", when);
   g_free(t);
 }
 
@@ -56,9 +56,9 @@
 
 static bool has_shape(sim *sim, void *ctx) {
   const shape *wanted = ctx;
-  host *host = fleet_head(wanted->fleet);
+  host *host = fleet_find_head(wanted->fleet);
   (void)sim;
-  return host && fleet_tail(wanted->fleet) &&
+  return host && fleet_find_tail(wanted->fleet) &&
          host->controller->replica.view.chain_length == wanted->chain_length &&
          (!wanted->voter_count ||
           host->controller->replica.view.voter_count == wanted->voter_count);
@@ -66,45 +66,46 @@
 
 bool chain_wait_for_shape(fleet *fleet, int chain_length, int voter_count, int64_t ms) {
   shape wanted = { fleet, chain_length, voter_count };
-  if (sim_until(fleet->sim, has_shape, &wanted, time_from_ms(ms)))
+  if (sim_run_until(fleet->sim, has_shape, &wanted, time_from_ms(ms)))
     return true;
-  host *host = fleet_head(fleet);
-  violation(fleet, "no chain of %d with %d voters after %" PRId64 " ms, but %d with %d",
-            chain_length, voter_count, ms, host ? host->controller->replica.view.chain_length : 0,
-            host ? host->controller->replica.view.voter_count : 0);
+  host *host = fleet_find_head(fleet);
+  fleet_add_violation(fleet, "no chain of %d with %d voters after %" PRId64 " ms, but %d with %d",
+                      chain_length, voter_count, ms,
+                      host ? host->controller->replica.view.chain_length : 0,
+                      host ? host->controller->replica.view.voter_count : 0);
   return false;
 }
 
 static bool a_core_is_founded_by_addresses(fleet *fleet) {
-  int founders = 1 + (int)sim_draw(fleet->sim, 3);
+  int founders = 1 + (int)sim_random(fleet->sim, 3);
   chain_bootstrap_by_address(fleet, founders);
   chain_set_size(fleet, 3, founders == 1 ? 1 : 2, 1);
-  if (!fleet_up(fleet))
+  if (!fleet_bring_up(fleet))
     return false;
-  check_watch(fleet);
+  fleet_start_sampling(fleet);
   chain_clear_founders(fleet);
   if (!chain_wait_for_shape(fleet, 3, 3, 8000))
     return false;
   chain_put_evacuation(fleet, 1, "after the bootstrap");
   /* one comes back with a blank disk, and joins */
-  host *host = fleet->controller[sim_draw(fleet->sim, 3)];
-  host_power(host);
-  host_wipe(host);
+  host *host = fleet->controller[sim_random(fleet->sim, 3)];
+  host_power_off(host);
+  host_wipe_disk(host);
   host_start(host);
   if (!chain_wait_for_shape(fleet, 3, 3, 10000))
     return false;
   scenario_check_acknowledged_writes(fleet);
   /* when all disks are blank nobody may bootstrap a new fleet */
   for (int i = 0; i < 3; i++) {
-    host_power(fleet->controller[i]);
-    host_wipe(fleet->controller[i]);
+    host_power_off(fleet->controller[i]);
+    host_wipe_disk(fleet->controller[i]);
   }
   for (int i = 0; i < 3; i++)
     host_start(fleet->controller[i]);
   for (int i = 0; i < 40; i++) {
     sim_run(fleet->sim, time_from_ms(500));
-    if (fleet_head(fleet)) {
-      violation(fleet, "a fleet was bootstrapped from blank disks at a later start");
+    if (fleet_find_head(fleet)) {
+      fleet_add_violation(fleet, "a fleet was bootstrapped from blank disks at a later start");
       break;
     }
   }
@@ -116,29 +117,29 @@
   for (int i = 0; i < 3; i++)
     host_start(f->controller[i]);
   /* a controller whose disk never synced its first record is a blank one */
-  sim_run(f->sim, (time_us){ 60000 + (int64_t)sim_draw(f->sim, 840000) });
+  sim_run(f->sim, (time_us){ 60000 + (int64_t)sim_random(f->sim, 840000) });
   for (int i = 0; i < 3; i++)
-    if (sim_draw(f->sim, 2))
-      host_power(f->controller[i]);
-  sim_run(f->sim, time_from_ms((int64_t)sim_draw(f->sim, 1500)));
+    if (sim_random(f->sim, 2))
+      host_power_off(f->controller[i]);
+  sim_run(f->sim, time_from_ms((int64_t)sim_random(f->sim, 1500)));
   chain_clear_founders(f);
   for (int i = 0; i < 3; i++)
     if (!f->controller[i]->alive)
       host_start(f->controller[i]);
   if (!chain_wait_for_shape(f, 3, 3, 9000))
     return false;
-  uint64_t fleet = fleet_head(f)->controller->replica.view.fleet_id;
+  uint64_t fleet = fleet_find_head(f)->controller->replica.view.fleet_id;
   sim_run(f->sim, time_from_ms(1000));
   for (int i = 0; i < 3; i++)
     if (f->controller[i]->controller->replica.view.fleet_id != fleet)
-      violation(f, "%s is of another fleet", f->controller[i]->self.text);
+      fleet_add_violation(f, "%s is of another fleet", f->controller[i]->self.text);
   return true;
 }
 
 /* given settings that allow no loss, a chain of one member commits by itself */
 static bool a_chain_of_one_commits(fleet *fleet) {
   chain_set_size(fleet, 1, 1, 1);
-  if (!fleet_up(fleet))
+  if (!fleet_bring_up(fleet))
     return false;
   for (int turn = 0; turn < 3; turn++)
     chain_put_evacuation(fleet, turn, "with one of one");
@@ -153,20 +154,20 @@
     chain_add_controller(fleet, n);
   chain_bootstrap_by_address(fleet, 3);
   chain_set_size(fleet, MEMBERS, LOST + 1, 1);
-  if (!fleet_up(fleet))
+  if (!fleet_bring_up(fleet))
     return false;
-  check_watch(fleet);
+  fleet_start_sampling(fleet);
   chain_clear_founders(fleet);
   if (!chain_wait_for_shape(fleet, MEMBERS, MEMBERS, 15000))
     return false;
   chain_put_evacuation(fleet, 1, "with seven of seven");
-  int first = sim_draw(fleet->sim, MEMBERS);
-  fleet_mark(fleet);
-  sim_run(fleet->sim, (time_us){ (int64_t)sim_draw(fleet->sim, 9000) });
+  int first = sim_random(fleet->sim, MEMBERS);
+  fleet_write_policy_marker(fleet);
+  sim_run(fleet->sim, (time_us){ (int64_t)sim_random(fleet->sim, 9000) });
   for (int i = 0; i < LOST; i++) {
     host *lost = fleet->controller[(first + i) % MEMBERS];
-    host_power(lost);
-    host_wipe(lost);
+    host_power_off(lost);
+    host_wipe_disk(lost);
   }
   if (!scenario_wait_for_chain(fleet, MEMBERS - LOST, 10000))
     return false;
@@ -186,23 +187,23 @@
   chain_add_controller(fleet, 5);
   chain_bootstrap_by_address(fleet, 3);
   chain_set_size(fleet, 5, 2, 1);
-  if (!fleet_up(fleet))
+  if (!fleet_bring_up(fleet))
     return false;
-  check_watch(fleet);
+  fleet_start_sampling(fleet);
   chain_clear_founders(fleet);
   if (!chain_wait_for_shape(fleet, 5, 5, 10000))
     return false;
   for (int turn = 0; turn < 3; turn++) {
     chain_put_evacuation(fleet, turn, "with five of five");
-    int a = sim_draw(fleet->sim, 5), b = (a + 1 + (int)sim_draw(fleet->sim, 4)) % 5;
-    fleet_mark(fleet);
-    sim_run(fleet->sim, (time_us){ (int64_t)sim_draw(fleet->sim, 9000) });
-    host_power(fleet->controller[a]);
+    int a = sim_random(fleet->sim, 5), b = (a + 1 + (int)sim_random(fleet->sim, 4)) % 5;
+    fleet_write_policy_marker(fleet);
+    sim_run(fleet->sim, (time_us){ (int64_t)sim_random(fleet->sim, 9000) });
+    host_power_off(fleet->controller[a]);
     if (turn == 2)
-      sim_run(fleet->sim, time_from_ms((int64_t)sim_draw(fleet->sim, 2500)));
-    host_power(fleet->controller[b]);
+      sim_run(fleet->sim, time_from_ms((int64_t)sim_random(fleet->sim, 2500)));
+    host_power_off(fleet->controller[b]);
     if (turn)
-      host_wipe(fleet->controller[a]);
+      host_wipe_disk(fleet->controller[a]);
     if (!scenario_wait_for_chain(fleet, 3, 10000))
       return false;
     chain_put_evacuation(fleet, turn + 4, "with three of five");
@@ -214,11 +215,11 @@
     scenario_check_acknowledged_writes(fleet);
   }
   /* two are lost for good: they lose their votes, and one more may be lost */
-  host_power(fleet->controller[1]);
-  host_power(fleet->controller[3]);
+  host_power_off(fleet->controller[1]);
+  host_power_off(fleet->controller[3]);
   if (!chain_wait_for_shape(fleet, 3, 3, 40000))
     return false;
-  host_power(fleet->controller[sim_draw(fleet->sim, 2) ? 0 : 4]);
+  host_power_off(fleet->controller[sim_random(fleet->sim, 2) ? 0 : 4]);
   if (!scenario_wait_for_chain(fleet, 2, 10000))
     return false;
   chain_put_evacuation(fleet, 3, "with two of three");
@@ -233,9 +234,10 @@
 
 static bool is_replaced(sim *sim, void *ctx) {
   const replacement *replacement = ctx;
-  host *host = fleet_head(replacement->fleet);
+  host *host = fleet_find_head(replacement->fleet);
   (void)sim;
-  if (!host || !fleet_tail(replacement->fleet) || host->controller->replica.view.voter_count != 3)
+  if (!host || !fleet_find_tail(replacement->fleet) ||
+      host->controller->replica.view.voter_count != 3)
     return false;
   bool replaced = false;
   for (int i = 0; i < host->controller->replica.view.chain_length; i++)
@@ -249,17 +251,18 @@
 static bool a_machine_is_replaced_at_a_new_address(fleet *fleet) {
   chain_bootstrap_by_address(fleet, 3);
   chain_set_size(fleet, 3, 2, 1);
-  if (!fleet_up(fleet))
+  if (!fleet_bring_up(fleet))
     return false;
-  check_watch(fleet);
+  fleet_start_sampling(fleet);
   chain_clear_founders(fleet);
   for (int turn = 0; turn < 3; turn++) {
     chain_put_evacuation(fleet, turn, "before the replacement");
-    host *head = fleet_head(fleet), *old = turn ? head : fleet->controller[sim_draw(fleet->sim, 3)];
+    host *head = fleet_find_head(fleet),
+         *old = turn ? head : fleet->controller[sim_random(fleet->sim, 3)];
     if (!old)
       return false;
-    host_power(old);
-    host_wipe(old);
+    host_power_off(old);
+    host_wipe_disk(old);
     host *successor = chain_add_controller(fleet, 4 + turn);
     /* the list of seeds is one of its day */
     for (int i = 0, k = 0; i < fleet->controllers && k < 3; i++)
@@ -267,21 +270,21 @@
           (fleet->controller[i]->alive || fleet->controller[i] == successor))
         g_strlcpy(successor->settings.seed_addresses[k++], fleet->controller[i]->addr,
                   sizeof successor->settings.seed_addresses[0]);
-    sim_run(fleet->sim, time_from_ms((int64_t)sim_draw(fleet->sim, 3000)));
+    sim_run(fleet->sim, time_from_ms((int64_t)sim_random(fleet->sim, 3000)));
     host_start(successor);
     replacement wanted = { fleet, old, successor };
-    if (!sim_until(fleet->sim, is_replaced, &wanted, time_from_ms(12000))) {
-      violation(fleet, "%s did not replace %s", successor->self.text, old->self.text);
+    if (!sim_run_until(fleet->sim, is_replaced, &wanted, time_from_ms(12000))) {
+      fleet_add_violation(fleet, "%s did not replace %s", successor->self.text, old->self.text);
       return false;
     }
     scenario_check_acknowledged_writes(fleet);
     chain_put_evacuation(fleet, turn + 5, "after the replacement");
   }
   /* all founders may be gone by now: any one of those left may be lost, too */
-  host *host = fleet_tail(fleet);
+  host *host = fleet_find_tail(fleet);
   if (!host)
     return false;
-  host_power(host);
+  host_power_off(host);
   if (!scenario_wait_for_chain(fleet, 2, 8000))
     return false;
   chain_put_evacuation(fleet, 2, "with two of three");
@@ -290,38 +293,38 @@
 }
 
 static bool a_full_disk_empties_again(fleet *fleet) {
-  if (!fleet_up(fleet))
+  if (!fleet_bring_up(fleet))
     return false;
-  check_watch(fleet);
+  fleet_start_sampling(fleet);
   for (int turn = 0; turn < 3; turn++) {
-    host *h = turn ? fleet->controller[sim_draw(fleet->sim, 3)] : fleet_head(fleet);
-    uint64_t life = h->life;
+    host *h = turn ? fleet->controller[sim_random(fleet->sim, 3)] : fleet_find_head(fleet);
+    uint64_t life = h->incarnation;
     h->disk->full = true;
     chain_put_evacuation(fleet, turn, "while one disk of three is full");
     if (!scenario_wait_for_chain(fleet, 2, 8000))
       return false;
     chain_put_evacuation(fleet, turn + 3, "with two of three");
-    sim_run(fleet->sim, time_from_ms((int64_t)sim_draw(fleet->sim, 6000)));
+    sim_run(fleet->sim, time_from_ms((int64_t)sim_random(fleet->sim, 6000)));
     h->disk->full = false;
     if (!scenario_wait_for_chain(fleet, 3, 8000))
       return false;
-    if (h->life != life)
-      violation(fleet, "%s had to start anew", h->self.text);
+    if (h->incarnation != life)
+      fleet_add_violation(fleet, "%s had to start anew", h->self.text);
     scenario_check_acknowledged_writes(fleet);
   }
   for (int i = 0; i < 3; i++)
     fleet->controller[i]->disk->full = true;
   char *t = scenario_evacuation_json(5);
-  op_call *call = fleet_call(fleet, fleet->controller[0], "PUT", "/v1/evacuation", t, NULL, NULL,
-                             time_from_ms(9000));
+  operator_call *call = fleet_call(fleet, fleet->controller[0], "PUT", "/v1/evacuation", t, NULL,
+                                   NULL, time_from_ms(9000));
   if (call->status == 200)
-    violation(fleet, "a write was acknowledged with all disks full");
-  call_free(call);
+    fleet_add_violation(fleet, "a write was acknowledged with all disks full");
+  operator_call_free(call);
   g_free(t);
-  sim_run(fleet->sim, time_from_ms((int64_t)sim_draw(fleet->sim, 9000)));
+  sim_run(fleet->sim, time_from_ms((int64_t)sim_random(fleet->sim, 9000)));
   /* one starts while its disk is still full */
-  host *h = fleet->controller[sim_draw(fleet->sim, 3)];
-  if (sim_draw(fleet->sim, 2)) {
+  host *h = fleet->controller[sim_random(fleet->sim, 3)];
+  if (sim_random(fleet->sim, 2)) {
     host_kill(h);
     host_start(h);
     sim_run(fleet->sim, time_from_ms(2000));
@@ -336,32 +339,32 @@
 }
 
 static bool slow_disks_stay_and_hung_ones_come_back(fleet *fleet) {
-  if (!fleet_up(fleet))
+  if (!fleet_bring_up(fleet))
     return false;
-  check_watch(fleet);
+  fleet_start_sampling(fleet);
   sim_run(fleet->sim, time_from_ms(3000));
-  uint64_t epoch = fleet_head(fleet)->controller->replica.view.epoch;
-  int all = sim_draw(fleet->sim, 2), one = sim_draw(fleet->sim, 3);
+  uint64_t epoch = fleet_find_head(fleet)->controller->replica.view.epoch;
+  int all = sim_random(fleet->sim, 2), one = sim_random(fleet->sim, 3);
   for (int i = 0; i < 3; i++)
     if (all || i == one)
-      fleet->controller[i]->disk->slow_ms = 30;
+      fleet->controller[i]->disk->sync_delay_ms = 30;
   for (int i = 0; i < 12; i++) {
-    fleet_mark(fleet);
+    fleet_write_policy_marker(fleet);
     sim_run(fleet->sim, time_from_ms(100));
     if (i % 4 == 0)
       chain_put_evacuation(fleet, i, "over slow disks");
   }
-  host *head = fleet_head(fleet);
+  host *head = fleet_find_head(fleet);
   if (!head || head->controller->replica.view.epoch != epoch)
-    violation(fleet, "a slow disk changed the view");
+    fleet_add_violation(fleet, "a slow disk changed the view");
   for (int i = 0; i < 3; i++)
-    fleet->controller[i]->disk->slow_ms = 0;
+    fleet->controller[i]->disk->sync_delay_ms = 0;
   for (int turn = 0; turn < 2; turn++) {
-    host *host = turn ? fleet->controller[sim_draw(fleet->sim, 3)] : fleet_head(fleet);
+    host *host = turn ? fleet->controller[sim_random(fleet->sim, 3)] : fleet_find_head(fleet);
     if (!host)
       return false;
-    host->disk->stall =
-        time_add(fleet->sim->now, time_from_ms(5000 + (int64_t)sim_draw(fleet->sim, 3000)));
+    host->disk->stalled_until =
+        time_add(fleet->sim->now, time_from_ms(5000 + (int64_t)sim_random(fleet->sim, 3000)));
     chain_put_evacuation(fleet, turn, "while a disk hangs");
     chain_put_evacuation(fleet, turn + 2, "while a disk hangs or after");
     if (!scenario_wait_for_chain(fleet, 3, 15000))
@@ -372,27 +375,27 @@
 }
 
 static bool a_state_outgrows_a_ring_file(fleet *fleet) {
-  if (!fleet_up(fleet))
+  if (!fleet_bring_up(fleet))
     return false;
-  check_watch(fleet);
-  char *some = fleet_catalogue(6000, 0, NULL), *over = fleet_catalogue(9000, 0, NULL);
+  fleet_start_sampling(fleet);
+  char *some = fleet_catalogue_json(6000, 0, NULL), *over = fleet_catalogue_json(9000, 0, NULL);
   if (!fleet_put(fleet, "catalogue", some))
-    violation(fleet, "a catalogue of %zu bytes was not taken", strlen(some));
-  op_call *call = fleet_call(fleet, fleet_head(fleet), "PUT", "/v1/catalogue", over, NULL, NULL,
-                             time_from_ms(9000));
+    fleet_add_violation(fleet, "a catalogue of %zu bytes was not taken", strlen(some));
+  operator_call *call = fleet_call(fleet, fleet_find_head(fleet), "PUT", "/v1/catalogue", over,
+                                   NULL, NULL, time_from_ms(9000));
   if (call->status != 503 || !strstr(call->body->str, "501"))
-    violation(fleet, "a catalogue of %zu bytes got %d %s", strlen(over), call->status,
-              call->body->str);
-  call_free(call);
+    fleet_add_violation(fleet, "a catalogue of %zu bytes got %d %s", strlen(over), call->status,
+                        call->body->str);
+  operator_call_free(call);
   chain_put_evacuation(fleet, 1, "after one that was too large");
   if (!fleet_put(fleet, "catalogue", some))
-    violation(fleet, "a catalogue of %zu bytes was not taken again", strlen(some));
-  host *host = fleet_head(fleet);
+    fleet_add_violation(fleet, "a catalogue of %zu bytes was not taken again", strlen(some));
+  host *host = fleet_find_head(fleet);
   if (!host || host->controller->replica.view.chain_length != 3)
-    violation(fleet, "a write that was too large broke the chain");
+    fleet_add_violation(fleet, "a write that was too large broke the chain");
   scenario_check_acknowledged_writes(fleet);
   for (int i = 0; i < 3; i++)
-    host_power(fleet->controller[i]);
+    host_power_off(fleet->controller[i]);
   for (int i = 0; i < 3; i++)
     host_start(fleet->controller[i]);
   if (!scenario_wait_for_chain(fleet, 3, 8000))
@@ -406,9 +409,9 @@
 /* seconds from an instant until a head of a later view acts, looked at every 10 ms, up to max_ms */
 static double seconds_to_next_head(fleet *fleet, time_us from, uint64_t old_epoch, int64_t max_ms) {
   for (;;) {
-    host *host = fleet_head(fleet);
+    host *host = fleet_find_head(fleet);
     double seconds = (double)time_sub(fleet->sim->now, from).us / 1e6;
-    if (host && fleet_tail(fleet) && host->controller->replica.view.epoch > old_epoch &&
+    if (host && fleet_find_tail(fleet) && host->controller->replica.view.epoch > old_epoch &&
         !replica_view_is_under_replicated(&host->controller->replica,
                                           &host->controller->replica.view))
       return seconds;
@@ -422,48 +425,48 @@
   if (g_getenv("SIM_COUNT"))
     fprintf(stderr, "  step %s %.2f\n", what, seconds);
   if (seconds > max_seconds)
-    violation(fleet, "R12 a head acted %.2f s after %s", seconds, what);
+    fleet_add_violation(fleet, "R12 a head acted %.2f s after %s", seconds, what);
 }
 
 static bool a_head_is_lost_and_the_next_acts(fleet *fleet) {
-  if (!fleet_up(fleet))
+  if (!fleet_bring_up(fleet))
     return false;
-  check_watch(fleet);
+  fleet_start_sampling(fleet);
   for (int turn = 0; turn < 4; turn++) {
     chain_put_evacuation(fleet, turn, "before the head was lost");
-    sim_run(fleet->sim, time_from_ms(2000 + (int64_t)sim_draw(fleet->sim, 1000)));
-    host *head = fleet_head(fleet);
+    sim_run(fleet->sim, time_from_ms(2000 + (int64_t)sim_random(fleet->sim, 1000)));
+    host *head = fleet_find_head(fleet);
     if (!head) {
-      violation(fleet, "no head acts");
+      fleet_add_violation(fleet, "no head acts");
       return false;
     }
     uint64_t epoch = head->controller->replica.view.epoch;
-    fleet_mark(fleet);
-    sim_run(fleet->sim, (time_us){ (int64_t)sim_draw(fleet->sim, 5000) });
+    fleet_write_policy_marker(fleet);
+    sim_run(fleet->sim, (time_us){ (int64_t)sim_random(fleet->sim, 5000) });
     time_us loss = fleet->sim->now;
     if (turn == 0)
       host_freeze(head);
     if (turn == 1)
-      host_power(head);
+      host_power_off(head);
     if (turn == 2)
       list_for_each (k, &fleet->sim->hosts, host, link)
         if (k != head)
-          sim_part(fleet->sim, head->self.text, k->self.text, true);
+          sim_set_partition_both_ways(fleet->sim, head->self.text, k->self.text, true);
     if (turn == 3)
       controller_drain(head->controller);
     static const char *const what[] = { "a-frozen-head", "a-dead-head", "a-head-cut-off",
                                         "a-head-that-left" };
     check_in_time(fleet, seconds_to_next_head(fleet, loss, epoch, 6000), 2.5, what[turn]);
     chain_put_evacuation(fleet, turn + 4, "under the next head");
-    sim_run(fleet->sim, time_from_ms((int64_t)sim_draw(fleet->sim, 3000)));
+    sim_run(fleet->sim, time_from_ms((int64_t)sim_random(fleet->sim, 3000)));
     if (turn == 0)
-      host_wake(head);
+      host_unfreeze(head);
     if (turn == 3)
       host_kill(head);
     if (turn == 1 || turn == 3)
       host_start(head);
     if (turn == 2)
-      sim_mend(fleet->sim);
+      sim_heal_partitions(fleet->sim);
     if (!scenario_wait_for_chain(fleet, 3, 12000))
       return false;
     scenario_check_acknowledged_writes(fleet);
@@ -472,28 +475,28 @@
 }
 
 static bool a_link_to_the_head_is_cut(fleet *fleet) {
-  if (!fleet_up(fleet))
+  if (!fleet_bring_up(fleet))
     return false;
-  check_watch(fleet);
+  fleet_start_sampling(fleet);
   for (int turn = 0; turn < 3; turn++) {
     sim_run(fleet->sim, time_from_ms(2500));
-    host *head = fleet_head(fleet);
+    host *head = fleet_find_head(fleet);
     if (!head)
       return false;
     uint64_t epoch = head->controller->replica.view.epoch;
     char next[48];
     g_strlcpy(next, head->controller->replica.view.chain[1].self.text, sizeof next);
-    fleet_mark(fleet);
+    fleet_write_policy_marker(fleet);
     time_us loss = fleet->sim->now;
     if (turn == 0)
-      sim_part(fleet->sim, head->self.text, next, true);
+      sim_set_partition_both_ways(fleet->sim, head->self.text, next, true);
     if (turn == 1)
-      sim_cut(fleet->sim, head->self.text, next, true);
+      sim_set_partition(fleet->sim, head->self.text, next, true);
     if (turn == 2)
-      sim_cut(fleet->sim, next, head->self.text, true);
+      sim_set_partition(fleet->sim, next, head->self.text, true);
     check_in_time(fleet, seconds_to_next_head(fleet, loss, epoch, 8000), 4, "a-cut-link");
     chain_put_evacuation(fleet, turn, "round a cut link");
-    sim_mend(fleet->sim);
+    sim_heal_partitions(fleet->sim);
     if (!scenario_wait_for_chain(fleet, 3, 12000))
       return false;
     scenario_check_acknowledged_writes(fleet);
@@ -502,22 +505,22 @@
 }
 
 static bool all_controllers_are_back_within_a_second(fleet *fleet) {
-  if (!fleet_up(fleet))
+  if (!fleet_bring_up(fleet))
     return false;
-  check_watch(fleet);
+  fleet_start_sampling(fleet);
   for (int turn = 0; turn < 4; turn++) {
     chain_put_evacuation(fleet, turn, "before all were killed");
     if (turn % 2) {
-      fleet_mark(fleet);
-      sim_run(fleet->sim, (time_us){ (int64_t)sim_draw(fleet->sim, 9000) });
+      fleet_write_policy_marker(fleet);
+      sim_run(fleet->sim, (time_us){ (int64_t)sim_random(fleet->sim, 9000) });
     }
     for (int i = 0; i < 3; i++)
       if (turn < 2)
         host_kill(fleet->controller[i]);
       else
-        host_power(fleet->controller[i]);
+        host_power_off(fleet->controller[i]);
     for (int i = 0; i < 3; i++) {
-      sim_run(fleet->sim, time_from_ms((int64_t)sim_draw(fleet->sim, 330)));
+      sim_run(fleet->sim, time_from_ms((int64_t)sim_random(fleet->sim, 330)));
       host_start(fleet->controller[i]);
     }
     check_in_time(fleet, seconds_to_next_head(fleet, fleet->sim->now, 0, 6000), 2.5,
--- a/tests/controlplane/replication.c
+++ b/tests/controlplane/replication.c
@@ -7,49 +7,49 @@
 
 /* tests */
 static bool controllers_die_in_turn(fleet *fleet) {
-  if (!fleet_up(fleet))
+  if (!fleet_bring_up(fleet))
     return false;
-  check_watch(fleet);
+  fleet_start_sampling(fleet);
   scenario_start_traffic(fleet, 3);
   for (int i = 0; i < 4; i++) {
-    host *host = fleet->controller[sim_draw(fleet->sim, 3)];
+    host *host = fleet->controller[sim_random(fleet->sim, 3)];
     char *evacuation = scenario_evacuation_json(1 + i);
-    op_call *call = fleet_send(fleet, fleet->controller[sim_draw(fleet->sim, 3)], "PUT",
-                               "/v1/evacuation", evacuation, NULL, NULL);
-    sim_run(fleet->sim, (time_us){ (int64_t)sim_draw(fleet->sim, 12000) });
-    if (sim_draw(fleet->sim, 2))
+    operator_call *call = fleet_send(fleet, fleet->controller[sim_random(fleet->sim, 3)], "PUT",
+                                     "/v1/evacuation", evacuation, NULL, NULL);
+    sim_run(fleet->sim, (time_us){ (int64_t)sim_random(fleet->sim, 12000) });
+    if (sim_random(fleet->sim, 2))
       host_kill(host);
     else
-      host_power(host);
+      host_power_off(host);
     if (!scenario_wait_for_chain(fleet, 2, 8000))
       return false;
     sim_run(fleet->sim, time_from_ms(26000));
-    call_free(call);
+    operator_call_free(call);
     if (!fleet_put(fleet, "evacuation", evacuation))
-      violation(fleet, "no write with two of three");
+      fleet_add_violation(fleet, "no write with two of three");
     g_free(evacuation);
     host_start(host);
     if (!scenario_wait_for_chain(fleet, 3, 10000))
       return false;
     scenario_check_acknowledged_writes(fleet);
   }
-  fleet_quiet(fleet);
+  fleet_finish_traffic(fleet);
   return true;
 }
 
 static bool power_is_lost_after_an_acknowledgement(fleet *fleet) {
-  if (!fleet_up(fleet))
+  if (!fleet_bring_up(fleet))
     return false;
   for (int i = 0; i < 5; i++) {
     char *evacuation = scenario_evacuation_json(1 + i);
     if (!fleet_put(fleet, "evacuation", evacuation))
       return false;
     g_free(evacuation);
-    int all = sim_draw(fleet->sim, 2);
+    int all = sim_random(fleet->sim, 2);
     for (int k = 0; k < 3; k++)
-      if (all || k == (int)sim_draw(fleet->sim, 3))
-        host_power(fleet->controller[k]);
-    sim_run(fleet->sim, time_from_ms((int64_t)sim_draw(fleet->sim, 4000)));
+      if (all || k == (int)sim_random(fleet->sim, 3))
+        host_power_off(fleet->controller[k]);
+    sim_run(fleet->sim, time_from_ms((int64_t)sim_random(fleet->sim, 4000)));
     for (int k = 0; k < 3; k++)
       if (!fleet->controller[k]->alive)
         host_start(fleet->controller[k]);
@@ -61,39 +61,39 @@
 }
 
 static bool heads_and_tails_freeze_and_wake(fleet *fleet) {
-  if (!fleet_up(fleet))
+  if (!fleet_bring_up(fleet))
     return false;
-  check_watch(fleet);
+  fleet_start_sampling(fleet);
   scenario_start_traffic(fleet, 3);
   for (int i = 0; i < 4; i++) {
-    host *host = sim_draw(fleet->sim, 2) ? fleet_head(fleet) : fleet_tail(fleet);
+    host *host = sim_random(fleet->sim, 2) ? fleet_find_head(fleet) : fleet_find_tail(fleet);
     if (!host) {
       sim_run(fleet->sim, time_from_ms(500));
       continue;
     }
     char *evacuation = scenario_evacuation_json(i);
-    op_call *call = fleet_send(fleet, fleet->controller[sim_draw(fleet->sim, 3)], "PUT",
-                               "/v1/evacuation", evacuation, NULL, NULL);
-    sim_run(fleet->sim, (time_us){ (int64_t)sim_draw(fleet->sim, 8000) });
+    operator_call *call = fleet_send(fleet, fleet->controller[sim_random(fleet->sim, 3)], "PUT",
+                                     "/v1/evacuation", evacuation, NULL, NULL);
+    sim_run(fleet->sim, (time_us){ (int64_t)sim_random(fleet->sim, 8000) });
     host_freeze(host);
-    sim_run(fleet->sim, time_from_ms(200 + (int64_t)sim_draw(fleet->sim, 5000)));
+    sim_run(fleet->sim, time_from_ms(200 + (int64_t)sim_random(fleet->sim, 5000)));
     if (!fleet_put(fleet, "evacuation", evacuation))
-      violation(fleet, "no write while %s is frozen", host->self.text);
+      fleet_add_violation(fleet, "no write while %s is frozen", host->self.text);
     g_free(evacuation);
-    host_wake(host);
+    host_unfreeze(host);
     /* what it answers first must not be from before it was frozen */
     scenario_check_acknowledged_writes(fleet);
     if (!scenario_wait_for_chain(fleet, 3, 15000))
       return false;
     sim_run(fleet->sim, time_from_ms(26000));
-    call_free(call);
+    operator_call_free(call);
   }
-  fleet_quiet(fleet);
+  fleet_finish_traffic(fleet);
   return true;
 }
 
 static bool a_replica_in_memory_is_corrupted(fleet *fleet) {
-  if (!fleet_up(fleet))
+  if (!fleet_bring_up(fleet))
     return false;
   for (int i = 1; i < 3; i++) {
     host *host = fleet->controller[i];
@@ -101,7 +101,8 @@
                     "{\"loadsPerS\":99}");
     sim_run(fleet->sim, time_from_ms(8000));
     if (strstr(host->controller->replica.committed.resources[RESOURCE_POLICY].text->str, "99"))
-      violation(fleet, "the checksum did not find the corrupt replica of %s", host->self.text);
+      fleet_add_violation(fleet, "the checksum did not find the corrupt replica of %s",
+                          host->self.text);
   }
   if (!scenario_wait_for_chain(fleet, 3, 5000))
     return false;
--- a/tests/controlplane/view_change.c
+++ b/tests/controlplane/view_change.c
@@ -5,47 +5,48 @@
 #include "tests.h"
 
 static bool controllers_are_partitioned(fleet *fleet) {
-  if (!fleet_up(fleet))
+  if (!fleet_bring_up(fleet))
     return false;
-  check_watch(fleet);
+  fleet_start_sampling(fleet);
   scenario_start_traffic(fleet, 4);
   for (int i = 0; i < 4; i++) {
-    host *host = fleet->controller[sim_draw(fleet->sim, 3)];
-    int way = sim_draw(fleet->sim, 3);
+    host *host = fleet->controller[sim_random(fleet->sim, 3)];
+    int way = sim_random(fleet->sim, 3);
     for (int k = 0; k < 3; k++) {
       if (way != 1)
-        sim_cut(fleet->sim, host->self.text, fleet->controller[k]->self.text, true);
+        sim_set_partition(fleet->sim, host->self.text, fleet->controller[k]->self.text, true);
       if (way != 2)
-        sim_cut(fleet->sim, fleet->controller[k]->self.text, host->self.text, true);
+        sim_set_partition(fleet->sim, fleet->controller[k]->self.text, host->self.text, true);
     }
-    sim_run(fleet->sim, time_from_ms(500 + (int64_t)sim_draw(fleet->sim, 6000)));
-    char *evacuation = scenario_evacuation_json((int)sim_draw(fleet->sim, 9));
+    sim_run(fleet->sim, time_from_ms(500 + (int64_t)sim_random(fleet->sim, 6000)));
+    char *evacuation = scenario_evacuation_json((int)sim_random(fleet->sim, 9));
     if (!fleet_put(fleet, "evacuation", evacuation))
-      violation(fleet, "no write while one of three is cut off");
+      fleet_add_violation(fleet, "no write while one of three is cut off");
     g_free(evacuation);
     sim_run(fleet->sim, time_from_ms(3000));
-    sim_mend(fleet->sim);
+    sim_heal_partitions(fleet->sim);
     if (!scenario_wait_for_chain(fleet, 3, 15000))
       return false;
     scenario_check_acknowledged_writes(fleet);
   }
-  fleet_quiet(fleet);
+  fleet_finish_traffic(fleet);
   return true;
 }
 
 static bool one_link_between_controllers_is_cut(fleet *fleet) {
-  if (!fleet_up(fleet))
+  if (!fleet_bring_up(fleet))
     return false;
-  check_watch(fleet);
+  fleet_start_sampling(fleet);
   for (int i = 0; i < 3; i++) {
-    int a = sim_draw(fleet->sim, 3), b = (a + 1) % 3;
-    sim_part(fleet->sim, fleet->controller[a]->self.text, fleet->controller[b]->self.text, true);
+    int a = sim_random(fleet->sim, 3), b = (a + 1) % 3;
+    sim_set_partition_both_ways(fleet->sim, fleet->controller[a]->self.text,
+                                fleet->controller[b]->self.text, true);
     sim_run(fleet->sim, time_from_ms(6000));
-    char *evacuation = scenario_evacuation_json((int)sim_draw(fleet->sim, 9));
+    char *evacuation = scenario_evacuation_json((int)sim_random(fleet->sim, 9));
     if (!fleet_put(fleet, "evacuation", evacuation))
-      violation(fleet, "no write while one link is cut");
+      fleet_add_violation(fleet, "no write while one link is cut");
     g_free(evacuation);
-    sim_mend(fleet->sim);
+    sim_heal_partitions(fleet->sim);
     if (!scenario_wait_for_chain(fleet, 3, 15000))
       return false;
     scenario_check_acknowledged_writes(fleet);
--- a/tests/controlplane/wal.c
+++ b/tests/controlplane/wal.c
@@ -5,7 +5,7 @@
 #include "tests.h"
 
 static bool a_record_on_disk_is_corrupt(fleet *fleet) {
-  if (!fleet_up(fleet))
+  if (!fleet_bring_up(fleet))
     return false;
   for (int i = 0; i < 4; i++) {
     char *evacuation = scenario_evacuation_json(i);
@@ -13,48 +13,48 @@
       return false;
     g_free(evacuation);
   }
-  host *host = fleet->controller[sim_draw(fleet->sim, 3)];
+  host *host = fleet->controller[sim_random(fleet->sim, 3)];
   uint64_t disk_id = host->controller->replica.disk_id;
   unsigned file = host->controller->replica.wal.current_file;
   size_t used = host->controller->replica.wal.last_frame_offset;
-  host_power(host);
-  size_t at = 40 + sim_draw(fleet->sim, used - 40);
+  host_power_off(host);
+  size_t at = 40 + sim_random(fleet->sim, used - 40);
   /* a byte before the last frame, where a corrupt frame is like a torn one; padding is left alone
    */
-  while (!host->disk->file[file][at])
-    at = 40 + sim_draw(fleet->sim, used - 40);
-  host->disk->file[file][at] ^= 0x5a;
-  host->disk->sure[file][at] ^= 0x5a;
+  while (!host->disk->cached_data[file][at])
+    at = 40 + sim_random(fleet->sim, used - 40);
+  host->disk->cached_data[file][at] ^= 0x5a;
+  host->disk->durable_data[file][at] ^= 0x5a;
   host_start(host);
   if (!scenario_wait_for_chain(fleet, 3, 15000))
     return false;
   if (host->controller->replica.disk_id == disk_id)
-    violation(fleet, "a controller with a corrupt record goes on as a voter");
+    fleet_add_violation(fleet, "a controller with a corrupt record goes on as a voter");
   scenario_check_acknowledged_writes(fleet);
   return true;
 }
 
 static bool the_end_of_the_log_is_torn(fleet *fleet) {
-  if (!fleet_up(fleet))
+  if (!fleet_bring_up(fleet))
     return false;
   for (int i = 0; i < 12; i++) {
     char *evacuation = scenario_evacuation_json(i % 9);
-    op_call *call = fleet_send(fleet, fleet->controller[sim_draw(fleet->sim, 3)], "PUT",
-                               "/v1/evacuation", evacuation, NULL, NULL);
+    operator_call *call = fleet_send(fleet, fleet->controller[sim_random(fleet->sim, 3)], "PUT",
+                                     "/v1/evacuation", evacuation, NULL, NULL);
     g_free(evacuation);
-    sim_run(fleet->sim, (time_us){ (int64_t)sim_draw(fleet->sim, 9000) });
-    host *host = fleet->controller[sim_draw(fleet->sim, 3)];
+    sim_run(fleet->sim, (time_us){ (int64_t)sim_random(fleet->sim, 9000) });
+    host *host = fleet->controller[sim_random(fleet->sim, 3)];
     uint64_t was = host->controller && host->controller->replica.running
                        ? host->controller->replica.disk_id
                        : 0;
-    host_power(host);
+    host_power_off(host);
     sim_run(fleet->sim, time_from_ms(100));
     host_start(host);
     sim_run(fleet->sim, time_from_ms(7000));
     if (was && host->controller->replica.disk_id != was)
-      violation(fleet, "a torn tail was taken for a bad record");
+      fleet_add_violation(fleet, "a torn tail was taken for a bad record");
     sim_run(fleet->sim, time_from_ms(20000));
-    call_free(call);
+    operator_call_free(call);
     if (!scenario_wait_for_chain(fleet, 3, 15000))
       return false;
     scenario_check_acknowledged_writes(fleet);
@@ -63,31 +63,31 @@
 }
 
 static bool disks_stall_fill_and_fail(fleet *fleet) {
-  if (!fleet_up(fleet))
+  if (!fleet_bring_up(fleet))
     return false;
-  check_watch(fleet);
+  fleet_start_sampling(fleet);
   scenario_start_traffic(fleet, 3);
   for (int i = 0; i < 4; i++) {
-    host *host = fleet->controller[sim_draw(fleet->sim, 3)];
-    int how = sim_draw(fleet->sim, 4);
+    host *host = fleet->controller[sim_random(fleet->sim, 3)];
+    int how = sim_random(fleet->sim, 4);
     if (how == 0)
-      host->disk->stall = time_add(fleet->sim->now, time_from_ms(8000));
+      host->disk->stalled_until = time_add(fleet->sim->now, time_from_ms(8000));
     if (how == 1)
       host->disk->full = true;
     if (how == 2)
       host->disk->fails = true;
     if (how == 3)
-      host->disk->slow_ms = 150;
-    char *evacuation = scenario_evacuation_json((int)sim_draw(fleet->sim, 9));
+      host->disk->sync_delay_ms = 150;
+    char *evacuation = scenario_evacuation_json((int)sim_random(fleet->sim, 9));
     if (!fleet_put(fleet, "evacuation", evacuation))
-      violation(fleet, "no write while one disk of three is out");
+      fleet_add_violation(fleet, "no write while one disk of three is out");
     sim_run(fleet->sim, time_from_ms(6000));
     if (!fleet_put(fleet, "evacuation", evacuation))
-      violation(fleet, "no write after the chain was mended");
+      fleet_add_violation(fleet, "no write after the chain was mended");
     g_free(evacuation);
     sim_run(fleet->sim, time_from_ms(5000));
     host->disk->full = host->disk->fails = false;
-    host->disk->slow_ms = 0;
+    host->disk->sync_delay_ms = 0;
     if (how == 1 || how == 2) {
       host_kill(host);
       host_start(host);
@@ -96,7 +96,7 @@
       return false;
     scenario_check_acknowledged_writes(fleet);
   }
-  fleet_quiet(fleet);
+  fleet_finish_traffic(fleet);
   return true;
 }
 
--- a/tests/controlplane/wal_restart.c
+++ b/tests/controlplane/wal_restart.c
@@ -6,7 +6,7 @@
 /* a live controller with bytes that no sync has covered yet; NULL when there is none */
 static host *with_unsynced_bytes(fleet *fleet) {
   for (int i = 0; i < fleet->controllers; i++)
-    if (fleet->controller[i]->alive && fleet->controller[i]->disk->loose->len)
+    if (fleet->controller[i]->alive && fleet->controller[i]->disk->unsynced_writes->len)
       return fleet->controller[i];
   return NULL;
 }
@@ -25,42 +25,44 @@
 /* a process is killed between a write and its sync; what its next run reads from the disk, and
    acts on, survives a loss of power */
 static bool a_kill_before_a_sync_then_a_power_loss(fleet *fleet) {
-  if (!fleet_up(fleet))
+  if (!fleet_bring_up(fleet))
     return false;
   for (int attempt = 0; attempt < 10; attempt++) {
     char *text = scenario_evacuation_json(attempt % 9);
-    op_call *call = fleet_send(fleet, fleet->controller[sim_draw(fleet->sim, 3)], "PUT",
-                               "/v1/evacuation", text, NULL, NULL);
+    operator_call *call = fleet_send(fleet, fleet->controller[sim_random(fleet->sim, 3)], "PUT",
+                                     "/v1/evacuation", text, NULL, NULL);
     g_free(text);
-    if (!sim_until(fleet->sim, any_unsynced, fleet, time_from_ms(2000))) {
-      call_free(call);
+    if (!sim_run_until(fleet->sim, any_unsynced, fleet, time_from_ms(2000))) {
+      operator_call_free(call);
       continue;
     }
     host *host = with_unsynced_bytes(fleet);
     host_kill(host);
     host_start(host);
-    if (!sim_until(fleet->sim, is_up, host, time_from_ms(3000))) {
-      violation(fleet, "%s does not start", host->self.text);
+    if (!sim_run_until(fleet->sim, is_up, host, time_from_ms(3000))) {
+      fleet_add_violation(fleet, "%s does not start", host->self.text);
       return false;
     }
     uint64_t read = host->controller->replica.last_seq,
              promised = host->controller->replica.acceptor.promised.round,
              epoch = host->controller->replica.acceptor.epoch;
-    host_power(host);
+    host_power_off(host);
     host_start(host);
-    if (!sim_until(fleet->sim, is_up, host, time_from_ms(3000))) {
-      violation(fleet, "%s does not start again", host->self.text);
+    if (!sim_run_until(fleet->sim, is_up, host, time_from_ms(3000))) {
+      fleet_add_violation(fleet, "%s does not start again", host->self.text);
       return false;
     }
     if (host->controller->replica.last_seq < read)
-      violation(fleet, "%s acted on write %" PRIu64 ", and holds %" PRIu64 " after a loss of power",
-                host->self.text, read, host->controller->replica.last_seq);
+      fleet_add_violation(
+          fleet, "%s acted on write %" PRIu64 ", and holds %" PRIu64 " after a loss of power",
+          host->self.text, read, host->controller->replica.last_seq);
     if (host->controller->replica.acceptor.epoch < epoch ||
         (host->controller->replica.acceptor.epoch == epoch &&
          host->controller->replica.acceptor.promised.round < promised))
-      violation(fleet, "%s forgot a promise that it had read from its disk", host->self.text);
+      fleet_add_violation(fleet, "%s forgot a promise that it had read from its disk",
+                          host->self.text);
     sim_run(fleet->sim, time_from_ms(4000));
-    call_free(call);
+    operator_call_free(call);
     if (!scenario_wait_for_chain(fleet, 3, 15000))
       return false;
     scenario_check_acknowledged_writes(fleet);
@@ -71,7 +73,7 @@
 /* a member that restarts reads an old state and the writes after it from its disk; until it knows
    which of those are acknowledged it confirms that state to no router */
 static bool a_restarted_member_confirms_nothing_old(fleet *fleet) {
-  if (!fleet_up(fleet) || !scenario_wait_for_chain(fleet, 3, 8000))
+  if (!fleet_bring_up(fleet) || !scenario_wait_for_chain(fleet, 3, 8000))
     return false;
   uint64_t acked = 0;
   for (int i = 0; i < 5; i++) {
@@ -79,10 +81,10 @@
     acked = MAX(acked, fleet_put(fleet, "evacuation", text));
     g_free(text);
   }
-  const view *now = &fleet_head(fleet)->controller->replica.view;
-  host *head = sim_find(fleet->sim, now->chain[0].self.text),
-       *middle = sim_find(fleet->sim, now->chain[1].self.text),
-       *tail = sim_find(fleet->sim, now->chain[2].self.text), *router = fleet->router[0];
+  const view *now = &fleet_find_head(fleet)->controller->replica.view;
+  host *head = sim_find_host(fleet->sim, now->chain[0].self.text),
+       *middle = sim_find_host(fleet->sim, now->chain[1].self.text),
+       *tail = sim_find_host(fleet->sim, now->chain[2].self.text), *router = fleet->router[0];
   host_kill(router);
   host_kill(middle);
   for (int way = 0; way < 2; way++) {
@@ -90,12 +92,12 @@
     for (int i = 0; i < 2; i++) {
       host *from = way ? others[i] : middle, *to = way ? middle : others[i];
       if (others[i] == tail)
-        sim_cut(fleet->sim, from->self.text, to->self.text, true);
+        sim_set_partition(fleet->sim, from->self.text, to->self.text, true);
     }
     host *unseen[] = { head, tail, fleet->router[1] };
     for (int i = 0; i < 3; i++) {
       host *from = way ? unseen[i] : router, *to = way ? router : unseen[i];
-      sim_cut(fleet->sim, from->self.text, to->self.text, true);
+      sim_set_partition(fleet->sim, from->self.text, to->self.text, true);
     }
   }
   host_start(middle);
@@ -104,10 +106,10 @@
     sim_run(fleet->sim, time_from_ms(20));
     if (router->router && router->router->config && config_sync_is_recent(router->router) &&
         router->router->sync.config_version < acked) {
-      violation(fleet,
-                "%s was confirmed version %" PRIu64 " by a restarted member, %" PRIu64
-                " is acknowledged",
-                router->self.text, router->router->sync.config_version, acked);
+      fleet_add_violation(fleet,
+                          "%s was confirmed version %" PRIu64 " by a restarted member, %" PRIu64
+                          " is acknowledged",
+                          router->self.text, router->router->sync.config_version, acked);
       break;
     }
   }
--- a/tests/doctor/doctor.c
+++ b/tests/doctor/doctor.c
@@ -14,7 +14,7 @@
 
 static void set_disk_delay(fleet *fleet, int delay_ms) {
   for (int i = 0; i < 3; i++)
-    fleet->controller[i]->disk->slow_ms = delay_ms;
+    fleet->controller[i]->disk->sync_delay_ms = delay_ms;
 }
 
 static bool diagnose_lost_controller(fleet *fleet) {
@@ -31,30 +31,31 @@
   const char *router = fleet->router[0]->self.text;
   sim_run(fleet->sim, time_from_ms(3000));
   for (int i = 0; i < 3; i++)
-    sim_part(fleet->sim, router, fleet->controller[i]->self.text, true);
+    sim_set_partition_both_ways(fleet->sim, router, fleet->controller[i]->self.text, true);
   sim_run(fleet->sim, time_from_ms(NOTICED_MS));
   scenario_expect_diagnosis(fleet, 0,
                             "a router cut off from the controllers alone, which others confirm");
   for (int i = 1; i < fleet->routers; i++)
-    sim_part(fleet->sim, router, fleet->router[i]->self.text, true);
+    sim_set_partition_both_ways(fleet->sim, router, fleet->router[i]->self.text, true);
   sim_run(fleet->sim, time_from_ms(NOTICED_MS));
   scenario_expect_diagnosis(fleet, D_STALE, "a router cut off");
-  sim_mend(fleet->sim);
+  sim_heal_partitions(fleet->sim);
   sim_run(fleet->sim, time_from_ms(6000));
 }
 
 static bool diagnose_partitioned_controllers(fleet *fleet) {
   for (int i = 1; i < 3; i++)
-    sim_part(fleet->sim, fleet->controller[0]->self.text, fleet->controller[i]->self.text, true);
+    sim_set_partition_both_ways(fleet->sim, fleet->controller[0]->self.text,
+                                fleet->controller[i]->self.text, true);
   sim_run(fleet->sim, time_from_ms(NOTICED_MS));
   scenario_expect_diagnosis(fleet, D_VIEWS_DIFFER, "controllers cut in two");
-  sim_mend(fleet->sim);
+  sim_heal_partitions(fleet->sim);
   return scenario_wait_for_chain(fleet, 3, 15000);
 }
 
 static void diagnose_lost_holder(fleet *fleet) {
   sim_run(fleet->sim, time_from_ms(8000));
-  host *holder = fleet_holder(fleet, "engine:engine-1");
+  host *holder = fleet_find_lease_holder(fleet, "engine:engine-1");
   host_kill(holder);
   scenario_expect_diagnosis(fleet, D_NO_SINGLETON_HOLDER, "a lost holder");
   host_start(holder);
@@ -90,7 +91,7 @@
 }
 
 static void diagnose_duplicate_name(fleet *fleet) {
-  host *twin = sim_host(fleet->sim, HOST_ROUTER, "router-1", "mid", "127.0.2.99:7000");
+  host *twin = sim_add_host(fleet->sim, HOST_ROUTER, "router-1", "mid", "127.0.2.99:7000");
   twin->settings = fleet->router[0]->settings;
   g_strlcpy(twin->settings.address, twin->addr, sizeof twin->settings.address);
   host_start(twin);
@@ -103,7 +104,7 @@
 /* routers believe that an engine unloads its models, and its reports start again from the first */
 static void diagnose_wrong_residents(fleet *fleet) {
   engine_sim *reporter = fleet->engine[0]->engine;
-  reporter->faults.old_reports = true;
+  reporter->faults.stale_reports = true;
   sim_run(fleet->sim, time_from_ms(1500));
   for (int i = 0; i < fleet->routers; i++) {
     engine *known = engine_find(fleet->router[i]->router, fleet->engine[0]->self);
@@ -111,8 +112,8 @@
       list_for_each (resident, &known->residents, resident_model, link)
         resident->state = RESIDENT_UNLOADING;
   }
-  reporter->faults.old_reports = false;
-  reporter->seq = 0;
+  reporter->faults.stale_reports = false;
+  reporter->report_sequence = 0;
   scenario_expect_diagnosis(fleet, D_RESIDENT_DIFFERS, "an engine whose reports went back");
   host_kill(fleet->engine[0]);
   sim_run(fleet->sim, time_from_ms(500));
@@ -127,11 +128,11 @@
 }
 
 static void diagnose_model_that_fits_nowhere(fleet *fleet) {
-  op_call *call = fleet_call(
+  operator_call *call = fleet_call(
       fleet, fleet->controller[0], "PATCH", "/v1/catalogue",
       "{\"models\":[{\"id\":\"m0\",\"weightsMb\":100},{\"id\":\"huge\",\"weightsMb\":900000}],\"adapters\":[]}",
       NULL, NULL, time_from_ms(5000));
-  call_free(call);
+  operator_call_free(call);
   scenario_expect_diagnosis(fleet, D_FITS_NO_ENGINE, "a model that fits nowhere");
 }
 
@@ -141,7 +142,7 @@
 }
 
 static void diagnose_starved_loads(fleet *fleet) {
-  host *holder = fleet_holder(fleet, "pacer");
+  host *holder = fleet_find_lease_holder(fleet, "pacer");
   if (!holder)
     return;
   router *router = holder->router;
@@ -150,10 +151,10 @@
 }
 
 static bool the_doctor_diagnoses_each_fault(fleet *fleet) {
-  if (!fleet_up(fleet))
+  if (!fleet_bring_up(fleet))
     return false;
-  fleet_traffic(fleet, 5, time_from_ms(8000));
-  fleet_quiet(fleet);
+  fleet_run_traffic(fleet, 5, time_from_ms(8000));
+  fleet_finish_traffic(fleet);
   scenario_expect_diagnosis(fleet, 0, "a sound fleet");
   if (!diagnose_lost_controller(fleet))
     return false;
--- a/tests/doctor/operators.c
+++ b/tests/doctor/operators.c
@@ -9,9 +9,9 @@
 static bool is_revision(sim *sim, void *p) {
   (void)sim;
   deployment *deployment = p;
-  for (int i = 0; i < deployment->base->routers; i++)
-    if (!deployment->gateways[i]->gateway->routing ||
-        deployment->gateways[i]->gateway->routing->revision != deployment->version)
+  for (int i = 0; i < deployment->fleet->routers; i++)
+    if (!deployment->gateway_processes[i]->gateway->routing ||
+        deployment->gateway_processes[i]->gateway->routing->revision != deployment->version)
       return false;
   return true;
 }
@@ -20,68 +20,68 @@
  * response unless `code` is 0. */
 static int api(deployment *deployment, const char *verb, const char *path, const char *text,
                int code) {
-  op_call *call = fleet_call(
-      deployment->base,
-      deployment->base
-          ->controller[sim_draw(deployment->sim, (uint64_t)deployment->base->controllers)],
+  operator_call *call = fleet_call(
+      deployment->fleet,
+      deployment->fleet
+          ->controller[sim_random(deployment->sim, (uint64_t)deployment->fleet->controllers)],
       verb, path, text, NULL, NULL, time_from_ms(9000));
   int st = call->status;
   char want[24];
   snprintf(want, sizeof want, "\"code\":%d", code);
   if (code && !strstr(call->body->str, want))
-    violation(deployment->base, "%s %s got %d %s, not code %d", verb, path, st, call->body->str,
-              code);
-  call_free(call);
+    fleet_add_violation(deployment->fleet, "%s %s got %d %s, not code %d", verb, path, st,
+                        call->body->str, code);
+  operator_call_free(call);
   return st;
 }
 
 static bool operators_write_routing_by_the_own_api(fleet *fleet) {
   deployment *deployment = deployment_new(fleet, 3, 2);
-  if (!deployment_up(deployment))
-    return deployment_done(deployment, 0);
+  if (!deployment_bring_up(deployment))
+    return deployment_finish(deployment, 0);
   char *next = deployment_config(deployment, 3, "ledger"),
        *old = deployment_config(deployment, 2, "ledger"),
        *bad = deployment_config(deployment, 9, "nobody");
   if (api(deployment, "PUT", "/v1/routing", next, 0) != 200)
-    violation(fleet, "a routing by the own API was not taken");
+    fleet_add_violation(fleet, "a routing by the own API was not taken");
   deployment->version = 3;
-  if (!sim_until(deployment->sim, is_revision, deployment, time_from_ms(APPLY_MS)))
-    violation(fleet, "the routing is not in force within %d ms", APPLY_MS);
+  if (!sim_run_until(deployment->sim, is_revision, deployment, time_from_ms(APPLY_MS)))
+    fleet_add_violation(fleet, "the routing is not in force within %d ms", APPLY_MS);
   /* neither an older version nor an invalid one is accepted */
   if (api(deployment, "PUT", "/v1/routing", old, E_STALE_VERSION) != 400)
-    violation(fleet, "an older version was taken");
+    fleet_add_violation(fleet, "an older version was taken");
   if (api(deployment, "PUT", "/v1/routing", bad, E_UNKNOWN_SERVICE) != 400)
-    violation(fleet, "a route to nobody was taken");
+    fleet_add_violation(fleet, "a route to nobody was taken");
   if (api(deployment, "PATCH", "/v1/routing", "{\"version\":4,\"set\":5}", E_ROUTING_PATCH) != 400)
-    violation(fleet, "a change that is none was taken");
+    fleet_add_violation(fleet, "a change that is none was taken");
   if (api(deployment, "PATCH", "/v1/routing", "{\"version\":4,\"drop\":{\"routes\":[\"r-book\"]}}",
           0) != 200)
-    violation(fleet, "a change of the routing was not taken");
+    fleet_add_violation(fleet, "a change of the routing was not taken");
   deployment->version = 4;
-  if (!sim_until(deployment->sim, is_revision, deployment, time_from_ms(APPLY_MS)))
-    violation(fleet, "the change is not in force within %d ms", APPLY_MS);
-  op_call *call = fleet_call(fleet, fleet->controller[0], "GET", "/v1/routing", NULL, NULL, NULL,
-                             time_from_ms(9000));
+  if (!sim_run_until(deployment->sim, is_revision, deployment, time_from_ms(APPLY_MS)))
+    fleet_add_violation(fleet, "the change is not in force within %d ms", APPLY_MS);
+  operator_call *call = fleet_call(fleet, fleet->controller[0], "GET", "/v1/routing", NULL, NULL,
+                                   NULL, time_from_ms(9000));
   if (!strstr(call->body->str, "\"r-chat\"") || strstr(call->body->str, "\"r-book\""))
-    violation(fleet, "the routing is read as %.100s", call->body->str);
-  call_free(call);
+    fleet_add_violation(fleet, "the routing is read as %.100s", call->body->str);
+  operator_call_free(call);
   if (api(deployment, "PUT", "/v1/policy", "{\"eviction\":\"lru\"}", 0) != 200)
-    violation(fleet, "a policy is not taken from a fleet of gateways");
+    fleet_add_violation(fleet, "a policy is not taken from a fleet of gateways");
   g_free(next);
   g_free(old);
   g_free(bad);
-  bool ok = !fleet->faults->len;
+  bool ok = !fleet->violations->len;
   deployment_free(deployment);
   return ok;
 }
 
 static bool the_registry_is_a_page(fleet *fleet) {
   deployment *deployment = deployment_new(fleet, 3, 2);
-  if (!deployment_up(deployment))
-    return deployment_done(deployment, 0);
+  if (!deployment_bring_up(deployment))
+    return deployment_finish(deployment, 0);
   for (int i = 0; i < fleet->controllers; i++) {
-    op_call *call = fleet_call(fleet, fleet->controller[i], "GET", "/v1/registry", NULL, NULL, NULL,
-                               time_from_ms(5000));
+    operator_call *call = fleet_call(fleet, fleet->controller[i], "GET", "/v1/registry", NULL, NULL,
+                                     NULL, time_from_ms(5000));
     json *json = json_parse(string_view_of_gstring(call->body), NULL);
     size_t ready = 0, models = 0;
     for (size_t k = 0; k < json_count(json); k++) {
@@ -89,27 +89,27 @@
       models += json_count(json_get(json_at(json, k), "models"));
     }
     if (call->status != 200 || ready != 5 || !models)
-      violation(fleet, "the registry at %s has %zu ready engines with %zu models: %.200s",
-                fleet->controller[i]->self.text, ready, models, call->body->str);
+      fleet_add_violation(fleet, "the registry at %s has %zu ready engines with %zu models: %.200s",
+                          fleet->controller[i]->self.text, ready, models, call->body->str);
     json_free(json);
-    call_free(call);
+    operator_call_free(call);
   }
-  bool ok = !fleet->faults->len;
+  bool ok = !fleet->violations->len;
   deployment_free(deployment);
   return ok;
 }
 
 /* The doctor's findings without a configuration, and with the first one. */
 static void doctor_at_start(deployment *deployment) {
-  fleet *fleet = deployment->base;
+  fleet *fleet = deployment->fleet;
   list_for_each (h, &deployment->sim->hosts, host, link)
     host_start(h);
   sim_run(deployment->sim, time_from_ms(4000));
   scenario_expect_diagnosis(fleet, D_ROUTING, "no configuration");
   scenario_expect_diagnosis(fleet, D_UNREADY, "no configuration");
   char *text = deployment_config(deployment, 1, NULL);
-  if (!deployment_put(deployment, 1, 0, text, true)->acked.us)
-    violation(fleet, "the first configuration was not taken");
+  if (!deployment_put_config(deployment, 1, 0, text, true)->acked_at.us)
+    fleet_add_violation(fleet, "the first configuration was not taken");
   g_free(text);
   sim_run(deployment->sim, time_from_ms(8000));
   scenario_expect_diagnosis(fleet, 0, "a healthy fleet of gateways");
@@ -117,43 +117,43 @@
 
 /* The doctor's findings about engines: a service without any, and one that does not respond. */
 static void doctor_at_engine_faults(deployment *deployment) {
-  fleet *fleet = deployment->base;
+  fleet *fleet = deployment->fleet;
   for (size_t i = 4; i < 6; i++)
-    host_kill(deployment->engine[i]->host);
+    host_kill(deployment->engine_processes[i]->host);
   sim_run(deployment->sim, time_from_ms(12000));
   scenario_expect_diagnosis(fleet, D_SERVICE, "a service without an engine");
   for (size_t i = 4; i < 6; i++)
-    host_start(deployment->engine[i]->host);
+    host_start(deployment->engine_processes[i]->host);
   sim_run(deployment->sim, time_from_ms(5000));
   scenario_expect_diagnosis(fleet, 0, "engines that are back");
-  deployment_go(deployment, 2);
-  deployment->engine[5]->plan.faults.silent = true;
+  deployment_start_traffic(deployment, 2);
+  deployment->engine_processes[5]->plan.faults.unresponsive = true;
   sim_run(deployment->sim, time_from_ms(5000));
   scenario_expect_diagnosis(fleet, D_ENGINE_EJECTED, "an engine without responses");
-  deployment->engine[5]->plan.faults.silent = false;
+  deployment->engine_processes[5]->plan.faults.unresponsive = false;
 }
 
 /* The doctor's findings when all first attempts of requests are cut off. */
 static void doctor_at_cut_responses(deployment *deployment) {
   for (int t = 0; t < 15; t++) {
     for (size_t i = 0; i < 6; i++) {
-      deployment->engine[i]->plan.faults.cut_answers = 60;
-      deployment->engine[i]->plan.faults.cut_after = 1;
+      deployment->engine_processes[i]->plan.faults.truncate_responses = 60;
+      deployment->engine_processes[i]->plan.faults.truncate_after_events = 1;
     }
-    deployment->client->rate = 6;
+    deployment->client->rate_factor = 6;
     sim_run(deployment->sim, time_from_ms(1000));
   }
-  scenario_expect_diagnosis(deployment->base, D_BUDGET, "responses that are cut off");
+  scenario_expect_diagnosis(deployment->fleet, D_BUDGET, "responses that are cut off");
   for (size_t i = 0; i < 6; i++)
-    deployment->engine[i]->plan.faults.cut_answers = 0;
-  deployment->client->rate = 0.5;
+    deployment->engine_processes[i]->plan.faults.truncate_responses = 0;
+  deployment->client->rate_factor = 0.5;
   sim_run(deployment->sim, time_from_ms(25000));
 }
 
 /* The doctor's findings about a gateway that drains, looked at before it ends. */
 static void doctor_at_gateway_drain(deployment *deployment) {
-  fleet *fleet = deployment->base;
-  deployment_term(deployment, deployment->gateways[0]);
+  fleet *fleet = deployment->fleet;
+  deployment_terminate_gateway(deployment, deployment->gateway_processes[0]);
   sim_run(deployment->sim, time_from_ms(200));
   scenario_expect_diagnosis(fleet, D_UNREADY, "a gateway that drains");
   sim_run(deployment->sim, time_from_ms(GRACE_S * 1000));
@@ -163,32 +163,32 @@
 
 /* The doctor's findings when all orders to load models get lost. */
 static void doctor_at_lost_load_orders(deployment *deployment) {
-  fleet *fleet = deployment->base;
+  fleet *fleet = deployment->fleet;
   for (size_t i = 0; i < 4; i++)
-    deployment->engine[i]->plan.faults.drop_orders = 100000;
+    deployment->engine_processes[i]->plan.faults.drop_orders = 100000;
   bool fails = false;
   for (int t = 0; t < 200 && !fails; t++) {
     char name[16];
     snprintf(name, sizeof name, "m%d", 6 + t % 8);
-    em_client_send(deployment->client, deployment->note, name);
+    client_sim_send(deployment->client, deployment->note, name);
     sim_run(deployment->sim, time_from_ms(1000));
     for (int i = 0; i < fleet->routers; i++)
       fails |= fleet->router[i]->alive &&
-               deployment->gateways[i]->gateway->consecutive_load_failures >= 3;
+               deployment->gateway_processes[i]->gateway->consecutive_load_failures >= 3;
   }
   scenario_expect_diagnosis(fleet, D_LOADS, "loads that fail");
   for (size_t i = 0; i < 4; i++)
-    deployment->engine[i]->plan.faults.drop_orders = 0;
+    deployment->engine_processes[i]->plan.faults.drop_orders = 0;
 }
 
 /* The doctor's findings when the load rate limiter has died, and no other node is it yet. */
 static void doctor_at_lost_rate_limiter(deployment *deployment) {
-  fleet *fleet = deployment->base;
+  fleet *fleet = deployment->fleet;
   sim_run(deployment->sim, time_from_ms(6000));
-  deployment_quiet(deployment);
-  host *holder = fleet_holder(fleet, "pacer");
+  deployment_finish_traffic(deployment);
+  host *holder = fleet_find_lease_holder(fleet, "pacer");
   if (!holder) {
-    violation(fleet, "no node is the load rate limiter");
+    fleet_add_violation(fleet, "no node is the load rate limiter");
     return;
   }
   host_kill(holder);
@@ -203,7 +203,7 @@
   doctor_at_gateway_drain(deployment);
   doctor_at_lost_load_orders(deployment);
   doctor_at_lost_rate_limiter(deployment);
-  bool ok = !fleet->faults->len;
+  bool ok = !fleet->violations->len;
   deployment_free(deployment);
   return ok;
 }
@@ -289,10 +289,11 @@
     int operators = api_error_status(API_OPERATORS, expected[i].code);
     int control = api_error_status(API_CONTROL, expected[i].code);
     if (operators != expected[i].operators || control != expected[i].control)
-      violation(fleet, "code %d has status %d at the operators' API and %d at the control listener",
-                expected[i].code, operators, control);
+      fleet_add_violation(
+          fleet, "code %d has status %d at the operators' API and %d at the control listener",
+          expected[i].code, operators, control);
   }
-  return check_all(fleet);
+  return fleet_check_all(fleet);
 }
 
 const test_case operator_tests[] = {
--- a/tests/emulator/day.c
+++ b/tests/emulator/day.c
@@ -50,8 +50,8 @@
     error err = { 0 };
     day *taken = day_read(string_view_of(text), &err);
     if (taken || err.code != bad[i].code || !err.text[0])
-      violation(fleet, "%s instead of %s gets code %d (%s), not %d", bad[i].put, bad[i].find,
-                err.code, err.text, bad[i].code);
+      fleet_add_violation(fleet, "%s instead of %s gets code %d (%s), not %d", bad[i].put,
+                          bad[i].find, err.code, err.text, bad[i].code);
     day_free(taken);
     g_strfreev(part);
     g_free(text);
@@ -75,19 +75,19 @@
                 { "burst@1,factor=0", E_RANGE } };
   for (size_t i = 0; i < G_N_ELEMENTS(flags); i++) {
     error err = { 0 };
-    if (day_trouble_add(day, flags[i].flag, &err) != flags[i].code)
-      violation(fleet, "the trouble %s gets code %d", flags[i].flag, err.code);
+    if (day_add_fault(day, flags[i].flag, &err) != flags[i].code)
+      fleet_add_violation(fleet, "the trouble %s gets code %d", flags[i].flag, err.code);
   }
-  if (day->trouble_count != 3 || day->troubles[0].at_s != 2.5)
-    violation(fleet, "%zu troubles stand, the first at %g s", day->trouble_count,
-              day->troubles[0].at_s);
+  if (day->fault_count != 3 || day->faults[0].at_s != 2.5)
+    fleet_add_violation(fleet, "%zu troubles stand, the first at %g s", day->fault_count,
+                        day->faults[0].at_s);
 }
 
 static void check_policies(fleet *fleet, day *day) {
   error err = { 0 };
-  if (day_evict(day, "best", &err) != E_NAME || day_evict(day, "lru", &err) ||
-      day_evict(day, "expr:rate / size", &err) || !strstr(day->policy, "rate / size"))
-    violation(fleet, "policies of a day: %s", day->policy);
+  if (day_set_eviction(day, "best", &err) != E_NAME || day_set_eviction(day, "lru", &err) ||
+      day_set_eviction(day, "expr:rate / size", &err) || !strstr(day->policy, "rate / size"))
+    fleet_add_violation(fleet, "policies of a day: %s", day->policy);
 }
 
 static bool bad_days_are_refused(fleet *fleet) {
@@ -99,7 +99,7 @@
     check_fault_flags(fleet, day);
     check_policies(fleet, day);
   } else {
-    violation(fleet, "a good day is refused: %s (%d)", err.text, err.code);
+    fleet_add_violation(fleet, "a good day is refused: %s (%d)", err.text, err.code);
   }
   bool valid = day != NULL;
   day_free(day);
@@ -113,12 +113,12 @@
     gchar *text = NULL;
     error err = { 0 };
     if (!g_file_get_contents(files[i], &text, NULL, NULL)) {
-      violation(fleet, "%s is not there", files[i]);
+      fleet_add_violation(fleet, "%s is not there", files[i]);
       continue;
     }
     day *day = day_read(string_view_of(text), &err);
     if (!day)
-      violation(fleet, "%s is refused: %s (%d)", files[i], err.text, err.code);
+      fleet_add_violation(fleet, "%s is refused: %s (%d)", files[i], err.text, err.code);
     day_free(day);
     g_free(text);
   }
@@ -134,46 +134,48 @@
   day *day = day_read(string_view_of(text), &err);
   g_free(text);
   if (!day) {
-    violation(fleet, "the day is refused: %s", err.text);
+    fleet_add_violation(fleet, "the day is refused: %s", err.text);
     return false;
   }
   day_result *a = g_new0(day_result, 1), *b = g_new0(day_result, 1);
   if (!day_play(day, fleet->seed, false, a) || !day_play(day, fleet->seed, false, b))
-    violation(fleet, "the day was not played: %s", a->broke);
-  if (a->broke[0])
-    violation(fleet, "rules broke: %s", a->broke);
+    fleet_add_violation(fleet, "the day was not played: %s", a->violations);
+  if (a->violations[0])
+    fleet_add_violation(fleet, "rules broke: %s", a->violations);
   /* all requests are accounted for: in total, by kind, by zone and by time */
-  const day_sum *s = &a->all;
+  const day_totals *s = &a->total;
   uint64_t kinds = 0, areas = 0, steps = 0;
-  for (size_t i = 0; i < a->kinds; i++)
-    kinds += a->kind[i].sent;
-  for (int i = 0; i < a->areas; i++)
-    areas += a->area[i].sent;
-  for (size_t i = 0; i < a->steps; i++)
-    steps += a->step[i].sent;
+  for (size_t i = 0; i < a->kind_count; i++)
+    kinds += a->kind_totals[i].sent;
+  for (int i = 0; i < a->zone_count; i++)
+    areas += a->zone_totals[i].sent;
+  for (size_t i = 0; i < a->step_count; i++)
+    steps += a->step_counts[i].sent;
   if (s->sent < 60 || s->sent != kinds || s->sent != areas || s->sent != steps ||
       s->sent != s->served + s->refused + s->timed_out + s->broken + s->unanswered ||
-      s->served != s->in_aim + s->late)
-    violation(fleet, "%" PRIu64 " sent, by kind %" PRIu64 ", by zone %" PRIu64 ", by time %" PRIu64,
-              s->sent, kinds, areas, steps);
+      s->served != s->in_target + s->late)
+    fleet_add_violation(
+        fleet, "%" PRIu64 " sent, by kind %" PRIu64 ", by zone %" PRIu64 ", by time %" PRIu64,
+        s->sent, kinds, areas, steps);
   if (s->served * 10 < s->sent * 9)
-    violation(fleet, "%" PRIu64 " of %" PRIu64 " served", s->served, s->sent);
-  if (!a->messages || !a->bytes || a->attempts < s->served || a->step[2].sent <= a->step[0].sent)
-    violation(fleet, "messages %" PRIu64 ", attempts %" PRIu64, a->messages, a->attempts);
+    fleet_add_violation(fleet, "%" PRIu64 " of %" PRIu64 " served", s->served, s->sent);
+  if (!a->messages || !a->bytes || a->attempts < s->served ||
+      a->step_counts[2].sent <= a->step_counts[0].sent)
+    fleet_add_violation(fleet, "messages %" PRIu64 ", attempts %" PRIu64, a->messages, a->attempts);
   /* the same seed gives the same day */
-  if (memcmp(&a->all, &b->all, sizeof a->all) || a->messages != b->messages)
-    violation(fleet, "the same seed gave another day");
+  if (memcmp(&a->total, &b->total, sizeof a->total) || a->messages != b->messages)
+    fleet_add_violation(fleet, "the same seed gave another day");
   GString *t = g_string_new(NULL);
-  day_json(day, a, t);
+  day_report_json(day, a, t);
   json *json = json_parse(string_view_of_gstring(t), &err);
   if (!json || json_number(json_get(json, "all"), "sent", 0) != (double)s->sent ||
       !json_bool(json, "rulesKept", false))
-    violation(fleet, "the JSON is %.200s", t->str);
+    fleet_add_violation(fleet, "the JSON is %.200s", t->str);
   json_free(json);
   g_string_truncate(t, 0);
-  day_plot(day, a, "a", b, "b", t);
+  day_report_plot(day, a, "a", b, "b", t);
   if (!g_str_has_prefix(t->str, "<svg") || !g_str_has_suffix(t->str, "</svg>\n"))
-    violation(fleet, "the plot is %.200s", t->str);
+    fleet_add_violation(fleet, "the plot is %.200s", t->str);
   g_string_free(t, TRUE);
   day_result_clear(a);
   day_result_clear(b);
@@ -185,13 +187,13 @@
 
 static bool differences_have_intervals(fleet *fleet) {
   double mean, half, x[] = { 1, 2, 3, 4 };
-  day_paired(x, 4, &mean, &half);
+  day_paired_interval(x, 4, &mean, &half);
   /* 3.182 * 1.29099 / 2 */
   if (fabs(mean - 2.5) > 1e-9 || fabs(half - 2.0540) > 1e-3)
-    violation(fleet, "mean %g, half %g", mean, half);
-  day_paired(x, 1, &mean, &half);
+    fleet_add_violation(fleet, "mean %g, half %g", mean, half);
+  day_paired_interval(x, 1, &mean, &half);
   if (mean != 1 || half >= 0)
-    violation(fleet, "one alone has an interval of %g", half);
+    fleet_add_violation(fleet, "one alone has an interval of %g", half);
   return true;
 }
 
--- a/tests/fleet/controller_cutoff.c
+++ b/tests/fleet/controller_cutoff.c
@@ -86,7 +86,7 @@
   copy_ip(host, ip, sizeof ip);
   snprintf(to, sizeof to, "%s:8144", ip);
   while (!w->stop && world_sleep(&w->outside->world, time_from_ms(PROBE_INTERVAL_MS))) {
-    probe_answer a = { b->gateway, 0, w->acked, host->life, w->deployment->sim->now };
+    probe_answer a = { b->gateway, 0, w->acked, host->incarnation, w->deployment->sim->now };
     if (a.version < 2 || !host->alive)
       continue;
     fields *fields = g_string_new(NULL);
@@ -94,7 +94,7 @@
     snprintf(path, sizeof path, "/mark-%" PRIu64 "/x", a.version);
     a.status = request_status(w, to, "GET", path, fields, "", PROBE_TIMEOUT_MS);
     g_string_free(fields, TRUE);
-    if (a.life == host->life)
+    if (a.life == host->incarnation)
       g_array_append_val(w->answers, a);
   }
   g_free(b);
@@ -103,13 +103,13 @@
 static watch *watch_new(deployment *deployment) {
   watch *w = g_new0(watch, 1);
   *w = (watch){ .deployment = deployment,
-                .fleet = deployment->base,
+                .fleet = deployment->fleet,
                 .answers = g_array_new(FALSE, TRUE, sizeof(probe_answer)),
                 .acked = 1,
                 .version = 1 };
-  w->outside = sim_host(deployment->sim, HOST_OTHER, "watcher", "mid", "127.0.0.60:1");
+  w->outside = sim_add_host(deployment->sim, HOST_OTHER, "watcher", "mid", "127.0.0.60:1");
   host_start(w->outside);
-  for (int i = 0; i < deployment->base->routers; i++) {
+  for (int i = 0; i < deployment->fleet->routers; i++) {
     prober *b = g_new0(prober, 1);
     *b = (prober){ w, i };
     task_start(&w->outside->world.tasks, "probe", probe_run, b);
@@ -132,31 +132,33 @@
 }
 
 /* Waits for the response to an order, which must be an acknowledgement, in time. */
-static void await_acknowledgement(watch *w, em_change *change, bool settled, const char *what) {
+static void await_acknowledgement(watch *w, operator_sim_change *change, bool settled,
+                                  const char *what) {
   while (!change->done)
     sim_run(w->deployment->sim, time_from_ms(10));
-  if (!change->acked.us) {
-    violation(w->fleet, "ORDER %s %" PRIu64 " was never acknowledged (%d)", what, change->version,
-              change->status);
+  if (!change->acked_at.us) {
+    fleet_add_violation(w->fleet, "ORDER %s %" PRIu64 " was never acknowledged (%d)", what,
+                        change->version, change->status);
     return;
   }
-  int64_t took_ms = time_sub(change->acked, change->sent).us / 1000;
+  int64_t took_ms = time_sub(change->acked_at, change->sent_at).us / 1000;
   int64_t max_ms = (settled ? SETTLED_ACK_MS : UNSETTLED_ACK_MS) + w->frozen * 1000;
   if (!settled && w->fleet->controllers > 3)
     max_ms += SECOND_VIEW_MS;
   if (g_getenv("SIM_COUNT"))
     fprintf(stderr, "  step ack%s %.3f\n", settled ? " calm" : "", (double)took_ms / 1000);
   if (took_ms > max_ms)
-    violation(w->fleet, "ORDER %s %" PRIu64 " took %" PRId64 " ms, %s", what, change->version,
-              took_ms, settled ? "calm" : "not calm");
+    fleet_add_violation(w->fleet, "ORDER %s %" PRIu64 " took %" PRId64 " ms, %s", what,
+                        change->version, took_ms, settled ? "calm" : "not calm");
   w->acked = MAX(w->acked, change->version);
 }
 
 static void send_change(watch *w) {
-  uint64_t version = w->version + 1 + sim_draw(w->deployment->sim, 3);
+  uint64_t version = w->version + 1 + sim_random(w->deployment->sim, 3);
   char *text = mark_text(version);
   bool settled = is_settled(w, w->deployment->sim->now);
-  em_change *k = em_operator_send(w->deployment->operator, version, w->version, true, text, true);
+  operator_sim_change *k =
+      operator_sim_send(w->deployment->operator, version, w->version, true, text, true);
   g_free(text);
   w->version = version;
   await_acknowledgement(w, k, settled, "change");
@@ -166,16 +168,18 @@
 static void send_racing_changes(watch *w) {
   uint64_t one = w->version + 1, two = w->version + 2;
   char *a = mark_text(one), *b = mark_text(two);
-  em_change *x = em_operator_send(w->deployment->operator, one, w->version, true, a, true),
-            *y = em_operator_send(w->deployment->operator, two, w->version, true, b, true);
+  operator_sim_change *x = operator_sim_send(w->deployment->operator, one, w->version, true, a,
+                                             true),
+                      *y = operator_sim_send(w->deployment->operator, two, w->version, true, b,
+                                             true);
   g_free(a);
   g_free(b);
   while (!x->done || !y->done)
     sim_run(w->deployment->sim, time_from_ms(10));
-  if (!x->acked.us == !y->acked.us)
-    violation(w->fleet, "ORDER of two at once on %" PRIu64 " got %d and %d", w->version, x->status,
-              y->status);
-  w->version = y->acked.us ? two : one;
+  if (!x->acked_at.us == !y->acked_at.us)
+    fleet_add_violation(w->fleet, "ORDER of two at once on %" PRIu64 " got %d and %d", w->version,
+                        x->status, y->status);
+  w->version = y->acked_at.us ? two : one;
   w->acked = MAX(w->acked, w->version);
 }
 
@@ -204,13 +208,13 @@
          w->deployment->sim->now.us < sent.us + RESPONSE_TIMEOUT_MS * 1000)
     sim_run(w->deployment->sim, time_from_ms(5));
   if (!is_refusal(call->status))
-    violation(w->fleet, "ORDER %s, cut off, answered %d to a right order after %.3f s",
-              controller->self.text, call->status,
-              (double)(w->deployment->sim->now.us - sent.us) / 1e6);
+    fleet_add_violation(w->fleet, "ORDER %s, cut off, answered %d to a right order after %.3f s",
+                        controller->self.text, call->status,
+                        (double)(w->deployment->sim->now.us - sent.us) / 1e6);
   http_call_close(call);
   bool settled = is_settled(w, w->deployment->sim->now);
-  em_change *change =
-      em_operator_send(w->deployment->operator, version, w->version, true, text, true);
+  operator_sim_change *change =
+      operator_sim_send(w->deployment->operator, version, w->version, true, text, true);
   g_free(text);
   w->version = version;
   await_acknowledgement(w, change, settled, "order sent on");
@@ -220,9 +224,9 @@
 
 static void cut_between(watch *w, host *a, host *b, int way, bool cut) {
   if (way != 2)
-    sim_cut(w->deployment->sim, a->self.text, b->self.text, cut);
+    sim_set_partition(w->deployment->sim, a->self.text, b->self.text, cut);
   if (way != 1)
-    sim_cut(w->deployment->sim, b->self.text, a->self.text, cut);
+    sim_set_partition(w->deployment->sim, b->self.text, a->self.text, cut);
 }
 
 /* way: 0 cuts both directions, 1 what the controller sends, 2 what it receives. */
@@ -257,30 +261,32 @@
 
 /* The head, the tail, the one that most gateways poll, or any. */
 static host *pick_controller(fleet *fleet, const host *except) {
-  host *h[] = { fleet_head(fleet), fleet_tail(fleet), most_polled_controller(fleet),
-                fleet->controller[sim_draw(fleet->sim, fleet->controllers)] };
-  host *got = h[sim_draw(fleet->sim, 4)];
+  host *h[] = { fleet_find_head(fleet), fleet_find_tail(fleet), most_polled_controller(fleet),
+                fleet->controller[sim_random(fleet->sim, fleet->controllers)] };
+  host *got = h[sim_random(fleet->sim, 4)];
   for (int i = 0; !got || got == except; i++)
     got = fleet->controller[i];
   return got;
 }
 
 static void drain_random_engine(watch *w) {
-  unit *unit = w->deployment->engine[sim_draw(w->deployment->sim, w->deployment->engines)];
-  if (unit->engine && unit->host->alive)
-    em_engine_leave(unit->engine, 0);
+  deployment_process *process =
+      w->deployment
+          ->engine_processes[sim_random(w->deployment->sim, w->deployment->model_engine_count)];
+  if (process->engine && process->host->alive)
+    registering_engine_sim_drain(process->engine, 0);
 }
 
 static void restart_engines(watch *w) {
-  for (size_t i = 0; i < w->deployment->engines; i++)
-    if (!w->deployment->engine[i]->host->alive)
-      host_start(w->deployment->engine[i]->host);
+  for (size_t i = 0; i < w->deployment->model_engine_count; i++)
+    if (!w->deployment->engine_processes[i]->host->alive)
+      host_start(w->deployment->engine_processes[i]->host);
 }
 
 /* One random step, about one a second. */
 static void random_step(watch *w, host *cut_off, bool direct) {
   int64_t begun = w->deployment->sim->now.us;
-  uint64_t what = sim_draw(w->deployment->sim, 8);
+  uint64_t what = sim_random(w->deployment->sim, 8);
   if (what == 0)
     send_racing_changes(w);
   else if (what == 1)
@@ -291,7 +297,7 @@
     send_change(w);
   restart_engines(w);
   int64_t left =
-      begun + 300000 + (int64_t)sim_draw(w->deployment->sim, 900000) - w->deployment->sim->now.us;
+      begun + 300000 + (int64_t)sim_random(w->deployment->sim, 900000) - w->deployment->sim->now.us;
   if (left > 0)
     sim_run(w->deployment->sim, (time_us){ left });
 }
@@ -309,18 +315,18 @@
 /* Checks */
 
 static bool had_fault(const watch *w, const host *host, time_us at) {
-  for (guint i = 0; i < w->deployment->troubles->len; i++) {
-    trouble *t = &g_array_index(w->deployment->troubles, trouble, i);
-    if (t->host == host && t->from.us <= at.us && t->till.us + CONTACT_MS * 1000 >= at.us)
+  for (guint i = 0; i < w->deployment->injected_faults->len; i++) {
+    injected_fault *t = &g_array_index(w->deployment->injected_faults, injected_fault, i);
+    if (t->host == host && t->from_at.us <= at.us && t->until.us + CONTACT_MS * 1000 >= at.us)
       return true;
   }
   return false;
 }
 
-static const em_change *change_of(const watch *w, uint64_t version) {
+static const operator_sim_change *change_of(const watch *w, uint64_t version) {
   for (guint i = 0; i < w->deployment->operator->changes->len; i++) {
-    em_change *change = w->deployment->operator->changes->pdata[i];
-    if (change->version == version && change->acked.us)
+    operator_sim_change *change = w->deployment->operator->changes->pdata[i];
+    if (change->version == version && change->acked_at.us)
       return change;
   }
   return NULL;
@@ -331,15 +337,16 @@
   int64_t max_ms = IN_FORCE_MS + (w->fleet->controllers > 3 ? IN_FORCE_MARGIN_MS : 0);
   for (guint i = 0; i < w->answers->len; i++) {
     probe_answer *a = &g_array_index(w->answers, probe_answer, i);
-    const em_change *change = change_of(w, a->version);
+    const operator_sim_change *change = change_of(w, a->version);
     host *host = w->fleet->router[a->gateway];
     if (a->status != 404 || !change || had_fault(w, host, a->sent))
       continue;
-    double age = (double)(a->sent.us - change->acked.us) / 1e6;
+    double age = (double)(a->sent.us - change->acked_at.us) / 1e6;
     worst = MAX(worst, age);
     if (age * 1000 > (double)max_ms)
-      violation(w->fleet, "OLD %s has no version %" PRIu64 " %.3f s after its acknowledgement",
-                host->self.text, a->version, age);
+      fleet_add_violation(w->fleet,
+                          "OLD %s has no version %" PRIu64 " %.3f s after its acknowledgement",
+                          host->self.text, a->version, age);
   }
   if (g_getenv("SIM_COUNT"))
     fprintf(stderr, "  step age %.3f\n", worst);
@@ -357,8 +364,8 @@
         seen = 0;
       life = a->life;
       if (a->status == 404 && a->version <= seen && a->sent.us > at.us + REVERT_MS * 1000)
-        violation(w->fleet, "BACK %s had version %" PRIu64 " and then not %" PRIu64,
-                  w->fleet->router[v]->self.text, seen, a->version);
+        fleet_add_violation(w->fleet, "BACK %s had version %" PRIu64 " and then not %" PRIu64,
+                            w->fleet->router[v]->self.text, seen, a->version);
       if (a->status != 404 && a->version > seen) {
         seen = a->version;
         at = a->sent;
@@ -371,19 +378,19 @@
   deployment *deployment = w->deployment;
   fleet *fleet = w->fleet;
   sim_run(deployment->sim, time_from_ms(4000));
-  deployment_quiet(deployment);
-  em_operator_read(deployment->operator);
+  deployment_finish_traffic(deployment);
+  operator_sim_read(deployment->operator);
   sim_run(deployment->sim, time_from_ms(4000));
   w->stop = true;
   sim_run(deployment->sim, time_from_ms(1500));
   if (deployment->operator->read_version<w->acked)
-    violation(fleet, "ORDER %" PRIu64 " was acknowledged, and %" PRIu64 " is read back", w->acked,
-              deployment->operator->read_version);
+    fleet_add_violation(fleet, "ORDER %" PRIu64 " was acknowledged, and %" PRIu64 " is read back",
+                        w->acked, deployment->operator->read_version);
   if (w->answers->len < 200)
-    violation(fleet, "only %u answers of gateways were seen", w->answers->len);
+    fleet_add_violation(fleet, "only %u answers of gateways were seen", w->answers->len);
   check_age(w);
   check_no_return(w);
-  bool ok = deployment_done(deployment, 0.6);
+  bool ok = deployment_finish(deployment, 0.6);
   g_array_free(w->answers, TRUE);
   g_free(w);
   return ok;
@@ -397,7 +404,7 @@
     snprintf(name, sizeof name, "controller-%d", i + 1);
     snprintf(addr, sizeof addr, "127.0.1.%d:7000", i + 1);
     host *host = fleet->controller[fleet->controllers++] =
-        sim_host(fleet->sim, HOST_CONTROLLER, name, fleet->area[i % 3].text, addr);
+        sim_add_host(fleet->sim, HOST_CONTROLLER, name, fleet->area[i % 3].text, addr);
     host->settings = fleet->controller[0]->settings;
     host->settings.self = host->self;
     host->settings.zone = host->area;
@@ -408,13 +415,13 @@
     fleet->controller[i]->settings.write_replicas = members / 2 + 1;
     fleet->controller[i]->settings.write_zones = 1;
   }
-  fleet->sim->tcp = true;
+  fleet->sim->tcp_channels = true;
   deployment *deployment = deployment_new(fleet, 4, 2);
-  if (!deployment_up(deployment)) {
-    deployment_done(deployment, 0);
+  if (!deployment_bring_up(deployment)) {
+    deployment_finish(deployment, 0);
     return NULL;
   }
-  deployment_go(deployment, 0.3);
+  deployment_start_traffic(deployment, 0.3);
   watch *w = watch_new(deployment);
   run_steps(w, 3000, NULL, false);
   return w;
@@ -427,22 +434,22 @@
   if (!w)
     return false;
   deployment *deployment = w->deployment;
-  host *gateway = fleet->router[sim_draw(fleet->sim, fleet->routers)];
-  int way = (int)sim_draw(fleet->sim, 3);
-  int64_t cut_ms = 13000 + (int64_t)sim_draw(fleet->sim, 9000);
+  host *gateway = fleet->router[sim_random(fleet->sim, fleet->routers)];
+  int way = (int)sim_random(fleet->sim, 3);
+  int64_t cut_ms = 13000 + (int64_t)sim_random(fleet->sim, 9000);
   /* from all controllers, or from all except the one that is cut off next */
   host *controller = pick_controller(fleet, NULL),
-       *except = sim_draw(fleet->sim, 2) ? controller : NULL;
-  deployment_trouble(deployment, gateway, 'n', cut_ms);
+       *except = sim_random(fleet->sim, 2) ? controller : NULL;
+  deployment_record_fault(deployment, gateway, 'n', cut_ms);
   cut_gateway(w, gateway, except, way, true);
   run_steps(w, cut_ms, NULL, false);
   cut_gateway(w, gateway, except, way, false);
-  for (guint i = 0; i < deployment->troubles->len; i++)
-    g_array_index(deployment->troubles, trouble, i).till = deployment->sim->now;
-  run_steps(w, 1000 + (int64_t)sim_draw(fleet->sim, 3000), NULL, false);
-  deployment_trouble(deployment, NULL, 'c', 12000);
+  for (guint i = 0; i < deployment->injected_faults->len; i++)
+    g_array_index(deployment->injected_faults, injected_fault, i).until = deployment->sim->now;
+  run_steps(w, 1000 + (int64_t)sim_random(fleet->sim, 3000), NULL, false);
+  deployment_record_fault(deployment, NULL, 'c', 12000);
   cut_core(w, controller, 0, true);
-  run_steps(w, 4000 + (int64_t)sim_draw(fleet->sim, 3000), controller, true);
+  run_steps(w, 4000 + (int64_t)sim_random(fleet->sim, 3000), controller, true);
   cut_core(w, controller, 0, false);
   run_steps(w, 6000, NULL, false);
   return watch_done(w);
@@ -456,12 +463,12 @@
   host *cut[2] = { pick_controller(fleet, NULL), NULL };
   if (count > 1)
     cut[1] = pick_controller(fleet, cut[0]);
-  int way = (int)sim_draw(fleet->sim, 3);
-  deployment_trouble(deployment, NULL, 'c', CUT_MS + 14000);
+  int way = (int)sim_random(fleet->sim, 3);
+  deployment_record_fault(deployment, NULL, 'c', CUT_MS + 14000);
   for (int i = 0; i < count; i++)
     cut_core(w, cut[i], way, true);
-  run_steps(w, CUT_MS + (int64_t)sim_draw(fleet->sim, 6000),
-            cut[sim_draw(fleet->sim, (uint64_t)count)], true);
+  run_steps(w, CUT_MS + (int64_t)sim_random(fleet->sim, 6000),
+            cut[sim_random(fleet->sim, (uint64_t)count)], true);
   /* changes are sent at the instant of its return */
   for (int i = 0; i < count; i++)
     cut_core(w, cut[i], way, false);
@@ -485,14 +492,14 @@
   host *cut[2] = { pick_controller(fleet, NULL), NULL };
   if (count > 1)
     cut[1] = pick_controller(fleet, cut[0]);
-  deployment_trouble(deployment, NULL, 'c', CUT_MS + 14000);
+  deployment_record_fault(deployment, NULL, 'c', CUT_MS + 14000);
   for (int i = 0; i < count; i++)
     host_freeze(cut[i]);
   w->core_changed_at = deployment->sim->now;
   w->frozen = count;
   run_steps(w, CUT_MS, NULL, false);
   for (int i = 0; i < count; i++)
-    host_wake(cut[i]);
+    host_unfreeze(cut[i]);
   w->core_changed_at = deployment->sim->now;
   send_racing_changes(w);
   w->frozen = 0;
@@ -525,16 +532,17 @@
   if (!w)
     return false;
   host *busy = fleet->router[0];
-  deployment_trouble(w->deployment, busy, 'c', 40000);
-  busy->reads_late_ms = 1800 + (int64_t)sim_draw(fleet->sim, 1200);
+  deployment_record_fault(w->deployment, busy, 'c', 40000);
+  busy->read_delay_ms = 1800 + (int64_t)sim_random(fleet->sim, 1200);
   run_steps(w, 10000, NULL, false);
   /* no more changes: what is acknowledged reaches it after one late answer, and one more where the
    * first was too old */
-  sim_run(w->deployment->sim, time_from_ms(3 * busy->reads_late_ms + 2000));
+  sim_run(w->deployment->sim, time_from_ms(3 * busy->read_delay_ms + 2000));
   if (!has_latest(w, 0))
-    violation(fleet, "OLD a gateway that reads %" PRId64 " ms late never got version %" PRIu64,
-              busy->reads_late_ms, w->acked);
-  busy->reads_late_ms = 0;
+    fleet_add_violation(fleet,
+                        "OLD a gateway that reads %" PRId64 " ms late never got version %" PRIu64,
+                        busy->read_delay_ms, w->acked);
+  busy->read_delay_ms = 0;
   run_steps(w, 4000, NULL, false);
   return watch_done(w);
 }
@@ -547,10 +555,10 @@
     return false;
   deployment *deployment = w->deployment;
   host *controller = pick_controller(fleet, NULL);
-  deployment_trouble(deployment, NULL, 'c', CUT_MS + 14000);
+  deployment_record_fault(deployment, NULL, 'c', CUT_MS + 14000);
   cut_core(w, controller, 0, true);
-  run_steps(w, 2000 + (int64_t)sim_draw(fleet->sim, 3000), controller, true);
-  bool only = sim_draw(fleet->sim, 2);
+  run_steps(w, 2000 + (int64_t)sim_random(fleet->sim, 3000), controller, true);
+  bool only = sim_random(fleet->sim, 2);
   list_for_each (h, &deployment->sim->hosts, host, link) {
     if (h->role > HOST_ROUTER)
       continue;
@@ -562,12 +570,12 @@
     g_strlcpy(h->settings.seed_addresses[0], controller->addr,
               sizeof h->settings.seed_addresses[0]);
   }
-  int again = 1 + (int)sim_draw(fleet->sim, 2);
+  int again = 1 + (int)sim_random(fleet->sim, 2);
   for (int i = 0; i < again; i++) {
-    deployment_trouble(deployment, fleet->router[i], 'k', 500);
+    deployment_record_fault(deployment, fleet->router[i], 'k', 500);
     host_kill(fleet->router[i]);
   }
-  if (sim_draw(fleet->sim, 2))
+  if (sim_random(fleet->sim, 2))
     host_kill(controller);
   sim_run(deployment->sim, time_from_ms(500));
   for (int i = 0; i < again; i++)
--- a/tests/fleet/corrupt_bytes.c
+++ b/tests/fleet/corrupt_bytes.c
@@ -14,23 +14,23 @@
 
 /* changes up to six bytes, or runs of bytes, of a valid text */
 static void corrupt(sim *sim, GString *text) {
-  int changes = 1 + (int)sim_draw(sim, 6);
+  int changes = 1 + (int)sim_random(sim, 6);
   for (int i = 0; i < changes && text->len; i++) {
-    size_t at = sim_draw(sim, text->len);
-    switch (sim_draw(sim, 4)) {
+    size_t at = sim_random(sim, text->len);
+    switch (sim_random(sim, 4)) {
     case 0:
-      text->str[at] = (char)sim_draw(sim, 256);
+      text->str[at] = (char)sim_random(sim, 256);
       break;
     case 1: {
-      size_t length = 1 + sim_draw(sim, 9);
+      size_t length = 1 + sim_random(sim, 9);
       g_string_erase(text, at, MIN(text->len - at, length));
       break;
     }
     case 2:
-      g_string_insert_len(text, at, text->str + sim_draw(sim, text->len), 1);
+      g_string_insert_len(text, at, text->str + sim_random(sim, text->len), 1);
       break;
     case 3:
-      text->str[at] ^= (char)(1 << sim_draw(sim, 8));
+      text->str[at] ^= (char)(1 << sim_random(sim, 8));
       break;
     }
   }
@@ -47,7 +47,7 @@
   config *config = resources[resource] ? config_compile((const json **)resources, &err) : NULL;
   bool valid = config != NULL;
   if (!valid && !err.code)
-    violation(fleet, "refused without a code: %s", text->str);
+    fleet_add_violation(fleet, "refused without a code: %s", text->str);
   config_free(config);
   for (int i = 0; i < RESOURCE_COUNT; i++)
     json_free(resources[i]);
@@ -65,7 +65,7 @@
 }
 
 static void read_corrupt_texts(fleet *fleet) {
-  char *catalogue = fleet_catalogue(6, 4, NULL);
+  char *catalogue = fleet_catalogue_json(6, 4, NULL);
   const char *valid[RESOURCES] = {
     [RESOURCE_CATALOGUE] = catalogue,
     [RESOURCE_POLICY] =
@@ -85,15 +85,15 @@
   }
   g_free(catalogue);
   if (!taken || taken == TEXTS)
-    violation(fleet, "%d taken, %d refused", taken, TEXTS - taken);
+    fleet_add_violation(fleet, "%d taken, %d refused", taken, TEXTS - taken);
 }
 
-static void corrupt_disk(sim *sim, disk *disk) {
-  int changes = 1 + (int)sim_draw(sim, 40);
+static void corrupt_disk(sim *sim, sim_disk *disk) {
+  int changes = 1 + (int)sim_random(sim, 40);
   for (int i = 0; i < changes; i++) {
-    unsigned file = sim_draw(sim, 4);
-    size_t at = sim_draw(sim, sim_draw(sim, 2) ? 4096 : disk->size);
-    disk->file[file][at] = disk->sure[file][at] = (char)sim_draw(sim, 256);
+    unsigned file = sim_random(sim, 4);
+    size_t at = sim_random(sim, sim_random(sim, 2) ? 4096 : disk->size);
+    disk->cached_data[file][at] = disk->durable_data[file][at] = (char)sim_random(sim, 256);
   }
 }
 
@@ -102,7 +102,7 @@
 static bool start_with_corrupt_disks(fleet *fleet) {
   for (int i = 0; i < DISK_STARTS; i++) {
     host *host = fleet->controller[i % 3];
-    host_power(host);
+    host_power_off(host);
     corrupt_disk(fleet->sim, host->disk);
     host_start(host);
     sim_run(fleet->sim, time_from_ms(2500));
@@ -114,7 +114,7 @@
 
 static bool readers_refuse_corrupt_bytes(fleet *fleet) {
   read_corrupt_texts(fleet);
-  if (!fleet_up(fleet) || !start_with_corrupt_disks(fleet))
+  if (!fleet_bring_up(fleet) || !start_with_corrupt_disks(fleet))
     return false;
   scenario_check_acknowledged_writes(fleet);
   return true;
--- a/tests/fleet/input_fuzzing.c
+++ b/tests/fleet/input_fuzzing.c
@@ -38,7 +38,7 @@
   if (dir)
     g_dir_close(dir);
   if (!all->len)
-    violation(fleet, "no inputs in %s", folder);
+    fleet_add_violation(fleet, "no inputs in %s", folder);
   g_ptr_array_free(names, TRUE);
   g_free(folder);
   return all;
@@ -51,23 +51,23 @@
 };
 
 static void change_once(sim *sim, GString *bytes, bool is_text) {
-  size_t at = bytes->len ? sim_draw(sim, bytes->len) : 0;
-  switch (sim_draw(sim, is_text ? 7 : 5)) {
+  size_t at = bytes->len ? sim_random(sim, bytes->len) : 0;
+  switch (sim_random(sim, is_text ? 7 : 5)) {
   case 0:
     if (bytes->len)
-      bytes->str[at] = (char)sim_draw(sim, 256);
+      bytes->str[at] = (char)sim_random(sim, 256);
     return;
   case 1:
     if (bytes->len)
-      bytes->str[at] ^= (char)(1 << sim_draw(sim, 8));
+      bytes->str[at] ^= (char)(1 << sim_random(sim, 8));
     return;
   case 2: {
-    size_t n = 1 + sim_draw(sim, 40);
+    size_t n = 1 + sim_random(sim, 40);
     g_string_erase(bytes, (gssize)at, (gssize)MIN(bytes->len - at, n));
     return;
   }
   case 3: {
-    size_t from = bytes->len ? sim_draw(sim, bytes->len) : 0, n = 1 + sim_draw(sim, 60);
+    size_t from = bytes->len ? sim_random(sim, bytes->len) : 0, n = 1 + sim_random(sim, 60);
     char *copy = g_strndup(bytes->str + from, MIN(bytes->len - from, n));
     g_string_insert(bytes, (gssize)at, copy);
     g_free(copy);
@@ -78,9 +78,9 @@
     return;
   default: {
     /* a value gives way to another */
-    const char *token = tokens[sim_draw(sim, G_N_ELEMENTS(tokens))];
+    const char *token = tokens[sim_random(sim, G_N_ELEMENTS(tokens))];
     size_t n = strcspn(bytes->str + at, ",:]}");
-    if (sim_draw(sim, 2))
+    if (sim_random(sim, 2))
       g_string_erase(bytes, (gssize)at, (gssize)MIN(n, 30));
     g_string_insert(bytes, (gssize)at, token);
   }
@@ -89,13 +89,13 @@
 
 static GString *changed(sim *sim, const char *from, size_t n, bool is_text) {
   GString *bytes = g_string_new_len(from, (gssize)n);
-  for (size_t i = 1 + sim_draw(sim, CHANGES_MAX); i > 0; i--)
+  for (size_t i = 1 + sim_random(sim, CHANGES_MAX); i > 0; i--)
     change_once(sim, bytes, is_text);
   return bytes;
 }
 
 static const char *draw_input(sim *sim, const GPtrArray *all) {
-  return all->pdata[sim_draw(sim, all->len)];
+  return all->pdata[sim_random(sim, all->len)];
 }
 
 /* what was taken is valid, and reads the same once it is written */
@@ -104,12 +104,14 @@
   json *json = json_parse(string_view_of_gstring(text), &err);
   routing *routing = json ? routing_compile(json, &err) : NULL;
   if (!routing)
-    violation(fleet, "a configuration that was taken is invalid (%s): %s", err.text, text->str);
+    fleet_add_violation(fleet, "a configuration that was taken is invalid (%s): %s", err.text,
+                        text->str);
   GString *again = g_string_new(NULL);
   if (json)
     json_write(json, again);
   if (json && !g_string_equal(again, text))
-    violation(fleet, "a configuration changes when it is read and written: %s", text->str);
+    fleet_add_violation(fleet, "a configuration changes when it is read and written: %s",
+                        text->str);
   if (routing) {
     routing_find_route(routing, string_view_of("svc.example"), string_view_of("/once/x"));
     routing_unref(routing);
@@ -125,13 +127,13 @@
   if (!full->len || !patches->len)
     return false;
   for (int i = 0; i < CONFIGURATION_INPUTS; i++) {
-    bool is_full = sim_draw(sim, 2);
+    bool is_full = sim_random(sim, 2);
     const char *input = draw_input(sim, is_full ? full : patches), *base = full->pdata[0];
     GString *text = changed(sim, input, strlen(input), true), *to = g_string_new(NULL);
     error err = { 0 };
     json *body = json_parse(string_view_of_gstring(text), &err);
     if (!body && !err.code)
-      violation(fleet, "JSON is refused without a code: %s", text->str);
+      fleet_add_violation(fleet, "JSON is refused without a code: %s", text->str);
     if (body) {
       uint64_t current = is_full ? 0 : config_change_version(string_view_of(base));
       int code = config_change_apply(string_view_of(is_full ? "" : base), current, is_full, current,
@@ -150,10 +152,11 @@
     g_string_free(to, TRUE);
   }
   if (!taken || !refused)
-    violation(fleet, "%d configurations taken, %d refused: the inputs show little", taken, refused);
+    fleet_add_violation(fleet, "%d configurations taken, %d refused: the inputs show little", taken,
+                        refused);
   g_ptr_array_free(full, TRUE);
   g_ptr_array_free(patches, TRUE);
-  return check_all(fleet);
+  return fleet_check_all(fleet);
 }
 
 /** Requests to a control listener, one after the other. */
@@ -188,9 +191,9 @@
     const char *input = draw_input(sim, calls->heartbeats);
     GString *body = changed(sim, input, strlen(input), true);
     char path[48];
-    snprintf(path, sizeof path, "/v1/engines/fuzz-%d/beat", (int)sim_draw(sim, 20));
+    snprintf(path, sizeof path, "/v1/engines/fuzz-%d/beat", (int)sim_random(sim, 20));
     send_control(calls, path, "POST", string_view_of_gstring(body));
-    if (!sim_draw(sim, 8))
+    if (!sim_random(sim, 8))
       send_control(calls, "/v1/routing", "PATCH", string_view_of_gstring(body));
     g_string_free(body, TRUE);
   }
@@ -201,27 +204,27 @@
 static bool fuzz_heartbeats(fleet *fleet) {
   deployment *deployment = deployment_new(fleet, 2, 1);
   control_calls calls = { .fleet = fleet, .heartbeats = corpus_read(fleet, "beat") };
-  if (!deployment_up(deployment) || !calls.heartbeats->len) {
+  if (!deployment_bring_up(deployment) || !calls.heartbeats->len) {
     g_ptr_array_free(calls.heartbeats, TRUE);
-    return deployment_done(deployment, 0);
+    return deployment_finish(deployment, 0);
   }
-  const controller *controller = deployment->controllers[0]->host->controller;
+  const controller *controller = deployment->controller_processes[0]->host->controller;
   snprintf(calls.address, sizeof calls.address, "%s:%d", controller->control_listener.http.ip,
            controller->control_listener.http.port);
-  calls.from = sim_host(deployment->sim, HOST_OTHER, "fuzzer", "north", "10.9.9.9:7660");
+  calls.from = sim_add_host(deployment->sim, HOST_OTHER, "fuzzer", "north", "10.9.9.9:7660");
   host_start(calls.from);
   task_start(&calls.from->world.tasks, "control", control_run, &calls);
   for (int i = 0; i < 600 && !calls.done; i++)
     sim_run(deployment->sim, time_from_ms(200));
   if (!calls.done || calls.answered < HEARTBEAT_INPUTS)
-    violation(fleet, "only %d of %d heartbeats and more were answered", calls.answered,
-              HEARTBEAT_INPUTS);
+    fleet_add_violation(fleet, "only %d of %d heartbeats and more were answered", calls.answered,
+                        HEARTBEAT_INPUTS);
   if (!calls.accepted)
-    violation(fleet, "no changed heartbeat was taken: the inputs show little");
+    fleet_add_violation(fleet, "no changed heartbeat was taken: the inputs show little");
   host_kill(calls.from);
   g_ptr_array_free(calls.heartbeats, TRUE);
-  deployment_traffic(deployment, 0.5, 3000);
-  return deployment_done(deployment, 0);
+  deployment_run_traffic(deployment, 0.5, 3000);
+  return deployment_finish(deployment, 0);
 }
 
 static GPtrArray *messages;
@@ -253,7 +256,7 @@
 static bool fuzz_peer_messages(fleet *fleet) {
   sim *sim = fleet->sim;
   messages = g_ptr_array_new_with_free_func(free_message);
-  if (!fleet_up(fleet))
+  if (!fleet_bring_up(fleet))
     return false;
   scenario_start_traffic(fleet, 5);
   record_messages(fleet, true);
@@ -262,39 +265,39 @@
   record_messages(fleet, false);
   int read = 0;
   for (int i = 0; i < PEER_INPUTS && messages->len; i++) {
-    const GString *from = messages->pdata[sim_draw(sim, messages->len)];
+    const GString *from = messages->pdata[sim_random(sim, messages->len)];
     GString *bytes = changed(sim, from->str, from->len, false);
     Wire__Envelope *envelope =
         wire__envelope__unpack(NULL, bytes->len, (const uint8_t *)bytes->str);
     read += envelope != NULL;
     if (envelope)
       wire__envelope__free_unpacked(envelope, NULL);
-    host *host = sim_draw(sim, 2) ? fleet->controller[sim_draw(sim, fleet->controllers)]
-                                  : fleet->router[sim_draw(sim, fleet->routers)];
+    host *host = sim_random(sim, 2) ? fleet->controller[sim_random(sim, fleet->controllers)]
+                                    : fleet->router[sim_random(sim, fleet->routers)];
     if (host->alive && host->world.on_message)
       host->world.on_message(host->world.on_message_context, string_view_of_gstring(bytes));
     g_string_free(bytes, TRUE);
     sim_run(sim, time_from_ms(10));
   }
   if (!read)
-    violation(fleet, "of %u messages none could be read once changed", messages->len);
+    fleet_add_violation(fleet, "of %u messages none could be read once changed", messages->len);
   g_ptr_array_free(messages, TRUE);
   messages = NULL;
   return true;
 }
 
 /* changes lie where frames are: at the beginning of a file, and where bytes were written */
-static void change_disk(sim *sim, disk *disk) {
-  for (int k = 1 + (int)sim_draw(sim, 12); k > 0; k--) {
-    unsigned file = (unsigned)sim_draw(sim, 4);
-    size_t at = sim_draw(sim, sim_draw(sim, 2) ? 256 : 16384), n = 1 + sim_draw(sim, 16);
-    if (!disk->file[file] || at + n > disk->size)
+static void change_disk(sim *sim, sim_disk *disk) {
+  for (int k = 1 + (int)sim_random(sim, 12); k > 0; k--) {
+    unsigned file = (unsigned)sim_random(sim, 4);
+    size_t at = sim_random(sim, sim_random(sim, 2) ? 256 : 16384), n = 1 + sim_random(sim, 16);
+    if (!disk->cached_data[file] || at + n > disk->size)
       continue;
-    size_t from = sim_draw(sim, 16384);
-    bool copies = sim_draw(sim, 2);
+    size_t from = sim_random(sim, 16384);
+    bool copies = sim_random(sim, 2);
     for (size_t i = 0; i < n; i++) {
-      char byte = copies ? disk->file[file][from + i] : (char)sim_draw(sim, 256);
-      disk->file[file][at + i] = disk->sure[file][at + i] = byte;
+      char byte = copies ? disk->cached_data[file][from + i] : (char)sim_random(sim, 256);
+      disk->cached_data[file][at + i] = disk->durable_data[file][at + i] = byte;
     }
   }
 }
@@ -302,13 +305,13 @@
 /* the frames of one controller are changed at a time: it comes back, as itself or as a new member,
  * and what was acknowledged stands */
 static bool fuzz_disk_frames(fleet *fleet) {
-  if (!fleet_up(fleet))
+  if (!fleet_bring_up(fleet))
     return false;
   for (int i = 0; i < DISK_STARTS; i++) {
     host *host = fleet->controller[i % 3];
     if (!fleet_put(fleet, "evacuation", "{\"areas\":[]}"))
-      violation(fleet, "no write before start %d", i);
-    host_power(host);
+      fleet_add_violation(fleet, "no write before start %d", i);
+    host_power_off(host);
     change_disk(fleet->sim, host->disk);
     host_start(host);
     sim_run(fleet->sim, time_from_ms(2500));
--- a/tests/fleet/losses.c
+++ b/tests/fleet/losses.c
@@ -7,9 +7,9 @@
 
 /* starts a fleet under traffic, and waits until it serves evenly */
 static bool start_with_traffic(fleet *fleet) {
-  if (!fleet_up(fleet))
+  if (!fleet_bring_up(fleet))
     return false;
-  check_watch(fleet);
+  fleet_start_sampling(fleet);
   scenario_start_traffic(fleet, 14);
   sim_run(fleet->sim, time_from_ms(20000));
   return true;
@@ -21,13 +21,13 @@
   fleet->callers->loadgen->stop = true;
   time_us until = fleet->sim->now;
   sim_run(fleet->sim, time_from_ms(60000));
-  check_back(fleet, loss, until);
+  fleet_check_recovery(fleet, loss, until);
   if (g_getenv("SIM_COUNT")) {
     for (int k = 0; k < 3; k++)
-      fprintf(stderr, "  step back%d %.2f\n", k, MAX(0, back_at(fleet, loss, until, k)));
-    fprintf(stderr, "  step all %.2f\n", MAX(0, back_at(fleet, loss, until, -1)));
+      fprintf(stderr, "  step back%d %.2f\n", k, MAX(0, fleet_recovery_s(fleet, loss, until, k)));
+    fprintf(stderr, "  step all %.2f\n", MAX(0, fleet_recovery_s(fleet, loss, until, -1)));
   }
-  fleet_quiet(fleet);
+  fleet_finish_traffic(fleet);
   return true;
 }
 
@@ -37,7 +37,7 @@
   time_us loss = fleet->sim->now;
   for (int i = 0; i < 3; i++)
     host_kill(fleet->controller[i]);
-  sim_run(fleet->sim, time_from_ms(500 + (int64_t)sim_draw(fleet->sim, 1500)));
+  sim_run(fleet->sim, time_from_ms(500 + (int64_t)sim_random(fleet->sim, 1500)));
   for (int i = 0; i < 3; i++)
     host_start(fleet->controller[i]);
   return check_recovery(fleet, loss);
@@ -49,7 +49,7 @@
   time_us loss = fleet->sim->now;
   for (int i = 0; i < fleet->routers; i++)
     host_kill(fleet->router[i]);
-  sim_run(fleet->sim, time_from_ms(500 + (int64_t)sim_draw(fleet->sim, 1500)));
+  sim_run(fleet->sim, time_from_ms(500 + (int64_t)sim_random(fleet->sim, 1500)));
   for (int i = 0; i < fleet->routers; i++)
     host_start(fleet->router[i]);
   return check_recovery(fleet, loss);
@@ -85,7 +85,7 @@
   if (!start_with_traffic(fleet))
     return false;
   time_us loss = fleet->sim->now;
-  scenario_power_off_zone(fleet, zone_names[sim_draw(fleet->sim, 3)]);
+  scenario_power_off_zone(fleet, zone_names[sim_random(fleet->sim, 3)]);
   return check_recovery(fleet, loss);
 }
 
@@ -93,13 +93,13 @@
   if (!start_with_traffic(fleet))
     return false;
   time_us loss = fleet->sim->now;
-  host *head = fleet_head(fleet);
-  const char *area = zone_names[sim_draw(fleet->sim, 3)];
+  host *head = fleet_find_head(fleet);
+  const char *area = zone_names[sim_random(fleet->sim, 3)];
   if (head)
-    host_power(head);
+    host_power_off(head);
   for (int i = 0; i < fleet->engines; i++)
     if (!strcmp(fleet->engine[i]->area.text, area))
-      host_power(fleet->engine[i]);
+      host_power_off(fleet->engine[i]);
   return check_recovery(fleet, loss);
 }
 
@@ -107,13 +107,13 @@
   if (!start_with_traffic(fleet))
     return false;
   time_us loss = fleet->sim->now;
-  host *old = fleet->controller[sim_draw(fleet->sim, 3)],
+  host *old = fleet->controller[sim_random(fleet->sim, 3)],
        *replacement = scenario_create_controller(fleet, 4, fleet->controller[0],
-                                                 zone_names[sim_draw(fleet->sim, 3)]);
-  host_power(old);
-  host_wipe(old);
+                                                 zone_names[sim_random(fleet->sim, 3)]);
+  host_power_off(old);
+  host_wipe_disk(old);
   fleet->controllers = 4;
-  sim_run(fleet->sim, time_from_ms((int64_t)sim_draw(fleet->sim, 3000)));
+  sim_run(fleet->sim, time_from_ms((int64_t)sim_random(fleet->sim, 3000)));
   host_start(replacement);
   return check_recovery(fleet, loss);
 }
@@ -122,42 +122,42 @@
   if (!start_with_traffic(fleet))
     return false;
   list_for_each (h, &fleet->sim->hosts, host, link)
-    if (h->role <= HOST_ROUTER && sim_draw(fleet->sim, 4))
+    if (h->role <= HOST_ROUTER && sim_random(fleet->sim, 4))
       host_freeze(h);
-  sim_run(fleet->sim, time_from_ms(1000 + (int64_t)sim_draw(fleet->sim, 7000)));
+  sim_run(fleet->sim, time_from_ms(1000 + (int64_t)sim_random(fleet->sim, 7000)));
   time_us loss = fleet->sim->now;
   list_for_each (h, &fleet->sim->hosts, host, link)
     if (h->frozen)
-      host_wake(h);
+      host_unfreeze(h);
   return check_recovery(fleet, loss);
 }
 
 /* the head is lost with its disk right after the answer to a write, and never comes back */
 static bool the_head_is_lost_after_an_acknowledgement(fleet *fleet) {
-  if (!fleet_up(fleet))
+  if (!fleet_bring_up(fleet))
     return false;
-  check_watch(fleet);
-  fleet_mark(fleet);
+  fleet_start_sampling(fleet);
+  fleet_write_policy_marker(fleet);
   sim_run(fleet->sim, time_from_ms(1000));
-  fleet_probe(fleet);
+  fleet_start_policy_probes(fleet);
   for (int i = 0; i < 3; i++)
-    if (fleet->controller[i] != fleet_head(fleet))
-      fleet->controller[i]->disk->slow_ms = 40 + (int64_t)sim_draw(fleet->sim, 100);
-  host *head = fleet_head(fleet);
+    if (fleet->controller[i] != fleet_find_head(fleet))
+      fleet->controller[i]->disk->sync_delay_ms = 40 + (int64_t)sim_random(fleet->sim, 100);
+  host *head = fleet_find_head(fleet);
   if (!head)
     return false;
-  char *evacuation = scenario_evacuation_json(1 + (int)sim_draw(fleet->sim, 8));
-  op_call *call = fleet_send(fleet, fleet->controller[sim_draw(fleet->sim, 3)], "PUT",
-                             "/v1/evacuation", evacuation, NULL, NULL);
+  char *evacuation = scenario_evacuation_json(1 + (int)sim_random(fleet->sim, 8));
+  operator_call *call = fleet_send(fleet, fleet->controller[sim_random(fleet->sim, 3)], "PUT",
+                                   "/v1/evacuation", evacuation, NULL, NULL);
   g_free(evacuation);
-  fleet_mark(fleet);
+  fleet_write_policy_marker(fleet);
   for (int i = 0; i < 3000 && !call->done; i++)
     sim_run(fleet->sim, time_from_ms(1));
-  host_power(head);
-  host_wipe(head);
+  host_power_off(head);
+  host_wipe_disk(head);
   if (call->status != 200)
-    violation(fleet, "a write over slow disks got %d", call->status);
-  call_free(call);
+    fleet_add_violation(fleet, "a write over slow disks got %d", call->status);
+  operator_call_free(call);
   if (!scenario_wait_for_chain(fleet, 2, 10000))
     return false;
   scenario_check_acknowledged_writes(fleet);
@@ -175,7 +175,7 @@
     for (guint k = 0; fleet->engine[i]->engine && k < fleet->engine[i]->engine->orders->len; k++) {
       const engine_sim_order *order =
           &g_array_index(fleet->engine[i]->engine->orders, engine_sim_order, k);
-      loads += order->what == 'l' && order->at.us >= from.us;
+      loads += order->kind == 'l' && order->received_at.us >= from.us;
     }
   return loads;
 }
@@ -183,57 +183,58 @@
 /* the load rate limiter can not renew its lease, and grants permits until it expires; the next one
    must not start before that, and must start, though all other routers still reach the old one */
 static bool the_load_rate_limiter_is_cut_off_from_controllers(fleet *fleet) {
-  fleet->pace = 1;
+  fleet->loads_per_s = 1;
   fleet->models = 40;
-  if (!fleet_up(fleet))
+  if (!fleet_bring_up(fleet))
     return false;
-  check_watch(fleet);
-  fleet->callers->loadgen->plan.zipf = 0;
-  fleet->callers->loadgen->plan.with_adapter = 0;
+  fleet_start_sampling(fleet);
+  fleet->callers->loadgen->plan.zipf_exponent = 0;
+  fleet->callers->loadgen->plan.adapter_ratio = 0;
   scenario_start_traffic(fleet, 12);
   for (int i = 0; i < 5; i++) {
-    sim_run(fleet->sim, time_from_ms(5000 + (int64_t)sim_draw(fleet->sim, 2000)));
-    host *host = fleet_holder(fleet, "pacer");
+    sim_run(fleet->sim, time_from_ms(5000 + (int64_t)sim_random(fleet->sim, 2000)));
+    host *host = fleet_find_lease_holder(fleet, "pacer");
     if (!host)
       continue;
     for (int k = 0; k < 3; k++)
-      sim_part(fleet->sim, host->self.text, fleet->controller[k]->self.text, true);
+      sim_set_partition_both_ways(fleet->sim, host->self.text, fleet->controller[k]->self.text,
+                                  true);
     sim_run(fleet->sim, time_from_ms(12000));
     if (!loads_since(fleet, time_sub(fleet->sim->now, time_from_ms(4000))))
-      violation(fleet, "R12 nothing is loaded 8 to 12 s after %s was cut from the core",
-                host->self.text);
-    sim_mend(fleet->sim);
+      fleet_add_violation(fleet, "R12 nothing is loaded 8 to 12 s after %s was cut from the core",
+                          host->self.text);
+    sim_heal_partitions(fleet->sim);
   }
-  fleet_quiet(fleet);
+  fleet_finish_traffic(fleet);
   return true;
 }
 
 static bool engines_refuse_every_run(fleet *fleet) {
-  if (!fleet_up(fleet))
+  if (!fleet_bring_up(fleet))
     return false;
-  check_watch(fleet);
+  fleet_start_sampling(fleet);
   scenario_start_traffic(fleet, 20);
   sim_run(fleet->sim, time_from_ms(8000));
   for (int i = 0; i < fleet->engines; i++)
-    fleet->engine[i]->engine->faults.streams_most = -1;
+    fleet->engine[i]->engine->faults.streams_max = -1;
   sim_run(fleet->sim, time_from_ms(12000));
   for (int i = 0; i < fleet->engines; i++)
-    fleet->engine[i]->engine->faults.streams_most = 0;
+    fleet->engine[i]->engine->faults.streams_max = 0;
   sim_run(fleet->sim, time_from_ms(3000));
-  fleet_quiet(fleet);
+  fleet_finish_traffic(fleet);
   return true;
 }
 
 /* one model, many routers, long queues: when its engines come back, all routers send at once */
 static bool warming_engines_meet_many_routers(fleet *fleet) {
-  fleet->slow_s = 10;
+  fleet->slow_start_s = 10;
   fleet->models = 3;
-  if (!fleet_up(fleet))
+  if (!fleet_bring_up(fleet))
     return false;
-  check_watch(fleet);
+  fleet_start_sampling(fleet);
   loadgen *loadgen = fleet->callers->loadgen;
-  loadgen->plan.zipf = 6;
-  loadgen->plan.with_adapter = 0;
+  loadgen->plan.zipf_exponent = 6;
+  loadgen->plan.adapter_ratio = 0;
   loadgen->plan.tokens = 200;
   scenario_start_traffic(fleet, 14);
   sim_run(fleet->sim, time_from_ms(14000));
@@ -247,77 +248,77 @@
         host_start(fleet->engine[k]);
     sim_run(fleet->sim, time_from_ms(14000));
   }
-  fleet_quiet(fleet);
+  fleet_finish_traffic(fleet);
   return loadgen_count(loadgen, OUTCOME_DONE) > 0;
 }
 
 /* markers show a configuration that goes back: the tail is ahead of the others for a moment, and
  * then it is lost */
 static bool tails_are_killed_while_markers_are_written(fleet *fleet) {
-  if (!fleet_up(fleet))
+  if (!fleet_bring_up(fleet))
     return false;
-  check_watch(fleet);
-  fleet_mark(fleet);
+  fleet_start_sampling(fleet);
+  fleet_write_policy_marker(fleet);
   sim_run(fleet->sim, time_from_ms(1500));
-  fleet_probe(fleet);
+  fleet_start_policy_probes(fleet);
   scenario_start_traffic(fleet, 4);
   for (int i = 0; i < 5; i++) {
-    host *host = fleet_tail(fleet);
+    host *host = fleet_find_tail(fleet);
     if (!host) {
       sim_run(fleet->sim, time_from_ms(1000));
       continue;
     }
     for (int k = 0; k < 3; k++)
       if (fleet->controller[k] != host)
-        fleet->controller[k]->disk->slow_ms = 60;
+        fleet->controller[k]->disk->sync_delay_ms = 60;
     /* and its acknowledgements are lost, so that the one before it is behind what routers
      * have read */
-    bool hears_nothing = sim_draw(fleet->sim, 2);
+    bool hears_nothing = sim_random(fleet->sim, 2);
     for (int k = 0; k < 3 && hears_nothing; k++)
       if (fleet->controller[k] != host) {
-        fleet->controller[k]->disk->slow_ms = 5;
-        sim_cut(fleet->sim, host->self.text, fleet->controller[k]->self.text, true);
+        fleet->controller[k]->disk->sync_delay_ms = 5;
+        sim_set_partition(fleet->sim, host->self.text, fleet->controller[k]->self.text, true);
       }
     if (hears_nothing)
       sim_run(fleet->sim, time_from_ms(900));
     for (int k = 0; k < 4; k++) {
-      fleet_mark(fleet);
-      sim_run(fleet->sim, (time_us){ 100000 + (int64_t)sim_draw(fleet->sim, 150000) });
+      fleet_write_policy_marker(fleet);
+      sim_run(fleet->sim, (time_us){ 100000 + (int64_t)sim_random(fleet->sim, 150000) });
     }
     host_kill(host);
-    sim_mend(fleet->sim);
+    sim_heal_partitions(fleet->sim);
     scenario_write_markers(fleet, 4000, 700);
     host_start(host);
     for (int k = 0; k < 3; k++)
-      fleet->controller[k]->disk->slow_ms = 0;
+      fleet->controller[k]->disk->sync_delay_ms = 0;
     scenario_write_markers(fleet, 5000, 900);
   }
   if (!scenario_wait_for_chain(fleet, 3, 15000))
     return false;
   scenario_check_acknowledged_writes(fleet);
   fleet->probing = false;
-  fleet_quiet(fleet);
+  fleet_finish_traffic(fleet);
   sim_run(fleet->sim, time_from_ms(3500));
   return true;
 }
 
 /* a restarted engine has no models, and no router has received a report of it yet */
 static bool engines_restart_between_reports(fleet *fleet) {
-  if (!fleet_up(fleet))
+  if (!fleet_bring_up(fleet))
     return false;
-  check_watch(fleet);
-  fleet->callers->loadgen->plan.zipf = 0.3;
-  fleet->callers->loadgen->plan.with_adapter = 0.9;
+  fleet_start_sampling(fleet);
+  fleet->callers->loadgen->plan.zipf_exponent = 0.3;
+  fleet->callers->loadgen->plan.adapter_ratio = 0.9;
   scenario_start_traffic(fleet, 14);
   sim_run(fleet->sim, time_from_ms(5000));
   for (int i = 0; i < 40; i++) {
-    host *host = fleet->engine[sim_draw(fleet->sim, fleet->engines)];
-    host_power(host);
+    host *host = fleet->engine[sim_random(fleet->sim, fleet->engines)];
+    host_power_off(host);
     host_start(host);
-    sim_run(fleet->sim, time_from_ms(300 + (int64_t)sim_draw(fleet->sim, 900)));
+    sim_run(fleet->sim, time_from_ms(300 + (int64_t)sim_random(fleet->sim, 900)));
   }
   sim_run(fleet->sim, time_from_ms(8000));
-  fleet_quiet(fleet);
+  fleet_finish_traffic(fleet);
   return loadgen_count(fleet->callers->loadgen, OUTCOME_DONE) > 0;
 }
 
--- a/tests/fleet/partitions.c
+++ b/tests/fleet/partitions.c
@@ -17,12 +17,12 @@
 
 static attempt_counts count_attempts(const fleet *fleet, time_us after) {
   attempt_counts counts = { 0 };
-  const GArray *log = fleet->callers->loadgen->log;
+  const GArray *log = fleet->callers->loadgen->attempts;
   for (guint i = 0; i < log->len; i++) {
     const loadgen_attempt *attempt = &g_array_index(log, loadgen_attempt, i);
-    if (attempt->from.us > after.us) {
+    if (attempt->started_at.us > after.us) {
       counts.sent++;
-      counts.done += attempt->how == OUTCOME_DONE;
+      counts.done += attempt->outcome == OUTCOME_DONE;
     }
   }
   return counts;
@@ -30,12 +30,12 @@
 
 /* starts a fleet under traffic, with requests to every router that show which policy is in force */
 static bool start_with_probes(fleet *fleet, double per_s) {
-  if (!fleet_up(fleet))
+  if (!fleet_bring_up(fleet))
     return false;
-  check_watch(fleet);
-  fleet_mark(fleet);
+  fleet_start_sampling(fleet);
+  fleet_write_policy_marker(fleet);
   sim_run(fleet->sim, time_from_ms(1500));
-  fleet_probe(fleet);
+  fleet_start_policy_probes(fleet);
   scenario_start_traffic(fleet, per_s);
   sim_run(fleet->sim, time_from_ms(6000));
   return true;
@@ -43,17 +43,17 @@
 
 /* mends all links: markers go on being acknowledged, and the fleet serves by itself */
 static bool mend_and_check(fleet *fleet) {
-  sim_mend(fleet->sim);
+  sim_heal_partitions(fleet->sim);
   scenario_write_markers(fleet, 10000, MARKER_INTERVAL_MS);
-  const note *last = NULL;
-  for (guint i = 0; i < fleet->notes->len; i++) {
-    const note *note = fleet->notes->pdata[i];
-    if (note->mark && note->status == 200)
+  const operator_write *last = NULL;
+  for (guint i = 0; i < fleet->writes->len; i++) {
+    const operator_write *note = fleet->writes->pdata[i];
+    if (note->marker_status && note->status == 200)
       last = note;
   }
-  if (!last || time_sub(fleet->sim->now, last->at).us > time_from_ms(MARKER_AGE_MAX_MS).us)
-    violation(fleet, "no marker was acknowledged after all was mended");
-  fleet_quiet(fleet);
+  if (!last || time_sub(fleet->sim->now, last->answered_at).us > time_from_ms(MARKER_AGE_MAX_MS).us)
+    fleet_add_violation(fleet, "no marker was acknowledged after all was mended");
+  fleet_finish_traffic(fleet);
   fleet->probing = false;
   sim_run(fleet->sim, time_from_ms(3500));
   return true;
@@ -63,34 +63,34 @@
 static void cut_from(fleet *fleet, host *from, enum host_role role) {
   list_for_each (other, &fleet->sim->hosts, host, link)
     if (other != from && other->role == role)
-      sim_part(fleet->sim, from->self.text, other->self.text, true);
+      sim_set_partition_both_ways(fleet->sim, from->self.text, other->self.text, true);
 }
 
 static bool a_router_is_isolated(fleet *fleet) {
   if (!start_with_probes(fleet, 10))
     return false;
-  host *host = fleet->router[sim_draw(fleet->sim, fleet->routers)];
+  host *host = fleet->router[sim_random(fleet->sim, fleet->routers)];
   cut_from(fleet, host, HOST_CONTROLLER);
   cut_from(fleet, host, HOST_ROUTER);
-  if (sim_draw(fleet->sim, 2))
+  if (sim_random(fleet->sim, 2))
     cut_from(fleet, host, HOST_PLATFORM);
-  sim_run(fleet->sim, time_from_ms((int64_t)sim_draw(fleet->sim, 3000)));
+  sim_run(fleet->sim, time_from_ms((int64_t)sim_random(fleet->sim, 3000)));
   if (!fleet_put(fleet, "evacuation", "{\"areas\":[{\"area\":\"south\"}]}"))
-    violation(fleet, "one router that is cut off stops the operator");
-  platform_sim_mark(fleet->platform->platform, fleet->engine[0]->self, true, false);
+    fleet_add_violation(fleet, "one router that is cut off stops the operator");
+  platform_sim_set_engine_state(fleet->platform->platform, fleet->engine[0]->self, true, false);
   scenario_write_markers(fleet, 12000, MARKER_INTERVAL_MS);
   if (!fleet_put(fleet, "evacuation", "{\"areas\":[]}"))
-    violation(fleet, "one router that is cut off stops the operator");
-  platform_sim_mark(fleet->platform->platform, fleet->engine[0]->self, false, false);
+    fleet_add_violation(fleet, "one router that is cut off stops the operator");
+  platform_sim_set_engine_state(fleet->platform->platform, fleet->engine[0]->self, false, false);
   return mend_and_check(fleet);
 }
 
 static bool a_zone_is_cut_off(fleet *fleet) {
   if (!start_with_probes(fleet, 10))
     return false;
-  const char *area = zone_names[sim_draw(fleet->sim, 3)];
+  const char *area = zone_names[sim_random(fleet->sim, 3)];
   /* the platform stands on either side */
-  bool with = sim_draw(fleet->sim, 2);
+  bool with = sim_random(fleet->sim, 2);
   list_for_each (a, &fleet->sim->hosts, host, link)
     list_for_each (b, &fleet->sim->hosts, host, link) {
       if (a->role > HOST_PLATFORM || b->role > HOST_PLATFORM)
@@ -98,40 +98,43 @@
       bool in = a->role == HOST_PLATFORM ? with : !strcmp(a->area.text, area),
            out = b->role == HOST_PLATFORM ? !with : strcmp(b->area.text, area) != 0;
       if (in && out)
-        sim_part(fleet->sim, a->self.text, b->self.text, true);
+        sim_set_partition_both_ways(fleet->sim, a->self.text, b->self.text, true);
     }
   /* while the platform is on the smaller side, most routers keep the list they had: design.md
    * states the case */
   if (!with)
-    platform_sim_mark(fleet->platform->platform,
-                      fleet->engine[sim_draw(fleet->sim, fleet->engines)]->self, true, false);
+    platform_sim_set_engine_state(fleet->platform->platform,
+                                  fleet->engine[sim_random(fleet->sim, fleet->engines)]->self, true,
+                                  false);
   scenario_write_markers(fleet, 6000, MARKER_INTERVAL_MS);
-  op_call *call = fleet_send(fleet, fleet->controller[sim_draw(fleet->sim, 3)], "PUT",
-                             "/v1/evacuation", "{\"areas\":[{\"area\":\"mid\"}]}", NULL, NULL);
+  operator_call *call =
+      fleet_send(fleet, fleet->controller[sim_random(fleet->sim, 3)], "PUT", "/v1/evacuation",
+                 "{\"areas\":[{\"area\":\"mid\"}]}", NULL, NULL);
   scenario_write_markers(fleet, 9000, MARKER_INTERVAL_MS);
   bool ok = mend_and_check(fleet);
   sim_run(fleet->sim, time_from_ms(20000));
-  call_free(call);
+  operator_call_free(call);
   return ok;
 }
 
 static bool most_routers_are_cut_off_from_controllers(fleet *fleet) {
   if (!start_with_probes(fleet, 10))
     return false;
-  int keep = (int)sim_draw(fleet->sim, fleet->routers / 2 + 1);
+  int keep = (int)sim_random(fleet->sim, fleet->routers / 2 + 1);
   for (int i = 0; i < fleet->routers; i++) {
     if (i < keep)
       continue;
     cut_from(fleet, fleet->router[i], HOST_CONTROLLER);
     for (int k = 0; k < keep; k++)
-      sim_part(fleet->sim, fleet->router[i]->self.text, fleet->router[k]->self.text, true);
+      sim_set_partition_both_ways(fleet->sim, fleet->router[i]->self.text,
+                                  fleet->router[k]->self.text, true);
   }
   time_us from = fleet->sim->now;
   scenario_write_markers(fleet, 12000, 2500);
   attempt_counts attempts = count_attempts(fleet, time_add(from, time_from_ms(4000)));
   if (keep < (fleet->routers + 1) / 2 && attempts.done < attempts.sent / 4)
-    violation(fleet, "most routers hold together, and %d of %d were served", attempts.done,
-              attempts.sent);
+    fleet_add_violation(fleet, "most routers hold together, and %d of %d were served",
+                        attempts.done, attempts.sent);
   return mend_and_check(fleet);
 }
 
@@ -139,13 +142,13 @@
   if (!start_with_probes(fleet, 10))
     return false;
   for (int i = 0; i < 3; i++) {
-    int n = 1 + (int)sim_draw(fleet->sim, fleet->routers - 1);
+    int n = 1 + (int)sim_random(fleet->sim, fleet->routers - 1);
     for (int k = 0; k < n; k++)
       host_freeze(fleet->router[(i + k) % fleet->routers]);
-    scenario_write_markers(fleet, 1000 + (int64_t)sim_draw(fleet->sim, 8000), MARKER_INTERVAL_MS);
+    scenario_write_markers(fleet, 1000 + (int64_t)sim_random(fleet->sim, 8000), MARKER_INTERVAL_MS);
     for (int k = 0; k < fleet->routers; k++)
       if (fleet->router[k]->frozen)
-        host_wake(fleet->router[k]);
+        host_unfreeze(fleet->router[k]);
     scenario_write_markers(fleet, 4000, MARKER_INTERVAL_MS);
   }
   return mend_and_check(fleet);
@@ -155,18 +158,18 @@
   if (!start_with_probes(fleet, 10))
     return false;
   for (int i = 0; i < 3; i++) {
-    host *h = fleet->router[sim_draw(fleet->sim, fleet->routers)];
-    bool hears = sim_draw(fleet->sim, 2), all = sim_draw(fleet->sim, 2);
+    host *h = fleet->router[sim_random(fleet->sim, fleet->routers)];
+    bool hears = sim_random(fleet->sim, 2), all = sim_random(fleet->sim, 2);
     list_for_each (k, &fleet->sim->hosts, host, link) {
       if (k == h || (k->role != HOST_CONTROLLER && !(all && k->role == HOST_ROUTER)))
         continue;
       if (hears)
-        sim_cut(fleet->sim, h->self.text, k->self.text, true);
+        sim_set_partition(fleet->sim, h->self.text, k->self.text, true);
       else
-        sim_cut(fleet->sim, k->self.text, h->self.text, true);
+        sim_set_partition(fleet->sim, k->self.text, h->self.text, true);
     }
     scenario_write_markers(fleet, 5000, MARKER_INTERVAL_MS);
-    sim_mend(fleet->sim);
+    sim_heal_partitions(fleet->sim);
     scenario_write_markers(fleet, 3000, MARKER_INTERVAL_MS);
   }
   return mend_and_check(fleet);
@@ -178,7 +181,7 @@
   for (int i = 0; i < 3; i++)
     host_kill(fleet->controller[i]);
   sim_run(fleet->sim, time_from_ms(5000));
-  int n = 1 + (int)sim_draw(fleet->sim, fleet->routers);
+  int n = 1 + (int)sim_random(fleet->sim, fleet->routers);
   for (int i = 0; i < n; i++) {
     host_kill(fleet->router[i]);
     sim_run(fleet->sim, time_from_ms(300));
@@ -191,8 +194,8 @@
   attempt_counts attempts = count_attempts(fleet, from);
   /* as long as most routers never stopped, the others learn from them and serve what is resident */
   if (n < (fleet->routers + 1) / 2 && attempts.done < attempts.sent / 4)
-    violation(fleet, "%d routers restarted without the core, and %d of %d were served", n,
-              attempts.done, attempts.sent);
+    fleet_add_violation(fleet, "%d routers restarted without the core, and %d of %d were served", n,
+                        attempts.done, attempts.sent);
   for (int i = 0; i < 3; i++)
     host_start(fleet->controller[i]);
   return scenario_wait_for_chain(fleet, 3, 15000) && mend_and_check(fleet);
@@ -202,57 +205,58 @@
   if (!start_with_probes(fleet, 12))
     return false;
   /* some routers can't reach it, the others pass on that an engine leaves */
-  int n = 1 + (int)sim_draw(fleet->sim, fleet->routers - 1);
+  int n = 1 + (int)sim_random(fleet->sim, fleet->routers - 1);
   for (int i = 0; i < n; i++)
     cut_from(fleet, fleet->router[i], HOST_PLATFORM);
   /* one of them reaches the controllers, and no router that has the list */
-  if (sim_draw(fleet->sim, 2))
+  if (sim_random(fleet->sim, 2))
     cut_from(fleet, fleet->router[0], HOST_ROUTER);
-  sim_run(fleet->sim, time_from_ms(1000 + (int64_t)sim_draw(fleet->sim, 3000)));
+  sim_run(fleet->sim, time_from_ms(1000 + (int64_t)sim_random(fleet->sim, 3000)));
   for (int i = 0; i < 2; i++) {
-    platform_sim_mark(fleet->platform->platform, fleet->engine[i]->self, true, false);
+    platform_sim_set_engine_state(fleet->platform->platform, fleet->engine[i]->self, true, false);
     sim_run(fleet->sim, time_from_ms(7000));
   }
-  platform_sim_mark(fleet->platform->platform, fleet->engine[0]->self, false, false);
+  platform_sim_set_engine_state(fleet->platform->platform, fleet->engine[0]->self, false, false);
   sim_run(fleet->sim, time_from_ms(5000));
   return mend_and_check(fleet);
 }
 
 /* a renewal comes while the grant to the next holder is on its way through slow disks */
 static bool a_renewal_meets_a_grant(fleet *fleet) {
-  if (!fleet_up(fleet))
+  if (!fleet_bring_up(fleet))
     return false;
-  check_watch(fleet);
+  fleet_start_sampling(fleet);
   scenario_start_traffic(fleet, 4);
   for (int i = 0; i < 3; i++)
-    fleet->controller[i]->disk->slow_ms = 300;
+    fleet->controller[i]->disk->sync_delay_ms = 300;
   for (int i = 0; i < 7; i++) {
-    host *host = fleet_holder(fleet, sim_draw(fleet->sim, 2) ? "pacer" : "engine:engine-1");
+    host *host =
+        fleet_find_lease_holder(fleet, sim_random(fleet->sim, 2) ? "pacer" : "engine:engine-1");
     if (!host) {
       sim_run(fleet->sim, time_from_ms(2000));
       continue;
     }
     host_freeze(host);
     /* about when the head grants the lease to another router */
-    sim_run(fleet->sim, time_from_ms(2700 + (int64_t)sim_draw(fleet->sim, 1500)));
-    host_wake(host);
+    sim_run(fleet->sim, time_from_ms(2700 + (int64_t)sim_random(fleet->sim, 1500)));
+    host_unfreeze(host);
     sim_run(fleet->sim, time_from_ms(6000));
   }
   for (int i = 0; i < 3; i++)
-    fleet->controller[i]->disk->slow_ms = 0;
-  fleet_quiet(fleet);
+    fleet->controller[i]->disk->sync_delay_ms = 0;
+  fleet_finish_traffic(fleet);
   return true;
 }
 
 /* a process that restarts at once counts as gone under its old incarnation, and must be found all
  * the same */
 static bool a_peer_declared_gone_comes_back(fleet *fleet) {
-  if (!fleet_up(fleet))
+  if (!fleet_bring_up(fleet))
     return false;
-  check_watch(fleet);
+  fleet_start_sampling(fleet);
   for (int i = 0; i < 4; i++) {
-    host *h = sim_draw(fleet->sim, 2) ? fleet->controller[sim_draw(fleet->sim, 3)]
-                                      : fleet->router[sim_draw(fleet->sim, fleet->routers)];
+    host *h = sim_random(fleet->sim, 2) ? fleet->controller[sim_random(fleet->sim, 3)]
+                                        : fleet->router[sim_random(fleet->sim, fleet->routers)];
     for (int k = 0; k < 2; k++) {
       host_kill(h);
       sim_run(fleet->sim, time_from_ms(200));
@@ -260,7 +264,7 @@
       sim_run(fleet->sim, time_from_ms(2500));
     }
     host_kill(h);
-    sim_run(fleet->sim, time_from_ms(1300 + (int64_t)sim_draw(fleet->sim, 800)));
+    sim_run(fleet->sim, time_from_ms(1300 + (int64_t)sim_random(fleet->sim, 800)));
     host_start(h);
     sim_run(fleet->sim, time_from_ms(4000));
     list_for_each (a, &fleet->sim->hosts, host, link) {
@@ -270,7 +274,7 @@
           peer_table_find(a->controller ? &a->controller->node : &a->router->node, h->self);
       node *node = h->controller ? &h->controller->node : &h->router->node;
       if (!peer || peer->gone || peer->nonce != node->nonce)
-        violation(fleet, "%s does not know that %s is back", a->self.text, h->self.text);
+        fleet_add_violation(fleet, "%s does not know that %s is back", a->self.text, h->self.text);
     }
   }
   return true;
