--- a/tests/fleet/random_faults.c
+++ b/tests/fleet/random_faults.c
@@ -88,22 +88,22 @@
 static void draw_schedule(uint64_t seed, int routers, int engines, fault schedule[STEPS]) {
   sim *sim = sim_new(seed + SCHEDULE_SEED_OFFSET);
   for (int i = 0; i < STEPS; i++)
-    schedule[i] = (fault){ (enum fault_kind)sim_draw(sim, FAULT_KINDS),
-                           (enum target)sim_draw(sim, TARGETS),
-                           (int)sim_draw(sim, 3),
-                           (int)sim_draw(sim, routers),
-                           (int)sim_draw(sim, engines),
-                           (int)sim_draw(sim, 9),
-                           300 + (int64_t)sim_draw(sim, 5000),
-                           (int64_t)sim_draw(sim, 6000),
-                           (int64_t)sim_draw(sim, 6000),
-                           sim_draw(sim, 2) != 0 };
+    schedule[i] = (fault){ (enum fault_kind)sim_random(sim, FAULT_KINDS),
+                           (enum target)sim_random(sim, TARGETS),
+                           (int)sim_random(sim, 3),
+                           (int)sim_random(sim, routers),
+                           (int)sim_random(sim, engines),
+                           (int)sim_random(sim, 9),
+                           300 + (int64_t)sim_random(sim, 5000),
+                           (int64_t)sim_random(sim, 6000),
+                           (int64_t)sim_random(sim, 6000),
+                           sim_random(sim, 2) != 0 };
   sim_free(sim);
 }
 
 /* only one disk is ever lost at a time: the next one waits until all replicas are in the chain */
 static bool chain_is_complete(fleet *fleet) {
-  host *tail = fleet_tail(fleet), *head = fleet_head(fleet);
+  host *tail = fleet_find_tail(fleet), *head = fleet_find_head(fleet);
   return head && tail && head->controller->replica.view.chain_length == 3 &&
          tail->controller->replica.view.epoch == head->controller->replica.view.epoch;
 }
@@ -113,7 +113,7 @@
     return;
   engine_faults *faults = &engine->engine->faults;
   faults->fail_loads = 2;
-  faults->silent_loads = 1;
+  faults->unanswered_loads = 1;
   faults->fail_unloads = 1;
   faults->drop_orders = 1;
 }
@@ -134,8 +134,8 @@
 static void wipe_disk(fleet *fleet, host *controller) {
   if (!chain_is_complete(fleet))
     return;
-  host_power(controller);
-  host_wipe(controller);
+  host_power_off(controller);
+  host_wipe_disk(controller);
   host_start(controller);
 }
 
@@ -144,14 +144,14 @@
   platform_sim *platform = fleet->platform->platform;
   for (int i = 0; i < 2 && fleet->platform->alive; i++) {
     host *engine = fleet->engine[(fault->engine + i) % fleet->engines];
-    platform_sim_mark(platform, engine->self, true, false);
+    platform_sim_set_engine_state(platform, engine->self, true, false);
     sim_run(fleet->sim, time_from_ms(fault->span_ms / 2));
     host_kill(engine);
     if (fleet->platform->alive)
-      platform_sim_mark(platform, engine->self, true, true);
+      platform_sim_set_engine_state(platform, engine->self, true, true);
     sim_run(fleet->sim, time_from_ms(900));
     if (fleet->platform->alive)
-      platform_sim_mark(platform, engine->self, false, false);
+      platform_sim_set_engine_state(platform, engine->self, false, false);
     host_start(engine);
   }
 }
@@ -172,9 +172,9 @@
     host *controller = fleet->controller[(fault->controller + i) % 3];
     char base[32];
     uint64_t last = 0;
-    for (guint k = 0; k < fleet->acks->len; k++)
-      if (g_array_index(fleet->acks, ack, k).which == RESOURCE_EVACUATION)
-        last = g_array_index(fleet->acks, ack, k).version;
+    for (guint k = 0; k < fleet->write_acks->len; k++)
+      if (g_array_index(fleet->write_acks, write_ack, k).resource == RESOURCE_EVACUATION)
+        last = g_array_index(fleet->write_acks, write_ack, k).version;
     snprintf(base, sizeof base, "%" PRIu64, last);
     char *text = evacuation_of(controller, (fault->share + 1) / 9.0);
     g_ptr_array_add(calls, fleet_send(fleet, controller, i ? "PATCH" : "PUT", "/v1/evacuation",
@@ -194,32 +194,32 @@
   case FAULT_KILL:
     host_kill(target);
     if (getenv("MUTATE"))
-      violation(fleet, "seeded");
+      fleet_add_violation(fleet, "seeded");
     break;
   case FAULT_POWER_OFF:
-    host_power(target);
+    host_power_off(target);
     break;
   case FAULT_FREEZE:
     if (target->alive)
       host_freeze(target);
     break;
   case FAULT_CUT:
-    sim_part(fleet->sim, target->self.text, NULL, true);
+    sim_set_partition_both_ways(fleet->sim, target->self.text, NULL, true);
     break;
   case FAULT_CUT_ONE_WAY:
-    sim_cut(fleet->sim, target->self.text, controller->self.text, true);
+    sim_set_partition(fleet->sim, target->self.text, controller->self.text, true);
     break;
   case FAULT_LOSE_MESSAGES:
-    fleet->sim->loss = 0.05;
+    fleet->sim->loss_ratio = 0.05;
     break;
   case FAULT_DELAY_MESSAGES:
-    fleet->sim->spread_ms = 60;
+    fleet->sim->jitter_ms = 60;
     break;
   case FAULT_STALL_DISK:
-    controller->disk->stall = time_add(fleet->sim->now, time_from_ms(fault->span_ms));
+    controller->disk->stalled_until = time_add(fleet->sim->now, time_from_ms(fault->span_ms));
     break;
   case FAULT_MOVE_CLOCK:
-    target->wall += fault->span_ms * 600000 - 1800000000;
+    target->wall_clock_offset_us += fault->span_ms * 600000 - 1800000000;
     break;
   case FAULT_FAIL_LOADS:
     fail_loads(engine);
@@ -241,7 +241,8 @@
     break;
   case FAULT_MARK_ENGINE:
     if (fleet->platform->alive)
-      platform_sim_mark(fleet->platform->platform, engine->self, fault->share > 3, false);
+      platform_sim_set_engine_state(fleet->platform->platform, engine->self, fault->share > 3,
+                                    false);
     break;
   case FAULT_REPLACE_ENGINES:
     replace_engines(fleet, fault);
@@ -257,10 +258,10 @@
     break;
   case FAULT_LATE_CAPACITY:
     if (engine->engine)
-      engine->engine->faults.late_ms = 300 + fault->span_ms / 3;
+      engine->engine->faults.order_delay_ms = 300 + fault->span_ms / 3;
     break;
   case FAULT_SLOW_DISK:
-    controller->disk->slow_ms = 20 + fault->span_ms / 40;
+    controller->disk->sync_delay_ms = 20 + fault->span_ms / 40;
     break;
   case FAULT_KINDS:
     break;
@@ -269,7 +270,7 @@
 
 static void free_calls(GPtrArray *calls) {
   for (guint i = 0; i < calls->len; i++)
-    call_free(calls->pdata[i]);
+    operator_call_free(calls->pdata[i]);
   g_ptr_array_free(calls, TRUE);
 }
 
@@ -280,23 +281,23 @@
     const fault *fault = &schedule[i];
     inject(fleet, fault, calls);
     sim_run(fleet->sim, time_from_ms(fault->wait_ms / 2));
-    fleet_mark(fleet);
+    fleet_write_policy_marker(fleet);
     sim_run(fleet->sim, time_from_ms(fault->wait_ms - fault->wait_ms / 2));
     if (!fault->heals)
       continue;
     scenario_heal_all(fleet);
     sim_run(fleet->sim, time_from_ms(fault->heal_ms));
-    fleet_mark(fleet);
+    fleet_write_policy_marker(fleet);
   }
 }
 
 static void heal_fleet_and_engines(fleet *fleet) {
   scenario_heal_all(fleet);
   for (int i = 0; i < fleet->engines; i++) {
-    platform_sim_mark(fleet->platform->platform, fleet->engine[i]->self, false, false);
+    platform_sim_set_engine_state(fleet->platform->platform, fleet->engine[i]->self, false, false);
     engine_faults *faults = &fleet->engine[i]->engine->faults;
-    faults->late_ms = 0;
-    faults->fail_loads = faults->silent_loads = faults->fail_unloads = faults->drop_orders = 0;
+    faults->order_delay_ms = 0;
+    faults->fail_loads = faults->unanswered_loads = faults->fail_unloads = faults->drop_orders = 0;
   }
 }
 
@@ -304,17 +305,17 @@
 static void check_healed(fleet *fleet) {
   scenario_check_acknowledged_writes(fleet);
   if (!fleet_put(fleet, "evacuation", "{\"areas\":[]}"))
-    violation(fleet, "no write though all was healed");
+    fleet_add_violation(fleet, "no write though all was healed");
   time_us from = fleet->sim->now;
   sim_run(fleet->sim, time_from_ms(12000));
   const GPtrArray *requests = fleet->callers->loadgen->requests;
   int done = 0;
   for (guint i = 0; i < requests->len; i++) {
     const loadgen_request *request = requests->pdata[i];
-    done += request->from.us >= from.us && request->how == OUTCOME_DONE;
+    done += request->started_at.us >= from.us && request->outcome == OUTCOME_DONE;
   }
   if (!done)
-    violation(fleet, "R12 nobody is served, though all was healed");
+    fleet_add_violation(fleet, "R12 nobody is served, though all was healed");
 }
 
 /* some runs end with a closing fault, after which nothing more is healed */
@@ -328,8 +329,8 @@
   fleet->probing = false;
   list_for_each (h, &fleet->sim->hosts, host, link)
     if (h->frozen)
-      host_wake(h);
-  fleet_quiet(fleet);
+      host_unfreeze(h);
+  fleet_finish_traffic(fleet);
   sim_run(fleet->sim, time_from_ms(3500));
 }
 
@@ -338,13 +339,13 @@
   if (getenv("STEPS") && enabled_steps == ~0u)
     enabled_steps = (uint32_t)strtoul(getenv("STEPS"), NULL, 16);
   draw_schedule(fleet->seed, fleet->routers, fleet->engines, schedule);
-  if (!fleet_up(fleet))
+  if (!fleet_bring_up(fleet))
     return false;
-  check_watch(fleet);
-  fleet_mark(fleet);
+  fleet_start_sampling(fleet);
+  fleet_write_policy_marker(fleet);
   sim_run(fleet->sim, time_from_ms(MARKER_MS));
-  fleet_probe(fleet);
-  fleet->callers->loadgen->plan.zipf = 0.7;
+  fleet_start_policy_probes(fleet);
+  fleet->callers->loadgen->plan.zipf_exponent = 0.7;
   scenario_start_traffic(fleet, 6);
   GPtrArray *calls = g_ptr_array_new();
   run_schedule(fleet, schedule, calls);
@@ -363,17 +364,17 @@
   return run(fleet);
 }
 static bool anything_happens_at_lanka(fleet *fleet) {
-  return fleet_ship(fleet, "examples/lanka") && run(fleet);
+  return fleet_load_deployment(fleet, "examples/lanka") && run(fleet);
 }
 static bool anything_happens_at_selam(fleet *fleet) {
-  return fleet_ship(fleet, "examples/selam") && run(fleet);
+  return fleet_load_deployment(fleet, "examples/selam") && run(fleet);
 }
 
 /* whether the test passes with the steps that are enabled */
 static bool passes(test_function test, uint64_t seed, int routers, int engines) {
   fleet *fleet = fleet_new(seed, routers, engines);
   bool passed = test(fleet);
-  passed = check_quiet(fleet) && passed;
+  passed = fleet_check_silently(fleet) && passed;
   fleet_free(fleet);
   return passed;
 }
--- a/tests/fleet/serving.c
+++ b/tests/fleet/serving.c
@@ -5,11 +5,11 @@
 #include <stdio.h>
 
 static bool serves(fleet *fleet) {
-  if (!fleet_up(fleet))
+  if (!fleet_bring_up(fleet))
     return false;
-  check_watch(fleet);
-  fleet_traffic(fleet, 8, time_from_ms(20000));
-  fleet_quiet(fleet);
+  fleet_start_sampling(fleet);
+  fleet_run_traffic(fleet, 8, time_from_ms(20000));
+  fleet_finish_traffic(fleet);
   loadgen *loadgen = fleet->callers->loadgen;
   if (g_getenv("SIM_COUNT")) {
     GString *b = g_string_new(NULL);
--- a/tests/fleet/zone_loss.c
+++ b/tests/fleet/zone_loss.c
@@ -9,18 +9,18 @@
 enum { RECOVERY_OBSERVED_MS = 16000 };
 
 static bool a_zone_loses_power(fleet *fleet) {
-  if (!fleet_up(fleet))
+  if (!fleet_bring_up(fleet))
     return false;
-  check_watch(fleet);
+  fleet_start_sampling(fleet);
   scenario_start_traffic(fleet, 6);
   sim_run(fleet->sim, time_from_ms(10000));
   char *evacuation = scenario_evacuation_json(0);
   if (!fleet_put(fleet, "evacuation", evacuation))
     return false;
   g_free(evacuation);
-  const char *area = zone_names[sim_draw(fleet->sim, 3)];
+  const char *area = zone_names[sim_random(fleet->sim, 3)];
   time_us from = fleet->sim->now;
-  host *head = fleet_head(fleet);
+  host *head = fleet_find_head(fleet);
   uint64_t epoch = head ? head->controller->replica.view.epoch : 0;
   scenario_power_off_zone(fleet, area);
   recovery_times times = recovery_observe(fleet, RECOVERY_OBSERVED_MS, epoch);
@@ -31,21 +31,21 @@
   scenario_check_acknowledged_writes(fleet);
   evacuation = scenario_evacuation_json(0);
   if (!fleet_put(fleet, "evacuation", evacuation))
-    violation(fleet, "no write with an area lost");
+    fleet_add_violation(fleet, "no write with an area lost");
   g_free(evacuation);
   list_for_each (h, &fleet->sim->hosts, host, link)
     if (!h->alive)
       host_start(h);
   if (!scenario_wait_for_chain(fleet, 3, 15000))
     return false;
-  fleet_quiet(fleet);
+  fleet_finish_traffic(fleet);
   return true;
 }
 
 static bool all_routers_die_at_once(fleet *fleet) {
-  if (!fleet_up(fleet))
+  if (!fleet_bring_up(fleet))
     return false;
-  check_watch(fleet);
+  fleet_start_sampling(fleet);
   scenario_start_traffic(fleet, 6);
   sim_run(fleet->sim, time_from_ms(8000));
   time_us from = fleet->sim->now;
@@ -54,12 +54,12 @@
   sim_run(fleet->sim, time_from_ms(500));
   for (int i = 0; i < fleet->routers; i++)
     host_start(fleet->router[i]);
-  host *head = fleet_head(fleet);
+  host *head = fleet_find_head(fleet);
   uint64_t epoch = head ? head->controller->replica.view.epoch : 0;
   recovery_times times = recovery_observe(fleet, RECOVERY_OBSERVED_MS, epoch);
   recovery_print(&times, from);
   recovery_check(fleet, from, RECOVERY_LIMIT_MS);
-  fleet_quiet(fleet);
+  fleet_finish_traffic(fleet);
   return true;
 }
 
--- a/tests/gateway/canary.c
+++ b/tests/gateway/canary.c
@@ -23,22 +23,23 @@
 /* many callers, who come again now and then, so that sessions begin all the time */
 static void busy(deployment *deployment, double rate) {
   deployment->client->users = 500;
-  deployment_go(deployment, rate);
+  deployment_start_traffic(deployment, rate);
 }
 
 /* writes by any controller; says the status, and looks for a code in the answer */
 static int put(deployment *deployment, const char *verb, const char *text, int code) {
-  op_call *call = fleet_call(
-      deployment->base,
-      deployment->base
-          ->controller[sim_draw(deployment->sim, (uint64_t)deployment->base->controllers)],
+  operator_call *call = fleet_call(
+      deployment->fleet,
+      deployment->fleet
+          ->controller[sim_random(deployment->sim, (uint64_t)deployment->fleet->controllers)],
       verb, "/v1/canary", text, NULL, NULL, time_from_ms(9000));
   int st = call->status;
   char want[24];
   snprintf(want, sizeof want, "\"code\":%d", code);
   if (code && !strstr(call->body->str, want))
-    violation(deployment->base, "%s got %d %s, not code %d", verb, st, call->body->str, code);
-  call_free(call);
+    fleet_add_violation(deployment->fleet, "%s got %d %s, not code %d", verb, st, call->body->str,
+                        code);
+  operator_call_free(call);
   return st;
 }
 
@@ -48,25 +49,25 @@
   int st = put(deployment, "PUT", t, 0);
   g_free(t);
   if (st != 200)
-    violation(deployment->base, "the trial %s was not taken (%d)", name, st);
+    fleet_add_violation(deployment->fleet, "the trial %s was not taken (%d)", name, st);
   return st == 200;
 }
 
 /* what stands of a trial at the core; the caller frees it */
 static json *stands(deployment *deployment) {
   for (int i = 0; i < 20; i++) {
-    op_call *call = fleet_call(
-        deployment->base,
-        deployment->base
-            ->controller[sim_draw(deployment->sim, (uint64_t)deployment->base->controllers)],
+    operator_call *call = fleet_call(
+        deployment->fleet,
+        deployment->fleet
+            ->controller[sim_random(deployment->sim, (uint64_t)deployment->fleet->controllers)],
         "GET", "/v1/canary", NULL, NULL, NULL, time_from_ms(3000));
     json *json = call->status == 200 ? json_parse(string_view_of_gstring(call->body), NULL) : NULL;
-    call_free(call);
+    operator_call_free(call);
     if (json)
       return json;
     sim_run(deployment->sim, time_from_ms(300));
   }
-  violation(deployment->base, "the trial can't be read");
+  fleet_add_violation(deployment->fleet, "the trial can't be read");
   return NULL;
 }
 
@@ -88,86 +89,87 @@
   }
   *at = deployment->sim->now;
   if (strcmp(got, want))
-    violation(deployment->base, "the trial's verdict is \"%s\", not \"%s\"", got, want);
+    fleet_add_violation(deployment->fleet, "the trial's verdict is \"%s\", not \"%s\"", got, want);
   return !strcmp(got, want);
 }
 
 static int candidates(deployment *deployment, time_us from, time_us till) {
   int n = 0;
   for (guint i = 0; i < deployment->log->runs->len; i++) {
-    em_run *run = deployment->log->runs->pdata[i];
-    n += g_str_has_suffix(run->policy, " candidate") && run->came.us >= from.us &&
-         run->came.us < till.us;
+    engine_run_record *run = deployment->log->runs->pdata[i];
+    n += g_str_has_suffix(run->policy, " candidate") && run->received_at.us >= from.us &&
+         run->received_at.us < till.us;
   }
   return n;
 }
 
-static unit *judge_of(deployment *deployment) {
-  for (int i = 0; i < deployment->base->routers; i++)
-    if (deployment->gateways[i]->gateway &&
-        singleton_lease_epoch(deployment->base->router[i]->router, "canary"))
-      return deployment->gateways[i];
+static deployment_process *judge_of(deployment *deployment) {
+  for (int i = 0; i < deployment->fleet->routers; i++)
+    if (deployment->gateway_processes[i]->gateway &&
+        singleton_lease_epoch(deployment->fleet->router[i]->router, "canary"))
+      return deployment->gateway_processes[i];
   return NULL;
 }
 
 static bool over(deployment *deployment, const char *trial, time_us ended, double least) {
-  deployment_quiet(deployment);
-  gateway_check_sides(deployment);
+  deployment_finish_traffic(deployment);
+  gateway_check_trial_policies(deployment);
   if (ended.us) {
-    gateway_check_returned(deployment, trial, ended);
+    gateway_check_trial_ended(deployment, trial, ended);
     gateway_check_dropped(deployment, ended);
   }
-  return deployment_done(deployment, least);
+  return deployment_finish(deployment, least);
 }
 
 static bool no_trial_leaves_no_trace(fleet *fleet) {
   deployment *deployment = deployment_new(fleet, 4, 2);
-  if (!deployment_up(deployment))
-    return deployment_done(deployment, 0);
-  deployment_traffic(deployment, 1, 8000);
+  if (!deployment_bring_up(deployment))
+    return deployment_finish(deployment, 0);
+  deployment_run_traffic(deployment, 1, 8000);
   for (guint i = 0; i < deployment->log->runs->len; i++)
-    if (((em_run *)deployment->log->runs->pdata[i])->policy[0]) {
-      violation(fleet, "a policy is named, and there is no trial");
+    if (((engine_run_record *)deployment->log->runs->pdata[i])->policy[0]) {
+      fleet_add_violation(fleet, "a policy is named, and there is no trial");
       break;
     }
   if (judge_of(deployment))
-    violation(fleet, "there is a judge without a trial");
+    fleet_add_violation(fleet, "there is a judge without a trial");
   for (int i = 0; i < fleet->routers; i++)
-    if (deployment->gateways[i]->gateway->canary)
-      violation(fleet, "there is a trial at %s", fleet->router[i]->self.text);
-  return deployment_done(deployment, 0.99);
+    if (deployment->gateway_processes[i]->gateway->canary)
+      fleet_add_violation(fleet, "there is a trial at %s", fleet->router[i]->self.text);
+  return deployment_finish(deployment, 0.99);
 }
 
 static bool a_harmless_trial_runs_its_time(fleet *fleet) {
   deployment *deployment = deployment_new(fleet, 5, 2);
-  if (!deployment_up(deployment))
-    return deployment_done(deployment, 0);
+  if (!deployment_bring_up(deployment))
+    return deployment_finish(deployment, 0);
   busy(deployment, 1.2);
   time_us began = deployment->sim->now, at = { 0 };
   if (!begin_trial(deployment, "calm", 0.4, harmless, 4, 40, 30))
-    return deployment_done(deployment, 0);
+    return deployment_finish(deployment, 0);
   ends(deployment, "no harm", 60000, &at);
   if (time_sub(at, began).us < 39000000)
-    violation(fleet, "the trial ended after %.1f s", (double)time_sub(at, began).us / 1e6);
+    fleet_add_violation(fleet, "the trial ended after %.1f s",
+                        (double)time_sub(at, began).us / 1e6);
   int n = candidates(deployment, began, at);
   if (n < 40)
-    violation(fleet, "the candidate had only %d runs", n);
+    fleet_add_violation(fleet, "the candidate had only %d runs", n);
   sim_run(deployment->sim, time_from_ms(8000));
   if (judge_of(deployment))
-    violation(fleet, "a judge is left after the trial");
+    fleet_add_violation(fleet, "a judge is left after the trial");
   return over(deployment, "calm", at, 0.97);
 }
 
 static bool a_harmful_trial_ends_itself(fleet *fleet) {
   deployment *deployment = deployment_new(fleet, 5, 2);
-  if (!deployment_up(deployment))
-    return deployment_done(deployment, 0);
+  if (!deployment_bring_up(deployment))
+    return deployment_finish(deployment, 0);
   /* long prompts: there is mostly something ahead */
   deployment->chat->tokens_in = 1300;
   busy(deployment, 5);
   time_us at = { 0 };
   if (!begin_trial(deployment, "harm", 0.4, harmful, 4, 300, 20))
-    return deployment_done(deployment, 0);
+    return deployment_finish(deployment, 0);
   if (!ends(deployment, "harm", 120000, &at))
     return over(deployment, "harm", at, 0);
   json *value = stands(deployment);
@@ -175,36 +177,36 @@
       json_get(json_get(json_get(json_get(value, "value"), "end"), "urgent"), "candidate");
   double n = json_number(u, "requests", 1e9);
   if (n > 200)
-    violation(fleet, "%.0f urgent requests were put under a harmful candidate", n);
+    fleet_add_violation(fleet, "%.0f urgent requests were put under a harmful candidate", n);
   json_free(value);
-  sim_run(deployment->sim, time_from_ms(RETURN_MS));
+  sim_run(deployment->sim, time_from_ms(TRIAL_END_PROPAGATION_MS));
   time_us back = deployment->sim->now;
   sim_run(deployment->sim, time_from_ms(10000));
-  deployment_quiet(deployment);
-  double served = deployment_served(deployment, deployment->chat, back, time_never());
+  deployment_finish_traffic(deployment);
+  double served = deployment_served_ratio(deployment, deployment->chat, back, time_never());
   if (served < 0.9)
-    violation(fleet, "after the trial only %.2f of the urgent work was served", served);
+    fleet_add_violation(fleet, "after the trial only %.2f of the urgent work was served", served);
   return over(deployment, "harm", at, 0.5);
 }
 
 static bool the_judge_dies_in_a_trial(fleet *fleet) {
   deployment *deployment = deployment_new(fleet, 5, 2);
-  if (!deployment_up(deployment))
-    return deployment_done(deployment, 0);
+  if (!deployment_bring_up(deployment))
+    return deployment_finish(deployment, 0);
   busy(deployment, 6);
   time_us at = { 0 };
   if (!begin_trial(deployment, "orphan", 0.4, harmful, 4, 300, 60))
-    return deployment_done(deployment, 0);
+    return deployment_finish(deployment, 0);
   sim_run(deployment->sim, time_from_ms(8000));
-  unit *unit = judge_of(deployment);
-  if (!unit) {
-    violation(fleet, "nobody judges");
+  deployment_process *process = judge_of(deployment);
+  if (!process) {
+    fleet_add_violation(fleet, "nobody judges");
     return over(deployment, "orphan", at, 0);
   }
-  deployment_trouble(deployment, unit->host, 'k', 4000);
-  host_kill(unit->host);
+  deployment_record_fault(deployment, process->host, 'k', 4000);
+  host_kill(process->host);
   sim_run(deployment->sim, time_from_ms(3000));
-  host_start(unit->host);
+  host_start(process->host);
   /* its successor finds the harm, from what the others still have */
   ends(deployment, "harm", 120000, &at);
   sim_run(deployment->sim, time_from_ms(6000));
@@ -218,46 +220,46 @@
 
 static bool a_trial_goes_on_under_a_new_judge(fleet *fleet) {
   deployment *deployment = deployment_new(fleet, 5, 2);
-  if (!deployment_up(deployment))
-    return deployment_done(deployment, 0);
+  if (!deployment_bring_up(deployment))
+    return deployment_finish(deployment, 0);
   busy(deployment, 1);
   time_us at = { 0 };
   if (!begin_trial(deployment, "heir", 0.5, harmless, 3, 200, 500))
-    return deployment_done(deployment, 0);
+    return deployment_finish(deployment, 0);
   sim_run(deployment->sim, time_from_ms(9000));
-  unit *unit = judge_of(deployment);
-  if (!unit) {
-    violation(fleet, "nobody judges");
+  deployment_process *process = judge_of(deployment);
+  if (!process) {
+    fleet_add_violation(fleet, "nobody judges");
     return over(deployment, "heir", at, 0);
   }
-  deployment_trouble(deployment, unit->host, 'k', 9000);
-  host_kill(unit->host);
+  deployment_record_fault(deployment, process->host, 'k', 9000);
+  host_kill(process->host);
   sim_run(deployment->sim, time_from_ms(3000));
-  host_start(unit->host);
-  if (!sim_until(deployment->sim, judged, deployment, time_from_ms(15000)))
-    violation(fleet, "nobody takes the judge's place");
+  host_start(process->host);
+  if (!sim_run_until(deployment->sim, judged, deployment, time_from_ms(15000)))
+    fleet_add_violation(fleet, "nobody takes the judge's place");
   sim_run(deployment->sim, time_from_ms(2000));
   /* no node waits for a second beginning, not even the one that forgot the first */
   for (int i = 0; i < fleet->routers; i++) {
     GString *b = g_string_new(NULL);
-    canary_metrics(deployment->gateways[i]->gateway, b);
+    canary_metrics(deployment->gateway_processes[i]->gateway, b);
     if (!strstr(b->str, "asterfall_canary_on 1\n"))
-      violation(fleet, "the trial is not on at %s", fleet->router[i]->self.text);
+      fleet_add_violation(fleet, "the trial is not on at %s", fleet->router[i]->self.text);
     g_string_free(b, TRUE);
   }
   json *json = stands(deployment);
   if (verdict(json)[0])
-    violation(fleet, "the trial ended with its judge");
+    fleet_add_violation(fleet, "the trial ended with its judge");
   json_free(json);
   return over(deployment, "heir", at, 0.85);
 }
 
 /* the sessions that a node keeps with the old policy; -1 when the trial is not on there */
 static int elders_at(deployment *deployment, int i) {
-  if (!deployment->gateways[i]->gateway || !deployment->base->router[i]->alive)
+  if (!deployment->gateway_processes[i]->gateway || !deployment->fleet->router[i]->alive)
     return -1;
   GString *b = g_string_new(NULL);
-  canary_metrics(deployment->gateways[i]->gateway, b);
+  canary_metrics(deployment->gateway_processes[i]->gateway, b);
   const char *n = strstr(b->str, "asterfall_canary_elders ");
   int is = n && strstr(b->str, "asterfall_canary_on 1\n")
                ? atoi(n + strlen("asterfall_canary_elders "))
@@ -268,29 +270,29 @@
 
 static bool a_judge_forgets_and_judges_on(fleet *fleet) {
   deployment *deployment = deployment_new(fleet, 5, 2);
-  if (!deployment_up(deployment))
-    return deployment_done(deployment, 0);
+  if (!deployment_bring_up(deployment))
+    return deployment_finish(deployment, 0);
   busy(deployment, 2);
   time_us at = { 0 };
   if (!begin_trial(deployment, "forgets", 0.5, harmless, 4, 200, 2000))
-    return deployment_done(deployment, 0);
+    return deployment_finish(deployment, 0);
   sim_run(deployment->sim, time_from_ms(12000));
-  unit *u = judge_of(deployment);
+  deployment_process *u = judge_of(deployment);
   if (!u) {
-    violation(fleet, "nobody judges");
+    fleet_add_violation(fleet, "nobody judges");
     return over(deployment, "forgets", at, 0);
   }
   int it = 0, other = 0;
   for (int i = 0; i < fleet->routers; i++)
-    if (deployment->gateways[i] == u)
+    if (deployment->gateway_processes[i] == u)
       it = i;
   other = (it + 1) % fleet->routers;
   int known = elders_at(deployment, other);
   if (known < 20)
-    violation(fleet, "only %d elders: this shows nothing", known);
+    fleet_add_violation(fleet, "only %d elders: this shows nothing", known);
   /* a new run of it has its duty again at once, and knows nothing: it must hear of them before it
    * begins itself */
-  deployment_trouble(deployment, u->host, 'k', 6000);
+  deployment_record_fault(deployment, u->host, 'k', 6000);
   host_kill(u->host);
   sim_run(deployment->sim, time_from_ms(50));
   host_start(u->host);
@@ -300,27 +302,27 @@
     int n = elders_at(deployment, it);
     on = n >= 0;
     if (on && n < known)
-      violation(fleet, "it begins with %d elders, and the others have %d", n, known);
+      fleet_add_violation(fleet, "it begins with %d elders, and the others have %d", n, known);
   }
   if (!on)
-    violation(fleet, "the trial did not go on at %s", u->host->self.text);
+    fleet_add_violation(fleet, "the trial did not go on at %s", u->host->self.text);
   sim_run(deployment->sim, time_from_ms(3000));
   /* its contract lapses while it is frozen, and comes back under the same epoch: it must learn
    * anew, and so must another's new run */
-  unit *j = judge_of(deployment);
+  deployment_process *j = judge_of(deployment);
   if (!j) {
-    violation(fleet, "nobody judges");
+    fleet_add_violation(fleet, "nobody judges");
     return over(deployment, "forgets", at, 0);
   }
   for (int i = 0; i < fleet->routers; i++)
-    if (deployment->gateways[i] == j)
+    if (deployment->gateway_processes[i] == j)
       it = i;
   other = (it + 1) % fleet->routers;
-  deployment_trouble(deployment, j->host, 'f', 8000);
+  deployment_record_fault(deployment, j->host, 'f', 8000);
   uint64_t epoch = singleton_lease_epoch(j->host->router, "canary");
   host_freeze(j->host);
   sim_run(deployment->sim, time_from_ms(3200));
-  host_wake(j->host);
+  host_unfreeze(j->host);
   sim_run(deployment->sim, time_from_ms(3000));
   if (g_getenv("SIM_COUNT"))
     fprintf(stderr, "  epoch %" PRIu64 " before, %" PRIu64 " after\n", epoch,
@@ -329,7 +331,7 @@
                 : 0);
   int third = (it + 2) % fleet->routers;
   known = elders_at(deployment, third);
-  deployment_trouble(deployment, fleet->router[other], 'k', 6000);
+  deployment_record_fault(deployment, fleet->router[other], 'k', 6000);
   host_kill(fleet->router[other]);
   sim_run(deployment->sim, time_from_ms(500));
   host_start(fleet->router[other]);
@@ -339,25 +341,26 @@
     int n = elders_at(deployment, other);
     on = n >= 0;
     if (on && n < known)
-      violation(fleet, "a new run begins with %d elders, and the others have %d", n, known);
+      fleet_add_violation(fleet, "a new run begins with %d elders, and the others have %d", n,
+                          known);
   }
   if (!on)
-    violation(fleet, "the trial did not go on at %s", fleet->router[other]->self.text);
+    fleet_add_violation(fleet, "the trial did not go on at %s", fleet->router[other]->self.text);
   return over(deployment, "forgets", at, 0.7);
 }
 
 static bool nodes_restart_in_a_trial(fleet *fleet) {
   deployment *deployment = deployment_new(fleet, 5, 2);
-  if (!deployment_up(deployment))
-    return deployment_done(deployment, 0);
+  if (!deployment_bring_up(deployment))
+    return deployment_finish(deployment, 0);
   busy(deployment, 1.2);
   time_us at = { 0 };
   if (!begin_trial(deployment, "restarts", 0.4, harmless, 4, 45, 30))
-    return deployment_done(deployment, 0);
+    return deployment_finish(deployment, 0);
   sim_run(deployment->sim, time_from_ms(9000));
   for (int i = 0; i < 3; i++) {
-    host *host = fleet->router[sim_draw(deployment->sim, (uint64_t)fleet->routers)];
-    deployment_trouble(deployment, host, 'k', 3000);
+    host *host = fleet->router[sim_random(deployment->sim, (uint64_t)fleet->routers)];
+    deployment_record_fault(deployment, host, 'k', 3000);
     host_kill(host);
     sim_run(deployment->sim, time_from_ms(1000));
     host_start(host);
@@ -370,113 +373,118 @@
 
 static bool a_node_is_cut_off_in_a_trial(fleet *fleet) {
   deployment *deployment = deployment_new(fleet, 5, 2);
-  if (!deployment_up(deployment))
-    return deployment_done(deployment, 0);
+  if (!deployment_bring_up(deployment))
+    return deployment_finish(deployment, 0);
   busy(deployment, 1.5);
   time_us at = { 0 };
   if (!begin_trial(deployment, "cut", 0.5, harmless, 3, 200, 50))
-    return deployment_done(deployment, 0);
+    return deployment_finish(deployment, 0);
   sim_run(deployment->sim, time_from_ms(10000));
-  host *host = fleet->router[sim_draw(deployment->sim, (uint64_t)fleet->routers)];
+  host *host = fleet->router[sim_random(deployment->sim, (uint64_t)fleet->routers)];
   /* neither core machines nor nodes reach it; callers do */
-  deployment_trouble(deployment, host, 'n', 14000);
+  deployment_record_fault(deployment, host, 'n', 14000);
   for (int m = 0; m < fleet->controllers; m++)
-    sim_part(deployment->sim, host->self.text, fleet->controller[m]->self.text, true);
+    sim_set_partition_both_ways(deployment->sim, host->self.text, fleet->controller[m]->self.text,
+                                true);
   for (int v = 0; v < fleet->routers; v++)
     if (fleet->router[v] != host)
-      sim_part(deployment->sim, host->self.text, fleet->router[v]->self.text, true);
+      sim_set_partition_both_ways(deployment->sim, host->self.text, fleet->router[v]->self.text,
+                                  true);
   time_us cut = deployment->sim->now;
   sim_run(deployment->sim, time_from_ms(2000));
   if (put(deployment, "PATCH", "{\"state\":\"ended\",\"end\":{\"verdict\":\"stopped\"}}", 0) != 200)
-    violation(fleet, "the trial could not be stopped");
+    fleet_add_violation(fleet, "the trial could not be stopped");
   sim_run(deployment->sim, time_from_ms(12000));
   time_us mended = deployment->sim->now;
   /* it can't know of the end, and yet gives the candidate nothing more */
   char ip[48];
   g_strlcpy(ip, host->addr, sizeof ip);
   *strchr(ip, ':') = 0;
-  for (guint i = 0; i < deployment->client->tries->len; i++) {
-    em_attempt *attempt = deployment->client->tries->pdata[i];
-    if (strncmp(attempt->node, ip, strlen(ip)) || attempt->sent.us < cut.us + 4500000 ||
-        attempt->sent.us > mended.us)
+  for (guint i = 0; i < deployment->client->attempts->len; i++) {
+    client_sim_attempt *attempt = deployment->client->attempts->pdata[i];
+    if (strncmp(attempt->node, ip, strlen(ip)) || attempt->sent_at.us < cut.us + 4500000 ||
+        attempt->sent_at.us > mended.us)
       continue;
     for (guint k = 0; k < deployment->log->runs->len; k++) {
-      em_run *run = deployment->log->runs->pdata[k];
-      if (!strcmp(run->request, attempt->request) && g_str_has_suffix(run->policy, " candidate"))
-        violation(fleet, "a node that is cut off goes on with the candidate after %.1f s",
-                  (double)(attempt->sent.us - cut.us) / 1e6);
+      engine_run_record *run = deployment->log->runs->pdata[k];
+      if (!strcmp(run->request_id, attempt->request_id) &&
+          g_str_has_suffix(run->policy, " candidate"))
+        fleet_add_violation(fleet, "a node that is cut off goes on with the candidate after %.1f s",
+                            (double)(attempt->sent_at.us - cut.us) / 1e6);
     }
   }
   at = time_add(cut, time_from_ms(2500));
-  sim_mend(deployment->sim);
+  sim_heal_partitions(deployment->sim);
   sim_run(deployment->sim, time_from_ms(5000));
-  deployment_quiet(deployment);
-  gateway_check_sides(deployment);
-  gateway_check_returned(deployment, "cut", time_add(at, time_from_ms(2500)));
-  return deployment_done(deployment, 0.9);
+  deployment_finish_traffic(deployment);
+  gateway_check_trial_policies(deployment);
+  gateway_check_trial_ended(deployment, "cut", time_add(at, time_from_ms(2500)));
+  return deployment_finish(deployment, 0.9);
 }
 
 static bool the_judge_hears_nobody(fleet *fleet) {
   deployment *deployment = deployment_new(fleet, 5, 2);
-  if (!deployment_up(deployment))
-    return deployment_done(deployment, 0);
+  if (!deployment_bring_up(deployment))
+    return deployment_finish(deployment, 0);
   busy(deployment, 1);
   time_us at = { 0 };
   if (!begin_trial(deployment, "unreachable", 0.5, harmless, 3, 200, 50))
-    return deployment_done(deployment, 0);
+    return deployment_finish(deployment, 0);
   sim_run(deployment->sim, time_from_ms(9000));
-  unit *unit = judge_of(deployment);
-  if (!unit) {
-    violation(fleet, "nobody judges");
+  deployment_process *process = judge_of(deployment);
+  if (!process) {
+    fleet_add_violation(fleet, "nobody judges");
     return over(deployment, "unreachable", at, 0);
   }
   /* it keeps its duty, as the core hears it */
-  deployment_trouble(deployment, NULL, 'n', 20000);
+  deployment_record_fault(deployment, NULL, 'n', 20000);
   for (int v = 0; v < fleet->routers; v++)
-    if (fleet->router[v] != unit->host)
-      sim_part(deployment->sim, unit->host->self.text, fleet->router[v]->self.text, true);
+    if (fleet->router[v] != process->host)
+      sim_set_partition_both_ways(deployment->sim, process->host->self.text,
+                                  fleet->router[v]->self.text, true);
   ends(deployment, "unreachable", 25000, &at);
-  sim_mend(deployment->sim);
+  sim_heal_partitions(deployment->sim);
   sim_run(deployment->sim, time_from_ms(4000));
   return over(deployment, "unreachable", at, 0.9);
 }
 
 static bool operators_start_stop_and_race_trials(fleet *fleet) {
   deployment *deployment = deployment_new(fleet, 5, 2);
-  if (!deployment_up(deployment))
-    return deployment_done(deployment, 0);
+  if (!deployment_bring_up(deployment))
+    return deployment_finish(deployment, 0);
   busy(deployment, 1);
   char *a = trial_text("ours", 0.5, harmless, 3, 300, 50),
        *b = trial_text("theirs", 0.5, harmless, 3, 300, 50);
-  op_call *x = fleet_send(fleet, fleet->controller[0], "PUT", "/v1/canary", a, NULL, NULL),
-          *y = fleet_send(fleet, fleet->controller[1], "PUT", "/v1/canary", b, NULL, NULL);
+  operator_call *x = fleet_send(fleet, fleet->controller[0], "PUT", "/v1/canary", a, NULL, NULL),
+                *y = fleet_send(fleet, fleet->controller[1], "PUT", "/v1/canary", b, NULL, NULL);
   while (!x->done || !y->done)
     sim_run(deployment->sim, time_from_ms(50));
   if ((x->status == 200) == (y->status == 200))
-    violation(fleet, "of two trials at once the core took %d and %d", x->status, y->status);
+    fleet_add_violation(fleet, "of two trials at once the core took %d and %d", x->status,
+                        y->status);
   const char *won = x->status == 200 ? "ours" : "theirs", *mine = x->status == 200 ? a : b;
-  call_free(x);
-  call_free(y);
+  operator_call_free(x);
+  operator_call_free(y);
   if (put(deployment, "PUT", a, E_CANARY_RUNNING) != 400)
-    violation(fleet, "a trial was put over one that runs");
+    fleet_add_violation(fleet, "a trial was put over one that runs");
   if (put(deployment, "PUT", "{}", E_CANARY_RUNNING) != 400)
-    violation(fleet, "a trial that runs was taken away");
+    fleet_add_violation(fleet, "a trial that runs was taken away");
   if (put(deployment, "PATCH", "{\"state\":\"ended\",\"share\":0.1}", E_CANARY_IMMUTABLE) != 400)
-    violation(fleet, "an end changed the share");
+    fleet_add_violation(fleet, "an end changed the share");
   sim_run(deployment->sim, time_from_ms(9000));
   if (!candidates(deployment, (time_us){ 0 }, time_never()))
-    violation(fleet, "the candidate got nothing");
+    fleet_add_violation(fleet, "the candidate got nothing");
   if (put(deployment, "PATCH", "{\"state\":\"ended\",\"end\":{\"verdict\":\"stopped\"}}", 0) != 200)
-    violation(fleet, "a trial was not stopped");
+    fleet_add_violation(fleet, "a trial was not stopped");
   time_us at = deployment->sim->now;
   if (put(deployment, "PATCH", "{\"state\":\"ended\",\"end\":{\"verdict\":\"again\"}}",
           E_NO_CANARY) != 400)
-    violation(fleet, "a trial ended twice");
+    fleet_add_violation(fleet, "a trial ended twice");
   if (put(deployment, "PUT", mine, E_CANARY_NAME_REUSED) != 400)
-    violation(fleet, "a trial began again under its name");
+    fleet_add_violation(fleet, "a trial began again under its name");
   sim_run(deployment->sim, time_from_ms(6000));
   if (put(deployment, "PUT", "{}", 0) != 200)
-    violation(fleet, "a trial that has ended can't be taken away");
+    fleet_add_violation(fleet, "a trial that has ended can't be taken away");
   g_free(a);
   g_free(b);
   return over(deployment, won, at, 0.97);
@@ -484,58 +492,60 @@
 
 static bool sessions_keep_their_policy_through_tries(fleet *fleet) {
   deployment *deployment = deployment_new(fleet, 4, 2);
-  if (!deployment_up(deployment))
-    return deployment_done(deployment, 0);
+  if (!deployment_bring_up(deployment))
+    return deployment_finish(deployment, 0);
   busy(deployment, 1.2);
   time_us at = { 0 };
   if (!begin_trial(deployment, "tries", 0.5, harmless, 4, 40, 500))
-    return deployment_done(deployment, 0);
+    return deployment_finish(deployment, 0);
   sim_run(deployment->sim, time_from_ms(8000));
   /* answers are lost and cut, so that requests are tried again, resumed at other engines, and sent
    * anew by callers to other nodes */
   for (int i = 0; i < 20; i++) {
-    em_faults *faults =
-        &deployment->engine[sim_draw(deployment->sim, deployment->engines + deployment->plain)]
+    registering_engine_faults *faults =
+        &deployment
+             ->engine_processes[sim_random(deployment->sim, deployment->model_engine_count +
+                                                                deployment->plain_engine_count)]
              ->plan.faults;
     if (i % 2)
-      faults->lose_answers = 4;
+      faults->lose_responses = 4;
     else {
-      faults->cut_answers = 4;
-      faults->cut_after = 1 + (unsigned)sim_draw(deployment->sim, 6);
+      faults->truncate_responses = 4;
+      faults->truncate_after_events = 1 + (unsigned)sim_random(deployment->sim, 6);
     }
     sim_run(deployment->sim, time_from_ms(1000));
   }
   int again = 0;
   for (guint i = 0; i < deployment->client->requests->len; i++)
-    again += ((em_request *)deployment->client->requests->pdata[i])->tries > 1;
+    again += ((client_sim_request *)deployment->client->requests->pdata[i])->attempt_count > 1;
   int resumed = 0;
   for (guint i = 0; i < deployment->log->runs->len; i++) {
-    em_run *run = deployment->log->runs->pdata[i];
+    engine_run_record *run = deployment->log->runs->pdata[i];
     resumed += run->policy[0] && run->resumed_after;
   }
   sim_run(deployment->sim, time_from_ms(14000));
   json *json = stands(deployment);
   if (!verdict(json)[0])
-    violation(fleet, "the trial goes on past its time");
+    fleet_add_violation(fleet, "the trial goes on past its time");
   json_free(json);
   if (!again || !resumed)
-    violation(fleet, "nothing was tried again (%d) or resumed (%d): this shows nothing", again,
-              resumed);
+    fleet_add_violation(fleet, "nothing was tried again (%d) or resumed (%d): this shows nothing",
+                        again, resumed);
   return over(deployment, "tries", at, 0.85);
 }
 
 /* what the end says was judged is no more than what engines ran, or callers were refused */
 static bool a_guard_counts_each_request_once(fleet *fleet) {
   deployment *deployment = deployment_new(fleet, 5, 2);
-  if (!deployment_up(deployment))
-    return deployment_done(deployment, 0);
+  if (!deployment_bring_up(deployment))
+    return deployment_finish(deployment, 0);
   busy(deployment, 1.2);
   time_us began = deployment->sim->now, at = { 0 };
   if (!begin_trial(deployment, "counts", 0.4, harmless, 3, 30, 20))
-    return deployment_done(deployment, 0);
+    return deployment_finish(deployment, 0);
   sim_run(deployment->sim, time_from_ms(12000));
-  host *host = fleet->router[sim_draw(deployment->sim, (uint64_t)fleet->routers)];
-  deployment_trouble(deployment, host, 'k', 3000);
+  host *host = fleet->router[sim_random(deployment->sim, (uint64_t)fleet->routers)];
+  deployment_record_fault(deployment, host, 'k', 3000);
   host_kill(host);
   sim_run(deployment->sim, time_from_ms(500));
   host_start(host);
@@ -548,12 +558,12 @@
     for (int s = 0; s < 2; s++)
       judged += json_number(json_get(json_get(end, parts[p]), sides[s]), "requests", 0);
   int sent = 0;
-  for (guint i = 0; i < deployment->client->tries->len; i++) {
-    em_attempt *attempt = deployment->client->tries->pdata[i];
-    sent += attempt->sent.us >= began.us && attempt->sent.us <= at.us;
+  for (guint i = 0; i < deployment->client->attempts->len; i++) {
+    client_sim_attempt *attempt = deployment->client->attempts->pdata[i];
+    sent += attempt->sent_at.us >= began.us && attempt->sent_at.us <= at.us;
   }
   if (judged > sent || judged < sent * 0.4)
-    violation(fleet, "%.0f requests were judged, and %d were sent", judged, sent);
+    fleet_add_violation(fleet, "%.0f requests were judged, and %d were sent", judged, sent);
   json_free(value);
   sim_run(deployment->sim, time_from_ms(4000));
   return over(deployment, "counts", at, 0.9);
@@ -586,9 +596,9 @@
 
 static int told_to_end(deployment *deployment, host *host, uint64_t version, uint64_t epoch) {
   end_try t = { .host = host, .version = version, .epoch = epoch };
-  g_strlcpy(t.head, fleet_head(deployment->base)->addr, sizeof t.head);
+  g_strlcpy(t.head, fleet_find_head(deployment->fleet)->addr, sizeof t.head);
   task_start(&host->world.tasks, "end", end_run, &t);
-  host->due = deployment->sim->now;
+  host->next_wake_at = deployment->sim->now;
   while (!t.done)
     sim_run(deployment->sim, time_from_ms(20));
   return t.code;
@@ -596,62 +606,62 @@
 
 static bool only_the_judge_ends_a_trial(fleet *fleet) {
   deployment *deployment = deployment_new(fleet, 4, 2);
-  if (!deployment_up(deployment))
-    return deployment_done(deployment, 0);
+  if (!deployment_bring_up(deployment))
+    return deployment_finish(deployment, 0);
   busy(deployment, 1);
   time_us at = { 0 };
   if (!begin_trial(deployment, "guarded", 0.5, harmless, 3, 200, 5000))
-    return deployment_done(deployment, 0);
+    return deployment_finish(deployment, 0);
   sim_run(deployment->sim, time_from_ms(6000));
-  unit *unit = judge_of(deployment);
+  deployment_process *process = judge_of(deployment);
   host *other = NULL;
-  for (int i = 0; unit && i < fleet->routers; i++)
-    if (fleet->router[i] != unit->host)
+  for (int i = 0; process && i < fleet->routers; i++)
+    if (fleet->router[i] != process->host)
       other = fleet->router[i];
   if (!other) {
-    violation(fleet, "nobody judges");
+    fleet_add_violation(fleet, "nobody judges");
     return over(deployment, "guarded", at, 0);
   }
-  uint64_t version = unit->host->router->sync.resource_versions[RESOURCE_CANARY],
-           epoch = singleton_lease_epoch(unit->host->router, "canary");
+  uint64_t version = process->host->router->sync.resource_versions[RESOURCE_CANARY],
+           epoch = singleton_lease_epoch(process->host->router, "canary");
   int x = told_to_end(deployment, other, version, epoch);
   if (x != E_STALE_EPOCH)
-    violation(fleet, "one that does not judge ended the trial (%d)", x);
-  if ((x = told_to_end(deployment, unit->host, version, epoch - 1)) != E_STALE_EPOCH)
-    violation(fleet, "a judge of an older epoch ended the trial (%d)", x);
-  if ((x = told_to_end(deployment, unit->host, version - 1, epoch)) != E_VERSION_CONFLICT)
-    violation(fleet, "the end of another trial was taken (%d)", x);
+    fleet_add_violation(fleet, "one that does not judge ended the trial (%d)", x);
+  if ((x = told_to_end(deployment, process->host, version, epoch - 1)) != E_STALE_EPOCH)
+    fleet_add_violation(fleet, "a judge of an older epoch ended the trial (%d)", x);
+  if ((x = told_to_end(deployment, process->host, version - 1, epoch)) != E_VERSION_CONFLICT)
+    fleet_add_violation(fleet, "the end of another trial was taken (%d)", x);
   json *json = stands(deployment);
   if (verdict(json)[0])
-    violation(fleet, "the trial has ended by whom it must not");
+    fleet_add_violation(fleet, "the trial has ended by whom it must not");
   json_free(json);
-  if ((x = told_to_end(deployment, unit->host, version, epoch)) != OK)
-    violation(fleet, "its judge could not end it (%d)", x);
+  if ((x = told_to_end(deployment, process->host, version, epoch)) != OK)
+    fleet_add_violation(fleet, "its judge could not end it (%d)", x);
   at = deployment->sim->now;
-  if ((x = told_to_end(deployment, unit->host, version, epoch)) == OK)
-    violation(fleet, "its judge ended it twice");
+  if ((x = told_to_end(deployment, process->host, version, epoch)) == OK)
+    fleet_add_violation(fleet, "its judge ended it twice");
   sim_run(deployment->sim, time_from_ms(5000));
   return over(deployment, "guarded", at, 0.97);
 }
 
 static bool a_judge_freezes_and_wakes(fleet *fleet) {
   deployment *deployment = deployment_new(fleet, 5, 2);
-  if (!deployment_up(deployment))
-    return deployment_done(deployment, 0);
+  if (!deployment_bring_up(deployment))
+    return deployment_finish(deployment, 0);
   busy(deployment, 1.2);
   time_us at = { 0 };
   if (!begin_trial(deployment, "frozen", 0.5, harmless, 3, 40, 30))
-    return deployment_done(deployment, 0);
+    return deployment_finish(deployment, 0);
   sim_run(deployment->sim, time_from_ms(9000));
-  unit *unit = judge_of(deployment);
-  if (!unit) {
-    violation(fleet, "nobody judges");
+  deployment_process *process = judge_of(deployment);
+  if (!process) {
+    fleet_add_violation(fleet, "nobody judges");
     return over(deployment, "frozen", at, 0);
   }
-  deployment_trouble(deployment, unit->host, 'f', 9000);
-  host_freeze(unit->host);
+  deployment_record_fault(deployment, process->host, 'f', 9000);
+  host_freeze(process->host);
   sim_run(deployment->sim, time_from_ms(9000));
-  host_wake(unit->host);
+  host_unfreeze(process->host);
   ends(deployment, "no harm", 60000, &at);
   sim_run(deployment->sim, time_from_ms(4000));
   return over(deployment, "frozen", at, 0.8);
@@ -661,73 +671,76 @@
  * with the old policy */
 static bool anything_happens_in_a_trial(fleet *fleet) {
   deployment *deployment = deployment_new(fleet, 5, 3);
-  if (!deployment_up(deployment))
-    return deployment_done(deployment, 0);
+  if (!deployment_bring_up(deployment))
+    return deployment_finish(deployment, 0);
   busy(deployment, 1);
   time_us at = { 0 };
   if (!begin_trial(deployment, "storm", 0.5, harmless, 3, 600, 30))
-    return deployment_done(deployment, 0);
+    return deployment_finish(deployment, 0);
   sim_run(deployment->sim, time_from_ms(8000));
   for (int i = 0; i < 8; i++) {
-    sim_run(deployment->sim, time_from_ms(500 + (int64_t)sim_draw(deployment->sim, 3000)));
-    unit *unit =
-             deployment->engine[sim_draw(deployment->sim, deployment->engines + deployment->plain)],
-         *j = judge_of(deployment);
-    host *v = fleet->router[sim_draw(deployment->sim, (uint64_t)fleet->routers)],
-         *m = fleet->controller[sim_draw(deployment->sim, (uint64_t)fleet->controllers)];
-    int64_t ms = 500 + (int64_t)sim_draw(deployment->sim, 6000);
-    if (j && sim_draw(deployment->sim, 3) == 0)
+    sim_run(deployment->sim, time_from_ms(500 + (int64_t)sim_random(deployment->sim, 3000)));
+    deployment_process
+        *process = deployment->engine_processes[sim_random(
+            deployment->sim, deployment->model_engine_count + deployment->plain_engine_count)],
+        *j = judge_of(deployment);
+    host *v = fleet->router[sim_random(deployment->sim, (uint64_t)fleet->routers)],
+         *m = fleet->controller[sim_random(deployment->sim, (uint64_t)fleet->controllers)];
+    int64_t ms = 500 + (int64_t)sim_random(deployment->sim, 6000);
+    if (j && sim_random(deployment->sim, 3) == 0)
       v = j->host;
-    switch (sim_draw(deployment->sim, 8)) {
+    switch (sim_random(deployment->sim, 8)) {
     case 0:
-      deployment_trouble(deployment, unit->host, 'e', ms);
-      if (unit->host->alive)
-        host_kill(unit->host);
+      deployment_record_fault(deployment, process->host, 'e', ms);
+      if (process->host->alive)
+        host_kill(process->host);
       break;
     case 1:
-      if (unit->engine)
-        em_engine_leave(unit->engine, sim_draw(deployment->sim, 2) ? 0 : 1500);
-      deployment_trouble(deployment, unit->host, 'e', 5000);
+      if (process->engine)
+        registering_engine_sim_drain(process->engine, sim_random(deployment->sim, 2) ? 0 : 1500);
+      deployment_record_fault(deployment, process->host, 'e', 5000);
       break;
     case 2:
-      unit->plan.faults.lose_answers = 3;
-      unit->plan.faults.cut_answers = 3;
-      unit->plan.faults.cut_after = 2;
+      process->plan.faults.lose_responses = 3;
+      process->plan.faults.truncate_responses = 3;
+      process->plan.faults.truncate_after_events = 2;
       break;
     case 3:
-      deployment_trouble(deployment, v, 'k', ms);
+      deployment_record_fault(deployment, v, 'k', ms);
       if (v->alive)
         host_kill(v);
       break;
     case 4:
-      deployment_trouble(deployment, v, 'f', ms);
+      deployment_record_fault(deployment, v, 'f', ms);
       if (v->alive) {
         host_freeze(v);
         sim_run(deployment->sim, time_from_ms(ms));
-        host_wake(v);
+        host_unfreeze(v);
       }
       break;
     case 5:
-      deployment_trouble(deployment, NULL, 'k', ms);
+      deployment_record_fault(deployment, NULL, 'k', ms);
       if (m->alive)
         host_kill(m);
       break;
     case 6:
-      deployment_trouble(deployment, v, 'n', ms);
+      deployment_record_fault(deployment, v, 'n', ms);
       for (int k = 0; k < fleet->controllers; k++)
-        sim_part(deployment->sim, v->self.text, fleet->controller[k]->self.text, true);
+        sim_set_partition_both_ways(deployment->sim, v->self.text, fleet->controller[k]->self.text,
+                                    true);
       break;
     default:
-      deployment_trouble(deployment, v, 'n', ms);
+      deployment_record_fault(deployment, v, 'n', ms);
       for (int k = 0; k < fleet->routers; k++)
         if (fleet->router[k] != v)
-          sim_part(deployment->sim, v->self.text, fleet->router[k]->self.text, true);
+          sim_set_partition_both_ways(deployment->sim, v->self.text, fleet->router[k]->self.text,
+                                      true);
     }
     sim_run(deployment->sim, time_from_ms(ms));
-    sim_mend(deployment->sim);
-    for (size_t e = 0; e < deployment->engines + deployment->plain; e++)
-      if (!deployment->engine[e]->host->alive)
-        host_start(deployment->engine[e]->host);
+    sim_heal_partitions(deployment->sim);
+    for (size_t e = 0; e < deployment->model_engine_count + deployment->plain_engine_count; e++)
+      if (!deployment->engine_processes[e]->host->alive)
+        host_start(deployment->engine_processes[e]->host);
     for (int n = 0; n < fleet->routers; n++)
       if (!fleet->router[n]->alive)
         host_start(fleet->router[n]);
@@ -735,23 +748,23 @@
       if (!fleet->controller[n]->alive)
         host_start(fleet->controller[n]);
   }
-  for (size_t e = 0; e < deployment->engines + deployment->plain; e++)
-    deployment->engine[e]->plan.faults.lose_answers =
-        deployment->engine[e]->plan.faults.cut_answers = 0;
+  for (size_t e = 0; e < deployment->model_engine_count + deployment->plain_engine_count; e++)
+    deployment->engine_processes[e]->plan.faults.lose_responses =
+        deployment->engine_processes[e]->plan.faults.truncate_responses = 0;
   sim_run(deployment->sim, time_from_ms(12000));
-  for (size_t e = 0; e < deployment->engines + deployment->plain; e++)
-    if (!deployment->engine[e]->host->alive)
-      host_start(deployment->engine[e]->host);
+  for (size_t e = 0; e < deployment->model_engine_count + deployment->plain_engine_count; e++)
+    if (!deployment->engine_processes[e]->host->alive)
+      host_start(deployment->engine_processes[e]->host);
   json *json = stands(deployment);
   if (!strcmp(verdict(json), "harm"))
-    violation(fleet, "a harmless candidate was found to do harm");
+    fleet_add_violation(fleet, "a harmless candidate was found to do harm");
   if (!verdict(json)[0]) {
     /* a duty may be on its way from one to another */
-    if (!sim_until(deployment->sim, judged, deployment, time_from_ms(10000)))
-      violation(fleet, "nobody judges, long after all is well again");
+    if (!sim_run_until(deployment->sim, judged, deployment, time_from_ms(10000)))
+      fleet_add_violation(fleet, "nobody judges, long after all is well again");
     if (put(deployment, "PATCH", "{\"state\":\"ended\",\"end\":{\"verdict\":\"stopped\"}}", 0) !=
         200)
-      violation(fleet, "the trial could not be stopped");
+      fleet_add_violation(fleet, "the trial could not be stopped");
   }
   at = deployment->sim->now;
   json_free(json);
@@ -786,7 +799,8 @@
     error err = { 0 };
     int r = canary_compile(&p, value, &err);
     if (r != bad[i].code)
-      violation(fleet, "%s has code %d (%s), not %d", bad[i].text, r, err.text, bad[i].code);
+      fleet_add_violation(fleet, "%s has code %d (%s), not %d", bad[i].text, r, err.text,
+                          bad[i].code);
     json_free(value);
   }
   json *value = json_parse(
@@ -797,12 +811,12 @@
   if (canary_compile(&p, value, NULL) || p.state != CANARY_RUNNING ||
       p.candidate.zone_weight != 2 ||
       p.candidate.reject_threshold != select_policy_default.reject_threshold)
-    violation(fleet, "a sound trial is not taken");
+    fleet_add_violation(fleet, "a sound trial is not taken");
   if (canary_compile(&blank, NULL, NULL) || blank.state != CANARY_NONE)
-    violation(fleet, "without a value there is a trial");
+    fleet_add_violation(fleet, "without a value there is a trial");
   if (!canary_includes(&p, id_of_text("r"), 1) || canary_includes(&p, id_of_text("r"), 2) ||
       canary_includes(&p, id_of_text("q"), 0))
-    violation(fleet, "the wrong requests take part");
+    fleet_add_violation(fleet, "the wrong requests take part");
   int in = 0, other = 0;
   canary_plan q = p;
   q.name = id_of_text("b");
@@ -812,15 +826,15 @@
     other += x && canary_session_is_candidate(&q, hash_bytes(&s, sizeof s, 9));
   }
   if (abs(in - 5000) > 250 || abs(other - 1250) > 150)
-    violation(fleet, "of 20000 sessions %d are drawn, and %d by two trials", in, other);
+    fleet_add_violation(fleet, "of 20000 sessions %d are drawn, and %d by two trials", in, other);
   json_free(value);
-  return !fleet->faults->len;
+  return !fleet->violations->len;
 }
 
 /* the streams of neighbouring seeds are one stream, a draw apart: too much alike where nothing but
  * numbers is drawn */
 static double unit_draw(fleet *fleet) {
-  uint64_t n = fleet->sim->rnd++;
+  uint64_t n = fleet->sim->random_state++;
   return (double)(hash_bytes(&n, sizeof n, fleet->seed * 0x5851f42d4c957f2dull) >> 11) /
          (double)(1ull << 53);
 }
@@ -854,7 +868,7 @@
                     .error_probability = 0.05,
                     .min_requests = 20 };
   int alarms = 0, seen = 0, worst = 0;
-  fleet->sim->rnd = fleet->seed << 32;
+  fleet->sim->random_state = fleet->seed << 32;
   enum { CALM = 400, TRIALS = 150, MOST = 1500 };
   static const double rates[] = { 0.02, 0.1, 0.4 };
   for (int i = 0; i < CALM; i++)
@@ -863,7 +877,7 @@
   /* a chance of 5 in 100 at most; with 400 trials more than 34 would be seen less than once in 1000
    */
   if (alarms > 34)
-    violation(fleet, "%d of %d trials without a difference ended in alarm", alarms, CALM);
+    fleet_add_violation(fleet, "%d of %d trials without a difference ended in alarm", alarms, CALM);
   p.margin = 0.02;
   for (int i = 0; i < TRIALS; i++) {
     int n = drawn_trial(fleet, &p, 0.03, 0.3, 0, MOST, false);
@@ -871,102 +885,102 @@
     worst = MAX(worst, n);
   }
   if (seen < TRIALS * 95 / 100)
-    violation(fleet, "harm was seen in only %d of %d trials", seen, TRIALS);
+    fleet_add_violation(fleet, "harm was seen in only %d of %d trials", seen, TRIALS);
   if (worst > 200)
-    violation(fleet, "harm was seen only after %d requests", worst);
+    fleet_add_violation(fleet, "harm was seen only after %d requests", worst);
   if (getenv("SIM_COUNT"))
     fprintf(stderr, "  of %d: %d false alarms; of %d: harm seen in %d, after %d at the latest\n",
             CALM, alarms, TRIALS, seen, worst);
   if (canary_evidence(10, 100, 10, 100, 0) != 0 || canary_evidence(0, 0, 9, 10, 0) != 0 ||
       canary_evidence(1, 100, 30, 100, 0) < 5 ||
       canary_evidence(1, 100, 30, 100, 0.2) > canary_evidence(1, 100, 30, 100, 0))
-    violation(fleet, "the evidence is wrong");
+    fleet_add_violation(fleet, "the evidence is wrong");
   if (canary_bound(0, 0, 0.05, true) != 1 || canary_bound(0, 0, 0.05, false) != 0)
-    violation(fleet, "nothing is known, and yet there is a bound");
+    fleet_add_violation(fleet, "nothing is known, and yet there is a bound");
   if (!(canary_bound(10, 100, 0.05, false) < 0.1 && canary_bound(10, 100, 0.05, true) > 0.1 &&
         canary_bound(10, 100, 0.01, true) > canary_bound(10, 100, 0.05, true)))
-    violation(fleet, "the bounds lie wrong");
-  return !fleet->faults->len;
+    fleet_add_violation(fleet, "the bounds lie wrong");
+  return !fleet->violations->len;
 }
 
 static int seen(deployment *deployment, const char *word) {
-  bool is = strstr(deployment->base->faults->str, word) != NULL;
+  bool is = strstr(deployment->fleet->violations->str, word) != NULL;
   if (!is)
     fprintf(stderr, "  %s was not seen\n", word);
-  g_string_truncate(deployment->base->faults, 0);
+  g_string_truncate(deployment->fleet->violations, 0);
   return is;
 }
 
 static bool trial_checkers_can_fail(fleet *fleet) {
   deployment *deployment = deployment_new(fleet, 4, 2);
-  if (!deployment_up(deployment))
-    return deployment_done(deployment, 0);
+  if (!deployment_bring_up(deployment))
+    return deployment_finish(deployment, 0);
   busy(deployment, 1.2);
   time_us at = { 0 };
   if (!begin_trial(deployment, "mutate", 0.5, harmless, 3, 25, 20))
-    return deployment_done(deployment, 0);
+    return deployment_finish(deployment, 0);
   ends(deployment, "no harm", 40000, &at);
   sim_run(deployment->sim, time_from_ms(5000));
-  deployment_quiet(deployment);
-  gateway_check_sides(deployment);
-  gateway_check_returned(deployment, "mutate", at);
+  deployment_finish_traffic(deployment);
+  gateway_check_trial_policies(deployment);
+  gateway_check_trial_ended(deployment, "mutate", at);
   gateway_check_dropped(deployment, at);
-  if (fleet->faults->len)
-    return deployment_done(deployment, 0);
-  em_run *c = NULL, *o = NULL, *last = NULL;
+  if (fleet->violations->len)
+    return deployment_finish(deployment, 0);
+  engine_run_record *c = NULL, *o = NULL, *last = NULL;
   for (guint i = 0; i < deployment->log->runs->len; i++) {
-    em_run *run = deployment->log->runs->pdata[i];
+    engine_run_record *run = deployment->log->runs->pdata[i];
     if (g_str_has_suffix(run->policy, " candidate"))
       c = run;
-    if (!run->policy[0] && run->came.us > at.us + 3000000 && strchr("rdfcbt", run->how))
+    if (!run->policy[0] && run->received_at.us > at.us + 3000000 && strchr("rdfcbt", run->outcome))
       last = run;
   }
   for (guint i = 0; c && i < deployment->log->runs->len; i++) {
-    em_run *run = deployment->log->runs->pdata[i];
-    if (g_str_has_suffix(run->policy, " old") && run->came.us < c->came.us - 5000000)
+    engine_run_record *run = deployment->log->runs->pdata[i];
+    if (g_str_has_suffix(run->policy, " old") && run->received_at.us < c->received_at.us - 5000000)
       o = run;
   }
   if (!c || !o || !last) {
-    violation(fleet, "there is nothing to mutate");
-    return deployment_done(deployment, 0);
+    fleet_add_violation(fleet, "there is nothing to mutate");
+    return deployment_finish(deployment, 0);
   }
   int shown = 0;
   char session[48];
   /* a session of the candidate that the old policy had long before */
   g_strlcpy(session, o->session, sizeof session);
   g_strlcpy(o->session, c->session, sizeof o->session);
-  gateway_check_sides(deployment);
+  gateway_check_trial_policies(deployment);
   shown += seen(deployment, "SIDES");
   g_strlcpy(o->session, session, sizeof session);
   /* one request under two policies */
-  em_run *two = g_memdup2(c, sizeof *c);
+  engine_run_record *two = g_memdup2(c, sizeof *c);
   g_strlcpy(two->policy, "mutate old", sizeof two->policy);
   g_ptr_array_add(deployment->log->runs, two);
-  gateway_check_sides(deployment);
+  gateway_check_trial_policies(deployment);
   shown += seen(deployment, "SIDES");
   g_strlcpy(two->policy, "mutate both", sizeof two->policy);
-  two->request[0] = 0;
-  g_strlcpy(two->request, last->request, sizeof two->request);
-  gateway_check_sides(deployment);
+  two->request_id[0] = 0;
+  g_strlcpy(two->request_id, last->request_id, sizeof two->request_id);
+  gateway_check_trial_policies(deployment);
   shown += seen(deployment, "SIDES");
   g_ptr_array_set_size(deployment->log->runs, (int)deployment->log->runs->len - 1);
   g_strlcpy(last->policy, "mutate candidate", sizeof last->policy);
-  gateway_check_returned(deployment, "mutate", at);
+  gateway_check_trial_ended(deployment, "mutate", at);
   shown += seen(deployment, "RETURN");
   last->policy[0] = 0;
-  em_attempt *attempt = NULL;
-  for (guint i = 0; i < deployment->client->tries->len && !attempt; i++) {
-    em_attempt *k = deployment->client->tries->pdata[i];
-    if (k->how == 'd' && k->to.us > k->sent.us)
+  client_sim_attempt *attempt = NULL;
+  for (guint i = 0; i < deployment->client->attempts->len && !attempt; i++) {
+    client_sim_attempt *k = deployment->client->attempts->pdata[i];
+    if (k->outcome == 'd' && k->ended_at.us > k->sent_at.us)
       attempt = k;
   }
-  attempt->how = 'e';
-  gateway_check_dropped(deployment, attempt->sent);
+  attempt->outcome = 'e';
+  gateway_check_dropped(deployment, attempt->sent_at);
   shown += seen(deployment, "DROPPED");
-  attempt->how = 'd';
+  attempt->outcome = 'd';
   if (shown != 5)
-    violation(fleet, "only %d of 5 violations were seen", shown);
-  return deployment_done(deployment, 0);
+    fleet_add_violation(fleet, "only %d of 5 violations were seen", shown);
+  return deployment_finish(deployment, 0);
 }
 
 const test_case canary_tests[] = {
--- a/tests/gateway/capacity_account.c
+++ b/tests/gateway/capacity_account.c
@@ -13,33 +13,37 @@
   fleet *fleet;
 } room_trial;
 
-static unit *any_gateway(room_trial *t) {
+static deployment_process *any_gateway(room_trial *t) {
   for (int tries = 0; tries < 20; tries++) {
-    unit *unit = t->deployment->gateways[sim_draw(t->deployment->sim, (uint64_t)t->fleet->routers)];
-    if (unit->host->alive && !unit->host->frozen && unit->gateway)
-      return unit;
+    deployment_process *process =
+        t->deployment
+            ->gateway_processes[sim_random(t->deployment->sim, (uint64_t)t->fleet->routers)];
+    if (process->host->alive && !process->host->frozen && process->gateway)
+      return process;
   }
   return NULL;
 }
 
-static unit *any_engine(room_trial *t) {
-  return t->deployment->engine[sim_draw(t->deployment->sim, t->deployment->engines)];
+static deployment_process *any_engine(room_trial *t) {
+  return t->deployment
+      ->engine_processes[sim_random(t->deployment->sim, t->deployment->model_engine_count)];
 }
 
 /* what holds an engine, or any gateway */
-static unit *a_holder(room_trial *t) {
-  unit *e = any_engine(t), *unit = e->engine ? engine_holder(t->deployment, e) : NULL;
-  return unit ? unit : any_gateway(t);
+static deployment_process *a_holder(room_trial *t) {
+  deployment_process *e = any_engine(t),
+                     *process = e->engine ? engine_holder(t->deployment, e) : NULL;
+  return process ? process : any_gateway(t);
 }
 
 static void request_for_a_load(room_trial *t) {
-  unit *from = any_gateway(t), *e = any_engine(t);
+  deployment_process *from = any_gateway(t), *e = any_engine(t);
   if (!from || !e->engine)
     return;
   char model[16], adapter[16] = "";
-  snprintf(model, sizeof model, "m%d", (int)sim_draw(t->deployment->sim, 14));
-  if (sim_draw(t->deployment->sim, 3))
-    snprintf(adapter, sizeof adapter, "a%d", 1 + (int)sim_draw(t->deployment->sim, ADAPTERS));
+  snprintf(model, sizeof model, "m%d", (int)sim_random(t->deployment->sim, 14));
+  if (sim_random(t->deployment->sim, 3))
+    snprintf(adapter, sizeof adapter, "a%d", 1 + (int)sim_random(t->deployment->sim, ADAPTERS));
   load_request(t->deployment, from, e, model, adapter, false)->most = 1000000000;
 }
 
@@ -47,9 +51,9 @@
 static void request_for_runs(room_trial *t) {
   char model[16];
   for (int k = 0; k < 3; k++) {
-    snprintf(model, sizeof model, "m%d/a%d", (int)sim_draw(t->deployment->sim, 14),
-             1 + (int)sim_draw(t->deployment->sim, ADAPTERS));
-    em_client_send(t->deployment->client, t->deployment->note, model);
+    snprintf(model, sizeof model, "m%d/a%d", (int)sim_random(t->deployment->sim, 14),
+             1 + (int)sim_random(t->deployment->sim, ADAPTERS));
+    client_sim_send(t->deployment->client, t->deployment->note, model);
   }
 }
 
@@ -59,52 +63,52 @@
 }
 static void wake_later(void *host) {
   if (((struct host *)host)->alive && ((struct host *)host)->frozen)
-    host_wake(host);
+    host_unfreeze(host);
 }
 static void mend_later(void *s) {
-  sim_mend(s);
+  sim_heal_partitions(s);
 }
 
 static time_us later(room_trial *t, int64_t least, uint64_t more) {
   return time_add(t->deployment->sim->now,
-                  time_from_ms(least + (int64_t)sim_draw(t->deployment->sim, more)));
+                  time_from_ms(least + (int64_t)sim_random(t->deployment->sim, more)));
 }
 
 static void kill_a_host(room_trial *t, host *host, int64_t least, uint64_t more) {
   if (!host->alive || host->frozen)
     return;
   host_kill(host);
-  sim_at(t->deployment->sim, later(t, least, more), start_later, host);
+  sim_schedule(t->deployment->sim, later(t, least, more), start_later, host);
 }
 
 static void freeze_a_host(room_trial *t, host *host) {
   if (!host->alive || host->frozen)
     return;
   host_freeze(host);
-  sim_at(t->deployment->sim, later(t, 200, 6000), wake_later, host);
+  sim_schedule(t->deployment->sim, later(t, 200, 6000), wake_later, host);
 }
 
 static void cut_a_holder_off(room_trial *t) {
-  unit *unit = a_holder(t), *e = any_engine(t);
-  if (!unit)
+  deployment_process *process = a_holder(t), *e = any_engine(t);
+  if (!process)
     return;
-  sim_part(t->deployment->sim, unit->host->self.text,
-           sim_draw(t->deployment->sim, 2) ? e->host->self.text : NULL, true);
-  sim_at(t->deployment->sim, later(t, 300, 5000), mend_later, t->deployment->sim);
+  sim_set_partition_both_ways(t->deployment->sim, process->host->self.text,
+                              sim_random(t->deployment->sim, 2) ? e->host->self.text : NULL, true);
+  sim_schedule(t->deployment->sim, later(t, 300, 5000), mend_later, t->deployment->sim);
 }
 
 static void bring_trouble(room_trial *t) {
-  unit *unit = a_holder(t), *e = any_engine(t);
-  em_faults *faults = &e->plan.faults;
-  switch (sim_draw(t->deployment->sim, 14)) {
+  deployment_process *process = a_holder(t), *e = any_engine(t);
+  registering_engine_faults *faults = &e->plan.faults;
+  switch (sim_random(t->deployment->sim, 14)) {
   case 0:
-    if (unit)
-      kill_a_host(t, unit->host, 100, 3000);
+    if (process)
+      kill_a_host(t, process->host, 100, 3000);
     break;
   case 1:
   case 2:
-    if (unit)
-      freeze_a_host(t, unit->host);
+    if (process)
+      freeze_a_host(t, process->host);
     break;
   case 3:
     cut_a_holder_off(t);
@@ -112,25 +116,25 @@
   case 4:
     /* beats wait for a machine that does not answer, and are old when the next one takes them */
     freeze_a_host(
-        t, t->fleet->controller[sim_draw(t->deployment->sim, (uint64_t)t->fleet->controllers)]);
+        t, t->fleet->controller[sim_random(t->deployment->sim, (uint64_t)t->fleet->controllers)]);
     break;
   case 5:
-    kill_a_host(t,
-                t->fleet->controller[sim_draw(t->deployment->sim, (uint64_t)t->fleet->controllers)],
-                100, 2000);
+    kill_a_host(
+        t, t->fleet->controller[sim_random(t->deployment->sim, (uint64_t)t->fleet->controllers)],
+        100, 2000);
     break;
   case 6:
     faults->drop_orders = 1;
     break;
   case 7:
-    faults->lose_order_answers = 1;
+    faults->lose_order_responses = 1;
     break;
   case 8:
-    faults->late_order_ms = 200 + (int64_t)sim_draw(t->deployment->sim, 8000);
+    faults->late_order_ms = 200 + (int64_t)sim_random(t->deployment->sim, 8000);
     faults->late_orders = 1;
     break;
   case 9:
-    e->plan.adapter_ms = 20 + (int64_t)sim_draw(t->deployment->sim, 400);
+    e->plan.adapter_ms = 20 + (int64_t)sim_random(t->deployment->sim, 400);
     break;
   case 10:
     kill_a_host(t, e->host, 500, 2000);
@@ -143,8 +147,8 @@
 static int loads_taken(room_trial *t) {
   int n = 0;
   for (guint i = 0; i < t->deployment->log->orders->len; i++) {
-    em_order *order = t->deployment->log->orders->pdata[i];
-    n += order->op == 'l' && order->begun;
+    engine_order_record *order = t->deployment->log->orders->pdata[i];
+    n += order->op == 'l' && order->started;
   }
   return n;
 }
@@ -152,11 +156,11 @@
 static void heal(room_trial *t) {
   scenario_heal_all(t->fleet);
   for (int i = 0; i < t->fleet->routers; i++)
-    start_later(t->deployment->gateways[i]->host);
-  for (size_t i = 0; i < t->deployment->engines; i++) {
-    start_later(t->deployment->engine[i]->host);
-    t->deployment->engine[i]->plan.faults = (em_faults){ 0 };
-    t->deployment->engine[i]->plan.adapter_ms = 0;
+    start_later(t->deployment->gateway_processes[i]->host);
+  for (size_t i = 0; i < t->deployment->model_engine_count; i++) {
+    start_later(t->deployment->engine_processes[i]->host);
+    t->deployment->engine_processes[i]->plan.faults = (registering_engine_faults){ 0 };
+    t->deployment->engine_processes[i]->plan.adapter_ms = 0;
   }
 }
 
@@ -164,19 +168,19 @@
   deployment *deployment = deployment_new(fleet, 2, 1);
   deployment->loads_per_s = 20;
   room_trial t = { deployment, fleet };
-  for (size_t i = 0; i < deployment->engines; i++)
-    holds_first(deployment->engine[i], i ? "m0" : "m3", NULL);
-  if (!deployment_up(deployment))
-    return deployment_done(deployment, 0);
+  for (size_t i = 0; i < deployment->model_engine_count; i++)
+    holds_first(deployment->engine_processes[i], i ? "m0" : "m3", NULL);
+  if (!deployment_bring_up(deployment))
+    return deployment_finish(deployment, 0);
   sim_run(deployment->sim, time_from_ms(2500));
   /* given two engines of which much more is asked than they hold, when troubles of all kinds come
    * at once */
   for (int ms = 0; ms < TROUBLED_MS; ms += STEP_MS) {
-    for (int k = (int)sim_draw(deployment->sim, 3); k > 0; k--)
+    for (int k = (int)sim_random(deployment->sim, 3); k > 0; k--)
       request_for_a_load(&t);
-    if (!sim_draw(deployment->sim, 2))
+    if (!sim_random(deployment->sim, 2))
       request_for_runs(&t);
-    if (!sim_draw(deployment->sim, 4))
+    if (!sim_random(deployment->sim, 4))
       bring_trouble(&t);
     sim_run(deployment->sim, time_from_ms(STEP_MS));
   }
@@ -190,8 +194,9 @@
   /* then no engine is ordered past its room or places (LIMIT), and loads go on after it */
   gateway_check_limit(deployment);
   if (before < LOADS_LEAST || loads_taken(&t) - before < 4)
-    violation(fleet, "only %d loads in trouble and %d after it", before, loads_taken(&t) - before);
-  bool ok = !fleet->faults->len;
+    fleet_add_violation(fleet, "only %d loads in trouble and %d after it", before,
+                        loads_taken(&t) - before);
+  bool ok = !fleet->violations->len;
   deployment_free(deployment);
   return ok;
 }
@@ -201,31 +206,32 @@
 static bool a_refused_request_frees_no_place(fleet *fleet) {
   deployment *deployment = deployment_new(fleet, 2, 1);
   deployment->loads_per_s = 20;
-  holds_first(deployment->engine[0], "m1", "m2");
-  holds_first(deployment->engine[1], "m0", NULL);
-  if (!deployment_up(deployment))
-    return deployment_done(deployment, 0);
+  holds_first(deployment->engine_processes[0], "m1", "m2");
+  holds_first(deployment->engine_processes[1], "m0", NULL);
+  if (!deployment_bring_up(deployment))
+    return deployment_finish(deployment, 0);
   sim_run(deployment->sim, time_from_ms(2500));
-  unit *unit = engine_holder(deployment, deployment->engine[0]);
-  if (!unit)
-    violation(fleet, "nobody holds the engine");
+  deployment_process *process = engine_holder(deployment, deployment->engine_processes[0]);
+  if (!process)
+    fleet_add_violation(fleet, "nobody holds the engine");
   /* given an engine with four places, when six adapters are loaded one after the other while
    * requests for them come, and later ones take longer than the holder has learnt */
   static const char *const wanted[] = { "m1/a1", "m1/a2", "m1/a3", "m2/a1", "m2/a2", "m2/a3" };
-  for (size_t k = 0; unit && k < G_N_ELEMENTS(wanted); k++) {
+  for (size_t k = 0; process && k < G_N_ELEMENTS(wanted); k++) {
     char model[4] = { wanted[k][0], wanted[k][1] };
-    deployment->engine[0]->plan.adapter_ms = k < 2 ? 20 : 200;
-    load *l = load_request(deployment, unit, deployment->engine[0], model, wanted[k] + 3, false);
-    sim_until(deployment->sim, load_done, l, time_from_ms(3000));
+    deployment->engine_processes[0]->plan.adapter_ms = k < 2 ? 20 : 200;
+    load *l = load_request(deployment, process, deployment->engine_processes[0], model,
+                           wanted[k] + 3, false);
+    sim_run_until(deployment->sim, load_done, l, time_from_ms(3000));
     /* all gateways have heard by now that it is there */
     for (int n = 0; n < 12; n++)
-      em_client_send(deployment->client, deployment->note, wanted[k]);
+      client_sim_send(deployment->client, deployment->note, wanted[k]);
     sim_run(deployment->sim, time_from_ms(50));
   }
   sim_run(deployment->sim, time_from_ms(3000));
   /* then no adapter is ordered past the places (LIMIT) */
   gateway_check_limit(deployment);
-  bool ok = !fleet->faults->len;
+  bool ok = !fleet->violations->len;
   deployment_free(deployment);
   return ok;
 }
@@ -238,36 +244,39 @@
   for (size_t i = 0; i < deployment->model_count; i++)
     if (id_equal(deployment->models[i].name, id_of_text("m9")))
       deployment->models[i].load_ms = 200;
-  holds_first(deployment->engine[0], "m3", NULL);
-  holds_first(deployment->engine[1], "m0", NULL);
-  if (!deployment_up(deployment))
-    return deployment_done(deployment, 0);
+  holds_first(deployment->engine_processes[0], "m3", NULL);
+  holds_first(deployment->engine_processes[1], "m0", NULL);
+  if (!deployment_bring_up(deployment))
+    return deployment_finish(deployment, 0);
   sim_run(deployment->sim, time_from_ms(2500));
-  unit *unit = engine_holder(deployment, deployment->engine[0]);
-  if (!unit)
-    violation(fleet, "nobody holds the engine");
+  deployment_process *process = engine_holder(deployment, deployment->engine_processes[0]);
+  if (!process)
+    fleet_add_violation(fleet, "nobody holds the engine");
   else {
     /* given an engine with room for one more large model, and a load of one that gets no answer and
      * comes late */
-    deployment->engine[0]->plan.faults.late_order_ms =
-        2300 + (int64_t)sim_draw(deployment->sim, 600);
-    deployment->engine[0]->plan.faults.late_orders = 1;
-    load *late = load_request(deployment, unit, deployment->engine[0], "m9", "", false);
+    deployment->engine_processes[0]->plan.faults.late_order_ms =
+        2300 + (int64_t)sim_random(deployment->sim, 600);
+    deployment->engine_processes[0]->plan.faults.late_orders = 1;
+    load *late =
+        load_request(deployment, process, deployment->engine_processes[0], "m9", "", false);
     late->most = 1000000000;
-    sim_until(deployment->sim, load_done, late, time_from_ms(2200));
+    sim_run_until(deployment->sim, load_done, late, time_from_ms(2200));
     /* when the engine is read again before it comes, and another large model is asked for after it
      */
-    load *small = load_request(deployment, unit, deployment->engine[0], "m3", "a1", false);
-    sim_until(deployment->sim, load_done, small, time_from_ms(1000));
-    sim_run(deployment->sim, time_from_ms(700 + (int64_t)sim_draw(deployment->sim, 500)));
-    load *next = load_request(deployment, unit, deployment->engine[0], "m12", "", false);
+    load *small =
+        load_request(deployment, process, deployment->engine_processes[0], "m3", "a1", false);
+    sim_run_until(deployment->sim, load_done, small, time_from_ms(1000));
+    sim_run(deployment->sim, time_from_ms(700 + (int64_t)sim_random(deployment->sim, 500)));
+    load *next =
+        load_request(deployment, process, deployment->engine_processes[0], "m12", "", false);
     /* then it is not ordered past its room (LIMIT), and that model comes in the end */
-    if (!sim_until(deployment->sim, load_done, next, time_from_ms(20000)))
-      violation(fleet, "the next load never comes (code %d)", next->code);
+    if (!sim_run_until(deployment->sim, load_done, next, time_from_ms(20000)))
+      fleet_add_violation(fleet, "the next load never comes (code %d)", next->code);
   }
   sim_run(deployment->sim, time_from_ms(2000));
   gateway_check_limit(deployment);
-  bool ok = !fleet->faults->len;
+  bool ok = !fleet->violations->len;
   deployment_free(deployment);
   return ok;
 }
@@ -275,7 +284,7 @@
 #define WANT(f, x)                                                                                 \
   do {                                                                                             \
     if (!(x))                                                                                      \
-      violation(f, "line %d: %s", __LINE__, #x);                                                   \
+      fleet_add_violation(f, "line %d: %s", __LINE__, #x);                                         \
   } while (0)
 
 static const char ROUTING[] =
@@ -291,7 +300,7 @@
   routing *routing = json ? routing_compile(json, &err) : NULL;
   json_free(json);
   if (!routing) {
-    violation(fleet, "the test's configuration is refused: %s", err.text);
+    fleet_add_violation(fleet, "the test's configuration is refused: %s", err.text);
     return false;
   }
   const service *service = routing_find_service(routing, "s");
--- a/tests/gateway/drain.c
+++ b/tests/gateway/drain.c
@@ -29,7 +29,7 @@
   for (int i = 0; i < 1000 && !fixture->over; i++)
     fixture_run(fixture, 10);
   if (!fixture->over)
-    violation(fixture->fleet, "the gateway does not end");
+    fleet_add_violation(fixture->fleet, "the gateway does not end");
   host_kill(fixture->node);
   fixture_run(fixture, 200);
 }
@@ -73,14 +73,14 @@
   run_to_the_end(fixture);
   int late = passed_on_after(fixture, time_add(asked, time_from_ms(LISTENER_MS + TRIP_MS)));
   if (late)
-    violation(fleet,
-              "LOST %d requests were passed on although they came after the listener was shut",
-              late);
+    fleet_add_violation(
+        fleet, "LOST %d requests were passed on although they came after the listener was shut",
+        late);
   for (guint i = 0; i < CALLERS; i++) {
     fixture_request *first = fixture->requests->pdata[i];
     if (first->status != 200 || !first->ended)
-      violation(fleet, "LOST %s began before the stop and was cut (%d)", first->request,
-                first->status);
+      fleet_add_violation(fleet, "LOST %s began before the stop and was cut (%d)", first->request,
+                          first->status);
   }
   fixture_free(fixture);
   return true;
@@ -108,18 +108,18 @@
   fixture_request *late = ask_after_stop(fixture, LONG_TOKENS);
   double most = route_durations_upper_ms(fixture->gateway->route_durations, id_of_text("t"));
   if (most < (double)gateway_remaining_ms(fixture->gateway))
-    violation(fleet, "the streams of this test last %.0f ms, too short for it", most);
+    fleet_add_violation(fleet, "the streams of this test last %.0f ms, too short for it", most);
   if (!late->done || late->status != 503 || fixture_runs(fixture, late, true))
-    violation(fleet, "a stream that would be cut was taken (status %d)", late->status);
+    fleet_add_violation(fleet, "a stream that would be cut was taken (status %d)", late->status);
   if (fixture->gateway->counts.unserved[UNSERVED_DRAINING] != 1)
-    violation(fleet, "the refusal is not counted by its reason");
+    fleet_add_violation(fleet, "the refusal is not counted by its reason");
   run_to_the_end(fixture);
   fixture_free(fixture);
   fixture = fixture_new(fleet, long_routes, true, 2, 8);
   late = ask_after_stop(fixture, SHORT_TOKENS);
   run_to_the_end(fixture);
   if (late->status != 200 || !late->ended)
-    violation(fleet, "a short stream was not served (status %d)", late->status);
+    fleet_add_violation(fleet, "a short stream was not served (status %d)", late->status);
   fixture_free(fixture);
   return true;
 }
@@ -141,8 +141,9 @@
   for (guint i = 0; i < fixture->requests->len; i++) {
     fixture_request *request = fixture->requests->pdata[i];
     if (!request->done || !request->ended || (request->status != 502 && request->status != 504))
-      violation(fleet, "LOST %s to %s was passed on and ended without an answer (status %d)",
-                request->request, request->target, request->status);
+      fleet_add_violation(fleet,
+                          "LOST %s to %s was passed on and ended without an answer (status %d)",
+                          request->request, request->target, request->status);
   }
   fixture_free(fixture);
   return true;
@@ -151,20 +152,20 @@
 /* Callers keep to the connection that they have, also when the platform sends no new ones there. */
 static bool gateways_stop_under_long_streams(fleet *fleet) {
   deployment *deployment = deployment_new(fleet, 6, 2);
-  if (!deployment_up(deployment))
-    return deployment_done(deployment, 0);
+  if (!deployment_bring_up(deployment))
+    return deployment_finish(deployment, 0);
   deployment->note->tokens_out = 420;
-  deployment->note->per_s = 4;
-  deployment_go(deployment, 1);
+  deployment->note->requests_per_s = 4;
+  deployment_start_traffic(deployment, 1);
   for (int i = 0; i < fleet->routers; i++) {
     sim_run(deployment->sim, time_from_ms(5000));
-    deployment_term(deployment, deployment->gateways[i]);
+    deployment_terminate_gateway(deployment, deployment->gateway_processes[i]);
     sim_run(deployment->sim, time_from_ms(9500));
     host_start(fleet->router[i]);
     sim_run(deployment->sim, time_from_ms(4000));
   }
-  deployment_quiet(deployment);
-  return deployment_done(deployment, 0.9);
+  deployment_finish_traffic(deployment);
+  return deployment_finish(deployment, 0.9);
 }
 
 static void start_what_has_ended(fleet *fleet) {
@@ -177,13 +178,14 @@
 }
 
 static void change_configuration(deployment *deployment, uint64_t *version) {
-  uint64_t next = *version + 1 + sim_draw(deployment->sim, 3);
+  uint64_t next = *version + 1 + sim_random(deployment->sim, 3);
   char *text =
-      deployment_config(deployment, next, sim_draw(deployment->sim, 2) ? "spare" : "ledger");
-  em_change *change = em_operator_send(deployment->operator, next, *version, false, text, true);
+      deployment_config(deployment, next, sim_random(deployment->sim, 2) ? "spare" : "ledger");
+  operator_sim_change *change =
+      operator_sim_send(deployment->operator, next, *version, false, text, true);
   for (int n = 0; n < 200 && !change->done; n++)
     sim_run(deployment->sim, time_from_ms(50));
-  if (change->acked.us)
+  if (change->acked_at.us)
     *version = next;
   g_free(text);
 }
@@ -193,17 +195,19 @@
 static bool gateways_stop_at_any_hour(fleet *fleet) {
   enum { STEPS = 14, SETTLE_MS = 11000 };
   deployment *deployment = deployment_new(fleet, 6, 3);
-  if (!deployment_up(deployment))
-    return deployment_done(deployment, 0);
+  if (!deployment_bring_up(deployment))
+    return deployment_finish(deployment, 0);
   deployment->note->tokens_out = 420;
-  deployment->note->per_s = 4;
-  deployment_go(deployment, 1);
+  deployment->note->requests_per_s = 4;
+  deployment_start_traffic(deployment, 1);
   uint64_t version = 1;
   for (int i = 0; i < STEPS; i++) {
-    unit *gateway = deployment->gateways[sim_draw(deployment->sim, fleet->routers)];
-    host *controller = fleet->controller[sim_draw(deployment->sim, fleet->controllers)];
-    unit *engine = deployment->engine[sim_draw(deployment->sim, deployment->engines)];
-    switch (sim_draw(deployment->sim, 8)) {
+    deployment_process *gateway =
+        deployment->gateway_processes[sim_random(deployment->sim, fleet->routers)];
+    host *controller = fleet->controller[sim_random(deployment->sim, fleet->controllers)];
+    deployment_process *engine =
+        deployment->engine_processes[sim_random(deployment->sim, deployment->model_engine_count)];
+    switch (sim_random(deployment->sim, 8)) {
     case 0:
       if (gateway->gateway) {
         gateway_settings same = gateway->gateway->settings;
@@ -212,11 +216,11 @@
       break;
     case 1:
       if (engine->engine)
-        em_engine_leave(engine->engine, 0);
-      deployment_trouble(deployment, engine->host, 'e', 5000);
+        registering_engine_sim_drain(engine->engine, 0);
+      deployment_record_fault(deployment, engine->host, 'e', 5000);
       break;
     case 2:
-      deployment_trouble(deployment, NULL, 'k', 1500);
+      deployment_record_fault(deployment, NULL, 'k', 1500);
       if (controller->alive)
         host_kill(controller);
       break;
@@ -226,16 +230,16 @@
       break;
     default:
       if (gateway->gateway && !gateway->gateway->drain.draining)
-        deployment_term(deployment, gateway);
+        deployment_terminate_gateway(deployment, gateway);
     }
-    sim_run(deployment->sim, time_from_ms(300 + (int64_t)sim_draw(deployment->sim, 4000)));
+    sim_run(deployment->sim, time_from_ms(300 + (int64_t)sim_random(deployment->sim, 4000)));
     start_what_has_ended(fleet);
   }
   sim_run(deployment->sim, time_from_ms(SETTLE_MS));
   start_what_has_ended(fleet);
   sim_run(deployment->sim, time_from_ms(SETTLE_MS));
-  deployment_quiet(deployment);
-  return deployment_done(deployment, 0.6);
+  deployment_finish_traffic(deployment);
+  return deployment_finish(deployment, 0.6);
 }
 
 /** Reads of the configuration, one after the other on kept connections, from one machine. */
@@ -288,8 +292,8 @@
 static bool leaving_controllers_answer_what_they_have_read(fleet *fleet) {
   enum { READERS = 4 };
   deployment *deployment = deployment_new(fleet, 2, 1);
-  if (!deployment_up(deployment))
-    return deployment_done(deployment, 0);
+  if (!deployment_bring_up(deployment))
+    return deployment_finish(deployment, 0);
   leaver leavers[3];
   reader readers[3 * READERS];
   for (int i = 0; i < fleet->controllers; i++) {
@@ -297,15 +301,15 @@
     leavers[i] = (leaver){ .host = host, .left = -1 };
     for (int k = 0; k < READERS; k++) {
       reader *reader = &readers[i * READERS + k];
-      *reader = (struct reader){ .world = &deployment->op_host->world };
+      *reader = (struct reader){ .world = &deployment->operator_host->world };
       snprintf(reader->addr, sizeof reader->addr, "%.*s:%d", (int)strcspn(host->addr, ":"),
                host->addr, host->controller->control_listener.http.port);
-      task_start(&deployment->op_host->world.tasks, "reader", read_run, reader);
+      task_start(&deployment->operator_host->world.tasks, "reader", read_run, reader);
     }
     controller_drain(host->controller);
     task_start(&host->world.tasks, "leaver", leaver_run, &leavers[i]);
   }
-  deployment->op_host->due = deployment->sim->now;
+  deployment->operator_host->next_wake_at = deployment->sim->now;
   for (int i = 0; i < 1000; i++) {
     sim_run(deployment->sim, time_from_ms(10));
     for (int k = 0; k < fleet->controllers; k++)
@@ -314,18 +318,19 @@
   }
   for (int i = 0; i < fleet->controllers; i++)
     if (leavers[i].left)
-      violation(fleet, "%s ended with %d calls that it had read", leavers[i].host->self.text,
-                leavers[i].left);
+      fleet_add_violation(fleet, "%s ended with %d calls that it had read",
+                          leavers[i].host->self.text, leavers[i].left);
   for (int i = 0; i < fleet->controllers * READERS; i++) {
     readers[i].stop = true;
     if (readers[i].answered < 2)
-      violation(fleet, "only %d of %d reads were answered", readers[i].answered, readers[i].asked);
+      fleet_add_violation(fleet, "only %d of %d reads were answered", readers[i].answered,
+                          readers[i].asked);
   }
   sim_run(deployment->sim, time_from_ms(3000));
   for (int i = 0; i < fleet->controllers; i++)
     host_start(fleet->controller[i]);
   sim_run(deployment->sim, time_from_ms(5000));
-  return deployment_done(deployment, 0);
+  return deployment_finish(deployment, 0);
 }
 
 const test_case drain_tests[] = {
--- a/tests/gateway/fixture.c
+++ b/tests/gateway/fixture.c
@@ -8,43 +8,43 @@
 /* interval of heartbeats, and after how long a new gateway knows its engines */
 enum { HEARTBEAT_MS = 500, STARTED_MS = 600 };
 
-static const em_model models[] = { { { "m" }, 1000, 1500, 10, 4 } };
+static const engine_model_spec models[] = { { { "m" }, 1000, 1500, 10, 4 } };
 
 static void node_begin(host *host) {
-  fixture *fixture = host->extra;
+  fixture *fixture = host->context;
   error err = { 0 };
   fixture->gateway = gateway_new(host->router, &fixture->settings, &err);
   if (!fixture->gateway || gateway_open(fixture->gateway, &err)) {
-    violation(fixture->fleet, "no gateway: %s", err.text);
+    fleet_add_violation(fixture->fleet, "no gateway: %s", err.text);
     return;
   }
 }
 
 static void node_finish(host *host) {
-  fixture *fixture = host->extra;
+  fixture *fixture = host->context;
   gateway_free(fixture->gateway);
   fixture->gateway = NULL;
 }
 
 static void engine_begin(host *host) {
-  fixture *fixture = host->extra;
+  fixture *fixture = host->context;
   for (int i = 0; i < FIXTURE_ENGINES; i++)
     if (fixture->engine_hosts[i] == host) {
       error err = { 0 };
-      fixture->engines[i] = em_engine_new(&host->world, &fixture->plan[i], &err);
+      fixture->engines[i] = registering_engine_sim_new(&host->world, &fixture->plan[i], &err);
       if (!fixture->engines[i]) {
-        violation(fixture->fleet, "no engine: %s", err.text);
+        fleet_add_violation(fixture->fleet, "no engine: %s", err.text);
         return;
       }
-      fixture->engines[i]->stray = sim_stray;
+      fixture->engines[i]->send_stray_response = sim_send_stray_response;
     }
 }
 
 static void engine_finish(host *host) {
-  fixture *fixture = host->extra;
+  fixture *fixture = host->context;
   for (int i = 0; i < FIXTURE_ENGINES; i++)
     if (fixture->engine_hosts[i] == host && fixture->engines[i]) {
-      em_engine_free(fixture->engines[i]);
+      registering_engine_sim_free(fixture->engines[i]);
       fixture->engines[i] = NULL;
     }
 }
@@ -52,7 +52,7 @@
 /* fills in the heartbeat of an engine, as a controller passes it on */
 static void set_engine_state(fixture *fixture, int i, Wire__EngineState *state,
                              Wire__ResidentModel **resident) {
-  const em_plan *plan = &fixture->plan[i];
+  const registering_engine_plan *plan = &fixture->plan[i];
   wire__engine_state__init(state);
   state->id = fixture->engines[i]->self.text;
   state->service = (char *)plan->service.text;
@@ -93,7 +93,7 @@
   while (ms > 0) {
     int64_t step = MIN(ms, HEARTBEAT_MS);
     send_engine_states(fixture);
-    fixture->node->due = fixture->fleet->sim->now;
+    fixture->node->next_wake_at = fixture->fleet->sim->now;
     sim_run(fixture->fleet->sim, time_from_ms(step));
     ms -= step;
   }
@@ -111,43 +111,44 @@
                                           .retry_ratio = 0.2,
                                           .retry_slack = 50,
                                           .retry_window_s = 10 };
-  host *node = sim_host(fleet->sim, HOST_ROUTER, "gw", "north", "10.9.0.1:7660");
+  host *node = sim_add_host(fleet->sim, HOST_ROUTER, "gw", "north", "10.9.0.1:7660");
   node->settings = fleet->router[0]->settings;
   node->settings.self = id_of_text("gw");
   node->settings.is_gateway = true;
   g_strlcpy(node->settings.address, "10.9.0.1:7660", sizeof node->settings.address);
-  node->begin = node_begin;
-  node->finish = node_finish;
-  node->extra = fixture;
+  node->on_start = node_begin;
+  node->on_stop = node_finish;
+  node->context = fixture;
   fixture->node = node;
 }
 
-static em_plan plan_engine(fixture *fixture, bool llm, unsigned slots) {
-  return (em_plan){ .service = id_of_text("svc"),
-                    .area = id_of_text("north"),
-                    .version = id_of_text("v1"),
-                    .port = 9000,
-                    .slots = slots,
-                    .queue = slots / 2,
-                    .beat_ms = 1200,
-                    .drain_ms = 2000,
-                    .work_ms = 40,
-                    .idle_ms = 10000,
-                    .step_ms = 8,
-                    .per_ms = 0.1,
-                    .read_per_ms = 20,
-                    .event_tokens = 2,
-                    .kv_tokens = 100000,
-                    .weights_mb = 4000,
-                    .adapter_slots = 4,
-                    .models = models,
-                    .model_count = llm ? 1 : 0,
-                    .controllers = fixture->controllers,
-                    .first = llm ? fixture->first : NULL,
-                    .disk = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL),
-                    .dialect = &dialect_native,
-                    .log = fixture->log,
-                    .store = &fixture->store };
+static registering_engine_plan plan_engine(fixture *fixture, bool llm, unsigned slots) {
+  return (registering_engine_plan){ .service = id_of_text("svc"),
+                                    .area = id_of_text("north"),
+                                    .version = id_of_text("v1"),
+                                    .port = 9000,
+                                    .slots = slots,
+                                    .queue = slots / 2,
+                                    .heartbeat_ms = 1200,
+                                    .drain_ms = 2000,
+                                    .work_ms = 40,
+                                    .idle_timeout_ms = 10000,
+                                    .step_ms = 8,
+                                    .step_per_request_ms = 0.1,
+                                    .prefill_tokens_per_ms = 20,
+                                    .event_tokens = 2,
+                                    .kv_tokens = 100000,
+                                    .weights_mb = 4000,
+                                    .adapter_slots = 4,
+                                    .models = models,
+                                    .model_count = llm ? 1 : 0,
+                                    .controllers = fixture->controllers,
+                                    .initial_models = llm ? fixture->first : NULL,
+                                    .models_on_disk = g_hash_table_new_full(g_str_hash, g_str_equal,
+                                                                            g_free, NULL),
+                                    .dialect = &dialect_native,
+                                    .log = fixture->log,
+                                    .store = &fixture->store };
 }
 
 static void start_engine(fixture *fixture, int i, bool llm, unsigned slots) {
@@ -158,10 +159,10 @@
   fixture->plan[i] = plan_engine(fixture, llm, slots);
   g_strlcpy(fixture->plan[i].ip, ip, sizeof fixture->plan[i].ip);
   host *host = fixture->engine_hosts[i] =
-      sim_host(fixture->fleet->sim, HOST_OTHER, name, "north", address);
-  host->begin = engine_begin;
-  host->finish = engine_finish;
-  host->extra = fixture;
+      sim_add_host(fixture->fleet->sim, HOST_OTHER, name, "north", address);
+  host->on_start = engine_begin;
+  host->on_stop = engine_finish;
+  host->context = fixture;
   host_start(host);
 }
 
@@ -171,7 +172,7 @@
   routing *routing = json ? routing_compile(json, &err) : NULL;
   json_free(json);
   if (!routing)
-    violation(fixture->fleet, "no routing: %s", err.text);
+    fleet_add_violation(fixture->fleet, "no routing: %s", err.text);
   if (fixture->gateway) {
     fixture->node->router->routing = routing;
     fixture->node->router->on_installed(fixture->gateway);
@@ -181,8 +182,8 @@
 fixture *fixture_new(fleet *fleet, const char *config, bool llm, int engines, unsigned slots) {
   fixture *created = g_new0(fixture, 1);
   created->fleet = fleet;
-  created->log = em_log_new();
-  created->store = (em_store){ 8, 0 };
+  created->log = engine_record_log_new();
+  created->store = (weight_store_sim){ 8, 0 };
   created->requests = g_ptr_array_new();
   created->controllers = g_ptr_array_new();
   created->first = g_ptr_array_new();
@@ -190,7 +191,7 @@
   add_gateway(created);
   for (int i = 0; i < engines; i++)
     start_engine(created, i, llm, slots);
-  created->caller = sim_host(fleet->sim, HOST_OTHER, "asker", "north", "10.9.2.1:7660");
+  created->caller = sim_add_host(fleet->sim, HOST_OTHER, "asker", "north", "10.9.2.1:7660");
   host_start(created->caller);
   host_start(created->node);
   install_routing(created, config);
@@ -214,14 +215,14 @@
   for (int i = 0; i < FIXTURE_ENGINES; i++)
     if (fixture->engine_hosts[i]) {
       host_kill(fixture->engine_hosts[i]);
-      g_hash_table_destroy(fixture->plan[i].disk);
+      g_hash_table_destroy(fixture->plan[i].models_on_disk);
     }
   for (guint i = 0; i < fixture->requests->len; i++)
     fixture_request_free(fixture->requests->pdata[i]);
   g_ptr_array_free(fixture->requests, TRUE);
   g_ptr_array_free(fixture->controllers, TRUE);
   g_ptr_array_free(fixture->first, TRUE);
-  em_log_free(fixture->log);
+  engine_record_log_free(fixture->log);
   g_free(fixture);
 }
 
@@ -272,7 +273,7 @@
   snprintf(attempt->request, sizeof attempt->request, "r%06d", ++fixture->request_count);
   g_ptr_array_add(fixture->requests, attempt);
   task_start(&fixture->caller->world.tasks, "attempt", fixture_request_run, attempt);
-  fixture->caller->due = fixture->fleet->sim->now;
+  fixture->caller->next_wake_at = fixture->fleet->sim->now;
   return attempt;
 }
 
@@ -290,8 +291,8 @@
 int fixture_runs(fixture *fixture, const fixture_request *attempt, bool arrivals) {
   int n = 0;
   for (guint i = 0; i < fixture->log->runs->len; i++) {
-    em_run *run = fixture->log->runs->pdata[i];
-    if (!strcmp(run->request, attempt->request) && (arrivals || run->at.us))
+    engine_run_record *run = fixture->log->runs->pdata[i];
+    if (!strcmp(run->request_id, attempt->request) && (arrivals || run->started_at.us))
       n++;
   }
   return n;
--- a/tests/gateway/fixture.h
+++ b/tests/gateway/fixture.h
@@ -5,7 +5,7 @@
 #ifndef TESTS_FIXTURE_H
 #define TESTS_FIXTURE_H
 #include "gateway.h"
-#include "instance.h"
+#include "registering_engine_sim.h"
 #include "tests.h"
 
 enum { FIXTURE_ENGINES = 4 };
@@ -37,10 +37,10 @@
   host *node, *caller, *engine_hosts[FIXTURE_ENGINES];
   /** Set while its host is alive. */
   gateway *gateway;
-  em_engine *engines[FIXTURE_ENGINES];
-  em_plan plan[FIXTURE_ENGINES];
-  em_log *log;
-  em_store store;
+  registering_engine_sim *engines[FIXTURE_ENGINES];
+  registering_engine_plan plan[FIXTURE_ENGINES];
+  engine_record_log *log;
+  weight_store_sim store;
   gateway_settings settings;
   /** JSON of the routing in force. */
   const char *config;
--- a/tests/gateway/forward.c
+++ b/tests/gateway/forward.c
@@ -30,26 +30,26 @@
     string_view v;
     int runs = fixture_runs(fixture, attempt, false);
     if (once && runs > 1)
-      violation(fixture->fleet, "%s ran %d times", attempt->request, runs);
+      fleet_add_violation(fixture->fleet, "%s ran %d times", attempt->request, runs);
     if (!attempt->done) {
-      violation(fixture->fleet, "%s has no end", attempt->request);
+      fleet_add_violation(fixture->fleet, "%s has no end", attempt->request);
       continue;
     }
     if (once && attempt->status == 503 && runs)
-      violation(fixture->fleet, "%s was refused and ran", attempt->request);
+      fleet_add_violation(fixture->fleet, "%s was refused and ran", attempt->request);
     if (attempt->status / 100 != 2)
       continue;
     if (!fields_get(attempt->in, "Asterfall-Stamp", &v))
-      violation(fixture->fleet, "%s has no stamp", attempt->request);
+      fleet_add_violation(fixture->fleet, "%s has no stamp", attempt->request);
     if (!fields_get(attempt->in, "Asterfall-Request", &v) ||
         !string_view_equal(v, string_view_of(attempt->request)))
-      violation(fixture->fleet, "%s has another's answer", attempt->request);
+      fleet_add_violation(fixture->fleet, "%s has another's answer", attempt->request);
     if (!attempt->ended || g_str_has_prefix(attempt->target, "/stream/"))
       continue;
     GString *due = g_string_new(NULL);
-    em_bytes(due, attempt->request, 300);
+    engine_response_body(due, attempt->request, 300);
     if (!g_string_equal(due, attempt->got))
-      violation(fixture->fleet, "%s has another body", attempt->request);
+      fleet_add_violation(fixture->fleet, "%s has another body", attempt->request);
     g_string_free(due, TRUE);
   }
 }
@@ -65,8 +65,8 @@
 
 static void expect(fixture *fixture, const char *what, int64_t is, int64_t least, int64_t most) {
   if (is < least || is > most)
-    violation(fixture->fleet, "%s: %" PRId64 ", not %" PRId64 " to %" PRId64, what, is, least,
-              most);
+    fleet_add_violation(fixture->fleet, "%s: %" PRId64 ", not %" PRId64 " to %" PRId64, what, is,
+                        least, most);
 }
 
 static void events_whole(fixture *fixture, int n) {
@@ -74,7 +74,7 @@
     fixture_request *attempt = fixture->requests->pdata[i];
     char *ids = fixture_ids(attempt);
     if (strcmp(ids, all_events))
-      violation(fixture->fleet, "%s got events %s", attempt->request, ids);
+      fleet_add_violation(fixture->fleet, "%s got events %s", attempt->request, ids);
     g_free(ids);
   }
 }
@@ -90,10 +90,11 @@
   check(fixture, true);
   expect(fixture, "served", with(fixture, 200), 40, 40);
   for (guint i = 0; i < fixture->log->runs->len; i++) {
-    em_run *run = fixture->log->runs->pdata[i];
-    fixture_request *attempt = fixture->requests->pdata[atoi(run->request + 1) - 1];
-    if (run->sum != em_sum("POST", attempt->target, string_view_of(attempt->body)))
-      violation(fleet, "%s was changed", run->request);
+    engine_run_record *run = fixture->log->runs->pdata[i];
+    fixture_request *attempt = fixture->requests->pdata[atoi(run->request_id + 1) - 1];
+    if (run->request_checksum !=
+        engine_request_checksum("POST", attempt->target, string_view_of(attempt->body)))
+      fleet_add_violation(fleet, "%s was changed", run->request_id);
   }
   fixture_request *none = fixture_ask(fixture, "/nowhere/x", 2000, NULL),
                   *nameless = fixture_ask(fixture, "/safe/x", 2000, NULL);
@@ -122,7 +123,7 @@
   for (int i = 0; i < 12; i++) {
     fixture_request *attempt = fixture->requests->pdata[i];
     if (time_sub(attempt->last, attempt->first).us < 100000)
-      violation(fleet, "%s came in one piece", attempt->request);
+      fleet_add_violation(fleet, "%s came in one piece", attempt->request);
   }
   fixture_free(fixture);
   return true;
@@ -132,15 +133,15 @@
 static bool once_is_sent_once(fleet *fleet) {
   fixture *fixture = fixture_new(fleet, PLAIN("3"), false, 3, 6);
   for (int i = 0; i < 60; i++) {
-    em_faults *faults = &fixture->plan[i % 3].faults;
+    registering_engine_faults *faults = &fixture->plan[i % 3].faults;
     if (i % 10 == 3)
-      faults->cut_answers = 1;
+      faults->truncate_responses = 1;
     if (i % 10 == 5)
-      faults->extra_answers = 1;
+      faults->extra_responses = 1;
     if (i % 10 == 7)
-      faults->late_answers = 1;
+      faults->stale_responses = 1;
     if (i % 10 == 9)
-      faults->garbage = 1;
+      faults->garbage_responses = 1;
     fixture_ask(fixture, "/once/x", 2000, NULL);
     fixture_run(fixture, 40);
   }
@@ -157,9 +158,9 @@
   fixture->plan[0].faults.intermittent_failures = 0.2;
   for (int i = 0; i < 60; i++) {
     if (i % 10 == 3)
-      fixture->plan[i % 3].faults.cut_answers = 1;
+      fixture->plan[i % 3].faults.truncate_responses = 1;
     if (i % 10 == 6)
-      fixture->plan[i % 3].faults.lose_answers = 1;
+      fixture->plan[i % 3].faults.lose_responses = 1;
     fixture_ask(fixture, "/safe/x", 2500, NULL);
     fixture_run(fixture, 40);
   }
@@ -177,10 +178,10 @@
 static void last_breaks(fixture *fixture) {
   if (!fixture->log->runs->len)
     return;
-  em_run *run = fixture->log->runs->pdata[fixture->log->runs->len - 1];
+  engine_run_record *run = fixture->log->runs->pdata[fixture->log->runs->len - 1];
   for (int i = 0; i < FIXTURE_ENGINES; i++)
     if (fixture->engines[i] && id_equal(fixture->engines[i]->self, run->engine))
-      fixture->plan[i].faults.cut_answers = 1;
+      fixture->plan[i].faults.truncate_responses = 1;
 }
 
 /* an engine breaks a stream: where it may be resumed, the answer goes on without a gap, else it is
@@ -188,7 +189,7 @@
 static bool streams_are_resumed(fleet *fleet) {
   fixture *fixture = fixture_new(fleet, LLM("3", "true"), true, 3, 8);
   for (int i = 0; i < 3; i++)
-    fixture->plan[i].faults.cut_after = 4 + (unsigned)sim_draw(fleet->sim, 10);
+    fixture->plan[i].faults.truncate_after_events = 4 + (unsigned)sim_random(fleet->sim, 10);
   for (int i = 0; i < 15; i++) {
     if (i % 3 == 1)
       last_breaks(fixture);
@@ -207,7 +208,7 @@
 static bool broken_streams_look_broken(fleet *fleet) {
   fixture *fixture = fixture_new(fleet, LLM("3", "false"), true, 3, 8);
   for (int i = 0; i < 3; i++)
-    fixture->plan[i].faults.cut_after = (unsigned)sim_draw(fleet->sim, 10);
+    fixture->plan[i].faults.truncate_after_events = (unsigned)sim_random(fleet->sim, 10);
   for (int i = 0; i < 15; i++) {
     if (i % 3 == 1)
       last_breaks(fixture);
@@ -222,7 +223,7 @@
     char *ids = fixture_ids(attempt);
     bool all = !strcmp(ids, all_events);
     if (attempt->status == 200 && attempt->ended && !all)
-      violation(fleet, "%s looks whole with events %s", attempt->request, ids);
+      fleet_add_violation(fleet, "%s looks whole with events %s", attempt->request, ids);
     cut += !all;
     g_free(ids);
   }
@@ -239,7 +240,7 @@
     fixture_ask(fixture, "/once/x", 2000, NULL);
     fixture_run(fixture, 50);
   }
-  host_power(fixture->engine_hosts[0]);
+  host_power_off(fixture->engine_hosts[0]);
   fixture->silent[0] = true;
   /* what has not been heard of for a while gets nothing over a channel that was kept */
   fixture_run(fixture, 2500);
@@ -280,9 +281,10 @@
     if (attempt->status != 503)
       continue;
     if (!fields_get(attempt->in, "Retry-After", &v))
-      violation(fleet, "%s was refused without a time to come back", attempt->request);
+      fleet_add_violation(fleet, "%s was refused without a time to come back", attempt->request);
     else if (g_ascii_strtod(v.data, NULL) > 0.667)
-      violation(fleet, "%s is to come back after %.*s s", attempt->request, (int)v.length, v.data);
+      fleet_add_violation(fleet, "%s is to come back after %.*s s", attempt->request, (int)v.length,
+                          v.data);
     late += time_sub(attempt->last, attempt->sent).us > 180000;
   }
   expect(fixture, "refused late", late, 0, 20);
@@ -294,15 +296,15 @@
   fixture *fixture = fixture_new(fleet, LLM("2", "true"), true, 2, 8);
   for (int i = 0; i < 10; i++) {
     fixture_request *attempt = fixture_ask(fixture, "/stream/x", 6000, STREAM);
-    attempt->leave_ms = 30 + (int64_t)sim_draw(fleet->sim, 250);
+    attempt->leave_ms = 30 + (int64_t)sim_random(fleet->sim, 250);
     fixture_run(fixture, 50);
   }
   fixture_run(fixture, 1500);
   expect(fixture, "open", fixture->gateway->requests.open_count, 0, 0);
   for (guint i = 0; i < fixture->log->runs->len; i++) {
-    em_run *run = fixture->log->runs->pdata[i];
-    if (run->how == 'r' || (run->how == 'd' && run->events < 20))
-      violation(fleet, "%s runs on", run->request);
+    engine_run_record *run = fixture->log->runs->pdata[i];
+    if (run->outcome == 'r' || (run->outcome == 'd' && run->events < 20))
+      fleet_add_violation(fleet, "%s runs on", run->request_id);
   }
   for (int i = 0; i < 2; i++) {
     gateway_engine *n = gateway_engine_find(fixture->gateway, fixture->engines[i]->self.text);
@@ -324,7 +326,7 @@
 static int ready(fixture *fixture) {
   fixture_request k = { .fixture = fixture, .got = g_string_new(NULL) };
   task_start(&fixture->caller->world.tasks, "ready", ready_run, &k);
-  fixture->caller->due = fixture->fleet->sim->now;
+  fixture->caller->next_wake_at = fixture->fleet->sim->now;
   fixture_run(fixture, 600);
   g_string_free(k.got, TRUE);
   return k.done ? k.status : -1;
@@ -401,11 +403,11 @@
     size_t whole = event_complete_length(cases[i].text, n),
            first = event_parse(cases[i].text, n, "versions", &head);
     if (whole != cases[i].whole || first != cases[i].first)
-      violation(fleet, "event %zu: whole %zu, first %zu", i, whole, first);
+      fleet_add_violation(fleet, "event %zu: whole %zu, first %zu", i, whole, first);
     if (head.has_id != cases[i].has_id || head.has_data != cases[i].has_data ||
         (head.has_id && head.id != cases[i].id) ||
         !string_view_equal(head.weight_versions, string_view_of(cases[i].versions)))
-      violation(fleet, "event %zu is read as another", i);
+      fleet_add_violation(fleet, "event %zu is read as another", i);
   }
   return true;
 }
--- a/tests/gateway/gateway.c
+++ b/tests/gateway/gateway.c
@@ -8,205 +8,210 @@
 
 static bool a_calm_minute_is_served(fleet *fleet) {
   deployment *deployment = deployment_new(fleet, 5, 2);
-  if (!deployment_up(deployment))
-    return deployment_done(deployment, 0);
-  deployment_traffic(deployment, 1, 60000);
-  return deployment_done(deployment, 0.995);
+  if (!deployment_bring_up(deployment))
+    return deployment_finish(deployment, 0);
+  deployment_run_traffic(deployment, 1, 60000);
+  return deployment_finish(deployment, 0.995);
 }
 
-static em_engine *busy_engine(deployment *deployment) {
-  em_engine *best = NULL;
-  for (size_t i = 0; i < deployment->engines; i++)
-    if (deployment->engine[i]->engine &&
-        (!best || deployment->engine[i]->engine->busy_slots > best->busy_slots))
-      best = deployment->engine[i]->engine;
+static registering_engine_sim *busy_engine(deployment *deployment) {
+  registering_engine_sim *best = NULL;
+  for (size_t i = 0; i < deployment->model_engine_count; i++)
+    if (deployment->engine_processes[i]->engine &&
+        (!best || deployment->engine_processes[i]->engine->busy_slots > best->busy_slots))
+      best = deployment->engine_processes[i]->engine;
   return best;
 }
 
-static unit *unit_of(deployment *deployment, const em_engine *engine) {
-  for (size_t i = 0; i < deployment->engines + deployment->plain; i++)
-    if (deployment->engine[i]->engine == engine)
-      return deployment->engine[i];
+static deployment_process *unit_of(deployment *deployment, const registering_engine_sim *engine) {
+  for (size_t i = 0; i < deployment->model_engine_count + deployment->plain_engine_count; i++)
+    if (deployment->engine_processes[i]->engine == engine)
+      return deployment->engine_processes[i];
   return NULL;
 }
 
 static bool an_engine_crashes_in_mid_stream(fleet *fleet) {
   deployment *deployment = deployment_new(fleet, 5, 2);
-  if (!deployment_up(deployment))
-    return deployment_done(deployment, 0);
-  deployment_go(deployment, 1.5);
+  if (!deployment_bring_up(deployment))
+    return deployment_finish(deployment, 0);
+  deployment_start_traffic(deployment, 1.5);
   for (int i = 0; i < 4; i++) {
     sim_run(deployment->sim, time_from_ms(5000));
-    unit *unit = unit_of(deployment, busy_engine(deployment));
-    deployment_trouble(deployment, unit->host, 'e', 3000);
+    deployment_process *unit = unit_of(deployment, busy_engine(deployment));
+    deployment_record_fault(deployment, unit->host, 'e', 3000);
     host_kill(unit->host);
     sim_run(deployment->sim, time_from_ms(2500));
     host_start(unit->host);
   }
   sim_run(deployment->sim, time_from_ms(5000));
-  deployment_quiet(deployment);
+  deployment_finish_traffic(deployment);
   /* what may be resumed is whole, without a gap */
-  double notes = deployment_served(deployment, deployment->note, (time_us){ 0 }, time_never());
+  double notes =
+      deployment_served_ratio(deployment, deployment->note, (time_us){ 0 }, time_never());
   if (notes < 0.95)
-    violation(fleet, "only %.3f of the streams that may be resumed came whole", notes);
-  return deployment_done(deployment, 0.9);
+    fleet_add_violation(fleet, "only %.3f of the streams that may be resumed came whole", notes);
+  return deployment_finish(deployment, 0.9);
 }
 
 static bool an_engine_goes_dark(fleet *fleet) {
   deployment *deployment = deployment_new(fleet, 5, 2);
-  if (!deployment_up(deployment))
-    return deployment_done(deployment, 0);
-  deployment_go(deployment, 1.2);
+  if (!deployment_bring_up(deployment))
+    return deployment_finish(deployment, 0);
+  deployment_start_traffic(deployment, 1.2);
   sim_run(deployment->sim, time_from_ms(6000));
-  unit *unit = unit_of(deployment, busy_engine(deployment)),
-       *p = deployment->engine[deployment->engines];
-  deployment_trouble(deployment, unit->host, 'e', 25000);
-  host_power(unit->host);
+  deployment_process *unit = unit_of(deployment, busy_engine(deployment)),
+                     *p = deployment->engine_processes[deployment->model_engine_count];
+  deployment_record_fault(deployment, unit->host, 'e', 25000);
+  host_power_off(unit->host);
   sim_run(deployment->sim, time_from_ms(6000));
-  deployment_trouble(deployment, p->host, 'e', 12000);
-  host_power(p->host);
+  deployment_record_fault(deployment, p->host, 'e', 12000);
+  host_power_off(p->host);
   sim_run(deployment->sim, time_from_ms(12000));
   host_start(unit->host);
   host_start(p->host);
   sim_run(deployment->sim, time_from_ms(8000));
-  deployment_quiet(deployment);
-  return deployment_done(deployment, 0.9);
+  deployment_finish_traffic(deployment);
+  return deployment_finish(deployment, 0.9);
 }
 
 static bool answers_are_lost_cut_and_doubled(fleet *fleet) {
   deployment *deployment = deployment_new(fleet, 4, 2);
-  if (!deployment_up(deployment))
-    return deployment_done(deployment, 0);
-  deployment_go(deployment, 1);
+  if (!deployment_bring_up(deployment))
+    return deployment_finish(deployment, 0);
+  deployment_start_traffic(deployment, 1);
   for (int i = 0; i < 12; i++) {
-    em_faults *faults =
-        &deployment->engine[sim_draw(deployment->sim, deployment->engines + deployment->plain)]
+    registering_engine_faults *faults =
+        &deployment
+             ->engine_processes[sim_random(deployment->sim, deployment->model_engine_count +
+                                                                deployment->plain_engine_count)]
              ->plan.faults;
-    switch (sim_draw(deployment->sim, 5)) {
+    switch (sim_random(deployment->sim, 5)) {
     case 0:
-      faults->lose_answers = 2;
+      faults->lose_responses = 2;
       break;
     case 1:
-      faults->cut_answers = 2;
-      faults->cut_after = (unsigned)sim_draw(deployment->sim, 6);
+      faults->truncate_responses = 2;
+      faults->truncate_after_events = (unsigned)sim_random(deployment->sim, 6);
       break;
     case 2:
-      faults->extra_answers = 3;
+      faults->extra_responses = 3;
       break;
     case 3:
-      faults->late_answers = 3;
+      faults->stale_responses = 3;
       break;
     default:
-      faults->garbage = 2;
+      faults->garbage_responses = 2;
     }
     sim_run(deployment->sim, time_from_ms(2500));
   }
-  deployment_quiet(deployment);
-  return deployment_done(deployment, 0.9);
+  deployment_finish_traffic(deployment);
+  return deployment_finish(deployment, 0.9);
 }
 
 static bool an_engine_is_grey(fleet *fleet) {
   deployment *deployment = deployment_new(fleet, 4, 3);
-  if (!deployment_up(deployment))
-    return deployment_done(deployment, 0);
-  deployment->engine[0]->plan.faults.intermittent_failures = 0.5;
-  deployment->engine[deployment->engines]->plan.faults.intermittent_failures = 0.5;
-  deployment_traffic(deployment, 1, 25000);
-  return deployment_done(deployment, 0.8);
+  if (!deployment_bring_up(deployment))
+    return deployment_finish(deployment, 0);
+  deployment->engine_processes[0]->plan.faults.intermittent_failures = 0.5;
+  deployment->engine_processes[deployment->model_engine_count]->plan.faults.intermittent_failures =
+      0.5;
+  deployment_run_traffic(deployment, 1, 25000);
+  return deployment_finish(deployment, 0.8);
 }
 
 static bool engines_leave_after_word(fleet *fleet) {
   deployment *deployment = deployment_new(fleet, 5, 3);
-  if (!deployment_up(deployment))
-    return deployment_done(deployment, 0);
-  deployment_go(deployment, 1.2);
+  if (!deployment_bring_up(deployment))
+    return deployment_finish(deployment, 0);
+  deployment_start_traffic(deployment, 1.2);
   for (int i = 0; i < 3; i++) {
     sim_run(deployment->sim, time_from_ms(3000));
-    unit *unit =
-        deployment->engine[sim_draw(deployment->sim, deployment->engines + deployment->plain - 1)];
+    deployment_process *unit = deployment->engine_processes[sim_random(
+        deployment->sim, deployment->model_engine_count + deployment->plain_engine_count - 1)];
     if (unit->engine)
-      em_engine_leave(unit->engine, 0);
+      registering_engine_sim_drain(unit->engine, 0);
     sim_run(deployment->sim, time_from_ms(9000));
     if (!unit->host->alive)
       host_start(unit->host);
   }
   sim_run(deployment->sim, time_from_ms(3000));
-  deployment_quiet(deployment);
+  deployment_finish_traffic(deployment);
   int said = 0, heard = 0;
-  for (guint i = 0; i < deployment->log->ends->len; i++) {
-    em_end *e = deployment->log->ends->pdata[i];
+  for (guint i = 0; i < deployment->log->stops->len; i++) {
+    engine_stop_record *e = deployment->log->stops->pdata[i];
     said += e->announced_at.us != 0;
-    heard += e->acked.us != 0;
+    heard += e->acked_at.us != 0;
   }
   if (heard < said)
-    violation(fleet, "%d of %d engines that left had no acknowledgement", said - heard, said);
-  return deployment_done(deployment, 0.97);
+    fleet_add_violation(fleet, "%d of %d engines that left had no acknowledgement", said - heard,
+                        said);
+  return deployment_finish(deployment, 0.97);
 }
 
 static bool an_engine_is_taken_at_short_notice(fleet *fleet) {
   deployment *deployment = deployment_new(fleet, 5, 2);
-  if (!deployment_up(deployment))
-    return deployment_done(deployment, 0);
-  deployment_go(deployment, 1.2);
+  if (!deployment_bring_up(deployment))
+    return deployment_finish(deployment, 0);
+  deployment_start_traffic(deployment, 1.2);
   sim_run(deployment->sim, time_from_ms(5000));
-  unit *unit = unit_of(deployment, busy_engine(deployment));
-  deployment_trouble(deployment, unit->host, 'e', 6000);
-  em_engine_leave(unit->engine, 2500);
+  deployment_process *unit = unit_of(deployment, busy_engine(deployment));
+  deployment_record_fault(deployment, unit->host, 'e', 6000);
+  registering_engine_sim_drain(unit->engine, 2500);
   sim_run(deployment->sim, time_from_ms(12000));
-  deployment_quiet(deployment);
-  return deployment_done(deployment, 0.93);
+  deployment_finish_traffic(deployment);
+  return deployment_finish(deployment, 0.93);
 }
 
 static bool a_gateway_is_told_to_stop(fleet *fleet) {
   deployment *deployment = deployment_new(fleet, 5, 2);
-  if (!deployment_up(deployment))
-    return deployment_done(deployment, 0);
-  deployment_go(deployment, 1.5);
+  if (!deployment_bring_up(deployment))
+    return deployment_finish(deployment, 0);
+  deployment_start_traffic(deployment, 1.5);
   for (int i = 0; i < fleet->routers; i++) {
     sim_run(deployment->sim, time_from_ms(4000));
-    deployment_term(deployment, deployment->gateways[i]);
+    deployment_terminate_gateway(deployment, deployment->gateway_processes[i]);
     sim_run(deployment->sim, time_from_ms(9500));
     if (fleet->router[i]->alive)
-      violation(fleet, "%s is there after the grace", fleet->router[i]->self.text);
+      fleet_add_violation(fleet, "%s is there after the grace", fleet->router[i]->self.text);
     host_start(fleet->router[i]);
     sim_run(deployment->sim, time_from_ms(4000));
   }
-  deployment_quiet(deployment);
-  return deployment_done(deployment, 0.97);
+  deployment_finish_traffic(deployment);
+  return deployment_finish(deployment, 0.97);
 }
 
 static bool a_gateway_is_killed(fleet *fleet) {
   deployment *deployment = deployment_new(fleet, 4, 2);
-  if (!deployment_up(deployment))
-    return deployment_done(deployment, 0);
-  deployment_go(deployment, 1);
+  if (!deployment_bring_up(deployment))
+    return deployment_finish(deployment, 0);
+  deployment_start_traffic(deployment, 1);
   for (int i = 0; i < 3; i++) {
     sim_run(deployment->sim, time_from_ms(4000));
-    host *host = fleet->router[sim_draw(deployment->sim, fleet->routers)];
-    deployment_trouble(deployment, host, 'k', 2000);
+    host *host = fleet->router[sim_random(deployment->sim, fleet->routers)];
+    deployment_record_fault(deployment, host, 'k', 2000);
     host_kill(host);
     sim_run(deployment->sim, time_from_ms(1000));
     host_start(host);
     sim_run(deployment->sim, time_from_ms(4000));
   }
-  deployment_quiet(deployment);
-  return deployment_done(deployment, 0.93);
+  deployment_finish_traffic(deployment);
+  return deployment_finish(deployment, 0.93);
 }
 
 static bool controllers_die_under_traffic(fleet *fleet) {
   deployment *deployment = deployment_new(fleet, 4, 3);
-  if (!deployment_up(deployment))
-    return deployment_done(deployment, 0);
-  deployment_go(deployment, 1);
+  if (!deployment_bring_up(deployment))
+    return deployment_finish(deployment, 0);
+  deployment_start_traffic(deployment, 1);
   for (int i = 0; i < fleet->controllers; i++) {
     sim_run(deployment->sim, time_from_ms(3000));
-    deployment_trouble(deployment, NULL, 'k', 4000);
+    deployment_record_fault(deployment, NULL, 'k', 4000);
     host_kill(fleet->controller[i]);
     sim_run(deployment->sim, time_from_ms(4000));
     host_start(fleet->controller[i]);
     sim_run(deployment->sim, time_from_ms(4000));
   }
-  deployment_trouble(deployment, NULL, 'k', 6000);
+  deployment_record_fault(deployment, NULL, 'k', 6000);
   for (int i = 0; i < fleet->controllers; i++)
     host_kill(fleet->controller[i]);
   sim_run(deployment->sim, time_from_ms(5000));
@@ -214,38 +219,42 @@
     host_start(fleet->controller[i]);
   sim_run(deployment->sim, time_from_ms(8000));
   char *text = deployment_config(deployment, 4, "spare");
-  em_change *change = deployment_put(deployment, 4, 1, text, true);
+  operator_sim_change *change = deployment_put_config(deployment, 4, 1, text, true);
   g_free(text);
-  if (!change->acked.us)
-    violation(fleet, "after the core was gone no configuration is taken (%d)", change->status);
+  if (!change->acked_at.us)
+    fleet_add_violation(fleet, "after the core was gone no configuration is taken (%d)",
+                        change->status);
   sim_run(deployment->sim, time_from_ms(4000));
-  deployment_quiet(deployment);
-  return deployment_done(deployment, 0.97);
+  deployment_finish_traffic(deployment);
+  return deployment_finish(deployment, 0.97);
 }
 
 static bool configurations_change_race_and_are_bad(fleet *fleet) {
   deployment *deployment = deployment_new(fleet, 4, 4);
-  if (!deployment_up(deployment))
-    return deployment_done(deployment, 0);
-  deployment_go(deployment, 1);
+  if (!deployment_bring_up(deployment))
+    return deployment_finish(deployment, 0);
+  deployment_start_traffic(deployment, 1);
   uint64_t now = 1;
   for (int i = 0; i < 8; i++) {
-    sim_run(deployment->sim, time_from_ms(1500 + (int64_t)sim_draw(deployment->sim, 2500)));
+    sim_run(deployment->sim, time_from_ms(1500 + (int64_t)sim_random(deployment->sim, 2500)));
     const char *to = i % 2 ? "ledger" : "spare";
     if (i % 3 == 0) {
       /* two at once on top of the same one */
       char *a = deployment_config(deployment, now + 2, to),
            *b = deployment_config(deployment, now + 3, "ledger");
-      em_change *x = em_operator_send(deployment->operator, now + 2, now, false, a, true),
-                *y = em_operator_send(deployment->operator, now + 3, now, false, b, true);
+      operator_sim_change *x =
+                              operator_sim_send(deployment->operator, now + 2, now, false, a, true),
+                          *y =
+                              operator_sim_send(deployment->operator, now + 3, now, false, b, true);
       while (!x->done || !y->done)
         sim_run(deployment->sim, time_from_ms(50));
-      if (x->acked.us)
+      if (x->acked_at.us)
         now = x->version;
-      else if (y->acked.us)
+      else if (y->acked_at.us)
         now = y->version;
       else
-        violation(fleet, "neither of two configurations was taken (%d, %d)", x->status, y->status);
+        fleet_add_violation(fleet, "neither of two configurations was taken (%d, %d)", x->status,
+                            y->status);
       g_free(a);
       g_free(b);
     } else if (i % 3 == 1) {
@@ -256,92 +265,94 @@
         ",\"routes\":[{\"name\":\"x\",\"host\":\"front.example\",\"prefix\":\"/x/\",\"mode\":\"safe\",\"timeoutMs\":0,\"service\":\"a\"}],\"services\":[{\"name\":\"a\"}]}",
         "{\"version\":%" PRIu64 ",\"routes\":["
       };
-      char *t = g_strdup_printf(bad[sim_draw(deployment->sim, 3)], now + 1);
-      em_change *change = deployment_put(deployment, now + 1, now, t, false);
+      char *t = g_strdup_printf(bad[sim_random(deployment->sim, 3)], now + 1);
+      operator_sim_change *change = deployment_put_config(deployment, now + 1, now, t, false);
       if (change->status < 400 || change->status >= 500)
-        violation(fleet, "an invalid configuration got %d", change->status);
+        fleet_add_violation(fleet, "an invalid configuration got %d", change->status);
       g_free(t);
     } else {
       char *t = g_strdup_printf(
           "{\"version\":%" PRIu64
           ",\"set\":{\"routes\":[{\"name\":\"r-status\",\"host\":\"front.example\",\"prefix\":\"/status/\",\"mode\":\"safe\",\"timeoutMs\":4000,\"targetMs\":300,\"priority\":0,\"split\":[{\"service\":\"ledger\",\"weight\":50},{\"service\":\"spare\",\"weight\":50}],\"attempts\":3}]}}",
           now + 2);
-      em_change *change = em_operator_send(deployment->operator, now + 2, now, true, t, true);
+      operator_sim_change *change =
+          operator_sim_send(deployment->operator, now + 2, now, true, t, true);
       while (!change->done)
         sim_run(deployment->sim, time_from_ms(50));
-      if (!change->acked.us)
-        violation(fleet, "a change of one route was not taken (%d)", change->status);
+      if (!change->acked_at.us)
+        fleet_add_violation(fleet, "a change of one route was not taken (%d)", change->status);
       else
         now += 2;
       g_free(t);
     }
   }
   sim_run(deployment->sim, time_from_ms(5000));
-  deployment_quiet(deployment);
-  em_operator_read(deployment->operator);
+  deployment_finish_traffic(deployment);
+  operator_sim_read(deployment->operator);
   sim_run(deployment->sim, time_from_ms(4000));
   if (!deployment->operator->read_at.us)
-    violation(fleet, "CONFIG nothing could be read back");
-  return deployment_done(deployment, 0.97);
+    fleet_add_violation(fleet, "CONFIG nothing could be read back");
+  return deployment_finish(deployment, 0.97);
 }
 
 static bool a_missing_model_is_loaded_by_rule(fleet *fleet) {
   deployment *deployment = deployment_new(fleet, 4, 1);
-  if (!deployment_up(deployment))
-    return deployment_done(deployment, 0);
-  deployment_go(deployment, 0.5);
+  if (!deployment_bring_up(deployment))
+    return deployment_finish(deployment, 0);
+  deployment_start_traffic(deployment, 0.5);
   sim_run(deployment->sim, time_from_ms(4000));
-  em_request *a = em_client_send(deployment->client, deployment->note, "m12"),
-             *b = em_client_send(deployment->client, deployment->note, "m13/a2"),
-             *c = em_client_send(deployment->client, deployment->chat, "m0/a3");
+  client_sim_request *a = client_sim_send(deployment->client, deployment->note, "m12"),
+                     *b = client_sim_send(deployment->client, deployment->note, "m13/a2"),
+                     *c = client_sim_send(deployment->client, deployment->chat, "m0/a3");
   sim_run(deployment->sim, time_from_ms(15000));
-  deployment_quiet(deployment);
+  deployment_finish_traffic(deployment);
   if (!a->served || !b->served || !c->served)
-    violation(fleet, "what was not there was not served (%d %d %d)", a->served, b->served,
-              c->served);
-  return deployment_done(deployment, 0.97);
+    fleet_add_violation(fleet, "what was not there was not served (%d %d %d)", a->served, b->served,
+                        c->served);
+  return deployment_finish(deployment, 0.97);
 }
 
 static bool rare_models_come_at_once(fleet *fleet) {
   deployment *deployment = deployment_new(fleet, 5, 1);
   deployment->loads_per_s = 0.8;
-  if (!deployment_up(deployment))
-    return deployment_done(deployment, 0);
-  deployment_go(deployment, 0.6);
+  if (!deployment_bring_up(deployment))
+    return deployment_finish(deployment, 0);
+  deployment_start_traffic(deployment, 0.6);
   sim_run(deployment->sim, time_from_ms(4000));
   int from = (int)deployment->client->requests->len;
   char name[16];
   for (int i = 0; i < 40; i++) {
     snprintf(name, sizeof name, "m%d%s", 6 + i % 8, i % 5 ? "" : "/a1");
-    em_client_send(deployment->client, deployment->note, name);
+    client_sim_send(deployment->client, deployment->note, name);
     sim_run(deployment->sim, time_from_ms(100));
   }
   sim_run(deployment->sim, time_from_ms(20000));
-  deployment_quiet(deployment);
+  deployment_finish_traffic(deployment);
   int served = 0;
   for (int i = from; i < from + 40; i++)
-    served += ((em_request *)deployment->client->requests->pdata[i])->served;
+    served += ((client_sim_request *)deployment->client->requests->pdata[i])->served;
   if (served < 20)
-    violation(fleet, "only %d of a burst of rare models were served", served);
-  return deployment_done(deployment, 0.8);
+    fleet_add_violation(fleet, "only %d of a burst of rare models were served", served);
+  return deployment_finish(deployment, 0.8);
 }
 
 /* the machine that gave the last order, or any */
 static host *last_placer(deployment *deployment) {
   guint n = deployment->log->orders->len;
-  host *host = n ? sim_find(deployment->sim,
-                            ((em_order *)deployment->log->orders->pdata[n - 1])->holder.text)
-                 : NULL;
+  host *host =
+      n ? sim_find_host(deployment->sim,
+                        ((engine_order_record *)deployment->log->orders->pdata[n - 1])->holder.text)
+        : NULL;
   return host && host->alive
              ? host
-             : deployment->base->router[sim_draw(deployment->sim, deployment->base->routers)];
+             : deployment->fleet->router[sim_random(deployment->sim, deployment->fleet->routers)];
 }
 
 static void request_for_rare(deployment *deployment, int n) {
   char name[16];
   for (int k = 0; k < n; k++) {
-    snprintf(name, sizeof name, "m%d", 6 + (int)sim_draw(deployment->sim, 8));
-    em_client_send(deployment->client, deployment->note, name);
+    snprintf(name, sizeof name, "m%d", 6 + (int)sim_random(deployment->sim, 8));
+    client_sim_send(deployment->client, deployment->note, name);
   }
 }
 
@@ -349,124 +360,128 @@
  * its orders in hand */
 static bool a_placer_freezes_and_wakes(fleet *fleet) {
   deployment *deployment = deployment_new(fleet, 4, 1);
-  if (!deployment_up(deployment))
-    return deployment_done(deployment, 0);
-  deployment_go(deployment, 0.8);
+  if (!deployment_bring_up(deployment))
+    return deployment_finish(deployment, 0);
+  deployment_start_traffic(deployment, 0.8);
   for (int i = 0; i < 5; i++) {
     request_for_rare(deployment, 5);
-    sim_run(deployment->sim, time_from_ms(100 + (int64_t)sim_draw(deployment->sim, 900)));
+    sim_run(deployment->sim, time_from_ms(100 + (int64_t)sim_random(deployment->sim, 900)));
     host *host = last_placer(deployment);
-    int64_t ms = 3500 + (int64_t)sim_draw(deployment->sim, 4000);
-    deployment_trouble(deployment, host, 'f', ms);
+    int64_t ms = 3500 + (int64_t)sim_random(deployment->sim, 4000);
+    deployment_record_fault(deployment, host, 'f', ms);
     host_freeze(host);
     for (int64_t left = ms; left > 0; left -= 500) {
       request_for_rare(deployment, 1);
       sim_run(deployment->sim, time_from_ms(MIN(left, 500)));
     }
-    host_wake(host);
+    host_unfreeze(host);
     for (int k = 0; k < 5; k++) {
       request_for_rare(deployment, 1);
       sim_run(deployment->sim, time_from_ms(500));
     }
   }
   sim_run(deployment->sim, time_from_ms(4000));
-  deployment_quiet(deployment);
-  return deployment_done(deployment, 0.7);
+  deployment_finish_traffic(deployment);
+  return deployment_finish(deployment, 0.7);
 }
 
 static bool orders_are_lost(fleet *fleet) {
   deployment *deployment = deployment_new(fleet, 4, 1);
-  if (!deployment_up(deployment))
-    return deployment_done(deployment, 0);
-  deployment_go(deployment, 0.5);
-  for (size_t i = 0; i < deployment->engines; i++)
-    deployment->engine[i]->plan.faults.drop_orders = 2;
+  if (!deployment_bring_up(deployment))
+    return deployment_finish(deployment, 0);
+  deployment_start_traffic(deployment, 0.5);
+  for (size_t i = 0; i < deployment->model_engine_count; i++)
+    deployment->engine_processes[i]->plan.faults.drop_orders = 2;
   sim_run(deployment->sim, time_from_ms(2000));
-  em_request *a = em_client_send(deployment->client, deployment->note, "m12"),
-             *b = em_client_send(deployment->client, deployment->note, "m10");
+  client_sim_request *a = client_sim_send(deployment->client, deployment->note, "m12"),
+                     *b = client_sim_send(deployment->client, deployment->note, "m10");
   sim_run(deployment->sim, time_from_ms(20000));
-  deployment_quiet(deployment);
+  deployment_finish_traffic(deployment);
   if (!a->served || !b->served)
-    violation(fleet, "with orders that get lost, nothing was loaded (%d %d)", a->served, b->served);
-  return deployment_done(deployment, 0.95);
+    fleet_add_violation(fleet, "with orders that get lost, nothing was loaded (%d %d)", a->served,
+                        b->served);
+  return deployment_finish(deployment, 0.95);
 }
 
 static bool gateways_are_cut_off_from_the_core(fleet *fleet) {
   deployment *deployment = deployment_new(fleet, 4, 2);
-  if (!deployment_up(deployment))
-    return deployment_done(deployment, 0);
-  deployment_go(deployment, 1);
+  if (!deployment_bring_up(deployment))
+    return deployment_finish(deployment, 0);
+  deployment_start_traffic(deployment, 1);
   sim_run(deployment->sim, time_from_ms(3000));
   for (int v = 0; v < fleet->routers; v += 2) {
-    deployment_trouble(deployment, fleet->router[v], 'n', 8000);
+    deployment_record_fault(deployment, fleet->router[v], 'n', 8000);
     for (int m = 0; m < fleet->controllers; m++)
-      sim_part(deployment->sim, fleet->router[v]->self.text, fleet->controller[m]->self.text, true);
+      sim_set_partition_both_ways(deployment->sim, fleet->router[v]->self.text,
+                                  fleet->controller[m]->self.text, true);
   }
   sim_run(deployment->sim, time_from_ms(8000));
-  sim_mend(deployment->sim);
+  sim_heal_partitions(deployment->sim);
   sim_run(deployment->sim, time_from_ms(6000));
-  deployment_quiet(deployment);
-  return deployment_done(deployment, 0.95);
+  deployment_finish_traffic(deployment);
+  return deployment_finish(deployment, 0.95);
 }
 
 /* the head is cut off from the rest of the core, and routers still reach it: they must not wait for
  * news there */
 static bool a_head_is_cut_off_before_a_change(fleet *fleet) {
   deployment *deployment = deployment_new(fleet, 4, 3);
-  if (!deployment_up(deployment))
-    return deployment_done(deployment, 0);
-  deployment_go(deployment, 0.5);
+  if (!deployment_bring_up(deployment))
+    return deployment_finish(deployment, 0);
+  deployment_start_traffic(deployment, 0.5);
   sim_run(deployment->sim, time_from_ms(3000));
   uint64_t version = 1;
   for (int round = 0; round < 4; round++) {
     int cut = round % fleet->controllers;
-    deployment_trouble(deployment, NULL, 'c', 9000);
+    deployment_record_fault(deployment, NULL, 'c', 9000);
     for (int m = 0; m < fleet->controllers; m++)
       if (m != cut)
-        sim_part(deployment->sim, fleet->controller[cut]->self.text,
-                 fleet->controller[m]->self.text, true);
-    sim_run(deployment->sim, time_from_ms(2300 + (int64_t)sim_draw(deployment->sim, 700)));
+        sim_set_partition_both_ways(deployment->sim, fleet->controller[cut]->self.text,
+                                    fleet->controller[m]->self.text, true);
+    sim_run(deployment->sim, time_from_ms(2300 + (int64_t)sim_random(deployment->sim, 700)));
     char *text = deployment_config(deployment, version + 4, round % 2 ? "ledger" : "spare");
-    em_change *change = deployment_put(deployment, version + 4, version, text, true);
+    operator_sim_change *change =
+        deployment_put_config(deployment, version + 4, version, text, true);
     g_free(text);
-    if (!change->acked.us)
-      violation(fleet, "round %d: the change was not taken (%d)", round, change->status);
+    if (!change->acked_at.us)
+      fleet_add_violation(fleet, "round %d: the change was not taken (%d)", round, change->status);
     version += 4;
     sim_run(deployment->sim, time_from_ms(APPLY_MS));
     for (int v = 0; v < fleet->routers; v++) {
-      const routing *routing =
-          deployment->gateways[v]->gateway ? deployment->gateways[v]->gateway->routing : NULL;
+      const routing *routing = deployment->gateway_processes[v]->gateway
+                                   ? deployment->gateway_processes[v]->gateway->routing
+                                   : NULL;
       if (!routing || routing->revision < version)
-        violation(fleet, "round %d: %s still has version %" PRIu64, round,
-                  fleet->router[v]->self.text, routing ? routing->revision : 0);
+        fleet_add_violation(fleet, "round %d: %s still has version %" PRIu64, round,
+                            fleet->router[v]->self.text, routing ? routing->revision : 0);
     }
-    sim_mend(deployment->sim);
+    sim_heal_partitions(deployment->sim);
     sim_run(deployment->sim, time_from_ms(4000));
   }
-  deployment_quiet(deployment);
-  return deployment_done(deployment, 0.9);
+  deployment_finish_traffic(deployment);
+  return deployment_finish(deployment, 0.9);
 }
 
 /* everything loses power after an acknowledgement; what was acknowledged is there, and traffic
  * comes back */
 static bool all_lose_power_at_the_end(fleet *fleet) {
   deployment *deployment = deployment_new(fleet, 4, 3);
-  if (!deployment_up(deployment))
-    return deployment_done(deployment, 0);
-  deployment_go(deployment, 1);
+  if (!deployment_bring_up(deployment))
+    return deployment_finish(deployment, 0);
+  deployment_start_traffic(deployment, 1);
   sim_run(deployment->sim, time_from_ms(8000));
   char *text = deployment_config(deployment, 5, "spare");
-  em_change *change = deployment_put(deployment, 5, 1, text, true);
+  operator_sim_change *change = deployment_put_config(deployment, 5, 1, text, true);
   g_free(text);
-  if (!change->acked.us)
-    violation(fleet, "the last configuration was not taken (%d)", change->status);
+  if (!change->acked_at.us)
+    fleet_add_violation(fleet, "the last configuration was not taken (%d)", change->status);
   time_us loss = deployment->sim->now;
-  deployment_trouble(deployment, NULL, 'p', 6000);
+  deployment_record_fault(deployment, NULL, 'p', 6000);
   for (int i = 0; i < fleet->controllers; i++)
-    host_power(fleet->controller[i]);
+    host_power_off(fleet->controller[i]);
   for (int i = 0; i < fleet->routers; i++) {
-    deployment_trouble(deployment, fleet->router[i], 'p', 6000);
-    host_power(fleet->router[i]);
+    deployment_record_fault(deployment, fleet->router[i], 'p', 6000);
+    host_power_off(fleet->router[i]);
   }
   sim_run(deployment->sim, time_from_ms(3000));
   time_us back = deployment->sim->now;
@@ -475,30 +490,32 @@
   for (int i = 0; i < fleet->routers; i++)
     host_start(fleet->router[i]);
   sim_run(deployment->sim, time_from_ms(25000));
-  deployment_quiet(deployment);
-  em_operator_read(deployment->operator);
+  deployment_finish_traffic(deployment);
+  operator_sim_read(deployment->operator);
   sim_run(deployment->sim, time_from_ms(4000));
   if (!deployment->operator->read_at.us)
-    violation(fleet, "CONFIG nothing could be read back");
-  gateway_check_recover(deployment, loss, back);
-  return deployment_done(deployment, 0.4);
+    fleet_add_violation(fleet, "CONFIG nothing could be read back");
+  gateway_check_recovery(deployment, loss, back);
+  return deployment_finish(deployment, 0.4);
 }
 
 /* an address is given to an engine of another service a while after its own has ended */
 static bool an_address_goes_to_another_service(fleet *fleet) {
   deployment *deployment = deployment_new(fleet, 4, 4);
-  if (!deployment_up(deployment))
-    return deployment_done(deployment, 0);
-  deployment_go(deployment, 1.5);
+  if (!deployment_bring_up(deployment))
+    return deployment_finish(deployment, 0);
+  deployment_start_traffic(deployment, 1.5);
   for (int i = 0; i < 4; i++) {
     sim_run(deployment->sim, time_from_ms(3000));
-    unit *old = deployment->engine[deployment->engines + (size_t)i % 3],
-         *next = deployment->engine[deployment->engines + 3];
-    deployment_trouble(deployment, old->host, 'e', 6000);
+    deployment_process *old =
+                           deployment
+                               ->engine_processes[deployment->model_engine_count + (size_t)i % 3],
+                       *next = deployment->engine_processes[deployment->model_engine_count + 3];
+    deployment_record_fault(deployment, old->host, 'e', 6000);
     if (next->host->alive)
       host_kill(next->host);
     if (i % 2)
-      host_power(old->host);
+      host_power_off(old->host);
     else
       host_kill(old->host);
     char ip[48];
@@ -506,10 +523,10 @@
     g_strlcpy(next->plan.ip, old->plan.ip, sizeof ip);
     sim_run(deployment->sim, time_from_ms(2000));
     /* nobody hears of it at first */
-    next->plan.faults.no_beats = true;
+    next->plan.faults.no_heartbeats = true;
     host_start(next->host);
     sim_run(deployment->sim, time_from_ms(1500));
-    next->plan.faults.no_beats = false;
+    next->plan.faults.no_heartbeats = false;
     sim_run(deployment->sim, time_from_ms(2500));
     host_kill(next->host);
     g_strlcpy(next->plan.ip, ip, sizeof ip);
@@ -517,75 +534,75 @@
     host_start(old->host);
   }
   sim_run(deployment->sim, time_from_ms(4000));
-  deployment_quiet(deployment);
-  return deployment_done(deployment, 0.85);
+  deployment_finish_traffic(deployment);
+  return deployment_finish(deployment, 0.85);
 }
 
 static bool second_tries_come_in_plenty(fleet *fleet) {
   deployment *deployment = deployment_new(fleet, 4, 3);
-  if (!deployment_up(deployment))
-    return deployment_done(deployment, 0);
-  deployment_go(deployment, 4);
+  if (!deployment_bring_up(deployment))
+    return deployment_finish(deployment, 0);
+  deployment_start_traffic(deployment, 4);
   for (int t = 0; t < 25; t++) {
-    for (size_t i = 0; i < deployment->engines + deployment->plain; i++) {
-      em_faults *faults = &deployment->engine[i]->plan.faults;
-      faults->cut_answers = 30;
-      faults->cut_after = 1;
+    for (size_t i = 0; i < deployment->model_engine_count + deployment->plain_engine_count; i++) {
+      registering_engine_faults *faults = &deployment->engine_processes[i]->plan.faults;
+      faults->truncate_responses = 30;
+      faults->truncate_after_events = 1;
     }
     sim_run(deployment->sim, time_from_ms(1000));
   }
-  for (size_t i = 0; i < deployment->engines + deployment->plain; i++)
-    deployment->engine[i]->plan.faults.cut_answers = 0;
+  for (size_t i = 0; i < deployment->model_engine_count + deployment->plain_engine_count; i++)
+    deployment->engine_processes[i]->plan.faults.truncate_responses = 0;
   sim_run(deployment->sim, time_from_ms(5000));
   time_us from = time_sub(deployment->sim->now, time_from_ms(2000));
-  deployment_quiet(deployment);
-  double share = deployment_served(deployment, NULL, from, time_never());
+  deployment_finish_traffic(deployment);
+  double share = deployment_served_ratio(deployment, NULL, from, time_never());
   if (share < 0.9)
-    violation(fleet, "only %.3f served after the engines were well again", share);
-  return deployment_done(deployment, 0.05);
+    fleet_add_violation(fleet, "only %.3f served after the engines were well again", share);
+  return deployment_finish(deployment, 0.05);
 }
 
 static bool everybody_comes_at_once(fleet *fleet) {
   deployment *deployment = deployment_new(fleet, 3, 2);
-  if (!deployment_up(deployment))
-    return deployment_done(deployment, 0);
-  deployment_go(deployment, 1);
+  if (!deployment_bring_up(deployment))
+    return deployment_finish(deployment, 0);
+  deployment_start_traffic(deployment, 1);
   sim_run(deployment->sim, time_from_ms(5000));
-  deployment->client->rate = 9;
+  deployment->client->rate_factor = 9;
   sim_run(deployment->sim, time_from_ms(12000));
-  deployment->client->rate = 1;
+  deployment->client->rate_factor = 1;
   time_us calm = time_add(deployment->sim->now, time_from_ms(4000));
   sim_run(deployment->sim, time_from_ms(10000));
-  deployment_quiet(deployment);
-  double share = deployment_served(deployment, NULL, calm, time_never());
+  deployment_finish_traffic(deployment);
+  double share = deployment_served_ratio(deployment, NULL, calm, time_never());
   if (share < 0.97)
-    violation(fleet, "only %.3f served once the crowd is gone", share);
-  return deployment_done(deployment, 0.2);
+    fleet_add_violation(fleet, "only %.3f served once the crowd is gone", share);
+  return deployment_finish(deployment, 0.2);
 }
 
 static bool engines_fall_silent(fleet *fleet) {
   deployment *deployment = deployment_new(fleet, 4, 3);
-  if (!deployment_up(deployment))
-    return deployment_done(deployment, 0);
-  deployment_go(deployment, 1);
+  if (!deployment_bring_up(deployment))
+    return deployment_finish(deployment, 0);
+  deployment_start_traffic(deployment, 1);
   for (int i = 0; i < 3; i++) {
     sim_run(deployment->sim, time_from_ms(3000));
-    unit *unit =
-        deployment->engine[sim_draw(deployment->sim, deployment->engines + deployment->plain - 1)];
-    unit->plan.faults.silent = true;
+    deployment_process *unit = deployment->engine_processes[sim_random(
+        deployment->sim, deployment->model_engine_count + deployment->plain_engine_count - 1)];
+    unit->plan.faults.unresponsive = true;
     sim_run(deployment->sim, time_from_ms(6000));
-    unit->plan.faults.silent = false;
+    unit->plan.faults.unresponsive = false;
   }
   sim_run(deployment->sim, time_from_ms(5000));
-  deployment_quiet(deployment);
-  return deployment_done(deployment, 0.85);
+  deployment_finish_traffic(deployment);
+  return deployment_finish(deployment, 0.85);
 }
 
 static bool routings_grow_large(fleet *fleet) {
   deployment *deployment = deployment_new(fleet, 4, 3);
-  if (!deployment_up(deployment))
-    return deployment_done(deployment, 0);
-  deployment_go(deployment, 1);
+  if (!deployment_bring_up(deployment))
+    return deployment_finish(deployment, 0);
+  deployment_start_traffic(deployment, 1);
   sim_run(deployment->sim, time_from_ms(2000));
   for (int i = 0; i < 3000; i++)
     json_appendf(
@@ -593,128 +610,130 @@
         ",{\"name\":\"r-%d\",\"host\":\"h%d.example\",\"prefix\":\"/p%d/\",\"mode\":\"safe\",\"timeoutMs\":4000,\"targetMs\":300,\"priority\":2,\"service\":\"ledger\",\"attempts\":2}",
         i, i % 50, i);
   char *text = deployment_config(deployment, 8, "spare");
-  em_change *change = deployment_put(deployment, 8, 1, text, true);
+  operator_sim_change *change = deployment_put_config(deployment, 8, 1, text, true);
   g_free(text);
-  if (!change->acked.us)
-    violation(fleet, "a large configuration was not taken (%d)", change->status);
+  if (!change->acked_at.us)
+    fleet_add_violation(fleet, "a large configuration was not taken (%d)", change->status);
   sim_run(deployment->sim, time_from_ms(APPLY_MS + 200));
-  em_kind *late = em_client_kind(deployment->client, (em_kind){ .name = "late",
-                                                                .host = "h7.example",
-                                                                .path = "/p2057/",
-                                                                .mode = EM_SAFE,
-                                                                .bytes = 100,
-                                                                .more_tries = 1,
-                                                                .deadline_ms = 4000,
-                                                                .target_ms = 300 });
-  em_request *a[20];
+  client_sim_kind *late =
+      client_sim_add_kind(deployment->client, (client_sim_kind){ .name = "late",
+                                                                 .host = "h7.example",
+                                                                 .path = "/p2057/",
+                                                                 .mode = CLIENT_SIM_SAFE,
+                                                                 .bytes = 100,
+                                                                 .retries_max = 1,
+                                                                 .deadline_ms = 4000,
+                                                                 .target_ms = 300 });
+  client_sim_request *a[20];
   for (int i = 0; i < 20; i++) {
-    a[i] = em_client_send(deployment->client, late, NULL);
+    a[i] = client_sim_send(deployment->client, late, NULL);
     sim_run(deployment->sim, time_from_ms(50));
   }
   sim_run(deployment->sim, time_from_ms(2000));
-  deployment_quiet(deployment);
+  deployment_finish_traffic(deployment);
   int served = 0;
   for (int i = 0; i < 20; i++)
     served += a[i]->served;
   if (served < 20)
-    violation(fleet, "only %d of 20 requests on a route of a large configuration were served",
-              served);
-  em_operator_read(deployment->operator);
+    fleet_add_violation(
+        fleet, "only %d of 20 requests on a route of a large configuration were served", served);
+  operator_sim_read(deployment->operator);
   sim_run(deployment->sim, time_from_ms(8000));
   if (!deployment->operator->read_at.us)
-    violation(fleet, "CONFIG nothing could be read back");
-  return deployment_done(deployment, 0.97);
+    fleet_add_violation(fleet, "CONFIG nothing could be read back");
+  return deployment_finish(deployment, 0.97);
 }
 
 /* what may happen, happens, two or three at a time; the rules hold, and afterwards all is served
  * again */
 static bool anything_happens_to_gateways(fleet *fleet) {
   deployment *deployment = deployment_new(fleet, 5, 3);
-  if (!deployment_up(deployment))
-    return deployment_done(deployment, 0);
-  deployment_go(deployment, 1);
+  if (!deployment_bring_up(deployment))
+    return deployment_finish(deployment, 0);
+  deployment_start_traffic(deployment, 1);
   uint64_t now = 1;
   for (int i = 0; i < 12; i++) {
-    sim_run(deployment->sim, time_from_ms(500 + (int64_t)sim_draw(deployment->sim, 4000)));
-    unit *unit =
-        deployment->engine[sim_draw(deployment->sim, deployment->engines + deployment->plain)];
-    host *v = fleet->router[sim_draw(deployment->sim, fleet->routers)],
-         *m = fleet->controller[sim_draw(deployment->sim, fleet->controllers)];
-    int64_t ms = 500 + (int64_t)sim_draw(deployment->sim, 4000);
-    switch (sim_draw(deployment->sim, 12)) {
+    sim_run(deployment->sim, time_from_ms(500 + (int64_t)sim_random(deployment->sim, 4000)));
+    deployment_process *unit = deployment->engine_processes[sim_random(
+        deployment->sim, deployment->model_engine_count + deployment->plain_engine_count)];
+    host *v = fleet->router[sim_random(deployment->sim, fleet->routers)],
+         *m = fleet->controller[sim_random(deployment->sim, fleet->controllers)];
+    int64_t ms = 500 + (int64_t)sim_random(deployment->sim, 4000);
+    switch (sim_random(deployment->sim, 12)) {
     case 0:
-      deployment_trouble(deployment, unit->host, 'e', ms);
+      deployment_record_fault(deployment, unit->host, 'e', ms);
       if (unit->host->alive)
         host_kill(unit->host);
       break;
     case 1:
-      deployment_trouble(deployment, unit->host, 'e', ms);
+      deployment_record_fault(deployment, unit->host, 'e', ms);
       if (unit->host->alive)
-        host_power(unit->host);
+        host_power_off(unit->host);
       break;
     case 2:
       if (unit->engine)
-        em_engine_leave(unit->engine, sim_draw(deployment->sim, 2) ? 0 : 1500);
-      deployment_trouble(deployment, unit->host, 'e', 5000);
+        registering_engine_sim_drain(unit->engine, sim_random(deployment->sim, 2) ? 0 : 1500);
+      deployment_record_fault(deployment, unit->host, 'e', 5000);
       break;
     case 3:
-      unit->plan.faults.lose_answers = 2;
+      unit->plan.faults.lose_responses = 2;
       break;
     case 4:
-      unit->plan.faults.cut_answers = 3;
-      unit->plan.faults.cut_after = 2;
+      unit->plan.faults.truncate_responses = 3;
+      unit->plan.faults.truncate_after_events = 2;
       break;
     case 5:
-      unit->plan.faults.late_answers = 2;
-      unit->plan.faults.extra_answers = 2;
+      unit->plan.faults.stale_responses = 2;
+      unit->plan.faults.extra_responses = 2;
       break;
     case 6:
-      deployment_trouble(deployment, v, 'k', ms);
+      deployment_record_fault(deployment, v, 'k', ms);
       if (v->alive)
         host_kill(v);
       break;
     case 7:
-      deployment_trouble(deployment, v, 'f', ms);
+      deployment_record_fault(deployment, v, 'f', ms);
       if (v->alive) {
         host_freeze(v);
         sim_run(deployment->sim, time_from_ms(ms));
-        host_wake(v);
+        host_unfreeze(v);
       }
       break;
     case 8:
-      deployment_trouble(deployment, NULL, 'k', ms);
+      deployment_record_fault(deployment, NULL, 'k', ms);
       if (m->alive)
         host_kill(m);
       break;
     case 9:
-      deployment_trouble(deployment, v, 'n', ms);
-      sim_part(deployment->sim, v->self.text, m->self.text, true);
+      deployment_record_fault(deployment, v, 'n', ms);
+      sim_set_partition_both_ways(deployment->sim, v->self.text, m->self.text, true);
       break;
     case 10:
       for (int n = 0; n < 10; n++) {
         char name[16];
-        snprintf(name, sizeof name, "m%d", 6 + (int)sim_draw(deployment->sim, 8));
-        em_client_send(deployment->client, deployment->note, name);
+        snprintf(name, sizeof name, "m%d", 6 + (int)sim_random(deployment->sim, 8));
+        client_sim_send(deployment->client, deployment->note, name);
       }
       break;
     default: {
-      uint64_t next = now + 1 + sim_draw(deployment->sim, 3);
+      uint64_t next = now + 1 + sim_random(deployment->sim, 3);
       char *text =
-          deployment_config(deployment, next, sim_draw(deployment->sim, 2) ? "spare" : "ledger");
-      em_change *change = em_operator_send(deployment->operator, next, now, false, text, true);
+          deployment_config(deployment, next, sim_random(deployment->sim, 2) ? "spare" : "ledger");
+      operator_sim_change *change =
+          operator_sim_send(deployment->operator, next, now, false, text, true);
       for (int n = 0; n < 200 && !change->done; n++)
         sim_run(deployment->sim, time_from_ms(50));
-      if (change->acked.us)
+      if (change->acked_at.us)
         now = next;
       g_free(text);
     }
     }
     sim_run(deployment->sim, time_from_ms(ms));
-    if (sim_draw(deployment->sim, 2))
-      sim_mend(deployment->sim);
-    for (size_t e = 0; e < deployment->engines + deployment->plain; e++)
-      if (!deployment->engine[e]->host->alive && sim_draw(deployment->sim, 2))
-        host_start(deployment->engine[e]->host);
+    if (sim_random(deployment->sim, 2))
+      sim_heal_partitions(deployment->sim);
+    for (size_t e = 0; e < deployment->model_engine_count + deployment->plain_engine_count; e++)
+      if (!deployment->engine_processes[e]->host->alive && sim_random(deployment->sim, 2))
+        host_start(deployment->engine_processes[e]->host);
     for (int n = 0; n < fleet->routers; n++)
       if (!fleet->router[n]->alive)
         host_start(fleet->router[n]);
@@ -722,31 +741,32 @@
       if (!fleet->controller[n]->alive)
         host_start(fleet->controller[n]);
   }
-  sim_mend(deployment->sim);
-  for (size_t e = 0; e < deployment->engines + deployment->plain; e++) {
-    deployment->engine[e]->plan.faults.lose_answers =
-        deployment->engine[e]->plan.faults.cut_answers = 0;
-    if (!deployment->engine[e]->host->alive)
-      host_start(deployment->engine[e]->host);
+  sim_heal_partitions(deployment->sim);
+  for (size_t e = 0; e < deployment->model_engine_count + deployment->plain_engine_count; e++) {
+    deployment->engine_processes[e]->plan.faults.lose_responses =
+        deployment->engine_processes[e]->plan.faults.truncate_responses = 0;
+    if (!deployment->engine_processes[e]->host->alive)
+      host_start(deployment->engine_processes[e]->host);
   }
   /* those who were still on their way out come back too */
   for (int i = 0; i < 24; i++) {
-    for (size_t e = 0; i < 14 && e < deployment->engines + deployment->plain; e++)
-      if (!deployment->engine[e]->host->alive)
-        host_start(deployment->engine[e]->host);
+    for (size_t e = 0;
+         i < 14 && e < deployment->model_engine_count + deployment->plain_engine_count; e++)
+      if (!deployment->engine_processes[e]->host->alive)
+        host_start(deployment->engine_processes[e]->host);
     sim_run(deployment->sim, time_from_ms(1000));
   }
   time_us calm = deployment->sim->now;
   sim_run(deployment->sim, time_from_ms(8000));
-  deployment_quiet(deployment);
-  em_operator_read(deployment->operator);
+  deployment_finish_traffic(deployment);
+  operator_sim_read(deployment->operator);
   sim_run(deployment->sim, time_from_ms(4000));
   if (!deployment->operator->read_at.us)
-    violation(fleet, "CONFIG nothing could be read back");
-  double share = deployment_served(deployment, NULL, calm, time_never());
+    fleet_add_violation(fleet, "CONFIG nothing could be read back");
+  double share = deployment_served_ratio(deployment, NULL, calm, time_never());
   if (share < 0.95)
-    violation(fleet, "only %.3f served once all is well again", share);
-  return deployment_done(deployment, 0.5);
+    fleet_add_violation(fleet, "only %.3f served once all is well again", share);
+  return deployment_finish(deployment, 0.5);
 }
 
 /* a kept channel has an identity: a life that ended silently is met only by what was sent on it,
@@ -781,112 +801,113 @@
   k->done = false;
   k->fresh = fresh;
   task_start(&k->host->world.tasks, "probe", probe_run, k);
-  sim_until(deployment->sim, probed, k, time_from_ms(3000));
+  sim_run_until(deployment->sim, probed, k, time_from_ms(3000));
 }
 
 static bool kept_channels_have_lives(fleet *fleet) {
   deployment *deployment = deployment_new(fleet, 2, 1);
-  if (!deployment_up(deployment))
-    return deployment_done(deployment, 0);
-  unit *unit = deployment->engine[0];
-  probe_call k = { .host = deployment->outside };
+  if (!deployment_bring_up(deployment))
+    return deployment_finish(deployment, 0);
+  deployment_process *unit = deployment->engine_processes[0];
+  probe_call k = { .host = deployment->client_host };
   snprintf(k.addr, sizeof k.addr, "%s:%d", unit->plan.ip, unit->plan.port);
   probe_once(deployment, &k, false);
   if (k.got || k.call->reused_connection || k.call->status != 200)
-    violation(fleet, "a first call is on a new channel and answered");
+    fleet_add_violation(fleet, "a first call is on a new channel and answered");
   probe_once(deployment, &k, false);
   if (k.got || !k.call->reused_connection)
-    violation(fleet, "a second call goes over the same channel");
+    fleet_add_violation(fleet, "a second call goes over the same channel");
   probe_once(deployment, &k, true);
   if (k.got || k.call->reused_connection)
-    violation(fleet, "one that asks for a new channel gets one");
-  host_power(unit->host);
+    fleet_add_violation(fleet, "one that asks for a new channel gets one");
+  host_power_off(unit->host);
   sim_run(deployment->sim, time_from_ms(200));
   probe_once(deployment, &k, true);
   if (k.got != E_NO_RESPONSE || k.call->sent)
-    violation(fleet, "a dark machine lets no channel come up (%d)", k.got);
+    fleet_add_violation(fleet, "a dark machine lets no channel come up (%d)", k.got);
   http_call_close(k.call);
   k.call = NULL;
   host_start(unit->host);
   sim_run(deployment->sim, time_from_ms(200));
   probe_once(deployment, &k, false);
   if (k.got != E_CONNECTION_LOST_AFTER_SEND || !k.call->reused_connection || !k.call->sent)
-    violation(fleet,
-              "on a channel of an earlier life a call is broken after it was sent (%d, reused %d)",
-              k.got, k.call->reused_connection);
+    fleet_add_violation(
+        fleet, "on a channel of an earlier life a call is broken after it was sent (%d, reused %d)",
+        k.got, k.call->reused_connection);
   k.host->world.pool_close_idle(&k.host->world, k.addr);
   host_kill(unit->host);
   sim_run(deployment->sim, time_from_ms(200));
   probe_once(deployment, &k, false);
   if (k.got != E_NOT_CONNECTED || k.call->sent)
-    violation(fleet, "a dead process refuses, and nothing was sent (%d, sent %d)", k.got,
-              k.call->sent);
+    fleet_add_violation(fleet, "a dead process refuses, and nothing was sent (%d, sent %d)", k.got,
+                        k.call->sent);
   host_start(unit->host);
   probe_once(deployment, &k, false);
   sim_run(deployment->sim, time_from_ms(5200));
   probe_once(deployment, &k, false);
   if (k.got || k.call->reused_connection)
-    violation(fleet, "a channel that was idle for long is ended by the other side");
+    fleet_add_violation(fleet, "a channel that was idle for long is ended by the other side");
   host_freeze(unit->host);
   probe_once(deployment, &k, false);
   if (k.got != E_NO_RESPONSE || !k.call->sent)
-    violation(fleet, "a frozen process takes a request and says nothing (%d)", k.got);
-  host_wake(unit->host);
-  sim_cut(deployment->sim, "unit-1", "outside", true);
+    fleet_add_violation(fleet, "a frozen process takes a request and says nothing (%d)", k.got);
+  host_unfreeze(unit->host);
+  sim_set_partition(deployment->sim, "unit-1", "outside", true);
   probe_once(deployment, &k, false);
   if (k.got != E_NO_RESPONSE)
-    violation(fleet, "over a cut nothing comes back (%d)", k.got);
-  sim_mend(deployment->sim);
+    fleet_add_violation(fleet, "over a cut nothing comes back (%d)", k.got);
+  sim_heal_partitions(deployment->sim);
   http_call_close(k.call);
-  return deployment_done(deployment, 0);
+  return deployment_finish(deployment, 0);
 }
 
 /* a checker that cannot fail proves nothing: each is shown a violation that was seeded for it */
 static bool seen(deployment *deployment, const char *what) {
-  bool yes = strstr(deployment->base->faults->str, what) != NULL;
+  bool yes = strstr(deployment->fleet->violations->str, what) != NULL;
   if (!yes)
     fprintf(stderr, "  the checker of %s saw nothing\n", what);
-  g_string_truncate(deployment->base->faults, 0);
+  g_string_truncate(deployment->fleet->violations, 0);
   return yes;
 }
 
 /* A run that lasts into the last sixth of the grace excuses a request only if it was sent soon
  * after SIGTERM; gives how many of the two judgements are right. */
-static int late_requests_are_judged(deployment *deployment, em_attempt *attempt, em_run *run,
-                                    const trouble *stop) {
-  trouble *t = &g_array_index(deployment->troubles, trouble, deployment->troubles->len - 1);
-  time_us to = attempt->to, run_to = run->to;
-  t->from = time_sub(attempt->sent, time_from_ms(STOP_TAKES_MS + 100));
-  run->to = time_add(t->from, time_from_ms(GRACE_S * 1000 - 300));
+static int late_requests_are_judged(deployment *deployment, client_sim_attempt *attempt,
+                                    engine_run_record *run, const injected_fault *stop) {
+  injected_fault *t = &g_array_index(deployment->injected_faults, injected_fault,
+                                     deployment->injected_faults->len - 1);
+  time_us to = attempt->ended_at, run_to = run->ended_at;
+  t->from_at = time_sub(attempt->sent_at, time_from_ms(STOP_PROPAGATION_MS + 100));
+  run->ended_at = time_add(t->from_at, time_from_ms(GRACE_S * 1000 - 300));
   gateway_check_lost(deployment);
   int right = seen(deployment, "LOST");
-  t->from = time_sub(attempt->sent, time_from_ms(STOP_TAKES_MS - 100));
-  run->to = time_add(t->from, time_from_ms(GRACE_S * 1000 - 300));
+  t->from_at = time_sub(attempt->sent_at, time_from_ms(STOP_PROPAGATION_MS - 100));
+  run->ended_at = time_add(t->from_at, time_from_ms(GRACE_S * 1000 - 300));
   gateway_check_lost(deployment);
-  right += !deployment->base->faults->len;
+  right += !deployment->fleet->violations->len;
   *t = *stop;
-  attempt->to = to;
-  run->to = run_to;
+  attempt->ended_at = to;
+  run->ended_at = run_to;
   return right;
 }
 
 /* Kept connections that a node without trouble closes under requests that sound engines have. */
 static int unanswered_requests_are_judged(deployment *deployment) {
-  em_attempt *broken[UNANSWERED_MOST + 1];
+  client_sim_attempt *broken[UNANSWERED_MAX + 1];
   int n = 0;
-  for (guint i = 0; i < deployment->client->tries->len && n <= UNANSWERED_MOST; i++) {
-    em_attempt *attempt = deployment->client->tries->pdata[i];
-    if (attempt->how != 'd' || attempt->caller_request->kind != deployment->status)
+  for (guint i = 0; i < deployment->client->attempts->len && n <= UNANSWERED_MAX; i++) {
+    client_sim_attempt *attempt = deployment->client->attempts->pdata[i];
+    if (attempt->outcome != 'd' || attempt->caller_request->kind != deployment->status)
       continue;
     broken[n++] = attempt;
-    attempt->how = 'e';
+    attempt->outcome = 'e';
     attempt->status = 0;
-    attempt->reused = true;
+    attempt->reused_connection = true;
   }
   gateway_check_unanswered(deployment);
   int right = seen(deployment, "LOST");
   for (int i = 0; i < n; i++) {
-    broken[i]->how = 'd';
+    broken[i]->outcome = 'd';
     broken[i]->status = 200;
   }
   return right;
@@ -894,60 +915,61 @@
 
 static bool gateway_checkers_can_fail(fleet *fleet) {
   deployment *deployment = deployment_new(fleet, 4, 2);
-  if (!deployment_up(deployment))
-    return deployment_done(deployment, 0);
-  deployment_go(deployment, 1);
+  if (!deployment_bring_up(deployment))
+    return deployment_finish(deployment, 0);
+  deployment_start_traffic(deployment, 1);
   sim_run(deployment->sim, time_from_ms(4000));
-  em_client_send(deployment->client, deployment->note, "m12");
-  em_client_send(deployment->client, deployment->note, "m13");
+  client_sim_send(deployment->client, deployment->note, "m12");
+  client_sim_send(deployment->client, deployment->note, "m13");
   sim_run(deployment->sim, time_from_ms(12000));
-  deployment_quiet(deployment);
+  deployment_finish_traffic(deployment);
   gateway_check_all(deployment);
-  if (fleet->faults->len)
-    return deployment_done(deployment, 0);
-  em_attempt *once = NULL, *plain = NULL;
-  em_run *run = NULL;
-  for (guint i = 0; i < deployment->client->tries->len; i++) {
-    em_attempt *attempt = deployment->client->tries->pdata[i];
-    if (attempt->how == 'd' && attempt->caller_request->kind == deployment->chat)
+  if (fleet->violations->len)
+    return deployment_finish(deployment, 0);
+  client_sim_attempt *once = NULL, *plain = NULL;
+  engine_run_record *run = NULL;
+  for (guint i = 0; i < deployment->client->attempts->len; i++) {
+    client_sim_attempt *attempt = deployment->client->attempts->pdata[i];
+    if (attempt->outcome == 'd' && attempt->caller_request->kind == deployment->chat)
       once = attempt;
-    if (attempt->how == 'd' && attempt->caller_request->kind == deployment->status)
+    if (attempt->outcome == 'd' && attempt->caller_request->kind == deployment->status)
       plain = attempt;
   }
   for (guint i = 0; once && i < deployment->log->runs->len; i++)
-    if (!strcmp(((em_run *)deployment->log->runs->pdata[i])->request, once->request))
+    if (!strcmp(((engine_run_record *)deployment->log->runs->pdata[i])->request_id,
+                once->request_id))
       run = deployment->log->runs->pdata[i];
   if (!once || !plain || !run) {
-    violation(fleet, "nothing to mutate a violation in");
-    return deployment_done(deployment, 0);
+    fleet_add_violation(fleet, "nothing to mutate a violation in");
+    return deployment_finish(deployment, 0);
   }
   int shown = 0;
   char was[80];
-  g_strlcpy(was, plain->stamp, sizeof was);
-  g_strlcpy(plain->stamp, "e-none.1", sizeof plain->stamp);
-  gateway_check_mixed(deployment);
+  g_strlcpy(was, plain->run_id, sizeof was);
+  g_strlcpy(plain->run_id, "e-none.1", sizeof plain->run_id);
+  gateway_check_answers_not_mixed(deployment);
   shown += seen(deployment, "MIXED");
-  g_strlcpy(plain->stamp, was, sizeof was);
-  run->sum++;
+  g_strlcpy(plain->run_id, was, sizeof was);
+  run->request_checksum++;
   gateway_check_unasked(deployment);
   shown += seen(deployment, "UNASKED");
-  run->sum--;
-  em_run *more = g_memdup2(run, sizeof *run);
+  run->request_checksum--;
+  engine_run_record *more = g_memdup2(run, sizeof *run);
   g_ptr_array_add(deployment->log->runs, more);
-  gateway_check_twice(deployment);
+  gateway_check_run_once(deployment);
   shown += seen(deployment, "TWICE");
   g_ptr_array_set_size(deployment->log->runs, (int)deployment->log->runs->len - 1);
-  once->how = 's';
+  once->outcome = 's';
   once->status = 503;
   gateway_check_refused(deployment);
   shown += seen(deployment, "REFUSED");
-  once->how = 'd';
+  once->outcome = 'd';
   once->status = 200;
   int n = 0;
-  for (guint i = 0; i < deployment->client->tries->len && n < 20; i++) {
-    em_attempt *attempt = deployment->client->tries->pdata[i];
-    if (attempt->how == 'd' && attempt->caller_request->kind == deployment->book) {
-      attempt->how = 's';
+  for (guint i = 0; i < deployment->client->attempts->len && n < 20; i++) {
+    client_sim_attempt *attempt = deployment->client->attempts->pdata[i];
+    if (attempt->outcome == 'd' && attempt->caller_request->kind == deployment->book) {
+      attempt->outcome = 's';
       attempt->status = 404;
       n++;
     }
@@ -956,10 +978,10 @@
   shown += seen(deployment, "DENIED");
   gateway_check_config(deployment);
   shown += seen(deployment, "CONFIG");
-  for (guint i = 0; i < deployment->client->tries->len; i++) {
-    em_attempt *attempt = deployment->client->tries->pdata[i];
-    if (attempt->how == 's' && attempt->status == 404) {
-      attempt->how = 'd';
+  for (guint i = 0; i < deployment->client->attempts->len; i++) {
+    client_sim_attempt *attempt = deployment->client->attempts->pdata[i];
+    if (attempt->outcome == 's' && attempt->status == 404) {
+      attempt->outcome = 'd';
       attempt->status = 200;
     }
   }
@@ -968,35 +990,35 @@
   gateway_check_route(deployment);
   shown += seen(deployment, "ROUTE");
   run->service = service;
-  em_end *e = NULL;
-  for (guint i = 0; i < deployment->log->ends->len; i++)
-    if (id_equal(((em_end *)deployment->log->ends->pdata[i])->engine, run->engine))
-      e = deployment->log->ends->pdata[i];
-  e->acked = time_sub(run->came, time_from_ms(DRAIN_MS + 1));
+  engine_stop_record *e = NULL;
+  for (guint i = 0; i < deployment->log->stops->len; i++)
+    if (id_equal(((engine_stop_record *)deployment->log->stops->pdata[i])->engine, run->engine))
+      e = deployment->log->stops->pdata[i];
+  e->acked_at = time_sub(run->received_at, time_from_ms(DRAIN_MS + 1));
   gateway_check_drained(deployment);
   shown += seen(deployment, "DRAIN");
-  e->acked = (time_us){ 0 };
-  trouble t = { NULL, time_sub(once->sent, time_from_ms(10)), time_add(once->to, time_from_ms(10)),
-                't' };
+  e->acked_at = (time_us){ 0 };
+  injected_fault t = { NULL, time_sub(once->sent_at, time_from_ms(10)),
+                       time_add(once->ended_at, time_from_ms(10)), 't' };
   for (int i = 0; i < fleet->routers; i++)
     if (!strncmp(fleet->router[i]->addr, once->node, strcspn(once->node, ":")))
       t.host = fleet->router[i];
-  g_array_append_val(deployment->troubles, t);
-  once->how = 'e';
+  g_array_append_val(deployment->injected_faults, t);
+  once->outcome = 'e';
   gateway_check_lost(deployment);
   shown += seen(deployment, "LOST");
   shown += late_requests_are_judged(deployment, once, run, &t);
-  once->how = 'd';
-  g_array_set_size(deployment->troubles, 0);
+  once->outcome = 'd';
+  g_array_set_size(deployment->injected_faults, 0);
   shown += unanswered_requests_are_judged(deployment);
-  em_change two = { .version = 9,
-                    .base = 0,
-                    .text = (char *)"{}",
-                    .valid = true,
-                    .done = true,
-                    .sent = { 1 },
-                    .acked = { 2 },
-                    .status = 200 };
+  operator_sim_change two = { .version = 9,
+                              .base = 0,
+                              .text = (char *)"{}",
+                              .valid = true,
+                              .done = true,
+                              .sent_at = { 1 },
+                              .acked_at = { 2 },
+                              .status = 200 };
   g_ptr_array_add(deployment->operator->changes, &two);
   gateway_check_config(deployment);
   shown += seen(deployment, "CONFIG");
@@ -1004,7 +1026,7 @@
   guint len = deployment->log->runs->len;
   for (int i = 0; i < 400; i++) {
     more = g_memdup2(run, sizeof *run);
-    more->how = 'n';
+    more->outcome = 'n';
     g_ptr_array_add(deployment->log->runs, more);
   }
   gateway_check_budget(deployment);
@@ -1014,43 +1036,44 @@
   gateway_check_order(deployment);
   shown += seen(deployment, "ORDER");
   once->fault[0] = 0;
-  em_order *first = deployment->log->orders->len ? deployment->log->orders->pdata[0] : NULL;
+  engine_order_record *first =
+      deployment->log->orders->len ? deployment->log->orders->pdata[0] : NULL;
   if (!first) {
-    violation(fleet, "no order was given");
-    return deployment_done(deployment, 0);
+    fleet_add_violation(fleet, "no order was given");
+    return deployment_finish(deployment, 0);
   }
   len = deployment->log->orders->len;
-  em_order *order = g_memdup2(first, sizeof *first);
+  engine_order_record *order = g_memdup2(first, sizeof *first);
   order->holder = id_of_text("nobody");
-  order->at.us++;
+  order->received_at.us++;
   g_ptr_array_add(deployment->log->orders, order);
-  gateway_check_one(deployment);
+  gateway_check_single_holder(deployment);
   shown += seen(deployment, "ONE");
   g_ptr_array_set_size(deployment->log->orders, (int)len);
-  first->past = true;
+  first->over_capacity = true;
   gateway_check_limit(deployment);
   shown += seen(deployment, "LIMIT");
-  first->past = false;
+  first->over_capacity = false;
   for (int i = 0; i < 30; i++) {
     order = g_memdup2(first, sizeof *first);
     order->op = 'l';
-    order->store = true;
+    order->from_store = true;
     order->status = 202;
     g_ptr_array_add(deployment->log->orders, order);
   }
-  gateway_check_ceiling(deployment);
+  gateway_check_load_rate(deployment);
   shown += seen(deployment, "CEILING");
   g_ptr_array_set_size(deployment->log->orders, (int)len);
-  time_us half =
-      ((em_request *)deployment->client->requests->pdata[deployment->client->requests->len / 2])
-          ->from;
+  time_us half = ((client_sim_request *)
+                      deployment->client->requests->pdata[deployment->client->requests->len / 2])
+                     ->started_at;
   for (guint i = deployment->client->requests->len / 2; i < deployment->client->requests->len; i++)
-    ((em_request *)deployment->client->requests->pdata[i])->served = false;
-  gateway_check_recover(deployment, half, time_sub(half, time_from_ms(RECOVERY_S * 1000)));
+    ((client_sim_request *)deployment->client->requests->pdata[i])->served = false;
+  gateway_check_recovery(deployment, half, time_sub(half, time_from_ms(RECOVERY_S * 1000)));
   shown += seen(deployment, "RECOVER");
   if (shown != 19)
-    violation(fleet, "only %d of 19 violations were seen", shown);
-  return deployment_done(deployment, 0);
+    fleet_add_violation(fleet, "only %d of 19 violations were seen", shown);
+  return deployment_finish(deployment, 0);
 }
 
 const test_case gateway_tests[] = {
--- a/tests/gateway/loader.c
+++ b/tests/gateway/loader.c
@@ -39,7 +39,7 @@
   json *json = json_parse(string_view_of(SERVICES), &err);
   bare->routing = json ? routing_compile(json, &err) : NULL;
   if (!bare->routing)
-    violation(fleet, "the test's configuration is refused: %s", err.text);
+    fleet_add_violation(fleet, "the test's configuration is refused: %s", err.text);
   json_free(json);
   bare->gateway.routing = bare->routing;
   return bare;
@@ -100,7 +100,7 @@
 #define WANT(f, x)                                                                                 \
   do {                                                                                             \
     if (!(x))                                                                                      \
-      violation(f, "line %d: %s", __LINE__, #x);                                                   \
+      fleet_add_violation(f, "line %d: %s", __LINE__, #x);                                         \
   } while (0)
 static bool near(double a, double b) {
   return a > b * 0.999 - 1e-9 && a < b * 1.001 + 1e-9;
@@ -412,7 +412,7 @@
   for (int change = 0; change < 3; change++) {
     GArray *log = g_array_new(FALSE, TRUE, sizeof(time_us)),
            *began = g_array_new(FALSE, TRUE, sizeof(time_us));
-    int64_t at = now.us + (int64_t)sim_draw(fleet->sim, 12000000);
+    int64_t at = now.us + (int64_t)sim_random(fleet->sim, 12000000);
     bool changed = false;
     for (int step = 0; step < 6000; step++) {
       now.us += 5000;
@@ -424,12 +424,12 @@
           g_array_set_size(log, 0);
         load_rate_limiter_take_over(log, now, born, span, most);
       }
-      if (sim_draw(fleet->sim, 4))
+      if (sim_random(fleet->sim, 4))
         continue;
       if (load_rate_limiter_next_at(log, now, span, most).us > now.us)
         continue;
       g_array_append_val(log, now);
-      time_us late = time_add(now, (time_us){ (int64_t)sim_draw(fleet->sim, 150000) });
+      time_us late = time_add(now, (time_us){ (int64_t)sim_random(fleet->sim, 150000) });
       g_array_append_val(began, late);
     }
     int worst = 0;
@@ -494,8 +494,8 @@
     double cost = eviction_placement_cost(engine, service, id_of_text("new"), id_of_text(""), &mb,
                                           &slots, &drain);
     if (given[k].big != (cost > 500))
-      violation(fleet, "under %s the cost of what goes is %g",
-                given[k].policy ? given[k].policy : "none", cost);
+      fleet_add_violation(fleet, "under %s the cost of what goes is %g",
+                          given[k].policy ? given[k].policy : "none", cost);
     if (bare->router.config)
       config_free(bare->router.config);
     bare->router.config = NULL;
--- a/tests/gateway/loads.c
+++ b/tests/gateway/loads.c
@@ -1,14 +1,15 @@
 #include "loads.h"
 
-unit *holder_of(deployment *deployment, const char *duty) {
-  for (int i = 0; i < deployment->base->routers; i++)
-    if (deployment->gateways[i]->host->alive && deployment->gateways[i]->gateway &&
-        singleton_lease_epoch(deployment->gateways[i]->gateway->router, duty))
-      return deployment->gateways[i];
+deployment_process *holder_of(deployment *deployment, const char *duty) {
+  for (int i = 0; i < deployment->fleet->routers; i++)
+    if (deployment->gateway_processes[i]->host->alive &&
+        deployment->gateway_processes[i]->gateway &&
+        singleton_lease_epoch(deployment->gateway_processes[i]->gateway->router, duty))
+      return deployment->gateway_processes[i];
   return NULL;
 }
 
-unit *engine_holder(deployment *deployment, const unit *e) {
+deployment_process *engine_holder(deployment *deployment, const deployment_process *e) {
   char duty[64];
   singleton_engine_name(duty, sizeof duty, e->engine->self);
   return holder_of(deployment, duty);
@@ -19,9 +20,10 @@
   router *router = l->from->gateway->router;
   do {
     /* an engine that fell is between two lives */
-    if (!l->at->engine || (l->again && em_engine_holds(l->at->engine, l->model, l->adapter)))
+    if (!l->at->engine ||
+        (l->again && registering_engine_sim_has_loaded(l->at->engine, l->model, l->adapter)))
       continue;
-    unit *to = engine_holder(l->deployment, l->at);
+    deployment_process *to = engine_holder(l->deployment, l->at);
     Wire__PlacedLoadRequest q = WIRE__PLACED_LOAD_REQUEST__INIT;
     q.engine = l->at->engine->self.text;
     q.service = "llm";
@@ -54,8 +56,8 @@
   l->done = true;
 }
 
-load *load_request(deployment *deployment, unit *from, unit *at, const char *model,
-                   const char *adapter, bool again) {
+load *load_request(deployment *deployment, deployment_process *from, deployment_process *at,
+                   const char *model, const char *adapter, bool again) {
   load *l = g_new0(load, 1);
   *l = (load){ .deployment = deployment,
                .at = at,
@@ -63,7 +65,7 @@
                .model = id_of_text(model),
                .adapter = id_of_text(adapter),
                .again = again };
-  g_ptr_array_add(deployment->enders, l);
+  g_ptr_array_add(deployment->scheduled_kills, l);
   task_start(&from->host->world.tasks, "load", load_run, l);
   return l;
 }
@@ -73,10 +75,10 @@
   return ((load *)p)->done;
 }
 
-void holds_first(unit *unit, const char *a, const char *b) {
-  g_ptr_array_set_size(unit->start, 0);
+void holds_first(deployment_process *process, const char *a, const char *b) {
+  g_ptr_array_set_size(process->initial_models, 0);
   if (a)
-    g_ptr_array_add(unit->start, (char *)a);
+    g_ptr_array_add(process->initial_models, (char *)a);
   if (b)
-    g_ptr_array_add(unit->start, (char *)b);
+    g_ptr_array_add(process->initial_models, (char *)b);
 }
--- a/tests/gateway/retry_budget.c
+++ b/tests/gateway/retry_budget.c
@@ -6,17 +6,19 @@
 static bool shares_stay_within_the_whole(fleet *fleet) {
   for (int nodes = 1; nodes <= 40; nodes++)
     for (int k = 0; k < 20; k++) {
-      double slack = 5 + (double)sim_draw(fleet->sim, 80),
-             ratio = (double)sim_draw(fleet->sim, 50) / 100, all = 0, came = 0;
+      double slack = 5 + (double)sim_random(fleet->sim, 80),
+             ratio = (double)sim_random(fleet->sim, 50) / 100, all = 0, came = 0;
       for (int i = 0; i < nodes; i++) {
-        double own = (double)sim_draw(fleet->sim, 400);
+        double own = (double)sim_random(fleet->sim, 400);
         came += own;
         all += retry_budget_node_share(slack, ratio, nodes, own);
       }
       if (all > ratio * came + slack + 1e-9)
-        violation(fleet, "%d nodes may take %.1f of %.1f", nodes, all, ratio * came + slack);
+        fleet_add_violation(fleet, "%d nodes may take %.1f of %.1f", nodes, all,
+                            ratio * came + slack);
       if (all < 0.5 * slack - 1e-9)
-        violation(fleet, "%d nodes may take only %.1f of a slack of %.1f", nodes, all, slack);
+        fleet_add_violation(fleet, "%d nodes may take only %.1f of a slack of %.1f", nodes, all,
+                            slack);
     }
   return true;
 }
@@ -31,7 +33,7 @@
   for (int i = 0; i < STEPS; i++) {
     int64_t rate = i / 200 % 3 == 0 ? 8 : i / 200 % 3 == 1 ? 0 : 2;
     for (int64_t k = 0; k < rate; k++)
-      if (sim_draw(fleet->sim, 3) == 0) {
+      if (sim_random(fleet->sim, 3) == 0) {
         retry_budget_record_request(fixture->gateway, service);
         came[i]++;
       }
@@ -54,10 +56,11 @@
     }
     double most = 0.2 * MAX(c, MAX(half, before)) + 50;
     if (t > most)
-      violation(fleet, "a window from step %d has %d extras where %.1f may be", i, t, most);
+      fleet_add_violation(fleet, "a window from step %d has %d extras where %.1f may be", i, t,
+                          most);
   }
   if (all < 25)
-    violation(fleet, "only %d extras were given in a minute", all);
+    fleet_add_violation(fleet, "only %d extras were given in a minute", all);
   fixture_free(fixture);
   return true;
 }
--- a/tests/http/fields.c
+++ b/tests/http/fields.c
@@ -8,7 +8,8 @@
 
 static void expect_text(fleet *fleet, string_view actual, const char *expected, const char *what) {
   if (!string_view_equal(actual, string_view_of(expected)))
-    violation(fleet, "%s is '%.*s', not '%s'", what, (int)actual.length, actual.data, expected);
+    fleet_add_violation(fleet, "%s is '%.*s', not '%s'", what, (int)actual.length, actual.data,
+                        expected);
 }
 
 static void expect_number(fleet *fleet, const char *text, int64_t expected) {
@@ -16,7 +17,8 @@
   g_string_append_printf(message, "%s\r\n", text);
   int64_t number = fields_get_number(message, "x-num", -1);
   if (number != expected)
-    violation(fleet, "'%s' as a number is %" PRId64 ", not %" PRId64, text, number, expected);
+    fleet_add_violation(fleet, "'%s' as a number is %" PRId64 ", not %" PRId64, text, number,
+                        expected);
   g_string_free(message, TRUE);
 }
 
@@ -25,27 +27,27 @@
       new_fields("Host: a.example:80\r\nX-Two:  one \t\r\nx-two: two\r\nX-None:\r\nX-T: short\r\n");
   string_view value;
   if (!fields_get(message, "HOST", &value))
-    violation(fleet, "a field isn't found whatever its case");
+    fleet_add_violation(fleet, "a field isn't found whatever its case");
   else
     expect_text(fleet, value, "a.example:80", "a value with a colon");
   if (fields_get(message, "x-two", &value))
     expect_text(fleet, value, "one", "the first of two, trimmed");
   if (!fields_get(message, "X-None", &value) || value.length)
-    violation(fleet, "an empty field isn't empty");
+    fleet_add_violation(fleet, "an empty field isn't empty");
   if (fields_get(message, "X-Tw", &value))
-    violation(fleet, "a part of a name is found");
+    fleet_add_violation(fleet, "a part of a name is found");
   if (fields_get(message, "X-Two-", &value))
-    violation(fleet, "a longer name is found");
+    fleet_add_violation(fleet, "a longer name is found");
   if (fields_get(NULL, "a", &value))
-    violation(fleet, "no fields hold a field");
+    fleet_add_violation(fleet, "no fields hold a field");
   char *copy = fields_dup(message, "x-t");
   if (g_strcmp0(copy, "short"))
-    violation(fleet, "a copy is %s", copy);
+    fleet_add_violation(fleet, "a copy is %s", copy);
   g_free(copy);
   if (fields_dup(message, "other"))
-    violation(fleet, "a field that is not there is copied");
+    fleet_add_violation(fleet, "a field that is not there is copied");
   g_string_free(message, TRUE);
-  return check_all(fleet);
+  return fleet_check_all(fleet);
 }
 
 static bool fields_are_numbers(fleet *fleet) {
@@ -62,9 +64,9 @@
   expect_number(fleet, "0x10", -1);
   fields *message = new_fields("");
   if (fields_get_number(message, "x", 42) != 42)
-    violation(fleet, "an absent number has no fallback");
+    fleet_add_violation(fleet, "an absent number has no fallback");
   g_string_free(message, TRUE);
-  return check_all(fleet);
+  return fleet_check_all(fleet);
 }
 
 static bool fields_are_walked(fleet *fleet) {
@@ -77,10 +79,10 @@
                            value.data);
   expect_text(fleet, string_view_of_gstring(all), "A=1;B=2;C=;D=4;", "the walk");
   if (fields_next(message, &position, &name, &value))
-    violation(fleet, "a walk goes on after its end");
+    fleet_add_violation(fleet, "a walk goes on after its end");
   g_string_free(all, TRUE);
   g_string_free(message, TRUE);
-  return check_all(fleet);
+  return fleet_check_all(fleet);
 }
 
 static bool fields_are_added(fleet *fleet) {
@@ -99,7 +101,7 @@
   g_free(expected);
   g_string_free(large, TRUE);
   g_string_free(message, TRUE);
-  return check_all(fleet);
+  return fleet_check_all(fleet);
 }
 
 static void expect_forwarded(fleet *fleet, const char *from, const char *const *skip,
@@ -128,7 +130,7 @@
       "X-A: 1\r\nProxy-Authorization: q\r\nproxy-connection: x\r\nProx: y\r\nX-Empty:\r\nConnection: close\r\nconnection: X-A\r\n",
       NULL, "Prox: y\r\nX-Empty: \r\n");
   expect_forwarded(fleet, "", NULL, "");
-  return check_all(fleet);
+  return fleet_check_all(fleet);
 }
 
 const test_case fields_tests[] = { { "fields_are_found", fields_are_found, 1, 1, 17 },
--- a/tests/main.c
+++ b/tests/main.c
@@ -97,7 +97,7 @@
 static bool run_seed(const test_case *test, uint64_t seed, int routers, int engines) {
   fleet *fleet = fleet_new(seed, routers, engines);
   bool passed = test->run(fleet);
-  passed = check_all(fleet) && passed;
+  passed = fleet_check_all(fleet) && passed;
   fleet_free(fleet);
   if (passed)
     return true;
