--- a/tests/membership/failure_detector.c
+++ b/tests/membership/failure_detector.c
@@ -49,16 +49,17 @@
   ring_position actual[HEARTBEAT_WATCHERS], expected[HEARTBEAT_WATCHERS];
   int n = heartbeat_ring_watchers(node, who, actual), k = expected_watchers(node, who, expected);
   if (n != k) {
-    violation(fleet, "%s names %d watchers of %s, not %d", node->settings.self.text, n, who.text,
-              k);
+    fleet_add_violation(fleet, "%s names %d watchers of %s, not %d", node->settings.self.text, n,
+                        who.text, k);
     return;
   }
   for (int i = 0; i < n; i++)
     if (!id_equal(actual[i].self, expected[i].self) ||
         !id_equal(actual[i].zone, expected[i].zone) ||
         strcmp(actual[i].address, expected[i].address))
-      violation(fleet, "%s names %s as watcher %d of %s, not %s", node->settings.self.text,
-                actual[i].self.text, i, who.text, expected[i].self.text);
+      fleet_add_violation(fleet, "%s names %s as watcher %d of %s, not %s",
+                          node->settings.self.text, actual[i].self.text, i, who.text,
+                          expected[i].self.text);
 }
 
 static void append_text(void *p) {
@@ -81,7 +82,7 @@
   task_start_urgent(&scheduler, "!", append_text, contexts[2]);
   scheduler_run(&scheduler);
   if (strcmp(order->str, "!ab"))
-    violation(fleet, "tasks ran as %s", order->str);
+    fleet_add_violation(fleet, "tasks ran as %s", order->str);
   g_string_free(order, TRUE);
   scheduler_stop(&scheduler);
   scheduler_free(&scheduler);
@@ -91,12 +92,12 @@
 /* given processes that start, end, are cut off and are heard again, each one names the watchers
  * that the rule names, at any moment */
 static bool watchers_follow_the_ring(fleet *fleet) {
-  if (!fleet_up(fleet))
+  if (!fleet_bring_up(fleet))
     return false;
   for (int i = 0; i < 60; i++) {
-    host *h = fleet->router[sim_draw(fleet->sim, (uint64_t)fleet->routers)],
-         *o = fleet->router[sim_draw(fleet->sim, (uint64_t)fleet->routers)];
-    switch (sim_draw(fleet->sim, 5)) {
+    host *h = fleet->router[sim_random(fleet->sim, (uint64_t)fleet->routers)],
+         *o = fleet->router[sim_random(fleet->sim, (uint64_t)fleet->routers)];
+    switch (sim_random(fleet->sim, 5)) {
     case 0:
       if (h->alive)
         host_kill(h);
@@ -107,18 +108,18 @@
       break;
     case 2:
       if (h != o)
-        sim_part(fleet->sim, h->self.text, o->self.text, true);
+        sim_set_partition_both_ways(fleet->sim, h->self.text, o->self.text, true);
       break;
     case 3:
-      sim_mend(fleet->sim);
+      sim_heal_partitions(fleet->sim);
       break;
     default:
       if (h->alive && !h->frozen)
         host_freeze(h);
       else if (h->frozen)
-        host_wake(h);
+        host_unfreeze(h);
     }
-    sim_run(fleet->sim, time_from_ms(50 + (int64_t)sim_draw(fleet->sim, 1500)));
+    sim_run(fleet->sim, time_from_ms(50 + (int64_t)sim_random(fleet->sim, 1500)));
     list_for_each (x, &fleet->sim->hosts, host, link) {
       node *node = node_of(x);
       if (!node)
@@ -129,12 +130,12 @@
     }
   }
   scenario_heal_all(fleet);
-  return !fleet->faults->len;
+  return !fleet->violations->len;
 }
 
 /* given a fleet without changes, the ring of heartbeats is built once, not again and again */
 static bool a_quiet_ring_is_made_once(fleet *fleet) {
-  if (!fleet_up(fleet))
+  if (!fleet_bring_up(fleet))
     return false;
   sim_run(fleet->sim, time_from_ms(10000));
   uint64_t builds_before = 0, builds_after = 0;
@@ -146,9 +147,9 @@
     if (node_of(h))
       builds_after += node_of(h)->ring.build_count;
   if (builds_after != builds_before)
-    violation(fleet, "the ring was built %" PRIu64 " times in ten quiet seconds",
-              builds_after - builds_before);
-  return !fleet->faults->len;
+    fleet_add_violation(fleet, "the ring was built %" PRIu64 " times in ten quiet seconds",
+                        builds_after - builds_before);
+  return !fleet->violations->len;
 }
 
 /* sets how late the tasks of a process run, as all others know it, and returns how many of them
@@ -174,7 +175,7 @@
   set_lateness_and_count_gone(fleet, silent, late_ms);
   sim_run(fleet->sim, time_from_ms(silent_ms));
   int gone = set_lateness_and_count_gone(fleet, silent, late_ms);
-  host_wake(silent);
+  host_unfreeze(silent);
   sim_run(fleet->sim, time_from_ms(BACK_MS));
   return gone;
 }
@@ -182,17 +183,17 @@
 /* a peer that has reported how late its tasks run gets that much longer, up to a bound */
 static bool late_machines_are_given_time(fleet *fleet) {
   enum { SHORT_MS = 2000, LONG_MS = 4500, LATE_MS = 1300, VERY_LATE_MS = 60000 };
-  if (!fleet_up(fleet))
+  if (!fleet_bring_up(fleet))
     return false;
   sim_run(fleet->sim, time_from_ms(5000));
   host *silent = fleet->router[0];
   if (!gone_after_silence(fleet, silent, 0, SHORT_MS))
-    violation(fleet, "a silence of %d ms is not noticed", SHORT_MS);
+    fleet_add_violation(fleet, "a silence of %d ms is not noticed", SHORT_MS);
   int gone = gone_after_silence(fleet, silent, LATE_MS, SHORT_MS);
   if (gone)
-    violation(fleet, "%d peers have declared one gone that is late", gone);
+    fleet_add_violation(fleet, "%d peers have declared one gone that is late", gone);
   if (!gone_after_silence(fleet, silent, VERY_LATE_MS, LONG_MS))
-    violation(fleet, "a silence of %d ms of a late peer is not noticed", LONG_MS);
+    fleet_add_violation(fleet, "a silence of %d ms of a late peer is not noticed", LONG_MS);
   return true;
 }
 
--- a/tests/membership/node.c
+++ b/tests/membership/node.c
@@ -6,9 +6,9 @@
 #include "tests.h"
 
 static bool all_seeds_are_replaced(fleet *fleet) {
-  if (!fleet_up(fleet))
+  if (!fleet_bring_up(fleet))
     return false;
-  check_watch(fleet);
+  fleet_start_sampling(fleet);
   sim_run(fleet->sim, time_from_ms(3000));
   for (int i = 0; i < 3; i++) {
     host *old = fleet->controller[i];
@@ -17,8 +17,8 @@
     for (int k = 0; k < 3; k++)
       g_strlcpy(host->settings.seed_addresses[k], fleet->controller[i + k]->addr,
                 sizeof host->settings.seed_addresses[k]);
-    host_power(old);
-    host_wipe(old);
+    host_power_off(old);
+    host_wipe_disk(old);
     if (!scenario_wait_for_chain(fleet, 2, 8000))
       return false;
     fleet->controllers = i + 4;
@@ -33,27 +33,27 @@
   host_start(fleet->router[0]);
   sim_run(fleet->sim, time_from_ms(5000));
   if (!config_sync_is_recent(fleet->router[0]->router))
-    violation(fleet, "a router whose seeds are all gone does not come back");
+    fleet_add_violation(fleet, "a router whose seeds are all gone does not come back");
   char *evacuation = scenario_evacuation_json(2);
   if (!fleet_put(fleet, "evacuation", evacuation))
-    violation(fleet, "no write after all seeds went");
+    fleet_add_violation(fleet, "no write after all seeds went");
   g_free(evacuation);
   scenario_check_acknowledged_writes(fleet);
   return true;
 }
 
 static bool invalid_messages_are_ignored(fleet *fleet) {
-  if (!fleet_up(fleet))
+  if (!fleet_bring_up(fleet))
     return false;
-  check_watch(fleet);
+  fleet_start_sampling(fleet);
   scenario_start_traffic(fleet, 5);
   for (int i = 0; i < 300; i++) {
-    host *host = sim_draw(fleet->sim, 2) ? fleet->controller[sim_draw(fleet->sim, 3)]
-                                         : fleet->router[sim_draw(fleet->sim, fleet->routers)];
+    host *host = sim_random(fleet->sim, 2) ? fleet->controller[sim_random(fleet->sim, 3)]
+                                           : fleet->router[sim_random(fleet->sim, fleet->routers)];
     char buf[300];
-    size_t n = 1 + sim_draw(fleet->sim, sizeof buf - 1);
+    size_t n = 1 + sim_random(fleet->sim, sizeof buf - 1);
     for (size_t k = 0; k < n; k++)
-      buf[k] = (char)sim_draw(fleet->sim, 256);
+      buf[k] = (char)sim_random(fleet->sim, 256);
     host->world.on_message(host->world.on_message_context, (string_view){ buf, n });
     /* a message that can be unpacked, from a peer that does not exist */
     Wire__NodeInfo self = WIRE__NODE_INFO__INIT;
@@ -67,11 +67,12 @@
     Wire__SingletonLeaseRequest d = WIRE__SINGLETON_LEASE_REQUEST__INIT;
     Wire__ViewAnnouncement t = WIRE__VIEW_ANNOUNCEMENT__INIT;
     Wire__Envelope m =
-        sim_draw(fleet->sim, 2)   ? wire_envelope(WIRE__ENVELOPE__BODY_REPLICATE_REQUEST, &p)
-        : sim_draw(fleet->sim, 2) ? wire_envelope(WIRE__ENVELOPE__BODY_PREPARE_REQUEST, &q)
-        : sim_draw(fleet->sim, 2) ? wire_envelope(WIRE__ENVELOPE__BODY_SINGLETON_LEASE_REQUEST, &d)
-                                  : wire_envelope(WIRE__ENVELOPE__BODY_VIEW_ANNOUNCEMENT, &t);
-    m.version = sim_draw(fleet->sim, 4);
+        sim_random(fleet->sim, 2)   ? wire_envelope(WIRE__ENVELOPE__BODY_REPLICATE_REQUEST, &p)
+        : sim_random(fleet->sim, 2) ? wire_envelope(WIRE__ENVELOPE__BODY_PREPARE_REQUEST, &q)
+        : sim_random(fleet->sim, 2)
+            ? wire_envelope(WIRE__ENVELOPE__BODY_SINGLETON_LEASE_REQUEST, &d)
+            : wire_envelope(WIRE__ENVELOPE__BODY_VIEW_ANNOUNCEMENT, &t);
+    m.version = sim_random(fleet->sim, 4);
     m.from = &self;
     m.call = 9;
     uint8_t out[200];
@@ -80,18 +81,18 @@
     sim_run(fleet->sim, time_from_ms(20));
   }
   if (!fleet_put(fleet, "evacuation", "{\"areas\":[]}"))
-    violation(fleet, "no write after the garbage");
-  fleet_quiet(fleet);
+    fleet_add_violation(fleet, "no write after the garbage");
+  fleet_finish_traffic(fleet);
   return loadgen_count(fleet->callers->loadgen, OUTCOME_DONE) > 0;
 }
 
 static bool two_wire_versions_side_by_side(fleet *fleet) {
   list_for_each (h, &fleet->sim->hosts, host, link)
     if (h->role <= HOST_ROUTER)
-      h->settings.wire_version = 1 + (unsigned)sim_draw(fleet->sim, 2);
-  if (!fleet_up(fleet))
+      h->settings.wire_version = 1 + (unsigned)sim_random(fleet->sim, 2);
+  if (!fleet_bring_up(fleet))
     return false;
-  check_watch(fleet);
+  fleet_start_sampling(fleet);
   scenario_start_traffic(fleet, 5);
   /* one process after the other is upgraded to version 2, and two are downgraded */
   host *all[16];
@@ -118,15 +119,15 @@
   }
   char *evacuation = scenario_evacuation_json(0);
   if (!fleet_put(fleet, "evacuation", evacuation))
-    violation(fleet, "no write over two wire versions");
+    fleet_add_violation(fleet, "no write over two wire versions");
   g_free(evacuation);
   sim_run(fleet->sim, time_from_ms(3000));
   for (int i = 0; i < fleet->routers; i++)
     if (!config_sync_is_recent(fleet->router[i]->router) ||
         fleet->router[i]->router->node.rpc.refused_wire_versions)
-      violation(fleet, "%s is left behind", fleet->router[i]->self.text);
+      fleet_add_violation(fleet, "%s is left behind", fleet->router[i]->self.text);
   scenario_check_acknowledged_writes(fleet);
-  fleet_quiet(fleet);
+  fleet_finish_traffic(fleet);
   return loadgen_count(fleet->callers->loadgen, OUTCOME_DONE) >
          (int)fleet->callers->loadgen->requests->len / 2;
 }
--- a/tests/membership/peer_channel_sockets.c
+++ b/tests/membership/peer_channel_sockets.c
@@ -64,19 +64,19 @@
   error err = { 0 };
   probe.world = real_world_new(&settings, &err);
   if (!probe.world) {
-    violation(fleet, "no world: %s", err.text);
-    return check_all(fleet);
+    fleet_add_violation(fleet, "no world: %s", err.text);
+    return fleet_check_all(fleet);
   }
   snprintf(probe.address, sizeof probe.address, "127.0.0.1:%d", probe.port);
   task_start(&probe.world->tasks, "probe", post_and_probe, &probe);
   real_world_run(probe.world, NULL, NULL);
   real_world_free(probe.world);
   if (!probe.links)
-    violation(fleet, "no link was opened");
+    fleet_add_violation(fleet, "no link was opened");
   if (probe.unguarded)
-    violation(fleet, "%d of %d links wait for ever for an acknowledgement", probe.unguarded,
-              probe.links);
-  return check_all(fleet);
+    fleet_add_violation(fleet, "%d of %d links wait for ever for an acknowledgement",
+                        probe.unguarded, probe.links);
+  return fleet_check_all(fleet);
 }
 
 const test_case peer_channel_socket_tests[] = { { "links_end_when_nothing_is_acknowledged",
--- a/tests/membership/peer_channels.c
+++ b/tests/membership/peer_channels.c
@@ -118,7 +118,7 @@
   error err = { 0 };
   real_settings settings = { .ip = "127.0.0.1", .data_dir = "/tmp" };
   if (!deaf_start(&deaf)) {
-    violation(fleet, "no listener could be had");
+    fleet_add_violation(fleet, "no listener could be had");
     return false;
   }
   world *world = real_world_new(&settings, &err);
@@ -130,9 +130,9 @@
   }
   deaf_stop(&deaf);
   if (!world || deaf.opened < 2)
-    violation(fleet, "a peer that takes no bytes was opened %d times within %d ms", deaf.opened,
-              REOPEN_TIMEOUT_MS);
-  return !fleet->faults->len;
+    fleet_add_violation(fleet, "a peer that takes no bytes was opened %d times within %d ms",
+                        deaf.opened, REOPEN_TIMEOUT_MS);
+  return !fleet->violations->len;
 }
 
 const test_case peer_channel_tests[] = { { "a_silent_channel_is_opened_anew",
--- a/tests/recovery.c
+++ b/tests/recovery.c
@@ -10,8 +10,9 @@
   const GPtrArray *requests = fleet->callers->loadgen->requests;
   for (guint i = 0; i < requests->len; i++) {
     const loadgen_request *request = requests->pdata[i];
-    if (request->from.us >= after.us && request->first.us && request->first.us < first.us)
-      first = request->first;
+    if (request->started_at.us >= after.us && request->first_event_at.us &&
+        request->first_event_at.us < first.us)
+      first = request->first_event_at;
   }
   return first;
 }
@@ -22,8 +23,9 @@
     const engine_sim *engine = fleet->engine[i]->engine;
     for (guint k = 0; engine && k < engine->orders->len; k++) {
       const engine_sim_order *order = &g_array_index(engine->orders, engine_sim_order, k);
-      if (order->what == 'l' && order->taken && order->at.us >= after.us && order->at.us < first.us)
-        first = order->at;
+      if (order->kind == 'l' && order->accepted && order->received_at.us >= after.us &&
+          order->received_at.us < first.us)
+        first = order->received_at;
     }
   }
   return first;
@@ -42,7 +44,7 @@
   return false;
 }
 
-/* fleet_holder notes a violation for two holders, so every engine is asked */
+/* fleet_find_lease_holder notes a violation for two holders, so every engine is asked */
 static bool all_leases_held(fleet *fleet) {
   bool all = true;
   for (int i = 0; i < fleet->engines; i++) {
@@ -50,7 +52,7 @@
       continue;
     char name[64];
     singleton_engine_name(name, sizeof name, fleet->engine[i]->self);
-    all &= fleet_holder(fleet, name) != NULL;
+    all &= fleet_find_lease_holder(fleet, name) != NULL;
   }
   return all;
 }
@@ -62,7 +64,7 @@
     sim_run(fleet->sim, time_from_ms(OBSERVE_INTERVAL_MS));
     if (!times.loss_noticed_at.us && loss_noticed(fleet))
       times.loss_noticed_at = fleet->sim->now;
-    host *head = fleet_head(fleet);
+    host *head = fleet_find_head(fleet);
     if (head && head->controller->replica.view.epoch != epoch && !times.view_changed_at.us)
       times.view_changed_at = fleet->sim->now;
     bool held = all_leases_held(fleet);
@@ -98,7 +100,7 @@
     fprintf(stderr, "  seed %" PRIu64 ": first stream %.2f s, first load %.2f s after the loss\n",
             fleet->seed, token_s, load_s);
   if (token_s > limit_s)
-    violation(fleet, "R12 the first stream came %.1f s after the loss", token_s);
+    fleet_add_violation(fleet, "R12 the first stream came %.1f s after the loss", token_s);
   if (load_s > limit_s)
-    violation(fleet, "R12 the first load came %.1f s after the loss", load_s);
+    fleet_add_violation(fleet, "R12 the first load came %.1f s after the loss", load_s);
 }
--- a/tests/router/config_sync.c
+++ b/tests/router/config_sync.c
@@ -15,8 +15,8 @@
   for (int i = 0; i < fleet->engines; i++) {
     const GArray *orders = fleet->engine[i]->engine->orders;
     for (guint k = 0; k < orders->len; k++)
-      if (g_array_index(orders, engine_sim_order, k).at.us > expired_at.us) {
-        violation(fleet, "an order was given without a lease");
+      if (g_array_index(orders, engine_sim_order, k).received_at.us > expired_at.us) {
+        fleet_add_violation(fleet, "an order was given without a lease");
         return;
       }
   }
@@ -28,46 +28,46 @@
   guint sent = 0, done = 0;
   for (guint i = 0; i < requests->len; i++) {
     const loadgen_request *request = requests->pdata[i];
-    if (request->from.us > lost_at.us) {
+    if (request->started_at.us > lost_at.us) {
       sent++;
-      done += request->how == OUTCOME_DONE;
+      done += request->outcome == OUTCOME_DONE;
     }
   }
   if (done < sent / 4)
-    violation(fleet, "residents did not go on serving: %u of %u", done, sent);
+    fleet_add_violation(fleet, "residents did not go on serving: %u of %u", done, sent);
 }
 
 static bool a_router_is_cut_off_from_controllers(fleet *fleet) {
-  if (!fleet_up(fleet))
+  if (!fleet_bring_up(fleet))
     return false;
-  check_watch(fleet);
+  fleet_start_sampling(fleet);
   scenario_start_traffic(fleet, 6);
   sim_run(fleet->sim, time_from_ms(8000));
   host *host = fleet->router[0];
   for (int i = 0; i < 3; i++)
-    sim_part(fleet->sim, host->self.text, fleet->controller[i]->self.text, true);
+    sim_set_partition_both_ways(fleet->sim, host->self.text, fleet->controller[i]->self.text, true);
   sim_run(fleet->sim, time_from_ms(3000));
   if (!admission_may_admit(host->router))
-    violation(fleet, "a router that hears the others counts as isolated");
+    fleet_add_violation(fleet, "a router that hears the others counts as isolated");
   if (!fleet_put(fleet, "evacuation", "{\"areas\":[]}"))
     return false;
   sim_run(fleet->sim, time_from_ms(4000));
   /* the other routers pass the configuration on, but can not confirm it */
   if (host->router->sync.config_version <
-      g_array_index(fleet->acks, ack, fleet->acks->len - 1).version)
-    violation(fleet, "the configuration did not come by way of the other routers");
-  sim_mend(fleet->sim);
+      g_array_index(fleet->write_acks, write_ack, fleet->write_acks->len - 1).version)
+    fleet_add_violation(fleet, "the configuration did not come by way of the other routers");
+  sim_heal_partitions(fleet->sim);
   sim_run(fleet->sim, time_from_ms(4000));
   if (!config_sync_is_recent(host->router))
-    violation(fleet, "a router does not come back");
-  fleet_quiet(fleet);
+    fleet_add_violation(fleet, "a router does not come back");
+  fleet_finish_traffic(fleet);
   return true;
 }
 
 static bool all_controllers_are_gone(fleet *fleet) {
-  if (!fleet_up(fleet))
+  if (!fleet_bring_up(fleet))
     return false;
-  check_watch(fleet);
+  fleet_start_sampling(fleet);
   scenario_start_traffic(fleet, 6);
   sim_run(fleet->sim, time_from_ms(15000));
   for (int i = 0; i < 3; i++)
@@ -76,7 +76,7 @@
   sim_run(fleet->sim, time_from_ms(4000));
   /* a draining engine still gets no new work, and nothing is ordered any more, while resident
    * models serve */
-  platform_sim_mark(fleet->platform->platform, fleet->engine[0]->self, true, false);
+  platform_sim_set_engine_state(fleet->platform->platform, fleet->engine[0]->self, true, false);
   sim_run(fleet->sim, time_from_ms(10000));
   check_no_orders_without_lease(fleet, from);
   check_residents_serve(fleet, from);
@@ -86,43 +86,44 @@
     return false;
   sim_run(fleet->sim, time_from_ms(8000));
   scenario_check_acknowledged_writes(fleet);
-  fleet_quiet(fleet);
+  fleet_finish_traffic(fleet);
   return true;
 }
 
 static bool controllers_are_cut_off_from_all_routers(fleet *fleet) {
-  if (!fleet_up(fleet))
+  if (!fleet_bring_up(fleet))
     return false;
-  check_watch(fleet);
+  fleet_start_sampling(fleet);
   scenario_start_traffic(fleet, 6);
   sim_run(fleet->sim, time_from_ms(12000));
   for (int i = 0; i < fleet->routers; i++)
     for (int k = 0; k < 3; k++)
-      sim_part(fleet->sim, fleet->router[i]->self.text, fleet->controller[k]->self.text, true);
+      sim_set_partition_both_ways(fleet->sim, fleet->router[i]->self.text,
+                                  fleet->controller[k]->self.text, true);
   time_us from = fleet->sim->now;
   sim_run(fleet->sim, time_from_ms(10000));
-  op_call *call =
+  operator_call *call =
       fleet_call(fleet, fleet->controller[0], "PUT", "/v1/evacuation",
                  "{\"areas\":[{\"area\":\"south\"}]}", NULL, "south", time_from_ms(9000));
   if (call->status != 504)
-    violation(fleet, "a write that no router can hear of got %d", call->status);
-  call_free(call);
+    fleet_add_violation(fleet, "a write that no router can hear of got %d", call->status);
+  operator_call_free(call);
   for (int i = 0; i < fleet->routers; i++)
     if (config_sync_is_recent(fleet->router[i]->router))
-      violation(fleet, "%s calls its configuration recent", fleet->router[i]->self.text);
+      fleet_add_violation(fleet, "%s calls its configuration recent", fleet->router[i]->self.text);
   check_no_orders_without_lease(fleet, from);
   check_residents_serve(fleet, from);
-  sim_mend(fleet->sim);
+  sim_heal_partitions(fleet->sim);
   time_us back = fleet->sim->now;
   sim_run(fleet->sim, time_from_ms(3000));
   call = fleet_call(fleet, fleet->controller[0], "PUT", "/v1/evacuation",
                     "{\"areas\":[{\"area\":\"south\"}]}", NULL, "south", time_from_ms(9000));
   if (call->status != 200)
-    violation(fleet, "the same write got %d after all was mended", call->status);
-  call_free(call);
+    fleet_add_violation(fleet, "the same write got %d after all was mended", call->status);
+  operator_call_free(call);
   sim_run(fleet->sim, time_from_ms(9000));
   recovery_check(fleet, back, RECOVERY_LIMIT_MS);
-  fleet_quiet(fleet);
+  fleet_finish_traffic(fleet);
   return true;
 }
 
--- a/tests/router/engine_list.c
+++ b/tests/router/engine_list.c
@@ -5,30 +5,30 @@
 #include "tests.h"
 
 static bool an_engine_drains(fleet *fleet) {
-  if (!fleet_up(fleet))
+  if (!fleet_bring_up(fleet))
     return false;
-  check_watch(fleet);
+  fleet_start_sampling(fleet);
   scenario_start_traffic(fleet, 10);
   sim_run(fleet->sim, time_from_ms(12000));
   for (int i = 0; i < 2; i++) {
     platform_sim_engine *engine =
         &g_array_index(fleet->platform->platform->engines, platform_sim_engine,
-                       sim_draw(fleet->sim, fleet->engines));
-    if (engine->leaving)
+                       sim_random(fleet->sim, fleet->engines));
+    if (engine->draining)
       continue;
-    platform_sim_mark(fleet->platform->platform, engine->self, true, false);
+    platform_sim_set_engine_state(fleet->platform->platform, engine->self, true, false);
     sim_run(fleet->sim, time_from_ms(8000));
   }
   host_kill(fleet->platform);
   sim_run(fleet->sim, time_from_ms(5000));
-  fleet_quiet(fleet);
+  fleet_finish_traffic(fleet);
   return true;
 }
 
 static bool a_zone_is_evacuated(fleet *fleet) {
-  if (!fleet_up(fleet))
+  if (!fleet_bring_up(fleet))
     return false;
-  check_watch(fleet);
+  fleet_start_sampling(fleet);
   scenario_start_traffic(fleet, 10);
   sim_run(fleet->sim, time_from_ms(12000));
   if (!fleet_put(fleet, "evacuation", "{\"areas\":[{\"area\":\"south\"}]}"))
@@ -37,38 +37,39 @@
   for (int i = 0; i < fleet->engines; i++) {
     char singleton[64];
     singleton_engine_name(singleton, sizeof singleton, fleet->engine[i]->self);
-    host *host = fleet_holder(fleet, singleton);
+    host *host = fleet_find_lease_holder(fleet, singleton);
     if (!host)
-      violation(fleet, "nobody took over %s", singleton);
+      fleet_add_violation(fleet, "nobody took over %s", singleton);
     else if (!strcmp(host->area.text, "south"))
-      violation(fleet, "%s stays with %s in the evacuated zone", singleton, host->self.text);
+      fleet_add_violation(fleet, "%s stays with %s in the evacuated zone", singleton,
+                          host->self.text);
   }
   /* a controller is lost, and the evacuation stands */
-  host_power(fleet->controller[sim_draw(fleet->sim, 3)]);
+  host_power_off(fleet->controller[sim_random(fleet->sim, 3)]);
   sim_run(fleet->sim, time_from_ms(8000));
   scenario_check_acknowledged_writes(fleet);
-  fleet_quiet(fleet);
+  fleet_finish_traffic(fleet);
   return true;
 }
 
 static bool engines_are_replaced_one_by_one(fleet *fleet) {
-  if (!fleet_up(fleet))
+  if (!fleet_bring_up(fleet))
     return false;
-  check_watch(fleet);
+  fleet_start_sampling(fleet);
   scenario_start_traffic(fleet, 6);
   sim_run(fleet->sim, time_from_ms(8000));
   for (int i = 0; i < 4; i++) {
     host *host = fleet->engine[i];
-    platform_sim_mark(fleet->platform->platform, host->self, true, false);
+    platform_sim_set_engine_state(fleet->platform->platform, host->self, true, false);
     sim_run(fleet->sim, time_from_ms(4000));
     host_kill(host);
-    platform_sim_mark(fleet->platform->platform, host->self, true, true);
+    platform_sim_set_engine_state(fleet->platform->platform, host->self, true, true);
     sim_run(fleet->sim, time_from_ms(1500));
-    platform_sim_mark(fleet->platform->platform, host->self, false, false);
+    platform_sim_set_engine_state(fleet->platform->platform, host->self, false, false);
     host_start(host);
     sim_run(fleet->sim, time_from_ms(4000));
   }
-  fleet_quiet(fleet);
+  fleet_finish_traffic(fleet);
   return loadgen_count(fleet->callers->loadgen, OUTCOME_DONE) >
          (int)fleet->callers->loadgen->requests->len / 2;
 }
--- a/tests/router/generate_api.c
+++ b/tests/router/generate_api.c
@@ -7,24 +7,24 @@
 #include <stdio.h>
 
 static bool engines_crash_in_the_middle(fleet *fleet) {
-  if (!fleet_up(fleet))
+  if (!fleet_bring_up(fleet))
     return false;
-  check_watch(fleet);
+  fleet_start_sampling(fleet);
   fleet->callers->loadgen->plan.tokens = 80;
   scenario_start_traffic(fleet, 10);
   for (int i = 0; i < 8; i++) {
     sim_run(fleet->sim, time_from_ms(3000));
-    host *host = fleet->engine[sim_draw(fleet->sim, fleet->engines)];
+    host *host = fleet->engine[sim_random(fleet->sim, fleet->engines)];
     if (!host->alive) {
       host_start(host);
       continue;
     }
-    switch (sim_draw(fleet->sim, 4)) {
+    switch (sim_random(fleet->sim, 4)) {
     case 0:
       host_kill(host);
       break;
     case 1:
-      host_power(host);
+      host_power_off(host);
       break;
     case 2:
       host->engine->faults.break_after = 3;
@@ -32,38 +32,38 @@
     case 3:
       host_freeze(host);
       sim_run(fleet->sim, time_from_ms(4000));
-      host_wake(host);
+      host_unfreeze(host);
       break;
     }
   }
   sim_run(fleet->sim, time_from_ms(3000));
-  fleet_quiet(fleet);
+  fleet_finish_traffic(fleet);
   if (!loadgen_count(fleet->callers->loadgen, OUTCOME_BROKEN))
-    violation(fleet, "no stream broke, so nothing was shown");
+    fleet_add_violation(fleet, "no stream broke, so nothing was shown");
   return true;
 }
 
 static bool engines_report_wrongly(fleet *fleet) {
-  if (!fleet_up(fleet))
+  if (!fleet_bring_up(fleet))
     return false;
-  check_watch(fleet);
+  fleet_start_sampling(fleet);
   scenario_start_traffic(fleet, 8);
   sim_run(fleet->sim, time_from_ms(8000));
-  fleet->engine[0]->engine->faults.wrong_attempt = true;
-  fleet->engine[1]->engine->faults.old_reports = true;
+  fleet->engine[0]->engine->faults.wrong_attempt_echo = true;
+  fleet->engine[1]->engine->faults.stale_reports = true;
   platform_sim_engine twin =
       g_array_index(fleet->platform->platform->engines, platform_sim_engine, 2);
   g_strlcpy(twin.addr, fleet->engine[3]->addr, sizeof twin.addr);
   g_array_append_val(fleet->platform->platform->engines, twin);
   sim_run(fleet->sim, time_from_ms(12000));
-  fleet_quiet(fleet);
+  fleet_finish_traffic(fleet);
   return loadgen_count(fleet->callers->loadgen, OUTCOME_DONE) > 0;
 }
 
 static bool a_burst_is_shed(fleet *fleet) {
-  if (!fleet_up(fleet))
+  if (!fleet_bring_up(fleet))
     return false;
-  check_watch(fleet);
+  fleet_start_sampling(fleet);
   fleet->callers->loadgen->plan.tokens = 60;
   scenario_start_traffic(fleet, 10);
   sim_run(fleet->sim, time_from_ms(8000));
@@ -72,7 +72,7 @@
   scenario_start_traffic(fleet, 250);
   sim_run(fleet->sim, time_from_ms(8000));
   fleet->callers->loadgen->stop = true;
-  fleet_quiet(fleet);
+  fleet_finish_traffic(fleet);
   /* who is sent away is sent away at once, and the small weighty kind is not starved */
   int n[3] = { 0 }, done[3] = { 0 };
   GPtrArray *all = fleet->callers->loadgen->requests;
@@ -80,11 +80,11 @@
     loadgen_request *request = all->pdata[i];
     int at = !strcmp(request->kind.text, "live") ? 0 : !strcmp(request->kind.text, "short") ? 1 : 2;
     n[at]++;
-    done[at] += request->how == OUTCOME_DONE;
+    done[at] += request->outcome == OUTCOME_DONE;
     if (request->code == E_QUEUE_FULL || request->code == E_LOAD_SHED)
-      if (time_sub(request->to, request->from).us > 200000) {
-        violation(fleet, "a caller was shed only after %.1f s",
-                  (double)time_sub(request->to, request->from).us / 1e6);
+      if (time_sub(request->ended_at, request->started_at).us > 200000) {
+        fleet_add_violation(fleet, "a caller was shed only after %.1f s",
+                            (double)time_sub(request->ended_at, request->started_at).us / 1e6);
         break;
       }
   }
@@ -96,43 +96,43 @@
     g_string_free(b, TRUE);
   }
   if ((double)done[2] / n[2] < 0.7 * (double)done[0] / n[0])
-    violation(fleet, "the weighty kind starves: %d of %d, live %d of %d", done[2], n[2], done[0],
-              n[0]);
+    fleet_add_violation(fleet, "the weighty kind starves: %d of %d, live %d of %d", done[2], n[2],
+                        done[0], n[0]);
   return done[0] > 0;
 }
 
 static bool callers_disconnect(fleet *fleet) {
-  if (!fleet_up(fleet))
+  if (!fleet_bring_up(fleet))
     return false;
-  check_watch(fleet);
-  fleet->callers->loadgen->plan.leave = 0.6;
+  fleet_start_sampling(fleet);
+  fleet->callers->loadgen->plan.leave_ratio = 0.6;
   fleet->callers->loadgen->plan.tokens = 150;
   scenario_start_traffic(fleet, 6);
   sim_run(fleet->sim, time_from_ms(15000));
-  fleet_quiet(fleet);
+  fleet_finish_traffic(fleet);
   sim_run(fleet->sim, time_from_ms(3000));
   uint64_t cut = 0;
   for (int i = 0; i < fleet->engines; i++) {
     cut += fleet->engine[i]->engine->cut;
     if (fleet->engine[i]->engine->running)
-      violation(fleet, "%s runs on for a caller who left", fleet->engine[i]->self.text);
+      fleet_add_violation(fleet, "%s runs on for a caller who left", fleet->engine[i]->self.text);
   }
   if (!cut)
-    violation(fleet, "no engine heard that its caller left");
+    fleet_add_violation(fleet, "no engine heard that its caller left");
   for (int i = 0; i < fleet->routers; i++)
     if (fleet->router[i]->router->open_requests)
-      violation(fleet, "%s still counts %d open requests", fleet->router[i]->self.text,
-                fleet->router[i]->router->open_requests);
+      fleet_add_violation(fleet, "%s still counts %d open requests", fleet->router[i]->self.text,
+                          fleet->router[i]->router->open_requests);
   return true;
 }
 
 static bool callers_read_slowly(fleet *fleet) {
-  if (!fleet_up(fleet))
+  if (!fleet_bring_up(fleet))
     return false;
-  check_watch(fleet);
+  fleet_start_sampling(fleet);
   for (int i = 0; i < fleet->engines; i++)
     fleet->engine[i]->engine->faults.token_ms = 1;
-  fleet->callers->slow = true;
+  fleet->callers->reads_slowly = true;
   for (int i = 0; i < 4; i++)
     loadgen_send(fleet->callers->loadgen, fleet->router[i % fleet->routers]->addr, id_of_text("m0"),
                  id_of_text(""), id_of_text("live"), 12000, false);
@@ -141,20 +141,20 @@
   for (int i = 0; i < fleet->engines; i++)
     running += fleet->engine[i]->engine->running;
   if (running)
-    violation(fleet, "%d streams run on for callers who do not read", running);
-  fleet->callers->slow = false;
-  fleet_quiet(fleet);
+    fleet_add_violation(fleet, "%d streams run on for callers who do not read", running);
+  fleet->callers->reads_slowly = false;
+  fleet_finish_traffic(fleet);
   if (loadgen_count(fleet->callers->loadgen, OUTCOME_DONE))
-    violation(fleet, "a stream that was cut looks complete");
+    fleet_add_violation(fleet, "a stream that was cut looks complete");
   return true;
 }
 
 static bool warming_engines_get_few_streams(fleet *fleet) {
-  if (!fleet_up(fleet))
+  if (!fleet_bring_up(fleet))
     return false;
-  check_watch(fleet);
-  fleet->callers->loadgen->plan.zipf = 3;
-  fleet->callers->loadgen->plan.with_adapter = 0;
+  fleet_start_sampling(fleet);
+  fleet->callers->loadgen->plan.zipf_exponent = 3;
+  fleet->callers->loadgen->plan.adapter_ratio = 0;
   fleet->callers->loadgen->plan.tokens = 100;
   scenario_start_traffic(fleet, 12);
   sim_run(fleet->sim, time_from_ms(15000));
@@ -175,35 +175,35 @@
   /* slow start of 5 s to 16 streams: in the first second at most a fifth, and what one router may
    * not know of another */
   if (most > 4 + fleet->routers)
-    violation(fleet, "R11 a cold engine ran %d streams within its first second", most);
+    fleet_add_violation(fleet, "R11 a cold engine ran %d streams within its first second", most);
   sim_run(fleet->sim, time_from_ms(5000));
-  fleet_quiet(fleet);
+  fleet_finish_traffic(fleet);
   return true;
 }
 
 static bool a_run_is_lost_and_the_next_is_refused(fleet *fleet) {
-  if (!fleet_up(fleet))
+  if (!fleet_bring_up(fleet))
     return false;
-  check_watch(fleet);
+  fleet_start_sampling(fleet);
   loadgen_send(fleet->callers->loadgen, fleet->router[0]->addr, id_of_text("m0"), id_of_text(""),
                id_of_text("live"), 4, false);
-  fleet_quiet(fleet);
+  fleet_finish_traffic(fleet);
   /* the engine that holds the model loses a run; the other one loads it, and then refuses */
   for (int i = 0; i < fleet->engines; i++) {
     engine_sim *engine = fleet->engine[i]->engine;
     if (engine->streams->len)
       engine->faults.die_early = 1;
     else
-      engine->faults.streams_most = -1;
+      engine->faults.streams_max = -1;
   }
   for (int i = 0; i < 6; i++) {
     loadgen_send(fleet->callers->loadgen, fleet->router[i % fleet->routers]->addr, id_of_text("m0"),
                  id_of_text(""), id_of_text("live"), 4, i % 3 != 1);
     sim_run(fleet->sim, time_from_ms(300));
   }
-  fleet_quiet(fleet);
+  fleet_finish_traffic(fleet);
   if (!loadgen_count(fleet->callers->loadgen, OUTCOME_UNKNOWN))
-    violation(fleet, "nobody was told that his run is not known");
+    fleet_add_violation(fleet, "nobody was told that his run is not known");
   return true;
 }
 
@@ -221,24 +221,24 @@
               { "{\"model\":\"m 1\"}", 400, E_NAME },
               { "{\"model\":\"m1\"", 400, E_JSON },
               { "{\"model\":\"huge\"}", 422, E_NO_ENGINE_FITS } };
-  if (!fleet_up(fleet))
+  if (!fleet_bring_up(fleet))
     return false;
-  op_call *call = fleet_call(
+  operator_call *call = fleet_call(
       fleet, fleet->controller[0], "PATCH", "/v1/catalogue",
       "{\"models\":[{\"id\":\"m0\",\"weightsMb\":100},{\"id\":\"m1\",\"weightsMb\":100},{\"id\":\"huge\",\"weightsMb\":900000}],\"adapters\":[{\"id\":\"a0\",\"model\":\"m0\"}]}",
       NULL, NULL, time_from_ms(5000));
   if (call->status != 200)
-    violation(fleet, "patch got %d %s", call->status, call->body->str);
-  call_free(call);
+    fleet_add_violation(fleet, "patch got %d %s", call->status, call->body->str);
+  operator_call_free(call);
   sim_run(fleet->sim, time_from_ms(2000));
   for (size_t i = 0; i < G_N_ELEMENTS(bad); i++) {
     call = fleet_call(fleet, fleet->router[0], "POST", "/v1/generate", bad[i].text, NULL, NULL,
                       time_from_ms(9000));
     json *json = json_parse(string_view_of_gstring(call->body), NULL);
     if (call->status != bad[i].status || (int)json_number(json, "code", 0) != bad[i].code)
-      violation(fleet, "%s got %d, %s", bad[i].text, call->status, call->body->str);
+      fleet_add_violation(fleet, "%s got %d, %s", bad[i].text, call->status, call->body->str);
     json_free(json);
-    call_free(call);
+    operator_call_free(call);
   }
   return true;
 }
--- a/tests/router/model_loading.c
+++ b/tests/router/model_loading.c
@@ -14,7 +14,7 @@
   for (int i = 0; i < fleet->engines; i++) {
     const GArray *orders = fleet->engine[i]->engine->orders;
     for (guint k = 0; k < orders->len; k++)
-      loads += g_array_index(orders, engine_sim_order, k).what == 'l';
+      loads += g_array_index(orders, engine_sim_order, k).kind == 'l';
   }
   return loads;
 }
@@ -29,55 +29,55 @@
 }
 
 static bool rare_models_are_asked_for_at_once(fleet *fleet) {
-  fleet->pace = 2;
-  if (!fleet_up(fleet))
+  fleet->loads_per_s = 2;
+  if (!fleet_bring_up(fleet))
     return false;
-  check_watch(fleet);
-  fleet->callers->loadgen->plan.zipf = 0;
+  fleet_start_sampling(fleet);
+  fleet->callers->loadgen->plan.zipf_exponent = 0;
   scenario_start_traffic(fleet, 12);
   for (int i = 0; i < 5; i++) {
-    sim_run(fleet->sim, time_from_ms(3000 + (int64_t)sim_draw(fleet->sim, 2000)));
-    host *host = fleet_holder(fleet, "pacer");
+    sim_run(fleet->sim, time_from_ms(3000 + (int64_t)sim_random(fleet->sim, 2000)));
+    host *host = fleet_find_lease_holder(fleet, "pacer");
     if (!host)
       continue;
     if (i % 2) {
       host_kill(host);
-      sim_run(fleet->sim, time_from_ms(100 + (int64_t)sim_draw(fleet->sim, 6000)));
+      sim_run(fleet->sim, time_from_ms(100 + (int64_t)sim_random(fleet->sim, 6000)));
       host_start(host);
     } else {
       host_freeze(host);
-      sim_run(fleet->sim, time_from_ms((int64_t)sim_draw(fleet->sim, 8000)));
-      host_wake(host);
+      sim_run(fleet->sim, time_from_ms((int64_t)sim_random(fleet->sim, 8000)));
+      host_unfreeze(host);
     }
   }
   sim_run(fleet->sim, time_from_ms(5000));
-  fleet_quiet(fleet);
+  fleet_finish_traffic(fleet);
   return true;
 }
 
 static bool orders_fail_and_capacity_is_reported_late(fleet *fleet) {
-  if (!fleet_up(fleet))
+  if (!fleet_bring_up(fleet))
     return false;
-  check_watch(fleet);
-  fleet->callers->loadgen->plan.zipf = 0.4;
+  fleet_start_sampling(fleet);
+  fleet->callers->loadgen->plan.zipf_exponent = 0.4;
   scenario_start_traffic(fleet, 8);
   for (int i = 0; i < 6; i++) {
-    engine_sim *engine = fleet->engine[sim_draw(fleet->sim, fleet->engines)]->engine;
-    switch (sim_draw(fleet->sim, 6)) {
+    engine_sim *engine = fleet->engine[sim_random(fleet->sim, fleet->engines)]->engine;
+    switch (sim_random(fleet->sim, 6)) {
     case 0:
       engine->faults.fail_loads = 3;
       break;
     case 1:
-      engine->faults.silent_loads = 2;
+      engine->faults.unanswered_loads = 2;
       break;
     case 2:
-      engine->faults.late_ms = 1500;
+      engine->faults.order_delay_ms = 1500;
       break;
     case 3:
       engine->faults.fail_unloads = 2;
       break;
     case 4:
-      engine->faults.silent_unloads = 2;
+      engine->faults.unanswered_unloads = 2;
       break;
     case 5:
       engine->faults.drop_orders = 3;
@@ -86,45 +86,45 @@
     sim_run(fleet->sim, time_from_ms(5000));
   }
   sim_run(fleet->sim, time_from_ms(10000));
-  fleet_quiet(fleet);
+  fleet_finish_traffic(fleet);
   guint loads = load_orders(fleet);
   if (loads > fleet->callers->loadgen->requests->len)
-    violation(fleet, "%u load orders for %u requests", loads,
-              fleet->callers->loadgen->requests->len);
+    fleet_add_violation(fleet, "%u load orders for %u requests", loads,
+                        fleet->callers->loadgen->requests->len);
   return loadgen_count(fleet->callers->loadgen, OUTCOME_DONE) >
          (int)fleet->callers->loadgen->requests->len / 3;
 }
 
 static bool every_load_fails(fleet *fleet) {
-  if (!fleet_up(fleet))
+  if (!fleet_bring_up(fleet))
     return false;
-  check_watch(fleet);
+  fleet_start_sampling(fleet);
   for (int i = 0; i < fleet->engines; i++)
     fleet->engine[i]->engine->faults.fail_loads = 100000;
   scenario_start_traffic(fleet, 10);
   sim_run(fleet->sim, time_from_ms(30000));
   guint loads = load_orders(fleet);
   if (loads > FAILED_LOADS_MAX)
-    violation(fleet, "%u loads in 30 s while every load fails", loads);
-  fleet_quiet(fleet);
+    fleet_add_violation(fleet, "%u loads in 30 s while every load fails", loads);
+  fleet_finish_traffic(fleet);
   if (loadgen_count(fleet->callers->loadgen, OUTCOME_DONE))
-    violation(fleet, "somebody was served");
+    fleet_add_violation(fleet, "somebody was served");
   return true;
 }
 
 static bool a_hot_model_gets_replicas(fleet *fleet) {
-  if (!fleet_up(fleet))
+  if (!fleet_bring_up(fleet))
     return false;
-  check_watch(fleet);
-  fleet->callers->loadgen->plan.zipf = 8;
-  fleet->callers->loadgen->plan.with_adapter = 0;
+  fleet_start_sampling(fleet);
+  fleet->callers->loadgen->plan.zipf_exponent = 8;
+  fleet->callers->loadgen->plan.adapter_ratio = 0;
   fleet->callers->loadgen->plan.tokens = 120;
   scenario_start_traffic(fleet, 20);
   sim_run(fleet->sim, time_from_ms(40000));
   int replicas = model_replicas(fleet, "m0");
-  fleet_quiet(fleet);
+  fleet_finish_traffic(fleet);
   if (replicas < 2)
-    violation(fleet, "%d replicas of a model that all ask for", replicas);
+    fleet_add_violation(fleet, "%d replicas of a model that all ask for", replicas);
   return loadgen_count(fleet->callers->loadgen, OUTCOME_DONE) >
          (int)fleet->callers->loadgen->requests->len * 8 / 10;
 }
--- a/tests/router/policy_replay.c
+++ b/tests/router/policy_replay.c
@@ -13,11 +13,11 @@
                 oracle = policy_replay_run(example, "oracle", 2, NULL, fleet->seed);
   trace_free(example);
   if (belady.loads != 8 || belady.delay_ms != 17)
-    violation(fleet, "BeladyMIN misses %" PRIu64 " times at cost %g, not 8 at 17", belady.loads,
-              belady.delay_ms);
+    fleet_add_violation(fleet, "BeladyMIN misses %" PRIu64 " times at cost %g, not 8 at 17",
+                        belady.loads, belady.delay_ms);
   if (oracle.loads != 8 || oracle.delay_ms != 13)
-    violation(fleet, "the oracle misses %" PRIu64 " times at cost %g, not 8 at 13", oracle.loads,
-              oracle.delay_ms);
+    fleet_add_violation(fleet, "the oracle misses %" PRIu64 " times at cost %g, not 8 at 13",
+                        oracle.loads, oracle.delay_ms);
 }
 
 static trace *draw_trace(const fleet *fleet, int number) {
@@ -45,8 +45,9 @@
                     policy_replay_run(trace, "expr:penalty * rate / size", capacity_mb, NULL, 1);
   if (built_in.loads != expression.loads || built_in.delay_ms != expression.delay_ms ||
       built_in.wasted != expression.wasted)
-    violation(fleet, "as an expression the rule loads %" PRIu64 " times, built in %" PRIu64,
-              expression.loads, built_in.loads);
+    fleet_add_violation(fleet,
+                        "as an expression the rule loads %" PRIu64 " times, built in %" PRIu64,
+                        expression.loads, built_in.loads);
 }
 
 /* where all models are equal, the policy is that of popularity */
@@ -55,8 +56,9 @@
   replay_result rule = policy_replay_run(trace, "cremebrulee", 12000, &options, 1),
                 popularity = policy_replay_run(trace, "popularity", 12000, &options, 1);
   if (rule.loads != popularity.loads || rule.delay_ms != popularity.delay_ms)
-    violation(fleet, "with equal things the rule loads %" PRIu64 " times and popularity %" PRIu64,
-              rule.loads, popularity.loads);
+    fleet_add_violation(
+        fleet, "with equal things the rule loads %" PRIu64 " times and popularity %" PRIu64,
+        rule.loads, popularity.loads);
 }
 
 static bool reference_costs_are_reproduced(fleet *fleet) {
@@ -75,7 +77,8 @@
     trace_free(drawn);
   }
   if (!(oracle_ms < rule_ms && rule_ms < random_ms))
-    violation(fleet, "delays: oracle %g, rule %g, random %g", oracle_ms, rule_ms, random_ms);
+    fleet_add_violation(fleet, "delays: oracle %g, rule %g, random %g", oracle_ms, rule_ms,
+                        random_ms);
   return true;
 }
 
--- a/tests/router/singleton_lease.c
+++ b/tests/router/singleton_lease.c
@@ -8,43 +8,45 @@
 static bool a_holder_freezes_and_wakes(fleet *fleet) {
   for (int i = 0; i < fleet->engines; i++)
     fleet->engine[i]->faults.no_epochs = true;
-  if (!fleet_up(fleet))
+  if (!fleet_bring_up(fleet))
     return false;
-  check_watch(fleet);
-  fleet->callers->loadgen->plan.zipf = 0.2;
+  fleet_start_sampling(fleet);
+  fleet->callers->loadgen->plan.zipf_exponent = 0.2;
   scenario_start_traffic(fleet, 6);
   for (int i = 0; i < 4; i++) {
     sim_run(fleet->sim, time_from_ms(4000));
-    host *host = fleet_holder(fleet, sim_draw(fleet->sim, 2) ? "pacer" : "engine:engine-1");
+    host *host =
+        fleet_find_lease_holder(fleet, sim_random(fleet->sim, 2) ? "pacer" : "engine:engine-1");
     if (!host)
       continue;
     host_freeze(host);
-    sim_run(fleet->sim, time_from_ms(1000 + (int64_t)sim_draw(fleet->sim, 9000)));
-    host_wake(host);
+    sim_run(fleet->sim, time_from_ms(1000 + (int64_t)sim_random(fleet->sim, 9000)));
+    host_unfreeze(host);
   }
   sim_run(fleet->sim, time_from_ms(5000));
-  fleet_quiet(fleet);
+  fleet_finish_traffic(fleet);
   return true;
 }
 
 static bool leases_outlast_a_stalled_disk_of_the_head(fleet *fleet) {
-  if (!fleet_up(fleet))
+  if (!fleet_bring_up(fleet))
     return false;
-  host *host = fleet_head(fleet), *was = fleet_holder(fleet, "engine:engine-1");
+  host *host = fleet_find_head(fleet), *was = fleet_find_lease_holder(fleet, "engine:engine-1");
   uint64_t epoch = singleton_lease_epoch(was->router, "engine:engine-1");
-  host->disk->stall = time_add(fleet->sim->now, time_from_ms(1500));
-  op_call *call = fleet_send(fleet, host, "PUT", "/v1/evacuation", "{\"areas\":[]}", NULL, NULL);
+  host->disk->stalled_until = time_add(fleet->sim->now, time_from_ms(1500));
+  operator_call *call =
+      fleet_send(fleet, host, "PUT", "/v1/evacuation", "{\"areas\":[]}", NULL, NULL);
   for (int i = 0; i < 100; i++) {
     sim_run(fleet->sim, time_from_ms(50));
     if (!singleton_lease_epoch(was->router, "engine:engine-1")) {
-      violation(fleet, "a stalled disk let a lease expire");
+      fleet_add_violation(fleet, "a stalled disk let a lease expire");
       break;
     }
   }
   if (singleton_lease_epoch(was->router, "engine:engine-1") != epoch)
-    violation(fleet, "the lease changed its holder");
+    fleet_add_violation(fleet, "the lease changed its holder");
   sim_run(fleet->sim, time_from_ms(26000));
-  call_free(call);
+  operator_call_free(call);
   return true;
 }
 
--- a/tests/runtime/log.c
+++ b/tests/runtime/log.c
@@ -24,23 +24,23 @@
   log_info(&plain, "gateway", "Refused \"%s\"\nof %s (code %d).", "x", "y", 504);
   if (!last_line || !strstr(last_line, "node-1 gateway: Refused \"x\" of y (code 504).") ||
       strchr(last_line, '\n'))
-    violation(fleet, "plain: %s", last_line ? last_line : "nothing");
+    fleet_add_violation(fleet, "plain: %s", last_line ? last_line : "nothing");
   log_info(&json_lines, "gateway", "Refused \"%s\"\nof %s (code %d).", "x", "y", 504);
   error err = { 0 };
   json *object = last_line ? json_parse(string_view_of(last_line), &err) : NULL;
   if (!object || strchr(last_line, '\n') || strcmp(json_text(object, "node", ""), "node-1") ||
       strcmp(json_text(object, "part", ""), "gateway") || json_number(object, "code", 0) != 504 ||
       strcmp(json_text(object, "text", ""), "Refused \"x\"\nof y (code 504)."))
-    violation(fleet, "JSON: %s", last_line ? last_line : "nothing");
+    fleet_add_violation(fleet, "JSON: %s", last_line ? last_line : "nothing");
   json_free(object);
   log_info(&json_lines, "gateway", "All is well.");
   object = json_parse(string_view_of(last_line), &err);
   if (!object || json_get(object, "code"))
-    violation(fleet, "JSON without a code: %s", last_line);
+    fleet_add_violation(fleet, "JSON without a code: %s", last_line);
   json_free(object);
   log_debug(&json_lines, "gateway", "Not loud.");
   if (strstr(last_line, "Not loud"))
-    violation(fleet, "debug lines were shown");
+    fleet_add_violation(fleet, "debug lines were shown");
   world->write_log = original_write_log;
   g_free(last_line);
   last_line = NULL;
--- a/tests/runtime/real.c
+++ b/tests/runtime/real.c
@@ -42,21 +42,21 @@
   error err = { 0 };
   world *world = real_world_new(&v, &err);
   if (!world) {
-    violation(fleet, "no world: %s", err.text);
+    fleet_add_violation(fleet, "no world: %s", err.text);
     return false;
   }
   next_sync_fails = true;
   if (open_ring_file(world) != E_DISK_SYNC)
-    violation(fleet, "a failed sync was not reported");
+    fleet_add_violation(fleet, "a failed sync was not reported");
   if (open_ring_file(world) || !files_synced || !folders_synced)
-    violation(fleet, "after a failed sync, %d files and %d folders were synced", files_synced,
-              folders_synced);
+    fleet_add_violation(fleet, "after a failed sync, %d files and %d folders were synced",
+                        files_synced, folders_synced);
   real_world_free(world);
   /* the process that made it was killed before it could sync: the next one can't know */
   world = real_world_new(&v, &err);
   if (!world || open_ring_file(world) || !files_synced || !folders_synced)
-    violation(fleet, "a later process synced %d files and %d folders", files_synced,
-              folders_synced);
+    fleet_add_violation(fleet, "a later process synced %d files and %d folders", files_synced,
+                        folders_synced);
   if (world)
     real_world_free(world);
   char *path = g_strdup_printf("%s/ring-00", dir);
--- a/tests/scenario.c
+++ b/tests/scenario.c
@@ -24,17 +24,17 @@
 
 static bool chain_acts(sim *sim, void *context) {
   const chain_expectation *expected = context;
-  host *tail = fleet_tail(expected->fleet);
+  host *tail = fleet_find_tail(expected->fleet);
   (void)sim;
-  return tail && fleet_head(expected->fleet) &&
+  return tail && fleet_find_head(expected->fleet) &&
          tail->controller->replica.view.chain_length == expected->chain_length;
 }
 
 bool scenario_wait_for_chain(fleet *fleet, int links, int64_t ms) {
   chain_expectation expected = { fleet, links };
-  if (sim_until(fleet->sim, chain_acts, &expected, time_from_ms(ms)))
+  if (sim_run_until(fleet->sim, chain_acts, &expected, time_from_ms(ms)))
     return true;
-  violation(fleet, "no acting chain of %d after %" PRId64 " ms", links, ms);
+  fleet_add_violation(fleet, "no acting chain of %d after %" PRId64 " ms", links, ms);
   return false;
 }
 
@@ -45,9 +45,9 @@
 /* the version of the latest acknowledged write of a resource; 0 when there was none */
 static uint64_t acknowledged_version(const fleet *fleet, int resource) {
   uint64_t latest = 0;
-  for (guint i = 0; i < fleet->acks->len; i++) {
-    const ack *write = &g_array_index(fleet->acks, ack, i);
-    if (write->which == resource)
+  for (guint i = 0; i < fleet->write_acks->len; i++) {
+    const write_ack *write = &g_array_index(fleet->write_acks, write_ack, i);
+    if (write->resource == resource)
       latest = MAX(latest, write->version);
   }
   return latest;
@@ -58,14 +58,14 @@
   char path[40];
   snprintf(path, sizeof path, "/v1/%s", resource_names[resource]);
   *version = 0;
-  host *tail = fleet_tail(fleet);
+  host *tail = fleet_find_tail(fleet);
   if (!tail)
     return 503;
-  op_call *call =
+  operator_call *call =
       fleet_call(fleet, tail, "GET", path, NULL, NULL, NULL, time_from_ms(READ_TIMEOUT_MS));
   int status = call->status;
   *version = call->version;
-  call_free(call);
+  operator_call_free(call);
   return status;
 }
 
@@ -77,8 +77,9 @@
     status = read_at_tail(fleet, resource, &version);
   }
   if (status != 200 || version < acknowledged)
-    violation(fleet, "R5 %s was acknowledged as write %" PRIu64 " and is read as %" PRIu64 " (%d)",
-              resource_names[resource], acknowledged, version, status);
+    fleet_add_violation(
+        fleet, "R5 %s was acknowledged as write %" PRIu64 " and is read as %" PRIu64 " (%d)",
+        resource_names[resource], acknowledged, version, status);
 }
 
 void scenario_check_acknowledged_writes(fleet *fleet) {
@@ -93,7 +94,7 @@
   char name[32], address[48];
   snprintf(name, sizeof name, "controller-%d", n);
   snprintf(address, sizeof address, "127.0.1.%d:7000", n + 40);
-  host *created = sim_host(fleet->sim, HOST_CONTROLLER, name, zone, address);
+  host *created = sim_add_host(fleet->sim, HOST_CONTROLLER, name, zone, address);
   created->settings = like->settings;
   created->settings.self = created->self;
   created->settings.zone = created->area;
@@ -104,7 +105,7 @@
 
 void scenario_start_traffic(fleet *fleet, double per_s) {
   loadgen *loadgen = fleet->callers->loadgen;
-  loadgen->plan.per_s = per_s;
+  loadgen->plan.requests_per_s = per_s;
   loadgen->stop = false;
   loadgen_start(loadgen);
 }
@@ -112,7 +113,7 @@
 void scenario_power_off_zone(fleet *fleet, const char *zone) {
   list_for_each (h, &fleet->sim->hosts, host, link)
     if (h->role <= HOST_ENGINE && !strcmp(h->area.text, zone))
-      host_power(h);
+      host_power_off(h);
 }
 
 void scenario_heal_all(fleet *fleet) {
@@ -120,20 +121,20 @@
     if (!h->alive)
       host_start(h);
     if (h->frozen)
-      host_wake(h);
+      host_unfreeze(h);
   }
-  sim_mend(fleet->sim);
-  fleet->sim->loss = 0;
-  fleet->sim->spread_ms = HEALED_SPREAD_MS;
+  sim_heal_partitions(fleet->sim);
+  fleet->sim->loss_ratio = 0;
+  fleet->sim->jitter_ms = HEALED_SPREAD_MS;
   for (int i = 0; i < 3; i++)
-    fleet->controller[i]->disk->slow_ms = 0;
+    fleet->controller[i]->disk->sync_delay_ms = 0;
 }
 
 void scenario_write_markers(fleet *fleet, int64_t span_ms, int64_t interval_ms) {
   time_us until = time_add(fleet->sim->now, time_from_ms(span_ms)),
           interval = time_from_ms(interval_ms);
   while (fleet->sim->now.us < until.us) {
-    fleet_mark(fleet);
+    fleet_write_policy_marker(fleet);
     time_us left = time_sub(until, fleet->sim->now);
     sim_run(fleet->sim, left.us < interval.us ? left : interval);
   }
@@ -174,15 +175,15 @@
 void scenario_expect_diagnosis(fleet *fleet, int code, const char *when) {
   doctor_visit visit = { fleet, NULL, false };
   task_start(&fleet->operator->world.tasks, "doctor", doctor_run, &visit);
-  if (!sim_until(fleet->sim, doctor_done, &visit, time_from_ms(DOCTOR_TIMEOUT_MS))) {
-    violation(fleet, "the doctor does not end");
+  if (!sim_run_until(fleet->sim, doctor_done, &visit, time_from_ms(DOCTOR_TIMEOUT_MS))) {
+    fleet_add_violation(fleet, "the doctor does not end");
     return;
   }
   if (!has_finding(visit.findings, code)) {
-    violation(fleet, "given %s, the doctor does not say %d", when, code);
+    fleet_add_violation(fleet, "given %s, the doctor does not say %d", when, code);
     for (guint i = 0; i < visit.findings->len; i++) {
       const finding *found = &g_array_index(visit.findings, finding, i);
-      violation(fleet, "  but %d %s", found->code, found->evidence);
+      fleet_add_violation(fleet, "  but %d %s", found->code, found->evidence);
     }
   }
   g_array_free(visit.findings, TRUE);
