--- a/bench/scale.c
+++ b/bench/scale.c
@@ -216,7 +216,7 @@
   me->on_engines(gateway, b);
   record_unfinished();
 }
-static int on_broadcast(void *ctx, Wire__Envelope *in, reply *reply, error *err) {
+static enum error_code on_broadcast(void *ctx, Wire__Envelope *in, reply *reply, error *err) {
   int r = me->engines_hand(ctx, in, reply, err);
   record_unfinished();
   return r;
--- a/emulator/day.c
+++ b/emulator/day.c
@@ -321,7 +321,7 @@
   }
 }
 
-int day_add_fault(day *day, const char *flag, error *err) {
+enum error_code day_add_fault(day *day, const char *flag, error *err) {
   json_location s = { err, "trouble" };
   char **part = g_strsplit(flag, ",", -1);
   char *at = part[0] ? strchr(part[0], '@') : NULL, *end = NULL;
@@ -369,7 +369,7 @@
   return OK;
 }
 
-int day_set_eviction(day *day, const char *policy, error *err) {
+enum error_code day_set_eviction(day *day, const char *policy, error *err) {
   json *p = json_parse(string_view_of(day->policy), err);
   GString *m = g_string_new(NULL);
   if (g_str_has_prefix(policy, "expr:")) {
--- a/emulator/day.h
+++ b/emulator/day.h
@@ -71,9 +71,9 @@
 day *day_read(string_view text, error *err);
 void day_free(day *day);
 /** Adds a trouble by its flag, WHAT@AT[:FOR][,factor=X][,which=N], in seconds. */
-int day_add_fault(day *day, const char *flag, error *err);
+enum error_code day_add_fault(day *day, const char *flag, error *err);
 /** Puts another eviction policy into the day's policy resource; expr:EXPRESSION is one too. */
-int day_set_eviction(day *day, const char *policy, error *err);
+enum error_code day_set_eviction(day *day, const char *policy, error *err);
 
 /** Counts of one kind, one zone or the whole. */
 typedef struct day_totals {
--- a/emulator/sim.c
+++ b/emulator/sim.c
@@ -498,9 +498,9 @@
 }
 
 /* disks */
-static int disk_wait(host *host, error *err);
+static enum error_code disk_wait(host *host, error *err);
 
-static int disk_open(world *world, unsigned f, size_t size, error *err) {
+static enum error_code disk_open(world *world, unsigned f, size_t size, error *err) {
   host *h = (host *)world;
   sim_disk *disk = h->disk;
   if (f >= SIM_DISK_FILES_MAX || disk->fails)
@@ -516,7 +516,7 @@
   return r;
 }
 
-static int disk_wait(host *host, error *err) {
+static enum error_code disk_wait(host *host, error *err) {
   sim_disk *disk = host->disk;
   time_us from = host->sim->now;
   do {
@@ -531,7 +531,8 @@
   return OK;
 }
 
-static int disk_read(world *world, unsigned f, size_t off, void *to, size_t n, error *err) {
+static enum error_code disk_read(world *world, unsigned f, size_t off, void *to, size_t n,
+                                 error *err) {
   sim_disk *disk = ((host *)world)->disk;
   if (off + n > disk->size)
     return error_set(err, E_DISK, "past the end");
@@ -539,7 +540,8 @@
   return OK;
 }
 
-static int disk_write(world *world, unsigned f, size_t off, const void *p, size_t n, error *err) {
+static enum error_code disk_write(world *world, unsigned f, size_t off, const void *p, size_t n,
+                                  error *err) {
   host *h = (host *)world;
   int r = disk_wait(h, err);
   if (r)
@@ -554,7 +556,7 @@
   return OK;
 }
 
-static int disk_sync(world *world, unsigned f, error *err) {
+static enum error_code disk_sync(world *world, unsigned f, error *err) {
   host *h = (host *)world;
   int r = disk_wait(h, err);
   if (r)
--- a/emulator/sim_connections.c
+++ b/emulator/sim_connections.c
@@ -542,7 +542,7 @@
   return find_listener_address(sim, addr) != NULL;
 }
 
-int connections_open_listener(world *world, http_listener *listener, error *err) {
+enum error_code connections_open_listener(world *world, http_listener *listener, error *err) {
   host *h = (host *)world;
   char addr[64];
   snprintf(addr, sizeof addr, "%s:%d", listener->ip, listener->port);
--- a/emulator/sim_connections.h
+++ b/emulator/sim_connections.h
@@ -6,7 +6,7 @@
  * and carries one exchange at a time. What a cut or a frozen process holds up comes later, in
  * order; a life that ended answers with a reset. */
 
-int connections_open_listener(world *world, http_listener *listener, error *err);
+enum error_code connections_open_listener(world *world, http_listener *listener, error *err);
 void connections_stop_accepting(world *world, http_listener *listener);
 void connections_close_listener_idle(world *world, http_listener *listener);
 void connections_close_pooled(world *world, const char *addr);
--- a/lib/configuration/settings.c
+++ b/lib/configuration/settings.c
@@ -206,18 +206,19 @@
   return NULL;
 }
 
-int settings_read_file(settings *settings, enum role role, const char *path, error *err) {
+enum error_code settings_read_file(settings *settings, enum role role, const char *path,
+                                   error *err) {
   gchar *text;
   gsize length;
   if (!g_file_get_contents(path, &text, &length, NULL))
     return error_set(err, E_SETTINGS_FILE, "%s: can't be read", path);
-  int code = settings_parse(settings, role, (string_view){ text, length }, path, err);
+  enum error_code code = settings_parse(settings, role, (string_view){ text, length }, path, err);
   g_free(text);
   return code;
 }
 
-int settings_parse(settings *settings, enum role role, string_view text, const char *where,
-                   error *err) {
+enum error_code settings_parse(settings *settings, enum role role, string_view text,
+                               const char *where, error *err) {
   settings->role = role;
   json *value = json_parse(text, err);
   if (!value || value->kind != JSON_OBJECT) {
@@ -226,7 +227,7 @@
     json_free(value);
     return E_SETTINGS_FILE;
   }
-  int code = OK;
+  enum error_code code = OK;
   for (size_t i = 0; i < json_count(value) && !code; i++) {
     const char *key = json_key(value, i);
     const setting *setting = find_setting(key, role);
@@ -286,7 +287,7 @@
   return check_founders(settings, err);
 }
 
-int settings_check(const settings *settings, error *err) {
+enum error_code settings_check(const settings *settings, error *err) {
   if (id_is_empty(settings->self))
     return error_set(err, E_SETTINGS_ID, "id: missing");
   if (id_is_empty(settings->zone))
--- a/lib/configuration/settings.h
+++ b/lib/configuration/settings.h
@@ -61,14 +61,15 @@
 
 /** Reads a settings file into *settings, on top of what is there. Unknown keys, bad values and
  * keys of another role are refused. OK, or one of E_SETTINGS_... with err set. */
-int settings_read_file(settings *settings, enum role role, const char *path, error *err);
+enum error_code settings_read_file(settings *settings, enum role role, const char *path,
+                                   error *err);
 /** The same for a text; where names it in err. */
-int settings_parse(settings *settings, enum role role, string_view text, const char *where,
-                   error *err);
+enum error_code settings_parse(settings *settings, enum role role, string_view text,
+                               const char *where, error *err);
 /** Checks settings as a whole: what is required is there, seeds and founders are distinct, write
  * replicas fit the chain, and the data folder can be written. OK, or E_SETTINGS_... with err set.
  */
-int settings_check(const settings *settings, error *err);
+enum error_code settings_check(const settings *settings, error *err);
 /** Sizes the chain and the replicas and zones of a write for the number of machines, and of zones,
  * that may be lost at the same time without losing the control plane. */
 void settings_set_fault_tolerance(settings *settings, int machines, int zones);
--- a/lib/controlplane/bootstrap.c
+++ b/lib/controlplane/bootstrap.c
@@ -80,7 +80,7 @@
          !strcmp(lowest_founder_address(&replica->bootstrap), address);
 }
 
-int bootstrap_on_request(void *ctx, Wire__Envelope *in, reply *reply, error *err) {
+enum error_code bootstrap_on_request(void *ctx, Wire__Envelope *in, reply *reply, error *err) {
   replica *replica = ctx;
   if (!replica->running)
     return error_set(err, E_NO_CONTROLLER, "starting");
--- a/lib/controlplane/bootstrap.h
+++ b/lib/controlplane/bootstrap.h
@@ -23,5 +23,5 @@
 /** Proposes the first view, if this controller is the first founder and all founders are blank. */
 void bootstrap_attempt(struct replica *replica);
 /** Handles BootstrapRequest; the context is the replica. */
-int bootstrap_on_request(void *ctx, Wire__Envelope *in, reply *reply, error *err);
+enum error_code bootstrap_on_request(void *ctx, Wire__Envelope *in, reply *reply, error *err);
 #endif
--- a/lib/controlplane/canary_end.c
+++ b/lib/controlplane/canary_end.c
@@ -42,7 +42,7 @@
 }
 
 /* An operation_builder: the canary resource with the verdict. */
-static int build_canary_end(void *ctx, state *ordered, GString *packed, error *err) {
+static enum error_code build_canary_end(void *ctx, state *ordered, GString *packed, error *err) {
   const judgement *judgement = ctx;
   enum error_code code = check_judgement(judgement, ordered, err);
   if (code)
@@ -63,7 +63,7 @@
 }
 
 /* Handles CanaryEndRequest. */
-static int handle_canary_end(void *ctx, Wire__Envelope *in, reply *reply, error *err) {
+static enum error_code handle_canary_end(void *ctx, Wire__Envelope *in, reply *reply, error *err) {
   canary_end *canary_end = ctx;
   logger *log = &canary_end->node->log;
   if (!replica_is_acting_head(canary_end->replica))
--- a/lib/controlplane/chain_join.c
+++ b/lib/controlplane/chain_join.c
@@ -55,7 +55,7 @@
   requests->entries[i].received_at = now;
 }
 
-int chain_join_on_request(void *ctx, Wire__Envelope *in, reply *reply, error *err) {
+enum error_code chain_join_on_request(void *ctx, Wire__Envelope *in, reply *reply, error *err) {
   replica *replica = ctx;
   const Wire__JoinRequest *request = in->join_request;
   member member;
--- a/lib/controlplane/chain_join.h
+++ b/lib/controlplane/chain_join.h
@@ -24,7 +24,7 @@
  * was made under another view than the known one. The member is valid until the next request. */
 const member *chain_join_candidate(const struct replica *replica, int index);
 /** Handles JoinRequest; the context is the replica. */
-int chain_join_on_request(void *ctx, Wire__Envelope *in, reply *reply, error *err);
+enum error_code chain_join_on_request(void *ctx, Wire__Envelope *in, reply *reply, error *err);
 /** The task: bootstraps a fleet or joins the chain of one, whenever this controller is in none. Its
  * context is the replica. */
 void chain_join_run(void *ctx);
--- a/lib/controlplane/config_poll.c
+++ b/lib/controlplane/config_poll.c
@@ -123,7 +123,7 @@
 }
 
 /* Handles ConfigPollRequest. */
-static int handle_config_poll(void *ctx, Wire__Envelope *in, reply *reply, error *err) {
+static enum error_code handle_config_poll(void *ctx, Wire__Envelope *in, reply *reply, error *err) {
   config_poll *config_poll = ctx;
   replica *replica = config_poll->replica;
   const Wire__ConfigPollRequest *request = in->config_poll_request;
--- a/lib/controlplane/config_writer.c
+++ b/lib/controlplane/config_writer.c
@@ -73,7 +73,7 @@
 }
 
 /* An operation_builder: decides on a change against all that is ordered. */
-static int build_write(void *ctx, state *ordered, GString *packed, error *err) {
+static enum error_code build_write(void *ctx, state *ordered, GString *packed, error *err) {
   config_write *write = ctx;
   config_writer *writer = write->writer;
   if (time_reached(world_now(writer->node->world), write->decide_deadline))
--- a/lib/controlplane/member_lease.c
+++ b/lib/controlplane/member_lease.c
@@ -76,7 +76,7 @@
   lease->deaf_peers[i].reported_at = hears_nothing ? now : (time_us){ 0 };
 }
 
-int member_lease_on_request(void *ctx, Wire__Envelope *in, reply *reply, error *err) {
+enum error_code member_lease_on_request(void *ctx, Wire__Envelope *in, reply *reply, error *err) {
   replica *replica = ctx;
   const Wire__MemberLeaseRequest *request = in->member_lease_request;
   const view *view = &replica->view;
--- a/lib/controlplane/member_lease.h
+++ b/lib/controlplane/member_lease.h
@@ -26,5 +26,5 @@
  * it a lease that is valid now. Notes that it has acted. */
 bool replica_holds_lease(struct replica *replica);
 /** Handles MemberLeaseRequest; the context is the replica. */
-int member_lease_on_request(void *ctx, Wire__Envelope *in, reply *reply, error *err);
+enum error_code member_lease_on_request(void *ctx, Wire__Envelope *in, reply *reply, error *err);
 #endif
--- a/lib/controlplane/paxos_acceptor.c
+++ b/lib/controlplane/paxos_acceptor.c
@@ -86,7 +86,7 @@
   return OK;
 }
 
-int paxos_acceptor_on_prepare(void *ctx, Wire__Envelope *in, reply *reply, error *err) {
+enum error_code paxos_acceptor_on_prepare(void *ctx, Wire__Envelope *in, reply *reply, error *err) {
   replica *replica = ctx;
   const Wire__PrepareRequest *request = in->prepare_request;
   if (!request->number)
@@ -111,7 +111,7 @@
   return promise(replica, request, reply, response, err);
 }
 
-int paxos_acceptor_on_accept(void *ctx, Wire__Envelope *in, reply *reply, error *err) {
+enum error_code paxos_acceptor_on_accept(void *ctx, Wire__Envelope *in, reply *reply, error *err) {
   replica *replica = ctx;
   const Wire__AcceptRequest *request = in->accept_request;
   view value;
--- a/lib/controlplane/paxos_acceptor.h
+++ b/lib/controlplane/paxos_acceptor.h
@@ -4,7 +4,7 @@
 #include "node.h"
 
 /** Handles PrepareRequest; the context is the replica. */
-int paxos_acceptor_on_prepare(void *ctx, Wire__Envelope *in, reply *reply, error *err);
+enum error_code paxos_acceptor_on_prepare(void *ctx, Wire__Envelope *in, reply *reply, error *err);
 /** Handles AcceptRequest; the context is the replica. */
-int paxos_acceptor_on_accept(void *ctx, Wire__Envelope *in, reply *reply, error *err);
+enum error_code paxos_acceptor_on_accept(void *ctx, Wire__Envelope *in, reply *reply, error *err);
 #endif
--- a/lib/controlplane/registry_sync.c
+++ b/lib/controlplane/registry_sync.c
@@ -178,7 +178,8 @@
 }
 
 /* Handles EngineUpdate: another controller's update, or its request for all engines. */
-static int handle_engine_update(void *ctx, Wire__Envelope *in, reply *reply, error *err) {
+static enum error_code handle_engine_update(void *ctx, Wire__Envelope *in, reply *reply,
+                                            error *err) {
   registry_sync *sync = ctx;
   if (in->from->role != ROLE_CONTROLLER)
     return error_set(err, E_WIRE_MESSAGE, "only core machines tell of engines");
--- a/lib/controlplane/replica_write.h
+++ b/lib/controlplane/replica_write.h
@@ -8,7 +8,8 @@
 /** Builds the packed Operation of a write from the state that it is checked against. An empty one
  * means that there is nothing to write; a code other than OK refuses the write. It must not wait.
  */
-typedef int (*operation_builder)(void *ctx, state *ordered, GString *operation, error *err);
+typedef enum error_code (*operation_builder)(void *ctx, state *ordered, GString *operation,
+                                             error *err);
 
 /** Returns the state with all records that this replica holds, committed or not. It is valid until
  * the next wait. */
--- a/lib/controlplane/replication.c
+++ b/lib/controlplane/replication.c
@@ -207,7 +207,7 @@
       return;
 }
 
-int replication_on_request(void *ctx, Wire__Envelope *in, reply *reply, error *err) {
+enum error_code replication_on_request(void *ctx, Wire__Envelope *in, reply *reply, error *err) {
   replica *replica = ctx;
   enum error_code r = check_request(replica, in, err);
   if (r)
--- a/lib/controlplane/replication.h
+++ b/lib/controlplane/replication.h
@@ -31,5 +31,5 @@
 /** At an in-sync tail of a chain that takes writes: commits all records that are here. */
 void replication_commit_as_tail(struct replica *replica);
 /** Handles ReplicateRequest; the context is the replica. */
-int replication_on_request(void *ctx, Wire__Envelope *in, reply *reply, error *err);
+enum error_code replication_on_request(void *ctx, Wire__Envelope *in, reply *reply, error *err);
 #endif
--- a/lib/controlplane/resource_api.c
+++ b/lib/controlplane/resource_api.c
@@ -63,8 +63,7 @@
 static enum error_code check_canary(const state *ordered, string_view text, error *err) {
   json *current = json_parse(resource_text(ordered, RESOURCE_CANARY), err);
   json *next = json_parse(text, err);
-  enum error_code code =
-      current && next ? (int)canary_check_successor(current, next, err) : err->code;
+  enum error_code code = current && next ? canary_check_successor(current, next, err) : err->code;
   json_free(current);
   json_free(next);
   return code;
@@ -145,7 +144,7 @@
 }
 
 /* An operation_builder: decides on a write; a repeat writes nothing. */
-static int build_write(void *ctx, state *ordered, GString *packed, error *err) {
+static enum error_code build_write(void *ctx, state *ordered, GString *packed, error *err) {
   resource_write *write = ctx;
   enum error_code code = find_repeat(write, ordered, err);
   if (code || write->is_repeat)
--- a/lib/controlplane/singleton_grants.c
+++ b/lib/controlplane/singleton_grants.c
@@ -101,7 +101,7 @@
 }
 
 /* An operation_builder: one operation with all grants that are due to the request. */
-static int build_grants(void *ctx, state *ordered, GString *packed, error *err) {
+static enum error_code build_grants(void *ctx, state *ordered, GString *packed, error *err) {
   lease_request *request = ctx;
   (void)err;
   time_us now = world_now(request->grants->node->world);
@@ -204,7 +204,8 @@
 }
 
 /* Handles SingletonLeaseRequest. */
-static int handle_lease_request(void *ctx, Wire__Envelope *in, reply *reply, error *err) {
+static enum error_code handle_lease_request(void *ctx, Wire__Envelope *in, reply *reply,
+                                            error *err) {
   singleton_grants *grants = ctx;
   lease_request request = { .grants = grants,
                             .message = in->singleton_lease_request,
--- a/lib/controlplane/snapshot.c
+++ b/lib/controlplane/snapshot.c
@@ -143,7 +143,7 @@
   return oldest;
 }
 
-int snapshot_on_request(void *ctx, Wire__Envelope *in, reply *reply, error *err) {
+enum error_code snapshot_on_request(void *ctx, Wire__Envelope *in, reply *reply, error *err) {
   replica *replica = ctx;
   const Wire__SnapshotRequest *request = in->snapshot_request;
   time_us now = world_now(replica->node->world);
--- a/lib/controlplane/snapshot.h
+++ b/lib/controlplane/snapshot.h
@@ -35,5 +35,5 @@
  * complete nothing has changed. */
 enum error_code snapshot_fetch(struct replica *replica, const char *address, error *err);
 /** Handles SnapshotRequest; the context is the replica. */
-int snapshot_on_request(void *ctx, Wire__Envelope *in, reply *reply, error *err);
+enum error_code snapshot_on_request(void *ctx, Wire__Envelope *in, reply *reply, error *err);
 #endif
--- a/lib/controlplane/version_reports.c
+++ b/lib/controlplane/version_reports.c
@@ -19,7 +19,8 @@
 }
 
 /* Handles VersionReport, which has no response. */
-static int handle_version_report(void *ctx, Wire__Envelope *in, reply *reply, error *err) {
+static enum error_code handle_version_report(void *ctx, Wire__Envelope *in, reply *reply,
+                                             error *err) {
   version_reports *reports = ctx;
   const Wire__VersionReport *message = in->version_report;
   (void)reply;
--- a/lib/controlplane/view_change.c
+++ b/lib/controlplane/view_change.c
@@ -80,7 +80,8 @@
   peer_rpc_send(replica->node, address, &message);
 }
 
-int view_change_on_announcement(void *ctx, Wire__Envelope *in, reply *reply, error *err) {
+enum error_code view_change_on_announcement(void *ctx, Wire__Envelope *in, reply *reply,
+                                            error *err) {
   (void)reply;
   (void)err;
   replica *replica = ctx;
--- a/lib/controlplane/view_change.h
+++ b/lib/controlplane/view_change.h
@@ -26,5 +26,6 @@
 /** Sends the known view, if any, to another controller. */
 void view_change_announce(struct replica *replica, const char *address);
 /** Handles ViewAnnouncement; the context is the replica. */
-int view_change_on_announcement(void *ctx, Wire__Envelope *in, reply *reply, error *err);
+enum error_code view_change_on_announcement(void *ctx, Wire__Envelope *in, reply *reply,
+                                            error *err);
 #endif
--- a/lib/gateway/canary_judging.c
+++ b/lib/gateway/canary_judging.c
@@ -138,7 +138,8 @@
       response->starts ? (uint64_t)gateway_ms_until(gateway, judging->open_at) : 0;
 }
 
-int canary_judging_on_report(void *context, Wire__Envelope *in, reply *reply, error *err) {
+enum error_code canary_judging_on_report(void *context, Wire__Envelope *in, reply *reply,
+                                         error *err) {
   gateway *gateway = context;
   const Wire__CanaryReportRequest *request = in->canary_report_request;
   canary_judging *judging = canary_judging_of(gateway);
--- a/lib/gateway/canary_judging.h
+++ b/lib/gateway/canary_judging.h
@@ -47,7 +47,8 @@
 /** Gateways that have reported in the last seconds; ready_only: those that could begin. */
 int canary_judging_count_recent(gateway *gateway, const canary_judging *judging, bool ready_only);
 /** Handles a CanaryReportRequest. */
-int canary_judging_on_report(void *context, Wire__Envelope *in, reply *reply, error *err);
+enum error_code canary_judging_on_report(void *context, Wire__Envelope *in, reply *reply,
+                                         error *err);
 /** Appends "name":{...} with the harm of both arms. */
 void canary_comparison_append_json(GString *to, const char *name,
                                    const canary_comparison *comparison);
--- a/lib/gateway/canary_trial.c
+++ b/lib/gateway/canary_trial.c
@@ -138,7 +138,8 @@
     cell->first_event_buckets[canary_bucket(first_event_ms)]++;
 }
 
-static int on_pinned_sessions(void *context, Wire__Envelope *in, reply *reply, error *err) {
+static enum error_code on_pinned_sessions(void *context, Wire__Envelope *in, reply *reply,
+                                          error *err) {
   gateway *gateway = context;
   (void)reply;
   (void)err;
--- a/lib/gateway/fleet_rates.c
+++ b/lib/gateway/fleet_rates.c
@@ -59,7 +59,8 @@
   *total = (fleet_rate){ rate, gateway_now(gateway) };
 }
 
-int fleet_rates_on_message(void *context, Wire__Envelope *in, reply *reply, error *err) {
+enum error_code fleet_rates_on_message(void *context, Wire__Envelope *in, reply *reply,
+                                       error *err) {
   gateway *gateway = context;
   (void)reply;
   (void)err;
--- a/lib/gateway/fleet_rates.h
+++ b/lib/gateway/fleet_rates.h
@@ -37,7 +37,7 @@
  * the window, half over the last RECENT_RATE_MS. */
 double fleet_rates_known(gateway *gateway, const char *key);
 /** Handles a RateReport of another gateway. */
-int fleet_rates_on_message(void *context, Wire__Envelope *in, reply *reply, error *err);
+enum error_code fleet_rates_on_message(void *context, Wire__Envelope *in, reply *reply, error *err);
 /** The task that sends rates; context is the gateway. */
 void fleet_rates_run(void *context);
 #endif
--- a/lib/gateway/gateway_engines.c
+++ b/lib/gateway/gateway_engines.c
@@ -253,7 +253,8 @@
     traffic_reports_send(gateway, holder_address);
 }
 
-static int on_engine_update(void *context, Wire__Envelope *in, reply *reply, error *err) {
+static enum error_code on_engine_update(void *context, Wire__Envelope *in, reply *reply,
+                                        error *err) {
   gateway *gateway = context;
   (void)reply;
   (void)err;
--- a/lib/gateway/load_jobs.c
+++ b/lib/gateway/load_jobs.c
@@ -256,7 +256,8 @@
       return;
 }
 
-int load_jobs_on_placement(void *context, Wire__Envelope *in, reply *reply, error *err) {
+enum error_code load_jobs_on_placement(void *context, Wire__Envelope *in, reply *reply,
+                                       error *err) {
   gateway *gateway = context;
   const Wire__PlacedLoadRequest *request = in->placed_load_request;
   gateway_engine *engine = gateway_engine_find(gateway, request->engine);
--- a/lib/gateway/load_jobs.h
+++ b/lib/gateway/load_jobs.h
@@ -55,5 +55,5 @@
  * done, weighted by priority. */
 double load_job_utility(gateway *gateway, unsigned priority, id model, id adapter);
 /** Handles a coordinator's PlacedLoadRequest: queues the job and waits for a while. */
-int load_jobs_on_placement(void *context, Wire__Envelope *in, reply *reply, error *err);
+enum error_code load_jobs_on_placement(void *context, Wire__Envelope *in, reply *reply, error *err);
 #endif
--- a/lib/gateway/load_rate_limiter.c
+++ b/lib/gateway/load_rate_limiter.c
@@ -159,7 +159,8 @@
     response->wait_ms = LEASE_ENDS_RETRY_MS;
 }
 
-int load_rate_limiter_on_permit(void *context, Wire__Envelope *in, reply *reply, error *err) {
+enum error_code load_rate_limiter_on_permit(void *context, Wire__Envelope *in, reply *reply,
+                                            error *err) {
   gateway *gateway = context;
   const Wire__LoadPermitRequest *request = in->load_permit_request;
   if (!in->call)
--- a/lib/gateway/load_rate_limiter.h
+++ b/lib/gateway/load_rate_limiter.h
@@ -33,7 +33,8 @@
 void load_rate_limiter_record(gateway *gateway, id service, time_us at);
 /** Handles a LoadPermitRequest: as a call it asks for a permit; as a one-way message it reports a
  * load. */
-int load_rate_limiter_on_permit(void *context, Wire__Envelope *in, reply *reply, error *err);
+enum error_code load_rate_limiter_on_permit(void *context, Wire__Envelope *in, reply *reply,
+                                            error *err);
 /** Requests a permit. OK: the order must be sent before *send_by; E_LOAD_RATE_LIMITED: again in
  * *retry_after_ms. */
 enum error_code load_rate_limiter_request_permit(gateway_engine *engine, const service *service,
--- a/lib/gateway/placement.c
+++ b/lib/gateway/placement.c
@@ -654,7 +654,8 @@
   memcpy(response->engine, job->engine.text, sizeof job->engine.text);
 }
 
-int placement_on_load_request(void *context, Wire__Envelope *in, reply *reply, error *err) {
+enum error_code placement_on_load_request(void *context, Wire__Envelope *in, reply *reply,
+                                          error *err) {
   gateway *gateway = context;
   const Wire__PlacementRequest *request = in->placement_request;
   if (!id_is_valid(string_view_of(request->model)) ||
--- a/lib/gateway/placement.h
+++ b/lib/gateway/placement.h
@@ -26,5 +26,6 @@
 /** The shard of an engine or a model by its name. */
 int placement_shard_of(const char *name, int shard_count);
 /** Handles a gateway's PlacementRequest, at the coordinator. */
-int placement_on_load_request(void *context, Wire__Envelope *in, reply *reply, error *err);
+enum error_code placement_on_load_request(void *context, Wire__Envelope *in, reply *reply,
+                                          error *err);
 #endif
--- a/lib/gateway/traffic_reports.c
+++ b/lib/gateway/traffic_reports.c
@@ -94,7 +94,8 @@
     remove_unnamed_load(engine, nonce, now);
 }
 
-static int on_traffic_report(void *context, Wire__Envelope *in, reply *reply, error *err) {
+static enum error_code on_traffic_report(void *context, Wire__Envelope *in, reply *reply,
+                                         error *err) {
   gateway *gateway = context;
   (void)reply;
   (void)err;
--- a/lib/membership/failure_detector.c
+++ b/lib/membership/failure_detector.c
@@ -45,7 +45,8 @@
 }
 
 /* The envelope has already counted as a sign of life (peer_table_merge). */
-static int on_heartbeat(void *context, Wire__Envelope *message, reply *reply, error *err) {
+static enum error_code on_heartbeat(void *context, Wire__Envelope *message, reply *reply,
+                                    error *err) {
   (void)reply;
   (void)err;
   peer_node *peer = peer_table_find(context, id_of_text(message->from->id));
@@ -107,7 +108,8 @@
       peer->suspicions[i].by = id_of_text("");
 }
 
-static int on_suspicion(void *context, Wire__Envelope *message, reply *reply, error *err) {
+static enum error_code on_suspicion(void *context, Wire__Envelope *message, reply *reply,
+                                    error *err) {
   node *node = context;
   (void)reply;
   (void)err;
--- a/lib/membership/gossip.c
+++ b/lib/membership/gossip.c
@@ -60,7 +60,7 @@
   peer_rpc_send(node, address, &message);
 }
 
-static int on_table(void *context, Wire__Envelope *message, reply *reply, error *err) {
+static enum error_code on_table(void *context, Wire__Envelope *message, reply *reply, error *err) {
   node *node = context;
   (void)reply;
   (void)err;
--- a/lib/membership/peer_rpc.c
+++ b/lib/membership/peer_rpc.c
@@ -86,7 +86,8 @@
   if (!call.response)
     return error_set(err, (int)wake, "no reply from %s", address);
   if (call.response->error_code) {
-    int code = error_set(err, (int)call.response->error_code, "%s", call.response->error_text);
+    enum error_code code =
+        error_set(err, (int)call.response->error_code, "%s", call.response->error_text);
     peer_rpc_message_free(call.response);
     return code;
   }
--- a/lib/membership/peer_rpc.h
+++ b/lib/membership/peer_rpc.h
@@ -29,7 +29,8 @@
 /** Handles a message. The response has no body unless the handler makes one. Anything but OK is
  * sent to a caller as the error code, with err's text, in place of a body. message is freed after
  * the handler returns. */
-typedef int (*peer_rpc_handler)(void *context, Wire__Envelope *message, reply *reply, error *err);
+typedef enum error_code (*peer_rpc_handler)(void *context, Wire__Envelope *message, reply *reply,
+                                            error *err);
 
 /** More than there are kinds of bodies in wire.proto (numbers of the fields of Envelope's oneof).
  */
--- a/lib/router/controller_poll.c
+++ b/lib/router/controller_poll.c
@@ -290,7 +290,8 @@
 }
 
 /* A controller reports engines that drain at once, beside the polls. */
-static int on_engine_update(void *context, Wire__Envelope *in, reply *reply, error *err) {
+static enum error_code on_engine_update(void *context, Wire__Envelope *in, reply *reply,
+                                        error *err) {
   router *router = context;
   (void)reply;
   if (in->from->role != ROLE_CONTROLLER)
--- a/lib/router/load_permit.c
+++ b/lib/router/load_permit.c
@@ -86,7 +86,8 @@
   return later_of(later_of(first_at, router->permits.next_permit_at), now);
 }
 
-static int on_permit_request(void *context, Wire__Envelope *in, reply *reply, error *err) {
+static enum error_code on_permit_request(void *context, Wire__Envelope *in, reply *reply,
+                                         error *err) {
   router *router = context;
   uint64_t epoch = singleton_lease_epoch(router, SINGLETON_LOAD_RATE_LIMITER);
   if (!epoch || !router->config)
--- a/lib/router/load_queue.c
+++ b/lib/router/load_queue.c
@@ -147,7 +147,8 @@
   return OK;
 }
 
-static int on_load_request(void *context, Wire__Envelope *in, reply *reply, error *err) {
+static enum error_code on_load_request(void *context, Wire__Envelope *in, reply *reply,
+                                       error *err) {
   router *router = context;
   const Wire__ModelLoadRequest *message = in->model_load_request;
   engine *engine = engine_find(router, id_of_text(message->engine));
--- a/lib/router/rate_exchange.c
+++ b/lib/router/rate_exchange.c
@@ -46,7 +46,7 @@
     apply_load_time(router, report->load_times[i]);
 }
 
-static int on_rate_report(void *context, Wire__Envelope *in, reply *reply, error *err) {
+static enum error_code on_rate_report(void *context, Wire__Envelope *in, reply *reply, error *err) {
   (void)reply;
   (void)err;
   rate_exchange_receive(context, in->rate_report);
--- a/lib/router/router_sync.c
+++ b/lib/router/router_sync.c
@@ -178,7 +178,7 @@
 }
 
 /* Responds to the poll of another router. */
-static int on_config_poll(void *context, Wire__Envelope *in, reply *reply, error *err) {
+static enum error_code on_config_poll(void *context, Wire__Envelope *in, reply *reply, error *err) {
   router *router = context;
   const config_sync *sync = &router->sync;
   const Wire__ConfigPollRequest *request = in->config_poll_request;
--- a/lib/runtime/base.c
+++ b/lib/runtime/base.c
@@ -3,7 +3,7 @@
 #include <stdarg.h>
 #include <stdio.h>
 
-int error_set(error *err, int code, const char *format, ...) {
+enum error_code error_set(error *err, enum error_code code, const char *format, ...) {
   if (!err)
     return code;
   err->code = code;
--- a/lib/runtime/base.h
+++ b/lib/runtime/base.h
@@ -35,12 +35,6 @@
   uint64_t number;
 } epoch;
 
-/** An error for the caller: a code of enum error_code and a short text for people. */
-typedef struct {
-  int code;
-  char text[200];
-} error;
-
 /** Result codes. They go over the wire and into logs, so a number never changes; docs/codes.md
  * explains each. */
 enum error_code {
@@ -124,8 +118,15 @@
   E_MODEL_IN_USE = 614,
 };
 
+/** An error for the caller: a code and a short text for people. */
+typedef struct {
+  enum error_code code;
+  char text[200];
+} error;
+
 /** Sets *err, unless err is NULL, to a code and a formatted text. Returns the code. */
-int error_set(error *err, int code, const char *format, ...) __attribute__((format(printf, 3, 4)));
+enum error_code error_set(error *err, enum error_code code, const char *format, ...)
+    __attribute__((format(printf, 3, 4)));
 
 /** A view of a C string; an empty one for NULL. */
 static inline string_view string_view_of(const char *s) {
--- a/lib/runtime/real_world.c
+++ b/lib/runtime/real_world.c
@@ -133,7 +133,7 @@
     real_http_client_cancel(call);
 }
 
-static int listener_open(world *world, http_listener *listener, error *err) {
+static enum error_code listener_open(world *world, http_listener *listener, error *err) {
   return http_engine_listener_open(real_of(world)->http, listener, err);
 }
 
@@ -149,21 +149,21 @@
   http_engine_pool_close_idle(real_of(world)->http, address);
 }
 
-static int disk_open(world *world, unsigned file, size_t size, error *err) {
+static enum error_code disk_open(world *world, unsigned file, size_t size, error *err) {
   return real_disk_open_file(real_of(world)->disk, file, size, err);
 }
 
-static int disk_read(world *world, unsigned file, size_t offset, void *to, size_t size,
-                     error *err) {
+static enum error_code disk_read(world *world, unsigned file, size_t offset, void *to, size_t size,
+                                 error *err) {
   return real_disk_read(real_of(world)->disk, file, offset, to, size, err);
 }
 
-static int disk_write(world *world, unsigned file, size_t offset, const void *from, size_t size,
-                      error *err) {
+static enum error_code disk_write(world *world, unsigned file, size_t offset, const void *from,
+                                  size_t size, error *err) {
   return real_disk_write(real_of(world)->disk, file, offset, from, size, err);
 }
 
-static int disk_sync(world *world, unsigned file, error *err) {
+static enum error_code disk_sync(world *world, unsigned file, error *err) {
   return real_disk_sync(real_of(world)->disk, file, err);
 }
 
--- a/lib/runtime/world.h
+++ b/lib/runtime/world.h
@@ -49,7 +49,7 @@
   void (*request_flush)(http_request *request);
 
   /** Opens a listener; its struct stays with the caller until the world ends. */
-  int (*listener_open)(world *world, http_listener *listener, error *err);
+  enum error_code (*listener_open)(world *world, http_listener *listener, error *err);
   /** Takes no new connections; those that are open live on. */
   void (*listener_stop_accepting)(world *world, http_listener *listener);
   /** Closes the connections of a listener on which no request is in progress, unread bytes and all,
@@ -67,11 +67,12 @@
 
   /** Files of the process's data folder, by number. Opens a file, made in its full size if it is
    * not there. Reads, writes and syncs make the calling task wait; a range lies within the file. */
-  int (*disk_open)(world *world, unsigned file, size_t size, error *err);
-  int (*disk_read)(world *world, unsigned file, size_t offset, void *to, size_t size, error *err);
-  int (*disk_write)(world *world, unsigned file, size_t offset, const void *from, size_t size,
-                    error *err);
-  int (*disk_sync)(world *world, unsigned file, error *err);
+  enum error_code (*disk_open)(world *world, unsigned file, size_t size, error *err);
+  enum error_code (*disk_read)(world *world, unsigned file, size_t offset, void *to, size_t size,
+                               error *err);
+  enum error_code (*disk_write)(world *world, unsigned file, size_t offset, const void *from,
+                                size_t size, error *err);
+  enum error_code (*disk_sync)(world *world, unsigned file, error *err);
 };
 
 /** The monotonic time. It includes the time that the machine was suspended. */
--- a/tests/configuration/routing.c
+++ b/tests/configuration/routing.c
@@ -188,7 +188,7 @@
 
 static bool invalid_routings_are_refused(fleet *fleet) {
   static const struct {
-    int code;
+    enum error_code code;
     const char *text;
   } bad[] = {
     { OK, ROUTE(GOOD) },
@@ -261,7 +261,7 @@
   static const char base[] =
       "{\"version\":7,\"odd\":{\"k\":1},\"routes\":[{\"name\":\"a\",\"x\":1},{\"name\":\"b\"},{\"name\":\"c\"}],\"services\":[{\"name\":\"s\"}],\"limits\":{\"idleMs\":1,\"bodyBytes\":2}}";
   static const struct {
-    int code;
+    enum error_code code;
     const char *patch, *due;
   } all[] = {
     { OK,
--- a/tests/emulator/day.c
+++ b/tests/emulator/day.c
@@ -19,7 +19,7 @@
 static void check_invalid_days(fleet *fleet, const char *good) {
   static const struct {
     const char *find, *put;
-    int code;
+    enum error_code code;
   } bad[] = {
     { "\"seconds\":12", "\"seconds\":\"12\"", E_TYPE },
     { "\"seconds\":12", "\"seconds\":1", E_RANGE },
@@ -62,7 +62,7 @@
 static void check_fault_flags(fleet *fleet, day *day) {
   static const struct {
     const char *flag;
-    int code;
+    enum error_code code;
   } flags[] = { { "burst@4", OK },
                 { "burst@4:2,factor=3", OK },
                 { "gateway-kill@2.5,which=1", OK },
