--- /dev/null
+++ b/lib/cli/program.h
@@ -0,0 +1,27 @@
+#ifndef CLI_PROGRAM_H
+#define CLI_PROGRAM_H
+/** What the main functions of the programs share: errors on standard error, the real world of a
+ * process, and the run of a service up to the end of its graceful shutdown. */
+#include "real.h"
+
+/** Prints "PROGRAM: MESSAGE" and a line feed on standard error, with the message by printf. */
+void program_error(const char *program, const char *format, ...)
+    __attribute__((format(printf, 2, 3)));
+/** Prints an error on standard error as "PROGRAM: TEXT (code N)". */
+void program_report(const char *program, const error *err);
+
+/** Makes the world of a process that only calls others. NULL when that fails, which it has reported
+ * on standard error. Free it with real_world_free. */
+world *program_client_world(const char *program, const real_settings *settings);
+/** Makes the world of a process that listens at a valid ip:port. The ip and port of the settings
+ * are not read. NULL when that fails, which it has reported on standard error. Free it with
+ * real_world_free. */
+world *program_listener_world(const char *program, const char *listen_address,
+                              const real_settings *settings);
+
+/** Runs a service until its condition `stopped` is signalled. The first SIGTERM or SIGINT starts
+ * its graceful shutdown by `drain`, which gets the service. The caller still owns world and
+ * service. */
+void program_run_service(world *world, condition *stopped, void (*drain)(void *service),
+                         void *service);
+#endif
--- /dev/null
+++ b/lib/cli/resource_wait.c
@@ -0,0 +1,89 @@
+/** Waits until a write is in force at every live node (--wait). See resource_write.h.
+ *
+ * A write is committed once the chain has it; nodes get it by config sync a little later. So every
+ * node that /v1/nodes has and does not call gone is asked for the version that it acts on, again
+ * and again, until all have at least the one written. */
+#include "resource_write.h"
+#include <stdio.h>
+
+/** The pause between two rounds over the nodes. */
+enum { POLL_INTERVAL_MS = 300 };
+
+/** What one round over the nodes has found. */
+struct in_force_poll {
+  /** Some process had the list of nodes. */
+  bool has_nodes;
+  /** Nodes that have the version in force. */
+  int confirmed_count;
+  /** The names of live nodes that have not confirmed it, and of those that are gone and were not
+   * asked, each after a space. */
+  GString *unconfirmed, *gone;
+};
+
+/** True when a node acts on a version or a later one. */
+static bool node_has_version(const struct command_context *context, const json *node,
+                             uint64_t version) {
+  json *status = control_page(context, json_text(node, "addr", ""), "/v1/status");
+  bool has_version = status && json_number(status, "version", 0) >= (double)version;
+  json_free(status);
+  return has_version;
+}
+
+/** Asks every live node once. */
+static void poll_nodes(const struct command_context *context, uint64_t version,
+                       struct in_force_poll *poll) {
+  json *nodes = control_page_from_any(context, "/v1/nodes");
+  poll->has_nodes = nodes != NULL;
+  for (size_t i = 0; i < json_count(nodes); i++) {
+    const json *node = json_at(nodes, i);
+    const char *name = json_text(node, "id", "");
+    if (node_is_gone(node))
+      json_appendf(poll->gone, " %s", name);
+    else if (node_has_version(context, node, version))
+      poll->confirmed_count++;
+    else
+      json_appendf(poll->unconfirmed, " %s", name);
+  }
+  json_free(nodes);
+}
+
+static void report_in_force(uint64_t version, const struct in_force_poll *poll) {
+  asterctl_error("write %" PRIu64 " is in force at all %d live nodes%s%s", version,
+                 poll->confirmed_count, poll->gone->len ? "; gone and not asked:" : "",
+                 poll->gone->str);
+}
+
+static void report_timeout(uint64_t version, const struct in_force_poll *poll) {
+  asterctl_error("write %" PRIu64 " is in force at %d nodes; not confirmed by:%s%s%s", version,
+                 poll->confirmed_count,
+                 poll->unconfirmed->len ? poll->unconfirmed->str : " anybody",
+                 poll->gone->len ? "; gone:" : "", poll->gone->str);
+}
+
+/** Asks every live node once. True when that ends the wait; the exit code is then set, and the
+ * outcome printed. */
+static bool poll_ends_wait(const struct command_context *context, uint64_t version,
+                           time_us deadline, enum exit_code *exit_code) {
+  struct in_force_poll poll = { .unconfirmed = g_string_new(NULL), .gone = g_string_new(NULL) };
+  poll_nodes(context, version, &poll);
+  bool in_force = poll.has_nodes && poll.confirmed_count && !poll.unconfirmed->len;
+  bool timed_out = time_reached(world_now(context->world), deadline);
+  if (in_force)
+    report_in_force(version, &poll);
+  else if (timed_out)
+    report_timeout(version, &poll);
+  g_string_free(poll.unconfirmed, TRUE);
+  g_string_free(poll.gone, TRUE);
+  *exit_code = in_force ? EXIT_CODE_OK : EXIT_CODE_NOT_IN_FORCE;
+  return in_force || timed_out;
+}
+
+enum exit_code resource_wait_in_force(const struct command_context *context, uint64_t version) {
+  int64_t wait_ms = (int64_t)context->options.wait_s * 1000;
+  time_us deadline = time_add(world_now(context->world), time_from_ms(wait_ms));
+  enum exit_code exit_code = EXIT_CODE_NOT_IN_FORCE;
+  while (!poll_ends_wait(context, version, deadline, &exit_code))
+    if (!world_sleep(context->world, time_from_ms(POLL_INTERVAL_MS)))
+      return EXIT_CODE_NOT_IN_FORCE;
+  return exit_code;
+}
