--- a/bin/asterctl.c
+++ b/bin/asterctl.c
@@ -1,6 +1,6 @@
 /** asterctl: the operators' command line. This file has the table of commands, from which the help
  * text is made; the commands themselves are in lib/cli. */
-#include "args.h"
+#include "node.h"
 #include "commands.h"
 #include "program.h"
 #include <stdio.h>
--- a/bin/asterfall-controller.c
+++ b/bin/asterfall-controller.c
@@ -1,45 +1,33 @@
+/** asterfall-controller: a process of the control plane, with a disk. It reads its settings, runs
+ * lib/controlplane over the real world, and ends when a signal has drained it, or with
+ * PROGRAM_EXIT_FAULT when it had to stop by itself. */
 #include "args.h"
 #include "controller.h"
-#include "real.h"
-#include <stdio.h>
+#include "program.h"
 
 const char *argp_program_version = "asterfall-controller (asterfall) 0.1";
 
-typedef struct {
-  controller *controller;
-  world *world;
-} run;
+/** A body may be the largest resource, with some bytes for what stands around it. */
+enum { BODY_MAX_BYTES = RESOURCE_BYTES_MAX + 4096 };
 
-static void wait_run(void *p) {
-  run *run = p;
-  condition_wait(&run->world->tasks, &run->controller->stopped, time_never());
-  real_world_stop(run->world);
-}
-
-static void on_term(void *p) {
-  run *run = p;
-  controller_drain(run->controller);
+static void drain(void *service) {
+  controller_drain(service);
 }
 
 int main(int argc, char **argv) {
-  settings v;
+  settings settings;
   if (args_settings(argc, argv, ROLE_CONTROLLER,
-                    "asterfall-controller: a core machine of asterfall, with a disk", &v))
-    return 0;
-  real_settings e = { .body_max_bytes = RESOURCE_BYTES_MAX + 4096 };
-  address_split(v.address, e.ip, sizeof e.ip, &e.port);
-  g_strlcpy(e.data_dir, v.data_dir, sizeof e.data_dir);
-  error err = { 0 };
-  world *world = real_world_new(&e, &err);
-  if (!world) {
-    fprintf(stderr, "asterfall-controller: %s (code %d)\n", err.text, err.code);
-    return 2;
-  }
-  run r = { controller_new(world, &v), world };
-  task_start(&world->tasks, "over", wait_run, &r);
-  real_world_run(world, on_term, &r);
-  int code = r.controller->exit_code;
+                    "asterfall-controller: a core machine of asterfall, with a disk", &settings))
+    return PROGRAM_EXIT_OK;
+  real_settings listener = { .body_max_bytes = BODY_MAX_BYTES };
+  g_strlcpy(listener.data_dir, settings.data_dir, sizeof listener.data_dir);
+  world *world = program_listener_world("asterfall-controller", settings.address, &listener);
+  if (!world)
+    return PROGRAM_EXIT_NOT_STARTED;
+  controller *controller = controller_new(world, &settings);
+  program_run_service(world, &controller->stopped, drain, controller);
+  int fault = controller->exit_code;
   real_world_free(world);
-  controller_free(r.controller);
-  return code ? 1 : 0;
+  controller_free(controller);
+  return fault ? PROGRAM_EXIT_FAULT : PROGRAM_EXIT_OK;
 }
--- a/bin/asterfall-emulate.c
+++ b/bin/asterfall-emulate.c
@@ -1,22 +1,43 @@
+/** asterfall-emulate: plays days of a deployment in virtual time (emulator/day.h), and reports
+ * them.
+ *
+ * With --against or --against-seed there are two sides, A and B. Each day is played on both, and
+ * the differences are taken day by day, so that the spread between days does not hide a difference
+ * between the sides. */
 #include "day.h"
+#include "program.h"
 #include <argp.h>
 #include <stdio.h>
 #include <stdlib.h>
 
-/* exit codes: 0 all rules were kept, 1 one broke or the fleet did not come up, 2 bad command line
- * or file */
-enum { X_OK, X_BROKE, X_USE, SEEDS_MOST = 200 };
+static const char program_name[] = "asterfall-emulate";
 
-typedef struct options {
-  char *file, *plot, *policy, *against;
-  uint64_t seed, against_seed;
-  int seeds;
-  bool json, loud, calm;
+/** Days to play: the most, and the number when none is given. */
+enum { DAYS_MAX = 200, DAYS_DEFAULT = 1, DAYS_DEFAULT_OF_COMPARISON = 5 };
+
+/** The limits of --rate and --seconds. */
+static const double rate_factor_min = 0.01, rate_factor_max = 100;
+static const double duration_min_s = 2, duration_max_s = 3800;
+
+/** The command line; the texts belong to argv. */
+struct options {
+  const char *day_file;
+  /** NULL: no plot. */
+  const char *plot_file;
+  /** The eviction policies of A and B in place of the day's own; NULL: not given. */
+  const char *policy, *against_policy;
+  uint64_t first_seed;
+  /** 0: not given. */
+  uint64_t against_seed;
+  int day_count;
+  bool json, log, without_own_troubles;
+  /** Flags of troubles to add, of const char *. */
   GPtrArray *troubles;
-  double rate, seconds;
-} options;
+  /** 0: not given. */
+  double rate_factor, duration_s;
+};
 
-static const struct argp_option opts[] = {
+static const struct argp_option option_table[] = {
   { "seed", 's', "N", 0, "seed of the day (1)", 0 },
   { "seeds", 'n', "N", 0, "play so many days, from this seed on (1; with a comparison 5)", 0 },
   { "policy", 'p', "NAME", 0,
@@ -35,210 +56,332 @@
   { 0 }
 };
 
-static const char doc[] =
+static const char help[] =
     "asterfall-emulate: plays a day of a deployment in virtual time, with the real gateways and core machines over a fleet in memory, and reports it\v"
     "DAY is a file such as examples/lanka/day.json. Troubles: WHAT@SECONDS[:FOR][,factor=X][,which=N] with WHAT one of\n"
     "  engine-crash engine-dark engine-grey engine-leave gateway-kill gateway-drain gateway-freeze\n"
     "  controller-kill controller-cut controller-wipe config-change config-race config-bad burst model-shift\n"
     "\nThe day is judged from what engines, callers and the operator wrote down. Ends with 0 when the rules were kept,\n1 when one broke, 2 on bad use.\n";
 
-static error_t parse(int key, char *arg, struct argp_state *st) {
-  options *options = st->input;
+static void set_day_count(struct options *options, const char *value, struct argp_state *state) {
+  options->day_count = atoi(value);
+  if (options->day_count < 1 || options->day_count > DAYS_MAX)
+    argp_error(state, "--seeds takes 1 to %d", DAYS_MAX);
+}
+
+/** Reads a number from a range; other texts end the program. */
+static double parse_number(const char *flag, const char *value, double min, double max,
+                           struct argp_state *state) {
+  double number = atof(value);
+  bool is_in_range = number >= min && number <= max;
+  if (!is_in_range)
+    argp_error(state, "%s takes %g to %g", flag, min, max);
+  return number;
+}
+
+static void set_day_file(struct options *options, const char *file, struct argp_state *state) {
+  if (options->day_file)
+    argp_error(state, "one day only");
+  options->day_file = file;
+}
+
+static error_t parse(int key, char *value, struct argp_state *state) {
+  struct options *options = state->input;
   switch (key) {
   case 's':
-    options->seed = strtoull(arg, NULL, 10);
+    options->first_seed = strtoull(value, NULL, 10);
     return 0;
   case 'A':
-    options->against_seed = strtoull(arg, NULL, 10);
+    options->against_seed = strtoull(value, NULL, 10);
     return 0;
   case 'n':
-    options->seeds = atoi(arg);
-    if (options->seeds < 1 || options->seeds > SEEDS_MOST)
-      argp_error(st, "--seeds takes 1 to %d", SEEDS_MOST);
+    set_day_count(options, value, state);
     return 0;
   case 'p':
-    options->policy = arg;
+    options->policy = value;
     return 0;
   case 'a':
-    options->against = arg;
+    options->against_policy = value;
     return 0;
   case 't':
-    g_ptr_array_add(options->troubles, arg);
+    g_ptr_array_add(options->troubles, value);
     return 0;
   case 'c':
-    options->calm = true;
+    options->without_own_troubles = true;
     return 0;
   case 'r':
-    options->rate = atof(arg);
-    if (!(options->rate >= 0.01 && options->rate <= 100))
-      argp_error(st, "--rate takes 0.01 to 100");
+    options->rate_factor = parse_number("--rate", value, rate_factor_min, rate_factor_max, state);
     return 0;
   case 'd':
-    options->seconds = atof(arg);
-    if (!(options->seconds >= 2 && options->seconds <= 3800))
-      argp_error(st, "--seconds takes 2 to 3800");
+    options->duration_s = parse_number("--seconds", value, duration_min_s, duration_max_s, state);
     return 0;
   case 'j':
     options->json = true;
     return 0;
   case 'o':
-    options->plot = arg;
+    options->plot_file = value;
     return 0;
   case 'l':
-    options->loud = true;
+    options->log = true;
     return 0;
   case ARGP_KEY_ARG:
-    if (options->file)
-      argp_error(st, "one day only");
-    options->file = arg;
+    set_day_file(options, value, state);
     return 0;
   case ARGP_KEY_END:
-    if (!options->file)
-      argp_usage(st);
+    if (!options->day_file)
+      argp_usage(state);
     return 0;
   default:
     return ARGP_ERR_UNKNOWN;
   }
 }
 
-static day *day_of(const options *options, const char *policy, error *err) {
-  gchar *text = NULL;
-  gsize n = 0;
-  if (!g_file_get_contents(options->file, &text, &n, NULL)) {
+static bool has_two_sides(const struct options *options) {
+  return options->against_policy || options->against_seed;
+}
+
+/** One side of a comparison, or the only one. */
+struct side {
+  day *day;
+  uint64_t first_seed;
+  /** The policy that the command line names for this side; NULL: none. */
+  const char *named_policy;
+  /** Of the day that was played last. */
+  day_result *result;
+  /** Policy and seed of the first day, as the reader is told them. */
+  char name[80];
+};
+
+static day *read_day_file(const char *file, error *err) {
+  GString *text = program_read_file(file);
+  if (!text) {
     error_set(err, E_SETTINGS_FILE, "can't be read");
     return NULL;
   }
-  day *day = day_read((string_view){ text, n }, err);
-  g_free(text);
-  if (!day)
-    return NULL;
-  if (options->calm)
+  day *day = day_read(string_view_of_gstring(text), err);
+  g_string_free(text, TRUE);
+  return day;
+}
+
+/** Sets the length of a day and drops the troubles past its end; they are in order of time. */
+static void set_duration(day *day, double duration_s) {
+  day->seconds = duration_s;
+  while (day->trouble_count && day->troubles[day->trouble_count - 1].at_s > duration_s)
+    day->trouble_count--;
+}
+
+/** Changes a day as the command line asks. A code other than OK with err set when it can't be. */
+static enum error_code change_day(day *day, const struct options *options, const char *policy,
+                                  error *err) {
+  if (options->without_own_troubles)
     day->trouble_count = 0;
-  if (options->seconds > 0) {
-    day->seconds = options->seconds;
-    while (day->trouble_count && day->troubles[day->trouble_count - 1].at_s > day->seconds)
-      day->trouble_count--;
-  }
-  if (options->rate > 0)
-    day->rate *= options->rate;
-  int r = policy ? day_evict(day, policy, err) : OK;
-  for (guint i = 0; i < options->troubles->len && !r; i++)
-    r = day_trouble_add(day, options->troubles->pdata[i], err);
-  if (!r)
-    return day;
-  day_free(day);
-  return NULL;
-}
-
-static void show(const options *options, const day *day, const day_result *result) {
-  GString *b = g_string_new(NULL);
+  if (options->duration_s > 0)
+    set_duration(day, options->duration_s);
+  if (options->rate_factor > 0)
+    day->rate *= options->rate_factor;
+  enum error_code code = policy ? (enum error_code)day_evict(day, policy, err) : OK;
+  for (guint i = 0; i < options->troubles->len && code == OK; i++)
+    code = day_trouble_add(day, g_ptr_array_index(options->troubles, i), err);
+  return code;
+}
+
+/** Reads the day of a side, under a policy of its own or (NULL) the day's. False with err set when
+ * that fails. Free the side with side_clear in any case. */
+static bool side_init(struct side *side, const struct options *options, const char *policy,
+                      error *err) {
+  side->result = g_new0(day_result, 1);
+  side->day = read_day_file(options->day_file, err);
+  return side->day && change_day(side->day, options, policy, err) == OK;
+}
+
+static void side_clear(struct side *side) {
+  day_free(side->day);
+  g_free(side->result);
+}
+
+static void print_day(const struct options *options, const day *day, const day_result *result) {
+  GString *text = g_string_new(NULL);
   if (options->json) {
-    day_json(day, result, b);
-    g_string_append_c(b, '\n');
+    day_json(day, result, text);
+    g_string_append_c(text, '\n');
   } else
-    day_text(day, result, b);
-  fputs(b->str, stdout);
+    day_text(day, result, text);
+  fputs(text->str, stdout);
   fflush(stdout);
-  g_string_free(b, TRUE);
+  g_string_free(text, TRUE);
 }
 
-static void compare(const options *options, const char *a, const char *b,
-                    double diff[DAY_FIGURES][SEEDS_MOST], const double *mean_a,
-                    const double *mean_b, size_t n) {
-  if (options->json)
-    printf("{\"days\":%zu,\"a\":", n);
-  else
-    printf("%zu days, B (%s) less A (%s), paired, with 95 %% intervals\n  %-16s %12s %12s %12s\n",
-           n, b, a, "", "A", "B", "B - A");
-  if (options->json) {
-    GString *t = g_string_new(NULL);
-    json_append_quoted(t, string_view_of(a));
-    g_string_append(t, ",\"b\":");
-    json_append_quoted(t, string_view_of(b));
-    printf("%s", t->str);
-    g_string_free(t, TRUE);
+/** Plays and prints a day of a side; true when all rules were kept. The result stays with the side
+ * until day_result_clear. */
+static bool side_play(struct side *side, const struct options *options, int day_index) {
+  uint64_t seed = side->first_seed + (uint64_t)day_index;
+  bool came_up = day_play(side->day, seed, options->log, side->result);
+  bool kept_rules = came_up && !side->result->broke[0];
+  print_day(options, side->day, side->result);
+  return kept_rules;
+}
+
+static void side_set_name(struct side *side) {
+  const char *policy = side->named_policy ? side->named_policy : side->result->eviction;
+  snprintf(side->name, sizeof side->name, "%s, seed %" PRIu64, policy, side->result->seed);
+}
+
+/** The figures of both sides over all days. */
+struct comparison {
+  size_t day_count;
+  /** B less A, of each day. */
+  double differences[DAY_FIGURES][DAYS_MAX];
+  double sum_a[DAY_FIGURES], sum_b[DAY_FIGURES];
+};
+
+static void comparison_add(struct comparison *comparison, const day_result *a,
+                           const day_result *b) {
+  size_t day_index = comparison->day_count++;
+  for (int i = 0; i < DAY_FIGURES; i++) {
+    double figure_a = day_figure(a, i);
+    double figure_b = day_figure(b, i);
+    comparison->sum_a[i] += figure_a;
+    comparison->sum_b[i] += figure_b;
+    comparison->differences[i][day_index] = figure_b - figure_a;
   }
-  for (int k = 0; k < DAY_FIGURES; k++) {
-    double mean, half;
-    day_paired(diff[k], n, &mean, &half);
-    if (options->json)
-      printf(",\"%s\":{\"a\":%.5f,\"b\":%.5f,\"diff\":%.5f,\"half\":%.5f}", day_figure_name[k],
-             mean_a[k] / (double)n, mean_b[k] / (double)n, mean, half);
-    else if (half < 0)
-      printf("  %-16s %12.4f %12.4f %+12.4f\n", day_figure_name[k], mean_a[k], mean_b[k], mean);
-    else
-      printf("  %-16s %12.4f %12.4f %+12.4f +- %.4f%s\n", day_figure_name[k], mean_a[k] / (double)n,
-             mean_b[k] / (double)n, mean, half,
-             mean - half > 0 || mean + half < 0 ? "" : "  (may be chance)");
+}
+
+/** One figure over all days. */
+struct paired_figure {
+  double mean_a, mean_b, mean_difference;
+  /** Half the width of the 95 % interval of the difference; below 0 when there are too few days. */
+  double half_width;
+};
+
+static struct paired_figure comparison_figure(const struct comparison *comparison, int figure) {
+  double day_count = (double)comparison->day_count;
+  struct paired_figure paired = { .mean_a = comparison->sum_a[figure] / day_count,
+                                  .mean_b = comparison->sum_b[figure] / day_count };
+  day_paired(comparison->differences[figure], comparison->day_count, &paired.mean_difference,
+             &paired.half_width);
+  return paired;
+}
+
+static void print_comparison_json(const struct comparison *comparison, const struct side *a,
+                                  const struct side *b) {
+  GString *text = g_string_new(NULL);
+  json_appendf(text, "{\"days\":%zu,\"a\":", comparison->day_count);
+  json_append_quoted(text, string_view_of(a->name));
+  g_string_append(text, ",\"b\":");
+  json_append_quoted(text, string_view_of(b->name));
+  for (int i = 0; i < DAY_FIGURES; i++) {
+    struct paired_figure paired = comparison_figure(comparison, i);
+    json_appendf(text, ",\"%s\":{\"a\":%.5f,\"b\":%.5f,\"diff\":%.5f,\"half\":%.5f}",
+                 day_figure_name[i], paired.mean_a, paired.mean_b, paired.mean_difference,
+                 paired.half_width);
   }
-  if (options->json)
-    printf("}\n");
+  printf("%s}\n", text->str);
+  g_string_free(text, TRUE);
 }
 
-int main(int argc, char **argv) {
-  options u = { .seed = 1, .troubles = g_ptr_array_new() };
-  struct argp p = { opts, parse, "DAY", doc, NULL, NULL, NULL };
-  argp_err_exit_status = X_USE;
-  argp_parse(&p, argc, argv, 0, NULL, &u);
-  bool two = u.against || u.against_seed;
-  if (!u.seeds)
-    u.seeds = two ? 5 : 1;
-  error err = { 0 };
-  day *a = day_of(&u, u.policy, &err),
-      *b = a && two ? day_of(&u, u.against ? u.against : u.policy, &err) : NULL;
-  if (!a || (two && !b)) {
-    fprintf(stderr, "asterfall-emulate: %s: %s (code %d)\n", u.file, err.text, err.code);
-    day_free(a);
-    return X_USE;
+static void print_figure(const char *name, const struct paired_figure *paired) {
+  double difference = paired->mean_difference, half_width = paired->half_width;
+  printf("  %-16s %12.4f %12.4f %+12.4f", name, paired->mean_a, paired->mean_b, difference);
+  if (half_width >= 0) {
+    bool excludes_zero = difference - half_width > 0 || difference + half_width < 0;
+    printf(" +- %.4f%s", half_width, excludes_zero ? "" : "  (may be chance)");
   }
-  static double diff[DAY_FIGURES][SEEDS_MOST];
-  double mean_a[DAY_FIGURES] = { 0 }, mean_b[DAY_FIGURES] = { 0 };
-  day_result *ra = g_new0(day_result, 1), *rb = g_new0(day_result, 1);
-  char a_name[80] = "", b_name[80] = "";
-  bool kept = true;
-  GString *plot = NULL;
-  for (int i = 0; i < u.seeds; i++) {
-    kept &= day_play(a, u.seed + (uint64_t)i, u.loud, ra) && !ra->broke[0];
-    show(&u, a, ra);
-    if (two) {
-      kept &= day_play(b, (u.against_seed ? u.against_seed : u.seed) + (uint64_t)i, u.loud, rb) &&
-              !rb->broke[0];
-      show(&u, b, rb);
-    }
-    for (int k = 0; two && k < DAY_FIGURES; k++) {
-      double x = day_figure(ra, k), y = day_figure(rb, k);
-      mean_a[k] += x;
-      mean_b[k] += y;
-      diff[k][i] = y - x;
+  printf("\n");
+}
+
+static void print_comparison_text(const struct comparison *comparison, const struct side *a,
+                                  const struct side *b) {
+  printf("%zu days, B (%s) less A (%s), paired, with 95 %% intervals\n", comparison->day_count,
+         b->name, a->name);
+  printf("  %-16s %12s %12s %12s\n", "", "A", "B", "B - A");
+  for (int i = 0; i < DAY_FIGURES; i++) {
+    struct paired_figure paired = comparison_figure(comparison, i);
+    print_figure(day_figure_name[i], &paired);
+  }
+}
+
+/** Writes the plot of a day; prints an error and gives false when that fails. */
+static bool write_plot(const char *file, const GString *plot) {
+  bool is_written = g_file_set_contents(file, plot->str, (gssize)plot->len, NULL);
+  if (!is_written)
+    program_error(program_name, "%s can't be written", file);
+  return is_written;
+}
+
+/** Plays all days on side A, and on side B unless it is NULL; prints each, and the comparison. The
+ * plot, unless it is NULL, gets the first day. True when all rules were kept. */
+static bool play_days(const struct options *options, struct side *a, struct side *b,
+                      GString *plot) {
+  struct comparison *comparison = g_new0(struct comparison, 1);
+  bool kept_rules = true;
+  for (int i = 0; i < options->day_count; i++) {
+    kept_rules &= side_play(a, options, i);
+    if (b) {
+      kept_rules &= side_play(b, options, i);
+      comparison_add(comparison, a->result, b->result);
     }
-    if (!i) {
-      snprintf(a_name, sizeof a_name, "%s, seed %" PRIu64, u.policy ? u.policy : ra->eviction,
-               ra->seed);
-      if (two)
-        snprintf(b_name, sizeof b_name, "%s, seed %" PRIu64, u.against ? u.against : rb->eviction,
-                 rb->seed);
-      if (u.plot) {
-        plot = g_string_new(NULL);
-        day_plot(a, ra, a_name, two ? rb : NULL, b_name, plot);
-      }
+    if (i == 0) {
+      side_set_name(a);
+      if (b)
+        side_set_name(b);
+      if (plot)
+        day_plot(a->day, a->result, a->name, b ? b->result : NULL, b ? b->name : "", plot);
     }
-    day_result_clear(ra);
-    day_result_clear(rb);
+    day_result_clear(a->result);
+    if (b)
+      day_result_clear(b->result);
   }
-  if (two)
-    compare(&u, a_name, b_name, diff, mean_a, mean_b, (size_t)u.seeds);
-  int x = kept ? X_OK : X_BROKE;
-  if (plot) {
-    if (!g_file_set_contents(u.plot, plot->str, (gssize)plot->len, NULL)) {
-      fprintf(stderr, "asterfall-emulate: %s can't be written\n", u.plot);
-      x = X_USE;
-    }
+  if (b && options->json)
+    print_comparison_json(comparison, a, b);
+  else if (b)
+    print_comparison_text(comparison, a, b);
+  g_free(comparison);
+  return kept_rules;
+}
+
+/** Plays the days of sides that are ready, and writes the plot. */
+static enum program_exit play_and_plot(const struct options *options, struct side *a,
+                                       struct side *b) {
+  GString *plot = options->plot_file ? g_string_new(NULL) : NULL;
+  bool kept_rules = play_days(options, a, b, plot);
+  bool is_written = !plot || write_plot(options->plot_file, plot);
+  if (plot)
     g_string_free(plot, TRUE);
-  }
-  g_free(ra);
-  g_free(rb);
-  day_free(a);
-  day_free(b);
-  g_ptr_array_free(u.troubles, TRUE);
-  return x;
+  if (!is_written)
+    return PROGRAM_EXIT_NOT_STARTED;
+  return kept_rules ? PROGRAM_EXIT_OK : PROGRAM_EXIT_FAULT;
+}
+
+/** Reads the day for each side and plays it. */
+static enum program_exit run(const struct options *options) {
+  const char *policy = options->policy, *against_policy = options->against_policy;
+  uint64_t against_seed = options->against_seed;
+  struct side a = { .first_seed = options->first_seed, .named_policy = policy };
+  struct side b = { .first_seed = against_seed ? against_seed : options->first_seed,
+                    .named_policy = against_policy };
+  bool two_sides = has_two_sides(options);
+  error err = { 0 };
+  bool is_ready = side_init(&a, options, policy, &err);
+  if (is_ready && two_sides)
+    is_ready = side_init(&b, options, against_policy ? against_policy : policy, &err);
+  enum program_exit exit_code = PROGRAM_EXIT_NOT_STARTED;
+  if (is_ready)
+    exit_code = play_and_plot(options, &a, two_sides ? &b : NULL);
+  else
+    program_error(program_name, "%s: %s (code %d)", options->day_file, err.text, err.code);
+  side_clear(&a);
+  side_clear(&b);
+  return exit_code;
+}
+
+int main(int argc, char **argv) {
+  struct options options = { .first_seed = 1, .troubles = g_ptr_array_new() };
+  struct argp parser = { .options = option_table, .parser = parse, .args_doc = "DAY", .doc = help };
+  argp_err_exit_status = PROGRAM_EXIT_NOT_STARTED;
+  argp_parse(&parser, argc, argv, 0, NULL, &options);
+  if (!options.day_count)
+    options.day_count = has_two_sides(&options) ? DAYS_DEFAULT_OF_COMPARISON : DAYS_DEFAULT;
+  enum program_exit exit_code = run(&options);
+  g_ptr_array_free(options.troubles, TRUE);
+  return exit_code;
 }
--- a/bin/asterfall-engine-sim.c
+++ b/bin/asterfall-engine-sim.c
@@ -1,16 +1,35 @@
-#include "args.h"
-#include "real.h"
+/** asterfall-engine-sim: a simulated engine for a real fleet. It loads and runs models in name
+ * only, and keeps a record of all orders, runs and refusals, which it prints at its end as JSON. */
+#include "node.h"
+#include "program.h"
 #include "simulators.h"
 #include <argp.h>
 #include <stdio.h>
 #include <stdlib.h>
 
-static struct {
-  char *self, *area, *type, *listen, *record;
-  double megs, slots, rate, token;
-} a = { "g1", "none", "any", "", NULL, 24000, 4, 8000, 20 };
+static const char program_name[] = "asterfall-engine-sim";
 
-static const struct argp_option opts[] = {
+/** The largest body of a request, in bytes. */
+enum { BODY_MAX_BYTES = 1 << 20 };
+
+/** The command line; the texts belong to argv. */
+struct options {
+  const char *name, *zone, *type, *listen_address;
+  /** The file that the record is appended to as it grows; NULL: none. */
+  const char *record_file;
+  double weights_mb, adapter_slots, load_mb_per_s, token_ms;
+};
+
+static const struct options defaults = { .name = "g1",
+                                         .zone = "none",
+                                         .type = "any",
+                                         .listen_address = "",
+                                         .weights_mb = 24000,
+                                         .adapter_slots = 4,
+                                         .load_mb_per_s = 8000,
+                                         .token_ms = 20 };
+
+static const struct argp_option option_table[] = {
   { "id", 'i', "NAME", 0, "name", 0 },
   { "area", 'a', "NAME", 0, "area", 0 },
   { "type", 't', "NAME", 0, "engine type", 0 },
@@ -23,80 +42,89 @@
   { 0 }
 };
 
-static error_t parse(int key, char *arg, struct argp_state *st) {
-  (void)st;
+static error_t parse(int key, char *value, struct argp_state *state) {
+  struct options *options = state->input;
   switch (key) {
   case 'i':
-    a.self = arg;
+    options->name = value;
     return 0;
   case 'a':
-    a.area = arg;
+    options->zone = value;
     return 0;
   case 't':
-    a.type = arg;
+    options->type = value;
     return 0;
   case 'l':
-    a.listen = arg;
+    options->listen_address = value;
     return 0;
   case 'w':
-    a.megs = atof(arg);
+    options->weights_mb = atof(value);
     return 0;
   case 's':
-    a.slots = atof(arg);
+    options->adapter_slots = atof(value);
     return 0;
   case 'r':
-    a.rate = atof(arg);
-    return 0;
-  case 'R':
-    a.record = arg;
+    options->load_mb_per_s = atof(value);
     return 0;
   case 'k':
-    a.token = atof(arg);
+    options->token_ms = atof(value);
+    return 0;
+  case 'R':
+    options->record_file = value;
     return 0;
   default:
     return ARGP_ERR_UNKNOWN;
   }
 }
 
-static void note(void *ctx, const char *line) {
-  fprintf(ctx, "%s\n", line);
-  fflush(ctx);
+/** Appends a line of the record to its file at once, so that it outlives a crash. */
+static void append_record_line(void *stream, const char *line) {
+  fprintf(stream, "%s\n", line);
+  fflush(stream);
 }
 
-int main(int argc, char **argv) {
-  struct argp p = {
-    opts, parse, NULL, "asterfall-engine-sim: a simulated engine", NULL, NULL, NULL
-  };
-  argp_parse(&p, argc, argv, 0, NULL, NULL);
-  real_settings e = { .body_max_bytes = 1 << 20 };
-  if (!address_is_valid(a.listen) || !id_is_valid(string_view_of(a.self))) {
-    fprintf(stderr, "asterfall-engine-sim: a name and --listen IP:PORT are needed\n");
-    return 2;
-  }
-  address_split(a.listen, e.ip, sizeof e.ip, &e.port);
-  error err = { 0 };
-  world *world = real_world_new(&e, &err);
-  if (!world) {
-    fprintf(stderr, "asterfall-engine-sim: %s (code %d)\n", err.text, err.code);
-    return 2;
+/** Makes the engine that the command line describes; `record` may be NULL. */
+static engine_sim *make_engine(const struct options *options, world *world, FILE *record) {
+  engine_sim *engine = engine_sim_new(world, id_of_text(options->name), id_of_text(options->type),
+                                      id_of_text(options->zone), (uint64_t)options->weights_mb,
+                                      (unsigned)options->adapter_slots);
+  if (record) {
+    engine->note = append_record_line;
+    engine->note_ctx = record;
   }
-  engine_sim *engine = engine_sim_new(world, id_of_text(a.self), id_of_text(a.type),
-                                      id_of_text(a.area), a.megs, a.slots);
-  FILE *f = a.record ? fopen(a.record, "a") : NULL;
-  if (f) {
-    engine->note = note;
-    engine->note_ctx = f;
+  engine->faults.megs_per_s = options->load_mb_per_s;
+  engine->faults.token_ms = (int64_t)options->token_ms;
+  return engine;
+}
+
+static void print_record(engine_sim *engine) {
+  GString *text = g_string_new(NULL);
+  engine_sim_record(engine, text);
+  fputs(text->str, stdout);
+  g_string_free(text, TRUE);
+}
+
+int main(int argc, char **argv) {
+  struct options options = defaults;
+  struct argp parser = { .options = option_table,
+                         .parser = parse,
+                         .doc = "asterfall-engine-sim: a simulated engine" };
+  argp_parse(&parser, argc, argv, 0, NULL, &options);
+  if (!address_is_valid(options.listen_address) || !id_is_valid(string_view_of(options.name))) {
+    program_error(program_name, "a name and --listen IP:PORT are needed");
+    return PROGRAM_EXIT_NOT_STARTED;
   }
-  engine->faults.megs_per_s = a.rate;
-  engine->faults.token_ms = a.token;
+  real_settings listener = { .body_max_bytes = BODY_MAX_BYTES };
+  world *world = program_listener_world(program_name, options.listen_address, &listener);
+  if (!world)
+    return PROGRAM_EXIT_NOT_STARTED;
+  FILE *record = options.record_file ? fopen(options.record_file, "a") : NULL;
+  engine_sim *engine = make_engine(&options, world, record);
   real_world_run(world, NULL, NULL);
-  GString *b = g_string_new(NULL);
-  engine_sim_record(engine, b);
-  fputs(b->str, stdout);
-  g_string_free(b, TRUE);
+  print_record(engine);
   real_world_free(world);
   engine_sim_free(engine);
-  if (f)
-    fclose(f);
-  return 0;
+  if (record)
+    fclose(record);
+  return PROGRAM_EXIT_OK;
 }
--- a/bin/asterfall-loadgen.c
+++ b/bin/asterfall-loadgen.c
@@ -1,17 +1,41 @@
-#include "args.h"
+/** asterfall-loadgen: simulated callers of a real fleet. It asks for the models and adapters of a
+ * catalogue at a given rate, checks every event that comes back, and prints what became of the
+ * requests as JSON. It ends with PROGRAM_EXIT_FAULT when an answer was wrong. */
 #include "config.h"
-#include "real.h"
+#include "program.h"
 #include "simulators.h"
 #include <argp.h>
 #include <stdio.h>
 #include <stdlib.h>
 
-static struct {
-  char *routers, *file, *policy, *ip, *log;
-  double rate, count, seconds, zipf;
-  int tries;
-} a = { NULL, NULL, NULL, "127.0.0.1", NULL, 5, 100, 60, 1.0, 0 };
-static const struct argp_option opts[] = {
+static const char program_name[] = "asterfall-loadgen";
+
+enum {
+  /** How often it looks whether all requests were sent. */
+  SEND_POLL_MS = 20,
+  /** How long it then waits for open requests: longer than a request may take. */
+  OPEN_REQUESTS_WAIT_MS = 130000
+};
+
+/** The command line; the texts belong to argv. */
+struct options {
+  /** Separated by commas. */
+  const char *routers;
+  const char *catalogue_file, *policy_file, *ip;
+  /** NULL: none is written. */
+  const char *attempt_log_file;
+  double requests_per_s, request_count, duration_s, zipf_exponent;
+  /** How often a caller comes back when an answer says when. */
+  int retry_count;
+};
+
+static const struct options defaults = { .ip = "127.0.0.1",
+                                         .requests_per_s = 5,
+                                         .request_count = 100,
+                                         .duration_s = 60,
+                                         .zipf_exponent = 1.0 };
+
+static const struct argp_option option_table[] = {
   { "routers", 'v', "A,B", 0, "addresses of routers", 0 },
   { "catalogue", 'c', "FILE", 0, "models and adapters to ask for", 0 },
   { "policy", 'p', "FILE", 0, "the policy that names the kinds", 0 },
@@ -25,121 +49,190 @@
   { 0 }
 };
 
-static error_t parse(int key, char *arg, struct argp_state *st) {
-  (void)st;
+static error_t parse(int key, char *value, struct argp_state *state) {
+  struct options *options = state->input;
   switch (key) {
   case 'v':
-    a.routers = arg;
+    options->routers = value;
     return 0;
   case 'c':
-    a.file = arg;
+    options->catalogue_file = value;
     return 0;
   case 'p':
-    a.policy = arg;
+    options->policy_file = value;
     return 0;
   case 'i':
-    a.ip = arg;
+    options->ip = value;
     return 0;
   case 'l':
-    a.log = arg;
+    options->attempt_log_file = value;
     return 0;
   case 't':
-    a.tries = atoi(arg);
+    options->retry_count = atoi(value);
     return 0;
   case 'r':
-    a.rate = atof(arg);
+    options->requests_per_s = atof(value);
     return 0;
   case 'n':
-    a.count = atof(arg);
+    options->request_count = atof(value);
     return 0;
   case 's':
-    a.seconds = atof(arg);
+    options->duration_s = atof(value);
     return 0;
   case 'z':
-    a.zipf = atof(arg);
+    options->zipf_exponent = atof(value);
     return 0;
   default:
     return ARGP_ERR_UNKNOWN;
   }
 }
 
-static void end_run(void *p) {
-  loadgen *loadgen = p;
-  time_us till = time_add(world_now(loadgen->world), time_from_ms((int64_t)(a.seconds * 1000)));
-  while (loadgen->count < (uint64_t)a.count && !time_reached(world_now(loadgen->world), till))
-    if (!world_sleep(loadgen->world, time_from_ms(20)))
-      return;
+/** Compiles catalogue and policy; the policy may be missing. The caller frees the configuration;
+ * NULL with err set when it is bad. */
+static config *make_config(const GString *catalogue, const char *policy_file, error *err) {
+  json *resources[RESOURCE_COUNT] = { 0 };
+  resources[RESOURCE_CATALOGUE] = json_parse(string_view_of_gstring(catalogue), err);
+  GString *policy = policy_file ? program_read_file(policy_file) : NULL;
+  if (policy) {
+    resources[RESOURCE_POLICY] = json_parse(string_view_of_gstring(policy), err);
+    g_string_free(policy, TRUE);
+  }
+  config *config = NULL;
+  if (resources[RESOURCE_CATALOGUE])
+    config = config_compile((const json **)resources, err);
+  json_free(resources[RESOURCE_CATALOGUE]);
+  json_free(resources[RESOURCE_POLICY]);
+  return config;
+}
+
+/** Gives the generator the models, adapters and kinds of request to draw from. */
+static void set_demand(loadgen *loadgen, const config *config) {
+  for (guint i = 0; i < config->models->len; i++) {
+    const catalogue_model *model = &g_array_index(config->models, catalogue_model, i);
+    loadgen_know(loadgen, model->self, id_of_text(""));
+  }
+  for (guint i = 0; i < config->adapters->len; i++) {
+    const catalogue_adapter *adapter = &g_array_index(config->adapters, catalogue_adapter, i);
+    loadgen_know(loadgen, adapter->model, adapter->self);
+  }
+  int kind_max = G_N_ELEMENTS(loadgen->plan.kinds);
+  for (int i = 0; i < kind_max && i < config->kind_count; i++)
+    loadgen->plan.kinds[i] = config->kinds[i].self.text;
+}
+
+static void set_plan(loadgen *loadgen, const struct options *options) {
+  char **routers = g_strsplit(options->routers, ",", -1);
+  for (char **router = routers; *router; router++)
+    g_ptr_array_add(loadgen->plan.routers, g_strdup(*router));
+  g_strfreev(routers);
+  loadgen->plan.per_s = options->requests_per_s;
+  loadgen->plan.zipf = options->zipf_exponent;
+  loadgen->plan.tries = options->retry_count;
+}
+
+/** What the task that ends the run has. */
+struct run {
+  loadgen *loadgen;
+  const struct options *options;
+};
+
+/** Waits until all requests were sent or the time is up. False when the process is to end. */
+static bool wait_until_sent(const struct run *run) {
+  loadgen *loadgen = run->loadgen;
+  int64_t duration_ms = (int64_t)(run->options->duration_s * 1000);
+  uint64_t request_count = (uint64_t)run->options->request_count;
+  time_us deadline = time_add(world_now(loadgen->world), time_from_ms(duration_ms));
+  while (loadgen->count < request_count && !time_reached(world_now(loadgen->world), deadline))
+    if (!world_sleep(loadgen->world, time_from_ms(SEND_POLL_MS)))
+      return false;
+  return true;
+}
+
+/** The task that stops the generator and ends the event loop once open requests have ended. */
+static void end_run(void *argument) {
+  const struct run *run = argument;
+  loadgen *loadgen = run->loadgen;
+  if (!wait_until_sent(run))
+    return;
   loadgen->stop = true;
-  till = time_add(world_now(loadgen->world), time_from_ms(130000));
+  time_us deadline = time_add(world_now(loadgen->world), time_from_ms(OPEN_REQUESTS_WAIT_MS));
   while (loadgen->open)
-    if (condition_wait(&loadgen->world->tasks, &loadgen->idle, till) != WAKE_SIGNALLED)
+    if (condition_wait(&loadgen->world->tasks, &loadgen->idle, deadline) != WAKE_SIGNALLED)
       break;
   real_world_stop(loadgen->world);
 }
 
-int main(int argc, char **argv) {
-  struct argp p = { opts, parse, NULL, "asterfall-loadgen: simulated callers", NULL, NULL, NULL };
-  argp_parse(&p, argc, argv, 0, NULL, NULL);
-  error err = { 0 };
-  gchar *text = NULL;
-  gsize n;
-  if (!a.routers || !a.file || !g_file_get_contents(a.file, &text, &n, NULL) || a.rate <= 0) {
-    fprintf(stderr, "asterfall-loadgen: --routers and --catalogue are needed\n");
-    return 2;
-  }
-  json *j[RESOURCE_COUNT] = { json_parse((string_view){ text, n }, &err), NULL, NULL };
-  g_free(text);
-  if (a.policy && g_file_get_contents(a.policy, &text, &n, NULL)) {
-    j[1] = json_parse((string_view){ text, n }, &err);
-    g_free(text);
-  }
-  config *config = j[0] ? config_compile((const json **)j, &err) : NULL;
-  json_free(j[0]);
-  json_free(j[1]);
-  real_settings e = { .port = 0 };
-  g_strlcpy(e.ip, a.ip, sizeof e.ip);
-  world *world = config ? real_world_new(&e, &err) : NULL;
-  if (!world) {
-    fprintf(stderr, "asterfall-loadgen: %s (code %d)\n", err.text, err.code);
-    config_free(config);
-    return 2;
+static void print_summary(loadgen *loadgen) {
+  GString *text = g_string_new(NULL);
+  loadgen_json(loadgen, text);
+  fputs(text->str, stdout);
+  g_string_free(text, TRUE);
+}
+
+/** Writes a line for each attempt: T, start and end in us, tag, outcome, code, whether it may be
+ * resumed, router, and the seconds after which it was to come back. */
+static void write_attempt_log(const loadgen *loadgen, const char *file) {
+  static const char *const outcome_names[] = {
+    [OUTCOME_OPEN] = "open",       [OUTCOME_DONE] = "done",     [OUTCOME_NOT_RUN] = "notRun",
+    [OUTCOME_UNKNOWN] = "unknown", [OUTCOME_BROKEN] = "broken", [OUTCOME_NO_ANSWER] = "noAnswer",
+    [OUTCOME_WRONG] = "wrong",     [OUTCOME_LEFT] = "left",
+  };
+  FILE *stream = fopen(file, "w");
+  if (!stream)
+    return;
+  for (guint i = 0; i < loadgen->log->len; i++) {
+    const loadgen_attempt *attempt = &g_array_index(loadgen->log, loadgen_attempt, i);
+    const loadgen_request *request = attempt->request;
+    fprintf(stream, "T %" PRId64 " %" PRId64 " %s %s %d %s %s %d\n", attempt->from.us,
+            attempt->to.us, request->tag, outcome_names[attempt->how], attempt->code,
+            request->resumable ? "resumable" : "once", attempt->router, attempt->retry_s);
   }
+  fclose(stream);
+}
+
+/** Runs the callers until all is sent, and prints what became of it. */
+static enum program_exit generate_load(const struct options *options, const config *config) {
+  real_settings caller = { .port = 0 };
+  g_strlcpy(caller.ip, options->ip, sizeof caller.ip);
+  world *world = program_client_world(program_name, &caller);
+  if (!world)
+    return PROGRAM_EXIT_NOT_STARTED;
   loadgen *loadgen = loadgen_new(world, id_of_text("loadgen"));
-  char **v = g_strsplit(a.routers, ",", -1);
-  for (char **k = v; *k; k++)
-    g_ptr_array_add(loadgen->plan.routers, g_strdup(*k));
-  g_strfreev(v);
-  for (guint i = 0; i < config->models->len; i++)
-    loadgen_know(loadgen, g_array_index(config->models, catalogue_model, i).self, id_of_text(""));
-  for (guint i = 0; i < config->adapters->len; i++)
-    loadgen_know(loadgen, g_array_index(config->adapters, catalogue_adapter, i).model,
-                 g_array_index(config->adapters, catalogue_adapter, i).self);
-  for (int i = 0; i < 3 && i < config->kind_count; i++)
-    loadgen->plan.kinds[i] = config->kinds[i].self.text;
-  loadgen->plan.per_s = a.rate;
-  loadgen->plan.zipf = a.zipf;
-  loadgen->plan.tries = a.tries;
+  set_plan(loadgen, options);
+  set_demand(loadgen, config);
   loadgen_start(loadgen);
-  task_start(&world->tasks, "end", end_run, loadgen);
+  struct run run = { loadgen, options };
+  task_start(&world->tasks, "end", end_run, &run);
   real_world_run(world, NULL, NULL);
-  GString *b = g_string_new(NULL);
-  loadgen_json(loadgen, b);
-  fputs(b->str, stdout);
-  FILE *f = a.log ? fopen(a.log, "w") : NULL;
-  static const char *const names[] = { "open",   "done",     "notRun", "unknown",
-                                       "broken", "noAnswer", "wrong",  "left" };
-  for (guint i = 0; f && i < loadgen->log->len; i++) {
-    loadgen_attempt *attempt = &g_array_index(loadgen->log, loadgen_attempt, i);
-    fprintf(f, "T %" PRId64 " %" PRId64 " %s %s %d %s %s %d\n", attempt->from.us, attempt->to.us,
-            attempt->request->tag, names[attempt->how], attempt->code,
-            attempt->request->resumable ? "resumable" : "once", attempt->router, attempt->retry_s);
-  }
-  if (f)
-    fclose(f);
-  int wrong = loadgen_count(loadgen, OUTCOME_WRONG);
-  g_string_free(b, TRUE);
+  print_summary(loadgen);
+  if (options->attempt_log_file)
+    write_attempt_log(loadgen, options->attempt_log_file);
+  bool has_wrong_answers = loadgen_count(loadgen, OUTCOME_WRONG) > 0;
   real_world_free(world);
   loadgen_free(loadgen);
+  return has_wrong_answers ? PROGRAM_EXIT_FAULT : PROGRAM_EXIT_OK;
+}
+
+int main(int argc, char **argv) {
+  struct options options = defaults;
+  struct argp parser = { .options = option_table,
+                         .parser = parse,
+                         .doc = "asterfall-loadgen: simulated callers" };
+  argp_parse(&parser, argc, argv, 0, NULL, &options);
+  GString *catalogue = NULL;
+  if (!options.routers || !options.catalogue_file ||
+      !(catalogue = program_read_file(options.catalogue_file)) || options.requests_per_s <= 0) {
+    program_error(program_name, "--routers and --catalogue are needed");
+    return PROGRAM_EXIT_NOT_STARTED;
+  }
+  error err = { 0 };
+  config *config = make_config(catalogue, options.policy_file, &err);
+  g_string_free(catalogue, TRUE);
+  if (!config) {
+    program_report(program_name, &err);
+    return PROGRAM_EXIT_NOT_STARTED;
+  }
+  enum program_exit exit_code = generate_load(&options, config);
   config_free(config);
-  return wrong ? 1 : 0;
+  return exit_code;
 }
--- a/bin/asterfall-platform-sim.c
+++ b/bin/asterfall-platform-sim.c
@@ -1,55 +1,77 @@
-#include "args.h"
-#include "real.h"
+/** asterfall-platform-sim: a simulated platform. It serves a list of engines, read from a file, to
+ * the routers of a real fleet. */
+#include "node.h"
+#include "program.h"
 #include "simulators.h"
 #include <argp.h>
-#include <stdio.h>
 
-static struct { char *listen, *file; } a;
-static const struct argp_option opts[] = { { "listen", 'l', "IP:PORT", 0, "where it listens", 0 },
-                                           { "engines", 'e', "FILE", 0, "the list (JSON)", 0 },
-                                           { 0 } };
+static const char program_name[] = "asterfall-platform-sim";
 
-static error_t parse(int key, char *arg, struct argp_state *st) {
-  (void)st;
-  if (key == 'l')
-    a.listen = arg;
-  else if (key == 'e')
-    a.file = arg;
-  else
+/** The largest body of a request, in bytes. */
+enum { BODY_MAX_BYTES = 1 << 20 };
+
+/** The command line; the texts belong to argv. */
+struct options {
+  char *listen_address, *engines_file;
+};
+
+static const struct argp_option option_table[] = {
+  { "listen", 'l', "IP:PORT", 0, "where it listens", 0 },
+  { "engines", 'e', "FILE", 0, "the list (JSON)", 0 },
+  { 0 }
+};
+
+static error_t parse(int key, char *value, struct argp_state *state) {
+  struct options *options = state->input;
+  switch (key) {
+  case 'l':
+    options->listen_address = value;
+    return 0;
+  case 'e':
+    options->engines_file = value;
+    return 0;
+  default:
     return ARGP_ERR_UNKNOWN;
-  return 0;
+  }
 }
 
-int main(int argc, char **argv) {
-  struct argp p = { opts, parse, NULL, "asterfall-platform-sim: a simulated platform",
-                    NULL, NULL,  NULL };
-  argp_parse(&p, argc, argv, 0, NULL, NULL);
-  real_settings e = { .body_max_bytes = 1 << 20 };
-  error err = { 0 };
-  gchar *text = NULL;
-  gsize n;
-  if (!a.listen || !address_is_valid(a.listen) || !a.file ||
-      !g_file_get_contents(a.file, &text, &n, NULL)) {
-    fprintf(stderr, "asterfall-platform-sim: --listen IP:PORT and --engines FILE are needed\n");
-    return 2;
-  }
-  address_split(a.listen, e.ip, sizeof e.ip, &e.port);
-  json *json = json_parse((string_view){ text, n }, &err);
-  g_free(text);
-  world *world = json ? real_world_new(&e, &err) : NULL;
-  if (!world) {
-    fprintf(stderr, "asterfall-platform-sim: %s (code %d)\n", err.text, err.code);
-    json_free(json);
-    return 2;
-  }
-  platform_sim *m = platform_sim_new(world);
-  bool ok = platform_sim_take(m, json);
-  json_free(json);
-  if (ok)
+/** Serves a list until a signal ends the process. */
+static enum program_exit serve(const struct options *options, const json *engines) {
+  real_settings listener = { .body_max_bytes = BODY_MAX_BYTES };
+  world *world = program_listener_world(program_name, options->listen_address, &listener);
+  if (!world)
+    return PROGRAM_EXIT_NOT_STARTED;
+  platform_sim *platform = platform_sim_new(world);
+  bool is_list = platform_sim_take(platform, engines);
+  if (is_list)
     real_world_run(world, NULL, NULL);
   else
-    fprintf(stderr, "asterfall-platform-sim: %s holds no list of engines\n", a.file);
+    program_error(program_name, "%s holds no list of engines", options->engines_file);
   real_world_free(world);
-  platform_sim_free(m);
-  return ok ? 0 : 2;
+  platform_sim_free(platform);
+  return is_list ? PROGRAM_EXIT_OK : PROGRAM_EXIT_NOT_STARTED;
+}
+
+int main(int argc, char **argv) {
+  struct options options = { 0 };
+  struct argp parser = { .options = option_table,
+                         .parser = parse,
+                         .doc = "asterfall-platform-sim: a simulated platform" };
+  argp_parse(&parser, argc, argv, 0, NULL, &options);
+  GString *text = NULL;
+  if (!options.listen_address || !address_is_valid(options.listen_address) ||
+      !options.engines_file || !(text = program_read_file(options.engines_file))) {
+    program_error(program_name, "--listen IP:PORT and --engines FILE are needed");
+    return PROGRAM_EXIT_NOT_STARTED;
+  }
+  error err = { 0 };
+  json *engines = json_parse(string_view_of_gstring(text), &err);
+  g_string_free(text, TRUE);
+  if (!engines) {
+    program_report(program_name, &err);
+    return PROGRAM_EXIT_NOT_STARTED;
+  }
+  enum program_exit exit_code = serve(&options, engines);
+  json_free(engines);
+  return exit_code;
 }
--- a/bin/asterfall-router.c
+++ b/bin/asterfall-router.c
@@ -1,42 +1,30 @@
+/** asterfall-router: a process of the data plane, with the product's own request API. It reads its
+ * settings, runs lib/router over the real world, and ends when a signal has drained it. */
 #include "args.h"
-#include "real.h"
+#include "program.h"
 #include "router.h"
-#include <stdio.h>
 
 const char *argp_program_version = "asterfall-router (asterfall) 0.1";
 
-typedef struct {
-  router *router;
-  world *world;
-} run;
+/** The largest body of a request, in bytes. */
+enum { BODY_MAX_BYTES = 1 << 20 };
 
-static void wait_run(void *p) {
-  run *run = p;
-  condition_wait(&run->world->tasks, &run->router->drain_completed, time_never());
-  real_world_stop(run->world);
-}
-
-static void on_term(void *p) {
-  router_drain(((run *)p)->router);
+static void drain(void *service) {
+  router_drain(service);
 }
 
 int main(int argc, char **argv) {
-  settings v;
+  settings settings;
   if (args_settings(argc, argv, ROLE_ROUTER, "asterfall-router: a data-plane machine of asterfall",
-                    &v))
-    return 0;
-  real_settings e = { .body_max_bytes = 1 << 20 };
-  address_split(v.address, e.ip, sizeof e.ip, &e.port);
-  error err = { 0 };
-  world *world = real_world_new(&e, &err);
-  if (!world) {
-    fprintf(stderr, "asterfall-router: %s (code %d)\n", err.text, err.code);
-    return 2;
-  }
-  run r = { router_new(world, &v), world };
-  task_start(&world->tasks, "over", wait_run, &r);
-  real_world_run(world, on_term, &r);
+                    &settings))
+    return PROGRAM_EXIT_OK;
+  real_settings listener = { .body_max_bytes = BODY_MAX_BYTES };
+  world *world = program_listener_world("asterfall-router", settings.address, &listener);
+  if (!world)
+    return PROGRAM_EXIT_NOT_STARTED;
+  router *router = router_new(world, &settings);
+  program_run_service(world, &router->drain_completed, drain, router);
   real_world_free(world);
-  router_free(r.router);
-  return 0;
+  router_free(router);
+  return PROGRAM_EXIT_OK;
 }
--- a/lib/cli/program.c
+++ b/lib/cli/program.c
@@ -17,6 +17,16 @@
   program_error(program, "%s (code %d)", err->text, err->code);
 }
 
+GString *program_read_file(const char *path) {
+  gchar *content = NULL;
+  gsize length = 0;
+  if (!g_file_get_contents(path, &content, &length, NULL))
+    return NULL;
+  GString *text = g_string_new_len(content, (gssize)length);
+  g_free(content);
+  return text;
+}
+
 world *program_client_world(const char *program, const real_settings *settings) {
   error err = { 0 };
   world *world = real_world_new(settings, &err);
--- a/lib/cli/program.h
+++ b/lib/cli/program.h
@@ -4,12 +4,25 @@
  * process, and the run of a service up to the end of its graceful shutdown. */
 #include "real.h"
 
+/** The exit codes of all programs but asterctl, whose are in exit_code.h. Scripts and the units
+ * that start the programs depend on the numbers, so they never change. */
+enum program_exit {
+  PROGRAM_EXIT_OK = 0,
+  /** It ran, and what it did or checked went wrong. */
+  PROGRAM_EXIT_FAULT = 1,
+  /** It did not run: the command line, a file or the listening address is bad. */
+  PROGRAM_EXIT_NOT_STARTED = 2
+};
+
 /** Prints "PROGRAM: MESSAGE" and a line feed on standard error, with the message by printf. */
 void program_error(const char *program, const char *format, ...)
     __attribute__((format(printf, 2, 3)));
 /** Prints an error on standard error as "PROGRAM: TEXT (code N)". */
 void program_report(const char *program, const error *err);
 
+/** Reads a file. The caller frees the text with g_string_free; NULL when it can't be read. */
+GString *program_read_file(const char *path);
+
 /** Makes the world of a process that only calls others. NULL when that fails, which it has reported
  * on standard error. Free it with real_world_free. */
 world *program_client_world(const char *program, const real_settings *settings);
--- a/lib/cli/resource_write.c
+++ b/lib/cli/resource_write.c
@@ -1,6 +1,7 @@
 /** Writes of resources. See resource_write.h. */
 #include "resource_write.h"
 #include "config.h"
+#include "program.h"
 #include <stdio.h>
 
 /** "asterctl-" and 16 hexadecimal digits fit. */
@@ -67,15 +68,7 @@
 /** Reads a file, or standard input for "-". The caller frees the text; NULL when it can't be read.
  */
 static GString *read_file_or_input(const char *file) {
-  if (!strcmp(file, "-"))
-    return read_input();
-  gchar *content = NULL;
-  gsize length = 0;
-  if (!g_file_get_contents(file, &content, &length, NULL))
-    return NULL;
-  GString *text = g_string_new_len(content, (gssize)length);
-  g_free(content);
-  return text;
+  return strcmp(file, "-") ? program_read_file(file) : read_input();
 }
 
 enum exit_code resource_write_file(const struct command_context *context, const char *verb,
--- a/lib/cli/trial_command.c
+++ b/lib/cli/trial_command.c
@@ -5,6 +5,7 @@
  * that the spread between traces does not hide a difference between policies. The traces are drawn
  * with the seeds 1, 2, 3...; or there is one, from a file or the paper's table. */
 #include "commands.h"
+#include "program.h"
 #include <stdio.h>
 #include <stdlib.h>
 
@@ -120,15 +121,15 @@
   return true;
 }
 
+/** Reads a trace; NULL with err set when the file holds none. */
 static trace *read_trace(const char *file, error *err) {
-  gchar *text = NULL;
-  gsize length = 0;
-  trace *trace = NULL;
-  if (g_file_get_contents(file, &text, &length, NULL))
-    trace = trace_parse((string_view){ text, length }, err);
-  else
+  GString *text = program_read_file(file);
+  if (!text) {
     error_set(err, E_SETTINGS_FILE, "%s can't be read", file);
-  g_free(text);
+    return NULL;
+  }
+  trace *trace = trace_parse(string_view_of_gstring(text), err);
+  g_string_free(text, TRUE);
   return trace;
 }
 
