--- a/lib/cli/resource_commands.c
+++ b/lib/cli/resource_commands.c
@@ -30,9 +30,9 @@
 }
 
 /** Prints a version of a resource. Returns its number, or the earlier one when it has none. */
-static uint64_t print_version(const GString *response, uint64_t earlier) {
+static uint64_t print_version(const GString *response, uint64_t time_min) {
   json *resource = json_parse(string_view_of_gstring(response), NULL);
-  uint64_t version = (uint64_t)json_number(resource, "version", (double)earlier);
+  uint64_t version = (uint64_t)json_number(resource, "version", (double)time_min);
   json_free(resource);
   printf("%s", response->str);
   fflush(stdout);
--- a/lib/configuration/json.h
+++ b/lib/configuration/json.h
@@ -48,6 +48,10 @@
 json *json_merge(json *target, const json *patch);
 /** Writes a text as a JSON string, quotes and all. */
 void json_append_quoted(GString *to, string_view s);
+/** A truth value as JSON text. */
+static inline const char *json_bool_text(bool value) {
+  return value ? "true" : "false";
+}
 /** Appends by printf. A text from outside goes in with json_append_quoted, never here. */
 void json_appendf(GString *to, const char *form, ...) __attribute__((format(printf, 2, 3)));
 #endif
--- a/lib/controlplane/controller.c
+++ b/lib/controlplane/controller.c
@@ -10,7 +10,7 @@
   if (!controller->exit_code)
     return;
   if (controller->exit_code != E_STOPPING)
-    log_info(&controller->node.log, "core", "Can't start: %s (code %d).", err.text,
+    log_info(&controller->node.log, "controller", "Can't start: %s (code %d).", err.text,
              controller->exit_code);
   condition_broadcast(&controller->stopped);
 }
--- a/lib/controlplane/controller_drain.c
+++ b/lib/controlplane/controller_drain.c
@@ -57,10 +57,6 @@
   return left.us <= 0 || world_sleep(world, left);
 }
 
-static time_us earlier(time_us a, time_us b) {
-  return a.us < b.us ? a : b;
-}
-
 /* Serves late callers for a while; then no more calls are read, and those that were read are
  * answered. Returns at the latest EXIT_MS before `end`. */
 static void finish_calls(controller *controller, time_us end) {
@@ -69,7 +65,7 @@
   time_us calls_deadline = time_sub(end, time_from_ms(EXIT_MS));
   time_us shut_deadline = time_sub(calls_deadline, time_from_ms(LAST_CALLS_MS));
   time_us linger_end = time_add(world_now(world), time_from_ms(LINGER_MS));
-  if (!sleep_until(world, earlier(linger_end, shut_deadline)))
+  if (!sleep_until(world, time_min(linger_end, shut_deadline)))
     return;
   world->listener_stop_accepting(world, listener);
   world->listener_close_idle(world, listener);
@@ -101,7 +97,7 @@
   time_us started_at = world_now(world);
   if (!wait_handed_over(controller, time_add(started_at, time_from_ms(handover_ms))))
     return;
-  log_info(&controller->node.log, "core", "%s, stopping.",
+  log_info(&controller->node.log, "controller", "%s, stopping.",
            replica_chain_index(&controller->replica) < 0 ? "Out of the chain"
                                                          : "Still in the chain");
   if (has_calls)
--- a/lib/controlplane/controller_status.c
+++ b/lib/controlplane/controller_status.c
@@ -2,10 +2,6 @@
 #include "controller_status.h"
 #include "controller.h"
 
-static const char *json_bool_text(bool value) {
-  return value ? "true" : "false";
-}
-
 /* Writes that either interface has refused. */
 static uint64_t writes_refused(const controller *controller) {
   return controller->resource_api.writes_refused +
--- a/lib/controlplane/member_lease.c
+++ b/lib/controlplane/member_lease.c
@@ -39,8 +39,8 @@
                               view_change_prepare_pending(replica), now))
     return false;
   /* from here on no other head can have granted anything */
-  if (!replica->head_since.us)
-    replica->head_since = now;
+  if (!replica->lease_held_since.us)
+    replica->lease_held_since = now;
   return true;
 }
 
--- a/lib/controlplane/member_lease_rules.c
+++ b/lib/controlplane/member_lease_rules.c
@@ -106,13 +106,13 @@
   return true;
 }
 
-void member_leases_enter_view(member_leases *leases, const view *earlier, const view *next,
+void member_leases_enter_view(member_leases *leases, const view *time_min, const view *next,
                               time_us now) {
-  bool follows = next->epoch == earlier->epoch + 1;
+  bool follows = next->epoch == time_min->epoch + 1;
   /* Nobody who was left out can act any longer when this member acted and nobody is left out now;
      and when the voters have long been the same, each of them enforces it by itself. */
-  bool may_go_on = follows && leases->has_acted && view_keeps_chain(earlier, next);
-  if (!follows || !view_same_voters(earlier, next))
+  bool may_go_on = follows && leases->has_acted && view_keeps_chain(time_min, next);
+  if (!follows || !view_same_voters(time_min, next))
     leases->voters_known_at = now;
   time_us others_expired_at = expiry_at_voter(leases->voters_known_at);
   if (!may_go_on && !time_reached(leases->may_act_at, others_expired_at))
--- a/lib/controlplane/member_lease_rules.h
+++ b/lib/controlplane/member_lease_rules.h
@@ -61,6 +61,6 @@
                             bool prepare_pending, time_us now);
 /** Goes over to another view: sets from when this member may act in it, and drops the leases of the
  * earlier one. */
-void member_leases_enter_view(member_leases *leases, const view *earlier, const view *next,
+void member_leases_enter_view(member_leases *leases, const view *time_min, const view *next,
                               time_us now);
 #endif
--- a/lib/controlplane/replica.c
+++ b/lib/controlplane/replica.c
@@ -176,7 +176,7 @@
   replica->replication.successor_answered_at = now;
   member_leases_init(&replica->lease.leases, now);
   /* what this replica renewed as head of the same view, it renewed before the process ended */
-  replica->head_since = now;
+  replica->lease_held_since = now;
   chain_repair_init(&replica->chain_repair, replica->lease.leases.may_act_at);
   if (view_change_prepare_pending(replica))
     replica->view_change.prepare_pending_since = now;
--- a/lib/controlplane/replica.h
+++ b/lib/controlplane/replica.h
@@ -62,9 +62,10 @@
   condition state_changed;
   /** Signalled when there may be something to send to the successor. */
   condition replication_wanted;
-  /** Since when this replica acts as the head, as the controller counts for singleton leases; 0: it
-   * does not. Written by member_lease.c, reset by view_change.c. */
-  time_us head_since;
+  /** Since when this replica has held a member lease in the known view, 0 while it has not. For a
+   * head: no other head can have renewed a singleton lease after this instant, so grants count
+   * from it. Written by member_lease.c, reset by view_change.c. */
+  time_us lease_held_since;
   /** The controller's own: when each singleton lease was renewed last, as name to time_us. Reset by
    * view_change.c when this replica is no longer the head. */
   GHashTable *singleton_renewed_at;
--- a/lib/controlplane/singleton_grants.c
+++ b/lib/controlplane/singleton_grants.c
@@ -27,7 +27,7 @@
   time_us *at = g_hash_table_lookup(renewals, singleton);
   if (!at) {
     at = g_new(time_us, 1);
-    *at = grants->replica->head_since;
+    *at = grants->replica->lease_held_since;
     g_hash_table_insert(renewals, g_strdup(singleton), at);
   }
   return at;
--- a/lib/controlplane/view_change.c
+++ b/lib/controlplane/view_change.c
@@ -22,16 +22,17 @@
 
 static void enter_view(replica *replica, const view *view) {
   time_us now = world_now(replica->node->world);
-  bool stays_head = view->epoch == replica->view.epoch + 1 && replica_chain_index(replica) == 0;
+  bool was_head_of_preceding_view =
+      view->epoch == replica->view.epoch + 1 && replica_chain_index(replica) == 0;
   member_leases_enter_view(&replica->lease.leases, &replica->view, view, now);
   replica->view = *view;
   replica->committed.fleet_id = replica->replication.ordered.fleet_id = view->fleet_id;
   replica->view_change.prepare_pending_since = (time_us){ 0 };
   chain_repair_on_new_view(&replica->chain_repair, now);
   replica->replication.successor_answered_at = now;
-  if (!stays_head) {
+  if (!was_head_of_preceding_view) {
     replica->replication.ordered_valid = false;
-    replica->head_since = (time_us){ 0 };
+    replica->lease_held_since = (time_us){ 0 };
     g_hash_table_remove_all(replica->singleton_renewed_at);
   }
   log_view(replica);
--- a/lib/gateway/attempt.c
+++ b/lib/gateway/attempt.c
@@ -77,7 +77,7 @@
       return true;
     *look_again_at = give_up_at = time_add(now, time_from_ms(RETRY_INTERVAL_MS));
   }
-  *until = earlier(*until, give_up_at);
+  *until = time_min(*until, give_up_at);
   return false;
 }
 
@@ -135,7 +135,7 @@
   if (request->canary.version && request_field_name(request, DF_POLICY))
     fields_add_format(request->request_fields, request_field_name(request, DF_POLICY), "%s %s",
                       request->canary_name,
-                      request->canary.side == CANARY_ARM_CANDIDATE ? "candidate" : "old");
+                      request->canary.arm == CANARY_ARM_CANDIDATE ? "candidate" : "old");
   add_resume_fields(request);
 }
 
--- a/lib/gateway/canary_judging.c
+++ b/lib/gateway/canary_judging.c
@@ -118,8 +118,9 @@
    * list */
   judging->resumed |= request->started;
   int ready = canary_judging_count_recent(gateway, judging, true);
-  if (!judging->open_at.us && is_majority(gateway, ready))
-    judging->open_at = gateway_deadline_in_ms(gateway, judging->resumed ? 0 : START_DELAY_MS);
+  if (!judging->candidate_starts_at.us && is_majority(gateway, ready))
+    judging->candidate_starts_at =
+        gateway_deadline_in_ms(gateway, judging->resumed ? 0 : START_DELAY_MS);
 }
 
 void canary_judging_fill_response(gateway *gateway, canary_judging *judging,
@@ -133,9 +134,9 @@
   response->pinned_total = judging->pinned.order->len;
   response->n_pinned_sessions =
       pinned_sessions_chunk(&judging->pinned, from, &response->pinned_sessions);
-  response->starts = judging->open_at.us != 0;
+  response->starts = judging->candidate_starts_at.us != 0;
   response->starts_in_ms =
-      response->starts ? (uint64_t)gateway_ms_until(gateway, judging->open_at) : 0;
+      response->starts ? (uint64_t)gateway_ms_until(gateway, judging->candidate_starts_at) : 0;
 }
 
 enum error_code canary_judging_on_report(void *context, Wire__Envelope *in, reply *reply,
--- a/lib/gateway/canary_judging.h
+++ b/lib/gateway/canary_judging.h
@@ -22,7 +22,7 @@
   GArray *nodes; /* of canary_node_report, one for each run of a gateway */
   pinned_sessions pinned;
   /** When the candidate begins (0: not decided). */
-  time_us open_at;
+  time_us candidate_starts_at;
   /** Since when less than a majority reports; 0 when one does. */
   time_us no_reports_since;
   canary_verdict last_finding;
--- a/lib/gateway/canary_trial.c
+++ b/lib/gateway/canary_trial.c
@@ -68,7 +68,8 @@
 
 bool canary_trial_is_on(const gateway *gateway) {
   const canary_trial *canary = gateway->canary;
-  return canary->open_at.us && time_reached(gateway_now(gateway), canary->open_at) &&
+  return canary->candidate_starts_at.us &&
+         time_reached(gateway_now(gateway), canary->candidate_starts_at) &&
          canary_is_within(gateway, gateway->router->controllers.controller_answered_at,
                           CONTROLLER_SILENCE_MS) &&
          canary_is_within(gateway, canary->judge_heard_at, JUDGE_SILENCE_MS) &&
@@ -99,14 +100,14 @@
   if (on && !pinned_sessions_contain(&canary->pinned, session))
     return (canary_assignment){ canary->version, CANARY_ARM_CANDIDATE, true };
   if (pinned_sessions_add(&canary->pinned, session) &&
-      (canary->open_at.us || canary->may_have_begun_elsewhere))
+      (canary->candidate_starts_at.us || canary->may_have_begun_elsewhere))
     broadcast_pinned_session(gateway, session);
   return (canary_assignment){ canary->version, CANARY_ARM_CONTROL, false };
 }
 
 const select_policy *canary_policy(const gateway *gateway, const canary_assignment *assignment) {
-  return assignment->side == CANARY_ARM_CANDIDATE ? &gateway->canary->plan.candidate
-                                                  : &select_policy_default;
+  return assignment->arm == CANARY_ARM_CANDIDATE ? &gateway->canary->plan.candidate
+                                                 : &select_policy_default;
 }
 
 const char *canary_name(const gateway *gateway) {
@@ -125,7 +126,7 @@
       is_client_error(status))
     return;
   canary_cell *cell =
-      &canary->totals.cells[assignment->side][MIN(route->priority, CANARY_PRIORITIES - 1)];
+      &canary->totals.cells[assignment->arm][MIN(route->priority, CANARY_PRIORITIES - 1)];
   if (status == 503 || status == 429)
     cell->rejected++;
   else if (status >= 500 || status == 408 || first_event_ms < 0)
@@ -168,8 +169,9 @@
     pinned_sessions_add(&canary->pinned, response->pinned_sessions[i]);
   if (response->pinned_offset == canary->known_count)
     canary->known_count += response->n_pinned_sessions;
-  if (!canary->open_at.us && response->starts && canary->known_count >= response->pinned_total) {
-    canary->open_at = gateway_deadline_in_ms(gateway, (double)response->starts_in_ms);
+  if (!canary->candidate_starts_at.us && response->starts &&
+      canary->known_count >= response->pinned_total) {
+    canary->candidate_starts_at = gateway_deadline_in_ms(gateway, (double)response->starts_in_ms);
     log_info(&gateway->router->node.log, "canary",
              "The candidate of trial %s begins here in %" PRIu64
              " ms; %u sessions stay with the control policy.",
@@ -213,7 +215,8 @@
   request->pinned_known = canary->known_count;
   request->age_ms = (uint64_t)time_sub(gateway_now(gateway), canary->started_at).us / 1000;
   request->warm = request->age_ms >= (uint64_t)canary->plan.warm_up_ms;
-  request->started = canary->open_at.us && time_reached(gateway_now(gateway), canary->open_at);
+  request->started = canary->candidate_starts_at.us &&
+                     time_reached(gateway_now(gateway), canary->candidate_starts_at);
   request->cells = report->cell_list;
   for (int arm = 0; arm < CANARY_ARMS; arm++)
     for (unsigned priority = 0; priority < CANARY_PRIORITIES; priority++) {
@@ -330,7 +333,8 @@
       return;
     log_activity(gateway);
     const canary_trial *canary = gateway->canary;
-    bool soon = !reported || !canary->open_at.us || canary->sent_count < canary->pinned.order->len;
+    bool soon = !reported || !canary->candidate_starts_at.us ||
+                canary->sent_count < canary->pinned.order->len;
     if (!world_sleep_with_jitter(gateway->router->node.world,
                                  time_from_ms(soon ? REPORT_SOON_MS : REPORT_INTERVAL_MS)))
       return;
--- a/lib/gateway/canary_trial.h
+++ b/lib/gateway/canary_trial.h
@@ -16,7 +16,7 @@
 /** The arm of one request, and whether it counts as evidence; version 0 outside a trial. */
 typedef struct canary_assignment {
   uint64_t version;
-  enum canary_arm side;
+  enum canary_arm arm;
   bool is_evidence;
 } canary_assignment;
 
@@ -26,7 +26,7 @@
   /** Of the canary resource: another version is another trial. */
   uint64_t version;
   /** When this gateway took the trial up, and when its candidate begins (0: not known yet). */
-  time_us started_at, open_at;
+  time_us started_at, candidate_starts_at;
   time_us judge_heard_at;
   canary_totals totals;
   pinned_sessions pinned;
--- a/lib/gateway/drain.c
+++ b/lib/gateway/drain.c
@@ -109,5 +109,5 @@
   gateway->drain.started_at = gateway_now(gateway);
   log_info(&gateway->router->node.log, "gateway", "Asked to stop, %d requests are open.",
            gateway->requests.open_count);
-  task_start(&gateway->router->node.world->tasks, "leave", drain_run, gateway);
+  task_start(&gateway->router->node.world->tasks, "gateway drain", drain_run, gateway);
 }
--- a/lib/gateway/engine_loading.c
+++ b/lib/gateway/engine_loading.c
@@ -80,7 +80,7 @@
 static const double MIN_STORE_LOAD_SHARE = 0.6;
 
 /** One load order under way. */
-typedef struct load_order {
+typedef struct engine_load_run {
   gateway_engine *engine;
   gateway *gateway;
   load_job *job;
@@ -104,10 +104,10 @@
   bool looked_by_report;
   int64_t *retry_after_ms;
   error *err;
-} load_order;
+} engine_load_run;
 
-static enum error_code fail(const load_order *order, enum error_code code, int64_t retry_after_ms,
-                            const char *what) {
+static enum error_code fail(const engine_load_run *order, enum error_code code,
+                            int64_t retry_after_ms, const char *what) {
   *order->retry_after_ms = retry_after_ms;
   return error_set(order->err, code, "%s %s %s", order->engine->engine_id.text, what, order->key);
 }
@@ -237,13 +237,13 @@
   return OK;
 }
 
-static void reserve(load_order *order) {
+static void reserve(engine_load_run *order) {
   order->engine->load_jobs.reserved_mb += order->mb;
   order->engine->load_jobs.reserved_slots += order->slots;
   order->reserved = true;
 }
 
-static void unreserve(load_order *order) {
+static void unreserve(engine_load_run *order) {
   engine_load_jobs *jobs = &order->engine->load_jobs;
   if (!order->reserved)
     return;
@@ -252,7 +252,7 @@
   order->reserved = false;
 }
 
-static void count_failure(const load_order *order, enum error_code code) {
+static void count_failure(const engine_load_run *order, enum error_code code) {
   if (code != E_ORDER_FAILED)
     return;
   order->gateway->consecutive_load_failures++;
@@ -260,21 +260,21 @@
 }
 
 /* the service by the configuration of now; NULL with the error set when there is none */
-static const service *current_service(const load_order *order) {
+static const service *current_service(const engine_load_run *order) {
   const service *service = gateway_service_of(order->gateway, order->service);
   if (!service)
     error_set(order->err, E_UNKNOWN_MODEL, "no such service");
   return service;
 }
 
-static bool needs_permit(const load_order *order, int attempt) {
+static bool needs_permit(const engine_load_run *order, int attempt) {
   return order->is_base && !order->from_disk &&
          (attempt == 0 || time_reached(gateway_now(order->gateway), order->send_by));
 }
 
 /* gets a permit of the load rate limiter; *again when it was waited for and has to be asked again
  */
-static enum error_code acquire_permit(load_order *order, int attempt, const service *service,
+static enum error_code acquire_permit(engine_load_run *order, int attempt, const service *service,
                                       bool *again) {
   gateway_engine *engine = order->engine;
   int64_t *wait_ms = order->retry_after_ms;
@@ -293,7 +293,7 @@
 
 /* An engine that is filled beyond its memory crashes: before a model goes there, its residents must
  * be known from itself and from a short time ago. */
-static enum error_code confirm_identity(load_order *order) {
+static enum error_code confirm_identity(engine_load_run *order) {
   gateway_engine *engine = order->engine;
   time_us reported_at = engine->orders.reported_at;
   bool busy;
@@ -308,7 +308,7 @@
 }
 
 /* the room is still there: others may have used it while a permit was waited for */
-static enum error_code check_capacity(load_order *order) {
+static enum error_code check_capacity(engine_load_run *order) {
   gateway_engine *engine = order->engine;
   const service *service = current_service(order);
   if (!service)
@@ -328,7 +328,7 @@
 
 /* all that has to hold before an order is sent; *again: from the start, *resident: there is nothing
  * to do */
-static enum error_code prepare(load_order *order, int attempt, bool *again, bool *resident) {
+static enum error_code prepare(engine_load_run *order, int attempt, bool *again, bool *resident) {
   gateway_engine *engine = order->engine;
   const service *service = current_service(order);
   if (!service)
@@ -358,7 +358,7 @@
   return check_capacity(order);
 }
 
-static void send_order(load_order *order) {
+static void send_order(engine_load_run *order) {
   gateway_engine *engine = order->engine;
   order->began_at = gateway_now(order->gateway);
   order->job->expected_at =
@@ -371,7 +371,7 @@
 
 /* waits until the order that is in the way has been carried out; what it has brought shows only in
  * a report after it */
-static enum error_code wait_while_busy(load_order *order) {
+static enum error_code wait_while_busy(engine_load_run *order) {
   gateway_engine *engine = order->engine;
   bool busy = true;
   int running;
@@ -388,7 +388,7 @@
 }
 
 /* an order that the engine has not taken: OK when it may be sent again */
-static enum error_code handle_refusal(load_order *order, int attempt) {
+static enum error_code handle_refusal(engine_load_run *order, int attempt) {
   gateway_engine *engine = order->engine;
   error *err = order->err;
   unreserve(order);
@@ -402,7 +402,7 @@
     *order->retry_after_ms = RETRY_REFUSED_MS;
     return E_ORDER_FAILED;
   }
-  if (order->status == ORDER_NOT_SENT && attempt >= MAX_UNREACHABLE_ATTEMPTS) {
+  if (order->status == ENGINE_ORDER_NOT_SENT && attempt >= MAX_UNREACHABLE_ATTEMPTS) {
     *order->retry_after_ms = RETRY_UNREACHABLE_MS;
     return error_set(err, E_NO_ENGINE, "%s can't be reached", engine->engine_id.text);
   }
@@ -421,7 +421,7 @@
 
 /* sends the order until the engine has taken it, or may have; *resident when there is nothing to
  * load */
-static enum error_code send_until_taken(load_order *order, bool *resident) {
+static enum error_code send_until_taken(engine_load_run *order, bool *resident) {
   for (int attempt = 0; attempt < MAX_SEND_ATTEMPTS; attempt++) {
     bool again = false;
     enum error_code code = prepare(order, attempt, &again, resident);
@@ -430,7 +430,7 @@
     if (again)
       continue;
     send_order(order);
-    if (order->status == 200 || order->status == 202 || order->status == ORDER_UNKNOWN)
+    if (order->status == 200 || order->status == 202 || order->status == ENGINE_ORDER_UNKNOWN)
       return OK;
     code = handle_refusal(order, attempt);
     if (code)
@@ -440,7 +440,7 @@
 }
 
 /* counts a load, and tells those who may take the lease over that an order is under way */
-static void record_order_taken(const load_order *order) {
+static void record_order_taken(const engine_load_run *order) {
   gateway *gateway = order->gateway;
   gateway_engine *engine = order->engine;
   gateway->counts.loads++;
@@ -455,7 +455,7 @@
 }
 
 /* only a report that is younger than an order without a response tells whether it was taken */
-static enum error_code confirm_accepted(load_order *order, bool *again, bool *loaded) {
+static enum error_code confirm_accepted(engine_load_run *order, bool *again, bool *loaded) {
   gateway_engine *engine = order->engine;
   bool busy;
   int running;
@@ -478,7 +478,7 @@
 
 /* The same order again says 200 once the load is done. It loads nothing else, as long as the
  * account has this load: the number of orders would not fit. */
-static enum error_code look_by_order(load_order *order, bool *loaded) {
+static enum error_code look_by_order(engine_load_run *order, bool *loaded) {
   gateway_engine *engine = order->engine;
   int status = engine_order_send(engine, true, order->model, order->adapter,
                                  (int64_t)engine->capacity.order_count, time_never(), order->err);
@@ -488,7 +488,7 @@
   return status == ORDER_NOT_ALLOWED ? order->err->code : OK;
 }
 
-static enum error_code look_by_report(load_order *order, bool *loaded) {
+static enum error_code look_by_report(engine_load_run *order, bool *loaded) {
   gateway_engine *engine = order->engine;
   bool busy;
   int running;
@@ -506,7 +506,7 @@
   return OK;
 }
 
-static enum error_code look(load_order *order, bool *loaded) {
+static enum error_code look(engine_load_run *order, bool *loaded) {
   const capacity_account *capacity = &order->engine->capacity;
   int max_checks = order->is_base ? MAX_MODEL_CHECKS : MAX_ADAPTER_CHECKS;
   bool by_order = order->looks < max_checks && capacity->is_known &&
@@ -515,14 +515,14 @@
 }
 
 /* an adapter's load takes some ms that are known by now: only one in some is watched, to learn */
-static bool may_assume_loaded(const load_order *order) {
+static bool may_assume_loaded(const engine_load_run *order) {
   router *router = order->gateway->router;
   return !order->is_base && order->accepted &&
          event_history_load_ms(&router->history, order->service, "@adapter", -1) > 0 &&
          world_random(router->node.world, WATCH_ONE_IN);
 }
 
-static double first_look_ms(const load_order *order) {
+static double first_look_ms(const engine_load_run *order) {
   if (!order->accepted)
     return ENGINE_REPORT_LAG_MS;
   return order->is_base
@@ -530,7 +530,7 @@
              : order->expected_ms * ADAPTER_FIRST_LOOK_FACTOR + ADAPTER_FIRST_LOOK_EXTRA_MS;
 }
 
-static enum error_code wait_until_loaded(load_order *order) {
+static enum error_code wait_until_loaded(engine_load_run *order) {
   if (order->status == 200)
     return OK;
   order->assumed = may_assume_loaded(order);
@@ -563,7 +563,7 @@
   }
 }
 
-static enum error_code record_failed(load_order *order, enum error_code code) {
+static enum error_code record_failed(engine_load_run *order, enum error_code code) {
   gateway_engine *engine = order->engine;
   history_event event = { EVENT_LOAD_FAILED, { 0 },          engine->engine_id,
                           order->model,      order->adapter, 0 };
@@ -576,7 +576,7 @@
 }
 
 /* learns the load time; in a large fleet some of them suffice for the others */
-static void record_load_ms(const load_order *order, double ms) {
+static void record_load_ms(const engine_load_run *order, double ms) {
   gateway *gateway = order->gateway;
   const char *key = order->is_base ? order->key : "@adapter";
   event_history_record_load_ms(&gateway->router->history, order->service, key, ms);
@@ -585,7 +585,7 @@
     rate_exchange_send_load_time(gateway->router, order->service, key, ms);
 }
 
-static void record_observed_load(const load_order *order) {
+static void record_observed_load(const engine_load_run *order) {
   gateway *gateway = order->gateway;
   double ms = gateway_ms_since(gateway, order->began_at);
   if (!order->looks)
@@ -599,7 +599,7 @@
   event_history_append(&gateway->router->history, event);
 }
 
-static void record_loaded(load_order *order) {
+static void record_loaded(engine_load_run *order) {
   gateway *gateway = order->gateway;
   gateway_engine *engine = order->engine;
   gateway->consecutive_load_failures = 0;
@@ -615,14 +615,14 @@
             order->job->extra_replica ? "further replica" : "missing model");
 }
 
-static void load_order_init(load_order *order, gateway_engine *engine, load_job *job,
+static void load_order_init(engine_load_run *order, gateway_engine *engine, load_job *job,
                             const service *service, id adapter, int64_t *retry_after_ms,
                             error *err) {
   gateway *gateway = engine->gateway;
   id model = job->model;
   bool is_base = id_is_empty(adapter);
   bool from_disk = is_base && gateway_engine_has_on_disk(engine, model);
-  *order = (load_order){
+  *order = (engine_load_run){
     .engine = engine,
     .gateway = gateway,
     .job = job,
@@ -646,7 +646,7 @@
 /* loads a job's model, or with an adapter the adapter */
 static enum error_code load_one(gateway_engine *engine, load_job *job, const service *service,
                                 id adapter, int64_t *retry_after_ms, error *err) {
-  load_order order;
+  engine_load_run order;
   load_order_init(&order, engine, job, service, adapter, retry_after_ms, err);
   enum error_code code =
       evict_for_load(engine, order.model, adapter, order.mb, order.slots, job->idle_only, err);
--- a/lib/gateway/engine_orders.c
+++ b/lib/gateway/engine_orders.c
@@ -73,13 +73,13 @@
   int status;
   enum error_code code = http_call_wait(call, until);
   if (code) {
-    status = code == E_STOPPING || call->sent ? ORDER_UNKNOWN : ORDER_NOT_SENT;
+    status = code == E_STOPPING || call->sent ? ENGINE_ORDER_UNKNOWN : ENGINE_ORDER_NOT_SENT;
     error_set(err, code, "%s did not answer", engine->engine_id.text);
   } else {
     status = call->status;
     bool cut = http_call_read_all(call, response, until);
     if (cut && status == 200 && response->len)
-      status = ORDER_UNKNOWN;
+      status = ENGINE_ORDER_UNKNOWN;
   }
   http_call_close(call);
   g_string_free(fields, TRUE);
@@ -233,7 +233,7 @@
   time_us now = gateway_engine_now(engine);
   if (status == 202)
     capacity_order_accepted(&engine->capacity, load, model, adapter, now);
-  if (status == ORDER_UNKNOWN)
+  if (status == ENGINE_ORDER_UNKNOWN)
     capacity_forget(&engine->capacity, now);
   if (status > 0 && status != 421)
     engine->orders.identity_confirmed_at = now;
@@ -284,7 +284,7 @@
     bool busy;
     int running;
     if (!engine_order_fetch_report(engine, &busy, &running, err))
-      return ORDER_NOT_SENT;
+      return ENGINE_ORDER_NOT_SENT;
     if (engine->gone || !(epoch = engine_order_epoch(engine))) {
       error_set(err, E_NO_LEASE_HOLDER, "no lease on %s", name);
       return ORDER_NOT_ALLOWED;
--- a/lib/gateway/engine_orders.h
+++ b/lib/gateway/engine_orders.h
@@ -31,9 +31,9 @@
 /** What an order came to, beside the engine's own HTTP status (200: done already, 202: accepted).
  */
 enum engine_order_status {
-  ORDER_NOT_SENT = 0,
+  ENGINE_ORDER_NOT_SENT = 0,
   /** It was sent, and no response came. */
-  ORDER_UNKNOWN = -1,
+  ENGINE_ORDER_UNKNOWN = -1,
   /** This gateway may not order the engine, or it is gone; err says which. */
   ORDER_NOT_ALLOWED = -2,
 };
--- a/lib/gateway/forward.c
+++ b/lib/gateway/forward.c
@@ -77,7 +77,7 @@
 }
 
 /* admission: the configuration allows the request, and it is counted */
-static enum error_code request_step_admit(inflight_request *request) {
+static enum error_code request_step_parse(inflight_request *request) {
   gateway *gateway = request->gateway;
   string_view value;
   bool named = fields_get(request->http->fields, request_field_name(request, DF_MODEL), &value) &&
@@ -176,7 +176,7 @@
 /* the steps are the same for all modes of a route; what a mode allows is decided within them */
 static enum error_code run_steps(inflight_request *request) {
   static enum error_code (*const steps[])(inflight_request *) = {
-    request_step_admit, request_step_select, request_queue_wait, request_step_forward
+    request_step_parse, request_step_select, request_queue_wait, request_step_forward
   };
   enum error_code code = OK;
   for (size_t i = 0; !code && i < G_N_ELEMENTS(steps); i++)
--- a/lib/gateway/inflight_request.h
+++ b/lib/gateway/inflight_request.h
@@ -96,10 +96,6 @@
   request->retry_after_ms = retry_after_ms;
   request->error_text = text;
 }
-static inline time_us earlier(time_us a, time_us b) {
-  return a.us < b.us ? a : b;
-}
-
 /* reserved_slot.c */
 /** Time left in ms for a first event. */
 int64_t request_first_event_left_ms(const inflight_request *request);
--- a/lib/gateway/placement.c
+++ b/lib/gateway/placement.c
@@ -392,7 +392,7 @@
 static enum placement_step retry_without_engine(placement_run *run) {
   placement_job *job = run->job;
   world *world = run->gateway->router->node.world;
-  log_debug(&run->gateway->router->node.log, "placing",
+  log_debug(&run->gateway->router->node.log, "placement",
             "No engine for %s+%s: code %d, %u engines have refused.", job->model.text,
             job->adapter.text, run->code, run->refused_by->len);
   job->engine = id_none;
@@ -547,7 +547,7 @@
     return end_with(run, code);
   if (code == OK)
     return handle_loaded(run, engine_id);
-  log_debug(&gateway->router->node.log, "placing",
+  log_debug(&gateway->router->node.log, "placement",
             "%s+%s on engine %s: code %d, started %d, retry after %" PRId64
             " ms, eviction cost %.0f.",
             job->model.text, job->adapter.text, engine_id.text, code, started, run->retry_after_ms,
@@ -602,7 +602,7 @@
   placement_run *run = g_new0(placement_run, 1);
   run->gateway = gateway;
   run->job = job;
-  task_start(&gateway->router->node.world->tasks, "placing", placement_job_run, run);
+  task_start(&gateway->router->node.world->tasks, "placement", placement_job_run, run);
   return job;
 }
 
--- a/lib/gateway/request_queue.c
+++ b/lib/gateway/request_queue.c
@@ -119,7 +119,7 @@
         time_add(now, time_from_ms(code ? retry_after_ms : LOAD_REQUEST_REPEAT_MS));
   }
   if (!wait->load_requested)
-    *until = earlier(*until, wait->request_load_at);
+    *until = time_min(*until, wait->request_load_at);
   return OK;
 }
 
@@ -141,7 +141,7 @@
     return E_DEADLINE_EXCEEDED;
   }
   if (!wait->judged)
-    *until = earlier(*until, wait->judge_at);
+    *until = time_min(*until, wait->judge_at);
   return OK;
 }
 
@@ -154,7 +154,7 @@
     request_fail(wait->request, 503, NO_ENGINE_RETRY_AFTER_MS, "no engine takes work now\n");
     return E_NO_ENGINE;
   }
-  *until = earlier(*until, give_up_at);
+  *until = time_min(*until, give_up_at);
   return OK;
 }
 
@@ -256,5 +256,5 @@
 }
 
 void request_queue_start(gateway *gateway) {
-  task_start(&gateway->router->node.world->tasks, "usher", queue_run, gateway);
+  task_start(&gateway->router->node.world->tasks, "request queue", queue_run, gateway);
 }
--- a/lib/gateway/status.c
+++ b/lib/gateway/status.c
@@ -5,10 +5,6 @@
 #include "gateway.h"
 #include "service_traffic.h"
 
-static const char *json_bool_text(bool value) {
-  return value ? "true" : "false";
-}
-
 /* the age of an instant in ms; -1 when there was none */
 static int64_t age_ms(time_us now, time_us at) {
   return at.us ? time_sub(now, at).us / 1000 : -1;
--- a/lib/membership/node.h
+++ b/lib/membership/node.h
@@ -35,7 +35,9 @@
   time_us started_at;
 
   /** What the node says of itself in each envelope. The nonce is drawn at the start; the
-   * incarnation is raised by peer_table.c; draining and idle are set by the functions below. */
+   * incarnation is raised by peer_table.c; draining is set by the functions
+   * below and, while its disk fails, by lib/controlplane/chain_repair.c; idle by the functions
+   * below. */
   uint64_t incarnation, nonce;
   bool draining, idle;
 
--- a/lib/membership/peer_table.h
+++ b/lib/membership/peer_table.h
@@ -53,9 +53,9 @@
   /** How late the peer's tasks run, as its latest heartbeat says. */
   int64_t lateness_ms;
 
-  /** What config sync knows of the peer; written by lib/router/config_sync.c only. When it last
-   * confirmed the configuration, when it last said that its list of engines is outdated, how many
-   * routers it knows, and whether a poll of it is in flight. */
+  /** What other routers have said in config sync; written by lib/router/router_sync.c only. When it
+   * last confirmed the configuration, when it last said that its list of engines is outdated, how
+   * many routers it knows, and whether a poll of it is in flight. */
   time_us confirmed_at, list_outdated_at;
   unsigned known_routers;
   bool poll_pending;
--- a/lib/router/request_attempt.c
+++ b/lib/router/request_attempt.c
@@ -39,7 +39,7 @@
 /* Weight of the latest stream in the smoothed duration. */
 static const double SERVICE_SMOOTHING = 0.1;
 
-enum attempt_outcome {
+enum run_attempt_result {
   ATTEMPT_COMPLETED,
   /* May be retried, if nothing ran or the client allows it. */
   ATTEMPT_RETRYABLE,
@@ -104,7 +104,7 @@
   }
 }
 
-static enum attempt_outcome handle_unreachable(attempt *attempt) {
+static enum run_attempt_result handle_unreachable(attempt *attempt) {
   routed_request *request = attempt->request;
   engine *engine = attempt->engine;
   engine->consecutive_failures++;
@@ -117,7 +117,7 @@
 }
 
 /* The request was sent and there is no response: the engine may have run it. */
-static enum attempt_outcome handle_no_response(attempt *attempt, int code) {
+static enum run_attempt_result handle_no_response(attempt *attempt, int code) {
   routed_request *request = attempt->request;
   request->run_outcome = RUN_UNKNOWN;
   routed_request_set_error(
@@ -130,7 +130,7 @@
 }
 
 /* The engine refused the request; its response says whether it ran any of it. */
-static enum attempt_outcome handle_refusal(attempt *attempt) {
+static enum run_attempt_result handle_refusal(attempt *attempt) {
   routed_request *request = attempt->request;
   http_call_read_all(attempt->call, attempt->received, deadline_in(attempt, REFUSAL_TIMEOUT_MS));
   json *response = json_parse(string_view_of_gstring(attempt->received), NULL);
@@ -158,7 +158,7 @@
   return code;
 }
 
-static enum attempt_outcome handle_bad_start(attempt *attempt, int code) {
+static enum run_attempt_result handle_bad_start(attempt *attempt, int code) {
   routed_request *request = attempt->request;
   router *router = request->router;
   const char *engine = attempt->engine->self.text;
@@ -216,7 +216,7 @@
                                                                    .value = value });
 }
 
-static enum attempt_outcome handle_completed(attempt *attempt) {
+static enum run_attempt_result handle_completed(attempt *attempt) {
   router *router = attempt->request->router;
   double *smoothed_ms = &router->requests.smoothed_service_ms;
   http_request_end(attempt->request->http, true);
@@ -241,7 +241,7 @@
            attempt->engine->self.text, E_STREAM_BROKEN);
 }
 
-static enum attempt_outcome handle_broken_stream(attempt *attempt, int code) {
+static enum run_attempt_result handle_broken_stream(attempt *attempt, int code) {
   routed_request *request = attempt->request;
   append_event(attempt, EVENT_STREAM_BROKEN, code);
   if (code != CLIENT_GONE)
@@ -251,7 +251,7 @@
   return ATTEMPT_FINAL;
 }
 
-static enum attempt_outcome handle_stream(attempt *attempt) {
+static enum run_attempt_result handle_stream(attempt *attempt) {
   routed_request *request = attempt->request;
   bool own;
   int code = read_first_event(attempt, &own);
@@ -265,14 +265,14 @@
   return complete ? handle_completed(attempt) : handle_broken_stream(attempt, code);
 }
 
-static enum attempt_outcome run_attempt(routed_request *request) {
+static enum run_attempt_result run_attempt(routed_request *request) {
   attempt attempt = { .request = request, .engine = request->engine };
   attempt_open(&attempt);
   int code = await_response(&attempt);
-  enum attempt_outcome outcome = code == E_NOT_CONNECTED       ? handle_unreachable(&attempt)
-                                 : code                        ? handle_no_response(&attempt, code)
-                                 : attempt.call->status != 200 ? handle_refusal(&attempt)
-                                                               : handle_stream(&attempt);
+  enum run_attempt_result outcome = code == E_NOT_CONNECTED ? handle_unreachable(&attempt)
+                                    : code                  ? handle_no_response(&attempt, code)
+                                    : attempt.call->status != 200 ? handle_refusal(&attempt)
+                                                                  : handle_stream(&attempt);
   attempt_close(&attempt);
   return outcome;
 }
@@ -298,7 +298,7 @@
 }
 
 /* True when a request that failed may be attempted once more; takes that out of the budget. */
-static bool may_retry(routed_request *request, enum attempt_outcome outcome) {
+static bool may_retry(routed_request *request, enum run_attempt_result outcome) {
   router *router = request->router;
   /* a run that may have happened is final, unless the client allows it to be repeated */
   bool is_safe = request->run_outcome == NOT_RUN || request->resumable;
@@ -323,7 +323,7 @@
     }
     count_as_running(request);
     id engine_id = request->engine->self;
-    enum attempt_outcome outcome = run_attempt(request);
+    enum run_attempt_result outcome = run_attempt(request);
     request->engine = NULL;
     update_run_outcome(request);
     if (outcome == ATTEMPT_RETRYABLE)
--- a/lib/router/router_pages.c
+++ b/lib/router/router_pages.c
@@ -17,10 +17,6 @@
   char *engine, *model, *after;
 } page_query;
 
-static const char *json_bool_text(bool value) {
-  return value ? "true" : "false";
-}
-
 static const char *resident_state_name(enum resident_state state) {
   return state == RESIDENT_UP ? "up" : state == RESIDENT_LOADING ? "loading" : "unloading";
 }
--- a/lib/runtime/base.h
+++ b/lib/runtime/base.h
@@ -26,14 +26,6 @@
 typedef struct {
   char text[48];
 } id;
-/** Number of a write, in the order of the chain of controllers. */
-typedef struct {
-  uint64_t number;
-} version;
-/** Fencing token: number of a view of the chain, or of a singleton lease. */
-typedef struct {
-  uint64_t number;
-} epoch;
 
 /** Result codes. They go over the wire and into logs, so a number never changes; docs/codes.md
  * explains each. */
@@ -187,6 +179,10 @@
 static inline bool time_reached(time_us now, time_us deadline) {
   return now.us >= deadline.us;
 }
+/** The earlier of two instants, or the shorter of two spans. */
+static inline time_us time_min(time_us a, time_us b) {
+  return a.us < b.us ? a : b;
+}
 /** An instant that never comes; spans may still be added to it. */
 static inline time_us time_never(void) {
   return (time_us){ INT64_MAX / 4 };
--- a/lib/runtime/world.h
+++ b/lib/runtime/world.h
@@ -22,7 +22,8 @@
  * all that was not delivered. */
 enum { PEER_CHANNEL_TIMEOUT_MS = 1500 };
 
-/** Functions that return int return an error code, with err set. */
+/** What a process sees of its machine. Functions that take err return OK or the code that they set
+ * in it. */
 struct world {
   /** The tasks of the process, and its clock. */
   scheduler tasks;
