--- a/Makefile
+++ b/Makefile
@@ -21,7 +21,7 @@
 	@mkdir -p $(B)
 	@cd lib/protocol && protoc-c --c_out=$(abspath $(B)) wire.proto
 
-# for scripts/clang-tidy: what has to be made before a source can be read, and with which flags
+# for the linters: what has to be made before a source can be read, and with which flags
 generated: $(B)/wire.pb-c.h
 compile-flags:
 	@echo $(filter -std=%,$(WARN)) $(INC)
@@ -59,10 +59,6 @@
 # a header that was moved is no reason to stop: dependency files of an older build still name it
 %.h: ;
 
-# the compiler's include flags, for the linters
-print-inc:
-	@echo $(INC)
-
 BENCH = growth load policies
 $(addprefix $(B)/bin/,$(BENCH)): $(B)/bin/%: $(B)/bench/%.o $(OURS)
 	@mkdir -p $(B)/bin
@@ -84,7 +80,7 @@
 clean:
 	rm -rf build build-san
 
-.PHONY: all clean tests bench generated compile-flags print-inc
+.PHONY: all clean tests bench generated compile-flags
 .SECONDARY:
 -include $(shell find $(B) -name '*.d' 2>/dev/null)
 
