--- a/lib/controlplane/replication_sender.c
+++ b/lib/controlplane/replication_sender.c
@@ -194,6 +194,7 @@
 
 void replication_sender_run(void *ctx) {
   successor_link link = { .replica = ctx };
-  while (step(&link))
-    continue;
+  bool running = true;
+  while (running)
+    running = step(&link);
 }
--- a/lib/router/model_loading.c
+++ b/lib/router/model_loading.c
@@ -243,9 +243,8 @@
   const order_subject *subject = &load->subject;
   time_us confirmed_by = time_add(now_of(engine), time_from_ms(LOAD_CONFIRMATION_MS)),
           stuck_at = time_add(confirmed_by, time_from_ms(REPORT_STALL_MS));
-  bool shown;
-  while (!(shown = engine_find_resident(engine, subject->model, subject->adapter) != NULL) &&
-         !strcmp(load->boot_id, engine->boot_id)) {
+  bool shown = engine_find_resident(engine, subject->model, subject->adapter) != NULL;
+  while (!shown && !strcmp(load->boot_id, engine->boot_id)) {
     if (engine_await_report(engine, load->err))
       return E_STOPPING;
     time_us now = now_of(engine);
@@ -254,6 +253,7 @@
       break;
     if (time_reached(now, stuck_at))
       return handle_stuck_engine(load);
+    shown = engine_find_resident(engine, subject->model, subject->adapter) != NULL;
   }
   release_reservation(load);
   if (shown)
--- a/lib/runtime/task.c
+++ b/lib/runtime/task.c
@@ -50,9 +50,11 @@
   void (*run)(void *argument);
   void *argument;
   void *stack;
+#if ASAN_ON
   /** The stack of the thread that runs the scheduler, for the address sanitizer. */
   const void *scheduler_stack;
   size_t scheduler_stack_bytes;
+#endif
   bool done, urgent;
 };
 
