--- a/lib/configuration/json.c
+++ b/lib/configuration/json.c
@@ -183,55 +183,55 @@
 }
 
 json *json_copy(const json *value) {
-  json *c = json_new(value->kind);
-  c->boolean = value->boolean;
-  c->number = value->number;
+  json *copy = json_new(value->kind);
+  copy->boolean = value->boolean;
+  copy->number = value->number;
   if (value->text)
-    c->text = g_string_new_len(value->text->str, value->text->len);
+    copy->text = g_string_new_len(value->text->str, value->text->len);
   for (size_t i = 0; i < json_count(value); i++) {
-    g_ptr_array_add(c->children, json_copy(json_at(value, i)));
+    g_ptr_array_add(copy->children, json_copy(json_at(value, i)));
     if (value->keys)
-      g_ptr_array_add(c->keys, g_strdup(json_key(value, i)));
+      g_ptr_array_add(copy->keys, g_strdup(json_key(value, i)));
   }
-  return c;
+  return copy;
 }
 
-static int index_of_key(const json *json, const char *key) {
-  if (!json || json->kind != JSON_OBJECT)
+static int index_of_key(const json *value, const char *key) {
+  if (!value || value->kind != JSON_OBJECT)
     return -1;
-  for (guint i = 0; i < json->keys->len; i++) {
-    const char *k = json->keys->pdata[i];
-    if (k[0] == key[0] && !strcmp(k, key))
+  for (guint i = 0; i < value->keys->len; i++) {
+    const char *candidate = value->keys->pdata[i];
+    if (candidate[0] == key[0] && !strcmp(candidate, key))
       return i;
   }
   return -1;
 }
 
-const json *json_get(const json *json, const char *key) {
-  int i = index_of_key(json, key);
-  return i < 0 ? NULL : json->children->pdata[i];
+const json *json_get(const json *value, const char *key) {
+  int i = index_of_key(value, key);
+  return i < 0 ? NULL : value->children->pdata[i];
 }
-size_t json_count(const json *json) {
-  return json && json->children ? json->children->len : 0;
+size_t json_count(const json *value) {
+  return value && value->children ? value->children->len : 0;
 }
-const json *json_at(const json *json, size_t i) {
-  return json->children->pdata[i];
+const json *json_at(const json *value, size_t i) {
+  return value->children->pdata[i];
 }
-const char *json_key(const json *json, size_t i) {
-  return json->keys->pdata[i];
+const char *json_key(const json *value, size_t i) {
+  return value->keys->pdata[i];
 }
 
 const char *json_text(const json *value, const char *key, const char *fallback) {
-  const json *v = json_get(value, key);
-  return v && v->kind == JSON_STRING ? v->text->str : fallback;
+  const json *member = json_get(value, key);
+  return member && member->kind == JSON_STRING ? member->text->str : fallback;
 }
 double json_number(const json *value, const char *key, double fallback) {
-  const json *v = json_get(value, key);
-  return v && v->kind == JSON_NUMBER ? v->number : fallback;
+  const json *member = json_get(value, key);
+  return member && member->kind == JSON_NUMBER ? member->number : fallback;
 }
 bool json_bool(const json *value, const char *key, bool fallback) {
-  const json *v = json_get(value, key);
-  return v && v->kind == JSON_BOOL ? v->boolean : fallback;
+  const json *member = json_get(value, key);
+  return member && member->kind == JSON_BOOL ? member->boolean : fallback;
 }
 
 static void generate(yajl_gen g, const json *json) {
@@ -279,14 +279,14 @@
   }
 }
 
-void json_write(const json *json, GString *to) {
-  yajl_gen g = yajl_gen_alloc(NULL);
-  generate(g, json);
-  const unsigned char *p;
-  size_t n;
-  if (yajl_gen_get_buf(g, &p, &n) == yajl_gen_status_ok)
-    g_string_append_len(to, (const char *)p, n);
-  yajl_gen_free(g);
+void json_write(const json *value, GString *to) {
+  yajl_gen generator = yajl_gen_alloc(NULL);
+  generate(generator, value);
+  const unsigned char *text;
+  size_t length;
+  if (yajl_gen_get_buf(generator, &text, &length) == yajl_gen_status_ok)
+    g_string_append_len(to, (const char *)text, length);
+  yajl_gen_free(generator);
 }
 
 json *json_merge(json *target, const json *patch) {
--- a/lib/configuration/json.h
+++ b/lib/configuration/json.h
@@ -27,23 +27,23 @@
 /** Frees a value; NULL is fine. */
 void json_free(json *json);
 /** A deep copy; free with json_free. */
-json *json_copy(const json *json);
+json *json_copy(const json *value);
 /** The value under a key, or NULL. */
-const json *json_get(const json *json, const char *key);
+const json *json_get(const json *value, const char *key);
 /** The number of values of an array or object; 0 for all else, and NULL. */
-size_t json_count(const json *json);
+size_t json_count(const json *value);
 /** The value at an index, which must be below json_count. */
-const json *json_at(const json *json, size_t i);
+const json *json_at(const json *value, size_t i);
 /** The key at an index of an object. */
-const char *json_key(const json *json, size_t i);
+const char *json_key(const json *value, size_t i);
 /** The text under a key, which stays the value's, or the fallback. */
-const char *json_text(const json *json, const char *key, const char *fallback);
+const char *json_text(const json *value, const char *key, const char *fallback);
 /** The number under a key, or the fallback. */
-double json_number(const json *json, const char *key, double fallback);
+double json_number(const json *value, const char *key, double fallback);
 /** The truth under a key, or the fallback. */
-bool json_bool(const json *json, const char *key, bool fallback);
+bool json_bool(const json *value, const char *key, bool fallback);
 /** Writes a value through yajl's generator, without white space. */
-void json_write(const json *json, GString *to);
+void json_write(const json *value, GString *to);
 /** Merges a patch into a target by RFC 7396; gives the new value and takes the target over. */
 json *json_merge(json *target, const json *patch);
 /** Writes a text as a JSON string, quotes and all. */
--- a/lib/configuration/routing.h
+++ b/lib/configuration/routing.h
@@ -74,7 +74,7 @@
 /** Compiles a full configuration; NULL with err (path and reason) when it is invalid: incomplete,
  * an unknown service, two routes with one host and prefix, weights that add up to 0, a timeout of
  * 0, a name that stands twice. */
-routing *routing_compile(const json *json, error *err);
+routing *routing_compile(const json *value, error *err);
 /** Takes one more reference; NULL is fine. */
 routing *routing_ref(routing *routing);
 /** Gives a reference back; the last one frees it. NULL is fine. */
--- a/lib/gateway/engine_loading.c
+++ b/lib/gateway/engine_loading.c
@@ -635,9 +635,9 @@
     .slots = !is_base,
     .expected_ms = eviction_load_ms(gateway, service, model, adapter, from_disk),
     .send_by = time_never(),
-    .retry_after_ms = retry_after_ms,
     .err = err,
   };
+  order->retry_after_ms = retry_after_ms;
   event_history_format_key(order->key, sizeof order->key, model, adapter);
   if (from_disk)
     g_strlcat(order->key, "@disk", sizeof order->key);
--- a/lib/gateway/eviction.c
+++ b/lib/gateway/eviction.c
@@ -183,10 +183,10 @@
   return (eviction_rule){ name, config_formula(config, name), now };
 }
 
-capacity_shortage eviction_shortage(const service *service, double mb, unsigned slots,
+capacity_shortage eviction_shortage(const service *service, double used_mb, unsigned used_slots,
                                     double add_mb, unsigned add_slots) {
-  double missing_mb = mb + add_mb - service->weights_mb;
-  unsigned needed_slots = slots + add_slots;
+  double missing_mb = used_mb + add_mb - service->weights_mb;
+  unsigned needed_slots = used_slots + add_slots;
   return (capacity_shortage){ missing_mb > 0 ? (uint64_t)ceil(missing_mb) : 0,
                               needed_slots > service->adapter_slots
                                   ? needed_slots - service->adapter_slots
--- a/lib/gateway/eviction.h
+++ b/lib/gateway/eviction.h
@@ -35,12 +35,12 @@
  * their number; mb and slots: what is in use or reserved. */
 int eviction_candidates(gateway_engine *engine, const service *service, id model, id adapter,
                         eviction_candidate *candidates, double *mb, unsigned *slots);
-/** Random source of policies that draw; world is the world. */
-uint64_t eviction_random(void *world);
+/** Random source of policies that draw; context is the world. */
+uint64_t eviction_random(void *context);
 /** The eviction policy in force. */
 eviction_rule eviction_policy(gateway *gateway);
 /** What is missing when more is added to what is in use. */
-capacity_shortage eviction_shortage(const service *service, double mb, unsigned slots,
+capacity_shortage eviction_shortage(const service *service, double used_mb, unsigned used_slots,
                                     double add_mb, unsigned add_slots);
 /** The cost of a placement on an engine: load time times request rate of what would be unloaded
  * for it, plus the drain of what runs; -1 when it can't fit now. need_mb and need_slots: what the
--- a/lib/gateway/forward.h
+++ b/lib/gateway/forward.h
@@ -10,7 +10,7 @@
 typedef struct gateway gateway;
 
 /** Serves one request to its end; context is the gateway. */
-void forward_request(void *context, http_request *request);
+void forward_request(void *context, http_request *http);
 /** Wakes each open request, so that it looks at the state of the drain again. */
 void forward_wake_open_requests(gateway *gateway);
 /** Logs the open requests, with what an end of the process now would mean for them. */
--- a/lib/router/engine.h
+++ b/lib/router/engine.h
@@ -115,6 +115,7 @@
 bool engine_wait_next_report(engine *engine);
 /** The same; E_STOPPING when the process stops or the engine is removed. */
 enum error_code engine_await_report(engine *engine, error *err);
-/** Task that fetches an engine's reports until it is removed; takes over one reference. */
-void engine_report_run(void *engine);
+/** Task that fetches an engine's reports until it is removed; takes over one reference.
+ * context is the engine. */
+void engine_report_run(void *context);
 #endif
--- a/lib/router/load_queue.h
+++ b/lib/router/load_queue.h
@@ -27,6 +27,7 @@
 
 /** Registers the handler of load requests. */
 void load_queue_start(router *router);
-/** Task that serves an engine's queue until the engine is removed; takes over one reference. */
-void load_queue_run(void *engine);
+/** Task that serves an engine's queue until the engine is removed; takes over one reference.
+ * context is the engine. */
+void load_queue_run(void *context);
 #endif
