--- a/emulator/day.c
+++ b/emulator/day.c
@@ -1,3 +1,4 @@
+#include "gateway_check.h"
 #include "day.h"
 #include <math.h>
 #include <stdio.h>
--- a/emulator/deployment.c
+++ b/emulator/deployment.c
@@ -1,5 +1,6 @@
 #include "sim_connections.h"
 #include "deployment.h"
+#include "gateway_check.h"
 #include "status.h"
 #include <stdio.h>
 #include <stdlib.h>
--- a/emulator/deployment.h
+++ b/emulator/deployment.h
@@ -8,25 +8,13 @@
 enum {
   DEPLOYMENT_ENGINES = 64,
   DEPLOYMENT_MODELS = 16,
+  /** Until no gateway sends to an engine whose draining was acknowledged. */
   DRAIN_MS = 2000,
+  /** From SIGTERM to SIGKILL. */
   GRACE_S = 8,
-  /* a request that is sent later than this after SIGTERM may not be cut at the end of the grace */
-  STOP_PROPAGATION_MS = 3000,
-  /* of a kept connection's requests, how many a node without trouble may leave unanswered */
-  UNANSWERED_MAX = 3,
-  CONTACT_MS = 3000,
-  APPLY_MS = 2000,
-  REVERT_MS = 250,
-  DEPLOYMENT_LEASE_MS = 3000,
-  THAW_MS = 300,
-  RETRY_WINDOW_S = 10,
-  RETRY_SLACK = 20,
-  LOAD_RATE_WINDOW_S = 5,
-  LOSS_SLACK_MS = 200,
-  RECOVERY_S = 12
+  /** Length of a singleton lease in the deployment's settings. */
+  DEPLOYMENT_LEASE_MS = 3000
 };
-#define RETRY_RATIO 0.2
-#define LOAD_RATE_EXCESS 1.1
 
 typedef struct deployment deployment;
 /** One machine of ours, or of an engine. */
@@ -104,38 +92,4 @@
                                time_us until);
 /** The end of a test: nothing else may be wrong than what it made. */
 bool deployment_finish(deployment *deployment, double least);
-
-/* checkers, of what engines, the operator and clients wrote down, and of the troubles that the
- * test made */
-void gateway_check_answers_not_mixed(deployment *deployment); /* 1 MIXED */
-void gateway_check_unasked(deployment *deployment);           /* 2 UNASKED */
-void gateway_check_run_once(deployment *deployment);          /* 3 TWICE */
-void gateway_check_refused(deployment *deployment);           /* 4 REFUSED */
-void gateway_check_denied(deployment *deployment);            /* 5 DENIED */
-void gateway_check_route(deployment *deployment);             /* 6 ROUTE */
-void gateway_check_drained(deployment *deployment);           /* 7 DRAIN */
-void gateway_check_lost(deployment *deployment);              /* 8 LOST */
-/** 8 LOST, at any time: of kept connections, closed without an answer once a sound engine had the
- * request. */
-void gateway_check_unanswered(deployment *deployment);
-void gateway_check_config(deployment *deployment);        /* 9 CONFIG */
-void gateway_check_budget(deployment *deployment);        /* 10 BUDGET */
-void gateway_check_order(deployment *deployment);         /* 11 ORDER */
-void gateway_check_single_holder(deployment *deployment); /* 12 ONE */
-void gateway_check_limit(deployment *deployment);         /* 13 LIMIT */
-void gateway_check_load_rate(deployment *deployment);     /* 14 CEILING */
-/** 15 RECOVER: after an instant, and the time to recover, a quarter is served again. */
-void gateway_check_recovery(deployment *deployment, time_us loss, time_us back);
-void gateway_check_all(deployment *deployment);
-/** How long a session may take to be known everywhere as one that the old policy serves; and nodes
- * to see a trial's end. */
-enum { SESSION_PROPAGATION_MS = 2500, TRIAL_END_PROPAGATION_MS = 2000 };
-/** 16 SIDES: in one trial a request goes by one policy, and so does a session, but for one step
- * back to the old policy at a node in trouble; by what engines wrote down. */
-void gateway_check_trial_policies(deployment *deployment);
-/** 17 RETURN: of what was sent some time after a trial's end, nothing goes by it. */
-void gateway_check_trial_ended(deployment *deployment, const char *trial, time_us ended);
-/** 18 DROPPED: requests under way at an instant end like others do, unless there was other trouble.
- */
-void gateway_check_dropped(deployment *deployment, time_us at);
 #endif
--- /dev/null
+++ b/emulator/gateway_check_allowed.h
@@ -0,0 +1,27 @@
+#ifndef EMULATOR_GATEWAY_CHECK_ALLOWED_H
+#define EMULATOR_GATEWAY_CHECK_ALLOWED_H
+#include "deployment.h"
+#include "json.h"
+
+/** @file
+ * The configurations that may have been in force, as the operator sent them, and what each allows.
+ */
+
+/** A valid change with the full configuration that it results in. */
+typedef struct allowed_config {
+  const operator_sim_change *change;
+  json *json;
+} allowed_config;
+
+/** All that the operator sent and that is valid, in the order sent, as an array of allowed_config;
+ * freed by allowed_configs_free. */
+GArray *allowed_configs_new(const deployment *deployment);
+void allowed_configs_free(GArray *configs);
+/** Whether a configuration lets a service run an attempt; with service NULL: whether it has a route
+ * for the attempt at all. */
+bool allowed_config_permits(const allowed_config *config, const client_sim_attempt *attempt,
+                            const char *service);
+/** Whether any configuration lets a service run an attempt. */
+bool allowed_configs_permit(const GArray *configs, const client_sim_attempt *attempt,
+                            const char *service);
+#endif
--- a/tests/doctor/operators.c
+++ b/tests/doctor/operators.c
@@ -3,6 +3,7 @@
 #include "api_error.h"
 #include "doctor.h"
 #include "deployment.h"
+#include "gateway_check.h"
 #include "tests.h"
 #include <stdio.h>
 
--- a/tests/fleet/controller_cutoff.c
+++ b/tests/fleet/controller_cutoff.c
@@ -1,4 +1,5 @@
 #include "deployment.h"
+#include "gateway_check.h"
 #include "tests.h"
 #include <stdio.h>
 #include <stdlib.h>
--- a/tests/gateway/canary.c
+++ b/tests/gateway/canary.c
@@ -1,5 +1,6 @@
 #include "canary_status.h"
 #include "deployment.h"
+#include "gateway_check.h"
 #include "tests.h"
 #include <stdio.h>
 #include <stdlib.h>
--- a/tests/gateway/capacity_account.c
+++ b/tests/gateway/capacity_account.c
@@ -1,3 +1,4 @@
+#include "gateway_check.h"
 #include "loads.h"
 #include "tests.h"
 #include <stdio.h>
