--- a/emulator/fleet.h
+++ b/emulator/fleet.h
@@ -1,13 +1,26 @@
 #ifndef EMULATOR_FLEET_H
 #define EMULATOR_FLEET_H
+#include "fleet_check.h"
 #include "sim.h"
 
+enum {
+  FLEET_ENGINES_MAX = 100,
+  /** A singleton lease does not change hands sooner than this after the change before. */
+  LEASE_CHANGE_MIN_MS = 2900
+};
+
+/** Which node was seen as the holder of a lease, and since when. */
+typedef struct sampled_lease_holder {
+  id holder;
+  time_us since;
+} sampled_lease_holder;
+
 /** A fleet of the usual shape: controllers and routers over three areas, engines, a platform,
  * callers and an operator. */
 typedef struct fleet {
   sim *sim;
   int controllers, routers, engines, models, adapters;
-  host *controller[32], *router[100], *engine[100], *platform, *callers, *operator;
+  host *controller[32], *router[100], *engine[FLEET_ENGINES_MAX], *platform, *callers, *operator;
   double loads_per_s, slow_start_s, streams_per_engine;
   uint64_t seed;
   GString *violations;
@@ -18,10 +31,8 @@
   id area[3], kind[3];
   char *rules, *catalogue, *policy;
   bool probing;
-  struct {
-    id who;
-    time_us since;
-  } lease_holders[101];
+  /** By sampling: of each engine, and of the singleton "pacer" after the last engine. */
+  sampled_lease_holder lease_holders[FLEET_ENGINES_MAX + 1];
 } fleet;
 /** What the operator wrote down of one write: when it was sent and answered, and what was said.
  * Status 0 is open. */
@@ -87,44 +98,4 @@
 host *fleet_find_lease_holder(fleet *fleet, const char *singleton);
 /** The text of a catalogue for the test fleet. */
 char *fleet_catalogue_json(int models, int adapters, const char *extra);
-
-/* checkers: they read what simulated engines, callers, the platform and the operator recorded, and
- * nothing of the daemons' own accounts */
-/** Notes a violation; the run goes on. */
-void fleet_add_violation(fleet *fleet, const char *form, ...) __attribute__((format(printf, 2, 3)));
-/** R1, R2, R3, and that nobody is sent away without being told when to come back. */
-void fleet_check_runs(fleet *fleet);
-/** R4 by effect: the policy's marks, as probes see them. */
-void fleet_check_policy_markers(fleet *fleet);
-/** R6 over every life of every engine, by the platform's record. */
-void fleet_check_draining(fleet *fleet);
-/** R7 by the operator's notes: whole and partial evacuations, and those taken back. */
-void fleet_check_evacuated(fleet *fleet);
-/** R8: the succession of holders, from the engines' records. */
-void fleet_check_lease_succession(fleet *fleet);
-/** R9 */
-void fleet_check_capacity(fleet *fleet);
-/** R10 */
-void fleet_check_load_rate(fleet *fleet);
-/** R11: second tries from engines' and callers' records. */
-void fleet_check_retries(fleet *fleet);
-/** R11: the streams that a cold engine runs, over the whole engine. */
-void fleet_check_slow_start(fleet *fleet);
-/** R12: from 12 s after a loss until an instant, each kind's share of whole answers is back, as far
- * as the engines left can hold it. */
-void fleet_check_recovery(fleet *fleet, time_us loss, time_us until);
-/** When each kind's share was back, in seconds after the loss; -1 for a kind that was not seen
- * enough. */
-double fleet_recovery_s(fleet *fleet, time_us loss, time_us until, int kind);
-/** Writes a mark into the policy through any live controller, without waiting. */
-void fleet_write_policy_marker(fleet *fleet);
-/** Starts requests to every router that show which mark is in force there, until the run ends. */
-void fleet_start_policy_probes(fleet *fleet);
-/** All of them; true when nothing was violated. */
-bool fleet_check_all(fleet *fleet);
-/** The same, without a word. */
-bool fleet_check_silently(fleet *fleet);
-/** Starts sampling, for two heads, tails or holders at once; it asks the daemons and only adds to
- * what the records show. */
-void fleet_start_sampling(fleet *fleet);
 #endif
--- a/tests/emulator/check.c
+++ b/tests/emulator/check.c
@@ -1,4 +1,4 @@
-/** Tests of the checkers in emulator/fleet_check.c: a checker that cannot fail proves nothing, so
+/** Tests of the checkers in emulator/fleet_check*.c: a checker that cannot fail proves nothing, so
  * each is shown a violation that was put into the records of a finished run. Fleet: four routers,
  * five engines.
  */
