--- a/emulator/sim_http.c
+++ b/emulator/sim_http.c
@@ -4,6 +4,7 @@
  * handshake and a request; the response arrives as a head, parts of the body and an end, in order.
  * A cut loses what is sent into it; the caller sees the broken connection at the first part that is
  * sent after the cut. */
+#include "sim_http.h"
 #include "sim_connections.h"
 #include <stdio.h>
 #include <stdlib.h>
@@ -209,9 +210,8 @@
   exchange_unref(exchange);
 }
 
-static void set_request_target(http_request *request, const http_call *call) {
-  char **parts = g_strsplit(call->path, "?", 2);
-  request->method = g_strdup(call->method);
+void sim_http_set_path(http_request *request, const char *target) {
+  char **parts = g_strsplit(target, "?", 2);
   request->path = g_strdup(parts[0] ? parts[0] : "");
   request->query = g_strdup(parts[0] && parts[1] ? parts[1] : "");
   g_strfreev(parts);
@@ -221,7 +221,8 @@
   http_call *call = exchange->call;
   http_request *request = g_new0(http_request, 1);
   request->world = &exchange->server->world;
-  set_request_target(request, call);
+  request->method = g_strdup(call->method);
+  sim_http_set_path(request, call->path);
   g_strlcpy(request->client_address, exchange->caller->addr, sizeof request->client_address);
   http_headers_copy(&request->known_fields, &call->known_request_fields);
   request->body = g_string_new_len(call->body->str, call->body->len);
--- a/emulator/sim_http.h
+++ b/emulator/sim_http.h
@@ -1,6 +1,6 @@
 #ifndef EMULATOR_SIM_HTTP_H
 #define EMULATOR_SIM_HTTP_H
-#include "base.h"
+#include "world.h"
 
 /** @file
  * HTTP of our own API between the processes of the simulated fleet. Each exchange has a connection
@@ -12,4 +12,6 @@
 void sim_http_attach(host *host);
 /** The process of a host ends: whoever waits for its response sees a reset. */
 void sim_http_reset_pending_calls(host *host);
+/** Sets path and query of a request from its target. */
+void sim_http_set_path(http_request *request, const char *target);
 #endif
