--- /dev/null
+++ b/emulator/fleet_operator.h
@@ -0,0 +1,62 @@
+#ifndef EMULATOR_FLEET_OPERATOR_H
+#define EMULATOR_FLEET_OPERATOR_H
+#include "sim_host.h"
+
+/** @file
+ * The operator of a fleet: calls to the API of our processes, with a record of each write. */
+
+typedef struct fleet fleet;
+
+/** The operator's record of one write; owned by the fleet. */
+typedef struct operator_write {
+  /** answered_at is 0 while there is no answer. */
+  time_us sent_at, answered_at;
+  /** HTTP status; 0 while there is no answer, and -code for an error of the call. */
+  int status;
+  /** Number of the resource, or -1 for other paths. */
+  int resource;
+  /** Of a policy marker: the status by which its rule refuses; else 0. */
+  int marker_status;
+  /** The version that the answer names. */
+  uint64_t version;
+  bool patch;
+  char *text, idempotency_key[40];
+} operator_write;
+
+/** One call of the operator, and its answer; freed by operator_call_free. */
+typedef struct operator_call {
+  /** As in operator_write. */
+  int status;
+  GString *body;
+  bool done;
+  time_us answered_at;
+  uint64_t version;
+  char *method, *path, *text, *if_match, *idempotency_key;
+  /** Whom it is sent to, and the operator's host. */
+  char addr[48];
+  host *host;
+  fleet *fleet;
+  /** NULL for reads. */
+  operator_write *write;
+  /** Set by whoever does not wait: the call frees itself when it is answered. */
+  bool self_freeing;
+} operator_call;
+
+/** A write that was acknowledged. */
+typedef struct {
+  uint64_t version;
+  int resource;
+  time_us acked_at;
+} write_ack;
+
+/** Sends a call to one host, without waiting; text, match (If-Match) and key (Idempotency-Key) may
+ * be NULL. */
+operator_call *fleet_send(fleet *fleet, host *to, const char *method, const char *path,
+                          const char *text, const char *match, const char *key);
+/** The same, and runs until it is answered, or for a span. */
+operator_call *fleet_call(fleet *fleet, host *to, const char *method, const char *path,
+                          const char *text, const char *match, const char *key, time_us span);
+void operator_call_free(operator_call *call);
+/** Puts a resource through any controller that answers; returns the version, or 0. */
+uint64_t fleet_put(fleet *fleet, const char *resource, const char *text);
+#endif
