--- a/emulator/gateway_check.c
+++ b/emulator/gateway_check.c
@@ -603,8 +603,7 @@
   GPtrArray *all = g_ptr_array_new();
   for (guint i = 0; i < deployment->log->orders->len; i++) {
     engine_order_record *order = deployment->log->orders->pdata[i];
-    if (!order->after_freeze && order->status != 421 && order->fencing_token >= 0 &&
-        !id_is_empty(order->holder) &&
+    if (order->status != 421 && order->fencing_token >= 0 && !id_is_empty(order->holder) &&
         !recently_recovered(deployment, order->holder, order->received_at))
       g_ptr_array_add(all, order);
   }
--- a/emulator/registering_engine_sim.h
+++ b/emulator/registering_engine_sim.h
@@ -1,132 +1,59 @@
-#ifndef EMULATOR_INSTANCE_H
-#define EMULATOR_INSTANCE_H
-#include "dialect.h"
-#include "world.h"
+#ifndef EMULATOR_REGISTERING_ENGINE_SIM_H
+#define EMULATOR_REGISTERING_ENGINE_SIM_H
+/**
+ * A simulated engine that registers itself with the controllers by heartbeats, serves requests in
+ * a batch, loads models by order, and writes down what it did for the checkers.
+ */
+#include "registering_engine_batch.h"
+#include "registering_engine_heartbeat.h"
+#include "registering_engine_models.h"
+#include "registering_engine_orders.h"
+#include "registering_engine_plan.h"
+#include "registering_engine_records.h"
+#include "registering_engine_report.h"
+#include "registering_engine_requests.h"
+#include "registering_engine_responses.h"
 
-/* an engine that registers itself, and what it writes down */
-
-/** One arrival of a request. how: r runs, d done, f failed by itself, c its caller left, b broken
- * off, t out of time; and for those that were not run: n turned away, x meant for another or not
- * held here, q gone from the queue. */
-typedef struct engine_run_record {
-  char request_id[64], from[48], run_id[80], target[96], policy[64], session[48];
-  id engine, service, model, adapter;
-  uint64_t request_checksum, resumed_after;
-  time_us received_at, started_at, ended_at, last_event_at;
-  unsigned events, last_event;
-  double prefill_tokens, cached_tokens;
-  char outcome;
-} engine_run_record;
-/** One order. op: l load, u unload; begun: it is not one again that was under way; past: it does
- * not fit, and the engine falls; store: the weights came from the store. */
-typedef struct engine_order_record {
-  time_us received_at;
-  id engine, service, model, adapter, holder;
-  int64_t fencing_token;
-  char op;
-  int status;
-  bool over_capacity, from_store, after_freeze, started;
-} engine_order_record;
-/** The end of one life. Instants are 0 when they have not come. */
-typedef struct engine_stop_record {
-  id engine, service;
-  time_us announced_at, acked_at, signed_off_at, ended_at;
-  int64_t drain_notice_ms;
-  bool crashed;
-} engine_stop_record;
-/** What all engines write down; each item stays where it is. */
-typedef struct engine_record_log {
-  GPtrArray *runs, *orders, *stops;
-  uint64_t heartbeats, heartbeats_failed, reports, health_checks;
-} engine_record_log;
-engine_record_log *engine_record_log_new(void);
-void engine_record_log_free(engine_record_log *log);
-
-/** The store of weights that engines share: past some loads at once each takes longer. */
-typedef struct weight_store_sim {
-  int full_speed_loads, loading;
-} weight_store_sim;
-typedef struct engine_model_spec {
-  id name;
-  double weights_mb, load_ms, adapter_mb;
-  unsigned adapters;
-} engine_model_spec;
-/** What may go wrong; numbers count down. */
-typedef struct registering_engine_faults {
-  int lose_responses, truncate_responses, extra_responses, stale_responses, garbage_responses,
-      drop_orders;
-  /** Orders that are taken without an answer, and orders that arrive only after so many ms. */
-  int lose_order_responses, late_orders;
-  int64_t late_order_ms;
-  unsigned truncate_after_events;
-  double intermittent_failures, slowdown;
-  bool unresponsive, no_heartbeats, fenced, no_sign_off;
-} registering_engine_faults;
-/** What an engine is; it may outlive it. */
-typedef struct registering_engine_plan {
-  id service, area, version;
-  char ip[48];
-  int port;
-  unsigned slots, queue;
-  int connections_max;
-  int64_t heartbeat_ms, drain_ms, work_ms, idle_timeout_ms;
-  double step_ms, step_per_request_ms, prefill_tokens_per_ms;
-  unsigned event_tokens;
-  double kv_tokens, weights_mb;
-  unsigned adapter_slots;
-  int64_t adapter_ms; /* how long an adapter takes to load; 0: the usual time */
-  const engine_model_spec *models;
-  size_t model_count;
-  GPtrArray *controllers;     /* char *: control listeners it may call */
-  GPtrArray *initial_models;  /* char *: models held from the start */
-  GHashTable *models_on_disk; /* names that its disk has held */
-  const dialect *dialect;
-  engine_record_log *log;
-  weight_store_sim *store;
-  registering_engine_faults faults;
-} registering_engine_plan;
-
-typedef struct registering_engine_sim registering_engine_sim;
+/** One incarnation of an engine. Each state struct is written by the module that declares it. */
 struct registering_engine_sim {
-  world *world;
-  registering_engine_plan *plan;
-  id self;
-  char addr[64];
+  world *world;                  /* the process's world; outlives the engine */
+  registering_engine_plan *plan; /* owned by the creator; outlives the engine */
+  id self;                       /* random, new with each incarnation */
+  char address[64];              /* ip:port of the listener */
   http_listener listener;
-  uint64_t heartbeat_sequence, orders_started, answers, runs_started;
-  int64_t fencing_token;
-  list_node loaded_models, queue, running;
-  unsigned waiting, busy_slots;
-  double kv_in_use_tokens, kv_cached_tokens;
-  GQueue prefix_cache, snapshots;
-  bool busy, draining, batch_task_running, stopped;
-  const engine_order_record *current; /* the order under way while busy */
-  int64_t drain_notice_ms;
-  time_us drain_ends_at, unfrozen_at;
-  engine_stop_record *stop_record;
-  char heartbeat_address[64];
-  condition state_changed;
-  char last_request[64], last_stamp[80];
-  size_t last_bytes;
-  /** Ends the process, when a test's world can do that; fell tells whether by its own fault. */
-  void (*stop)(void *context, bool fell);
-  /** Puts bytes on the channel of a request that belong to no request; status 0: bytes that are no
-   * answer. */
+  list_node loaded_models; /* loaded_model, see registering_engine_models.h */
+  engine_batch batch;
+  engine_order_progress orders;
+  engine_heartbeat_state heartbeat;
+  engine_report_state report;
+  engine_last_response last_response;
+  uint64_t runs_started;   /* by engine_requests_serve */
+  condition state_changed; /* a run or an order has ended */
+  /* graceful shutdown, written by registering_engine_sim_drain and its task */
+  bool draining;
+  int64_t drain_notice_ms; /* 0: leaves when drained and signed off */
+  time_us drain_ends_at;
+  engine_stop_record *stop_record; /* owned by the plan's log */
+  /** Ends the process; crashed tells whether by its own fault. NULL: the process goes on. */
+  void (*stop)(void *context, bool crashed);
+  /** Writes a response that belongs to no request to the connection of a request; status 0: bytes
+   * that are no response. NULL: such faults aren't simulated. */
   void (*send_stray_response)(http_request *request, int status, const fields *fields,
                               string_view body);
-  void *context;
+  void *context; /* of stop */
 };
 
-/** Starts an engine in a world; NULL when its listener is taken. */
+/** Starts an engine in a world; free it with registering_engine_sim_free. Returns NULL and sets err
+ * when its listener can't be opened. */
 registering_engine_sim *registering_engine_sim_new(world *world, registering_engine_plan *plan,
                                                    error *err);
+/** Records the end of this incarnation and frees it; its tasks must have ended. */
 void registering_engine_sim_free(registering_engine_sim *engine);
-/** Says that it leaves: with 0, drained and signed off; else it is gone after so many ms. */
-void registering_engine_sim_drain(registering_engine_sim *engine, int64_t leaves_ms);
+/** Begins a graceful shutdown. notice_ms 0: it ends when drained and signed off; else it ends after
+ * this time. */
+void registering_engine_sim_drain(registering_engine_sim *engine, int64_t notice_ms);
+/** True when a model, and its adapter unless that is empty, can serve requests. */
 bool registering_engine_sim_has_loaded(registering_engine_sim *engine, id model, id adapter);
-/** The bytes of a plain answer, and the sum that stands for a request's method, target and body. */
-void engine_response_body(GString *to, const char *request, size_t n);
-uint64_t engine_request_checksum(const char *verb, const char *target, string_view body);
-/** Puts an id in the place of {} in a path. */
-char *dialect_path_for_engine(const dialect *dialect, enum dialect_call c, const char *who);
+/** True unless a request expects another engine than this at the address. */
+bool registering_engine_is_addressed(const registering_engine_sim *engine, http_request *request);
 #endif
--- a/tests/gateway/fixture.c
+++ b/tests/gateway/fixture.c
@@ -56,7 +56,7 @@
   wire__engine_state__init(state);
   state->id = fixture->engines[i]->self.text;
   state->service = (char *)plan->service.text;
-  state->address = fixture->engines[i]->addr;
+  state->address = fixture->engines[i]->address;
   state->zone = (char *)plan->area.text;
   state->version = "v1";
   state->slots = plan->slots;
--- a/tests/gateway/gateway.c
+++ b/tests/gateway/gateway.c
@@ -18,7 +18,8 @@
   registering_engine_sim *best = NULL;
   for (size_t i = 0; i < deployment->model_engine_count; i++)
     if (deployment->engine_processes[i]->engine &&
-        (!best || deployment->engine_processes[i]->engine->busy_slots > best->busy_slots))
+        (!best ||
+         deployment->engine_processes[i]->engine->batch.busy_slots > best->batch.busy_slots))
       best = deployment->engine_processes[i]->engine;
   return best;
 }
