--- a/bin/asterfall-emulate.c
+++ b/bin/asterfall-emulate.c
@@ -1,4 +1,10 @@
-#include "day.h"
+#include "day_faults.h"
+#include "day_figures.h"
+#include "day_play.h"
+#include "day_plot.h"
+#include "day_policy.h"
+#include "day_read.h"
+#include "day_report.h"
 #include <argp.h>
 #include <stdio.h>
 #include <stdlib.h>
--- a/emulator/registering_engine_records.c
+++ b/emulator/registering_engine_records.c
@@ -6,6 +6,17 @@
 
 enum { RESPONSE_LINE_BYTES = 64, CHECKSUM_SEED = 7 };
 
+bool engine_run_is_not_run(const engine_run_record *run) {
+  switch (run->outcome) {
+  case ENGINE_RUN_REFUSED:
+  case ENGINE_RUN_MISDIRECTED:
+  case ENGINE_RUN_DEQUEUED:
+    return true;
+  default:
+    return false;
+  }
+}
+
 engine_record_log *engine_record_log_new(void) {
   engine_record_log *log = g_new0(engine_record_log, 1);
   log->runs = g_ptr_array_new_with_free_func(g_free);
--- a/emulator/registering_engine_records.h
+++ b/emulator/registering_engine_records.h
@@ -71,6 +71,8 @@
   uint64_t heartbeats, heartbeats_failed, reports, health_checks;
 } engine_record_log;
 
+/** True for an arrival that was refused or left the queue; one still pending isn't counted so. */
+bool engine_run_is_not_run(const engine_run_record *run);
 /** Returns an empty log; free it with engine_record_log_free. */
 engine_record_log *engine_record_log_new(void);
 void engine_record_log_free(engine_record_log *log);
--- a/tests/emulator/day.c
+++ b/tests/emulator/day.c
@@ -2,7 +2,13 @@
  * Tests of emulator/day.c: emulated days of a full deployment are read or refused, and report what
  * happened in them. Each day brings its own deployment.
  */
-#include "day.h"
+#include "day_faults.h"
+#include "day_figures.h"
+#include "day_play.h"
+#include "day_plot.h"
+#include "day_policy.h"
+#include "day_read.h"
+#include "day_report.h"
 #include "tests.h"
 #include <math.h>
 #include <stdio.h>
