--- a/emulator/loadgen.c
+++ b/emulator/loadgen.c
@@ -1,250 +1,385 @@
-#include "simulators.h"
+/**
+ * Load generator. A caller sends its request, checks each event of the response against its tag and
+ * the run that began, and retries: at another router when the first didn't take the connection, and
+ * later when it was told to come back.
+ */
+#include "loadgen.h"
 #include <math.h>
 #include <stdio.h>
 #include <stdlib.h>
 
-typedef struct {
+enum {
+  RESPONSE_TIMEOUT_MS = 120000,
+  CONNECT_TIMEOUT_MS = 1500, /* a router that doesn't take the connection by then is given up */
+  RESPONSE_MAX_BYTES = 1 << 20,
+  OTHER_ROUTERS_MAX = 3, /* other routers that a request is sent to */
+  RUN_NAME_BYTES = 96,
+  PREFIXES_DEFAULT = 8,
+  LEAVE_MIN_MS = 50, /* callers that leave early do so after this and a random span */
+  LEAVE_SPAN_MS = 3000,
+  TOKENS_MIN = 4,
+  ERROR_CODES_MAX = 8, /* different codes that the summary counts */
+};
+static const double RESUMABLE_RATIO = 0.2;
+
+/* a caller's request in progress; owned by its task */
+typedef struct request_task {
   loadgen *loadgen;
-  loadgen_request *loadgen_request;
+  loadgen_request *request;
   char router[48], prefix[32];
-  int tokens;
-  time_us leave;
-  bool unheard;
+  int tokens_wanted;
+  time_us leave_at; /* 0: the caller stays */
+  bool unsent;      /* the last attempt's router didn't take the connection */
 } request_task;
-typedef struct {
+
+/* a model or adapter that requests may name */
+typedef struct target {
   id model, adapter;
-} thing;
+} target;
+
+/* what a response has shown so far */
+typedef struct response_check {
+  loadgen_request *request;
+  int tokens_wanted;
+  char run[RUN_NAME_BYTES]; /* of the start event */
+  bool started, done;
+} response_check;
+
+/* the integer behind a JSON key in an event, or -1 */
+static int event_integer(const char *event, const char *key) {
+  const char *found = strstr(event, key);
+  return found ? atoi(found + strlen(key)) : -1;
+}
+
+/* false when the event must not come here */
+static bool check_start(response_check *check, const char *event) {
+  const char *attempt = strstr(event, "\"attempt\":\"");
+  bool is_valid = !check->started && attempt;
+  if (is_valid)
+    sscanf(attempt, "\"attempt\":\"%95[^\"]", check->run);
+  check->started = true;
+  return is_valid;
+}
+
+/* a stream is done with its last event, all tokens that were asked for, and a clean end */
+static bool check_done(response_check *check, const char *event) {
+  const loadgen_request *request = check->request;
+  check->done = true;
+  return check->started && event_integer(event, "\"tokens\":") == request->tokens &&
+         request->tokens == check->tokens_wanted;
+}
 
-/* reads events one by one and holds each against the tag and the run that began; the stream counts
-   as done only with its last event, all that was asked for, and a clean end */
-static void check_response(loadgen_request *request, int want, char *run, GString *got, bool *start,
-                           bool *done) {
+static bool check_token(response_check *check, const char *event) {
+  int expected = check->request->tokens++;
+  return check->started && event_integer(event, "\"i\":") == expected;
+}
+
+static bool check_event(response_check *check, const char *event) {
+  char tag[120];
+  snprintf(tag, sizeof tag, "\"tag\":\"%s\"", check->request->tag);
+  if (!strstr(event, tag) || check->done)
+    return false;
+  if (g_str_has_prefix(event, "event: start"))
+    return check_start(check, event);
+  if (!strstr(event, check->run))
+    return false;
+  if (g_str_has_prefix(event, "event: done"))
+    return check_done(check, event);
+  return check_token(check, event);
+}
+
+/* takes the complete events off the received bytes and checks them */
+static void check_events(response_check *check, GString *received) {
+  loadgen_request *request = check->request;
   char *end;
-  while ((end = strstr(got->str, "\n\n"))) {
+  while ((end = strstr(received->str, "\n\n"))) {
     *end = 0;
-    char tag[120];
-    snprintf(tag, sizeof tag, "\"tag\":\"%s\"", request->tag);
-    if (g_str_has_prefix(got->str, "event: error")) {
+    if (g_str_has_prefix(received->str, "event: error")) {
       if (request->outcome == OUTCOME_OPEN)
         request->outcome = OUTCOME_BROKEN;
-    } else if (!strstr(got->str, tag) || *done)
+    } else if (!check_event(check, received->str)) {
       request->outcome = OUTCOME_WRONG;
-    else if (g_str_has_prefix(got->str, "event: start")) {
-      char *n = strstr(got->str, "\"attempt\":\"");
-      if (*start || !n)
-        request->outcome = OUTCOME_WRONG;
-      else
-        sscanf(n, "\"attempt\":\"%95[^\"]", run);
-      *start = true;
-    } else if (!strstr(got->str, run))
-      request->outcome = OUTCOME_WRONG;
-    else if (g_str_has_prefix(got->str, "event: done")) {
-      char *n = strstr(got->str, "\"tokens\":");
-      if (!*start || !n || atoi(n + 9) != request->tokens || request->tokens != want)
-        request->outcome = OUTCOME_WRONG;
-      *done = true;
-    } else {
-      char *n = strstr(got->str, "\"i\":");
-      if (!*start || !n || atoi(n + 4) != request->tokens)
-        request->outcome = OUTCOME_WRONG;
-      request->tokens++;
     }
     if (request->outcome == OUTCOME_WRONG)
       fprintf(stderr, "asterfall-loadgen: %s, %d of %d events, run %s: wrong is: %.200s\n",
-              request->tag, request->tokens, want, run, got->str);
-    g_string_erase(got, 0, end - got->str + 2);
+              request->tag, request->tokens, check->tokens_wanted, check->run, received->str);
+    g_string_erase(received, 0, end - received->str + 2);
   }
 }
 
-static void run_attempt(request_task *trip) {
-  loadgen *loadgen = trip->loadgen;
-  loadgen_request *request = trip->loadgen_request;
-  world *world = loadgen->world;
-  GString *b = g_string_new(NULL), *got = g_string_new(NULL);
+static http_call *open_call(const request_task *task) {
+  const loadgen_request *request = task->request;
+  GString *body = g_string_new(NULL);
+  http_headers headers = { { 0 } };
   json_appendf(
-      b,
+      body,
       "{\"model\":\"%s\",\"adapter\":\"%s\",\"kind\":\"%s\",\"prefix\":\"%s\",\"tag\":\"%s\",\"tokens\":%d,\"resumable\":%s}",
-      request->model.text, request->adapter.text, request->kind.text, trip->prefix, request->tag,
-      trip->tokens, request->resumable ? "true" : "false");
-  http_headers h = { { 0 } };
-  http_headers_set(&h, HEADER_CONTENT_TYPE, "application/json");
+      request->model.text, request->adapter.text, request->kind.text, task->prefix, request->tag,
+      task->tokens_wanted, request->resumable ? "true" : "false");
+  http_headers_set(&headers, HEADER_CONTENT_TYPE, "application/json");
+  http_call *call = http_call_open(task->loadgen->world, task->router, "POST", "/v1/generate",
+                                   &headers, string_view_of_gstring(body), RESPONSE_MAX_BYTES);
+  http_headers_free(&headers);
+  g_string_free(body, TRUE);
+  return call;
+}
+
+/* waits for the head of the response: shortly for the connection, then until the deadline */
+static enum error_code wait_for_head(request_task *task, http_call *call, time_us deadline) {
+  world *world = task->loadgen->world;
+  time_us leave_at = task->leave_at;
+  time_us connected_until = time_add(world_now(world), time_from_ms(CONNECT_TIMEOUT_MS));
+  bool leaves_first = leave_at.us && leave_at.us < connected_until.us;
+  enum error_code code = http_call_wait(call, leaves_first ? leave_at : connected_until);
+  bool has_left = leave_at.us && time_reached(world_now(world), leave_at);
+  if (code == E_NO_RESPONSE && call->sent && !has_left)
+    code = http_call_wait(call, deadline);
+  task->unsent = !call->sent && code != OK;
+  return code;
+}
+
+static enum loadgen_outcome outcome_of_run(const char *run) {
+  if (!strcmp(run, "unknown"))
+    return OUTCOME_UNKNOWN;
+  if (!strcmp(run, "failed"))
+    return OUTCOME_BROKEN;
+  return OUTCOME_NOT_RUN;
+}
+
+/* a response that isn't a stream says whether the request may have run */
+static void read_error(loadgen_request *request, http_call *call, GString *received,
+                       time_us deadline) {
+  enum error_code code = http_call_read_all(call, received, deadline);
+  const char *retry_after = call->known_response_fields.values[HEADER_RETRY_AFTER];
+  json *body = json_parse(string_view_of_gstring(received), NULL);
+  request->code = (int)json_number(body, "code", 0);
+  request->retry_s = retry_after ? atoi(retry_after) : 0;
+  request->outcome = code == OK ? outcome_of_run(json_text(body, "run", "")) : OUTCOME_NO_ANSWER;
+  json_free(body);
+}
+
+static enum loadgen_outcome outcome_of_stream(const request_task *task, enum error_code code,
+                                              bool done) {
+  if (code == E_NO_RESPONSE && task->leave_at.us)
+    return OUTCOME_LEFT;
+  if (code != E_PEER_GONE)
+    return OUTCOME_BROKEN;
+  return done ? OUTCOME_DONE : OUTCOME_WRONG;
+}
+
+static void read_stream(request_task *task, http_call *call, GString *received, time_us deadline) {
+  loadgen_request *request = task->request;
+  response_check check = { .request = request, .tokens_wanted = task->tokens_wanted };
+  enum error_code code;
+  while ((code = http_call_read(call, received, deadline)) == OK) {
+    if (!request->first_event_at.us)
+      request->first_event_at = world_now(task->loadgen->world);
+    check_events(&check, received);
+  }
+  if (request->outcome == OUTCOME_OPEN)
+    request->outcome = outcome_of_stream(task, code, check.done);
+}
+
+static void run_attempt(request_task *task) {
+  world *world = task->loadgen->world;
+  loadgen_request *request = task->request;
+  GString *received = g_string_new(NULL);
+  time_us timeout_at = time_add(world_now(world), time_from_ms(RESPONSE_TIMEOUT_MS));
+  time_us deadline = task->leave_at.us ? task->leave_at : timeout_at;
   if (!request->started_at.us)
     request->started_at = world_now(world);
-  time_us until = time_add(world_now(world), time_from_ms(120000));
-  http_call *call = http_call_open(world, trip->router, "POST", "/v1/generate", &h,
-                                   string_view_of_gstring(b), 1 << 20);
-  http_headers_free(&h);
-  /* a caller whose router does not take the channel at all goes to another */
-  time_us link = time_add(world_now(world), time_from_ms(1500));
-  int r = http_call_wait(call, trip->leave.us && trip->leave.us < link.us ? trip->leave : link);
-  if (r == E_NO_RESPONSE && call->sent &&
-      !(trip->leave.us && time_reached(world_now(world), trip->leave)))
-    r = http_call_wait(call, trip->leave.us ? trip->leave : until);
-  trip->unheard = !call->sent && r;
+  http_call *call = open_call(task);
+  enum error_code code = wait_for_head(task, call, deadline);
   request->status = call->status;
-  if (r == E_NO_RESPONSE && trip->leave.us)
+  if (code == E_NO_RESPONSE && task->leave_at.us)
     request->outcome = OUTCOME_LEFT;
-  else if (r)
+  else if (code != OK)
     request->outcome = OUTCOME_NO_ANSWER;
-  else if (call->status != 200) {
-    r = http_call_read_all(call, got, until);
-    json *json = json_parse(string_view_of_gstring(got), NULL);
-    const char *run = json_text(json, "run", "");
-    request->code = json_number(json, "code", 0);
-    request->retry_s = call->known_response_fields.values[HEADER_RETRY_AFTER]
-                           ? atoi(call->known_response_fields.values[HEADER_RETRY_AFTER])
-                           : 0;
-    request->outcome = r                         ? OUTCOME_NO_ANSWER
-                       : !strcmp(run, "unknown") ? OUTCOME_UNKNOWN
-                       : !strcmp(run, "failed")  ? OUTCOME_BROKEN
-                                                 : OUTCOME_NOT_RUN;
-    json_free(json);
-  } else {
-    bool start = false, done = false;
-    char run[96] = "";
-    for (;;) {
-      r = http_call_read(call, got, trip->leave.us ? trip->leave : until);
-      if (r)
-        break;
-      if (!request->first_event_at.us)
-        request->first_event_at = world_now(world);
-      check_response(request, trip->tokens, run, got, &start, &done);
-    }
-    if (request->outcome == OUTCOME_OPEN)
-      request->outcome = r == E_NO_RESPONSE && trip->leave.us ? OUTCOME_LEFT
-                         : r == E_PEER_GONE && done           ? OUTCOME_DONE
-                         : r == E_PEER_GONE                   ? OUTCOME_WRONG
-                                                              : OUTCOME_BROKEN;
-  }
+  else if (call->status != 200)
+    read_error(request, call, received, timeout_at);
+  else
+    read_stream(task, call, received, deadline);
   if (request->outcome == OUTCOME_WRONG)
     fprintf(
         stderr,
         "asterfall-loadgen: %s is wrong: %d of %d events, status %d, ended %d broken %d, left %.100s\n",
-        request->tag, request->tokens, trip->tokens, call->status, call->ended, call->broken,
-        got->str);
+        request->tag, request->tokens, task->tokens_wanted, call->status, call->ended, call->broken,
+        received->str);
   request->ended_at = world_now(world);
   http_call_close(call);
-  g_string_free(b, TRUE);
-  g_string_free(got, TRUE);
+  g_string_free(received, TRUE);
+}
+
+/* makes an attempt and records it */
+static void record_attempt(request_task *task) {
+  loadgen *loadgen = task->loadgen;
+  loadgen_request *request = task->request;
+  loadgen_attempt attempt = { .request = request, .started_at = world_now(loadgen->world) };
+  time_us first_before = request->first_event_at;
+  request->attempt_count++;
+  run_attempt(task);
+  g_strlcpy(attempt.router, task->router, sizeof attempt.router);
+  if (request->first_event_at.us != first_before.us)
+    attempt.first_event_at = request->first_event_at;
+  attempt.ended_at = request->ended_at;
+  attempt.outcome = request->outcome;
+  attempt.status = request->status;
+  attempt.code = request->code;
+  attempt.retry_s = request->retry_s;
+  g_array_append_val(loadgen->attempts, attempt);
+}
+
+static const char *random_router(loadgen *loadgen) {
+  const GPtrArray *routers = loadgen->plan.routers;
+  return routers->pdata[world_random(loadgen->world, routers->len)];
+}
+
+/* true when the request goes to another router, as the last didn't take the connection */
+static bool choose_other_router(request_task *task, int *others) {
+  loadgen *loadgen = task->loadgen;
+  if (task->request->outcome != OUTCOME_NO_ANSWER || !task->unsent)
+    return false;
+  if ((*others)++ >= OTHER_ROUTERS_MAX || !loadgen->plan.routers->len || task->leave_at.us)
+    return false;
+  g_strlcpy(task->router, random_router(loadgen), sizeof task->router);
+  task->request->outcome = OUTCOME_OPEN;
+  return true;
+}
+
+/* waits as long as a refusal asked for; false when the caller doesn't retry */
+static bool wait_for_retry(request_task *task) {
+  loadgen *loadgen = task->loadgen;
+  loadgen_request *request = task->request;
+  if (request->outcome != OUTCOME_NOT_RUN || !request->retry_s)
+    return false;
+  time_us span = time_from_ms(request->retry_s * 1000);
+  time_us at = time_add(world_now(loadgen->world), span);
+  if (!request->back.us)
+    request->back = at;
+  if (request->attempt_count > loadgen->plan.attempts_max)
+    return false;
+  if (task->leave_at.us && time_reached(at, task->leave_at))
+    return false;
+  if (!world_sleep(loadgen->world, span))
+    return false;
+  request->outcome = OUTCOME_OPEN;
+  request->retry_s = request->code = request->status = 0;
+  return true;
 }
 
-/* who is sent away with a time to come back comes back then, if the plan says so */
-static void request_task_run(void *p) {
-  request_task *trip = p;
-  loadgen *loadgen = trip->loadgen;
-  loadgen_request *request = trip->loadgen_request;
+static void request_task_run(void *context) {
+  request_task *task = context;
+  loadgen *loadgen = task->loadgen;
   int others = 0;
-  for (;;) {
-    request->attempt_count++;
-    loadgen_attempt y = { .request = request, .started_at = world_now(loadgen->world) };
-    time_us first = request->first_event_at;
-    run_attempt(trip);
-    g_strlcpy(y.router, trip->router, sizeof y.router);
-    y.first_event_at =
-        request->first_event_at.us != first.us ? request->first_event_at : (time_us){ 0 };
-    y.ended_at = request->ended_at;
-    y.outcome = request->outcome;
-    y.status = request->status;
-    y.code = request->code;
-    y.retry_s = request->retry_s;
-    g_array_append_val(loadgen->attempts, y);
-    if (request->outcome == OUTCOME_NO_ANSWER && trip->unheard && others++ < 3 &&
-        loadgen->plan.routers->len && !trip->leave.us) {
-      g_strlcpy(
-          trip->router,
-          loadgen->plan.routers->pdata[world_random(loadgen->world, loadgen->plan.routers->len)],
-          sizeof trip->router);
-      request->outcome = OUTCOME_OPEN;
-      continue;
-    }
-    if (request->outcome != OUTCOME_NOT_RUN || !request->retry_s)
-      break;
-    time_us at = time_add(world_now(loadgen->world), time_from_ms(request->retry_s * 1000));
-    if (!request->back.us)
-      request->back = at;
-    if (request->attempt_count > loadgen->plan.attempts_max)
-      break;
-    if ((trip->leave.us && time_reached(at, trip->leave)) ||
-        !world_sleep(loadgen->world, time_from_ms(request->retry_s * 1000)))
-      break;
-    request->outcome = OUTCOME_OPEN;
-    request->retry_s = request->code = request->status = 0;
-  }
+  do
+    record_attempt(task);
+  while (choose_other_router(task, &others) || wait_for_retry(task));
   loadgen->open_requests--;
   condition_broadcast(&loadgen->idle);
-  g_free(trip);
+  g_free(task);
 }
 
-static loadgen_request *send(loadgen *loadgen, const char *router, id model, id adapter, id kind,
-                             int tokens, bool resumable, time_us leave) {
+static uint64_t random_prefix(loadgen *loadgen) {
+  int prefixes = loadgen->plan.prefixes ? loadgen->plan.prefixes : PREFIXES_DEFAULT;
+  return world_random(loadgen->world, (uint64_t)prefixes);
+}
+
+/* starts the task of a request whose router, tokens and leave_at are set */
+static loadgen_request *send_request(loadgen *loadgen, request_task settings, target target,
+                                     id kind, bool resumable) {
   loadgen_request *request = g_new0(loadgen_request, 1);
-  request_task *t = g_new0(request_task, 1);
+  request_task *task = g_memdup2(&settings, sizeof settings);
   snprintf(request->tag, sizeof request->tag, "%s-%" PRIu64, loadgen->self.text, ++loadgen->count);
-  request->model = model;
-  request->adapter = adapter;
+  request->model = target.model;
+  request->adapter = target.adapter;
   request->kind = kind;
   request->resumable = resumable;
-  t->loadgen = loadgen;
-  t->loadgen_request = request;
-  t->tokens = tokens;
-  t->leave = leave;
-  g_strlcpy(t->router, router, sizeof t->router);
-  snprintf(t->prefix, sizeof t->prefix, "p%" PRIu64,
-           world_random(loadgen->world, loadgen->plan.prefixes ? loadgen->plan.prefixes : 8));
+  task->loadgen = loadgen;
+  task->request = request;
+  snprintf(task->prefix, sizeof task->prefix, "p%" PRIu64, random_prefix(loadgen));
   g_ptr_array_add(loadgen->requests, request);
   loadgen->open_requests++;
-  task_start(&loadgen->world->tasks, "trip", request_task_run, t);
+  task_start(&loadgen->world->tasks, "trip", request_task_run, task);
   return request;
 }
 
 loadgen_request *loadgen_send(loadgen *loadgen, const char *router, id model, id adapter, id kind,
                               int tokens, bool resumable) {
-  return send(loadgen, router, model, adapter, kind, tokens, resumable, (time_us){ 0 });
+  request_task settings = { .tokens_wanted = tokens };
+  g_strlcpy(settings.router, router, sizeof settings.router);
+  return send_request(loadgen, settings, (target){ model, adapter }, kind, resumable);
 }
 
 static double random_fraction(world *world) {
   return (double)(world->random(world) >> 11) / (double)(1ull << 53);
 }
 
-static size_t zipf(loadgen *loadgen, size_t n) {
-  double all = 0, at;
-  for (size_t i = 0; i < n; i++)
-    all += 1 / pow((double)i + 1, loadgen->plan.zipf_exponent);
-  at = random_fraction(loadgen->world) * all;
-  for (size_t i = 0; i < n; i++)
-    if ((at -= 1 / pow((double)i + 1, loadgen->plan.zipf_exponent)) <= 0)
+static double zipf_weight(const loadgen *loadgen, size_t index) {
+  return 1 / pow((double)index + 1, loadgen->plan.zipf_exponent);
+}
+
+/* an index below count, by Zipf's law */
+static size_t draw_zipf(loadgen *loadgen, size_t count) {
+  double total = 0;
+  for (size_t i = 0; i < count; i++)
+    total += zipf_weight(loadgen, i);
+  double left = random_fraction(loadgen->world) * total;
+  for (size_t i = 0; i < count; i++) {
+    left -= zipf_weight(loadgen, i);
+    if (left <= 0)
       return i;
-  return n - 1;
+  }
+  return count - 1;
+}
+
+static const char *draw_kind(loadgen *loadgen) {
+  const loadgen_plan *plan = &loadgen->plan;
+  int total = 0, kind = 0;
+  for (int i = 0; i < LOADGEN_KINDS; i++)
+    total += plan->kind_share[i];
+  int left = (int)world_random(loadgen->world, (uint64_t)total);
+  while (kind < LOADGEN_KINDS - 1 && (left -= plan->kind_share[kind]) >= 0)
+    kind++;
+  return plan->kinds[kind];
+}
+
+static time_us time_from_now(const loadgen *loadgen, int64_t ms) {
+  return time_add(world_now(loadgen->world), time_from_ms(ms));
 }
 
-static void plan_run(void *p) {
-  loadgen *loadgen = p;
+/* when a caller leaves; 0: never */
+static time_us draw_leave_at(loadgen *loadgen) {
+  const loadgen_plan *plan = &loadgen->plan;
+  if (random_fraction(loadgen->world) < plan->leave_ratio)
+    return time_from_now(loadgen,
+                         LEAVE_MIN_MS + (int64_t)world_random(loadgen->world, LEAVE_SPAN_MS));
+  return plan->timeout_ms ? time_from_now(loadgen, plan->timeout_ms) : (time_us){ 0 };
+}
+
+/* the order of the draws is part of what a seed stands for */
+static void send_by_plan(loadgen *loadgen) {
+  const loadgen_plan *plan = &loadgen->plan;
+  world *world = loadgen->world;
+  bool for_adapter = plan->adapters->len && random_fraction(world) < plan->adapter_ratio;
+  const GArray *targets = for_adapter ? plan->adapters : plan->models;
+  if (!targets->len || !plan->routers->len)
+    return;
+  target chosen = g_array_index(targets, target, draw_zipf(loadgen, targets->len));
+  const char *kind = draw_kind(loadgen);
+  request_task settings = { .leave_at = draw_leave_at(loadgen) };
+  bool resumable = random_fraction(world) < RESUMABLE_RATIO;
+  settings.tokens_wanted = TOKENS_MIN + (int)world_random(world, (uint64_t)plan->tokens);
+  g_strlcpy(settings.router, random_router(loadgen), sizeof settings.router);
+  send_request(loadgen, settings, chosen, id_of_text(kind), resumable);
+}
+
+static void plan_run(void *context) {
+  loadgen *loadgen = context;
   while (!loadgen->stop) {
-    double gap = -log(1 - random_fraction(loadgen->world)) / loadgen->plan.requests_per_s;
-    if (!world_sleep(loadgen->world, (time_us){ (int64_t)(gap * 1e6) + 1 }) || loadgen->stop)
+    double gap_s = -log(1 - random_fraction(loadgen->world)) / loadgen->plan.requests_per_s;
+    if (!world_sleep(loadgen->world, (time_us){ (int64_t)(gap_s * 1e6) + 1 }) || loadgen->stop)
       return;
-    bool ad = loadgen->plan.adapters->len &&
-              random_fraction(loadgen->world) < loadgen->plan.adapter_ratio;
-    GArray *from = ad ? loadgen->plan.adapters : loadgen->plan.models;
-    if (!from->len || !loadgen->plan.routers->len)
-      continue;
-    thing *t = &g_array_index(from, thing, zipf(loadgen, from->len));
-    int all =
-            loadgen->plan.kind_share[0] + loadgen->plan.kind_share[1] + loadgen->plan.kind_share[2],
-        at = (int)world_random(loadgen->world, all), k = 0;
-    while (k < 2 && (at -= loadgen->plan.kind_share[k]) >= 0)
-      k++;
-    time_us leave = { 0 };
-    if (loadgen->plan.timeout_ms)
-      leave = time_add(world_now(loadgen->world), time_from_ms(loadgen->plan.timeout_ms));
-    if (random_fraction(loadgen->world) < loadgen->plan.leave_ratio)
-      leave = time_add(world_now(loadgen->world),
-                       time_from_ms(50 + (int64_t)world_random(loadgen->world, 3000)));
-    send(loadgen,
-         loadgen->plan.routers->pdata[world_random(loadgen->world, loadgen->plan.routers->len)],
-         t->model, t->adapter, id_of_text(loadgen->plan.kinds[k]),
-         4 + (int)world_random(loadgen->world, loadgen->plan.tokens),
-         random_fraction(loadgen->world) < 0.2, leave);
+    send_by_plan(loadgen);
   }
 }
 
@@ -253,32 +388,33 @@
 }
 
 void loadgen_add_target(loadgen *loadgen, id model, id adapter) {
-  thing t = { model, adapter };
-  g_array_append_val(id_is_empty(adapter) ? loadgen->plan.models : loadgen->plan.adapters, t);
+  target added = { model, adapter };
+  GArray *targets = id_is_empty(adapter) ? loadgen->plan.models : loadgen->plan.adapters;
+  g_array_append_val(targets, added);
 }
 
 loadgen *loadgen_new(world *world, id self) {
-  loadgen *s = g_new0(loadgen, 1);
-  s->world = world;
-  s->self = self;
-  s->requests = g_ptr_array_new_with_free_func(g_free);
-  s->attempts = g_array_new(FALSE, TRUE, sizeof(loadgen_attempt));
-  s->plan.routers = g_ptr_array_new_with_free_func(g_free);
-  s->plan.models = g_array_new(FALSE, TRUE, sizeof(thing));
-  s->plan.adapters = g_array_new(FALSE, TRUE, sizeof(thing));
-  s->plan.requests_per_s = 5;
-  s->plan.zipf_exponent = 1.0;
-  s->plan.adapter_ratio = 0.4;
-  s->plan.tokens = 20;
-  s->plan.prefixes = 40;
-  s->plan.kind_share[0] = 70;
-  s->plan.kind_share[1] = 22;
-  s->plan.kind_share[2] = 8;
-  s->plan.kinds[0] = "live";
-  s->plan.kinds[1] = "short";
-  s->plan.kinds[2] = "deferred";
-  condition_init(&s->idle);
-  return s;
+  loadgen *created = g_new0(loadgen, 1);
+  created->world = world;
+  created->self = self;
+  created->requests = g_ptr_array_new_with_free_func(g_free);
+  created->attempts = g_array_new(FALSE, TRUE, sizeof(loadgen_attempt));
+  created->plan.routers = g_ptr_array_new_with_free_func(g_free);
+  created->plan.models = g_array_new(FALSE, TRUE, sizeof(target));
+  created->plan.adapters = g_array_new(FALSE, TRUE, sizeof(target));
+  created->plan.requests_per_s = 5;
+  created->plan.zipf_exponent = 1.0;
+  created->plan.adapter_ratio = 0.4;
+  created->plan.tokens = 20;
+  created->plan.prefixes = 40;
+  created->plan.kind_share[0] = 70;
+  created->plan.kind_share[1] = 22;
+  created->plan.kind_share[2] = 8;
+  created->plan.kinds[0] = "live";
+  created->plan.kinds[1] = "short";
+  created->plan.kinds[2] = "deferred";
+  condition_init(&created->idle);
+  return created;
 }
 
 void loadgen_free(loadgen *loadgen) {
@@ -290,33 +426,51 @@
   g_free(loadgen);
 }
 
-int loadgen_count(const loadgen *loadgen, enum loadgen_outcome how) {
-  int n = 0;
-  for (guint i = 0; i < loadgen->requests->len; i++)
-    n += ((loadgen_request *)loadgen->requests->pdata[i])->outcome == how;
-  return n;
+int loadgen_count(const loadgen *loadgen, enum loadgen_outcome outcome) {
+  int count = 0;
+  for (guint i = 0; i < loadgen->requests->len; i++) {
+    const loadgen_request *request = loadgen->requests->pdata[i];
+    count += request->outcome == outcome;
+  }
+  return count;
+}
+
+typedef struct code_count {
+  int code, count;
+} code_count;
+
+/* counts a code; codes beyond ERROR_CODES_MAX different ones are left out */
+static void count_code(code_count *counts, int code) {
+  for (int i = 0; i < ERROR_CODES_MAX; i++) {
+    if (counts[i].code && counts[i].code != code)
+      continue;
+    counts[i].code = code;
+    counts[i].count++;
+    return;
+  }
 }
 
-void loadgen_json(loadgen *loadgen, GString *b) {
-  static const char *const names[] = { "open",   "done",     "notRun", "unknown",
-                                       "broken", "noAnswer", "wrong",  "left" };
-  json_appendf(b, "{\"sent\":%u", loadgen->requests->len);
-  for (int i = 0; i < 8; i++)
-    json_appendf(b, ",\"%s\":%d", names[i], loadgen_count(loadgen, i));
-  int codes[8] = { 0 }, n[8] = { 0 };
+static void append_codes(const loadgen *loadgen, GString *to) {
+  code_count counts[ERROR_CODES_MAX] = { { 0 } };
   for (guint i = 0; i < loadgen->requests->len; i++) {
-    loadgen_request *request = loadgen->requests->pdata[i];
-    if (!request->code)
-      continue;
-    for (int c = 0; c < 8; c++)
-      if (codes[c] == request->code || !codes[c]) {
-        codes[c] = request->code;
-        n[c]++;
-        break;
-      }
+    const loadgen_request *request = loadgen->requests->pdata[i];
+    if (request->code)
+      count_code(counts, request->code);
   }
-  g_string_append(b, ",\"codes\":{");
-  for (int c = 0; c < 8 && codes[c]; c++)
-    json_appendf(b, "%s\"%d\":%d", c ? "," : "", codes[c], n[c]);
-  g_string_append(b, "}}\n");
+  for (int i = 0; i < ERROR_CODES_MAX && counts[i].code; i++)
+    json_appendf(to, "%s\"%d\":%d", i ? "," : "", counts[i].code, counts[i].count);
+}
+
+void loadgen_json(loadgen *loadgen, GString *to) {
+  static const char *const names[OUTCOME_COUNT] = {
+    [OUTCOME_OPEN] = "open",       [OUTCOME_DONE] = "done",     [OUTCOME_NOT_RUN] = "notRun",
+    [OUTCOME_UNKNOWN] = "unknown", [OUTCOME_BROKEN] = "broken", [OUTCOME_NO_ANSWER] = "noAnswer",
+    [OUTCOME_WRONG] = "wrong",     [OUTCOME_LEFT] = "left",
+  };
+  json_appendf(to, "{\"sent\":%u", loadgen->requests->len);
+  for (int i = 0; i < OUTCOME_COUNT; i++)
+    json_appendf(to, ",\"%s\":%d", names[i], loadgen_count(loadgen, (enum loadgen_outcome)i));
+  g_string_append(to, ",\"codes\":{");
+  append_codes(loadgen, to);
+  g_string_append(to, "}}\n");
 }
