--- a/emulator/registering_engine_requests.c
+++ b/emulator/registering_engine_requests.c
@@ -125,9 +125,10 @@
 
 /* refuses a request that is malformed, meant for another engine, or for a model not loaded here */
 static refusal check_destination(const incoming_request *incoming) {
-  static const refusal ACCEPTED, MALFORMED = { ENGINE_RUN_REFUSED, 400, NULL },
-                                 MISDIRECTED = { ENGINE_RUN_MISDIRECTED, 421, NULL },
-                                 NOT_READY = { ENGINE_RUN_REFUSED, 503, RETRY_WHEN_LOADED };
+  static const refusal ACCEPTED = { ENGINE_RUN_PENDING, 0, NULL };
+  static const refusal MALFORMED = { ENGINE_RUN_REFUSED, 400, NULL };
+  static const refusal MISDIRECTED = { ENGINE_RUN_MISDIRECTED, 421, NULL };
+  static const refusal NOT_READY = { ENGINE_RUN_REFUSED, 503, RETRY_WHEN_LOADED };
   const engine_run_record *record = incoming->record;
   if (!record->request_id[0])
     return MALFORMED;
--- a/emulator/registering_engine_responses.c
+++ b/emulator/registering_engine_responses.c
@@ -269,8 +269,9 @@
   }
   engine_batch_start(active->engine);
   request->client_gone_condition = &active->changed;
-  while (!request->client_gone && advance_stream(&stream))
-    continue;
+  bool goes_on = true;
+  while (goes_on && !request->client_gone)
+    goes_on = advance_stream(&stream);
   request->client_gone_condition = NULL;
   end_stream(&stream);
 }
--- a/tests/emulator/day.c
+++ b/tests/emulator/day.c
@@ -1,6 +1,6 @@
 /**
- * Tests of emulator/day.c: emulated days of a full deployment are read or refused, and report what
- * happened in them. Each day brings its own deployment.
+ * Tests of the day modules of emulator/: emulated days of a full deployment are read or refused,
+ * and report what happened in them. Each day brings its own deployment.
  */
 #include "day_faults.h"
 #include "day_figures.h"
