--- a/bin/asterfall-emulate.c
+++ b/bin/asterfall-emulate.c
@@ -4,7 +4,13 @@
  * With --against or --against-seed there are two sides, A and B. Each day is played on both, and
  * the differences are taken day by day, so that the spread between days does not hide a difference
  * between the sides. */
-#include "day.h"
+#include "day_faults.h"
+#include "day_figures.h"
+#include "day_play.h"
+#include "day_plot.h"
+#include "day_policy.h"
+#include "day_read.h"
+#include "day_report.h"
 #include "program.h"
 #include <argp.h>
 #include <stdio.h>
--- a/emulator/gateway_check_orders.c
+++ b/emulator/gateway_check_orders.c
@@ -25,8 +25,7 @@
 }
 
 static bool shows_holder(const deployment *deployment, const engine_order_record *order) {
-  return !order->after_freeze && order->status != 421 && order->fencing_token >= 0 &&
-         !id_is_empty(order->holder) &&
+  return order->status != 421 && order->fencing_token >= 0 && !id_is_empty(order->holder) &&
          !recently_recovered(deployment, order->holder, order->received_at);
 }
 
