--- a/lib/gateway/traffic_reports.c
+++ b/lib/gateway/traffic_reports.c
@@ -44,12 +44,12 @@
   }
 }
 
-/* takes over what one gateway runs on one engine */
-static void set_peer_load(gateway_engine *engine, uint64_t nonce,
+/* takes over what one gateway runs on one engine, by a report that came at an instant */
+static void set_peer_load(gateway_engine *engine, uint64_t nonce, time_us received_at,
                           const Wire__EngineTraffic *reported) {
   GArray *peer_loads = engine->load.peer_loads;
   peer_load peer = { nonce,
-                     gateway_engine_now(engine),
+                     received_at,
                      (int)MIN(reported->running_streams, MAX_REPORTED_RUNNING),
                      (double)reported->waiting_tokens,
                      { 0 } };
@@ -63,12 +63,13 @@
   g_array_append_val(peer_loads, peer);
 }
 
-/* removes a gateway's load from an engine that its report of now does not name */
-static void remove_unnamed_load(gateway_engine *engine, uint64_t nonce, time_us now) {
+/* removes a gateway's load from an engine that its report does not name: one that it names bears
+ * the report's own instant */
+static void remove_unnamed_load(gateway_engine *engine, uint64_t nonce, time_us received_at) {
   GArray *peer_loads = engine->load.peer_loads;
   for (guint i = 0; i < peer_loads->len; i++) {
     const peer_load *peer = &g_array_index(peer_loads, peer_load, i);
-    if (peer->nonce != nonce || peer->received_at.us == now.us)
+    if (peer->nonce != nonce || peer->received_at.us == received_at.us)
       continue;
     g_array_remove_index_fast(peer_loads, i);
     sum_peer_loads(engine);
@@ -78,20 +79,21 @@
 
 void traffic_reports_apply(gateway *gateway, uint64_t nonce, bool same_zone,
                            const Wire__TrafficReport *report) {
+  /* read once: the clock moves on while the report is applied */
+  time_us received_at = gateway_now(gateway);
   for (size_t i = 0; i < report->n_engines; i++) {
     const Wire__EngineTraffic *reported = report->engines[i];
     gateway_engine *engine = gateway_engine_find(gateway, reported->engine);
     if (!engine || engine->gone)
       continue;
-    set_peer_load(engine, nonce, reported);
+    set_peer_load(engine, nonce, received_at, reported);
     sum_peer_loads(engine);
     if (reported->failures)
       gateway_engine_add_failure(engine, MIN(reported->failures, MAX_REPORTED_FAILURES) *
                                              (same_zone ? 1 : OTHER_ZONE_FAILURE_WEIGHT));
   }
-  time_us now = gateway_now(gateway);
   list_for_each (engine, &gateway->engines.list, gateway_engine, link)
-    remove_unnamed_load(engine, nonce, now);
+    remove_unnamed_load(engine, nonce, received_at);
 }
 
 static enum error_code on_traffic_report(void *context, Wire__Envelope *in, reply *reply,
--- a/tests/gateway/loader.c
+++ b/tests/gateway/loader.c
@@ -669,6 +669,42 @@
   return true;
 }
 
+/* a clock that moves on with each look at it, as a process's does */
+static time_us moving_clock(void *context) {
+  int64_t *us = context;
+  return (time_us){ ++*us };
+}
+
+/* what one report names stays, also when the clock moves on while the report is applied */
+static bool reported_loads_stay_while_the_clock_moves(fleet *fleet) {
+  bare_gateway *bare = bare_new(fleet);
+  gateway_engine *engine = heartbeat(bare, "e1", "10.0.0.1:80", 1, 0, "big"),
+                 *other = heartbeat(bare, "e2", "10.0.0.2:80", 1, 0, "big");
+  Wire__EngineTraffic one = WIRE__ENGINE_TRAFFIC__INIT, two = WIRE__ENGINE_TRAFFIC__INIT,
+                      *all[2] = { &one, &two };
+  Wire__TrafficReport report = WIRE__TRAFFIC_REPORT__INIT;
+  one.engine = "e1";
+  one.running_streams = 3;
+  one.waiting_tokens = 900;
+  two.engine = "e2";
+  two.running_streams = 2;
+  two.waiting_tokens = 500;
+  report.engines = all;
+  report.n_engines = 2;
+  world *world = bare->router.node.world;
+  int64_t us = world_now(world).us;
+  scheduler saved = world->tasks;
+  world->tasks.now = moving_clock;
+  world->tasks.now_context = &us;
+  traffic_reports_apply(&bare->gateway, 7, true, &report);
+  world->tasks.now = saved.now;
+  world->tasks.now_context = saved.now_context;
+  WANT(fleet, engine->load.peers_running == 3 && near(engine->load.peers_waiting_tokens, 900));
+  WANT(fleet, other->load.peers_running == 2 && near(other->load.peers_waiting_tokens, 500));
+  bare_free(bare);
+  return true;
+}
+
 /* a holder that has read an engine's own report must not lose sight of a load by an older heartbeat
    that comes after it: its memory would look free, and an engine that is filled beyond it crashes
  */
@@ -754,5 +790,7 @@
   { "failures_now_and_then_add_up_over_nodes", failures_now_and_then_add_up_over_nodes, 1, 1, 60 },
   { "busy_victims_cost_their_drain", busy_victims_cost_their_drain, 1, 1, 20 },
   { "what_is_not_named_runs_no_more", what_is_not_named_runs_no_more, 1, 1, 20 },
+  { "reported_loads_stay_while_the_clock_moves", reported_loads_stay_while_the_clock_moves, 1, 1,
+    20 },
   { NULL, NULL, 0, 0, 0 }
 };
