--- a/lib/router/admission.c
+++ b/lib/router/admission.c
@@ -1,16 +1,18 @@
 /**
- * Decides whether this router may take new work.
+ * Decides whether this router may accept new work.
  */
 #include "admission.h"
 #include "router.h"
 
 enum {
-  /* Requests wait for admission this long after it was lost, since short gaps end by themselves. */
+  /* Requests wait for admission until this long after it was lost, because short gaps resolve
+     without intervention. */
   MAX_ADMISSION_GAP_MS = 1000,
   RECHECK_INTERVAL_MS = 100
 };
 
-/* How many routers there are, as far as any router in reach knows. */
+/* The highest number of routers that this router, or a router that was confirmed recently, knows.
+ */
 static int count_known_routers(router *router) {
   int count = peer_table_count(&router->node, ROLE_ROUTER);
   list_for_each (peer, &router->node.peers, peer_node, link)
@@ -20,7 +22,8 @@
   return count;
 }
 
-/* True when more than half of the routers were confirmed in their run and know nothing newer. */
+/* True when more than half of the routers, including this one, have been confirmed by a controller
+ * since they started and have no newer configuration. */
 static bool majority_confirmed(router *router) {
   int count = router->sync.ever_confirmed;
   list_for_each (peer, &router->node.peers, peer_node, link)
@@ -29,7 +32,7 @@
   return count > count_known_routers(router) / 2;
 }
 
-/* True when more than half of the routers, this one included, have no valid engine list. */
+/* True when more than half of the routers, including this one, have no valid engine list. */
 static bool majority_without_list(router *router) {
   int count = 1;
   list_for_each (peer, &router->node.peers, peer_node, link)
--- a/lib/router/config_snapshot.c
+++ b/lib/router/config_snapshot.c
@@ -1,6 +1,5 @@
 /**
- * Installing and packing state snapshots; the steps of an installation stand in
- * config_snapshot_install.
+ * Installs and packs state snapshots. config_snapshot_install shows the steps of an installation.
  */
 #include "config_snapshot.h"
 #include "delta.h"
@@ -9,7 +8,7 @@
 #include "routing.h"
 #include <stdlib.h>
 
-/* A snapshot that is being checked; nothing of it is in force yet. */
+/* A snapshot that is being checked; no part of it is in force yet. */
 typedef struct candidate {
   const char *from;
   bool versions_moved;
@@ -18,7 +17,8 @@
   Wire__Resource *resources[RESOURCE_COUNT];
   json *documents[RESOURCE_COUNT];
   config *config;
-  /* set when the snapshot brings another routing; NULL also when that is empty */
+  /* routing_changed: the snapshot contains a different routing. `routing` is NULL also if that
+     routing is empty. */
   bool routing_changed;
   routing *routing;
 } candidate;
@@ -51,7 +51,7 @@
     memset(router->sync.resource_versions, 0, sizeof router->sync.resource_versions);
 }
 
-/* Replaces the delta of a resource by its full text. */
+/* Replaces the delta of a resource with its full text. */
 static bool apply_delta(const router *router, int k, Wire__Resource *resource) {
   if (resource->base_version != router->sync.resource_versions[k])
     return false;
@@ -67,7 +67,8 @@
   return true;
 }
 
-/* True when the full text of a resource is known: it came, or it is the version in force. */
+/* True when the full text of a resource is known, either from the snapshot or because it is the
+ * version in force. */
 static bool resolve_text(router *router, const candidate *candidate, int k) {
   Wire__Resource *resource = candidate->resources[k];
   bool fits =
@@ -82,12 +83,12 @@
 static bool parse_resources(router *router, candidate *candidate) {
   for (int k = 0; k < RESOURCE_COUNT; k++) {
     Wire__Resource *resource = candidate->resources[k];
-    /* no canary was ever declared, or the sender is of a version that knows none */
+    /* no canary has been declared, or the sender's version does not support canaries */
     if (!resource && k == RESOURCE_CANARY)
       continue;
     if (!resolve_text(router, candidate, k))
       return false;
-    /* the routing in force is compiled already */
+    /* the routing in force is already compiled */
     if (k == RESOURCE_ROUTING && resource->version == router->sync.resource_versions[k])
       continue;
     string_view text = resource->same
@@ -152,7 +153,7 @@
   }
 }
 
-/* Takes over the compiled parts of the candidate. */
+/* Moves the compiled parts of the candidate into the router. */
 static void put_in_force(router *router, candidate *candidate, size_t packed_size) {
   config_sync *sync = &router->sync;
   const Wire__StateSnapshot *snapshot = candidate->snapshot;
@@ -179,7 +180,7 @@
   log_debug(&router->node.log, "config",
             "Version %" PRIu64 " of view %" PRIu64 " is in force, received from %s.",
             candidate->snapshot->sequence, candidate->snapshot->epoch, candidate->from);
-  /* in relaxed mode no write waits for routers */
+  /* in relaxed mode, writes do not wait for routers */
   if (!router->node.settings.relaxed)
     router_sync_report_version(router);
   condition_broadcast(&router->state_changed);
--- a/lib/router/config_sync.c
+++ b/lib/router/config_sync.c
@@ -1,5 +1,5 @@
 /**
- * What all polls for configuration have in common: the request, the response, confirmations.
+ * The parts common to all configuration polls: requests, responses and confirmations.
  */
 #include "config_sync.h"
 #include "admission.h"
--- a/lib/router/controller_poll.c
+++ b/lib/router/controller_poll.c
@@ -1,50 +1,50 @@
 /**
- * The task that polls controllers in turn, and hedged polls beside it.
+ * The task that polls controllers in turn, and the hedged polls sent in parallel.
  */
 #include "controller_poll.h"
 #include "router.h"
 
 enum {
-  /* Timeout of a poll. Strict: a controller holds it open for up to 500 ms, and a confirmation is
-     valid for 2000 ms, so two controllers can be tried in that time. */
+  /* Timeout of a poll. Strict: a controller holds it open for up to 500 ms and a confirmation is
+     valid for 2000 ms, so two controllers can be tried within that time. */
   POLL_TIMEOUT_MS = 900,
-  /* Relaxed: it is held open for up to 1000 ms, and nothing depends on noticing a silent controller
-     within this time, for hedged polls do. On a node that is busy, responses come late and are
-     needed all the same, so the timeout grows with the latency of the last poll. */
+  /* Relaxed: a poll is held open for up to 1000 ms. This timeout need not detect an unresponsive
+     controller, because hedged polls do. On a busy node, responses arrive late but are still
+     needed, so the timeout grows with the latency of the last poll. */
   POLL_TIMEOUT_RELAXED_MS = 1500,
   MAX_POLL_TIMEOUT_MS = 6000,
   POLL_TIMEOUT_LATENCY_FACTOR = 3,
-  /* The longest hold that counts as confirmed time. */
+  /* The longest hold time that is added to a confirmation. */
   MAX_CONFIRMED_HOLD_MS = POLL_TIMEOUT_RELAXED_MS,
 
-  /* Pause after a response that came sooner than this, so that responses which come at once don't
-     make a busy loop. Strict: shorter, since an operator's write waits for routers. */
+  /* Pause after a response that arrives sooner than this, so that immediate responses do not cause
+     a busy loop. Shorter in strict mode, because an operator's write waits for routers. */
   MIN_POLL_INTERVAL_MS = 50,
   MIN_POLL_INTERVAL_RELAXED_MS = 100,
-  /* Pauses after a poll that failed: when another controller was named, when none was, and when no
+  /* Pauses after a failed poll: when another controller was named, when none was named, and when no
      controller is known. */
   RETRY_HINTED_MS = 30,
   RETRY_MS = 120,
   RETRY_NO_CONTROLLER_MS = 250,
 
-  /* Relaxed only: see the header. */
+  /* Relaxed mode only; see controller_poll.h. */
   HEDGE_AFTER_MS = 600,
   HEDGE_INTERVAL_MS = 300,
-  /* A hedged poll is answered at once. After this long its controller counts as failed; the
-     response is awaited for longer, since a busy node gets all responses late and needs what they
-     bring. */
+  /* Controllers answer hedged polls immediately. After HEDGED_POLL_OVERDUE_MS the controller is
+     marked as failed, but the response is still awaited, because on a busy node all responses
+     arrive late and their contents are needed. */
   HEDGED_POLL_OVERDUE_MS = 600,
   HEDGED_POLL_TIMEOUT_MS = 5000
 };
 
 enum poll_kind {
-  /* The controller holds it open until there is something newer; also asks for engines. */
+  /* The controller holds it open until there is something newer. Also requests engine changes. */
   POLL_LONG,
-  /* The controller responds at once; sent beside a long poll. */
+  /* The controller responds immediately; sent in parallel to a long poll. */
   POLL_HEDGED
 };
 
-/* What a hedged poll needs beyond the call that starts it. */
+/* Arguments of the task that runs a hedged poll. */
 typedef struct hedged_poll_task {
   router *router;
   char address[48];
@@ -138,7 +138,7 @@
     router->on_engines_changed(router->gateway, response);
 }
 
-/* Polls one controller. True when it confirmed that its state is in force. */
+/* Polls one controller. True when the controller reports its state as confirmed. */
 static bool poll_controller(router *router, const char *address, enum poll_kind kind) {
   Wire__ConfigPollRequest request;
   prepare_request(router, address, kind, &request);
@@ -166,8 +166,8 @@
                                    world_now(router->node.world));
 }
 
-/* The controller to poll: the one that was named, the one polled last, the one that confirmed a
- * hedged poll, or the next in turn. NULL when none is known. */
+/* Chooses the controller to poll, in this order: the one that was named, the one polled last, the
+ * one that confirmed a hedged poll, the next in turn. NULL when none is known. */
 static peer_node *choose_controller(router *router) {
   controller_poll *controllers = &router->controllers;
   const char *preferred = controllers->controller_hint[0] ? controllers->controller_hint
@@ -182,7 +182,7 @@
   return peer;
 }
 
-/* Ends a poll that succeeded; false when the process stops. */
+/* Pauses after a poll that succeeded; false when the process is stopping. */
 static bool pause_after_success(router *router, time_us started_at) {
   time_us interval = time_from_ms(router->node.settings.relaxed ? MIN_POLL_INTERVAL_RELAXED_MS
                                                                 : MIN_POLL_INTERVAL_MS);
@@ -190,10 +190,10 @@
          world_sleep(router->node.world, interval);
 }
 
-/* Ends a poll that failed, or that found no controller; false when the process stops. */
+/* Pauses after a poll that failed or found no controller; false when the process is stopping. */
 static bool pause_after_failure(router *router, bool polled) {
   controller_poll *controllers = &router->controllers;
-  /* one that could not confirm is polled again only when none could */
+  /* the controller is not polled again for a while unless no other is available */
   if (polled)
     mark_failed(router, router->controllers.polled_controller);
   router->controllers.polled_controller[0] = 0;
@@ -222,7 +222,7 @@
   }
 }
 
-/* Index of a free hedged poll, or -1. Marks those that became overdue. */
+/* Returns the index of a free hedged poll, or -1. Marks polls that have become overdue. */
 static int find_free_hedged_poll(router *router, time_us now) {
   int free_index = -1;
   for (int i = 0; i < MAX_HEDGED_POLLS; i++) {
@@ -289,7 +289,7 @@
   }
 }
 
-/* A controller reports engines that drain at once, beside the polls. */
+/* A controller reports draining engines immediately, independently of the polls. */
 static enum error_code on_engine_update(void *context, Wire__Envelope *in, reply *reply,
                                         error *err) {
   router *router = context;
@@ -308,7 +308,7 @@
   task_start(&router->node.world->tasks, "controller poll", poll_controllers_run, router);
   if (router->node.settings.relaxed)
     task_start(&router->node.world->tasks, "hedging", hedging_run, router);
-  /* a gateway replaces this handler by its own, since gateways send these messages as well */
+  /* a gateway replaces this handler with its own, because gateways send these messages as well */
   peer_rpc_register_handler(&router->node, WIRE__ENVELOPE__BODY_ENGINE_UPDATE, on_engine_update,
                             router);
 }
--- a/lib/router/controller_selection.c
+++ b/lib/router/controller_selection.c
@@ -1,9 +1,9 @@
 /**
- * Picks the controller to ask next.
+ * Chooses the controller to poll next.
  */
 #include "controller_selection.h"
 
-/* A controller that failed is passed over for this long while there are others. */
+/* A controller that failed is skipped for this long while others are available. */
 enum { FAILURE_PENALTY_MS = 1500 };
 
 static controller_contact *find_contact(controller_selection *selection, const char *address) {
@@ -37,8 +37,8 @@
   find_or_add_contact(selection, address)->failed_at = now;
 }
 
-/* One that is declared gone may be back before anybody has noticed, so it is not skipped for good.
- */
+/* A controller that is declared gone may have returned without being noticed yet, so it is only
+ * ranked lower and not skipped permanently. */
 static bool is_likely_available(const peer_node *peer, const controller_contact *known,
                                 time_us now) {
   if (peer->gone)
@@ -47,7 +47,7 @@
          time_reached(now, time_add(known->failed_at, time_from_ms(FAILURE_PENALTY_MS)));
 }
 
-/* How good a choice a controller is: available ones first, then the one asked longest ago. */
+/* Sort key of a controller: available ones first, then the one polled longest ago. */
 typedef struct preference {
   bool likely_available;
   int64_t asked_at_us;
@@ -59,7 +59,7 @@
   return (preference){ is_likely_available(peer, known, now), known ? known->asked_at.us : 0 };
 }
 
-/* Below 0 when a is preferred to b, 0 when they are equal. */
+/* Returns a negative value when a is preferred to b, and 0 when they are equal. */
 static int compare_preferences(preference a, preference b) {
   if (a.likely_available != b.likely_available)
     return a.likely_available ? -1 : 1;
@@ -79,7 +79,8 @@
     int order = best ? compare_preferences(candidate, best_preference) : -1;
     if (order < 0)
       equals = 1;
-    /* of n equal ones, the n-th replaces the choice with probability 1/n, so all are as likely */
+    /* reservoir sampling: the n-th equal candidate replaces the choice with probability 1/n, so
+       that all are equally likely */
     else if (order > 0 || world_random(from->world, ++equals))
       continue;
     best = peer;
--- a/lib/router/engine.c
+++ b/lib/router/engine.c
@@ -1,17 +1,17 @@
 /**
- * Capacity of engines, and the slow start of those that came up.
+ * Stream limits of engines, and the slow start of engines that have just come up.
  *
- * Slow start: the limit on the streams of an engine that came up grows over slow_start_s. Each
- * router knows only its own streams since the last report; to keep all routers together within the
- * small limit, it is divided among them, and the remainder is given to each router in turn.
+ * Slow start: the stream limit of an engine that has just come up grows over slow_start_s seconds.
+ * Each router knows only its own streams since the last report. To keep all routers together within
+ * the low limit, it is divided among them, and the routers take turns in getting the remainder.
  */
 #include "engine.h"
 #include "router.h"
 
 enum {
-  /* Longer than a poll for a report may take (engine_report.c). */
+  /* Longer than the timeout of a report poll (engine_report.c). */
   REPORT_VALID_MS = 2500,
-  /* How long one router has the larger share of the slow start's limit. */
+  /* How long a router keeps its position in the division of the slow start's limit. */
   SLOW_START_TURN_MS = 500,
   MIN_SLOW_START_STREAMS = 2
 };
@@ -82,8 +82,8 @@
   return time_sub(world_now(engine->router->node.world), engine->started_at).us;
 }
 
-/* This router's share of the limit during a slow start. The order of the routers is one of the
- * engine's own, and moves on by one each turn. */
+/* This router's share of the limit during a slow start. Hashing gives each engine its own order of
+ * the routers, which rotates by one position each turn. */
 static int slow_start_share(engine *engine, int cap, int64_t age) {
   router *router = engine->router;
   int all = 1, before = 0;
--- a/lib/router/engine.h
+++ b/lib/router/engine.h
@@ -1,12 +1,12 @@
 #ifndef ROUTER_ENGINE_H
 #define ROUTER_ENGINE_H
 /**
- * An engine that the platform lists: what its last report says, what this router runs there, and
- * whether it may take more.
+ * An engine that the platform lists: the state in its last report, the streams that this router
+ * runs on it, and whether it may accept more.
  *
  * Engines report their own state (engine_report.c), so several routers can send streams to one
- * engine without asking each other. Between two reports a router knows only its own streams; those
- * of the others are taken from the report.
+ * engine without coordination. Between two reports a router sees changes only of its own streams;
+ * the streams of other routers are taken from the last report.
  */
 #include "task.h"
 
@@ -14,31 +14,31 @@
 
 enum resident_state { RESIDENT_UP, RESIDENT_LOADING, RESIDENT_UNLOADING };
 
-/** A model or adapter on an engine, as the engine's last report says. Lives until a report no
- * longer shows it. */
+/** A model or adapter on an engine, according to the engine's last report. Exists until a report no
+ * longer lists it. */
 typedef struct resident_model {
   list_node link;
-  /** The adapter is blank for a model itself. */
+  /** The adapter is empty if this is a model. */
   id model, adapter;
   enum resident_state state;
   uint64_t weights_mb;
-  /** Adapter slots that it takes, and streams that run on it. */
+  /** Adapter slots that it takes, and streams running on it. */
   unsigned slots, running;
   /** When it was first seen up. */
   time_us loaded_at;
   bool served_requests;
-  /** Used while a report is applied: the report shows it. */
+  /** Used while a report is applied: the report lists it. */
   bool in_report;
-  /** Loads of adapters on this model that were ordered and that no report has confirmed or denied
-   * yet. Written by model_loading.c. */
+  /** Number of ordered loads of adapters on this model whose outcome no report has shown yet.
+   * Written by model_loading.c. */
   int unconfirmed_adapter_loads;
-  /** The engine accepted an order to unload it; only a later report can show that it is still
-   * there. Set by model_loading.c. */
+  /** The engine accepted an order to unload it, so only a later report can show that it is still
+   * resident. Set by engine_capacity.c. */
   bool unload_accepted;
 } resident_model;
 
-/** An engine of the platform's list. Counted references: the task that fetches its reports, the
- * task that loads models on it, and every request that waits on it. */
+/** An engine in the platform's list. Reference-counted: references are held by the task that
+ * fetches its reports, the task that loads models on it, and each request that uses it. */
 typedef struct engine {
   list_node link;
   int refs;
@@ -48,40 +48,43 @@
   id self, type, zone;
   char address[48];
   bool draining, listed;
-  /** It left the list, or its address changed; its tasks end. */
+  /** It is no longer listed, or its address has changed; its tasks end. */
   bool removed;
-  /** Another engine was listed under its name, or its reports are malformed; logged once. */
+  /** The list has a second engine of this name, or its reports are malformed. Used to log this only
+   * once. */
   bool malformed;
 
   /* From its reports; written by engine_report.c. */
-  /** Capacity in MB of weights, and slots for adapters; first as the list says. */
+  /** Capacity in MB of weights, and adapter slots; until the first report the values from the list.
+   */
   uint64_t weights_mb;
   unsigned adapter_slots;
-  /** Run of the engine's process, and number of its last report. */
+  /** Identifier of the engine's process run, and number of its last report. */
   char boot_id[48];
   uint64_t report_seq;
   bool reported;
-  /** 0: it could not be reached since. */
+  /** When the last report was received; 0 if there was none or the engine has been unreachable or
+   * its report malformed since. */
   time_us last_report_at;
-  /** When this run, or its first report after a long gap, was seen: the slow start counts from
-   * here. */
+  /** When the first report of this run, or the first report after a long gap, was received; the
+   * slow start begins then. */
   time_us started_at;
   int running;
-  /** Values of own_running when the last report was received. */
+  /** Value of own_running when the last report was received. */
   int own_running_at_report;
   /** Of resident_model. */
   list_node residents;
   condition report_changed;
 
-  /* Of the requests that this router sends there; written by generate_api.c. */
+  /* Requests that this router sends to the engine; written by request_attempt.c. */
   int own_running, consecutive_failures;
-  /** Passed over until then, after consecutive failures. */
+  /** The engine is not selected until this time, after consecutive failures. */
   time_us excluded_until;
 
-  /* Of model_loading.c. */
+  /* Written by the modules that load models. */
   /** Orders sent by this process. */
   uint64_t order_count;
-  /** Capacity promised to loads that no report shows yet. */
+  /** Capacity reserved for loads that no report shows yet. */
   uint64_t reserved_mb;
   unsigned reserved_slots;
   /** Of queued_load_request. */
@@ -89,33 +92,35 @@
   condition work_changed;
 } engine;
 
-/** Makes an engine with one reference for each of its two tasks and adds it to the list. */
+/** Creates an engine with one reference for each of its two tasks and adds it to the list. */
 engine *engine_new(router *router, const char *self, const char *address);
-/** Drops a reference; the last one frees the engine. */
+/** Drops a reference and frees the engine with the last one. */
 void engine_unref(engine *engine);
-/** Marks an engine as removed and wakes all who wait on it. */
+/** Marks an engine as removed and wakes all tasks that wait on it. */
 void engine_remove(engine *engine);
-/** NULL when the engine is not listed. */
+/** Returns the engine of a name, or NULL when there is none. */
 engine *engine_find(router *router, id self);
-/** NULL when the last report does not show it. */
+/** Returns a model or adapter on an engine, or NULL when the last report does not list it. */
 resident_model *engine_find_resident(engine *engine, id model, id adapter);
-/** True when an engine may get new work: listed, not draining, reporting, not excluded, and not in
- * an evacuated zone. */
+/** Returns true when an engine may get new work: this router may admit work, and the engine is
+ * listed, not draining, reporting, not excluded and not evacuated. */
 bool engine_accepts_work(engine *engine);
-/** Streams that an engine may run now; fewer during its slow start. */
+/** Maximum number of streams that an engine may run now; lower during its slow start. */
 int engine_max_streams(engine *engine);
-/** True when this router may send one more stream now. */
+/** Returns true when this router may send one more stream to an engine now. */
 bool engine_has_free_slot(engine *engine);
-/** Streams that run on an engine, as well as this router can tell. */
+/** Number of streams running on an engine, as far as this router knows. */
 int engine_running_streams(engine *engine);
 
-/** True when the process stops or the engine is removed: nothing more is to be done there. */
+/** Returns true when the process is stopping or the engine has been removed. */
 bool engine_is_stopping(const engine *engine);
-/** Waits for an engine's next report, for a moment at most. False when the process stops. */
+/** Waits for an engine's next report, but no longer than REPORT_WAIT_MS. Returns false when the
+ * process is stopping. */
 bool engine_wait_next_report(engine *engine);
-/** The same; E_STOPPING when the process stops or the engine is removed. */
+/** Like engine_wait_next_report, but returns E_STOPPING when the process is stopping or the engine
+ * has been removed. */
 enum error_code engine_await_report(engine *engine, error *err);
-/** Task that fetches an engine's reports until it is removed; takes over one reference.
- * context is the engine. */
+/** Task that fetches an engine's reports until it is removed. `context` is the engine; the task
+ * owns one reference to it. */
 void engine_report_run(void *context);
 #endif
--- a/lib/router/engine_capacity.c
+++ b/lib/router/engine_capacity.c
@@ -1,5 +1,5 @@
 /**
- * Unloads models and adapters to make room for a load.
+ * Unloads models and adapters to free capacity for a load.
  */
 #include "engine_capacity.h"
 #include "load_backoff.h"
@@ -8,7 +8,8 @@
 
 enum {
   UNLOAD_TIMEOUT_MS = 20000,
-  /* What was loaded stays at least so long if nobody has used it yet. */
+  /* A model or adapter that has not served any request yet is kept for at least this long after it
+     was loaded. */
   MIN_RESIDENCY_MS = 15000,
   MAX_EVICTIONS = 24,
   RETRY_MS = 2000
@@ -18,7 +19,7 @@
   return world_now(engine->router->node.world);
 }
 
-/* What is missing for a load: capacity counts as taken until a report shows it as free. */
+/* Capacity counts as taken until a report shows it as free. */
 capacity_shortage engine_capacity_shortage(engine *engine, const order_subject *to_load) {
   uint64_t weights_mb = engine->reserved_mb + to_load->weights_mb;
   unsigned slots = engine->reserved_slots + to_load->slots;
@@ -47,7 +48,7 @@
     return E_NO_LEASE_HOLDER;
   if (result == ORDER_REFUSED || result == ORDER_OUTDATED)
     return (enum error_code)err->code;
-  /* reports came in meanwhile: the entry may be gone */
+  /* reports may have arrived during the call and removed the entry */
   resident = engine_find_resident(engine, model, adapter);
   if (result == ORDER_ACCEPTED && resident)
     resident->unload_accepted = true;
@@ -56,7 +57,7 @@
   return OK;
 }
 
-/* Unloads a model or adapter and waits until the engine's reports no longer show it. */
+/* Unloads a model or adapter and waits until the engine's reports no longer list it. */
 static enum error_code unload(engine *engine, id model, id adapter, error *err) {
   resident_model *resident = engine_find_resident(engine, model, adapter);
   if (!resident)
@@ -96,10 +97,10 @@
   return false;
 }
 
-/* True when something may not be unloaded to make room for a load. */
+/* True when a model or adapter must not be unloaded to free capacity for a load. */
 static bool is_pinned(engine *engine, const resident_model *resident,
                       const order_subject *to_load) {
-  /* loading or unloading; or an adapter may be on its way that would be left without its model */
+  /* it is loading or unloading, or an ordered adapter load would be left without its model */
   if (resident->state != RESIDENT_UP || resident->unconfirmed_adapter_loads)
     return true;
   time_us min_residency_end = time_add(resident->loaded_at, time_from_ms(MIN_RESIDENCY_MS));
@@ -128,7 +129,8 @@
   };
 }
 
-/* Picks what to unload first by the eviction policy; false when nothing may go. */
+/* Selects what to unload first by the eviction policy; false when the shortage cannot be covered.
+ */
 static bool select_victim(engine *engine, const order_subject *to_load, capacity_shortage shortage,
                           id *model, id *adapter) {
   router *router = engine->router;
@@ -147,7 +149,7 @@
     *model = all[0].model;
     *adapter = all[0].adapter;
     log_debug(&router->node.log, "place",
-              "%s lacks %" PRIu64 " MB and %u slots for %s: unloads %d, first %s with score %g.",
+              "%s lacks %" PRIu64 " MB and %u slots for %s: evicting %d, first %s with score %g.",
               engine->self.text, shortage.mb, shortage.slots, to_load->model.text, victims,
               model->text, all[0].score);
   }
@@ -162,7 +164,7 @@
   return false;
 }
 
-/* Evicts one victim, or waits where none may go but an unload is under way. */
+/* Evicts one victim. If there is none but an unload is in progress, waits for the next report. */
 static enum error_code evict_one(engine *engine, const order_subject *to_load,
                                  capacity_shortage shortage, error *err) {
   id model, adapter;
--- a/lib/router/engine_list.c
+++ b/lib/router/engine_list.c
@@ -1,5 +1,5 @@
 /**
- * Fetches the platform's list of engines and keeps the engines in step with it.
+ * Fetches the platform's engine list and updates the engines accordingly.
  */
 #include "engine_list.h"
 #include "model_loading.h"
@@ -8,8 +8,7 @@
 
 enum { LIST_POLL_INTERVAL_MS = 600, LIST_TIMEOUT_MS = 1000 };
 
-/* A list is in full when it comes from the platform, and may lack engines when another router
- * passed it on. */
+/* A list from the platform is complete; one from another router may lack engines. */
 enum list_source { FROM_PLATFORM, FROM_ROUTER };
 
 void engine_list_init(engine_list *list) {
@@ -45,7 +44,7 @@
   }
 }
 
-/* An engine under another address is another process: the old entry goes, and its name with it. */
+/* An engine at another address is another process: the old entry is removed and loses its name. */
 static void retire_engine(engine *engine) {
   engine_remove(engine);
   engine->self = id_of_text("");
@@ -66,13 +65,13 @@
   bool draining = json_bool(entry, "leaving", false);
   if (draining != engine->draining)
     log_info(&engine->router->node.log, "platform", "%s %s.", engine->self.text,
-             draining ? "is draining and gets no new work" : "no longer drains");
+             draining ? "is draining and gets no new work" : "is no longer draining");
   engine->zone = id_of_text(json_text(entry, "area", "none"));
   engine->draining = draining;
   engine->listed = true;
 }
 
-/* seen: names of the engines that this list named so far. */
+/* `seen` holds the names of the engines that this list has named so far. */
 static void apply_entry(router *router, const json *entry, GHashTable *seen) {
   const char *self = json_text(entry, "id", ""), *address = json_text(entry, "addr", "");
   if (!id_is_valid(string_view_of(self)) || !address_is_valid(address))
@@ -104,7 +103,7 @@
   }
 }
 
-/* Takes over a list that was made at an instant; false when it is malformed. */
+/* Applies a list that was requested at the given time; false when it is malformed. */
 static bool apply_list(router *router, const json *list, time_us at, enum list_source source) {
   const json *entries = json_get(list, "engines");
   if (!entries || entries->kind != JSON_ARRAY)
@@ -132,7 +131,7 @@
   return applied;
 }
 
-/* Fetches the list from the platform and takes it over. */
+/* Fetches the list from the platform and applies it. */
 static bool fetch_list(router *router, error *err) {
   world *world = router->node.world;
   time_us started_at = world_now(world);
@@ -155,11 +154,11 @@
     log_info(&router->node.log, "platform", "The platform's engine list is available again.");
   else
     log_info(&router->node.log, "platform",
-             "The platform's engine list is unavailable, the last one is used: %s (code %d).",
+             "The platform's engine list is unavailable; using the last one: %s (code %d).",
              err->text, err->code);
 }
 
-/* A router that drains needs the list until its last request is done. */
+/* A draining router needs the list until its last request has ended. */
 static bool should_poll(const router *router) {
   return !router->draining || router->open_requests;
 }
--- a/lib/router/engine_report.c
+++ b/lib/router/engine_report.c
@@ -1,10 +1,10 @@
 /**
- * Reports of engines: one task for each engine polls it, and what it reports becomes the router's
- * view of it.
+ * Engine reports: one task per engine polls for its reports, which update the router's view of the
+ * engine.
  *
- * A poll names the run and the number of the report that this router has; the engine holds it open
- * until there is a newer one. Reports of one run are numbered, so one that was overtaken is
- * ignored.
+ * A poll names the process run and the number of the last report that this router has; the engine
+ * holds the poll open until there is a newer report. Reports are numbered within a run, so reports
+ * that arrive out of order are ignored.
  */
 #include "engine.h"
 #include "router.h"
@@ -12,12 +12,12 @@
 
 enum {
   REPORT_TIMEOUT_MS = 2200,
-  /* Those who wait for a report look at the engine at least this often. */
+  /* Tasks that wait for a report check the engine at least this often. */
   REPORT_WAIT_MS = 300,
-  /* After a gap this long, the slow start begins anew. */
+  /* After a gap this long, the slow start begins again. */
   SLOW_START_AFTER_GAP_MS = 5000,
   /* Polls that end sooner than MIN_REPORT_INTERVAL_MS are followed by a longer pause, so that an
-     engine which responds at once makes no busy loop. */
+     engine that responds immediately does not cause a busy loop. */
   MIN_REPORT_INTERVAL_MS = 100,
   PAUSE_MS = 20,
   PAUSE_AFTER_EARLY_REPORT_MS = 120,
@@ -49,13 +49,13 @@
 static void refuse_report(engine *engine) {
   if (!engine->malformed)
     log_info(&engine->router->node.log, "engine",
-             "The report at %s is malformed or not one of %s; the engine gets no work (code %d).",
+             "The report at %s is malformed or not from %s; the engine gets no work (code %d).",
              engine->address, engine->self.text, E_NO_ENGINE);
   engine->malformed = true;
   engine->last_report_at = (time_us){ 0 };
 }
 
-/* Notes a new run, and restarts the slow start where one is due. */
+/* Records a new process run, and restarts the slow start if needed. */
 static void apply_run(engine *engine, const char *boot_id, bool same_run) {
   time_us now = world_now(engine->router->node.world),
           gap_until = time_add(engine->last_report_at, time_from_ms(SLOW_START_AFTER_GAP_MS));
@@ -91,7 +91,7 @@
   return resident;
 }
 
-/* is_newer: the report is another one than the last, rather than the same one fetched again. */
+/* `is_newer` is false when the report is the last one fetched again. */
 static void apply_resident(engine *engine, const json *entry, bool is_newer) {
   string_view model = string_view_of(json_text(entry, "model", "")),
               adapter = string_view_of(json_text(entry, "adapter", ""));
@@ -126,7 +126,7 @@
   }
 }
 
-/* Takes over a report, unless it is malformed or older than the last one. */
+/* Applies a report, unless it is malformed or older than the last one. */
 static void apply_report(engine *engine, const json *report) {
   if (!is_report_of(engine, report)) {
     refuse_report(engine);
--- a/lib/router/engine_selection.c
+++ b/lib/router/engine_selection.c
@@ -1,31 +1,32 @@
 /**
- * Which engine serves a request, and which engine loads a model.
+ * Selects the engine that serves a request, and the engine that loads a model.
  *
- * Requests with a common prefix go to the same engine, whose caches hold it: engines are ranked by
- * rendezvous hashing over the prefix, with bounded load, so that a popular prefix spills over to
- * others (consistent hashing with bounded loads).
+ * Requests with a common prefix go to the same engine, whose cache contains the prefix. Engines are
+ * ranked by rendezvous hashing over the prefix with bounded loads (as in consistent hashing with
+ * bounded loads), so that a popular prefix spills over to other engines.
  */
 #include "router.h"
 #include "routed_request.h"
 #include <math.h>
 #include <stdlib.h>
 
-/* An engine may have this much more than the mean load and still be preferred. */
+/* An engine is preferred only while its load is within this multiple of the mean load. */
 static const double LOAD_BOUND_FACTOR = 1.25;
-/* Scores, each above the sum of those that follow. */
+/* Components of the score; each is larger than the sum of those after it. */
 static const double SCORE_WITHIN_BOUND = 4, SCORE_SAME_ZONE = 0.5;
 
 enum {
-  /* Requests are served by age, each unit of weight counting like so much of it. */
+  /* Requests are served by age; each unit of weight counts as this much additional age. */
   RANK_US_PER_WEIGHT = 500000,
-  /* How many of the best ranked engines are looked at for free capacity. */
+  /* How many of the highest-ranked engines are checked for free capacity. */
   MAX_LOAD_TARGETS_TRIED = 3
 };
 
-/* A model on an engine: where an adapter is to be loaded, its model being up outranks all. */
+/* Priority bit of a load target: for an adapter load, an engine on which its model is up ranks
+ * above all others. */
 static const uint64_t MODEL_IS_UP = 1ull << 63;
 
-/* Smaller ranks go first. */
+/* Requests with lower ranks are served first. */
 static int64_t queue_rank(const routed_request *request) {
   return request->received_at.us - (int64_t)request->kind.weight * RANK_US_PER_WEIGHT;
 }
@@ -64,7 +65,7 @@
          is_up(engine, request->model, id_of_text(""));
 }
 
-/* A hash as a fraction from 0 to 1. */
+/* Maps a hash to a fraction from 0 to 1. */
 static double unit_interval(uint64_t hash) {
   return (double)(hash >> 12) / (double)(1ull << 52);
 }
@@ -111,7 +112,8 @@
   bool has_capacity;
 } load_target;
 
-/* What a load takes: of an adapter, also its model where that is not there yet. */
+/* The size of a load. For an adapter, model_mb is the size of its model, which also has to be
+ * loaded where it is not resident. */
 typedef struct load_size {
   uint64_t weights_mb, model_mb;
   unsigned slots;
@@ -154,7 +156,8 @@
                         is_resident || has_free };
 }
 
-/* The best ranked target that has free capacity, if any of the first few has; else the best. */
+/* The highest-ranked of the first MAX_LOAD_TARGETS_TRIED targets that has free capacity, or the
+ * highest-ranked one if none has. */
 static engine *best_target(GArray *targets) {
   load_target *all = (load_target *)targets->data;
   if (!targets->len)
--- a/lib/router/engine_wait.c
+++ b/lib/router/engine_wait.c
@@ -1,6 +1,7 @@
 /**
- * The wait of a request for an engine: for a free slot where its model is up, for the load of the
- * model where it is up nowhere, or for one more replica of it where all engines are busy for long.
+ * Waits until an engine is available for a request: for a free slot on an engine where its model is
+ * up, for a load of the model if it is up nowhere, or for an additional replica if all engines that
+ * have it stay busy.
  */
 #include "outgoing_load_request.h"
 #include "router.h"
@@ -8,11 +9,12 @@
 
 enum {
   MAX_LOAD_ATTEMPTS = 2,
-  /* After this wait for busy engines, one more replica of the model is worth its load. */
+  /* After waiting this long for busy engines, loading an additional replica of the model is
+     worthwhile. */
   ADD_REPLICA_AFTER_MS = 1500,
-  /* Without any engine that takes work, requests are refused after this. */
+  /* Requests are refused after this long if no engine accepts work. */
   NO_ENGINE_TIMEOUT_MS = 3000,
-  /* State is looked at again at least this often. */
+  /* The state is checked at least this often. */
   RECHECK_INTERVAL_MS = 250,
   PAUSE_AFTER_LOAD_MS = 10,
 
@@ -24,7 +26,7 @@
 
 typedef struct wait_state {
   routed_request *request;
-  /* A load on the engine where the model is to be, and one of an additional replica; NULL: none. */
+  /* The load of a model that is up nowhere, and the load of an additional replica; NULL if none. */
   outgoing_load_request *load, *replica_load;
   /* Outcome of the last load that failed. */
   enum error_code load_error;
@@ -35,7 +37,7 @@
   return id_is_empty(request->adapter) ? "" : "+";
 }
 
-/* Ends the wait when its reason is gone. May wait for admission. */
+/* Returns an error when waiting has become pointless. May itself wait for admission. */
 static enum error_code check_interrupted(routed_request *request) {
   router *router = request->router;
   if (router->node.world->tasks.stopped)
@@ -67,7 +69,7 @@
                                     request->deadline);
 }
 
-/* Has one more replica loaded, on an engine that does not have the model. */
+/* Starts the load of an additional replica on an engine that does not have the model. */
 static void start_replica_load(wait_state *wait) {
   routed_request *request = wait->request;
   routed_request elsewhere = *request;
@@ -80,7 +82,7 @@
     wait->replica_load = join_load(request, target);
 }
 
-/* The model can't be loaded anywhere now: an error if that is not going to change soon. */
+/* The model cannot be loaded anywhere now. Sets an error if that is not expected to change soon. */
 static enum error_code set_no_target_error(wait_state *wait, time_us now, bool fits) {
   routed_request *request = wait->request;
   if (!fits)
@@ -124,14 +126,15 @@
   wait->load = NULL;
 }
 
-/* The additional replica is up, or failed: the wait for the next one begins anew. */
+/* The load of the additional replica has succeeded or failed: restarts the wait for the next
+ * replica. */
 static void finish_replica_load(wait_state *wait, time_us now) {
   outgoing_load_request_leave(wait->replica_load);
   wait->replica_load = NULL;
   wait->request->received_at = now;
 }
 
-/* Sets the request's engine if one is free, else does what may free one and waits a moment. */
+/* Sets the request's engine if one is free; otherwise starts a load if needed and waits briefly. */
 static enum error_code wait_step(wait_state *wait) {
   routed_request *request = wait->request;
   router *router = request->router;
--- a/lib/router/event_history.c
+++ b/lib/router/event_history.c
@@ -8,7 +8,7 @@
 
 static const double DEFAULT_SMOOTHING_FACTOR = 0.3;
 
-/* The value of a key; a new one is zeroed. */
+/* Returns the value of a key, adding a zeroed one if needed. */
 static void *find_or_add_entry(GHashTable *table, const char *key, size_t size) {
   void *value = g_hash_table_lookup(table, key);
   if (!value) {
@@ -40,7 +40,7 @@
   snprintf(buf, n, "%s%s%s", model.text, adapter.text[0] ? "+" : "", adapter.text);
 }
 
-/* Moves a rate on to the slice of now and clears the slices in between. */
+/* Advances a rate to the current slice and clears the slices in between. */
 static void advance_slices(event_history *history, request_rate *rate) {
   int64_t now = world_now(history->world).us / (history->rate_window.us / RATE_SLICES);
   if (now - rate->current_slice >= RATE_SLICES)
@@ -82,7 +82,7 @@
     history->event_counts[event.kind]++;
   if (event.kind != EVENT_ROUTED)
     return;
-  /* a request for an adapter is one for its model as well */
+  /* a request for an adapter also counts for its model */
   count_request(history, event.model, id_of_text(""));
   if (!id_is_empty(event.adapter))
     count_request(history, event.model, event.adapter);
@@ -126,7 +126,8 @@
   int64_t slice = history->rate_window.us / RATE_SLICES,
           n = CLAMP((span.us + slice / 2) / slice, 1, RATE_SLICES - 1);
   uint64_t sum = 0;
-  /* the current slice is not over yet: its requests count, and the time that it has had */
+  /* the current slice is incomplete: its requests count, and so does the part of it that has
+     elapsed */
   for (int64_t i = 0; i <= n; i++)
     sum += rate->slice_counts[(rate->current_slice - i + RATE_SLICES) % RATE_SLICES];
   int64_t covered_us = n * slice + world_now(history->world).us % slice;
--- a/lib/router/eviction_policy.c
+++ b/lib/router/eviction_policy.c
@@ -30,12 +30,13 @@
   return id_is_empty(candidate->adapter);
 }
 
-/* True when candidate k goes with candidate i: it is the same, or an adapter on that model. */
+/* True when candidate k has to be evicted with candidate i: it is the same, or an adapter on that
+ * model. */
 static bool goes_with(const eviction_candidate *all, int i, int k) {
   return k == i || (is_model(&all[i]) && id_equal(all[k].model, all[i].model));
 }
 
-/* Selects a candidate, and with a model its adapters, which cannot stay without it. */
+/* Selects a candidate, and if it is a model, also its adapters, which cannot remain without it. */
 static void select_with_dependents(eviction_candidate *all, int n, int i,
                                    capacity_shortage *shortage) {
   for (int k = 0; k < n; k++) {
@@ -47,7 +48,7 @@
   }
 }
 
-/* A model may go only when all adapters on it may. */
+/* A model is evictable only when all adapters on it are. */
 static bool is_evictable(const eviction_candidate *all, int n, int i, bool allow_busy) {
   for (int k = 0; k < n; k++) {
     if (all[k].selected || !goes_with(all, i, k))
@@ -58,7 +59,8 @@
   return true;
 }
 
-/* What is evicted with a model is ordered by the size of the model, so that the order is total. */
+/* Candidates evicted with a model are ordered by the size of that model, so that the order is
+ * total. */
 static void set_group_sizes(eviction_candidate *all, int n) {
   for (int i = 0; i < n; i++) {
     all[i].group_mb = all[i].weights_mb;
@@ -86,8 +88,8 @@
   return strcmp(x->adapter.text, y->adapter.text);
 }
 
-/* Index of the candidate with the lowest score among those that may go and help in the measure that
- * is short; -1 when there is none. */
+/* Index of the candidate with the lowest score among those that are evictable and take up the
+ * resource that is short; -1 when there is none. */
 static int find_lowest(const eviction_rule *rule, eviction_candidate *all, int n, bool by_slots,
                        bool allow_busy, uint64_t (*draw)(void *), void *context) {
   int lowest = -1;
@@ -103,7 +105,7 @@
   return lowest;
 }
 
-/* Selects until the shortage is met; false when the candidates do not suffice. */
+/* Selects candidates until the shortage is covered; false when there are not enough. */
 static bool select_greedily(const eviction_rule *rule, eviction_candidate *all, int n,
                             capacity_shortage shortage, bool allow_busy, uint64_t (*draw)(void *),
                             void *context) {
@@ -120,7 +122,8 @@
 
 int eviction_policy_select(const eviction_rule *rule, eviction_candidate *all, int n,
                            capacity_shortage shortage, uint64_t (*draw)(void *), void *context) {
-  /* where the idle ones do not suffice it begins anew, so that the order is greedy over all */
+  /* if idle candidates are not enough, selection restarts so that it is greedy over all
+     candidates */
   if (!select_greedily(rule, all, n, shortage, false, draw, context) &&
       !select_greedily(rule, all, n, shortage, true, draw, context))
     return -1;
--- a/lib/router/generate_api.c
+++ b/lib/router/generate_api.c
@@ -1,5 +1,5 @@
 /**
- * Parses requests, interprets the rule that matches one, and responds with errors.
+ * Parses requests, runs the steps of the matching rule, and sends error responses.
  */
 #include "generate_api.h"
 #include "routed_request.h"
@@ -9,16 +9,17 @@
 
 enum {
   DEFAULT_RETRY_MS = 2000,
-  /* Random part of the time after which clients retry: half of that time and this. */
+  /* Jitter of the Retry-After time: up to half of that time plus this. */
   RETRY_JITTER_MS = 500,
   RETRY_ISOLATED_MS = 2000,
   RETRY_DRAINING_MS = 1000,
   STATUS_NO_RULE = 403,
-  /* Before any stream has been measured. */
+  /* Initial value of smoothed_service_ms, before any stream has been measured. */
   INITIAL_SERVICE_MS = 2000
 };
 
-/* A router that just started may retry a few times before its requests have added to the budget. */
+/* A router that has just started may send a few retries before its requests have added to the
+ * budget. */
 static const double INITIAL_RETRY_BUDGET = 2, MAX_RETRY_BUDGET = 10;
 
 void generate_api_init(generate_api *api) {
@@ -47,7 +48,7 @@
   }
 }
 
-/* Tells the client when to retry, with jitter so that clients don't return all at once. */
+/* Sets Retry-After, with jitter so that clients do not all return at the same time. */
 static void set_retry_after(routed_request *request) {
   int64_t ms = request->retry_after_ms > 0 ? request->retry_after_ms : DEFAULT_RETRY_MS;
   ms += (int64_t)world_random(request->router->node.world, (uint64_t)ms / 2 + RETRY_JITTER_MS);
@@ -58,7 +59,7 @@
 
 static void send_error(routed_request *request) {
   int status = status_of_error(request->error_code);
-  /* the rule says which status */
+  /* the rule gives the status, in retry_after_ms */
   if (request->error_code == E_REJECTED_BY_RULE) {
     status = (int)request->retry_after_ms;
     request->retry_after_ms = 0;
@@ -81,7 +82,7 @@
   return request->engine ? OK : engine_wait(request);
 }
 
-/* `after_hold`: the step before was a hold; without one, a request that found no engine ends. */
+/* `after_hold`: the previous step was a hold. Without it, a request that found no engine fails. */
 static enum error_code step_proxy(routed_request *request, bool after_hold) {
   if (!request->engine && !after_hold)
     return routed_request_set_error(
@@ -111,7 +112,7 @@
   return OK;
 }
 
-/* Takes a request out of its class and counts how it ended. */
+/* Removes a request from its class's current counts and counts its outcome. */
 static void count_end(routed_request *request, enum error_code code) {
   request_class *class = &request->router->requests.classes[request->class_index];
   if (request->counted_waiting)
@@ -140,7 +141,7 @@
             run_outcome_name(request->run_outcome));
 }
 
-/* Takes a request through the steps of a rule, up to one that fails. */
+/* Runs a request through the steps of a rule until one fails. */
 static void run_rule(routed_request *request, const policy_rule *rule) {
   enum error_code code = OK;
   for (int i = 0; i < rule->step_count && !code; i++)
@@ -150,7 +151,7 @@
     end_without_response(request);
 }
 
-/* Reads a name; a blank or missing one is allowed unless it is required. */
+/* Reads a name. An empty or missing name is allowed unless it is required. */
 static enum error_code read_name(const json *object, const char *key, bool required, id *name,
                                  error *err) {
   const json *value = json_get(object, key);
@@ -197,7 +198,7 @@
   return code;
 }
 
-/* Finds the request's kind in the policy; the first one is the default. */
+/* Looks up the request's kind in the policy; the first kind is the default. */
 static bool set_kind(routed_request *request, id name) {
   const config *config = request->router->config;
   const request_kind *kind = id_is_empty(name) ? &config->kinds[0] : config_kind(config, name.text);
@@ -218,7 +219,7 @@
            ++router->requests.request_count);
 }
 
-/* Checks that this router may serve a request at all; responds when it may not. */
+/* Checks whether this router may serve requests at all; sends an error response if not. */
 static bool check_router(routed_request *request) {
   router *router = request->router;
   if (router->config && !router->draining && !admission_wait(router)) {
@@ -237,7 +238,7 @@
   return true;
 }
 
-/* Checks that a request may be run; sets its error when it may not. */
+/* Checks whether a request may be run; sets its error if not. */
 static enum error_code check_request(routed_request *request, const policy_rule *rule) {
   router *router = request->router;
   if (router->draining)
--- a/lib/router/generate_api.h
+++ b/lib/router/generate_api.h
@@ -1,8 +1,8 @@
 #ifndef ROUTER_GENERATE_API_H
 #define ROUTER_GENERATE_API_H
 /**
- * The router's HTTP service. POST /v1/generate takes a request through the steps of the first rule
- * of the policy that matches it (routed_request.h); everything else is a page (router_pages.c).
+ * The router's HTTP API. POST /v1/generate runs a request through the steps of the first policy
+ * rule that matches it (routed_request.h); all other paths are pages (router_pages.c).
  */
 #include "config.h"
 #include "http_request.h"
@@ -10,33 +10,36 @@
 
 typedef struct router router;
 
-/** Requests of one kind of the policy: now, and since the start. */
+/** Counts of the requests of one policy kind: current ones, and totals since the process started.
+ */
 typedef struct request_class {
   int waiting, running;
   uint64_t requested, completed;
-  /** Ended with nothing run, or after something ran; and those of the former that were shed. */
+  /** Requests that failed without running, requests that failed after they may have run, and those
+   * of the former that were shed. */
   uint64_t refused, failed, shed;
 } request_class;
 
-/** State of all requests; written by generate_api.c and the steps of its requests. */
+/** State of all requests; written by generate_api.c and the steps of requests. */
 typedef struct generate_api {
-  /** Of routed_request: in progress. */
+  /** Requests in progress, of type routed_request. */
   list_node admitted_requests;
-  /** Of outgoing_load_request. */
+  /** Elements of type outgoing_load_request. */
   list_node outgoing_load_requests;
-  /** By the policy's kinds. */
+  /** Indexed by policy kind. */
   request_class classes[REQUEST_KINDS_MAX];
-  /** Retries that may be sent now; each request adds the policy's retry ratio. */
+  /** Number of retries that may be sent now; each request adds the policy's retry ratio. */
   double retry_budget;
   /** Smoothed duration of a stream in ms. */
   double smoothed_service_ms;
-  /** Counts since the start. */
+  /** Counts since the process started. */
   uint64_t request_count, attempt_count, retry_count;
-  /** Streams that belonged to another run, and requests refused because this router is isolated. */
+  /** Streams that belonged to another attempt, and requests refused because this router is
+   * isolated. */
   uint64_t mismatched_runs, isolated_refusals;
 } generate_api;
 
 void generate_api_init(generate_api *api);
-/** Serves one HTTP request; context: the router. Returns when the response has ended. */
+/** Serves one HTTP request; `context` is the router. Returns when the response has ended. */
 void generate_api_serve(void *context, http_request *request);
 #endif
--- a/lib/router/load_backoff.c
+++ b/lib/router/load_backoff.c
@@ -6,8 +6,8 @@
 #include <stdio.h>
 
 enum {
-  /* A load that fails is retried after this, doubled for each failure in a row, with up to half as
-     much of jitter. */
+  /* A failed load is retried after LOAD_BACKOFF_MS, doubled for each consecutive failure, plus
+     jitter of up to half of that time. */
   LOAD_BACKOFF_MS = 1000,
   MAX_LOAD_BACKOFF_MS = 60000,
   MAX_BACKOFF_DOUBLINGS = 6
--- a/lib/router/load_order.c
+++ b/lib/router/load_order.c
@@ -44,7 +44,7 @@
   http_headers_set(headers, HEADER_LEASE_HOLDER, engine->router->node.settings.self.text);
 }
 
-/* status: of the HTTP response; 0 when there was none, for the reason in err. */
+/* `status` is that of the HTTP response, or 0 when there was none; err then holds the reason. */
 static enum order_result result_of_status(int status, const error *err) {
   switch (status) {
   case 0:
--- a/lib/router/load_permit.c
+++ b/lib/router/load_permit.c
@@ -1,22 +1,22 @@
 /**
- * Both sides of load permits: asking for one, and giving them out.
+ * Both sides of load permits: requesting and granting them.
  */
 #include "load_permit.h"
 #include "router.h"
 
 enum {
   PERMIT_TIMEOUT_MS = 600,
-  /* A start may come so late in its slot; at most a quarter of the spacing. */
+  /* Length of a slot: a load may start up to this late, but at most a quarter of the spacing. */
   SLOT_SLACK_MS = 100,
   SLOT_SLACK_DIVISOR = 4,
-  /* Permits for slots further ahead are refused. */
+  /* Permits for slots further in the future are refused. */
   MAX_PERMIT_WAIT_MS = 1000
 };
 
-/* Weight of the counts of recent permits after each interval. */
+/* Factor applied to the counts of recent permits at each interval. */
 static const double RECENT_COUNT_DECAY = 0.8;
 
-/* The address of the rate limiter; false when it is unknown or gone. */
+/* Finds the address of the rate limiter; false when it is unknown or gone. */
 static bool find_limiter(router *router, uint64_t *epoch, char *address, size_t size, error *err) {
   id holder;
   if (!config_sync_find_grant(router, SINGLETON_LOAD_RATE_LIMITER, &holder, epoch)) {
@@ -35,8 +35,8 @@
   return true;
 }
 
-/* The slot by this node's clock: it begins by the latest, and ends by the earliest reckoning of
- * when the limiter responded. */
+/* Converts the slot to this node's clock. The start assumes the latest and the end the earliest
+ * time at which the limiter may have responded, so the result never exceeds the granted slot. */
 static load_slot slot_of_response(router *router, const Wire__LoadPermitResponse *response,
                                   time_us requested_at) {
   time_us wait = time_from_ms((int64_t)response->wait_ms), valid = { (int64_t)response->valid_us };
@@ -78,8 +78,8 @@
   return a.us > b.us ? a : b;
 }
 
-/* The start of the next free slot. A new holder leaves one slot for a permit that the previous one
- * may have given out last; the first holder of all has no predecessor. */
+/* Returns the start of the next free slot. A new holder leaves one slot unused for the last permit
+ * that its predecessor may have granted; the first holder (epoch 1) has no predecessor. */
 static time_us next_slot_at(router *router, const singleton_lease *lease, time_us spacing) {
   time_us now = world_now(router->node.world),
           first_at = lease->epoch > 1 ? time_add(lease->acquired_at, spacing) : now;
--- a/lib/router/load_queue.c
+++ b/lib/router/load_queue.c
@@ -7,13 +7,14 @@
 #include "router.h"
 
 enum {
-  /* Longest time for which a message waits; its sender asks again after that. */
+  /* Longest time for which a message waits; its sender asks again afterwards. */
   MAX_REQUEST_WAIT_MS = 2000,
-  /* How long a request is kept without waiters, so that it keeps its turn until they ask again. */
+  /* How long a request without waiters is kept, so that it keeps its position until they ask
+     again. */
   ABANDONED_REQUEST_MS = 1500,
   IDLE_WAIT_MS = 1000,
   ENGINE_REMOVED_RETRY_MS = 1000,
-  /* Rank of a request: its age in us, plus this for each unit of weight. */
+  /* The rank of a request is its age in us plus this for each unit of weight. */
   RANK_US_PER_WEIGHT = 500000
 };
 
@@ -40,7 +41,8 @@
         time_add(world_now(router->node.world), time_from_ms(ABANDONED_REQUEST_MS));
 }
 
-/* The request to serve next, NULL when there is none; drops those that nobody waits for. */
+/* Returns the request to serve next, or NULL when there is none. Drops expired requests without
+ * waiters. */
 static queued_load_request *take_next(engine *engine) {
   time_us now = world_now(engine->router->node.world);
   queued_load_request *best = NULL;
@@ -79,14 +81,14 @@
   uint64_t retry_after_ms = 0;
   enum error_code code = load(engine, request, &retry_after_ms, &err);
   if (code && code != E_STOPPING && code != E_NO_LEASE_HOLDER)
-    log_info(&router->node.log, "place", "No load of %s%s%s on %s: %s (code %d).",
+    log_info(&router->node.log, "place", "Load of %s%s%s on %s failed: %s (code %d).",
              request->model.text, request->adapter.text[0] ? "+" : "", request->adapter.text,
              engine->self.text, err.text, code);
   complete_request(request, code, retry_after_ms);
   unref_request(router, request);
 }
 
-/* The engine is removed, or the process ends. */
+/* Completes all requests when the engine is removed or the process stops. */
 static void close_queue(engine *engine) {
   list_for_each (request, &engine->load_requests, queued_load_request, link) {
     if (!request->done)
--- a/lib/router/model_loading.c
+++ b/lib/router/model_loading.c
@@ -1,6 +1,6 @@
 /**
- * Carries out loads on one engine. For each engine one task does so at a time
- * (load_queue.c), so nothing else orders unloads or reserves capacity there meanwhile.
+ * Carries out loads on one engine. Only one task per engine does so (load_queue.c), so nothing else
+ * orders unloads or reserves capacity there in the meantime.
  */
 #include "model_loading.h"
 #include "engine_capacity.h"
@@ -11,13 +11,13 @@
 #include "router.h"
 
 enum {
-  /* How long an unload of the same model may be under way. */
+  /* How long to wait for an unload of the same model that is in progress. */
   UNLOAD_TIMEOUT_MS = 20000,
-  /* After this long, a report tells whether an order was carried out. */
+  /* A report made this long after an order shows whether it was carried out. */
   LOAD_CONFIRMATION_MS = 3000,
-  /* And if none came for so much longer, the engine counts as stuck. */
+  /* If no such report arrives for this much longer, the engine is treated as stuck. */
   REPORT_STALL_MS = 12000,
-  /* A load may take so many times the estimate, plus this. */
+  /* Timeout of a load: the estimate times the factor, plus the margin. */
   LOAD_TIMEOUT_FACTOR = 4,
   LOAD_TIMEOUT_MARGIN_MS = 15000,
 
@@ -25,28 +25,28 @@
   MAX_PERMIT_PAUSE_MS = 1000,
   PERMIT_PAUSE_MS = 400,
 
-  /* When to ask again after failures. */
+  /* Retry times reported after failures. */
   RETRY_LOAD_MS = 2000,
   RETRY_PERMIT_MS = 1500,
   RETRY_SLOT_MISSED_MS = 1000,
   RETRY_STUCK_ENGINE_MS = 5000,
 
-  /* Estimates of load times without catalogue and measurement: an adapter takes a quarter of the
-     default. */
+  /* Load time estimates when neither the catalogue nor a measurement gives one: an adapter takes a
+     quarter of the default for models. */
   FALLBACK_LOAD_MS = 4000,
   ADAPTER_LOAD_DIVISOR = 4
 };
 
-/* A load under way. */
+/* A load in progress. */
 typedef struct load {
   engine *engine;
   order_subject subject;
   /* "model" or "model+adapter" */
   char key[128];
-  /* run and report number of the engine when the order was sent */
+  /* process run and report number of the engine when the order was sent */
   char boot_id[48];
   uint64_t report_seq;
-  /* when the order was sent, or the load under way was met */
+  /* when the order was sent, or when a load already in progress was found */
   time_us started_at;
   uint64_t *retry_after_ms;
   error *err;
@@ -99,14 +99,14 @@
   return world_now(engine->router->node.world);
 }
 
-/* How long to wait before the next attempt to get a permit. */
+/* How long to wait before requesting a permit again. */
 static int64_t permit_pause_ms(enum error_code code, uint64_t retry_after_ms) {
   if (code == E_LOAD_RATE_LIMITED && retry_after_ms)
     return (int64_t)MIN(retry_after_ms, MAX_PERMIT_PAUSE_MS);
   return PERMIT_PAUSE_MS;
 }
 
-/* Gets a load permit and waits for its slot; `slot` is one that is not over yet. */
+/* Obtains a load permit and waits until its slot begins. On success the slot has not ended yet. */
 static enum error_code acquire_permit(load *load, load_slot *slot) {
   engine *engine = load->engine;
   world *world = engine->router->node.world;
@@ -134,8 +134,8 @@
   }
 }
 
-/* Looks again whether the load is possible, since waiting for the permit took time. Sets *base to
- * the model of an adapter, NULL for a model itself. */
+/* Checks again whether the load is possible, because waiting for the permit took time. Sets *base
+ * to the adapter's model, or to NULL if the load is of a model. */
 static enum error_code check_still_possible(load *load, resident_model **base) {
   engine *engine = load->engine;
   if (!engine_accepts_work(engine))
@@ -156,7 +156,7 @@
   return OK;
 }
 
-/* Reserves the capacity of a load until a report shows what became of it. */
+/* Reserves the capacity of a load until a report shows its outcome. */
 static void reserve(load *load, resident_model *base) {
   engine *engine = load->engine;
   load->report_seq = engine->report_seq;
@@ -167,7 +167,7 @@
     base->unconfirmed_adapter_loads++;
 }
 
-/* Ends a reservation. A later run of the engine has none of the earlier one's. */
+/* Ends a reservation. Reservations do not carry over to a later process run of the engine. */
 static void release_reservation(load *load) {
   engine *engine = load->engine;
   const order_subject *subject = &load->subject;
@@ -197,13 +197,13 @@
     router->loading.wasted_loads++;
 }
 
-/* Records that the engine failed a load; it is not tried again at once. */
+/* Records that the engine failed a load, so that it is not retried immediately. */
 static void fail(load *load, uint64_t retry_after_ms) {
   load_backoff_record_failure(load->engine, load->subject.model, load->subject.adapter);
   *load->retry_after_ms = retry_after_ms;
 }
 
-/* Handles the result of an order of which it is certain that the engine did not take it. */
+/* Handles the result of an order that the engine certainly did not accept. */
 static enum error_code handle_refusal(load *load, enum order_result result) {
   const char *engine = load->engine->self.text;
   release_reservation(load);
@@ -215,7 +215,7 @@
   case ORDER_NO_LEASE:
     return E_NO_LEASE_HOLDER;
   case ORDER_OUTDATED:
-    /* no failure of the load */
+    /* not a failure of the load itself */
     *load->retry_after_ms = RETRY_LOAD_MS;
     return error_set(load->err, E_NO_ENGINE, "%s refused an order that is out of date", engine);
   default:
@@ -224,20 +224,21 @@
   }
 }
 
-/* The engine took an order and its reports do not go on. The capacity stays reserved until the
- * engine is another run. */
+/* The engine accepted an order but sends no further reports. The capacity remains reserved until
+ * the engine restarts. */
 static enum error_code handle_stuck_engine(load *load) {
   engine *engine = load->engine;
   fail(load, RETRY_STUCK_ENGINE_MS);
-  log_info(&engine->router->node.log, "engine",
-           "%s accepted a load and sent no report since; its capacity counts as taken (code %d).",
-           engine->self.text, E_NO_ENGINE);
+  log_info(
+      &engine->router->node.log, "engine",
+      "%s accepted a load and has sent no report since; the capacity remains reserved (code %d).",
+      engine->self.text, E_NO_ENGINE);
   return error_set(load->err, E_NO_ENGINE, "%s accepted a load and does not report it",
                    engine->self.text);
 }
 
-/* Waits for the report that shows what became of an order. One that was accepted is shown only by a
- * later report than the last one before it. */
+/* Waits for the report that shows the outcome of an order. The outcome of an accepted order is only
+ * in reports later than the last one received before it was sent. */
 static enum error_code await_confirmation(load *load, enum order_result result) {
   engine *engine = load->engine;
   const order_subject *subject = &load->subject;
@@ -263,7 +264,7 @@
                    engine->self.text, load->key);
 }
 
-/* Makes room, gets a permit, orders the load and waits until the engine reports it. */
+/* Frees capacity, obtains a permit, orders the load and waits until the engine reports it. */
 static enum error_code order_load(load *load) {
   enum error_code code =
       engine_capacity_free(load->engine, &load->subject, load->retry_after_ms, load->err);
@@ -314,7 +315,8 @@
   }
 }
 
-/* Tells all who place by load times how long an ordered load took. */
+/* Records how long an ordered load took and sends it to the other routers, which use it for
+ * placement. */
 static void record_load_time(load *load) {
   engine *engine = load->engine;
   router *router = engine->router;
@@ -330,7 +332,7 @@
            engine->self.text, load->key, ms, load_order_epoch(engine));
 }
 
-/* Waits until an unload under way is over; goes on after the deadline in any case. */
+/* Waits until an unload in progress has ended, but no longer than the deadline. */
 static enum error_code await_unloaded(load *load, time_us deadline) {
   engine *engine = load->engine;
   for (;;) {
@@ -349,7 +351,7 @@
   return resident && resident->state == RESIDENT_UP;
 }
 
-/* Refuses loads that are impossible, or that failed a moment ago. */
+/* Refuses loads that are impossible or in backoff after a failure. */
 static enum error_code check_load(load *load) {
   engine *engine = load->engine;
   order_subject *subject = &load->subject;
@@ -370,7 +372,7 @@
 
 enum error_code model_loading_load(engine *engine, id model, id adapter, uint64_t *retry_after_ms,
                                    error *err) {
-  /* an adapter serves only on its model, which may have gone */
+  /* an adapter can serve only if its model is up, which may have been unloaded */
   id none = id_of_text("");
   if (is_up(engine, model, adapter) && is_up(engine, model, none))
     return OK;
--- a/lib/router/outgoing_load_request.c
+++ b/lib/router/outgoing_load_request.c
@@ -1,19 +1,19 @@
 /**
- * Sends load requests and repeats them.
+ * Sends load requests and resends them until there is an outcome.
  */
 #include "outgoing_load_request.h"
 #include "router.h"
 
 enum {
-  /* How long the holder may hold a message, and the timeout of the call above that. */
+  /* How long the holder may wait before it responds, and the longer timeout of the call. */
   WAIT_MS = 2000,
   CALL_TIMEOUT_MS = 2600,
-  /* Pause after a call that failed, or while no holder is known. */
+  /* Pause after a failed call, or while no holder is known. */
   RETRY_PAUSE_MS = 250,
   DEADLINE_RETRY_MS = 3000
 };
 
-/* The address of the holder of the engine's lease; false when there is none that is alive. */
+/* Finds the address of the holder of the engine's lease; false when there is no live holder. */
 static bool find_holder(const outgoing_load_request *load, char *address, size_t size) {
   router *router = load->router;
   char singleton[64];
@@ -54,7 +54,7 @@
   load->done = true;
 }
 
-/* Takes over the outcome that a response brings, if it brings one. */
+/* Completes the load request if the response contains an outcome. */
 static void apply_response(outgoing_load_request *load, const Wire__Envelope *envelope) {
   if (envelope->body_case != WIRE__ENVELOPE__BODY_MODEL_LOAD_RESPONSE)
     return;
@@ -66,7 +66,7 @@
     complete(load, code, response->retry_after_ms);
 }
 
-/* Sends the request once, and completes it if that brings an outcome. */
+/* Sends the request once, and completes it if the response contains an outcome. */
 static void attempt(outgoing_load_request *load) {
   router *router = load->router;
   if (time_reached(world_now(router->node.world), load->deadline)) {
--- a/lib/router/rate_exchange.c
+++ b/lib/router/rate_exchange.c
@@ -6,7 +6,7 @@
 
 enum {
   REPORT_INTERVAL_MS = 2000,
-  /* Bounds on what another router may send. */
+  /* Limits on the values in another router's report. */
   MAX_KEY_LENGTH = 130,
   MAX_LOAD_TIME_MS = 600000
 };
@@ -37,7 +37,7 @@
 }
 
 void rate_exchange_receive(router *router, const Wire__RateReport *report) {
-  /* totals of the fleet are for gateways */
+  /* fleet totals are only used by gateways */
   for (size_t i = 0; !report->fleet_totals && i < report->n_counts; i++)
     if (strlen(report->counts[i]->key) < MAX_KEY_LENGTH)
       event_history_merge_remote_count(&router->history, report->nonce, report->counts[i]->key,
@@ -53,7 +53,8 @@
   return OK;
 }
 
-/* Counts of what this router itself has routed within the window. Keys are borrowed. */
+/* Returns the counts of requests that this router itself has routed within the window. Keys are
+ * borrowed. */
 static GPtrArray *collect_counts(router *router) {
   GPtrArray *counts = g_ptr_array_new_with_free_func(g_free);
   GHashTableIter iterator;
--- a/lib/router/rate_exchange.h
+++ b/lib/router/rate_exchange.h
@@ -1,18 +1,18 @@
 #ifndef ROUTER_RATE_EXCHANGE_H
 #define ROUTER_RATE_EXCHANGE_H
 /**
- * Routers tell each other what they routed and how long loads took, so that each one evicts and
- * places by the request rates of the whole fleet (event_history.c).
+ * Routers send each other their request counts and load times, so that each router bases eviction
+ * and placement on the request rates of the whole fleet (event_history.c).
  */
 #include "node.h"
 
 typedef struct router router;
 
-/** Registers the handler of rate reports and starts the task that sends them. Not on gateways,
- * which exchange rates in a way of their own (lib/gateway/fleet_rates.c). */
+/** Registers the handler of rate reports and starts the task that sends them. Not used on gateways,
+ * which exchange rates through lib/gateway/fleet_rates.c. */
 void rate_exchange_start(router *router);
-/** Tells all routers how long one load took. */
+/** Sends the duration of one load to all routers. */
 void rate_exchange_send_load_time(router *router, id type, const char *key, double ms);
-/** Takes in another router's counts and load times. */
+/** Applies the counts and load times in another router's report. */
 void rate_exchange_receive(router *router, const Wire__RateReport *report);
 #endif
--- a/lib/router/request_admission.c
+++ b/lib/router/request_admission.c
@@ -1,5 +1,5 @@
 /**
- * Admission to the queue, with a quota for each kind, and load shedding.
+ * Admission to the queue, with a quota for each request kind, and load shedding.
  */
 #include "outgoing_load_request.h"
 #include "router.h"
@@ -7,7 +7,7 @@
 
 enum { MAX_QUEUE_RETRY_MS = 10000, MAX_SHED_RETRY_MS = 60000, RETRY_MARGIN_MS = 500 };
 
-/* The request's own load counts with this share of its estimated time. */
+/* Share of the estimated load time that is counted for the load of the request's own model. */
 static const double OWN_LOAD_SHARE = 0.5;
 
 int request_admission_count_routers(router *router) {
@@ -17,7 +17,7 @@
   return count;
 }
 
-/* Positions in the queue that one kind may use: all that the other kinds neither use nor have
+/* Queue positions that one kind may use: all those that the other kinds neither use nor have
  * reserved. */
 static double free_queue_share(router *router, int class_index) {
   const config *config = router->config;
@@ -30,8 +30,8 @@
   return spare;
 }
 
-/* Streams that all engines together may run on the model of a request. *up: engines that have it.
- */
+/* Number of streams that all engines together may run on the model of a request. *up is set to the
+ * number of engines on which it is up. */
 static int resident_capacity(const routed_request *request, int *up) {
   int capacity = 0;
   *up = 0;
@@ -52,7 +52,7 @@
   router *router = request->router;
   request_class *class = &router->requests.classes[request->class_index];
   class->shed++;
-  /* when about half of the queue is through, there is room again */
+  /* by the time about half of the queue has been served, there is space again */
   int up, own_capacity = resident_capacity(request, &up) / request_admission_count_routers(router);
   int64_t half_ms = (int64_t)(router->requests.smoothed_service_ms * (class->waiting + 1) / 2 /
                               MAX(1, own_capacity));
@@ -61,7 +61,8 @@
       "the line of kind %s is full: %d wait", request->kind.self.text, class->waiting);
 }
 
-/* Expected wait for a model that is up: the requests before this one, here and at all routers. */
+/* Expected wait for a model that is up, from the requests ahead of this one at this router,
+ * extrapolated to all routers. */
 static int64_t estimate_queue_ms(const routed_request *request, int capacity) {
   router *router = request->router;
   int ahead = 0;
@@ -72,7 +73,8 @@
                    request_admission_count_routers(router) / MAX(capacity, 1));
 }
 
-/* Expected wait for a model that is up nowhere; 0 when a load of it is under way. */
+/* Expected wait for a model that is up nowhere; 0 when it is already being loaded or no engine
+ * accepts work. */
 static int64_t estimate_load_ms(const routed_request *request) {
   router *router = request->router;
   int ahead = 0, usable = 0;
--- a/lib/router/request_attempt.c
+++ b/lib/router/request_attempt.c
@@ -1,13 +1,13 @@
 /**
- * Attempts to run a request on an engine, and retries.
+ * Runs attempts of a request on engines, and retries.
  *
- * An engine must not run a request twice, unless its client allowed that. Hence a request is sent
- * to another engine only when the first one surely ran nothing of it: it could not be reached, or
- * responded that it did not run it. Each attempt has a name of its own, and the stream's first
- * event must repeat it, so the stream of another run is never passed on for it.
+ * A request must not run twice unless its client allowed that. It is therefore sent to another
+ * engine only when the first one certainly ran no part of it: the engine could not be reached, or
+ * responded that it did not run the request. Each attempt has a unique name that the first event of
+ * the stream must repeat, so the stream of another attempt is never relayed in its place.
  *
- * Retries come out of a budget that first attempts fill (generate_api.c), so a fleet in trouble is
- * not asked for more and more.
+ * Retries are limited by a budget that new requests fill (generate_api.c), so that retries cannot
+ * overload a fleet that is already failing.
  */
 #include "router.h"
 #include "routed_request.h"
@@ -17,22 +17,23 @@
   MAX_ATTEMPTS = 3,
   SEND_TIMEOUT_MS = 600,
   MAX_RESPONSE_BYTES = 1 << 20,
-  /* How often the wait for the response looks whether the client is still there. */
+  /* How often the wait for a response checks whether the client is still connected. */
   CLIENT_CHECK_INTERVAL_MS = 500,
   STREAM_IDLE_MS = 15000,
   REFUSAL_TIMEOUT_MS = 1000,
   ERROR_EVENT_TIMEOUT_MS = 1000,
   MAX_FIRST_EVENT_BYTES = 4096,
-  /* As much of the stream's end is kept as its last event may need. */
+  /* How much of the end of the stream is kept; enough for its last event. */
   TAIL_BYTES = 400,
-  /* An engine that can't be reached is excluded for this, doubled for each failure in a row. */
+  /* An engine that cannot be reached is excluded for this long, doubled for each consecutive
+     failure. */
   EXCLUSION_MS = 200,
   MAX_EXCLUSION_DOUBLINGS = 5,
 
   RETRY_MS = 1000,
   RETRY_BROKEN_MS = 2000,
 
-  /* In the journal, a stream that broke because its client left. */
+  /* Value in the journal for a stream that broke because its client disconnected. */
   CLIENT_GONE = E_PEER_GONE + 1000
 };
 
@@ -41,7 +42,7 @@
 
 enum run_attempt_result {
   ATTEMPT_COMPLETED,
-  /* May be retried, if nothing ran or the client allows it. */
+  /* May be retried if nothing ran or if the client allows it. */
   ATTEMPT_RETRYABLE,
   ATTEMPT_FINAL
 };
@@ -53,7 +54,7 @@
   /* "request id.number" */
   char name[96];
   time_us started_at;
-  /* What was read and not passed on yet, and the last bytes of the stream. */
+  /* Bytes read but not relayed yet, and the last bytes of the stream. */
   GString *received, *tail;
 } attempt;
 
@@ -90,7 +91,7 @@
   condition_broadcast(&attempt->request->router->state_changed);
 }
 
-/* Waits for the head of the response, until the deadline or until the client left. */
+/* Waits for the response head, until the deadline or until the client disconnects. */
 static int await_response(attempt *attempt) {
   const routed_request *request = attempt->request;
   world *world = request->router->node.world;
@@ -116,7 +117,7 @@
   return ATTEMPT_RETRYABLE;
 }
 
-/* The request was sent and there is no response: the engine may have run it. */
+/* The request was sent but there is no response: the engine may have run it. */
 static enum run_attempt_result handle_no_response(attempt *attempt, int code) {
   routed_request *request = attempt->request;
   request->run_outcome = RUN_UNKNOWN;
@@ -129,7 +130,7 @@
              : ATTEMPT_FINAL;
 }
 
-/* The engine refused the request; its response says whether it ran any of it. */
+/* The engine refused the request; its response says whether it ran any part of it. */
 static enum run_attempt_result handle_refusal(attempt *attempt) {
   routed_request *request = attempt->request;
   http_call_read_all(attempt->call, attempt->received, deadline_in(attempt, REFUSAL_TIMEOUT_MS));
@@ -143,8 +144,8 @@
   return not_run ? ATTEMPT_RETRYABLE : ATTEMPT_FINAL;
 }
 
-/* Reads the first event of the stream. Returns the error of the connection; *own: the event names
- * this very attempt. */
+/* Reads the first event of the stream. Returns the connection error; *own is set to whether the
+ * event names this attempt. */
 static int read_first_event(attempt *attempt, bool *own) {
   GString *received = attempt->received;
   int code;
@@ -165,7 +166,7 @@
   if (!code) {
     router->requests.mismatched_runs++;
     log_info(&router->node.log, "route",
-             "%s responded to attempt %s with another run, which is not passed on (code %d).",
+             "%s responded to attempt %s with another attempt's stream, not relayed (code %d).",
              engine, attempt->name, E_STREAM_BROKEN);
   }
   request->run_outcome = RUN_UNKNOWN;
@@ -182,8 +183,8 @@
     g_string_erase(tail, 0, (gssize)tail->len - TAIL_BYTES);
 }
 
-/* Passes the stream on until it ends. Returns E_PEER_GONE when the engine ended it, CLIENT_GONE, or
- * the error of the connection to the engine. */
+/* Relays the stream until it ends. Returns E_PEER_GONE when the engine ended it, CLIENT_GONE when
+ * the client disconnected, or the error of the connection to the engine. */
 static int relay_stream(attempt *attempt) {
   http_request *http = attempt->request->http;
   for (;;) {
@@ -201,7 +202,7 @@
   }
 }
 
-/* True when the last event says that this attempt is complete. */
+/* True when the last event reports that this attempt is complete. */
 static bool ends_with_done(const GString *tail, const char *attempt) {
   const char *event = g_strrstr(tail->str, "event: done\n");
   return event && strstr(event, attempt) && g_str_has_suffix(tail->str, "\n\n");
@@ -226,7 +227,7 @@
   return ATTEMPT_COMPLETED;
 }
 
-/* Tells the client in the stream that it is broken. */
+/* Sends the client an error event in the stream. */
 static void send_error_event(attempt *attempt) {
   routed_request *request = attempt->request;
   char text[240];
@@ -297,17 +298,17 @@
   return true;
 }
 
-/* True when a request that failed may be attempted once more; takes that out of the budget. */
+/* True when a failed request may be retried; the retry is then deducted from the budget. */
 static bool may_retry(routed_request *request, enum run_attempt_result outcome) {
   router *router = request->router;
-  /* a run that may have happened is final, unless the client allows it to be repeated */
+  /* an attempt that may have run is not repeated unless the client allows it */
   bool is_safe = request->run_outcome == NOT_RUN || request->resumable;
   return outcome == ATTEMPT_RETRYABLE && is_safe && request->attempts < MAX_ATTEMPTS &&
          !request->http->client_gone &&
          !time_reached(world_now(router->node.world), request->deadline) && take_retry(router);
 }
 
-/* Once an attempt may have run, no later refusal makes that untrue. */
+/* If any attempt may have run, a later refusal cannot change the outcome back to "not run". */
 static void update_run_outcome(routed_request *request) {
   if (request->run_outcome == NOT_RUN && request->may_have_run)
     request->run_outcome = RUN_UNKNOWN;
--- a/lib/router/routed_request.c
+++ b/lib/router/routed_request.c
@@ -1,5 +1,5 @@
 /**
- * What the steps of a request have in common: its error, and the engines that failed it.
+ * Functions shared by the steps of a request: its error, and the engines excluded from it.
  */
 #include "routed_request.h"
 #include "router.h"
--- a/lib/router/routed_request.h
+++ b/lib/router/routed_request.h
@@ -1,11 +1,11 @@
 #ifndef ROUTER_ROUTED_REQUEST_H
 #define ROUTER_ROUTED_REQUEST_H
 /**
- * A request to /v1/generate on its way through the steps of the rule that matches it, and the steps
- * themselves. Internal to the router's request path: generate_api.c interprets the rule,
- * request_admission.c, engine_selection.c, engine_wait.c and request_attempt.c are its steps.
+ * A request to /v1/generate while it runs through the steps of the matching rule, and the steps
+ * themselves. Internal to the router's request path: generate_api.c interprets the rule;
+ * request_admission.c, engine_selection.c, engine_wait.c and request_attempt.c implement the steps.
  *
- * The steps return OK, or the error code that they also set in the request.
+ * Each step returns OK or the error code that it also sets in the request.
  */
 #include "config.h"
 #include "engine.h"
@@ -15,9 +15,10 @@
 
 enum { MAX_PREFIX_BYTES = 256, MAX_EXCLUDED_ENGINES = 8 };
 
-/** What is known of the run of a request that failed; its client acts on it. */
+/** What is known about the execution of a request. It is reported to the client of a failed
+ * request, which decides by it whether to retry. */
 enum run_outcome {
-  /** No engine ran any of it: it is safe to send it again. */
+  /** No engine ran any part of it, so it is safe to send it again. */
   NOT_RUN,
   /** An engine may have run it. */
   RUN_UNKNOWN,
@@ -31,75 +32,80 @@
   list_node queue_link;
   router *router;
   http_request *http;
-  /** Unique over all runs of all routers; attempts add a number to it. */
+  /** Unique across all process runs of all routers; attempts append a number to it. */
   char request_id[64];
-  /** The adapter is blank when the model itself is asked for. */
+  /** The adapter is empty when the model itself is requested. */
   id model, adapter;
-  /** What the prompt begins with, for affinity; blank: unknown. */
+  /** Prefix of the prompt, for cache affinity; empty if unknown. */
   char prefix[MAX_PREFIX_BYTES];
-  /** The kind, copied since the policy may change meanwhile, and its index in the policy. */
+  /** The kind, copied because the policy may change while the request is served, and its index in
+   * the policy. */
   request_kind kind;
   int class_index;
-  /** The client allows a run that may have happened to be repeated. */
+  /** The client allows the request to be run again even if it may already have run. */
   bool resumable;
 
-  /** Instants: hold_deadline ends the wait of the rule's hold step. received_at moves on when an
-   * additional model replica was loaded for this request. */
+  /** hold_deadline ends the wait of the rule's hold step. received_at is reset when a load of an
+   * additional replica for this request ends. */
   time_us received_at, deadline, hold_deadline;
-  /** It is counted in the class as waiting, or as running. */
+  /** Whether it is counted in its class as waiting or as running. */
   bool counted_waiting, counted_running;
-  /** It stands in the queue for an engine. */
+  /** It is queued for an engine. */
   bool awaiting_engine;
   /** The engine to run on, once selected. */
   engine *engine;
-  /** Engines that failed it; not tried again. */
+  /** Engines that failed this request and are not tried again. */
   id excluded[MAX_EXCLUDED_ENGINES];
   int excluded_count;
   int load_attempts, attempts;
   enum run_outcome run_outcome;
-  /** Some attempt may have run. */
+  /** At least one attempt may have run. */
   bool may_have_run;
 
-  /** The last error, what to respond, and when the client may retry in ms (0: a default). */
+  /** The last error, its text in the response, and the time in ms after which the client may retry
+   * (0: the default). */
   enum error_code error_code;
   char error_text[200];
   int64_t retry_after_ms;
 } routed_request;
 
-/** The outcome as clients are told: "not run", "unknown", "failed" or "run". */
+/** Returns the name of an outcome as sent to clients: "not run", "unknown", "failed" or "run". */
 const char *run_outcome_name(enum run_outcome outcome);
-/** Sets the error of a request; returns its code. */
+/** Sets the error of a request and returns its code. */
 enum error_code routed_request_set_error(routed_request *request, enum error_code code,
                                          int64_t retry_after_ms, const char *format, ...)
     __attribute__((format(printf, 4, 5)));
-/** True when an engine failed this request. */
+/** Returns true when an engine is excluded from this request. */
 bool routed_request_excludes(const routed_request *request, const engine *engine);
-/** Excludes an engine from further attempts, while there is room to note it. */
+/** Excludes an engine from further attempts; ignored when MAX_EXCLUDED_ENGINES are already
+ * excluded. */
 void routed_request_exclude_engine(routed_request *request, const engine *engine);
-/** The same for the engine of a name, if it is still listed. */
+/** Like routed_request_exclude_engine, for the engine with the given name if it still exists. */
 void routed_request_exclude(routed_request *request, id engine_id);
 
-/** Admits a request to the queue, or sheds it: when the queue is full, or when the work ahead of it
- * takes longer than its deadline. */
+/** Admits a request to the queue, or sheds it when the queue is full or when the expected wait
+ * exceeds its deadline. */
 enum error_code request_admission_admit(routed_request *request);
-/** Routers that share the engines, this one included. */
+/** Returns the number of routers that share the engines, including this one. */
 int request_admission_count_routers(router *router);
 
-/** Selects among the engines where the model is up and a slot is free: one that has served the
- * prefix, and for the rest near ones with few streams. NULL when there is none; *any: it is up
- * somewhere. */
+/** Selects an engine on which the model is up and a slot is free. Requests with a prefix prefer the
+ * engine that the prefix hashes to; others prefer engines in the same zone with few streams.
+ * Returns NULL when there is none; *any says whether the model is up on any usable engine. */
 engine *engine_selection_find_resident(routed_request *request, bool *any);
-/** Selects the engine to load the model on. All routers rank engines alike, so their requests for
- * one model meet at one engine. NULL when there is none now; *fits: some engine is large enough. */
+/** Selects the engine to load the model on. All routers rank engines identically, so their load
+ * requests for a model go to the same engine. Returns NULL when there is none now; *fits says
+ * whether any listed engine is large enough. */
 engine *engine_selection_find_load_target(routed_request *request, bool *fits);
-/** True when no other request for the same model is to be served before this one. */
+/** Returns true when no other request for the same model is ahead of this one. */
 bool engine_selection_is_next(const routed_request *request);
 /** Sets the engine if one is free and no other request waits for the same model. */
 void engine_selection_select(routed_request *request);
 
-/** Waits for a free engine, has the model loaded where it is up nowhere, and sets the engine. */
+/** Waits for a free engine and sets it, and has the model loaded if it is up nowhere. */
 enum error_code engine_wait(routed_request *request);
 
-/** Runs the request on an engine and passes the stream on; retries elsewhere while that is safe. */
+/** Runs the request on an engine and relays the stream to the client; retries on other engines
+ * while that is safe. */
 enum error_code request_attempt_run(routed_request *request);
 #endif
--- a/lib/router/router.c
+++ b/lib/router/router.c
@@ -1,14 +1,14 @@
 /**
- * Start, graceful shutdown and end of a router.
+ * Startup, graceful shutdown and destruction of a router.
  */
 #include "router.h"
 #include "routing.h"
 
 enum {
-  /* Requests that are open when a shutdown begins get this long. */
+  /* How long requests that are open when the shutdown begins may take. */
   DRAIN_TIMEOUT_MS = 30000,
   DRAIN_CHECK_INTERVAL_MS = 100,
-  /* Time for the last responses to leave, and for releases of leases. */
+  /* Time for sending the last responses and releasing leases. */
   DRAIN_LINGER_MS = 800
 };
 
@@ -31,7 +31,7 @@
   world->serve_context = new_router;
   node_start(&new_router->node);
   config_sync_start(new_router);
-  /* a gateway's engines register themselves, and it places models in its own way */
+  /* a gateway's engines register themselves, and lib/gateway places its models */
   if (!settings->is_gateway) {
     engine_list_start(new_router);
     model_loading_start(new_router);
@@ -62,7 +62,7 @@
     return;
   router->draining = true;
   node_start_draining(&router->node);
-  log_info(&router->node.log, "router", "Drains: accepts no new requests, %d are open.",
+  log_info(&router->node.log, "router", "Draining: no new requests are accepted, %d are open.",
            router->open_requests);
   task_start(&router->node.world->tasks, "drain", drain_run, router);
 }
--- a/lib/router/router.h
+++ b/lib/router/router.h
@@ -1,12 +1,12 @@
 #ifndef ROUTER_ROUTER_H
 #define ROUTER_ROUTER_H
 /**
- * A router: a process of the data plane. This header only puts together what the modules of
- * lib/router own; each struct is described, and written, where its header says.
+ * A router: a process of the data plane. This header only combines the state that the modules of
+ * lib/router own; the header of each struct describes it and names the module that writes it.
  *
- * The same process is a gateway when lib/gateway is attached to it (gateway_new). A gateway uses
- * config sync, singleton leases and the event history; its engines register themselves and its
- * requests follow routes, so engine_list, model_loading and generate_api stay unused.
+ * A router is a gateway when lib/gateway is attached to it (gateway_new). A gateway uses config
+ * sync, singleton leases and the event history. Its engines register themselves and its requests
+ * follow routes, so engine_list, model_loading and generate_api are unused.
  */
 #include "admission.h"
 #include "config.h"
@@ -29,8 +29,8 @@
 typedef struct router router;
 struct router {
   node node;
-  /** Broadcast on every change that a waiting request may depend on: configuration, leases,
-   * reports of engines, streams that ended. */
+  /** Broadcast on every change that a waiting request may depend on: configuration, leases, engine
+   * reports and streams that end. */
   condition state_changed;
 
   /* Compiled parts of the configuration in force; written by config_snapshot.c. */
@@ -44,7 +44,7 @@
   admission admission;
   singleton_leases leases;
 
-  /** Events and request rates; written by whoever routes requests and loads models. */
+  /** Events and request rates; written by the modules that route requests and load models. */
   event_history history;
 
   engine_list engine_list;
@@ -52,7 +52,7 @@
   model_loading loading;
   generate_api requests;
 
-  /* Graceful shutdown; of router.c. */
+  /* Graceful shutdown; written by router.c. */
   bool draining;
   /** Requests to /v1/generate in progress; written by generate_api.c. */
   int open_requests;
@@ -67,17 +67,17 @@
   /** Calls `add` with each singleton that the gateway needs. */
   void (*for_each_singleton)(void *gateway,
                              void (*add)(struct router *router, const char *singleton));
-  /** Writes the gateway's part of the pages: its status as JSON, or lines of metrics. */
+  /** Writes the gateway's part of the pages: its status as JSON, or its metrics. */
   void (*write_status)(void *gateway, GString *to, bool metrics);
 };
 
-/** Makes a router and starts its tasks. */
+/** Creates a router and starts its tasks. */
 router *router_new(world *world, const settings *settings);
-/** Starts a graceful shutdown: no new requests, leases are released, streams may end.
- * drain_completed is broadcast at the end. */
+/** Starts a graceful shutdown: new requests are refused, leases are released and open streams may
+ * finish. drain_completed is broadcast at the end. */
 void router_drain(router *router);
 /** Frees a router; all its tasks must have ended. */
 void router_free(router *router);
-/** True when an instant was set (not 0) and is less than so many ms ago. */
+/** Returns true when `at` is set (not 0) and is less than `ms` milliseconds ago. */
 bool router_happened_within(const router *router, time_us at, int64_t ms);
 #endif
--- a/lib/router/router_pages.c
+++ b/lib/router/router_pages.c
@@ -11,7 +11,7 @@
   MAX_QUERY_FIELDS = 8
 };
 
-/* A request for a page and its query; the fields are NULL when they are missing. */
+/* A request for a page and its query parameters, which are NULL when missing. */
 typedef struct page_query {
   const http_request *http;
   char *engine, *model, *after;
@@ -21,7 +21,7 @@
   return state == RESIDENT_UP ? "up" : state == RESIDENT_LOADING ? "loading" : "unloading";
 }
 
-/* The value of a field of the query, to be freed; NULL when it is missing. */
+/* Returns the value of a query parameter, to be freed by the caller, or NULL when it is missing. */
 static char *query_value(const http_request *request, const char *key) {
   char **fields = g_strsplit(request->query ? request->query : "", "&", MAX_QUERY_FIELDS),
        *value = NULL;
@@ -121,7 +121,8 @@
   g_string_append_c(to, ']');
 }
 
-/* With an engine and a report number: waits until the engine has a later report. */
+/* If the query names an engine and a report number, waits until there is a later report of that
+ * engine. */
 static void await_report(router *router, const page_query *query) {
   if (!query->engine || !query->after)
     return;
@@ -244,7 +245,7 @@
          (!query->model || !strcmp(query->model, event->model.text));
 }
 
-/* The events that are still in memory, after a number if the query names one. */
+/* Writes the events that are still in memory, or those after a number if the query names one. */
 static void write_journal(router *router, const page_query *query, GString *to) {
   const event_history *history = &router->history;
   uint64_t from =
@@ -269,7 +270,8 @@
   g_string_append_c(to, ']');
 }
 
-/* Writes the page of a path; leaves `to` empty when there is none. Returns its content type. */
+/* Writes the page at the requested path, or leaves `to` empty when there is none. Returns its
+ * content type. */
 static const char *write_page(router *router, const page_query *query, GString *to) {
   const char *path = query->http->path;
   if (!strcmp(path, "/v1/engines")) {
--- a/lib/router/router_pages.h
+++ b/lib/router/router_pages.h
@@ -1,8 +1,8 @@
 #ifndef ROUTER_ROUTER_PAGES_H
 #define ROUTER_ROUTER_PAGES_H
 /**
- * The router's pages: status, engines, peers, journal and metrics; on a gateway also its own
- * status. docs/api.md describes them.
+ * The router's pages: status, engines, peers, journal and metrics, and on a gateway also the
+ * gateway's status. docs/api.md describes them.
  */
 #include "http_request.h"
 
--- a/lib/router/router_sync.c
+++ b/lib/router/router_sync.c
@@ -1,5 +1,5 @@
 /**
- * Polls among routers, the response to them, and reports of the version in force.
+ * Polls of other routers, the responses to such polls, and reports of the version in force.
  */
 #include "router_sync.h"
 #include "config_snapshot.h"
@@ -8,29 +8,30 @@
 enum {
   ROUTER_POLL_TIMEOUT_MS = 600,
 
-  /* Strict: all routers are polled this often while the last confirmation or the engine list is
-     older than these ages. Both ages leave a second or so of the 2000 ms for which confirmation and
-     list are valid, to hear from a majority before work has to be refused. */
+  /* Strict: all routers are polled at this interval while the last confirmation or the engine list
+     is older than these ages. Confirmation and list are valid for 2000 ms; both ages leave about
+     one second of that to hear from a majority before work has to be refused. */
   POLL_ALL_INTERVAL_MS = 250,
   MAX_CONFIRMATION_AGE_MS = 900,
   MAX_ENGINE_LIST_AGE_MS = 1300,
-  /* Strict: reports may be lost and the head may be a new one, so they are repeated. */
+  /* Strict: reports are repeated, because they may be lost and the head may have changed. */
   REPORT_VERSION_INTERVAL_MS = 500,
 
-  /* Relaxed: one router is polled this often while no controller has responded for so long. */
+  /* Relaxed: one router is polled at this interval while no controller has responded for
+     CONTROLLERS_SILENT_MS. */
   POLL_ONE_INTERVAL_MS = 500,
   CONTROLLERS_SILENT_MS = 2000,
 
-  /* A peer gets the engine list only if its own is older by this much. */
+  /* A peer is sent the engine list only if its own is older by at least this much. */
   ENGINE_LIST_MIN_GAIN_MS = 200,
 
-  /* Ages and counts above these are taken for errors of the sender. */
+  /* Ages above these are treated as errors of the sender and ignored; counts are capped. */
   MAX_PLAUSIBLE_CONFIRMATION_AGE_MS = 100000,
   MAX_PLAUSIBLE_ENGINE_LIST_AGE_MS = 100000000,
   MAX_PLAUSIBLE_ROUTERS = 10000
 };
 
-/* The router that a task polls. */
+/* Arguments of the task that polls a router. */
 typedef struct router_poll_task {
   router *router;
   id peer_id;
@@ -47,8 +48,9 @@
       peer_rpc_send(&router->node, peer->address, &message);
 }
 
-/* The instant at which something was so old, as a response to a poll says. It counts from when the
- * poll was sent, since clocks of processes are never compared; so it is never too young. */
+/* Converts an age in a poll response to a point in time by this node's clock. The age is subtracted
+ * from the time at which the poll was sent, because clocks of different processes are never
+ * compared. The result may be too old but never too recent. */
 static time_us instant_of_age(const config_exchange *exchange, uint64_t age_ms) {
   return time_sub(exchange->sent_at, time_from_ms((int64_t)age_ms));
 }
@@ -122,14 +124,14 @@
   task_start(&router->node.world->tasks, "router poll", poll_router_run, task);
 }
 
-/* Strict: polls all routers while controllers or the platform are silent. */
+/* Strict: polls all routers while controllers or the platform do not respond. */
 static void poll_all_routers_run(void *context) {
   router *router = context;
   while (world_sleep_with_jitter(router->node.world, time_from_ms(POLL_ALL_INTERVAL_MS))) {
     bool recent =
         router_happened_within(router, router->sync.config_confirmed_at, MAX_CONFIRMATION_AGE_MS) &&
         router_happened_within(router, router->engine_list.received_at, MAX_ENGINE_LIST_AGE_MS);
-    /* keeps the instant at which admission was lost up to date while no request comes */
+    /* keeps admission.lost_at up to date while no requests arrive */
     admission_may_admit(router);
     if (recent)
       continue;
@@ -139,7 +141,7 @@
   }
 }
 
-/* Relaxed: polls one router now and then while controllers are silent. */
+/* Relaxed: polls one router at intervals while controllers do not respond. */
 static void poll_one_router_run(void *context) {
   router *router = context;
   while (world_sleep_with_jitter(router->node.world, time_from_ms(POLL_ONE_INTERVAL_MS))) {
@@ -148,7 +150,7 @@
     const peer_node *peer = peer_table_pick(&router->node, ROLE_ROUTER, NULL);
     if (!peer || peer->gone)
       continue;
-    /* the peer may be forgotten while the poll waits */
+    /* the peer may be removed from the table while the poll waits */
     id peer_id = peer->self;
     char address[sizeof peer->address];
     g_strlcpy(address, peer->address, sizeof address);
--- a/lib/router/router_sync.h
+++ b/lib/router/router_sync.h
@@ -1,16 +1,16 @@
 #ifndef ROUTER_ROUTER_SYNC_H
 #define ROUTER_ROUTER_SYNC_H
 /**
- * Configuration among routers: one that does not reach the controllers gets the latest state from
- * another router, and learns how recently that one's state was confirmed.
+ * Exchange of configuration among routers. A router that cannot reach the controllers gets the
+ * latest state from another router, and learns how recently that state was confirmed.
  *
- * Strict mode: as soon as a router has had no confirmation, or no engine list, for a while, it
- * polls all other routers; it may only take work while a majority knows nothing newer
- * (admission.c). Routers report the version that they have in force to the controllers, for an
- * operator's write is acknowledged when half of them have it.
+ * Strict mode: a router whose last confirmation or engine list is too old polls all other routers;
+ * it may accept work only while a majority has nothing newer (admission.c). Routers report the
+ * version in force to the controllers, because an operator's write is acknowledged when half of the
+ * routers have it.
  *
- * Relaxed mode: isolated gateways serve on in any case, so one router polled now and then is enough
- * to let changes spread, and versions are not reported.
+ * Relaxed mode: isolated gateways continue to serve in any case, so polling one router at intervals
+ * is enough to spread changes. Versions are not reported.
  */
 #include "config_sync.h"
 
--- a/lib/router/singleton_lease.c
+++ b/lib/router/singleton_lease.c
@@ -1,6 +1,7 @@
 /**
- * Renews the leases that this router holds, and acquires those that it should hold. Two tasks do
- * so, since a grant waits for the controllers' disks, and a renewal must not wait with it.
+ * Renews the leases that this router holds and acquires those that it should hold. Renewal and
+ * acquisition run in separate tasks, because a grant waits for the controllers' disks and must not
+ * delay a renewal.
  */
 #include "singleton_lease.h"
 #include "router.h"
@@ -9,18 +10,18 @@
 enum {
   RENEW_INTERVAL_MS = 600,
   ACQUIRE_INTERVAL_MS = 300,
-  /* Renewals and releases don't wait for disks. */
+  /* Renewals and releases do not wait for disks. */
   RENEW_TIMEOUT_MS = 500,
-  /* A grant waits until it is on the disks of the chain. */
+  /* A grant waits until it has been written to the disks of the chain. */
   ACQUIRE_TIMEOUT_MS = 3300,
   HAND_OVER_AFTER_MS = 20000,
-  /* How long entries of singletons that no longer exist are retained on gateways. */
+  /* How long gateways retain entries of singletons that no longer exist. */
   RELEASED_LEASE_RETENTION_MS = 10000,
-  /* A process that just started knows few other routers and would take itself for the preferred
-     holder of everything. */
+  /* A process that has just started knows few other routers and would consider itself the preferred
+     holder of every singleton. */
   STARTUP_DELAY_MS = 1500,
-  /* A router that the head does not answer for so long tells the others that it is idle, so that
-     they take over. */
+  /* A router that has had no response from the head for this long announces itself as idle, so that
+     the other routers take over. */
   HEAD_UNANSWERED_MS = 2500
 };
 
@@ -49,17 +50,17 @@
   return valid ? lease->epoch : 0;
 }
 
-/* True when a peer could do a singleton's work as far as this router knows. */
+/* True when a peer is eligible to hold leases, as far as this router knows. */
 static bool may_hold_leases(router *router, const peer_node *peer) {
   if (peer->role != ROLE_ROUTER || peer->gone || peer->draining)
     return false;
-  /* one that the head does not answer gets no lease, unless all are in that state */
+  /* an idle peer gets no response from the head; it is eligible only if this router is idle too */
   if (peer->idle && !router->node.idle)
     return false;
   return !router->config || !config_is_zone_evacuated(router->config, peer->zone);
 }
 
-/* Rendezvous hashing: of all live routers the one with the highest hash is preferred. */
+/* Rendezvous hashing: the eligible router with the highest hash is preferred. */
 static bool is_preferred_holder(router *router, const char *singleton) {
   uint64_t own_rank = hash_two_names(singleton, router->node.settings.self.text);
   list_for_each (peer, &router->node.peers, peer_node, link)
@@ -86,7 +87,8 @@
            lease->name.text, lease->epoch, reason);
 }
 
-/* Makes sure that the address of the head, or of a controller that knows it, is set. */
+/* Ensures that head_address is set to the head or to a controller that can name it; false when no
+ * controller is known. */
 static bool find_head(router *router) {
   if (router->leases.head_address[0])
     return true;
@@ -97,8 +99,8 @@
   return true;
 }
 
-/* Ms since the last work under a lease. The next holder keeps its distance from that rather than
- * from the last renewal, so it may begin sooner. */
+/* Time in ms since the last order under a lease. The next holder measures its safety distance from
+ * that order instead of from the last renewal, so it may start sooner. */
 static uint64_t quiet_ms(router *router, const singleton_lease *lease) {
   time_us last_used_at = lease->last_order_at.us ? lease->last_order_at : lease->acquired_at;
   int64_t ms = time_sub(world_now(router->node.world), last_used_at).us / 1000;
@@ -111,7 +113,7 @@
   claim->singleton = (char *)lease->name.text;
   claim->epoch = lease->held ? lease->epoch : 0;
   claim->release = kind == CLAIM_RELEASE;
-  /* only gateways, which run in relaxed mode, record their work under a lease */
+  /* only gateways, which run in relaxed mode, record their orders under a lease */
   if (kind == CLAIM_RELEASE && router->node.settings.relaxed && !lease->open_orders)
     claim->quiet_ms = quiet_ms(router, lease);
 }
@@ -138,7 +140,8 @@
   return code;
 }
 
-/* A controller that is not the head names it; one that neither names it nor acts knows none. */
+/* A controller that is not the head names the head. One that neither names it nor returns results
+ * knows no head. */
 static void update_head_address(router *router, const Wire__SingletonLeaseResponse *response) {
   const char *head = response->head_address;
   if (head && head[0]) {
@@ -187,7 +190,7 @@
               err->text, code);
 }
 
-/* Asks the head for leases, for renewals, or to release them. */
+/* Sends the head a request to grant, renew or release leases. */
 static void request_leases(router *router, const GPtrArray *leases, enum claim_kind kind,
                            time_us timeout) {
   if (!leases->len || !find_head(router))
@@ -218,7 +221,8 @@
   find_or_add_lease(router, singleton)->wanted = true;
 }
 
-/* Sets `wanted` of all entries: the singletons that exist, while this router may hold any. */
+/* Updates `wanted` of all entries: set for every existing singleton while this router is eligible
+ * to hold leases. */
 static void plan_leases(router *router) {
   GHashTableIter iterator;
   gpointer value;
@@ -233,9 +237,9 @@
   mark_wanted(router, SINGLETON_LOAD_RATE_LIMITER);
 }
 
-/* Forgets entries of singletons that are gone for long. Gateways only: engines that register
- * themselves come and go, while a list of a platform is short. No other task removes entries, and
- * this one uses none across a wait. */
+/* Removes entries of singletons that ceased to exist some time ago. Gateways only: engines that
+ * register themselves come and go, whereas the platform's list is short. No other task removes
+ * entries, and this task keeps no pointer to an entry across a wait. */
 static void remove_unused_leases(router *router, time_us now) {
   if (!router->for_each_singleton)
     return;
@@ -259,16 +263,16 @@
          time_reached(now, time_add(lease->outranked_since, time_from_ms(HAND_OVER_AFTER_MS)));
 }
 
-/* Sorts a lease that is held into those to renew and those to release, or ends it if it expired. */
+/* Adds a held lease to the renewals or the releases, or ends it if it has expired. */
 static void review_lease(router *router, singleton_lease *lease, time_us now, GPtrArray *renewals,
                          GPtrArray *releases) {
   bool hand_over = should_hand_over(router, lease, now);
   if (time_reached(now, lease->expires_at)) {
-    end_lease(router, lease, "it expired");
+    end_lease(router, lease, "expired");
   } else if (!lease->wanted || hand_over) {
     g_ptr_array_add(releases, lease);
     end_lease(router, lease,
-              !lease->wanted ? "this router no longer needs it or may not hold it"
+              !lease->wanted ? "no longer needed, or this router is no longer eligible"
                              : "released to the preferred holder");
   } else {
     g_ptr_array_add(renewals, lease);
