--- a/tests/router/config_sync.c
+++ b/tests/router/config_sync.c
@@ -1,28 +1,27 @@
-/** Tests of lib/router/config_sync.c: what routers do while some or all controllers are
- * unreachable. Fleet: three controllers, five routers, five or six engines, under traffic.
- */
+/** Tests of lib/router/config_sync.c: behaviour of routers while some or all controllers are
+ * unreachable. Fleet: three controllers, five routers, five or six engines, under traffic. */
 #include "recovery.h"
 #include "scenario.h"
 #include "tests.h"
 
-/* a singleton lease lasts 3 s; the rest is the way of an order to its engine */
+/* a singleton lease lasts 3 s; the remaining time is the delay of an order on its way to the engine
+ */
 enum { LEASES_EXPIRED_MS = 3100 };
 
-/* after the expiry of the leases that stood when the controllers were lost, engines get no orders
- */
+/* engines receive no orders after the leases held when the controllers were lost have expired */
 static void check_no_orders_without_lease(fleet *fleet, time_us lost_at) {
   time_us expired_at = time_add(lost_at, time_from_ms(LEASES_EXPIRED_MS));
   for (int i = 0; i < fleet->engines; i++) {
     const GArray *orders = fleet->engine[i]->engine->orders;
     for (guint k = 0; k < orders->len; k++)
       if (g_array_index(orders, engine_sim_order, k).received_at.us > expired_at.us) {
-        fleet_add_violation(fleet, "an order was given without a lease");
+        fleet_add_violation(fleet, "an engine received an order without a lease");
         return;
       }
   }
 }
 
-/* models that were resident go on serving: a quarter of the requests is answered */
+/* resident models continue to serve: at least a quarter of the requests complete */
 static void check_residents_serve(fleet *fleet, time_us lost_at) {
   const GPtrArray *requests = fleet->callers->loadgen->requests;
   guint sent = 0, done = 0;
@@ -34,7 +33,8 @@
     }
   }
   if (done < sent / 4)
-    fleet_add_violation(fleet, "residents did not go on serving: %u of %u", done, sent);
+    fleet_add_violation(fleet, "resident models stopped serving: %u of %u requests completed", done,
+                        sent);
 }
 
 static bool a_router_is_cut_off_from_controllers(fleet *fleet) {
@@ -48,18 +48,18 @@
     sim_set_partition_both_ways(fleet->sim, host->self.text, fleet->controller[i]->self.text, true);
   sim_run(fleet->sim, time_from_ms(3000));
   if (!admission_may_admit(host->router))
-    fleet_add_violation(fleet, "a router that hears the others counts as isolated");
+    fleet_add_violation(fleet, "a router that reaches the other routers counts as isolated");
   if (!fleet_put(fleet, "evacuation", "{\"areas\":[]}"))
     return false;
   sim_run(fleet->sim, time_from_ms(4000));
-  /* the other routers pass the configuration on, but can not confirm it */
+  /* the other routers forward the configuration but cannot confirm it */
   if (host->router->sync.config_version <
       g_array_index(fleet->write_acks, write_ack, fleet->write_acks->len - 1).version)
-    fleet_add_violation(fleet, "the configuration did not come by way of the other routers");
+    fleet_add_violation(fleet, "the configuration was not received through the other routers");
   sim_heal_partitions(fleet->sim);
   sim_run(fleet->sim, time_from_ms(4000));
   if (!config_sync_is_recent(host->router))
-    fleet_add_violation(fleet, "a router does not come back");
+    fleet_add_violation(fleet, "a router's configuration is not recent after the partition healed");
   fleet_finish_traffic(fleet);
   return true;
 }
@@ -74,8 +74,8 @@
     host_kill(fleet->controller[i]);
   time_us from = fleet->sim->now;
   sim_run(fleet->sim, time_from_ms(4000));
-  /* a draining engine still gets no new work, and nothing is ordered any more, while resident
-   * models serve */
+  /* a draining engine still gets no new work, and no orders are sent, while resident models serve
+   */
   platform_sim_set_engine_state(fleet->platform->platform, fleet->engine[0]->self, true, false);
   sim_run(fleet->sim, time_from_ms(10000));
   check_no_orders_without_lease(fleet, from);
@@ -106,11 +106,12 @@
       fleet_call(fleet, fleet->controller[0], "PUT", "/v1/evacuation",
                  "{\"areas\":[{\"area\":\"south\"}]}", NULL, "south", time_from_ms(9000));
   if (call->status != 504)
-    fleet_add_violation(fleet, "a write that no router can hear of got %d", call->status);
+    fleet_add_violation(fleet, "a write that reaches no router got status %d", call->status);
   operator_call_free(call);
   for (int i = 0; i < fleet->routers; i++)
     if (config_sync_is_recent(fleet->router[i]->router))
-      fleet_add_violation(fleet, "%s calls its configuration recent", fleet->router[i]->self.text);
+      fleet_add_violation(fleet, "%s reports its configuration as recent",
+                          fleet->router[i]->self.text);
   check_no_orders_without_lease(fleet, from);
   check_residents_serve(fleet, from);
   sim_heal_partitions(fleet->sim);
@@ -119,7 +120,8 @@
   call = fleet_call(fleet, fleet->controller[0], "PUT", "/v1/evacuation",
                     "{\"areas\":[{\"area\":\"south\"}]}", NULL, "south", time_from_ms(9000));
   if (call->status != 200)
-    fleet_add_violation(fleet, "the same write got %d after all was mended", call->status);
+    fleet_add_violation(fleet, "the same write got status %d after the partition healed",
+                        call->status);
   operator_call_free(call);
   sim_run(fleet->sim, time_from_ms(9000));
   recovery_check(fleet, back, RECOVERY_LIMIT_MS);
--- a/tests/router/engine_list.c
+++ b/tests/router/engine_list.c
@@ -1,6 +1,5 @@
-/** Tests of lib/router/engine_list.c: engines that drain, are replaced, or stand in an evacuated
- * zone get no new work. Fleet: five or six routers and six engines, under traffic.
- */
+/** Tests of lib/router/engine_list.c: engines that are draining, replaced or in an evacuated zone
+ * get no new work. Fleet: five or six routers and six engines, under traffic. */
 #include "scenario.h"
 #include "tests.h"
 
@@ -39,12 +38,12 @@
     singleton_engine_name(singleton, sizeof singleton, fleet->engine[i]->self);
     host *host = fleet_find_lease_holder(fleet, singleton);
     if (!host)
-      fleet_add_violation(fleet, "nobody took over %s", singleton);
+      fleet_add_violation(fleet, "no router took over the lease on %s", singleton);
     else if (!strcmp(host->area.text, "south"))
-      fleet_add_violation(fleet, "%s stays with %s in the evacuated zone", singleton,
+      fleet_add_violation(fleet, "the lease on %s remains with %s in the evacuated zone", singleton,
                           host->self.text);
   }
-  /* a controller is lost, and the evacuation stands */
+  /* the evacuation persists when a controller is lost */
   host_power_off(fleet->controller[sim_random(fleet->sim, 3)]);
   sim_run(fleet->sim, time_from_ms(8000));
   scenario_check_acknowledged_writes(fleet);
--- a/tests/router/generate_api.c
+++ b/tests/router/generate_api.c
@@ -1,7 +1,6 @@
-/** Tests of lib/router/generate_api.c: streams while engines crash or report wrongly, callers
- * disconnect or read slowly, load is shed, and requests are invalid. Fleet: two to five routers and
- * two to six engines.
- */
+/** Tests of lib/router/generate_api.c: streams when engines crash or send wrong reports, when
+ * callers disconnect or read slowly, load shedding, and invalid requests. Fleet: two to five
+ * routers and two to six engines. */
 #include "scenario.h"
 #include "tests.h"
 #include <stdio.h>
@@ -39,7 +38,7 @@
   sim_run(fleet->sim, time_from_ms(3000));
   fleet_finish_traffic(fleet);
   if (!loadgen_count(fleet->callers->loadgen, OUTCOME_BROKEN))
-    fleet_add_violation(fleet, "no stream broke, so nothing was shown");
+    fleet_add_violation(fleet, "no stream broke, so the test exercised nothing");
   return true;
 }
 
@@ -73,7 +72,8 @@
   sim_run(fleet->sim, time_from_ms(8000));
   fleet->callers->loadgen->stop = true;
   fleet_finish_traffic(fleet);
-  /* who is sent away is sent away at once, and the small weighty kind is not starved */
+  /* shed requests are refused immediately, and the small kind with the high weight is not
+     starved */
   int n[3] = { 0 }, done[3] = { 0 };
   GPtrArray *all = fleet->callers->loadgen->requests;
   for (guint i = 0; i < all->len; i++) {
@@ -83,7 +83,7 @@
     done[at] += request->outcome == OUTCOME_DONE;
     if (request->code == E_QUEUE_FULL || request->code == E_LOAD_SHED)
       if (time_sub(request->ended_at, request->started_at).us > 200000) {
-        fleet_add_violation(fleet, "a caller was shed only after %.1f s",
+        fleet_add_violation(fleet, "a request was shed only after %.1f s",
                             (double)time_sub(request->ended_at, request->started_at).us / 1e6);
         break;
       }
@@ -96,8 +96,8 @@
     g_string_free(b, TRUE);
   }
   if ((double)done[2] / n[2] < 0.7 * (double)done[0] / n[0])
-    fleet_add_violation(fleet, "the weighty kind starves: %d of %d, live %d of %d", done[2], n[2],
-                        done[0], n[0]);
+    fleet_add_violation(fleet, "the kind with the high weight starves: %d of %d, live %d of %d",
+                        done[2], n[2], done[0], n[0]);
   return done[0] > 0;
 }
 
@@ -115,10 +115,11 @@
   for (int i = 0; i < fleet->engines; i++) {
     cut += fleet->engine[i]->engine->cut;
     if (fleet->engine[i]->engine->running)
-      fleet_add_violation(fleet, "%s runs on for a caller who left", fleet->engine[i]->self.text);
+      fleet_add_violation(fleet, "%s continues to run a stream of a caller that disconnected",
+                          fleet->engine[i]->self.text);
   }
   if (!cut)
-    fleet_add_violation(fleet, "no engine heard that its caller left");
+    fleet_add_violation(fleet, "no engine noticed that its caller disconnected");
   for (int i = 0; i < fleet->routers; i++)
     if (fleet->router[i]->router->open_requests)
       fleet_add_violation(fleet, "%s still counts %d open requests", fleet->router[i]->self.text,
@@ -141,11 +142,11 @@
   for (int i = 0; i < fleet->engines; i++)
     running += fleet->engine[i]->engine->running;
   if (running)
-    fleet_add_violation(fleet, "%d streams run on for callers who do not read", running);
+    fleet_add_violation(fleet, "%d streams continue to run for callers that do not read", running);
   fleet->callers->reads_slowly = false;
   fleet_finish_traffic(fleet);
   if (loadgen_count(fleet->callers->loadgen, OUTCOME_DONE))
-    fleet_add_violation(fleet, "a stream that was cut looks complete");
+    fleet_add_violation(fleet, "a stream that was cut off appears complete");
   return true;
 }
 
@@ -172,8 +173,8 @@
     sim_run(fleet->sim, time_from_ms(50));
     most = MAX(most, host->engine->running);
   }
-  /* slow start of 5 s to 16 streams: in the first second at most a fifth, and what one router may
-   * not know of another */
+  /* slow start of 5 s to 16 streams: at most a fifth in the first second, plus one stream per
+   * router that the other routers may not know of yet */
   if (most > 4 + fleet->routers)
     fleet_add_violation(fleet, "R11 a cold engine ran %d streams within its first second", most);
   sim_run(fleet->sim, time_from_ms(5000));
@@ -188,7 +189,8 @@
   loadgen_send(fleet->callers->loadgen, fleet->router[0]->addr, id_of_text("m0"), id_of_text(""),
                id_of_text("live"), 4, false);
   fleet_finish_traffic(fleet);
-  /* the engine that holds the model loses a run; the other one loads it, and then refuses */
+  /* the engine that has the model loses a run; the other engine loads the model and then refuses
+     requests */
   for (int i = 0; i < fleet->engines; i++) {
     engine_sim *engine = fleet->engine[i]->engine;
     if (engine->streams->len)
@@ -203,7 +205,7 @@
   }
   fleet_finish_traffic(fleet);
   if (!loadgen_count(fleet->callers->loadgen, OUTCOME_UNKNOWN))
-    fleet_add_violation(fleet, "nobody was told that his run is not known");
+    fleet_add_violation(fleet, "no caller was told that the outcome of its run is unknown");
   return true;
 }
 
--- a/tests/router/model_loading.c
+++ b/tests/router/model_loading.c
@@ -4,11 +4,11 @@
 #include "scenario.h"
 #include "tests.h"
 
-/* loads in 30 s while each one fails: bounded by the backoff of each model on each engine and by
- * the load rate limit */
+/* maximum loads in 30 s while every load fails, as limited by the backoff of each model on each
+ * engine and by the load rate limit */
 enum { FAILED_LOADS_MAX = 90 };
 
-/* the number of orders to load that engines received */
+/* the number of load orders that engines received */
 static guint load_orders(const fleet *fleet) {
   guint loads = 0;
   for (int i = 0; i < fleet->engines; i++) {
@@ -108,7 +108,7 @@
     fleet_add_violation(fleet, "%u loads in 30 s while every load fails", loads);
   fleet_finish_traffic(fleet);
   if (loadgen_count(fleet->callers->loadgen, OUTCOME_DONE))
-    fleet_add_violation(fleet, "somebody was served");
+    fleet_add_violation(fleet, "a request completed although every load fails");
   return true;
 }
 
@@ -124,7 +124,7 @@
   int replicas = model_replicas(fleet, "m0");
   fleet_finish_traffic(fleet);
   if (replicas < 2)
-    fleet_add_violation(fleet, "%d replicas of a model that all ask for", replicas);
+    fleet_add_violation(fleet, "%d replicas of a model that nearly all requests use", replicas);
   return loadgen_count(fleet->callers->loadgen, OUTCOME_DONE) >
          (int)fleet->callers->loadgen->requests->len * 8 / 10;
 }
--- a/tests/router/policy_replay.c
+++ b/tests/router/policy_replay.c
@@ -1,12 +1,13 @@
-/** Tests of lib/router/policy_replay.c: eviction policies over recorded and generated traces. No
- * fleet is started. */
+/** Tests of lib/policy_replay/policy_replay.c: eviction policies on the reference example and on
+ * generated traces. No fleet is started. */
 #include "policy_replay.h"
 #include "scenario.h"
 #include "tests.h"
 
 enum { TRACES = 5 };
 
-/* costs of the reference example, through the same choice of a victim as a holder makes */
+/* checks the costs of the reference example, computed with the same victim selection that lease
+ * holders use */
 static void check_reference_example(fleet *fleet) {
   trace *example = trace_reference_example();
   replay_result belady = policy_replay_run(example, "belady", 2, NULL, fleet->seed),
@@ -38,7 +39,7 @@
   }
 }
 
-/* the policy written as an expression makes the same choices as the one built in */
+/* the policy written as an expression makes the same choices as the built-in policy */
 static void check_expression(fleet *fleet, const trace *trace, uint64_t capacity_mb) {
   replay_result built_in = policy_replay_run(trace, "cremebrulee", capacity_mb, NULL, 1),
                 expression =
@@ -46,24 +47,25 @@
   if (built_in.loads != expression.loads || built_in.delay_ms != expression.delay_ms ||
       built_in.wasted != expression.wasted)
     fleet_add_violation(fleet,
-                        "as an expression the rule loads %" PRIu64 " times, built in %" PRIu64,
+                        "as an expression the policy loads %" PRIu64 " times, built in %" PRIu64,
                         expression.loads, built_in.loads);
 }
 
-/* where all models are equal, the policy is that of popularity */
+/* when all models have the same size and load time, the policy is equivalent to popularity */
 static void check_equal_models(fleet *fleet, const trace *trace) {
   replay_options options = { .initial_load_ms = 2000 };
   replay_result rule = policy_replay_run(trace, "cremebrulee", 12000, &options, 1),
                 popularity = policy_replay_run(trace, "popularity", 12000, &options, 1);
   if (rule.loads != popularity.loads || rule.delay_ms != popularity.delay_ms)
     fleet_add_violation(
-        fleet, "with equal things the rule loads %" PRIu64 " times and popularity %" PRIu64,
+        fleet, "with equal models the policy loads %" PRIu64 " times and popularity %" PRIu64,
         rule.loads, popularity.loads);
 }
 
 static bool reference_costs_are_reproduced(fleet *fleet) {
   check_reference_example(fleet);
-  /* over drawn traces the policy is better than chance, and the oracle better than the policy */
+  /* on generated traces the policy is better than random, and the oracle is better than the
+     policy */
   double rule_ms = 0, random_ms = 0, oracle_ms = 0;
   for (int i = 1; i <= TRACES; i++) {
     trace *drawn = draw_trace(fleet, i);
@@ -77,7 +79,7 @@
     trace_free(drawn);
   }
   if (!(oracle_ms < rule_ms && rule_ms < random_ms))
-    fleet_add_violation(fleet, "delays: oracle %g, rule %g, random %g", oracle_ms, rule_ms,
+    fleet_add_violation(fleet, "delays: oracle %g, policy %g, random %g", oracle_ms, rule_ms,
                         random_ms);
   return true;
 }
--- a/tests/router/singleton_lease.c
+++ b/tests/router/singleton_lease.c
@@ -1,7 +1,6 @@
-/** Tests of lib/router/singleton_lease.c: a singleton has one holder, which keeps its lease over a
- * stalled disk of the head and gives no orders after it expired. Fleet: three controllers, routers
- * that hold singletons, engines.
- */
+/** Tests of lib/router/singleton_lease.c: a singleton has one holder, which keeps its lease while
+ * the head's disk stalls and sends no orders after the lease expired. Fleet: three controllers,
+ * routers that hold singletons, engines. */
 #include "scenario.h"
 #include "tests.h"
 
@@ -39,12 +38,12 @@
   for (int i = 0; i < 100; i++) {
     sim_run(fleet->sim, time_from_ms(50));
     if (!singleton_lease_epoch(was->router, "engine:engine-1")) {
-      fleet_add_violation(fleet, "a stalled disk let a lease expire");
+      fleet_add_violation(fleet, "a lease expired while the head's disk was stalled");
       break;
     }
   }
   if (singleton_lease_epoch(was->router, "engine:engine-1") != epoch)
-    fleet_add_violation(fleet, "the lease changed its holder");
+    fleet_add_violation(fleet, "the holder or epoch of the lease changed");
   sim_run(fleet->sim, time_from_ms(26000));
   operator_call_free(call);
   return true;
