--- a/lib/router/eviction_policy.c
+++ b/lib/router/eviction_policy.c
@@ -7,7 +7,7 @@
 double eviction_policy_score(const eviction_rule *rule, const eviction_candidate *candidate,
                              double size, uint64_t chance) {
   if (rule->custom_formula) {
-    double v[F_VARIABLES] = {
+    double variables[F_VARIABLES] = {
       [F_PENALTY] = candidate->load_ms,
       [F_RATE] = candidate->request_rate,
       [F_SIZE] = size > 0 ? size : 1,
@@ -15,7 +15,7 @@
       [F_SLOTS] = candidate->slots,
       [F_IDLE] = (double)time_sub(rule->now, candidate->last_requested_at).us / 1e6
     };
-    return formula_evaluate(rule->custom_formula, v);
+    return formula_evaluate(rule->custom_formula, variables);
   }
   if (!strcmp(rule->name, "popularity"))
     return candidate->request_rate;
@@ -32,7 +32,7 @@
 
 /* True when candidate k has to be evicted with candidate i: it is the same, or an adapter on that
  * model. */
-static bool goes_with(const eviction_candidate *all, int i, int k) {
+static bool is_evicted_with(const eviction_candidate *all, int i, int k) {
   return k == i || (is_model(&all[i]) && id_equal(all[k].model, all[i].model));
 }
 
@@ -40,7 +40,7 @@
 static void select_with_dependents(eviction_candidate *all, int n, int i,
                                    capacity_shortage *shortage) {
   for (int k = 0; k < n; k++) {
-    if (all[k].selected || !goes_with(all, i, k))
+    if (all[k].selected || !is_evicted_with(all, i, k))
       continue;
     all[k].selected = true;
     shortage->mb -= MIN(shortage->mb, all[k].weights_mb);
@@ -51,7 +51,7 @@
 /* A model is evictable only when all adapters on it are. */
 static bool is_evictable(const eviction_candidate *all, int n, int i, bool allow_busy) {
   for (int k = 0; k < n; k++) {
-    if (all[k].selected || !goes_with(all, i, k))
+    if (all[k].selected || !is_evicted_with(all, i, k))
       continue;
     if (all[k].pinned || (all[k].busy && !allow_busy))
       return false;
@@ -90,8 +90,9 @@
 
 /* Index of the candidate with the lowest score among those that are evictable and take up the
  * resource that is short; -1 when there is none. */
-static int find_lowest(const eviction_rule *rule, eviction_candidate *all, int n, bool by_slots,
-                       bool allow_busy, uint64_t (*draw)(void *), void *context) {
+static int find_lowest_score(const eviction_rule *rule, eviction_candidate *all, int n,
+                             bool by_slots, bool allow_busy, uint64_t (*draw)(void *),
+                             void *context) {
   int lowest = -1;
   for (int i = 0; i < n; i++) {
     eviction_candidate *candidate = &all[i];
@@ -112,7 +113,7 @@
   for (int i = 0; i < n; i++)
     all[i].selected = false;
   while (shortage.mb || shortage.slots) {
-    int lowest = find_lowest(rule, all, n, shortage.slots > 0, allow_busy, draw, context);
+    int lowest = find_lowest_score(rule, all, n, shortage.slots > 0, allow_busy, draw, context);
     if (lowest < 0)
       return false;
     select_with_dependents(all, n, lowest, &shortage);
