--- a/lib/router/load_queue.c
+++ b/lib/router/load_queue.c
@@ -43,7 +43,7 @@
 
 /* Returns the request to serve next, or NULL when there is none. Drops expired requests without
  * waiters. */
-static queued_load_request *take_next(engine *engine) {
+static queued_load_request *find_next_request(engine *engine) {
   time_us now = world_now(engine->router->node.world);
   queued_load_request *best = NULL;
   int64_t best_rank = 0;
@@ -64,8 +64,8 @@
   return best;
 }
 
-static enum error_code load(engine *engine, const queued_load_request *request,
-                            uint64_t *retry_after_ms, error *err) {
+static enum error_code try_load(engine *engine, const queued_load_request *request,
+                                uint64_t *retry_after_ms, error *err) {
   if (!load_order_epoch(engine))
     return error_set(err, E_NO_LEASE_HOLDER, "this router does not hold the lease on %s",
                      engine->self.text);
@@ -79,7 +79,7 @@
   request->waiters++;
   error err = { 0 };
   uint64_t retry_after_ms = 0;
-  enum error_code code = load(engine, request, &retry_after_ms, &err);
+  enum error_code code = try_load(engine, request, &retry_after_ms, &err);
   if (code && code != E_STOPPING && code != E_NO_LEASE_HOLDER)
     log_info(&router->node.log, "place", "Load of %s%s%s on %s failed: %s (code %d).",
              request->model.text, request->adapter.text[0] ? "+" : "", request->adapter.text,
@@ -102,7 +102,7 @@
   engine *engine = context;
   world *world = engine->router->node.world;
   while (!engine->removed) {
-    queued_load_request *request = take_next(engine);
+    queued_load_request *request = find_next_request(engine);
     if (request)
       serve_request(engine, request);
     else if (condition_wait(&world->tasks, &engine->work_changed,
