--- a/lib/router/generate_api.h
+++ b/lib/router/generate_api.h
@@ -36,7 +36,7 @@
   uint64_t request_count, attempt_count, retry_count;
   /** Streams that belonged to another attempt, and requests refused because this router is
    * isolated. */
-  uint64_t mismatched_runs, isolated_refusals;
+  uint64_t mismatched_streams, isolated_refusals;
 } generate_api;
 
 void generate_api_init(generate_api *api);
--- a/lib/router/request_attempt.c
+++ b/lib/router/request_attempt.c
@@ -164,7 +164,7 @@
   router *router = request->router;
   const char *engine = attempt->engine->self.text;
   if (!code) {
-    router->requests.mismatched_runs++;
+    router->requests.mismatched_streams++;
     log_info(&router->node.log, "route",
              "%s responded to attempt %s with another attempt's stream, not relayed (code %d).",
              engine, attempt->name, E_STREAM_BROKEN);
@@ -290,7 +290,7 @@
   }
 }
 
-static bool take_retry(router *router) {
+static bool consume_retry_budget(router *router) {
   if (router->requests.retry_budget < 1)
     return false;
   router->requests.retry_budget -= 1;
@@ -305,7 +305,8 @@
   bool is_safe = request->run_outcome == NOT_RUN || request->resumable;
   return outcome == ATTEMPT_RETRYABLE && is_safe && request->attempts < MAX_ATTEMPTS &&
          !request->http->client_gone &&
-         !time_reached(world_now(router->node.world), request->deadline) && take_retry(router);
+         !time_reached(world_now(router->node.world), request->deadline) &&
+         consume_retry_budget(router);
 }
 
 /* If any attempt may have run, a later refusal cannot change the outcome back to "not run". */
