--- a/lib/router/singleton_lease.c
+++ b/lib/router/singleton_lease.c
@@ -89,7 +89,7 @@
 
 /* Ensures that head_address is set to the head or to a controller that can name it; false when no
  * controller is known. */
-static bool find_head(router *router) {
+static bool ensure_head_address(router *router) {
   if (router->leases.head_address[0])
     return true;
   const peer_node *peer = peer_table_pick(&router->node, ROLE_CONTROLLER, NULL);
@@ -101,7 +101,7 @@
 
 /* Time in ms since the last order under a lease. The next holder measures its safety distance from
  * that order instead of from the last renewal, so it may start sooner. */
-static uint64_t quiet_ms(router *router, const singleton_lease *lease) {
+static uint64_t ms_since_last_order(router *router, const singleton_lease *lease) {
   time_us last_used_at = lease->last_order_at.us ? lease->last_order_at : lease->acquired_at;
   int64_t ms = time_sub(world_now(router->node.world), last_used_at).us / 1000;
   return (uint64_t)MAX(1, ms);
@@ -115,7 +115,7 @@
   claim->release = kind == CLAIM_RELEASE;
   /* only gateways, which run in relaxed mode, record their orders under a lease */
   if (kind == CLAIM_RELEASE && router->node.settings.relaxed && !lease->open_orders)
-    claim->quiet_ms = quiet_ms(router, lease);
+    claim->quiet_ms = ms_since_last_order(router, lease);
 }
 
 /* Sends claims to the head; the caller frees the response. */
@@ -193,7 +193,7 @@
 /* Sends the head a request to grant, renew or release leases. */
 static void request_leases(router *router, const GPtrArray *leases, enum claim_kind kind,
                            time_us timeout) {
-  if (!leases->len || !find_head(router))
+  if (!leases->len || !ensure_head_address(router))
     return;
   time_us requested_at = world_now(router->node.world);
   Wire__Envelope *envelope;
@@ -223,7 +223,7 @@
 
 /* Updates `wanted` of all entries: set for every existing singleton while this router is eligible
  * to hold leases. */
-static void plan_leases(router *router) {
+static void update_wanted_leases(router *router) {
   GHashTableIter iterator;
   gpointer value;
   g_hash_table_iter_init(&iterator, router->leases.by_name);
@@ -282,7 +282,7 @@
 static void renew_leases(router *router) {
   GPtrArray *renewals = g_ptr_array_new(), *releases = g_ptr_array_new();
   time_us now = world_now(router->node.world);
-  plan_leases(router);
+  update_wanted_leases(router);
   remove_unused_leases(router, now);
   GHashTableIter iterator;
   gpointer value;
