--- a/lib/router/model_loading.c
+++ b/lib/router/model_loading.c
@@ -157,7 +157,7 @@
 }
 
 /* Reserves the capacity of a load until a report shows its outcome. */
-static void reserve(load *load, resident_model *base) {
+static void reserve_capacity(load *load, resident_model *base) {
   engine *engine = load->engine;
   load->report_seq = engine->report_seq;
   g_strlcpy(load->boot_id, engine->boot_id, sizeof load->boot_id);
@@ -198,7 +198,7 @@
 }
 
 /* Records that the engine failed a load, so that it is not retried immediately. */
-static void fail(load *load, uint64_t retry_after_ms) {
+static void record_load_failure(load *load, uint64_t retry_after_ms) {
   load_backoff_record_failure(load->engine, load->subject.model, load->subject.adapter);
   *load->retry_after_ms = retry_after_ms;
 }
@@ -219,7 +219,7 @@
     *load->retry_after_ms = RETRY_LOAD_MS;
     return error_set(load->err, E_NO_ENGINE, "%s refused an order that is out of date", engine);
   default:
-    fail(load, RETRY_LOAD_MS);
+    record_load_failure(load, RETRY_LOAD_MS);
     return E_ORDER_FAILED;
   }
 }
@@ -228,7 +228,7 @@
  * the engine restarts. */
 static enum error_code handle_stuck_engine(load *load) {
   engine *engine = load->engine;
-  fail(load, RETRY_STUCK_ENGINE_MS);
+  record_load_failure(load, RETRY_STUCK_ENGINE_MS);
   log_info(
       &engine->router->node.log, "engine",
       "%s accepted a load and has sent no report since; the capacity remains reserved (code %d).",
@@ -259,7 +259,7 @@
   release_reservation(load);
   if (shown)
     return OK;
-  fail(load, RETRY_LOAD_MS);
+  record_load_failure(load, RETRY_LOAD_MS);
   return error_set(load->err, E_ORDER_FAILED, "%s did not carry out the load of %s",
                    engine->self.text, load->key);
 }
@@ -278,7 +278,7 @@
   code = check_still_possible(load, &base);
   if (code)
     return code;
-  reserve(load, base);
+  reserve_capacity(load, base);
   load->started_at = now_of(load->engine);
   count_load(load);
   enum order_result result =
@@ -299,7 +299,7 @@
   for (;;) {
     const resident_model *resident = engine_find_resident(engine, subject->model, subject->adapter);
     if (!resident) {
-      fail(load, RETRY_LOAD_MS);
+      record_load_failure(load, RETRY_LOAD_MS);
       return error_set(load->err, E_ORDER_FAILED, "%s aborted the load of %s", engine->self.text,
                        load->key);
     }
