--- a/lib/router/outgoing_load_request.c
+++ b/lib/router/outgoing_load_request.c
@@ -6,7 +6,7 @@
 
 enum {
   /* How long the holder may wait before it responds, and the longer timeout of the call. */
-  WAIT_MS = 2000,
+  HOLDER_WAIT_MS = 2000,
   CALL_TIMEOUT_MS = 2600,
   /* Pause after a failed call, or while no holder is known. */
   RETRY_PAUSE_MS = 250,
@@ -32,7 +32,7 @@
   return true;
 }
 
-static enum error_code send(outgoing_load_request *load, Wire__Envelope **response) {
+static enum error_code send_load_request(outgoing_load_request *load, Wire__Envelope **response) {
   char address[48];
   if (!find_holder(load, address, sizeof address))
     return E_NO_LEASE_HOLDER;
@@ -41,14 +41,15 @@
   request.model = load->model.text;
   request.adapter = load->adapter.text;
   request.weight = load->priority_weight;
-  request.wait_ms = WAIT_MS;
+  request.wait_ms = HOLDER_WAIT_MS;
   Wire__Envelope message = wire_envelope(WIRE__ENVELOPE__BODY_MODEL_LOAD_REQUEST, &request);
   error err = { 0 };
   return peer_rpc_call(&load->router->node, address, &message, time_from_ms(CALL_TIMEOUT_MS),
                        response, &err);
 }
 
-static void complete(outgoing_load_request *load, enum error_code code, uint64_t retry_after_ms) {
+static void complete_load_request(outgoing_load_request *load, enum error_code code,
+                                  uint64_t retry_after_ms) {
   load->error_code = code;
   load->retry_after_ms = retry_after_ms;
   load->done = true;
@@ -61,22 +62,22 @@
   const Wire__ModelLoadResponse *response = envelope->model_load_response;
   enum error_code code = (enum error_code)response->error_code;
   if (response->loaded)
-    complete(load, OK, 0);
+    complete_load_request(load, OK, 0);
   else if (code && code != E_IN_PROGRESS && code != E_NO_LEASE_HOLDER)
-    complete(load, code, response->retry_after_ms);
+    complete_load_request(load, code, response->retry_after_ms);
 }
 
 /* Sends the request once, and completes it if the response contains an outcome. */
-static void attempt(outgoing_load_request *load) {
+static void attempt_load_request(outgoing_load_request *load) {
   router *router = load->router;
   if (time_reached(world_now(router->node.world), load->deadline)) {
-    complete(load, E_DEADLINE_EXCEEDED, DEADLINE_RETRY_MS);
+    complete_load_request(load, E_DEADLINE_EXCEEDED, DEADLINE_RETRY_MS);
     return;
   }
   Wire__Envelope *envelope = NULL;
-  enum error_code code = send(load, &envelope);
+  enum error_code code = send_load_request(load, &envelope);
   if (code == E_STOPPING) {
-    complete(load, E_STOPPING, 0);
+    complete_load_request(load, E_STOPPING, 0);
     return;
   }
   if (!code)
@@ -85,21 +86,21 @@
   if (load->done)
     return;
   if (!load->waiters)
-    complete(load, E_PEER_GONE, 0);
+    complete_load_request(load, E_PEER_GONE, 0);
   else if (code && !world_sleep_with_jitter(router->node.world, time_from_ms(RETRY_PAUSE_MS)))
-    complete(load, E_STOPPING, 0);
+    complete_load_request(load, E_STOPPING, 0);
 }
 
 static void load_request_run(void *context) {
   outgoing_load_request *load = context;
   while (!load->done)
-    attempt(load);
+    attempt_load_request(load);
   list_remove(&load->link);
   if (!load->waiters)
     g_free(load);
 }
 
-static outgoing_load_request *find(engine *engine, id model, id adapter) {
+static outgoing_load_request *find_load_request(engine *engine, id model, id adapter) {
   outgoing_load_request *found = NULL;
   list_for_each (load, &engine->router->requests.outgoing_load_requests, outgoing_load_request,
                  link)
@@ -109,7 +110,7 @@
   return found;
 }
 
-static outgoing_load_request *start(engine *engine, id model, id adapter) {
+static outgoing_load_request *start_load_request(engine *engine, id model, id adapter) {
   router *router = engine->router;
   outgoing_load_request *load = g_new0(outgoing_load_request, 1);
   load->router = router;
@@ -123,9 +124,9 @@
 
 outgoing_load_request *outgoing_load_request_join(engine *engine, id model, id adapter,
                                                   unsigned priority_weight, time_us deadline) {
-  outgoing_load_request *load = find(engine, model, adapter);
+  outgoing_load_request *load = find_load_request(engine, model, adapter);
   if (!load)
-    load = start(engine, model, adapter);
+    load = start_load_request(engine, model, adapter);
   load->priority_weight = MAX(load->priority_weight, priority_weight);
   if (deadline.us > load->deadline.us)
     load->deadline = deadline;
