--- a/lib/router/engine_report.c
+++ b/lib/router/engine_report.c
@@ -56,7 +56,7 @@
 }
 
 /* Records a new process run, and restarts the slow start if needed. */
-static void apply_run(engine *engine, const char *boot_id, bool same_run) {
+static void record_process_run(engine *engine, const char *boot_id, bool same_run) {
   time_us now = world_now(engine->router->node.world),
           gap_until = time_add(engine->last_report_at, time_from_ms(SLOW_START_AFTER_GAP_MS));
   if (!same_run) {
@@ -139,7 +139,7 @@
   if (same_run && engine->reported && sequence < engine->report_seq)
     return;
   bool is_newer = !same_run || sequence != engine->report_seq;
-  apply_run(engine, boot_id, same_run);
+  record_process_run(engine, boot_id, same_run);
   engine->report_seq = sequence;
   engine->reported = true;
   engine->last_report_at = world_now(engine->router->node.world);
--- a/lib/router/generate_api.c
+++ b/lib/router/generate_api.c
@@ -113,7 +113,7 @@
 }
 
 /* Removes a request from its class's current counts and counts its outcome. */
-static void count_end(routed_request *request, enum error_code code) {
+static void count_outcome(routed_request *request, enum error_code code) {
   request_class *class = &request->router->requests.classes[request->class_index];
   if (request->counted_waiting)
     class->waiting--;
@@ -146,7 +146,7 @@
   enum error_code code = OK;
   for (int i = 0; i < rule->step_count && !code; i++)
     code = run_step(request, &rule->steps[i], i ? &rule->steps[i - 1] : NULL);
-  count_end(request, code);
+  count_outcome(request, code);
   if (code && !request->http->response_started && !request->http->response_ended)
     end_without_response(request);
 }
