--- a/lib/router/engine.c
+++ b/lib/router/engine.c
@@ -84,34 +84,34 @@
 
 /* This router's share of the limit during a slow start. Hashing gives each engine its own order of
  * the routers, which rotates by one position each turn. */
-static int slow_start_share(engine *engine, int cap, int64_t age) {
+static int slow_start_share(engine *engine, int max_streams, int64_t age) {
   router *router = engine->router;
-  int all = 1, before = 0;
-  uint64_t mine = hash_two_names(engine->self.text, router->node.settings.self.text);
+  int router_count = 1, higher_ranked = 0;
+  uint64_t own_rank = hash_two_names(engine->self.text, router->node.settings.self.text);
   list_for_each (peer, &router->node.peers, peer_node, link) {
     if (peer->role != ROLE_ROUTER || peer->gone || peer->draining)
       continue;
-    all++;
-    before += hash_two_names(engine->self.text, peer->self.text) > mine;
+    router_count++;
+    higher_ranked += hash_two_names(engine->self.text, peer->self.text) > own_rank;
   }
-  int position = (int)((before + age / (SLOW_START_TURN_MS * 1000)) % all);
-  return (cap + all - 1 - position) / all;
+  int position = (int)((higher_ranked + age / (SLOW_START_TURN_MS * 1000)) % router_count);
+  return (max_streams + router_count - 1 - position) / router_count;
 }
 
 bool engine_has_free_slot(engine *engine) {
-  int cap = engine_max_streams(engine);
-  int64_t slow = slow_start_us(engine), age = age_us(engine);
-  return engine_running_streams(engine) < cap &&
-         (age >= slow || engine->own_running < slow_start_share(engine, cap, age));
+  int max_streams = engine_max_streams(engine);
+  int64_t slow_start = slow_start_us(engine), age = age_us(engine);
+  return engine_running_streams(engine) < max_streams &&
+         (age >= slow_start || engine->own_running < slow_start_share(engine, max_streams, age));
 }
 
 int engine_max_streams(engine *engine) {
   int max = engine->router->config ? engine->router->config->streams_max : 1;
-  int64_t slow = slow_start_us(engine), age = age_us(engine);
-  if (!slow || age >= slow)
+  int64_t slow_start = slow_start_us(engine), age = age_us(engine);
+  if (!slow_start || age >= slow_start)
     return max;
-  int cap = (int)(max * (age + 1) / slow);
-  return cap < MIN_SLOW_START_STREAMS ? MIN(MIN_SLOW_START_STREAMS, max) : cap;
+  int limit = (int)(max * (age + 1) / slow_start);
+  return limit < MIN_SLOW_START_STREAMS ? MIN(MIN_SLOW_START_STREAMS, max) : limit;
 }
 
 int engine_running_streams(engine *engine) {
--- a/lib/router/event_history.c
+++ b/lib/router/event_history.c
@@ -168,14 +168,14 @@
   char long_key[MAX_LONG_KEY_BYTES];
   snprintf(long_key, sizeof long_key, "%" PRIx64 "/%s", nonce, key);
   uint64_t *known = g_hash_table_lookup(history->remote_totals, long_key),
-           more = !known           ? in_window
-                  : total > *known ? total - *known
-                                   : 0;
+           added = !known           ? in_window
+                   : total > *known ? total - *known
+                                    : 0;
   if (!known)
     known = find_or_add_entry(history->remote_totals, long_key, sizeof *known);
   *known = MAX(*known, total);
-  if (more)
-    add_count(history, history->fleet_rates, key, more);
+  if (added)
+    add_count(history, history->fleet_rates, key, added);
 }
 
 uint64_t event_history_local_count(event_history *history, const char *key, uint64_t *total) {
