--- a/tests/router/config_sync.c
+++ b/tests/router/config_sync.c
@@ -72,14 +72,14 @@
   sim_run(fleet->sim, time_from_ms(15000));
   for (int i = 0; i < 3; i++)
     host_kill(fleet->controller[i]);
-  time_us from = fleet->sim->now;
+  time_us lost_at = fleet->sim->now;
   sim_run(fleet->sim, time_from_ms(4000));
   /* a draining engine still gets no new work, and no orders are sent, while resident models serve
    */
   platform_sim_set_engine_state(fleet->platform->platform, fleet->engine[0]->self, true, false);
   sim_run(fleet->sim, time_from_ms(10000));
-  check_no_orders_without_lease(fleet, from);
-  check_residents_serve(fleet, from);
+  check_no_orders_without_lease(fleet, lost_at);
+  check_residents_serve(fleet, lost_at);
   for (int i = 0; i < 3; i++)
     host_start(fleet->controller[i]);
   if (!scenario_wait_for_chain(fleet, 3, 10000))
@@ -100,7 +100,7 @@
     for (int k = 0; k < 3; k++)
       sim_set_partition_both_ways(fleet->sim, fleet->router[i]->self.text,
                                   fleet->controller[k]->self.text, true);
-  time_us from = fleet->sim->now;
+  time_us lost_at = fleet->sim->now;
   sim_run(fleet->sim, time_from_ms(10000));
   operator_call *call =
       fleet_call(fleet, fleet->controller[0], "PUT", "/v1/evacuation",
@@ -112,10 +112,10 @@
     if (config_sync_is_recent(fleet->router[i]->router))
       fleet_add_violation(fleet, "%s reports its configuration as recent",
                           fleet->router[i]->self.text);
-  check_no_orders_without_lease(fleet, from);
-  check_residents_serve(fleet, from);
+  check_no_orders_without_lease(fleet, lost_at);
+  check_residents_serve(fleet, lost_at);
   sim_heal_partitions(fleet->sim);
-  time_us back = fleet->sim->now;
+  time_us healed_at = fleet->sim->now;
   sim_run(fleet->sim, time_from_ms(3000));
   call = fleet_call(fleet, fleet->controller[0], "PUT", "/v1/evacuation",
                     "{\"areas\":[{\"area\":\"south\"}]}", NULL, "south", time_from_ms(9000));
@@ -124,7 +124,7 @@
                         call->status);
   operator_call_free(call);
   sim_run(fleet->sim, time_from_ms(9000));
-  recovery_check(fleet, back, RECOVERY_LIMIT_MS);
+  recovery_check(fleet, healed_at, RECOVERY_LIMIT_MS);
   fleet_finish_traffic(fleet);
   return true;
 }
--- a/tests/router/generate_api.c
+++ b/tests/router/generate_api.c
@@ -74,13 +74,15 @@
   fleet_finish_traffic(fleet);
   /* shed requests are refused immediately, and the small kind with the high weight is not
      starved */
-  int n[3] = { 0 }, done[3] = { 0 };
+  int sent[3] = { 0 }, done[3] = { 0 };
   GPtrArray *all = fleet->callers->loadgen->requests;
   for (guint i = 0; i < all->len; i++) {
     loadgen_request *request = all->pdata[i];
-    int at = !strcmp(request->kind.text, "live") ? 0 : !strcmp(request->kind.text, "short") ? 1 : 2;
-    n[at]++;
-    done[at] += request->outcome == OUTCOME_DONE;
+    int kind = !strcmp(request->kind.text, "live")    ? 0
+               : !strcmp(request->kind.text, "short") ? 1
+                                                      : 2;
+    sent[kind]++;
+    done[kind] += request->outcome == OUTCOME_DONE;
     if (request->code == E_QUEUE_FULL || request->code == E_LOAD_SHED)
       if (time_sub(request->ended_at, request->started_at).us > 200000) {
         fleet_add_violation(fleet, "a request was shed only after %.1f s",
@@ -89,15 +91,15 @@
       }
   }
   if (g_getenv("SIM_COUNT")) {
-    GString *b = g_string_new(NULL);
-    loadgen_json(fleet->callers->loadgen, b);
-    fprintf(stderr, "  live %d/%d short %d/%d deferred %d/%d %s", done[0], n[0], done[1], n[1],
-            done[2], n[2], b->str);
-    g_string_free(b, TRUE);
+    GString *json = g_string_new(NULL);
+    loadgen_json(fleet->callers->loadgen, json);
+    fprintf(stderr, "  live %d/%d short %d/%d deferred %d/%d %s", done[0], sent[0], done[1],
+            sent[1], done[2], sent[2], json->str);
+    g_string_free(json, TRUE);
   }
-  if ((double)done[2] / n[2] < 0.7 * (double)done[0] / n[0])
+  if ((double)done[2] / sent[2] < 0.7 * (double)done[0] / sent[0])
     fleet_add_violation(fleet, "the kind with the high weight starves: %d of %d, live %d of %d",
-                        done[2], n[2], done[0], n[0]);
+                        done[2], sent[2], done[0], sent[0]);
   return done[0] > 0;
 }
 
@@ -160,23 +162,24 @@
   scenario_start_traffic(fleet, 12);
   sim_run(fleet->sim, time_from_ms(15000));
   /* the engine that serves most is restarted; it must warm up without being flooded */
-  int at = 0;
+  int busiest = 0;
   for (int i = 0; i < fleet->engines; i++)
-    if (fleet->engine[i]->engine->streams->len > fleet->engine[at]->engine->streams->len)
-      at = i;
-  host *host = fleet->engine[at];
+    if (fleet->engine[i]->engine->streams->len > fleet->engine[busiest]->engine->streams->len)
+      busiest = i;
+  host *host = fleet->engine[busiest];
   host_kill(host);
   sim_run(fleet->sim, time_from_ms(300));
   host_start(host);
-  int most = 0;
+  int max_running = 0;
   for (int i = 0; i < 20; i++) {
     sim_run(fleet->sim, time_from_ms(50));
-    most = MAX(most, host->engine->running);
+    max_running = MAX(max_running, host->engine->running);
   }
   /* slow start of 5 s to 16 streams: at most a fifth in the first second, plus one stream per
    * router that the other routers may not know of yet */
-  if (most > 4 + fleet->routers)
-    fleet_add_violation(fleet, "R11 a cold engine ran %d streams within its first second", most);
+  if (max_running > 4 + fleet->routers)
+    fleet_add_violation(fleet, "R11 a cold engine ran %d streams within its first second",
+                        max_running);
   sim_run(fleet->sim, time_from_ms(5000));
   fleet_finish_traffic(fleet);
   return true;
@@ -213,16 +216,16 @@
   static const struct {
     const char *text;
     int status, code;
-  } bad[] = { { "", 400, E_JSON },
-              { "[1]", 400, E_TYPE },
-              { "{\"model\":7}", 400, E_NAME },
-              { "{}", 400, E_FIELD },
-              { "{\"model\":\"none\"}", 404, E_UNKNOWN_MODEL },
-              { "{\"model\":\"m1\",\"adapter\":\"a0\"}", 404, E_UNKNOWN_MODEL },
-              { "{\"model\":\"m1\",\"kind\":\"none\"}", 400, E_NAME },
-              { "{\"model\":\"m 1\"}", 400, E_NAME },
-              { "{\"model\":\"m1\"", 400, E_JSON },
-              { "{\"model\":\"huge\"}", 422, E_NO_ENGINE_FITS } };
+  } invalid[] = { { "", 400, E_JSON },
+                  { "[1]", 400, E_TYPE },
+                  { "{\"model\":7}", 400, E_NAME },
+                  { "{}", 400, E_FIELD },
+                  { "{\"model\":\"none\"}", 404, E_UNKNOWN_MODEL },
+                  { "{\"model\":\"m1\",\"adapter\":\"a0\"}", 404, E_UNKNOWN_MODEL },
+                  { "{\"model\":\"m1\",\"kind\":\"none\"}", 400, E_NAME },
+                  { "{\"model\":\"m 1\"}", 400, E_NAME },
+                  { "{\"model\":\"m1\"", 400, E_JSON },
+                  { "{\"model\":\"huge\"}", 422, E_NO_ENGINE_FITS } };
   if (!fleet_bring_up(fleet))
     return false;
   operator_call *call = fleet_call(
@@ -233,12 +236,12 @@
     fleet_add_violation(fleet, "patch got %d %s", call->status, call->body->str);
   operator_call_free(call);
   sim_run(fleet->sim, time_from_ms(2000));
-  for (size_t i = 0; i < G_N_ELEMENTS(bad); i++) {
-    call = fleet_call(fleet, fleet->router[0], "POST", "/v1/generate", bad[i].text, NULL, NULL,
+  for (size_t i = 0; i < G_N_ELEMENTS(invalid); i++) {
+    call = fleet_call(fleet, fleet->router[0], "POST", "/v1/generate", invalid[i].text, NULL, NULL,
                       time_from_ms(9000));
     json *json = json_parse(string_view_of_gstring(call->body), NULL);
-    if (call->status != bad[i].status || (int)json_number(json, "code", 0) != bad[i].code)
-      fleet_add_violation(fleet, "%s got %d, %s", bad[i].text, call->status, call->body->str);
+    if (call->status != invalid[i].status || (int)json_number(json, "code", 0) != invalid[i].code)
+      fleet_add_violation(fleet, "%s got %d, %s", invalid[i].text, call->status, call->body->str);
     json_free(json);
     operator_call_free(call);
   }
--- a/tests/router/singleton_lease.c
+++ b/tests/router/singleton_lease.c
@@ -30,19 +30,19 @@
 static bool leases_outlast_a_stalled_disk_of_the_head(fleet *fleet) {
   if (!fleet_bring_up(fleet))
     return false;
-  host *host = fleet_find_head(fleet), *was = fleet_find_lease_holder(fleet, "engine:engine-1");
-  uint64_t epoch = singleton_lease_epoch(was->router, "engine:engine-1");
+  host *host = fleet_find_head(fleet), *holder = fleet_find_lease_holder(fleet, "engine:engine-1");
+  uint64_t epoch = singleton_lease_epoch(holder->router, "engine:engine-1");
   host->disk->stalled_until = time_add(fleet->sim->now, time_from_ms(1500));
   operator_call *call =
       fleet_send(fleet, host, "PUT", "/v1/evacuation", "{\"areas\":[]}", NULL, NULL);
   for (int i = 0; i < 100; i++) {
     sim_run(fleet->sim, time_from_ms(50));
-    if (!singleton_lease_epoch(was->router, "engine:engine-1")) {
+    if (!singleton_lease_epoch(holder->router, "engine:engine-1")) {
       fleet_add_violation(fleet, "a lease expired while the head's disk was stalled");
       break;
     }
   }
-  if (singleton_lease_epoch(was->router, "engine:engine-1") != epoch)
+  if (singleton_lease_epoch(holder->router, "engine:engine-1") != epoch)
     fleet_add_violation(fleet, "the holder or epoch of the lease changed");
   sim_run(fleet->sim, time_from_ms(26000));
   operator_call_free(call);
