--- a/lib/router/engine.h
+++ b/lib/router/engine.h
@@ -24,7 +24,7 @@
   uint64_t weights_mb;
   /** Adapter slots that it takes, and streams running on it. */
   unsigned slots, running;
-  /** When it was first seen up. */
+  /** When a report first showed it as up. */
   time_us loaded_at;
   bool served_requests;
   /** Used while a report is applied: the report lists it. */
@@ -50,8 +50,8 @@
   bool draining, listed;
   /** It is no longer listed, or its address has changed; its tasks end. */
   bool removed;
-  /** The list has a second engine of this name, or its reports are malformed. Used to log this only
-   * once. */
+  /** The list has a second engine of this name, or this engine does not return a valid report;
+   * logged only once. */
   bool malformed;
 
   /* From its reports; written by engine_report.c. */
@@ -72,7 +72,7 @@
   int running;
   /** Value of own_running when the last report was received. */
   int own_running_at_report;
-  /** Of resident_model. */
+  /** Elements of type resident_model. */
   list_node residents;
   condition report_changed;
 
@@ -87,7 +87,7 @@
   /** Capacity reserved for loads that no report shows yet. */
   uint64_t reserved_mb;
   unsigned reserved_slots;
-  /** Of queued_load_request. */
+  /** Elements of type queued_load_request. */
   list_node load_requests;
   condition work_changed;
 } engine;
--- a/tests/router/generate_api.c
+++ b/tests/router/generate_api.c
@@ -161,7 +161,8 @@
   fleet->callers->loadgen->plan.tokens = 100;
   scenario_start_traffic(fleet, 12);
   sim_run(fleet->sim, time_from_ms(15000));
-  /* the engine that serves most is restarted; it must warm up without being flooded */
+  /* the engine that runs the most streams is restarted and must not receive too many streams while
+     it warms up */
   int busiest = 0;
   for (int i = 0; i < fleet->engines; i++)
     if (fleet->engine[i]->engine->streams->len > fleet->engine[busiest]->engine->streams->len)
--- a/tests/router/model_loading.c
+++ b/tests/router/model_loading.c
@@ -8,7 +8,7 @@
  * engine and by the load rate limit */
 enum { FAILED_LOADS_MAX = 90 };
 
-/* the number of load orders that engines received */
+/* counts the load orders that engines received */
 static guint load_orders(const fleet *fleet) {
   guint loads = 0;
   for (int i = 0; i < fleet->engines; i++) {
@@ -19,7 +19,7 @@
   return loads;
 }
 
-/* the number of engines on which a model is resident */
+/* counts the engines on which a model is up */
 static int model_replicas(const fleet *fleet, const char *model) {
   int replicas = 0;
   for (int i = 0; i < fleet->engines; i++)
