--- a/lib/router/config_sync.c
+++ b/lib/router/config_sync.c
@@ -54,7 +54,7 @@
   request->engine_list_age_ms = engine_list_age_ms(router);
 }
 
-bool config_sync_call(router *router, const char *address, Wire__ConfigPollRequest *request,
+bool config_sync_poll(router *router, const char *address, Wire__ConfigPollRequest *request,
                       int64_t timeout_ms, config_exchange *exchange) {
   *exchange = (config_exchange){ .sent_at = world_now(router->node.world) };
   memcpy(exchange->sent_versions, router->sync.resource_versions, sizeof exchange->sent_versions);
--- a/lib/router/config_sync.h
+++ b/lib/router/config_sync.h
@@ -89,7 +89,7 @@
 void config_sync_prepare(router *router, Wire__ConfigPollRequest *request);
 /** Sends a poll and waits for its response. Returns false when the call failed or timed out;
  * otherwise the caller must end the exchange with config_sync_finish. */
-bool config_sync_call(router *router, const char *address, Wire__ConfigPollRequest *request,
+bool config_sync_poll(router *router, const char *address, Wire__ConfigPollRequest *request,
                       int64_t timeout_ms, config_exchange *exchange);
 /** Installs the snapshot in a response; false when there is none or it was refused. */
 bool config_sync_install(router *router, const config_exchange *exchange, const char *address);
--- a/lib/router/controller_poll.c
+++ b/lib/router/controller_poll.c
@@ -143,7 +143,7 @@
   Wire__ConfigPollRequest request;
   prepare_request(router, address, kind, &request);
   config_exchange exchange;
-  if (!config_sync_call(router, address, &request, poll_timeout_ms(router, kind), &exchange))
+  if (!config_sync_poll(router, address, &request, poll_timeout_ms(router, kind), &exchange))
     return false;
   const Wire__ConfigPollResponse *response = exchange.response;
   bool confirmed = response && response->confirmed;
--- a/lib/router/engine_wait.c
+++ b/lib/router/engine_wait.c
@@ -119,7 +119,7 @@
   if (wait->load->error_code) {
     wait->load_error = wait->load->error_code;
     wait->load_retry_after_ms = (int64_t)wait->load->retry_after_ms;
-    routed_request_exclude(request, wait->load->engine_id);
+    routed_request_exclude_by_id(request, wait->load->engine_id);
   } else
     request->load_attempts--;
   outgoing_load_request_leave(wait->load);
--- a/lib/router/request_attempt.c
+++ b/lib/router/request_attempt.c
@@ -329,7 +329,7 @@
     request->engine = NULL;
     update_run_outcome(request);
     if (outcome == ATTEMPT_RETRYABLE)
-      routed_request_exclude(request, engine_id);
+      routed_request_exclude_by_id(request, engine_id);
     if (outcome == ATTEMPT_COMPLETED)
       return OK;
     if (!may_retry(request, outcome))
--- a/lib/router/routed_request.c
+++ b/lib/router/routed_request.c
@@ -36,7 +36,7 @@
     request->excluded[request->excluded_count++] = engine->self;
 }
 
-void routed_request_exclude(routed_request *request, id engine_id) {
+void routed_request_exclude_by_id(routed_request *request, id engine_id) {
   list_for_each (engine_, &request->router->engine_list.engines, engine, link)
     if (id_equal(engine_->self, engine_id))
       routed_request_exclude_engine(request, engine_);
--- a/lib/router/routed_request.h
+++ b/lib/router/routed_request.h
@@ -81,7 +81,7 @@
  * excluded. */
 void routed_request_exclude_engine(routed_request *request, const engine *engine);
 /** Like routed_request_exclude_engine, for the engine with the given name if it still exists. */
-void routed_request_exclude(routed_request *request, id engine_id);
+void routed_request_exclude_by_id(routed_request *request, id engine_id);
 
 /** Admits a request to the queue, or sheds it when the queue is full or when the expected wait
  * exceeds its deadline. */
--- a/lib/router/router_sync.c
+++ b/lib/router/router_sync.c
@@ -93,7 +93,7 @@
   Wire__ConfigPollRequest request;
   config_sync_prepare(router, &request);
   config_exchange exchange;
-  if (!config_sync_call(router, address, &request, ROUTER_POLL_TIMEOUT_MS, &exchange))
+  if (!config_sync_poll(router, address, &request, ROUTER_POLL_TIMEOUT_MS, &exchange))
     return;
   if (exchange.response) {
     config_sync_install(router, &exchange, address);
