--- a/lib/router/generate_api.c
+++ b/lib/router/generate_api.c
@@ -112,19 +112,19 @@
   return OK;
 }
 
-/* Removes a request from its class's current counts and counts its outcome. */
+/* Removes a request from the current counts of its kind and counts its outcome. */
 static void count_outcome(routed_request *request, enum error_code code) {
-  request_class *class = &request->router->requests.classes[request->class_index];
+  request_kind_stats *stats = &request->router->requests.kind_stats[request->policy_kind_index];
   if (request->counted_waiting)
-    class->waiting--;
+    stats->waiting--;
   if (request->counted_running)
-    class->running--;
+    stats->running--;
   if (!code)
-    class->completed++;
+    stats->completed++;
   else if (request->run_outcome == NOT_RUN)
-    class->refused++;
+    stats->refused++;
   else
-    class->failed++;
+    stats->failed++;
 }
 
 static void end_without_response(routed_request *request) {
@@ -205,7 +205,7 @@
   if (!kind)
     return false;
   request->kind = *kind;
-  request->class_index = (int)(kind - config->kinds);
+  request->policy_kind_index = (int)(kind - config->kinds);
   return true;
 }
 
@@ -244,7 +244,7 @@
   if (router->draining)
     return routed_request_set_error(request, E_DRAINING, RETRY_DRAINING_MS,
                                     "this machine is leaving");
-  router->requests.classes[request->class_index].requested++;
+  router->requests.kind_stats[request->policy_kind_index].requested++;
   uint64_t weights_mb;
   unsigned slots;
   if (!model_loading_find_size(router, request->model, request->adapter, &weights_mb, &slots))
@@ -261,7 +261,7 @@
   event_history_append(&router->history, (history_event){ .kind = EVENT_ROUTED,
                                                           .model = request->model,
                                                           .adapter = request->adapter,
-                                                          .value = request->class_index });
+                                                          .value = request->policy_kind_index });
   double *budget = &router->requests.retry_budget;
   *budget = MIN(MAX_RETRY_BUDGET, *budget + router->config->retry_ratio);
   /* the configuration may change while the request is served */
--- a/lib/router/generate_api.h
+++ b/lib/router/generate_api.h
@@ -12,13 +12,13 @@
 
 /** Counts of the requests of one policy kind: current ones, and totals since the process started.
  */
-typedef struct request_class {
+typedef struct request_kind_stats {
   int waiting, running;
   uint64_t requested, completed;
   /** Requests that failed without running, requests that failed after they may have run, and those
    * of the former that were shed. */
   uint64_t refused, failed, shed;
-} request_class;
+} request_kind_stats;
 
 /** State of all requests; written by generate_api.c and the steps of requests. */
 typedef struct generate_api {
@@ -27,7 +27,7 @@
   /** Elements of type outgoing_load_request. */
   list_node outgoing_load_requests;
   /** Indexed by policy kind. */
-  request_class classes[REQUEST_KINDS_MAX];
+  request_kind_stats kind_stats[REQUEST_KINDS_MAX];
   /** Number of retries that may be sent now; each request adds the policy's retry ratio. */
   double retry_budget;
   /** Smoothed duration of a stream in ms. */
--- a/lib/router/request_admission.c
+++ b/lib/router/request_admission.c
@@ -19,13 +19,13 @@
 
 /* Queue positions that one kind may use: all those that the other kinds neither use nor have
  * reserved. */
-static double free_queue_share(router *router, int class_index) {
+static double free_queue_share(router *router, int policy_kind_index) {
   const config *config = router->config;
   double max = (double)config->queue_max, spare = max;
   for (int i = 0; i < config->kind_count; i++) {
     double reserved = config->kinds[i].quota_share * max;
-    if (i != class_index)
-      spare -= MAX(reserved, router->requests.classes[i].waiting);
+    if (i != policy_kind_index)
+      spare -= MAX(reserved, router->requests.kind_stats[i].waiting);
   }
   return spare;
 }
@@ -50,15 +50,15 @@
 
 static enum error_code refuse_for_full_queue(routed_request *request) {
   router *router = request->router;
-  request_class *class = &router->requests.classes[request->class_index];
-  class->shed++;
+  request_kind_stats *stats = &router->requests.kind_stats[request->policy_kind_index];
+  stats->shed++;
   /* by the time about half of the queue has been served, there is space again */
   int up, own_capacity = resident_capacity(request, &up) / request_admission_count_routers(router);
-  int64_t half_ms = (int64_t)(router->requests.smoothed_service_ms * (class->waiting + 1) / 2 /
+  int64_t half_ms = (int64_t)(router->requests.smoothed_service_ms * (stats->waiting + 1) / 2 /
                               MAX(1, own_capacity));
   return routed_request_set_error(
       request, E_QUEUE_FULL, MIN(half_ms + RETRY_MARGIN_MS, MAX_QUEUE_RETRY_MS),
-      "the line of kind %s is full: %d wait", request->kind.self.text, class->waiting);
+      "the line of kind %s is full: %d wait", request->kind.self.text, stats->waiting);
 }
 
 /* Expected wait for a model that is up, from the requests ahead of this one at this router,
@@ -97,20 +97,20 @@
 
 enum error_code request_admission_admit(routed_request *request) {
   router *router = request->router;
-  request_class *class = &router->requests.classes[request->class_index];
-  if (class->waiting + 1 > free_queue_share(router, request->class_index))
+  request_kind_stats *stats = &router->requests.kind_stats[request->policy_kind_index];
+  if (stats->waiting + 1 > free_queue_share(router, request->policy_kind_index))
     return refuse_for_full_queue(request);
   int up, capacity = resident_capacity(request, &up);
   int64_t wait_ms = up ? estimate_queue_ms(request, capacity) : estimate_load_ms(request),
           excess_ms = wait_ms - request->kind.deadline_ms;
   if (excess_ms > 0) {
-    class->shed++;
+    stats->shed++;
     return routed_request_set_error(
         request, E_LOAD_SHED, MIN(excess_ms + RETRY_MARGIN_MS, MAX_SHED_RETRY_MS),
         "about %" PRId64 " ms of work wait ahead, past the deadline of kind %s", wait_ms,
         request->kind.self.text);
   }
-  class->waiting++;
+  stats->waiting++;
   request->counted_waiting = true;
   return OK;
 }
--- a/lib/router/request_attempt.c
+++ b/lib/router/request_attempt.c
@@ -279,14 +279,14 @@
 }
 
 static void count_as_running(routed_request *request) {
-  request_class *class = &request->router->requests.classes[request->class_index];
+  request_kind_stats *stats = &request->router->requests.kind_stats[request->policy_kind_index];
   if (request->counted_waiting) {
     request->counted_waiting = false;
-    class->waiting--;
+    stats->waiting--;
   }
   if (!request->counted_running) {
     request->counted_running = true;
-    class->running++;
+    stats->running++;
   }
 }
 
--- a/lib/router/routed_request.h
+++ b/lib/router/routed_request.h
@@ -41,14 +41,14 @@
   /** The kind, copied because the policy may change while the request is served, and its index in
    * the policy. */
   request_kind kind;
-  int class_index;
+  int policy_kind_index;
   /** The client allows the request to be run again even if it may already have run. */
   bool resumable;
 
   /** hold_deadline ends the wait of the rule's hold step. received_at is reset when a load of an
    * additional replica for this request ends. */
   time_us received_at, deadline, hold_deadline;
-  /** Whether it is counted in its class as waiting or as running. */
+  /** Whether it is counted as waiting or as running in the counts of its kind. */
   bool counted_waiting, counted_running;
   /** It is queued for an engine. */
   bool awaiting_engine;
--- a/lib/router/router_pages.c
+++ b/lib/router/router_pages.c
@@ -179,16 +179,16 @@
       router->permits.granted_recently, router->permits.refused_recently);
 }
 
-static void append_classes(const router *router, GString *to) {
+static void append_kind_stats(const router *router, GString *to) {
   bool first = true;
   for (int i = 0; router->config && i < router->config->kind_count; i++) {
-    const request_class *class = &router->requests.classes[i];
+    const request_kind_stats *stats = &router->requests.kind_stats[i];
     append_separator(to, &first);
     json_appendf(to,
                  "\"%s\":{\"waiting\":%d,\"running\":%d,\"asked\":%" PRIu64 ",\"done\":%" PRIu64
                  ",\"refused\":%" PRIu64 ",\"failed\":%" PRIu64 ",\"shed\":%" PRIu64 "}",
-                 router->config->kinds[i].self.text, class->waiting, class->running,
-                 class->requested, class->completed, class->refused, class->failed, class->shed);
+                 router->config->kinds[i].self.text, stats->waiting, stats->running,
+                 stats->requested, stats->completed, stats->refused, stats->failed, stats->shed);
   }
 }
 
@@ -198,18 +198,18 @@
   append_counters(router, to);
   node_append_status_json(&router->node, to);
   g_string_append(to, ",\"kinds\":{");
-  append_classes(router, to);
+  append_kind_stats(router, to);
   g_string_append(to, "}}");
 }
 
-static void append_class_metrics(const router *router, GString *to) {
+static void append_kind_metrics(const router *router, GString *to) {
   for (int i = 0; router->config && i < router->config->kind_count; i++) {
     const char *kind = router->config->kinds[i].self.text;
-    const request_class *class = &router->requests.classes[i];
+    const request_kind_stats *stats = &router->requests.kind_stats[i];
     json_appendf(to,
                  "asterfall_waiting{kind=\"%s\"} %d\nasterfall_done{kind=\"%s\"} %" PRIu64
                  "\nasterfall_refused{kind=\"%s\"} %" PRIu64 "\n",
-                 kind, class->waiting, kind, class->completed, kind, class->refused);
+                 kind, stats->waiting, kind, stats->completed, kind, stats->refused);
   }
 }
 
@@ -228,7 +228,7 @@
       router->loading.failed_loads, router->loading.wasted_loads, router->loading.unload_count,
       router->loading.busy_unloads, router->permits.granted, router->requests.isolated_refusals,
       router->node.world->tasks.count, router->sync.sync_count, router->sync.sync_bytes);
-  append_class_metrics(router, to);
+  append_kind_metrics(router, to);
 }
 
 static const char *event_name(enum history_event_kind kind) {
