--- a/tests/router/model_loading.c
+++ b/tests/router/model_loading.c
@@ -9,7 +9,7 @@
 enum { FAILED_LOADS_MAX = 90 };
 
 /* counts the load orders that engines received */
-static guint load_orders(const fleet *fleet) {
+static guint count_load_orders(const fleet *fleet) {
   guint loads = 0;
   for (int i = 0; i < fleet->engines; i++) {
     const GArray *orders = fleet->engine[i]->engine->orders;
@@ -20,7 +20,7 @@
 }
 
 /* counts the engines on which a model is up */
-static int model_replicas(const fleet *fleet, const char *model) {
+static int count_model_replicas(const fleet *fleet, const char *model) {
   int replicas = 0;
   for (int i = 0; i < fleet->engines; i++)
     list_for_each (item, &fleet->engine[i]->engine->items, engine_sim_item, link)
@@ -87,7 +87,7 @@
   }
   sim_run(fleet->sim, time_from_ms(10000));
   fleet_finish_traffic(fleet);
-  guint loads = load_orders(fleet);
+  guint loads = count_load_orders(fleet);
   if (loads > fleet->callers->loadgen->requests->len)
     fleet_add_violation(fleet, "%u load orders for %u requests", loads,
                         fleet->callers->loadgen->requests->len);
@@ -103,7 +103,7 @@
     fleet->engine[i]->engine->faults.fail_loads = 100000;
   scenario_start_traffic(fleet, 10);
   sim_run(fleet->sim, time_from_ms(30000));
-  guint loads = load_orders(fleet);
+  guint loads = count_load_orders(fleet);
   if (loads > FAILED_LOADS_MAX)
     fleet_add_violation(fleet, "%u loads in 30 s while every load fails", loads);
   fleet_finish_traffic(fleet);
@@ -121,7 +121,7 @@
   fleet->callers->loadgen->plan.tokens = 120;
   scenario_start_traffic(fleet, 20);
   sim_run(fleet->sim, time_from_ms(40000));
-  int replicas = model_replicas(fleet, "m0");
+  int replicas = count_model_replicas(fleet, "m0");
   fleet_finish_traffic(fleet);
   if (replicas < 2)
     fleet_add_violation(fleet, "%d replicas of a model that nearly all requests use", replicas);
