--- a/lib/router/eviction_policy.c
+++ b/lib/router/eviction_policy.c
@@ -7,7 +7,7 @@
 double eviction_policy_score(const eviction_rule *rule, const eviction_candidate *candidate,
                              double size, uint64_t chance) {
   if (rule->custom_formula) {
-    double v[F_VARIABLES] = {
+    double variables[F_VARIABLES] = {
       [F_PENALTY] = candidate->load_ms,
       [F_RATE] = candidate->request_rate,
       [F_SIZE] = size > 0 ? size : 1,
@@ -15,7 +15,7 @@
       [F_SLOTS] = candidate->slots,
       [F_IDLE] = (double)time_sub(rule->now, candidate->last_requested_at).us / 1e6
     };
-    return formula_evaluate(rule->custom_formula, v);
+    return formula_evaluate(rule->custom_formula, variables);
   }
   if (!strcmp(rule->name, "popularity"))
     return candidate->request_rate;
@@ -30,16 +30,17 @@
   return id_is_empty(candidate->adapter);
 }
 
-/* True when candidate k goes with candidate i: it is the same, or an adapter on that model. */
-static bool goes_with(const eviction_candidate *all, int i, int k) {
+/* True when candidate k has to be evicted with candidate i: it is the same, or an adapter on that
+ * model. */
+static bool is_evicted_with(const eviction_candidate *all, int i, int k) {
   return k == i || (is_model(&all[i]) && id_equal(all[k].model, all[i].model));
 }
 
-/* Selects a candidate, and with a model its adapters, which cannot stay without it. */
+/* Selects a candidate, and if it is a model, also its adapters, which cannot remain without it. */
 static void select_with_dependents(eviction_candidate *all, int n, int i,
                                    capacity_shortage *shortage) {
   for (int k = 0; k < n; k++) {
-    if (all[k].selected || !goes_with(all, i, k))
+    if (all[k].selected || !is_evicted_with(all, i, k))
       continue;
     all[k].selected = true;
     shortage->mb -= MIN(shortage->mb, all[k].weights_mb);
@@ -47,10 +48,10 @@
   }
 }
 
-/* A model may go only when all adapters on it may. */
+/* A model is evictable only when all adapters on it are. */
 static bool is_evictable(const eviction_candidate *all, int n, int i, bool allow_busy) {
   for (int k = 0; k < n; k++) {
-    if (all[k].selected || !goes_with(all, i, k))
+    if (all[k].selected || !is_evicted_with(all, i, k))
       continue;
     if (all[k].pinned || (all[k].busy && !allow_busy))
       return false;
@@ -58,7 +59,8 @@
   return true;
 }
 
-/* What is evicted with a model is ordered by the size of the model, so that the order is total. */
+/* Candidates evicted with a model are ordered by the size of that model, so that the order is
+ * total. */
 static void set_group_sizes(eviction_candidate *all, int n) {
   for (int i = 0; i < n; i++) {
     all[i].group_mb = all[i].weights_mb;
@@ -86,10 +88,11 @@
   return strcmp(x->adapter.text, y->adapter.text);
 }
 
-/* Index of the candidate with the lowest score among those that may go and help in the measure that
- * is short; -1 when there is none. */
-static int find_lowest(const eviction_rule *rule, eviction_candidate *all, int n, bool by_slots,
-                       bool allow_busy, uint64_t (*draw)(void *), void *context) {
+/* Index of the candidate with the lowest score among those that are evictable and take up the
+ * resource that is short; -1 when there is none. */
+static int find_lowest_score(const eviction_rule *rule, eviction_candidate *all, int n,
+                             bool by_slots, bool allow_busy, uint64_t (*draw)(void *),
+                             void *context) {
   int lowest = -1;
   for (int i = 0; i < n; i++) {
     eviction_candidate *candidate = &all[i];
@@ -103,14 +106,14 @@
   return lowest;
 }
 
-/* Selects until the shortage is met; false when the candidates do not suffice. */
+/* Selects candidates until the shortage is covered; false when there are not enough. */
 static bool select_greedily(const eviction_rule *rule, eviction_candidate *all, int n,
                             capacity_shortage shortage, bool allow_busy, uint64_t (*draw)(void *),
                             void *context) {
   for (int i = 0; i < n; i++)
     all[i].selected = false;
   while (shortage.mb || shortage.slots) {
-    int lowest = find_lowest(rule, all, n, shortage.slots > 0, allow_busy, draw, context);
+    int lowest = find_lowest_score(rule, all, n, shortage.slots > 0, allow_busy, draw, context);
     if (lowest < 0)
       return false;
     select_with_dependents(all, n, lowest, &shortage);
@@ -120,7 +123,8 @@
 
 int eviction_policy_select(const eviction_rule *rule, eviction_candidate *all, int n,
                            capacity_shortage shortage, uint64_t (*draw)(void *), void *context) {
-  /* where the idle ones do not suffice it begins anew, so that the order is greedy over all */
+  /* if idle candidates are not enough, selection restarts so that it is greedy over all
+     candidates */
   if (!select_greedily(rule, all, n, shortage, false, draw, context) &&
       !select_greedily(rule, all, n, shortage, true, draw, context))
     return -1;
--- a/lib/router/routed_request.c
+++ b/lib/router/routed_request.c
@@ -1,5 +1,5 @@
 /**
- * What the steps of a request have in common: its error, and the engines that failed it.
+ * Functions shared by the steps of a request: its error, and the engines excluded from it.
  */
 #include "routed_request.h"
 #include "router.h"
@@ -36,7 +36,7 @@
     request->excluded[request->excluded_count++] = engine->self;
 }
 
-void routed_request_exclude(routed_request *request, id engine_id) {
+void routed_request_exclude_by_id(routed_request *request, id engine_id) {
   list_for_each (engine_, &request->router->engine_list.engines, engine, link)
     if (id_equal(engine_->self, engine_id))
       routed_request_exclude_engine(request, engine_);
--- a/lib/router/router_pages.c
+++ b/lib/router/router_pages.c
@@ -11,7 +11,7 @@
   MAX_QUERY_FIELDS = 8
 };
 
-/* A request for a page and its query; the fields are NULL when they are missing. */
+/* A request for a page and its query parameters, which are NULL when missing. */
 typedef struct page_query {
   const http_request *http;
   char *engine, *model, *after;
@@ -21,7 +21,7 @@
   return state == RESIDENT_UP ? "up" : state == RESIDENT_LOADING ? "loading" : "unloading";
 }
 
-/* The value of a field of the query, to be freed; NULL when it is missing. */
+/* Returns the value of a query parameter, to be freed by the caller, or NULL when it is missing. */
 static char *query_value(const http_request *request, const char *key) {
   char **fields = g_strsplit(request->query ? request->query : "", "&", MAX_QUERY_FIELDS),
        *value = NULL;
@@ -121,7 +121,8 @@
   g_string_append_c(to, ']');
 }
 
-/* With an engine and a report number: waits until the engine has a later report. */
+/* If the query names an engine and a report number, waits until there is a later report of that
+ * engine. */
 static void await_report(router *router, const page_query *query) {
   if (!query->engine || !query->after)
     return;
@@ -178,16 +179,16 @@
       router->permits.granted_recently, router->permits.refused_recently);
 }
 
-static void append_classes(const router *router, GString *to) {
+static void append_kind_stats(const router *router, GString *to) {
   bool first = true;
   for (int i = 0; router->config && i < router->config->kind_count; i++) {
-    const request_class *class = &router->requests.classes[i];
+    const request_kind_stats *stats = &router->requests.kind_stats[i];
     append_separator(to, &first);
     json_appendf(to,
                  "\"%s\":{\"waiting\":%d,\"running\":%d,\"asked\":%" PRIu64 ",\"done\":%" PRIu64
                  ",\"refused\":%" PRIu64 ",\"failed\":%" PRIu64 ",\"shed\":%" PRIu64 "}",
-                 router->config->kinds[i].self.text, class->waiting, class->running,
-                 class->requested, class->completed, class->refused, class->failed, class->shed);
+                 router->config->kinds[i].self.text, stats->waiting, stats->running,
+                 stats->requested, stats->completed, stats->refused, stats->failed, stats->shed);
   }
 }
 
@@ -197,18 +198,18 @@
   append_counters(router, to);
   node_append_status_json(&router->node, to);
   g_string_append(to, ",\"kinds\":{");
-  append_classes(router, to);
+  append_kind_stats(router, to);
   g_string_append(to, "}}");
 }
 
-static void append_class_metrics(const router *router, GString *to) {
+static void append_kind_metrics(const router *router, GString *to) {
   for (int i = 0; router->config && i < router->config->kind_count; i++) {
     const char *kind = router->config->kinds[i].self.text;
-    const request_class *class = &router->requests.classes[i];
+    const request_kind_stats *stats = &router->requests.kind_stats[i];
     json_appendf(to,
                  "asterfall_waiting{kind=\"%s\"} %d\nasterfall_done{kind=\"%s\"} %" PRIu64
                  "\nasterfall_refused{kind=\"%s\"} %" PRIu64 "\n",
-                 kind, class->waiting, kind, class->completed, kind, class->refused);
+                 kind, stats->waiting, kind, stats->completed, kind, stats->refused);
   }
 }
 
@@ -227,7 +228,7 @@
       router->loading.failed_loads, router->loading.wasted_loads, router->loading.unload_count,
       router->loading.busy_unloads, router->permits.granted, router->requests.isolated_refusals,
       router->node.world->tasks.count, router->sync.sync_count, router->sync.sync_bytes);
-  append_class_metrics(router, to);
+  append_kind_metrics(router, to);
 }
 
 static const char *event_name(enum history_event_kind kind) {
@@ -244,7 +245,7 @@
          (!query->model || !strcmp(query->model, event->model.text));
 }
 
-/* The events that are still in memory, after a number if the query names one. */
+/* Writes the events that are still in memory, or those after a number if the query names one. */
 static void write_journal(router *router, const page_query *query, GString *to) {
   const event_history *history = &router->history;
   uint64_t from =
@@ -269,7 +270,8 @@
   g_string_append_c(to, ']');
 }
 
-/* Writes the page of a path; leaves `to` empty when there is none. Returns its content type. */
+/* Writes the page at the requested path, or leaves `to` empty when there is none. Returns its
+ * content type. */
 static const char *write_page(router *router, const page_query *query, GString *to) {
   const char *path = query->http->path;
   if (!strcmp(path, "/v1/engines")) {
--- a/tests/router/generate_api.c
+++ b/tests/router/generate_api.c
@@ -1,7 +1,6 @@
-/** Tests of lib/router/generate_api.c: streams while engines crash or report wrongly, callers
- * disconnect or read slowly, load is shed, and requests are invalid. Fleet: two to five routers and
- * two to six engines.
- */
+/** Tests of lib/router/generate_api.c: streams when engines crash or send wrong reports, when
+ * callers disconnect or read slowly, load shedding, and invalid requests. Fleet: two to five
+ * routers and two to six engines. */
 #include "scenario.h"
 #include "tests.h"
 #include <stdio.h>
@@ -39,7 +38,7 @@
   sim_run(fleet->sim, time_from_ms(3000));
   fleet_finish_traffic(fleet);
   if (!loadgen_count(fleet->callers->loadgen, OUTCOME_BROKEN))
-    fleet_add_violation(fleet, "no stream broke, so nothing was shown");
+    fleet_add_violation(fleet, "no stream broke, so the test exercised nothing");
   return true;
 }
 
@@ -73,31 +72,34 @@
   sim_run(fleet->sim, time_from_ms(8000));
   fleet->callers->loadgen->stop = true;
   fleet_finish_traffic(fleet);
-  /* who is sent away is sent away at once, and the small weighty kind is not starved */
-  int n[3] = { 0 }, done[3] = { 0 };
+  /* shed requests are refused immediately, and the small kind with the high weight is not
+     starved */
+  int sent[3] = { 0 }, done[3] = { 0 };
   GPtrArray *all = fleet->callers->loadgen->requests;
   for (guint i = 0; i < all->len; i++) {
     loadgen_request *request = all->pdata[i];
-    int at = !strcmp(request->kind.text, "live") ? 0 : !strcmp(request->kind.text, "short") ? 1 : 2;
-    n[at]++;
-    done[at] += request->outcome == OUTCOME_DONE;
+    int kind = !strcmp(request->kind.text, "live")    ? 0
+               : !strcmp(request->kind.text, "short") ? 1
+                                                      : 2;
+    sent[kind]++;
+    done[kind] += request->outcome == OUTCOME_DONE;
     if (request->code == E_QUEUE_FULL || request->code == E_LOAD_SHED)
       if (time_sub(request->ended_at, request->started_at).us > 200000) {
-        fleet_add_violation(fleet, "a caller was shed only after %.1f s",
+        fleet_add_violation(fleet, "a request was shed only after %.1f s",
                             (double)time_sub(request->ended_at, request->started_at).us / 1e6);
         break;
       }
   }
   if (g_getenv("SIM_COUNT")) {
-    GString *b = g_string_new(NULL);
-    loadgen_json(fleet->callers->loadgen, b);
-    fprintf(stderr, "  live %d/%d short %d/%d deferred %d/%d %s", done[0], n[0], done[1], n[1],
-            done[2], n[2], b->str);
-    g_string_free(b, TRUE);
+    GString *json = g_string_new(NULL);
+    loadgen_json(fleet->callers->loadgen, json);
+    fprintf(stderr, "  live %d/%d short %d/%d deferred %d/%d %s", done[0], sent[0], done[1],
+            sent[1], done[2], sent[2], json->str);
+    g_string_free(json, TRUE);
   }
-  if ((double)done[2] / n[2] < 0.7 * (double)done[0] / n[0])
-    fleet_add_violation(fleet, "the weighty kind starves: %d of %d, live %d of %d", done[2], n[2],
-                        done[0], n[0]);
+  if ((double)done[2] / sent[2] < 0.7 * (double)done[0] / sent[0])
+    fleet_add_violation(fleet, "the kind with the high weight starves: %d of %d, live %d of %d",
+                        done[2], sent[2], done[0], sent[0]);
   return done[0] > 0;
 }
 
@@ -115,10 +117,11 @@
   for (int i = 0; i < fleet->engines; i++) {
     cut += fleet->engine[i]->engine->cut;
     if (fleet->engine[i]->engine->running)
-      fleet_add_violation(fleet, "%s runs on for a caller who left", fleet->engine[i]->self.text);
+      fleet_add_violation(fleet, "%s continues to run a stream of a caller that disconnected",
+                          fleet->engine[i]->self.text);
   }
   if (!cut)
-    fleet_add_violation(fleet, "no engine heard that its caller left");
+    fleet_add_violation(fleet, "no engine noticed that its caller disconnected");
   for (int i = 0; i < fleet->routers; i++)
     if (fleet->router[i]->router->open_requests)
       fleet_add_violation(fleet, "%s still counts %d open requests", fleet->router[i]->self.text,
@@ -141,11 +144,11 @@
   for (int i = 0; i < fleet->engines; i++)
     running += fleet->engine[i]->engine->running;
   if (running)
-    fleet_add_violation(fleet, "%d streams run on for callers who do not read", running);
+    fleet_add_violation(fleet, "%d streams continue to run for callers that do not read", running);
   fleet->callers->reads_slowly = false;
   fleet_finish_traffic(fleet);
   if (loadgen_count(fleet->callers->loadgen, OUTCOME_DONE))
-    fleet_add_violation(fleet, "a stream that was cut looks complete");
+    fleet_add_violation(fleet, "a stream that was cut off appears complete");
   return true;
 }
 
@@ -158,24 +161,26 @@
   fleet->callers->loadgen->plan.tokens = 100;
   scenario_start_traffic(fleet, 12);
   sim_run(fleet->sim, time_from_ms(15000));
-  /* the engine that serves most is restarted; it must warm up without being flooded */
-  int at = 0;
+  /* the engine that runs the most streams is restarted and must not receive too many streams while
+     it warms up */
+  int busiest = 0;
   for (int i = 0; i < fleet->engines; i++)
-    if (fleet->engine[i]->engine->streams->len > fleet->engine[at]->engine->streams->len)
-      at = i;
-  host *host = fleet->engine[at];
+    if (fleet->engine[i]->engine->streams->len > fleet->engine[busiest]->engine->streams->len)
+      busiest = i;
+  host *host = fleet->engine[busiest];
   host_kill(host);
   sim_run(fleet->sim, time_from_ms(300));
   host_start(host);
-  int most = 0;
+  int max_running = 0;
   for (int i = 0; i < 20; i++) {
     sim_run(fleet->sim, time_from_ms(50));
-    most = MAX(most, host->engine->running);
+    max_running = MAX(max_running, host->engine->running);
   }
-  /* slow start of 5 s to 16 streams: in the first second at most a fifth, and what one router may
-   * not know of another */
-  if (most > 4 + fleet->routers)
-    fleet_add_violation(fleet, "R11 a cold engine ran %d streams within its first second", most);
+  /* slow start of 5 s to 16 streams: at most a fifth in the first second, plus one stream per
+   * router that the other routers may not know of yet */
+  if (max_running > 4 + fleet->routers)
+    fleet_add_violation(fleet, "R11 a cold engine ran %d streams within its first second",
+                        max_running);
   sim_run(fleet->sim, time_from_ms(5000));
   fleet_finish_traffic(fleet);
   return true;
@@ -188,7 +193,8 @@
   loadgen_send(fleet->callers->loadgen, fleet->router[0]->addr, id_of_text("m0"), id_of_text(""),
                id_of_text("live"), 4, false);
   fleet_finish_traffic(fleet);
-  /* the engine that holds the model loses a run; the other one loads it, and then refuses */
+  /* the engine that has the model loses a run; the other engine loads the model and then refuses
+     requests */
   for (int i = 0; i < fleet->engines; i++) {
     engine_sim *engine = fleet->engine[i]->engine;
     if (engine->streams->len)
@@ -203,7 +209,7 @@
   }
   fleet_finish_traffic(fleet);
   if (!loadgen_count(fleet->callers->loadgen, OUTCOME_UNKNOWN))
-    fleet_add_violation(fleet, "nobody was told that his run is not known");
+    fleet_add_violation(fleet, "no caller was told that the outcome of its run is unknown");
   return true;
 }
 
@@ -211,16 +217,16 @@
   static const struct {
     const char *text;
     int status, code;
-  } bad[] = { { "", 400, E_JSON },
-              { "[1]", 400, E_TYPE },
-              { "{\"model\":7}", 400, E_NAME },
-              { "{}", 400, E_FIELD },
-              { "{\"model\":\"none\"}", 404, E_UNKNOWN_MODEL },
-              { "{\"model\":\"m1\",\"adapter\":\"a0\"}", 404, E_UNKNOWN_MODEL },
-              { "{\"model\":\"m1\",\"kind\":\"none\"}", 400, E_NAME },
-              { "{\"model\":\"m 1\"}", 400, E_NAME },
-              { "{\"model\":\"m1\"", 400, E_JSON },
-              { "{\"model\":\"huge\"}", 422, E_NO_ENGINE_FITS } };
+  } invalid[] = { { "", 400, E_JSON },
+                  { "[1]", 400, E_TYPE },
+                  { "{\"model\":7}", 400, E_NAME },
+                  { "{}", 400, E_FIELD },
+                  { "{\"model\":\"none\"}", 404, E_UNKNOWN_MODEL },
+                  { "{\"model\":\"m1\",\"adapter\":\"a0\"}", 404, E_UNKNOWN_MODEL },
+                  { "{\"model\":\"m1\",\"kind\":\"none\"}", 400, E_NAME },
+                  { "{\"model\":\"m 1\"}", 400, E_NAME },
+                  { "{\"model\":\"m1\"", 400, E_JSON },
+                  { "{\"model\":\"huge\"}", 422, E_NO_ENGINE_FITS } };
   if (!fleet_bring_up(fleet))
     return false;
   operator_call *call = fleet_call(
@@ -231,12 +237,12 @@
     fleet_add_violation(fleet, "patch got %d %s", call->status, call->body->str);
   operator_call_free(call);
   sim_run(fleet->sim, time_from_ms(2000));
-  for (size_t i = 0; i < G_N_ELEMENTS(bad); i++) {
-    call = fleet_call(fleet, fleet->router[0], "POST", "/v1/generate", bad[i].text, NULL, NULL,
+  for (size_t i = 0; i < G_N_ELEMENTS(invalid); i++) {
+    call = fleet_call(fleet, fleet->router[0], "POST", "/v1/generate", invalid[i].text, NULL, NULL,
                       time_from_ms(9000));
     json *json = json_parse(string_view_of_gstring(call->body), NULL);
-    if (call->status != bad[i].status || (int)json_number(json, "code", 0) != bad[i].code)
-      fleet_add_violation(fleet, "%s got %d, %s", bad[i].text, call->status, call->body->str);
+    if (call->status != invalid[i].status || (int)json_number(json, "code", 0) != invalid[i].code)
+      fleet_add_violation(fleet, "%s got %d, %s", invalid[i].text, call->status, call->body->str);
     json_free(json);
     operator_call_free(call);
   }
--- a/tests/router/singleton_lease.c
+++ b/tests/router/singleton_lease.c
@@ -1,7 +1,6 @@
-/** Tests of lib/router/singleton_lease.c: a singleton has one holder, which keeps its lease over a
- * stalled disk of the head and gives no orders after it expired. Fleet: three controllers, routers
- * that hold singletons, engines.
- */
+/** Tests of lib/router/singleton_lease.c: a singleton has one holder, which keeps its lease while
+ * the head's disk stalls and sends no orders after the lease expired. Fleet: three controllers,
+ * routers that hold singletons, engines. */
 #include "scenario.h"
 #include "tests.h"
 
@@ -31,20 +30,20 @@
 static bool leases_outlast_a_stalled_disk_of_the_head(fleet *fleet) {
   if (!fleet_bring_up(fleet))
     return false;
-  host *host = fleet_find_head(fleet), *was = fleet_find_lease_holder(fleet, "engine:engine-1");
-  uint64_t epoch = singleton_lease_epoch(was->router, "engine:engine-1");
+  host *host = fleet_find_head(fleet), *holder = fleet_find_lease_holder(fleet, "engine:engine-1");
+  uint64_t epoch = singleton_lease_epoch(holder->router, "engine:engine-1");
   host->disk->stalled_until = time_add(fleet->sim->now, time_from_ms(1500));
   operator_call *call =
       fleet_send(fleet, host, "PUT", "/v1/evacuation", "{\"areas\":[]}", NULL, NULL);
   for (int i = 0; i < 100; i++) {
     sim_run(fleet->sim, time_from_ms(50));
-    if (!singleton_lease_epoch(was->router, "engine:engine-1")) {
-      fleet_add_violation(fleet, "a stalled disk let a lease expire");
+    if (!singleton_lease_epoch(holder->router, "engine:engine-1")) {
+      fleet_add_violation(fleet, "a lease expired while the head's disk was stalled");
       break;
     }
   }
-  if (singleton_lease_epoch(was->router, "engine:engine-1") != epoch)
-    fleet_add_violation(fleet, "the lease changed its holder");
+  if (singleton_lease_epoch(holder->router, "engine:engine-1") != epoch)
+    fleet_add_violation(fleet, "the holder or epoch of the lease changed");
   sim_run(fleet->sim, time_from_ms(26000));
   operator_call_free(call);
   return true;
