--- a/lib/controlplane/accepted_changes.c
+++ b/lib/controlplane/accepted_changes.c
@@ -1,9 +1,9 @@
-/** The accepted changes as an array in the order of their writes. Lookups walk back from the
- * newest, since a change is mostly sent again soon; they end at the first lower base version. */
+/** The accepted changes as an array in the order of their writes. Lookups start at the newest,
+ * since most changes are retried soon; they end at the first lower base version. */
 #include "accepted_changes.h"
 
 enum {
-  /** Upper bound of the bytes that the list itself takes in a snapshot. */
+  /** Upper bound on the size in a snapshot of the list without its elements, in bytes. */
   PACKED_FIXED_BYTES = 32
 };
 
@@ -75,7 +75,7 @@
   return PACKED_FIXED_BYTES + (size_t)changes->all->len * ACCEPTED_CHANGE_PACKED_MAX;
 }
 
-/* base versions and numbers of writes rise slowly, and are packed as differences */
+/* base versions and sequence numbers increase slowly, and are packed as differences */
 void accepted_changes_pack(const accepted_changes *changes, Wire__AcceptedChanges *message) {
   guint count = changes->all->len;
   accepted_change previous = { 0, 0, 0 };
--- a/lib/controlplane/config_change.c
+++ b/lib/controlplane/config_change.c
@@ -1,4 +1,4 @@
-/** Decides on a change of the routing configuration of gateways. */
+/** Applies and checks changes of the routing configuration of gateways. */
 #include "config_change.h"
 #include "config.h"
 
@@ -9,8 +9,8 @@
   return version;
 }
 
-/* Applies a patch to a text. Returns NULL, with `err` set, when that can't be done; the caller
- * frees the result. */
+/* Applies a patch to a text. Returns NULL and sets `err` when the text is not JSON or the patch
+ * does not apply to it. The caller frees the result. */
 static json *apply_patch(string_view text, const json *patch, error *err) {
   json *current = json_parse(text, err);
   if (!current)
@@ -20,7 +20,7 @@
   return next;
 }
 
-/* Checks that a configuration may follow one of a version, and that it compiles. */
+/* Checks that a configuration may replace the one of current_version, and that it compiles. */
 static enum error_code check_next(const json *next, uint64_t current_version, error *err) {
   enum error_code code = routing_check_successor(next, current_version, err);
   if (code)
--- a/lib/controlplane/config_change.h
+++ b/lib/controlplane/config_change.h
@@ -1,4 +1,5 @@
-/** Decides on a change of the routing configuration of gateways: pure functions of its text. */
+/** Applies and checks changes of the routing configuration of gateways: pure functions on its text.
+ */
 #ifndef CONTROLPLANE_CONFIG_CHANGE_H
 #define CONTROLPLANE_CONFIG_CHANGE_H
 #include "routing.h"
@@ -6,12 +7,12 @@
 /** Applies a change to a configuration's text, whose version is `current`, and checks the result.
  *
  * is_full: `body` is a full configuration, otherwise a patch (routing_patch). base_version is the
- * version that the change builds on. Appends the new text to `to`. Returns OK, E_VERSION_CONFLICT
- * when base_version is not the current one, or what is wrong with the body; then `to` may hold a
- * part. */
+ * version that the change is based on. Appends the new text to `to`. Returns OK, E_VERSION_CONFLICT
+ * when base_version is not the current version, or the error in the body. After an error the text
+ * in `to` is not valid. */
 enum error_code config_change_apply(string_view text, uint64_t current, bool is_full,
                                     uint64_t base_version, const json *body, GString *to,
                                     error *err);
-/** The version that a configuration's text names; 0 when it is blank or no JSON. */
+/** Returns the version that a configuration's text names; 0 when it names none or is not JSON. */
 uint64_t config_change_version(string_view text);
 #endif
--- a/lib/controlplane/config_poll.c
+++ b/lib/controlplane/config_poll.c
@@ -8,11 +8,12 @@
   POLL_HOLD_MS = 500,
   /** The same with relaxed settings, under which nodes serve on without confirmations. */
   POLL_HOLD_RELAXED_MS = 1000,
-  /** How often a held poll looks again, in ms: the loss of a member lease broadcasts nothing. */
+  /** How often a held poll is checked again, in ms, since the loss of a member lease is not
+   * broadcast. */
   POLL_RECHECK_MS = 200
 };
 
-/** What a poll is answered with. */
+/** The parts that a response to a poll has. */
 typedef struct poll_scope {
   bool engines, state;
 } poll_scope;
@@ -24,14 +25,16 @@
                          committed->resources[RESOURCE_ROUTING].text);
 }
 
-/* True when the state here is one that may be given away: that of a member of the chain, with all
- * writes that were acknowledged before its start. */
+/* True when this controller may send its state to others: it is a member of the chain and has all
+ * writes that were acknowledged before it started. */
 static bool knows_state(const replica *replica) {
   return replica->running && replica->view.epoch && replica_chain_index(replica) >= 0 &&
          replica_is_current(replica);
 }
 
-/* Finds out what this controller can answer a poll with; an error when it is nothing. */
+/* Finds which parts of a response this controller can provide. Returns an error when there are
+ * none.
+ */
 static enum error_code find_scope(const config_poll *config_poll,
                                   const Wire__ConfigPollRequest *request, poll_scope *scope,
                                   error *err) {
@@ -48,8 +51,8 @@
   return OK;
 }
 
-/* True when a poll is to be held open: there is nothing that the node lacks. With relaxed settings
- * a controller without a member lease does not hold it, so that the node turns to another one. */
+/* True when the node lacks nothing, and its poll is to be held open. With relaxed settings a
+ * controller without a member lease answers at once, so that the node polls another controller. */
 static bool is_up_to_date(const config_poll *config_poll, const Wire__ConfigPollRequest *request,
                           const poll_scope *scope) {
   replica *replica = config_poll->replica;
@@ -61,7 +64,7 @@
   return !config_poll->node->settings.relaxed || replica_holds_lease(replica);
 }
 
-/* Holds a poll open until there is something for it, or the limit has passed. */
+/* Holds a poll open until the node lacks something, or the time limit has passed. */
 static void hold_poll(const config_poll *config_poll, const Wire__ConfigPollRequest *request,
                       const poll_scope *scope) {
   world *world = config_poll->node->world;
@@ -76,7 +79,7 @@
   }
 }
 
-/* Names the other members of the chain, where a node that asks for the state may find it. */
+/* Adds the addresses of the other members of the chain, which may have the state. */
 static void fill_controllers(const config_poll *config_poll, Wire__ConfigPollResponse *response,
                              reply *reply) {
   const replica *replica = config_poll->replica;
@@ -88,7 +91,8 @@
   }
 }
 
-/* Adds a snapshot of what the node lacks of the state, with the routing as a delta if possible. */
+/* Adds a snapshot of the parts of the state that the node lacks, with routing as a delta if
+ * possible. */
 static void fill_snapshot(config_poll *config_poll, const Wire__ConfigPollRequest *request,
                           Wire__ConfigPollResponse *response, reply *reply) {
   const replica *replica = config_poll->replica;
--- a/lib/controlplane/config_poll.h
+++ b/lib/controlplane/config_poll.h
@@ -1,10 +1,10 @@
 /** Answers config polls, by which data-plane nodes get configuration and the list of engines.
  *
- * A poll names what the node has: the write up to which it knows the state, and its position in
- * this controller's engine registry. It is held open until there is something newer (long poll) or
- * a limit has passed; then the response has what the node lacks. The response also says whether it
- * is confirmed, i.e. whether this controller has a member lease; only confirmed responses keep a
- * node's configuration recent. */
+ * A poll names what the node already has: the sequence number of the latest write in its state, and
+ * its position in this controller's engine registry. The poll is held open until there is something
+ * newer (long polling) or a time limit has passed; the response then contains what the node lacks.
+ * It also says whether it is confirmed, i.e. whether this controller has a member lease: a node
+ * counts its configuration as recent only after confirmed responses. */
 #ifndef CONTROLPLANE_CONFIG_POLL_H
 #define CONTROLPLANE_CONFIG_POLL_H
 #include "registry_sync.h"
@@ -16,7 +16,7 @@
   replica *replica;
   registry_sync *registry_sync;
   routing_text_cache routing_texts;
-  /** Responses that had a state snapshot, for the metrics. */
+  /** Number of responses with a state snapshot, for the metrics. */
   uint64_t updates_sent;
 } config_poll;
 
--- a/lib/controlplane/config_writer.c
+++ b/lib/controlplane/config_writer.c
@@ -1,4 +1,4 @@
-/** Writes configuration changes that come by the control listener; see config_writer.h. */
+/** Writes configuration changes that are received on the control listener; see config_writer.h. */
 #include "config_writer.h"
 #include "api_error.h"
 #include "config_change.h"
@@ -6,12 +6,12 @@
 #include <stdio.h>
 
 enum {
-  /** Longest time for a write to be committed and in force, in ms; the callers that wait for it
-   * have been answered long before. */
+  /** Longest time for a write to be committed and in force, in ms; its callers are answered long
+   * before (CONFIG_RESPONSE_TIMEOUT_MS). */
   WRITE_TIMEOUT_MS = 5000
 };
 
-/* The version of a text; the last one is cached. */
+/* Returns the version that a text names, and caches it. */
 static uint64_t version_of(config_writer *writer, string_view text) {
   uint64_t hash = hash_bytes(text.data, text.length, text.length);
   if (hash != writer->cached_text_hash) {
@@ -21,7 +21,7 @@
   return writer->cached_version;
 }
 
-/* Caches the version of a text that is going to be ordered. */
+/* Caches the version of a text that is about to be ordered. */
 static void cache_version(config_writer *writer, string_view text, uint64_t version) {
   writer->cached_text_hash = hash_bytes(text.data, text.length, text.length);
   writer->cached_version = version;
@@ -34,7 +34,7 @@
   g_free(write);
 }
 
-/* Looks for the write that an earlier equal request became. */
+/* Looks up the write that was made for an earlier identical request. */
 static bool find_accepted(config_write *write, const state *ordered) {
   const accepted_change *accepted =
       accepted_changes_find(&ordered->accepted, write->base_version, write->hash);
@@ -42,7 +42,7 @@
     write->seq = accepted->seq;
     return true;
   }
-  /* older versions of asterfall recorded the key in place of an accepted change */
+  /* older versions of asterfall recorded the key instead of an accepted change */
   const idempotency_record *record = state_find_idempotency_record(ordered, write->key);
   if (record)
     write->seq = record->seq;
@@ -58,7 +58,7 @@
   operation_pack_resource(&operation, RESOURCE_ROUTING, text, packed);
 }
 
-/* Applies the change to a configuration, and packs the result. */
+/* Applies the change to the current configuration, and packs the result. */
 static enum error_code apply_change(config_write *write, string_view current_text,
                                     uint64_t current_version, GString *packed, error *err) {
   GString *next = g_string_new(NULL);
@@ -72,7 +72,7 @@
   return code;
 }
 
-/* An operation_builder: decides on a change against all that is ordered. */
+/* An operation_builder: checks a change against the state after all ordered writes. */
 static enum error_code build_write(void *ctx, state *ordered, GString *packed, error *err) {
   config_write *write = ctx;
   config_writer *writer = write->writer;
@@ -93,20 +93,20 @@
   return apply_change(write, current_text, current, packed, err);
 }
 
-/* Waits until a write that the decision rests on is committed. Returns false when it may be lost.
- */
+/* Waits until a write that the decision is based on is committed. Returns false when it may be
+ * lost. */
 static bool wait_committed(const config_write *write, uint64_t seq, time_us deadline) {
   replica *replica = write->writer->replica;
   scheduler *tasks = &write->writer->node->world->tasks;
   while (replica->committed.seq < seq && replica->log_resets == write->log_resets)
     if (condition_wait(tasks, &replica->state_changed, deadline) != WAKE_SIGNALLED)
       break;
-  /* after a reset of the log another write may have that number */
+  /* after a reset of the log another write may have the same sequence number */
   return replica->log_resets == write->log_resets && replica->committed.seq >= seq;
 }
 
-/* Waits until what a decision rests on is committed: the write of an earlier equal request, or the
- * writes because of which the change is refused. Returns the outcome. */
+/* Waits until the writes that a decision is based on are committed: the write of an earlier
+ * identical request, or the writes that caused a refusal. Returns the outcome. */
 static enum error_code confirm_decision(config_write *write, enum error_code code,
                                         time_us deadline) {
   if (!code && write->was_accepted_before && !wait_committed(write, write->seq, deadline))
@@ -119,7 +119,7 @@
   return code;
 }
 
-/* Task: performs a write; it goes on when all callers have been answered. */
+/* Task: performs a write, and continues even after all callers have been answered. */
 static void write_run(void *p) {
   config_write *write = p;
   config_writer *writer = write->writer;
@@ -136,8 +136,8 @@
   config_write_unref(write);
 }
 
-/* Hash of a request for the list of accepted changes, and its key in the table of writes. Both are
- * recorded in the replicated state: their form must not change. */
+/* Returns the hash of a request for the list of accepted changes, and writes its key in the table
+ * of writes. Both are stored in the replicated state, so their format must not change. */
 static uint64_t hash_request(const config_write_request *request, char *key, size_t key_size) {
   uint64_t kind = request->base_version * 2 + request->is_full;
   uint64_t hash = hash_bytes(request->body.data, request->body.length, kind);
@@ -146,7 +146,8 @@
   return hash;
 }
 
-/* Makes a write with one reference for its task and one for the caller. Takes `body` over. */
+/* Makes a write with one reference for its task and one for the caller. Takes ownership of `body`.
+ */
 static config_write *new_write(config_writer *writer, const config_write_request *request,
                                json *body) {
   config_write *write = g_new0(config_write, 1);
--- a/lib/controlplane/singleton_grants.c
+++ b/lib/controlplane/singleton_grants.c
@@ -1,17 +1,17 @@
-/** Grants singleton leases; see singleton_grants.h for the algorithm. */
+/** Grants singleton leases; see singleton_grants.h for the rules. */
 #include "singleton_grants.h"
 #include "operation_pack.h"
 #include "reply_text.h"
 
 enum {
-  /** Longest wait for the commit of a grant, in ms: by then the lease would have ended. */
+  /** Longest wait for a grant to be committed, in ms: by then the lease would have expired. */
   GRANT_WRITE_MS = SINGLETON_LEASE_MS,
-  /** Upper bound on the time without orders that a releasing holder may report, in ms: far above a
-   * lease, and small enough for arithmetic on instants. */
+  /** Upper bound on the time since its last order that a releasing holder may report, in ms: far
+   * longer than a lease, and small enough to avoid overflow in time arithmetic. */
   QUIET_MAX_MS = 100000
 };
 
-/** A lease request while it is served. */
+/** A lease request that is being served. */
 typedef struct lease_request {
   singleton_grants *grants;
   const Wire__SingletonLeaseRequest *message;
@@ -20,8 +20,8 @@
   reply *reply;
 } lease_request;
 
-/* When a singleton's lease was renewed last. A head that knows of no renewal counts from the
- * instant when it became head. Never NULL; owned by the replica. */
+/* When a singleton's lease was last renewed. If the head knows of no renewal, the lease counts from
+ * the instant at which it became head. Never NULL; owned by the replica. */
 static time_us *renewed_at(const singleton_grants *grants, const char *singleton) {
   GHashTable *renewals = grants->replica->singleton_renewed_at;
   time_us *at = g_hash_table_lookup(renewals, singleton);
@@ -33,7 +33,8 @@
   return at;
 }
 
-/* The instant until which a singleton belongs to its holder, whatever the holder says. */
+/* The end of a singleton's lease, including the grace period. Until then it is granted to no other
+ * node. */
 static time_us lease_end(const singleton_grants *grants, const char *singleton) {
   return time_add(*renewed_at(grants, singleton),
                   time_from_ms(SINGLETON_LEASE_MS + SINGLETON_LEASE_GRACE_MS));
@@ -57,8 +58,8 @@
   g_hash_table_replace(grants->decided_epochs, g_strdup(singleton), decided);
 }
 
-/* Grants a claim to its requester. `current` is the grant that ends by this, or NULL. The result
- * lasts until the reply is sent. */
+/* Makes a grant to the requester. `current` is the grant that it replaces, or NULL. The result is
+ * valid until the reply is sent. */
 static Wire__SingletonGrant *new_grant(lease_request *request, const singleton_grant *current,
                                        char *singleton) {
   Wire__SingletonGrant *grant = reply_alloc(request->reply, sizeof *grant);
@@ -70,8 +71,8 @@
   return grant;
 }
 
-/* Decides on a claim. Returns the new grant, or NULL when there is none; in that case the result
- * names the holder, unless it is the requester. */
+/* Decides on a claim. Returns the new grant, or NULL if the claim is not granted. If the lease of
+ * another holder has not expired, the result names that holder. */
 static Wire__SingletonGrant *decide_claim(lease_request *request, const state *ordered,
                                           const Wire__SingletonClaim *claim, time_us now) {
   singleton_grants *grants = request->grants;
@@ -82,8 +83,8 @@
   Wire__SingletonClaimResult *result = add_result(request, claim->singleton);
   if (current) {
     time_us end = lease_end(grants, claim->singleton);
-    /* A later run of the holder itself need not wait: the run before it is over, and its orders go
-     * on under the same name. */
+    /* A restarted holder need not wait for its own lease to expire: its earlier process has ended,
+     * and its orders continue under the same node id. */
     bool is_restarted_holder =
         grants->node->settings.relaxed && id_equal(current->holder, request->requester);
     if (!is_restarted_holder && !time_reached(now, end)) {
@@ -100,7 +101,7 @@
   return grant;
 }
 
-/* An operation_builder: one operation with all grants that are due to the request. */
+/* An operation_builder: builds one operation with all claims of the request that are granted. */
 static enum error_code build_grants(void *ctx, state *ordered, GString *packed, error *err) {
   lease_request *request = ctx;
   (void)err;
@@ -118,8 +119,8 @@
   return OK;
 }
 
-/* True when the requester holds the singleton, and no grant to another is decided: neither here nor
- * in what is ordered but not committed. `committed` and `ordered` may be NULL. */
+/* True when the requester holds the singleton and no later grant is pending: none was decided here,
+ * and none is ordered but not yet committed. `committed` and `ordered` may be NULL. */
 static bool is_undisputed_holder(const lease_request *request, const char *singleton,
                                  const singleton_grant *committed, const singleton_grant *ordered) {
   const uint64_t *decided = g_hash_table_lookup(request->grants->decided_epochs, singleton);
@@ -127,8 +128,8 @@
          (!decided || *decided <= committed->epoch) && is_held_by_requester(committed, request);
 }
 
-/* Takes a released lease back. It may be granted to another as soon as the holder's last order is
- * as old as a lease lasts. */
+/* Shortens the lease of a holder that released it. Another node may be granted the singleton as
+ * soon as the time of a lease has passed since the holder's last order. */
 static void release_lease(const singleton_grants *grants, const Wire__SingletonClaim *claim,
                           time_us now) {
   if (!claim->quiet_ms)
@@ -139,8 +140,8 @@
     *renewed = quiet_since;
 }
 
-/* Renews or releases a lease that the requester holds. Returns true when the claim is one for a
- * singleton that it does not hold, and needs a grant. */
+/* Renews or releases a lease that the requester holds. Returns true when the requester does not
+ * hold the singleton and the claim needs a grant. */
 static bool renew_claim(lease_request *request, const Wire__SingletonClaim *claim, time_us now) {
   replica *replica = request->grants->replica;
   const singleton_grant *committed = state_find_grant(&replica->committed, claim->singleton);
@@ -160,7 +161,8 @@
   return false;
 }
 
-/* Renews and releases what the requester holds. Returns true when a claim needs a grant. */
+/* Renews and releases the leases that the requester holds. Returns true when a claim needs a grant.
+ */
 static bool renew_claims(lease_request *request) {
   time_us now = world_now(request->grants->node->world);
   bool needs_grant = false;
@@ -169,7 +171,7 @@
   return needs_grant;
 }
 
-/* Writes the grants that are due to the request. */
+/* Writes the grants for the claims of the request. */
 static enum error_code write_grants(lease_request *request, error *err) {
   singleton_grants *grants = request->grants;
   uint64_t seq = 0;
@@ -177,8 +179,8 @@
                                        time_from_ms(GRANT_WRITE_MS), &seq, err);
   if (code || !seq)
     return code;
-  /* A slow write shortens the holder's lease; the wait of the next holder counts from the commit,
-   * the earliest instant at which this one could begin. */
+  /* A slow write shortens the lease for its holder. For the next holder the lease counts from the
+   * commit, which is the earliest instant at which this holder could begin its work. */
   for (size_t i = 0; i < request->response->n_results; i++) {
     const Wire__SingletonClaimResult *result = request->response->results[i];
     if (result->granted)
@@ -194,7 +196,7 @@
   return is_evacuated;
 }
 
-/* Makes the response, with room for one result of a renewal and one of a grant for each claim. */
+/* Allocates the response with space for two results per claim: one of a renewal, one of a grant. */
 static Wire__SingletonLeaseResponse *new_response(reply *reply, size_t claim_count) {
   Wire__SingletonLeaseResponse *response =
       reply_new_body(reply, WIRE__ENVELOPE__BODY_SINGLETON_LEASE_RESPONSE,
