--- a/lib/controlplane/config_api.c
+++ b/lib/controlplane/config_api.c
@@ -1,21 +1,21 @@
-/** The API of the gateways' routing configuration at the control listener; see config_api.h. */
+/** The API for the gateways' routing configuration at the control listener; see config_api.h. */
 #include "config_api.h"
 #include "control_response.h"
 #include <stdio.h>
 
 enum {
-  /** Longest wait for a controller that may answer, in ms: a response is promised within one
-   * second, and a decision needs a part of it. */
+  /** Longest wait for a controller that may serve the request, in ms: a response is promised within
+   * one second, and deciding on a write takes part of it. */
   FIND_CONTROLLER_TIMEOUT_MS = 600,
-  /** How often it is looked for, in ms: leases and membership change without a broadcast. */
+  /** How often this is checked, in ms, since changes of leases and membership are not broadcast. */
   FIND_CONTROLLER_INTERVAL_MS = 50
 };
 
-/** The end of the chain that answers a request. */
+/** The role in the chain, head or tail, that serves a request. */
 typedef struct chain_role {
-  /** True when this controller acts as it. */
+  /** Returns whether this controller acts in the role. */
   bool (*is_acting)(replica *replica);
-  /** The member that is known as it, or NULL. */
+  /** Returns the member that is known to have the role, or NULL. */
   const member *(*find)(const replica *replica);
 } chain_role;
 
@@ -32,14 +32,15 @@
   http_request_respond(request, HTTP_TEMPORARY_REDIRECT, NULL, string_view_of(""));
 }
 
-/* True when another controller is not known to be gone or draining. */
+/* True unless another controller is known to be gone or draining. */
 static bool may_serve(const config_api *api, const member *member) {
   const peer_node *peer = peer_table_find(api->node, member->self);
   return !peer || (!peer->gone && !peer->draining);
 }
 
-/* True when this controller acts in a role. Otherwise the caller is redirected, or refused at the
- * latest after FIND_CONTROLLER_TIMEOUT_MS. */
+/* Returns true once this controller acts in a role. Otherwise redirects the caller to the
+ * controller that does, or refuses the request after FIND_CONTROLLER_TIMEOUT_MS, and returns false.
+ */
 static bool acts_or_redirects(config_api *api, http_request *request, time_us received_at,
                               const chain_role *role) {
   world *world = api->node->world;
@@ -54,7 +55,7 @@
       redirect(api, request, member);
       return false;
     }
-    /* it may act, or be replaced, in a moment */
+    /* the holder of the role may soon be able to act, or be replaced */
     time_us recheck = time_add(world_now(world), time_from_ms(FIND_CONTROLLER_INTERVAL_MS));
     if (time_reached(world_now(world), deadline) || request->client_gone ||
         condition_wait(&world->tasks, &replica->state_changed,
@@ -70,7 +71,7 @@
                          const error *err) {
   api->writes_refused++;
   log_info(&api->node->log, "control",
-           "Refused configuration %" PRIu64 " over %" PRIu64 " from %s: %s (code %d).",
+           "Refused configuration %" PRIu64 " based on %" PRIu64 " from %s: %s (code %d).",
            write ? write->version : 0, write ? write->base_version : 0, request->client_address,
            err->text, err->code);
   control_respond_error(api->dialect, request, err->code, err->text);
@@ -78,7 +79,7 @@
 
 static void accept_write(config_api *api, http_request *request, const config_write *write) {
   log_info(&api->node->log, "control",
-           "Configuration %" PRIu64 " over %" PRIu64 " from %s is write %" PRIu64 "%s.",
+           "Configuration %" PRIu64 " based on %" PRIu64 " from %s is write %" PRIu64 "%s.",
            write->version, write->base_version, request->client_address, write->seq,
            write->was_accepted_before ? ", repeated" : "");
   char body[48];
@@ -86,7 +87,7 @@
   control_respond_json(api->dialect, request, HTTP_OK, string_view_of(body));
 }
 
-/* Writes a change that was read, and responds. */
+/* Writes a change and responds with the outcome. */
 static void write_and_respond(config_api *api, http_request *request,
                               const config_write_request *change) {
   error err = { 0 };
@@ -125,7 +126,7 @@
   write_and_respond(api, request, &change);
 }
 
-/* Makes the cached text that of the committed configuration. Returns false when there is none. */
+/* Updates the cached text to the committed configuration. Returns false when there is none. */
 static bool refresh_cached_text(config_api *api) {
   const state *committed = &api->replica->committed;
   uint64_t version = committed->resources[RESOURCE_ROUTING].version;
--- a/lib/controlplane/config_api.h
+++ b/lib/controlplane/config_api.h
@@ -1,8 +1,8 @@
-/** The API of the gateways' routing configuration at the control listener: PUT, PATCH and GET.
+/** The API for the gateways' routing configuration at the control listener: PUT, PATCH and GET.
  *
- * Writes are answered by the acting head of the chain, reads by its acting tail. Other controllers
- * redirect callers there; while the head or tail itself may not act, or is being replaced, they
- * wait for it for a short time. */
+ * Writes are served by the acting head of the chain, reads by its acting tail. Other controllers
+ * redirect callers there. While the head or tail may not act, or is being replaced, a request waits
+ * for a short time. */
 #ifndef CONTROLPLANE_CONFIG_API_H
 #define CONTROLPLANE_CONFIG_API_H
 #include "config_writer.h"
@@ -11,13 +11,13 @@
   node *node;
   replica *replica;
   const dialect *dialect;
-  /** The control listener; other controllers serve at the same port of their own addresses. */
+  /** The control listener; other controllers have theirs at the same port of their own IP. */
   const http_listener *listener;
   config_writer writer;
-  /** Writes that were refused here, for the metrics. */
+  /** Number of writes refused by this controller, for the metrics. */
   uint64_t writes_refused;
-  /** The configuration in the dialect's words, owned, and its version; NULL before the first read.
-   */
+  /** The configuration in the names of the dialect, owned, with its version; NULL before the first
+   * read. */
   GString *cached_text;
   uint64_t cached_version;
 } config_api;
--- a/lib/controlplane/resource_api.c
+++ b/lib/controlplane/resource_api.c
@@ -1,4 +1,4 @@
-/** The operators' API of resources; see resource_api.h. */
+/** The operators' API for resources; see resource_api.h. */
 #include "resource_api.h"
 #include "api_error.h"
 #include "config_change.h"
@@ -11,31 +11,31 @@
 enum {
   /** Longest wait for the commit of a write, in ms. */
   WRITE_TIMEOUT_MS = 5000,
-  /** Longest wait for routers to have a committed write in force, in ms. */
+  /** Longest wait for a committed write to be in force (version_reports.h), in ms. */
   IN_FORCE_TIMEOUT_MS = 4000,
   /** Longest time that a read waits for a later version (?after=N), in ms. */
   WATCH_TIMEOUT_MS = 20000,
   /** Longest idempotency key, in bytes; see idempotency_record. */
   IDEMPOTENCY_KEY_MAX = 79,
-  /** Query parameters that are looked at; there is one so far. */
+  /** Number of query parameters that are examined; only one is defined. */
   QUERY_PARAMETERS_MAX = 8
 };
 
 static_assert(IDEMPOTENCY_KEY_MAX < sizeof(((idempotency_record *)NULL)->key),
-              "an idempotency record takes the longest key");
+              "an idempotency record has space for the longest key");
 
-/** A write while it is decided on. */
+/** A write that is being served. */
 typedef struct resource_write {
   const http_request *request;
   enum resource_kind resource;
-  /** The version that it may replace, unless any. */
+  /** The version that the write may replace, unless accepts_any_version is set. */
   uint64_t expected_version;
   bool accepts_any_version;
-  /** The request's; NULL when it has none. */
+  /** Belongs to the request; NULL when it has none. */
   const char *idempotency_key;
-  /** Of method, resource and body, to compare requests that have the same key. */
+  /** Hash of method, resource and body, to compare requests that have the same key. */
   uint64_t request_hash;
-  /** A request with this key was written before, as write first_seq. */
+  /** A request with the same key was written earlier, as write first_seq. */
   bool is_repeat;
   uint64_t first_seq;
 } resource_write;
@@ -44,7 +44,7 @@
   return string_view_of_gstring(state->resources[resource].text);
 }
 
-/* Checks that a routing compiles; an empty one is allowed. */
+/* Checks that a routing configuration compiles; an empty one is allowed. */
 static enum error_code check_routing(string_view text, error *err) {
   json *value = json_parse(text, err);
   if (!value)
@@ -59,7 +59,7 @@
   return code;
 }
 
-/* Checks that a trial may follow the present one. */
+/* Checks that a canary trial may replace the current one. */
 static enum error_code check_canary(const state *ordered, string_view text, error *err) {
   json *current = json_parse(resource_text(ordered, RESOURCE_CANARY), err);
   json *next = json_parse(text, err);
@@ -69,7 +69,7 @@
   return code;
 }
 
-/* Checks a resource's new text against all other resources, and by its own rules. */
+/* Checks a resource's new text by its own rules and against all other resources. */
 static enum error_code check_text(const state *ordered, enum resource_kind resource,
                                   string_view text, error *err) {
   if (text.length > RESOURCE_BYTES_MAX)
@@ -86,8 +86,9 @@
   return OK;
 }
 
-/* Applies a patch to a resource. Routing has patches of its own, which name its parts. Returns
- * NULL, with `err` set, when it can't be applied; the caller frees the result. */
+/* Applies a patch to a resource: a JSON merge patch, or for routing one of routing_patch, which
+ * names items to set and drop. Returns NULL and sets `err` when it can't be applied. The caller
+ * frees the result. */
 static json *apply_patch(const state *ordered, enum resource_kind resource, const json *patch,
                          error *err) {
   json *current = json_parse(resource_text(ordered, resource), err);
@@ -100,8 +101,8 @@
   return next;
 }
 
-/* The value that a write asks for. Returns NULL, with `err` set, when the request's body is no JSON
- * or can't be applied; the caller frees the result. */
+/* Returns the new value of the resource. Returns NULL and sets `err` when the request's body is not
+ * JSON or can't be applied. The caller frees the result. */
 static json *requested_value(const resource_write *write, const state *ordered, error *err) {
   json *body = json_parse(string_view_of_gstring(write->request->body), err);
   if (!body || strcmp(write->request->method, "PATCH"))
@@ -126,7 +127,7 @@
   return OK;
 }
 
-/* Gateways go from one version of the routing to a higher one only. */
+/* Checks that the version of the routing increases: gateways accept only higher versions. */
 static enum error_code check_routing_version(const state *ordered, const json *value, error *err) {
   if (!json_count(value))
     return OK;
@@ -143,7 +144,7 @@
   operation_pack_resource(&operation, write->resource, text, packed);
 }
 
-/* An operation_builder: decides on a write; a repeat writes nothing. */
+/* An operation_builder: checks a write; a repeat writes nothing. */
 static enum error_code build_write(void *ctx, state *ordered, GString *packed, error *err) {
   resource_write *write = ctx;
   enum error_code code = find_repeat(write, ordered, err);
@@ -200,7 +201,7 @@
   return OK;
 }
 
-/* Writes, and waits until the write, or the one that it repeats, is in force. */
+/* Performs a write, and waits until it, or the earlier write that it repeats, is in force. */
 static enum error_code perform_write(resource_api *api, resource_write *write, uint64_t *seq,
                                      error *err) {
   enum error_code code =
@@ -221,7 +222,7 @@
   http_headers_set(&request->known_response_fields, HEADER_ETAG, text);
 }
 
-/* Forwards a write to the head; refuses it when there is none to forward it to. */
+/* Forwards a write to the head, or refuses it when there is no other head. */
 static void forward_write(resource_api *api, http_request *request) {
   const member *head = replica_head(api->replica);
   if (request_was_forwarded(request) || !head || replica_chain_index(api->replica) == 0) {
@@ -285,8 +286,8 @@
   return is_found;
 }
 
-/* Waits for a version above one. Returns false when the request has been answered, since there is
- * none or this replica can't tell. */
+/* Waits for a version above `after`. Otherwise responds and returns false: no such version came in
+ * time, or this replica can't tell whether its state is recent. */
 static bool wait_later_version(resource_api *api, http_request *request,
                                enum resource_kind resource, uint64_t after) {
   world *world = api->node->world;
@@ -307,7 +308,7 @@
   return true;
 }
 
-/* Forwards a read to the tail; refuses it when there is none to forward it to. */
+/* Forwards a read to the tail, or refuses it when there is no other tail. */
 static void forward_read(resource_api *api, http_request *request) {
   const member *tail = replica_tail(api->replica);
   if (request_was_forwarded(request) || !tail || id_equal(tail->self, api->node->settings.self)) {
--- a/lib/controlplane/version_reports.c
+++ b/lib/controlplane/version_reports.c
@@ -1,14 +1,14 @@
-/** Which write each router has applied, as the routers report; see version_reports.h. */
+/** The latest write that each router reports to have applied; see version_reports.h. */
 #include "version_reports.h"
 
-/** What a router has in force. */
+/** The latest write that a router has applied. */
 typedef struct reported_version {
-  /** The router's run; what an earlier run has reported does not count. */
+  /** Identifies the router's process; reports of its earlier processes do not count. */
   uint64_t nonce;
   uint64_t seq;
 } reported_version;
 
-/* The report of a router, made when there is none. */
+/* Returns the report of a router; creates an empty one if there is none. */
 static reported_version *report_of(version_reports *reports, const char *router) {
   reported_version *report = g_hash_table_lookup(reports->by_router, router);
   if (!report) {
@@ -37,7 +37,7 @@
   return OK;
 }
 
-/* True when a router has reported a write, and neither restarted since nor is draining. */
+/* True when a router has applied a write, has not restarted since, and is not draining. */
 static bool router_has(const version_reports *reports, const peer_node *router, uint64_t seq) {
   if (router->draining)
     return false;
@@ -45,7 +45,7 @@
   return report && report->nonce == router->nonce && report->seq >= seq;
 }
 
-/* True when half of the known routers have a write in force; counts those that have it, and all. */
+/* True when half of the known routers have applied a write; counts these routers, and all. */
 static bool is_in_force(version_reports *reports, uint64_t seq, int *have, int *all) {
   *have = 0;
   *all = peer_table_count(reports->node, ROLE_ROUTER);
@@ -56,8 +56,8 @@
 
 enum error_code version_reports_wait(version_reports *reports, uint64_t seq, time_us deadline,
                                      error *err) {
-  /* Relaxed fleets have gateways: these hold a poll open and do not report, so that a write counts
-   * once the chain has committed it. */
+  /* Gateways, which fleets with relaxed settings have, get writes by long polls and send no
+   * reports, so a write counts as in force once the chain has committed it. */
   if (reports->node->settings.relaxed)
     return OK;
   int have, all;
--- a/lib/controlplane/version_reports.h
+++ b/lib/controlplane/version_reports.h
@@ -1,8 +1,9 @@
-/** Which write each router has applied, as the routers report.
+/** The latest write that each router reports to have applied.
  *
- * A write is in force once half of the known routers have reported it. Routers that are gone count
- * among the known ones: more than half of all serve without a controller only together, so one of
- * the routers that have the write is among them. */
+ * A write is in force once half of the known routers have reported it. Routers that are gone still
+ * count as known: a router that reaches no controller takes work only while more than half of all
+ * routers know of no newer configuration, and any such majority includes a router with the write.
+ */
 #ifndef CONTROLPLANE_VERSION_REPORTS_H
 #define CONTROLPLANE_VERSION_REPORTS_H
 #include "replica.h"
@@ -10,9 +11,9 @@
 typedef struct version_reports {
   node *node;
   replica *replica;
-  /** Router's id to its latest report; keys and values are owned. */
+  /** Maps the id of a router to its latest report. Owns keys and values. */
   GHashTable *by_router;
-  /** Broadcast when a router reports a later write. */
+  /** Broadcast when a router reports a later write, or another process of it reports. */
   condition changed;
 } version_reports;
 
@@ -20,7 +21,7 @@
 void version_reports_init(version_reports *reports, node *node, replica *replica);
 void version_reports_free(version_reports *reports);
 /** Waits until a write is in force. Returns E_TOO_FEW_ROUTERS at the deadline or when the process
- * stops. With relaxed settings it returns OK at once. */
+ * stops. Returns OK at once with relaxed settings. */
 enum error_code version_reports_wait(version_reports *reports, uint64_t seq, time_us deadline,
                                      error *err);
 #endif
