--- a/lib/controlplane/canary_end.c
+++ b/lib/controlplane/canary_end.c
@@ -2,12 +2,12 @@
 #include "canary_end.h"
 #include "operation_pack.h"
 
-/** Longest wait for the commit, in ms; the judge repeats its request after that. */
+/** Longest wait for the commit, in ms; the judge retries its request after that. */
 enum { CANARY_END_WRITE_MS = 3000 };
 
 static const char canary_singleton[] = "canary";
 
-/** A judge's request while it is served. */
+/** A request of a judge that is being served. */
 typedef struct judgement {
   id judge;
   uint64_t judge_nonce;
@@ -26,8 +26,8 @@
   return OK;
 }
 
-/* Merges the verdict into the trial's text. Returns NULL, with `err` set, when one of them is no
- * JSON or the result is not allowed. The caller frees the result. */
+/* Merges the verdict into the text of the trial. Returns NULL and sets `err` when one of them is
+ * not JSON or the result may not replace the trial. The caller frees the result. */
 static json *merge_verdict(string_view trial_text, string_view verdict_text, error *err) {
   json *trial = json_parse(trial_text, err);
   json *verdict = trial ? json_parse(verdict_text, err) : NULL;
@@ -41,7 +41,7 @@
   return ended;
 }
 
-/* An operation_builder: the canary resource with the verdict. */
+/* An operation_builder: writes the canary resource with the verdict merged into it. */
 static enum error_code build_canary_end(void *ctx, state *ordered, GString *packed, error *err) {
   const judgement *judgement = ctx;
   enum error_code code = check_judgement(judgement, ordered, err);
@@ -77,7 +77,7 @@
              judgement.judge.text, err->text, code);
     return code;
   }
-  log_info(log, "api", "The trial's judge %s ended it with write %" PRIu64 ".",
+  log_info(log, "api", "The judge %s ended the canary trial with write %" PRIu64 ".",
            judgement.judge.text, seq);
   Wire__CanaryEndResponse *response = reply_new_body(
       reply, WIRE__ENVELOPE__BODY_CANARY_END_RESPONSE, &wire__canary_end_response__descriptor);
--- a/lib/controlplane/canary_end.h
+++ b/lib/controlplane/canary_end.h
@@ -1,8 +1,9 @@
 /** Ends a canary trial on behalf of its judge.
  *
  * The judge is the holder of the singleton "canary". Its verdict is merged into the canary resource
- * only while it holds that lease, under the epoch that it names, and only into the version that it
- * judged; so a judge that has been replaced, or that judged an earlier trial, changes nothing. */
+ * only while it holds that lease with the epoch named in its request, and only if the resource
+ * still has the version that it judged. So a judge that has been replaced, or that judged an
+ * earlier trial, changes nothing. */
 #ifndef CONTROLPLANE_CANARY_END_H
 #define CONTROLPLANE_CANARY_END_H
 #include "replica.h"
--- a/lib/controlplane/engine_heartbeat_api.c
+++ b/lib/controlplane/engine_heartbeat_api.c
@@ -2,15 +2,15 @@
 #include "engine_heartbeat_api.h"
 #include "control_response.h"
 
-/** Whole numbers up to this one, 2^53, are exact in JSON. */
+/** Largest number (2^53) up to which all integers are exact in JSON. */
 static const double exact_number_max = 9007199254740992.0;
-/** Upper bounds on numbers of a heartbeat, far above any sensible value. */
+/** Upper bounds on numbers in a heartbeat, far above any sensible value. */
 static const double slots_max = 1e6, span_max_ms = 1e9, weights_version_max = 1e15;
 
-/** A heartbeat that is read. Its texts are those of the JSON value. */
+/** A heartbeat being parsed. Its strings belong to the JSON value. */
 typedef struct parsed_heartbeat {
   Wire__EngineState state;
-  /** Memory of the lists in `state`. */
+  /** Memory allocated for the lists in `state`. */
   GPtrArray *allocations;
 } parsed_heartbeat;
 
@@ -24,7 +24,7 @@
   return (uint64_t)CLAMP(json_number(value, key, 0), 0, max);
 }
 
-/* The number of elements of a list; 0 when it is none. */
+/* Returns the number of elements of a list; 0 when the value is not a list. */
 static size_t list_length(const json *list) {
   return list && list->kind == JSON_ARRAY ? json_count(list) : 0;
 }
@@ -71,7 +71,7 @@
   return OK;
 }
 
-/* Reads what the engine is: service, address, zone and version. */
+/* Reads the identity of the engine: service, address, zone and version. */
 static enum error_code parse_identity(Wire__EngineState *state, const json *value, error *err) {
   state->service = (char *)json_text(value, "service", "");
   state->address = (char *)json_text(value, "address", "");
@@ -95,7 +95,7 @@
   return OK;
 }
 
-/* Reads capacity, and where the engine is in its life. */
+/* Reads the engine's capacity and lifecycle: whether it is starting, ready or draining. */
 static void parse_lifecycle(Wire__EngineState *state, const json *value) {
   state->slots = (uint32_t)bounded_number(value, "slots", slots_max);
   state->draining = !strcmp(json_text(value, "state", "ready"), "leaving");
@@ -105,7 +105,7 @@
     state->ends_in_ms = (uint64_t)CLAMP(ends_in->number, 1, span_max_ms);
 }
 
-/* Reads a heartbeat, in our own words. */
+/* Reads a heartbeat in native names. */
 static enum error_code parse_heartbeat(parsed_heartbeat *heartbeat, const json *value,
                                        const id *engine_id, error *err) {
   Wire__EngineState *state = &heartbeat->state;
@@ -136,7 +136,8 @@
     dialect_translate_in(dialect, value);
     code = parse_heartbeat(&heartbeat, value, &engine_id, &err);
   }
-  /* each fault is one of the request, also a code that has another status elsewhere */
+  /* all errors here are errors of the request, including codes that have another status elsewhere
+   */
   if (code)
     control_respond_error_status(dialect, request, HTTP_BAD_REQUEST, code, err.text);
   else {
--- a/lib/controlplane/engine_registry.c
+++ b/lib/controlplane/engine_registry.c
@@ -1,20 +1,21 @@
-/** The engines that have registered themselves; see engine_registry.h for the rules. */
+/** The engines that have registered with the controllers; see engine_registry.h for the rules. */
 #include "engine_registry.h"
 
 enum {
-  /** An engine's instants are recomputed from each update, and vary with the time that messages
-   * take. Less than this, in ms, is no change. */
+  /** The times of an engine are recomputed from each update, and vary with the latency of messages.
+   * Smaller differences than these, in ms, are not changes. */
   SLOW_START_TOLERANCE_MS = 1500,
   ENDS_AT_TOLERANCE_MS = 500,
-  /** A process that did not sweep for so long was stopped itself, in ms, and knows nothing about
-   * who is silent. */
+  /** A process that has not swept for this long, in ms, was suspended itself, and can't tell which
+   * engines are silent. */
   SWEEP_STALL_MS = 1500,
-  /** An engine is silent after this many times silent_ms while another controller is out of reach:
-   * it may be heard there. */
+  /** While another controller is unreachable, an engine is silent only after this many times
+   * silent_ms, since its heartbeats may arrive there. */
   UNREACHED_SILENCE_FACTOR = 3
 };
 
-/** Upper bound on spans in updates of others, in ms: 12 days, and small enough for arithmetic. */
+/** Upper bound on durations in received updates, in ms: 12 days, and small enough to avoid overflow
+ * in time arithmetic. */
 static const uint64_t SPAN_MAX_MS = 1u << 30;
 
 static void engine_free(void *p) {
@@ -47,7 +48,8 @@
   return hash_bytes(text, strlen(text), hash);
 }
 
-/* Checksum over all that other nodes must know of an engine, without what only time changes. */
+/* Returns a checksum of all that other nodes must know about an engine, without fields that change
+ * merely with time. */
 static uint64_t checksum_of(const Wire__EngineState *state, bool draining) {
   uint64_t hash = draining;
   hash = hash_text(hash, state->service);
@@ -65,7 +67,7 @@
   return hash;
 }
 
-/* A deep copy, to be freed with wire__engine_state__free_unpacked. */
+/* Returns a deep copy, to be freed with wire__engine_state__free_unpacked. */
 static Wire__EngineState *state_duplicate(const Wire__EngineState *state) {
   size_t size = wire__engine_state__get_packed_size(state);
   uint8_t *packed = g_malloc(size + 1);
@@ -89,7 +91,8 @@
   return a->heartbeat->address[0] && !strcmp(a->heartbeat->address, b->heartbeat->address);
 }
 
-/* An address belongs to the engine that was heard last; others that name it are gone. */
+/* Assigns the address of an engine to whichever engine that uses it was heard last, and marks the
+ * others as gone. */
 static void resolve_address(engine_registry *registry, registered_engine *engine, time_us now) {
   GHashTableIter it;
   gpointer value;
@@ -119,7 +122,7 @@
   return REGISTRY_DRAINING;
 }
 
-/* Adds an engine with a copy of a text; the caller fills in the rest. */
+/* Adds an engine with a copy of a description; the caller sets the other fields. */
 static registered_engine *insert_engine(engine_registry *registry, const Wire__EngineState *text) {
   registered_engine *engine = g_new0(registered_engine, 1);
   engine->heartbeat = state_duplicate(text);
@@ -127,7 +130,7 @@
   return engine;
 }
 
-/* Replaces the text of an engine; the key in the table is part of the text. */
+/* Replaces the description of an engine, which also owns the key in the table. */
 static void replace_text(engine_registry *registry, registered_engine *engine,
                          const Wire__EngineState *text) {
   Wire__EngineState *old = engine->heartbeat;
@@ -137,10 +140,11 @@
   wire__engine_state__free_unpacked(old, NULL);
 }
 
-/** The instants of an update, which names them as spans before and after the heartbeat. */
+/** The times in an update as instants; the update gives them as durations before or after the
+ * heartbeat. */
 typedef struct update_times {
   time_us heartbeat_at, slow_start_until;
-  /** 0: the engine does not say when it ends. */
+  /** 0: the engine has not announced when it ends. */
   time_us ends_at;
 } update_times;
 
@@ -183,7 +187,7 @@
   return engine->draining ? REGISTRY_DRAINING : REGISTRY_CHANGED;
 }
 
-/* Of an update that is older than what is known, only that the engine is draining counts. */
+/* Applies an update that is older than the known state: only the start of draining counts. */
 static enum registry_update apply_stale_update(engine_registry *registry, registered_engine *engine,
                                                bool starts_draining) {
   if (!starts_draining)
@@ -193,7 +197,9 @@
   return REGISTRY_DRAINING;
 }
 
-/* True when the instants of an update differ from the known ones by more than messages take. */
+/* True when the times in an update differ from the known ones by more than message latency
+ * explains.
+ */
 static bool changes_times(const registered_engine *engine, const Wire__EngineState *update,
                           const update_times *times) {
   bool changes_slow_start = update->heartbeat_count > engine->heartbeat_count &&
@@ -206,7 +212,7 @@
   return changes_slow_start || changes_end;
 }
 
-/* Applies an update that is not older than what is known. */
+/* Applies an update that is not older than the known state. */
 static enum registry_update apply_update(engine_registry *registry, registered_engine *engine,
                                          const Wire__EngineState *update, const update_times *times,
                                          bool starts_draining, time_us now) {
@@ -218,7 +224,7 @@
   uint64_t checksum = checksum_of(update, engine->draining);
   bool is_changed = checksum != engine->checksum || is_back || starts_draining ||
                     changes_times(engine, update, times);
-  /* two texts under one count: the one that came first stands */
+  /* of two different descriptions with the same count, the one that arrived first is kept */
   if (checksum != engine->checksum && update->heartbeat_count == engine->heartbeat_count &&
       !starts_draining)
     is_changed = is_back;
@@ -242,8 +248,8 @@
   return starts_draining ? REGISTRY_DRAINING : REGISTRY_CHANGED;
 }
 
-/* Applies an update with text. is_direct: it came from the engine itself, whose counts rise; an
- * update of another controller may repeat one. */
+/* Applies an update with a description. is_direct: the update came from the engine itself, which
+ * increases the count with each heartbeat; updates from other controllers may repeat a count. */
 static enum registry_update record(engine_registry *registry, const Wire__EngineState *update,
                                    bool is_direct, time_us now) {
   update_times times = times_of(update, now);
@@ -310,8 +316,8 @@
   return REGISTRY_ALIVE;
 }
 
-/* Silence is counted anew after a pause in which this process could not hear anybody: it was
- * stopped, or no engine at all was heard. */
+/* Restarts the detection of silence after a pause in which this process could not receive
+ * heartbeats: it was suspended, or no engine at all was heard. */
 static void restart_after_pause(engine_registry *registry, time_us now) {
   time_us stalled_at = time_add(registry->swept_at, time_from_ms(SWEEP_STALL_MS));
   time_us unheard_at =
@@ -363,7 +369,7 @@
   to->heartbeat_count = engine->heartbeat_count;
   to->checksum = engine->checksum;
   to->age_ms = age_ms_of(engine, now);
-  /* the receiver counts both spans from the heartbeat */
+  /* the receiver counts both durations from the heartbeat */
   time_us slow_start = time_sub(engine->slow_start_until, engine->last_heard_at);
   to->slow_start_ms = (uint64_t)MAX(0, slow_start.us / 1000);
   to->ends_in_ms = 0;
--- a/lib/controlplane/registry_sync.c
+++ b/lib/controlplane/registry_sync.c
@@ -1,20 +1,20 @@
-/** Keeps the engine registries of the controllers in step; see registry_sync.h. */
+/** Synchronizes the engine registries of the controllers; see registry_sync.h. */
 #include "registry_sync.h"
 
 enum {
-  /** Changes are collected for so long before polls are woken, in ms: engines that start together
-   * cause one response in place of many. */
+  /** How long changes are collected before polls are woken, in ms, so that engines that start
+   * together cause one response instead of many. */
   POLL_WAKEUP_DELAY_MS = 20,
   /** How often engines are checked for silence, in ms; far below SILENT_MS. */
   SWEEP_INTERVAL_MS = 250,
-  /** Interval of batches of heartbeats to other controllers, in ms. It grows with the number of
-   * controllers, since each sends to all: this long for up to four, and never above the maximum,
-   * which leaves three batches within SILENT_MS. */
+  /** Interval between batches of heartbeats to other controllers, in ms. It grows with the number
+   * of other live controllers beyond four, since each controller sends to all others. The maximum
+   * still allows three batches within SILENT_MS. */
   BATCH_INTERVAL_MS = 700,
   BATCH_INTERVAL_MAX_MS = 2500,
   BATCH_INTERVAL_CONTROLLERS = 4,
-  /** After this time a draining engine is announced to routers once more, in ms, since messages may
-   * be lost and the engine's call was acknowledged. */
+  /** Delay after which a draining engine is announced to routers once more, in ms, since the first
+   * messages may be lost while the engine's call was acknowledged. */
   REPEAT_DELAY_MS = 300,
   /** Shortest time between fetches because of unknown checksums, in ms. */
   FETCH_INTERVAL_MS = 500,
@@ -22,11 +22,11 @@
   FETCH_TIMEOUT_MS = 600,
   /** How often a starting controller tries to fetch a registry, in ms. */
   INITIAL_FETCH_INTERVAL_MS = 250,
-  /** A controller that was lost within this time may be alive behind a network partition, and hear
-   * engines that are not heard here; in ms. */
+  /** A controller that was lost less than this long ago, in ms, may be alive behind a network
+   * partition and receive heartbeats that do not arrive here. */
   PARTITION_MAX_MS = 60000,
-  /** A starting controller that can fetch no registry and hears no engine waits this many times
-   * SILENT_MS before it takes its own registry for complete. */
+  /** A starting controller that can't fetch a registry and receives no heartbeats waits this many
+   * times SILENT_MS before it considers its own registry complete. */
   NO_HEARTBEATS_FACTOR = 3
 };
 
@@ -101,8 +101,8 @@
   condition_broadcast(&sync->registry_changed);
 }
 
-/* Merges another controller's update. Returns true when it names changes without their text, so
- * that they have to be fetched. */
+/* Merges an update from another controller. Returns true when it shows changes that it does not
+ * contain, so that they must be fetched. */
 static bool merge_update(registry_sync *sync, const Wire__EngineUpdate *update) {
   time_us now = world_now(sync->node->world);
   uint64_t seq_before = sync->registry.seq;
@@ -117,7 +117,7 @@
   return needs_fetch;
 }
 
-/* Fetches and merges another controller's registry. Returns false when it gives none. */
+/* Fetches and merges the registry of another controller. Returns false when that fails. */
 static bool fetch_registry(registry_sync *sync, const char *address) {
   Wire__EngineUpdate request = WIRE__ENGINE_UPDATE__INIT;
   request.want_response = true;
@@ -147,7 +147,7 @@
   g_free(fetch);
 }
 
-/* Starts to fetch the registry at an address, unless one was fetched a moment ago. */
+/* Starts to fetch the registry at an address, unless a fetch began within FETCH_INTERVAL_MS. */
 static void start_fetch(registry_sync *sync, const char *address) {
   time_us now = world_now(sync->node->world);
   if (!time_reached(now, time_add(sync->fetched_at, time_from_ms(FETCH_INTERVAL_MS))))
@@ -220,7 +220,7 @@
   g_ptr_array_free(changed, TRUE);
 }
 
-/* False while another controller is gone that may be alive behind a network partition. */
+/* False while a controller that is gone may be alive behind a network partition. */
 static bool reaches_all_controllers(const registry_sync *sync) {
   time_us from = time_sub(world_now(sync->node->world), time_from_ms(PARTITION_MAX_MS));
   list_for_each (peer, &sync->node->peers, peer_node, link)
@@ -239,7 +239,9 @@
   return time_from_ms(CLAMP(interval_ms, BATCH_INTERVAL_MS, BATCH_INTERVAL_MAX_MS));
 }
 
-/* Sends count, age and checksum of all engines whose heartbeats came here since the last batch. */
+/* Sends count, age and checksum of all engines that have sent a heartbeat here since the last
+ * batch.
+ */
 static void broadcast_heartbeats(registry_sync *sync, time_us now) {
   guint size = g_hash_table_size(sync->registry.engines), count = 0;
   Wire__EngineState *messages = g_new(Wire__EngineState, size + 1);
@@ -279,8 +281,8 @@
   }
 }
 
-/* True when all live engines must have sent a heartbeat to a controller that started at an instant,
- * so that its registry is complete without any other's. */
+/* True when a controller that started at `started_at` must by now have heard of all live engines,
+ * so that its registry is complete without that of another controller. */
 static bool all_engines_have_reported(const registry_sync *sync, time_us started_at) {
   const engine_registry *registry = &sync->registry;
   bool hears_engines = registry->newest_heartbeat_at.us > started_at.us;
@@ -289,14 +291,14 @@
   return time_reached(world_now(sync->node->world), time_add(started_at, time_from_ms(wait_ms)));
 }
 
-/* Task: completes the registry of a controller that has started, with that of another one, or by
+/* Task: completes the registry of a starting controller, either with that of another one or by
  * waiting until all live engines have sent heartbeats. */
 static void complete_registry_run(void *p) {
   registry_sync *sync = p;
   time_us started_at = world_now(sync->node->world);
   for (;;) {
     const peer_node *peer = peer_table_pick(sync->node, ROLE_CONTROLLER, NULL);
-    /* the peer may go while the task waits for its response */
+    /* copied, since the peer may be removed while the task waits for its response */
     char address[48] = "";
     if (peer)
       g_strlcpy(address, peer->address, sizeof address);
@@ -315,7 +317,7 @@
   sync->node = node;
   sync->polls_wakeup = polls_wakeup;
   condition_init(&sync->registry_changed);
-  /* the run of a registry is that of its process */
+  /* the registry lives as long as its process, so both have the same run */
   engine_registry_init(&sync->registry, node->nonce, world_now(node->world));
   peer_rpc_register_handler(node, WIRE__ENVELOPE__BODY_ENGINE_UPDATE, handle_engine_update, sync);
 }
