--- a/lib/controlplane/api_error.c
+++ b/lib/controlplane/api_error.c
@@ -2,10 +2,12 @@
 #include "api_error.h"
 #include "node.h"
 
-/* Codes from the first to before the second one are faults of the request itself. */
+/* Codes from REQUEST_FAULTS_FIRST up to, not including, REQUEST_FAULTS_END are errors in the
+ * request.
+ */
 enum { REQUEST_FAULTS_FIRST = E_JSON, REQUEST_FAULTS_END = E_WIRE_MESSAGE };
 
-/* What an operator may do at once after a 503: try again in a second. */
+/* Retry-After of a 503, in seconds. */
 static const char retry_after_s[] = "1";
 
 /* Codes whose status differs from the default of their interface. */
@@ -15,11 +17,11 @@
 } statuses[] = {
   { E_VERSION_CONFLICT, { HTTP_PRECONDITION_FAILED, HTTP_PRECONDITION_FAILED } },
   { E_TOO_LARGE, { HTTP_CONTENT_TOO_LARGE, HTTP_CONTENT_TOO_LARGE } },
-  /* the outcome is not known, or not confirmed in time */
+  /* the outcome is unknown, or was not confirmed in time */
   { E_OUTCOME_UNKNOWN, { HTTP_GATEWAY_TIMEOUT, HTTP_GATEWAY_TIMEOUT } },
   { E_NO_RESPONSE, { HTTP_GATEWAY_TIMEOUT, HTTP_GATEWAY_TIMEOUT } },
   { E_TOO_FEW_ROUTERS, { HTTP_GATEWAY_TIMEOUT, HTTP_GATEWAY_TIMEOUT } },
-  /* nothing was written, and a later attempt may succeed */
+  /* nothing was written, and a retry may succeed */
   { E_NO_CONTROLLER, { HTTP_UNAVAILABLE, HTTP_UNAVAILABLE } },
   { E_TOO_FEW_ZONES, { HTTP_UNAVAILABLE, HTTP_UNAVAILABLE } },
   { E_OVERLOADED, { HTTP_UNAVAILABLE, HTTP_UNAVAILABLE } },
@@ -30,15 +32,15 @@
   { E_DISK, { HTTP_UNAVAILABLE, HTTP_UNAVAILABLE } },
   /* Differences between the interfaces. Only the operators' API takes idempotency keys. */
   { E_IDEMPOTENCY_KEY, { HTTP_UNPROCESSABLE, HTTP_BAD_REQUEST } },
-  /* The operators' API responds to unknown paths without this table. */
+  /* The operators' API responds to unknown paths without using this table. */
   { E_NOT_FOUND, { HTTP_BAD_REQUEST, HTTP_NOT_FOUND } },
-  /* Only changes that come by the control listener can be joined to one in progress. */
+  /* Only requests at the control listener can wait for an identical change in progress. */
   { E_IN_PROGRESS, { HTTP_SERVER_ERROR, HTTP_GATEWAY_TIMEOUT } },
 };
 
-/* Codes that are neither in the table nor faults of the request. At the operators' API they are
- * faults of ours, for a person to look at; callers of the control listener are programs that
- * retry, and are asked to. */
+/* Status of codes that are neither in the table nor errors in the request. At the operators' API
+ * they are internal errors, for a person to investigate; callers of the control listener are
+ * programs, which are asked to retry. */
 static const enum http_status default_status[API_INTERFACE_COUNT] = { HTTP_SERVER_ERROR,
                                                                       HTTP_UNAVAILABLE };
 
--- a/lib/controlplane/control_listener.c
+++ b/lib/controlplane/control_listener.c
@@ -1,18 +1,18 @@
-/** The control listener of a controller: finds the handler of each call. */
+/** The control listener of a controller: dispatches calls to their handlers. */
 #include "control_listener.h"
 #include "control_response.h"
 #include "engine_heartbeat_api.h"
 
 enum {
-  /** Bounds on what a caller may send, in bytes. */
+  /** Upper bounds on the size of a request, in bytes. */
   BODY_MAX_BYTES = RESOURCE_BYTES_MAX,
   HEADER_MAX_BYTES = 16384,
-  /** How long a caller may take to send a header, and be idle between requests, in ms. */
+  /** Longest time for a caller to send a header, and to be idle between requests, in ms. */
   HEADER_TIMEOUT_MS = 3000,
   IDLE_TIMEOUT_MS = 15000
 };
 
-/* Tells whether this controller is ready to serve. */
+/* Responds whether this controller is ready to serve. */
 static void serve_readiness(const control_listener *listener, http_request *request) {
   const replica *replica = listener->replica;
   bool is_draining = listener->node->draining;
@@ -23,13 +23,13 @@
                           is_draining ? "leaving" : "no view is known here yet");
 }
 
-/* When the last byte of a request was read; now, when that is not known. */
+/* Returns when the last byte of a request was read, or `now` if that is not known. */
 static time_us received_at(const http_request *request, time_us now) {
   bool is_known = request->received_at.us && request->received_at.us <= now.us;
   return is_known ? request->received_at : now;
 }
 
-/* True when a request is a call of the dialect; gives the id in its path, if it has one. */
+/* True when a request is a call of the dialect. Sets engine_id to the id in the path, if any. */
 static bool is_call(const control_listener *listener, const http_request *request,
                     enum dialect_call call, id *engine_id) {
   return dialect_matches_call(listener->dialect, call, request->method, request->path, engine_id);
--- a/lib/controlplane/control_listener.h
+++ b/lib/controlplane/control_listener.h
@@ -1,5 +1,6 @@
-/** The control listener of a controller: heartbeats of engines, and the routing configuration of
- * gateways. Its paths and words are those of a dialect (dialect.h). */
+/** The control listener of a controller: receives heartbeats of engines and serves the routing
+ * configuration of gateways. A dialect (dialect.h) defines its paths and the names in its messages.
+ */
 #ifndef CONTROLPLANE_CONTROL_LISTENER_H
 #define CONTROLPLANE_CONTROL_LISTENER_H
 #include "config_api.h"
@@ -12,16 +13,16 @@
   registry_sync *registry_sync;
   bool is_open;
   http_listener http;
-  /** NULL until the first attempt to open it; then config_api is valid. */
+  /** NULL until the first attempt to open the listener; config_api is valid from then on. */
   const dialect *dialect;
   config_api config_api;
 } control_listener;
 
-/** Makes a listener that is not open. The other modules must outlive it. */
+/** Initializes a listener that is not open. The other modules must outlive it. */
 void control_listener_init(control_listener *listener, node *node, replica *replica,
                            version_reports *version_reports, registry_sync *registry_sync);
-/** Opens it, once; a dialect of NULL is our own. Returns OK, or E_LISTEN or another error of the
- * world's. */
+/** Opens the listener; called once. A NULL dialect means dialect_native. Returns OK, E_LISTEN, or
+ * another error of world.listener_open. */
 enum error_code control_listener_open(control_listener *listener, const char *ip, int port,
                                       const dialect *dialect, error *err);
 void control_listener_free(control_listener *listener);
--- a/lib/controlplane/control_response.c
+++ b/lib/controlplane/control_response.c
@@ -2,7 +2,7 @@
 #include "control_response.h"
 #include "api_error.h"
 
-/* After a 503 a caller may retry as soon as another controller may have become head. */
+/* Retry-After of a 503: by then another controller may have become head. */
 static const char retry_after_s[] = "0.3";
 
 void control_respond_json(const dialect *dialect, http_request *request, enum http_status status,
--- a/lib/controlplane/controller.c
+++ b/lib/controlplane/controller.c
@@ -1,8 +1,8 @@
-/** A controller: puts its modules together and starts them. */
+/** A controller: combines its modules and starts them. */
 #include "controller.h"
 #include "operator_api.h"
 
-/* Task: opens the disk and starts the replica; the controller has stopped when this fails. */
+/* Task: opens the disk and starts the replica; the controller stops if this fails. */
 static void start_replica_run(void *p) {
   controller *controller = p;
   error err = { 0 };
--- a/lib/controlplane/controller.h
+++ b/lib/controlplane/controller.h
@@ -1,10 +1,10 @@
 /** A controller: one process of the replicated control plane.
  *
- * It holds a replica of the control state. With the other controllers it keeps this state in a
- * replicated chain (replica.h), grants singleton leases, answers config polls of the data plane,
+ * The controllers replicate the control state along a chain, of which each holds a replica
+ * (replica.h). A controller also grants singleton leases, answers config polls of the data plane,
  * keeps the registry of engines, and serves two HTTP interfaces: the operators' API at its address,
- * and the control listener for engines and the routing of gateways. This header puts the modules
- * together; each owns its state. */
+ * and the control listener for engines and the routing of gateways. This header combines the
+ * modules; each owns its state. */
 #ifndef CONTROLPLANE_CONTROLLER_H
 #define CONTROLPLANE_CONTROLLER_H
 #include "canary_end.h"
@@ -26,22 +26,22 @@
   canary_end canary_end;
   resource_api resource_api;
   control_listener control_listener;
-  /** Broadcast when the controller has ended its work, by itself or after controller_drain. */
+  /** Broadcast when the controller has stopped, because of an error or after controller_drain. */
   condition stopped;
-  /** Why it has: OK, or the error of its start; valid once `stopped` was broadcast. */
+  /** OK, or the error with which the start failed; valid once `stopped` has been broadcast. */
   enum error_code exit_code;
 } controller;
 
-/** Makes a controller in a world; its work begins with the first turn of its tasks. Free it with
- * controller_free. */
+/** Makes a controller in a world; it starts when its tasks first run. Free it with controller_free.
+ */
 controller *controller_new(world *world, const settings *settings);
-/** Opens the control listener; a dialect of NULL is our own. Returns OK, or an error of the
+/** Opens the control listener; a NULL dialect means dialect_native. Returns OK, or an error of the
  * listener. */
 enum error_code controller_open_control_listener(controller *controller, const char *ip, int port,
                                                  const dialect *dialect, error *err);
-/** Starts the graceful shutdown, once: the controller leaves the chain and hands over its vote.
- * `stopped` is broadcast when it may end. */
+/** Starts the graceful shutdown: the controller leaves the chain and hands over its vote. `stopped`
+ * is broadcast when the process may end. Further calls do nothing. */
 void controller_drain(controller *controller);
-/** Frees it, once no task is left. */
+/** Frees the controller; no task may be left. */
 void controller_free(controller *controller);
 #endif
--- a/lib/controlplane/controller_drain.c
+++ b/lib/controlplane/controller_drain.c
@@ -1,23 +1,25 @@
-/** Graceful shutdown of a controller: it leaves the chain, hands its vote over, and ends once every
- * call that it has read is answered. The time from the request to the end is bounded by the grace
- * period, which is divided from its end: exit, last calls, late callers, handover. */
+/** Graceful shutdown of a controller: it leaves the chain, hands over its vote, and ends once every
+ * call that it has read is answered. The grace period bounds the whole shutdown. Its time is
+ * reserved from the end backwards: for the exit of the process, pending calls, late callers, and
+ * the handover.
+ */
 #include "controller.h"
 
 enum {
-  /** Grace period where the settings name none, in ms. */
+  /** Default grace period, in ms. */
   GRACE_DEFAULT_MS = 5500,
-  /** For so long after the handover late callers are served or redirected, in ms; the minimum is
-   * what remains for them when the handover took long. */
+  /** How long late callers are served or redirected after the handover, in ms; the minimum remains
+   * for them even when the handover takes long. */
   LINGER_MS = 1500,
   LINGER_MIN_MS = 1000,
-  /** For the responses to calls that were read before the listener was shut, in ms: the longest
-   * response, and some time to send it. */
+  /** Time for the responses to calls that were read before the listener was shut, in ms: the
+   * longest time to respond, and some time to send the response. */
   LAST_CALLS_MS = CONFIG_RESPONSE_TIMEOUT_MS + 50,
-  /** For the exit of the process itself, in ms. */
+  /** Time for the exit of the process itself, in ms. */
   EXIT_MS = 100,
   /** Shortest time for the handover, whatever the grace period, in ms. */
   HANDOVER_MIN_MS = 500,
-  /** How often the handover, and the last calls, are looked at, in ms. */
+  /** How often the handover and the pending calls are checked, in ms. */
   HANDOVER_CHECK_MS = 100,
   LAST_CALLS_CHECK_MS = 20
 };
@@ -29,7 +31,7 @@
   return false;
 }
 
-/* True when another controller is there that may take this one's vote, since it has none itself. */
+/* True when there is another controller that has no vote and may take over this one's. */
 static bool is_vote_successor_known(const controller *controller) {
   list_for_each (peer, &controller->node.peers, peer_node, link) {
     bool may_vote = peer->role == ROLE_CONTROLLER && !peer->gone && !peer->draining;
@@ -39,8 +41,8 @@
   return false;
 }
 
-/* True when the other controllers need nothing more of this one: the chain is complete without it,
- * which they decide on only once one of them has all of its writes; and another one has its vote,
+/* True when the other controllers no longer need this one: it has been removed from the chain,
+ * which they do only once one of them has all of its writes, and another controller has its vote,
  * if there is one to take it. */
 static bool is_handed_over(const controller *controller) {
   const replica *replica = &controller->replica;
@@ -51,13 +53,13 @@
   return replica_voter_index(replica) < 0 || !is_vote_successor_known(controller);
 }
 
-/* Returns false when the process was stopped. */
+/* Sleeps until a deadline. Returns false when the process was stopped. */
 static bool sleep_until(world *world, time_us deadline) {
   time_us left = time_sub(deadline, world_now(world));
   return left.us <= 0 || world_sleep(world, left);
 }
 
-/* Serves late callers for a while; then no more calls are read, and those that were read are
+/* Serves late callers for a while, then stops reading calls and waits until those already read are
  * answered. Returns at the latest EXIT_MS before `end`. */
 static void finish_calls(controller *controller, time_us end) {
   world *world = controller->node.world;
@@ -74,8 +76,8 @@
       return;
 }
 
-/* Waits until the handover is done, at the latest until a deadline. Returns false when the process
- * was stopped. */
+/* Waits until the handover is done or the deadline has passed. Returns false when the process was
+ * stopped. */
 static bool wait_handed_over(controller *controller, time_us deadline) {
   world *world = controller->node.world;
   while (!is_handed_over(controller) && !time_reached(world_now(world), deadline))
@@ -84,7 +86,7 @@
   return true;
 }
 
-/* Task: the shutdown. */
+/* Task: performs the shutdown. */
 static void drain_run(void *p) {
   controller *controller = p;
   world *world = controller->node.world;
@@ -97,9 +99,9 @@
   time_us started_at = world_now(world);
   if (!wait_handed_over(controller, time_add(started_at, time_from_ms(handover_ms))))
     return;
-  log_info(&controller->node.log, "controller", "%s, stopping.",
-           replica_chain_index(&controller->replica) < 0 ? "Out of the chain"
-                                                         : "Still in the chain");
+  log_info(&controller->node.log, "controller", "Stopping: %s.",
+           replica_chain_index(&controller->replica) < 0 ? "this controller has left the chain"
+                                                         : "this controller is still in the chain");
   if (has_calls)
     finish_calls(controller, time_add(started_at, time_from_ms(grace_ms)));
   if (world->tasks.stopped)
@@ -108,7 +110,7 @@
   condition_broadcast(&controller->stopped);
 }
 
-/* Tells all peers at once that this node is draining. */
+/* Announces to all peers immediately that this node is draining. */
 static void announce_draining(node *node) {
   Wire__Heartbeat heartbeat = WIRE__HEARTBEAT__INIT;
   Wire__Envelope envelope = wire_envelope(WIRE__ENVELOPE__BODY_HEARTBEAT, &heartbeat);
--- a/lib/controlplane/controller_status.c
+++ b/lib/controlplane/controller_status.c
@@ -2,7 +2,7 @@
 #include "controller_status.h"
 #include "controller.h"
 
-/* Writes that either interface has refused. */
+/* Number of writes that either interface has refused. */
 static uint64_t writes_refused(const controller *controller) {
   return controller->resource_api.writes_refused +
          controller->control_listener.config_api.writes_refused;
--- a/lib/controlplane/controller_status.h
+++ b/lib/controlplane/controller_status.h
@@ -1,15 +1,14 @@
-/** Status pages and metrics of a controller: what it knows, for operators and their tools. */
+/** Status pages and metrics of a controller, for operators and their tools. */
 #ifndef CONTROLPLANE_CONTROLLER_STATUS_H
 #define CONTROLPLANE_CONTROLLER_STATUS_H
 #include <glib.h>
 
 typedef struct controller controller;
 
-/** Appends /v1/status: this controller's replica, its disk and its node. */
+/** Appends /v1/status: the state of this controller's replica, disk and node. */
 void controller_status_write_json(controller *controller, GString *to);
-/** Appends /v1/registry: the engines that have registered themselves, as this controller knows
- * them. */
+/** Appends /v1/registry: the engines in this controller's registry. */
 void controller_status_write_registry(controller *controller, GString *to);
-/** Appends /metrics, in Prometheus' text format. */
+/** Appends /metrics, in the Prometheus text format. */
 void controller_status_write_metrics(controller *controller, GString *to);
 #endif
--- a/lib/controlplane/operator_api.c
+++ b/lib/controlplane/operator_api.c
@@ -1,4 +1,4 @@
-/** The operators' HTTP API at the address of a controller: finds the handler of each path. */
+/** The operators' HTTP API at the address of a controller: dispatches requests by path. */
 #include "operator_api.h"
 #include "api_error.h"
 #include "controller.h"
@@ -7,7 +7,7 @@
 
 static const char resource_path_prefix[] = "/v1/";
 
-/** A page that this controller writes out of what it knows. */
+/** A page that this controller generates from its own state. */
 typedef struct status_page {
   const char *path, *content_type;
   void (*write)(controller *controller, GString *to);
@@ -34,10 +34,10 @@
   { "/metrics", "text/plain", controller_status_write_metrics },
 };
 
-/* Pages that routers have, and controllers forward to one of them. */
+/* Pages that routers serve; controllers forward requests for them to a router. */
 static const char *const router_pages[] = { "/v1/engines", "/v1/holdings" };
 
-/* The resource at a path, or RESOURCE_COUNT. */
+/* Returns the resource at a path, or RESOURCE_COUNT. */
 static enum resource_kind find_resource(const char *path) {
   if (!g_str_has_prefix(path, resource_path_prefix))
     return RESOURCE_COUNT;
--- a/lib/controlplane/operator_api.h
+++ b/lib/controlplane/operator_api.h
@@ -1,4 +1,4 @@
-/** The operators' HTTP API at the address of a controller: finds the handler of each path. */
+/** The operators' HTTP API at the address of a controller: dispatches requests by path. */
 #ifndef CONTROLPLANE_OPERATOR_API_H
 #define CONTROLPLANE_OPERATOR_API_H
 #include "world.h"
--- a/lib/controlplane/request_forwarding.c
+++ b/lib/controlplane/request_forwarding.c
@@ -1,11 +1,11 @@
-/** Forwards HTTP requests of operators to the node that can answer them. */
+/** Forwards HTTP requests of operators to the node that can serve them. */
 #include "request_forwarding.h"
 #include "api_error.h"
 
 enum {
-  /** Longest wait for the response, in ms: above the time that a write may take at the head. */
+  /** Longest wait for the response, in ms: longer than a write may take at the head. */
   FORWARD_TIMEOUT_MS = 8000,
-  /** Upper bound on the response's body, in bytes: a resource, or a router's list of engines. */
+  /** Upper bound on the response body, in bytes: a resource, or a router's list of engines. */
   FORWARD_RESPONSE_MAX = 4 << 20
 };
 
@@ -13,7 +13,7 @@
   return request->known_fields.values[HEADER_HOP];
 }
 
-/* Copies a header field of the forwarded call's response, if it is there. */
+/* Copies a header field from the response to the forwarded call, if present. */
 static void copy_response_field(http_request *request, const http_call *call,
                                 enum http_header field) {
   const char *value = call->known_response_fields.values[field];
--- a/lib/controlplane/routing_text_cache.c
+++ b/lib/controlplane/routing_text_cache.c
@@ -2,7 +2,7 @@
 #include "routing_text_cache.h"
 #include "delta.h"
 
-/* The entry of a version, or NULL. */
+/* Returns the entry of a version, or NULL. */
 static cached_routing_text *find(routing_text_cache *cache, uint64_t version) {
   for (int i = 0; i < ROUTING_TEXTS_CACHED; i++)
     if (cache->entries[i].version == version)
