--- a/lib/controlplane/canary_end.c
+++ b/lib/controlplane/canary_end.c
@@ -3,7 +3,7 @@
 #include "operation_pack.h"
 
 /** Longest wait for the commit, in ms; the judge retries its request after that. */
-enum { CANARY_END_WRITE_MS = 3000 };
+enum { CANARY_END_WRITE_TIMEOUT_MS = 3000 };
 
 static const char canary_singleton[] = "canary";
 
@@ -71,7 +71,7 @@
   judgement judgement = { id_of_text(in->from->id), in->from->nonce, in->canary_end_request };
   uint64_t seq = 0;
   enum error_code code = replica_write(canary_end->replica, build_canary_end, &judgement,
-                                       time_from_ms(CANARY_END_WRITE_MS), &seq, err);
+                                       time_from_ms(CANARY_END_WRITE_TIMEOUT_MS), &seq, err);
   if (code) {
     log_info(log, "api", "Refused the end of the canary trial from %s: %s (code %d).",
              judgement.judge.text, err->text, code);
--- a/lib/controlplane/singleton_grants.c
+++ b/lib/controlplane/singleton_grants.c
@@ -5,7 +5,7 @@
 
 enum {
   /** Longest wait for a grant to be committed, in ms: by then the lease would have expired. */
-  GRANT_WRITE_MS = SINGLETON_LEASE_MS,
+  GRANT_WRITE_TIMEOUT_MS = SINGLETON_LEASE_MS,
   /** Upper bound on the time since its last order that a releasing holder may report, in ms: far
    * longer than a lease, and small enough to avoid overflow in time arithmetic. */
   QUIET_MAX_MS = 100000
@@ -176,7 +176,7 @@
   singleton_grants *grants = request->grants;
   uint64_t seq = 0;
   enum error_code code = replica_write(grants->replica, build_grants, request,
-                                       time_from_ms(GRANT_WRITE_MS), &seq, err);
+                                       time_from_ms(GRANT_WRITE_TIMEOUT_MS), &seq, err);
   if (code || !seq)
     return code;
   /* A slow write shortens the lease for its holder. For the next holder the lease counts from the
