--- a/lib/controlplane/config_poll.c
+++ b/lib/controlplane/config_poll.c
@@ -27,7 +27,7 @@
 
 /* True when this controller may send its state to others: it is a member of the chain and has all
  * writes that were acknowledged before it started. */
-static bool knows_state(const replica *replica) {
+static bool can_serve_state(const replica *replica) {
   return replica->running && replica->view.epoch && replica_chain_index(replica) >= 0 &&
          replica_is_current(replica);
 }
@@ -40,7 +40,7 @@
                                   error *err) {
   const replica *replica = config_poll->replica;
   scope->engines = request->want_engines && config_poll->registry_sync->is_started;
-  scope->state = knows_state(replica);
+  scope->state = can_serve_state(replica);
   if (!scope->engines && !scope->state)
     return error_set(err, E_NO_CONTROLLER, "no state is known here");
   if (!request->fleet_id || !replica->view.epoch || request->fleet_id == replica->view.fleet_id)
