--- a/lib/controlplane/version_reports.c
+++ b/lib/controlplane/version_reports.c
@@ -38,7 +38,7 @@
 }
 
 /* True when a router has applied a write, has not restarted since, and is not draining. */
-static bool router_has(const version_reports *reports, const peer_node *router, uint64_t seq) {
+static bool router_has_applied(const version_reports *reports, const peer_node *router, uint64_t seq) {
   if (router->draining)
     return false;
   const reported_version *report = g_hash_table_lookup(reports->by_router, router->self.text);
@@ -50,7 +50,7 @@
   *have = 0;
   *all = peer_table_count(reports->node, ROLE_ROUTER);
   list_for_each (peer, &reports->node->peers, peer_node, link)
-    *have += peer->role == ROLE_ROUTER && router_has(reports, peer, seq);
+    *have += peer->role == ROLE_ROUTER && router_has_applied(reports, peer, seq);
   return *have >= (*all + 1) / 2;
 }
 
