--- a/lib/controlplane/config_api.c
+++ b/lib/controlplane/config_api.c
@@ -41,7 +41,7 @@
 /* Returns true once this controller acts in a role. Otherwise redirects the caller to the
  * controller that does, or refuses the request after FIND_CONTROLLER_TIMEOUT_MS, and returns false.
  */
-static bool acts_or_redirects(config_api *api, http_request *request, time_us received_at,
+static bool await_role_or_redirect(config_api *api, http_request *request, time_us received_at,
                               const chain_role *role) {
   world *world = api->node->world;
   replica *replica = api->replica;
@@ -106,7 +106,7 @@
 
 void config_api_serve_write(config_api *api, http_request *request, bool is_full,
                             time_us received_at) {
-  if (!acts_or_redirects(api, request, received_at, &head_role))
+  if (!await_role_or_redirect(api, request, received_at, &head_role))
     return;
   int64_t base =
       fields_get_number(request->fields, api->dialect->header_names[DF_BASE_REVISION], -1);
@@ -152,7 +152,7 @@
 }
 
 void config_api_serve_read(config_api *api, http_request *request, time_us received_at) {
-  if (!acts_or_redirects(api, request, received_at, &tail_role))
+  if (!await_role_or_redirect(api, request, received_at, &tail_role))
     return;
   if (refresh_cached_text(api))
     http_request_respond(request, HTTP_OK, "application/json",
