--- a/lib/controlplane/resource_api.c
+++ b/lib/controlplane/resource_api.c
@@ -273,7 +273,7 @@
 }
 
 /* Finds the parameter after=N of a read. Returns false when there is none. */
-static bool find_after(const http_request *request, uint64_t *after) {
+static bool parse_after_parameter(const http_request *request, uint64_t *after) {
   static const char prefix[] = "after=";
   bool is_found = false;
   char **parameters = g_strsplit(request->query, "&", QUERY_PARAMETERS_MAX);
@@ -334,7 +334,7 @@
 /* Serves GET. */
 static void serve_read(resource_api *api, http_request *request, enum resource_kind resource) {
   uint64_t after = 0;
-  if (find_after(request, &after)) {
+  if (parse_after_parameter(request, &after)) {
     if (!wait_later_version(api, request, resource, after))
       return;
   } else if (!replica_is_acting_tail(api->replica)) {
