--- a/lib/controlplane/engine_registry.c
+++ b/lib/controlplane/engine_registry.c
@@ -344,7 +344,7 @@
     if (!engine->gone ||
         !time_reached(now, time_add(engine->gone_at, time_from_ms(registry->tombstone_ms))))
       continue;
-    registry->complete_resend_seq = MAX(registry->complete_resend_seq, engine->changed_seq);
+    registry->full_list_before_seq = MAX(registry->full_list_before_seq, engine->changed_seq);
     g_hash_table_iter_remove(&it);
   }
   return registry->seq != seq_before;
@@ -354,7 +354,7 @@
   if (registry->is_complete)
     return;
   registry->is_complete = true;
-  registry->complete_resend_seq = ++registry->seq;
+  registry->full_list_before_seq = ++registry->seq;
 }
 
 static uint64_t age_ms_of(const registered_engine *engine, time_us now) {
@@ -388,7 +388,7 @@
 
 GPtrArray *engine_registry_changed_since(const engine_registry *registry, uint64_t run,
                                          uint64_t seq, bool *is_full_list) {
-  bool sends_all = run != registry->run || seq < registry->complete_resend_seq;
+  bool sends_all = run != registry->run || seq < registry->full_list_before_seq;
   *is_full_list = sends_all && registry->is_complete;
   GPtrArray *engines = g_ptr_array_new();
   GHashTableIter it;
--- a/lib/controlplane/engine_registry.h
+++ b/lib/controlplane/engine_registry.h
@@ -48,7 +48,7 @@
   uint64_t seq;
   /** Nodes at a position before this one are sent the full list, since some changes after their
    * position may be forgotten. */
-  uint64_t complete_resend_seq;
+  uint64_t full_list_before_seq;
   /** Maps the id of an engine to its registered_engine. Owns the values, which own the keys. */
   GHashTable *engines;
   int64_t silent_ms, tombstone_ms;
