--- a/lib/controlplane/engine_registry.c
+++ b/lib/controlplane/engine_registry.c
@@ -31,7 +31,7 @@
   registry->engines = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, engine_free);
   registry->silent_ms = SILENT_MS;
   registry->tombstone_ms = TOMBSTONE_MS;
-  registry->started_at = registry->swept_at = now;
+  registry->listening_since = registry->swept_at = now;
 }
 
 void engine_registry_free(engine_registry *registry) {
@@ -323,7 +323,7 @@
   time_us unheard_at =
       time_add(registry->newest_heartbeat_at, time_from_ms(registry->silent_ms / 2));
   if (time_reached(now, stalled_at) || time_reached(now, unheard_at))
-    registry->started_at = now;
+    registry->listening_since = now;
   registry->swept_at = now;
 }
 
@@ -332,7 +332,7 @@
   restart_after_pause(registry, now);
   time_us silence =
       time_from_ms(registry->silent_ms * (reaches_all ? 1 : UNREACHED_SILENCE_FACTOR));
-  bool judges_silence = time_reached(now, time_add(registry->started_at, silence));
+  bool judges_silence = time_reached(now, time_add(registry->listening_since, silence));
   GHashTableIter it;
   gpointer value;
   g_hash_table_iter_init(&it, registry->engines);
--- a/lib/controlplane/engine_registry.h
+++ b/lib/controlplane/engine_registry.h
@@ -53,7 +53,7 @@
   GHashTable *engines;
   int64_t silent_ms, tombstone_ms;
   /** Since when heartbeats have been received without interruption. */
-  time_us started_at;
+  time_us listening_since;
   time_us newest_heartbeat_at, swept_at;
   /** Whether all live engines are known here. */
   bool is_complete;
