--- a/lib/controlplane/engine_registry.c
+++ b/lib/controlplane/engine_registry.c
@@ -123,19 +123,20 @@
 }
 
 /* Adds an engine with a copy of a description; the caller sets the other fields. */
-static registered_engine *insert_engine(engine_registry *registry, const Wire__EngineState *text) {
+static registered_engine *insert_engine(engine_registry *registry,
+                                        const Wire__EngineState *description) {
   registered_engine *engine = g_new0(registered_engine, 1);
-  engine->heartbeat = state_duplicate(text);
+  engine->heartbeat = state_duplicate(description);
   g_hash_table_insert(registry->engines, engine->heartbeat->id, engine);
   return engine;
 }
 
 /* Replaces the description of an engine, which also owns the key in the table. */
-static void replace_text(engine_registry *registry, registered_engine *engine,
-                         const Wire__EngineState *text) {
+static void replace_description(engine_registry *registry, registered_engine *engine,
+                                const Wire__EngineState *description) {
   Wire__EngineState *old = engine->heartbeat;
   g_hash_table_steal(registry->engines, old->id);
-  engine->heartbeat = state_duplicate(text);
+  engine->heartbeat = state_duplicate(description);
   g_hash_table_insert(registry->engines, engine->heartbeat->id, engine);
   wire__engine_state__free_unpacked(old, NULL);
 }
@@ -229,7 +230,7 @@
       !starts_draining)
     is_changed = is_back;
   if (is_changed) {
-    replace_text(registry, engine, update);
+    replace_description(registry, engine, update);
     engine->checksum = checksum;
     engine->slow_start_until = times->slow_start_until;
     if (times->ends_at.us)
@@ -288,9 +289,9 @@
   if (engine && engine->signed_off)
     return REGISTRY_STALE;
   if (!engine) {
-    Wire__EngineState text = WIRE__ENGINE_STATE__INIT;
-    text.id = (char *)id;
-    engine = insert_engine(registry, &text);
+    Wire__EngineState description = WIRE__ENGINE_STATE__INIT;
+    description.id = (char *)id;
+    engine = insert_engine(registry, &description);
   }
   engine->last_heard_at = now;
   return sign_off(registry, engine, now);
@@ -298,8 +299,8 @@
 
 enum registry_update engine_registry_merge(engine_registry *registry,
                                            const Wire__EngineState *update, time_us now) {
-  bool has_text = update->service[0];
-  if (has_text || update->gone)
+  bool has_description = update->service[0];
+  if (has_description || update->gone)
     return record(registry, update, false, now);
   registered_engine *engine = engine_registry_find(registry, update->id);
   if (!engine)
