--- a/lib/controlplane/engine_registry.c
+++ b/lib/controlplane/engine_registry.c
@@ -251,8 +251,9 @@
 
 /* Applies an update with a description. is_direct: the update came from the engine itself, which
  * increases the count with each heartbeat; updates from other controllers may repeat a count. */
-static enum registry_update record(engine_registry *registry, const Wire__EngineState *update,
-                                   bool is_direct, time_us now) {
+static enum registry_update record_update(engine_registry *registry,
+                                          const Wire__EngineState *update, bool is_direct,
+                                          time_us now) {
   update_times times = times_of(update, now);
   registered_engine *engine = engine_registry_find(registry, update->id);
   note_heartbeat_time(registry, times.heartbeat_at);
@@ -275,7 +276,7 @@
 
 enum registry_update engine_registry_heartbeat(engine_registry *registry,
                                                const Wire__EngineState *heartbeat, time_us now) {
-  enum registry_update update = record(registry, heartbeat, true, now);
+  enum registry_update update = record_update(registry, heartbeat, true, now);
   registered_engine *engine = engine_registry_find(registry, heartbeat->id);
   if (engine && update != REGISTRY_STALE)
     engine->unannounced = update == REGISTRY_ALIVE;
@@ -301,7 +302,7 @@
                                            const Wire__EngineState *update, time_us now) {
   bool has_description = update->service[0];
   if (has_description || update->gone)
-    return record(registry, update, false, now);
+    return record_update(registry, update, false, now);
   registered_engine *engine = engine_registry_find(registry, update->id);
   if (!engine)
     return REGISTRY_NEEDS_FETCH;
@@ -333,14 +334,14 @@
   restart_after_pause(registry, now);
   time_us silence =
       time_from_ms(registry->silent_ms * (reaches_all ? 1 : UNREACHED_SILENCE_FACTOR));
-  bool judges_silence = time_reached(now, time_add(registry->listening_since, silence));
+  bool can_detect_silence = time_reached(now, time_add(registry->listening_since, silence));
   GHashTableIter it;
   gpointer value;
   g_hash_table_iter_init(&it, registry->engines);
   while (g_hash_table_iter_next(&it, NULL, &value)) {
     registered_engine *engine = value;
     bool is_silent = time_reached(now, time_add(engine->last_heard_at, silence));
-    if (!engine->gone && judges_silence && is_silent)
+    if (!engine->gone && can_detect_silence && is_silent)
       mark_gone(registry, engine, now);
     if (!engine->gone ||
         !time_reached(now, time_add(engine->gone_at, time_from_ms(registry->tombstone_ms))))
