--- a/lib/controlplane/controller_drain.c
+++ b/lib/controlplane/controller_drain.c
@@ -14,14 +14,14 @@
   LINGER_MIN_MS = 1000,
   /** Time for the responses to calls that were read before the listener was shut, in ms: the
    * longest time to respond, and some time to send the response. */
-  LAST_CALLS_MS = CONFIG_RESPONSE_TIMEOUT_MS + 50,
+  PENDING_CALLS_MS = CONFIG_RESPONSE_TIMEOUT_MS + 50,
   /** Time for the exit of the process itself, in ms. */
   EXIT_MS = 100,
   /** Shortest time for the handover, whatever the grace period, in ms. */
   HANDOVER_MIN_MS = 500,
   /** How often the handover and the pending calls are checked, in ms. */
   HANDOVER_CHECK_MS = 100,
-  LAST_CALLS_CHECK_MS = 20
+  PENDING_CALLS_CHECK_MS = 20
 };
 
 static bool is_voter(const view *view, id controller) {
@@ -65,14 +65,14 @@
   world *world = controller->node.world;
   http_listener *listener = &controller->control_listener.http;
   time_us calls_deadline = time_sub(end, time_from_ms(EXIT_MS));
-  time_us shut_deadline = time_sub(calls_deadline, time_from_ms(LAST_CALLS_MS));
+  time_us shut_deadline = time_sub(calls_deadline, time_from_ms(PENDING_CALLS_MS));
   time_us linger_end = time_add(world_now(world), time_from_ms(LINGER_MS));
   if (!sleep_until(world, time_min(linger_end, shut_deadline)))
     return;
   world->listener_stop_accepting(world, listener);
   world->listener_close_idle(world, listener);
   while (listener->pending_exchanges && !time_reached(world_now(world), calls_deadline))
-    if (!world_sleep(world, time_from_ms(LAST_CALLS_CHECK_MS)))
+    if (!world_sleep(world, time_from_ms(PENDING_CALLS_CHECK_MS)))
       return;
 }
 
@@ -91,10 +91,10 @@
   controller *controller = p;
   world *world = controller->node.world;
   const settings *settings = &controller->node.settings;
-  bool has_calls = controller->control_listener.is_open;
+  bool has_listener = controller->control_listener.is_open;
   int64_t grace_ms =
       settings->shutdown_grace_ms > 0 ? settings->shutdown_grace_ms : GRACE_DEFAULT_MS;
-  int64_t calls_ms = has_calls ? LINGER_MIN_MS + LAST_CALLS_MS : 0;
+  int64_t calls_ms = has_listener ? LINGER_MIN_MS + PENDING_CALLS_MS : 0;
   int64_t handover_ms = MAX(grace_ms - calls_ms - EXIT_MS, HANDOVER_MIN_MS);
   time_us started_at = world_now(world);
   if (!wait_handed_over(controller, time_add(started_at, time_from_ms(handover_ms))))
@@ -102,7 +102,7 @@
   log_info(&controller->node.log, "controller", "Stopping: %s.",
            replica_chain_index(&controller->replica) < 0 ? "this controller has left the chain"
                                                          : "this controller is still in the chain");
-  if (has_calls)
+  if (has_listener)
     finish_calls(controller, time_add(started_at, time_from_ms(grace_ms)));
   if (world->tasks.stopped)
     return;
