--- a/lib/controlplane/api_error.c
+++ b/lib/controlplane/api_error.c
@@ -5,7 +5,7 @@
 /* Codes from REQUEST_FAULTS_FIRST up to, not including, REQUEST_FAULTS_END are errors in the
  * request.
  */
-enum { REQUEST_FAULTS_FIRST = E_JSON, REQUEST_FAULTS_END = E_WIRE_MESSAGE };
+enum { REQUEST_ERRORS_FIRST = E_JSON, REQUEST_ERRORS_END = E_WIRE_MESSAGE };
 
 /* Retry-After of a 503, in seconds. */
 static const char retry_after_s[] = "1";
@@ -48,7 +48,7 @@
   for (size_t i = 0; i < G_N_ELEMENTS(statuses); i++)
     if (statuses[i].code == code)
       return statuses[i].status[interface];
-  if (code >= REQUEST_FAULTS_FIRST && code < REQUEST_FAULTS_END)
+  if (code >= REQUEST_ERRORS_FIRST && code < REQUEST_ERRORS_END)
     return HTTP_BAD_REQUEST;
   return default_status[interface];
 }
