--- a/lib/controlplane/api_error.c
+++ b/lib/controlplane/api_error.c
@@ -2,7 +2,7 @@
 #include "api_error.h"
 #include "node.h"
 
-/* Codes from REQUEST_FAULTS_FIRST up to, not including, REQUEST_FAULTS_END are errors in the
+/* Codes from REQUEST_ERRORS_FIRST up to, not including, REQUEST_ERRORS_END are errors in the
  * request.
  */
 enum { REQUEST_ERRORS_FIRST = E_JSON, REQUEST_ERRORS_END = E_WIRE_MESSAGE };
--- a/lib/controlplane/engine_registry.c
+++ b/lib/controlplane/engine_registry.c
@@ -29,8 +29,8 @@
   memset(registry, 0, sizeof *registry);
   registry->run = run;
   registry->engines = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, engine_free);
-  registry->silent_ms = SILENT_MS;
-  registry->tombstone_ms = TOMBSTONE_MS;
+  registry->silent_ms = ENGINE_REGISTRY_SILENT_MS;
+  registry->tombstone_ms = ENGINE_REGISTRY_TOMBSTONE_MS;
   registry->listening_since = registry->swept_at = now;
 }
 
--- a/lib/controlplane/engine_registry.h
+++ b/lib/controlplane/engine_registry.h
@@ -12,7 +12,7 @@
 #include "node.h"
 
 /** Defaults of silent_ms and tombstone_ms. */
-enum { SILENT_MS = 8000, TOMBSTONE_MS = 60000 };
+enum { ENGINE_REGISTRY_SILENT_MS = 8000, ENGINE_REGISTRY_TOMBSTONE_MS = 60000 };
 
 /** One incarnation of an engine, as described by its heartbeats. */
 typedef struct registered_engine {
--- a/lib/controlplane/registry_sync.c
+++ b/lib/controlplane/registry_sync.c
@@ -5,11 +5,11 @@
   /** How long changes are collected before polls are woken, in ms, so that engines that start
    * together cause one response instead of many. */
   POLL_WAKEUP_DELAY_MS = 20,
-  /** How often engines are checked for silence, in ms; far below SILENT_MS. */
+  /** How often engines are checked for silence, in ms; far below ENGINE_REGISTRY_SILENT_MS. */
   SWEEP_INTERVAL_MS = 250,
   /** Interval between batches of heartbeats to other controllers, in ms. It grows with the number
    * of other live controllers beyond four, since each controller sends to all others. The maximum
-   * still allows three batches within SILENT_MS. */
+   * still allows three batches within ENGINE_REGISTRY_SILENT_MS. */
   BATCH_INTERVAL_MS = 700,
   BATCH_INTERVAL_MAX_MS = 2500,
   BATCH_INTERVAL_CONTROLLERS = 4,
@@ -26,7 +26,7 @@
    * partition and receive heartbeats that do not arrive here. */
   PARTITION_MAX_MS = 60000,
   /** A starting controller that can't fetch a registry and receives no heartbeats waits this many
-   * times SILENT_MS before it considers its own registry complete. */
+   * times ENGINE_REGISTRY_SILENT_MS before it considers its own registry complete. */
   NO_HEARTBEATS_FACTOR = 3
 };
 
