--- a/tests/controlplane/engine_registry.c
+++ b/tests/controlplane/engine_registry.c
@@ -1,5 +1,5 @@
-/** Tests of the engine registry and of decisions on configurations, as pure functions; and of
- * control listeners in a fleet with controllers and routers. */
+/** Tests of the engine registry and of config_change_apply as pure functions, and of the control
+ * listener in a fleet of controllers and routers. */
 #include "config_change.h"
 #include "engine_registry.h"
 #include "routing.h"
@@ -28,8 +28,8 @@
   return engine_registry_heartbeat(registry, &w, time_from_ms(ms));
 }
 
-/* Merges an engine of one registry into another: all of it (is_full), or count, age and checksum.
- */
+/* Merges an engine of one registry into another: its full state (is_full), or only its count, age
+ * and checksum. */
 static enum registry_update merge_from(engine_registry *to, const engine_registry *from,
                                        const char *engine_id, bool is_full, int64_t ms) {
   Wire__EngineState w = WIRE__ENGINE_STATE__INIT;
@@ -63,7 +63,7 @@
   engine_registry r;
   engine_registry_init(&r, 7, time_from_ms(1000));
   expect(fleet, record_heartbeat(&r, "e1", "10.0.0.1:80", 3, false, 1000) == REGISTRY_CHANGED,
-         "the first heartbeat is no change");
+         "the first heartbeat is not a change");
   expect(fleet, record_heartbeat(&r, "e1", "10.0.0.1:80", 4, false, 2000) == REGISTRY_ALIVE,
          "an equal heartbeat is a change");
   uint64_t seq = r.seq;
@@ -83,16 +83,16 @@
   w.n_models = 1;
   w.models = &ms;
   expect(fleet, engine_registry_heartbeat(&r, &w, time_from_ms(3000)) == REGISTRY_CHANGED,
-         "a new model is no change");
+         "a new model is not a change");
   w.heartbeat_count = 6;
   expect(fleet, engine_registry_heartbeat(&r, &w, time_from_ms(4000)) == REGISTRY_ALIVE,
-         "the same models are a change");
+         "a heartbeat with the same models is a change");
   m.weights_version = 2;
   w.heartbeat_count = 7;
   expect(fleet, engine_registry_heartbeat(&r, &w, time_from_ms(5000)) == REGISTRY_CHANGED,
-         "other weights are no change");
+         "another weights version is not a change");
   expect(fleet, engine_registry_find(&r, "e1")->heartbeat->models[0]->weights_version == 2,
-         "other weights were not kept");
+         "another weights version was not stored");
   engine_registry_free(&r);
   return true;
 }
@@ -104,44 +104,44 @@
   Wire__EngineState w = heartbeat_of("e1", "10.0.0.1:80", 2, true);
   w.ends_in_ms = 5000;
   expect(fleet, engine_registry_heartbeat(&r, &w, time_from_ms(2000)) == REGISTRY_DRAINING,
-         "leaving is no news");
+         "the start of draining is not reported as such");
   Wire__EngineState said = WIRE__ENGINE_STATE__INIT;
   engine_registry_pack_engine(engine_registry_find(&r, "e1"), time_from_ms(3000), &said);
   expect(fleet, said.draining && !said.gone && said.age_ms == 1000 && said.ends_in_ms == 5000,
-         "the time left does not count from the beat");
+         "age or time to the end does not count from the heartbeat");
   expect(fleet,
          record_heartbeat(&r, "e1", "10.0.0.1:80", 3, false, 4000) == REGISTRY_ALIVE &&
              engine_registry_find(&r, "e1")->draining,
-         "an engine came back from leaving");
+         "a later heartbeat resets draining");
   expect(fleet,
          engine_registry_sign_off(&r, "e1", time_from_ms(5000)) == REGISTRY_DRAINING &&
              engine_registry_sign_off(&r, "e1", time_from_ms(5100)) == REGISTRY_STALE,
-         "a sign-off is no news, or news twice");
+         "a sign-off is not reported, or is reported twice");
   for (uint64_t i = 4; i < 20; i++)
     expect(fleet,
            record_heartbeat(&r, "e1", "10.0.0.1:80", i, false, 6000 + (int64_t)i) == REGISTRY_STALE,
-           "a beat revives an engine that signed off");
+           "a heartbeat revives an engine that signed off");
   /* a sign-off of an unknown engine */
   expect(fleet,
          engine_registry_sign_off(&r, "e2", time_from_ms(7000)) == REGISTRY_DRAINING &&
              record_heartbeat(&r, "e2", "10.0.0.2:80", 9, false, 7100) == REGISTRY_STALE,
-         "a beat before its sign-off revives an engine");
-  /* another registry learns of the sign-offs, and does not take them back either */
+         "a late heartbeat revives an engine that signed off before it was known");
+  /* a registry that merges the sign-offs keeps them, too */
   engine_registry o;
   engine_registry_init(&o, 8, time_from_ms(0));
   record_heartbeat(&o, "e1", "10.0.0.1:80", 30, false, 7000);
   expect(fleet,
          merge_from(&o, &r, "e1", true, 8000) == REGISTRY_DRAINING &&
              engine_registry_find(&o, "e1")->signed_off,
-         "a sign-off is not passed on over a younger beat");
+         "a merged sign-off loses against a later heartbeat");
   expect(fleet,
          merge_from(&o, &r, "e2", true, 8000) == REGISTRY_DRAINING &&
              record_heartbeat(&o, "e2", "10.0.0.2:80", 10, false, 8100) == REGISTRY_STALE,
-         "a tombstone is not passed on");
+         "a tombstone is not merged, or a heartbeat revives its engine");
   bool is_full;
   expect(fleet, count_changed_since(&o, 8, 0, &is_full) == 2,
-         "those who end are not in the changes");
-  /* a tombstone is forgotten in time; positions from before that get the full list */
+         "ended engines are not among the changes");
+  /* a tombstone is removed in time; positions from before its change get the full list */
   engine_registry_set_complete(&o);
   record_heartbeat(&o, "e4", "10.0.0.4:80", 1, false, 8500);
   uint64_t known = o.seq;
@@ -154,11 +154,11 @@
     engine_registry_sweep(&o, time_from_ms(t), true);
   }
   expect(fleet, !engine_registry_find(&o, "e1") && engine_registry_find(&o, "e3"),
-         "a tombstone stands for ever");
+         "a tombstone is never removed, or a live engine is");
   expect(fleet, count_changed_since(&o, 8, seq, &is_full) == 1 && !is_full,
-         "changes since a number are not just those");
+         "the changes since a position are not exactly those");
   expect(fleet, count_changed_since(&o, 8, known, &is_full) == 1 && is_full,
-         "one who lacks what was forgotten does not get the whole");
+         "a position before a removed tombstone does not get the full list");
   engine_registry_free(&r);
   engine_registry_free(&o);
   return true;
@@ -172,25 +172,25 @@
   expect(fleet,
          record_heartbeat(&r, "e3", "10.0.0.1:80", 1, false, 3000) == REGISTRY_CHANGED &&
              engine_registry_find(&r, "e1")->gone && !engine_registry_find(&r, "e2")->gone,
-         "an address has two engines");
+         "an address still has two engines, or the wrong engine is gone");
   expect(fleet,
          record_heartbeat(&r, "e1", "10.0.0.1:80", 1, false, 3100) == REGISTRY_STALE &&
              engine_registry_find(&r, "e1")->gone,
-         "a late beat takes an address back");
+         "a stale heartbeat takes the address back");
   /* an old update by way of another controller changes nothing */
   engine_registry o;
   engine_registry_init(&o, 8, time_from_ms(0));
   record_heartbeat(&o, "e1", "10.0.0.1:80", 2, false, 2000);
   merge_from(&r, &o, "e1", true, 3500);
   expect(fleet, engine_registry_find(&r, "e1")->gone && !engine_registry_find(&r, "e3")->gone,
-         "old word takes an address back");
-  /* an update of a replaced engine comes where only its successor is known */
+         "an old update from another controller takes the address back");
+  /* an update about a replaced engine arrives where only its successor is known */
   engine_registry y;
   engine_registry_init(&y, 9, time_from_ms(0));
   record_heartbeat(&y, "e3", "10.0.0.1:80", 2, false, 3600);
   merge_from(&y, &o, "e1", true, 3700);
   expect(fleet, engine_registry_find(&y, "e1")->gone && !engine_registry_find(&y, "e3")->gone,
-         "word of an engine that ended takes an address");
+         "an update about a replaced engine takes the address");
   engine_registry_free(&r);
   engine_registry_free(&o);
   engine_registry_free(&y);
@@ -207,7 +207,7 @@
       record_heartbeat(&r, "e2", "10.0.0.2:80", (uint64_t)t + 1, false, t);
     engine_registry_sweep(&r, time_from_ms(t), true);
     if (t == 12750)
-      expect(fleet, !engine_registry_find(&r, "e2")->gone, "an engine is gone too soon");
+      expect(fleet, !engine_registry_find(&r, "e2")->gone, "an engine is gone too early");
     if (t == 13250)
       expect(fleet, engine_registry_find(&r, "e2")->gone, "a silent engine is not gone");
   }
@@ -215,11 +215,11 @@
   expect(fleet,
          engine->gone && !engine->draining && !engine->signed_off &&
              !engine_registry_find(&r, "e1")->gone,
-         "silence is for good, or another's");
+         "a silent engine is not just gone, or another one is gone");
   expect(fleet,
          record_heartbeat(&r, "e2", "10.0.0.2:80", 30000, false, 20100) == REGISTRY_CHANGED &&
              !engine_registry_find(&r, "e2")->gone,
-         "a beat does not end silence");
+         "a heartbeat does not bring a silent engine back");
   /* a heartbeat that another controller received counts */
   engine_registry o;
   engine_registry_init(&o, 8, time_from_ms(0));
@@ -229,17 +229,17 @@
     if (t % 1000 == 0) {
       record_heartbeat(&r, "e1", "10.0.0.1:80", (uint64_t)t + 1, false, t);
       expect(fleet, merge_from(&o, &r, "e1", false, t + 10) == REGISTRY_ALIVE,
-             "a sign of life is not taken");
+             "a merged heartbeat is not accepted");
     }
     engine_registry_sweep(&o, time_from_ms(t), true);
   }
   expect(fleet, !engine_registry_find(&o, "e1")->gone && engine_registry_find(&o, "e2")->gone,
-         "what another machine hears does not count");
+         "heartbeats at another controller do not count, or a silent engine is not gone");
   expect(fleet,
          merge_from(&o, &r, "e2", false, 40000) == REGISTRY_NEEDS_FETCH ||
              engine_registry_find(&o, "e2")->gone,
-         "old word ends silence");
-  /* while another controller is out of reach, an engine is silent later */
+         "an old heartbeat at another controller brings a silent engine back");
+  /* while another controller is unreachable, an engine is declared silent later */
   engine_registry c;
   engine_registry_init(&c, 9, time_from_ms(0));
   record_heartbeat(&c, "e3", "10.0.0.3:80", 1, false, 0);
@@ -248,20 +248,21 @@
       record_heartbeat(&c, "e4", "10.0.0.4:80", (uint64_t)t, false, t);
     engine_registry_sweep(&c, time_from_ms(t), false);
     if (t == 20000)
-      expect(fleet, !engine_registry_find(&c, "e3")->gone, "who may be heard elsewhere is gone");
+      expect(fleet, !engine_registry_find(&c, "e3")->gone,
+             "an engine is gone too early while a controller is unreachable");
   }
   expect(fleet, engine_registry_find(&c, "e3")->gone && !engine_registry_find(&c, "e4")->gone,
-         "silence counts never, or another's");
+         "a silent engine is never gone while a controller is unreachable, or another one is");
   engine_registry_free(&c);
-  /* a process that was stopped, or hears no engine at all, declares none silent */
+  /* a process that was suspended, or hears no engine at all, declares none silent */
   engine_registry_sweep(&o, time_from_ms(90000), true);
   engine_registry_sweep(&o, time_from_ms(90250), true);
   expect(fleet, !engine_registry_find(&o, "e1")->gone,
-         "a process that slept says that others are silent");
+         "a process that was suspended declares engines silent");
   for (int64_t t = 90500; t <= 120000; t += 250)
     engine_registry_sweep(&o, time_from_ms(t), true);
   expect(fleet, !engine_registry_find(&o, "e1")->gone,
-         "a process that hears nothing says that others are silent");
+         "a process that hears no engine declares engines silent");
   engine_registry_free(&r);
   engine_registry_free(&o);
   return true;
@@ -274,35 +275,35 @@
   engine_registry_init(&b, 8, time_from_ms(0));
   record_heartbeat(&a, "e1", "10.0.0.1:80", 1, false, 1000);
   expect(fleet, merge_from(&b, &a, "e1", false, 1100) == REGISTRY_NEEDS_FETCH,
-         "a sign of life of an engine that is not known does not make one ask");
+         "a heartbeat of an unknown engine does not cause a fetch");
   expect(fleet,
          merge_from(&b, &a, "e1", true, 1200) == REGISTRY_CHANGED &&
              engine_registry_find(&b, "e1")->last_heard_at.us == time_from_ms(1000).us,
-         "the time of a beat is not passed on");
-  /* a lost broadcast shows in the checksum */
+         "the time of a heartbeat is not merged");
+  /* the checksum reveals a lost broadcast */
   record_heartbeat(&a, "e1", "10.0.0.1:81", 2, false, 2000);
   expect(fleet, merge_from(&b, &a, "e1", false, 2100) == REGISTRY_NEEDS_FETCH,
-         "a lost change does not show");
+         "a lost change is not detected by the checksum");
   expect(fleet,
          merge_from(&b, &a, "e1", true, 2200) == REGISTRY_CHANGED &&
              !strcmp(engine_registry_find(&b, "e1")->heartbeat->address, "10.0.0.1:81"),
-         "a lost change is not made good");
+         "a lost change is not repaired by a full update");
   expect(fleet, merge_from(&b, &a, "e1", true, 2300) == REGISTRY_ALIVE,
-         "the same word is a change");
+         "a repeated update is a change");
   /* a new registry is not the full list */
   expect(fleet, count_changed_since(&b, 0, 0, &is_full) == 1 && !is_full,
-         "a new registry calls itself complete");
+         "a new registry claims to be complete");
   uint64_t known_seq = b.seq;
   engine_registry_set_complete(&b);
   expect(fleet, count_changed_since(&b, 8, known_seq, &is_full) == 1 && is_full,
-         "who has a part does not get the whole once there is one");
+         "a position from before completion does not get the full list");
   expect(fleet, count_changed_since(&b, 8, b.seq, &is_full) == 0 && !is_full,
-         "who has all gets it again");
+         "a current position gets the full list again");
   expect(fleet, count_changed_since(&b, 99, b.seq + 5, &is_full) == 1 && is_full,
-         "one who knew another run does not get the whole");
+         "a position of another run does not get the full list");
   record_heartbeat(&b, "e2", "10.0.0.2:80", 1, false, 3000);
   expect(fleet, count_changed_since(&b, 8, b.seq - 1, &is_full) == 1 && !is_full,
-         "a change is not told by itself");
+         "a single change is not sent by itself");
   engine_registry_free(&a);
   engine_registry_free(&b);
   return true;
@@ -329,7 +330,7 @@
   if (!r)
     g_string_assign(text, next->str);
   if (r && next->len)
-    fleet_add_violation(fleet, "a refused configuration leaves a text");
+    fleet_add_violation(fleet, "a refused configuration leaves text in the result");
   g_string_free(next, TRUE);
   json_free(json);
   return r;
@@ -339,24 +340,24 @@
   GString *t = g_string_new("{}");
   const char *first = "{\"version\":3,\"routes\":[" ROUTE("r1", "/a/", "s") "]," SERVICES "}";
   expect(fleet, config_change_version(string_view_of_gstring(t)) == 0,
-         "a blank text has a version");
+         "an empty configuration has a version");
   expect(fleet, decide(fleet, t, true, 1, first) == E_VERSION_CONFLICT,
-         "the first one builds on something");
+         "a first configuration with base version 1 is accepted");
   expect(fleet, decide(fleet, t, true, 0, "{\"version\":0,\"routes\":[]," SERVICES "}"),
-         "version 0 is above 0");
+         "version 0 is accepted after version 0");
   expect(fleet,
          decide(fleet, t, false, 0,
                 "{\"version\":2,\"set\":{\"routes\":[" ROUTE("r1", "/a/", "s") "]}}"),
-         "a change of nothing is one");
+         "a patch of an empty configuration is accepted");
   expect(fleet,
          decide(fleet, t, true, 0, first) == OK &&
              config_change_version(string_view_of_gstring(t)) == 3,
-         "the first one is refused");
-  /* two changes of one version: the second is a conflict, whether it is valid or not */
+         "the first configuration is refused");
+  /* of two changes of one version the second is a conflict, whether it is valid or not */
   expect(fleet, decide(fleet, t, true, 0, first) == E_VERSION_CONFLICT,
-         "a version is built on twice");
+         "two changes with the same base version are accepted");
   expect(fleet, decide(fleet, t, true, 2, "{\"version\":9}") == E_VERSION_CONFLICT,
-         "an old base is not told");
+         "an outdated base version is not a conflict");
   static const char *const bad[] = {
     "[]",
     "{}",
@@ -369,30 +370,30 @@
   for (size_t i = 0; i < G_N_ELEMENTS(bad); i++) {
     int r = decide(fleet, t, true, 3, bad[i]);
     if (r < E_JSON || r >= E_WIRE_MESSAGE || r == E_VERSION_CONFLICT)
-      fleet_add_violation(fleet, "%s is decided to be %d", bad[i], r);
+      fleet_add_violation(fleet, "%s gives code %d", bad[i], r);
   }
   expect(fleet, config_change_version(string_view_of_gstring(t)) == 3,
-         "a refused one changed something");
+         "a refused configuration changed the version");
   expect(fleet,
          decide(fleet, t, false, 3,
                 "{\"version\":7,\"set\":{\"routes\":[" ROUTE(
                     "r2", "/b/", "s") "]},\"drop\":{\"routes\":[\"r1\"]}}") == OK,
-         "a change is refused");
+         "a patch is refused");
   expect(fleet,
          config_change_version(string_view_of_gstring(t)) == 7 && strstr(t->str, "r2") &&
              !strstr(t->str, "r1"),
-         "a change is not made");
+         "a patch is not applied");
   expect(fleet, decide(fleet, t, false, 7, "{\"version\":8,\"drop\":{\"services\":[\"s\"]}}"),
-         "a service in use is dropped");
+         "a patch may drop a service in use");
   expect(fleet, decide(fleet, t, false, 7, "{\"version\":7,\"set\":{}}"),
-         "a change to the same version is taken");
+         "a patch that keeps the version is accepted");
   g_string_free(t, TRUE);
   return true;
 }
 
-/* controllers with control listeners, and routers that record engines, in a fleet */
+/* a fleet of controllers with control listeners, and of routers that record changes of engines */
 enum { CONTROL_PORT = 7400 };
-/* what a config poll response told a router about an engine */
+/* the state of an engine in a response to a config poll of a router */
 typedef struct {
   char id[48], addr[48];
   bool draining, gone;
@@ -514,7 +515,7 @@
                          CONTROL_PORT);
 }
 
-/* calls a controller, and follows at most two redirects */
+/* Calls a controller, and follows at most two redirects. */
 static test_call *request_listener(fleet *fleet, host *host, const char *verb, const char *path,
                                    const char *text, int64_t base) {
   char *addr = listener_of(host);
@@ -597,8 +598,8 @@
     fleet_add_violation(fleet, "an invalid heartbeat is accepted");
   if (status_at(fleet, fleet->controller[0], "GET", "/v1/nothing", NULL, -1) != 404 ||
       status_at(fleet, fleet->controller[0], "GET", "/ready", NULL, -1) != 200)
-    fleet_add_violation(fleet, "a page is not as it should be");
-  /* that an engine is draining reaches every router at once, whichever controller received it */
+    fleet_add_violation(fleet, "an unknown path is not 404, or /ready is not 200");
+  /* each router learns at once that an engine is draining, whichever controller was told */
   host *host = fleet->controller[sim_random(fleet->sim, 3)];
   for (int i = 0; i < fleet->routers; i++)
     for (int k = 0; k < 3; k++)
@@ -606,15 +607,14 @@
         sim_set_partition_both_ways(fleet->sim, fleet->router[i]->self.text,
                                     fleet->controller[k]->self.text, true);
   if (send_heartbeat(fleet, host, "e1", "10.0.0.1:80", 9, "leaving") != 200)
-    fleet_add_violation(fleet, "leaving is not taken");
+    fleet_add_violation(fleet, "a heartbeat of a draining engine is refused");
   sim_run(fleet->sim, time_from_ms(100));
   sim_heal_partitions(fleet->sim);
   for (int i = 0; i < fleet->routers; i++)
     if (!last_notice(fleet->router[i], "e1")->draining)
-      fleet_add_violation(fleet, "%s does not know 100 ms later that an engine leaves",
+      fleet_add_violation(fleet, "%s does not know after 100 ms that an engine is draining",
                           fleet->router[i]->self.text);
-  /* a controller that restarts fetches the registry from the others, and gives routers the full
-   * list */
+  /* a restarted controller fetches the registry from the others, and sends routers the full list */
   host_kill(host);
   sim_run(fleet->sim, time_from_ms(300));
   host_start(host);
@@ -625,13 +625,15 @@
   }
   registered_engine *engine = engine_registry_find(&host->controller->registry_sync.registry, "e1");
   if (!engine || !engine->draining || !host->controller->registry_sync.registry.is_complete)
-    fleet_add_violation(fleet, "%s does not know again that an engine leaves", host->self.text);
+    fleet_add_violation(
+        fleet, "%s does not know after its restart that an engine is draining, or is incomplete",
+        host->self.text);
   if (send_heartbeat(fleet, host, "e1", "10.0.0.1:80", 12, "off") != 200)
-    fleet_add_violation(fleet, "a sign-off is not taken");
+    fleet_add_violation(fleet, "a sign-off is refused");
   sim_run(fleet->sim, time_from_ms(100));
   for (int i = 0; i < fleet->routers; i++)
     if (!last_notice(fleet->router[i], "e1")->gone)
-      fleet_add_violation(fleet, "%s does not know 100 ms later that an engine is gone",
+      fleet_add_violation(fleet, "%s does not know after 100 ms that an engine is gone",
                           fleet->router[i]->self.text);
   for (int i = 0; i < 3; i++) {
     send_heartbeat(fleet, fleet->controller[i], "e1", "10.0.0.1:80", 30 + i, "ready");
@@ -639,7 +641,7 @@
              ->signed_off)
       fleet_add_violation(fleet, "a late heartbeat revives an engine");
   }
-  /* an engine that is only silent is gone, and back with its next heartbeat */
+  /* an engine that is only silent is gone, and comes back with its next heartbeat */
   for (int i = 1; i <= 11; i++) {
     send_heartbeat(fleet, fleet->controller[0], "e3", "10.0.0.3:80", i, "ready");
     sim_run(fleet->sim, time_from_ms(1000));
@@ -648,10 +650,11 @@
     if (!engine_registry_find(&fleet->controller[i]->controller->registry_sync.registry, "e2")
              ->gone ||
         engine_registry_find(&fleet->controller[i]->controller->registry_sync.registry, "e3")->gone)
-      fleet_add_violation(fleet, "%s does not know who is silent", fleet->controller[i]->self.text);
+      fleet_add_violation(fleet, "%s does not know which engine is silent",
+                          fleet->controller[i]->self.text);
   for (int i = 0; i < fleet->routers; i++)
     if (!last_notice(fleet->router[i], "e2")->gone || last_notice(fleet->router[i], "e2")->draining)
-      fleet_add_violation(fleet, "a silent engine is not gone, or for good, at %s",
+      fleet_add_violation(fleet, "a silent engine is not gone, or is draining, at %s",
                           fleet->router[i]->self.text);
   send_heartbeat(fleet, fleet->controller[0], "e2", "10.0.0.2:80", 90, "ready");
   sim_run(fleet->sim, time_from_ms(1500));
@@ -681,19 +684,20 @@
     return false;
   host *h = fleet->controller[sim_random(fleet->sim, 3)];
   if (status_at(fleet, h, "GET", "/v1/routing", NULL, -1) != 404)
-    fleet_add_violation(fleet, "there is a configuration before the first");
+    fleet_add_violation(fleet, "there is a configuration before the first write");
   char *a = config_text(2, 3), *b = config_text(5, 4), *c = config_text(6, 5),
        *large = config_text(20, 1200);
   if (status_at(fleet, h, "PUT", "/v1/routing", a, -1) != 400)
-    fleet_add_violation(fleet, "one that builds on nothing known is taken");
+    fleet_add_violation(fleet, "a configuration without a base version is accepted");
   if (status_at(fleet, h, "PUT", "/v1/routing", a, 0) != 200)
-    fleet_add_violation(fleet, "the first one is not taken");
+    fleet_add_violation(fleet, "the first configuration is refused");
   for (int i = 0; i < 3; i++)
     if (status_at(fleet, fleet->controller[i], "PUT", "/v1/routing", a, 0) != 200)
-      fleet_add_violation(fleet, "the first one is refused when it comes again");
+      fleet_add_violation(fleet, "the first configuration is refused when it is sent again");
   if (status_at(fleet, h, "PUT", "/v1/routing", b, 1) != 412 ||
       status_at(fleet, h, "PUT", "/v1/routing", a, 2) != 400)
-    fleet_add_violation(fleet, "a wrong one is taken, or refused otherwise");
+    fleet_add_violation(fleet,
+                        "a wrong base or version is accepted, or refused with another status");
   /* two changes of the same version at the same time, and a repeat of one of them */
   char *at = listener_of(fleet_find_head(fleet));
   test_call *x = test_call_send(fleet, at, "PUT", "/v1/routing", b, 2),
@@ -704,9 +708,10 @@
   sim_run_until(fleet->sim, test_call_done, y, time_from_ms(2000));
   sim_run_until(fleet->sim, test_call_done, again, time_from_ms(2000));
   if ((x->status == 200) + (y->status == 200) != 1 || (x->status == 412) + (y->status == 412) != 1)
-    fleet_add_violation(fleet, "two raced and got %d and %d", x->status, y->status);
+    fleet_add_violation(fleet, "two concurrent changes of one version got %d and %d", x->status,
+                        y->status);
   if (again->status != x->status)
-    fleet_add_violation(fleet, "the same came again meanwhile and got %d, not %d", again->status,
+    fleet_add_violation(fleet, "a concurrent repeat of a change got %d, not %d", again->status,
                         x->status);
   int now = x->status == 200 ? 5 : 6;
   test_call_free(x);
@@ -714,28 +719,30 @@
   test_call_free(again);
   if (status_at(fleet, fleet->controller[0], "PATCH", "/v1/routing",
                 "{\"version\":11,\"drop\":{\"routes\":[\"r0\"]}}", now) != 200)
-    fleet_add_violation(fleet, "a change is not taken");
+    fleet_add_violation(fleet, "a patch is refused");
   if (status_at(fleet, fleet->controller[1], "PATCH", "/v1/routing",
                 "{\"version\":11,\"drop\":{\"routes\":[\"r0\"]}}", now) != 200)
-    fleet_add_violation(fleet, "a change is refused when it comes again");
+    fleet_add_violation(fleet, "a patch is refused when it is sent again");
   if (status_at(fleet, fleet->controller[2], "PUT", "/v1/routing", a, 0) != 200)
-    fleet_add_violation(fleet, "an old one that was taken is refused when it comes again");
+    fleet_add_violation(fleet, "an old accepted configuration is refused when it is sent again");
   test_call *test = request_listener(fleet, fleet->controller[1], "GET", "/v1/routing", NULL, -1);
   json *json = json_parse(string_view_of_gstring(test->body), NULL);
   if (test->status != 200 || json_number(json, "version", 0) != 11 ||
       json_count(json_get(json, "routes")) != (size_t)(now == 5 ? 3 : 4))
-    fleet_add_violation(fleet, "it reads %d, %.200s", test->status, test->body->str);
+    fleet_add_violation(fleet, "reading the configuration gave %d, %.200s", test->status,
+                        test->body->str);
   json_free(json);
   test_call_free(test);
   if (status_at(fleet, h, "PUT", "/v1/routing", large, 11) != 200)
-    fleet_add_violation(fleet, "a large one is not taken");
+    fleet_add_violation(fleet, "a large configuration is refused");
   sim_run(fleet->sim, time_from_ms(1000));
   for (int i = 0; i < fleet->routers; i++) {
     const routing *routing = fleet->router[i]->router->routing;
     if (!routing || routing->revision != 20 || routing->route_count != 1200)
-      fleet_add_violation(fleet, "%s has not compiled it", fleet->router[i]->self.text);
+      fleet_add_violation(fleet, "%s has not compiled the large configuration",
+                          fleet->router[i]->self.text);
   }
-  /* no head: 503 or 504 in time; acknowledged changes are there when the others are back */
+  /* without a head the response is 503 or 504, in time; acknowledged changes survive */
   host *isolated = fleet_find_tail(fleet);
   for (int i = 0; i < 3; i++)
     if (fleet->controller[i] != isolated)
@@ -744,7 +751,7 @@
   char *d = config_text(30, 2);
   int st = status_at(fleet, isolated, "PUT", "/v1/routing", d, 20);
   if (st != 503 && st != 504)
-    fleet_add_violation(fleet, "a machine without the others gave %d", st);
+    fleet_add_violation(fleet, "a controller without the others responded with %d", st);
   for (int i = 0; i < 3; i++)
     if (fleet->controller[i] != isolated)
       host_start(fleet->controller[i]);
@@ -753,16 +760,16 @@
   sim_run(fleet->sim, time_from_ms(3000));
   st = status_at(fleet, fleet->controller[0], "PUT", "/v1/routing", d, 20);
   if (st != 200)
-    fleet_add_violation(fleet, "with the core back it is %d", st);
-  /* the head drains: another one acts soon, and callers are redirected while the old head's process
-   * is there */
+    fleet_add_violation(fleet, "with all controllers back a change got %d", st);
+  /* the head drains: another one soon acts, and callers are redirected while the process of the old
+   * head exists */
   host *head = fleet_find_head(fleet);
   controller_drain(head->controller);
   sim_run(fleet->sim, time_from_ms(1500));
   char *e = config_text(31, 2);
   st = status_at(fleet, head, "PUT", "/v1/routing", e, 30);
   if (st != 200)
-    fleet_add_violation(fleet, "a head that leaves gave %d", st);
+    fleet_add_violation(fleet, "a change sent to the draining head got %d", st);
   g_free(a);
   g_free(b);
   g_free(c);
