--- a/tests/controlplane/config_change.c
+++ b/tests/controlplane/config_change.c
@@ -4,8 +4,9 @@
 #include "tests.h"
 #include <stdio.h>
 
-/** Tests of the configuration as operators see it: conditional changes, repeated at any controller
- * after lost responses, while controllers fail. The linearizability checker judges the history. */
+/** Tests of the configuration as operators see it: conditional changes that are retried at any
+ * controller after lost responses, while controllers fail. The resulting history must be
+ * linearizable. */
 
 enum {
   RESPONSE_TIMEOUT_MS = 1000,
@@ -19,7 +20,7 @@
 enum loss { LOSS_NONE, LOSS_REQUEST, LOSS_ANSWER, LOSS_CALLER_LEAVES };
 
 typedef struct run run;
-/** A change with its text, so that exactly the same can be sent again. */
+/** A change with its text, so that an identical request can be sent again. */
 typedef struct sent_change {
   uint64_t base, version;
   bool patch, valid;
@@ -32,13 +33,13 @@
   int number;
 } operator_task;
 
-/** Controllers, the operators' host, and the history of all that operators saw. */
+/** A test run: controllers, the operators' host, and the history of all attempts and reads. */
 struct run {
   deployment *deployment;
   register_history *history;
   GArray *changes;
   GArray *addresses;
-  /* shares of calls, in percent, that are lost in either direction */
+  /* shares, in percent, of calls whose request or response is lost, or whose caller leaves early */
   unsigned request_loss, answer_loss, leaving;
   uint64_t confirmed, refused, unclear;
   uint64_t current;
@@ -56,7 +57,7 @@
   operator->controllers->pdata[i % run->deployment->operator->controllers->len];
 }
 
-/* what an operator concludes from an HTTP status */
+/* Returns what an operator concludes from an HTTP status. */
 static enum register_answer answer_of(int status) {
   switch (status) {
   case 200:
@@ -110,7 +111,7 @@
   return status;
 }
 
-/* Sends a change once, to one controller, and records what the operator saw. */
+/* Sends a change once, to one controller, and records the outcome. */
 static enum register_answer send_once(run *run, guint number, const char *address, enum loss loss) {
   world *world = run->deployment->operator->world;
   sent_change o = g_array_index(run->changes, sent_change, number);
@@ -120,7 +121,7 @@
   }
   GString *body = g_string_new(NULL);
   time_us called = world_now(world);
-  /* a caller that leaves early gets no response; one whose response is lost waits for its timeout
+  /* a caller that leaves early gets no response; one whose response is lost waits until its timeout
    */
   int64_t wait_ms = loss == LOSS_CALLER_LEAVES ? 1 + (int64_t)draw(run, 60) : RESPONSE_TIMEOUT_MS;
   int status = call_controller(
@@ -151,8 +152,8 @@
   return n < run->leaving ? LOSS_CALLER_LEAVES : LOSS_NONE;
 }
 
-/* Writes a full configuration, or a patch of one item; both have a mark that names the change. An
- * invalid one names a service that does not exist. */
+/* Writes the text of a change: a full configuration, or a patch of one item. Both have a mark with
+ * the number of the change. An invalid change names a service that does not exist. */
 static void write_text(sent_change *o, guint number) {
   static const char route[] =
       "{\"name\":\"r-mark\",\"host\":\"mark-%u.example\",\"prefix\":\"/mark/\",\"mode\":\"safe\","
@@ -182,7 +183,7 @@
   return number;
 }
 
-/* Sends a change, and repeats it until there is a clear response or the timeout has passed. */
+/* Sends a change, and retries it until there is a clear response or the timeout has passed. */
 static enum register_answer send_until_clear(run *run, guint number, int64_t timeout_ms) {
   world *world = run->deployment->operator->world;
   time_us till = time_add(world_now(world), time_from_ms(timeout_ms));
@@ -198,7 +199,8 @@
   return answer;
 }
 
-/* Reads the configuration and records which change made it. Returns false without a response. */
+/* Reads the configuration and records the change that made it. Returns false if there is none in
+ * time. */
 static bool read_once(run *run, const char *address, uint64_t *version) {
   world *world = run->deployment->operator->world;
   GString *body = g_string_new(NULL);
@@ -214,11 +216,11 @@
     *version = (uint64_t)json_number(json, "version", 0);
     json_free(json);
     if (!mark || sscanf(mark, "mark-%u", &number) != 1 || number >= run->changes->len)
-      fleet_add_violation(run->deployment->fleet, "a configuration of nobody was read: %.200s",
-                          body->str);
+      fleet_add_violation(run->deployment->fleet,
+                          "a configuration that no change made was read: %.200s", body->str);
     else if (g_array_index(run->changes, sent_change, number).version != *version)
       fleet_add_violation(run->deployment->fleet,
-                          "version %" PRIu64 " was read with the content of order %u", *version,
+                          "version %" PRIu64 " was read with the content of change %u", *version,
                           number);
     else
       register_history_add_read(run->history, number, (uint64_t)called.us,
@@ -240,8 +242,8 @@
   return false;
 }
 
-/* Task: an operator, who reads or remembers the current version, changes it, and at times repeats
- * an old change at each controller. */
+/* Task: an operator, who reads or remembers the current version, changes it, and sometimes sends
+ * the same or an old change again. */
 static void operator_run(void *p) {
   operator_task *t = p;
   run *run = t->run;
@@ -250,7 +252,7 @@
     uint64_t base = run->current;
     if (base && !draw(run, 3) && !read_until_clear(run, &base, CHANGE_TIMEOUT_MS))
       continue;
-    /* the step is small, so that two operators pick the same number at times */
+    /* the step is small, so that two operators sometimes choose the same version */
     bool patch = base && draw(run, 2);
     guint number = new_change(run, base, base + 1 + draw(run, 2), patch, draw(run, 12) != 0);
     send_until_clear(run, number, CHANGE_TIMEOUT_MS);
@@ -284,7 +286,7 @@
   j->run->busy--;
 }
 
-/* Runs a function as a task of the operators' host, to its end. */
+/* Runs a function to completion as a task of the operators' host. */
 static bool as_operator(run *r, void (*work)(run *r, void *ctx), void *ctx, int64_t ms) {
   job j = { r, work, ctx };
   r->busy++;
@@ -292,7 +294,7 @@
   r->deployment->operator_host->next_wake_at = r->deployment->sim->now;
   if (sim_run_until(r->deployment->sim, is_idle, r, time_from_ms(ms)))
     return true;
-  fleet_add_violation(r->deployment->fleet, "the operator did not come to an end");
+  fleet_add_violation(r->deployment->fleet, "the operator's task did not end");
   host_kill(r->deployment->operator_host);
   return false;
 }
@@ -301,7 +303,7 @@
   (void)ctx;
   guint number = new_change(run, 0, 1, false, true);
   if (send_until_clear(run, number, 20000) != ANSWER_CONFIRMED)
-    fleet_add_violation(run->deployment->fleet, "the first configuration was not taken");
+    fleet_add_violation(run->deployment->fleet, "the first configuration was not accepted");
 }
 
 static host *add_controller(fleet *fleet) {
@@ -336,7 +338,7 @@
       host_start(h);
 }
 
-/* The same, with a first configuration. */
+/* Like run_start, and also waits for the chain and writes a first configuration. */
 static bool run_up(run *run, fleet *fleet, int members) {
   run_start(run, fleet, members);
   sim_run(fleet->sim, time_from_ms(2500));
@@ -349,7 +351,7 @@
   uint64_t version;
   for (int i = 0; i < 3; i++)
     if (!read_until_clear(run, &version, 20000))
-      fleet_add_violation(run->deployment->fleet, "nobody gave the configuration");
+      fleet_add_violation(run->deployment->fleet, "no controller returned the configuration");
 }
 
 /* Repairs all faults, reads the configuration, and checks the history. */
@@ -359,7 +361,7 @@
   run->request_loss = run->answer_loss = run->leaving = 0;
   scenario_heal_all(fleet);
   if (!sim_run_until(fleet->sim, is_idle, run, time_from_ms(60000)))
-    fleet_add_violation(fleet, "operators did not come to an end");
+    fleet_add_violation(fleet, "the operators' tasks did not end");
   sim_run(fleet->sim, time_from_ms(3000));
   as_operator(run, final_read, NULL, 70000);
   GString *why = g_string_new(NULL);
@@ -368,7 +370,7 @@
   g_string_free(why, TRUE);
   if (getenv("ORDERS_LOUD"))
     fprintf(stderr,
-            "orders %u, confirmed %" PRIu64 ", refused %" PRIu64 ", unclear %" PRIu64
+            "changes %u, confirmed %" PRIu64 ", refused %" PRIu64 ", unclear %" PRIu64
             ", version %" PRIu64 "\n",
             run->changes->len, run->confirmed, run->refused, run->unclear, run->current);
   bool good = !fleet->violations->len;
@@ -387,7 +389,7 @@
   run->deployment->operator_host->next_wake_at = run->deployment->sim->now;
 }
 
-/* faults of controllers */
+/* fault injection */
 static host *any_controller(run *run) {
   return run->deployment->fleet
       ->controller[draw(run, (uint64_t)run->deployment->fleet->controllers)];
@@ -478,8 +480,8 @@
   return run_done(&r);
 }
 
-/* given two to eight operators under one number, with answers and requests lost, when a core of
- * three loses machines, links and power, then the history is one of a register */
+/* Two to eight operators make conditional changes, and some requests and responses are lost, while
+ * controllers lose processes, links, disks and power. The history must be linearizable. */
 static bool operators_share_a_core_of_three(fleet *fleet) {
   return operators_under_faults(fleet, 3);
 }
@@ -500,8 +502,8 @@
   run->busy--;
 }
 
-/* given operators and readers, when machines freeze, wake and join the end of the chain again, then
- * no read is older than what was confirmed before it */
+/* Controllers freeze, wake up and rejoin at the end of the chain, while operators write and read.
+ * No read may return an older configuration than one confirmed before the read. */
 static bool machines_join_while_orders_are_read(fleet *fleet) {
   run r;
   if (!run_up(&r, fleet, draw_members(fleet)))
@@ -513,8 +515,8 @@
     task_start(&r.deployment->operator->world->tasks, "reader", reader_run, &r.tasks[i]);
   }
   for (int i = 0; i < 6; i++) {
-    /* of five, two at once: both join in one view, and the last one behind one that has yet to
-       catch up */
+    /* two of five at once: both join in one view, and the last one has a predecessor that has yet
+       to catch up */
     for (int k = 0; k < (fleet->controllers == 5 ? 2 : 1); k++)
       host_freeze(any_controller(&r));
     sim_run(fleet->sim, time_from_ms(2500 + (int64_t)draw(&r, 1000)));
@@ -524,8 +526,8 @@
   return run_done(&r);
 }
 
-/* given two to eight operators who all send a first configuration to a core that is only just being
- * founded, then one of them is taken */
+/* Two to eight operators all send a first configuration while the controllers are still forming the
+ * first view. One of them must be accepted. */
 static bool operators_race_for_the_first(fleet *fleet) {
   run r;
   run_start(&r, fleet, draw_members(fleet));
@@ -540,11 +542,11 @@
   scenario_heal_all(fleet);
   sim_run(fleet->sim, time_from_ms(20000));
   if (!r.current && !disk_lost)
-    fleet_add_violation(fleet, "no first configuration was taken");
+    fleet_add_violation(fleet, "no first configuration was accepted");
   return run_done(&r);
 }
 
-/** Hundreds and thousands of changes after one whose responses were lost. */
+/** Many changes that follow one whose response was lost. */
 typedef struct long_history {
   guint changes;
   guint first, second;
@@ -555,15 +557,16 @@
   d->first = new_change(run, run->current, run->current + 1, true, true);
   send_once(run, d->first, address_of(run, 0), LOSS_ANSWER);
   uint64_t base = run->current + 1;
-  /* it was accepted, as the next one shows; another change to the same version is refused */
+  /* the first change was accepted: another one with the same base and new version is refused */
   d->second = new_change(run, run->current, base, false, true);
   if (send_until_clear(run, d->second, CHANGE_TIMEOUT_MS) != ANSWER_CONFLICT)
     fleet_add_violation(run->deployment->fleet,
-                        "another change under the same number was not refused");
+                        "another change that creates the same version was not refused");
   for (guint i = 0; i < d->changes; i++) {
     guint number = new_change(run, base + i, base + i + 1, i % 2 == 0, true);
     if (send_until_clear(run, number, CHANGE_TIMEOUT_MS) != ANSWER_CONFIRMED) {
-      fleet_add_violation(run->deployment->fleet, "change %u of %u was not taken", i, d->changes);
+      fleet_add_violation(run->deployment->fleet, "change %u of %u was not accepted", i,
+                          d->changes);
       return;
     }
   }
@@ -575,13 +578,13 @@
     enum register_answer a = send_once(run, d->first, address_of(run, i), LOSS_NONE);
     if (a != ANSWER_CONFIRMED)
       fleet_add_violation(run->deployment->fleet,
-                          "an order that was taken got %d when it came again after %u others", a,
+                          "an accepted change got %d when it was sent again after %u others", a,
                           d->changes);
     send_once(run, d->second, address_of(run, i), LOSS_NONE);
   }
 }
 
-/* The head loses its disk, and comes back as the tail. */
+/* Wipes the disk of the head, which comes back as the tail. */
 static void replace_head_disk(fleet *fleet) {
   host *head = fleet_find_head(fleet);
   if (!head) {
@@ -600,13 +603,13 @@
   long_history d = { .changes = changes };
   if (run_up(&r, fleet, 3) && as_operator(&r, change_many, &d, 4000000)) {
     as_operator(&r, send_first_again, &d, 30000);
-    /* nor is it forgotten by a restart of all, or by a loss of power */
+    /* the change is still known after a power loss and restart of all controllers */
     for (int i = 0; i < fleet->controllers; i++)
       host_power_off(fleet->controller[i]);
     scenario_heal_all(fleet);
     sim_run(fleet->sim, time_from_ms(4000));
     as_operator(&r, send_first_again, &d, 30000);
-    /* nor by machines that came with an empty disk and then lead: each is wiped once */
+    /* it is also known to heads that joined with an empty disk: each disk is wiped once */
     for (int i = 0; i < fleet->controllers; i++) {
       replace_head_disk(fleet);
       as_operator(&r, send_first_again, &d, 30000);
@@ -622,8 +625,8 @@
   return repeat_after(fleet, 7300);
 }
 
-/* given an order whose answer was lost and more changes than are remembered, when it comes again,
- * then the answer promises nothing: nobody knows whether it was taken */
+/* Sends a change again after more changes than the controllers keep. The response must leave its
+ * outcome open, since it is unknown whether the change was accepted. */
 static void send_forgotten(run *run, void *ctx) {
   long_history *d = ctx;
   for (size_t i = 0; i < run->deployment->operator->controllers->len; i++)
@@ -631,7 +634,7 @@
       enum register_answer a =
           send_once(run, k ? d->second : d->first, address_of(run, i), LOSS_NONE);
       if (a != ANSWER_NONE)
-        fleet_add_violation(run->deployment->fleet, "an order older than the memory got %d", a);
+        fleet_add_violation(run->deployment->fleet, "a forgotten change got %d", a);
     }
 }
 
@@ -643,7 +646,7 @@
   return run_done(&r);
 }
 
-/* accepted_changes: bounded, the latest ones known, the same when packed and unpacked */
+/* The list of accepted changes is bounded, keeps the latest ones, and survives packing. */
 static bool accepted_orders_are_bounded(fleet *fleet) {
   accepted_changes a, b;
   accepted_changes_init(&a);
@@ -653,43 +656,42 @@
     accepted_changes_add(&a, i * 3, i * 0x9e3779b97f4a7c15u, i * 2);
     uint64_t oldest = i > ACCEPTED_CHANGES_MAX ? i - ACCEPTED_CHANGES_MAX + 1 : 1;
     if (a.all->len >= ACCEPTED_CHANGES_MAX + ACCEPTED_CHANGES_FORGOTTEN_AT_ONCE)
-      fleet_add_violation(fleet, "%u orders are kept", a.all->len);
+      fleet_add_violation(fleet, "%u changes are kept", a.all->len);
     if (!accepted_changes_find(&a, oldest * 3, oldest * 0x9e3779b97f4a7c15u) ||
         accepted_changes_may_include(&a, oldest * 3))
-      fleet_add_violation(fleet, "order %" PRIu64 " of the latest is forgotten at %" PRIu64, oldest,
+      fleet_add_violation(fleet, "change %" PRIu64 " is forgotten after change %" PRIu64, oldest,
                           i);
     if (accepted_changes_find(&a, i * 3, 1))
-      fleet_add_violation(fleet, "another order on a base is taken for the one that was accepted");
+      fleet_add_violation(fleet, "another change of the same base version is found as accepted");
   }
   if (accepted_changes_find(&a, 3, 0x9e3779b97f4a7c15u) || !accepted_changes_may_include(&a, 3))
-    fleet_add_violation(fleet, "the first of %" PRIu64 " orders is not said to be forgotten",
-                        count);
+    fleet_add_violation(
+        fleet, "the first of %" PRIu64 " changes is not reported as possibly forgotten", count);
   Wire__AcceptedChanges w;
   accepted_changes_pack(&a, &w);
   size_t size = wire__accepted_changes__get_packed_size(&w);
   accepted_changes_unpack(&b, &w);
   if (size > accepted_changes_packed_size(&a))
-    fleet_add_violation(fleet, "%u orders take %zu bytes, over the bound of %zu", a.all->len, size,
-                        accepted_changes_packed_size(&a));
+    fleet_add_violation(fleet, "%u changes take %zu bytes, more than the upper bound of %zu",
+                        a.all->len, size, accepted_changes_packed_size(&a));
   if (b.checksum != a.checksum || b.any_forgotten != a.any_forgotten ||
       b.forgotten_base != a.forgotten_base || b.all->len != a.all->len ||
       memcmp(a.all->data, b.all->data, a.all->len * sizeof(accepted_change)))
-    fleet_add_violation(fleet, "what was packed is read otherwise");
+    fleet_add_violation(fleet, "the unpacked list differs from the packed one");
   if (getenv("ORDERS_LOUD"))
-    fprintf(stderr, "%u orders, %zu bytes packed, %zu in memory\n", a.all->len, size,
+    fprintf(stderr, "%u changes, %zu bytes packed, %zu in memory\n", a.all->len, size,
             a.all->len * sizeof(accepted_change));
   accepted_changes_packed_free(&w);
   accepted_changes_copy(&b, &a);
   accepted_changes_add(&b, count * 3 + 3, 7, count * 2 + 2);
   if (b.checksum == a.checksum)
-    fleet_add_violation(fleet, "a copy with one more order has the same sum");
+    fleet_add_violation(fleet, "a copy with one more change has the same checksum");
   accepted_changes_free(&a);
   accepted_changes_free(&b);
   return !fleet->violations->len;
 }
 
-/* given a head whose links are cut with an order in its suffix that nobody else has, when another
- * order wins and the old head catches up, then nobody is told otherwise by the old head */
+/* Sends a change to the cut head, which may write it to a suffix of its log that is lost later. */
 static void write_at_cut_head(run *run, void *ctx) {
   const char *head = ctx;
   guint lost = new_change(run, run->current, run->current + 1, true, true);
@@ -725,7 +727,7 @@
   run->busy--;
 }
 
-/* Sends another change of the same base to the cut head, where the one that wins may be lost. */
+/* Sends another change of the same base version to the cut head. */
 static void rival_task(void *p) {
   pair *a = p;
   run *run = a->run;
@@ -735,6 +737,8 @@
   run->busy--;
 }
 
+/* A head is cut off while its log has a suffix that no other controller has. Another change wins,
+ * and the old head catches up. The old head must not confirm the change in its lost suffix. */
 static bool a_suffix_is_lost(fleet *fleet) {
   run r;
   if (!run_up(&r, fleet, 3))
@@ -757,7 +761,7 @@
     sim_run(fleet->sim, time_from_ms(1300 + (int64_t)draw(&r, 500)));
     scenario_heal_all(fleet);
     if (!sim_run_until(fleet->sim, is_idle, &r, time_from_ms(120000)))
-      fleet_add_violation(fleet, "operators did not come to an end");
+      fleet_add_violation(fleet, "the operators' tasks did not end");
     as_operator(&r, final_read, NULL, 70000);
     for (guint i = 0; i < r.changes->len; i++)
       if (g_array_index(r.changes, sent_change, i).last == ANSWER_CONFIRMED)
@@ -766,7 +770,7 @@
   return run_done(&r);
 }
 
-/** Eight changes, each of the version that the one before makes, sent at once. */
+/** One of eight concurrent changes, each based on the version that the one before it creates. */
 typedef struct chained {
   run *run;
   guint number;
@@ -790,7 +794,8 @@
       world_sleep(world, time_from_ms(300));
   }
   if (a != ANSWER_CONFIRMED)
-    fleet_add_violation(run->deployment->fleet, "order %u of eight at once got %d", c->number, a);
+    fleet_add_violation(run->deployment->fleet, "change %u of eight concurrent changes got %d",
+                        c->number, a);
   c->took = time_sub(world_now(world), sent);
   run->busy--;
 }
@@ -813,13 +818,13 @@
   sim_run_until(fleet->sim, is_idle, &r, time_from_ms(30000));
   for (int i = 0; i < OPERATORS_MAX; i++)
     if (all[i].took.us > 600000)
-      fleet_add_violation(fleet, "order %d of eight at once took %" PRId64 " ms", i,
+      fleet_add_violation(fleet, "change %d of eight concurrent changes took %" PRId64 " ms", i,
                           (int64_t)all[i].took.us / 1000);
   fleet->sim->delay_ms = 1;
   return run_done(&r);
 }
 
-/* the checker, without a fleet */
+/* tests of the linearizability checker, without a fleet */
 static void expect(fleet *fleet, register_history *h, bool good, const char *what) {
   GString *why = g_string_new(NULL);
   bool is = register_history_check(h, why);
@@ -842,7 +847,7 @@
   register_history_add_read(h, a, 5, 6);
   register_history_add_read(h, b, 6, 7);
   register_history_add_attempt(h, b, 10, 11, ANSWER_CONFIRMED);
-  /* without a clear answer, and yet read later */
+  /* no clear answer, but read later */
   register_history_add_attempt(h, d, 12, 13, ANSWER_NONE);
   register_history_add_read(h, b, 14, 15);
   register_history_add_read(h, d, 16, 17);
@@ -857,23 +862,24 @@
   register_history_add_attempt(h, b, 3, 4, ANSWER_NONE);
   register_history_add_attempt(h, c, 3, 4, ANSWER_NONE);
   register_history_add_attempt(h, d, 5, 6, ANSWER_CONFIRMED);
-  expect(fleet, h, true, "one of two orders without an answer");
+  expect(fleet, h, true, "one of two changes without an answer");
 
   h = register_history_new();
   a = register_history_add_order(h, 0, 1, true);
   b = register_history_add_order(h, 7, 9, true);
   register_history_add_attempt(h, a, 1, 2, ANSWER_CONFIRMED);
   register_history_add_attempt(h, b, 3, 4, ANSWER_CONFLICT);
-  expect(fleet, h, true, "a base that never was");
+  expect(fleet, h, true, "a change of a base version that never existed");
 
   h = register_history_new();
   a = register_history_add_order(h, 0, 1, true);
   b = register_history_add_order(h, 0, 4, false);
   register_history_add_attempt(h, b, 1, 2, ANSWER_INVALID);
   register_history_add_attempt(h, a, 1, 2, ANSWER_CONFIRMED);
-  expect(fleet, h, true, "an invalid order that was refused");
+  expect(fleet, h, true, "an invalid change that was refused");
 
-  /* hundreds, eight of them open at once, half without an answer */
+  /* 800 versions with eight concurrent changes each; only for every second version one of them has
+   * a clear answer */
   h = register_history_new();
   for (uint64_t v = 0; v < 800; v++)
     for (int i = 0; i < OPERATORS_MAX; i++) {
@@ -895,14 +901,14 @@
   register_history_add_attempt(h, a, 1, 2, ANSWER_CONFIRMED);
   register_history_add_attempt(h, b, 3, 4, ANSWER_CONFIRMED);
   register_history_add_attempt(h, c, 5, 6, ANSWER_CONFIRMED);
-  expect(fleet, h, false, "two winners on one base");
+  expect(fleet, h, false, "two accepted changes of one base version");
 
   h = register_history_new();
   a = register_history_add_order(h, 0, 1, true);
   b = register_history_add_order(h, 0, 1, true);
   register_history_add_attempt(h, a, 1, 9, ANSWER_CONFIRMED);
   register_history_add_attempt(h, b, 1, 9, ANSWER_CONFIRMED);
-  expect(fleet, h, false, "two winners under one number");
+  expect(fleet, h, false, "two accepted changes that create one version");
 
   h = register_history_new();
   a = register_history_add_order(h, 0, 1, true);
@@ -910,7 +916,7 @@
   register_history_add_attempt(h, a, 1, 2, ANSWER_CONFIRMED);
   register_history_add_attempt(h, b, 3, 4, ANSWER_CONFIRMED);
   register_history_add_read(h, a, 5, 6);
-  expect(fleet, h, false, "a stale read, or a lost write");
+  expect(fleet, h, false, "a stale read or a lost write");
 
   h = register_history_new();
   a = register_history_add_order(h, 0, 1, true);
@@ -919,7 +925,7 @@
   register_history_add_attempt(h, b, 3, 20, ANSWER_CONFIRMED);
   register_history_add_read(h, b, 4, 5);
   register_history_add_read(h, a, 6, 7);
-  expect(fleet, h, false, "a read that goes back");
+  expect(fleet, h, false, "a read older than an earlier read");
 
   h = register_history_new();
   a = register_history_add_order(h, 0, 1, true);
@@ -927,14 +933,14 @@
   register_history_add_attempt(h, a, 1, 2, ANSWER_CONFIRMED);
   register_history_add_attempt(h, b, 3, 4, ANSWER_CONFLICT);
   register_history_add_read(h, b, 5, 6);
-  expect(fleet, h, false, "a refused order in force");
+  expect(fleet, h, false, "a refused change that is read");
 
   h = register_history_new();
   a = register_history_add_order(h, 0, 1, true);
   b = register_history_add_order(h, 1, 2, true);
   register_history_add_attempt(h, a, 1, 2, ANSWER_CONFIRMED);
   register_history_add_attempt(h, b, 3, 4, ANSWER_CONFLICT);
-  expect(fleet, h, false, "a refusal while the base is current");
+  expect(fleet, h, false, "a refusal while the base version is current");
 
   h = register_history_new();
   a = register_history_add_order(h, 0, 1, true);
@@ -942,7 +948,7 @@
   register_history_add_attempt(h, a, 1, 2, ANSWER_CONFIRMED);
   register_history_add_attempt(h, b, 3, 4, ANSWER_CONFIRMED);
   register_history_add_attempt(h, a, 5, 6, ANSWER_CONFLICT);
-  expect(fleet, h, false, "a taken order refused when it came again");
+  expect(fleet, h, false, "an accepted change that is refused when sent again");
 
   h = register_history_new();
   a = register_history_add_order(h, 0, 1, true);
@@ -951,19 +957,19 @@
   register_history_add_attempt(h, a, 1, 2, ANSWER_CONFIRMED);
   register_history_add_attempt(h, b, 3, 4, ANSWER_CONFLICT);
   register_history_add_attempt(h, c, 5, 6, ANSWER_CONFIRMED);
-  expect(fleet, h, false, "a refusal before the winner was sent");
+  expect(fleet, h, false, "a refusal before the accepted change was sent");
 
   h = register_history_new();
   a = register_history_add_order(h, 0, 1, true);
   b = register_history_add_order(h, 1, 2, false);
   register_history_add_attempt(h, a, 1, 2, ANSWER_CONFIRMED);
   register_history_add_attempt(h, b, 3, 4, ANSWER_CONFIRMED);
-  expect(fleet, h, false, "an invalid order that was confirmed");
+  expect(fleet, h, false, "an invalid change that was confirmed");
 
   h = register_history_new();
   a = register_history_add_order(h, 3, 4, true);
   register_history_add_attempt(h, a, 1, 2, ANSWER_CONFIRMED);
-  expect(fleet, h, false, "an order on a base that never was");
+  expect(fleet, h, false, "an accepted change of a base version that never existed");
   return !fleet->violations->len;
 }
 
--- a/tests/controlplane/controller.c
+++ b/tests/controlplane/controller.c
@@ -1,5 +1,6 @@
-/** Tests of the operator API in lib/controlplane/controller.c: conditional and repeated writes,
- * invalid and large resources. Fleet: three controllers, two or three routers and engines.
+/** Tests of the operators' API in lib/controlplane/resource_api.c: conditional and repeated writes,
+ * invalid and large resources. The fleet has three controllers, two or three routers and two
+ * engines.
  */
 #include "scenario.h"
 #include "tests.h"
@@ -25,10 +26,11 @@
     sim_run(fleet->sim, time_from_ms(3000));
     if ((a->status == 200) + (b->status == 200) != 1 ||
         (a->status == 412) + (b->status == 412) != 1)
-      fleet_add_violation(fleet, "two raced and got %d and %d", a->status, b->status);
+      fleet_add_violation(fleet, "two concurrent writes of one version got %d and %d", a->status,
+                          b->status);
     operator_call_free(a);
     operator_call_free(b);
-    /* a try that comes again is not applied again */
+    /* a retry is not applied again */
     char key[32];
     snprintf(key, sizeof key, "again-%d", i);
     a = fleet_call(fleet, fleet->controller[0], "PUT", "/v1/evacuation", x, NULL, key,
@@ -36,14 +38,14 @@
     b = fleet_call(fleet, fleet->controller[1], "PUT", "/v1/evacuation", x, NULL, key,
                    time_from_ms(5000));
     if (a->status != 200 || b->status != 200 || a->version != b->version)
-      fleet_add_violation(fleet, "a write that came again is %" PRIu64 " and %" PRIu64, a->version,
-                          b->version);
+      fleet_add_violation(fleet, "a write and its retry gave versions %" PRIu64 " and %" PRIu64,
+                          a->version, b->version);
     operator_call_free(a);
     operator_call_free(b);
     b = fleet_call(fleet, fleet->controller[2], "PUT", "/v1/evacuation", y, NULL, key,
                    time_from_ms(5000));
     if (b->status != 422)
-      fleet_add_violation(fleet, "a key was used for two requests and got %d", b->status);
+      fleet_add_violation(fleet, "an idempotency key used for another request got %d", b->status);
     operator_call_free(b);
     g_free(x);
     g_free(y);
@@ -88,18 +90,18 @@
     json_free(json);
     operator_call_free(call);
   }
-  /* a catalogue that drops what an evacuation names is refused as well */
+  /* a catalogue without a zone that an evacuation names is refused as well */
   if (!fleet_put(fleet, "evacuation", "{\"areas\":[{\"area\":\"north\",\"share\":0}]}"))
     return false;
   operator_call *call = fleet_call(fleet, fleet->controller[0], "PATCH", "/v1/catalogue",
                                    "{\"areas\":[\"mid\"]}", NULL, NULL, time_from_ms(5000));
   if (call->status != 400)
-    fleet_add_violation(fleet, "an area in use was dropped: %d", call->status);
+    fleet_add_violation(fleet, "a catalogue without a zone in use got %d", call->status);
   operator_call_free(call);
   call = fleet_call(fleet, fleet->controller[0], "GET", "/v1/nothing", NULL, NULL, NULL,
                     time_from_ms(5000));
   if (call->status != 404)
-    fleet_add_violation(fleet, "an unknown page got %d", call->status);
+    fleet_add_violation(fleet, "an unknown path got %d", call->status);
   operator_call_free(call);
   return true;
 }
@@ -113,14 +115,14 @@
   char *big = fleet_catalogue_json(12000, 12000, NULL);
   uint64_t v = fleet_put(fleet, "catalogue", big);
   if (!v)
-    fleet_add_violation(fleet, "a catalogue of %zu bytes was not taken", strlen(big));
+    fleet_add_violation(fleet, "a catalogue of %zu bytes was refused", strlen(big));
   g_free(big);
   sim_run(fleet->sim, time_from_ms(2500));
   for (int i = 0; i < fleet->routers; i++)
     if (fleet->router[i]->router->sync.config_version < v)
-      fleet_add_violation(fleet, "R4 %s has not got the large catalogue after 2.5 s",
+      fleet_add_violation(fleet, "R4 %s does not have the large catalogue after 2.5 s",
                           fleet->router[i]->self.text);
-  /* it is sent in parts to a controller with an empty disk, and survives a loss of power */
+  /* it is sent in chunks to a controller with an empty disk, and survives a power loss */
   host *host = fleet->controller[sim_random(fleet->sim, 3)];
   host_power_off(host);
   host_wipe_disk(host);
