--- a/tests/main.c
+++ b/tests/main.c
@@ -1,9 +1,9 @@
 /**
- * Runs the tests: `tests [--list | NAME [SEED]]`. Without a name all tests run, each over its share
- * of the seeds and each run over a new simulated fleet.
+ * Runs the tests: `tests [--list | NAME [SEED]]`. Without a name all tests run, each for its share
+ * of the seeds. Each run gets a new simulated fleet.
  *
- * Environment: SEEDS is the number of seeds, FROM the seed before the first one, ROUTERS and
- * ENGINES replace the sizes of every fleet.
+ * Environment: SEEDS is the number of seeds and FROM the seed before the first one. ROUTERS and
+ * ENGINES override the numbers of routers and engines of every fleet.
  */
 #include "fleet/random_faults.h"
 #include "tests.h"
@@ -15,11 +15,11 @@
 
 /** Options of a run, from the command line and the environment. */
 typedef struct run_options {
-  const char *name;     /* of the only test to run; NULL: all */
+  const char *name;     /* the only test to run; NULL: all */
   uint64_t seed;        /* the only seed; 0: all */
-  uint64_t seed_base;   /* added to each number of a seed, from 1 */
-  int seeds;            /* number of seeds at 100 percent */
-  int routers, engines; /* sizes that replace those of the tests; 0: as in the test */
+  uint64_t seed_base;   /* the seed before the first one */
+  int seeds;            /* number of seeds for a seed_percent of 100 */
+  int routers, engines; /* override those of the tests unless 0 */
 } run_options;
 
 static const test_case *const test_lists[] = {
@@ -89,8 +89,8 @@
 };
 
 static run_options options = { .seeds = SEEDS_DEFAULT };
-/* CUnit calls a test without a context, in the order in which they were added: the tests of this
- * run, and how many of them have begun */
+/* The tests of this run, and how many of them have begun. CUnit passes no context to a test, but
+ * calls the tests in the order in which they were added. */
 static GPtrArray *chosen_tests;
 static guint begun_tests;
 
@@ -102,12 +102,12 @@
   if (passed)
     return true;
   random_faults_shrink(test->run, seed, routers, engines);
-  fprintf(stderr, "test %s fails; again with: tests %s %" PRIu64 "\n", test->name, test->name,
+  fprintf(stderr, "test %s failed; repeat with: tests %s %" PRIu64 "\n", test->name, test->name,
           seed);
   return false;
 }
 
-/* runs a test over its seeds; each that fails is printed with the command that repeats it */
+/* Runs a test for its seeds; prints each that fails with the command that repeats it. */
 static void run_test(const test_case *test) {
   int routers = options.routers ? options.routers : test->routers,
       engines = options.engines ? options.engines : test->engines, failed = 0;
@@ -125,7 +125,7 @@
   run_test(chosen_tests->pdata[begun_tests++]);
 }
 
-/* the tests of a name; NULL: all */
+/* Returns the tests with a name; all if it is NULL. */
 static GPtrArray *choose_tests(const char *name) {
   GPtrArray *chosen = g_ptr_array_new();
   for (size_t i = 0; i < G_N_ELEMENTS(test_lists); i++)
@@ -159,7 +159,7 @@
     options.seed = strtoull(argv[2], NULL, 10);
 }
 
-/* returns the process's exit code */
+/* Returns the exit code of the process. */
 static int run_chosen_tests(void) {
   if (CU_initialize_registry() != CUE_SUCCESS)
     return EXIT_FAILURE;
--- a/tests/recovery.c
+++ b/tests/recovery.c
@@ -2,7 +2,7 @@
 #include "recovery.h"
 #include <stdio.h>
 
-/* how often a recovery is looked at */
+/* how often the fleet is observed during a recovery */
 enum { OBSERVE_INTERVAL_MS = 50 };
 
 static time_us first_token_at(const fleet *fleet, time_us after) {
@@ -31,7 +31,7 @@
   return first;
 }
 
-/* whether a live controller or router has declared a peer gone */
+/* Returns whether a live controller or router has declared a peer gone. */
 static bool loss_noticed(const fleet *fleet) {
   list_for_each (h, &fleet->sim->hosts, host, link) {
     if (!h->alive || h->role > HOST_ROUTER)
@@ -44,7 +44,8 @@
   return false;
 }
 
-/* fleet_find_lease_holder notes a violation for two holders, so every engine is asked */
+/* Returns whether the singletons of all live engines have a holder. Does not stop at the first
+ * without one, since fleet_find_lease_holder also records a violation if there are two. */
 static bool all_leases_held(fleet *fleet) {
   bool all = true;
   for (int i = 0; i < fleet->engines; i++) {
--- a/tests/scenario.c
+++ b/tests/scenario.c
@@ -1,17 +1,16 @@
-/** Helpers that tests of most modules share; see scenario.h. */
+/** Helpers shared by the tests of most modules; see scenario.h. */
 #include "scenario.h"
 #include "doctor.h"
 #include <stdio.h>
 
 enum {
-  /* a member lease may expire between the choice of a tail and the call to it: a read is repeated
-   */
+  /* attempts of a read, since the member lease of the tail may expire before the call reaches it */
   READ_ATTEMPTS_MAX = 21,
   READ_RETRY_MS = 300,
   READ_TIMEOUT_MS = 10000,
-  /* all probes of the doctor, each with its own timeout */
+  /* enough for all probes of the doctor, each with its own timeout */
   DOCTOR_TIMEOUT_MS = 200000,
-  /* delay of a link, in ms, between which messages of a healed fleet vary */
+  /* jitter of the message delay in a healed fleet, in ms */
   HEALED_SPREAD_MS = 2
 };
 
@@ -42,7 +41,7 @@
   return g_strdup_printf("{\"areas\":[{\"area\":\"north\",\"share\":0.%d}]}", share10);
 }
 
-/* the version of the latest acknowledged write of a resource; 0 when there was none */
+/* Returns the version of the latest acknowledged write of a resource; 0 when there was none. */
 static uint64_t acknowledged_version(const fleet *fleet, int resource) {
   uint64_t latest = 0;
   for (guint i = 0; i < fleet->write_acks->len; i++) {
@@ -53,7 +52,7 @@
   return latest;
 }
 
-/* reads a resource at the tail; returns the status, 503 when there is no tail */
+/* Reads a resource at the tail. Returns the status; 503 when there is no tail. */
 static int read_at_tail(fleet *fleet, int resource, uint64_t *version) {
   char path[40];
   snprintf(path, sizeof path, "/v1/%s", resource_names[resource]);
@@ -140,10 +139,10 @@
   }
 }
 
-/* one run of the doctor, as a task of the operator's machine */
+/* A run of the doctor as a task of the operator's host. */
 typedef struct doctor_visit {
   fleet *fleet;
-  GArray *findings; /* of finding; freed by the one who waits for the visit */
+  GArray *findings; /* elements are finding; freed by the task that waits for this run */
   bool done;
 } doctor_visit;
 
@@ -176,14 +175,14 @@
   doctor_visit visit = { fleet, NULL, false };
   task_start(&fleet->operator->world.tasks, "doctor", doctor_run, &visit);
   if (!sim_run_until(fleet->sim, doctor_done, &visit, time_from_ms(DOCTOR_TIMEOUT_MS))) {
-    fleet_add_violation(fleet, "the doctor does not end");
+    fleet_add_violation(fleet, "the doctor did not end in time");
     return;
   }
   if (!has_finding(visit.findings, code)) {
-    fleet_add_violation(fleet, "given %s, the doctor does not say %d", when, code);
+    fleet_add_violation(fleet, "%s: the doctor does not report %d", when, code);
     for (guint i = 0; i < visit.findings->len; i++) {
       const finding *found = &g_array_index(visit.findings, finding, i);
-      fleet_add_violation(fleet, "  but %d %s", found->code, found->evidence);
+      fleet_add_violation(fleet, "  instead it reports %d %s", found->code, found->evidence);
     }
   }
   g_array_free(visit.findings, TRUE);
--- a/tests/tests.h
+++ b/tests/tests.h
@@ -1,6 +1,6 @@
 /**
- * What a file of tests offers to the runner (main.c): a list of test cases, one list a module. The
- * helpers that most tests share come with it.
+ * What a test file offers to the runner (main.c): a list of test cases for each module. Also
+ * includes the helpers that most tests share.
  */
 #ifndef TESTS_TESTS_H
 #define TESTS_TESTS_H
@@ -8,18 +8,19 @@
 #include "fleet.h"
 #include "scenario.h"
 
-/** Runs one test over a new fleet that is not started yet; false, or a violation, is a failure. */
+/** Runs one test on a new fleet that is not started yet. The test fails if it returns false or
+ * records a violation. */
 typedef bool (*test_function)(fleet *fleet);
 
-/** A test: how large its fleet is, and for how many of the seeds it runs. */
+/** A test, with the size of its fleet and the share of the seeds for which it runs. */
 typedef struct test_case {
   /** Name on the command line, in KNOWN-RED.txt and in mutations.txt; NULL ends a list. */
   const char *name;
   test_function run;
   /** Numbers of routers and engines; each fleet has three controllers. */
   int routers, engines;
-  /** Share of the seeds in percent; a test runs for at least one seed. Above 100 for tests whose
-   * fault shows for few seeds. */
+  /** Share of the seeds in percent; a test runs for at least one seed. Above 100 for tests that
+   * fail for only a few seeds. */
   int seed_percent;
 } test_case;
 
@@ -31,7 +32,7 @@
     controller_tests[], replica_tests[], controller_cutoff_tests[], config_change_tests[],
     engine_registry_tests[], rejoin_tests[], replication_tests[], view_change_tests[], wal_tests[],
     wal_restart_tests[];
-/* lib/doctor, and what operators read */
+/* lib/doctor, and status pages for operators */
 extern const test_case doctor_tests[], operator_tests[];
 /* emulator */
 extern const test_case check_tests[], day_tests[];
@@ -48,9 +49,9 @@
     model_loading_tests[], policy_replay_tests[], singleton_lease_tests[];
 /* lib/runtime */
 extern const test_case real_disk_tests[], log_tests[];
-/* messages, stored data and outward texts of earlier versions */
+/* compatibility with messages, stored data and public texts of earlier versions */
 extern const test_case compatibility_tests[], outward_tests[], stored_data_tests[];
-/* scenarios of a full fleet */
+/* scenarios with a full fleet */
 extern const test_case corrupt_bytes_tests[], input_fuzzing_tests[], loss_tests[],
     partition_tests[], random_fault_tests[], serving_tests[], zone_loss_tests[];
 #endif
