--- a/tests/controlplane/config_change.c
+++ b/tests/controlplane/config_change.c
@@ -482,10 +482,10 @@
 
 /* Two to eight operators make conditional changes, and some requests and responses are lost, while
  * controllers lose processes, links, disks and power. The history must be linearizable. */
-static bool operators_share_a_core_of_three(fleet *fleet) {
+static bool changes_race_on_three_faulty_controllers(fleet *fleet) {
   return operators_under_faults(fleet, 3);
 }
-static bool operators_share_a_core_of_five(fleet *fleet) {
+static bool changes_race_on_five_faulty_controllers(fleet *fleet) {
   return operators_under_faults(fleet, 5);
 }
 
@@ -504,7 +504,7 @@
 
 /* Controllers freeze, wake up and rejoin at the end of the chain, while operators write and read.
  * No read may return an older configuration than one confirmed before the read. */
-static bool machines_join_while_orders_are_read(fleet *fleet) {
+static bool controllers_rejoin_during_reads(fleet *fleet) {
   run r;
   if (!run_up(&r, fleet, draw_members(fleet)))
     return run_done(&r);
@@ -528,7 +528,7 @@
 
 /* Two to eight operators all send a first configuration while the controllers are still forming the
  * first view. One of them must be accepted. */
-static bool operators_race_for_the_first(fleet *fleet) {
+static bool first_configurations_race(fleet *fleet) {
   run r;
   run_start(&r, fleet, draw_members(fleet));
   r.request_loss = 10;
@@ -618,10 +618,10 @@
   return run_done(&r);
 }
 
-static bool an_order_comes_again_after_hundreds(fleet *fleet) {
+static bool a_change_is_repeated_after_hundreds(fleet *fleet) {
   return repeat_after(fleet, 700);
 }
-static bool an_order_comes_again_after_thousands(fleet *fleet) {
+static bool a_change_is_repeated_after_thousands(fleet *fleet) {
   return repeat_after(fleet, 7300);
 }
 
@@ -638,7 +638,7 @@
     }
 }
 
-static bool an_order_older_than_the_memory(fleet *fleet) {
+static bool a_forgotten_change_is_repeated(fleet *fleet) {
   run r;
   long_history d = { .changes = ACCEPTED_CHANGES_MAX + ACCEPTED_CHANGES_FORGOTTEN_AT_ONCE + 10 };
   if (run_up(&r, fleet, 3) && as_operator(&r, change_many, &d, 6000000))
@@ -647,7 +647,7 @@
 }
 
 /* The list of accepted changes is bounded, keeps the latest ones, and survives packing. */
-static bool accepted_orders_are_bounded(fleet *fleet) {
+static bool accepted_changes_are_bounded(fleet *fleet) {
   accepted_changes a, b;
   accepted_changes_init(&a);
   accepted_changes_init(&b);
@@ -739,7 +739,7 @@
 
 /* A head is cut off while its log has a suffix that no other controller has. Another change wins,
  * and the old head catches up. The old head must not confirm the change in its lost suffix. */
-static bool a_suffix_is_lost(fleet *fleet) {
+static bool an_uncommitted_suffix_is_lost(fleet *fleet) {
   run r;
   if (!run_up(&r, fleet, 3))
     return run_done(&r);
@@ -800,7 +800,7 @@
   run->busy--;
 }
 
-static bool eight_orders_at_once_wait_little(fleet *fleet) {
+static bool eight_concurrent_changes_are_fast(fleet *fleet) {
   run r;
   if (!run_up(&r, fleet, 3))
     return run_done(&r);
@@ -976,15 +976,16 @@
 const test_case config_change_tests[] = {
   { "the_checker_accepts_good_histories", the_checker_accepts_good_histories, 0, 0, 10 },
   { "the_checker_rejects_bad_histories", the_checker_rejects_bad_histories, 0, 0, 10 },
-  { "operators_share_a_core_of_three", operators_share_a_core_of_three, 0, 0, 100 },
-  { "operators_share_a_core_of_five", operators_share_a_core_of_five, 0, 0, 100 },
-  { "an_order_comes_again_after_hundreds", an_order_comes_again_after_hundreds, 0, 0, 20 },
-  { "an_order_comes_again_after_thousands", an_order_comes_again_after_thousands, 0, 0, 4 },
-  { "machines_join_while_orders_are_read", machines_join_while_orders_are_read, 0, 0, 50 },
-  { "operators_race_for_the_first", operators_race_for_the_first, 0, 0, 100 },
-  { "an_order_older_than_the_memory", an_order_older_than_the_memory, 0, 0, 4 },
-  { "accepted_orders_are_bounded", accepted_orders_are_bounded, 0, 0, 10 },
-  { "a_suffix_is_lost", a_suffix_is_lost, 0, 0, 100 },
-  { "eight_orders_at_once_wait_little", eight_orders_at_once_wait_little, 0, 0, 34 },
+  { "changes_race_on_three_faulty_controllers", changes_race_on_three_faulty_controllers, 0, 0,
+    100 },
+  { "changes_race_on_five_faulty_controllers", changes_race_on_five_faulty_controllers, 0, 0, 100 },
+  { "a_change_is_repeated_after_hundreds", a_change_is_repeated_after_hundreds, 0, 0, 20 },
+  { "a_change_is_repeated_after_thousands", a_change_is_repeated_after_thousands, 0, 0, 4 },
+  { "controllers_rejoin_during_reads", controllers_rejoin_during_reads, 0, 0, 50 },
+  { "first_configurations_race", first_configurations_race, 0, 0, 100 },
+  { "a_forgotten_change_is_repeated", a_forgotten_change_is_repeated, 0, 0, 4 },
+  { "accepted_changes_are_bounded", accepted_changes_are_bounded, 0, 0, 10 },
+  { "an_uncommitted_suffix_is_lost", an_uncommitted_suffix_is_lost, 0, 0, 100 },
+  { "eight_concurrent_changes_are_fast", eight_concurrent_changes_are_fast, 0, 0, 34 },
   { NULL, NULL, 0, 0, 0 }
 };
--- a/tests/controlplane/controller.c
+++ b/tests/controlplane/controller.c
@@ -6,7 +6,7 @@
 #include "tests.h"
 #include <stdio.h>
 
-static bool operators_race(fleet *fleet) {
+static bool concurrent_writes_conflict(fleet *fleet) {
   if (!fleet_bring_up(fleet))
     return false;
   fleet_start_sampling(fleet);
@@ -106,7 +106,7 @@
   return true;
 }
 
-static bool configurations_grow_large(fleet *fleet) {
+static bool large_resources_are_replicated(fleet *fleet) {
   for (int i = 0; i < 3; i++)
     fleet->controller[i]->settings.log_file_bytes = 8 << 20;
   if (!fleet_bring_up(fleet))
@@ -157,8 +157,8 @@
 }
 
 const test_case controller_tests[] = {
-  { "operators_race", operators_race, 2, 2, 100 },
+  { "concurrent_writes_conflict", concurrent_writes_conflict, 2, 2, 100 },
   { "invalid_configurations_are_refused", invalid_configurations_are_refused, 2, 2, 20 },
-  { "configurations_grow_large", configurations_grow_large, 3, 2, 34 },
+  { "large_resources_are_replicated", large_resources_are_replicated, 3, 2, 34 },
   { NULL, NULL, 0, 0, 0 }
 };
--- a/tests/controlplane/engine_registry.c
+++ b/tests/controlplane/engine_registry.c
@@ -59,7 +59,7 @@
   return n;
 }
 
-static bool beats_come_late(fleet *fleet) {
+static bool stale_heartbeats_are_ignored(fleet *fleet) {
   engine_registry r;
   engine_registry_init(&r, 7, time_from_ms(1000));
   expect(fleet, record_heartbeat(&r, "e1", "10.0.0.1:80", 3, false, 1000) == REGISTRY_CHANGED,
@@ -97,7 +97,7 @@
   return true;
 }
 
-static bool leaving_is_for_good(fleet *fleet) {
+static bool draining_and_sign_off_are_permanent(fleet *fleet) {
   engine_registry r;
   engine_registry_init(&r, 7, time_from_ms(0));
   record_heartbeat(&r, "e1", "10.0.0.1:80", 1, false, 1000);
@@ -164,7 +164,7 @@
   return true;
 }
 
-static bool addresses_are_used_again(fleet *fleet) {
+static bool a_reused_address_has_one_engine(fleet *fleet) {
   engine_registry r;
   engine_registry_init(&r, 7, time_from_ms(0));
   record_heartbeat(&r, "e1", "10.0.0.1:80", 1, false, 1000);
@@ -197,7 +197,7 @@
   return true;
 }
 
-static bool engines_fall_silent(fleet *fleet) {
+static bool engines_without_heartbeats_are_gone(fleet *fleet) {
   engine_registry r;
   engine_registry_init(&r, 7, time_from_ms(0));
   for (int64_t t = 0; t <= 20000; t += 250) {
@@ -268,7 +268,7 @@
   return true;
 }
 
-static bool registries_tell_each_other(fleet *fleet) {
+static bool registries_merge_updates(fleet *fleet) {
   engine_registry a, b;
   bool is_full;
   engine_registry_init(&a, 7, time_from_ms(0));
@@ -336,7 +336,7 @@
   return r;
 }
 
-static bool configurations_are_decided(fleet *fleet) {
+static bool configuration_changes_are_checked(fleet *fleet) {
   GString *t = g_string_new("{}");
   const char *first = "{\"version\":3,\"routes\":[" ROUTE("r1", "/a/", "s") "]," SERVICES "}";
   expect(fleet, config_change_version(string_view_of_gstring(t)) == 0,
@@ -575,7 +575,7 @@
   return fleet_bring_up(fleet);
 }
 
-static bool engines_come_and_go_by_beats(fleet *fleet) {
+static bool engines_register_by_heartbeats(fleet *fleet) {
   if (!listeners_up(fleet))
     return false;
   for (int i = 1; i <= 4; i++) {
@@ -679,7 +679,7 @@
   return g_string_free(b, FALSE);
 }
 
-static bool configurations_come_to_listeners(fleet *fleet) {
+static bool control_listeners_serve_configurations(fleet *fleet) {
   if (!listeners_up(fleet))
     return false;
   host *h = fleet->controller[sim_random(fleet->sim, 3)];
@@ -780,13 +780,13 @@
 }
 
 const test_case engine_registry_tests[] = {
-  { "beats_come_late", beats_come_late, 1, 1, 10 },
-  { "leaving_is_for_good", leaving_is_for_good, 1, 1, 10 },
-  { "addresses_are_used_again", addresses_are_used_again, 1, 1, 10 },
-  { "engines_fall_silent", engines_fall_silent, 1, 1, 10 },
-  { "registries_tell_each_other", registries_tell_each_other, 1, 1, 10 },
-  { "configurations_are_decided", configurations_are_decided, 1, 1, 10 },
-  { "engines_come_and_go_by_beats", engines_come_and_go_by_beats, 4, 1, 100 },
-  { "configurations_come_to_listeners", configurations_come_to_listeners, 3, 1, 100 },
+  { "stale_heartbeats_are_ignored", stale_heartbeats_are_ignored, 1, 1, 10 },
+  { "draining_and_sign_off_are_permanent", draining_and_sign_off_are_permanent, 1, 1, 10 },
+  { "a_reused_address_has_one_engine", a_reused_address_has_one_engine, 1, 1, 10 },
+  { "engines_without_heartbeats_are_gone", engines_without_heartbeats_are_gone, 1, 1, 10 },
+  { "registries_merge_updates", registries_merge_updates, 1, 1, 10 },
+  { "configuration_changes_are_checked", configuration_changes_are_checked, 1, 1, 10 },
+  { "engines_register_by_heartbeats", engines_register_by_heartbeats, 4, 1, 100 },
+  { "control_listeners_serve_configurations", control_listeners_serve_configurations, 3, 1, 100 },
   { NULL, NULL, 0, 0, 0 }
 };
