--- a/tests/controlplane/config_change.c
+++ b/tests/controlplane/config_change.c
@@ -17,7 +17,7 @@
 };
 
 /** What the network between operator and controller does to a call. */
-enum loss { LOSS_NONE, LOSS_REQUEST, LOSS_ANSWER, LOSS_CALLER_LEAVES };
+enum loss { LOSS_NONE, LOSS_REQUEST, LOSS_RESPONSE, LOSS_CALLER_LEAVES };
 
 typedef struct run run;
 /** A change with its text, so that an identical request can be sent again. */
@@ -40,7 +40,7 @@
   GArray *changes;
   GArray *addresses;
   /* shares, in percent, of calls whose request or response is lost, or whose caller leaves early */
-  unsigned request_loss, answer_loss, leaving;
+  unsigned request_loss, response_loss, early_leave;
   uint64_t confirmed, refused, unclear;
   uint64_t current;
   int busy;
@@ -146,10 +146,10 @@
   if (n < run->request_loss)
     return LOSS_REQUEST;
   n -= run->request_loss;
-  if (n < run->answer_loss)
-    return LOSS_ANSWER;
-  n -= run->answer_loss;
-  return n < run->leaving ? LOSS_CALLER_LEAVES : LOSS_NONE;
+  if (n < run->response_loss)
+    return LOSS_RESPONSE;
+  n -= run->response_loss;
+  return n < run->early_leave ? LOSS_CALLER_LEAVES : LOSS_NONE;
 }
 
 /* Writes the text of a change: a full configuration, or a patch of one item. Both have a mark with
@@ -358,7 +358,7 @@
 static bool run_done(run *run) {
   fleet *fleet = run->deployment->fleet;
   run->stop = true;
-  run->request_loss = run->answer_loss = run->leaving = 0;
+  run->request_loss = run->response_loss = run->early_leave = 0;
   scenario_heal_all(fleet);
   if (!sim_run_until(fleet->sim, is_idle, run, time_from_ms(60000)))
     fleet_add_violation(fleet, "the operators' tasks did not end");
@@ -464,8 +464,8 @@
   if (!run_up(&r, fleet, members))
     return run_done(&r);
   r.request_loss = 10;
-  r.answer_loss = 30;
-  r.leaving = 15;
+  r.response_loss = 30;
+  r.early_leave = 15;
   operators_start(&r, 2 + (int)draw(&r, OPERATORS_MAX - 1));
   for (int i = 0; i < 6; i++) {
     sim_run(fleet->sim, time_from_ms(500 + (int64_t)draw(&r, 3000)));
@@ -532,8 +532,8 @@
   run r;
   run_start(&r, fleet, draw_members(fleet));
   r.request_loss = 10;
-  r.answer_loss = 30;
-  r.leaving = 15;
+  r.response_loss = 30;
+  r.early_leave = 15;
   operators_start(&r, 2 + (int)draw(&r, OPERATORS_MAX - 1));
   sim_run(fleet->sim, time_from_ms(500 + (int64_t)draw(&r, 3000)));
   bool disk_lost = inject_fault(&r);
@@ -555,7 +555,7 @@
 static void change_many(run *run, void *ctx) {
   long_history *d = ctx;
   d->first = new_change(run, run->current, run->current + 1, true, true);
-  send_once(run, d->first, address_of(run, 0), LOSS_ANSWER);
+  send_once(run, d->first, address_of(run, 0), LOSS_RESPONSE);
   uint64_t base = run->current + 1;
   /* the first change was accepted: another one with the same base and new version is refused */
   d->second = new_change(run, run->current, base, false, true);
