--- a/tests/controlplane/config_change.c
+++ b/tests/controlplane/config_change.c
@@ -76,21 +76,22 @@
 
 /* Calls a controller, and follows redirects. Returns the status; 0 when no response came in time.
  */
-static int call_controller(run *run, const char *address, const dialect_path *how,
-                           const sent_change *o, GString *body, int64_t wait_ms) {
+static int call_controller(run *run, const char *address, const dialect_path *endpoint,
+                           const sent_change *change, GString *body, int64_t wait_ms) {
   world *world = run->deployment->operator->world;
-  const dialect *words = run->deployment->operator->dialect;
+  const dialect *dialect = run->deployment->operator->dialect;
   char to[64], path[128];
   int status = 0;
   g_strlcpy(to, address, sizeof to);
-  g_strlcpy(path, how->path, sizeof path);
+  g_strlcpy(path, endpoint->path, sizeof path);
   for (int hop = 0; hop <= REDIRECTS_MAX; hop++) {
     fields *fields = g_string_new(NULL);
     fields_add(fields, "Host", string_view_of(to));
-    if (o)
-      fields_add_format(fields, words->header_names[DF_BASE_REVISION], "%" PRIu64, o->base);
-    http_call *call = http_call_open_fields(world, to, how->method, path, fields,
-                                            string_view_of(o ? o->text : ""), true, time_never());
+    if (change)
+      fields_add_format(fields, dialect->header_names[DF_BASE_REVISION], "%" PRIu64, change->base);
+    http_call *call =
+        http_call_open_fields(world, to, endpoint->method, path, fields,
+                              string_view_of(change ? change->text : ""), true, time_never());
     g_string_free(fields, TRUE);
     g_string_truncate(body, 0);
     int failed = http_call_read_all(call, body, time_add(world_now(world), time_from_ms(wait_ms)));
@@ -114,7 +115,7 @@
 /* Sends a change once, to one controller, and records the outcome. */
 static enum register_answer send_once(run *run, guint number, const char *address, enum loss loss) {
   world *world = run->deployment->operator->world;
-  sent_change o = g_array_index(run->changes, sent_change, number);
+  sent_change change = g_array_index(run->changes, sent_change, number);
   if (loss == LOSS_REQUEST) {
     world_sleep(world, time_from_ms(50));
     return ANSWER_NONE;
@@ -126,8 +127,8 @@
   int64_t wait_ms = loss == LOSS_CALLER_LEAVES ? 1 + (int64_t)draw(run, 60) : RESPONSE_TIMEOUT_MS;
   int status = call_controller(
       run, address,
-      &run->deployment->operator->dialect->calls[o.patch ? DC_CONFIG_PATCH : DC_CONFIG_PUT], &o,
-      body, wait_ms);
+      &run->deployment->operator->dialect->calls[change.patch ? DC_CONFIG_PATCH : DC_CONFIG_PUT],
+      &change, body, wait_ms);
   enum register_answer answer = loss == LOSS_NONE ? answer_of(status) : ANSWER_NONE;
   register_history_add_attempt(run->history, number, (uint64_t)called.us,
                                (uint64_t)world_now(world).us, answer);
@@ -136,7 +137,7 @@
   run->refused += answer == ANSWER_CONFLICT;
   run->unclear += answer == ANSWER_NONE;
   if (answer == ANSWER_CONFIRMED)
-    run->current = MAX(run->current, o.version);
+    run->current = MAX(run->current, change.version);
   g_string_free(body, TRUE);
   return answer;
 }
@@ -154,32 +155,32 @@
 
 /* Writes the text of a change: a full configuration, or a patch of one item. Both have a mark with
  * the number of the change. An invalid change names a service that does not exist. */
-static void write_text(sent_change *o, guint number) {
+static void write_text(sent_change *change, guint number) {
   static const char route[] =
       "{\"name\":\"r-mark\",\"host\":\"mark-%u.example\",\"prefix\":\"/mark/\",\"mode\":\"safe\","
       "\"timeoutMs\":4000,\"targetMs\":300,\"priority\":0,\"service\":\"%s\",\"attempts\":1}";
   char mark[300];
 #pragma GCC diagnostic push
 #pragma GCC diagnostic ignored "-Wformat-nonliteral"
-  snprintf(mark, sizeof mark, route, number, o->valid ? "ledger" : "nobody");
+  snprintf(mark, sizeof mark, route, number, change->valid ? "ledger" : "nobody");
 #pragma GCC diagnostic pop
-  if (o->patch)
-    snprintf(o->text, sizeof o->text, "{\"version\":%" PRIu64 ",\"set\":{\"routes\":[%s]}}",
-             o->version, mark);
+  if (change->patch)
+    snprintf(change->text, sizeof change->text,
+             "{\"version\":%" PRIu64 ",\"set\":{\"routes\":[%s]}}", change->version, mark);
   else
-    snprintf(o->text, sizeof o->text,
+    snprintf(change->text, sizeof change->text,
              "{\"version\":%" PRIu64 ",\"routes\":[%s],\"services\":[{\"name\":\"ledger\","
              "\"health\":\"/health\",\"connectionsMost\":10,\"protocol\":\"h1\",\"tls\":false}],"
              "\"limits\":{\"headerBytes\":16384,\"bodyBytes\":4194304,\"headerMs\":3000,"
              "\"idleMs\":15000}}",
-             o->version, mark);
+             change->version, mark);
 }
 
 static guint new_change(run *run, uint64_t base, uint64_t version, bool patch, bool valid) {
   guint number = register_history_add_order(run->history, base, version, valid);
-  sent_change o = { .base = base, .version = version, .patch = patch, .valid = valid };
-  write_text(&o, number);
-  g_array_append_val(run->changes, o);
+  sent_change change = { .base = base, .version = version, .patch = patch, .valid = valid };
+  write_text(&change, number);
+  g_array_append_val(run->changes, change);
   return number;
 }
 
