--- a/tests/controlplane/config_change.c
+++ b/tests/controlplane/config_change.c
@@ -288,7 +288,7 @@
 }
 
 /* Runs a function to completion as a task of the operators' host. */
-static bool as_operator(run *r, void (*work)(run *r, void *ctx), void *ctx, int64_t ms) {
+static bool run_as_operator(run *r, void (*work)(run *r, void *ctx), void *ctx, int64_t ms) {
   job j = { r, work, ctx };
   r->busy++;
   task_start(&r->deployment->operator->world->tasks, "operator", job_run, &j);
@@ -300,7 +300,7 @@
   return false;
 }
 
-static void write_first(run *run, void *ctx) {
+static void write_first_configuration(run *run, void *ctx) {
   (void)ctx;
   guint number = new_change(run, 0, 1, false, true);
   if (send_until_clear(run, number, 20000) != ANSWER_CONFIRMED)
@@ -343,7 +343,7 @@
 static bool run_up(run *run, fleet *fleet, int members) {
   run_start(run, fleet, members);
   sim_run(fleet->sim, time_from_ms(2500));
-  as_operator(run, write_first, NULL, 30000);
+  run_as_operator(run, write_first_configuration, NULL, 30000);
   return scenario_wait_for_chain(fleet, members, 20000) && !fleet->violations->len;
 }
 
@@ -364,7 +364,7 @@
   if (!sim_run_until(fleet->sim, is_idle, run, time_from_ms(60000)))
     fleet_add_violation(fleet, "the operators' tasks did not end");
   sim_run(fleet->sim, time_from_ms(3000));
-  as_operator(run, final_read, NULL, 70000);
+  run_as_operator(run, final_read, NULL, 70000);
   GString *why = g_string_new(NULL);
   if (!register_history_check(run->history, why))
     fleet_add_violation(fleet, "%s", why->str);
@@ -401,7 +401,7 @@
   return host ? host : any_controller(run);
 }
 
-static void cut_off(run *run, host *h, bool one_way) {
+static void isolate(run *run, host *h, bool one_way) {
   for (int i = 0; i < run->deployment->fleet->controllers; i++) {
     host *other = run->deployment->fleet->controller[i];
     if (other == h)
@@ -428,10 +428,10 @@
     host_freeze(host);
     break;
   case 3:
-    cut_off(run, host, false);
+    isolate(run, host, false);
     break;
   case 4:
-    cut_off(run, host, true);
+    isolate(run, host, true);
     break;
   case 5:
     for (int i = 0; i < fleet->controllers; i++)
@@ -602,18 +602,18 @@
 static bool repeat_after(fleet *fleet, guint changes) {
   run r;
   long_history d = { .changes = changes };
-  if (run_up(&r, fleet, 3) && as_operator(&r, change_many, &d, 4000000)) {
-    as_operator(&r, send_first_again, &d, 30000);
+  if (run_up(&r, fleet, 3) && run_as_operator(&r, change_many, &d, 4000000)) {
+    run_as_operator(&r, send_first_again, &d, 30000);
     /* the change is still known after a power loss and restart of all controllers */
     for (int i = 0; i < fleet->controllers; i++)
       host_power_off(fleet->controller[i]);
     scenario_heal_all(fleet);
     sim_run(fleet->sim, time_from_ms(4000));
-    as_operator(&r, send_first_again, &d, 30000);
+    run_as_operator(&r, send_first_again, &d, 30000);
     /* it is also known to heads that joined with an empty disk: each disk is wiped once */
     for (int i = 0; i < fleet->controllers; i++) {
       replace_head_disk(fleet);
-      as_operator(&r, send_first_again, &d, 30000);
+      run_as_operator(&r, send_first_again, &d, 30000);
     }
   }
   return run_done(&r);
@@ -642,8 +642,8 @@
 static bool a_forgotten_change_is_repeated(fleet *fleet) {
   run r;
   long_history d = { .changes = ACCEPTED_CHANGES_MAX + ACCEPTED_CHANGES_FORGOTTEN_AT_ONCE + 10 };
-  if (run_up(&r, fleet, 3) && as_operator(&r, change_many, &d, 6000000))
-    as_operator(&r, send_forgotten, &d, 30000);
+  if (run_up(&r, fleet, 3) && run_as_operator(&r, change_many, &d, 6000000))
+    run_as_operator(&r, send_forgotten, &d, 30000);
   return run_done(&r);
 }
 
@@ -753,7 +753,7 @@
     g_strlcpy(a.address, head->addr, sizeof a.address);
     *strchr(a.address, ':') = 0;
     g_strlcat(a.address, ":8100", sizeof a.address);
-    cut_off(&r, head, draw(&r, 2));
+    isolate(&r, head, draw(&r, 2));
     r.busy += 3;
     task_start(&r.deployment->operator->world->tasks, "again", resend_task, &a);
     task_start(&r.deployment->operator->world->tasks, "rival", rival_task, &a);
@@ -763,7 +763,7 @@
     scenario_heal_all(fleet);
     if (!sim_run_until(fleet->sim, is_idle, &r, time_from_ms(120000)))
       fleet_add_violation(fleet, "the operators' tasks did not end");
-    as_operator(&r, final_read, NULL, 70000);
+    run_as_operator(&r, final_read, NULL, 70000);
     for (guint i = 0; i < r.changes->len; i++)
       if (g_array_index(r.changes, sent_change, i).last == ANSWER_CONFIRMED)
         r.current = MAX(r.current, g_array_index(r.changes, sent_change, i).version);
