--- a/tests/controlplane/config_change.c
+++ b/tests/controlplane/config_change.c
@@ -704,19 +704,19 @@
   }
 }
 
-typedef struct pair {
+typedef struct cut_head_task {
   run *run;
   char address[64];
-} pair;
+} cut_head_task;
 
 static void resend_task(void *p) {
-  pair *a = p;
+  cut_head_task *a = p;
   write_at_cut_head(a->run, a->address);
   a->run->busy--;
 }
 
 static void winner_task(void *p) {
-  pair *a = p;
+  cut_head_task *a = p;
   run *run = a->run;
   guint won = new_change(run, run->current, run->current + 1, false, true);
   for (int i = 0; i < 60; i++) {
@@ -730,7 +730,7 @@
 
 /* Sends another change of the same base version to the cut head. */
 static void rival_task(void *p) {
-  pair *a = p;
+  cut_head_task *a = p;
   run *run = a->run;
   guint rival = new_change(run, run->current, run->current + 1, true, true);
   world_sleep(run->deployment->operator->world, time_from_ms(20 + (int64_t)draw(run, 800)));
@@ -749,7 +749,7 @@
     host *head = fleet_find_head(fleet);
     if (!head)
       continue;
-    pair a = { &r, "" };
+    cut_head_task a = { &r, "" };
     g_strlcpy(a.address, head->addr, sizeof a.address);
     *strchr(a.address, ':') = 0;
     g_strlcat(a.address, ":8100", sizeof a.address);
@@ -772,14 +772,14 @@
 }
 
 /** One of eight concurrent changes, each based on the version that the one before it creates. */
-typedef struct chained {
+typedef struct chained_change {
   run *run;
   guint number;
   time_us took;
-} chained;
+} chained_change;
 
 static void chained_run(void *p) {
-  chained *c = p;
+  chained_change *c = p;
   run *run = c->run;
   world *world = run->deployment->operator->world;
   time_us sent = world_now(world);
@@ -806,10 +806,10 @@
   if (!run_up(&r, fleet, 3))
     return run_done(&r);
   fleet->sim->delay_ms = 40;
-  chained all[OPERATORS_MAX];
+  chained_change all[OPERATORS_MAX];
   uint64_t version = r.current;
   for (int i = 0; i < OPERATORS_MAX; i++) {
-    all[i] = (chained){ &r, new_change(&r, version, version + 1, i % 2, true), { 0 } };
+    all[i] = (chained_change){ &r, new_change(&r, version, version + 1, i % 2, true), { 0 } };
     version++;
     r.busy++;
     task_start(&r.deployment->operator->world->tasks, "chained", chained_run, &all[i]);
