--- a/tests/controlplane/engine_registry.c
+++ b/tests/controlplane/engine_registry.c
@@ -316,7 +316,7 @@
   "\",\"mode\":\"safe\",\"timeoutMs\":1000,\"targetMs\":500,\"priority\":0,\"service\":\"" to      \
   "\",\"attempts\":1}"
 
-static int decide(fleet *fleet, GString *text, bool is_full, uint64_t base, const char *body) {
+static int try_change(fleet *fleet, GString *text, bool is_full, uint64_t base, const char *body) {
   error err = { 0 };
   json *json = json_parse(string_view_of(body), &err);
   if (!json) {
@@ -341,22 +341,22 @@
   const char *first = "{\"version\":3,\"routes\":[" ROUTE("r1", "/a/", "s") "]," SERVICES "}";
   expect(fleet, config_change_version(string_view_of_gstring(t)) == 0,
          "an empty configuration has a version");
-  expect(fleet, decide(fleet, t, true, 1, first) == E_VERSION_CONFLICT,
+  expect(fleet, try_change(fleet, t, true, 1, first) == E_VERSION_CONFLICT,
          "a first configuration with base version 1 is accepted");
-  expect(fleet, decide(fleet, t, true, 0, "{\"version\":0,\"routes\":[]," SERVICES "}"),
+  expect(fleet, try_change(fleet, t, true, 0, "{\"version\":0,\"routes\":[]," SERVICES "}"),
          "version 0 is accepted after version 0");
   expect(fleet,
-         decide(fleet, t, false, 0,
-                "{\"version\":2,\"set\":{\"routes\":[" ROUTE("r1", "/a/", "s") "]}}"),
+         try_change(fleet, t, false, 0,
+                    "{\"version\":2,\"set\":{\"routes\":[" ROUTE("r1", "/a/", "s") "]}}"),
          "a patch of an empty configuration is accepted");
   expect(fleet,
-         decide(fleet, t, true, 0, first) == OK &&
+         try_change(fleet, t, true, 0, first) == OK &&
              config_change_version(string_view_of_gstring(t)) == 3,
          "the first configuration is refused");
   /* of two changes of one version the second is a conflict, whether it is valid or not */
-  expect(fleet, decide(fleet, t, true, 0, first) == E_VERSION_CONFLICT,
+  expect(fleet, try_change(fleet, t, true, 0, first) == E_VERSION_CONFLICT,
          "two changes with the same base version are accepted");
-  expect(fleet, decide(fleet, t, true, 2, "{\"version\":9}") == E_VERSION_CONFLICT,
+  expect(fleet, try_change(fleet, t, true, 2, "{\"version\":9}") == E_VERSION_CONFLICT,
          "an outdated base version is not a conflict");
   static const char *const bad[] = {
     "[]",
@@ -368,24 +368,24 @@
                                                                                       "}"
   };
   for (size_t i = 0; i < G_N_ELEMENTS(bad); i++) {
-    int r = decide(fleet, t, true, 3, bad[i]);
+    int r = try_change(fleet, t, true, 3, bad[i]);
     if (r < E_JSON || r >= E_WIRE_MESSAGE || r == E_VERSION_CONFLICT)
       fleet_add_violation(fleet, "%s gives code %d", bad[i], r);
   }
   expect(fleet, config_change_version(string_view_of_gstring(t)) == 3,
          "a refused configuration changed the version");
   expect(fleet,
-         decide(fleet, t, false, 3,
-                "{\"version\":7,\"set\":{\"routes\":[" ROUTE(
-                    "r2", "/b/", "s") "]},\"drop\":{\"routes\":[\"r1\"]}}") == OK,
+         try_change(fleet, t, false, 3,
+                    "{\"version\":7,\"set\":{\"routes\":[" ROUTE(
+                        "r2", "/b/", "s") "]},\"drop\":{\"routes\":[\"r1\"]}}") == OK,
          "a patch is refused");
   expect(fleet,
          config_change_version(string_view_of_gstring(t)) == 7 && strstr(t->str, "r2") &&
              !strstr(t->str, "r1"),
          "a patch is not applied");
-  expect(fleet, decide(fleet, t, false, 7, "{\"version\":8,\"drop\":{\"services\":[\"s\"]}}"),
+  expect(fleet, try_change(fleet, t, false, 7, "{\"version\":8,\"drop\":{\"services\":[\"s\"]}}"),
          "a patch may drop a service in use");
-  expect(fleet, decide(fleet, t, false, 7, "{\"version\":7,\"set\":{}}"),
+  expect(fleet, try_change(fleet, t, false, 7, "{\"version\":7,\"set\":{}}"),
          "a patch that keeps the version is accepted");
   g_string_free(t, TRUE);
   return true;
@@ -456,12 +456,12 @@
 
 typedef struct {
   world *world;
-  char addr[48], verb[8], path[64];
+  char addr[48], method[8], path[64];
   const char *text;
   int64_t base;
   int status;
   GString *body;
-  char to[96];
+  char redirect[96];
   bool done;
   time_us sent, at;
 } test_call;
@@ -473,21 +473,21 @@
   if (test->base >= 0)
     fields_add_format(fields, "Asterfall-Base-Version", "%" PRId64, test->base);
   time_us till = time_add(world_now(test->world), time_from_ms(1500));
-  http_call *call = http_call_open_fields(test->world, test->addr, test->verb, test->path, fields,
+  http_call *call = http_call_open_fields(test->world, test->addr, test->method, test->path, fields,
                                           string_view_of(test->text), false, till);
   if (!http_call_read_all(call, test->body, till))
     test->status = call->status;
-  string_view to;
-  if (fields_get(call->response_fields, "Location", &to))
-    snprintf(test->to, sizeof test->to, "%.*s", (int)to.length, to.data);
+  string_view location;
+  if (fields_get(call->response_fields, "Location", &location))
+    snprintf(test->redirect, sizeof test->redirect, "%.*s", (int)location.length, location.data);
   http_call_close(call);
   g_string_free(fields, TRUE);
   test->at = world_now(test->world);
   test->done = true;
 }
 
-static test_call *test_call_send(fleet *fleet, const char *addr, const char *verb, const char *path,
-                                 const char *text, int64_t base) {
+static test_call *test_call_send(fleet *fleet, const char *addr, const char *method,
+                                 const char *path, const char *text, int64_t base) {
   test_call *test = g_new0(test_call, 1);
   test->world = &fleet->operator->world;
   test->base = base;
@@ -495,7 +495,7 @@
   test->body = g_string_new(NULL);
   test->sent = fleet->sim->now;
   g_strlcpy(test->addr, addr, sizeof test->addr);
-  g_strlcpy(test->verb, verb, sizeof test->verb);
+  g_strlcpy(test->method, method, sizeof test->method);
   g_strlcpy(test->path, path, sizeof test->path);
   task_start(&fleet->operator->world.tasks, "call", test_call_run, test);
   return test;
@@ -516,34 +516,35 @@
 }
 
 /* Calls a controller, and follows at most two redirects. */
-static test_call *request_listener(fleet *fleet, host *host, const char *verb, const char *path,
+static test_call *request_listener(fleet *fleet, host *host, const char *method, const char *path,
                                    const char *text, int64_t base) {
   char *addr = listener_of(host);
   for (int i = 0;; i++) {
-    test_call *test = test_call_send(fleet, addr, verb, path, text, base);
+    test_call *test = test_call_send(fleet, addr, method, path, text, base);
     sim_run_until(fleet->sim, test_call_done, test, time_from_ms(2000));
     if (test->at.us - test->sent.us > 1000000)
-      fleet_add_violation(fleet, "%s %s took %" PRId64 " ms", verb, path,
+      fleet_add_violation(fleet, "%s %s took %" PRId64 " ms", method, path,
                           (test->at.us - test->sent.us) / 1000);
-    char *slash = g_str_has_prefix(test->to, "http://") ? strchr(test->to + 7, '/') : NULL;
+    char *slash =
+        g_str_has_prefix(test->redirect, "http://") ? strchr(test->redirect + 7, '/') : NULL;
     if (test->status != 307 || i == 2) {
       g_free(addr);
       return test;
     }
     if (!slash || strcmp(slash, path)) {
-      fleet_add_violation(fleet, "redirected to %s", test->to);
+      fleet_add_violation(fleet, "redirected to %s", test->redirect);
       g_free(addr);
       return test;
     }
     g_free(addr);
-    addr = g_strndup(test->to + 7, slash - test->to - 7);
+    addr = g_strndup(test->redirect + 7, slash - test->redirect - 7);
     test_call_free(test);
   }
 }
 
-static int status_at(fleet *fleet, host *host, const char *verb, const char *path, const char *text,
-                     int64_t base) {
-  test_call *test = request_listener(fleet, host, verb, path, text, base);
+static int status_at(fleet *fleet, host *host, const char *method, const char *path,
+                     const char *text, int64_t base) {
+  test_call *test = request_listener(fleet, host, method, path, text, base);
   int st = test->status;
   test_call_free(test);
   return st;
@@ -565,7 +566,7 @@
   return st;
 }
 
-static bool listeners_up(fleet *fleet) {
+static bool start_with_listeners(fleet *fleet) {
   for (int i = 0; i < fleet->controllers; i++)
     fleet->controller[i]->on_start = open_listener;
   for (int i = 0; i < fleet->routers; i++) {
@@ -576,7 +577,7 @@
 }
 
 static bool engines_register_by_heartbeats(fleet *fleet) {
-  if (!listeners_up(fleet))
+  if (!start_with_listeners(fleet))
     return false;
   for (int i = 1; i <= 4; i++) {
     if (send_heartbeat(fleet, fleet->controller[i % 3], "e1", "10.0.0.1:80", i, "ready") != 200)
@@ -680,7 +681,7 @@
 }
 
 static bool control_listeners_serve_configurations(fleet *fleet) {
-  if (!listeners_up(fleet))
+  if (!start_with_listeners(fleet))
     return false;
   host *h = fleet->controller[sim_random(fleet->sim, 3)];
   if (status_at(fleet, h, "GET", "/v1/routing", NULL, -1) != 404)
