--- a/lib/controlplane/api_error.c
+++ b/lib/controlplane/api_error.c
@@ -2,9 +2,7 @@
 #include "api_error.h"
 #include "node.h"
 
-/* Codes from REQUEST_ERRORS_FIRST up to, not including, REQUEST_ERRORS_END are errors in the
- * request.
- */
+/* Range of the codes of errors in the request, without the end. */
 enum { REQUEST_ERRORS_FIRST = E_JSON, REQUEST_ERRORS_END = E_WIRE_MESSAGE };
 
 /* Retry-After of a 503, in seconds. */
--- a/lib/controlplane/config_api.c
+++ b/lib/controlplane/config_api.c
@@ -38,11 +38,11 @@
   return !peer || (!peer->gone && !peer->draining);
 }
 
-/* Returns true once this controller acts in a role. Otherwise redirects the caller to the
- * controller that does, or refuses the request after FIND_CONTROLLER_TIMEOUT_MS, and returns false.
- */
+/* Returns true once this controller acts in a role. Otherwise responds and returns false: it
+ * redirects the caller to the member with the role, or refuses the request after
+ * FIND_CONTROLLER_TIMEOUT_MS. */
 static bool await_role_or_redirect(config_api *api, http_request *request, time_us received_at,
-                              const chain_role *role) {
+                                   const chain_role *role) {
   world *world = api->node->world;
   replica *replica = api->replica;
   time_us deadline = time_add(received_at, time_from_ms(FIND_CONTROLLER_TIMEOUT_MS));
--- a/lib/controlplane/config_change.h
+++ b/lib/controlplane/config_change.h
@@ -1,5 +1,4 @@
-/** Applies and checks changes of the routing configuration of gateways: pure functions on its text.
- */
+/** Pure functions that apply and check changes of the gateways' routing configuration. */
 #ifndef CONTROLPLANE_CONFIG_CHANGE_H
 #define CONTROLPLANE_CONFIG_CHANGE_H
 #include "routing.h"
--- a/lib/controlplane/config_poll.c
+++ b/lib/controlplane/config_poll.c
@@ -6,7 +6,7 @@
   /** How long a poll is held open, in ms: well below CONFIRMATION_VALID_MS, the time for which a
    * node trusts a confirmation. */
   POLL_HOLD_MS = 500,
-  /** The same with relaxed settings, under which nodes serve on without confirmations. */
+  /** The same with relaxed settings, where nodes keep serving without confirmations. */
   POLL_HOLD_RELAXED_MS = 1000,
   /** How often a held poll is checked again, in ms, since the loss of a member lease is not
    * broadcast. */
@@ -32,9 +32,7 @@
          replica_is_current(replica);
 }
 
-/* Finds which parts of a response this controller can provide. Returns an error when there are
- * none.
- */
+/* Finds which parts of a response this controller can provide; returns an error if none. */
 static enum error_code find_scope(const config_poll *config_poll,
                                   const Wire__ConfigPollRequest *request, poll_scope *scope,
                                   error *err) {
--- a/lib/controlplane/config_writer.c
+++ b/lib/controlplane/config_writer.c
@@ -146,8 +146,7 @@
   return hash;
 }
 
-/* Makes a write with one reference for its task and one for the caller. Takes ownership of `body`.
- */
+/* Makes a write with references for its task and for the caller. Takes ownership of `body`. */
 static config_write *new_write(config_writer *writer, const config_write_request *request,
                                json *body) {
   config_write *write = g_new0(config_write, 1);
--- a/lib/controlplane/control_listener.h
+++ b/lib/controlplane/control_listener.h
@@ -1,6 +1,5 @@
 /** The control listener of a controller: receives heartbeats of engines and serves the routing
- * configuration of gateways. A dialect (dialect.h) defines its paths and the names in its messages.
- */
+ * configuration of gateways. A dialect (dialect.h) defines its paths and names in its messages. */
 #ifndef CONTROLPLANE_CONTROL_LISTENER_H
 #define CONTROLPLANE_CONTROL_LISTENER_H
 #include "config_api.h"
--- a/lib/controlplane/controller.h
+++ b/lib/controlplane/controller.h
@@ -1,7 +1,7 @@
 /** A controller: one process of the replicated control plane.
  *
- * The controllers replicate the control state along a chain, of which each holds a replica
- * (replica.h). A controller also grants singleton leases, answers config polls of the data plane,
+ * It holds a replica of the control state, which the controllers keep in agreement by chain
+ * replication (replica.h). It also grants singleton leases, answers config polls of the data plane,
  * keeps the registry of engines, and serves two HTTP interfaces: the operators' API at its address,
  * and the control listener for engines and the routing of gateways. This header combines the
  * modules; each owns its state. */
@@ -32,8 +32,7 @@
   enum error_code exit_code;
 } controller;
 
-/** Makes a controller in a world; it starts when its tasks first run. Free it with controller_free.
- */
+/** Makes a controller in a world, where its tasks start it. Free it with controller_free. */
 controller *controller_new(world *world, const settings *settings);
 /** Opens the control listener; a NULL dialect means dialect_native. Returns OK, or an error of the
  * listener. */
--- a/lib/controlplane/controller_drain.c
+++ b/lib/controlplane/controller_drain.c
@@ -1,8 +1,6 @@
 /** Graceful shutdown of a controller: it leaves the chain, hands over its vote, and ends once every
- * call that it has read is answered. The grace period bounds the whole shutdown. Its time is
- * reserved from the end backwards: for the exit of the process, pending calls, late callers, and
- * the handover.
- */
+ * call that it has read is answered. The grace period bounds the whole shutdown, and is
+ * divided from its end backwards: exit of the process, pending calls, late callers, handover. */
 #include "controller.h"
 
 enum {
--- a/lib/controlplane/engine_heartbeat_api.c
+++ b/lib/controlplane/engine_heartbeat_api.c
@@ -136,8 +136,7 @@
     dialect_translate_in(dialect, value);
     code = parse_heartbeat(&heartbeat, value, &engine_id, &err);
   }
-  /* all errors here are errors of the request, including codes that have another status elsewhere
-   */
+  /* all errors are errors in the request, including codes that have another status elsewhere */
   if (code)
     control_respond_error_status(dialect, request, HTTP_BAD_REQUEST, code, err.text);
   else {
--- a/lib/controlplane/engine_registry.c
+++ b/lib/controlplane/engine_registry.c
@@ -198,9 +198,7 @@
   return REGISTRY_DRAINING;
 }
 
-/* True when the times in an update differ from the known ones by more than message latency
- * explains.
- */
+/* True when the times in an update differ by more than message latency from the known ones. */
 static bool changes_times(const registered_engine *engine, const Wire__EngineState *update,
                           const update_times *times) {
   bool changes_slow_start = update->heartbeat_count > engine->heartbeat_count &&
--- a/lib/controlplane/registry_sync.c
+++ b/lib/controlplane/registry_sync.c
@@ -239,9 +239,7 @@
   return time_from_ms(CLAMP(interval_ms, BATCH_INTERVAL_MS, BATCH_INTERVAL_MAX_MS));
 }
 
-/* Sends count, age and checksum of all engines that have sent a heartbeat here since the last
- * batch.
- */
+/* Sends count, age and checksum of the engines whose heartbeats came here since the last batch. */
 static void broadcast_heartbeats(registry_sync *sync, time_us now) {
   guint size = g_hash_table_size(sync->registry.engines), count = 0;
   Wire__EngineState *messages = g_new(Wire__EngineState, size + 1);
--- a/lib/controlplane/singleton_grants.c
+++ b/lib/controlplane/singleton_grants.c
@@ -161,8 +161,7 @@
   return false;
 }
 
-/* Renews and releases the leases that the requester holds. Returns true when a claim needs a grant.
- */
+/* Renews and releases the leases of the requester. Returns true when a claim needs a grant. */
 static bool renew_claims(lease_request *request) {
   time_us now = world_now(request->grants->node->world);
   bool needs_grant = false;
@@ -239,7 +238,8 @@
   g_hash_table_destroy(grants->decided_epochs);
 }
 
-/* Time since a lease was renewed, in ms; -1 when this controller is not the head. */
+/* Time since a lease was renewed, in ms; -1 when unknown or when this controller is not the head.
+ */
 static int64_t renewed_ms_ago(const singleton_grants *grants, const singleton_grant *grant) {
   if (replica_chain_index(grants->replica) != 0)
     return -1;
--- a/lib/controlplane/version_reports.h
+++ b/lib/controlplane/version_reports.h
@@ -2,8 +2,7 @@
  *
  * A write is in force once half of the known routers have reported it. Routers that are gone still
  * count as known: a router that reaches no controller takes work only while more than half of all
- * routers know of no newer configuration, and any such majority includes a router with the write.
- */
+ * routers know of no newer configuration, and any such majority has a router with the write. */
 #ifndef CONTROLPLANE_VERSION_REPORTS_H
 #define CONTROLPLANE_VERSION_REPORTS_H
 #include "replica.h"
