--- a/tests/main.c
+++ b/tests/main.c
@@ -89,10 +89,10 @@
 };
 
 static run_options options = { .seeds = SEEDS_DEFAULT };
-/* The tests of this run, and how many of them have begun. CUnit passes no context to a test, but
+/* The tests of this run, and how many of them have started. CUnit passes no context to a test, but
  * calls the tests in the order in which they were added. */
-static GPtrArray *chosen_tests;
-static guint begun_tests;
+static GPtrArray *selected_tests;
+static guint started_tests;
 
 static bool run_seed(const test_case *test, uint64_t seed, int routers, int engines) {
   fleet *fleet = fleet_new(seed, routers, engines);
@@ -122,17 +122,17 @@
 }
 
 static void run_next_test(void) {
-  run_test(chosen_tests->pdata[begun_tests++]);
+  run_test(selected_tests->pdata[started_tests++]);
 }
 
 /* Returns the tests with a name; all if it is NULL. */
-static GPtrArray *choose_tests(const char *name) {
-  GPtrArray *chosen = g_ptr_array_new();
+static GPtrArray *select_tests(const char *name) {
+  GPtrArray *selected = g_ptr_array_new();
   for (size_t i = 0; i < G_N_ELEMENTS(test_lists); i++)
     for (const test_case *test = test_lists[i]; test->name; test++)
       if (!name || !strcmp(name, test->name))
-        g_ptr_array_add(chosen, (gpointer)test);
-  return chosen;
+        g_ptr_array_add(selected, (gpointer)test);
+  return selected;
 }
 
 static void print_names(const GPtrArray *tests) {
@@ -142,9 +142,9 @@
   }
 }
 
-static int environment_int(const char *name, int otherwise) {
+static int environment_int(const char *name, int default_value) {
   const char *text = getenv(name);
-  return text ? atoi(text) : otherwise;
+  return text ? atoi(text) : default_value;
 }
 
 static void read_options(int argc, char **argv) {
@@ -160,12 +160,12 @@
 }
 
 /* Returns the exit code of the process. */
-static int run_chosen_tests(void) {
+static int run_selected_tests(void) {
   if (CU_initialize_registry() != CUE_SUCCESS)
     return EXIT_FAILURE;
   CU_pSuite suite = CU_add_suite("tests", NULL, NULL);
-  for (guint i = 0; i < chosen_tests->len; i++) {
-    const test_case *test = chosen_tests->pdata[i];
+  for (guint i = 0; i < selected_tests->len; i++) {
+    const test_case *test = selected_tests->pdata[i];
     CU_add_test(suite, test->name, run_next_test);
   }
   CU_basic_set_mode(CU_BRM_VERBOSE);
@@ -178,16 +178,16 @@
 int main(int argc, char **argv) {
   read_options(argc, argv);
   bool list_only = options.name && !strcmp(options.name, "--list");
-  chosen_tests = choose_tests(list_only ? NULL : options.name);
+  selected_tests = select_tests(list_only ? NULL : options.name);
   int status = EXIT_SUCCESS;
   if (list_only) {
-    print_names(chosen_tests);
-  } else if (!chosen_tests->len) {
+    print_names(selected_tests);
+  } else if (!selected_tests->len) {
     fprintf(stderr, "there is no test %s; `tests --list` prints their names\n", options.name);
     status = EXIT_USAGE;
   } else {
-    status = run_chosen_tests();
+    status = run_selected_tests();
   }
-  g_ptr_array_free(chosen_tests, TRUE);
+  g_ptr_array_free(selected_tests, TRUE);
   return status;
 }
