--- a/lib/controlplane/version_reports.c
+++ b/lib/controlplane/version_reports.c
@@ -38,7 +38,8 @@
 }
 
 /* True when a router has applied a write, has not restarted since, and is not draining. */
-static bool router_has_applied(const version_reports *reports, const peer_node *router, uint64_t seq) {
+static bool router_has_applied(const version_reports *reports, const peer_node *router,
+                               uint64_t seq) {
   if (router->draining)
     return false;
   const reported_version *report = g_hash_table_lookup(reports->by_router, router->self.text);
