--- a/tests/scenario.c
+++ b/tests/scenario.c
@@ -29,11 +29,12 @@
          tail->controller->replica.view.chain_length == expected->chain_length;
 }
 
-bool scenario_wait_for_chain(fleet *fleet, int links, int64_t ms) {
-  chain_expectation expected = { fleet, links };
-  if (sim_run_until(fleet->sim, chain_acts, &expected, time_from_ms(ms)))
+bool scenario_wait_for_chain(fleet *fleet, int chain_length, int64_t timeout_ms) {
+  chain_expectation expected = { fleet, chain_length };
+  if (sim_run_until(fleet->sim, chain_acts, &expected, time_from_ms(timeout_ms)))
     return true;
-  fleet_add_violation(fleet, "no acting chain of %d after %" PRId64 " ms", links, ms);
+  fleet_add_violation(fleet, "no acting chain of %d after %" PRId64 " ms", chain_length,
+                      timeout_ms);
   return false;
 }
 
@@ -140,26 +141,26 @@
 }
 
 /* A run of the doctor as a task of the operator's host. */
-typedef struct doctor_visit {
+typedef struct doctor_examination {
   fleet *fleet;
   GArray *findings; /* elements are finding; freed by the task that waits for this run */
   bool done;
-} doctor_visit;
+} doctor_examination;
 
 static void doctor_run(void *context) {
-  doctor_visit *visit = context;
-  fleet *fleet = visit->fleet;
+  doctor_examination *examination = context;
+  fleet *fleet = examination->fleet;
   char *addresses[G_N_ELEMENTS(fleet->controller)];
   for (int i = 0; i < fleet->controllers; i++)
     addresses[i] = fleet->controller[i]->addr;
-  visit->findings = doctor_examine(&fleet->operator->world, addresses, fleet->controllers);
-  visit->done = true;
+  examination->findings = doctor_examine(&fleet->operator->world, addresses, fleet->controllers);
+  examination->done = true;
 }
 
 static bool doctor_done(sim *sim, void *context) {
-  const doctor_visit *visit = context;
+  const doctor_examination *examination = context;
   (void)sim;
-  return visit->done;
+  return examination->done;
 }
 
 static bool has_finding(const GArray *findings, int code) {
@@ -172,18 +173,18 @@
 }
 
 void scenario_expect_diagnosis(fleet *fleet, int code, const char *when) {
-  doctor_visit visit = { fleet, NULL, false };
-  task_start(&fleet->operator->world.tasks, "doctor", doctor_run, &visit);
-  if (!sim_run_until(fleet->sim, doctor_done, &visit, time_from_ms(DOCTOR_TIMEOUT_MS))) {
+  doctor_examination examination = { fleet, NULL, false };
+  task_start(&fleet->operator->world.tasks, "doctor", doctor_run, &examination);
+  if (!sim_run_until(fleet->sim, doctor_done, &examination, time_from_ms(DOCTOR_TIMEOUT_MS))) {
     fleet_add_violation(fleet, "the doctor did not end in time");
     return;
   }
-  if (!has_finding(visit.findings, code)) {
+  if (!has_finding(examination.findings, code)) {
     fleet_add_violation(fleet, "%s: the doctor does not report %d", when, code);
-    for (guint i = 0; i < visit.findings->len; i++) {
-      const finding *found = &g_array_index(visit.findings, finding, i);
+    for (guint i = 0; i < examination.findings->len; i++) {
+      const finding *found = &g_array_index(examination.findings, finding, i);
       fleet_add_violation(fleet, "  instead it reports %d %s", found->code, found->evidence);
     }
   }
-  g_array_free(visit.findings, TRUE);
+  g_array_free(examination.findings, TRUE);
 }
--- a/tests/scenario.h
+++ b/tests/scenario.h
@@ -9,9 +9,9 @@
 /** The names of the zones of a test fleet. */
 extern const char *const zone_names[3];
 
-/** Waits up to `ms` until a chain of `links` members has an acting head and tail. Returns false and
- * records a violation if there is none by then. */
-bool scenario_wait_for_chain(fleet *fleet, int links, int64_t ms);
+/** Waits up to timeout_ms until a chain of chain_length members has an acting head and tail.
+ * Returns false and records a violation if there is none by then. */
+bool scenario_wait_for_chain(fleet *fleet, int chain_length, int64_t timeout_ms);
 /** Returns the JSON of an evacuation of share10 tenths (0 to 9) of the zone north. The caller frees
  * it with g_free. */
 char *scenario_evacuation_json(int share10);
