--- a/tests/controlplane/controller.c
+++ b/tests/controlplane/controller.c
@@ -11,18 +11,18 @@
     return false;
   fleet_start_sampling(fleet);
   for (int i = 0; i < 6; i++) {
-    host *t = fleet_find_tail(fleet);
-    operator_call *g =
-        fleet_call(fleet, t, "GET", "/v1/evacuation", NULL, NULL, NULL, time_from_ms(5000));
-    char m[32], ra[32], *x = scenario_evacuation_json(i % 4),
-                        *y = scenario_evacuation_json(4 + i % 4);
-    snprintf(ra, sizeof ra, "race-%d", i);
-    snprintf(m, sizeof m, "%" PRIu64, g->version);
-    operator_call_free(g);
+    host *tail = fleet_find_tail(fleet);
+    operator_call *read =
+        fleet_call(fleet, tail, "GET", "/v1/evacuation", NULL, NULL, NULL, time_from_ms(5000));
+    char if_match[32], race_key[32], *first = scenario_evacuation_json(i % 4),
+                                     *second = scenario_evacuation_json(4 + i % 4);
+    snprintf(race_key, sizeof race_key, "race-%d", i);
+    snprintf(if_match, sizeof if_match, "%" PRIu64, read->version);
+    operator_call_free(read);
     operator_call *a = fleet_send(fleet, fleet->controller[sim_random(fleet->sim, 3)], "PUT",
-                                  "/v1/evacuation", x, m, ra),
+                                  "/v1/evacuation", first, if_match, race_key),
                   *b = fleet_send(fleet, fleet->controller[sim_random(fleet->sim, 3)], "PATCH",
-                                  "/v1/evacuation", y, m, NULL);
+                                  "/v1/evacuation", second, if_match, NULL);
     sim_run(fleet->sim, time_from_ms(3000));
     if ((a->status == 200) + (b->status == 200) != 1 ||
         (a->status == 412) + (b->status == 412) != 1)
@@ -33,29 +33,29 @@
     /* a retry is not applied again */
     char key[32];
     snprintf(key, sizeof key, "again-%d", i);
-    a = fleet_call(fleet, fleet->controller[0], "PUT", "/v1/evacuation", x, NULL, key,
+    a = fleet_call(fleet, fleet->controller[0], "PUT", "/v1/evacuation", first, NULL, key,
                    time_from_ms(5000));
-    b = fleet_call(fleet, fleet->controller[1], "PUT", "/v1/evacuation", x, NULL, key,
+    b = fleet_call(fleet, fleet->controller[1], "PUT", "/v1/evacuation", first, NULL, key,
                    time_from_ms(5000));
     if (a->status != 200 || b->status != 200 || a->version != b->version)
       fleet_add_violation(fleet, "a write and its retry gave versions %" PRIu64 " and %" PRIu64,
                           a->version, b->version);
     operator_call_free(a);
     operator_call_free(b);
-    b = fleet_call(fleet, fleet->controller[2], "PUT", "/v1/evacuation", y, NULL, key,
+    b = fleet_call(fleet, fleet->controller[2], "PUT", "/v1/evacuation", second, NULL, key,
                    time_from_ms(5000));
     if (b->status != 422)
       fleet_add_violation(fleet, "an idempotency key used for another request got %d", b->status);
     operator_call_free(b);
-    g_free(x);
-    g_free(y);
+    g_free(first);
+    g_free(second);
   }
   return true;
 }
 
 static bool invalid_configurations_are_refused(fleet *fleet) {
   static const struct {
-    const char *res, *text;
+    const char *resource, *text;
     int status, code;
   } bad[] = { { "catalogue", "{", 400, E_JSON },
               { "catalogue", "{\"models\":[{\"id\":\"x\"}]}", 400, E_FIELD },
@@ -81,7 +81,7 @@
     return false;
   for (size_t i = 0; i < G_N_ELEMENTS(bad); i++) {
     char path[40];
-    snprintf(path, sizeof path, "/v1/%s", bad[i].res);
+    snprintf(path, sizeof path, "/v1/%s", bad[i].resource);
     operator_call *call = fleet_call(fleet, fleet->controller[i % 3], "PUT", path, bad[i].text,
                                      NULL, NULL, time_from_ms(5000));
     json *json = json_parse(string_view_of_gstring(call->body), NULL);
@@ -113,13 +113,13 @@
     return false;
   fleet_start_sampling(fleet);
   char *big = fleet_catalogue_json(12000, 12000, NULL);
-  uint64_t v = fleet_put(fleet, "catalogue", big);
-  if (!v)
+  uint64_t version = fleet_put(fleet, "catalogue", big);
+  if (!version)
     fleet_add_violation(fleet, "a catalogue of %zu bytes was refused", strlen(big));
   g_free(big);
   sim_run(fleet->sim, time_from_ms(2500));
   for (int i = 0; i < fleet->routers; i++)
-    if (fleet->router[i]->router->sync.config_version < v)
+    if (fleet->router[i]->router->sync.config_version < version)
       fleet_add_violation(fleet, "R4 %s does not have the large catalogue after 2.5 s",
                           fleet->router[i]->self.text);
   /* it is sent in chunks to a controller with an empty disk, and survives a power loss */
@@ -136,23 +136,23 @@
   if (!scenario_wait_for_chain(fleet, 3, 20000))
     return false;
   scenario_check_acknowledged_writes(fleet);
-  GString *over = g_string_new("{\"areas\":[");
-  while (over->len < (1 << 20))
-    json_appendf(over, "%s\"area-with-a-long-name-%zu\"",
-                 over->str[over->len - 1] == '[' ? "" : ",", over->len);
-  g_string_append(over, "]}");
-  operator_call *call = fleet_call(fleet, fleet->controller[0], "PUT", "/v1/catalogue", over->str,
-                                   NULL, NULL, time_from_ms(9000));
+  GString *oversized = g_string_new("{\"areas\":[");
+  while (oversized->len < (1 << 20))
+    json_appendf(oversized, "%s\"area-with-a-long-name-%zu\"",
+                 oversized->str[oversized->len - 1] == '[' ? "" : ",", oversized->len);
+  g_string_append(oversized, "]}");
+  operator_call *call = fleet_call(fleet, fleet->controller[0], "PUT", "/v1/catalogue",
+                                   oversized->str, NULL, NULL, time_from_ms(9000));
   for (int i = 0; i < 10 && call->status == 503; i++) {
     operator_call_free(call);
     sim_run(fleet->sim, time_from_ms(500));
-    call = fleet_call(fleet, fleet->controller[0], "PUT", "/v1/catalogue", over->str, NULL, NULL,
-                      time_from_ms(9000));
+    call = fleet_call(fleet, fleet->controller[0], "PUT", "/v1/catalogue", oversized->str, NULL,
+                      NULL, time_from_ms(9000));
   }
   if (call->status != 413 && call->status != 400)
-    fleet_add_violation(fleet, "a resource of %zu bytes got %d", over->len, call->status);
+    fleet_add_violation(fleet, "a resource of %zu bytes got %d", oversized->len, call->status);
   operator_call_free(call);
-  g_string_free(over, TRUE);
+  g_string_free(oversized, TRUE);
   return true;
 }
 
