--- a/tests/controlplane/engine_registry.c
+++ b/tests/controlplane/engine_registry.c
@@ -9,41 +9,41 @@
 
 static Wire__EngineState heartbeat_of(const char *engine_id, const char *addr, uint64_t count,
                                       bool draining) {
-  Wire__EngineState w = WIRE__ENGINE_STATE__INIT;
-  w.id = (char *)engine_id;
-  w.service = "chat";
-  w.address = (char *)addr;
-  w.zone = "north";
-  w.version = "v1";
-  w.slots = 8;
-  w.heartbeat_count = count;
-  w.draining = draining;
-  return w;
+  Wire__EngineState heartbeat = WIRE__ENGINE_STATE__INIT;
+  heartbeat.id = (char *)engine_id;
+  heartbeat.service = "chat";
+  heartbeat.address = (char *)addr;
+  heartbeat.zone = "north";
+  heartbeat.version = "v1";
+  heartbeat.slots = 8;
+  heartbeat.heartbeat_count = count;
+  heartbeat.draining = draining;
+  return heartbeat;
 }
 
 static enum registry_update record_heartbeat(engine_registry *registry, const char *engine_id,
                                              const char *addr, uint64_t count, bool draining,
                                              int64_t ms) {
-  Wire__EngineState w = heartbeat_of(engine_id, addr, count, draining);
-  return engine_registry_heartbeat(registry, &w, time_from_ms(ms));
+  Wire__EngineState heartbeat = heartbeat_of(engine_id, addr, count, draining);
+  return engine_registry_heartbeat(registry, &heartbeat, time_from_ms(ms));
 }
 
 /* Merges an engine of one registry into another: its full state (is_full), or only its count, age
  * and checksum. */
 static enum registry_update merge_from(engine_registry *to, const engine_registry *from,
                                        const char *engine_id, bool is_full, int64_t ms) {
-  Wire__EngineState w = WIRE__ENGINE_STATE__INIT;
+  Wire__EngineState update = WIRE__ENGINE_STATE__INIT;
   registered_engine *engine = engine_registry_find(from, engine_id);
-  engine_registry_pack_engine(engine, time_from_ms(ms), &w);
+  engine_registry_pack_engine(engine, time_from_ms(ms), &update);
   if (!is_full) {
-    Wire__EngineState s = WIRE__ENGINE_STATE__INIT;
-    s.id = w.id;
-    s.heartbeat_count = w.heartbeat_count;
-    s.checksum = w.checksum;
-    s.age_ms = w.age_ms;
-    w = s;
+    Wire__EngineState summary = WIRE__ENGINE_STATE__INIT;
+    summary.id = update.id;
+    summary.heartbeat_count = update.heartbeat_count;
+    summary.checksum = update.checksum;
+    summary.age_ms = update.age_ms;
+    update = summary;
   }
-  return engine_registry_merge(to, &w, time_from_ms(ms));
+  return engine_registry_merge(to, &update, time_from_ms(ms));
 }
 
 static void expect(fleet *fleet, bool is, const char *what) {
@@ -60,211 +60,226 @@
 }
 
 static bool stale_heartbeats_are_ignored(fleet *fleet) {
-  engine_registry r;
-  engine_registry_init(&r, 7, time_from_ms(1000));
-  expect(fleet, record_heartbeat(&r, "e1", "10.0.0.1:80", 3, false, 1000) == REGISTRY_CHANGED,
+  engine_registry registry;
+  engine_registry_init(&registry, 7, time_from_ms(1000));
+  expect(fleet,
+         record_heartbeat(&registry, "e1", "10.0.0.1:80", 3, false, 1000) == REGISTRY_CHANGED,
          "the first heartbeat is not a change");
-  expect(fleet, record_heartbeat(&r, "e1", "10.0.0.1:80", 4, false, 2000) == REGISTRY_ALIVE,
+  expect(fleet, record_heartbeat(&registry, "e1", "10.0.0.1:80", 4, false, 2000) == REGISTRY_ALIVE,
          "an equal heartbeat is a change");
-  uint64_t seq = r.seq;
-  expect(fleet, record_heartbeat(&r, "e1", "10.0.0.9:80", 3, false, 2100) == REGISTRY_STALE,
+  uint64_t seq = registry.seq;
+  expect(fleet, record_heartbeat(&registry, "e1", "10.0.0.9:80", 3, false, 2100) == REGISTRY_STALE,
          "a lower count is not stale");
-  expect(fleet, record_heartbeat(&r, "e1", "10.0.0.9:80", 4, false, 2100) == REGISTRY_STALE,
+  expect(fleet, record_heartbeat(&registry, "e1", "10.0.0.9:80", 4, false, 2100) == REGISTRY_STALE,
          "an equal count is not stale");
-  registered_engine *engine = engine_registry_find(&r, "e1");
+  registered_engine *engine = engine_registry_find(&registry, "e1");
   expect(fleet,
-         r.seq == seq && !strcmp(engine->heartbeat->address, "10.0.0.1:80") &&
+         registry.seq == seq && !strcmp(engine->heartbeat->address, "10.0.0.1:80") &&
              engine->last_heard_at.us == time_from_ms(2000).us,
          "a stale heartbeat changed something");
-  Wire__ResidentModel m = WIRE__RESIDENT_MODEL__INIT, *ms = &m;
-  m.model = "m1";
-  m.weights_version = 1;
-  Wire__EngineState w = heartbeat_of("e1", "10.0.0.1:80", 5, false);
-  w.n_models = 1;
-  w.models = &ms;
-  expect(fleet, engine_registry_heartbeat(&r, &w, time_from_ms(3000)) == REGISTRY_CHANGED,
+  Wire__ResidentModel model = WIRE__RESIDENT_MODEL__INIT, *models = &model;
+  model.model = "m1";
+  model.weights_version = 1;
+  Wire__EngineState heartbeat = heartbeat_of("e1", "10.0.0.1:80", 5, false);
+  heartbeat.n_models = 1;
+  heartbeat.models = &models;
+  expect(fleet,
+         engine_registry_heartbeat(&registry, &heartbeat, time_from_ms(3000)) == REGISTRY_CHANGED,
          "a new model is not a change");
-  w.heartbeat_count = 6;
-  expect(fleet, engine_registry_heartbeat(&r, &w, time_from_ms(4000)) == REGISTRY_ALIVE,
+  heartbeat.heartbeat_count = 6;
+  expect(fleet,
+         engine_registry_heartbeat(&registry, &heartbeat, time_from_ms(4000)) == REGISTRY_ALIVE,
          "a heartbeat with the same models is a change");
-  m.weights_version = 2;
-  w.heartbeat_count = 7;
-  expect(fleet, engine_registry_heartbeat(&r, &w, time_from_ms(5000)) == REGISTRY_CHANGED,
+  model.weights_version = 2;
+  heartbeat.heartbeat_count = 7;
+  expect(fleet,
+         engine_registry_heartbeat(&registry, &heartbeat, time_from_ms(5000)) == REGISTRY_CHANGED,
          "another weights version is not a change");
-  expect(fleet, engine_registry_find(&r, "e1")->heartbeat->models[0]->weights_version == 2,
+  expect(fleet, engine_registry_find(&registry, "e1")->heartbeat->models[0]->weights_version == 2,
          "another weights version was not stored");
-  engine_registry_free(&r);
+  engine_registry_free(&registry);
   return true;
 }
 
 static bool draining_and_sign_off_are_permanent(fleet *fleet) {
-  engine_registry r;
-  engine_registry_init(&r, 7, time_from_ms(0));
-  record_heartbeat(&r, "e1", "10.0.0.1:80", 1, false, 1000);
-  Wire__EngineState w = heartbeat_of("e1", "10.0.0.1:80", 2, true);
-  w.ends_in_ms = 5000;
-  expect(fleet, engine_registry_heartbeat(&r, &w, time_from_ms(2000)) == REGISTRY_DRAINING,
+  engine_registry registry;
+  engine_registry_init(&registry, 7, time_from_ms(0));
+  record_heartbeat(&registry, "e1", "10.0.0.1:80", 1, false, 1000);
+  Wire__EngineState heartbeat = heartbeat_of("e1", "10.0.0.1:80", 2, true);
+  heartbeat.ends_in_ms = 5000;
+  expect(fleet,
+         engine_registry_heartbeat(&registry, &heartbeat, time_from_ms(2000)) == REGISTRY_DRAINING,
          "the start of draining is not reported as such");
-  Wire__EngineState said = WIRE__ENGINE_STATE__INIT;
-  engine_registry_pack_engine(engine_registry_find(&r, "e1"), time_from_ms(3000), &said);
-  expect(fleet, said.draining && !said.gone && said.age_ms == 1000 && said.ends_in_ms == 5000,
+  Wire__EngineState packed = WIRE__ENGINE_STATE__INIT;
+  engine_registry_pack_engine(engine_registry_find(&registry, "e1"), time_from_ms(3000), &packed);
+  expect(fleet,
+         packed.draining && !packed.gone && packed.age_ms == 1000 && packed.ends_in_ms == 5000,
          "age or time to the end does not count from the heartbeat");
   expect(fleet,
-         record_heartbeat(&r, "e1", "10.0.0.1:80", 3, false, 4000) == REGISTRY_ALIVE &&
-             engine_registry_find(&r, "e1")->draining,
+         record_heartbeat(&registry, "e1", "10.0.0.1:80", 3, false, 4000) == REGISTRY_ALIVE &&
+             engine_registry_find(&registry, "e1")->draining,
          "a later heartbeat resets draining");
   expect(fleet,
-         engine_registry_sign_off(&r, "e1", time_from_ms(5000)) == REGISTRY_DRAINING &&
-             engine_registry_sign_off(&r, "e1", time_from_ms(5100)) == REGISTRY_STALE,
+         engine_registry_sign_off(&registry, "e1", time_from_ms(5000)) == REGISTRY_DRAINING &&
+             engine_registry_sign_off(&registry, "e1", time_from_ms(5100)) == REGISTRY_STALE,
          "a sign-off is not reported, or is reported twice");
   for (uint64_t i = 4; i < 20; i++)
     expect(fleet,
-           record_heartbeat(&r, "e1", "10.0.0.1:80", i, false, 6000 + (int64_t)i) == REGISTRY_STALE,
+           record_heartbeat(&registry, "e1", "10.0.0.1:80", i, false, 6000 + (int64_t)i) ==
+               REGISTRY_STALE,
            "a heartbeat revives an engine that signed off");
   /* a sign-off of an unknown engine */
   expect(fleet,
-         engine_registry_sign_off(&r, "e2", time_from_ms(7000)) == REGISTRY_DRAINING &&
-             record_heartbeat(&r, "e2", "10.0.0.2:80", 9, false, 7100) == REGISTRY_STALE,
+         engine_registry_sign_off(&registry, "e2", time_from_ms(7000)) == REGISTRY_DRAINING &&
+             record_heartbeat(&registry, "e2", "10.0.0.2:80", 9, false, 7100) == REGISTRY_STALE,
          "a late heartbeat revives an engine that signed off before it was known");
   /* a registry that merges the sign-offs keeps them, too */
-  engine_registry o;
-  engine_registry_init(&o, 8, time_from_ms(0));
-  record_heartbeat(&o, "e1", "10.0.0.1:80", 30, false, 7000);
+  engine_registry other;
+  engine_registry_init(&other, 8, time_from_ms(0));
+  record_heartbeat(&other, "e1", "10.0.0.1:80", 30, false, 7000);
   expect(fleet,
-         merge_from(&o, &r, "e1", true, 8000) == REGISTRY_DRAINING &&
-             engine_registry_find(&o, "e1")->signed_off,
+         merge_from(&other, &registry, "e1", true, 8000) == REGISTRY_DRAINING &&
+             engine_registry_find(&other, "e1")->signed_off,
          "a merged sign-off loses against a later heartbeat");
   expect(fleet,
-         merge_from(&o, &r, "e2", true, 8000) == REGISTRY_DRAINING &&
-             record_heartbeat(&o, "e2", "10.0.0.2:80", 10, false, 8100) == REGISTRY_STALE,
+         merge_from(&other, &registry, "e2", true, 8000) == REGISTRY_DRAINING &&
+             record_heartbeat(&other, "e2", "10.0.0.2:80", 10, false, 8100) == REGISTRY_STALE,
          "a tombstone is not merged, or a heartbeat revives its engine");
   bool is_full;
-  expect(fleet, count_changed_since(&o, 8, 0, &is_full) == 2,
+  expect(fleet, count_changed_since(&other, 8, 0, &is_full) == 2,
          "ended engines are not among the changes");
   /* a tombstone is removed in time; positions from before its change get the full list */
-  engine_registry_set_complete(&o);
-  record_heartbeat(&o, "e4", "10.0.0.4:80", 1, false, 8500);
-  uint64_t known = o.seq;
-  engine_registry_sign_off(&o, "e4", time_from_ms(8600));
-  uint64_t seq = o.seq;
-  record_heartbeat(&o, "e3", "10.0.0.3:80", 1, false, 9000);
+  engine_registry_set_complete(&other);
+  record_heartbeat(&other, "e4", "10.0.0.4:80", 1, false, 8500);
+  uint64_t known = other.seq;
+  engine_registry_sign_off(&other, "e4", time_from_ms(8600));
+  uint64_t seq = other.seq;
+  record_heartbeat(&other, "e3", "10.0.0.3:80", 1, false, 9000);
   for (int64_t t = 9000; t < 70000; t += 250) {
     if (t % 1000 == 0)
-      record_heartbeat(&o, "e3", "10.0.0.3:80", 2 + (uint64_t)t, false, t);
-    engine_registry_sweep(&o, time_from_ms(t), true);
+      record_heartbeat(&other, "e3", "10.0.0.3:80", 2 + (uint64_t)t, false, t);
+    engine_registry_sweep(&other, time_from_ms(t), true);
   }
-  expect(fleet, !engine_registry_find(&o, "e1") && engine_registry_find(&o, "e3"),
+  expect(fleet, !engine_registry_find(&other, "e1") && engine_registry_find(&other, "e3"),
          "a tombstone is never removed, or a live engine is");
-  expect(fleet, count_changed_since(&o, 8, seq, &is_full) == 1 && !is_full,
+  expect(fleet, count_changed_since(&other, 8, seq, &is_full) == 1 && !is_full,
          "the changes since a position are not exactly those");
-  expect(fleet, count_changed_since(&o, 8, known, &is_full) == 1 && is_full,
+  expect(fleet, count_changed_since(&other, 8, known, &is_full) == 1 && is_full,
          "a position before a removed tombstone does not get the full list");
-  engine_registry_free(&r);
-  engine_registry_free(&o);
+  engine_registry_free(&registry);
+  engine_registry_free(&other);
   return true;
 }
 
 static bool a_reused_address_has_one_engine(fleet *fleet) {
-  engine_registry r;
-  engine_registry_init(&r, 7, time_from_ms(0));
-  record_heartbeat(&r, "e1", "10.0.0.1:80", 1, false, 1000);
-  record_heartbeat(&r, "e2", "10.0.0.2:80", 1, false, 1000);
+  engine_registry registry;
+  engine_registry_init(&registry, 7, time_from_ms(0));
+  record_heartbeat(&registry, "e1", "10.0.0.1:80", 1, false, 1000);
+  record_heartbeat(&registry, "e2", "10.0.0.2:80", 1, false, 1000);
   expect(fleet,
-         record_heartbeat(&r, "e3", "10.0.0.1:80", 1, false, 3000) == REGISTRY_CHANGED &&
-             engine_registry_find(&r, "e1")->gone && !engine_registry_find(&r, "e2")->gone,
+         record_heartbeat(&registry, "e3", "10.0.0.1:80", 1, false, 3000) == REGISTRY_CHANGED &&
+             engine_registry_find(&registry, "e1")->gone &&
+             !engine_registry_find(&registry, "e2")->gone,
          "an address still has two engines, or the wrong engine is gone");
   expect(fleet,
-         record_heartbeat(&r, "e1", "10.0.0.1:80", 1, false, 3100) == REGISTRY_STALE &&
-             engine_registry_find(&r, "e1")->gone,
+         record_heartbeat(&registry, "e1", "10.0.0.1:80", 1, false, 3100) == REGISTRY_STALE &&
+             engine_registry_find(&registry, "e1")->gone,
          "a stale heartbeat takes the address back");
   /* an old update by way of another controller changes nothing */
-  engine_registry o;
-  engine_registry_init(&o, 8, time_from_ms(0));
-  record_heartbeat(&o, "e1", "10.0.0.1:80", 2, false, 2000);
-  merge_from(&r, &o, "e1", true, 3500);
-  expect(fleet, engine_registry_find(&r, "e1")->gone && !engine_registry_find(&r, "e3")->gone,
+  engine_registry other;
+  engine_registry_init(&other, 8, time_from_ms(0));
+  record_heartbeat(&other, "e1", "10.0.0.1:80", 2, false, 2000);
+  merge_from(&registry, &other, "e1", true, 3500);
+  expect(fleet,
+         engine_registry_find(&registry, "e1")->gone &&
+             !engine_registry_find(&registry, "e3")->gone,
          "an old update from another controller takes the address back");
   /* an update about a replaced engine arrives where only its successor is known */
-  engine_registry y;
-  engine_registry_init(&y, 9, time_from_ms(0));
-  record_heartbeat(&y, "e3", "10.0.0.1:80", 2, false, 3600);
-  merge_from(&y, &o, "e1", true, 3700);
-  expect(fleet, engine_registry_find(&y, "e1")->gone && !engine_registry_find(&y, "e3")->gone,
+  engine_registry third;
+  engine_registry_init(&third, 9, time_from_ms(0));
+  record_heartbeat(&third, "e3", "10.0.0.1:80", 2, false, 3600);
+  merge_from(&third, &other, "e1", true, 3700);
+  expect(fleet,
+         engine_registry_find(&third, "e1")->gone && !engine_registry_find(&third, "e3")->gone,
          "an update about a replaced engine takes the address");
-  engine_registry_free(&r);
-  engine_registry_free(&o);
-  engine_registry_free(&y);
+  engine_registry_free(&registry);
+  engine_registry_free(&other);
+  engine_registry_free(&third);
   return true;
 }
 
 static bool engines_without_heartbeats_are_gone(fleet *fleet) {
-  engine_registry r;
-  engine_registry_init(&r, 7, time_from_ms(0));
+  engine_registry registry;
+  engine_registry_init(&registry, 7, time_from_ms(0));
   for (int64_t t = 0; t <= 20000; t += 250) {
     if (t % 1000 == 0)
-      record_heartbeat(&r, "e1", "10.0.0.1:80", (uint64_t)t + 1, false, t);
+      record_heartbeat(&registry, "e1", "10.0.0.1:80", (uint64_t)t + 1, false, t);
     if (t % 1000 == 0 && t <= 5000)
-      record_heartbeat(&r, "e2", "10.0.0.2:80", (uint64_t)t + 1, false, t);
-    engine_registry_sweep(&r, time_from_ms(t), true);
+      record_heartbeat(&registry, "e2", "10.0.0.2:80", (uint64_t)t + 1, false, t);
+    engine_registry_sweep(&registry, time_from_ms(t), true);
     if (t == 12750)
-      expect(fleet, !engine_registry_find(&r, "e2")->gone, "an engine is gone too early");
+      expect(fleet, !engine_registry_find(&registry, "e2")->gone, "an engine is gone too early");
     if (t == 13250)
-      expect(fleet, engine_registry_find(&r, "e2")->gone, "a silent engine is not gone");
+      expect(fleet, engine_registry_find(&registry, "e2")->gone, "a silent engine is not gone");
   }
-  registered_engine *engine = engine_registry_find(&r, "e2");
+  registered_engine *engine = engine_registry_find(&registry, "e2");
   expect(fleet,
          engine->gone && !engine->draining && !engine->signed_off &&
-             !engine_registry_find(&r, "e1")->gone,
+             !engine_registry_find(&registry, "e1")->gone,
          "a silent engine is not just gone, or another one is gone");
   expect(fleet,
-         record_heartbeat(&r, "e2", "10.0.0.2:80", 30000, false, 20100) == REGISTRY_CHANGED &&
-             !engine_registry_find(&r, "e2")->gone,
+         record_heartbeat(&registry, "e2", "10.0.0.2:80", 30000, false, 20100) ==
+                 REGISTRY_CHANGED &&
+             !engine_registry_find(&registry, "e2")->gone,
          "a heartbeat does not bring a silent engine back");
   /* a heartbeat that another controller received counts */
-  engine_registry o;
-  engine_registry_init(&o, 8, time_from_ms(0));
-  merge_from(&o, &r, "e1", true, 20100);
-  merge_from(&o, &r, "e2", true, 20100);
+  engine_registry other;
+  engine_registry_init(&other, 8, time_from_ms(0));
+  merge_from(&other, &registry, "e1", true, 20100);
+  merge_from(&other, &registry, "e2", true, 20100);
   for (int64_t t = 20250; t <= 40000; t += 250) {
     if (t % 1000 == 0) {
-      record_heartbeat(&r, "e1", "10.0.0.1:80", (uint64_t)t + 1, false, t);
-      expect(fleet, merge_from(&o, &r, "e1", false, t + 10) == REGISTRY_ALIVE,
+      record_heartbeat(&registry, "e1", "10.0.0.1:80", (uint64_t)t + 1, false, t);
+      expect(fleet, merge_from(&other, &registry, "e1", false, t + 10) == REGISTRY_ALIVE,
              "a merged heartbeat is not accepted");
     }
-    engine_registry_sweep(&o, time_from_ms(t), true);
+    engine_registry_sweep(&other, time_from_ms(t), true);
   }
-  expect(fleet, !engine_registry_find(&o, "e1")->gone && engine_registry_find(&o, "e2")->gone,
+  expect(fleet,
+         !engine_registry_find(&other, "e1")->gone && engine_registry_find(&other, "e2")->gone,
          "heartbeats at another controller do not count, or a silent engine is not gone");
   expect(fleet,
-         merge_from(&o, &r, "e2", false, 40000) == REGISTRY_NEEDS_FETCH ||
-             engine_registry_find(&o, "e2")->gone,
+         merge_from(&other, &registry, "e2", false, 40000) == REGISTRY_NEEDS_FETCH ||
+             engine_registry_find(&other, "e2")->gone,
          "an old heartbeat at another controller brings a silent engine back");
   /* while another controller is unreachable, an engine is declared silent later */
-  engine_registry c;
-  engine_registry_init(&c, 9, time_from_ms(0));
-  record_heartbeat(&c, "e3", "10.0.0.3:80", 1, false, 0);
+  engine_registry isolated;
+  engine_registry_init(&isolated, 9, time_from_ms(0));
+  record_heartbeat(&isolated, "e3", "10.0.0.3:80", 1, false, 0);
   for (int64_t t = 250; t <= 28000; t += 250) {
     if (t % 1000 == 0)
-      record_heartbeat(&c, "e4", "10.0.0.4:80", (uint64_t)t, false, t);
-    engine_registry_sweep(&c, time_from_ms(t), false);
+      record_heartbeat(&isolated, "e4", "10.0.0.4:80", (uint64_t)t, false, t);
+    engine_registry_sweep(&isolated, time_from_ms(t), false);
     if (t == 20000)
-      expect(fleet, !engine_registry_find(&c, "e3")->gone,
+      expect(fleet, !engine_registry_find(&isolated, "e3")->gone,
              "an engine is gone too early while a controller is unreachable");
   }
-  expect(fleet, engine_registry_find(&c, "e3")->gone && !engine_registry_find(&c, "e4")->gone,
+  expect(fleet,
+         engine_registry_find(&isolated, "e3")->gone &&
+             !engine_registry_find(&isolated, "e4")->gone,
          "a silent engine is never gone while a controller is unreachable, or another one is");
-  engine_registry_free(&c);
+  engine_registry_free(&isolated);
   /* a process that was suspended, or hears no engine at all, declares none silent */
-  engine_registry_sweep(&o, time_from_ms(90000), true);
-  engine_registry_sweep(&o, time_from_ms(90250), true);
-  expect(fleet, !engine_registry_find(&o, "e1")->gone,
+  engine_registry_sweep(&other, time_from_ms(90000), true);
+  engine_registry_sweep(&other, time_from_ms(90250), true);
+  expect(fleet, !engine_registry_find(&other, "e1")->gone,
          "a process that was suspended declares engines silent");
   for (int64_t t = 90500; t <= 120000; t += 250)
-    engine_registry_sweep(&o, time_from_ms(t), true);
-  expect(fleet, !engine_registry_find(&o, "e1")->gone,
+    engine_registry_sweep(&other, time_from_ms(t), true);
+  expect(fleet, !engine_registry_find(&other, "e1")->gone,
          "a process that hears no engine declares engines silent");
-  engine_registry_free(&r);
-  engine_registry_free(&o);
+  engine_registry_free(&registry);
+  engine_registry_free(&other);
   return true;
 }
 
@@ -337,26 +352,26 @@
 }
 
 static bool configuration_changes_are_checked(fleet *fleet) {
-  GString *t = g_string_new("{}");
+  GString *current = g_string_new("{}");
   const char *first = "{\"version\":3,\"routes\":[" ROUTE("r1", "/a/", "s") "]," SERVICES "}";
-  expect(fleet, config_change_version(string_view_of_gstring(t)) == 0,
+  expect(fleet, config_change_version(string_view_of_gstring(current)) == 0,
          "an empty configuration has a version");
-  expect(fleet, try_change(fleet, t, true, 1, first) == E_VERSION_CONFLICT,
+  expect(fleet, try_change(fleet, current, true, 1, first) == E_VERSION_CONFLICT,
          "a first configuration with base version 1 is accepted");
-  expect(fleet, try_change(fleet, t, true, 0, "{\"version\":0,\"routes\":[]," SERVICES "}"),
+  expect(fleet, try_change(fleet, current, true, 0, "{\"version\":0,\"routes\":[]," SERVICES "}"),
          "version 0 is accepted after version 0");
   expect(fleet,
-         try_change(fleet, t, false, 0,
+         try_change(fleet, current, false, 0,
                     "{\"version\":2,\"set\":{\"routes\":[" ROUTE("r1", "/a/", "s") "]}}"),
          "a patch of an empty configuration is accepted");
   expect(fleet,
-         try_change(fleet, t, true, 0, first) == OK &&
-             config_change_version(string_view_of_gstring(t)) == 3,
+         try_change(fleet, current, true, 0, first) == OK &&
+             config_change_version(string_view_of_gstring(current)) == 3,
          "the first configuration is refused");
   /* of two changes of one version the second is a conflict, whether it is valid or not */
-  expect(fleet, try_change(fleet, t, true, 0, first) == E_VERSION_CONFLICT,
+  expect(fleet, try_change(fleet, current, true, 0, first) == E_VERSION_CONFLICT,
          "two changes with the same base version are accepted");
-  expect(fleet, try_change(fleet, t, true, 2, "{\"version\":9}") == E_VERSION_CONFLICT,
+  expect(fleet, try_change(fleet, current, true, 2, "{\"version\":9}") == E_VERSION_CONFLICT,
          "an outdated base version is not a conflict");
   static const char *const bad[] = {
     "[]",
@@ -368,26 +383,27 @@
                                                                                       "}"
   };
   for (size_t i = 0; i < G_N_ELEMENTS(bad); i++) {
-    int r = try_change(fleet, t, true, 3, bad[i]);
+    int r = try_change(fleet, current, true, 3, bad[i]);
     if (r < E_JSON || r >= E_WIRE_MESSAGE || r == E_VERSION_CONFLICT)
       fleet_add_violation(fleet, "%s gives code %d", bad[i], r);
   }
-  expect(fleet, config_change_version(string_view_of_gstring(t)) == 3,
+  expect(fleet, config_change_version(string_view_of_gstring(current)) == 3,
          "a refused configuration changed the version");
   expect(fleet,
-         try_change(fleet, t, false, 3,
+         try_change(fleet, current, false, 3,
                     "{\"version\":7,\"set\":{\"routes\":[" ROUTE(
                         "r2", "/b/", "s") "]},\"drop\":{\"routes\":[\"r1\"]}}") == OK,
          "a patch is refused");
   expect(fleet,
-         config_change_version(string_view_of_gstring(t)) == 7 && strstr(t->str, "r2") &&
-             !strstr(t->str, "r1"),
+         config_change_version(string_view_of_gstring(current)) == 7 &&
+             strstr(current->str, "r2") && !strstr(current->str, "r1"),
          "a patch is not applied");
-  expect(fleet, try_change(fleet, t, false, 7, "{\"version\":8,\"drop\":{\"services\":[\"s\"]}}"),
+  expect(fleet,
+         try_change(fleet, current, false, 7, "{\"version\":8,\"drop\":{\"services\":[\"s\"]}}"),
          "a patch may drop a service in use");
-  expect(fleet, try_change(fleet, t, false, 7, "{\"version\":7,\"set\":{}}"),
+  expect(fleet, try_change(fleet, current, false, 7, "{\"version\":7,\"set\":{}}"),
          "a patch that keeps the version is accepted");
-  g_string_free(t, TRUE);
+  g_string_free(current, TRUE);
   return true;
 }
 
@@ -405,24 +421,24 @@
   int full_lists;
 } engine_recorder;
 
-static void record_engines(void *p, const Wire__ConfigPollResponse *b) {
-  engine_recorder *e = p;
-  e->full_lists += b->engines_complete;
-  for (size_t i = 0; i < b->n_engines; i++) {
-    engine_notice t = { .draining = b->engines[i]->draining,
-                        .gone = b->engines[i]->gone,
-                        .at = world_now(e->world) };
-    g_strlcpy(t.id, b->engines[i]->id, sizeof t.id);
-    g_strlcpy(t.addr, b->engines[i]->address, sizeof t.addr);
-    g_array_append_val(e->all, t);
+static void record_engines(void *p, const Wire__ConfigPollResponse *response) {
+  engine_recorder *recorder = p;
+  recorder->full_lists += response->engines_complete;
+  for (size_t i = 0; i < response->n_engines; i++) {
+    engine_notice notice = { .draining = response->engines[i]->draining,
+                             .gone = response->engines[i]->gone,
+                             .at = world_now(recorder->world) };
+    g_strlcpy(notice.id, response->engines[i]->id, sizeof notice.id);
+    g_strlcpy(notice.addr, response->engines[i]->address, sizeof notice.addr);
+    g_array_append_val(recorder->all, notice);
   }
 }
 
 static engine_notice *last_notice(host *host, const char *engine_id) {
-  engine_recorder *e = host->context;
-  for (guint i = e->all->len; i-- > 0;)
-    if (!strcmp(g_array_index(e->all, engine_notice, i).id, engine_id))
-      return &g_array_index(e->all, engine_notice, i);
+  engine_recorder *recorder = host->context;
+  for (guint i = recorder->all->len; i-- > 0;)
+    if (!strcmp(g_array_index(recorder->all, engine_notice, i).id, engine_id))
+      return &g_array_index(recorder->all, engine_notice, i);
   return NULL;
 }
 
@@ -436,20 +452,20 @@
 
 static void recorder_begin(host *host) {
   if (!host->context) {
-    engine_recorder *e = g_new0(engine_recorder, 1);
-    e->world = &host->world;
-    e->all = g_array_new(FALSE, TRUE, sizeof(engine_notice));
-    host->context = e;
+    engine_recorder *recorder = g_new0(engine_recorder, 1);
+    recorder->world = &host->world;
+    recorder->all = g_array_new(FALSE, TRUE, sizeof(engine_notice));
+    host->context = recorder;
   }
   host->router->gateway = host->context;
   host->router->on_engines_changed = record_engines;
 }
 
 static void recorder_dispose(host *host) {
-  engine_recorder *e = host->context;
-  if (e) {
-    g_array_free(e->all, TRUE);
-    g_free(e);
+  engine_recorder *recorder = host->context;
+  if (recorder) {
+    g_array_free(recorder->all, TRUE);
+    g_free(recorder);
   }
   host->context = NULL;
 }
@@ -558,11 +574,11 @@
 
 static int send_heartbeat(fleet *fleet, host *host, const char *engine_id, const char *addr,
                           int count, const char *state) {
-  char *t = heartbeat_text(addr, count, state), path[80];
+  char *body = heartbeat_text(addr, count, state), path[80];
   snprintf(path, sizeof path, "/v1/engines/%s/%s", engine_id,
            strcmp(state, "off") ? "beat" : "leave");
-  int st = status_at(fleet, host, "POST", path, t, -1);
-  g_free(t);
+  int st = status_at(fleet, host, "POST", path, body, -1);
+  g_free(body);
   return st;
 }
 
@@ -669,54 +685,55 @@
 }
 
 static char *config_text(int version, int routes) {
-  GString *b = g_string_new(NULL);
-  json_appendf(b, "{\"version\":%d,\"routes\":[", version);
+  GString *text = g_string_new(NULL);
+  json_appendf(text, "{\"version\":%d,\"routes\":[", version);
   for (int i = 0; i < routes; i++)
     json_appendf(
-        b,
+        text,
         "%s{\"name\":\"r%d\",\"host\":\"a.example\",\"prefix\":\"/p%d/\",\"mode\":\"safe\",\"timeoutMs\":1000,\"targetMs\":500,\"priority\":0,\"service\":\"s\",\"attempts\":1}",
         i ? "," : "", i, i);
-  json_appendf(b, "],%s}", SERVICES);
-  return g_string_free(b, FALSE);
+  json_appendf(text, "],%s}", SERVICES);
+  return g_string_free(text, FALSE);
 }
 
 static bool control_listeners_serve_configurations(fleet *fleet) {
   if (!start_with_listeners(fleet))
     return false;
-  host *h = fleet->controller[sim_random(fleet->sim, 3)];
-  if (status_at(fleet, h, "GET", "/v1/routing", NULL, -1) != 404)
+  host *target = fleet->controller[sim_random(fleet->sim, 3)];
+  if (status_at(fleet, target, "GET", "/v1/routing", NULL, -1) != 404)
     fleet_add_violation(fleet, "there is a configuration before the first write");
-  char *a = config_text(2, 3), *b = config_text(5, 4), *c = config_text(6, 5),
+  char *first = config_text(2, 3), *second = config_text(5, 4), *third = config_text(6, 5),
        *large = config_text(20, 1200);
-  if (status_at(fleet, h, "PUT", "/v1/routing", a, -1) != 400)
+  if (status_at(fleet, target, "PUT", "/v1/routing", first, -1) != 400)
     fleet_add_violation(fleet, "a configuration without a base version is accepted");
-  if (status_at(fleet, h, "PUT", "/v1/routing", a, 0) != 200)
+  if (status_at(fleet, target, "PUT", "/v1/routing", first, 0) != 200)
     fleet_add_violation(fleet, "the first configuration is refused");
   for (int i = 0; i < 3; i++)
-    if (status_at(fleet, fleet->controller[i], "PUT", "/v1/routing", a, 0) != 200)
+    if (status_at(fleet, fleet->controller[i], "PUT", "/v1/routing", first, 0) != 200)
       fleet_add_violation(fleet, "the first configuration is refused when it is sent again");
-  if (status_at(fleet, h, "PUT", "/v1/routing", b, 1) != 412 ||
-      status_at(fleet, h, "PUT", "/v1/routing", a, 2) != 400)
+  if (status_at(fleet, target, "PUT", "/v1/routing", second, 1) != 412 ||
+      status_at(fleet, target, "PUT", "/v1/routing", first, 2) != 400)
     fleet_add_violation(fleet,
                         "a wrong base or version is accepted, or refused with another status");
   /* two changes of the same version at the same time, and a repeat of one of them */
   char *at = listener_of(fleet_find_head(fleet));
-  test_call *x = test_call_send(fleet, at, "PUT", "/v1/routing", b, 2),
-            *y = test_call_send(fleet, at, "PUT", "/v1/routing", c, 2),
-            *again = test_call_send(fleet, at, "PUT", "/v1/routing", b, 2);
+  test_call *second_call = test_call_send(fleet, at, "PUT", "/v1/routing", second, 2),
+            *third_call = test_call_send(fleet, at, "PUT", "/v1/routing", third, 2),
+            *again = test_call_send(fleet, at, "PUT", "/v1/routing", second, 2);
   g_free(at);
-  sim_run_until(fleet->sim, test_call_done, x, time_from_ms(2000));
-  sim_run_until(fleet->sim, test_call_done, y, time_from_ms(2000));
+  sim_run_until(fleet->sim, test_call_done, second_call, time_from_ms(2000));
+  sim_run_until(fleet->sim, test_call_done, third_call, time_from_ms(2000));
   sim_run_until(fleet->sim, test_call_done, again, time_from_ms(2000));
-  if ((x->status == 200) + (y->status == 200) != 1 || (x->status == 412) + (y->status == 412) != 1)
-    fleet_add_violation(fleet, "two concurrent changes of one version got %d and %d", x->status,
-                        y->status);
-  if (again->status != x->status)
+  if ((second_call->status == 200) + (third_call->status == 200) != 1 ||
+      (second_call->status == 412) + (third_call->status == 412) != 1)
+    fleet_add_violation(fleet, "two concurrent changes of one version got %d and %d",
+                        second_call->status, third_call->status);
+  if (again->status != second_call->status)
     fleet_add_violation(fleet, "a concurrent repeat of a change got %d, not %d", again->status,
-                        x->status);
-  int now = x->status == 200 ? 5 : 6;
-  test_call_free(x);
-  test_call_free(y);
+                        second_call->status);
+  int now = second_call->status == 200 ? 5 : 6;
+  test_call_free(second_call);
+  test_call_free(third_call);
   test_call_free(again);
   if (status_at(fleet, fleet->controller[0], "PATCH", "/v1/routing",
                 "{\"version\":11,\"drop\":{\"routes\":[\"r0\"]}}", now) != 200)
@@ -724,7 +741,7 @@
   if (status_at(fleet, fleet->controller[1], "PATCH", "/v1/routing",
                 "{\"version\":11,\"drop\":{\"routes\":[\"r0\"]}}", now) != 200)
     fleet_add_violation(fleet, "a patch is refused when it is sent again");
-  if (status_at(fleet, fleet->controller[2], "PUT", "/v1/routing", a, 0) != 200)
+  if (status_at(fleet, fleet->controller[2], "PUT", "/v1/routing", first, 0) != 200)
     fleet_add_violation(fleet, "an old accepted configuration is refused when it is sent again");
   test_call *test = request_listener(fleet, fleet->controller[1], "GET", "/v1/routing", NULL, -1);
   json *json = json_parse(string_view_of_gstring(test->body), NULL);
@@ -734,7 +751,7 @@
                         test->body->str);
   json_free(json);
   test_call_free(test);
-  if (status_at(fleet, h, "PUT", "/v1/routing", large, 11) != 200)
+  if (status_at(fleet, target, "PUT", "/v1/routing", large, 11) != 200)
     fleet_add_violation(fleet, "a large configuration is refused");
   sim_run(fleet->sim, time_from_ms(1000));
   for (int i = 0; i < fleet->routers; i++) {
@@ -749,8 +766,8 @@
     if (fleet->controller[i] != isolated)
       host_kill(fleet->controller[i]);
   sim_run(fleet->sim, time_from_ms(2500));
-  char *d = config_text(30, 2);
-  int st = status_at(fleet, isolated, "PUT", "/v1/routing", d, 20);
+  char *fourth = config_text(30, 2);
+  int st = status_at(fleet, isolated, "PUT", "/v1/routing", fourth, 20);
   if (st != 503 && st != 504)
     fleet_add_violation(fleet, "a controller without the others responded with %d", st);
   for (int i = 0; i < 3; i++)
@@ -759,7 +776,7 @@
   if (!scenario_wait_for_chain(fleet, 3, 15000))
     return false;
   sim_run(fleet->sim, time_from_ms(3000));
-  st = status_at(fleet, fleet->controller[0], "PUT", "/v1/routing", d, 20);
+  st = status_at(fleet, fleet->controller[0], "PUT", "/v1/routing", fourth, 20);
   if (st != 200)
     fleet_add_violation(fleet, "with all controllers back a change got %d", st);
   /* the head drains: another one soon acts, and callers are redirected while the process of the old
@@ -767,15 +784,15 @@
   host *head = fleet_find_head(fleet);
   controller_drain(head->controller);
   sim_run(fleet->sim, time_from_ms(1500));
-  char *e = config_text(31, 2);
-  st = status_at(fleet, head, "PUT", "/v1/routing", e, 30);
+  char *fifth = config_text(31, 2);
+  st = status_at(fleet, head, "PUT", "/v1/routing", fifth, 30);
   if (st != 200)
     fleet_add_violation(fleet, "a change sent to the draining head got %d", st);
-  g_free(a);
-  g_free(b);
-  g_free(c);
-  g_free(d);
-  g_free(e);
+  g_free(first);
+  g_free(second);
+  g_free(third);
+  g_free(fourth);
+  g_free(fifth);
   g_free(large);
   return true;
 }
