--- a/tests/controlplane/config_change.c
+++ b/tests/controlplane/config_change.c
@@ -246,8 +246,8 @@
 /* Task: an operator, who reads or remembers the current version, changes it, and sometimes sends
  * the same or an old change again. */
 static void operator_run(void *p) {
-  operator_task *t = p;
-  run *run = t->run;
+  operator_task *task = p;
+  run *run = task->run;
   world *world = run->deployment->operator->world;
   while (!run->stop && !world->tasks.stopped) {
     uint64_t base = run->current;
@@ -282,16 +282,16 @@
 } job;
 
 static void job_run(void *p) {
-  job *j = p;
-  j->work(j->run, j->ctx);
-  j->run->busy--;
+  job *job = p;
+  job->work(job->run, job->ctx);
+  job->run->busy--;
 }
 
 /* Runs a function to completion as a task of the operators' host. */
 static bool run_as_operator(run *r, void (*work)(run *r, void *ctx), void *ctx, int64_t ms) {
-  job j = { r, work, ctx };
+  job job = { r, work, ctx };
   r->busy++;
-  task_start(&r->deployment->operator->world->tasks, "operator", job_run, &j);
+  task_start(&r->deployment->operator->world->tasks, "operator", job_run, &job);
   r->deployment->operator_host->next_wake_at = r->deployment->sim->now;
   if (sim_run_until(r->deployment->sim, is_idle, r, time_from_ms(ms)))
     return true;
@@ -401,15 +401,16 @@
   return host ? host : any_controller(run);
 }
 
-static void isolate(run *run, host *h, bool one_way) {
+static void isolate(run *run, host *isolated, bool one_way) {
   for (int i = 0; i < run->deployment->fleet->controllers; i++) {
     host *other = run->deployment->fleet->controller[i];
-    if (other == h)
+    if (other == isolated)
       continue;
     if (one_way)
-      sim_set_partition(run->deployment->sim, h->self.text, other->self.text, true);
+      sim_set_partition(run->deployment->sim, isolated->self.text, other->self.text, true);
     else
-      sim_set_partition_both_ways(run->deployment->sim, h->self.text, other->self.text, true);
+      sim_set_partition_both_ways(run->deployment->sim, isolated->self.text, other->self.text,
+                                  true);
   }
 }
 
@@ -491,8 +492,8 @@
 }
 
 static void reader_run(void *p) {
-  operator_task *t = p;
-  run *run = t->run;
+  operator_task *task = p;
+  run *run = task->run;
   world *world = run->deployment->operator->world;
   uint64_t version;
   while (!run->stop && !world->tasks.stopped) {
@@ -554,34 +555,34 @@
 } long_history;
 
 static void change_many(run *run, void *ctx) {
-  long_history *d = ctx;
-  d->first = new_change(run, run->current, run->current + 1, true, true);
-  send_once(run, d->first, address_of(run, 0), LOSS_RESPONSE);
+  long_history *history = ctx;
+  history->first = new_change(run, run->current, run->current + 1, true, true);
+  send_once(run, history->first, address_of(run, 0), LOSS_RESPONSE);
   uint64_t base = run->current + 1;
   /* the first change was accepted: another one with the same base and new version is refused */
-  d->second = new_change(run, run->current, base, false, true);
-  if (send_until_clear(run, d->second, CHANGE_TIMEOUT_MS) != ANSWER_CONFLICT)
+  history->second = new_change(run, run->current, base, false, true);
+  if (send_until_clear(run, history->second, CHANGE_TIMEOUT_MS) != ANSWER_CONFLICT)
     fleet_add_violation(run->deployment->fleet,
                         "another change that creates the same version was not refused");
-  for (guint i = 0; i < d->changes; i++) {
+  for (guint i = 0; i < history->changes; i++) {
     guint number = new_change(run, base + i, base + i + 1, i % 2 == 0, true);
     if (send_until_clear(run, number, CHANGE_TIMEOUT_MS) != ANSWER_CONFIRMED) {
       fleet_add_violation(run->deployment->fleet, "change %u of %u was not accepted", i,
-                          d->changes);
+                          history->changes);
       return;
     }
   }
 }
 
 static void send_first_again(run *run, void *ctx) {
-  long_history *d = ctx;
+  long_history *history = ctx;
   for (size_t i = 0; i < run->deployment->operator->controllers->len; i++) {
-    enum register_answer a = send_once(run, d->first, address_of(run, i), LOSS_NONE);
-    if (a != ANSWER_CONFIRMED)
+    enum register_answer answer = send_once(run, history->first, address_of(run, i), LOSS_NONE);
+    if (answer != ANSWER_CONFIRMED)
       fleet_add_violation(run->deployment->fleet,
-                          "an accepted change got %d when it was sent again after %u others", a,
-                          d->changes);
-    send_once(run, d->second, address_of(run, i), LOSS_NONE);
+                          "an accepted change got %d when it was sent again after %u others",
+                          answer, history->changes);
+    send_once(run, history->second, address_of(run, i), LOSS_NONE);
   }
 }
 
@@ -601,19 +602,19 @@
 
 static bool repeat_after(fleet *fleet, guint changes) {
   run r;
-  long_history d = { .changes = changes };
-  if (run_up(&r, fleet, 3) && run_as_operator(&r, change_many, &d, 4000000)) {
-    run_as_operator(&r, send_first_again, &d, 30000);
+  long_history history = { .changes = changes };
+  if (run_up(&r, fleet, 3) && run_as_operator(&r, change_many, &history, 4000000)) {
+    run_as_operator(&r, send_first_again, &history, 30000);
     /* the change is still known after a power loss and restart of all controllers */
     for (int i = 0; i < fleet->controllers; i++)
       host_power_off(fleet->controller[i]);
     scenario_heal_all(fleet);
     sim_run(fleet->sim, time_from_ms(4000));
-    run_as_operator(&r, send_first_again, &d, 30000);
+    run_as_operator(&r, send_first_again, &history, 30000);
     /* it is also known to heads that joined with an empty disk: each disk is wiped once */
     for (int i = 0; i < fleet->controllers; i++) {
       replace_head_disk(fleet);
-      run_as_operator(&r, send_first_again, &d, 30000);
+      run_as_operator(&r, send_first_again, &history, 30000);
     }
   }
   return run_done(&r);
@@ -629,11 +630,11 @@
 /* Sends a change again after more changes than the controllers keep. The response must leave its
  * outcome open, since it is unknown whether the change was accepted. */
 static void send_forgotten(run *run, void *ctx) {
-  long_history *d = ctx;
+  long_history *history = ctx;
   for (size_t i = 0; i < run->deployment->operator->controllers->len; i++)
     for (int k = 0; k < 2; k++) {
       enum register_answer a =
-          send_once(run, k ? d->second : d->first, address_of(run, i), LOSS_NONE);
+          send_once(run, k ? history->second : history->first, address_of(run, i), LOSS_NONE);
       if (a != ANSWER_NONE)
         fleet_add_violation(run->deployment->fleet, "a forgotten change got %d", a);
     }
@@ -641,54 +642,56 @@
 
 static bool a_forgotten_change_is_repeated(fleet *fleet) {
   run r;
-  long_history d = { .changes = ACCEPTED_CHANGES_MAX + ACCEPTED_CHANGES_FORGOTTEN_AT_ONCE + 10 };
-  if (run_up(&r, fleet, 3) && run_as_operator(&r, change_many, &d, 6000000))
-    run_as_operator(&r, send_forgotten, &d, 30000);
+  long_history history = { .changes =
+                               ACCEPTED_CHANGES_MAX + ACCEPTED_CHANGES_FORGOTTEN_AT_ONCE + 10 };
+  if (run_up(&r, fleet, 3) && run_as_operator(&r, change_many, &history, 6000000))
+    run_as_operator(&r, send_forgotten, &history, 30000);
   return run_done(&r);
 }
 
 /* The list of accepted changes is bounded, keeps the latest ones, and survives packing. */
 static bool accepted_changes_are_bounded(fleet *fleet) {
-  accepted_changes a, b;
-  accepted_changes_init(&a);
-  accepted_changes_init(&b);
+  accepted_changes changes, copy;
+  accepted_changes_init(&changes);
+  accepted_changes_init(&copy);
   const uint64_t count = 30000;
   for (uint64_t i = 1; i <= count; i++) {
-    accepted_changes_add(&a, i * 3, i * 0x9e3779b97f4a7c15u, i * 2);
+    accepted_changes_add(&changes, i * 3, i * 0x9e3779b97f4a7c15u, i * 2);
     uint64_t oldest = i > ACCEPTED_CHANGES_MAX ? i - ACCEPTED_CHANGES_MAX + 1 : 1;
-    if (a.all->len >= ACCEPTED_CHANGES_MAX + ACCEPTED_CHANGES_FORGOTTEN_AT_ONCE)
-      fleet_add_violation(fleet, "%u changes are kept", a.all->len);
-    if (!accepted_changes_find(&a, oldest * 3, oldest * 0x9e3779b97f4a7c15u) ||
-        accepted_changes_may_include(&a, oldest * 3))
+    if (changes.all->len >= ACCEPTED_CHANGES_MAX + ACCEPTED_CHANGES_FORGOTTEN_AT_ONCE)
+      fleet_add_violation(fleet, "%u changes are kept", changes.all->len);
+    if (!accepted_changes_find(&changes, oldest * 3, oldest * 0x9e3779b97f4a7c15u) ||
+        accepted_changes_may_include(&changes, oldest * 3))
       fleet_add_violation(fleet, "change %" PRIu64 " is forgotten after change %" PRIu64, oldest,
                           i);
-    if (accepted_changes_find(&a, i * 3, 1))
+    if (accepted_changes_find(&changes, i * 3, 1))
       fleet_add_violation(fleet, "another change of the same base version is found as accepted");
   }
-  if (accepted_changes_find(&a, 3, 0x9e3779b97f4a7c15u) || !accepted_changes_may_include(&a, 3))
+  if (accepted_changes_find(&changes, 3, 0x9e3779b97f4a7c15u) ||
+      !accepted_changes_may_include(&changes, 3))
     fleet_add_violation(
         fleet, "the first of %" PRIu64 " changes is not reported as possibly forgotten", count);
-  Wire__AcceptedChanges w;
-  accepted_changes_pack(&a, &w);
-  size_t size = wire__accepted_changes__get_packed_size(&w);
-  accepted_changes_unpack(&b, &w);
-  if (size > accepted_changes_packed_size(&a))
+  Wire__AcceptedChanges message;
+  accepted_changes_pack(&changes, &message);
+  size_t size = wire__accepted_changes__get_packed_size(&message);
+  accepted_changes_unpack(&copy, &message);
+  if (size > accepted_changes_packed_size(&changes))
     fleet_add_violation(fleet, "%u changes take %zu bytes, more than the upper bound of %zu",
-                        a.all->len, size, accepted_changes_packed_size(&a));
-  if (b.checksum != a.checksum || b.any_forgotten != a.any_forgotten ||
-      b.forgotten_base != a.forgotten_base || b.all->len != a.all->len ||
-      memcmp(a.all->data, b.all->data, a.all->len * sizeof(accepted_change)))
+                        changes.all->len, size, accepted_changes_packed_size(&changes));
+  if (copy.checksum != changes.checksum || copy.any_forgotten != changes.any_forgotten ||
+      copy.forgotten_base != changes.forgotten_base || copy.all->len != changes.all->len ||
+      memcmp(changes.all->data, copy.all->data, changes.all->len * sizeof(accepted_change)))
     fleet_add_violation(fleet, "the unpacked list differs from the packed one");
   if (getenv("ORDERS_LOUD"))
-    fprintf(stderr, "%u changes, %zu bytes packed, %zu in memory\n", a.all->len, size,
-            a.all->len * sizeof(accepted_change));
-  accepted_changes_packed_free(&w);
-  accepted_changes_copy(&b, &a);
-  accepted_changes_add(&b, count * 3 + 3, 7, count * 2 + 2);
-  if (b.checksum == a.checksum)
+    fprintf(stderr, "%u changes, %zu bytes packed, %zu in memory\n", changes.all->len, size,
+            changes.all->len * sizeof(accepted_change));
+  accepted_changes_packed_free(&message);
+  accepted_changes_copy(&copy, &changes);
+  accepted_changes_add(&copy, count * 3 + 3, 7, count * 2 + 2);
+  if (copy.checksum == changes.checksum)
     fleet_add_violation(fleet, "a copy with one more change has the same checksum");
-  accepted_changes_free(&a);
-  accepted_changes_free(&b);
+  accepted_changes_free(&changes);
+  accepted_changes_free(&copy);
   return !fleet->violations->len;
 }
 
@@ -697,8 +700,8 @@
   const char *head = ctx;
   guint lost = new_change(run, run->current, run->current + 1, true, true);
   for (int i = 0; i < 40; i++) {
-    enum register_answer a = send_once(run, lost, head, LOSS_NONE);
-    if (a != ANSWER_NONE)
+    enum register_answer answer = send_once(run, lost, head, LOSS_NONE);
+    if (answer != ANSWER_NONE)
       break;
     world_sleep(run->deployment->operator->world, time_from_ms((int64_t)draw(run, 30)));
   }
@@ -710,18 +713,18 @@
 } cut_head_task;
 
 static void resend_task(void *p) {
-  cut_head_task *a = p;
-  write_at_cut_head(a->run, a->address);
-  a->run->busy--;
+  cut_head_task *task = p;
+  write_at_cut_head(task->run, task->address);
+  task->run->busy--;
 }
 
 static void winner_task(void *p) {
-  cut_head_task *a = p;
-  run *run = a->run;
+  cut_head_task *task = p;
+  run *run = task->run;
   guint won = new_change(run, run->current, run->current + 1, false, true);
   for (int i = 0; i < 60; i++) {
     const char *to = address_of(run, draw(run, 8));
-    if (strcmp(to, a->address) && send_once(run, won, to, LOSS_NONE) != ANSWER_NONE)
+    if (strcmp(to, task->address) && send_once(run, won, to, LOSS_NONE) != ANSWER_NONE)
       break;
     world_sleep(run->deployment->operator->world, time_from_ms(40));
   }
@@ -730,11 +733,11 @@
 
 /* Sends another change of the same base version to the cut head. */
 static void rival_task(void *p) {
-  cut_head_task *a = p;
-  run *run = a->run;
+  cut_head_task *task = p;
+  run *run = task->run;
   guint rival = new_change(run, run->current, run->current + 1, true, true);
   world_sleep(run->deployment->operator->world, time_from_ms(20 + (int64_t)draw(run, 800)));
-  send_once(run, rival, a->address, LOSS_NONE);
+  send_once(run, rival, task->address, LOSS_NONE);
   run->busy--;
 }
 
@@ -749,15 +752,15 @@
     host *head = fleet_find_head(fleet);
     if (!head)
       continue;
-    cut_head_task a = { &r, "" };
-    g_strlcpy(a.address, head->addr, sizeof a.address);
-    *strchr(a.address, ':') = 0;
-    g_strlcat(a.address, ":8100", sizeof a.address);
+    cut_head_task task = { &r, "" };
+    g_strlcpy(task.address, head->addr, sizeof task.address);
+    *strchr(task.address, ':') = 0;
+    g_strlcat(task.address, ":8100", sizeof task.address);
     isolate(&r, head, draw(&r, 2));
     r.busy += 3;
-    task_start(&r.deployment->operator->world->tasks, "again", resend_task, &a);
-    task_start(&r.deployment->operator->world->tasks, "rival", rival_task, &a);
-    task_start(&r.deployment->operator->world->tasks, "winner", winner_task, &a);
+    task_start(&r.deployment->operator->world->tasks, "again", resend_task, &task);
+    task_start(&r.deployment->operator->world->tasks, "rival", rival_task, &task);
+    task_start(&r.deployment->operator->world->tasks, "winner", winner_task, &task);
     r.deployment->operator_host->next_wake_at = fleet->sim->now;
     sim_run(fleet->sim, time_from_ms(1300 + (int64_t)draw(&r, 500)));
     scenario_heal_all(fleet);
@@ -779,8 +782,8 @@
 } chained_change;
 
 static void chained_run(void *p) {
-  chained_change *c = p;
-  run *run = c->run;
+  chained_change *change = p;
+  run *run = change->run;
   world *world = run->deployment->operator->world;
   time_us sent = world_now(world);
   host *head = fleet_find_head(run->deployment->fleet);
@@ -788,16 +791,16 @@
   g_strlcpy(address, head->addr, sizeof address);
   *strchr(address, ':') = 0;
   g_strlcat(address, ":8100", sizeof address);
-  enum register_answer a = ANSWER_NONE;
-  for (int i = 0; i < 10 && a == ANSWER_NONE; i++) {
-    a = send_once(run, c->number, address, LOSS_NONE);
-    if (a == ANSWER_NONE)
+  enum register_answer answer = ANSWER_NONE;
+  for (int i = 0; i < 10 && answer == ANSWER_NONE; i++) {
+    answer = send_once(run, change->number, address, LOSS_NONE);
+    if (answer == ANSWER_NONE)
       world_sleep(world, time_from_ms(300));
   }
-  if (a != ANSWER_CONFIRMED)
+  if (answer != ANSWER_CONFIRMED)
     fleet_add_violation(run->deployment->fleet, "change %u of eight concurrent changes got %d",
-                        c->number, a);
-  c->took = time_sub(world_now(world), sent);
+                        change->number, answer);
+  change->took = time_sub(world_now(world), sent);
   run->busy--;
 }
 
