--- a/lib/controlplane/config_change.c
+++ b/lib/controlplane/config_change.c
@@ -32,17 +32,17 @@
   return OK;
 }
 
-enum error_code config_change_apply(string_view text, uint64_t current, bool is_full,
+enum error_code config_change_apply(string_view text, uint64_t current_version, bool is_full,
                                     uint64_t base_version, const json *body, GString *to,
                                     error *err) {
-  if (base_version != current)
-    return error_set(err, E_VERSION_CONFLICT, "the version is %" PRIu64 ", not %" PRIu64, current,
-                     base_version);
+  if (base_version != current_version)
+    return error_set(err, E_VERSION_CONFLICT, "the version is %" PRIu64 ", not %" PRIu64,
+                     current_version, base_version);
   json *patched = NULL;
   if (!is_full && !(patched = apply_patch(text, body, err)))
     return err->code;
   const json *next = is_full ? body : patched;
-  enum error_code code = check_next(next, current, err);
+  enum error_code code = check_next(next, current_version, err);
   if (!code)
     json_write(next, to);
   if (!code && to->len > RESOURCE_BYTES_MAX)
