--- a/lib/controlplane/operator_api.c
+++ b/lib/controlplane/operator_api.c
@@ -61,14 +61,14 @@
   return false;
 }
 
-static void respond_get_only(http_request *request) {
+static void respond_method_not_allowed(http_request *request) {
   http_request_respond_error(request, HTTP_METHOD_NOT_ALLOWED, E_METHOD_NOT_ALLOWED, "GET");
 }
 
 static void forward_to_router(controller *controller, http_request *request) {
   const peer_node *router = peer_table_pick(&controller->node, ROLE_ROUTER, NULL);
   if (strcmp(request->method, "GET"))
-    respond_get_only(request);
+    respond_method_not_allowed(request);
   else if (!router)
     api_error_respond(request, E_NO_CONTROLLER, "no router is known here");
   else
@@ -78,7 +78,7 @@
 static void serve_status_page(controller *controller, http_request *request,
                               const status_page *page) {
   if (strcmp(request->method, "GET")) {
-    respond_get_only(request);
+    respond_method_not_allowed(request);
     return;
   }
   GString *body = g_string_new(NULL);
