--- a/tests/controlplane/config_change.c
+++ b/tests/controlplane/config_change.c
@@ -187,15 +187,16 @@
 /* Sends a change, and retries it until there is a clear response or the timeout has passed. */
 static enum register_answer send_until_clear(run *run, guint number, int64_t timeout_ms) {
   world *world = run->deployment->operator->world;
-  time_us till = time_add(world_now(world), time_from_ms(timeout_ms));
+  time_us deadline = time_add(world_now(world), time_from_ms(timeout_ms));
   size_t at = draw(run, run->deployment->operator->controllers->len);
-  int64_t pause = 50;
+  int64_t backoff_ms = 50;
   enum register_answer answer = ANSWER_NONE;
-  while (answer == ANSWER_NONE && !time_reached(world_now(world), till) && !world->tasks.stopped) {
+  while (answer == ANSWER_NONE && !time_reached(world_now(world), deadline) &&
+         !world->tasks.stopped) {
     answer = send_once(run, number, address_of(run, at++), draw_loss(run));
-    if (answer == ANSWER_NONE && !world_sleep(world, time_from_ms(pause)))
+    if (answer == ANSWER_NONE && !world_sleep(world, time_from_ms(backoff_ms)))
       break;
-    pause = MIN(pause * 2, 1000);
+    backoff_ms = MIN(backoff_ms * 2, 1000);
   }
   return answer;
 }
@@ -233,9 +234,9 @@
 
 static bool read_until_clear(run *run, uint64_t *version, int64_t timeout_ms) {
   world *world = run->deployment->operator->world;
-  time_us till = time_add(world_now(world), time_from_ms(timeout_ms));
+  time_us deadline = time_add(world_now(world), time_from_ms(timeout_ms));
   size_t at = draw(run, run->deployment->operator->controllers->len);
-  while (!time_reached(world_now(world), till) && !world->tasks.stopped) {
+  while (!time_reached(world_now(world), deadline) && !world->tasks.stopped) {
     if (read_once(run, address_of(run, at++), version))
       return true;
     world_sleep(world, time_from_ms(150));
--- a/tests/controlplane/engine_registry.c
+++ b/tests/controlplane/engine_registry.c
@@ -488,10 +488,10 @@
   fields_add(fields, "Host", string_view_of(test->addr));
   if (test->base >= 0)
     fields_add_format(fields, "Asterfall-Base-Version", "%" PRId64, test->base);
-  time_us till = time_add(world_now(test->world), time_from_ms(1500));
+  time_us deadline = time_add(world_now(test->world), time_from_ms(1500));
   http_call *call = http_call_open_fields(test->world, test->addr, test->method, test->path, fields,
-                                          string_view_of(test->text), false, till);
-  if (!http_call_read_all(call, test->body, till))
+                                          string_view_of(test->text), false, deadline);
+  if (!http_call_read_all(call, test->body, deadline))
     test->status = call->status;
   string_view location;
   if (fields_get(call->response_fields, "Location", &location))
