--- a/lib/controlplane/controller_drain.c
+++ b/lib/controlplane/controller_drain.c
@@ -1,25 +1,25 @@
-/** Graceful shutdown of a controller: it leaves the chain, hands its vote over, and ends once every
- * call that it has read is answered. The time from the request to the end is bounded by the grace
- * period, which is divided from its end: exit, last calls, late callers, handover. */
+/** Graceful shutdown of a controller: it leaves the chain, hands over its vote, and ends once every
+ * call that it has read is answered. The grace period bounds the whole shutdown, and is
+ * divided from its end backwards: exit of the process, pending calls, late callers, handover. */
 #include "controller.h"
 
 enum {
-  /** Grace period where the settings name none, in ms. */
+  /** Default grace period, in ms. */
   GRACE_DEFAULT_MS = 5500,
-  /** For so long after the handover late callers are served or redirected, in ms; the minimum is
-   * what remains for them when the handover took long. */
+  /** How long late callers are served or redirected after the handover, in ms; the minimum remains
+   * for them even when the handover takes long. */
   LINGER_MS = 1500,
   LINGER_MIN_MS = 1000,
-  /** For the responses to calls that were read before the listener was shut, in ms: the longest
-   * response, and some time to send it. */
-  LAST_CALLS_MS = CONFIG_RESPONSE_TIMEOUT_MS + 50,
-  /** For the exit of the process itself, in ms. */
+  /** Time for the responses to calls that were read before the listener was shut, in ms: the
+   * longest time to respond, and some time to send the response. */
+  PENDING_CALLS_MS = CONFIG_RESPONSE_TIMEOUT_MS + 50,
+  /** Time for the exit of the process itself, in ms. */
   EXIT_MS = 100,
   /** Shortest time for the handover, whatever the grace period, in ms. */
   HANDOVER_MIN_MS = 500,
-  /** How often the handover, and the last calls, are looked at, in ms. */
+  /** How often the handover and the pending calls are checked, in ms. */
   HANDOVER_CHECK_MS = 100,
-  LAST_CALLS_CHECK_MS = 20
+  PENDING_CALLS_CHECK_MS = 20
 };
 
 static bool is_voter(const view *view, id controller) {
@@ -29,7 +29,7 @@
   return false;
 }
 
-/* True when another controller is there that may take this one's vote, since it has none itself. */
+/* True when there is another controller that has no vote and may take over this one's. */
 static bool is_vote_successor_known(const controller *controller) {
   list_for_each (peer, &controller->node.peers, peer_node, link) {
     bool may_vote = peer->role == ROLE_CONTROLLER && !peer->gone && !peer->draining;
@@ -39,8 +39,8 @@
   return false;
 }
 
-/* True when the other controllers need nothing more of this one: the chain is complete without it,
- * which they decide on only once one of them has all of its writes; and another one has its vote,
+/* True when the other controllers no longer need this one: it has been removed from the chain,
+ * which they do only once one of them has all of its writes, and another controller has its vote,
  * if there is one to take it. */
 static bool is_handed_over(const controller *controller) {
   const replica *replica = &controller->replica;
@@ -51,31 +51,31 @@
   return replica_voter_index(replica) < 0 || !is_vote_successor_known(controller);
 }
 
-/* Returns false when the process was stopped. */
+/* Sleeps until a deadline. Returns false when the process was stopped. */
 static bool sleep_until(world *world, time_us deadline) {
   time_us left = time_sub(deadline, world_now(world));
   return left.us <= 0 || world_sleep(world, left);
 }
 
-/* Serves late callers for a while; then no more calls are read, and those that were read are
+/* Serves late callers for a while, then stops reading calls and waits until those already read are
  * answered. Returns at the latest EXIT_MS before `end`. */
 static void finish_calls(controller *controller, time_us end) {
   world *world = controller->node.world;
   http_listener *listener = &controller->control_listener.http;
   time_us calls_deadline = time_sub(end, time_from_ms(EXIT_MS));
-  time_us shut_deadline = time_sub(calls_deadline, time_from_ms(LAST_CALLS_MS));
+  time_us shut_deadline = time_sub(calls_deadline, time_from_ms(PENDING_CALLS_MS));
   time_us linger_end = time_add(world_now(world), time_from_ms(LINGER_MS));
   if (!sleep_until(world, time_min(linger_end, shut_deadline)))
     return;
   world->listener_stop_accepting(world, listener);
   world->listener_close_idle(world, listener);
   while (listener->pending_exchanges && !time_reached(world_now(world), calls_deadline))
-    if (!world_sleep(world, time_from_ms(LAST_CALLS_CHECK_MS)))
+    if (!world_sleep(world, time_from_ms(PENDING_CALLS_CHECK_MS)))
       return;
 }
 
-/* Waits until the handover is done, at the latest until a deadline. Returns false when the process
- * was stopped. */
+/* Waits until the handover is done or the deadline has passed. Returns false when the process was
+ * stopped. */
 static bool wait_handed_over(controller *controller, time_us deadline) {
   world *world = controller->node.world;
   while (!is_handed_over(controller) && !time_reached(world_now(world), deadline))
@@ -84,23 +84,23 @@
   return true;
 }
 
-/* Task: the shutdown. */
+/* Task: performs the shutdown. */
 static void drain_run(void *p) {
   controller *controller = p;
   world *world = controller->node.world;
   const settings *settings = &controller->node.settings;
-  bool has_calls = controller->control_listener.is_open;
+  bool has_listener = controller->control_listener.is_open;
   int64_t grace_ms =
       settings->shutdown_grace_ms > 0 ? settings->shutdown_grace_ms : GRACE_DEFAULT_MS;
-  int64_t calls_ms = has_calls ? LINGER_MIN_MS + LAST_CALLS_MS : 0;
+  int64_t calls_ms = has_listener ? LINGER_MIN_MS + PENDING_CALLS_MS : 0;
   int64_t handover_ms = MAX(grace_ms - calls_ms - EXIT_MS, HANDOVER_MIN_MS);
   time_us started_at = world_now(world);
   if (!wait_handed_over(controller, time_add(started_at, time_from_ms(handover_ms))))
     return;
-  log_info(&controller->node.log, "controller", "%s, stopping.",
-           replica_chain_index(&controller->replica) < 0 ? "Out of the chain"
-                                                         : "Still in the chain");
-  if (has_calls)
+  log_info(&controller->node.log, "controller", "Stopping: %s.",
+           replica_chain_index(&controller->replica) < 0 ? "this controller has left the chain"
+                                                         : "this controller is still in the chain");
+  if (has_listener)
     finish_calls(controller, time_add(started_at, time_from_ms(grace_ms)));
   if (world->tasks.stopped)
     return;
@@ -108,7 +108,7 @@
   condition_broadcast(&controller->stopped);
 }
 
-/* Tells all peers at once that this node is draining. */
+/* Announces to all peers immediately that this node is draining. */
 static void announce_draining(node *node) {
   Wire__Heartbeat heartbeat = WIRE__HEARTBEAT__INIT;
   Wire__Envelope envelope = wire_envelope(WIRE__ENVELOPE__BODY_HEARTBEAT, &heartbeat);
--- a/lib/controlplane/engine_registry.c
+++ b/lib/controlplane/engine_registry.c
@@ -1,20 +1,21 @@
-/** The engines that have registered themselves; see engine_registry.h for the rules. */
+/** The engines that have registered with the controllers; see engine_registry.h for the rules. */
 #include "engine_registry.h"
 
 enum {
-  /** An engine's instants are recomputed from each update, and vary with the time that messages
-   * take. Less than this, in ms, is no change. */
+  /** The times of an engine are recomputed from each update, and vary with the latency of messages.
+   * Smaller differences than these, in ms, are not changes. */
   SLOW_START_TOLERANCE_MS = 1500,
   ENDS_AT_TOLERANCE_MS = 500,
-  /** A process that did not sweep for so long was stopped itself, in ms, and knows nothing about
-   * who is silent. */
+  /** A process that has not swept for this long, in ms, was suspended itself, and can't tell which
+   * engines are silent. */
   SWEEP_STALL_MS = 1500,
-  /** An engine is silent after this many times silent_ms while another controller is out of reach:
-   * it may be heard there. */
+  /** While another controller is unreachable, an engine is silent only after this many times
+   * silent_ms, since its heartbeats may arrive there. */
   UNREACHED_SILENCE_FACTOR = 3
 };
 
-/** Upper bound on spans in updates of others, in ms: 12 days, and small enough for arithmetic. */
+/** Upper bound on durations in received updates, in ms: 12 days, and small enough to avoid overflow
+ * in time arithmetic. */
 static const uint64_t SPAN_MAX_MS = 1u << 30;
 
 static void engine_free(void *p) {
@@ -28,9 +29,9 @@
   memset(registry, 0, sizeof *registry);
   registry->run = run;
   registry->engines = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, engine_free);
-  registry->silent_ms = SILENT_MS;
-  registry->tombstone_ms = TOMBSTONE_MS;
-  registry->started_at = registry->swept_at = now;
+  registry->silent_ms = ENGINE_REGISTRY_SILENT_MS;
+  registry->tombstone_ms = ENGINE_REGISTRY_TOMBSTONE_MS;
+  registry->listening_since = registry->swept_at = now;
 }
 
 void engine_registry_free(engine_registry *registry) {
@@ -47,7 +48,8 @@
   return hash_bytes(text, strlen(text), hash);
 }
 
-/* Checksum over all that other nodes must know of an engine, without what only time changes. */
+/* Returns a checksum of all that other nodes must know about an engine, without fields that change
+ * merely with time. */
 static uint64_t checksum_of(const Wire__EngineState *state, bool draining) {
   uint64_t hash = draining;
   hash = hash_text(hash, state->service);
@@ -65,7 +67,7 @@
   return hash;
 }
 
-/* A deep copy, to be freed with wire__engine_state__free_unpacked. */
+/* Returns a deep copy, to be freed with wire__engine_state__free_unpacked. */
 static Wire__EngineState *state_duplicate(const Wire__EngineState *state) {
   size_t size = wire__engine_state__get_packed_size(state);
   uint8_t *packed = g_malloc(size + 1);
@@ -89,7 +91,8 @@
   return a->heartbeat->address[0] && !strcmp(a->heartbeat->address, b->heartbeat->address);
 }
 
-/* An address belongs to the engine that was heard last; others that name it are gone. */
+/* Assigns the address of an engine to whichever engine that uses it was heard last, and marks the
+ * others as gone. */
 static void resolve_address(engine_registry *registry, registered_engine *engine, time_us now) {
   GHashTableIter it;
   gpointer value;
@@ -119,28 +122,30 @@
   return REGISTRY_DRAINING;
 }
 
-/* Adds an engine with a copy of a text; the caller fills in the rest. */
-static registered_engine *insert_engine(engine_registry *registry, const Wire__EngineState *text) {
+/* Adds an engine with a copy of a description; the caller sets the other fields. */
+static registered_engine *insert_engine(engine_registry *registry,
+                                        const Wire__EngineState *description) {
   registered_engine *engine = g_new0(registered_engine, 1);
-  engine->heartbeat = state_duplicate(text);
+  engine->heartbeat = state_duplicate(description);
   g_hash_table_insert(registry->engines, engine->heartbeat->id, engine);
   return engine;
 }
 
-/* Replaces the text of an engine; the key in the table is part of the text. */
-static void replace_text(engine_registry *registry, registered_engine *engine,
-                         const Wire__EngineState *text) {
+/* Replaces the description of an engine, which also owns the key in the table. */
+static void replace_description(engine_registry *registry, registered_engine *engine,
+                                const Wire__EngineState *description) {
   Wire__EngineState *old = engine->heartbeat;
   g_hash_table_steal(registry->engines, old->id);
-  engine->heartbeat = state_duplicate(text);
+  engine->heartbeat = state_duplicate(description);
   g_hash_table_insert(registry->engines, engine->heartbeat->id, engine);
   wire__engine_state__free_unpacked(old, NULL);
 }
 
-/** The instants of an update, which names them as spans before and after the heartbeat. */
+/** The times in an update as instants; the update gives them as durations before or after the
+ * heartbeat. */
 typedef struct update_times {
   time_us heartbeat_at, slow_start_until;
-  /** 0: the engine does not say when it ends. */
+  /** 0: the engine has not announced when it ends. */
   time_us ends_at;
 } update_times;
 
@@ -183,7 +188,7 @@
   return engine->draining ? REGISTRY_DRAINING : REGISTRY_CHANGED;
 }
 
-/* Of an update that is older than what is known, only that the engine is draining counts. */
+/* Applies an update that is older than the known state: only the start of draining counts. */
 static enum registry_update apply_stale_update(engine_registry *registry, registered_engine *engine,
                                                bool starts_draining) {
   if (!starts_draining)
@@ -193,7 +198,7 @@
   return REGISTRY_DRAINING;
 }
 
-/* True when the instants of an update differ from the known ones by more than messages take. */
+/* True when the times in an update differ by more than message latency from the known ones. */
 static bool changes_times(const registered_engine *engine, const Wire__EngineState *update,
                           const update_times *times) {
   bool changes_slow_start = update->heartbeat_count > engine->heartbeat_count &&
@@ -206,7 +211,7 @@
   return changes_slow_start || changes_end;
 }
 
-/* Applies an update that is not older than what is known. */
+/* Applies an update that is not older than the known state. */
 static enum registry_update apply_update(engine_registry *registry, registered_engine *engine,
                                          const Wire__EngineState *update, const update_times *times,
                                          bool starts_draining, time_us now) {
@@ -218,12 +223,12 @@
   uint64_t checksum = checksum_of(update, engine->draining);
   bool is_changed = checksum != engine->checksum || is_back || starts_draining ||
                     changes_times(engine, update, times);
-  /* two texts under one count: the one that came first stands */
+  /* of two different descriptions with the same count, the one that arrived first is kept */
   if (checksum != engine->checksum && update->heartbeat_count == engine->heartbeat_count &&
       !starts_draining)
     is_changed = is_back;
   if (is_changed) {
-    replace_text(registry, engine, update);
+    replace_description(registry, engine, update);
     engine->checksum = checksum;
     engine->slow_start_until = times->slow_start_until;
     if (times->ends_at.us)
@@ -242,10 +247,11 @@
   return starts_draining ? REGISTRY_DRAINING : REGISTRY_CHANGED;
 }
 
-/* Applies an update with text. is_direct: it came from the engine itself, whose counts rise; an
- * update of another controller may repeat one. */
-static enum registry_update record(engine_registry *registry, const Wire__EngineState *update,
-                                   bool is_direct, time_us now) {
+/* Applies an update with a description. is_direct: the update came from the engine itself, which
+ * increases the count with each heartbeat; updates from other controllers may repeat a count. */
+static enum registry_update record_update(engine_registry *registry,
+                                          const Wire__EngineState *update, bool is_direct,
+                                          time_us now) {
   update_times times = times_of(update, now);
   registered_engine *engine = engine_registry_find(registry, update->id);
   note_heartbeat_time(registry, times.heartbeat_at);
@@ -268,7 +274,7 @@
 
 enum registry_update engine_registry_heartbeat(engine_registry *registry,
                                                const Wire__EngineState *heartbeat, time_us now) {
-  enum registry_update update = record(registry, heartbeat, true, now);
+  enum registry_update update = record_update(registry, heartbeat, true, now);
   registered_engine *engine = engine_registry_find(registry, heartbeat->id);
   if (engine && update != REGISTRY_STALE)
     engine->unannounced = update == REGISTRY_ALIVE;
@@ -282,9 +288,9 @@
   if (engine && engine->signed_off)
     return REGISTRY_STALE;
   if (!engine) {
-    Wire__EngineState text = WIRE__ENGINE_STATE__INIT;
-    text.id = (char *)id;
-    engine = insert_engine(registry, &text);
+    Wire__EngineState description = WIRE__ENGINE_STATE__INIT;
+    description.id = (char *)id;
+    engine = insert_engine(registry, &description);
   }
   engine->last_heard_at = now;
   return sign_off(registry, engine, now);
@@ -292,9 +298,9 @@
 
 enum registry_update engine_registry_merge(engine_registry *registry,
                                            const Wire__EngineState *update, time_us now) {
-  bool has_text = update->service[0];
-  if (has_text || update->gone)
-    return record(registry, update, false, now);
+  bool has_description = update->service[0];
+  if (has_description || update->gone)
+    return record_update(registry, update, false, now);
   registered_engine *engine = engine_registry_find(registry, update->id);
   if (!engine)
     return REGISTRY_NEEDS_FETCH;
@@ -310,14 +316,14 @@
   return REGISTRY_ALIVE;
 }
 
-/* Silence is counted anew after a pause in which this process could not hear anybody: it was
- * stopped, or no engine at all was heard. */
+/* Restarts the detection of silence after a pause in which this process could not receive
+ * heartbeats: it was suspended, or no engine at all was heard. */
 static void restart_after_pause(engine_registry *registry, time_us now) {
   time_us stalled_at = time_add(registry->swept_at, time_from_ms(SWEEP_STALL_MS));
   time_us unheard_at =
       time_add(registry->newest_heartbeat_at, time_from_ms(registry->silent_ms / 2));
   if (time_reached(now, stalled_at) || time_reached(now, unheard_at))
-    registry->started_at = now;
+    registry->listening_since = now;
   registry->swept_at = now;
 }
 
@@ -326,19 +332,19 @@
   restart_after_pause(registry, now);
   time_us silence =
       time_from_ms(registry->silent_ms * (reaches_all ? 1 : UNREACHED_SILENCE_FACTOR));
-  bool judges_silence = time_reached(now, time_add(registry->started_at, silence));
+  bool can_detect_silence = time_reached(now, time_add(registry->listening_since, silence));
   GHashTableIter it;
   gpointer value;
   g_hash_table_iter_init(&it, registry->engines);
   while (g_hash_table_iter_next(&it, NULL, &value)) {
     registered_engine *engine = value;
     bool is_silent = time_reached(now, time_add(engine->last_heard_at, silence));
-    if (!engine->gone && judges_silence && is_silent)
+    if (!engine->gone && can_detect_silence && is_silent)
       mark_gone(registry, engine, now);
     if (!engine->gone ||
         !time_reached(now, time_add(engine->gone_at, time_from_ms(registry->tombstone_ms))))
       continue;
-    registry->complete_resend_seq = MAX(registry->complete_resend_seq, engine->changed_seq);
+    registry->full_list_before_seq = MAX(registry->full_list_before_seq, engine->changed_seq);
     g_hash_table_iter_remove(&it);
   }
   return registry->seq != seq_before;
@@ -348,7 +354,7 @@
   if (registry->is_complete)
     return;
   registry->is_complete = true;
-  registry->complete_resend_seq = ++registry->seq;
+  registry->full_list_before_seq = ++registry->seq;
 }
 
 static uint64_t age_ms_of(const registered_engine *engine, time_us now) {
@@ -363,7 +369,7 @@
   to->heartbeat_count = engine->heartbeat_count;
   to->checksum = engine->checksum;
   to->age_ms = age_ms_of(engine, now);
-  /* the receiver counts both spans from the heartbeat */
+  /* the receiver counts both durations from the heartbeat */
   time_us slow_start = time_sub(engine->slow_start_until, engine->last_heard_at);
   to->slow_start_ms = (uint64_t)MAX(0, slow_start.us / 1000);
   to->ends_in_ms = 0;
@@ -382,7 +388,7 @@
 
 GPtrArray *engine_registry_changed_since(const engine_registry *registry, uint64_t run,
                                          uint64_t seq, bool *is_full_list) {
-  bool sends_all = run != registry->run || seq < registry->complete_resend_seq;
+  bool sends_all = run != registry->run || seq < registry->full_list_before_seq;
   *is_full_list = sends_all && registry->is_complete;
   GPtrArray *engines = g_ptr_array_new();
   GHashTableIter it;
--- a/lib/controlplane/operator_api.c
+++ b/lib/controlplane/operator_api.c
@@ -1,4 +1,4 @@
-/** The operators' HTTP API at the address of a controller: finds the handler of each path. */
+/** The operators' HTTP API at the address of a controller: dispatches requests by path. */
 #include "operator_api.h"
 #include "api_error.h"
 #include "controller.h"
@@ -7,7 +7,7 @@
 
 static const char resource_path_prefix[] = "/v1/";
 
-/** A page that this controller writes out of what it knows. */
+/** A page that this controller generates from its own state. */
 typedef struct status_page {
   const char *path, *content_type;
   void (*write)(controller *controller, GString *to);
@@ -34,10 +34,10 @@
   { "/metrics", "text/plain", controller_status_write_metrics },
 };
 
-/* Pages that routers have, and controllers forward to one of them. */
+/* Pages that routers serve; controllers forward requests for them to a router. */
 static const char *const router_pages[] = { "/v1/engines", "/v1/holdings" };
 
-/* The resource at a path, or RESOURCE_COUNT. */
+/* Returns the resource at a path, or RESOURCE_COUNT. */
 static enum resource_kind find_resource(const char *path) {
   if (!g_str_has_prefix(path, resource_path_prefix))
     return RESOURCE_COUNT;
@@ -61,14 +61,14 @@
   return false;
 }
 
-static void respond_get_only(http_request *request) {
+static void respond_method_not_allowed(http_request *request) {
   http_request_respond_error(request, HTTP_METHOD_NOT_ALLOWED, E_METHOD_NOT_ALLOWED, "GET");
 }
 
 static void forward_to_router(controller *controller, http_request *request) {
   const peer_node *router = peer_table_pick(&controller->node, ROLE_ROUTER, NULL);
   if (strcmp(request->method, "GET"))
-    respond_get_only(request);
+    respond_method_not_allowed(request);
   else if (!router)
     api_error_respond(request, E_NO_CONTROLLER, "no router is known here");
   else
@@ -78,7 +78,7 @@
 static void serve_status_page(controller *controller, http_request *request,
                               const status_page *page) {
   if (strcmp(request->method, "GET")) {
-    respond_get_only(request);
+    respond_method_not_allowed(request);
     return;
   }
   GString *body = g_string_new(NULL);
--- a/tests/controlplane/config_change.c
+++ b/tests/controlplane/config_change.c
@@ -4,8 +4,9 @@
 #include "tests.h"
 #include <stdio.h>
 
-/** Tests of the configuration as operators see it: conditional changes, repeated at any controller
- * after lost responses, while controllers fail. The linearizability checker judges the history. */
+/** Tests of the configuration as operators see it: conditional changes that are retried at any
+ * controller after lost responses, while controllers fail. The resulting history must be
+ * linearizable. */
 
 enum {
   RESPONSE_TIMEOUT_MS = 1000,
@@ -16,10 +17,10 @@
 };
 
 /** What the network between operator and controller does to a call. */
-enum loss { LOSS_NONE, LOSS_REQUEST, LOSS_ANSWER, LOSS_CALLER_LEAVES };
+enum loss { LOSS_NONE, LOSS_REQUEST, LOSS_RESPONSE, LOSS_CALLER_LEAVES };
 
 typedef struct run run;
-/** A change with its text, so that exactly the same can be sent again. */
+/** A change with its text, so that an identical request can be sent again. */
 typedef struct sent_change {
   uint64_t base, version;
   bool patch, valid;
@@ -32,14 +33,14 @@
   int number;
 } operator_task;
 
-/** Controllers, the operators' host, and the history of all that operators saw. */
+/** A test run: controllers, the operators' host, and the history of all attempts and reads. */
 struct run {
   deployment *deployment;
   register_history *history;
   GArray *changes;
   GArray *addresses;
-  /* shares of calls, in percent, that are lost in either direction */
-  unsigned request_loss, answer_loss, leaving;
+  /* shares, in percent, of calls whose request or response is lost, or whose caller leaves early */
+  unsigned request_loss, response_loss, early_leave;
   uint64_t confirmed, refused, unclear;
   uint64_t current;
   int busy;
@@ -56,7 +57,7 @@
   operator->controllers->pdata[i % run->deployment->operator->controllers->len];
 }
 
-/* what an operator concludes from an HTTP status */
+/* Returns what an operator concludes from an HTTP status. */
 static enum register_answer answer_of(int status) {
   switch (status) {
   case 200:
@@ -75,21 +76,22 @@
 
 /* Calls a controller, and follows redirects. Returns the status; 0 when no response came in time.
  */
-static int call_controller(run *run, const char *address, const dialect_path *how,
-                           const sent_change *o, GString *body, int64_t wait_ms) {
+static int call_controller(run *run, const char *address, const dialect_path *endpoint,
+                           const sent_change *change, GString *body, int64_t wait_ms) {
   world *world = run->deployment->operator->world;
-  const dialect *words = run->deployment->operator->dialect;
+  const dialect *dialect = run->deployment->operator->dialect;
   char to[64], path[128];
   int status = 0;
   g_strlcpy(to, address, sizeof to);
-  g_strlcpy(path, how->path, sizeof path);
+  g_strlcpy(path, endpoint->path, sizeof path);
   for (int hop = 0; hop <= REDIRECTS_MAX; hop++) {
     fields *fields = g_string_new(NULL);
     fields_add(fields, "Host", string_view_of(to));
-    if (o)
-      fields_add_format(fields, words->header_names[DF_BASE_REVISION], "%" PRIu64, o->base);
-    http_call *call = http_call_open_fields(world, to, how->method, path, fields,
-                                            string_view_of(o ? o->text : ""), true, time_never());
+    if (change)
+      fields_add_format(fields, dialect->header_names[DF_BASE_REVISION], "%" PRIu64, change->base);
+    http_call *call =
+        http_call_open_fields(world, to, endpoint->method, path, fields,
+                              string_view_of(change ? change->text : ""), true, time_never());
     g_string_free(fields, TRUE);
     g_string_truncate(body, 0);
     int failed = http_call_read_all(call, body, time_add(world_now(world), time_from_ms(wait_ms)));
@@ -110,23 +112,23 @@
   return status;
 }
 
-/* Sends a change once, to one controller, and records what the operator saw. */
+/* Sends a change once, to one controller, and records the outcome. */
 static enum register_answer send_once(run *run, guint number, const char *address, enum loss loss) {
   world *world = run->deployment->operator->world;
-  sent_change o = g_array_index(run->changes, sent_change, number);
+  sent_change change = g_array_index(run->changes, sent_change, number);
   if (loss == LOSS_REQUEST) {
     world_sleep(world, time_from_ms(50));
     return ANSWER_NONE;
   }
   GString *body = g_string_new(NULL);
   time_us called = world_now(world);
-  /* a caller that leaves early gets no response; one whose response is lost waits for its timeout
+  /* a caller that leaves early gets no response; one whose response is lost waits until its timeout
    */
   int64_t wait_ms = loss == LOSS_CALLER_LEAVES ? 1 + (int64_t)draw(run, 60) : RESPONSE_TIMEOUT_MS;
   int status = call_controller(
       run, address,
-      &run->deployment->operator->dialect->calls[o.patch ? DC_CONFIG_PATCH : DC_CONFIG_PUT], &o,
-      body, wait_ms);
+      &run->deployment->operator->dialect->calls[change.patch ? DC_CONFIG_PATCH : DC_CONFIG_PUT],
+      &change, body, wait_ms);
   enum register_answer answer = loss == LOSS_NONE ? answer_of(status) : ANSWER_NONE;
   register_history_add_attempt(run->history, number, (uint64_t)called.us,
                                (uint64_t)world_now(world).us, answer);
@@ -135,7 +137,7 @@
   run->refused += answer == ANSWER_CONFLICT;
   run->unclear += answer == ANSWER_NONE;
   if (answer == ANSWER_CONFIRMED)
-    run->current = MAX(run->current, o.version);
+    run->current = MAX(run->current, change.version);
   g_string_free(body, TRUE);
   return answer;
 }
@@ -145,60 +147,62 @@
   if (n < run->request_loss)
     return LOSS_REQUEST;
   n -= run->request_loss;
-  if (n < run->answer_loss)
-    return LOSS_ANSWER;
-  n -= run->answer_loss;
-  return n < run->leaving ? LOSS_CALLER_LEAVES : LOSS_NONE;
+  if (n < run->response_loss)
+    return LOSS_RESPONSE;
+  n -= run->response_loss;
+  return n < run->early_leave ? LOSS_CALLER_LEAVES : LOSS_NONE;
 }
 
-/* Writes a full configuration, or a patch of one item; both have a mark that names the change. An
- * invalid one names a service that does not exist. */
-static void write_text(sent_change *o, guint number) {
+/* Writes the text of a change: a full configuration, or a patch of one item. Both have a mark with
+ * the number of the change. An invalid change names a service that does not exist. */
+static void write_text(sent_change *change, guint number) {
   static const char route[] =
       "{\"name\":\"r-mark\",\"host\":\"mark-%u.example\",\"prefix\":\"/mark/\",\"mode\":\"safe\","
       "\"timeoutMs\":4000,\"targetMs\":300,\"priority\":0,\"service\":\"%s\",\"attempts\":1}";
   char mark[300];
 #pragma GCC diagnostic push
 #pragma GCC diagnostic ignored "-Wformat-nonliteral"
-  snprintf(mark, sizeof mark, route, number, o->valid ? "ledger" : "nobody");
+  snprintf(mark, sizeof mark, route, number, change->valid ? "ledger" : "nobody");
 #pragma GCC diagnostic pop
-  if (o->patch)
-    snprintf(o->text, sizeof o->text, "{\"version\":%" PRIu64 ",\"set\":{\"routes\":[%s]}}",
-             o->version, mark);
+  if (change->patch)
+    snprintf(change->text, sizeof change->text,
+             "{\"version\":%" PRIu64 ",\"set\":{\"routes\":[%s]}}", change->version, mark);
   else
-    snprintf(o->text, sizeof o->text,
+    snprintf(change->text, sizeof change->text,
              "{\"version\":%" PRIu64 ",\"routes\":[%s],\"services\":[{\"name\":\"ledger\","
              "\"health\":\"/health\",\"connectionsMost\":10,\"protocol\":\"h1\",\"tls\":false}],"
              "\"limits\":{\"headerBytes\":16384,\"bodyBytes\":4194304,\"headerMs\":3000,"
              "\"idleMs\":15000}}",
-             o->version, mark);
+             change->version, mark);
 }
 
 static guint new_change(run *run, uint64_t base, uint64_t version, bool patch, bool valid) {
   guint number = register_history_add_order(run->history, base, version, valid);
-  sent_change o = { .base = base, .version = version, .patch = patch, .valid = valid };
-  write_text(&o, number);
-  g_array_append_val(run->changes, o);
+  sent_change change = { .base = base, .version = version, .patch = patch, .valid = valid };
+  write_text(&change, number);
+  g_array_append_val(run->changes, change);
   return number;
 }
 
-/* Sends a change, and repeats it until there is a clear response or the timeout has passed. */
+/* Sends a change, and retries it until there is a clear response or the timeout has passed. */
 static enum register_answer send_until_clear(run *run, guint number, int64_t timeout_ms) {
   world *world = run->deployment->operator->world;
-  time_us till = time_add(world_now(world), time_from_ms(timeout_ms));
+  time_us deadline = time_add(world_now(world), time_from_ms(timeout_ms));
   size_t at = draw(run, run->deployment->operator->controllers->len);
-  int64_t pause = 50;
+  int64_t backoff_ms = 50;
   enum register_answer answer = ANSWER_NONE;
-  while (answer == ANSWER_NONE && !time_reached(world_now(world), till) && !world->tasks.stopped) {
+  while (answer == ANSWER_NONE && !time_reached(world_now(world), deadline) &&
+         !world->tasks.stopped) {
     answer = send_once(run, number, address_of(run, at++), draw_loss(run));
-    if (answer == ANSWER_NONE && !world_sleep(world, time_from_ms(pause)))
+    if (answer == ANSWER_NONE && !world_sleep(world, time_from_ms(backoff_ms)))
       break;
-    pause = MIN(pause * 2, 1000);
+    backoff_ms = MIN(backoff_ms * 2, 1000);
   }
   return answer;
 }
 
-/* Reads the configuration and records which change made it. Returns false without a response. */
+/* Reads the configuration and records the change that made it. Returns false if there is none in
+ * time. */
 static bool read_once(run *run, const char *address, uint64_t *version) {
   world *world = run->deployment->operator->world;
   GString *body = g_string_new(NULL);
@@ -214,11 +218,11 @@
     *version = (uint64_t)json_number(json, "version", 0);
     json_free(json);
     if (!mark || sscanf(mark, "mark-%u", &number) != 1 || number >= run->changes->len)
-      fleet_add_violation(run->deployment->fleet, "a configuration of nobody was read: %.200s",
-                          body->str);
+      fleet_add_violation(run->deployment->fleet,
+                          "a configuration that no change made was read: %.200s", body->str);
     else if (g_array_index(run->changes, sent_change, number).version != *version)
       fleet_add_violation(run->deployment->fleet,
-                          "version %" PRIu64 " was read with the content of order %u", *version,
+                          "version %" PRIu64 " was read with the content of change %u", *version,
                           number);
     else
       register_history_add_read(run->history, number, (uint64_t)called.us,
@@ -230,9 +234,9 @@
 
 static bool read_until_clear(run *run, uint64_t *version, int64_t timeout_ms) {
   world *world = run->deployment->operator->world;
-  time_us till = time_add(world_now(world), time_from_ms(timeout_ms));
+  time_us deadline = time_add(world_now(world), time_from_ms(timeout_ms));
   size_t at = draw(run, run->deployment->operator->controllers->len);
-  while (!time_reached(world_now(world), till) && !world->tasks.stopped) {
+  while (!time_reached(world_now(world), deadline) && !world->tasks.stopped) {
     if (read_once(run, address_of(run, at++), version))
       return true;
     world_sleep(world, time_from_ms(150));
@@ -240,17 +244,17 @@
   return false;
 }
 
-/* Task: an operator, who reads or remembers the current version, changes it, and at times repeats
- * an old change at each controller. */
+/* Task: an operator, who reads or remembers the current version, changes it, and sometimes sends
+ * the same or an old change again. */
 static void operator_run(void *p) {
-  operator_task *t = p;
-  run *run = t->run;
+  operator_task *task = p;
+  run *run = task->run;
   world *world = run->deployment->operator->world;
   while (!run->stop && !world->tasks.stopped) {
     uint64_t base = run->current;
     if (base && !draw(run, 3) && !read_until_clear(run, &base, CHANGE_TIMEOUT_MS))
       continue;
-    /* the step is small, so that two operators pick the same number at times */
+    /* the step is small, so that two operators sometimes choose the same version */
     bool patch = base && draw(run, 2);
     guint number = new_change(run, base, base + 1 + draw(run, 2), patch, draw(run, 12) != 0);
     send_until_clear(run, number, CHANGE_TIMEOUT_MS);
@@ -279,29 +283,29 @@
 } job;
 
 static void job_run(void *p) {
-  job *j = p;
-  j->work(j->run, j->ctx);
-  j->run->busy--;
+  job *job = p;
+  job->work(job->run, job->ctx);
+  job->run->busy--;
 }
 
-/* Runs a function as a task of the operators' host, to its end. */
-static bool as_operator(run *r, void (*work)(run *r, void *ctx), void *ctx, int64_t ms) {
-  job j = { r, work, ctx };
+/* Runs a function to completion as a task of the operators' host. */
+static bool run_as_operator(run *r, void (*work)(run *r, void *ctx), void *ctx, int64_t ms) {
+  job job = { r, work, ctx };
   r->busy++;
-  task_start(&r->deployment->operator->world->tasks, "operator", job_run, &j);
+  task_start(&r->deployment->operator->world->tasks, "operator", job_run, &job);
   r->deployment->operator_host->next_wake_at = r->deployment->sim->now;
   if (sim_run_until(r->deployment->sim, is_idle, r, time_from_ms(ms)))
     return true;
-  fleet_add_violation(r->deployment->fleet, "the operator did not come to an end");
+  fleet_add_violation(r->deployment->fleet, "the operator's task did not end");
   host_kill(r->deployment->operator_host);
   return false;
 }
 
-static void write_first(run *run, void *ctx) {
+static void write_first_configuration(run *run, void *ctx) {
   (void)ctx;
   guint number = new_change(run, 0, 1, false, true);
   if (send_until_clear(run, number, 20000) != ANSWER_CONFIRMED)
-    fleet_add_violation(run->deployment->fleet, "the first configuration was not taken");
+    fleet_add_violation(run->deployment->fleet, "the first configuration was not accepted");
 }
 
 static host *add_controller(fleet *fleet) {
@@ -336,11 +340,11 @@
       host_start(h);
 }
 
-/* The same, with a first configuration. */
+/* Like run_start, and also waits for the chain and writes a first configuration. */
 static bool run_up(run *run, fleet *fleet, int members) {
   run_start(run, fleet, members);
   sim_run(fleet->sim, time_from_ms(2500));
-  as_operator(run, write_first, NULL, 30000);
+  run_as_operator(run, write_first_configuration, NULL, 30000);
   return scenario_wait_for_chain(fleet, members, 20000) && !fleet->violations->len;
 }
 
@@ -349,26 +353,26 @@
   uint64_t version;
   for (int i = 0; i < 3; i++)
     if (!read_until_clear(run, &version, 20000))
-      fleet_add_violation(run->deployment->fleet, "nobody gave the configuration");
+      fleet_add_violation(run->deployment->fleet, "no controller returned the configuration");
 }
 
 /* Repairs all faults, reads the configuration, and checks the history. */
 static bool run_done(run *run) {
   fleet *fleet = run->deployment->fleet;
   run->stop = true;
-  run->request_loss = run->answer_loss = run->leaving = 0;
+  run->request_loss = run->response_loss = run->early_leave = 0;
   scenario_heal_all(fleet);
   if (!sim_run_until(fleet->sim, is_idle, run, time_from_ms(60000)))
-    fleet_add_violation(fleet, "operators did not come to an end");
+    fleet_add_violation(fleet, "the operators' tasks did not end");
   sim_run(fleet->sim, time_from_ms(3000));
-  as_operator(run, final_read, NULL, 70000);
+  run_as_operator(run, final_read, NULL, 70000);
   GString *why = g_string_new(NULL);
   if (!register_history_check(run->history, why))
     fleet_add_violation(fleet, "%s", why->str);
   g_string_free(why, TRUE);
   if (getenv("ORDERS_LOUD"))
     fprintf(stderr,
-            "orders %u, confirmed %" PRIu64 ", refused %" PRIu64 ", unclear %" PRIu64
+            "changes %u, confirmed %" PRIu64 ", refused %" PRIu64 ", unclear %" PRIu64
             ", version %" PRIu64 "\n",
             run->changes->len, run->confirmed, run->refused, run->unclear, run->current);
   bool good = !fleet->violations->len;
@@ -387,7 +391,7 @@
   run->deployment->operator_host->next_wake_at = run->deployment->sim->now;
 }
 
-/* faults of controllers */
+/* fault injection */
 static host *any_controller(run *run) {
   return run->deployment->fleet
       ->controller[draw(run, (uint64_t)run->deployment->fleet->controllers)];
@@ -398,15 +402,16 @@
   return host ? host : any_controller(run);
 }
 
-static void cut_off(run *run, host *h, bool one_way) {
+static void isolate(run *run, host *isolated, bool one_way) {
   for (int i = 0; i < run->deployment->fleet->controllers; i++) {
     host *other = run->deployment->fleet->controller[i];
-    if (other == h)
+    if (other == isolated)
       continue;
     if (one_way)
-      sim_set_partition(run->deployment->sim, h->self.text, other->self.text, true);
+      sim_set_partition(run->deployment->sim, isolated->self.text, other->self.text, true);
     else
-      sim_set_partition_both_ways(run->deployment->sim, h->self.text, other->self.text, true);
+      sim_set_partition_both_ways(run->deployment->sim, isolated->self.text, other->self.text,
+                                  true);
   }
 }
 
@@ -425,10 +430,10 @@
     host_freeze(host);
     break;
   case 3:
-    cut_off(run, host, false);
+    isolate(run, host, false);
     break;
   case 4:
-    cut_off(run, host, true);
+    isolate(run, host, true);
     break;
   case 5:
     for (int i = 0; i < fleet->controllers; i++)
@@ -462,8 +467,8 @@
   if (!run_up(&r, fleet, members))
     return run_done(&r);
   r.request_loss = 10;
-  r.answer_loss = 30;
-  r.leaving = 15;
+  r.response_loss = 30;
+  r.early_leave = 15;
   operators_start(&r, 2 + (int)draw(&r, OPERATORS_MAX - 1));
   for (int i = 0; i < 6; i++) {
     sim_run(fleet->sim, time_from_ms(500 + (int64_t)draw(&r, 3000)));
@@ -478,18 +483,18 @@
   return run_done(&r);
 }
 
-/* given two to eight operators under one number, with answers and requests lost, when a core of
- * three loses machines, links and power, then the history is one of a register */
-static bool operators_share_a_core_of_three(fleet *fleet) {
+/* Two to eight operators make conditional changes, and some requests and responses are lost, while
+ * controllers lose processes, links, disks and power. The history must be linearizable. */
+static bool changes_race_on_three_faulty_controllers(fleet *fleet) {
   return operators_under_faults(fleet, 3);
 }
-static bool operators_share_a_core_of_five(fleet *fleet) {
+static bool changes_race_on_five_faulty_controllers(fleet *fleet) {
   return operators_under_faults(fleet, 5);
 }
 
 static void reader_run(void *p) {
-  operator_task *t = p;
-  run *run = t->run;
+  operator_task *task = p;
+  run *run = task->run;
   world *world = run->deployment->operator->world;
   uint64_t version;
   while (!run->stop && !world->tasks.stopped) {
@@ -500,9 +505,9 @@
   run->busy--;
 }
 
-/* given operators and readers, when machines freeze, wake and join the end of the chain again, then
- * no read is older than what was confirmed before it */
-static bool machines_join_while_orders_are_read(fleet *fleet) {
+/* Controllers freeze, wake up and rejoin at the end of the chain, while operators write and read.
+ * No read may return an older configuration than one confirmed before the read. */
+static bool controllers_rejoin_during_reads(fleet *fleet) {
   run r;
   if (!run_up(&r, fleet, draw_members(fleet)))
     return run_done(&r);
@@ -513,8 +518,8 @@
     task_start(&r.deployment->operator->world->tasks, "reader", reader_run, &r.tasks[i]);
   }
   for (int i = 0; i < 6; i++) {
-    /* of five, two at once: both join in one view, and the last one behind one that has yet to
-       catch up */
+    /* two of five at once: both join in one view, and the last one has a predecessor that has yet
+       to catch up */
     for (int k = 0; k < (fleet->controllers == 5 ? 2 : 1); k++)
       host_freeze(any_controller(&r));
     sim_run(fleet->sim, time_from_ms(2500 + (int64_t)draw(&r, 1000)));
@@ -524,14 +529,14 @@
   return run_done(&r);
 }
 
-/* given two to eight operators who all send a first configuration to a core that is only just being
- * founded, then one of them is taken */
-static bool operators_race_for_the_first(fleet *fleet) {
+/* Two to eight operators all send a first configuration while the controllers are still forming the
+ * first view. One of them must be accepted. */
+static bool first_configurations_race(fleet *fleet) {
   run r;
   run_start(&r, fleet, draw_members(fleet));
   r.request_loss = 10;
-  r.answer_loss = 30;
-  r.leaving = 15;
+  r.response_loss = 30;
+  r.early_leave = 15;
   operators_start(&r, 2 + (int)draw(&r, OPERATORS_MAX - 1));
   sim_run(fleet->sim, time_from_ms(500 + (int64_t)draw(&r, 3000)));
   bool disk_lost = inject_fault(&r);
@@ -540,48 +545,49 @@
   scenario_heal_all(fleet);
   sim_run(fleet->sim, time_from_ms(20000));
   if (!r.current && !disk_lost)
-    fleet_add_violation(fleet, "no first configuration was taken");
+    fleet_add_violation(fleet, "no first configuration was accepted");
   return run_done(&r);
 }
 
-/** Hundreds and thousands of changes after one whose responses were lost. */
+/** Many changes that follow one whose response was lost. */
 typedef struct long_history {
   guint changes;
   guint first, second;
 } long_history;
 
 static void change_many(run *run, void *ctx) {
-  long_history *d = ctx;
-  d->first = new_change(run, run->current, run->current + 1, true, true);
-  send_once(run, d->first, address_of(run, 0), LOSS_ANSWER);
+  long_history *history = ctx;
+  history->first = new_change(run, run->current, run->current + 1, true, true);
+  send_once(run, history->first, address_of(run, 0), LOSS_RESPONSE);
   uint64_t base = run->current + 1;
-  /* it was accepted, as the next one shows; another change to the same version is refused */
-  d->second = new_change(run, run->current, base, false, true);
-  if (send_until_clear(run, d->second, CHANGE_TIMEOUT_MS) != ANSWER_CONFLICT)
+  /* the first change was accepted: another one with the same base and new version is refused */
+  history->second = new_change(run, run->current, base, false, true);
+  if (send_until_clear(run, history->second, CHANGE_TIMEOUT_MS) != ANSWER_CONFLICT)
     fleet_add_violation(run->deployment->fleet,
-                        "another change under the same number was not refused");
-  for (guint i = 0; i < d->changes; i++) {
+                        "another change that creates the same version was not refused");
+  for (guint i = 0; i < history->changes; i++) {
     guint number = new_change(run, base + i, base + i + 1, i % 2 == 0, true);
     if (send_until_clear(run, number, CHANGE_TIMEOUT_MS) != ANSWER_CONFIRMED) {
-      fleet_add_violation(run->deployment->fleet, "change %u of %u was not taken", i, d->changes);
+      fleet_add_violation(run->deployment->fleet, "change %u of %u was not accepted", i,
+                          history->changes);
       return;
     }
   }
 }
 
 static void send_first_again(run *run, void *ctx) {
-  long_history *d = ctx;
+  long_history *history = ctx;
   for (size_t i = 0; i < run->deployment->operator->controllers->len; i++) {
-    enum register_answer a = send_once(run, d->first, address_of(run, i), LOSS_NONE);
-    if (a != ANSWER_CONFIRMED)
+    enum register_answer answer = send_once(run, history->first, address_of(run, i), LOSS_NONE);
+    if (answer != ANSWER_CONFIRMED)
       fleet_add_violation(run->deployment->fleet,
-                          "an order that was taken got %d when it came again after %u others", a,
-                          d->changes);
-    send_once(run, d->second, address_of(run, i), LOSS_NONE);
+                          "an accepted change got %d when it was sent again after %u others",
+                          answer, history->changes);
+    send_once(run, history->second, address_of(run, i), LOSS_NONE);
   }
 }
 
-/* The head loses its disk, and comes back as the tail. */
+/* Wipes the disk of the head, which comes back as the tail. */
 static void replace_head_disk(fleet *fleet) {
   host *head = fleet_find_head(fleet);
   if (!head) {
@@ -597,145 +603,148 @@
 
 static bool repeat_after(fleet *fleet, guint changes) {
   run r;
-  long_history d = { .changes = changes };
-  if (run_up(&r, fleet, 3) && as_operator(&r, change_many, &d, 4000000)) {
-    as_operator(&r, send_first_again, &d, 30000);
-    /* nor is it forgotten by a restart of all, or by a loss of power */
+  long_history history = { .changes = changes };
+  if (run_up(&r, fleet, 3) && run_as_operator(&r, change_many, &history, 4000000)) {
+    run_as_operator(&r, send_first_again, &history, 30000);
+    /* the change is still known after a power loss and restart of all controllers */
     for (int i = 0; i < fleet->controllers; i++)
       host_power_off(fleet->controller[i]);
     scenario_heal_all(fleet);
     sim_run(fleet->sim, time_from_ms(4000));
-    as_operator(&r, send_first_again, &d, 30000);
-    /* nor by machines that came with an empty disk and then lead: each is wiped once */
+    run_as_operator(&r, send_first_again, &history, 30000);
+    /* it is also known to heads that joined with an empty disk: each disk is wiped once */
     for (int i = 0; i < fleet->controllers; i++) {
       replace_head_disk(fleet);
-      as_operator(&r, send_first_again, &d, 30000);
+      run_as_operator(&r, send_first_again, &history, 30000);
     }
   }
   return run_done(&r);
 }
 
-static bool an_order_comes_again_after_hundreds(fleet *fleet) {
+static bool a_change_is_repeated_after_hundreds(fleet *fleet) {
   return repeat_after(fleet, 700);
 }
-static bool an_order_comes_again_after_thousands(fleet *fleet) {
+static bool a_change_is_repeated_after_thousands(fleet *fleet) {
   return repeat_after(fleet, 7300);
 }
 
-/* given an order whose answer was lost and more changes than are remembered, when it comes again,
- * then the answer promises nothing: nobody knows whether it was taken */
+/* Sends a change again after more changes than the controllers keep. The response must leave its
+ * outcome open, since it is unknown whether the change was accepted. */
 static void send_forgotten(run *run, void *ctx) {
-  long_history *d = ctx;
+  long_history *history = ctx;
   for (size_t i = 0; i < run->deployment->operator->controllers->len; i++)
     for (int k = 0; k < 2; k++) {
       enum register_answer a =
-          send_once(run, k ? d->second : d->first, address_of(run, i), LOSS_NONE);
+          send_once(run, k ? history->second : history->first, address_of(run, i), LOSS_NONE);
       if (a != ANSWER_NONE)
-        fleet_add_violation(run->deployment->fleet, "an order older than the memory got %d", a);
+        fleet_add_violation(run->deployment->fleet, "a forgotten change got %d", a);
     }
 }
 
-static bool an_order_older_than_the_memory(fleet *fleet) {
+static bool a_forgotten_change_is_repeated(fleet *fleet) {
   run r;
-  long_history d = { .changes = ACCEPTED_CHANGES_MAX + ACCEPTED_CHANGES_FORGOTTEN_AT_ONCE + 10 };
-  if (run_up(&r, fleet, 3) && as_operator(&r, change_many, &d, 6000000))
-    as_operator(&r, send_forgotten, &d, 30000);
+  long_history history = { .changes =
+                               ACCEPTED_CHANGES_MAX + ACCEPTED_CHANGES_FORGOTTEN_AT_ONCE + 10 };
+  if (run_up(&r, fleet, 3) && run_as_operator(&r, change_many, &history, 6000000))
+    run_as_operator(&r, send_forgotten, &history, 30000);
   return run_done(&r);
 }
 
-/* accepted_changes: bounded, the latest ones known, the same when packed and unpacked */
-static bool accepted_orders_are_bounded(fleet *fleet) {
-  accepted_changes a, b;
-  accepted_changes_init(&a);
-  accepted_changes_init(&b);
+/* The list of accepted changes is bounded, keeps the latest ones, and survives packing. */
+static bool accepted_changes_are_bounded(fleet *fleet) {
+  accepted_changes changes, copy;
+  accepted_changes_init(&changes);
+  accepted_changes_init(&copy);
   const uint64_t count = 30000;
   for (uint64_t i = 1; i <= count; i++) {
-    accepted_changes_add(&a, i * 3, i * 0x9e3779b97f4a7c15u, i * 2);
+    accepted_changes_add(&changes, i * 3, i * 0x9e3779b97f4a7c15u, i * 2);
     uint64_t oldest = i > ACCEPTED_CHANGES_MAX ? i - ACCEPTED_CHANGES_MAX + 1 : 1;
-    if (a.all->len >= ACCEPTED_CHANGES_MAX + ACCEPTED_CHANGES_FORGOTTEN_AT_ONCE)
-      fleet_add_violation(fleet, "%u orders are kept", a.all->len);
-    if (!accepted_changes_find(&a, oldest * 3, oldest * 0x9e3779b97f4a7c15u) ||
-        accepted_changes_may_include(&a, oldest * 3))
-      fleet_add_violation(fleet, "order %" PRIu64 " of the latest is forgotten at %" PRIu64, oldest,
+    if (changes.all->len >= ACCEPTED_CHANGES_MAX + ACCEPTED_CHANGES_FORGOTTEN_AT_ONCE)
+      fleet_add_violation(fleet, "%u changes are kept", changes.all->len);
+    if (!accepted_changes_find(&changes, oldest * 3, oldest * 0x9e3779b97f4a7c15u) ||
+        accepted_changes_may_include(&changes, oldest * 3))
+      fleet_add_violation(fleet, "change %" PRIu64 " is forgotten after change %" PRIu64, oldest,
                           i);
-    if (accepted_changes_find(&a, i * 3, 1))
-      fleet_add_violation(fleet, "another order on a base is taken for the one that was accepted");
+    if (accepted_changes_find(&changes, i * 3, 1))
+      fleet_add_violation(fleet, "another change of the same base version is found as accepted");
   }
-  if (accepted_changes_find(&a, 3, 0x9e3779b97f4a7c15u) || !accepted_changes_may_include(&a, 3))
-    fleet_add_violation(fleet, "the first of %" PRIu64 " orders is not said to be forgotten",
-                        count);
-  Wire__AcceptedChanges w;
-  accepted_changes_pack(&a, &w);
-  size_t size = wire__accepted_changes__get_packed_size(&w);
-  accepted_changes_unpack(&b, &w);
-  if (size > accepted_changes_packed_size(&a))
-    fleet_add_violation(fleet, "%u orders take %zu bytes, over the bound of %zu", a.all->len, size,
-                        accepted_changes_packed_size(&a));
-  if (b.checksum != a.checksum || b.any_forgotten != a.any_forgotten ||
-      b.forgotten_base != a.forgotten_base || b.all->len != a.all->len ||
-      memcmp(a.all->data, b.all->data, a.all->len * sizeof(accepted_change)))
-    fleet_add_violation(fleet, "what was packed is read otherwise");
+  if (accepted_changes_find(&changes, 3, 0x9e3779b97f4a7c15u) ||
+      !accepted_changes_may_include(&changes, 3))
+    fleet_add_violation(
+        fleet, "the first of %" PRIu64 " changes is not reported as possibly forgotten", count);
+  Wire__AcceptedChanges message;
+  accepted_changes_pack(&changes, &message);
+  size_t size = wire__accepted_changes__get_packed_size(&message);
+  accepted_changes_unpack(&copy, &message);
+  if (size > accepted_changes_packed_size(&changes))
+    fleet_add_violation(fleet, "%u changes take %zu bytes, more than the upper bound of %zu",
+                        changes.all->len, size, accepted_changes_packed_size(&changes));
+  if (copy.checksum != changes.checksum || copy.any_forgotten != changes.any_forgotten ||
+      copy.forgotten_base != changes.forgotten_base || copy.all->len != changes.all->len ||
+      memcmp(changes.all->data, copy.all->data, changes.all->len * sizeof(accepted_change)))
+    fleet_add_violation(fleet, "the unpacked list differs from the packed one");
   if (getenv("ORDERS_LOUD"))
-    fprintf(stderr, "%u orders, %zu bytes packed, %zu in memory\n", a.all->len, size,
-            a.all->len * sizeof(accepted_change));
-  accepted_changes_packed_free(&w);
-  accepted_changes_copy(&b, &a);
-  accepted_changes_add(&b, count * 3 + 3, 7, count * 2 + 2);
-  if (b.checksum == a.checksum)
-    fleet_add_violation(fleet, "a copy with one more order has the same sum");
-  accepted_changes_free(&a);
-  accepted_changes_free(&b);
+    fprintf(stderr, "%u changes, %zu bytes packed, %zu in memory\n", changes.all->len, size,
+            changes.all->len * sizeof(accepted_change));
+  accepted_changes_packed_free(&message);
+  accepted_changes_copy(&copy, &changes);
+  accepted_changes_add(&copy, count * 3 + 3, 7, count * 2 + 2);
+  if (copy.checksum == changes.checksum)
+    fleet_add_violation(fleet, "a copy with one more change has the same checksum");
+  accepted_changes_free(&changes);
+  accepted_changes_free(&copy);
   return !fleet->violations->len;
 }
 
-/* given a head whose links are cut with an order in its suffix that nobody else has, when another
- * order wins and the old head catches up, then nobody is told otherwise by the old head */
+/* Sends a change to the cut head, which may write it to a suffix of its log that is lost later. */
 static void write_at_cut_head(run *run, void *ctx) {
   const char *head = ctx;
   guint lost = new_change(run, run->current, run->current + 1, true, true);
   for (int i = 0; i < 40; i++) {
-    enum register_answer a = send_once(run, lost, head, LOSS_NONE);
-    if (a != ANSWER_NONE)
+    enum register_answer answer = send_once(run, lost, head, LOSS_NONE);
+    if (answer != ANSWER_NONE)
       break;
     world_sleep(run->deployment->operator->world, time_from_ms((int64_t)draw(run, 30)));
   }
 }
 
-typedef struct pair {
+typedef struct cut_head_task {
   run *run;
   char address[64];
-} pair;
+} cut_head_task;
 
 static void resend_task(void *p) {
-  pair *a = p;
-  write_at_cut_head(a->run, a->address);
-  a->run->busy--;
+  cut_head_task *task = p;
+  write_at_cut_head(task->run, task->address);
+  task->run->busy--;
 }
 
 static void winner_task(void *p) {
-  pair *a = p;
-  run *run = a->run;
+  cut_head_task *task = p;
+  run *run = task->run;
   guint won = new_change(run, run->current, run->current + 1, false, true);
   for (int i = 0; i < 60; i++) {
     const char *to = address_of(run, draw(run, 8));
-    if (strcmp(to, a->address) && send_once(run, won, to, LOSS_NONE) != ANSWER_NONE)
+    if (strcmp(to, task->address) && send_once(run, won, to, LOSS_NONE) != ANSWER_NONE)
       break;
     world_sleep(run->deployment->operator->world, time_from_ms(40));
   }
   run->busy--;
 }
 
-/* Sends another change of the same base to the cut head, where the one that wins may be lost. */
+/* Sends another change of the same base version to the cut head. */
 static void rival_task(void *p) {
-  pair *a = p;
-  run *run = a->run;
+  cut_head_task *task = p;
+  run *run = task->run;
   guint rival = new_change(run, run->current, run->current + 1, true, true);
   world_sleep(run->deployment->operator->world, time_from_ms(20 + (int64_t)draw(run, 800)));
-  send_once(run, rival, a->address, LOSS_NONE);
+  send_once(run, rival, task->address, LOSS_NONE);
   run->busy--;
 }
 
-static bool a_suffix_is_lost(fleet *fleet) {
+/* A head is cut off while its log has a suffix that no other controller has. Another change wins,
+ * and the old head catches up. The old head must not confirm the change in its lost suffix. */
+static bool an_uncommitted_suffix_is_lost(fleet *fleet) {
   run r;
   if (!run_up(&r, fleet, 3))
     return run_done(&r);
@@ -744,21 +753,21 @@
     host *head = fleet_find_head(fleet);
     if (!head)
       continue;
-    pair a = { &r, "" };
-    g_strlcpy(a.address, head->addr, sizeof a.address);
-    *strchr(a.address, ':') = 0;
-    g_strlcat(a.address, ":8100", sizeof a.address);
-    cut_off(&r, head, draw(&r, 2));
+    cut_head_task task = { &r, "" };
+    g_strlcpy(task.address, head->addr, sizeof task.address);
+    *strchr(task.address, ':') = 0;
+    g_strlcat(task.address, ":8100", sizeof task.address);
+    isolate(&r, head, draw(&r, 2));
     r.busy += 3;
-    task_start(&r.deployment->operator->world->tasks, "again", resend_task, &a);
-    task_start(&r.deployment->operator->world->tasks, "rival", rival_task, &a);
-    task_start(&r.deployment->operator->world->tasks, "winner", winner_task, &a);
+    task_start(&r.deployment->operator->world->tasks, "again", resend_task, &task);
+    task_start(&r.deployment->operator->world->tasks, "rival", rival_task, &task);
+    task_start(&r.deployment->operator->world->tasks, "winner", winner_task, &task);
     r.deployment->operator_host->next_wake_at = fleet->sim->now;
     sim_run(fleet->sim, time_from_ms(1300 + (int64_t)draw(&r, 500)));
     scenario_heal_all(fleet);
     if (!sim_run_until(fleet->sim, is_idle, &r, time_from_ms(120000)))
-      fleet_add_violation(fleet, "operators did not come to an end");
-    as_operator(&r, final_read, NULL, 70000);
+      fleet_add_violation(fleet, "the operators' tasks did not end");
+    run_as_operator(&r, final_read, NULL, 70000);
     for (guint i = 0; i < r.changes->len; i++)
       if (g_array_index(r.changes, sent_change, i).last == ANSWER_CONFIRMED)
         r.current = MAX(r.current, g_array_index(r.changes, sent_change, i).version);
@@ -766,16 +775,16 @@
   return run_done(&r);
 }
 
-/** Eight changes, each of the version that the one before makes, sent at once. */
-typedef struct chained {
+/** One of eight concurrent changes, each based on the version that the one before it creates. */
+typedef struct chained_change {
   run *run;
   guint number;
   time_us took;
-} chained;
+} chained_change;
 
 static void chained_run(void *p) {
-  chained *c = p;
-  run *run = c->run;
+  chained_change *change = p;
+  run *run = change->run;
   world *world = run->deployment->operator->world;
   time_us sent = world_now(world);
   host *head = fleet_find_head(run->deployment->fleet);
@@ -783,27 +792,28 @@
   g_strlcpy(address, head->addr, sizeof address);
   *strchr(address, ':') = 0;
   g_strlcat(address, ":8100", sizeof address);
-  enum register_answer a = ANSWER_NONE;
-  for (int i = 0; i < 10 && a == ANSWER_NONE; i++) {
-    a = send_once(run, c->number, address, LOSS_NONE);
-    if (a == ANSWER_NONE)
+  enum register_answer answer = ANSWER_NONE;
+  for (int i = 0; i < 10 && answer == ANSWER_NONE; i++) {
+    answer = send_once(run, change->number, address, LOSS_NONE);
+    if (answer == ANSWER_NONE)
       world_sleep(world, time_from_ms(300));
   }
-  if (a != ANSWER_CONFIRMED)
-    fleet_add_violation(run->deployment->fleet, "order %u of eight at once got %d", c->number, a);
-  c->took = time_sub(world_now(world), sent);
+  if (answer != ANSWER_CONFIRMED)
+    fleet_add_violation(run->deployment->fleet, "change %u of eight concurrent changes got %d",
+                        change->number, answer);
+  change->took = time_sub(world_now(world), sent);
   run->busy--;
 }
 
-static bool eight_orders_at_once_wait_little(fleet *fleet) {
+static bool eight_concurrent_changes_are_fast(fleet *fleet) {
   run r;
   if (!run_up(&r, fleet, 3))
     return run_done(&r);
   fleet->sim->delay_ms = 40;
-  chained all[OPERATORS_MAX];
+  chained_change all[OPERATORS_MAX];
   uint64_t version = r.current;
   for (int i = 0; i < OPERATORS_MAX; i++) {
-    all[i] = (chained){ &r, new_change(&r, version, version + 1, i % 2, true), { 0 } };
+    all[i] = (chained_change){ &r, new_change(&r, version, version + 1, i % 2, true), { 0 } };
     version++;
     r.busy++;
     task_start(&r.deployment->operator->world->tasks, "chained", chained_run, &all[i]);
@@ -813,13 +823,13 @@
   sim_run_until(fleet->sim, is_idle, &r, time_from_ms(30000));
   for (int i = 0; i < OPERATORS_MAX; i++)
     if (all[i].took.us > 600000)
-      fleet_add_violation(fleet, "order %d of eight at once took %" PRId64 " ms", i,
+      fleet_add_violation(fleet, "change %d of eight concurrent changes took %" PRId64 " ms", i,
                           (int64_t)all[i].took.us / 1000);
   fleet->sim->delay_ms = 1;
   return run_done(&r);
 }
 
-/* the checker, without a fleet */
+/* tests of the linearizability checker, without a fleet */
 static void expect(fleet *fleet, register_history *h, bool good, const char *what) {
   GString *why = g_string_new(NULL);
   bool is = register_history_check(h, why);
@@ -842,7 +852,7 @@
   register_history_add_read(h, a, 5, 6);
   register_history_add_read(h, b, 6, 7);
   register_history_add_attempt(h, b, 10, 11, ANSWER_CONFIRMED);
-  /* without a clear answer, and yet read later */
+  /* no clear answer, but read later */
   register_history_add_attempt(h, d, 12, 13, ANSWER_NONE);
   register_history_add_read(h, b, 14, 15);
   register_history_add_read(h, d, 16, 17);
@@ -857,23 +867,24 @@
   register_history_add_attempt(h, b, 3, 4, ANSWER_NONE);
   register_history_add_attempt(h, c, 3, 4, ANSWER_NONE);
   register_history_add_attempt(h, d, 5, 6, ANSWER_CONFIRMED);
-  expect(fleet, h, true, "one of two orders without an answer");
+  expect(fleet, h, true, "one of two changes without an answer");
 
   h = register_history_new();
   a = register_history_add_order(h, 0, 1, true);
   b = register_history_add_order(h, 7, 9, true);
   register_history_add_attempt(h, a, 1, 2, ANSWER_CONFIRMED);
   register_history_add_attempt(h, b, 3, 4, ANSWER_CONFLICT);
-  expect(fleet, h, true, "a base that never was");
+  expect(fleet, h, true, "a change of a base version that never existed");
 
   h = register_history_new();
   a = register_history_add_order(h, 0, 1, true);
   b = register_history_add_order(h, 0, 4, false);
   register_history_add_attempt(h, b, 1, 2, ANSWER_INVALID);
   register_history_add_attempt(h, a, 1, 2, ANSWER_CONFIRMED);
-  expect(fleet, h, true, "an invalid order that was refused");
+  expect(fleet, h, true, "an invalid change that was refused");
 
-  /* hundreds, eight of them open at once, half without an answer */
+  /* 800 versions with eight concurrent changes each; only for every second version one of them has
+   * a clear answer */
   h = register_history_new();
   for (uint64_t v = 0; v < 800; v++)
     for (int i = 0; i < OPERATORS_MAX; i++) {
@@ -895,14 +906,14 @@
   register_history_add_attempt(h, a, 1, 2, ANSWER_CONFIRMED);
   register_history_add_attempt(h, b, 3, 4, ANSWER_CONFIRMED);
   register_history_add_attempt(h, c, 5, 6, ANSWER_CONFIRMED);
-  expect(fleet, h, false, "two winners on one base");
+  expect(fleet, h, false, "two accepted changes of one base version");
 
   h = register_history_new();
   a = register_history_add_order(h, 0, 1, true);
   b = register_history_add_order(h, 0, 1, true);
   register_history_add_attempt(h, a, 1, 9, ANSWER_CONFIRMED);
   register_history_add_attempt(h, b, 1, 9, ANSWER_CONFIRMED);
-  expect(fleet, h, false, "two winners under one number");
+  expect(fleet, h, false, "two accepted changes that create one version");
 
   h = register_history_new();
   a = register_history_add_order(h, 0, 1, true);
@@ -910,7 +921,7 @@
   register_history_add_attempt(h, a, 1, 2, ANSWER_CONFIRMED);
   register_history_add_attempt(h, b, 3, 4, ANSWER_CONFIRMED);
   register_history_add_read(h, a, 5, 6);
-  expect(fleet, h, false, "a stale read, or a lost write");
+  expect(fleet, h, false, "a stale read or a lost write");
 
   h = register_history_new();
   a = register_history_add_order(h, 0, 1, true);
@@ -919,7 +930,7 @@
   register_history_add_attempt(h, b, 3, 20, ANSWER_CONFIRMED);
   register_history_add_read(h, b, 4, 5);
   register_history_add_read(h, a, 6, 7);
-  expect(fleet, h, false, "a read that goes back");
+  expect(fleet, h, false, "a read older than an earlier read");
 
   h = register_history_new();
   a = register_history_add_order(h, 0, 1, true);
@@ -927,14 +938,14 @@
   register_history_add_attempt(h, a, 1, 2, ANSWER_CONFIRMED);
   register_history_add_attempt(h, b, 3, 4, ANSWER_CONFLICT);
   register_history_add_read(h, b, 5, 6);
-  expect(fleet, h, false, "a refused order in force");
+  expect(fleet, h, false, "a refused change that is read");
 
   h = register_history_new();
   a = register_history_add_order(h, 0, 1, true);
   b = register_history_add_order(h, 1, 2, true);
   register_history_add_attempt(h, a, 1, 2, ANSWER_CONFIRMED);
   register_history_add_attempt(h, b, 3, 4, ANSWER_CONFLICT);
-  expect(fleet, h, false, "a refusal while the base is current");
+  expect(fleet, h, false, "a refusal while the base version is current");
 
   h = register_history_new();
   a = register_history_add_order(h, 0, 1, true);
@@ -942,7 +953,7 @@
   register_history_add_attempt(h, a, 1, 2, ANSWER_CONFIRMED);
   register_history_add_attempt(h, b, 3, 4, ANSWER_CONFIRMED);
   register_history_add_attempt(h, a, 5, 6, ANSWER_CONFLICT);
-  expect(fleet, h, false, "a taken order refused when it came again");
+  expect(fleet, h, false, "an accepted change that is refused when sent again");
 
   h = register_history_new();
   a = register_history_add_order(h, 0, 1, true);
@@ -951,34 +962,35 @@
   register_history_add_attempt(h, a, 1, 2, ANSWER_CONFIRMED);
   register_history_add_attempt(h, b, 3, 4, ANSWER_CONFLICT);
   register_history_add_attempt(h, c, 5, 6, ANSWER_CONFIRMED);
-  expect(fleet, h, false, "a refusal before the winner was sent");
+  expect(fleet, h, false, "a refusal before the accepted change was sent");
 
   h = register_history_new();
   a = register_history_add_order(h, 0, 1, true);
   b = register_history_add_order(h, 1, 2, false);
   register_history_add_attempt(h, a, 1, 2, ANSWER_CONFIRMED);
   register_history_add_attempt(h, b, 3, 4, ANSWER_CONFIRMED);
-  expect(fleet, h, false, "an invalid order that was confirmed");
+  expect(fleet, h, false, "an invalid change that was confirmed");
 
   h = register_history_new();
   a = register_history_add_order(h, 3, 4, true);
   register_history_add_attempt(h, a, 1, 2, ANSWER_CONFIRMED);
-  expect(fleet, h, false, "an order on a base that never was");
+  expect(fleet, h, false, "an accepted change of a base version that never existed");
   return !fleet->violations->len;
 }
 
 const test_case config_change_tests[] = {
   { "the_checker_accepts_good_histories", the_checker_accepts_good_histories, 0, 0, 10 },
   { "the_checker_rejects_bad_histories", the_checker_rejects_bad_histories, 0, 0, 10 },
-  { "operators_share_a_core_of_three", operators_share_a_core_of_three, 0, 0, 100 },
-  { "operators_share_a_core_of_five", operators_share_a_core_of_five, 0, 0, 100 },
-  { "an_order_comes_again_after_hundreds", an_order_comes_again_after_hundreds, 0, 0, 20 },
-  { "an_order_comes_again_after_thousands", an_order_comes_again_after_thousands, 0, 0, 4 },
-  { "machines_join_while_orders_are_read", machines_join_while_orders_are_read, 0, 0, 50 },
-  { "operators_race_for_the_first", operators_race_for_the_first, 0, 0, 100 },
-  { "an_order_older_than_the_memory", an_order_older_than_the_memory, 0, 0, 4 },
-  { "accepted_orders_are_bounded", accepted_orders_are_bounded, 0, 0, 10 },
-  { "a_suffix_is_lost", a_suffix_is_lost, 0, 0, 100 },
-  { "eight_orders_at_once_wait_little", eight_orders_at_once_wait_little, 0, 0, 34 },
+  { "changes_race_on_three_faulty_controllers", changes_race_on_three_faulty_controllers, 0, 0,
+    100 },
+  { "changes_race_on_five_faulty_controllers", changes_race_on_five_faulty_controllers, 0, 0, 100 },
+  { "a_change_is_repeated_after_hundreds", a_change_is_repeated_after_hundreds, 0, 0, 20 },
+  { "a_change_is_repeated_after_thousands", a_change_is_repeated_after_thousands, 0, 0, 4 },
+  { "controllers_rejoin_during_reads", controllers_rejoin_during_reads, 0, 0, 50 },
+  { "first_configurations_race", first_configurations_race, 0, 0, 100 },
+  { "a_forgotten_change_is_repeated", a_forgotten_change_is_repeated, 0, 0, 4 },
+  { "accepted_changes_are_bounded", accepted_changes_are_bounded, 0, 0, 10 },
+  { "an_uncommitted_suffix_is_lost", an_uncommitted_suffix_is_lost, 0, 0, 100 },
+  { "eight_concurrent_changes_are_fast", eight_concurrent_changes_are_fast, 0, 0, 34 },
   { NULL, NULL, 0, 0, 0 }
 };
--- a/tests/controlplane/engine_registry.c
+++ b/tests/controlplane/engine_registry.c
@@ -1,5 +1,5 @@
-/** Tests of the engine registry and of decisions on configurations, as pure functions; and of
- * control listeners in a fleet with controllers and routers. */
+/** Tests of the engine registry and of config_change_apply as pure functions, and of the control
+ * listener in a fleet of controllers and routers. */
 #include "config_change.h"
 #include "engine_registry.h"
 #include "routing.h"
@@ -9,41 +9,41 @@
 
 static Wire__EngineState heartbeat_of(const char *engine_id, const char *addr, uint64_t count,
                                       bool draining) {
-  Wire__EngineState w = WIRE__ENGINE_STATE__INIT;
-  w.id = (char *)engine_id;
-  w.service = "chat";
-  w.address = (char *)addr;
-  w.zone = "north";
-  w.version = "v1";
-  w.slots = 8;
-  w.heartbeat_count = count;
-  w.draining = draining;
-  return w;
+  Wire__EngineState heartbeat = WIRE__ENGINE_STATE__INIT;
+  heartbeat.id = (char *)engine_id;
+  heartbeat.service = "chat";
+  heartbeat.address = (char *)addr;
+  heartbeat.zone = "north";
+  heartbeat.version = "v1";
+  heartbeat.slots = 8;
+  heartbeat.heartbeat_count = count;
+  heartbeat.draining = draining;
+  return heartbeat;
 }
 
 static enum registry_update record_heartbeat(engine_registry *registry, const char *engine_id,
                                              const char *addr, uint64_t count, bool draining,
                                              int64_t ms) {
-  Wire__EngineState w = heartbeat_of(engine_id, addr, count, draining);
-  return engine_registry_heartbeat(registry, &w, time_from_ms(ms));
+  Wire__EngineState heartbeat = heartbeat_of(engine_id, addr, count, draining);
+  return engine_registry_heartbeat(registry, &heartbeat, time_from_ms(ms));
 }
 
-/* Merges an engine of one registry into another: all of it (is_full), or count, age and checksum.
- */
+/* Merges an engine of one registry into another: its full state (is_full), or only its count, age
+ * and checksum. */
 static enum registry_update merge_from(engine_registry *to, const engine_registry *from,
                                        const char *engine_id, bool is_full, int64_t ms) {
-  Wire__EngineState w = WIRE__ENGINE_STATE__INIT;
+  Wire__EngineState update = WIRE__ENGINE_STATE__INIT;
   registered_engine *engine = engine_registry_find(from, engine_id);
-  engine_registry_pack_engine(engine, time_from_ms(ms), &w);
+  engine_registry_pack_engine(engine, time_from_ms(ms), &update);
   if (!is_full) {
-    Wire__EngineState s = WIRE__ENGINE_STATE__INIT;
-    s.id = w.id;
-    s.heartbeat_count = w.heartbeat_count;
-    s.checksum = w.checksum;
-    s.age_ms = w.age_ms;
-    w = s;
+    Wire__EngineState summary = WIRE__ENGINE_STATE__INIT;
+    summary.id = update.id;
+    summary.heartbeat_count = update.heartbeat_count;
+    summary.checksum = update.checksum;
+    summary.age_ms = update.age_ms;
+    update = summary;
   }
-  return engine_registry_merge(to, &w, time_from_ms(ms));
+  return engine_registry_merge(to, &update, time_from_ms(ms));
 }
 
 static void expect(fleet *fleet, bool is, const char *what) {
@@ -59,250 +59,266 @@
   return n;
 }
 
-static bool beats_come_late(fleet *fleet) {
-  engine_registry r;
-  engine_registry_init(&r, 7, time_from_ms(1000));
-  expect(fleet, record_heartbeat(&r, "e1", "10.0.0.1:80", 3, false, 1000) == REGISTRY_CHANGED,
-         "the first heartbeat is no change");
-  expect(fleet, record_heartbeat(&r, "e1", "10.0.0.1:80", 4, false, 2000) == REGISTRY_ALIVE,
+static bool stale_heartbeats_are_ignored(fleet *fleet) {
+  engine_registry registry;
+  engine_registry_init(&registry, 7, time_from_ms(1000));
+  expect(fleet,
+         record_heartbeat(&registry, "e1", "10.0.0.1:80", 3, false, 1000) == REGISTRY_CHANGED,
+         "the first heartbeat is not a change");
+  expect(fleet, record_heartbeat(&registry, "e1", "10.0.0.1:80", 4, false, 2000) == REGISTRY_ALIVE,
          "an equal heartbeat is a change");
-  uint64_t seq = r.seq;
-  expect(fleet, record_heartbeat(&r, "e1", "10.0.0.9:80", 3, false, 2100) == REGISTRY_STALE,
+  uint64_t seq = registry.seq;
+  expect(fleet, record_heartbeat(&registry, "e1", "10.0.0.9:80", 3, false, 2100) == REGISTRY_STALE,
          "a lower count is not stale");
-  expect(fleet, record_heartbeat(&r, "e1", "10.0.0.9:80", 4, false, 2100) == REGISTRY_STALE,
+  expect(fleet, record_heartbeat(&registry, "e1", "10.0.0.9:80", 4, false, 2100) == REGISTRY_STALE,
          "an equal count is not stale");
-  registered_engine *engine = engine_registry_find(&r, "e1");
+  registered_engine *engine = engine_registry_find(&registry, "e1");
   expect(fleet,
-         r.seq == seq && !strcmp(engine->heartbeat->address, "10.0.0.1:80") &&
+         registry.seq == seq && !strcmp(engine->heartbeat->address, "10.0.0.1:80") &&
              engine->last_heard_at.us == time_from_ms(2000).us,
          "a stale heartbeat changed something");
-  Wire__ResidentModel m = WIRE__RESIDENT_MODEL__INIT, *ms = &m;
-  m.model = "m1";
-  m.weights_version = 1;
-  Wire__EngineState w = heartbeat_of("e1", "10.0.0.1:80", 5, false);
-  w.n_models = 1;
-  w.models = &ms;
-  expect(fleet, engine_registry_heartbeat(&r, &w, time_from_ms(3000)) == REGISTRY_CHANGED,
-         "a new model is no change");
-  w.heartbeat_count = 6;
-  expect(fleet, engine_registry_heartbeat(&r, &w, time_from_ms(4000)) == REGISTRY_ALIVE,
-         "the same models are a change");
-  m.weights_version = 2;
-  w.heartbeat_count = 7;
-  expect(fleet, engine_registry_heartbeat(&r, &w, time_from_ms(5000)) == REGISTRY_CHANGED,
-         "other weights are no change");
-  expect(fleet, engine_registry_find(&r, "e1")->heartbeat->models[0]->weights_version == 2,
-         "other weights were not kept");
-  engine_registry_free(&r);
+  Wire__ResidentModel model = WIRE__RESIDENT_MODEL__INIT, *models = &model;
+  model.model = "m1";
+  model.weights_version = 1;
+  Wire__EngineState heartbeat = heartbeat_of("e1", "10.0.0.1:80", 5, false);
+  heartbeat.n_models = 1;
+  heartbeat.models = &models;
+  expect(fleet,
+         engine_registry_heartbeat(&registry, &heartbeat, time_from_ms(3000)) == REGISTRY_CHANGED,
+         "a new model is not a change");
+  heartbeat.heartbeat_count = 6;
+  expect(fleet,
+         engine_registry_heartbeat(&registry, &heartbeat, time_from_ms(4000)) == REGISTRY_ALIVE,
+         "a heartbeat with the same models is a change");
+  model.weights_version = 2;
+  heartbeat.heartbeat_count = 7;
+  expect(fleet,
+         engine_registry_heartbeat(&registry, &heartbeat, time_from_ms(5000)) == REGISTRY_CHANGED,
+         "another weights version is not a change");
+  expect(fleet, engine_registry_find(&registry, "e1")->heartbeat->models[0]->weights_version == 2,
+         "another weights version was not stored");
+  engine_registry_free(&registry);
   return true;
 }
 
-static bool leaving_is_for_good(fleet *fleet) {
-  engine_registry r;
-  engine_registry_init(&r, 7, time_from_ms(0));
-  record_heartbeat(&r, "e1", "10.0.0.1:80", 1, false, 1000);
-  Wire__EngineState w = heartbeat_of("e1", "10.0.0.1:80", 2, true);
-  w.ends_in_ms = 5000;
-  expect(fleet, engine_registry_heartbeat(&r, &w, time_from_ms(2000)) == REGISTRY_DRAINING,
-         "leaving is no news");
-  Wire__EngineState said = WIRE__ENGINE_STATE__INIT;
-  engine_registry_pack_engine(engine_registry_find(&r, "e1"), time_from_ms(3000), &said);
-  expect(fleet, said.draining && !said.gone && said.age_ms == 1000 && said.ends_in_ms == 5000,
-         "the time left does not count from the beat");
+static bool draining_and_sign_off_are_permanent(fleet *fleet) {
+  engine_registry registry;
+  engine_registry_init(&registry, 7, time_from_ms(0));
+  record_heartbeat(&registry, "e1", "10.0.0.1:80", 1, false, 1000);
+  Wire__EngineState heartbeat = heartbeat_of("e1", "10.0.0.1:80", 2, true);
+  heartbeat.ends_in_ms = 5000;
+  expect(fleet,
+         engine_registry_heartbeat(&registry, &heartbeat, time_from_ms(2000)) == REGISTRY_DRAINING,
+         "the start of draining is not reported as such");
+  Wire__EngineState packed = WIRE__ENGINE_STATE__INIT;
+  engine_registry_pack_engine(engine_registry_find(&registry, "e1"), time_from_ms(3000), &packed);
+  expect(fleet,
+         packed.draining && !packed.gone && packed.age_ms == 1000 && packed.ends_in_ms == 5000,
+         "age or time to the end does not count from the heartbeat");
   expect(fleet,
-         record_heartbeat(&r, "e1", "10.0.0.1:80", 3, false, 4000) == REGISTRY_ALIVE &&
-             engine_registry_find(&r, "e1")->draining,
-         "an engine came back from leaving");
+         record_heartbeat(&registry, "e1", "10.0.0.1:80", 3, false, 4000) == REGISTRY_ALIVE &&
+             engine_registry_find(&registry, "e1")->draining,
+         "a later heartbeat resets draining");
   expect(fleet,
-         engine_registry_sign_off(&r, "e1", time_from_ms(5000)) == REGISTRY_DRAINING &&
-             engine_registry_sign_off(&r, "e1", time_from_ms(5100)) == REGISTRY_STALE,
-         "a sign-off is no news, or news twice");
+         engine_registry_sign_off(&registry, "e1", time_from_ms(5000)) == REGISTRY_DRAINING &&
+             engine_registry_sign_off(&registry, "e1", time_from_ms(5100)) == REGISTRY_STALE,
+         "a sign-off is not reported, or is reported twice");
   for (uint64_t i = 4; i < 20; i++)
     expect(fleet,
-           record_heartbeat(&r, "e1", "10.0.0.1:80", i, false, 6000 + (int64_t)i) == REGISTRY_STALE,
-           "a beat revives an engine that signed off");
+           record_heartbeat(&registry, "e1", "10.0.0.1:80", i, false, 6000 + (int64_t)i) ==
+               REGISTRY_STALE,
+           "a heartbeat revives an engine that signed off");
   /* a sign-off of an unknown engine */
   expect(fleet,
-         engine_registry_sign_off(&r, "e2", time_from_ms(7000)) == REGISTRY_DRAINING &&
-             record_heartbeat(&r, "e2", "10.0.0.2:80", 9, false, 7100) == REGISTRY_STALE,
-         "a beat before its sign-off revives an engine");
-  /* another registry learns of the sign-offs, and does not take them back either */
-  engine_registry o;
-  engine_registry_init(&o, 8, time_from_ms(0));
-  record_heartbeat(&o, "e1", "10.0.0.1:80", 30, false, 7000);
+         engine_registry_sign_off(&registry, "e2", time_from_ms(7000)) == REGISTRY_DRAINING &&
+             record_heartbeat(&registry, "e2", "10.0.0.2:80", 9, false, 7100) == REGISTRY_STALE,
+         "a late heartbeat revives an engine that signed off before it was known");
+  /* a registry that merges the sign-offs keeps them, too */
+  engine_registry other;
+  engine_registry_init(&other, 8, time_from_ms(0));
+  record_heartbeat(&other, "e1", "10.0.0.1:80", 30, false, 7000);
   expect(fleet,
-         merge_from(&o, &r, "e1", true, 8000) == REGISTRY_DRAINING &&
-             engine_registry_find(&o, "e1")->signed_off,
-         "a sign-off is not passed on over a younger beat");
+         merge_from(&other, &registry, "e1", true, 8000) == REGISTRY_DRAINING &&
+             engine_registry_find(&other, "e1")->signed_off,
+         "a merged sign-off loses against a later heartbeat");
   expect(fleet,
-         merge_from(&o, &r, "e2", true, 8000) == REGISTRY_DRAINING &&
-             record_heartbeat(&o, "e2", "10.0.0.2:80", 10, false, 8100) == REGISTRY_STALE,
-         "a tombstone is not passed on");
+         merge_from(&other, &registry, "e2", true, 8000) == REGISTRY_DRAINING &&
+             record_heartbeat(&other, "e2", "10.0.0.2:80", 10, false, 8100) == REGISTRY_STALE,
+         "a tombstone is not merged, or a heartbeat revives its engine");
   bool is_full;
-  expect(fleet, count_changed_since(&o, 8, 0, &is_full) == 2,
-         "those who end are not in the changes");
-  /* a tombstone is forgotten in time; positions from before that get the full list */
-  engine_registry_set_complete(&o);
-  record_heartbeat(&o, "e4", "10.0.0.4:80", 1, false, 8500);
-  uint64_t known = o.seq;
-  engine_registry_sign_off(&o, "e4", time_from_ms(8600));
-  uint64_t seq = o.seq;
-  record_heartbeat(&o, "e3", "10.0.0.3:80", 1, false, 9000);
+  expect(fleet, count_changed_since(&other, 8, 0, &is_full) == 2,
+         "ended engines are not among the changes");
+  /* a tombstone is removed in time; positions from before its change get the full list */
+  engine_registry_set_complete(&other);
+  record_heartbeat(&other, "e4", "10.0.0.4:80", 1, false, 8500);
+  uint64_t known = other.seq;
+  engine_registry_sign_off(&other, "e4", time_from_ms(8600));
+  uint64_t seq = other.seq;
+  record_heartbeat(&other, "e3", "10.0.0.3:80", 1, false, 9000);
   for (int64_t t = 9000; t < 70000; t += 250) {
     if (t % 1000 == 0)
-      record_heartbeat(&o, "e3", "10.0.0.3:80", 2 + (uint64_t)t, false, t);
-    engine_registry_sweep(&o, time_from_ms(t), true);
+      record_heartbeat(&other, "e3", "10.0.0.3:80", 2 + (uint64_t)t, false, t);
+    engine_registry_sweep(&other, time_from_ms(t), true);
   }
-  expect(fleet, !engine_registry_find(&o, "e1") && engine_registry_find(&o, "e3"),
-         "a tombstone stands for ever");
-  expect(fleet, count_changed_since(&o, 8, seq, &is_full) == 1 && !is_full,
-         "changes since a number are not just those");
-  expect(fleet, count_changed_since(&o, 8, known, &is_full) == 1 && is_full,
-         "one who lacks what was forgotten does not get the whole");
-  engine_registry_free(&r);
-  engine_registry_free(&o);
+  expect(fleet, !engine_registry_find(&other, "e1") && engine_registry_find(&other, "e3"),
+         "a tombstone is never removed, or a live engine is");
+  expect(fleet, count_changed_since(&other, 8, seq, &is_full) == 1 && !is_full,
+         "the changes since a position are not exactly those");
+  expect(fleet, count_changed_since(&other, 8, known, &is_full) == 1 && is_full,
+         "a position before a removed tombstone does not get the full list");
+  engine_registry_free(&registry);
+  engine_registry_free(&other);
   return true;
 }
 
-static bool addresses_are_used_again(fleet *fleet) {
-  engine_registry r;
-  engine_registry_init(&r, 7, time_from_ms(0));
-  record_heartbeat(&r, "e1", "10.0.0.1:80", 1, false, 1000);
-  record_heartbeat(&r, "e2", "10.0.0.2:80", 1, false, 1000);
+static bool a_reused_address_has_one_engine(fleet *fleet) {
+  engine_registry registry;
+  engine_registry_init(&registry, 7, time_from_ms(0));
+  record_heartbeat(&registry, "e1", "10.0.0.1:80", 1, false, 1000);
+  record_heartbeat(&registry, "e2", "10.0.0.2:80", 1, false, 1000);
   expect(fleet,
-         record_heartbeat(&r, "e3", "10.0.0.1:80", 1, false, 3000) == REGISTRY_CHANGED &&
-             engine_registry_find(&r, "e1")->gone && !engine_registry_find(&r, "e2")->gone,
-         "an address has two engines");
+         record_heartbeat(&registry, "e3", "10.0.0.1:80", 1, false, 3000) == REGISTRY_CHANGED &&
+             engine_registry_find(&registry, "e1")->gone &&
+             !engine_registry_find(&registry, "e2")->gone,
+         "an address still has two engines, or the wrong engine is gone");
   expect(fleet,
-         record_heartbeat(&r, "e1", "10.0.0.1:80", 1, false, 3100) == REGISTRY_STALE &&
-             engine_registry_find(&r, "e1")->gone,
-         "a late beat takes an address back");
+         record_heartbeat(&registry, "e1", "10.0.0.1:80", 1, false, 3100) == REGISTRY_STALE &&
+             engine_registry_find(&registry, "e1")->gone,
+         "a stale heartbeat takes the address back");
   /* an old update by way of another controller changes nothing */
-  engine_registry o;
-  engine_registry_init(&o, 8, time_from_ms(0));
-  record_heartbeat(&o, "e1", "10.0.0.1:80", 2, false, 2000);
-  merge_from(&r, &o, "e1", true, 3500);
-  expect(fleet, engine_registry_find(&r, "e1")->gone && !engine_registry_find(&r, "e3")->gone,
-         "old word takes an address back");
-  /* an update of a replaced engine comes where only its successor is known */
-  engine_registry y;
-  engine_registry_init(&y, 9, time_from_ms(0));
-  record_heartbeat(&y, "e3", "10.0.0.1:80", 2, false, 3600);
-  merge_from(&y, &o, "e1", true, 3700);
-  expect(fleet, engine_registry_find(&y, "e1")->gone && !engine_registry_find(&y, "e3")->gone,
-         "word of an engine that ended takes an address");
-  engine_registry_free(&r);
-  engine_registry_free(&o);
-  engine_registry_free(&y);
+  engine_registry other;
+  engine_registry_init(&other, 8, time_from_ms(0));
+  record_heartbeat(&other, "e1", "10.0.0.1:80", 2, false, 2000);
+  merge_from(&registry, &other, "e1", true, 3500);
+  expect(fleet,
+         engine_registry_find(&registry, "e1")->gone &&
+             !engine_registry_find(&registry, "e3")->gone,
+         "an old update from another controller takes the address back");
+  /* an update about a replaced engine arrives where only its successor is known */
+  engine_registry third;
+  engine_registry_init(&third, 9, time_from_ms(0));
+  record_heartbeat(&third, "e3", "10.0.0.1:80", 2, false, 3600);
+  merge_from(&third, &other, "e1", true, 3700);
+  expect(fleet,
+         engine_registry_find(&third, "e1")->gone && !engine_registry_find(&third, "e3")->gone,
+         "an update about a replaced engine takes the address");
+  engine_registry_free(&registry);
+  engine_registry_free(&other);
+  engine_registry_free(&third);
   return true;
 }
 
-static bool engines_fall_silent(fleet *fleet) {
-  engine_registry r;
-  engine_registry_init(&r, 7, time_from_ms(0));
+static bool engines_without_heartbeats_are_gone(fleet *fleet) {
+  engine_registry registry;
+  engine_registry_init(&registry, 7, time_from_ms(0));
   for (int64_t t = 0; t <= 20000; t += 250) {
     if (t % 1000 == 0)
-      record_heartbeat(&r, "e1", "10.0.0.1:80", (uint64_t)t + 1, false, t);
+      record_heartbeat(&registry, "e1", "10.0.0.1:80", (uint64_t)t + 1, false, t);
     if (t % 1000 == 0 && t <= 5000)
-      record_heartbeat(&r, "e2", "10.0.0.2:80", (uint64_t)t + 1, false, t);
-    engine_registry_sweep(&r, time_from_ms(t), true);
+      record_heartbeat(&registry, "e2", "10.0.0.2:80", (uint64_t)t + 1, false, t);
+    engine_registry_sweep(&registry, time_from_ms(t), true);
     if (t == 12750)
-      expect(fleet, !engine_registry_find(&r, "e2")->gone, "an engine is gone too soon");
+      expect(fleet, !engine_registry_find(&registry, "e2")->gone, "an engine is gone too early");
     if (t == 13250)
-      expect(fleet, engine_registry_find(&r, "e2")->gone, "a silent engine is not gone");
+      expect(fleet, engine_registry_find(&registry, "e2")->gone, "a silent engine is not gone");
   }
-  registered_engine *engine = engine_registry_find(&r, "e2");
+  registered_engine *engine = engine_registry_find(&registry, "e2");
   expect(fleet,
          engine->gone && !engine->draining && !engine->signed_off &&
-             !engine_registry_find(&r, "e1")->gone,
-         "silence is for good, or another's");
+             !engine_registry_find(&registry, "e1")->gone,
+         "a silent engine is not just gone, or another one is gone");
   expect(fleet,
-         record_heartbeat(&r, "e2", "10.0.0.2:80", 30000, false, 20100) == REGISTRY_CHANGED &&
-             !engine_registry_find(&r, "e2")->gone,
-         "a beat does not end silence");
+         record_heartbeat(&registry, "e2", "10.0.0.2:80", 30000, false, 20100) ==
+                 REGISTRY_CHANGED &&
+             !engine_registry_find(&registry, "e2")->gone,
+         "a heartbeat does not bring a silent engine back");
   /* a heartbeat that another controller received counts */
-  engine_registry o;
-  engine_registry_init(&o, 8, time_from_ms(0));
-  merge_from(&o, &r, "e1", true, 20100);
-  merge_from(&o, &r, "e2", true, 20100);
+  engine_registry other;
+  engine_registry_init(&other, 8, time_from_ms(0));
+  merge_from(&other, &registry, "e1", true, 20100);
+  merge_from(&other, &registry, "e2", true, 20100);
   for (int64_t t = 20250; t <= 40000; t += 250) {
     if (t % 1000 == 0) {
-      record_heartbeat(&r, "e1", "10.0.0.1:80", (uint64_t)t + 1, false, t);
-      expect(fleet, merge_from(&o, &r, "e1", false, t + 10) == REGISTRY_ALIVE,
-             "a sign of life is not taken");
+      record_heartbeat(&registry, "e1", "10.0.0.1:80", (uint64_t)t + 1, false, t);
+      expect(fleet, merge_from(&other, &registry, "e1", false, t + 10) == REGISTRY_ALIVE,
+             "a merged heartbeat is not accepted");
     }
-    engine_registry_sweep(&o, time_from_ms(t), true);
+    engine_registry_sweep(&other, time_from_ms(t), true);
   }
-  expect(fleet, !engine_registry_find(&o, "e1")->gone && engine_registry_find(&o, "e2")->gone,
-         "what another machine hears does not count");
   expect(fleet,
-         merge_from(&o, &r, "e2", false, 40000) == REGISTRY_NEEDS_FETCH ||
-             engine_registry_find(&o, "e2")->gone,
-         "old word ends silence");
-  /* while another controller is out of reach, an engine is silent later */
-  engine_registry c;
-  engine_registry_init(&c, 9, time_from_ms(0));
-  record_heartbeat(&c, "e3", "10.0.0.3:80", 1, false, 0);
+         !engine_registry_find(&other, "e1")->gone && engine_registry_find(&other, "e2")->gone,
+         "heartbeats at another controller do not count, or a silent engine is not gone");
+  expect(fleet,
+         merge_from(&other, &registry, "e2", false, 40000) == REGISTRY_NEEDS_FETCH ||
+             engine_registry_find(&other, "e2")->gone,
+         "an old heartbeat at another controller brings a silent engine back");
+  /* while another controller is unreachable, an engine is declared silent later */
+  engine_registry isolated;
+  engine_registry_init(&isolated, 9, time_from_ms(0));
+  record_heartbeat(&isolated, "e3", "10.0.0.3:80", 1, false, 0);
   for (int64_t t = 250; t <= 28000; t += 250) {
     if (t % 1000 == 0)
-      record_heartbeat(&c, "e4", "10.0.0.4:80", (uint64_t)t, false, t);
-    engine_registry_sweep(&c, time_from_ms(t), false);
+      record_heartbeat(&isolated, "e4", "10.0.0.4:80", (uint64_t)t, false, t);
+    engine_registry_sweep(&isolated, time_from_ms(t), false);
     if (t == 20000)
-      expect(fleet, !engine_registry_find(&c, "e3")->gone, "who may be heard elsewhere is gone");
+      expect(fleet, !engine_registry_find(&isolated, "e3")->gone,
+             "an engine is gone too early while a controller is unreachable");
   }
-  expect(fleet, engine_registry_find(&c, "e3")->gone && !engine_registry_find(&c, "e4")->gone,
-         "silence counts never, or another's");
-  engine_registry_free(&c);
-  /* a process that was stopped, or hears no engine at all, declares none silent */
-  engine_registry_sweep(&o, time_from_ms(90000), true);
-  engine_registry_sweep(&o, time_from_ms(90250), true);
-  expect(fleet, !engine_registry_find(&o, "e1")->gone,
-         "a process that slept says that others are silent");
+  expect(fleet,
+         engine_registry_find(&isolated, "e3")->gone &&
+             !engine_registry_find(&isolated, "e4")->gone,
+         "a silent engine is never gone while a controller is unreachable, or another one is");
+  engine_registry_free(&isolated);
+  /* a process that was suspended, or hears no engine at all, declares none silent */
+  engine_registry_sweep(&other, time_from_ms(90000), true);
+  engine_registry_sweep(&other, time_from_ms(90250), true);
+  expect(fleet, !engine_registry_find(&other, "e1")->gone,
+         "a process that was suspended declares engines silent");
   for (int64_t t = 90500; t <= 120000; t += 250)
-    engine_registry_sweep(&o, time_from_ms(t), true);
-  expect(fleet, !engine_registry_find(&o, "e1")->gone,
-         "a process that hears nothing says that others are silent");
-  engine_registry_free(&r);
-  engine_registry_free(&o);
+    engine_registry_sweep(&other, time_from_ms(t), true);
+  expect(fleet, !engine_registry_find(&other, "e1")->gone,
+         "a process that hears no engine declares engines silent");
+  engine_registry_free(&registry);
+  engine_registry_free(&other);
   return true;
 }
 
-static bool registries_tell_each_other(fleet *fleet) {
+static bool registries_merge_updates(fleet *fleet) {
   engine_registry a, b;
   bool is_full;
   engine_registry_init(&a, 7, time_from_ms(0));
   engine_registry_init(&b, 8, time_from_ms(0));
   record_heartbeat(&a, "e1", "10.0.0.1:80", 1, false, 1000);
   expect(fleet, merge_from(&b, &a, "e1", false, 1100) == REGISTRY_NEEDS_FETCH,
-         "a sign of life of an engine that is not known does not make one ask");
+         "a heartbeat of an unknown engine does not cause a fetch");
   expect(fleet,
          merge_from(&b, &a, "e1", true, 1200) == REGISTRY_CHANGED &&
              engine_registry_find(&b, "e1")->last_heard_at.us == time_from_ms(1000).us,
-         "the time of a beat is not passed on");
-  /* a lost broadcast shows in the checksum */
+         "the time of a heartbeat is not merged");
+  /* the checksum reveals a lost broadcast */
   record_heartbeat(&a, "e1", "10.0.0.1:81", 2, false, 2000);
   expect(fleet, merge_from(&b, &a, "e1", false, 2100) == REGISTRY_NEEDS_FETCH,
-         "a lost change does not show");
+         "a lost change is not detected by the checksum");
   expect(fleet,
          merge_from(&b, &a, "e1", true, 2200) == REGISTRY_CHANGED &&
              !strcmp(engine_registry_find(&b, "e1")->heartbeat->address, "10.0.0.1:81"),
-         "a lost change is not made good");
+         "a lost change is not repaired by a full update");
   expect(fleet, merge_from(&b, &a, "e1", true, 2300) == REGISTRY_ALIVE,
-         "the same word is a change");
+         "a repeated update is a change");
   /* a new registry is not the full list */
   expect(fleet, count_changed_since(&b, 0, 0, &is_full) == 1 && !is_full,
-         "a new registry calls itself complete");
+         "a new registry claims to be complete");
   uint64_t known_seq = b.seq;
   engine_registry_set_complete(&b);
   expect(fleet, count_changed_since(&b, 8, known_seq, &is_full) == 1 && is_full,
-         "who has a part does not get the whole once there is one");
+         "a position from before completion does not get the full list");
   expect(fleet, count_changed_since(&b, 8, b.seq, &is_full) == 0 && !is_full,
-         "who has all gets it again");
+         "a current position gets the full list again");
   expect(fleet, count_changed_since(&b, 99, b.seq + 5, &is_full) == 1 && is_full,
-         "one who knew another run does not get the whole");
+         "a position of another run does not get the full list");
   record_heartbeat(&b, "e2", "10.0.0.2:80", 1, false, 3000);
   expect(fleet, count_changed_since(&b, 8, b.seq - 1, &is_full) == 1 && !is_full,
-         "a change is not told by itself");
+         "a single change is not sent by itself");
   engine_registry_free(&a);
   engine_registry_free(&b);
   return true;
@@ -315,7 +331,7 @@
   "\",\"mode\":\"safe\",\"timeoutMs\":1000,\"targetMs\":500,\"priority\":0,\"service\":\"" to      \
   "\",\"attempts\":1}"
 
-static int decide(fleet *fleet, GString *text, bool is_full, uint64_t base, const char *body) {
+static int try_change(fleet *fleet, GString *text, bool is_full, uint64_t base, const char *body) {
   error err = { 0 };
   json *json = json_parse(string_view_of(body), &err);
   if (!json) {
@@ -329,34 +345,34 @@
   if (!r)
     g_string_assign(text, next->str);
   if (r && next->len)
-    fleet_add_violation(fleet, "a refused configuration leaves a text");
+    fleet_add_violation(fleet, "a refused configuration leaves text in the result");
   g_string_free(next, TRUE);
   json_free(json);
   return r;
 }
 
-static bool configurations_are_decided(fleet *fleet) {
-  GString *t = g_string_new("{}");
+static bool configuration_changes_are_checked(fleet *fleet) {
+  GString *current = g_string_new("{}");
   const char *first = "{\"version\":3,\"routes\":[" ROUTE("r1", "/a/", "s") "]," SERVICES "}";
-  expect(fleet, config_change_version(string_view_of_gstring(t)) == 0,
-         "a blank text has a version");
-  expect(fleet, decide(fleet, t, true, 1, first) == E_VERSION_CONFLICT,
-         "the first one builds on something");
-  expect(fleet, decide(fleet, t, true, 0, "{\"version\":0,\"routes\":[]," SERVICES "}"),
-         "version 0 is above 0");
+  expect(fleet, config_change_version(string_view_of_gstring(current)) == 0,
+         "an empty configuration has a version");
+  expect(fleet, try_change(fleet, current, true, 1, first) == E_VERSION_CONFLICT,
+         "a first configuration with base version 1 is accepted");
+  expect(fleet, try_change(fleet, current, true, 0, "{\"version\":0,\"routes\":[]," SERVICES "}"),
+         "version 0 is accepted after version 0");
   expect(fleet,
-         decide(fleet, t, false, 0,
-                "{\"version\":2,\"set\":{\"routes\":[" ROUTE("r1", "/a/", "s") "]}}"),
-         "a change of nothing is one");
+         try_change(fleet, current, false, 0,
+                    "{\"version\":2,\"set\":{\"routes\":[" ROUTE("r1", "/a/", "s") "]}}"),
+         "a patch of an empty configuration is accepted");
   expect(fleet,
-         decide(fleet, t, true, 0, first) == OK &&
-             config_change_version(string_view_of_gstring(t)) == 3,
-         "the first one is refused");
-  /* two changes of one version: the second is a conflict, whether it is valid or not */
-  expect(fleet, decide(fleet, t, true, 0, first) == E_VERSION_CONFLICT,
-         "a version is built on twice");
-  expect(fleet, decide(fleet, t, true, 2, "{\"version\":9}") == E_VERSION_CONFLICT,
-         "an old base is not told");
+         try_change(fleet, current, true, 0, first) == OK &&
+             config_change_version(string_view_of_gstring(current)) == 3,
+         "the first configuration is refused");
+  /* of two changes of one version the second is a conflict, whether it is valid or not */
+  expect(fleet, try_change(fleet, current, true, 0, first) == E_VERSION_CONFLICT,
+         "two changes with the same base version are accepted");
+  expect(fleet, try_change(fleet, current, true, 2, "{\"version\":9}") == E_VERSION_CONFLICT,
+         "an outdated base version is not a conflict");
   static const char *const bad[] = {
     "[]",
     "{}",
@@ -367,32 +383,33 @@
                                                                                       "}"
   };
   for (size_t i = 0; i < G_N_ELEMENTS(bad); i++) {
-    int r = decide(fleet, t, true, 3, bad[i]);
+    int r = try_change(fleet, current, true, 3, bad[i]);
     if (r < E_JSON || r >= E_WIRE_MESSAGE || r == E_VERSION_CONFLICT)
-      fleet_add_violation(fleet, "%s is decided to be %d", bad[i], r);
+      fleet_add_violation(fleet, "%s gives code %d", bad[i], r);
   }
-  expect(fleet, config_change_version(string_view_of_gstring(t)) == 3,
-         "a refused one changed something");
+  expect(fleet, config_change_version(string_view_of_gstring(current)) == 3,
+         "a refused configuration changed the version");
+  expect(fleet,
+         try_change(fleet, current, false, 3,
+                    "{\"version\":7,\"set\":{\"routes\":[" ROUTE(
+                        "r2", "/b/", "s") "]},\"drop\":{\"routes\":[\"r1\"]}}") == OK,
+         "a patch is refused");
   expect(fleet,
-         decide(fleet, t, false, 3,
-                "{\"version\":7,\"set\":{\"routes\":[" ROUTE(
-                    "r2", "/b/", "s") "]},\"drop\":{\"routes\":[\"r1\"]}}") == OK,
-         "a change is refused");
+         config_change_version(string_view_of_gstring(current)) == 7 &&
+             strstr(current->str, "r2") && !strstr(current->str, "r1"),
+         "a patch is not applied");
   expect(fleet,
-         config_change_version(string_view_of_gstring(t)) == 7 && strstr(t->str, "r2") &&
-             !strstr(t->str, "r1"),
-         "a change is not made");
-  expect(fleet, decide(fleet, t, false, 7, "{\"version\":8,\"drop\":{\"services\":[\"s\"]}}"),
-         "a service in use is dropped");
-  expect(fleet, decide(fleet, t, false, 7, "{\"version\":7,\"set\":{}}"),
-         "a change to the same version is taken");
-  g_string_free(t, TRUE);
+         try_change(fleet, current, false, 7, "{\"version\":8,\"drop\":{\"services\":[\"s\"]}}"),
+         "a patch may drop a service in use");
+  expect(fleet, try_change(fleet, current, false, 7, "{\"version\":7,\"set\":{}}"),
+         "a patch that keeps the version is accepted");
+  g_string_free(current, TRUE);
   return true;
 }
 
-/* controllers with control listeners, and routers that record engines, in a fleet */
+/* a fleet of controllers with control listeners, and of routers that record changes of engines */
 enum { CONTROL_PORT = 7400 };
-/* what a config poll response told a router about an engine */
+/* the state of an engine in a response to a config poll of a router */
 typedef struct {
   char id[48], addr[48];
   bool draining, gone;
@@ -404,24 +421,24 @@
   int full_lists;
 } engine_recorder;
 
-static void record_engines(void *p, const Wire__ConfigPollResponse *b) {
-  engine_recorder *e = p;
-  e->full_lists += b->engines_complete;
-  for (size_t i = 0; i < b->n_engines; i++) {
-    engine_notice t = { .draining = b->engines[i]->draining,
-                        .gone = b->engines[i]->gone,
-                        .at = world_now(e->world) };
-    g_strlcpy(t.id, b->engines[i]->id, sizeof t.id);
-    g_strlcpy(t.addr, b->engines[i]->address, sizeof t.addr);
-    g_array_append_val(e->all, t);
+static void record_engines(void *p, const Wire__ConfigPollResponse *response) {
+  engine_recorder *recorder = p;
+  recorder->full_lists += response->engines_complete;
+  for (size_t i = 0; i < response->n_engines; i++) {
+    engine_notice notice = { .draining = response->engines[i]->draining,
+                             .gone = response->engines[i]->gone,
+                             .at = world_now(recorder->world) };
+    g_strlcpy(notice.id, response->engines[i]->id, sizeof notice.id);
+    g_strlcpy(notice.addr, response->engines[i]->address, sizeof notice.addr);
+    g_array_append_val(recorder->all, notice);
   }
 }
 
 static engine_notice *last_notice(host *host, const char *engine_id) {
-  engine_recorder *e = host->context;
-  for (guint i = e->all->len; i-- > 0;)
-    if (!strcmp(g_array_index(e->all, engine_notice, i).id, engine_id))
-      return &g_array_index(e->all, engine_notice, i);
+  engine_recorder *recorder = host->context;
+  for (guint i = recorder->all->len; i-- > 0;)
+    if (!strcmp(g_array_index(recorder->all, engine_notice, i).id, engine_id))
+      return &g_array_index(recorder->all, engine_notice, i);
   return NULL;
 }
 
@@ -435,32 +452,32 @@
 
 static void recorder_begin(host *host) {
   if (!host->context) {
-    engine_recorder *e = g_new0(engine_recorder, 1);
-    e->world = &host->world;
-    e->all = g_array_new(FALSE, TRUE, sizeof(engine_notice));
-    host->context = e;
+    engine_recorder *recorder = g_new0(engine_recorder, 1);
+    recorder->world = &host->world;
+    recorder->all = g_array_new(FALSE, TRUE, sizeof(engine_notice));
+    host->context = recorder;
   }
   host->router->gateway = host->context;
   host->router->on_engines_changed = record_engines;
 }
 
 static void recorder_dispose(host *host) {
-  engine_recorder *e = host->context;
-  if (e) {
-    g_array_free(e->all, TRUE);
-    g_free(e);
+  engine_recorder *recorder = host->context;
+  if (recorder) {
+    g_array_free(recorder->all, TRUE);
+    g_free(recorder);
   }
   host->context = NULL;
 }
 
 typedef struct {
   world *world;
-  char addr[48], verb[8], path[64];
+  char addr[48], method[8], path[64];
   const char *text;
   int64_t base;
   int status;
   GString *body;
-  char to[96];
+  char redirect[96];
   bool done;
   time_us sent, at;
 } test_call;
@@ -471,22 +488,22 @@
   fields_add(fields, "Host", string_view_of(test->addr));
   if (test->base >= 0)
     fields_add_format(fields, "Asterfall-Base-Version", "%" PRId64, test->base);
-  time_us till = time_add(world_now(test->world), time_from_ms(1500));
-  http_call *call = http_call_open_fields(test->world, test->addr, test->verb, test->path, fields,
-                                          string_view_of(test->text), false, till);
-  if (!http_call_read_all(call, test->body, till))
+  time_us deadline = time_add(world_now(test->world), time_from_ms(1500));
+  http_call *call = http_call_open_fields(test->world, test->addr, test->method, test->path, fields,
+                                          string_view_of(test->text), false, deadline);
+  if (!http_call_read_all(call, test->body, deadline))
     test->status = call->status;
-  string_view to;
-  if (fields_get(call->response_fields, "Location", &to))
-    snprintf(test->to, sizeof test->to, "%.*s", (int)to.length, to.data);
+  string_view location;
+  if (fields_get(call->response_fields, "Location", &location))
+    snprintf(test->redirect, sizeof test->redirect, "%.*s", (int)location.length, location.data);
   http_call_close(call);
   g_string_free(fields, TRUE);
   test->at = world_now(test->world);
   test->done = true;
 }
 
-static test_call *test_call_send(fleet *fleet, const char *addr, const char *verb, const char *path,
-                                 const char *text, int64_t base) {
+static test_call *test_call_send(fleet *fleet, const char *addr, const char *method,
+                                 const char *path, const char *text, int64_t base) {
   test_call *test = g_new0(test_call, 1);
   test->world = &fleet->operator->world;
   test->base = base;
@@ -494,7 +511,7 @@
   test->body = g_string_new(NULL);
   test->sent = fleet->sim->now;
   g_strlcpy(test->addr, addr, sizeof test->addr);
-  g_strlcpy(test->verb, verb, sizeof test->verb);
+  g_strlcpy(test->method, method, sizeof test->method);
   g_strlcpy(test->path, path, sizeof test->path);
   task_start(&fleet->operator->world.tasks, "call", test_call_run, test);
   return test;
@@ -514,35 +531,36 @@
                          CONTROL_PORT);
 }
 
-/* calls a controller, and follows at most two redirects */
-static test_call *request_listener(fleet *fleet, host *host, const char *verb, const char *path,
+/* Calls a controller, and follows at most two redirects. */
+static test_call *request_listener(fleet *fleet, host *host, const char *method, const char *path,
                                    const char *text, int64_t base) {
   char *addr = listener_of(host);
   for (int i = 0;; i++) {
-    test_call *test = test_call_send(fleet, addr, verb, path, text, base);
+    test_call *test = test_call_send(fleet, addr, method, path, text, base);
     sim_run_until(fleet->sim, test_call_done, test, time_from_ms(2000));
     if (test->at.us - test->sent.us > 1000000)
-      fleet_add_violation(fleet, "%s %s took %" PRId64 " ms", verb, path,
+      fleet_add_violation(fleet, "%s %s took %" PRId64 " ms", method, path,
                           (test->at.us - test->sent.us) / 1000);
-    char *slash = g_str_has_prefix(test->to, "http://") ? strchr(test->to + 7, '/') : NULL;
+    char *slash =
+        g_str_has_prefix(test->redirect, "http://") ? strchr(test->redirect + 7, '/') : NULL;
     if (test->status != 307 || i == 2) {
       g_free(addr);
       return test;
     }
     if (!slash || strcmp(slash, path)) {
-      fleet_add_violation(fleet, "redirected to %s", test->to);
+      fleet_add_violation(fleet, "redirected to %s", test->redirect);
       g_free(addr);
       return test;
     }
     g_free(addr);
-    addr = g_strndup(test->to + 7, slash - test->to - 7);
+    addr = g_strndup(test->redirect + 7, slash - test->redirect - 7);
     test_call_free(test);
   }
 }
 
-static int status_at(fleet *fleet, host *host, const char *verb, const char *path, const char *text,
-                     int64_t base) {
-  test_call *test = request_listener(fleet, host, verb, path, text, base);
+static int status_at(fleet *fleet, host *host, const char *method, const char *path,
+                     const char *text, int64_t base) {
+  test_call *test = request_listener(fleet, host, method, path, text, base);
   int st = test->status;
   test_call_free(test);
   return st;
@@ -556,15 +574,15 @@
 
 static int send_heartbeat(fleet *fleet, host *host, const char *engine_id, const char *addr,
                           int count, const char *state) {
-  char *t = heartbeat_text(addr, count, state), path[80];
+  char *body = heartbeat_text(addr, count, state), path[80];
   snprintf(path, sizeof path, "/v1/engines/%s/%s", engine_id,
            strcmp(state, "off") ? "beat" : "leave");
-  int st = status_at(fleet, host, "POST", path, t, -1);
-  g_free(t);
+  int st = status_at(fleet, host, "POST", path, body, -1);
+  g_free(body);
   return st;
 }
 
-static bool listeners_up(fleet *fleet) {
+static bool start_with_listeners(fleet *fleet) {
   for (int i = 0; i < fleet->controllers; i++)
     fleet->controller[i]->on_start = open_listener;
   for (int i = 0; i < fleet->routers; i++) {
@@ -574,8 +592,8 @@
   return fleet_bring_up(fleet);
 }
 
-static bool engines_come_and_go_by_beats(fleet *fleet) {
-  if (!listeners_up(fleet))
+static bool engines_register_by_heartbeats(fleet *fleet) {
+  if (!start_with_listeners(fleet))
     return false;
   for (int i = 1; i <= 4; i++) {
     if (send_heartbeat(fleet, fleet->controller[i % 3], "e1", "10.0.0.1:80", i, "ready") != 200)
@@ -597,8 +615,8 @@
     fleet_add_violation(fleet, "an invalid heartbeat is accepted");
   if (status_at(fleet, fleet->controller[0], "GET", "/v1/nothing", NULL, -1) != 404 ||
       status_at(fleet, fleet->controller[0], "GET", "/ready", NULL, -1) != 200)
-    fleet_add_violation(fleet, "a page is not as it should be");
-  /* that an engine is draining reaches every router at once, whichever controller received it */
+    fleet_add_violation(fleet, "an unknown path is not 404, or /ready is not 200");
+  /* each router learns at once that an engine is draining, whichever controller was told */
   host *host = fleet->controller[sim_random(fleet->sim, 3)];
   for (int i = 0; i < fleet->routers; i++)
     for (int k = 0; k < 3; k++)
@@ -606,15 +624,14 @@
         sim_set_partition_both_ways(fleet->sim, fleet->router[i]->self.text,
                                     fleet->controller[k]->self.text, true);
   if (send_heartbeat(fleet, host, "e1", "10.0.0.1:80", 9, "leaving") != 200)
-    fleet_add_violation(fleet, "leaving is not taken");
+    fleet_add_violation(fleet, "a heartbeat of a draining engine is refused");
   sim_run(fleet->sim, time_from_ms(100));
   sim_heal_partitions(fleet->sim);
   for (int i = 0; i < fleet->routers; i++)
     if (!last_notice(fleet->router[i], "e1")->draining)
-      fleet_add_violation(fleet, "%s does not know 100 ms later that an engine leaves",
+      fleet_add_violation(fleet, "%s does not know after 100 ms that an engine is draining",
                           fleet->router[i]->self.text);
-  /* a controller that restarts fetches the registry from the others, and gives routers the full
-   * list */
+  /* a restarted controller fetches the registry from the others, and sends routers the full list */
   host_kill(host);
   sim_run(fleet->sim, time_from_ms(300));
   host_start(host);
@@ -625,13 +642,15 @@
   }
   registered_engine *engine = engine_registry_find(&host->controller->registry_sync.registry, "e1");
   if (!engine || !engine->draining || !host->controller->registry_sync.registry.is_complete)
-    fleet_add_violation(fleet, "%s does not know again that an engine leaves", host->self.text);
+    fleet_add_violation(
+        fleet, "%s does not know after its restart that an engine is draining, or is incomplete",
+        host->self.text);
   if (send_heartbeat(fleet, host, "e1", "10.0.0.1:80", 12, "off") != 200)
-    fleet_add_violation(fleet, "a sign-off is not taken");
+    fleet_add_violation(fleet, "a sign-off is refused");
   sim_run(fleet->sim, time_from_ms(100));
   for (int i = 0; i < fleet->routers; i++)
     if (!last_notice(fleet->router[i], "e1")->gone)
-      fleet_add_violation(fleet, "%s does not know 100 ms later that an engine is gone",
+      fleet_add_violation(fleet, "%s does not know after 100 ms that an engine is gone",
                           fleet->router[i]->self.text);
   for (int i = 0; i < 3; i++) {
     send_heartbeat(fleet, fleet->controller[i], "e1", "10.0.0.1:80", 30 + i, "ready");
@@ -639,7 +658,7 @@
              ->signed_off)
       fleet_add_violation(fleet, "a late heartbeat revives an engine");
   }
-  /* an engine that is only silent is gone, and back with its next heartbeat */
+  /* an engine that is only silent is gone, and comes back with its next heartbeat */
   for (int i = 1; i <= 11; i++) {
     send_heartbeat(fleet, fleet->controller[0], "e3", "10.0.0.3:80", i, "ready");
     sim_run(fleet->sim, time_from_ms(1000));
@@ -648,10 +667,11 @@
     if (!engine_registry_find(&fleet->controller[i]->controller->registry_sync.registry, "e2")
              ->gone ||
         engine_registry_find(&fleet->controller[i]->controller->registry_sync.registry, "e3")->gone)
-      fleet_add_violation(fleet, "%s does not know who is silent", fleet->controller[i]->self.text);
+      fleet_add_violation(fleet, "%s does not know which engine is silent",
+                          fleet->controller[i]->self.text);
   for (int i = 0; i < fleet->routers; i++)
     if (!last_notice(fleet->router[i], "e2")->gone || last_notice(fleet->router[i], "e2")->draining)
-      fleet_add_violation(fleet, "a silent engine is not gone, or for good, at %s",
+      fleet_add_violation(fleet, "a silent engine is not gone, or is draining, at %s",
                           fleet->router[i]->self.text);
   send_heartbeat(fleet, fleet->controller[0], "e2", "10.0.0.2:80", 90, "ready");
   sim_run(fleet->sim, time_from_ms(1500));
@@ -665,121 +685,126 @@
 }
 
 static char *config_text(int version, int routes) {
-  GString *b = g_string_new(NULL);
-  json_appendf(b, "{\"version\":%d,\"routes\":[", version);
+  GString *text = g_string_new(NULL);
+  json_appendf(text, "{\"version\":%d,\"routes\":[", version);
   for (int i = 0; i < routes; i++)
     json_appendf(
-        b,
+        text,
         "%s{\"name\":\"r%d\",\"host\":\"a.example\",\"prefix\":\"/p%d/\",\"mode\":\"safe\",\"timeoutMs\":1000,\"targetMs\":500,\"priority\":0,\"service\":\"s\",\"attempts\":1}",
         i ? "," : "", i, i);
-  json_appendf(b, "],%s}", SERVICES);
-  return g_string_free(b, FALSE);
+  json_appendf(text, "],%s}", SERVICES);
+  return g_string_free(text, FALSE);
 }
 
-static bool configurations_come_to_listeners(fleet *fleet) {
-  if (!listeners_up(fleet))
+static bool control_listeners_serve_configurations(fleet *fleet) {
+  if (!start_with_listeners(fleet))
     return false;
-  host *h = fleet->controller[sim_random(fleet->sim, 3)];
-  if (status_at(fleet, h, "GET", "/v1/routing", NULL, -1) != 404)
-    fleet_add_violation(fleet, "there is a configuration before the first");
-  char *a = config_text(2, 3), *b = config_text(5, 4), *c = config_text(6, 5),
+  host *target = fleet->controller[sim_random(fleet->sim, 3)];
+  if (status_at(fleet, target, "GET", "/v1/routing", NULL, -1) != 404)
+    fleet_add_violation(fleet, "there is a configuration before the first write");
+  char *first = config_text(2, 3), *second = config_text(5, 4), *third = config_text(6, 5),
        *large = config_text(20, 1200);
-  if (status_at(fleet, h, "PUT", "/v1/routing", a, -1) != 400)
-    fleet_add_violation(fleet, "one that builds on nothing known is taken");
-  if (status_at(fleet, h, "PUT", "/v1/routing", a, 0) != 200)
-    fleet_add_violation(fleet, "the first one is not taken");
+  if (status_at(fleet, target, "PUT", "/v1/routing", first, -1) != 400)
+    fleet_add_violation(fleet, "a configuration without a base version is accepted");
+  if (status_at(fleet, target, "PUT", "/v1/routing", first, 0) != 200)
+    fleet_add_violation(fleet, "the first configuration is refused");
   for (int i = 0; i < 3; i++)
-    if (status_at(fleet, fleet->controller[i], "PUT", "/v1/routing", a, 0) != 200)
-      fleet_add_violation(fleet, "the first one is refused when it comes again");
-  if (status_at(fleet, h, "PUT", "/v1/routing", b, 1) != 412 ||
-      status_at(fleet, h, "PUT", "/v1/routing", a, 2) != 400)
-    fleet_add_violation(fleet, "a wrong one is taken, or refused otherwise");
+    if (status_at(fleet, fleet->controller[i], "PUT", "/v1/routing", first, 0) != 200)
+      fleet_add_violation(fleet, "the first configuration is refused when it is sent again");
+  if (status_at(fleet, target, "PUT", "/v1/routing", second, 1) != 412 ||
+      status_at(fleet, target, "PUT", "/v1/routing", first, 2) != 400)
+    fleet_add_violation(fleet,
+                        "a wrong base or version is accepted, or refused with another status");
   /* two changes of the same version at the same time, and a repeat of one of them */
   char *at = listener_of(fleet_find_head(fleet));
-  test_call *x = test_call_send(fleet, at, "PUT", "/v1/routing", b, 2),
-            *y = test_call_send(fleet, at, "PUT", "/v1/routing", c, 2),
-            *again = test_call_send(fleet, at, "PUT", "/v1/routing", b, 2);
+  test_call *second_call = test_call_send(fleet, at, "PUT", "/v1/routing", second, 2),
+            *third_call = test_call_send(fleet, at, "PUT", "/v1/routing", third, 2),
+            *again = test_call_send(fleet, at, "PUT", "/v1/routing", second, 2);
   g_free(at);
-  sim_run_until(fleet->sim, test_call_done, x, time_from_ms(2000));
-  sim_run_until(fleet->sim, test_call_done, y, time_from_ms(2000));
+  sim_run_until(fleet->sim, test_call_done, second_call, time_from_ms(2000));
+  sim_run_until(fleet->sim, test_call_done, third_call, time_from_ms(2000));
   sim_run_until(fleet->sim, test_call_done, again, time_from_ms(2000));
-  if ((x->status == 200) + (y->status == 200) != 1 || (x->status == 412) + (y->status == 412) != 1)
-    fleet_add_violation(fleet, "two raced and got %d and %d", x->status, y->status);
-  if (again->status != x->status)
-    fleet_add_violation(fleet, "the same came again meanwhile and got %d, not %d", again->status,
-                        x->status);
-  int now = x->status == 200 ? 5 : 6;
-  test_call_free(x);
-  test_call_free(y);
+  if ((second_call->status == 200) + (third_call->status == 200) != 1 ||
+      (second_call->status == 412) + (third_call->status == 412) != 1)
+    fleet_add_violation(fleet, "two concurrent changes of one version got %d and %d",
+                        second_call->status, third_call->status);
+  if (again->status != second_call->status)
+    fleet_add_violation(fleet, "a concurrent repeat of a change got %d, not %d", again->status,
+                        second_call->status);
+  int now = second_call->status == 200 ? 5 : 6;
+  test_call_free(second_call);
+  test_call_free(third_call);
   test_call_free(again);
   if (status_at(fleet, fleet->controller[0], "PATCH", "/v1/routing",
                 "{\"version\":11,\"drop\":{\"routes\":[\"r0\"]}}", now) != 200)
-    fleet_add_violation(fleet, "a change is not taken");
+    fleet_add_violation(fleet, "a patch is refused");
   if (status_at(fleet, fleet->controller[1], "PATCH", "/v1/routing",
                 "{\"version\":11,\"drop\":{\"routes\":[\"r0\"]}}", now) != 200)
-    fleet_add_violation(fleet, "a change is refused when it comes again");
-  if (status_at(fleet, fleet->controller[2], "PUT", "/v1/routing", a, 0) != 200)
-    fleet_add_violation(fleet, "an old one that was taken is refused when it comes again");
+    fleet_add_violation(fleet, "a patch is refused when it is sent again");
+  if (status_at(fleet, fleet->controller[2], "PUT", "/v1/routing", first, 0) != 200)
+    fleet_add_violation(fleet, "an old accepted configuration is refused when it is sent again");
   test_call *test = request_listener(fleet, fleet->controller[1], "GET", "/v1/routing", NULL, -1);
   json *json = json_parse(string_view_of_gstring(test->body), NULL);
   if (test->status != 200 || json_number(json, "version", 0) != 11 ||
       json_count(json_get(json, "routes")) != (size_t)(now == 5 ? 3 : 4))
-    fleet_add_violation(fleet, "it reads %d, %.200s", test->status, test->body->str);
+    fleet_add_violation(fleet, "reading the configuration gave %d, %.200s", test->status,
+                        test->body->str);
   json_free(json);
   test_call_free(test);
-  if (status_at(fleet, h, "PUT", "/v1/routing", large, 11) != 200)
-    fleet_add_violation(fleet, "a large one is not taken");
+  if (status_at(fleet, target, "PUT", "/v1/routing", large, 11) != 200)
+    fleet_add_violation(fleet, "a large configuration is refused");
   sim_run(fleet->sim, time_from_ms(1000));
   for (int i = 0; i < fleet->routers; i++) {
     const routing *routing = fleet->router[i]->router->routing;
     if (!routing || routing->revision != 20 || routing->route_count != 1200)
-      fleet_add_violation(fleet, "%s has not compiled it", fleet->router[i]->self.text);
+      fleet_add_violation(fleet, "%s has not compiled the large configuration",
+                          fleet->router[i]->self.text);
   }
-  /* no head: 503 or 504 in time; acknowledged changes are there when the others are back */
+  /* without a head the response is 503 or 504, in time; acknowledged changes survive */
   host *isolated = fleet_find_tail(fleet);
   for (int i = 0; i < 3; i++)
     if (fleet->controller[i] != isolated)
       host_kill(fleet->controller[i]);
   sim_run(fleet->sim, time_from_ms(2500));
-  char *d = config_text(30, 2);
-  int st = status_at(fleet, isolated, "PUT", "/v1/routing", d, 20);
+  char *fourth = config_text(30, 2);
+  int st = status_at(fleet, isolated, "PUT", "/v1/routing", fourth, 20);
   if (st != 503 && st != 504)
-    fleet_add_violation(fleet, "a machine without the others gave %d", st);
+    fleet_add_violation(fleet, "a controller without the others responded with %d", st);
   for (int i = 0; i < 3; i++)
     if (fleet->controller[i] != isolated)
       host_start(fleet->controller[i]);
   if (!scenario_wait_for_chain(fleet, 3, 15000))
     return false;
   sim_run(fleet->sim, time_from_ms(3000));
-  st = status_at(fleet, fleet->controller[0], "PUT", "/v1/routing", d, 20);
+  st = status_at(fleet, fleet->controller[0], "PUT", "/v1/routing", fourth, 20);
   if (st != 200)
-    fleet_add_violation(fleet, "with the core back it is %d", st);
-  /* the head drains: another one acts soon, and callers are redirected while the old head's process
-   * is there */
+    fleet_add_violation(fleet, "with all controllers back a change got %d", st);
+  /* the head drains: another one soon acts, and callers are redirected while the process of the old
+   * head exists */
   host *head = fleet_find_head(fleet);
   controller_drain(head->controller);
   sim_run(fleet->sim, time_from_ms(1500));
-  char *e = config_text(31, 2);
-  st = status_at(fleet, head, "PUT", "/v1/routing", e, 30);
+  char *fifth = config_text(31, 2);
+  st = status_at(fleet, head, "PUT", "/v1/routing", fifth, 30);
   if (st != 200)
-    fleet_add_violation(fleet, "a head that leaves gave %d", st);
-  g_free(a);
-  g_free(b);
-  g_free(c);
-  g_free(d);
-  g_free(e);
+    fleet_add_violation(fleet, "a change sent to the draining head got %d", st);
+  g_free(first);
+  g_free(second);
+  g_free(third);
+  g_free(fourth);
+  g_free(fifth);
   g_free(large);
   return true;
 }
 
 const test_case engine_registry_tests[] = {
-  { "beats_come_late", beats_come_late, 1, 1, 10 },
-  { "leaving_is_for_good", leaving_is_for_good, 1, 1, 10 },
-  { "addresses_are_used_again", addresses_are_used_again, 1, 1, 10 },
-  { "engines_fall_silent", engines_fall_silent, 1, 1, 10 },
-  { "registries_tell_each_other", registries_tell_each_other, 1, 1, 10 },
-  { "configurations_are_decided", configurations_are_decided, 1, 1, 10 },
-  { "engines_come_and_go_by_beats", engines_come_and_go_by_beats, 4, 1, 100 },
-  { "configurations_come_to_listeners", configurations_come_to_listeners, 3, 1, 100 },
+  { "stale_heartbeats_are_ignored", stale_heartbeats_are_ignored, 1, 1, 10 },
+  { "draining_and_sign_off_are_permanent", draining_and_sign_off_are_permanent, 1, 1, 10 },
+  { "a_reused_address_has_one_engine", a_reused_address_has_one_engine, 1, 1, 10 },
+  { "engines_without_heartbeats_are_gone", engines_without_heartbeats_are_gone, 1, 1, 10 },
+  { "registries_merge_updates", registries_merge_updates, 1, 1, 10 },
+  { "configuration_changes_are_checked", configuration_changes_are_checked, 1, 1, 10 },
+  { "engines_register_by_heartbeats", engines_register_by_heartbeats, 4, 1, 100 },
+  { "control_listeners_serve_configurations", control_listeners_serve_configurations, 3, 1, 100 },
   { NULL, NULL, 0, 0, 0 }
 };
