--- a/lib/gateway/engine_loading.c
+++ b/lib/gateway/engine_loading.c
@@ -1,56 +1,60 @@
 /** One load on one engine, at the gateway that holds the engine's lease.
  *
- * The steps: unload what has to make room; get a permit of the load rate limiter, if the weights
- * come out of the store; check the room once more and send the order; wait until the engine
- * confirms it. Between two steps anything may have changed (the configuration, the lease, the
- * engine), so each one looks at the state anew.
+ * The steps: evict residents to free capacity; get a permit from the load rate limiter if the
+ * weights come from the store; check the capacity again and send the order; wait until the engine
+ * confirms it. Between two steps the configuration, the lease or the engine may have changed, so
+ * each step reads the state again.
  *
- * An order whose response was lost may have been taken. It is never sent again blindly: the
- * engine's report tells. */
+ * An order whose response was lost may have been accepted. It is never resent blindly: the engine's
+ * report shows whether it was accepted. */
 #include "engine_loading.h"
 #include "gateway.h"
 
 enum {
   /* evictions for one load */
   MAX_EVICTIONS = 24,
-  /* attempts to send an order, of which the first ones may be without a connection */
+  /* attempts to send an order; a failed connection is tolerated only in the first
+     MAX_UNREACHABLE_ATTEMPTS */
   MAX_SEND_ATTEMPTS = 40,
   MAX_UNREACHABLE_ATTEMPTS = 3,
-  /* a permit is waited for here while it comes soon; else the coordinator decides anew */
+  /* how often and for how long a permit is waited for here; beyond that the coordinator chooses
+     again */
   MAX_PERMIT_ATTEMPTS = 6,
   MAX_PERMIT_WAIT_MS = 1500,
   PERMIT_SLEEP_MIN_MS = 20,
   PERMIT_SLEEP_MAX_MS = 600,
-  /* between two attempts: another order is under way, or no connection came up */
+  /* delay before the next attempt after a conflict with another order, and after a failed
+     connection */
   CONFLICT_SLEEP_MS = 60,
   UNREACHABLE_SLEEP_MS = 100,
-  /* from an order to the begin of its load */
+  /* from sending an order to the start of its load */
   ORDER_EXTRA_MS = 20,
-  /* looks at a busy engine's report, and the time between them */
+  /* reports read while an engine is busy with an order, and the time between them */
   MAX_BUSY_REPORTS = 60,
   MAX_SYNC_REPORTS = 30,
   BUSY_SLEEP_MS = 150,
-  /* an order whose fate is unknown: between reports, and until it counts as failed */
+  /* an order with an unknown outcome: time between reports, and until it counts as failed */
   UNKNOWN_ORDER_SLEEP_MS = 250,
   UNKNOWN_ORDER_TIMEOUT_MS = 12000,
-  /* an order's repetition asks whether the load is done; later ones go by reports, which cost the
-     engine less */
+  /* the first polls of a load repeat the order, whose status says whether it is done; later ones
+     read reports, which cost the engine less */
   MAX_MODEL_CHECKS = 3,
   MAX_ADAPTER_CHECKS = 12,
-  /* looks by report after which the order is repeated again, should the engine be idle */
+  /* polls after which the order is repeated again if the report says that the engine is idle */
   MAX_IDLE_REPORTS = 6,
-  /* looks that follow each other quickly */
+  /* the number of polls before the interval grows by SLOW_LOOK_FACTOR */
   QUICK_LOOKS = 4,
-  /* one load of an adapter in so many is watched although its time is known */
+  /* one in this many adapter loads is polled although the load time is known, to keep learning it
+   */
   WATCH_ONE_IN = 6,
-  /* one load time in so many is sent to the others of a large fleet */
+  /* one in this many load times is sent to the other gateways of a large fleet */
   BROADCAST_ONE_IN = 8,
-  /* a former lease holder's orders are no longer under way after its lease and this margin; a new
-     lease is trusted after so long */
+  /* orders of a former lease holder have ended once its lease and this margin have passed; after a
+     takeover, reports are trusted only after TAKEOVER_DELAY_MS */
   LEASE_DEFAULT_MS = 3000,
   LEASE_MARGIN_MS = 200,
   TAKEOVER_DELAY_MS = 600,
-  /* times after which a coordinator may come back, by what went wrong */
+  /* retry-after times for the coordinator, by cause */
   RETRY_NO_ROOM_MS = 1000,
   RETRY_EVICTION_FAILED_MS = 500,
   RETRY_NOT_ACCEPTED_MS = 1000,
@@ -62,43 +66,49 @@
   RETRY_GIVEN_UP_MS = 200,
   RETRY_TOO_LONG_MS = 1000,
   RETRY_COST_CHANGED_MS = 20,
-  /* an answer by report is so much later than the load's end on average */
+  /* mean delay between the end of a load and the report that shows it */
   REPORT_DELAY_MS = 200
 };
-/* A load that takes longer than this many expected times, and the rest, has failed. */
+/* A load has failed when it takes longer than its expected time multiplied by this factor, plus the
+ * extra time. */
 static const double MAX_EXPECTED_TIMES = 6, MAX_EXPECTED_EXTRA_MS = 8000;
-/* The first look at a model's load, and at an adapter's, whose times vary more. */
+/* Delay of the first poll of a load beyond its expected time; the load times of adapters vary more.
+ */
 static const double MODEL_FIRST_LOOK_EXTRA_MS = 2, ADAPTER_FIRST_LOOK_FACTOR = 1.4,
                     ADAPTER_FIRST_LOOK_EXTRA_MS = 6;
-/* Between two looks: a share of a model's expected time, within bounds; of an adapter, ms. */
+/* Poll interval: for a model a share of its expected load time, within bounds; for an adapter in
+ * ms. */
 static const double MODEL_LOOK_SHARE = 0.06, MODEL_LOOK_MIN_MS = 40, MODEL_LOOK_MAX_MS = 150,
                     ADAPTER_LOOK_MS = 15, SLOW_LOOK_FACTOR = 1.5;
-/* A load that was done at the first look may have been done before: the share that is recorded. */
+/* A load that is done at the first poll may have ended earlier: this share of the time is recorded.
+ */
 static const double FIRST_LOOK_MODEL_SHARE = 0.97, FIRST_LOOK_ADAPTER_SHARE = 0.6;
-/* A faster load of a model came from the engine's disk by an earlier incarnation, and says nothing
- * of the store. */
+/* A model load that takes less than this share of its expected time has used weights that an
+ * earlier incarnation left on the engine's disk. It is not recorded as a load time of the store. */
 static const double MIN_STORE_LOAD_SHARE = 0.6;
 
-/** One load order under way. */
+/** State of one load order. */
 typedef struct engine_load_run {
   gateway_engine *engine;
   gateway *gateway;
   load_job *job;
   id service, model, adapter;
-  /** A model, not an adapter; out of the engine's own disk. */
+  /** is_base: loads a model, not an adapter; from_disk: from the engine's own disk. */
   bool is_base, from_disk;
   double mb;
   unsigned slots;
   double expected_ms;
   char key[140];
-  /** When the permit expires, and when the order was sent last. */
+  /** When the permit expires, and when the order was last sent. */
   time_us send_by, began_at;
   /** Result of the last engine_order_send. */
   int status;
   int conflicts;
-  /** Its capacity is reserved; the engine is known to have accepted it. */
+  /** reserved: its capacity is reserved; accepted: the engine is known to have accepted the order.
+   */
   bool reserved, accepted;
-  /** Its end was not looked at, since an adapter's load time is known. */
+  /** The load was taken as done after the expected time, without polling: the load time of adapters
+   * is known. */
   bool assumed;
   int looks;
   bool looked_by_report;
@@ -112,7 +122,7 @@
   return error_set(order->err, code, "%s %s %s", order->engine->engine_id.text, what, order->key);
 }
 
-/* What is in use on an engine: the greater of what is known here and of the capacity account.
+/* The capacity in use on an engine: the maximum of the known residents and the capacity account.
  * Returns the number of eviction candidates. */
 static int used_capacity(gateway_engine *engine, const service *service, id model, id adapter,
                          eviction_candidate *candidates, double *mb, unsigned *slots) {
@@ -121,16 +131,18 @@
   unsigned account_slots;
   capacity_used(&engine->capacity, service, &account_mb, &account_slots);
   if (account_mb > *mb || account_slots > *slots)
-    log_debug(&engine->gateway->router->node.log, "place",
-              "Engine %s holds %.0f MB and %u adapters by its account, %.0f MB and %u by its known "
-              "residents.",
-              engine->engine_id.text, account_mb, account_slots, *mb, *slots);
+    log_debug(
+        &engine->gateway->router->node.log, "place",
+        "Engine %s uses %.0f MB and %u adapter slots by its capacity account, %.0f MB and %u by its "
+        "known residents.",
+        engine->engine_id.text, account_mb, account_slots, *mb, *slots);
   *mb = MAX(*mb, account_mb);
   *slots = MAX(*slots, account_slots);
   return count;
 }
 
-/* unloads the first of the chosen candidates; a model takes its adapters along */
+/* unloads the first of the chosen candidates; if its model was chosen too, unloads the model, which
+ * removes its adapters */
 static enum error_code evict_one(gateway_engine *engine, const eviction_candidate *chosen,
                                  int count, bool thought_idle, error *err) {
   id adapter = chosen[0].adapter;
@@ -140,8 +152,9 @@
   return engine_order_unload(engine, chosen[0].model, adapter, thought_idle, err);
 }
 
-/* Makes room by the eviction policy: what has the least utility first, no more than is needed.
- * idle_only: nothing that runs may go, since a drain holds up the engine's other orders. */
+/* Frees capacity by the eviction policy: the candidates with the lowest utility first, and no more
+ * than needed. idle_only: nothing with running requests may be evicted, since a drain delays the
+ * engine's other orders. */
 static enum error_code evict_for_load(gateway_engine *engine, id model, id adapter, double mb,
                                       unsigned slots, bool idle_only, error *err) {
   gateway *gateway = engine->gateway;
@@ -170,7 +183,7 @@
                        engine->engine_id.text, model.text);
     log_debug(
         &gateway->router->node.log, "place",
-        "%s is evicted from %s for %s+%s: %.2f requests/s a replica, utility %.0f, one of %d.",
+        "%s is evicted from %s for %s+%s: %.2f requests/s per replica, utility %.0f, one of %d.",
         candidates[0].model.text, engine->engine_id.text, model.text, adapter.text,
         candidates[0].request_rate, candidates[0].load_ms * candidates[0].request_rate, chosen);
     enum error_code code = evict_one(engine, candidates, chosen, thought_idle, err);
@@ -180,7 +193,8 @@
   return error_set(err, E_NO_CAPACITY, "%s found no room in time", engine->engine_id.text);
 }
 
-/* from when on a report of the engine shows all orders of former lease holders, and our own */
+/* the time from which a report of the engine includes all orders of former lease holders and of
+ * this gateway */
 static time_us reports_are_current_at(const gateway_engine *engine, uint64_t epoch) {
   const gateway *gateway = engine->gateway;
   char name[64];
@@ -200,8 +214,8 @@
   return at;
 }
 
-/* A new lease holder, and one that can't tell what became of an order, reads the residents from the
- * engine itself. */
+/* Reads the residents from the engine itself; needed by a new lease holder, and after an order with
+ * an unknown outcome. */
 static enum error_code sync_engine_state(gateway_engine *engine, error *err) {
   gateway *gateway = engine->gateway;
   uint64_t epoch = engine_order_epoch(engine);
@@ -224,7 +238,7 @@
     if (busy && (code = engine_order_sleep(engine, BUSY_SLEEP_MS, err)))
       return code;
   }
-  /* a load that is under way is in no report, and would fill the room that looks free */
+  /* reports don't include a load in progress, and the capacity that it will use looks free */
   if (busy)
     return error_set(err, E_NO_ENGINE, "%s is busy with another's order", engine->engine_id.text);
   if (!engine->capacity.is_known)
@@ -259,7 +273,7 @@
   order->gateway->counts.failed_loads++;
 }
 
-/* the service by the configuration of now; NULL with the error set when there is none */
+/* the service in the current configuration; NULL with the error set when there is none */
 static const service *current_service(const engine_load_run *order) {
   const service *service = gateway_service_of(order->gateway, order->service);
   if (!service)
@@ -272,8 +286,8 @@
          (attempt == 0 || time_reached(gateway_now(order->gateway), order->send_by));
 }
 
-/* gets a permit of the load rate limiter; *again when it was waited for and has to be asked again
- */
+/* gets a permit from the load rate limiter; *again: it was refused, and has to be requested again
+ * after the wait */
 static enum error_code acquire_permit(engine_load_run *order, int attempt, const service *service,
                                       bool *again) {
   gateway_engine *engine = order->engine;
@@ -291,8 +305,8 @@
   return engine_order_sleep(engine, sleep_ms, order->err);
 }
 
-/* An engine that is filled beyond its memory crashes: before a model goes there, its residents must
- * be known from itself and from a short time ago. */
+/* An engine that is loaded beyond its memory crashes, so before a model load its residents must be
+ * known from a recent report of the engine itself. */
 static enum error_code confirm_identity(engine_load_run *order) {
   gateway_engine *engine = order->engine;
   time_us reported_at = engine->orders.reported_at;
@@ -307,7 +321,8 @@
   return error_set(order->err, E_NO_ENGINE, "%s does not report", engine->engine_id.text);
 }
 
-/* the room is still there: others may have used it while a permit was waited for */
+/* checks that the capacity is still free, since another load may have taken it during the wait for
+ * a permit */
 static enum error_code check_capacity(engine_load_run *order) {
   gateway_engine *engine = order->engine;
   const service *service = current_service(order);
@@ -326,8 +341,8 @@
   return OK;
 }
 
-/* all that has to hold before an order is sent; *again: from the start, *resident: there is nothing
- * to do */
+/* checks all conditions for sending an order; *again: start over, *resident: the model is loaded
+ * already */
 static enum error_code prepare(engine_load_run *order, int attempt, bool *again, bool *resident) {
   gateway_engine *engine = order->engine;
   const service *service = current_service(order);
@@ -369,8 +384,7 @@
                         (int64_t)engine->capacity.order_count, order->send_by, order->err);
 }
 
-/* waits until the order that is in the way has been carried out; what it has brought shows only in
- * a report after it */
+/* waits until the conflicting order has been executed; its result shows only in a later report */
 static enum error_code wait_while_busy(engine_load_run *order) {
   gateway_engine *engine = order->engine;
   bool busy = true;
@@ -387,7 +401,7 @@
               : OK;
 }
 
-/* an order that the engine has not taken: OK when it may be sent again */
+/* handles an order that the engine has not accepted; OK when it may be sent again */
 static enum error_code handle_refusal(engine_load_run *order, int attempt) {
   gateway_engine *engine = order->engine;
   error *err = order->err;
@@ -419,8 +433,8 @@
   return code;
 }
 
-/* sends the order until the engine has taken it, or may have; *resident when there is nothing to
- * load */
+/* sends the order until the engine has accepted it, or may have; *resident: the model is loaded
+ * already */
 static enum error_code send_until_taken(engine_load_run *order, bool *resident) {
   for (int attempt = 0; attempt < MAX_SEND_ATTEMPTS; attempt++) {
     bool again = false;
@@ -439,7 +453,8 @@
   return fail(order, E_ORDER_FAILED, RETRY_NOT_ACCEPTED_MS, "does not accept the load of");
 }
 
-/* counts a load, and tells those who may take the lease over that an order is under way */
+/* counts the load, and notifies the gateways that may take over the lease that an order is in
+ * progress */
 static void record_order_taken(const engine_load_run *order) {
   gateway *gateway = order->gateway;
   gateway_engine *engine = order->engine;
@@ -454,7 +469,8 @@
   singleton_successors_broadcast(gateway, name, &message);
 }
 
-/* only a report that is younger than an order without a response tells whether it was taken */
+/* reads a report to find out whether an order without a response was accepted; only a report
+ * requested after the order shows it */
 static enum error_code confirm_accepted(engine_load_run *order, bool *again, bool *loaded) {
   gateway_engine *engine = order->engine;
   bool busy;
@@ -476,8 +492,9 @@
   return OK;
 }
 
-/* The same order again says 200 once the load is done. It loads nothing else, as long as the
- * account has this load: the number of orders would not fit. */
+/* Repeats the order, which returns 200 once the load is done. While the account contains this load,
+ * the repetition can't start another one: the engine would refuse it because the number of orders
+ * differs. */
 static enum error_code look_by_order(engine_load_run *order, bool *loaded) {
   gateway_engine *engine = order->engine;
   int status = engine_order_send(engine, true, order->model, order->adapter,
@@ -514,7 +531,8 @@
   return by_order ? look_by_order(order, loaded) : look_by_report(order, loaded);
 }
 
-/* an adapter's load takes some ms that are known by now: only one in some is watched, to learn */
+/* Adapters load within some ms. Once their load time is known, only one in WATCH_ONE_IN loads is
+ * polled, to keep learning it. */
 static bool may_assume_loaded(const engine_load_run *order) {
   router *router = order->gateway->router;
   return !order->is_base && order->accepted &&
@@ -568,14 +586,15 @@
   history_event event = { EVENT_LOAD_FAILED, { 0 },          engine->engine_id,
                           order->model,      order->adapter, 0 };
   event_history_append(&order->gateway->router->history, event);
-  /* what the engine may still hold of it keeps its room until its own report was read again */
+  /* the engine may still hold part of the load, so its capacity stays reserved until a report has
+   * been read */
   if (order->reserved)
     engine->load_jobs.residents_epoch = 0;
   count_failure(order, code);
   return code;
 }
 
-/* learns the load time; in a large fleet some of them suffice for the others */
+/* records a load time; in a large fleet only a sample of them is sent to the other gateways */
 static void record_load_ms(const engine_load_run *order, double ms) {
   gateway *gateway = order->gateway;
   const char *key = order->is_base ? order->key : "@adapter";
@@ -612,7 +631,7 @@
             "Engine %s has loaded %s%s after %.0f ms, expected %.0f (%s).", engine->engine_id.text,
             order->key, order->from_disk ? " (disk)" : "",
             gateway_ms_since(gateway, order->began_at), order->expected_ms,
-            order->job->extra_replica ? "further replica" : "missing model");
+            order->job->extra_replica ? "extra replica" : "missing model");
 }
 
 static void load_order_init(engine_load_run *order, gateway_engine *engine, load_job *job,
@@ -643,7 +662,7 @@
     g_strlcat(order->key, "@disk", sizeof order->key);
 }
 
-/* loads a job's model, or with an adapter the adapter */
+/* loads a job's model, or the adapter when one is given */
 static enum error_code load_one(gateway_engine *engine, load_job *job, const service *service,
                                 id adapter, int64_t *retry_after_ms, error *err) {
   engine_load_run order;
@@ -671,8 +690,7 @@
   return OK;
 }
 
-/* true when the placement has become more expensive than its coordinator has allowed: it then
- * chooses anew */
+/* true when the eviction cost exceeds the bound set by the coordinator, which then chooses again */
 static bool is_too_expensive(gateway_engine *engine, const load_job *job, const service *service) {
   double mb, drain_ms;
   unsigned slots;
--- a/lib/gateway/eviction.c
+++ b/lib/gateway/eviction.c
@@ -1,4 +1,4 @@
-/** What an engine would lose by a load; see eviction.h. The policies themselves are in
+/** Eviction candidates and eviction cost; see eviction.h. The policies themselves are in
  * lib/router/eviction_policy.c. */
 #include "eviction.h"
 #include "gateway.h"
@@ -6,20 +6,22 @@
 #include <math.h>
 
 enum {
-  /* by then all gateways have sent the counts of a model that has just been loaded */
+  /* within this time after a load, all gateways have sent their request counts for it */
   RATE_KNOWN_MS = 4000,
-  /* what has just been loaded is not evicted before the requests that wanted it arrive */
+  /* protection of a new resident, so that the requests it was loaded for arrive before it can be
+     evicted */
   RECENT_LOAD_MS = 1000,
   RECENT_ADAPTER_LOAD_MS = 600,
-  /* draining takes this time at least, or so many mean runs */
+  /* expected drain time: this many mean request durations, but at least DRAIN_MIN_MS */
   DRAIN_MIN_MS = 1000,
   DRAIN_MEAN_RUNS = 2
 };
-/* Load times in ms where neither the configuration nor the history has one. */
+/* Load times in ms that are used when neither the configuration nor the history has one. */
 static const double DEFAULT_LOAD_MS = 2000, DEFAULT_ADAPTER_LOAD_MS = 25;
-/* A load out of the engine's own disk takes this share of one out of the store. */
+/* A load from the engine's own disk takes this share of the time of a load from the weight store.
+ */
 static const double DISK_LOAD_SHARE = 0.25;
-/* Cost of evicting something that runs, beside its drain. */
+/* Cost of evicting something that has running requests, in addition to its drain. */
 static const double BUSY_EVICTION_COST = 300;
 
 double eviction_size_mb(const service *service, id model, id adapter) {
@@ -88,9 +90,10 @@
   return GPOINTER_TO_INT(g_hash_table_lookup(counts, key));
 }
 
-/* The rate of an adapter that was loaded recently is not in the history yet: it loads in some ms,
- * and counts of other gateways come seconds later. It was wanted once at least, so one request in
- * the time since is a lower bound. A model takes longer to load than its rate to be known. */
+/* A lower bound of the request rate of a recently loaded adapter. It loads within some ms, while
+ * the counts of other gateways arrive seconds later, so its rate is not in the history yet. At
+ * least one request wanted it, hence one request per time since the load. Models don't need this:
+ * their rate is known before their load ends. */
 static double rate_since_load(gateway *gateway, id adapter, time_us loaded_at) {
   if (id_is_empty(adapter) || !loaded_at.us ||
       !gateway_feature_enabled(gateway, FEATURE_NEW_RATE) ||
@@ -99,7 +102,7 @@
   return 1000 / MAX(gateway_ms_since(gateway, loaded_at), 1000);
 }
 
-/* true when the requests for which it was loaded may not have come yet */
+/* true when the requests that a model or adapter was loaded for may not have arrived yet */
 static bool is_just_loaded(gateway *gateway, const resident *resident, id adapter,
                            time_us loaded_at) {
   if (!id_is_empty(adapter))
@@ -110,13 +113,13 @@
          resident->last_used_at.us < resident->loaded_at.us;
 }
 
-/** What a load is for: its own base is not evicted. */
+/** What the load is for; the base model that a new adapter needs is not evicted. */
 typedef struct eviction_purpose {
   const service *service;
   id model, adapter;
 } eviction_purpose;
 
-/* fills in one resident model, or one of its adapters */
+/* fills in the candidate for a resident model (empty adapter) or for one of its adapters */
 static void fill_candidate(gateway_engine *engine, const eviction_purpose *purpose,
                            const resident *resident, id adapter, eviction_candidate *candidate) {
   gateway *gateway = engine->gateway;
@@ -193,7 +196,7 @@
                                   : 0 };
 }
 
-/* what a load of a model (and adapter) adds to an engine */
+/* the memory and slots that a load of a model (and adapter) adds on an engine */
 static void added_by_load(gateway_engine *engine, const service *service, id model, id adapter,
                           double *mb, unsigned *slots) {
   *mb = 0;
@@ -206,8 +209,8 @@
   }
 }
 
-/* the cost of evicting the chosen candidates. What runs has to end first; meanwhile it takes no new
- * requests and holds up the engine's other orders. */
+/* The cost of evicting the chosen candidates. Running requests have to finish first; until then the
+ * model takes no new requests and delays the engine's other orders. */
 static double eviction_cost(const gateway_engine *engine, const eviction_candidate *chosen,
                             int count, double *drain_ms) {
   double cost = 0, mean_run_ms = engine->load.mean_run_ms;
--- a/lib/gateway/load_jobs.c
+++ b/lib/gateway/load_jobs.c
@@ -1,25 +1,25 @@
-/** The queue of load jobs of an engine, at the holder of its lease; see load_jobs.h. One task for
- * each engine with jobs loads them one at a time: an engine carries out one order at a time. The
- * job with the highest utility goes first, where waiting counts too, so that none starves. */
+/** The load job queue of an engine at its lease holder; see load_jobs.h. An engine executes one
+ * order at a time, so one task per engine with jobs loads them one after the other. The job with
+ * the highest utility goes first; utility grows with the waiting time, so that no job starves. */
 #include "load_jobs.h"
 #include "engine_loading.h"
 #include "gateway.h"
 
 enum {
-  /* a job that no coordinator has asked for in this time is dropped, unless it has begun */
+  /* a job that no coordinator has requested for this time is dropped, unless it has started */
   LOAD_JOB_EXPIRY_MS = 1000,
-  /* the task of an engine without jobs ends after this time; until then it looks at new ones every
-     so often */
+  /* the task of an engine without jobs ends after WORKER_IDLE_MS; until then it checks the queue
+     every WORKER_RECHECK_MS */
   WORKER_IDLE_MS = 20000,
   WORKER_RECHECK_MS = 2500,
-  /* between two orders of an engine */
+  /* overhead between two orders to an engine */
   JOB_EXTRA_MS = 30,
-  /* expected load time where the configuration has lost the service */
+  /* expected load time when the configuration no longer contains the service */
   UNKNOWN_LOAD_MS = 1000,
   GONE_RETRY_AFTER_MS = 200
 };
-/* Weights of priorities 0, 1 and the rest; of a request per second; and how long a wait is worth
- * as much as one step of utility. */
+/* Terms of the utility: weights of priority 0, 1 and all others, weight of one request per second,
+ * and the waiting time in ms that adds 1. */
 static const double PRIORITY_WEIGHTS[] = { 1.5, 1, 0.5 }, RATE_WEIGHT = 3,
                     AGE_MS_PER_UTILITY = 1500;
 
@@ -67,7 +67,7 @@
   g_free(job);
 }
 
-/* ends a job that nobody may wait for any more; it is freed then */
+/* finishes a job without running it; it is freed if no call waits for it */
 static void job_drop(load_job *job, enum error_code code, int64_t retry_after_ms) {
   job->refs++;
   job_finish(job, code, retry_after_ms);
@@ -121,7 +121,7 @@
   job_unref(job);
 }
 
-/* the task of an engine: loads its jobs until there have been none for a while */
+/* the task of an engine: runs its jobs until there have been none for WORKER_IDLE_MS */
 static void worker_run(void *context) {
   gateway_engine *engine = context;
   gateway *gateway = engine->gateway;
@@ -146,7 +146,7 @@
   gateway_engine_unref(engine);
 }
 
-/* the expected load time of a model, or of an adapter and, where it is missing, its model */
+/* the expected load time of a model, or of an adapter plus its model if that is not resident */
 static double job_load_ms(gateway_engine *engine, id model, id adapter) {
   gateway *gateway = engine->gateway;
   const service *service = gateway_service_of(gateway, engine->service);
@@ -177,8 +177,8 @@
   return job;
 }
 
-/* the job of a request, made on the first one; its bounds are those of the latest request, its
- * urgency that of the most urgent */
+/* The job of a request, created on the first one. Its cost bound is that of the latest request and
+ * its priority that of the most urgent one. */
 static load_job *job_of_request(gateway_engine *engine, const Wire__PlacedLoadRequest *request) {
   id model = id_of_text(request->model), adapter = id_of_text(request->adapter);
   load_job *job = NULL;
@@ -209,8 +209,8 @@
   condition_broadcast(&engine->load_jobs.changed);
 }
 
-/* when a job that has not begun is expected to be loaded: after the one that has, and those that go
- * first */
+/* the expected end of a job that has not started: after the running job and all jobs with a higher
+ * utility */
 static time_us expected_in_queue(gateway_engine *engine, const load_job *job) {
   gateway *gateway = engine->gateway;
   const service *service = gateway_service_of(gateway, engine->service);
@@ -248,7 +248,7 @@
   response->retry_after_ms = (uint64_t)gateway_ms_until(engine->gateway, expected_at);
 }
 
-/* waits until a job is done, for as long as its coordinator likes to */
+/* waits until a job is done, at most for the time that the coordinator asked for */
 static void wait_for_job(gateway *gateway, load_job *job, uint64_t wait_ms) {
   time_us until = gateway_deadline_in_ms(gateway, (double)MIN(wait_ms, PLACEMENT_WAIT_MS));
   while (!job->done)
--- a/lib/gateway/load_requests.c
+++ b/lib/gateway/load_requests.c
@@ -1,42 +1,46 @@
-/** Load requests of this gateway; see load_requests.h. One task for each model that requests wait
- * for calls the model's coordinator, which holds the call for a while; so a load is asked for as
- * long as it is wanted, and a coordinator that is lost is replaced by the next call. */
+/** Load requests of this gateway; see load_requests.h. For each model that requests wait for, one
+ * task calls the model's coordinator repeatedly; the coordinator keeps each call open for up to
+ * PLACEMENT_WAIT_MS. The load is therefore requested exactly as long as it is needed, and the next
+ * call replaces a coordinator that has failed. */
 #include "load_requests.h"
 #include "gateway.h"
 #include <stdio.h>
 
 enum {
-  /* a further replica is wanted for longer than the requests that asked for it wait */
+  /* a request for an extra replica lives this many times longer: the replica is useful beyond the
+     wait of the requests that asked for it */
   EXTRA_REPLICA_TTL_FACTOR = 4,
-  /* a coordinator whose call failed is passed over for this time */
+  /* a coordinator is skipped for this time after a failed call */
   FAILED_COORDINATOR_MS = 1500,
-  /* after a refusal: for how long it is passed on to requests, and when the coordinator is called
-     again */
+  /* after a refusal: how long it is returned to requests at least, and bounds of the delay before
+     the coordinator is called again */
   REFUSED_MIN_MS = 200,
   REFUSED_SLEEP_MIN_MS = 100,
   REFUSED_SLEEP_MAX_MS = 800,
   NO_RESPONSE_RETRY_MS = 300,
   CALL_AGAIN_MS = 50,
-  /* what a coordinator thinks is loaded and this gateway does not see is not requested at once
-     again */
+  /* delay before a model is requested again that the coordinator reports as loaded but this gateway
+     does not see yet */
   UNSEEN_SLEEP_MS = 100,
-  /* from a request to the load's begin; the expected time that is said at least */
+  /* time from a request to the start of the load, and lower bound of the estimate given to requests
+   */
   LOAD_EXTRA_MS = 30,
   MIN_EXPECTED_MS = 20,
   UNKNOWN_MODEL_RETRY_MS = 2000
 };
 
-/** A model (and adapter) that requests of this gateway wait for; it lives while they ask. */
+/** A model (and adapter) that requests of this gateway wait for; it lives as long as they ask for
+ * it. */
 typedef struct pending_load_request {
   char *key; /* owned by gateway.load_requests */
   id service, model, adapter;
   unsigned priority;
   bool extra_replica;
-  /** All engines that hold it are unresponsive here, which others may not see yet: so it is placed
-   * like a further replica. */
+  /** All engines that hold the model are unresponsive from this gateway. Others may not have
+   * noticed it yet, so the load is requested as an extra replica. */
   bool replaces_lost;
   time_us last_asked_at, expected_at;
-  /** The last refusal, and until when it holds. */
+  /** The last result, and until when it is returned to requests as a refusal. */
   enum error_code code;
   time_us failed_until;
   id failed_coordinator;
@@ -47,7 +51,7 @@
   return g_strdup_printf("%s/%s+%s", service.text, model.text, adapter.text);
 }
 
-/* the gateway that places a model, by rendezvous hashing; one whose call failed is passed over */
+/* the coordinator of a model, by rendezvous hashing; skips one whose call has failed recently */
 static void find_coordinator(gateway *gateway, const pending_load_request *request, id *coordinator,
                              char address[48]) {
   const node *node = &gateway->router->node;
@@ -78,7 +82,7 @@
                                         request->adapter) > 0;
 }
 
-/* takes over a coordinator's response; returns its code */
+/* applies a coordinator's response; returns its code */
 static enum error_code apply_response(gateway *gateway, const pending_load_request *request,
                                       const Wire__PlacementResponse *response,
                                       int64_t *retry_after_ms) {
@@ -92,7 +96,7 @@
   return code;
 }
 
-/* calls the coordinator once; returns its code or that of the call */
+/* calls the coordinator once; returns the code of its response or of the call */
 static enum error_code call_coordinator(gateway *gateway, pending_load_request *request,
                                         int64_t *retry_after_ms) {
   id coordinator;
@@ -125,14 +129,14 @@
   return code;
 }
 
-/* codes by which a coordinator says that the model can't be loaded now */
+/* true for the codes with which a coordinator says that the model can't be loaded now */
 static bool is_refusal(enum error_code code) {
   return code == E_NO_CAPACITY || code == E_UNKNOWN_MODEL || code == E_NO_ENGINE_FITS ||
          code == E_NO_ENGINE || code == E_ORDER_FAILED;
 }
 
-/* requests the load once and waits until the next time; false when it is done or the process stops
- */
+/* requests the load once and sleeps until the next attempt; false when the load is done or the
+ * process stops */
 static bool request_once(gateway *gateway, pending_load_request *request) {
   world *world = gateway->router->node.world;
   int64_t retry_after_ms;
@@ -174,7 +178,7 @@
   condition_broadcast(&gateway->engines.changed);
 }
 
-/* true when engines hold a model, and all of them are unresponsive here */
+/* true when engines hold a model and all of them are unresponsive from this gateway */
 static bool all_replicas_lost(gateway *gateway, const service *service, id model, id adapter) {
   int lost = 0;
   list_for_each (engine, &gateway->engines.list, gateway_engine, link)
@@ -191,7 +195,7 @@
   return false;
 }
 
-/* how long a load is expected to take, in ms, before a coordinator has said so */
+/* the expected load time in ms that is used until a coordinator has sent its own */
 static double expected_load_ms(gateway *gateway, const service *service, id model, id adapter) {
   bool base_is_loaded = !id_is_empty(adapter) &&
                         gateway_engines_count_replicas(gateway, service->name, model, id_none) > 0;
--- a/lib/gateway/placement.c
+++ b/lib/gateway/placement.c
@@ -1,35 +1,36 @@
 /** Placement at a model's coordinator; see placement.h.
  *
- * A placement chooses the engine where the load costs least, asks the holder of that engine's lease
- * to load it, and goes on until it is loaded, no engine fits, or nobody asks any more. The cost of
- * an engine counts in ms times requests per second:
+ * A placement chooses the engine with the lowest cost, requests the load from the holder of that
+ * engine's lease, and retries until the model is loaded, no engine can take it, or no request asks
+ * for it any more. The cost of an engine is in ms times requests per second:
  *
- *   eviction cost (eviction.h) + time until the model is there * its request rate
+ *   eviction cost (eviction.h) + time until the model is loaded * its request rate
  *
- * Large fleets place by shards: each has a coordinator, a share of the models, and a share of the
- * engines for them, so that coordinators that don't know each other's queues keep out of each
- * other's way. */
+ * Large fleets shard placement: each shard has a coordinator, a subset of the models and a subset
+ * of the engines. Coordinators don't know each other's queues, so disjoint engines keep their
+ * placements from colliding. */
 #include "placement.h"
 #include "gateway.h"
 #include "load_jobs.h"
 #include "load_requests.h"
 
 enum {
-  /* a fleet of up to so many gateways has one coordinator for each service; a larger one has a
-     shard for each NODES_PER_SHARD */
+  /* up to this many gateways, each service has a single coordinator; larger fleets have one shard
+     for every NODES_PER_SHARD gateways */
   SINGLE_COORDINATOR_MAX_NODES = 32,
   NODES_PER_SHARD = 16,
   MIN_SHARDS = 2,
   MAX_SHARDS = 64,
   SHARD_HASH_SEED = 11,
-  /* a queue of this length at each of its engines is what one more replica should clear */
+  /* one replica is wanted for each multiple of this length in a model's total queue over its
+     engines */
   REPLICA_QUEUE_TARGET_MS = 250,
   MAX_REPLICAS_AT_ONCE = 4,
-  /* so many engines may say that only busy models could be unloaded, before one is asked to drain
-   */
+  /* after this many engines have refused because only busy models could be evicted, draining of
+     running requests is allowed */
   MAX_BUSY_ENGINES = 4,
-  /* passes without an engine before the placement fails: leases change hands within some seconds,
-     while a fleet without room says so soon */
+  /* passes without an eligible engine before the placement fails: a lease handover takes some
+     seconds, while a lack of capacity is reported soon */
   MAX_PASSES_NO_ROOM = 4,
   MAX_PASSES_NO_ENGINE = 12,
   NO_ENGINE_SLEEP_MS = 150,
@@ -39,45 +40,51 @@
   RATE_LIMITED_SLEEP_MIN_MS = 50,
   RATE_LIMITED_SLEEP_MAX_MS = 500,
   RATE_LIMITED_EXTRA_MS = 1000,
-  /* an engine whose lease holder does not reach it is passed over by all placements */
+  /* an engine that its lease holder could not reach is skipped for this time by the first pass of
+     all placements */
   UNREACHABLE_MS = 2000,
-  /* an engine that ends sooner is not worth a load */
+  /* no load is placed on an engine that shuts down sooner than this */
   MIN_REMAINING_MS = 30000,
-  /* the holder's broadcast that a model is there arrives within this time */
+  /* the lease holder's broadcast of a loaded model arrives within this time */
   BROADCAST_MS = 60,
-  /* times after which a load request may come back */
+  /* retry-after times of failed load requests */
   RETRY_DEFAULT_MS = 400,
   RETRY_UNKNOWN_MODEL_MS = 2000,
   RETRY_NO_REPLICA_MS = 3000,
   RETRY_NO_ENGINE_MS = 500,
-  /* between the loads of an engine, and from a placement to the load's begin */
+  /* overhead between two loads on an engine, and from the placement to the start of the load */
   LOAD_EXTRA_MS = 40,
   PLACEMENT_EXTRA_MS = 30
 };
-/* Further replicas beyond the next one go only where next to nothing has to be unloaded. */
+/* A further replica (beyond the next one) may cost at most this share of its utility in evictions.
+ */
 static const double FURTHER_REPLICA_COST_SHARE = 0.1;
-/* Delay of a load by what runs on the engine, ms for a full one; of weights that are not on its
- * disk; of a load that has to evict. */
+/* Expected delay of a load in ms: on an engine with all slots taken (in proportion for fewer), for
+ * weights that are not on the engine's disk, and for a load that needs an eviction. */
 static const double FULL_ENGINE_DELAY_MS = 300, STORE_DELAY_MS = 300, EVICTION_DELAY_MS = 60;
-/* A model is wanted by someone, or there were no placement: its request rate at least. */
+/* Lower bound of the request rate of a model that is being placed: at least one request wants it.
+ */
 static const double MIN_REQUEST_RATE = 0.6;
-/* The eviction cost may rise so far between the choice and the load. */
+/* How far the eviction cost may rise between the choice of the engine and the load. */
 static const double MAX_COST_FACTOR = 2, MAX_COST_EXTRA = 3000;
 
-/** A placement; at the coordinator, one for the whole fleet. */
+/** A placement in progress; the coordinator has one per model (and adapter) for the whole fleet,
+ * plus one for each further replica. */
 typedef struct placement_job {
   char *key; /* load_request_key, owned */
   id service, model, adapter;
   unsigned priority;
-  /** One more replica although engines hold the model; one beyond the next. */
+  /** extra_replica: one more replica although engines hold the model already; further_replica: one
+   * beyond the next replica. */
   bool extra_replica, further_replica;
   time_us last_asked_at, expected_at;
-  /** The engine that was chosen (empty: none now), and the eviction cost there. */
+  /** The chosen engine (empty: none at the moment) and its eviction cost. */
   id engine;
   double eviction_cost;
-  /** Its lease holder has begun to load. */
+  /** The lease holder has started the load. */
   bool started;
-  /** Running requests may be drained: no engine was found where what has to go is idle. */
+  /** Busy models may be evicted and drained, since no engine can make room from idle models alone.
+   */
   bool may_drain;
   bool done;
   enum error_code code;
@@ -112,7 +119,7 @@
   return (int)(hash_bytes(name, strlen(name), SHARD_HASH_SEED) % (uint64_t)shard_count);
 }
 
-/* the address of the gateway that holds an engine's lease; false when none that lives does */
+/* the address of the gateway that holds an engine's lease; false when no live gateway holds it */
 static bool lease_holder_address(gateway *gateway, id engine_id, char address[48]) {
   router *router = gateway->router;
   char name[64];
@@ -140,8 +147,8 @@
                                 gateway_engine_has_on_disk(engine, model));
 }
 
-/* when all that a placement has to load on an engine is expected to be there, in ms, if the first
- * load begins after begins_in_ms */
+/* the expected time in ms until a placement's model and adapter are loaded on an engine, if the
+ * first load begins after begins_in_ms */
 static double loaded_in_ms(gateway_engine *engine, const service *service, const placement_job *job,
                            double begins_in_ms) {
   double ms = begins_in_ms + model_load_ms(engine, service, job->model);
@@ -151,7 +158,8 @@
   return ms;
 }
 
-/* how long other placements of this coordinator keep an engine busy before one may begin, in ms */
+/* the time in ms for which other placements of this coordinator occupy an engine before this one
+ * can start */
 static double queued_ms_on_engine(gateway *gateway, id engine_id, const placement_job *job) {
   double ms = 0, utility = load_job_utility(gateway, job->priority, job->model, job->adapter);
   GHashTableIter iter;
@@ -172,7 +180,7 @@
   return ms;
 }
 
-/* an engine that is about to load the same model for another placement; NULL when there is none */
+/* an engine that is to load the same model for another placement; NULL when there is none */
 static gateway_engine *engine_loading_base(gateway *gateway, const placement_job *job) {
   GHashTableIter iter;
   gpointer value;
@@ -204,7 +212,7 @@
   return replicas ? CLAMP(needed - replicas, 0, MAX_REPLICAS_AT_ONCE) : 0;
 }
 
-/* replicas of the same model that other placements load, on one engine or (NULL) on any */
+/* the number of other placements of the same model and adapter, on one engine or (NULL) on any */
 static int replicas_in_progress(gateway *gateway, const placement_job *job,
                                 const gateway_engine *engine) {
   int count = 0;
@@ -228,21 +236,23 @@
   return false;
 }
 
-/** One choice of an engine. */
+/** State of one choice of an engine. */
 typedef struct engine_choice {
   gateway *gateway;
   placement_job *job;
   const service *service;
-  const GPtrArray *refused_by; /* names of engines that are not asked again */
+  const GPtrArray *refused_by; /* names of engines that have refused and are skipped */
   double request_rate;
-  /** The utility of a further replica: load time times the rate that it would take over. */
+  /** The utility of an additional replica: load time times the request rate that it would take
+   * over. */
   double replica_utility;
   int shard_count;
-  /** The first pass takes only healthy engines of the model's shard; the second all. */
+  /** True in the first pass, which considers only healthy engines of the model's shard; the second
+   * pass considers all. */
   bool strict;
   gateway_engine *best;
   double best_cost;
-  enum error_code code; /* why there is none */
+  enum error_code code; /* why no engine was found */
 } engine_choice;
 
 static bool is_healthy(const gateway_engine *engine) {
@@ -257,7 +267,7 @@
              placement_shard_of(choice->job->model.text, choice->shard_count);
 }
 
-/* true when an engine may be chosen, whatever it costs */
+/* true when an engine may be chosen, regardless of its cost */
 static bool is_eligible(const engine_choice *choice, gateway_engine *engine) {
   gateway *gateway = choice->gateway;
   const placement_job *job = choice->job;
@@ -277,7 +287,7 @@
          lease_holder_address(gateway, engine->engine_id, address);
 }
 
-/* the time in ms until a model could be there */
+/* the expected time in ms until the model is loaded on an engine */
 static double delay_ms(const engine_choice *choice, gateway_engine *engine, double eviction_cost,
                        double drain_ms) {
   const placement_job *job = choice->job;
@@ -291,7 +301,7 @@
          (eviction_cost > 0 ? EVICTION_DELAY_MS : 0);
 }
 
-/* compares an eligible engine with the best so far */
+/* makes an eligible engine the best one if it costs less than the best so far */
 static void consider(engine_choice *choice, gateway_engine *engine) {
   placement_job *job = choice->job;
   double mb, drain_ms;
@@ -304,7 +314,7 @@
     choice->code = E_NO_CAPACITY;
     return;
   }
-  /* a few ms by random, so that equal engines share the loads */
+  /* a small random term spreads the loads over engines of equal cost */
   double cost = eviction_cost;
   cost += delay_ms(choice, engine, eviction_cost, drain_ms) *
               MAX(choice->request_rate, MIN_REQUEST_RATE) +
@@ -316,7 +326,8 @@
   job->eviction_cost = eviction_cost;
 }
 
-/* the engine where a placement costs least; NULL when there is none, with the reason in *code */
+/* the engine with the lowest placement cost; NULL when none is possible, with the reason in *code
+ */
 static gateway_engine *choose_engine(gateway *gateway, placement_job *job, const service *service,
                                      const GPtrArray *refused_by, enum error_code *code) {
   engine_choice choice = {
@@ -356,18 +367,19 @@
     placement_job_free(job);
 }
 
-/** State of the task that carries one placement out. */
+/** State of the task that executes one placement. */
 typedef struct placement_run {
   gateway *gateway;
   placement_job *job;
   GPtrArray *refused_by; /* names of engines, owned */
   enum error_code code;
   int64_t retry_after_ms;
-  /** Passes without an engine and refusals; engines where only busy models could go. */
+  /** failed_passes: passes without an engine plus refusals; busy_engines: engines that could evict
+   * only busy models. */
   int failed_passes, busy_engines;
 } placement_run;
 
-/** How one step of a placement went. */
+/** Whether a placement continues after a step. */
 enum placement_step { PLACEMENT_NEXT, PLACEMENT_END };
 
 static enum placement_step end_with(placement_run *run, enum error_code code) {
@@ -375,7 +387,8 @@
   return PLACEMENT_END;
 }
 
-/* the engine that is asked: the one of the last step while its holder lives, or a new choice */
+/* the engine to request the load from: that of the last step while its lease holder is alive, else
+ * a new choice */
 static gateway_engine *current_engine(placement_run *run, const service *service,
                                       char address[48]) {
   gateway *gateway = run->gateway;
@@ -388,12 +401,13 @@
   return engine && lease_holder_address(gateway, engine->engine_id, address) ? engine : NULL;
 }
 
-/* no engine fits: begins anew with those that had refused, and with engines that have to drain */
+/* no engine is eligible: clears the list of refusals, allows eviction of busy models, and retries
+ */
 static enum placement_step retry_without_engine(placement_run *run) {
   placement_job *job = run->job;
   world *world = run->gateway->router->node.world;
   log_debug(&run->gateway->router->node.log, "placement",
-            "No engine for %s+%s: code %d, %u engines have refused.", job->model.text,
+            "No engine for %s+%s: code %d, refused by %u engines.", job->model.text,
             job->adapter.text, run->code, run->refused_by->len);
   job->engine = id_none;
   int max_passes = run->code == E_NO_CAPACITY ? MAX_PASSES_NO_ROOM : MAX_PASSES_NO_ENGINE;
@@ -419,8 +433,9 @@
       gateway_deadline_in_ms(gateway, loaded_in_ms(engine, service, job, begins_in_ms));
 }
 
-/* What the placement may cost when the load begins: a popular model may evict less popular ones,
- * however the eviction cost has risen meanwhile. */
+/* The upper bound of the eviction cost when the load begins. It is at least the model's own
+ * utility, so that a popular model may evict less popular ones even if the eviction cost has risen
+ * meanwhile. */
 static uint64_t max_eviction_cost(gateway *gateway, const placement_job *job,
                                   const service *service) {
   int shares =
@@ -432,8 +447,8 @@
   return (uint64_t)MAX(MAX_COST_FACTOR * job->eviction_cost + MAX_COST_EXTRA, utility);
 }
 
-/* asks an engine's lease holder for the load and waits for a while; returns its code, or that of
- * the call. *started: the load has begun. */
+/* Requests the load from an engine's lease holder and waits up to PLACEMENT_WAIT_MS for it. Returns
+ * the holder's error code, or that of the call; *started: the load has begun. */
 static enum error_code call_lease_holder(placement_run *run, gateway_engine *engine,
                                          const service *service, const char *address,
                                          bool *started) {
@@ -469,8 +484,8 @@
   return code;
 }
 
-/* it is loaded; where the holder has found it on another engine, the broadcast of that is waited
- * for */
+/* The model is loaded. If this gateway doesn't see any replica yet (the holder may have found one
+ * on another engine), it waits for the broadcast first. */
 static enum placement_step handle_loaded(placement_run *run, id engine_id) {
   gateway *gateway = run->gateway;
   const placement_job *job = run->job;
@@ -481,8 +496,8 @@
   return end_with(run, OK);
 }
 
-/* the load is under way, or waits in the engine's queue: then another engine may be sooner by now,
- * and the job there expires when it is not asked for */
+/* The load is running or queued on the engine. If it is queued, the engine is chosen anew, since
+ * another one may be faster by now; the job left behind expires when it is no longer requested. */
 static enum placement_step handle_in_progress(placement_run *run, bool started) {
   placement_job *job = run->job;
   job->expected_at = gateway_deadline_in_ms(run->gateway, (double)run->retry_after_ms);
@@ -501,7 +516,7 @@
                                                                                : PLACEMENT_END;
 }
 
-/* the engine can't load it now: another one is chosen */
+/* the engine can't load the model now: the next step chooses another one */
 static enum placement_step handle_refused(placement_run *run, id engine_id, enum error_code code) {
   gateway *gateway = run->gateway;
   placement_job *job = run->job;
@@ -523,7 +538,7 @@
              : PLACEMENT_END;
 }
 
-/* chooses an engine, if none is, and asks its lease holder once */
+/* chooses an engine if none is chosen, and calls its lease holder once */
 static enum placement_step placement_step(placement_run *run) {
   gateway *gateway = run->gateway;
   placement_job *job = run->job;
@@ -560,7 +575,8 @@
                                      : handle_refused(run, engine_id, code);
 }
 
-/* the task of a placement: goes on until it is loaded, fails, or nobody asks any more */
+/* the task of a placement: runs until the model is loaded, the placement fails, or no request has
+ * asked for it within LOAD_REQUEST_TTL_MS */
 static void placement_job_run(void *context) {
   placement_run run = *(placement_run *)context;
   gateway *gateway = run.gateway;
@@ -595,7 +611,8 @@
   job->last_asked_at = gateway_now(gateway);
   condition_init(&job->changed);
   job->refs = 1;
-  /* one that is done and still read by a waiting call is freed by its last reader */
+  /* a finished job that waiting calls still reference leaves the table and is freed with its last
+   * reference */
   if (g_hash_table_lookup(jobs, key))
     g_hash_table_steal(jobs, key);
   g_hash_table_insert(jobs, job->key, job);
@@ -606,8 +623,8 @@
   return job;
 }
 
-/* A model whose demand has just begun needs several replicas; one after the other would come too
- * late. */
+/* Starts further replicas in parallel: when the demand for a model rises suddenly, loading one
+ * replica after another would take too long. */
 static void add_replicas(gateway *gateway, const placement_job *job) {
   int missing = placement_missing_replicas(gateway, job->service, job->model, job->adapter) - 1 -
                 replicas_in_progress(gateway, job, NULL);
@@ -626,7 +643,7 @@
   }
 }
 
-/* the placement of a request, started on the first one */
+/* the placement job of a request; started if there is none */
 static placement_job *job_of_request(gateway *gateway, const Wire__PlacementRequest *request) {
   id service = id_of_text(request->service), model = id_of_text(request->model),
      adapter = id_of_text(request->adapter);
--- a/lib/gateway/placement.h
+++ b/lib/gateway/placement.h
@@ -1,6 +1,7 @@
-/** Placement: the coordinator of a model decides which engine loads it, and has the holder of that
- * engine's lease do it. Coordinators need no lease: each gateway names the same one by rendezvous
- * hashing, and where two act for a moment, each engine's holder still sees all of its loads. */
+/** Placement: the coordinator of a model chooses the engine that loads it and requests the load
+ * from the gateway that holds that engine's lease. Coordinators need no lease: all gateways compute
+ * the same one by rendezvous hashing. If two coordinators act at once for a moment, the lease
+ * holder still serializes all loads of its engine. */
 #ifndef GATEWAY_PLACEMENT_H
 #define GATEWAY_PLACEMENT_H
 #include "node.h"
@@ -8,7 +9,8 @@
 
 typedef struct gateway gateway;
 
-/** How long a coordinator or holder lets a call wait for the load, and the caller's timeout. */
+/** How long a coordinator or lease holder keeps a call open while the load runs, and the timeout
+ * that the caller uses. */
 enum { PLACEMENT_WAIT_MS = 800, PLACEMENT_CALL_TIMEOUT_MS = 1300 };
 
 /** Written by placement.c. */
@@ -18,14 +20,15 @@
 
 void placement_init(placement_state *placement);
 void placement_state_free(placement_state *placement);
-/** How many more replicas of a model (and adapter) would clear the queue for it, by what this
- * gateway knows. */
+/** The number of additional replicas of a model (and adapter) needed to clear its queue, as far as
+ * this gateway knows the queue. */
 int placement_missing_replicas(gateway *gateway, id service, id model, id adapter);
-/** The number of shards of a fleet of this size, each with a coordinator of its own. */
+/** The number of placement shards for the current fleet size; each shard has its own coordinator.
+ */
 int placement_shard_count(gateway *gateway);
-/** The shard of an engine or a model by its name. */
+/** The shard of an engine or a model, computed from its name. */
 int placement_shard_of(const char *name, int shard_count);
-/** Handles a gateway's PlacementRequest, at the coordinator. */
+/** Handles a gateway's PlacementRequest at the coordinator. */
 enum error_code placement_on_load_request(void *context, Wire__Envelope *in, reply *reply,
                                           error *err);
 #endif
