--- a/lib/gateway/capacity_account.c
+++ b/lib/gateway/capacity_account.c
@@ -1,5 +1,5 @@
-/** Capacity account of one engine; see capacity_account.h. A plain array: an engine holds some tens
- * of items. */
+/** Capacity account of one engine; see capacity_account.h. The items are in a plain array, since an
+ * engine holds only some tens of them. */
 #include "capacity_account.h"
 
 void capacity_init(capacity_account *account) {
@@ -57,7 +57,7 @@
   if (under_way)
     return;
   if (!load && !item) {
-    /* the engine has something to unload that the account does not show */
+    /* the engine unloads something that the account doesn't contain, so the account is wrong */
     capacity_forget(account, now);
     return;
   }
--- a/lib/gateway/engine_orders.c
+++ b/lib/gateway/engine_orders.c
@@ -1,21 +1,23 @@
 /** Orders to engines and reports of engines; see engine_orders.h for the fencing.
  *
- * An unload is announced to all gateways some time before it is ordered: they send no more requests
- * for the model, and those that run some object by sending their loads. */
+ * An unload is announced to all gateways some time before it is ordered, so that they send no more
+ * requests for the model. A gateway that still runs requests for it objects by sending its traffic
+ * report. */
 #include "engine_orders.h"
 #include "gateway.h"
 
 enum {
   ORDER_TIMEOUT_MS = 1500,
   REPORT_TIMEOUT_MS = 800,
-  /* an unload waits for what runs */
+  /* an unload has to wait until the running requests have finished */
   UNLOAD_TIMEOUT_MS = 12000,
-  /* from the announcement of an unload to its order: the others receive it, and what they have sent
-     meanwhile reaches the engine */
+  /* from the announcement of an unload to its order: the other gateways receive it, and requests
+     that they have already sent reach the engine */
   ANNOUNCE_MS = 40,
   ANNOUNCE_REPEAT_MS = 1000,
-  /* an unload is asked for again after its expected time, then after growing spans, then the
-     reports are watched, which cost the engine less */
+  /* an unload is polled by repeating the order: first after its expected time, then at growing
+     intervals, then after reports say that the engine is no longer busy, since reports cost the
+     engine less */
   UNLOAD_DEFAULT_MS = 25,
   UNLOAD_LOOK_MIN_MS = 5,
   UNLOAD_LOOK_MAX_MS = 400,
@@ -39,8 +41,8 @@
   return singleton_lease_find(engine->gateway->router, name);
 }
 
-/* counts an order that is under way (1) or has ended (-1), so that the lease is not handed over
- * meanwhile */
+/* counts orders in progress: 1 when one starts, -1 when it ends; the lease is not handed over while
+ * there are any */
 static void lease_count_order(gateway_engine *engine, int change) {
   singleton_lease *lease = lease_of(engine);
   if (!lease)
@@ -58,7 +60,7 @@
   return fields;
 }
 
-/* One HTTP exchange with an engine, sent before the instant send_by: the status, or enum
+/* Makes one HTTP call to an engine, sent before the time send_by, and returns its status or enum
  * engine_order_status. body may be NULL. */
 static int engine_exchange(gateway_engine *engine, enum dialect_call call_name, const char *body,
                            GString *response, int64_t timeout_ms, time_us send_by, error *err) {
@@ -94,7 +96,7 @@
   return json;
 }
 
-/** Residents out of a report; they point into its JSON. */
+/** Residents listed in a report; the texts belong to its JSON. */
 typedef struct reported_residents {
   Wire__ResidentModel *models, **list;
   size_t count;
@@ -145,19 +147,19 @@
   }
 }
 
-/* starts the capacity account anew from an idle report that was asked for at an instant */
+/* rebuilds the capacity account from an idle report that was requested at asked_at */
 static void update_account(gateway_engine *engine, uint64_t order_count,
                            const reported_residents *residents, time_us asked_at) {
   capacity_account *account = &engine->capacity;
   if (!capacity_covered_by_report(account, asked_at, time_from_ms(ENGINE_REPORT_LAG_MS))) {
-    /* the engine has taken an order of which this holder knows nothing */
+    /* the engine has accepted an order that this holder doesn't know of */
     if (account->is_known && order_count > account->order_count)
       capacity_forget(account, gateway_engine_now(engine));
     return;
   }
   if (account->is_known && order_count != account->order_count)
     log_debug(&engine->gateway->router->node.log, "place",
-              "Engine %s has taken %" PRIu64 " orders; %" PRIu64 " were known.",
+              "Engine %s has accepted %" PRIu64 " orders; %" PRIu64 " were known.",
               engine->engine_id.text, order_count, account->order_count);
   capacity_begin(account, order_count);
   add_to_account(account, residents);
@@ -173,7 +175,7 @@
   json *report = status == 200 ? parse_engine_json(gateway, response) : NULL;
   g_string_free(response, TRUE);
   if (status == 421)
-    gateway_engine_remove(engine, "its address answers for another");
+    gateway_engine_remove(engine, "another engine answers at its address");
   if (!report || engine->gone) {
     json_free(report);
     return false;
@@ -192,7 +194,7 @@
   return true;
 }
 
-/* the body of an order in the platform's names; to be freed */
+/* the body of an order, translated to the platform's field names; the caller frees it */
 static GString *order_body(const gateway_engine *engine, bool load, id model, id adapter,
                            uint64_t epoch, int64_t expected_orders) {
   const gateway *gateway = engine->gateway;
@@ -217,8 +219,9 @@
   return body;
 }
 
-/* An address is not used again at once: an engine with a recent sign of life still has it. Else its
- * report has to say so, since an order must never reach another engine. */
+/* True when the engine has shown a recent sign of life and therefore still owns its address, since
+ * addresses are not reused at once. Otherwise a report has to confirm it first: an order must never
+ * reach another engine. */
 static bool identity_is_recent(const gateway_engine *engine) {
   time_us seen_at = engine->heartbeat_at;
   if (engine->health.last_byte_at.us > seen_at.us)
@@ -228,7 +231,7 @@
   return gateway_ms_since(engine->gateway, seen_at) <= IDENTITY_CONFIRMED_MS;
 }
 
-/* takes an order's result into the capacity account and what is known of the engine */
+/* updates the capacity account and the identity confirmation from an order's result */
 static void record_result(gateway_engine *engine, bool load, id model, id adapter, int status) {
   time_us now = gateway_engine_now(engine);
   if (status == 202)
@@ -239,7 +242,7 @@
     engine->orders.identity_confirmed_at = now;
 }
 
-/* sends an order under an epoch; the status of engine_exchange */
+/* sends an order with an epoch as its fencing token; returns the status of engine_exchange */
 static int send_under_epoch(gateway_engine *engine, bool load, id model, id adapter, uint64_t epoch,
                             int64_t expected_orders, time_us by, error *err) {
   gateway *gateway = engine->gateway;
@@ -256,7 +259,7 @@
                                lease_expires_at.us < by.us ? lease_expires_at : by, err);
   lease_count_order(engine, -1);
   log_debug(&gateway->router->node.log, "order",
-            "Order to %s %s%s%s at engine %s: fencing token %" PRIu64 ", %" PRId64
+            "Order to %s %s%s%s on engine %s: fencing token %" PRIu64 ", %" PRId64
             " orders expected, %" PRIu64 " known, status %d.",
             load ? "load" : "unload", model.text, separator, adapter.text, engine->engine_id.text,
             epoch, expected_orders, engine->capacity.order_count, status);
@@ -310,7 +313,8 @@
                    engine->engine_id.text);
 }
 
-/* sends all gateways that a model is about to be unloaded, so that they send it no more requests */
+/* tells all gateways that a model or adapter is about to be unloaded, so that they send no more
+ * requests for it */
 static void announce_unload(gateway_engine *engine, id model, id adapter) {
   gateway_engine_mark_unloading(engine, model, adapter);
   gateway_engine_broadcast(engine);
@@ -321,19 +325,20 @@
   gateway_engine_broadcast(engine);
 }
 
-/** An unload under way. */
+/** State of one unload. */
 typedef struct unload {
   gateway_engine *engine;
   id model, adapter;
-  /** When it was last announced; when the engine accepted the order; when it last said so. */
+  /** When it was last announced; when the engine first accepted the order; when it last confirmed
+   * that the unload is in progress. */
   time_us announced_at, accepted_at, last_accepted_at;
   bool accepted;
   int looks;
   error *err;
 } unload;
 
-/* the engine says that there is nothing to unload: without an accepted order its report has to say
- * so, too */
+/* The engine says that there is nothing to unload. Since it has not accepted an order for it, its
+ * report has to confirm that. */
 static enum error_code confirm_not_resident(unload *unload) {
   gateway_engine *engine = unload->engine;
   bool busy;
@@ -354,7 +359,7 @@
   return gateway_ms_since(unload->engine->gateway, unload->last_accepted_at) > UNLOAD_TIMEOUT_MS;
 }
 
-/* waits until the order may be repeated, which asks whether it is done */
+/* waits until the order may be repeated; its status says whether the unload is done */
 static enum error_code wait_for_next_look(unload *unload) {
   gateway_engine *engine = unload->engine;
   double expected_ms = event_history_load_ms(&engine->gateway->router->history, engine->service,
@@ -376,7 +381,7 @@
 
 static void record_accepted(unload *unload) {
   time_us now = gateway_engine_now(unload->engine);
-  /* 202 again says that it is still under way: what runs has yet to end */
+  /* a repeated 202 means that the unload is in progress and waits for running requests */
   if (unload->accepted)
     unload->last_accepted_at = now;
   else
@@ -384,7 +389,7 @@
   unload->accepted = true;
 }
 
-/* orders the unload again and again until the engine confirms it */
+/* repeats the unload order until the engine confirms that it is done */
 static enum error_code order_until_unloaded(unload *unload) {
   gateway_engine *engine = unload->engine;
   for (;;) {
--- a/lib/gateway/engine_residents.c
+++ b/lib/gateway/engine_residents.c
@@ -1,16 +1,16 @@
-/** Residents of engines out of three sources of different age; see engine_residents.h. */
+/** Residents of engines, merged from three sources of different age; see engine_residents.h. */
 #include "engine_residents.h"
 #include "gateway.h"
 
 enum {
-  /* A heartbeat or report may be older than it says by as much; the guard of most sources is the
-     same span. */
+  /* how much older a heartbeat or report may be than it says; most sources use the same guard time
+   */
   CHANGE_SETTLE_MS = 1500,
-  /* An unload takes longer than a load to show: the engine may still drain requests. */
+  /* an unload takes longer than a load to show, since the engine may still be draining requests */
   UNLOADING_GUARD_MS = 3000
 };
 
-/** A change by an order. */
+/** A change of the residents by an order. */
 typedef struct resident_change {
   id model, adapter;
   bool loaded; /* else unloaded */
@@ -85,7 +85,8 @@
   return &g_array_index(engine->residents.changes, resident_change, index);
 }
 
-/* remembers a change by an order, and forgets older ones of the same thing and expired ones */
+/* records a change by an order; drops expired changes and older ones of the same model and adapter
+ */
 static void record_change(gateway_engine *engine, id model, id adapter, bool loaded) {
   GArray *changes = engine->residents.changes;
   time_us now = gateway_engine_now(engine);
@@ -100,7 +101,7 @@
   g_array_append_val(changes, change);
 }
 
-/* true when a recent order says otherwise than what was seen at an instant */
+/* true when a recent order contradicts the state that a source saw at seen_at */
 static bool contradicts(const gateway_engine *engine, id model, id adapter, bool loaded,
                         time_us seen_at, int64_t guard_ms) {
   for (guint i = 0; i < engine->residents.changes->len; i++) {
@@ -132,7 +133,7 @@
   return false;
 }
 
-/* removes the adapters that a list lacks; true when there were some */
+/* removes the adapters that are missing from a list; true when there were any */
 static bool remove_unlisted_adapters(gateway_engine *engine, resident *resident,
                                      const Wire__ResidentModel *listed, time_us at,
                                      int64_t guard_ms) {
@@ -151,7 +152,7 @@
   return changed;
 }
 
-/* removes the models and adapters that a list lacks; true when there were some */
+/* removes the models and adapters that are missing from a list; true when there were any */
 static bool remove_unlisted(gateway_engine *engine, Wire__ResidentModel **models, size_t count,
                             time_us at, int64_t guard_ms) {
   bool changed = false;
@@ -170,7 +171,7 @@
   return changed;
 }
 
-/* adds a listed model and its adapters; true when something of it is new */
+/* adds a listed model and its adapters; true when any of them is new */
 static bool add_listed(gateway_engine *engine, const Wire__ResidentModel *listed, time_us at,
                        int64_t guard_ms) {
   if (!id_is_valid(string_view_of(listed->model)))
@@ -208,7 +209,8 @@
     condition_broadcast(&engine->gateway->engines.changed);
 }
 
-/* remembers what a holder's list lacks as unloaded by an order */
+/* records models and adapters that are missing from a lease holder's list as unloaded by an order
+ */
 static void record_holder_unloads(gateway_engine *engine, const Wire__EngineState *state) {
   list_for_each (entry, &engine->residents.list, resident, link) {
     const Wire__ResidentModel *listed =
@@ -223,7 +225,7 @@
   }
 }
 
-/* remembers what is new in a holder's list as loaded by an order */
+/* records models and adapters that are new in a lease holder's list as loaded by an order */
 static void record_holder_loads(gateway_engine *engine, const Wire__EngineState *state) {
   for (size_t i = 0; i < state->n_models; i++) {
     const Wire__ResidentModel *listed = state->models[i];
@@ -290,8 +292,8 @@
   condition_broadcast(&engine->gateway->engines.changed);
 }
 
-/* An adapter whose unload was ordered gets no new requests; a later report of the engine says
- * whether it stayed. */
+/* An adapter that is to be unloaded gets no new requests; a later report of the engine shows
+ * whether it is still loaded. */
 static void adapter_mark_unloading(resident *resident, id adapter) {
   if (!has_adapter(resident, adapter.text))
     return;
--- a/lib/gateway/load_rate_limiter.c
+++ b/lib/gateway/load_rate_limiter.c
@@ -1,38 +1,38 @@
 /** Load rate limiter; see load_rate_limiter.h.
  *
- * The holder of the singleton "pacer" keeps the times of the loads out of each service's store and
- * grants a permit when the window has room for one more. Gateways report loads to those that would
- * hold the singleton next. A new holder may have missed some reports, so it starts with a few loads
- * that it did not see; one that has just started, with nearly a full window. When nobody holds the
- * singleton, each gateway loads at a small rate of its own. */
+ * The holder of the singleton "pacer" records the load times of each service's store and grants a
+ * permit when the window allows one more load. It reports each granted permit to the next
+ * candidates for the singleton. A new holder may have missed some reports, so it starts with a few
+ * assumed loads, or with a nearly full window if it has run for less than a window. While the
+ * singleton has no holder, each gateway loads at a small rate of its own. */
 #include "load_rate_limiter.h"
 #include "gateway.h"
 #include <math.h>
 
 enum {
-  /* how long the holder is asked for a permit, and the time between two attempts */
+  /* timeout for getting an answer from the holder, and the time between two attempts */
   PERMIT_TIMEOUT_MS = 400,
   PERMIT_RETRY_MS = 100,
-  /* a load has to begin so long after its permit was requested */
+  /* a load has to begin within this time after its permit was requested */
   PERMIT_VALID_MS = 150,
-  /* loads that a new holder assumes it did not see */
+  /* the number of loads whose reports a new holder assumes to have missed */
   UNSEEN_LOADS = 3,
-  /* a permit that would outlast the lease is refused for this time */
+  /* retry delay when a permit is refused because it would be valid beyond the end of the lease */
   LEASE_ENDS_RETRY_MS = 100,
-  /* without a holder: the fleet loads at 1 / UNPERMITTED_SHARE of its rate */
+  /* without a holder, the fleet as a whole loads at 1 / UNPERMITTED_SHARE of the configured rate */
   UNPERMITTED_SHARE = 4,
   UNPERMITTED_RETRY_MS = 500,
-  /* gateways that come next for a singleton and receive its messages in a large fleet */
+  /* the number of candidates that receive the messages of a singleton in a large fleet */
   MAX_SUCCESSORS = 3
 };
-/* Defaults of the settings: the window in s, and the share of the rate that may be used. */
+/* Defaults of the settings: the window in s, and the factor applied to the configured rate. */
 static const double DEFAULT_WINDOW_S = 5, DEFAULT_EXCESS = 1;
-/* Times of loads are kept for so many windows. */
+/* Load times are kept for this many windows. */
 static const double KEPT_WINDOWS = 1.2;
-/* Against a product that is an integer but for its last bits. */
+/* Compensates for a product that falls just below an integer through rounding. */
 static const double ROUNDING_MARGIN = 1e-9;
 
-/** The loads out of one service's store. */
+/** The loads from one service's store. */
 typedef struct load_rate_limiter {
   GArray *load_times; /* of time_us, ascending */
   /** The lease epoch under which this gateway has granted permits. */
@@ -106,7 +106,7 @@
   g_array_append_val(load_times, at);
 }
 
-/* a report of a load, or (without a key) of an order to an engine */
+/* handles the report of a load or, when it has no key, of an order to an engine */
 static enum error_code on_load_report(gateway *gateway, const Wire__LoadPermitRequest *report) {
   gateway_engine *engine = gateway_engine_find(gateway, report->engine);
   if (!engine)
@@ -118,7 +118,7 @@
   return OK;
 }
 
-/* sends a granted permit to those that may hold the singleton next */
+/* reports a granted permit to the next candidates for the singleton */
 static void report_load(gateway *gateway, const Wire__LoadPermitRequest *request, uint64_t epoch) {
   Wire__LoadPermitRequest report = WIRE__LOAD_PERMIT_REQUEST__INIT;
   report.engine = request->engine;
@@ -128,7 +128,7 @@
   singleton_successors_broadcast(gateway, "pacer", &message);
 }
 
-/* decides on a permit for a service whose loads are limited, and records a granted one */
+/* grants or refuses a permit for a rate-limited service, and records a granted one */
 static void grant_permit(gateway *gateway, const service *service, uint64_t epoch,
                          const Wire__LoadPermitRequest *request,
                          Wire__LoadPermitResponse *response) {
@@ -139,7 +139,7 @@
       load_rate_limiter_max_loads(service->loads_per_s, window_s(gateway), excess(gateway));
   time_us now = gateway_now(gateway), valid = time_from_ms(PERMIT_VALID_MS),
           window = time_add((time_us){ (int64_t)(window_s(gateway) * 1e6) }, valid);
-  /* the first holder of all has nothing to take over */
+  /* the first holder (epoch 1) has no predecessor */
   if (limiter->epoch != epoch && epoch > 1)
     load_rate_limiter_take_over(limiter->load_times, lease->acquired_at, router->node.started_at,
                                 window, max_loads);
@@ -199,8 +199,8 @@
   return true;
 }
 
-/* Asks the holder once. OK, E_LOAD_RATE_LIMITED with *retry_after_ms, or E_STOPPING; any other code
- * says that it did not answer. */
+/* Requests a permit from the holder once. Returns OK, E_LOAD_RATE_LIMITED with *retry_after_ms, or
+ * E_STOPPING; any other code means that there was no valid answer. */
 static enum error_code call_holder(gateway *gateway, const char *address, uint64_t epoch,
                                    id engine_id, const char *key, time_us *send_by,
                                    int64_t *retry_after_ms, error *err) {
@@ -229,7 +229,8 @@
   return code;
 }
 
-/* nobody grants permits: a gateway's own small share of the rate */
+/* allows a load without a permit at this gateway's small share of the rate; for use without a
+ * holder */
 static enum error_code load_without_permit(gateway *gateway, id service, double loads_per_s,
                                            time_us *send_by, int64_t *retry_after_ms, error *err) {
   load_rate_limiters *limiters = &gateway->load_rate_limiters;
@@ -249,7 +250,7 @@
                                                  const char *key, time_us *send_by,
                                                  int64_t *retry_after_ms, error *err) {
   gateway *gateway = engine->gateway;
-  /* a new configuration may free the service while the holder is asked */
+  /* copied, since a new configuration may free the service during the call to the holder */
   double loads_per_s = service->loads_per_s;
   id service_name = service->name;
   if (loads_per_s <= 0) {
@@ -273,7 +274,7 @@
   }
 }
 
-/** Gateways that come next for a singleton by rendezvous hashing, the first one first. */
+/** The next candidates for a singleton by rendezvous hashing, the first one first. */
 typedef struct successors {
   const peer_node *peers[MAX_SUCCESSORS];
   uint64_t hashes[MAX_SUCCESSORS];
