--- a/lib/gateway/engine_health.c
+++ b/lib/gateway/engine_health.c
@@ -1,38 +1,44 @@
-/** Health of engines: ejection after failures in a row, suspicion after silence, and a decaying
- * failure score. See engine_health.h for why there are three. */
+/** Health of engines: ejection after consecutive failures, suspicion after silence, and a decaying
+ * failure score. See engine_health.h for why there are three signals. */
 #include "engine_health.h"
 #include "gateway.h"
 #include <math.h>
 
 enum {
-  /* an engine gets no request that would still run when it ends: time before its end, in ms */
+  /* an engine gets no new requests for this time before it shuts down, so that none is still
+     running then */
   DRAIN_MARGIN_MS = 1000,
-  /* ejection: doubled with each failure in a row, so that a short fault costs little and a lasting
-     one few requests */
+  /* duration of an ejection; it doubles with each consecutive failure, so that a short fault costs
+     little time and a lasting fault few requests */
   EJECTION_MIN_MS = 150,
   EJECTION_MAX_MS = 3000,
   EJECTION_MAX_DOUBLINGS = 6,
-  /* after an ejection one request tries the engine; others wait for so long for its result */
+  /* after an ejection, one trial request goes to the engine; others wait this long for its result
+   */
   EJECTION_TRIAL_MS = 400,
-  /* silence that makes an engine suspect: a multiple of its mean time to a first event, at least */
+  /* silence that makes an engine suspect: SUSPECT_FIRST_EVENTS times its mean time to the first
+     event, but at least SUSPECT_MIN_MS */
   SUSPECT_MIN_MS = 400,
   SUSPECT_FIRST_EVENTS = 4,
-  /* failures in a row, or suspicion, together with a silence of this length */
+  /* an engine is unresponsive after this many consecutive failures, or when suspect, together with
+     a silence of this length */
   UNRESPONSIVE_FAILURES = 3,
   UNRESPONSIVE_MS = 800,
-  /* a burst of failures by one short fault is forgotten within some seconds */
+  /* with this half-life, a burst of failures from one short fault decays within some seconds */
   FAILURE_HALF_LIFE_MS = 2500,
-  /* how long it is unhealthy: doubled each time, until it was well for UNHEALTHY_RESET_MS */
+  /* how long an engine stays unhealthy: doubles each time until it has been healthy for
+     UNHEALTHY_RESET_MS */
   UNHEALTHY_MIN_MS = 2000,
   UNHEALTHY_MAX_MS = 16000,
   UNHEALTHY_MAX_DOUBLINGS = 6,
   UNHEALTHY_RESET_MS = 12000,
-  /* loads and unloads delay requests for about this long */
+  /* loads and unloads delay requests for about this time */
   RECENTLY_ORDERED_MS = 3000,
-  /* an engine whose queue is longer is not lightly loaded */
+  /* maximum queue of a lightly loaded engine */
   LIGHT_LOAD_MAX_QUEUE_MS = 500
 };
-/* Failure scores that make an engine unhealthy: the first time, and once it was unhealthy. */
+/* Failure scores that make an engine unhealthy: the first time, and again after it was unhealthy.
+ */
 static const double UNHEALTHY_SCORE = 2.5, UNHEALTHY_REPEAT_SCORE = 1;
 
 static time_us after_ms(time_us at, int64_t ms) {
@@ -61,7 +67,7 @@
   return engine->health.unhealthy_until.us > gateway_engine_now(engine).us;
 }
 
-/* the score now, with the failures so far halved every FAILURE_HALF_LIFE_MS */
+/* the failure score at a given time, halved for every FAILURE_HALF_LIFE_MS since its last update */
 static double decayed_failure_score(const engine_health *health, time_us now) {
   if (!health->failure_score_at.us)
     return 0;
@@ -88,7 +94,7 @@
       after_ms(now, MIN((int64_t)UNHEALTHY_MIN_MS << doublings, UNHEALTHY_MAX_MS));
   health->unhealthy_count++;
   log_debug(&engine->gateway->router->node.log, "engine",
-            "Engine %s at %s is unhealthy: too many failures, time %d in a row.",
+            "Engine %s at %s is unhealthy: too many failures, %d times in a row.",
             engine->engine_id.text, engine->addr, health->unhealthy_count);
 }
 
@@ -148,7 +154,7 @@
   time_us now = gateway_engine_now(engine);
   health->failed_at = now;
   health->consecutive_failures++;
-  /* a full engine that fails is no outlier */
+  /* failures of a busy engine don't count for outlier ejection */
   if (gateway_engine_lightly_loaded(engine))
     gateway_engine_add_own_failure(engine);
   int doublings = MIN(health->consecutive_failures - 1, EJECTION_MAX_DOUBLINGS);
--- a/lib/gateway/engine_load.c
+++ b/lib/gateway/engine_load.c
@@ -1,26 +1,26 @@
 /** Load and speed of engines.
  *
- * The time to a first event is modelled as base_ms + ms_per_token * (tokens waiting + own tokens to
- * prefill), stretched by up to FULL_BATCH_SLOWDOWN when all slots are taken. Both parameters are
- * learnt from the requests of this gateway, and only from those that had little ahead of them:
- * behind a queue the time says more of the queue. */
+ * The time to the first event is modelled as base_ms + ms_per_token * (tokens waiting + own tokens
+ * to prefill), and grows by up to a share of FULL_BATCH_SLOWDOWN as slots are taken. Both
+ * parameters are estimated from the requests of this gateway that had few tokens queued ahead of
+ * them; behind a queue, the time depends mostly on the queue. */
 #include "engine_load.h"
 #include "gateway.h"
 
-/* Weights of one sample in the exponential means: a first event comes with each request, and the
- * longer means move slower. */
+/* Weights of one sample in the exponential moving averages. Each request gives a sample of the
+ * first event; the averages of durations and prompt lengths change more slowly. */
 static const double FIRST_EVENT_WEIGHT = 0.1, RUN_WEIGHT = 0.05, PROMPT_WEIGHT = 0.05,
                     SPEED_WEIGHT = 0.1;
-/* Share by which an engine with all slots taken is slower to a first event. */
+/* Relative increase of the time to the first event when all slots are taken. */
 static const double FULL_BATCH_SLOWDOWN = 0.3;
-/* A sample with more tokens ahead of it than this share of its own (or of the minimum) is not
- * learnt from. */
+/* A sample is ignored if more tokens were queued ahead of it than this share of its own tokens (or
+ * of SHORT_PROMPT_TOKENS if it has fewer). */
 static const double LEARN_MAX_AHEAD_SHARE = 0.5;
-/* Prompts below this length teach the base time, longer ones the time per token. */
+/* Shorter prompts update the base time, longer ones the time per token. */
 static const double SHORT_PROMPT_TOKENS = 200;
-/* Speed of an engine of which nothing is known. */
+/* Speed of an engine without samples. */
 static const double INITIAL_BASE_MS = 30, INITIAL_MS_PER_TOKEN = 0.05, INITIAL_RUN_MS = 60;
-/* Bounds of the learnt speed, against samples that measure something else. */
+/* Bounds of the estimated speed, which limit the effect of samples that measure something else. */
 static const double MIN_BASE_MS = 1, MAX_BASE_MS = 400, MIN_MS_PER_TOKEN = 0.004,
                     MAX_MS_PER_TOKEN = 2;
 
@@ -53,7 +53,7 @@
   return &g_array_index(load->own_runs, own_run, index);
 }
 
-/* an exponential mean that starts with its first sample */
+/* adds a sample to an exponential moving average; the first sample initializes it */
 static void mean_add(double *mean, double sample, double weight) {
   *mean = *mean ? *mean + weight * (sample - *mean) : sample;
 }
@@ -92,8 +92,8 @@
   }
 }
 
-/* the oldest run that has, or has not, had its first event; by its tokens unless they are negative;
- * -1 when there is none */
+/* the index of the oldest run that has, or has not, had its first event, and has this number of
+ * tokens (negative: any); -1 when there is none */
 static int own_run_find(const engine_load *load, double tokens, bool first_event_seen) {
   int best = -1;
   for (guint i = 0; i < load->own_runs->len; i++) {
@@ -110,7 +110,7 @@
   load->own_waiting_tokens = MAX(0, load->own_waiting_tokens - run->uncached_tokens);
 }
 
-/* learns the engine's speed from a time to a first event */
+/* updates the estimated speed from a measured time to the first event */
 static void learn_speed(gateway_engine *engine, double uncached_tokens, double ms,
                         int running_then) {
   engine_load *load = &engine->load;
@@ -167,7 +167,7 @@
 
 void gateway_engine_record_end(gateway_engine *engine, bool ok) {
   engine_load *load = &engine->load;
-  /* one that ended well has had its first event, and one that failed probably has not */
+  /* a successful request has had its first event; a failed one probably has not */
   int index = own_run_find(load, -1, ok);
   if (index < 0)
     index = own_run_find(load, -1, !ok);
--- a/lib/gateway/engine_load.h
+++ b/lib/gateway/engine_load.h
@@ -1,5 +1,5 @@
-/** Load of an engine: the requests that this gateway runs there, what the other gateways report of
- * theirs, and the engine's speed as learnt from both. */
+/** Load of an engine: the requests that this gateway runs there, those that other gateways report,
+ * and the engine's measured speed. */
 #ifndef GATEWAY_ENGINE_LOAD_H
 #define GATEWAY_ENGINE_LOAD_H
 #include "routing.h"
@@ -11,66 +11,70 @@
 typedef struct own_run {
   id model, adapter;
   time_us sent_at;
-  /** Prompt tokens, and those of them that the engine has to prefill. */
+  /** The number of prompt tokens, and of those that the engine has to prefill (not in its prefix
+   * cache). */
   double tokens, uncached_tokens;
   bool first_event_seen;
 } own_run;
 
 enum { PEER_LOAD_MAX_MODELS = 16 };
-/** What another gateway reports of its requests on an engine. */
+/** The load that another gateway reports for an engine. */
 typedef struct peer_load {
-  /** The gateway's run. */
+  /** The nonce of the gateway's process run. */
   uint64_t nonce;
   time_us received_at;
   int running;
   double tokens;
-  /** gateway_engine_model_key of what runs there; ends with a 0 when there are fewer. */
+  /** gateway_engine_model_key of the models and adapters in use; terminated by 0 if not full. */
   uint32_t model_keys[PEER_LOAD_MAX_MODELS];
 } peer_load;
 
 /** Written by engine_load.c; the sums over peer_loads by traffic_reports.c. */
 typedef struct engine_load {
-  /** Own requests that were sent and have not ended; of own_run. */
+  /** Own requests that were sent and have not ended: their number, and an array of own_run. */
   int own_running;
   GArray *own_runs;
-  /** Prompt tokens of own requests whose first event has not come. */
+  /** Prompt tokens to prefill of own requests that have had no first event yet. */
   double own_waiting_tokens;
-  /** Since when the oldest own request waits for its first event; 0 when none does. */
+  /** When the oldest own request that still waits for its first event was sent; 0 when none waits.
+   */
   time_us oldest_wait_at;
-  /** Sums over the reports of the other gateways; of peer_load, at most one for each gateway. */
+  /** Sums over peer_loads, an array of peer_load with at most one entry per gateway. */
   int peers_running;
   double peers_waiting_tokens;
   GArray *peer_loads;
-  /** Learnt speed: the time to a first event is about base_ms plus ms_per_token for each token that
-   * is waiting or has to be prefilled. */
+  /** Estimated speed: the time to the first event is about base_ms plus ms_per_token for each token
+   * that is waiting or has to be prefilled. */
   double ms_per_token, base_ms;
-  /** Exponential means: time to the first event, duration of a run, prompt length. */
+  /** Exponential moving averages: time to the first event, duration of a request, prompt length. */
   double mean_first_event_ms, mean_run_ms, mean_prompt_tokens;
-  /** Prompt tokens that this gateway has had the engine prefill since it is known. */
+  /** Total of prompt tokens that the engine has had to prefill for this gateway. */
   double prefilled_tokens;
 } engine_load;
 
 void engine_load_init(engine_load *load);
 void engine_load_free(engine_load *load);
-/** A new engine is expected to be as fast as one of its service. */
+/** Initializes the speed of a new engine from another engine of its service. */
 void engine_load_copy_speed(engine_load *load, const engine_load *from);
-/** The factor by which a first event takes longer with so many requests running; slots may be 0. */
+/** The factor by which the time to the first event grows with the number of running requests; slots
+ * may be 0. */
 double engine_load_batch_slowdown(int running, unsigned slots);
-/** Records that the request for which engine_select chose this engine last was sent to it. */
+/** Records that a request was sent to this engine: the one for which engine_select last chose it.
+ */
 void gateway_engine_record_sent(gateway_engine *engine, double tokens);
-/** Records the first event of a request with so many prompt tokens; running_then is the number of
- * requests that ran there when its slot was reserved. */
+/** Records the first event of a request. tokens: its prompt tokens; running_then: the number of
+ * requests that ran on the engine when its slot was reserved. */
 void gateway_engine_record_first_event(gateway_engine *engine, double tokens, double ms,
                                        int running_then);
 /** Records the end of a request; ok is false when the engine failed. */
 void gateway_engine_record_end(gateway_engine *engine, bool ok);
-/** Prompt tokens of all gateways' requests that wait there for their first event. */
+/** Prompt tokens of all gateways' requests that wait on the engine for their first event. */
 double gateway_engine_waiting_tokens(const gateway_engine *engine);
-/** Requests of all gateways that run there. */
+/** The number of requests of all gateways that run on the engine. */
 int gateway_engine_running_requests(const gateway_engine *engine);
-/** A short name of a model, or of an adapter on its model, in reports of load; never 0. */
+/** A hash that identifies a model, or an adapter on its model, in traffic reports; never 0. */
 uint32_t gateway_engine_model_key(id model, id adapter);
-/** True when some gateway runs a request for a model (and adapter, if any) there, as far as is
- * known. */
+/** True when any gateway is known to run a request for a model (and adapter, if any) on the engine.
+ */
 bool gateway_engine_is_running(const gateway_engine *engine, id model, id adapter);
 #endif
--- a/lib/gateway/feature_flags.c
+++ b/lib/gateway/feature_flags.c
@@ -1,4 +1,4 @@
-/** Names of the features that can be switched off; they are part of the command line. */
+/** Names of the features that can be disabled; they are part of the command-line interface. */
 #include "feature_flags.h"
 
 static const char *const names[FEATURE_COUNT] = {
@@ -24,7 +24,7 @@
   return names[feature_flag];
 }
 
-/* the flag of a name; -1 when there is none */
+/* the feature with a name; -1 when there is none */
 static int feature_of(const char *name) {
   for (int flag = 0; flag < FEATURE_COUNT; flag++)
     if (!strcmp(names[flag], name))
--- a/lib/gateway/feature_flags.h
+++ b/lib/gateway/feature_flags.h
@@ -1,49 +1,49 @@
-/** Parts of the gateway's policy that can be switched off one by one, to measure what each of them
- * gains (scripts/ablation). All are on unless the settings say otherwise. */
+/** Features of the gateway's policy that can be disabled one by one to measure the effect of each
+ * (scripts/ablation). All are enabled unless the settings disable them. */
 #ifndef GATEWAY_FEATURE_FLAGS_H
 #define GATEWAY_FEATURE_FLAGS_H
 #include "base.h"
 
 enum feature_flag {
-  /** An engine is chosen by the prompt prefixes that it has cached. */
+  /** Engine selection considers the prompt prefixes in an engine's cache. */
   FEATURE_PREFIX,
-  /** An engine is chosen by how many requests run there. */
+  /** Engine selection considers the number of requests that run on an engine. */
   FEATURE_BATCH,
-  /** An engine whose KV memory fills is avoided. */
+  /** Engine selection avoids engines whose KV cache memory fills up. */
   FEATURE_KV,
-  /** Requests wait for a slot when all engines are full; off: they are refused. */
+  /** Requests wait for a slot when all engines are full; disabled: they are refused. */
   FEATURE_QUEUE,
-  /** A request whose slot would come too late is refused early. */
+  /** A request is refused early if its slot would become free too late. */
   FEATURE_EARLY_REFUSAL,
-  /** Models whose requests wait get further replicas. */
+  /** Models with waiting requests get additional replicas. */
   FEATURE_REPLICAS,
-  /** The eviction policy is the configured one (CremeBrulee by default); off: the least recently
-   * used goes. */
+  /** Eviction uses the configured policy (CremeBrulee by default); disabled: least recently used.
+   */
   FEATURE_CREMEBRULEE,
-  /** A request may be sent to a second engine. */
+  /** A request may be retried on a second engine. */
   FEATURE_RETRIES,
-  /** A stream is continued by another engine within one response. */
+  /** An interrupted stream is continued by another engine within the same response. */
   FEATURE_RESUME,
-  /** Engines of other zones cost more. */
+  /** Engine selection adds a cost for engines of other zones. */
   FEATURE_ZONE,
-  /** Engines that fail part of their requests are avoided. */
+  /** Engines that fail some of their requests are avoided. */
   FEATURE_OUTLIER_EJECTION,
-  /** An unload is ordered some time after it was announced. */
+  /** An unload is ordered only some time after its announcement. */
   FEATURE_ANNOUNCE_UNLOAD,
-  /** What was just loaded has a request rate, and is not evicted for a while. */
+  /** A new adapter gets a minimum request rate and is not evicted for a short time. */
   FEATURE_NEW_RATE,
-  /** Gateways that run what is to be unloaded object. */
+  /** Gateways object to the unload of a model or adapter that they use. */
   FEATURE_UNLOAD_OBJECTIONS,
-  /** Loads go first to engines where nothing that runs has to be evicted. */
+  /** Loads go first to engines where only idle models have to be evicted. */
   FEATURE_IDLE_FIRST,
   /** A draining gateway refuses streams that would outlast it. */
   FEATURE_DRAIN_STREAMS,
   FEATURE_COUNT
 };
 
-/** The name of a feature in settings and reports. */
+/** The name of a feature on the command line and in reports. */
 const char *feature_flag_name(enum feature_flag feature_flag);
-/** Reads names separated by commas into a set, a bit for each; false, with the error set, when one
- * is unknown. */
+/** Parses a comma-separated list of names into a bit set; false with the error set when a name is
+ * unknown. */
 bool feature_flags_parse(const char *names, unsigned *set, error *err);
 #endif
--- a/lib/gateway/fleet_rates.c
+++ b/lib/gateway/fleet_rates.c
@@ -5,19 +5,19 @@
 
 enum {
   RATES_INTERVAL_MS = 1000,
-  /* shards of the keys in a large fleet, each with a collector */
+  /* number of key shards in a large fleet; each has a collector */
   RATE_SHARDS = 8,
   SHARD_HASH_SEED = 7,
-  /* a total that was not announced for so many intervals has expired */
+  /* a total expires when it was not announced for this many intervals */
   TOTAL_TTL_INTERVALS = 4,
-  /* bound of a key's length in messages */
+  /* maximum length of a key in messages */
   MAX_KEY_LENGTH = 100,
-  /* totals travel in thousandths of a request per second */
+  /* unit of announced totals: thousandths of a request per second */
   RATE_SCALE = 1000
 };
-/* Window over which rates are counted where the settings have none, in s. */
+/* Default of the window over which rates are counted, in s. */
 static const double DEFAULT_WINDOW_S = 20;
-/* Weight of the rate over the window; the rest is that of the recent rate. */
+/* Weight of the rate over the window; the recent rate has the rest. */
 static const double WINDOW_RATE_WEIGHT = 0.5;
 
 void fleet_rates_init(fleet_rates *rates) {
@@ -86,7 +86,7 @@
     address[0] = 0;
 }
 
-/* sends counts (of Wire__RequestCount) to an address, or to all gateways (NULL) */
+/* sends counts (an array of Wire__RequestCount) to an address, or with NULL to all gateways */
 static void send_counts(gateway *gateway, const GPtrArray *counts, const char *address,
                         bool fleet_totals) {
   node *node = &gateway->router->node;
@@ -104,7 +104,7 @@
     peer_rpc_broadcast(node, ROLE_ROUTER, &message);
 }
 
-/* a count that points to its key */
+/* allocates a count; the key is not copied */
 static Wire__RequestCount *count_new(char *key, uint64_t total) {
   Wire__RequestCount *count = g_new(Wire__RequestCount, 1);
   wire__request_count__init(count);
@@ -113,8 +113,8 @@
   return count;
 }
 
-/* announces the totals of the keys that this gateway collects: those that are requested at all, and
- * once more when that ends */
+/* announces the totals of the keys that this gateway collects: all with a rate above 0, and once
+ * more with 0 when requests stop */
 static void announce_totals(gateway *gateway, const bool own_shards[RATE_SHARDS]) {
   GPtrArray *counts = g_ptr_array_new_with_free_func(g_free);
   GHashTableIter iter;
@@ -134,7 +134,7 @@
   g_ptr_array_free(counts, TRUE);
 }
 
-/* changes when a gateway comes, goes or restarts */
+/* a checksum that changes when a gateway joins, leaves or restarts */
 static uint64_t membership_checksum(const gateway *gateway) {
   const node *node = &gateway->router->node;
   uint64_t checksum = node->nonce;
@@ -144,7 +144,7 @@
   return checksum;
 }
 
-/* own counts that have changed since they were sent last */
+/* own counts that have changed since they were last sent */
 static GPtrArray *changed_counts(gateway *gateway) {
   event_history *history = &gateway->router->history;
   GHashTable *sent = gateway->fleet_rates.counts_sent;
@@ -180,7 +180,8 @@
   g_ptr_array_free(in_shard, TRUE);
 }
 
-/* sends counts to the collectors of their keys; own_shards: those that this gateway collects */
+/* sends counts to the collectors of their keys; own_shards: the shards that this gateway collects
+ */
 static void send_to_collectors(gateway *gateway, const GPtrArray *counts,
                                bool own_shards[RATE_SHARDS]) {
   for (int shard = 0; shard < RATE_SHARDS; shard++) {
@@ -205,7 +206,7 @@
     apply_window(gateway);
     if (!world_sleep_with_jitter(gateway->router->node.world, time_from_ms(RATES_INTERVAL_MS)))
       return;
-    /* a gateway that is new, or has restarted, is sent all counts again */
+    /* all counts are sent again when a gateway has joined or restarted */
     uint64_t membership = membership_checksum(gateway);
     if (membership != known_membership)
       g_hash_table_remove_all(gateway->fleet_rates.counts_sent);
--- a/lib/gateway/gateway_engines.c
+++ b/lib/gateway/gateway_engines.c
@@ -1,21 +1,23 @@
-/** Registration of engines at a gateway; see gateway_engines.h. Three messages change it: a config
- * sync lists engines, a controller broadcasts an engine's state with its heartbeats, and the holder
- * of an engine's lease broadcasts its residents as orders take effect. */
+/** Registration of engines at a gateway; see gateway_engines.h. Three messages update it: a config
+ * sync lists engines, a controller broadcasts an engine's state on its heartbeats, and the holder
+ * of an engine's lease broadcasts its residents when orders take effect. */
 #include "gateway_engines.h"
 #include "gateway.h"
 #include "traffic_reports.h"
 
 enum {
-  /* an engine whose heartbeat is younger is kept although a controller's list lacks it: the list
-     may be older */
+  /* an engine with a more recent heartbeat is kept even if it is missing from a controller's list,
+     since the list may be older */
   UNREGISTERED_GRACE_MS = 2500,
-  /* a heartbeat older than the engine's last report by this span says nothing new of residents */
+  /* the residents in a heartbeat are ignored unless it is newer than the engine's last report by
+     more than this */
   HEARTBEAT_LAG_MS = 700,
-  /* changes by orders that are younger than a heartbeat by this span stay */
+  /* guard time of heartbeats: a heartbeat doesn't undo changes by orders that are newer than
+     itself, or older by less than this */
   HEARTBEAT_GUARD_MS = 1500,
-  /* longer than any message about a gone engine is under way */
+  /* longer than the delay of any message about a gone engine */
   ENGINE_TOMBSTONE_MS = 60000,
-  /* bound of spans in messages (about a day), so that sums don't overflow */
+  /* upper bound of durations in messages (about a day), so that sums don't overflow */
   MAX_SPAN_MS = 100000000
 };
 
@@ -73,7 +75,7 @@
   condition_broadcast(&engine->gateway->engines.changed);
 }
 
-/* an engine that was only silent is back: what was known of it starts anew */
+/* restores an engine that was only silent; what was known about it is reset */
 static void revive(gateway_engine *engine) {
   engine->gone = engine->unresponsive = engine->residents.known = false;
   engine->state_received_at = engine->orders.reported_at = (time_us){ 0 };
@@ -81,7 +83,7 @@
   condition_broadcast(&engine->gateway->engines.changed);
 }
 
-/* its speed is expected to be that of another engine of its service until it is known */
+/* initializes the speed of a new engine from another engine of its service */
 static void copy_speed_of_service(gateway_engine *engine) {
   list_for_each (other, &engine->gateway->engines.list, gateway_engine, link)
     if (other != engine && !other->gone && id_equal(other->service, engine->service)) {
@@ -90,7 +92,7 @@
     }
 }
 
-/* an address is one engine's at a time: the one with the younger heartbeat */
+/* an address belongs to one engine at a time: the one with the more recent heartbeat */
 static void resolve_shared_address(gateway_engine *engine) {
   list_for_each (other, &engine->gateway->engines.list, gateway_engine, link) {
     if (other == engine || other->gone || strcmp(other->addr, engine->addr))
@@ -100,7 +102,8 @@
   }
 }
 
-/* registers an engine; NULL when its state is no registration or its address is another's */
+/* registers an engine; NULL when the state isn't a valid registration or the address belongs to
+ * another engine */
 static gateway_engine *register_engine(gateway *gateway, const Wire__EngineState *state) {
   if (state->gone || !address_is_valid(state->address) ||
       !id_is_valid(string_view_of(state->service)))
@@ -118,7 +121,8 @@
   return engine;
 }
 
-/* takes over that an engine drains, and when it ends; both are for good */
+/* updates draining and the end time; draining is never undone, and the end time is never postponed
+ */
 static void update_draining(gateway_engine *engine, const Wire__EngineState *state,
                             time_us heartbeat_at) {
   if (state->draining && !engine->draining) {
@@ -132,7 +136,7 @@
     engine->ends_at = ends_at;
 }
 
-/* takes over a heartbeat unless a later one is known */
+/* applies a heartbeat unless a later one is known */
 static void update_from_heartbeat(gateway_engine *engine, const Wire__EngineState *state,
                                   time_us heartbeat_at) {
   if (state->heartbeat_count < engine->heartbeat_count)
@@ -168,7 +172,7 @@
   }
   if (!engine && !(engine = register_engine(gateway, state)))
     return;
-  /* gone and draining: signed off, for good; gone alone: silent */
+  /* gone and draining: signed off, permanently; gone only: silent */
   if (state->gone) {
     engine->unresponsive = !state->draining;
     gateway_engine_remove(engine, state->draining ? "it has signed off" : "it is silent");
@@ -189,7 +193,7 @@
   return count;
 }
 
-/* removes the engines that a complete list lacks */
+/* removes the engines that are missing from a complete list */
 static void remove_unregistered(gateway *gateway, const Wire__ConfigPollResponse *response) {
   time_us now = gateway_now(gateway);
   GHashTable *listed = g_hash_table_new(g_str_hash, g_str_equal);
@@ -230,7 +234,8 @@
   return false;
 }
 
-/* true when this gateway runs something on an engine that a list of its residents lacks */
+/* true when this gateway runs requests on an engine for a model or adapter that is missing from the
+ * list of its residents */
 static bool runs_unlisted(const gateway_engine *engine, const Wire__EngineState *state) {
   for (guint i = 0; i < engine->load.own_runs->len; i++) {
     const own_run *run = &g_array_index(engine->load.own_runs, own_run, i);
@@ -240,7 +245,7 @@
   return false;
 }
 
-/* takes over an engine's residents from the holder of its lease */
+/* applies an engine's residents as sent by its lease holder */
 static void on_holder_update(gateway *gateway, const Wire__EngineState *state,
                              const char *holder_address) {
   gateway_engine *engine = gateway_engine_find(gateway, state->id);
@@ -248,7 +253,8 @@
     return;
   engine->orders.peer_ordered_at = gateway_now(gateway);
   engine_residents_apply_holder_update(engine, state);
-  /* the holder unloads what it thinks idle; the loads of this gateway tell it otherwise in time */
+  /* the holder unloads models that it considers idle; a traffic report tells it in time that this
+   * gateway uses one of them */
   if (gateway_feature_enabled(gateway, FEATURE_UNLOAD_OBJECTIONS) && runs_unlisted(engine, state))
     traffic_reports_send(gateway, holder_address);
 }
--- a/lib/gateway/gateway_engines.h
+++ b/lib/gateway/gateway_engines.h
@@ -1,9 +1,9 @@
-/** The engines that a gateway knows: registration by heartbeats, as the controllers pass them on,
- * and their end.
+/** Table of the engines that a gateway knows, from their registration by heartbeats (forwarded by
+ * the controllers) to their removal.
  *
- * An engine id stands for one incarnation of one engine process: a restart registers a new one. An
- * engine that signs off is gone for good; one that was only silent comes back with a later
- * heartbeat. An engine stays in the table for ENGINE_TOMBSTONE_MS after it is gone, so that old
+ * An engine id identifies one incarnation of an engine process; a restart registers a new id. An
+ * engine that signs off is removed for good; one that was only silent is restored by a later
+ * heartbeat. After its removal an engine stays in the table for ENGINE_TOMBSTONE_MS, so that old
  * messages don't register it again. */
 #ifndef GATEWAY_GATEWAY_ENGINES_H
 #define GATEWAY_GATEWAY_ENGINES_H
@@ -16,29 +16,30 @@
 #include "load_jobs.h"
 #include "prefix_cache.h"
 
-/** An incarnation of an engine. The fields outside the modules' states are written by
- * gateway_engines.c. */
+/** One incarnation of an engine. All fields except unreachable_until and the states of other
+ * modules are written by gateway_engines.c. */
 typedef struct gateway_engine {
   list_node link; /* in gateway_engine_table.list */
   gateway *gateway;
-  /** References by requests and load jobs; a gone engine is freed once there are none. */
+  /** The number of references by requests and load jobs; a gone engine is freed when there are
+   * none. */
   int refs;
 
-  /* as its heartbeats say */
+  /* from its heartbeats */
   id engine_id, service, zone, version;
   char addr[48];
   unsigned slots;
   uint64_t heartbeat_count;
   time_us heartbeat_at;
-  /** When this gateway last took over a heartbeat; 0 before the first. */
+  /** When this gateway last applied a heartbeat; 0 before the first. */
   time_us state_received_at;
-  /** A shutdown has begun; when it ends at the latest (0 when not known). */
+  /** draining: its shutdown has begun; ends_at: the latest time at which it ends (0: unknown). */
   bool draining;
   time_us ends_at;
-  /** Signed off or silent. */
+  /** It has signed off, is silent or is no longer registered. */
   bool gone;
   time_us gone_at;
-  /** Gone only because it was silent: a later heartbeat brings it back. */
+  /** It is gone without having signed off: a later heartbeat restores it. */
   bool unresponsive;
 
   /* as this gateway sees it */
@@ -53,7 +54,8 @@
   capacity_account capacity;
   engine_load_jobs load_jobs;
 
-  /** At a coordinator of placements: its lease holder got no response from it, until then. */
+  /** At a placement coordinator: until when the engine counts as unreachable, because its lease
+   * holder could not reach it. Written by placement.c. */
   time_us unreachable_until;
 } gateway_engine;
 
@@ -61,26 +63,28 @@
 typedef struct gateway_engine_table {
   list_node list;    /* of gateway_engine */
   GHashTable *by_id; /* engine id -> gateway_engine */
-  condition changed; /* engines, residents or free slots have changed */
+  condition changed; /* signalled when engines, residents or free slots change */
   bool is_known;     /* a controller has listed the engines at least once */
 } gateway_engine_table;
 
-/** The engine with an id, also one that is gone; NULL when there is none. */
+/** The engine with an id, even if it is gone; NULL when there is none. */
 gateway_engine *gateway_engine_find(gateway *gateway, const char *engine_id);
-/** Takes over an engine's state, as a controller sends it: the latest heartbeat wins, and draining
- * is for good. */
+/** Applies an engine's state sent by a controller: the latest heartbeat wins, and draining is never
+ * undone. */
 void gateway_engine_update(gateway *gateway, const Wire__EngineState *state);
-/** Takes over the engines of a config sync; a complete list removes those that it lacks. */
+/** Applies the engine list of a config sync; a complete list removes engines that are missing from
+ * it. */
 void gateway_engines_config_sync(gateway *gateway, const Wire__ConfigPollResponse *response);
-/** Marks an engine as gone; why is for the log. */
+/** Marks an engine as gone; why is written to the log. */
 void gateway_engine_remove(gateway_engine *engine, const char *why);
 void gateway_engine_ref(gateway_engine *engine);
 void gateway_engine_unref(gateway_engine *engine);
-/** How many engines of a service hold a model and adapter and show signs of life. */
+/** The number of engines of a service that hold a model and adapter and are responsive. */
 int gateway_engines_count_replicas(gateway *gateway, id service, id model, id adapter);
-/** Frees the engines that have long been gone. */
+/** Frees engines that have been gone for ENGINE_TOMBSTONE_MS and are not referenced. */
 void gateway_engines_collect(gateway *gateway);
-/** Registers the message by which controllers and lease holders send states of engines. */
+/** Registers the handler of the message with which controllers and lease holders send engine
+ * states. */
 void gateway_engines_start(gateway *gateway);
 void gateway_engines_free(gateway *gateway);
 #endif
--- a/lib/gateway/route_durations.c
+++ b/lib/gateway/route_durations.c
@@ -1,9 +1,10 @@
-/** Durations of requests by route: an exponential mean and an exponential mean deviation from it,
- * as TCP estimates its retransmission timeout. */
+/** Durations of requests by route: exponential moving averages of the duration and of its
+ * deviation, in the way in which TCP estimates its retransmission timeout. */
 #include "route_durations.h"
 #include <math.h>
 
-/* Fewer samples say nothing; nearly all requests end within so many deviations of the mean. */
+/* The minimum number of samples for an estimate, and the number of mean deviations above the mean
+ * within which nearly all requests end. */
 enum { MIN_SAMPLES = 4, DEVIATIONS = 2 };
 /* Weight of one sample. */
 static const double SAMPLE_WEIGHT = 0.15;
--- a/lib/gateway/service_traffic.c
+++ b/lib/gateway/service_traffic.c
@@ -1,12 +1,13 @@
-/** Learnt times of services at this gateway: exponential means over its own requests. */
+/** Traffic statistics of services: exponential moving averages over this gateway's own requests. */
 #include "service_traffic.h"
 #include "gateway.h"
 
-/* Expected times of a service before its first request. */
+/* Initial values of the averages before the first request of a service. */
 static const double INITIAL_FIRST_EVENT_MS = 150, INITIAL_RUN_MS = 500;
-/* Weight of one sample: the means follow a change within some ten requests. */
+/* Weight of one sample; the averages follow a change within about ten requests. */
 static const double SAMPLE_WEIGHT = 0.1;
-/* A longer time between two free slots says that no requests came, not that slots are rare. */
+/* Upper bound of a sample of the slot interval: a longer time means that there were no requests,
+ * not that slots are scarce. */
 static const double MAX_SLOT_INTERVAL_MS = 5000;
 
 GHashTable *service_traffic_table_new(void) {
--- a/lib/gateway/traffic_reports.c
+++ b/lib/gateway/traffic_reports.c
@@ -1,28 +1,32 @@
-/** Exchange of loads between gateways. A report names all engines where its sender runs something:
- * one that it does not name has nothing of it. A report that is lost is replaced by the next. */
+/** Exchange of engine loads between gateways. A report lists all engines on which its sender runs
+ * requests; the sender runs none on engines that are not listed. A lost report is replaced by the
+ * next one. */
 #include "traffic_reports.h"
 #include "gateway.h"
 
 enum {
   REPORT_INTERVAL_MS = 250,
-  /* up to so many gateways a report goes to all; beyond, to REPORT_FANOUT of them by random */
+  /* a report goes to all other gateways if there are at most this many, else to REPORT_FANOUT of
+     them at random */
   BROADCAST_MAX_NODES = 16,
   REPORT_FANOUT = 12,
-  /* a peer's load is kept for four intervals, in large fleets for 1.5 mean times between two
-     reports of the same peer */
+  /* the load of a peer expires after four intervals; in large fleets after 1.5 times the mean time
+     between two reports from the same peer */
   PEER_LOAD_MIN_TTL_MS = 1000,
-  /* a gateway that fails at so many engines, and at more than succeed, is at fault itself */
+  /* a gateway with failures on at least this many engines, and on more than have succeeded
+     recently, is at fault itself */
   OWN_FAULT_MIN_ENGINES = 3,
   RECENT_SUCCESS_MS = 1500,
-  /* failures of one report that count */
+  /* maximum number of failures that count per engine and report */
   MAX_REPORTED_FAILURES = 4,
-  /* bound of a peer's count, so that sums don't overflow */
+  /* upper bound of the request count of a peer, so that sums don't overflow */
   MAX_REPORTED_RUNNING = 100000
 };
-/* Of failures that a gateway of another zone has seen: the cause may lie on its way. */
+/* Weight of a failure seen by a gateway in another zone; the cause may be the network between the
+ * zones. */
 static const double OTHER_ZONE_FAILURE_WEIGHT = 0.6;
 
-/* drops expired loads of peers and sums up the rest */
+/* drops expired peer loads and sums up the rest */
 static void sum_peer_loads(gateway_engine *engine) {
   engine_load *load = &engine->load;
   time_us now = gateway_engine_now(engine);
@@ -44,7 +48,7 @@
   }
 }
 
-/* takes over what one gateway runs on one engine, by a report that came at an instant */
+/* sets the load of one gateway on one engine from a report that arrived at received_at */
 static void set_peer_load(gateway_engine *engine, uint64_t nonce, time_us received_at,
                           const Wire__EngineTraffic *reported) {
   GArray *peer_loads = engine->load.peer_loads;
@@ -63,8 +67,8 @@
   g_array_append_val(peer_loads, peer);
 }
 
-/* removes a gateway's load from an engine that its report does not name: one that it names bears
- * the report's own instant */
+/* removes a gateway's load from an engine that its report doesn't list; loads that the report lists
+ * have its received_at */
 static void remove_unnamed_load(gateway_engine *engine, uint64_t nonce, time_us received_at) {
   GArray *peer_loads = engine->load.peer_loads;
   for (guint i = 0; i < peer_loads->len; i++) {
@@ -79,7 +83,7 @@
 
 void traffic_reports_apply(gateway *gateway, uint64_t nonce, bool same_zone,
                            const Wire__TrafficReport *report) {
-  /* read once: the clock moves on while the report is applied */
+  /* read only once, since the clock advances while the report is applied */
   time_us received_at = gateway_now(gateway);
   for (size_t i = 0; i < report->n_engines; i++) {
     const Wire__EngineTraffic *reported = report->engines[i];
@@ -121,7 +125,8 @@
   return count;
 }
 
-/* what runs there: a run counts for its model and for its adapter */
+/* fills in the keys of the models and adapters in use; a request counts for its model and for its
+ * adapter */
 static void fill_model_hashes(const engine_load *load, Wire__EngineTraffic *traffic) {
   uint32_t keys[PEER_LOAD_MAX_MODELS];
   size_t count = 0;
@@ -137,7 +142,7 @@
   traffic->model_hashes = g_memdup2(keys, count * sizeof *keys);
 }
 
-/* what this gateway runs on an engine, to be freed by engine_traffic_free */
+/* this gateway's load on an engine; to be freed by engine_traffic_free */
 static Wire__EngineTraffic *engine_traffic_new(const gateway_engine *engine, int failures) {
   Wire__EngineTraffic *traffic = g_new(Wire__EngineTraffic, 1);
   wire__engine_traffic__init(traffic);
@@ -167,7 +172,8 @@
   g_ptr_array_free(loads, TRUE);
 }
 
-/* a gateway that fails at most engines is at fault itself, and reports none of them */
+/* true when this gateway sees failures on most engines, so that it is at fault itself; it reports
+ * no failures then */
 static bool is_at_fault_itself(const gateway *gateway) {
   time_us now = gateway_now(gateway);
   int failing = 0, succeeding = 0;
@@ -180,7 +186,7 @@
   return failing >= OWN_FAULT_MIN_ENGINES && failing > succeeding;
 }
 
-/* the other gateways; counts them into router_count */
+/* finds the other gateways and updates router_count */
 static GPtrArray *find_routers(gateway *gateway) {
   GPtrArray *routers = g_ptr_array_new();
   list_for_each (peer, &gateway->router->node.peers, peer_node, link)
@@ -190,7 +196,7 @@
   return routers;
 }
 
-/* checks each engine and gathers what is to be reported of it */
+/* checks the health of each engine and collects the loads and failures to report */
 static GPtrArray *gather_loads(gateway *gateway, bool own_fault, bool *has_runs,
                                bool *has_failures) {
   GPtrArray *loads = g_ptr_array_new_with_free_func(engine_traffic_free);
@@ -210,7 +216,7 @@
   return loads;
 }
 
-/* sends to as many random peers; the array is shuffled */
+/* sends a message to this number of random peers; reorders the array */
 static void send_to_random(gateway *gateway, GPtrArray *routers, guint count,
                            Wire__Envelope *message) {
   node *node = &gateway->router->node;
@@ -233,7 +239,7 @@
     Wire__TrafficReport report = report_of(loads);
     Wire__Envelope message = wire_envelope(WIRE__ENVELOPE__BODY_TRAFFIC_REPORT, &report);
     bool to_all = routers->len <= BROADCAST_MAX_NODES || has_failures;
-    /* after its last run has ended an empty report says so */
+    /* one empty report follows when the last own request has ended */
     if (loads->len || had_runs)
       send_to_random(gateway, routers, to_all ? routers->len : REPORT_FANOUT, &message);
     had_runs = has_runs;
