--- a/tests/gateway/capacity_account.c
+++ b/tests/gateway/capacity_account.c
@@ -3,9 +3,9 @@
 #include "tests.h"
 #include <stdio.h>
 
-/* tests of the room on engines: whatever happens to holders, links, orders and beats, an engine
- * never gets an order to load more than it has room or adapter places for; judged by what engines
- * themselves wrote down */
+/* Tests of the capacity of engines: with any faults of lease holders, links, orders and heartbeats,
+ * an engine never accepts an order for a load beyond its memory or adapter slots. Checked against
+ * the records of the engines themselves. */
 
 enum { STEP_MS = 250, TROUBLED_MS = 40000, HEALED_MS = 12000, LOADS_LEAST = 15, ADAPTERS = 3 };
 
@@ -30,7 +30,7 @@
       ->engine_processes[sim_random(t->deployment->sim, t->deployment->model_engine_count)];
 }
 
-/* what holds an engine, or any gateway */
+/* the lease holder of a random engine, or any gateway */
 static deployment_process *a_holder(room_trial *t) {
   deployment_process *e = any_engine(t),
                      *process = e->engine ? engine_holder(t->deployment, e) : NULL;
@@ -48,7 +48,7 @@
   load_request(t->deployment, from, e, model, adapter, false)->most = 1000000000;
 }
 
-/* callers, some of whom reach an engine before the adapter that they want is up */
+/* sends client requests, some of which reach an engine before their adapter is loaded */
 static void request_for_runs(room_trial *t) {
   char model[16];
   for (int k = 0; k < 3; k++) {
@@ -115,7 +115,8 @@
     cut_a_holder_off(t);
     break;
   case 4:
-    /* beats wait for a machine that does not answer, and are old when the next one takes them */
+    /* heartbeats wait for a controller that does not answer, and are old when the next controller
+     * receives them */
     freeze_a_host(
         t, t->fleet->controller[sim_random(t->deployment->sim, (uint64_t)t->fleet->controllers)]);
     break;
@@ -174,8 +175,7 @@
   if (!deployment_bring_up(deployment))
     return deployment_finish(deployment, 0);
   sim_run(deployment->sim, time_from_ms(2500));
-  /* given two engines of which much more is asked than they hold, when troubles of all kinds come
-   * at once */
+  /* requests many more loads than two engines can hold, while random faults occur */
   for (int ms = 0; ms < TROUBLED_MS; ms += STEP_MS) {
     for (int k = (int)sim_random(deployment->sim, 3); k > 0; k--)
       request_for_a_load(&t);
@@ -192,18 +192,19 @@
     request_for_a_load(&t);
     sim_run(deployment->sim, time_from_ms(STEP_MS));
   }
-  /* then no engine is ordered past its room or places (LIMIT), and loads go on after it */
+  /* no engine accepts loads beyond its memory or adapter slots (LIMIT), and loads continue after
+   * the faults */
   gateway_check_limit(deployment);
   if (before < LOADS_LEAST || loads_taken(&t) - before < 4)
-    fleet_add_violation(fleet, "only %d loads in trouble and %d after it", before,
+    fleet_add_violation(fleet, "only %d loads during the faults and %d after them", before,
                         loads_taken(&t) - before);
   bool ok = !fleet->violations->len;
   deployment_free(deployment);
   return ok;
 }
 
-/* requests that reach an engine before their adapter is up are refused, and the adapter is there a
- * moment later: it takes a place all the same */
+/* Guards against freeing the slot of an adapter when an engine refuses a request for it: the
+ * request arrived before the adapter was loaded, which uses its slot a moment later. */
 static bool a_refused_request_frees_no_place(fleet *fleet) {
   deployment *deployment = deployment_new(fleet, 2, 1);
   deployment->loads_per_s = 20;
@@ -214,9 +215,9 @@
   sim_run(deployment->sim, time_from_ms(2500));
   deployment_process *process = engine_holder(deployment, deployment->engine_processes[0]);
   if (!process)
-    fleet_add_violation(fleet, "nobody holds the engine");
-  /* given an engine with four places, when six adapters are loaded one after the other while
-   * requests for them come, and later ones take longer than the holder has learnt */
+    fleet_add_violation(fleet, "no gateway holds the engine's lease");
+  /* an engine with four adapter slots loads six adapters one after the other while requests for
+   * them arrive; the later loads take longer than the load time that the holder has measured */
   static const char *const wanted[] = { "m1/a1", "m1/a2", "m1/a3", "m2/a1", "m2/a2", "m2/a3" };
   for (size_t k = 0; process && k < G_N_ELEMENTS(wanted); k++) {
     char model[4] = { wanted[k][0], wanted[k][1] };
@@ -224,21 +225,21 @@
     load *l = load_request(deployment, process, deployment->engine_processes[0], model,
                            wanted[k] + 3, false);
     sim_run_until(deployment->sim, load_done, l, time_from_ms(3000));
-    /* all gateways have heard by now that it is there */
+    /* by now, all gateways know that the adapter is loaded */
     for (int n = 0; n < 12; n++)
       client_sim_send(deployment->client, deployment->note, wanted[k]);
     sim_run(deployment->sim, time_from_ms(50));
   }
   sim_run(deployment->sim, time_from_ms(3000));
-  /* then no adapter is ordered past the places (LIMIT) */
+  /* no adapter is loaded beyond the adapter slots (LIMIT) */
   gateway_check_limit(deployment);
   bool ok = !fleet->violations->len;
   deployment_free(deployment);
   return ok;
 }
 
-/* an order that its holder had given up reaches the engine later, and is carried out: what it
- * brings is in no report that the holder has read */
+/* An order that its lease holder has given up reaches the engine late and is executed. Guards
+ * against loads that ignore it, since no report that the holder has read includes its result. */
 static bool an_order_arrives_late(fleet *fleet) {
   deployment *deployment = deployment_new(fleet, 2, 1);
   deployment->loads_per_s = 20;
@@ -252,10 +253,10 @@
   sim_run(deployment->sim, time_from_ms(2500));
   deployment_process *process = engine_holder(deployment, deployment->engine_processes[0]);
   if (!process)
-    fleet_add_violation(fleet, "nobody holds the engine");
+    fleet_add_violation(fleet, "no gateway holds the engine's lease");
   else {
-    /* given an engine with room for one more large model, and a load of one that gets no answer and
-     * comes late */
+    /* the engine has memory for one more large model; the load order of one gets no response and
+     * arrives late */
     deployment->engine_processes[0]->plan.faults.late_order_ms =
         2300 + (int64_t)sim_random(deployment->sim, 600);
     deployment->engine_processes[0]->plan.faults.late_orders = 1;
@@ -263,7 +264,7 @@
         load_request(deployment, process, deployment->engine_processes[0], "m9", "", false);
     late->most = 1000000000;
     sim_run_until(deployment->sim, load_done, late, time_from_ms(2200));
-    /* when the engine is read again before it comes, and another large model is asked for after it
+    /* the holder reads a report before the order arrives; another large model is requested after it
      */
     load *small =
         load_request(deployment, process, deployment->engine_processes[0], "m3", "a1", false);
@@ -271,9 +272,9 @@
     sim_run(deployment->sim, time_from_ms(700 + (int64_t)sim_random(deployment->sim, 500)));
     load *next =
         load_request(deployment, process, deployment->engine_processes[0], "m12", "", false);
-    /* then it is not ordered past its room (LIMIT), and that model comes in the end */
+    /* the engine's memory is not exceeded (LIMIT), and that model is loaded in the end */
     if (!sim_run_until(deployment->sim, load_done, next, time_from_ms(20000)))
-      fleet_add_violation(fleet, "the next load never comes (code %d)", next->code);
+      fleet_add_violation(fleet, "the next load never ends (code %d)", next->code);
   }
   sim_run(deployment->sim, time_from_ms(2000));
   gateway_check_limit(deployment);
@@ -294,7 +295,7 @@
     "{\"name\":\"big\",\"weightsMb\":40000,\"loadS\":2,\"adapters\":9,\"adapterMb\":40},"
     "{\"name\":\"mid\",\"weightsMb\":30000,\"loadS\":2}]}}]}";
 
-/* the account alone: a report and the orders taken since */
+/* the capacity account alone, from a report and the orders accepted since */
 static bool an_account_follows_taken_orders(fleet *fleet) {
   error err = { 0 };
   json *json = json_parse(string_view_of(ROUTING), &err);
@@ -311,21 +312,21 @@
   double mb;
   unsigned slots;
   capacity_init(&account);
-  /* before a report nothing is known, and orders change nothing */
+  /* before a report nothing is known, and orders don't change the account */
   capacity_order_accepted(&account, true, big, base, time_from_ms(1000));
   WANT(fleet, !account.is_known && !account.items->len);
   capacity_begin(&account, 7);
   capacity_add(&account, big, base);
   capacity_order_accepted(&account, true, big, a1, time_from_ms(2000));
   WANT(fleet, account.order_count == 8 && capacity_contains(&account, big, a1));
-  /* the same load again is no second thing, nor another order */
+  /* a repeated load adds neither an item nor an order */
   capacity_order_accepted(&account, true, big, a1, time_from_ms(2100));
   capacity_used(&account, service, &mb, &slots);
   WANT(fleet, account.order_count == 8 && mb == 40040 && slots == 1);
-  /* a report shows an order only when it was asked for long enough after it */
+  /* a report covers an order only if it was requested at least `lag` after it */
   WANT(fleet, !capacity_covered_by_report(&account, time_from_ms(2449), lag) &&
                   capacity_covered_by_report(&account, time_from_ms(2450), lag));
-  /* what is unloaded keeps its room until that is confirmed, and a model takes its adapters along
+  /* an unload frees capacity only once it is confirmed, and unloading a model removes its adapters
    */
   capacity_order_accepted(&account, false, big, base, time_from_ms(3000));
   capacity_order_accepted(&account, false, big, base, time_from_ms(3050));
@@ -334,7 +335,7 @@
   capacity_order_accepted(&account, true, mid, base, time_from_ms(3100));
   capacity_used(&account, service, &mb, &slots);
   WANT(fleet, account.order_count == 10 && mb == 30000 && slots == 0);
-  /* an unload that was taken of what the account does not have: it is not what the engine holds */
+  /* an accepted unload of an item that the account doesn't contain discards the account */
   capacity_order_accepted(&account, false, big, base, time_from_ms(4000));
   WANT(fleet, !account.is_known && !capacity_covered_by_report(&account, time_from_ms(4449), lag));
   capacity_free(&account);
--- a/tests/gateway/loader.c
+++ b/tests/gateway/loader.c
@@ -4,8 +4,8 @@
 #include "tests.h"
 #include <stdio.h>
 
-/* a gateway's knowledge alone, without a network: the clock and chance are those of a machine that
- * does nothing else */
+/* The state of a gateway without a network; clock and random numbers are those of an otherwise idle
+ * host. */
 typedef struct bare_gateway {
   gateway gateway;
   router router;
@@ -54,7 +54,7 @@
   g_free(bare);
 }
 
-/* takes over an engine's heartbeat: models as "m,m+a" */
+/* applies an engine's heartbeat; models: "model,model+adapter" */
 static gateway_engine *heartbeat(bare_gateway *bare, const char *self, const char *addr,
                                  uint64_t count, uint64_t age, const char *models) {
   Wire__EngineState w = WIRE__ENGINE_STATE__INIT;
@@ -110,7 +110,7 @@
   bare_gateway *bare = bare_new(fleet);
   const service *service = routing_find_service(bare->routing, "s");
   gateway_engine *engine = heartbeat(bare, "e1", "10.0.0.1:80", 1, 0, "big,mid");
-  /* half of a rate's weight lies on the last 5 s: of what was asked for 9 s ago, half is left */
+  /* the last 5 s have half of a rate's weight, so half the rate of requests from 9 s ago is left */
   asked(bare, "big", "", 60);
   asked(bare, "mid", "", 30);
   sim_run(fleet->sim, time_from_ms(9000));
@@ -120,12 +120,11 @@
                                            &slots, &drain),
                    0));
   WANT(fleet, near(mb, 10000) && slots == 0);
-  /* the lesser worth goes: two seconds of load at half of half a request a second */
+  /* the model with the lower utility is evicted: a load time of 2 s at half of 0.5 requests/s */
   WANT(fleet, near(eviction_placement_cost(engine, service, id_of_text("new"), id_of_text(""), &mb,
                                            &slots, &drain),
                    2000 * 0.5 * 0.5));
-  /* an adapter takes a slot and its own weights, and those of its model when that is not resident
-   */
+  /* an adapter uses a slot and the memory of its weights, plus that of its model if not resident */
   WANT(fleet, near(eviction_placement_cost(engine, service, id_of_text("big"), id_of_text("a1"),
                                            &mb, &slots, &drain),
                    0) &&
@@ -133,7 +132,8 @@
   eviction_placement_cost(engine, service, id_of_text("new"), id_of_text("a1"), &mb, &slots,
                           &drain);
   WANT(fleet, near(mb, 35040) && slots == 1);
-  /* both places taken: adapters go for an adapter, never the base that it needs */
+  /* both slots are taken: an adapter is evicted for an adapter, never the base model that it needs
+   */
   gateway_engine_mark_loaded(engine, id_of_text("big"), id_of_text("a2"));
   gateway_engine_mark_loaded(engine, id_of_text("big"), id_of_text("a3"));
   asked(bare, "big", "a2", 12);
@@ -142,7 +142,7 @@
   WANT(fleet, near(eviction_placement_cost(engine, service, id_of_text("big"), id_of_text("a1"),
                                            &mb, &slots, &drain),
                    25 * 0.1 * 0.5));
-  /* what is owed counts as taken */
+  /* reserved memory counts as used */
   engine->load_jobs.reserved_mb = 10000;
   WANT(fleet, eviction_placement_cost(engine, service, id_of_text("low"), id_of_text(""), &mb,
                                       &slots, &drain) > 0);
@@ -150,7 +150,7 @@
   WANT(fleet, eviction_placement_cost(engine, service, id_of_text("new"), id_of_text(""), &mb,
                                       &slots, &drain) < 0);
   engine->load_jobs.reserved_mb = 0;
-  /* what is being unloaded keeps its memory, and can't be evicted twice */
+  /* a model that is being unloaded keeps its memory and can't be evicted again */
   gateway_engine_mark_unloading(engine, id_of_text("mid"), id_of_text(""));
   WANT(fleet, !gateway_engine_has_model(engine, id_of_text("mid"), id_of_text("")) &&
                   gateway_engine_has_model(engine, id_of_text("big"), id_of_text("a2")));
@@ -160,8 +160,9 @@
   return true;
 }
 
-/* an adapter that is ordered away is announced as gone at once, so that nobody sends work for it
- * that the engine must decline; its slot counts until the engine has confirmed the order */
+/* An adapter that is to be unloaded is announced as not loaded at once, so that no gateway sends
+ * requests for it that the engine would decline. Its slot counts as used until the engine has
+ * confirmed the order. */
 static bool a_leaving_adapter_gets_no_work(fleet *fleet) {
   bare_gateway *bare = bare_new(fleet);
   const service *service = routing_find_service(bare->routing, "s");
@@ -182,7 +183,7 @@
   gateway_engine_mark_unloaded(engine, big, first);
   WANT(fleet,
        eviction_placement_cost(engine, service, big, id_of_text("a3"), &mb, &slots, &drain) == 0);
-  /* one that is loaded again while it leaves is there again, once */
+  /* an adapter that is loaded again during its unload is listed again, only once */
   gateway_engine_mark_unloading(engine, big, second);
   gateway_engine_mark_loaded(engine, big, second);
   WANT(fleet, gateway_engine_has_model(engine, big, second));
@@ -192,8 +193,8 @@
   return true;
 }
 
-/* what was loaded a moment ago is not in the rates yet; it must not be the first to go, or engines
- * whose places are short load and unload in turn while nobody is served */
+/* An adapter that was just loaded has no request rate yet. If it were evicted first, engines with
+ * too few slots would load and unload in turn without serving any request. */
 static bool a_new_adapter_is_not_the_first_to_go(fleet *fleet) {
   bare_gateway *bare = bare_new(fleet);
   const service *service = routing_find_service(bare->routing, "s");
@@ -205,7 +206,8 @@
   gateway_engine_mark_loaded(engine, big, id_of_text("a1"));
   sim_run(fleet->sim, time_from_ms(6000));
   gateway_engine_mark_loaded(engine, big, id_of_text("a2"));
-  /* neither of two that have just come, the older one before the newer one, then by their rates */
+  /* neither of two adapters that were just loaded can be evicted; later the older one goes before
+   * the newer one, and finally their rates decide */
   double older = eviction_placement_cost(engine, service, big, wanted, &mb, &slots, &drain);
   WANT(fleet, older > 0 && older < 25 * 0.2);
   gateway_engine_mark_loaded(engine, big, id_of_text("a1"));
@@ -244,15 +246,14 @@
   WANT(fleet, near(eviction_placement_cost(engine, service, id_of_text("new"), id_of_text(""), &mb,
                                            &slots, &drain),
                    2000 * 0.6 * 0.5));
-  /* what is asked for now weighs more than what was asked for before: mid stays, big goes */
+  /* recent requests weigh more than older ones: mid stays, big is evicted */
   asked(bare, "mid", "", 36);
   WANT(fleet, near(eviction_placement_cost(engine, service, id_of_text("new"), id_of_text(""), &mb,
                                            &slots, &drain),
                    2000 * 1.0 * 0.5));
   sim_run(fleet->sim, time_from_ms(9000));
-  /* with a second and third replica of big, each is worth a third of its rate; by size it is the
-   * least
-   */
+  /* with three replicas of big, each has a third of its rate, which makes its utility by size the
+   * lowest */
   heartbeat(bare, "e2", "10.0.0.2:80", 1, 0, "big");
   heartbeat(bare, "e3", "10.0.0.3:80", 1, 0, "big");
   WANT(fleet, gateway_engines_count_replicas(&bare->gateway, id_of_text("s"), id_of_text("big"),
@@ -277,7 +278,7 @@
   WANT(fleet, !gateway_engine_has_model(i, id_of_text("big"), none) &&
                   gateway_engine_has_model(i, id_of_text("mid"), none));
   sim_run(fleet->sim, time_from_ms(4000));
-  /* a late heartbeat counts by its own age */
+  /* a delayed heartbeat is applied with its own age */
   heartbeat(bare, "e1", "10.0.0.1:80", 4, 4500, "big");
   WANT(fleet, gateway_engine_has_model(i, id_of_text("mid"), none));
   heartbeat(bare, "e1", "10.0.0.1:80", 6, 0, "big,low+a1");
@@ -287,7 +288,7 @@
   heartbeat(bare, "e1", "10.0.0.1:80", 5, 0, "mid");
   WANT(fleet, gateway_engine_has_model(i, id_of_text("big"), none) &&
                   g_hash_table_contains(i->residents.models_on_disk, "mid"));
-  /* a new life at the same address ends the one before, and a life that ended never comes back */
+  /* a new incarnation at the same address removes the previous one, which is never restored */
   gateway_engine *n = heartbeat(bare, "e2", "10.0.0.1:80", 1, 0, "");
   WANT(fleet, i->gone && !n->gone && gateway_engine_usable(n) && !gateway_engine_usable(i));
   heartbeat(bare, "e1", "10.0.0.1:80", 9, 0, "big");
@@ -318,13 +319,13 @@
                                                  id_of_text("")) == 1);
   sim_run(fleet->sim, time_from_ms(700));
   WANT(fleet, gateway_engine_usable(engine));
-  /* one trial at a time */
+  /* only one trial request at a time */
   gateway_engine_record_sent(engine, 1000);
   WANT(fleet, !gateway_engine_usable(engine));
   gateway_engine_record_first_event(engine, 1000, 80, 1);
   gateway_engine_record_end(engine, true);
   WANT(fleet, gateway_engine_usable(engine) && !engine->health.consecutive_failures);
-  /* silence while work is there */
+  /* silence while a request waits */
   sim_run(fleet->sim, time_from_ms(5000));
   gateway_engine_record_sent(engine, 1000);
   sim_run(fleet->sim, time_from_ms(450));
@@ -372,7 +373,7 @@
   q.prefix = "5c1e:800,91bd:410,aaaa:250";
   for (int n = 0; n < 10; n++)
     WANT(fleet, engine_select(&bare->gateway, &q, &why, &est) == home && est < first);
-  /* it is left only when what waits there costs more than reading again */
+  /* another engine is chosen only when the queue costs more than prefilling the prefix again */
   home->load.own_waiting_tokens = 1000;
   WANT(fleet, engine_select(&bare->gateway, &q, &why, &busy) == home);
   home->load.own_waiting_tokens = 8000;
@@ -401,8 +402,8 @@
   return true;
 }
 
-/* asks come all the time, and pacers change in the middle; the store sees every load up to 150 ms
- * late */
+/* Permits are requested all the time, and the holder of the limiter changes meanwhile; each load
+ * reaches the store up to 150 ms after its permit. */
 static bool the_store_is_never_rushed(fleet *fleet) {
   const double rate = 2.6, window = 5, over = 1.1;
   int most = load_rate_limiter_max_loads(rate, window, over),
@@ -418,7 +419,7 @@
       now.us += 5000;
       if (change && !changed && now.us > at) {
         changed = true;
-        /* the new one heard of all, or of none and is young */
+        /* the new holder has received all load reports, or has just started and received none */
         time_us born = change == 1 ? (time_us){ 0 } : now;
         if (change == 2)
           g_array_set_size(log, 0);
@@ -450,7 +451,7 @@
   return true;
 }
 
-/* of what has to go, the largest goes first, and no more of it than is needed */
+/* the largest of the evicted models goes first, and no more are evicted than needed */
 static bool the_largest_goes_first(fleet *fleet) {
   host_start(fleet->operator);
   eviction_candidate all[3] = {
@@ -466,8 +467,7 @@
   return true;
 }
 
-/* what has to go is chosen by the policy resource that is in force, the operators' own expressions
- * too */
+/* eviction follows the policy resource in force, including expressions written by operators */
 static bool the_policy_in_force_chooses(fleet *fleet) {
   bare_gateway *bare = bare_new(fleet);
   const service *service = routing_find_service(bare->routing, "s");
@@ -494,7 +494,7 @@
     double cost = eviction_placement_cost(engine, service, id_of_text("new"), id_of_text(""), &mb,
                                           &slots, &drain);
     if (given[k].big != (cost > 500))
-      fleet_add_violation(fleet, "under %s the cost of what goes is %g",
+      fleet_add_violation(fleet, "under the policy %s the eviction cost is %g",
                           given[k].policy ? given[k].policy : "none", cost);
     if (bare->router.config)
       config_free(bare->router.config);
@@ -505,7 +505,7 @@
   return true;
 }
 
-/* silence is no end: a later heartbeat brings an engine back; a sign-off is one */
+/* a silent engine is restored by a later heartbeat; one that has signed off is not */
 static bool silent_engines_come_back(fleet *fleet) {
   bare_gateway *bare = bare_new(fleet);
   gateway_engine *engine = heartbeat(bare, "e1", "10.0.0.1:80", 1, 0, "big");
@@ -533,8 +533,8 @@
   return true;
 }
 
-/* an engine that was silent soon after its own report is back with what its heartbeat says, not
- * empty: its memory would look free */
+/* An engine that became silent soon after its own report is restored with the residents in its
+ * heartbeat. Guards against restoring it without residents, since its memory would look free. */
 static bool silent_engines_come_back_with_what_they_hold(fleet *fleet) {
   bare_gateway *bare = bare_new(fleet);
   gateway_engine *engine = heartbeat(bare, "e1", "10.0.0.1:80", 1, 0, "big,mid");
@@ -558,8 +558,8 @@
   return true;
 }
 
-/* the demand for one model begins suddenly: as many replicas as clear its queue, and none for a
- * queue that is short */
+/* When the demand for a model rises suddenly, it gets as many replicas as clear its queue, and none
+ * if the queue is short. */
 static bool what_waits_says_how_many_copies(fleet *fleet) {
   bare_gateway *bare = bare_new(fleet);
   id s = id_of_text("s"), big = id_of_text("big"), none = id_of_text("");
@@ -580,8 +580,8 @@
   return true;
 }
 
-/* an engine that fails some of its work and answers the rest: each node sees little of it, all
- * together see enough */
+/* An engine fails some of its requests and serves the rest. Each gateway sees few of the failures;
+ * all together see enough to detect it. */
 static bool failures_now_and_then_add_up_over_nodes(fleet *fleet) {
   bare_gateway *bare = bare_new(fleet);
   gateway_engine *engine = heartbeat(bare, "e1", "10.0.0.1:80", 1, 0, "big"),
@@ -592,13 +592,14 @@
                               .remaining_ms = 4000 };
   enum engine_select_result why;
   double est;
-  /* one failure in some seconds is nobody's illness */
+  /* one failure every few seconds does not make an engine unhealthy */
   for (int n = 0; n < 6; n++) {
     gateway_engine_add_failure(engine, 1);
     sim_run(fleet->sim, time_from_ms(5000));
   }
   WANT(fleet, !gateway_engine_unhealthy(engine));
-  /* three within a moment are, though successes came between; of others from afar it takes more */
+  /* three failures in a short time do, even with successes between them; it takes more failures
+   * that are reported by gateways of other zones */
   for (int n = 0; n < 3; n++) {
     gateway_engine_record_sent(engine, 1000);
     gateway_engine_record_end(engine, false);
@@ -610,12 +611,13 @@
   WANT(fleet, gateway_engine_unhealthy(engine) && gateway_engine_usable(engine));
   for (int n = 0; n < 20; n++)
     WANT(fleet, engine_select(&bare->gateway, &q, &why, &est) == k);
-  /* where nothing else holds it, an ill one is better than none */
+  /* an unhealthy engine is chosen if no other engine holds the model */
   q.excluded = &k->engine_id;
   q.excluded_count = 1;
   WANT(fleet, engine_select(&bare->gateway, &q, &why, &est) == engine);
   q.excluded_count = 0;
-  /* it is let in again, and a failure soon after ends that for longer */
+  /* it becomes healthy again after a while; another failure soon after makes it unhealthy for
+   * longer */
   sim_run(fleet->sim, time_from_ms(2100));
   WANT(fleet, !gateway_engine_unhealthy(engine));
   gateway_engine_add_failure(engine, 1);
@@ -624,7 +626,7 @@
   WANT(fleet, gateway_engine_unhealthy(engine));
   sim_run(fleet->sim, time_from_ms(2100));
   WANT(fleet, !gateway_engine_unhealthy(engine));
-  /* what is full, or was just ordered about, declines for good reason */
+  /* a busy engine, or one with a recent order, is not lightly loaded */
   WANT(fleet, gateway_engine_lightly_loaded(k));
   k->load.peers_running = 5;
   WANT(fleet, !gateway_engine_lightly_loaded(k));
@@ -635,8 +637,8 @@
   return true;
 }
 
-/* a node names only the engines that it runs something on, and the rest of what it said before is
- * over */
+/* A gateway reports only the engines on which it runs requests; its earlier load on all other
+ * engines is removed. */
 static bool what_is_not_named_runs_no_more(fleet *fleet) {
   bare_gateway *bare = bare_new(fleet);
   gateway_engine *engine = heartbeat(bare, "e1", "10.0.0.1:80", 1, 0, "big"),
@@ -669,13 +671,13 @@
   return true;
 }
 
-/* a clock that moves on with each look at it, as a process's does */
+/* a clock that advances on each read, like that of a real process */
 static time_us moving_clock(void *context) {
   int64_t *us = context;
   return (time_us){ ++*us };
 }
 
-/* what one report names stays, also when the clock moves on while the report is applied */
+/* all loads in a report are kept even if the clock advances while the report is applied */
 static bool reported_loads_stay_while_the_clock_moves(fleet *fleet) {
   bare_gateway *bare = bare_new(fleet);
   gateway_engine *engine = heartbeat(bare, "e1", "10.0.0.1:80", 1, 0, "big"),
@@ -705,9 +707,9 @@
   return true;
 }
 
-/* a holder that has read an engine's own report must not lose sight of a load by an older heartbeat
-   that comes after it: its memory would look free, and an engine that is filled beyond it crashes
- */
+/* A lease holder that has read an engine's own report must not lose a resident through an older
+ * heartbeat that arrives later: its memory would look free, and an engine that loads beyond its
+ * memory crashes. */
 static bool reports_outlast_older_beats(fleet *fleet) {
   bare_gateway *bare = bare_new(fleet);
   gateway_engine *engine = heartbeat(bare, "e1", "10.0.0.1:80", 1, 0, "big");
@@ -729,13 +731,13 @@
   return true;
 }
 
-/* what runs has to end before it goes: memory under a busy model costs its drain, and more the
- * longer runs usually take */
+/* Running requests have to finish before a model is evicted, so evicting a busy model costs its
+ * drain as well, and more the longer its requests usually take. */
 static bool busy_victims_cost_their_drain(fleet *fleet) {
   bare_gateway *bare = bare_new(fleet);
   const service *service = routing_find_service(bare->routing, "s");
-  /* given two engines with the same models, asked for as much, and one of them runs what had to go
-   */
+  /* two engines hold the same models with the same rates; one of them runs requests for the
+   * eviction candidates */
   gateway_engine *idle = heartbeat(bare, "e1", "10.0.0.1:80", 1, 0, "big,mid"),
                  *busy = heartbeat(bare, "e2", "10.0.0.2:80", 1, 0, "big,mid");
   asked(bare, "big", "", 60);
--- a/tests/gateway/loads.c
+++ b/tests/gateway/loads.c
@@ -19,7 +19,7 @@
   load *l = p;
   router *router = l->from->gateway->router;
   do {
-    /* an engine that fell is between two lives */
+    /* skipped while the engine process is down, and while the model is loaded */
     if (!l->at->engine ||
         (l->again && registering_engine_sim_has_loaded(l->at->engine, l->model, l->adapter)))
       continue;
--- a/tests/gateway/loads.h
+++ b/tests/gateway/loads.h
@@ -2,12 +2,13 @@
 #define TESTS_LOADS_H
 #include "deployment.h"
 
-/** One load that is asked of an engine's holder until it is done, as a coordinator does. */
+/** A load that is requested from an engine's lease holder until it is done, as a coordinator does.
+ */
 typedef struct load {
   deployment *deployment;
   deployment_process *at, *from;
   id model, adapter;
-  /** It never ends, and what other engines hold doesn't matter. */
+  /** The load is requested again and again without end, as an extra replica. */
   bool again;
   bool done;
   uint64_t most;
@@ -15,14 +16,16 @@
   time_us up_at;
 } load;
 
-/** The gateway that holds a duty, or NULL. */
+/** The gateway that holds a singleton lease, or NULL. */
 deployment_process *holder_of(deployment *deployment, const char *duty);
+/** The gateway that holds an engine's lease, or NULL. */
 deployment_process *engine_holder(deployment *deployment, const deployment_process *e);
-/** Asks for a load from a gateway; adapter "" is none. */
+/** Starts a task at the gateway `from` that requests a load on the engine `at`; adapter "": none.
+ */
 load *load_request(deployment *deployment, deployment_process *from, deployment_process *at,
                    const char *model, const char *adapter, bool again);
-/** For sim_run_until. */
+/** True when a load is done; a condition for sim_run_until. */
 bool load_done(sim *sim, void *load);
-/** Says what an engine holds from the start; NULL is nothing. */
+/** Sets the models that an engine holds from the start; NULL: none. */
 void holds_first(deployment_process *process, const char *a, const char *b);
 #endif
--- a/tests/gateway/placement.c
+++ b/tests/gateway/placement.c
@@ -3,15 +3,16 @@
 #include "tests.h"
 #include <stdio.h>
 
-/* tests of placement: given engines that hold this and that, when loads are asked for or holders
-   change, then engines get the orders that they should, in the order that they should */
+/* Tests of placement: engines with given residents get the expected orders in the expected sequence
+ * when loads are requested or lease holders change. */
 
-/* what a node hears of demand for a key elsewhere, and doesn't tell on */
+/* adds a request count of another node to a gateway's history; the gateway does not pass it on */
 static void heard(deployment_process *process, const char *key, uint64_t total, uint64_t window) {
   event_history_merge_remote_count(&process->gateway->router->history, 99, key, total, window);
 }
 
-/* orders that were taken since a count of them: "-m0 +m6 " */
+/* the orders that an engine has started, from an index in the log on, as "-m0 +m6 " (unload, load)
+ */
 static GString *orders_since(deployment *deployment, guint from, const deployment_process *e) {
   GString *t = g_string_new(NULL);
   for (guint k = from; k < deployment->log->orders->len; k++) {
@@ -31,7 +32,7 @@
   deployment *deployment = deployment_new(fleet, 2, 1);
   if (!deployment_bring_up(deployment))
     return deployment_finish(deployment, 0);
-  /* given demand that three gateways saw, and that is told */
+  /* three gateways receive requests and report their counts */
   for (int i = 0; i < 3; i++)
     for (int k = 0; k < 10; k++)
       event_history_append(
@@ -40,16 +41,16 @@
               EVENT_ROUTED, { 0 }, id_of_text(""), id_of_text("m0"), id_of_text(""), 0 });
   sim_run(deployment->sim, time_from_ms(2500));
   if (rate_at(deployment->gateway_processes[3], "m0") < 1.4)
-    fleet_add_violation(fleet, "a gateway hears %.2f a second of what the others saw",
+    fleet_add_violation(fleet, "a gateway knows a rate of %.2f requests/s of the other gateways",
                         rate_at(deployment->gateway_processes[3], "m0"));
-  /* when the fourth starts anew, and nothing else is asked for */
+  /* the fourth gateway restarts, and no further requests arrive */
   host_kill(deployment->gateway_processes[3]->host);
   sim_run(deployment->sim, time_from_ms(500));
   host_start(deployment->gateway_processes[3]->host);
   sim_run(deployment->sim, time_from_ms(3000));
-  /* then it knows what was asked for before it came */
+  /* it receives the counts from before its restart */
   if (rate_at(deployment->gateway_processes[3], "m0") < 1.4)
-    fleet_add_violation(fleet, "a gateway that started anew hears %.2f a second",
+    fleet_add_violation(fleet, "a restarted gateway knows a rate of %.2f requests/s",
                         rate_at(deployment->gateway_processes[3], "m0"));
   return deployment_finish(deployment, 0);
 }
@@ -65,7 +66,7 @@
                        load_request(deployment, deployment->gateway_processes[0],
                                     deployment->engine_processes[0], "m0", adapters[k], false),
                        time_from_ms(8000)))
-      fleet_add_violation(fleet, "%s does not come", adapters[k]);
+      fleet_add_violation(fleet, "%s is not loaded", adapters[k]);
   deployment_process *holder = engine_holder(deployment, deployment->engine_processes[0]);
   heard(holder, "m3", 100, 100);
   sim_run(deployment->sim, time_from_ms(1500));
@@ -74,7 +75,7 @@
                      load_request(deployment, deployment->gateway_processes[0],
                                   deployment->engine_processes[0], "m6", "", false),
                      time_from_ms(12000)))
-    fleet_add_violation(fleet, "m6 does not come");
+    fleet_add_violation(fleet, "m6 is not loaded");
   GString *t = orders_since(deployment, from, deployment->engine_processes[0]);
   if (strcmp(t->str, "-m0 +m6 "))
     fleet_add_violation(fleet, "for m6 the engine got: %s", t->str);
@@ -108,13 +109,13 @@
       dear = deployment->engine_processes[i];
   if (!dear)
     return deployment_finish(deployment, 0);
-  /* given an engine with two models that only it holds, whose demand its holder knows and the
-   * coordinator does not yet */
+  /* one engine alone holds two models whose request rate is known to its lease holder but not yet
+   * to the coordinator */
   static const char *const own[] = { "m6", "m9" };
   for (int k = 0; k < 2; k++)
     if (!sim_run_until(deployment->sim, load_done,
                        load_request(deployment, c, dear, own[k], "", false), time_from_ms(12000)))
-      fleet_add_violation(fleet, "%s does not come", own[k]);
+      fleet_add_violation(fleet, "%s is not loaded", own[k]);
   if (!registering_engine_sim_has_loaded(dear->engine, id_of_text("m6"), id_of_text("")) ||
       !registering_engine_sim_has_loaded(dear->engine, id_of_text("m9"), id_of_text("")))
     fleet_add_violation(fleet, "the engine does not hold m6 and m9");
@@ -123,18 +124,18 @@
   heard(engine_holder(deployment, dear), "m9", 1000, 1000);
   heard(c, "m0", 200, 200);
   heard(c, "m3", 200, 200);
-  /* when a rare model is asked for */
+  /* a rarely used model is requested */
   guint from = deployment->log->orders->len;
   client_sim_request *a = client_sim_send(deployment->client, deployment->note, "m1");
   sim_run(deployment->sim, time_from_ms(8000));
   deployment_finish_traffic(deployment);
-  /* then the dear engine keeps what it holds, and another takes the model */
+  /* the expensive engine keeps its models, and another engine loads the requested one */
   GString *t = orders_since(deployment, from, dear);
   if (t->len)
-    fleet_add_violation(fleet, "the dear engine got: %s", t->str);
+    fleet_add_violation(fleet, "the expensive engine got: %s", t->str);
   g_string_free(t, TRUE);
   if (!a->served)
-    fleet_add_violation(fleet, "the rare model was not served elsewhere");
+    fleet_add_violation(fleet, "the rarely used model was not served by another engine");
   return deployment_finish(deployment, 0);
 }
 
@@ -145,7 +146,8 @@
     return deployment_finish(deployment, 0);
   guint from = deployment->log->orders->len;
   heard(engine_holder(deployment, deployment->engine_processes[0]), "m7", 40, 40);
-  /* given a line of rare models at an empty engine, when one comes last that is asked for much */
+  /* loads of rarely used models are queued at an empty engine; the load of a popular model is
+   * requested last */
   static const char *const rare[] = { "m1", "m2", "m4", "m5" };
   load *last = NULL;
   for (int k = 0; k < 4; k++) {
@@ -157,9 +159,9 @@
                            deployment->engine_processes[0], "m7", "", false);
   if (!sim_run_until(deployment->sim, load_done, hot, time_from_ms(12000)) ||
       !sim_run_until(deployment->sim, load_done, last, time_from_ms(12000)))
-    fleet_add_violation(fleet, "the line does not end");
+    fleet_add_violation(fleet, "the queued loads do not finish");
   sim_run(deployment->sim, time_from_ms(3000));
-  /* then it is next after the one in hand, and the rest go in their turn */
+  /* the popular model is loaded right after the running load, then the others in order */
   GString *t = orders_since(deployment, from, deployment->engine_processes[0]);
   if (strcmp(t->str, "+m1 +m7 +m2 +m4 +m5 "))
     fleet_add_violation(fleet, "the engine got: %s", t->str);
@@ -169,7 +171,8 @@
 
 static const char *const small[] = { "m2", "m4", "m5", "m7", "m8", "m10", "m11", "m13" };
 
-/* what is held is used, so that it may be unloaded */
+/* marks all residents of an engine as used after their load, so that they are no longer protected
+ * from eviction */
 static void use_all(deployment_process *at, const deployment_process *e) {
   gateway_engine *engine = gateway_engine_find(at->gateway, e->engine->self.text);
   list_for_each (r, &engine->residents.list, resident, link)
@@ -183,8 +186,7 @@
   if (!deployment_bring_up(deployment))
     return deployment_finish(deployment, 0);
   deployment_process *holder = engine_holder(deployment, deployment->engine_processes[0]);
-  /* given more models that are asked for much than the engine holds, so that some of them stand in
-   * line at any time */
+  /* more popular models than the engine can hold, so that some of them are queued at any time */
   for (size_t k = 0; k < G_N_ELEMENTS(small); k++)
     load_request(deployment, deployment->gateway_processes[0], deployment->engine_processes[0],
                  small[k], "", true);
@@ -201,9 +203,9 @@
     }
   }
   if (!rare->done)
-    fleet_add_violation(fleet, "a rare model was not loaded in 17 s");
+    fleet_add_violation(fleet, "a rarely used model was not loaded within 17 s");
   else if (g_getenv("SIM_COUNT"))
-    fprintf(stderr, "  up at %.1f\n", (double)rare->up_at.us / 1e6);
+    fprintf(stderr, "  loaded at %.1f s\n", (double)rare->up_at.us / 1e6);
   return deployment_finish(deployment, 0);
 }
 
@@ -248,24 +250,24 @@
   if (!deployment_bring_up(deployment))
     return deployment_finish(deployment, 0);
   sim_run(deployment->sim, time_from_ms(5000));
-  /* given a holder that has ordered nothing for a while, when it leaves, then others hold its
-   * duties soon */
+  /* a lease holder without recent orders shuts down; other gateways hold its leases soon after */
   deployment_process *process = busiest_holder(deployment);
   duties d = duties_of(deployment, process);
   if (!d.n)
-    fleet_add_violation(fleet, "nobody holds anything");
+    fleet_add_violation(fleet, "no gateway holds a lease");
   deployment_terminate_gateway(deployment, process);
   time_us from = deployment->sim->now;
   bool soon = sim_run_until(deployment->sim, others_hold, &d, time_from_ms(2000));
   if (!soon)
-    fleet_add_violation(fleet, "after 2 s the duties of one that left are not held by others");
+    fleet_add_violation(fleet,
+                        "2 s after a gateway's shutdown began, its leases are not held by others");
   else if (g_getenv("SIM_COUNT"))
     fprintf(stderr, "  handed over after %.2f s\n",
             (double)time_sub(deployment->sim->now, from).us / 1e6);
   return deployment_finish(deployment, 0);
 }
 
-/* no two holders order an engine about within a lease */
+/* checks that no two lease holders send orders to an engine within one lease duration */
 static void orders_apart(deployment *deployment) {
   for (guint k = 0; k < deployment->log->orders->len; k++) {
     engine_order_record *order = deployment->log->orders->pdata[k];
@@ -289,8 +291,8 @@
     holds_first(deployment->engine_processes[i], NULL, NULL);
   if (!deployment_bring_up(deployment))
     return deployment_finish(deployment, 0);
-  /* given engines that are ordered about all the time, when their holder leaves, then the next one
-   * keeps its distance */
+  /* the lease holder of engines that get orders all the time shuts down; the next holder must wait
+   * before its first order */
   deployment_process *process = engine_holder(deployment, deployment->engine_processes[0]),
                      *from = deployment->gateway_processes[0] == process
                                  ? deployment->gateway_processes[1]
@@ -300,8 +302,8 @@
       load_request(deployment, from, deployment->engine_processes[i], small[k], "", true);
   sim_run(deployment->sim, time_from_ms(5000 + (int64_t)sim_random(deployment->sim, 2000)));
   duties d = duties_of(deployment, process);
-  /* those who come next hear nothing of its last orders, so that only the head's word keeps them
-   * apart */
+  /* the next holders don't receive notice of its last orders, so that only the chain head's lease
+   * grants keep their orders apart */
   for (int k = 0; k < fleet->routers; k++)
     if (deployment->gateway_processes[k] != process && deployment->gateway_processes[k] != from)
       sim_set_partition(deployment->sim, process->host->self.text,
@@ -312,7 +314,7 @@
   sim_heal_partitions(deployment->sim);
   sim_run(deployment->sim, time_from_ms(9000));
   if (!others_hold(deployment->sim, &d))
-    fleet_add_violation(fleet, "nobody holds the duties of one that left");
+    fleet_add_violation(fleet, "no gateway holds the leases of the one that has shut down");
   guint n = 0;
   for (guint k = 0; k < deployment->log->orders->len; k++) {
     engine_order_record *order = deployment->log->orders->pdata[k];
@@ -320,7 +322,7 @@
          !id_equal(order->holder, process->host->self);
   }
   if (!n)
-    fleet_add_violation(fleet, "the next holder orders nothing");
+    fleet_add_violation(fleet, "the next holder sends no orders");
   orders_apart(deployment);
   return deployment_finish(deployment, 0);
 }
@@ -344,14 +346,14 @@
   char duty[64];
   singleton_engine_name(duty, sizeof duty, d.engine[0]);
   uint64_t epoch = singleton_lease_epoch(process->gateway->router, duty);
-  /* given a holder, when it is killed and started again, then it holds its duties again at once,
-   * under the next epoch */
+  /* a lease holder that is killed and restarted holds its leases again at once, under the next
+   * epoch */
   deployment_record_fault(deployment, process->host, 'k', 3000);
   host_kill(process->host);
   sim_run(deployment->sim, time_from_ms(100));
   host_start(process->host);
   if (!sim_run_until(deployment->sim, all_back, &d, time_from_ms(2300)))
-    fleet_add_violation(fleet, "2.3 s after its start a holder has not its duties back");
+    fleet_add_violation(fleet, "2.3 s after its restart a gateway does not hold its leases again");
   else if (singleton_lease_epoch(process->gateway->router, duty) != epoch + 1)
     fleet_add_violation(fleet, "epoch %" PRIu64 " after %" PRIu64,
                         singleton_lease_epoch(process->gateway->router, duty), epoch);
@@ -362,8 +364,8 @@
   return deployment_finish(deployment, 0);
 }
 
-/* a load of the holder before, which takes longer than the next one cares to wait, is in no report
- * until it is done */
+/* Guards against exceeding the memory after a change of the lease holder: a load ordered by the
+ * former holder takes longer than the next one waits, and is in no report until it is done. */
 static bool a_long_load_outlives_its_holder(fleet *fleet) {
   deployment *deployment = deployment_new(fleet, 2, 1);
   for (size_t i = 0; i < deployment->model_count; i++)
@@ -374,27 +376,27 @@
   if (!deployment_bring_up(deployment))
     return deployment_finish(deployment, 0);
   sim_run(deployment->sim, time_from_ms(1500));
-  /* given an engine with room for one more model, and a long load under way there */
+  /* an engine with memory for one more model, and a long load in progress there */
   deployment_process *process = engine_holder(deployment, deployment->engine_processes[0]),
                      *from = deployment->gateway_processes[0] == process
                                  ? deployment->gateway_processes[1]
                                  : deployment->gateway_processes[0];
   if (!process)
-    fleet_add_violation(fleet, "nobody holds the engine");
+    fleet_add_violation(fleet, "no gateway holds the engine's lease");
   else {
     load_request(deployment, from, deployment->engine_processes[0], "m9", "", false)->most =
         1000000000;
     sim_run(deployment->sim, time_from_ms(700 + (int64_t)sim_random(deployment->sim, 300)));
-    /* when its holder is killed and comes back, and another load is asked for */
+    /* its lease holder is killed and restarts, and another load is requested */
     deployment_record_fault(deployment, process->host, 'k', 3000);
     host_kill(process->host);
     sim_run(deployment->sim, time_from_ms(100));
     host_start(process->host);
     sim_run(deployment->sim, time_from_ms(2500));
     load *l = load_request(deployment, from, deployment->engine_processes[0], "m12", "", false);
-    /* then the engine is never filled past its room (LIMIT), and the load comes in the end */
+    /* the engine's memory is never exceeded (LIMIT), and the second load is done in the end */
     if (!sim_run_until(deployment->sim, load_done, l, time_from_ms(40000)))
-      fleet_add_violation(fleet, "the second load never comes (code %d)", l->code);
+      fleet_add_violation(fleet, "the second load never ends (code %d)", l->code);
   }
   sim_run(deployment->sim, time_from_ms(2000));
   return deployment_finish(deployment, 0);
@@ -408,8 +410,8 @@
   }
 }
 
-/* a fleet too large for all to tell all: rates go by collectors, tickets to heirs, and placement is
- * shared out */
+/* In a large fleet not everything is sent to all gateways: rates go through collectors, load
+ * reports to the next candidates for the singleton "pacer", and placement is sharded. */
 static bool a_large_fleet_places_by_parts(fleet *fleet) {
   deployment *deployment = deployment_new(fleet, 6, 1);
   if (!deployment_bring_up(deployment))
@@ -418,7 +420,7 @@
   if (deployment->gateway_processes[0]->gateway->router_count != fleet->routers)
     fleet_add_violation(fleet, "%d nodes are known of %d",
                         deployment->gateway_processes[0]->gateway->router_count, fleet->routers);
-  /* when each of many gateways sees a little demand for some models */
+  /* each gateway receives a few requests for some models */
   static const char *const keys[] = { "m0", "m1", "m2", "m3", "m4", "m5" };
   for (int i = 0; i < fleet->routers; i++)
     for (size_t k = 0; k < G_N_ELEMENTS(keys); k++)
@@ -428,12 +430,12 @@
               EVENT_ROUTED, { 0 }, id_of_text(""), id_of_text(keys[k]), id_of_text(""), 0 });
   uint64_t posts = deployment->sim->messages_sent;
   sim_run(deployment->sim, time_from_ms(1500));
-  /* then they don't all tell all */
+  /* the gateways don't all send to all others */
   posts = deployment->sim->messages_sent - posts;
   if (posts > 1.2 * fleet->routers * fleet->routers)
     fleet_add_violation(fleet, "%" PRIu64 " messages in 1.5 s", posts);
   sim_run(deployment->sim, time_from_ms(3000));
-  /* and every one of them knows the demand of the whole */
+  /* every gateway knows the total rates of the fleet */
   int low = 0;
   double least = 1e9;
   for (int i = 0; i < fleet->routers; i++)
@@ -444,9 +446,10 @@
       low += !r || *r < 0.8 * fleet->routers / 20;
     }
   if (low)
-    fleet_add_violation(fleet, "%d of %d rates are not known in the whole; the least is %.2f", low,
-                        fleet->routers * (int)G_N_ELEMENTS(keys), least);
-  /* when models that nobody holds are asked for by many, and the pacer dies in the middle */
+    fleet_add_violation(fleet, "%d of %d total rates are too low or unknown; the lowest is %.2f",
+                        low, fleet->routers * (int)G_N_ELEMENTS(keys), least);
+  /* many requests need models that no engine holds, and the holder of "pacer" is killed meanwhile
+   */
   request_rare(deployment, 20);
   sim_run(deployment->sim, time_from_ms(1500));
   deployment_process *pacer = holder_of(deployment, "pacer"), *next = NULL;
@@ -457,12 +460,12 @@
         g_hash_table_size(
             deployment->gateway_processes[i]->gateway->load_rate_limiters.by_service) > 0;
   if (knowing < 2 || knowing > 6)
-    fleet_add_violation(fleet, "%d gateways know of the tickets that were given", knowing);
+    fleet_add_violation(fleet, "%d gateways know of the granted load permits", knowing);
   if (pacer) {
     deployment_record_fault(deployment, pacer->host, 'k', 6000);
     host_kill(pacer->host);
   } else
-    fleet_add_violation(fleet, "nobody holds the pace");
+    fleet_add_violation(fleet, "no gateway holds the singleton pacer");
   bool placed[100] = { false };
   for (int k = 0; k < 50; k++) {
     if (k % 5 == 0)
@@ -474,34 +477,36 @@
       placed[i] |= deployment->gateway_processes[i]->gateway &&
                    g_hash_table_size(deployment->gateway_processes[i]->gateway->placement.jobs);
   }
-  /* then the next one is among the few that were told of tickets, and more than one gateway places
-   */
+  /* the next holder is one of the few gateways that have received load reports, and more than one
+   * gateway acts as placement coordinator */
   if (!next || next == pacer)
-    fleet_add_violation(fleet, "nobody takes the pace over");
+    fleet_add_violation(fleet, "no gateway takes over the singleton pacer");
   else
     for (int i = 0; i < fleet->routers; i++)
       if (deployment->gateway_processes[i] == next && !told[i])
-        fleet_add_violation(fleet, "%s takes the pace over and knows of no ticket",
+        fleet_add_violation(fleet,
+                            "%s takes over the singleton pacer and has received no load report",
                             next->host->self.text);
   int coordinators = 0;
   for (int i = 0; i < fleet->routers; i++)
     coordinators += placed[i];
   if (coordinators < 2)
-    fleet_add_violation(fleet, "%d gateways place for all", coordinators);
+    fleet_add_violation(fleet, "only %d gateways act as placement coordinators", coordinators);
   client_sim_request *a[2] = { client_sim_send(deployment->client, deployment->note, "m12"),
                                client_sim_send(deployment->client, deployment->note, "m10") };
   sim_run(deployment->sim, time_from_ms(12000));
   deployment_finish_traffic(deployment);
-  /* then the store is not rushed (CEILING), one holder at a time gives orders (ONE), and models
-   * come */
+  /* the load rate stays within the limit (CEILING), only one holder at a time sends orders (ONE),
+   * and models are loaded */
   if (!a[0]->served || !a[1]->served)
-    fleet_add_violation(fleet, "models do not come after the pacer died (%d %d)", a[0]->served,
-                        a[1]->served);
+    fleet_add_violation(fleet, "models are not loaded after the holder of pacer was killed (%d %d)",
+                        a[0]->served, a[1]->served);
   return deployment_finish(deployment, 0.4);
 }
 
-/* A request waits for a load that fails, of a model that was removed meanwhile: it is refused with
- * 422 once no engine can be looked for, and LeakSanitizer fails the run if that search leaks. */
+/* A request waits for the load of a model; the load fails, and the model is removed from the
+ * configuration meanwhile. The request is refused with 422 once no engine can be searched for.
+ * LeakSanitizer fails the run if that search leaks. */
 static bool model_is_removed_while_a_request_waits(fleet *fleet) {
   if (!fleet_bring_up(fleet))
     return false;
