--- a/lib/gateway/engine_loading.c
+++ b/lib/gateway/engine_loading.c
@@ -38,15 +38,15 @@
   UNKNOWN_ORDER_TIMEOUT_MS = 12000,
   /* the first polls of a load repeat the order, whose status says whether it is done; later ones
      read reports, which cost the engine less */
-  MAX_MODEL_CHECKS = 3,
-  MAX_ADAPTER_CHECKS = 12,
+  MAX_MODEL_ORDER_POLLS = 3,
+  MAX_ADAPTER_ORDER_POLLS = 12,
   /* polls after which the order is repeated again if the report says that the engine is idle */
-  MAX_IDLE_REPORTS = 6,
-  /* the number of polls before the interval grows by SLOW_LOOK_FACTOR */
-  QUICK_LOOKS = 4,
+  MAX_IDLE_POLLS = 6,
+  /* the number of polls before the interval grows by SLOW_POLL_FACTOR */
+  FAST_POLLS = 4,
   /* one in this many adapter loads is polled although the load time is known, to keep learning it
    */
-  WATCH_ONE_IN = 6,
+  POLL_ONE_IN = 6,
   /* one in this many load times is sent to the other gateways of a large fleet */
   BROADCAST_ONE_IN = 8,
   /* orders of a former lease holder have ended once its lease and this margin have passed; after a
@@ -74,15 +74,15 @@
 static const double MAX_EXPECTED_TIMES = 6, MAX_EXPECTED_EXTRA_MS = 8000;
 /* Delay of the first poll of a load beyond its expected time; the load times of adapters vary more.
  */
-static const double MODEL_FIRST_LOOK_EXTRA_MS = 2, ADAPTER_FIRST_LOOK_FACTOR = 1.4,
-                    ADAPTER_FIRST_LOOK_EXTRA_MS = 6;
+static const double MODEL_FIRST_POLL_EXTRA_MS = 2, ADAPTER_FIRST_POLL_FACTOR = 1.4,
+                    ADAPTER_FIRST_POLL_EXTRA_MS = 6;
 /* Poll interval: for a model a share of its expected load time, within bounds; for an adapter in
  * ms. */
-static const double MODEL_LOOK_SHARE = 0.06, MODEL_LOOK_MIN_MS = 40, MODEL_LOOK_MAX_MS = 150,
-                    ADAPTER_LOOK_MS = 15, SLOW_LOOK_FACTOR = 1.5;
+static const double MODEL_POLL_SHARE = 0.06, MODEL_POLL_MIN_MS = 40, MODEL_POLL_MAX_MS = 150,
+                    ADAPTER_POLL_MS = 15, SLOW_POLL_FACTOR = 1.5;
 /* A load that is done at the first poll may have ended earlier: this share of the time is recorded.
  */
-static const double FIRST_LOOK_MODEL_SHARE = 0.97, FIRST_LOOK_ADAPTER_SHARE = 0.6;
+static const double FIRST_POLL_MODEL_SHARE = 0.97, FIRST_POLL_ADAPTER_SHARE = 0.6;
 /* A model load that takes less than this share of its expected time has used weights that an
  * earlier incarnation left on the engine's disk. It is not recorded as a load time of the store. */
 static const double MIN_STORE_LOAD_SHARE = 0.6;
@@ -110,8 +110,8 @@
   /** The load was taken as done after the expected time, without polling: the load time of adapters
    * is known. */
   bool assumed;
-  int looks;
-  bool looked_by_report;
+  int polls;
+  bool polled_by_report;
   int64_t *retry_after_ms;
   error *err;
 } engine_load_run;
@@ -495,7 +495,7 @@
 /* Repeats the order, which returns 200 once the load is done. While the account contains this load,
  * the repetition can't start another one: the engine would refuse it because the number of orders
  * differs. */
-static enum error_code look_by_order(engine_load_run *order, bool *loaded) {
+static enum error_code poll_by_order(engine_load_run *order, bool *loaded) {
   gateway_engine *engine = order->engine;
   int status = engine_order_send(engine, true, order->model, order->adapter,
                                  (int64_t)engine->capacity.order_count, time_never(), order->err);
@@ -505,11 +505,11 @@
   return status == ORDER_NOT_ALLOWED ? order->err->code : OK;
 }
 
-static enum error_code look_by_report(engine_load_run *order, bool *loaded) {
+static enum error_code poll_by_report(engine_load_run *order, bool *loaded) {
   gateway_engine *engine = order->engine;
   bool busy;
   int running;
-  order->looked_by_report = true;
+  order->polled_by_report = true;
   if (!engine_order_fetch_report(engine, &busy, &running, order->err))
     return OK;
   *loaded = gateway_engine_has_model(engine, order->model, order->adapter);
@@ -518,63 +518,63 @@
   if (engine->capacity.is_known &&
       !capacity_contains(&engine->capacity, order->model, order->adapter))
     return fail(order, E_ORDER_FAILED, RETRY_GIVEN_UP_MS, "has given up the load of");
-  if (order->looks > MAX_IDLE_REPORTS)
-    order->looks = 0;
+  if (order->polls > MAX_IDLE_POLLS)
+    order->polls = 0;
   return OK;
 }
 
-static enum error_code look(engine_load_run *order, bool *loaded) {
+static enum error_code poll_load(engine_load_run *order, bool *loaded) {
   const capacity_account *capacity = &order->engine->capacity;
-  int max_checks = order->is_base ? MAX_MODEL_CHECKS : MAX_ADAPTER_CHECKS;
-  bool by_order = order->looks < max_checks && capacity->is_known &&
+  int max_checks = order->is_base ? MAX_MODEL_ORDER_POLLS : MAX_ADAPTER_ORDER_POLLS;
+  bool by_order = order->polls < max_checks && capacity->is_known &&
                   capacity_contains(capacity, order->model, order->adapter);
-  return by_order ? look_by_order(order, loaded) : look_by_report(order, loaded);
+  return by_order ? poll_by_order(order, loaded) : poll_by_report(order, loaded);
 }
 
-/* Adapters load within some ms. Once their load time is known, only one in WATCH_ONE_IN loads is
+/* Adapters load within some ms. Once their load time is known, only one in POLL_ONE_IN loads is
  * polled, to keep learning it. */
 static bool may_assume_loaded(const engine_load_run *order) {
   router *router = order->gateway->router;
   return !order->is_base && order->accepted &&
          event_history_load_ms(&router->history, order->service, "@adapter", -1) > 0 &&
-         world_random(router->node.world, WATCH_ONE_IN);
+         world_random(router->node.world, POLL_ONE_IN);
 }
 
-static double first_look_ms(const engine_load_run *order) {
+static double first_poll_ms(const engine_load_run *order) {
   if (!order->accepted)
     return ENGINE_REPORT_LAG_MS;
   return order->is_base
-             ? order->expected_ms + MODEL_FIRST_LOOK_EXTRA_MS
-             : order->expected_ms * ADAPTER_FIRST_LOOK_FACTOR + ADAPTER_FIRST_LOOK_EXTRA_MS;
+             ? order->expected_ms + MODEL_FIRST_POLL_EXTRA_MS
+             : order->expected_ms * ADAPTER_FIRST_POLL_FACTOR + ADAPTER_FIRST_POLL_EXTRA_MS;
 }
 
 static enum error_code wait_until_loaded(engine_load_run *order) {
   if (order->status == 200)
     return OK;
   order->assumed = may_assume_loaded(order);
-  enum error_code code = engine_order_sleep(order->engine, first_look_ms(order), order->err);
+  enum error_code code = engine_order_sleep(order->engine, first_poll_ms(order), order->err);
   if (code || order->assumed)
     return code;
   double max_ms = order->expected_ms * MAX_EXPECTED_TIMES + MAX_EXPECTED_EXTRA_MS;
-  double interval_ms = order->is_base ? CLAMP(order->expected_ms * MODEL_LOOK_SHARE,
-                                              MODEL_LOOK_MIN_MS, MODEL_LOOK_MAX_MS)
-                                      : ADAPTER_LOOK_MS;
+  double interval_ms = order->is_base ? CLAMP(order->expected_ms * MODEL_POLL_SHARE,
+                                              MODEL_POLL_MIN_MS, MODEL_POLL_MAX_MS)
+                                      : ADAPTER_POLL_MS;
   for (;;) {
     bool loaded = false, again = false;
     if (!order->accepted)
       code = confirm_accepted(order, &again, &loaded);
     if (!code && !again && !loaded)
-      code = look(order, &loaded);
+      code = poll_load(order, &loaded);
     if (code || loaded)
       return code;
     if (again)
       continue;
-    order->looks++;
+    order->polls++;
     if (gateway_ms_since(order->gateway, order->began_at) > max_ms)
       return fail(order, E_ORDER_FAILED, RETRY_TOO_LONG_MS, "takes too long over the load of");
     order->job->expected_at = gateway_deadline_in_ms(order->gateway, interval_ms * 2);
     code = engine_order_sleep(order->engine,
-                              interval_ms * (order->looks < QUICK_LOOKS ? 1 : SLOW_LOOK_FACTOR),
+                              interval_ms * (order->polls < FAST_POLLS ? 1 : SLOW_POLL_FACTOR),
                               order->err);
     if (code)
       return code;
@@ -607,9 +607,9 @@
 static void record_observed_load(const engine_load_run *order) {
   gateway *gateway = order->gateway;
   double ms = gateway_ms_since(gateway, order->began_at);
-  if (!order->looks)
-    ms *= order->is_base ? FIRST_LOOK_MODEL_SHARE : FIRST_LOOK_ADAPTER_SHARE;
-  else if (order->looked_by_report)
+  if (!order->polls)
+    ms *= order->is_base ? FIRST_POLL_MODEL_SHARE : FIRST_POLL_ADAPTER_SHARE;
+  else if (order->polled_by_report)
     ms = MAX(ms - REPORT_DELAY_MS, order->expected_ms);
   if (!order->is_base || order->from_disk || ms > MIN_STORE_LOAD_SHARE * order->expected_ms)
     record_load_ms(order, ms);
--- a/lib/gateway/engine_orders.c
+++ b/lib/gateway/engine_orders.c
@@ -19,10 +19,10 @@
      intervals, then after reports say that the engine is no longer busy, since reports cost the
      engine less */
   UNLOAD_DEFAULT_MS = 25,
-  UNLOAD_LOOK_MIN_MS = 5,
-  UNLOAD_LOOK_MAX_MS = 400,
-  UNLOAD_LOOK_STEP_MS = 30,
-  MAX_UNLOAD_LOOKS = 3,
+  UNLOAD_POLL_MIN_MS = 5,
+  UNLOAD_POLL_MAX_MS = 400,
+  UNLOAD_POLL_STEP_MS = 30,
+  MAX_UNLOAD_POLLS = 3,
   UNLOAD_REPORT_MS = 200,
   BUSY_SLEEP_MS = 150,
   NOT_SENT_SLEEP_MS = 150,
@@ -333,7 +333,7 @@
    * that the unload is in progress. */
   time_us announced_at, accepted_at, last_accepted_at;
   bool accepted;
-  int looks;
+  int polls;
   error *err;
 } unload;
 
@@ -360,16 +360,16 @@
 }
 
 /* waits until the order may be repeated; its status says whether the unload is done */
-static enum error_code wait_for_next_look(unload *unload) {
+static enum error_code wait_for_next_poll(unload *unload) {
   gateway_engine *engine = unload->engine;
   double expected_ms = event_history_load_ms(&engine->gateway->router->history, engine->service,
                                              "@unload", UNLOAD_DEFAULT_MS);
-  int look = unload->looks++;
-  if (look == 0)
-    return engine_order_sleep(engine, CLAMP(expected_ms, UNLOAD_LOOK_MIN_MS, UNLOAD_LOOK_MAX_MS),
+  int poll = unload->polls++;
+  if (poll == 0)
+    return engine_order_sleep(engine, CLAMP(expected_ms, UNLOAD_POLL_MIN_MS, UNLOAD_POLL_MAX_MS),
                               unload->err);
-  if (look < MAX_UNLOAD_LOOKS)
-    return engine_order_sleep(engine, UNLOAD_LOOK_STEP_MS * unload->looks, unload->err);
+  if (poll < MAX_UNLOAD_POLLS)
+    return engine_order_sleep(engine, UNLOAD_POLL_STEP_MS * unload->polls, unload->err);
   int running;
   enum error_code code = engine_order_sleep(engine, UNLOAD_REPORT_MS, unload->err);
   bool busy;
@@ -411,7 +411,7 @@
       return error_set(unload->err, E_ORDER_FAILED, "%s has not unloaded %s in time",
                        engine->engine_id.text, unload->model.text);
     bool under_way = status == 202 || status == 409;
-    enum error_code code = under_way ? wait_for_next_look(unload)
+    enum error_code code = under_way ? wait_for_next_poll(unload)
                                      : engine_order_sleep(engine, NOT_SENT_SLEEP_MS, unload->err);
     if (code)
       return code;
@@ -421,7 +421,7 @@
 static void record_unloaded(const unload *unload) {
   gateway_engine *engine = unload->engine;
   router *router = engine->gateway->router;
-  if (unload->accepted && unload->looks <= MAX_UNLOAD_LOOKS)
+  if (unload->accepted && unload->polls <= MAX_UNLOAD_POLLS)
     event_history_record_load_ms(&router->history, engine->service, "@unload",
                                  gateway_ms_since(engine->gateway, unload->accepted_at));
   engine->gateway->counts.unloads++;
