--- a/lib/gateway/engine_loading.c
+++ b/lib/gateway/engine_loading.c
@@ -55,12 +55,12 @@
   LEASE_MARGIN_MS = 200,
   TAKEOVER_DELAY_MS = 600,
   /* retry-after times for the coordinator, by cause */
-  RETRY_NO_ROOM_MS = 1000,
+  RETRY_NO_CAPACITY_MS = 1000,
   RETRY_EVICTION_FAILED_MS = 500,
   RETRY_NOT_ACCEPTED_MS = 1000,
   RETRY_NO_REPORT_MS = 300,
   RETRY_NO_SYNC_MS = 400,
-  RETRY_ROOM_TAKEN_MS = 300,
+  RETRY_CAPACITY_TAKEN_MS = 300,
   RETRY_REFUSED_MS = 5000,
   RETRY_UNREACHABLE_MS = 500,
   RETRY_GIVEN_UP_MS = 200,
@@ -335,7 +335,7 @@
   capacity_shortage shortage =
       eviction_shortage(service, used_mb, used_slots, order->mb, order->slots);
   if (shortage.mb || shortage.slots) {
-    *order->retry_after_ms = RETRY_ROOM_TAKEN_MS;
+    *order->retry_after_ms = RETRY_CAPACITY_TAKEN_MS;
     return error_set(order->err, E_NO_CAPACITY, "the room on %s went", engine->engine_id.text);
   }
   return OK;
@@ -670,7 +670,7 @@
   enum error_code code =
       evict_for_load(engine, order.model, adapter, order.mb, order.slots, job->idle_only, err);
   if (code)
-    *retry_after_ms = code == E_NO_CAPACITY ? RETRY_NO_ROOM_MS : RETRY_EVICTION_FAILED_MS;
+    *retry_after_ms = code == E_NO_CAPACITY ? RETRY_NO_CAPACITY_MS : RETRY_EVICTION_FAILED_MS;
   bool resident = false;
   if (!code) {
     order.began_at = gateway_now(order.gateway);
--- a/lib/gateway/placement.c
+++ b/lib/gateway/placement.c
@@ -31,7 +31,7 @@
   MAX_BUSY_ENGINES = 4,
   /* passes without an eligible engine before the placement fails: a lease handover takes some
      seconds, while a lack of capacity is reported soon */
-  MAX_PASSES_NO_ROOM = 4,
+  MAX_PASSES_NO_CAPACITY = 4,
   MAX_PASSES_NO_ENGINE = 12,
   NO_ENGINE_SLEEP_MS = 150,
   MAX_REFUSALS = 6,
@@ -410,7 +410,7 @@
             "No engine for %s+%s: code %d, refused by %u engines.", job->model.text,
             job->adapter.text, run->code, run->refused_by->len);
   job->engine = id_none;
-  int max_passes = run->code == E_NO_CAPACITY ? MAX_PASSES_NO_ROOM : MAX_PASSES_NO_ENGINE;
+  int max_passes = run->code == E_NO_CAPACITY ? MAX_PASSES_NO_CAPACITY : MAX_PASSES_NO_ENGINE;
   if (job->extra_replica || ++run->failed_passes > max_passes) {
     run->retry_after_ms = job->extra_replica ? RETRY_NO_REPLICA_MS : RETRY_NO_ENGINE_MS;
     return PLACEMENT_END;
