--- a/lib/gateway/placement.c
+++ b/lib/gateway/placement.c
@@ -292,17 +292,17 @@
                        double drain_ms) {
   const placement_job *job = choice->job;
   unsigned slots = engine->slots ? engine->slots : choice->service->engine_slots;
-  bool near =
+  bool weights_are_local =
       gateway_engine_resident(engine, job->model) || gateway_engine_has_on_disk(engine, job->model);
   double running = gateway_engine_running_requests(engine);
   return loaded_in_ms(engine, choice->service, job, 0) + drain_ms +
          queued_ms_on_engine(choice->gateway, engine->engine_id, job) +
-         (slots ? FULL_ENGINE_DELAY_MS * running / slots : 0) + (near ? 0 : STORE_DELAY_MS) +
-         (eviction_cost > 0 ? EVICTION_DELAY_MS : 0);
+         (slots ? FULL_ENGINE_DELAY_MS * running / slots : 0) +
+         (weights_are_local ? 0 : STORE_DELAY_MS) + (eviction_cost > 0 ? EVICTION_DELAY_MS : 0);
 }
 
 /* makes an eligible engine the best one if it costs less than the best so far */
-static void consider(engine_choice *choice, gateway_engine *engine) {
+static void update_best_engine(engine_choice *choice, gateway_engine *engine) {
   placement_job *job = choice->job;
   double mb, drain_ms;
   unsigned slots;
@@ -351,7 +351,7 @@
     choice.strict = pass == 0;
     list_for_each (engine, &gateway->engines.list, gateway_engine, link)
       if (is_eligible(&choice, engine))
-        consider(&choice, engine);
+        update_best_engine(&choice, engine);
   }
   eviction_replica_counts_end(gateway);
   *code = choice.code;
@@ -380,11 +380,11 @@
 } placement_run;
 
 /** Whether a placement continues after a step. */
-enum placement_step { PLACEMENT_NEXT, PLACEMENT_END };
+enum placement_step { PLACEMENT_CONTINUE, PLACEMENT_DONE };
 
 static enum placement_step end_with(placement_run *run, enum error_code code) {
   run->code = code;
-  return PLACEMENT_END;
+  return PLACEMENT_DONE;
 }
 
 /* the engine to request the load from: that of the last step while its lease holder is alive, else
@@ -413,13 +413,13 @@
   int max_passes = run->code == E_NO_CAPACITY ? MAX_PASSES_NO_CAPACITY : MAX_PASSES_NO_ENGINE;
   if (job->extra_replica || ++run->failed_passes > max_passes) {
     run->retry_after_ms = job->extra_replica ? RETRY_NO_REPLICA_MS : RETRY_NO_ENGINE_MS;
-    return PLACEMENT_END;
+    return PLACEMENT_DONE;
   }
   g_ptr_array_set_size(run->refused_by, 0);
   job->may_drain = true;
   if (!world_sleep_with_jitter(world, time_from_ms(NO_ENGINE_SLEEP_MS)))
     return end_with(run, E_STOPPING);
-  return PLACEMENT_NEXT;
+  return PLACEMENT_CONTINUE;
 }
 
 static void assign_engine(placement_run *run, gateway_engine *engine, const service *service) {
@@ -504,7 +504,7 @@
   job->started = started;
   if (!started)
     job->engine = id_none;
-  return PLACEMENT_NEXT;
+  return PLACEMENT_CONTINUE;
 }
 
 static enum placement_step handle_rate_limited(placement_run *run) {
@@ -512,8 +512,8 @@
       gateway_deadline_in_ms(run->gateway, (double)run->retry_after_ms + RATE_LIMITED_EXTRA_MS);
   int64_t sleep_ms =
       CLAMP(run->retry_after_ms, RATE_LIMITED_SLEEP_MIN_MS, RATE_LIMITED_SLEEP_MAX_MS);
-  return world_sleep(run->gateway->router->node.world, time_from_ms(sleep_ms)) ? PLACEMENT_NEXT
-                                                                               : PLACEMENT_END;
+  return world_sleep(run->gateway->router->node.world, time_from_ms(sleep_ms)) ? PLACEMENT_CONTINUE
+                                                                               : PLACEMENT_DONE;
 }
 
 /* the engine can't load the model now: the next step chooses another one */
@@ -525,17 +525,17 @@
     job->may_drain = ++run->busy_engines >= MAX_BUSY_ENGINES;
     if (job->may_drain)
       g_ptr_array_set_size(run->refused_by, 0);
-    return PLACEMENT_NEXT;
+    return PLACEMENT_CONTINUE;
   }
   gateway_engine *engine = gateway_engine_find(gateway, engine_id.text);
   if (code == E_NO_ENGINE && engine)
     engine->unreachable_until = gateway_deadline_in_ms(gateway, UNREACHABLE_MS);
   if (code == E_UNKNOWN_MODEL || ++run->failed_passes > MAX_REFUSALS)
-    return PLACEMENT_END;
+    return PLACEMENT_DONE;
   int64_t sleep_ms = code == E_NO_RESPONSE ? NO_RESPONSE_SLEEP_MS : REFUSED_SLEEP_MS;
   return world_sleep_with_jitter(gateway->router->node.world, time_from_ms(sleep_ms))
-             ? PLACEMENT_NEXT
-             : PLACEMENT_END;
+             ? PLACEMENT_CONTINUE
+             : PLACEMENT_DONE;
 }
 
 /* chooses an engine if none is chosen, and calls its lease holder once */
@@ -585,8 +585,8 @@
   run.refused_by = g_ptr_array_new_with_free_func(g_free);
   run.code = E_NO_ENGINE;
   run.retry_after_ms = RETRY_DEFAULT_MS;
-  enum placement_step step = PLACEMENT_NEXT;
-  while (step == PLACEMENT_NEXT &&
+  enum placement_step step = PLACEMENT_CONTINUE;
+  while (step == PLACEMENT_CONTINUE &&
          !time_reached(gateway_now(gateway),
                        time_add(job->last_asked_at, time_from_ms(LOAD_REQUEST_TTL_MS))))
     step = placement_step(&run);
