--- a/lib/gateway/engine_loading.c
+++ b/lib/gateway/engine_loading.c
@@ -88,7 +88,7 @@
 static const double MIN_STORE_LOAD_SHARE = 0.6;
 
 /** State of one load order. */
-typedef struct engine_load_run {
+typedef struct engine_load_order {
   gateway_engine *engine;
   gateway *gateway;
   load_job *job;
@@ -114,9 +114,9 @@
   bool polled_by_report;
   int64_t *retry_after_ms;
   error *err;
-} engine_load_run;
+} engine_load_order;
 
-static enum error_code fail(const engine_load_run *order, enum error_code code,
+static enum error_code fail(const engine_load_order *order, enum error_code code,
                             int64_t retry_after_ms, const char *what) {
   *order->retry_after_ms = retry_after_ms;
   return error_set(order->err, code, "%s %s %s", order->engine->engine_id.text, what, order->key);
@@ -251,13 +251,13 @@
   return OK;
 }
 
-static void reserve(engine_load_run *order) {
+static void reserve(engine_load_order *order) {
   order->engine->load_jobs.reserved_mb += order->mb;
   order->engine->load_jobs.reserved_slots += order->slots;
   order->reserved = true;
 }
 
-static void unreserve(engine_load_run *order) {
+static void unreserve(engine_load_order *order) {
   engine_load_jobs *jobs = &order->engine->load_jobs;
   if (!order->reserved)
     return;
@@ -266,7 +266,7 @@
   order->reserved = false;
 }
 
-static void count_failure(const engine_load_run *order, enum error_code code) {
+static void count_failure(const engine_load_order *order, enum error_code code) {
   if (code != E_ORDER_FAILED)
     return;
   order->gateway->consecutive_load_failures++;
@@ -274,21 +274,21 @@
 }
 
 /* the service in the current configuration; NULL with the error set when there is none */
-static const service *current_service(const engine_load_run *order) {
+static const service *current_service(const engine_load_order *order) {
   const service *service = gateway_service_of(order->gateway, order->service);
   if (!service)
     error_set(order->err, E_UNKNOWN_MODEL, "no such service");
   return service;
 }
 
-static bool needs_permit(const engine_load_run *order, int attempt) {
+static bool needs_permit(const engine_load_order *order, int attempt) {
   return order->is_base && !order->from_disk &&
          (attempt == 0 || time_reached(gateway_now(order->gateway), order->send_by));
 }
 
 /* gets a permit from the load rate limiter; *again: it was refused, and has to be requested again
  * after the wait */
-static enum error_code acquire_permit(engine_load_run *order, int attempt, const service *service,
+static enum error_code acquire_permit(engine_load_order *order, int attempt, const service *service,
                                       bool *again) {
   gateway_engine *engine = order->engine;
   int64_t *wait_ms = order->retry_after_ms;
@@ -307,7 +307,7 @@
 
 /* An engine that is loaded beyond its memory crashes, so before a model load its residents must be
  * known from a recent report of the engine itself. */
-static enum error_code confirm_identity(engine_load_run *order) {
+static enum error_code require_recent_report(engine_load_order *order) {
   gateway_engine *engine = order->engine;
   time_us reported_at = engine->orders.reported_at;
   bool busy;
@@ -323,7 +323,7 @@
 
 /* checks that the capacity is still free, since another load may have taken it during the wait for
  * a permit */
-static enum error_code check_capacity(engine_load_run *order) {
+static enum error_code check_capacity(engine_load_order *order) {
   gateway_engine *engine = order->engine;
   const service *service = current_service(order);
   if (!service)
@@ -343,7 +343,7 @@
 
 /* checks all conditions for sending an order; *again: start over, *resident: the model is loaded
  * already */
-static enum error_code prepare(engine_load_run *order, int attempt, bool *again, bool *resident) {
+static enum error_code prepare(engine_load_order *order, int attempt, bool *again, bool *resident) {
   gateway_engine *engine = order->engine;
   const service *service = current_service(order);
   if (!service)
@@ -358,7 +358,7 @@
     if (!current_service(order))
       return E_UNKNOWN_MODEL;
   }
-  if ((code = confirm_identity(order)))
+  if ((code = require_recent_report(order)))
     return code;
   if (!current_service(order))
     return E_UNKNOWN_MODEL;
@@ -373,7 +373,7 @@
   return check_capacity(order);
 }
 
-static void send_order(engine_load_run *order) {
+static void send_order(engine_load_order *order) {
   gateway_engine *engine = order->engine;
   order->began_at = gateway_now(order->gateway);
   order->job->expected_at =
@@ -385,7 +385,7 @@
 }
 
 /* waits until the conflicting order has been executed; its result shows only in a later report */
-static enum error_code wait_while_busy(engine_load_run *order) {
+static enum error_code wait_while_busy(engine_load_order *order) {
   gateway_engine *engine = order->engine;
   bool busy = true;
   int running;
@@ -402,7 +402,7 @@
 }
 
 /* handles an order that the engine has not accepted; OK when it may be sent again */
-static enum error_code handle_refusal(engine_load_run *order, int attempt) {
+static enum error_code handle_refusal(engine_load_order *order, int attempt) {
   gateway_engine *engine = order->engine;
   error *err = order->err;
   unreserve(order);
@@ -435,7 +435,7 @@
 
 /* sends the order until the engine has accepted it, or may have; *resident: the model is loaded
  * already */
-static enum error_code send_until_taken(engine_load_run *order, bool *resident) {
+static enum error_code send_until_taken(engine_load_order *order, bool *resident) {
   for (int attempt = 0; attempt < MAX_SEND_ATTEMPTS; attempt++) {
     bool again = false;
     enum error_code code = prepare(order, attempt, &again, resident);
@@ -455,7 +455,7 @@
 
 /* counts the load, and notifies the gateways that may take over the lease that an order is in
  * progress */
-static void record_order_taken(const engine_load_run *order) {
+static void record_order_taken(const engine_load_order *order) {
   gateway *gateway = order->gateway;
   gateway_engine *engine = order->engine;
   gateway->counts.loads++;
@@ -471,7 +471,7 @@
 
 /* reads a report to find out whether an order without a response was accepted; only a report
  * requested after the order shows it */
-static enum error_code confirm_accepted(engine_load_run *order, bool *again, bool *loaded) {
+static enum error_code confirm_accepted(engine_load_order *order, bool *again, bool *loaded) {
   gateway_engine *engine = order->engine;
   bool busy;
   int running;
@@ -495,7 +495,7 @@
 /* Repeats the order, which returns 200 once the load is done. While the account contains this load,
  * the repetition can't start another one: the engine would refuse it because the number of orders
  * differs. */
-static enum error_code poll_by_order(engine_load_run *order, bool *loaded) {
+static enum error_code poll_by_order(engine_load_order *order, bool *loaded) {
   gateway_engine *engine = order->engine;
   int status = engine_order_send(engine, true, order->model, order->adapter,
                                  (int64_t)engine->capacity.order_count, time_never(), order->err);
@@ -505,7 +505,7 @@
   return status == ORDER_NOT_ALLOWED ? order->err->code : OK;
 }
 
-static enum error_code poll_by_report(engine_load_run *order, bool *loaded) {
+static enum error_code poll_by_report(engine_load_order *order, bool *loaded) {
   gateway_engine *engine = order->engine;
   bool busy;
   int running;
@@ -523,7 +523,7 @@
   return OK;
 }
 
-static enum error_code poll_load(engine_load_run *order, bool *loaded) {
+static enum error_code poll_load(engine_load_order *order, bool *loaded) {
   const capacity_account *capacity = &order->engine->capacity;
   int max_checks = order->is_base ? MAX_MODEL_ORDER_POLLS : MAX_ADAPTER_ORDER_POLLS;
   bool by_order = order->polls < max_checks && capacity->is_known &&
@@ -533,14 +533,14 @@
 
 /* Adapters load within some ms. Once their load time is known, only one in POLL_ONE_IN loads is
  * polled, to keep learning it. */
-static bool may_assume_loaded(const engine_load_run *order) {
+static bool may_assume_loaded(const engine_load_order *order) {
   router *router = order->gateway->router;
   return !order->is_base && order->accepted &&
          event_history_load_ms(&router->history, order->service, "@adapter", -1) > 0 &&
          world_random(router->node.world, POLL_ONE_IN);
 }
 
-static double first_poll_ms(const engine_load_run *order) {
+static double first_poll_ms(const engine_load_order *order) {
   if (!order->accepted)
     return ENGINE_REPORT_LAG_MS;
   return order->is_base
@@ -548,7 +548,7 @@
              : order->expected_ms * ADAPTER_FIRST_POLL_FACTOR + ADAPTER_FIRST_POLL_EXTRA_MS;
 }
 
-static enum error_code wait_until_loaded(engine_load_run *order) {
+static enum error_code wait_until_loaded(engine_load_order *order) {
   if (order->status == 200)
     return OK;
   order->assumed = may_assume_loaded(order);
@@ -581,7 +581,7 @@
   }
 }
 
-static enum error_code record_failed(engine_load_run *order, enum error_code code) {
+static enum error_code record_failed(engine_load_order *order, enum error_code code) {
   gateway_engine *engine = order->engine;
   history_event event = { EVENT_LOAD_FAILED, { 0 },          engine->engine_id,
                           order->model,      order->adapter, 0 };
@@ -595,7 +595,7 @@
 }
 
 /* records a load time; in a large fleet only a sample of them is sent to the other gateways */
-static void record_load_ms(const engine_load_run *order, double ms) {
+static void record_load_ms(const engine_load_order *order, double ms) {
   gateway *gateway = order->gateway;
   const char *key = order->is_base ? order->key : "@adapter";
   event_history_record_load_ms(&gateway->router->history, order->service, key, ms);
@@ -604,7 +604,7 @@
     rate_exchange_send_load_time(gateway->router, order->service, key, ms);
 }
 
-static void record_observed_load(const engine_load_run *order) {
+static void record_observed_load(const engine_load_order *order) {
   gateway *gateway = order->gateway;
   double ms = gateway_ms_since(gateway, order->began_at);
   if (!order->polls)
@@ -618,7 +618,7 @@
   event_history_append(&gateway->router->history, event);
 }
 
-static void record_loaded(engine_load_run *order) {
+static void record_loaded(engine_load_order *order) {
   gateway *gateway = order->gateway;
   gateway_engine *engine = order->engine;
   gateway->consecutive_load_failures = 0;
@@ -634,14 +634,14 @@
             order->job->extra_replica ? "extra replica" : "missing model");
 }
 
-static void load_order_init(engine_load_run *order, gateway_engine *engine, load_job *job,
+static void load_order_init(engine_load_order *order, gateway_engine *engine, load_job *job,
                             const service *service, id adapter, int64_t *retry_after_ms,
                             error *err) {
   gateway *gateway = engine->gateway;
   id model = job->model;
   bool is_base = id_is_empty(adapter);
   bool from_disk = is_base && gateway_engine_has_on_disk(engine, model);
-  *order = (engine_load_run){
+  *order = (engine_load_order){
     .engine = engine,
     .gateway = gateway,
     .job = job,
@@ -665,7 +665,7 @@
 /* loads a job's model, or the adapter when one is given */
 static enum error_code load_one(gateway_engine *engine, load_job *job, const service *service,
                                 id adapter, int64_t *retry_after_ms, error *err) {
-  engine_load_run order;
+  engine_load_order order;
   load_order_init(&order, engine, job, service, adapter, retry_after_ms, err);
   enum error_code code =
       evict_for_load(engine, order.model, adapter, order.mb, order.slots, job->idle_only, err);
