--- a/lib/gateway/engine_loading.c
+++ b/lib/gateway/engine_loading.c
@@ -144,12 +144,12 @@
 /* unloads the first of the chosen candidates; if its model was chosen too, unloads the model, which
  * removes its adapters */
 static enum error_code evict_one(gateway_engine *engine, const eviction_candidate *chosen,
-                                 int count, bool thought_idle, error *err) {
+                                 int count, bool expected_idle, error *err) {
   id adapter = chosen[0].adapter;
   for (int i = 0; i < count; i++)
     if (id_equal(chosen[i].model, chosen[0].model) && id_is_empty(chosen[i].adapter))
       adapter = id_none;
-  return engine_order_unload(engine, chosen[0].model, adapter, thought_idle, err);
+  return engine_order_unload(engine, chosen[0].model, adapter, expected_idle, err);
 }
 
 /* Frees capacity by the eviction policy: the candidates with the lowest utility first, and no more
@@ -175,10 +175,10 @@
     if (chosen <= 0)
       return error_set(err, E_NO_CAPACITY, "nothing on %s may be unloaded for %s now",
                        engine->engine_id.text, model.text);
-    bool thought_idle = true;
+    bool expected_idle = true;
     for (int i = 0; i < chosen; i++)
-      thought_idle &= !candidates[i].busy;
-    if (idle_only && !thought_idle)
+      expected_idle &= !candidates[i].busy;
+    if (idle_only && !expected_idle)
       return error_set(err, E_NO_CAPACITY, "all that could be unloaded from %s for %s runs",
                        engine->engine_id.text, model.text);
     log_debug(
@@ -186,7 +186,7 @@
         "%s is evicted from %s for %s+%s: %.2f requests/s per replica, utility %.0f, one of %d.",
         candidates[0].model.text, engine->engine_id.text, model.text, adapter.text,
         candidates[0].request_rate, candidates[0].load_ms * candidates[0].request_rate, chosen);
-    enum error_code code = evict_one(engine, candidates, chosen, thought_idle, err);
+    enum error_code code = evict_one(engine, candidates, chosen, expected_idle, err);
     if (code && code != E_MODEL_IN_USE)
       return code;
   }
--- a/lib/gateway/engine_orders.c
+++ b/lib/gateway/engine_orders.c
@@ -244,7 +244,7 @@
 
 /* sends an order with an epoch as its fencing token; returns the status of engine_exchange */
 static int send_under_epoch(gateway_engine *engine, bool load, id model, id adapter, uint64_t epoch,
-                            int64_t expected_orders, time_us by, error *err) {
+                            int64_t expected_orders, time_us send_by, error *err) {
   gateway *gateway = engine->gateway;
   const singleton_lease *lease = lease_of(engine);
   time_us lease_expires_at = lease ? lease->expires_at : (time_us){ 0 };
@@ -256,7 +256,7 @@
   event_history_append(&gateway->router->history, event);
   lease_count_order(engine, 1);
   int status = engine_exchange(engine, DC_ENGINE_ORDER, body->str, response, ORDER_TIMEOUT_MS,
-                               lease_expires_at.us < by.us ? lease_expires_at : by, err);
+                               lease_expires_at.us < send_by.us ? lease_expires_at : send_by, err);
   lease_count_order(engine, -1);
   log_debug(&gateway->router->node.log, "order",
             "Order to %s %s%s%s on engine %s: fencing token %" PRIu64 ", %" PRId64
@@ -272,7 +272,7 @@
 }
 
 int engine_order_send(gateway_engine *engine, bool load, id model, id adapter,
-                      int64_t expected_orders, time_us by, error *err) {
+                      int64_t expected_orders, time_us send_by, error *err) {
   const char *name = engine->engine_id.text;
   uint64_t epoch = engine_order_epoch(engine);
   if (!epoch) {
@@ -293,7 +293,7 @@
       return ORDER_NOT_ALLOWED;
     }
   }
-  int status = send_under_epoch(engine, load, model, adapter, epoch, expected_orders, by, err);
+  int status = send_under_epoch(engine, load, model, adapter, epoch, expected_orders, send_by, err);
   record_result(engine, load, model, adapter, status);
   if (status != 412)
     return status;
@@ -450,15 +450,15 @@
   return code;
 }
 
-enum error_code engine_order_unload(gateway_engine *engine, id model, id adapter, bool thought_idle,
-                                    error *err) {
+enum error_code engine_order_unload(gateway_engine *engine, id model, id adapter,
+                                    bool expected_idle, error *err) {
   announce_unload(engine, model, adapter);
   enum error_code code = OK;
   if (gateway_feature_enabled(engine->gateway, FEATURE_ANNOUNCE_UNLOAD))
     code = engine_order_sleep(engine, ANNOUNCE_MS, err);
   if (code)
     return code;
-  if (thought_idle && gateway_engine_is_running(engine, model, adapter)) {
+  if (expected_idle && gateway_engine_is_running(engine, model, adapter)) {
     retract_unload(engine, model, adapter);
     return error_set(err, E_MODEL_IN_USE, "%s%s%s runs on %s", model.text,
                      adapter.text[0] ? "+" : "", adapter.text, engine->engine_id.text);
--- a/lib/gateway/engine_orders.h
+++ b/lib/gateway/engine_orders.h
@@ -46,15 +46,15 @@
  * there is no valid answer. busy: the engine is executing an order; running: the number of requests
  * that run or wait there. */
 bool engine_order_fetch_report(gateway_engine *engine, bool *busy, int *running, error *err);
-/** Sends one order before the instant `by` and returns its HTTP status or enum
+/** Sends one order before the time send_by and returns its HTTP status or enum
  * engine_order_status. */
 int engine_order_send(gateway_engine *engine, bool load, id model, id adapter,
-                      int64_t expected_orders, time_us by, error *err);
+                      int64_t expected_orders, time_us send_by, error *err);
 /** Unloads a model or adapter and waits until the engine confirms it. E_MODEL_IN_USE when it was
  * expected to be idle but is in use: it stays loaded. On failure of the order the capacity account
  * is discarded. */
-enum error_code engine_order_unload(gateway_engine *engine, id model, id adapter, bool thought_idle,
-                                    error *err);
+enum error_code engine_order_unload(gateway_engine *engine, id model, id adapter,
+                                    bool expected_idle, error *err);
 /** True when the engine is gone or the process stops. */
 bool engine_order_stopping(gateway_engine *engine);
 /** Sleeps; returns E_NO_ENGINE or E_STOPPING when the engine is gone or the process stops
