--- a/lib/gateway/gateway_engines.c
+++ b/lib/gateway/gateway_engines.c
@@ -76,8 +76,8 @@
 }
 
 /* restores an engine that was only silent; what was known about it is reset */
-static void revive(gateway_engine *engine) {
-  engine->gone = engine->unresponsive = engine->residents.known = false;
+static void restore_silent_engine(gateway_engine *engine) {
+  engine->gone = engine->returns_on_heartbeat = engine->residents.known = false;
   engine->state_received_at = engine->orders.reported_at = (time_us){ 0 };
   engine_health_reset(&engine->health);
   condition_broadcast(&engine->gateway->engines.changed);
@@ -163,18 +163,19 @@
     return;
   gateway_engine *engine = gateway_engine_find(gateway, state->id);
   if (engine && engine->gone) {
-    if (!engine->unresponsive || state->gone || state->heartbeat_count <= engine->heartbeat_count) {
+    if (!engine->returns_on_heartbeat || state->gone ||
+        state->heartbeat_count <= engine->heartbeat_count) {
       if (state->gone && state->draining)
-        engine->unresponsive = false;
+        engine->returns_on_heartbeat = false;
       return;
     }
-    revive(engine);
+    restore_silent_engine(engine);
   }
   if (!engine && !(engine = register_engine(gateway, state)))
     return;
   /* gone and draining: signed off, permanently; gone only: silent */
   if (state->gone) {
-    engine->unresponsive = !state->draining;
+    engine->returns_on_heartbeat = !state->draining;
     gateway_engine_remove(engine, state->draining ? "it has signed off" : "it is silent");
     return;
   }
@@ -202,7 +203,7 @@
   list_for_each (engine, &gateway->engines.list, gateway_engine, link)
     if (!engine->gone && !g_hash_table_contains(listed, engine->engine_id.text) &&
         time_reached(now, time_add(engine->heartbeat_at, time_from_ms(UNREGISTERED_GRACE_MS)))) {
-      engine->unresponsive = true;
+      engine->returns_on_heartbeat = true;
       gateway_engine_remove(engine, "it is no longer registered");
     }
   g_hash_table_destroy(listed);
--- a/lib/gateway/gateway_engines.h
+++ b/lib/gateway/gateway_engines.h
@@ -40,7 +40,7 @@
   bool gone;
   time_us gone_at;
   /** It is gone without having signed off: a later heartbeat restores it. */
-  bool unresponsive;
+  bool returns_on_heartbeat;
 
   /* as this gateway sees it */
   engine_residents residents;
