--- a/lib/gateway/engine_load.c
+++ b/lib/gateway/engine_load.c
@@ -15,7 +15,7 @@
 static const double FULL_BATCH_SLOWDOWN = 0.3;
 /* A sample is ignored if more tokens were queued ahead of it than this share of its own tokens (or
  * of SHORT_PROMPT_TOKENS if it has fewer). */
-static const double LEARN_MAX_AHEAD_SHARE = 0.5;
+static const double SPEED_SAMPLE_MAX_AHEAD_SHARE = 0.5;
 /* Shorter prompts update the base time, longer ones the time per token. */
 static const double SHORT_PROMPT_TOKENS = 200;
 /* Speed of an engine without samples. */
@@ -111,12 +111,12 @@
 }
 
 /* updates the estimated speed from a measured time to the first event */
-static void learn_speed(gateway_engine *engine, double uncached_tokens, double ms,
-                        int running_then) {
+static void update_speed(gateway_engine *engine, double uncached_tokens, double ms,
+                         int running_then) {
   engine_load *load = &engine->load;
   double ahead = gateway_engine_waiting_tokens(engine);
   unsigned slots = MAX(engine->slots, 1);
-  if (ahead > LEARN_MAX_AHEAD_SHARE * MAX(uncached_tokens, SHORT_PROMPT_TOKENS) ||
+  if (ahead > SPEED_SAMPLE_MAX_AHEAD_SHARE * MAX(uncached_tokens, SHORT_PROMPT_TOKENS) ||
       running_then > (int)slots)
     return;
   ms /= engine_load_batch_slowdown(running_then, slots);
@@ -148,7 +148,7 @@
   update_oldest_wait(load);
   mean_add(&load->mean_first_event_ms, ms, FIRST_EVENT_WEIGHT);
   engine_health_clear(engine);
-  learn_speed(engine, uncached_tokens, ms, running_then);
+  update_speed(engine, uncached_tokens, ms, running_then);
 }
 
 static void remove_run(gateway_engine *engine, guint index, bool ok) {
--- a/lib/gateway/engine_loading.c
+++ b/lib/gateway/engine_loading.c
@@ -599,7 +599,7 @@
   gateway *gateway = order->gateway;
   const char *key = order->is_base ? order->key : "@adapter";
   event_history_record_load_ms(&gateway->router->history, order->service, key, ms);
-  if (gateway->router_count <= SMALL_FLEET_NODES ||
+  if (gateway->router_count <= SMALL_FLEET_MAX_NODES ||
       !world_random(gateway->router->node.world, BROADCAST_ONE_IN))
     rate_exchange_send_load_time(gateway->router, order->service, key, ms);
 }
--- a/lib/gateway/engine_residents.c
+++ b/lib/gateway/engine_residents.c
@@ -102,8 +102,8 @@
 }
 
 /* true when a recent order contradicts the state that a source saw at seen_at */
-static bool contradicts(const gateway_engine *engine, id model, id adapter, bool loaded,
-                        time_us seen_at, int64_t guard_ms) {
+static bool contradicts_recent_order(const gateway_engine *engine, id model, id adapter,
+                                     bool loaded, time_us seen_at, int64_t guard_ms) {
   for (guint i = 0; i < engine->residents.changes->len; i++) {
     const resident_change *change = change_at(engine, i);
     if (!id_equal(change->model, model) || !id_equal(change->adapter, adapter) ||
@@ -141,13 +141,15 @@
   GPtrArray *adapters = resident->adapters, *unloading = resident->unloading_adapters;
   for (guint i = adapters->len; i-- > 0;) {
     if (lists_adapter(listed, adapters->pdata[i]) ||
-        contradicts(engine, resident->model, id_of_text(adapters->pdata[i]), false, at, guard_ms))
+        contradicts_recent_order(engine, resident->model, id_of_text(adapters->pdata[i]), false, at,
+                                 guard_ms))
       continue;
     g_ptr_array_remove_index_fast(adapters, i);
     changed = true;
   }
   for (guint i = unloading->len; i-- > 0;)
-    if (!contradicts(engine, resident->model, id_of_text(unloading->pdata[i]), true, at, guard_ms))
+    if (!contradicts_recent_order(engine, resident->model, id_of_text(unloading->pdata[i]), true,
+                                  at, guard_ms))
       g_ptr_array_remove_index_fast(unloading, i);
   return changed;
 }
@@ -162,8 +164,9 @@
       changed |= remove_unlisted_adapters(engine, entry, listed, at, guard_ms);
       continue;
     }
-    if (contradicts(engine, entry->model, id_none, false, at, guard_ms) ||
-        (entry->unloading && contradicts(engine, entry->model, id_none, true, at, guard_ms)))
+    if (contradicts_recent_order(engine, entry->model, id_none, false, at, guard_ms) ||
+        (entry->unloading &&
+         contradicts_recent_order(engine, entry->model, id_none, true, at, guard_ms)))
       continue;
     resident_free(entry);
     changed = true;
@@ -180,7 +183,7 @@
   id model = id_of_text(listed->model);
   resident *resident = engine_residents_find(engine, model);
   if (!resident) {
-    if (contradicts(engine, model, id_none, true, at, guard_ms))
+    if (contradicts_recent_order(engine, model, id_none, true, at, guard_ms))
       return false;
     resident = resident_new(engine, model);
     resident->loaded_at = (time_us){ 0 };
@@ -190,7 +193,7 @@
   for (size_t i = 0; i < listed->n_adapters; i++) {
     const char *adapter = listed->adapters[i];
     if (has_adapter(resident, adapter) || !id_is_valid(string_view_of(adapter)) ||
-        contradicts(engine, model, id_of_text(adapter), true, at, guard_ms))
+        contradicts_recent_order(engine, model, id_of_text(adapter), true, at, guard_ms))
       continue;
     g_ptr_array_add(resident->adapters, g_strdup(adapter));
     changed = true;
--- a/lib/gateway/fleet_rates.c
+++ b/lib/gateway/fleet_rates.c
@@ -34,7 +34,7 @@
 }
 
 double fleet_rates_total(gateway *gateway, const char *key) {
-  if (gateway->router_count <= SMALL_FLEET_NODES)
+  if (gateway->router_count <= SMALL_FLEET_MAX_NODES)
     return 0;
   const fleet_rate *total = g_hash_table_lookup(gateway->fleet_rates.totals, key);
   time_us ttl = time_from_ms(TOTAL_TTL_INTERVALS * FLEET_RATES_INTERVAL_MS);
@@ -212,7 +212,7 @@
       g_hash_table_remove_all(gateway->fleet_rates.counts_sent);
     known_membership = membership;
     GPtrArray *counts = changed_counts(gateway);
-    if (gateway->router_count <= SMALL_FLEET_NODES)
+    if (gateway->router_count <= SMALL_FLEET_MAX_NODES)
       send_counts(gateway, counts, NULL, false);
     else {
       bool own_shards[RATE_SHARDS];
--- a/lib/gateway/fleet_rates.h
+++ b/lib/gateway/fleet_rates.h
@@ -12,7 +12,7 @@
 typedef struct gateway gateway;
 
 /** Fleets up to this size exchange rates, load times and permits in full. */
-enum { SMALL_FLEET_NODES = 16 };
+enum { SMALL_FLEET_MAX_NODES = 16 };
 /** Span of the recent rate. It has half of the weight, since demand changes within seconds. */
 enum { RECENT_RATE_MS = 5000 };
 /** Interval at which collectors announce totals. */
--- a/lib/gateway/gateway_engines.c
+++ b/lib/gateway/gateway_engines.c
@@ -275,7 +275,7 @@
   return OK;
 }
 
-void gateway_engines_collect(gateway *gateway) {
+void gateway_engines_free_expired(gateway *gateway) {
   time_us now = gateway_now(gateway);
   list_for_each (engine, &gateway->engines.list, gateway_engine, link)
     if (engine->gone && engine->refs <= 0 &&
--- a/lib/gateway/gateway_engines.h
+++ b/lib/gateway/gateway_engines.h
@@ -82,7 +82,7 @@
 /** The number of engines of a service that hold a model and adapter and are responsive. */
 int gateway_engines_count_replicas(gateway *gateway, id service, id model, id adapter);
 /** Frees engines that have been gone for ENGINE_TOMBSTONE_MS and are not referenced. */
-void gateway_engines_collect(gateway *gateway);
+void gateway_engines_free_expired(gateway *gateway);
 /** Registers the handler of the message with which controllers and lease holders send engine
  * states. */
 void gateway_engines_start(gateway *gateway);
--- a/lib/gateway/load_rate_limiter.c
+++ b/lib/gateway/load_rate_limiter.c
@@ -297,7 +297,7 @@
 void singleton_successors_broadcast(gateway *gateway, const char *singleton,
                                     Wire__Envelope *message) {
   node *node = &gateway->router->node;
-  bool to_all = gateway->router_count <= SMALL_FLEET_NODES;
+  bool to_all = gateway->router_count <= SMALL_FLEET_MAX_NODES;
   successors next = { 0 };
   list_for_each (peer, &node->peers, peer_node, link) {
     if (peer->role != ROLE_ROUTER || peer->gone)
--- a/lib/gateway/placement.c
+++ b/lib/gateway/placement.c
@@ -653,7 +653,7 @@
     job = placement_job_start(gateway, key, service, model, adapter, request->priority,
                               request->extra_replica);
   g_free(key);
-  if (request->extra_replica && gateway->router_count > SMALL_FLEET_NODES)
+  if (request->extra_replica && gateway->router_count > SMALL_FLEET_MAX_NODES)
     add_replicas(gateway, job);
   job->last_asked_at = gateway_now(gateway);
   job->priority = MIN(job->priority, request->priority);
--- a/lib/gateway/traffic_reports.c
+++ b/lib/gateway/traffic_reports.c
@@ -234,7 +234,7 @@
   while (world_sleep_with_jitter(gateway->router->node.world, time_from_ms(REPORT_INTERVAL_MS))) {
     bool own_fault = is_at_fault_itself(gateway), has_runs, has_failures;
     GPtrArray *routers = find_routers(gateway);
-    gateway_engines_collect(gateway);
+    gateway_engines_free_expired(gateway);
     GPtrArray *loads = gather_loads(gateway, own_fault, &has_runs, &has_failures);
     Wire__TrafficReport report = report_of(loads);
     Wire__Envelope message = wire_envelope(WIRE__ENVELOPE__BODY_TRAFFIC_REPORT, &report);
