--- a/tests/gateway/capacity_account.c
+++ b/tests/gateway/capacity_account.c
@@ -33,7 +33,7 @@
 /* the lease holder of a random engine, or any gateway */
 static deployment_process *a_holder(room_trial *t) {
   deployment_process *e = any_engine(t),
-                     *process = e->engine ? engine_holder(t->deployment, e) : NULL;
+                     *process = e->engine ? engine_lease_holder(t->deployment, e) : NULL;
   return process ? process : any_gateway(t);
 }
 
@@ -45,7 +45,7 @@
   snprintf(model, sizeof model, "m%d", (int)sim_random(t->deployment->sim, 14));
   if (sim_random(t->deployment->sim, 3))
     snprintf(adapter, sizeof adapter, "a%d", 1 + (int)sim_random(t->deployment->sim, ADAPTERS));
-  load_request(t->deployment, from, e, model, adapter, false)->most = 1000000000;
+  load_start(t->deployment, from, e, model, adapter, false)->max_cost = 1000000000;
 }
 
 /* sends client requests, some of which reach an engine before their adapter is loaded */
@@ -171,7 +171,7 @@
   deployment->loads_per_s = 20;
   room_trial t = { deployment, fleet };
   for (size_t i = 0; i < deployment->model_engine_count; i++)
-    holds_first(deployment->engine_processes[i], i ? "m0" : "m3", NULL);
+    set_initial_models(deployment->engine_processes[i], i ? "m0" : "m3", NULL);
   if (!deployment_bring_up(deployment))
     return deployment_finish(deployment, 0);
   sim_run(deployment->sim, time_from_ms(2500));
@@ -208,12 +208,12 @@
 static bool a_refused_request_frees_no_place(fleet *fleet) {
   deployment *deployment = deployment_new(fleet, 2, 1);
   deployment->loads_per_s = 20;
-  holds_first(deployment->engine_processes[0], "m1", "m2");
-  holds_first(deployment->engine_processes[1], "m0", NULL);
+  set_initial_models(deployment->engine_processes[0], "m1", "m2");
+  set_initial_models(deployment->engine_processes[1], "m0", NULL);
   if (!deployment_bring_up(deployment))
     return deployment_finish(deployment, 0);
   sim_run(deployment->sim, time_from_ms(2500));
-  deployment_process *process = engine_holder(deployment, deployment->engine_processes[0]);
+  deployment_process *process = engine_lease_holder(deployment, deployment->engine_processes[0]);
   if (!process)
     fleet_add_violation(fleet, "no gateway holds the engine's lease");
   /* an engine with four adapter slots loads six adapters one after the other while requests for
@@ -222,8 +222,8 @@
   for (size_t k = 0; process && k < G_N_ELEMENTS(wanted); k++) {
     char model[4] = { wanted[k][0], wanted[k][1] };
     deployment->engine_processes[0]->plan.adapter_ms = k < 2 ? 20 : 200;
-    load *l = load_request(deployment, process, deployment->engine_processes[0], model,
-                           wanted[k] + 3, false);
+    load *l = load_start(deployment, process, deployment->engine_processes[0], model, wanted[k] + 3,
+                         false);
     sim_run_until(deployment->sim, load_done, l, time_from_ms(3000));
     /* by now, all gateways know that the adapter is loaded */
     for (int n = 0; n < 12; n++)
@@ -246,12 +246,12 @@
   for (size_t i = 0; i < deployment->model_count; i++)
     if (id_equal(deployment->models[i].name, id_of_text("m9")))
       deployment->models[i].load_ms = 200;
-  holds_first(deployment->engine_processes[0], "m3", NULL);
-  holds_first(deployment->engine_processes[1], "m0", NULL);
+  set_initial_models(deployment->engine_processes[0], "m3", NULL);
+  set_initial_models(deployment->engine_processes[1], "m0", NULL);
   if (!deployment_bring_up(deployment))
     return deployment_finish(deployment, 0);
   sim_run(deployment->sim, time_from_ms(2500));
-  deployment_process *process = engine_holder(deployment, deployment->engine_processes[0]);
+  deployment_process *process = engine_lease_holder(deployment, deployment->engine_processes[0]);
   if (!process)
     fleet_add_violation(fleet, "no gateway holds the engine's lease");
   else {
@@ -260,18 +260,16 @@
     deployment->engine_processes[0]->plan.faults.late_order_ms =
         2300 + (int64_t)sim_random(deployment->sim, 600);
     deployment->engine_processes[0]->plan.faults.late_orders = 1;
-    load *late =
-        load_request(deployment, process, deployment->engine_processes[0], "m9", "", false);
-    late->most = 1000000000;
+    load *late = load_start(deployment, process, deployment->engine_processes[0], "m9", "", false);
+    late->max_cost = 1000000000;
     sim_run_until(deployment->sim, load_done, late, time_from_ms(2200));
     /* the holder reads a report before the order arrives; another large model is requested after it
      */
     load *small =
-        load_request(deployment, process, deployment->engine_processes[0], "m3", "a1", false);
+        load_start(deployment, process, deployment->engine_processes[0], "m3", "a1", false);
     sim_run_until(deployment->sim, load_done, small, time_from_ms(1000));
     sim_run(deployment->sim, time_from_ms(700 + (int64_t)sim_random(deployment->sim, 500)));
-    load *next =
-        load_request(deployment, process, deployment->engine_processes[0], "m12", "", false);
+    load *next = load_start(deployment, process, deployment->engine_processes[0], "m12", "", false);
     /* the engine's memory is not exceeded (LIMIT), and that model is loaded in the end */
     if (!sim_run_until(deployment->sim, load_done, next, time_from_ms(20000)))
       fleet_add_violation(fleet, "the next load never ends (code %d)", next->code);
--- a/tests/gateway/loads.h
+++ b/tests/gateway/loads.h
@@ -9,23 +9,25 @@
   deployment_process *at, *from;
   id model, adapter;
   /** The load is requested again and again without end, as an extra replica. */
-  bool again;
+  bool repeat;
   bool done;
-  uint64_t most;
+  /** Upper bound of the eviction cost; 0: none. With a bound, a load that fails is not requested
+   * again. */
+  uint64_t max_cost;
   int code;
-  time_us up_at;
+  time_us loaded_at;
 } load;
 
 /** The gateway that holds a singleton lease, or NULL. */
-deployment_process *holder_of(deployment *deployment, const char *duty);
+deployment_process *singleton_holder(deployment *deployment, const char *singleton);
 /** The gateway that holds an engine's lease, or NULL. */
-deployment_process *engine_holder(deployment *deployment, const deployment_process *e);
+deployment_process *engine_lease_holder(deployment *deployment, const deployment_process *e);
 /** Starts a task at the gateway `from` that requests a load on the engine `at`; adapter "": none.
  */
-load *load_request(deployment *deployment, deployment_process *from, deployment_process *at,
-                   const char *model, const char *adapter, bool again);
+load *load_start(deployment *deployment, deployment_process *from, deployment_process *at,
+                 const char *model, const char *adapter, bool repeat);
 /** True when a load is done; a condition for sim_run_until. */
 bool load_done(sim *sim, void *load);
 /** Sets the models that an engine holds from the start; NULL: none. */
-void holds_first(deployment_process *process, const char *a, const char *b);
+void set_initial_models(deployment_process *process, const char *a, const char *b);
 #endif
--- a/tests/gateway/placement.c
+++ b/tests/gateway/placement.c
@@ -57,23 +57,23 @@
 
 static bool a_base_takes_its_adapters_along(fleet *fleet) {
   deployment *deployment = deployment_new(fleet, 1, 1);
-  holds_first(deployment->engine_processes[0], "m0", "m3");
+  set_initial_models(deployment->engine_processes[0], "m0", "m3");
   if (!deployment_bring_up(deployment))
     return deployment_finish(deployment, 0);
   static const char *const adapters[] = { "a1", "a2", "a3" };
   for (int k = 0; k < 3; k++)
     if (!sim_run_until(deployment->sim, load_done,
-                       load_request(deployment, deployment->gateway_processes[0],
-                                    deployment->engine_processes[0], "m0", adapters[k], false),
+                       load_start(deployment, deployment->gateway_processes[0],
+                                  deployment->engine_processes[0], "m0", adapters[k], false),
                        time_from_ms(8000)))
       fleet_add_violation(fleet, "%s is not loaded", adapters[k]);
-  deployment_process *holder = engine_holder(deployment, deployment->engine_processes[0]);
+  deployment_process *holder = engine_lease_holder(deployment, deployment->engine_processes[0]);
   heard(holder, "m3", 100, 100);
   sim_run(deployment->sim, time_from_ms(1500));
   guint from = deployment->log->orders->len;
   if (!sim_run_until(deployment->sim, load_done,
-                     load_request(deployment, deployment->gateway_processes[0],
-                                  deployment->engine_processes[0], "m6", "", false),
+                     load_start(deployment, deployment->gateway_processes[0],
+                                deployment->engine_processes[0], "m6", "", false),
                      time_from_ms(12000)))
     fleet_add_violation(fleet, "m6 is not loaded");
   GString *t = orders_since(deployment, from, deployment->engine_processes[0]);
@@ -99,13 +99,13 @@
 static bool dear_room_is_refused(fleet *fleet) {
   deployment *deployment = deployment_new(fleet, 6, 1);
   for (size_t i = 0; i < deployment->model_engine_count; i++)
-    holds_first(deployment->engine_processes[i], "m0", "m3");
+    set_initial_models(deployment->engine_processes[i], "m0", "m3");
   if (!deployment_bring_up(deployment))
     return deployment_finish(deployment, 0);
   deployment_process *c = coordinator_of(deployment), *dear = NULL;
   for (size_t i = 0; i < deployment->model_engine_count && !dear; i++)
-    if (engine_holder(deployment, deployment->engine_processes[i]) &&
-        engine_holder(deployment, deployment->engine_processes[i]) != c)
+    if (engine_lease_holder(deployment, deployment->engine_processes[i]) &&
+        engine_lease_holder(deployment, deployment->engine_processes[i]) != c)
       dear = deployment->engine_processes[i];
   if (!dear)
     return deployment_finish(deployment, 0);
@@ -114,14 +114,14 @@
   static const char *const own[] = { "m6", "m9" };
   for (int k = 0; k < 2; k++)
     if (!sim_run_until(deployment->sim, load_done,
-                       load_request(deployment, c, dear, own[k], "", false), time_from_ms(12000)))
+                       load_start(deployment, c, dear, own[k], "", false), time_from_ms(12000)))
       fleet_add_violation(fleet, "%s is not loaded", own[k]);
   if (!registering_engine_sim_has_loaded(dear->engine, id_of_text("m6"), id_of_text("")) ||
       !registering_engine_sim_has_loaded(dear->engine, id_of_text("m9"), id_of_text("")))
     fleet_add_violation(fleet, "the engine does not hold m6 and m9");
   sim_run(deployment->sim, time_from_ms(2500));
-  heard(engine_holder(deployment, dear), "m6", 1000, 1000);
-  heard(engine_holder(deployment, dear), "m9", 1000, 1000);
+  heard(engine_lease_holder(deployment, dear), "m6", 1000, 1000);
+  heard(engine_lease_holder(deployment, dear), "m9", 1000, 1000);
   heard(c, "m0", 200, 200);
   heard(c, "m3", 200, 200);
   /* a rarely used model is requested */
@@ -141,22 +141,22 @@
 
 static bool loads_go_by_what_they_gain(fleet *fleet) {
   deployment *deployment = deployment_new(fleet, 1, 1);
-  holds_first(deployment->engine_processes[0], NULL, NULL);
+  set_initial_models(deployment->engine_processes[0], NULL, NULL);
   if (!deployment_bring_up(deployment))
     return deployment_finish(deployment, 0);
   guint from = deployment->log->orders->len;
-  heard(engine_holder(deployment, deployment->engine_processes[0]), "m7", 40, 40);
+  heard(engine_lease_holder(deployment, deployment->engine_processes[0]), "m7", 40, 40);
   /* loads of rarely used models are queued at an empty engine; the load of a popular model is
    * requested last */
   static const char *const rare[] = { "m1", "m2", "m4", "m5" };
   load *last = NULL;
   for (int k = 0; k < 4; k++) {
-    last = load_request(deployment, deployment->gateway_processes[0],
-                        deployment->engine_processes[0], rare[k], "", false);
+    last = load_start(deployment, deployment->gateway_processes[0], deployment->engine_processes[0],
+                      rare[k], "", false);
     sim_run(deployment->sim, time_from_ms(40));
   }
-  load *hot = load_request(deployment, deployment->gateway_processes[0],
-                           deployment->engine_processes[0], "m7", "", false);
+  load *hot = load_start(deployment, deployment->gateway_processes[0],
+                         deployment->engine_processes[0], "m7", "", false);
   if (!sim_run_until(deployment->sim, load_done, hot, time_from_ms(12000)) ||
       !sim_run_until(deployment->sim, load_done, last, time_from_ms(12000)))
     fleet_add_violation(fleet, "the queued loads do not finish");
@@ -182,21 +182,21 @@
 static bool rare_loads_are_not_starved(fleet *fleet) {
   deployment *deployment = deployment_new(fleet, 1, 1);
   deployment->loads_per_s = 4;
-  holds_first(deployment->engine_processes[0], NULL, NULL);
+  set_initial_models(deployment->engine_processes[0], NULL, NULL);
   if (!deployment_bring_up(deployment))
     return deployment_finish(deployment, 0);
-  deployment_process *holder = engine_holder(deployment, deployment->engine_processes[0]);
+  deployment_process *holder = engine_lease_holder(deployment, deployment->engine_processes[0]);
   /* more popular models than the engine can hold, so that some of them are queued at any time */
   for (size_t k = 0; k < G_N_ELEMENTS(small); k++)
-    load_request(deployment, deployment->gateway_processes[0], deployment->engine_processes[0],
-                 small[k], "", true);
+    load_start(deployment, deployment->gateway_processes[0], deployment->engine_processes[0],
+               small[k], "", true);
   load *rare = NULL;
   for (uint64_t s = 1; s <= 26; s++) {
     for (size_t k = 0; k < G_N_ELEMENTS(small); k++)
       heard(holder, small[k], s * 2, 2);
     if (s == 10)
-      rare = load_request(deployment, deployment->gateway_processes[0],
-                          deployment->engine_processes[0], "m1", "", false);
+      rare = load_start(deployment, deployment->gateway_processes[0],
+                        deployment->engine_processes[0], "m1", "", false);
     for (int k = 0; k < 20; k++) {
       sim_run(deployment->sim, time_from_ms(50));
       use_all(holder, deployment->engine_processes[0]);
@@ -205,7 +205,7 @@
   if (!rare->done)
     fleet_add_violation(fleet, "a rarely used model was not loaded within 17 s");
   else if (g_getenv("SIM_COUNT"))
-    fprintf(stderr, "  loaded at %.1f s\n", (double)rare->up_at.us / 1e6);
+    fprintf(stderr, "  loaded at %.1f s\n", (double)rare->loaded_at.us / 1e6);
   return deployment_finish(deployment, 0);
 }
 
@@ -219,7 +219,7 @@
 static duties duties_of(deployment *deployment, deployment_process *process) {
   duties d = { .deployment = deployment, .was = process };
   for (size_t i = 0; i < deployment->model_engine_count; i++)
-    if (engine_holder(deployment, deployment->engine_processes[i]) == process)
+    if (engine_lease_holder(deployment, deployment->engine_processes[i]) == process)
       d.engine[d.n++] = deployment->engine_processes[i]->engine->self;
   return d;
 }
@@ -236,9 +236,9 @@
   (void)sim;
   duties *d = p;
   for (int i = 0; i < d->n; i++) {
-    char duty[64];
-    singleton_engine_name(duty, sizeof duty, d->engine[i]);
-    deployment_process *process = holder_of(d->deployment, duty);
+    char singleton[64];
+    singleton_engine_name(singleton, sizeof singleton, d->engine[i]);
+    deployment_process *process = singleton_holder(d->deployment, singleton);
     if (!process || process == d->was)
       return false;
   }
@@ -288,18 +288,18 @@
   deployment *deployment = deployment_new(fleet, 2, 1);
   deployment->loads_per_s = 6;
   for (size_t i = 0; i < deployment->model_engine_count; i++)
-    holds_first(deployment->engine_processes[i], NULL, NULL);
+    set_initial_models(deployment->engine_processes[i], NULL, NULL);
   if (!deployment_bring_up(deployment))
     return deployment_finish(deployment, 0);
   /* the lease holder of engines that get orders all the time shuts down; the next holder must wait
    * before its first order */
-  deployment_process *process = engine_holder(deployment, deployment->engine_processes[0]),
+  deployment_process *process = engine_lease_holder(deployment, deployment->engine_processes[0]),
                      *from = deployment->gateway_processes[0] == process
                                  ? deployment->gateway_processes[1]
                                  : deployment->gateway_processes[0];
   for (size_t i = 0; i < deployment->model_engine_count; i++)
     for (size_t k = 0; k < G_N_ELEMENTS(small); k++)
-      load_request(deployment, from, deployment->engine_processes[i], small[k], "", true);
+      load_start(deployment, from, deployment->engine_processes[i], small[k], "", true);
   sim_run(deployment->sim, time_from_ms(5000 + (int64_t)sim_random(deployment->sim, 2000)));
   duties d = duties_of(deployment, process);
   /* the next holders don't receive notice of its last orders, so that only the chain head's lease
@@ -343,9 +343,9 @@
   duties d = duties_of(deployment, process);
   if (!d.n)
     goto ask_more;
-  char duty[64];
-  singleton_engine_name(duty, sizeof duty, d.engine[0]);
-  uint64_t epoch = singleton_lease_epoch(process->gateway->router, duty);
+  char singleton[64];
+  singleton_engine_name(singleton, sizeof singleton, d.engine[0]);
+  uint64_t epoch = singleton_lease_epoch(process->gateway->router, singleton);
   /* a lease holder that is killed and restarted holds its leases again at once, under the next
    * epoch */
   deployment_record_fault(deployment, process->host, 'k', 3000);
@@ -354,9 +354,9 @@
   host_start(process->host);
   if (!sim_run_until(deployment->sim, all_back, &d, time_from_ms(2300)))
     fleet_add_violation(fleet, "2.3 s after its restart a gateway does not hold its leases again");
-  else if (singleton_lease_epoch(process->gateway->router, duty) != epoch + 1)
+  else if (singleton_lease_epoch(process->gateway->router, singleton) != epoch + 1)
     fleet_add_violation(fleet, "epoch %" PRIu64 " after %" PRIu64,
-                        singleton_lease_epoch(process->gateway->router, duty), epoch);
+                        singleton_lease_epoch(process->gateway->router, singleton), epoch);
   for (int k = 0; k < 4; k++)
     client_sim_send(deployment->client, deployment->note, "m12");
   sim_run(deployment->sim, time_from_ms(6000));
@@ -371,20 +371,20 @@
   for (size_t i = 0; i < deployment->model_count; i++)
     if (id_equal(deployment->models[i].name, id_of_text("m9")))
       deployment->models[i].load_ms = 9000 + (double)sim_random(deployment->sim, 3000);
-  holds_first(deployment->engine_processes[0], "m3", NULL);
-  holds_first(deployment->engine_processes[1], "m0", NULL);
+  set_initial_models(deployment->engine_processes[0], "m3", NULL);
+  set_initial_models(deployment->engine_processes[1], "m0", NULL);
   if (!deployment_bring_up(deployment))
     return deployment_finish(deployment, 0);
   sim_run(deployment->sim, time_from_ms(1500));
   /* an engine with memory for one more model, and a long load in progress there */
-  deployment_process *process = engine_holder(deployment, deployment->engine_processes[0]),
+  deployment_process *process = engine_lease_holder(deployment, deployment->engine_processes[0]),
                      *from = deployment->gateway_processes[0] == process
                                  ? deployment->gateway_processes[1]
                                  : deployment->gateway_processes[0];
   if (!process)
     fleet_add_violation(fleet, "no gateway holds the engine's lease");
   else {
-    load_request(deployment, from, deployment->engine_processes[0], "m9", "", false)->most =
+    load_start(deployment, from, deployment->engine_processes[0], "m9", "", false)->max_cost =
         1000000000;
     sim_run(deployment->sim, time_from_ms(700 + (int64_t)sim_random(deployment->sim, 300)));
     /* its lease holder is killed and restarts, and another load is requested */
@@ -393,7 +393,7 @@
     sim_run(deployment->sim, time_from_ms(100));
     host_start(process->host);
     sim_run(deployment->sim, time_from_ms(2500));
-    load *l = load_request(deployment, from, deployment->engine_processes[0], "m12", "", false);
+    load *l = load_start(deployment, from, deployment->engine_processes[0], "m12", "", false);
     /* the engine's memory is never exceeded (LIMIT), and the second load is done in the end */
     if (!sim_run_until(deployment->sim, load_done, l, time_from_ms(40000)))
       fleet_add_violation(fleet, "the second load never ends (code %d)", l->code);
@@ -452,7 +452,7 @@
    */
   request_rare(deployment, 20);
   sim_run(deployment->sim, time_from_ms(1500));
-  deployment_process *pacer = holder_of(deployment, "pacer"), *next = NULL;
+  deployment_process *pacer = singleton_holder(deployment, "pacer"), *next = NULL;
   bool told[100];
   int knowing = 0;
   for (int i = 0; i < fleet->routers; i++)
@@ -472,7 +472,7 @@
       request_rare(deployment, 2);
     sim_run(deployment->sim, time_from_ms(200));
     if (!next)
-      next = holder_of(deployment, "pacer");
+      next = singleton_holder(deployment, "pacer");
     for (int i = 0; i < fleet->routers; i++)
       placed[i] |= deployment->gateway_processes[i]->gateway &&
                    g_hash_table_size(deployment->gateway_processes[i]->gateway->placement.jobs);
