--- a/tests/gateway/placement.c
+++ b/tests/gateway/placement.c
@@ -7,13 +7,15 @@
  * when loads are requested or lease holders change. */
 
 /* adds a request count of another node to a gateway's history; the gateway does not pass it on */
-static void heard(deployment_process *process, const char *key, uint64_t total, uint64_t window) {
+static void add_remote_count(deployment_process *process, const char *key, uint64_t total,
+                             uint64_t window) {
   event_history_merge_remote_count(&process->gateway->router->history, 99, key, total, window);
 }
 
 /* the orders that an engine has started, from an index in the log on, as "-m0 +m6 " (unload, load)
  */
-static GString *orders_since(deployment *deployment, guint from, const deployment_process *e) {
+static GString *orders_started_since(deployment *deployment, guint from,
+                                     const deployment_process *e) {
   GString *t = g_string_new(NULL);
   for (guint k = from; k < deployment->log->orders->len; k++) {
     engine_order_record *order = deployment->log->orders->pdata[k];
@@ -24,7 +26,7 @@
   return t;
 }
 
-static double rate_at(deployment_process *process, const char *key) {
+static double request_rate_at(deployment_process *process, const char *key) {
   return event_history_request_rate(&process->gateway->router->history, key);
 }
 
@@ -40,18 +42,18 @@
           (history_event){
               EVENT_ROUTED, { 0 }, id_of_text(""), id_of_text("m0"), id_of_text(""), 0 });
   sim_run(deployment->sim, time_from_ms(2500));
-  if (rate_at(deployment->gateway_processes[3], "m0") < 1.4)
+  if (request_rate_at(deployment->gateway_processes[3], "m0") < 1.4)
     fleet_add_violation(fleet, "a gateway knows a rate of %.2f requests/s of the other gateways",
-                        rate_at(deployment->gateway_processes[3], "m0"));
+                        request_rate_at(deployment->gateway_processes[3], "m0"));
   /* the fourth gateway restarts, and no further requests arrive */
   host_kill(deployment->gateway_processes[3]->host);
   sim_run(deployment->sim, time_from_ms(500));
   host_start(deployment->gateway_processes[3]->host);
   sim_run(deployment->sim, time_from_ms(3000));
   /* it receives the counts from before its restart */
-  if (rate_at(deployment->gateway_processes[3], "m0") < 1.4)
+  if (request_rate_at(deployment->gateway_processes[3], "m0") < 1.4)
     fleet_add_violation(fleet, "a restarted gateway knows a rate of %.2f requests/s",
-                        rate_at(deployment->gateway_processes[3], "m0"));
+                        request_rate_at(deployment->gateway_processes[3], "m0"));
   return deployment_finish(deployment, 0);
 }
 
@@ -68,7 +70,7 @@
                        time_from_ms(8000)))
       fleet_add_violation(fleet, "%s is not loaded", adapters[k]);
   deployment_process *holder = engine_lease_holder(deployment, deployment->engine_processes[0]);
-  heard(holder, "m3", 100, 100);
+  add_remote_count(holder, "m3", 100, 100);
   sim_run(deployment->sim, time_from_ms(1500));
   guint from = deployment->log->orders->len;
   if (!sim_run_until(deployment->sim, load_done,
@@ -76,7 +78,7 @@
                                 deployment->engine_processes[0], "m6", "", false),
                      time_from_ms(12000)))
     fleet_add_violation(fleet, "m6 is not loaded");
-  GString *t = orders_since(deployment, from, deployment->engine_processes[0]);
+  GString *t = orders_started_since(deployment, from, deployment->engine_processes[0]);
   if (strcmp(t->str, "-m0 +m6 "))
     fleet_add_violation(fleet, "for m6 the engine got: %s", t->str);
   g_string_free(t, TRUE);
@@ -102,35 +104,36 @@
     set_initial_models(deployment->engine_processes[i], "m0", "m3");
   if (!deployment_bring_up(deployment))
     return deployment_finish(deployment, 0);
-  deployment_process *c = coordinator_of(deployment), *dear = NULL;
-  for (size_t i = 0; i < deployment->model_engine_count && !dear; i++)
+  deployment_process *coordinator = coordinator_of(deployment), *expensive = NULL;
+  for (size_t i = 0; i < deployment->model_engine_count && !expensive; i++)
     if (engine_lease_holder(deployment, deployment->engine_processes[i]) &&
-        engine_lease_holder(deployment, deployment->engine_processes[i]) != c)
-      dear = deployment->engine_processes[i];
-  if (!dear)
+        engine_lease_holder(deployment, deployment->engine_processes[i]) != coordinator)
+      expensive = deployment->engine_processes[i];
+  if (!expensive)
     return deployment_finish(deployment, 0);
   /* one engine alone holds two models whose request rate is known to its lease holder but not yet
    * to the coordinator */
   static const char *const own[] = { "m6", "m9" };
   for (int k = 0; k < 2; k++)
     if (!sim_run_until(deployment->sim, load_done,
-                       load_start(deployment, c, dear, own[k], "", false), time_from_ms(12000)))
+                       load_start(deployment, coordinator, expensive, own[k], "", false),
+                       time_from_ms(12000)))
       fleet_add_violation(fleet, "%s is not loaded", own[k]);
-  if (!registering_engine_sim_has_loaded(dear->engine, id_of_text("m6"), id_of_text("")) ||
-      !registering_engine_sim_has_loaded(dear->engine, id_of_text("m9"), id_of_text("")))
+  if (!registering_engine_sim_has_loaded(expensive->engine, id_of_text("m6"), id_of_text("")) ||
+      !registering_engine_sim_has_loaded(expensive->engine, id_of_text("m9"), id_of_text("")))
     fleet_add_violation(fleet, "the engine does not hold m6 and m9");
   sim_run(deployment->sim, time_from_ms(2500));
-  heard(engine_lease_holder(deployment, dear), "m6", 1000, 1000);
-  heard(engine_lease_holder(deployment, dear), "m9", 1000, 1000);
-  heard(c, "m0", 200, 200);
-  heard(c, "m3", 200, 200);
+  add_remote_count(engine_lease_holder(deployment, expensive), "m6", 1000, 1000);
+  add_remote_count(engine_lease_holder(deployment, expensive), "m9", 1000, 1000);
+  add_remote_count(coordinator, "m0", 200, 200);
+  add_remote_count(coordinator, "m3", 200, 200);
   /* a rarely used model is requested */
   guint from = deployment->log->orders->len;
   client_sim_request *a = client_sim_send(deployment->client, deployment->note, "m1");
   sim_run(deployment->sim, time_from_ms(8000));
   deployment_finish_traffic(deployment);
   /* the expensive engine keeps its models, and another engine loads the requested one */
-  GString *t = orders_since(deployment, from, dear);
+  GString *t = orders_started_since(deployment, from, expensive);
   if (t->len)
     fleet_add_violation(fleet, "the expensive engine got: %s", t->str);
   g_string_free(t, TRUE);
@@ -145,7 +148,7 @@
   if (!deployment_bring_up(deployment))
     return deployment_finish(deployment, 0);
   guint from = deployment->log->orders->len;
-  heard(engine_lease_holder(deployment, deployment->engine_processes[0]), "m7", 40, 40);
+  add_remote_count(engine_lease_holder(deployment, deployment->engine_processes[0]), "m7", 40, 40);
   /* loads of rarely used models are queued at an empty engine; the load of a popular model is
    * requested last */
   static const char *const rare[] = { "m1", "m2", "m4", "m5" };
@@ -162,7 +165,7 @@
     fleet_add_violation(fleet, "the queued loads do not finish");
   sim_run(deployment->sim, time_from_ms(3000));
   /* the popular model is loaded right after the running load, then the others in order */
-  GString *t = orders_since(deployment, from, deployment->engine_processes[0]);
+  GString *t = orders_started_since(deployment, from, deployment->engine_processes[0]);
   if (strcmp(t->str, "+m1 +m7 +m2 +m4 +m5 "))
     fleet_add_violation(fleet, "the engine got: %s", t->str);
   g_string_free(t, TRUE);
@@ -173,7 +176,7 @@
 
 /* marks all residents of an engine as used after their load, so that they are no longer protected
  * from eviction */
-static void use_all(deployment_process *at, const deployment_process *e) {
+static void mark_all_used(deployment_process *at, const deployment_process *e) {
   gateway_engine *engine = gateway_engine_find(at->gateway, e->engine->self.text);
   list_for_each (r, &engine->residents.list, resident, link)
     r->last_used_at = at->deployment->sim->now;
@@ -193,13 +196,13 @@
   load *rare = NULL;
   for (uint64_t s = 1; s <= 26; s++) {
     for (size_t k = 0; k < G_N_ELEMENTS(small); k++)
-      heard(holder, small[k], s * 2, 2);
+      add_remote_count(holder, small[k], s * 2, 2);
     if (s == 10)
       rare = load_start(deployment, deployment->gateway_processes[0],
                         deployment->engine_processes[0], "m1", "", false);
     for (int k = 0; k < 20; k++) {
       sim_run(deployment->sim, time_from_ms(50));
-      use_all(holder, deployment->engine_processes[0]);
+      mark_all_used(holder, deployment->engine_processes[0]);
     }
   }
   if (!rare->done)
@@ -209,37 +212,38 @@
   return deployment_finish(deployment, 0);
 }
 
-typedef struct duties {
+typedef struct holder_leases {
   deployment *deployment;
-  deployment_process *was;
+  deployment_process *holder;
   id engine[DEPLOYMENT_ENGINES];
-  int n;
-} duties;
+  int count;
+} holder_leases;
 
-static duties duties_of(deployment *deployment, deployment_process *process) {
-  duties d = { .deployment = deployment, .was = process };
+static holder_leases leases_held_by(deployment *deployment, deployment_process *process) {
+  holder_leases d = { .deployment = deployment, .holder = process };
   for (size_t i = 0; i < deployment->model_engine_count; i++)
     if (engine_lease_holder(deployment, deployment->engine_processes[i]) == process)
-      d.engine[d.n++] = deployment->engine_processes[i]->engine->self;
+      d.engine[d.count++] = deployment->engine_processes[i]->engine->self;
   return d;
 }
 
-static deployment_process *busiest_holder(deployment *deployment) {
+static deployment_process *gateway_with_most_leases(deployment *deployment) {
   deployment_process *best = deployment->gateway_processes[0];
   for (int i = 1; i < deployment->fleet->routers; i++)
-    if (duties_of(deployment, deployment->gateway_processes[i]).n > duties_of(deployment, best).n)
+    if (leases_held_by(deployment, deployment->gateway_processes[i]).count >
+        leases_held_by(deployment, best).count)
       best = deployment->gateway_processes[i];
   return best;
 }
 
-static bool others_hold(sim *sim, void *p) {
+static bool others_hold_leases(sim *sim, void *p) {
   (void)sim;
-  duties *d = p;
-  for (int i = 0; i < d->n; i++) {
+  holder_leases *d = p;
+  for (int i = 0; i < d->count; i++) {
     char singleton[64];
     singleton_engine_name(singleton, sizeof singleton, d->engine[i]);
     deployment_process *process = singleton_holder(d->deployment, singleton);
-    if (!process || process == d->was)
+    if (!process || process == d->holder)
       return false;
   }
   return true;
@@ -251,13 +255,13 @@
     return deployment_finish(deployment, 0);
   sim_run(deployment->sim, time_from_ms(5000));
   /* a lease holder without recent orders shuts down; other gateways hold its leases soon after */
-  deployment_process *process = busiest_holder(deployment);
-  duties d = duties_of(deployment, process);
-  if (!d.n)
+  deployment_process *process = gateway_with_most_leases(deployment);
+  holder_leases d = leases_held_by(deployment, process);
+  if (!d.count)
     fleet_add_violation(fleet, "no gateway holds a lease");
   deployment_terminate_gateway(deployment, process);
   time_us from = deployment->sim->now;
-  bool soon = sim_run_until(deployment->sim, others_hold, &d, time_from_ms(2000));
+  bool soon = sim_run_until(deployment->sim, others_hold_leases, &d, time_from_ms(2000));
   if (!soon)
     fleet_add_violation(fleet,
                         "2 s after a gateway's shutdown began, its leases are not held by others");
@@ -268,7 +272,7 @@
 }
 
 /* checks that no two lease holders send orders to an engine within one lease duration */
-static void orders_apart(deployment *deployment) {
+static void check_handover_distance(deployment *deployment) {
   for (guint k = 0; k < deployment->log->orders->len; k++) {
     engine_order_record *order = deployment->log->orders->pdata[k];
     for (guint m = 0; m < k; m++) {
@@ -301,7 +305,7 @@
     for (size_t k = 0; k < G_N_ELEMENTS(small); k++)
       load_start(deployment, from, deployment->engine_processes[i], small[k], "", true);
   sim_run(deployment->sim, time_from_ms(5000 + (int64_t)sim_random(deployment->sim, 2000)));
-  duties d = duties_of(deployment, process);
+  holder_leases d = leases_held_by(deployment, process);
   /* the next holders don't receive notice of its last orders, so that only the chain head's lease
    * grants keep their orders apart */
   for (int k = 0; k < fleet->routers; k++)
@@ -313,7 +317,7 @@
   sim_run(deployment->sim, time_from_ms(700));
   sim_heal_partitions(deployment->sim);
   sim_run(deployment->sim, time_from_ms(9000));
-  if (!others_hold(deployment->sim, &d))
+  if (!others_hold_leases(deployment->sim, &d))
     fleet_add_violation(fleet, "no gateway holds the leases of the one that has shut down");
   guint n = 0;
   for (guint k = 0; k < deployment->log->orders->len; k++) {
@@ -323,26 +327,26 @@
   }
   if (!n)
     fleet_add_violation(fleet, "the next holder sends no orders");
-  orders_apart(deployment);
+  check_handover_distance(deployment);
   return deployment_finish(deployment, 0);
 }
 
-static bool all_back(sim *sim, void *p) {
+static bool holds_leases_again(sim *sim, void *p) {
   (void)sim;
-  duties *d = p;
-  return duties_of(d->deployment, d->was).n >= d->n;
+  holder_leases *d = p;
+  return leases_held_by(d->deployment, d->holder).count >= d->count;
 }
 
 static bool a_restarted_holder_goes_on(fleet *fleet) {
   deployment *deployment = deployment_new(fleet, 4, 1);
   if (!deployment_bring_up(deployment))
     return deployment_finish(deployment, 0);
-ask_more:
+run_longer:
   sim_run(deployment->sim, time_from_ms(1000));
-  deployment_process *process = busiest_holder(deployment);
-  duties d = duties_of(deployment, process);
-  if (!d.n)
-    goto ask_more;
+  deployment_process *process = gateway_with_most_leases(deployment);
+  holder_leases d = leases_held_by(deployment, process);
+  if (!d.count)
+    goto run_longer;
   char singleton[64];
   singleton_engine_name(singleton, sizeof singleton, d.engine[0]);
   uint64_t epoch = singleton_lease_epoch(process->gateway->router, singleton);
@@ -352,7 +356,7 @@
   host_kill(process->host);
   sim_run(deployment->sim, time_from_ms(100));
   host_start(process->host);
-  if (!sim_run_until(deployment->sim, all_back, &d, time_from_ms(2300)))
+  if (!sim_run_until(deployment->sim, holds_leases_again, &d, time_from_ms(2300)))
     fleet_add_violation(fleet, "2.3 s after its restart a gateway does not hold its leases again");
   else if (singleton_lease_epoch(process->gateway->router, singleton) != epoch + 1)
     fleet_add_violation(fleet, "epoch %" PRIu64 " after %" PRIu64,
@@ -402,7 +406,7 @@
   return deployment_finish(deployment, 0);
 }
 
-static void request_rare(deployment *deployment, int n) {
+static void request_rare_models(deployment *deployment, int n) {
   char name[16];
   for (int k = 0; k < n; k++) {
     snprintf(name, sizeof name, "m%d", 9 + (int)sim_random(deployment->sim, 5));
@@ -450,17 +454,17 @@
                         low, fleet->routers * (int)G_N_ELEMENTS(keys), least);
   /* many requests need models that no engine holds, and the holder of "pacer" is killed meanwhile
    */
-  request_rare(deployment, 20);
+  request_rare_models(deployment, 20);
   sim_run(deployment->sim, time_from_ms(1500));
   deployment_process *pacer = singleton_holder(deployment, "pacer"), *next = NULL;
-  bool told[100];
-  int knowing = 0;
+  bool got_load_report[100];
+  int reported_count = 0;
   for (int i = 0; i < fleet->routers; i++)
-    knowing += told[i] =
+    reported_count += got_load_report[i] =
         g_hash_table_size(
             deployment->gateway_processes[i]->gateway->load_rate_limiters.by_service) > 0;
-  if (knowing < 2 || knowing > 6)
-    fleet_add_violation(fleet, "%d gateways know of the granted load permits", knowing);
+  if (reported_count < 2 || reported_count > 6)
+    fleet_add_violation(fleet, "%d gateways know of the granted load permits", reported_count);
   if (pacer) {
     deployment_record_fault(deployment, pacer->host, 'k', 6000);
     host_kill(pacer->host);
@@ -469,7 +473,7 @@
   bool placed[100] = { false };
   for (int k = 0; k < 50; k++) {
     if (k % 5 == 0)
-      request_rare(deployment, 2);
+      request_rare_models(deployment, 2);
     sim_run(deployment->sim, time_from_ms(200));
     if (!next)
       next = singleton_holder(deployment, "pacer");
@@ -483,7 +487,7 @@
     fleet_add_violation(fleet, "no gateway takes over the singleton pacer");
   else
     for (int i = 0; i < fleet->routers; i++)
-      if (deployment->gateway_processes[i] == next && !told[i])
+      if (deployment->gateway_processes[i] == next && !got_load_report[i])
         fleet_add_violation(fleet,
                             "%s takes over the singleton pacer and has received no load report",
                             next->host->self.text);
