--- a/tests/gateway/capacity_account.c
+++ b/tests/gateway/capacity_account.c
@@ -7,14 +7,14 @@
  * an engine never accepts an order for a load beyond its memory or adapter slots. Checked against
  * the records of the engines themselves. */
 
-enum { STEP_MS = 250, TROUBLED_MS = 40000, HEALED_MS = 12000, LOADS_LEAST = 15, ADAPTERS = 3 };
+enum { STEP_MS = 250, FAULTS_MS = 40000, HEAL_MS = 12000, MIN_LOADS = 15, ADAPTER_COUNT = 3 };
 
-typedef struct room_trial {
+typedef struct capacity_test {
   deployment *deployment;
   fleet *fleet;
-} room_trial;
+} capacity_test;
 
-static deployment_process *any_gateway(room_trial *t) {
+static deployment_process *random_gateway(capacity_test *t) {
   for (int tries = 0; tries < 20; tries++) {
     deployment_process *process =
         t->deployment
@@ -25,103 +25,107 @@
   return NULL;
 }
 
-static deployment_process *any_engine(room_trial *t) {
+static deployment_process *random_engine(capacity_test *t) {
   return t->deployment
       ->engine_processes[sim_random(t->deployment->sim, t->deployment->model_engine_count)];
 }
 
 /* the lease holder of a random engine, or any gateway */
-static deployment_process *a_holder(room_trial *t) {
-  deployment_process *e = any_engine(t),
+static deployment_process *random_lease_holder(capacity_test *t) {
+  deployment_process *e = random_engine(t),
                      *process = e->engine ? engine_lease_holder(t->deployment, e) : NULL;
-  return process ? process : any_gateway(t);
+  return process ? process : random_gateway(t);
 }
 
-static void request_for_a_load(room_trial *t) {
-  deployment_process *from = any_gateway(t), *e = any_engine(t);
+static void request_random_load(capacity_test *t) {
+  deployment_process *from = random_gateway(t), *e = random_engine(t);
   if (!from || !e->engine)
     return;
   char model[16], adapter[16] = "";
   snprintf(model, sizeof model, "m%d", (int)sim_random(t->deployment->sim, 14));
   if (sim_random(t->deployment->sim, 3))
-    snprintf(adapter, sizeof adapter, "a%d", 1 + (int)sim_random(t->deployment->sim, ADAPTERS));
+    snprintf(adapter, sizeof adapter, "a%d",
+             1 + (int)sim_random(t->deployment->sim, ADAPTER_COUNT));
   load_start(t->deployment, from, e, model, adapter, false)->max_cost = 1000000000;
 }
 
 /* sends client requests, some of which reach an engine before their adapter is loaded */
-static void request_for_runs(room_trial *t) {
+static void send_random_requests(capacity_test *t) {
   char model[16];
   for (int k = 0; k < 3; k++) {
     snprintf(model, sizeof model, "m%d/a%d", (int)sim_random(t->deployment->sim, 14),
-             1 + (int)sim_random(t->deployment->sim, ADAPTERS));
+             1 + (int)sim_random(t->deployment->sim, ADAPTER_COUNT));
     client_sim_send(t->deployment->client, t->deployment->note, model);
   }
 }
 
-static void start_later(void *host) {
+static void start_host_if_down(void *host) {
   if (!((struct host *)host)->alive)
     host_start(host);
 }
-static void wake_later(void *host) {
+static void unfreeze_host_if_frozen(void *host) {
   if (((struct host *)host)->alive && ((struct host *)host)->frozen)
     host_unfreeze(host);
 }
-static void mend_later(void *s) {
+static void heal_all_partitions(void *s) {
   sim_heal_partitions(s);
 }
 
-static time_us later(room_trial *t, int64_t least, uint64_t more) {
+static time_us random_time_from_now(capacity_test *t, int64_t min_ms, uint64_t range_ms) {
   return time_add(t->deployment->sim->now,
-                  time_from_ms(least + (int64_t)sim_random(t->deployment->sim, more)));
+                  time_from_ms(min_ms + (int64_t)sim_random(t->deployment->sim, range_ms)));
 }
 
-static void kill_a_host(room_trial *t, host *host, int64_t least, uint64_t more) {
+static void kill_and_restart_host(capacity_test *t, host *host, int64_t min_ms, uint64_t range_ms) {
   if (!host->alive || host->frozen)
     return;
   host_kill(host);
-  sim_schedule(t->deployment->sim, later(t, least, more), start_later, host);
+  sim_schedule(t->deployment->sim, random_time_from_now(t, min_ms, range_ms), start_host_if_down,
+               host);
 }
 
-static void freeze_a_host(room_trial *t, host *host) {
+static void freeze_host_for_a_while(capacity_test *t, host *host) {
   if (!host->alive || host->frozen)
     return;
   host_freeze(host);
-  sim_schedule(t->deployment->sim, later(t, 200, 6000), wake_later, host);
+  sim_schedule(t->deployment->sim, random_time_from_now(t, 200, 6000), unfreeze_host_if_frozen,
+               host);
 }
 
-static void cut_a_holder_off(room_trial *t) {
-  deployment_process *process = a_holder(t), *e = any_engine(t);
+static void partition_lease_holder(capacity_test *t) {
+  deployment_process *process = random_lease_holder(t), *e = random_engine(t);
   if (!process)
     return;
   sim_set_partition_both_ways(t->deployment->sim, process->host->self.text,
                               sim_random(t->deployment->sim, 2) ? e->host->self.text : NULL, true);
-  sim_schedule(t->deployment->sim, later(t, 300, 5000), mend_later, t->deployment->sim);
+  sim_schedule(t->deployment->sim, random_time_from_now(t, 300, 5000), heal_all_partitions,
+               t->deployment->sim);
 }
 
-static void bring_trouble(room_trial *t) {
-  deployment_process *process = a_holder(t), *e = any_engine(t);
+static void inject_random_fault(capacity_test *t) {
+  deployment_process *process = random_lease_holder(t), *e = random_engine(t);
   registering_engine_faults *faults = &e->plan.faults;
   switch (sim_random(t->deployment->sim, 14)) {
   case 0:
     if (process)
-      kill_a_host(t, process->host, 100, 3000);
+      kill_and_restart_host(t, process->host, 100, 3000);
     break;
   case 1:
   case 2:
     if (process)
-      freeze_a_host(t, process->host);
+      freeze_host_for_a_while(t, process->host);
     break;
   case 3:
-    cut_a_holder_off(t);
+    partition_lease_holder(t);
     break;
   case 4:
     /* heartbeats wait for a controller that does not answer, and are old when the next controller
      * receives them */
-    freeze_a_host(
+    freeze_host_for_a_while(
         t, t->fleet->controller[sim_random(t->deployment->sim, (uint64_t)t->fleet->controllers)]);
     break;
   case 5:
-    kill_a_host(
+    kill_and_restart_host(
         t, t->fleet->controller[sim_random(t->deployment->sim, (uint64_t)t->fleet->controllers)],
         100, 2000);
     break;
@@ -139,14 +143,14 @@
     e->plan.adapter_ms = 20 + (int64_t)sim_random(t->deployment->sim, 400);
     break;
   case 10:
-    kill_a_host(t, e->host, 500, 2000);
+    kill_and_restart_host(t, e->host, 500, 2000);
     break;
   default:
     break;
   }
 }
 
-static int loads_taken(room_trial *t) {
+static int accepted_load_count(capacity_test *t) {
   int n = 0;
   for (guint i = 0; i < t->deployment->log->orders->len; i++) {
     engine_order_record *order = t->deployment->log->orders->pdata[i];
@@ -155,12 +159,12 @@
   return n;
 }
 
-static void heal(room_trial *t) {
+static void heal_all_faults(capacity_test *t) {
   scenario_heal_all(t->fleet);
   for (int i = 0; i < t->fleet->routers; i++)
-    start_later(t->deployment->gateway_processes[i]->host);
+    start_host_if_down(t->deployment->gateway_processes[i]->host);
   for (size_t i = 0; i < t->deployment->model_engine_count; i++) {
-    start_later(t->deployment->engine_processes[i]->host);
+    start_host_if_down(t->deployment->engine_processes[i]->host);
     t->deployment->engine_processes[i]->plan.faults = (registering_engine_faults){ 0 };
     t->deployment->engine_processes[i]->plan.adapter_ms = 0;
   }
@@ -169,35 +173,35 @@
 static bool rooms_are_never_overrun(fleet *fleet) {
   deployment *deployment = deployment_new(fleet, 2, 1);
   deployment->loads_per_s = 20;
-  room_trial t = { deployment, fleet };
+  capacity_test t = { deployment, fleet };
   for (size_t i = 0; i < deployment->model_engine_count; i++)
     set_initial_models(deployment->engine_processes[i], i ? "m0" : "m3", NULL);
   if (!deployment_bring_up(deployment))
     return deployment_finish(deployment, 0);
   sim_run(deployment->sim, time_from_ms(2500));
   /* requests many more loads than two engines can hold, while random faults occur */
-  for (int ms = 0; ms < TROUBLED_MS; ms += STEP_MS) {
+  for (int ms = 0; ms < FAULTS_MS; ms += STEP_MS) {
     for (int k = (int)sim_random(deployment->sim, 3); k > 0; k--)
-      request_for_a_load(&t);
+      request_random_load(&t);
     if (!sim_random(deployment->sim, 2))
-      request_for_runs(&t);
+      send_random_requests(&t);
     if (!sim_random(deployment->sim, 4))
-      bring_trouble(&t);
+      inject_random_fault(&t);
     sim_run(deployment->sim, time_from_ms(STEP_MS));
   }
-  heal(&t);
-  sim_run(deployment->sim, time_from_ms(HEALED_MS));
-  int before = loads_taken(&t);
+  heal_all_faults(&t);
+  sim_run(deployment->sim, time_from_ms(HEAL_MS));
+  int before = accepted_load_count(&t);
   for (int k = 0; k < 40; k++) {
-    request_for_a_load(&t);
+    request_random_load(&t);
     sim_run(deployment->sim, time_from_ms(STEP_MS));
   }
   /* no engine accepts loads beyond its memory or adapter slots (LIMIT), and loads continue after
    * the faults */
   gateway_check_limit(deployment);
-  if (before < LOADS_LEAST || loads_taken(&t) - before < 4)
+  if (before < MIN_LOADS || accepted_load_count(&t) - before < 4)
     fleet_add_violation(fleet, "only %d loads during the faults and %d after them", before,
-                        loads_taken(&t) - before);
+                        accepted_load_count(&t) - before);
   bool ok = !fleet->violations->len;
   deployment_free(deployment);
   return ok;
