--- a/tests/gateway/loader.c
+++ b/tests/gateway/loader.c
@@ -89,7 +89,7 @@
   return gateway_engine_find(&bare->gateway, self);
 }
 
-static void asked(bare_gateway *bare, const char *model, const char *adapter, int times) {
+static void record_requests(bare_gateway *bare, const char *model, const char *adapter, int times) {
   for (int k = 0; k < times; k++)
     event_history_append(
         &bare->router.history,
@@ -97,12 +97,12 @@
             EVENT_ROUTED, { 0 }, id_of_text(""), id_of_text(model), id_of_text(adapter), 0 });
 }
 
-#define WANT(f, x)                                                                                 \
+#define EXPECT(f, x)                                                                               \
   do {                                                                                             \
     if (!(x))                                                                                      \
       fleet_add_violation(f, "line %d: %s", __LINE__, #x);                                         \
   } while (0)
-static bool near(double a, double b) {
+static bool nearly_equal(double a, double b) {
   return a > b * 0.999 - 1e-9 && a < b * 1.001 + 1e-9;
 }
 
@@ -111,51 +111,51 @@
   const service *service = routing_find_service(bare->routing, "s");
   gateway_engine *engine = heartbeat(bare, "e1", "10.0.0.1:80", 1, 0, "big,mid");
   /* the last 5 s have half of a rate's weight, so half the rate of requests from 9 s ago is left */
-  asked(bare, "big", "", 60);
-  asked(bare, "mid", "", 30);
+  record_requests(bare, "big", "", 60);
+  record_requests(bare, "mid", "", 30);
   sim_run(fleet->sim, time_from_ms(9000));
   double mb, drain;
   unsigned slots;
-  WANT(fleet, near(eviction_placement_cost(engine, service, id_of_text("low"), id_of_text(""), &mb,
-                                           &slots, &drain),
-                   0));
-  WANT(fleet, near(mb, 10000) && slots == 0);
+  EXPECT(fleet, nearly_equal(eviction_placement_cost(engine, service, id_of_text("low"),
+                                                     id_of_text(""), &mb, &slots, &drain),
+                             0));
+  EXPECT(fleet, nearly_equal(mb, 10000) && slots == 0);
   /* the model with the lower utility is evicted: a load time of 2 s at half of 0.5 requests/s */
-  WANT(fleet, near(eviction_placement_cost(engine, service, id_of_text("new"), id_of_text(""), &mb,
-                                           &slots, &drain),
-                   2000 * 0.5 * 0.5));
+  EXPECT(fleet, nearly_equal(eviction_placement_cost(engine, service, id_of_text("new"),
+                                                     id_of_text(""), &mb, &slots, &drain),
+                             2000 * 0.5 * 0.5));
   /* an adapter uses a slot and the memory of its weights, plus that of its model if not resident */
-  WANT(fleet, near(eviction_placement_cost(engine, service, id_of_text("big"), id_of_text("a1"),
-                                           &mb, &slots, &drain),
-                   0) &&
-                  near(mb, 40) && slots == 1);
+  EXPECT(fleet, nearly_equal(eviction_placement_cost(engine, service, id_of_text("big"),
+                                                     id_of_text("a1"), &mb, &slots, &drain),
+                             0) &&
+                    nearly_equal(mb, 40) && slots == 1);
   eviction_placement_cost(engine, service, id_of_text("new"), id_of_text("a1"), &mb, &slots,
                           &drain);
-  WANT(fleet, near(mb, 35040) && slots == 1);
+  EXPECT(fleet, nearly_equal(mb, 35040) && slots == 1);
   /* both slots are taken: an adapter is evicted for an adapter, never the base model that it needs
    */
   gateway_engine_mark_loaded(engine, id_of_text("big"), id_of_text("a2"));
   gateway_engine_mark_loaded(engine, id_of_text("big"), id_of_text("a3"));
-  asked(bare, "big", "a2", 12);
-  asked(bare, "big", "a3", 6);
+  record_requests(bare, "big", "a2", 12);
+  record_requests(bare, "big", "a3", 6);
   sim_run(fleet->sim, time_from_ms(9000));
-  WANT(fleet, near(eviction_placement_cost(engine, service, id_of_text("big"), id_of_text("a1"),
-                                           &mb, &slots, &drain),
-                   25 * 0.1 * 0.5));
+  EXPECT(fleet, nearly_equal(eviction_placement_cost(engine, service, id_of_text("big"),
+                                                     id_of_text("a1"), &mb, &slots, &drain),
+                             25 * 0.1 * 0.5));
   /* reserved memory counts as used */
   engine->load_jobs.reserved_mb = 10000;
-  WANT(fleet, eviction_placement_cost(engine, service, id_of_text("low"), id_of_text(""), &mb,
-                                      &slots, &drain) > 0);
+  EXPECT(fleet, eviction_placement_cost(engine, service, id_of_text("low"), id_of_text(""), &mb,
+                                        &slots, &drain) > 0);
   engine->load_jobs.reserved_mb = 60000;
-  WANT(fleet, eviction_placement_cost(engine, service, id_of_text("new"), id_of_text(""), &mb,
-                                      &slots, &drain) < 0);
+  EXPECT(fleet, eviction_placement_cost(engine, service, id_of_text("new"), id_of_text(""), &mb,
+                                        &slots, &drain) < 0);
   engine->load_jobs.reserved_mb = 0;
   /* a model that is being unloaded keeps its memory and can't be evicted again */
   gateway_engine_mark_unloading(engine, id_of_text("mid"), id_of_text(""));
-  WANT(fleet, !gateway_engine_has_model(engine, id_of_text("mid"), id_of_text("")) &&
-                  gateway_engine_has_model(engine, id_of_text("big"), id_of_text("a2")));
-  WANT(fleet, eviction_placement_cost(engine, service, id_of_text("new"), id_of_text(""), &mb,
-                                      &slots, &drain) > 2000 * 0.9 * 0.5);
+  EXPECT(fleet, !gateway_engine_has_model(engine, id_of_text("mid"), id_of_text("")) &&
+                    gateway_engine_has_model(engine, id_of_text("big"), id_of_text("a2")));
+  EXPECT(fleet, eviction_placement_cost(engine, service, id_of_text("new"), id_of_text(""), &mb,
+                                        &slots, &drain) > 2000 * 0.9 * 0.5);
   bare_free(bare);
   return true;
 }
@@ -170,25 +170,25 @@
   id big = id_of_text("big"), first = id_of_text("a1"), second = id_of_text("a2");
   gateway_engine_mark_loaded(engine, big, first);
   gateway_engine_mark_loaded(engine, big, second);
-  asked(bare, "big", "a2", 12);
+  record_requests(bare, "big", "a2", 12);
   sim_run(fleet->sim, time_from_ms(700));
   gateway_engine_mark_unloading(engine, big, first);
-  WANT(fleet, !gateway_engine_has_model(engine, big, first) &&
-                  gateway_engine_has_model(engine, big, second));
+  EXPECT(fleet, !gateway_engine_has_model(engine, big, first) &&
+                    gateway_engine_has_model(engine, big, second));
   double mb, drain;
   unsigned slots;
-  WANT(fleet,
-       eviction_placement_cost(engine, service, big, id_of_text("a3"), &mb, &slots, &drain) > 0 &&
-           slots == 1);
+  EXPECT(fleet,
+         eviction_placement_cost(engine, service, big, id_of_text("a3"), &mb, &slots, &drain) > 0 &&
+             slots == 1);
   gateway_engine_mark_unloaded(engine, big, first);
-  WANT(fleet,
-       eviction_placement_cost(engine, service, big, id_of_text("a3"), &mb, &slots, &drain) == 0);
+  EXPECT(fleet,
+         eviction_placement_cost(engine, service, big, id_of_text("a3"), &mb, &slots, &drain) == 0);
   /* an adapter that is loaded again during its unload is listed again, only once */
   gateway_engine_mark_unloading(engine, big, second);
   gateway_engine_mark_loaded(engine, big, second);
-  WANT(fleet, gateway_engine_has_model(engine, big, second));
-  WANT(fleet,
-       eviction_placement_cost(engine, service, big, id_of_text("a3"), &mb, &slots, &drain) == 0);
+  EXPECT(fleet, gateway_engine_has_model(engine, big, second));
+  EXPECT(fleet,
+         eviction_placement_cost(engine, service, big, id_of_text("a3"), &mb, &slots, &drain) == 0);
   bare_free(bare);
   return true;
 }
@@ -202,22 +202,23 @@
   id big = id_of_text("big"), wanted = id_of_text("a3");
   double mb, drain;
   unsigned slots;
-  asked(bare, "big", "a1", 2);
+  record_requests(bare, "big", "a1", 2);
   gateway_engine_mark_loaded(engine, big, id_of_text("a1"));
   sim_run(fleet->sim, time_from_ms(6000));
   gateway_engine_mark_loaded(engine, big, id_of_text("a2"));
   /* neither of two adapters that were just loaded can be evicted; later the older one goes before
    * the newer one, and finally their rates decide */
   double older = eviction_placement_cost(engine, service, big, wanted, &mb, &slots, &drain);
-  WANT(fleet, older > 0 && older < 25 * 0.2);
+  EXPECT(fleet, older > 0 && older < 25 * 0.2);
   gateway_engine_mark_loaded(engine, big, id_of_text("a1"));
-  WANT(fleet, eviction_placement_cost(engine, service, big, wanted, &mb, &slots, &drain) < 0);
+  EXPECT(fleet, eviction_placement_cost(engine, service, big, wanted, &mb, &slots, &drain) < 0);
   sim_run(fleet->sim, time_from_ms(2000));
-  WANT(fleet,
-       near(eviction_placement_cost(engine, service, big, wanted, &mb, &slots, &drain), 25 * 0.5));
+  EXPECT(fleet,
+         nearly_equal(eviction_placement_cost(engine, service, big, wanted, &mb, &slots, &drain),
+                      25 * 0.5));
   sim_run(fleet->sim, time_from_ms(4000));
-  WANT(fleet,
-       eviction_placement_cost(engine, service, big, wanted, &mb, &slots, &drain) < 25 * 0.1);
+  EXPECT(fleet,
+         eviction_placement_cost(engine, service, big, wanted, &mb, &slots, &drain) < 25 * 0.1);
   bare_free(bare);
   return true;
 }
@@ -225,12 +226,12 @@
 static bool mechanisms_are_named(fleet *fleet) {
   unsigned set = 0;
   error err = { 0 };
-  WANT(fleet, feature_flags_parse("prefix,cremebrulee", &set, &err) &&
-                  set == (1u << FEATURE_PREFIX | 1u << FEATURE_CREMEBRULEE));
+  EXPECT(fleet, feature_flags_parse("prefix,cremebrulee", &set, &err) &&
+                    set == (1u << FEATURE_PREFIX | 1u << FEATURE_CREMEBRULEE));
   for (int k = 0; k < FEATURE_COUNT; k++)
-    WANT(fleet, feature_flags_parse(feature_flag_name(k), &set, &err) && set == 1u << k);
-  WANT(fleet, !feature_flags_parse("prefix,nothing", &set, &err) && err.code == E_SETTINGS_KEY);
-  WANT(fleet, feature_flags_parse("", &set, &err) && !set);
+    EXPECT(fleet, feature_flags_parse(feature_flag_name(k), &set, &err) && set == 1u << k);
+  EXPECT(fleet, !feature_flags_parse("prefix,nothing", &set, &err) && err.code == E_SETTINGS_KEY);
+  EXPECT(fleet, feature_flags_parse("", &set, &err) && !set);
   return true;
 }
 
@@ -238,29 +239,29 @@
   bare_gateway *bare = bare_new(fleet);
   const service *service = routing_find_service(bare->routing, "s");
   gateway_engine *engine = heartbeat(bare, "e1", "10.0.0.1:80", 1, 0, "big,mid");
-  asked(bare, "big", "", 60);
-  asked(bare, "mid", "", 36);
+  record_requests(bare, "big", "", 60);
+  record_requests(bare, "mid", "", 36);
   sim_run(fleet->sim, time_from_ms(9000));
   double mb, drain;
   unsigned slots;
-  WANT(fleet, near(eviction_placement_cost(engine, service, id_of_text("new"), id_of_text(""), &mb,
-                                           &slots, &drain),
-                   2000 * 0.6 * 0.5));
+  EXPECT(fleet, nearly_equal(eviction_placement_cost(engine, service, id_of_text("new"),
+                                                     id_of_text(""), &mb, &slots, &drain),
+                             2000 * 0.6 * 0.5));
   /* recent requests weigh more than older ones: mid stays, big is evicted */
-  asked(bare, "mid", "", 36);
-  WANT(fleet, near(eviction_placement_cost(engine, service, id_of_text("new"), id_of_text(""), &mb,
-                                           &slots, &drain),
-                   2000 * 1.0 * 0.5));
+  record_requests(bare, "mid", "", 36);
+  EXPECT(fleet, nearly_equal(eviction_placement_cost(engine, service, id_of_text("new"),
+                                                     id_of_text(""), &mb, &slots, &drain),
+                             2000 * 1.0 * 0.5));
   sim_run(fleet->sim, time_from_ms(9000));
   /* with three replicas of big, each has a third of its rate, which makes its utility by size the
    * lowest */
   heartbeat(bare, "e2", "10.0.0.2:80", 1, 0, "big");
   heartbeat(bare, "e3", "10.0.0.3:80", 1, 0, "big");
-  WANT(fleet, gateway_engines_count_replicas(&bare->gateway, id_of_text("s"), id_of_text("big"),
-                                             id_of_text("")) == 3);
-  WANT(fleet, near(eviction_placement_cost(engine, service, id_of_text("new"), id_of_text(""), &mb,
-                                           &slots, &drain),
-                   2000 / 3.0 * 0.5));
+  EXPECT(fleet, gateway_engines_count_replicas(&bare->gateway, id_of_text("s"), id_of_text("big"),
+                                               id_of_text("")) == 3);
+  EXPECT(fleet, nearly_equal(eviction_placement_cost(engine, service, id_of_text("new"),
+                                                     id_of_text(""), &mb, &slots, &drain),
+                             2000 / 3.0 * 0.5));
   bare_free(bare);
   return true;
 }
@@ -271,28 +272,28 @@
   id none = id_of_text("");
   gateway_engine_mark_loaded(i, id_of_text("mid"), none);
   heartbeat(bare, "e1", "10.0.0.1:80", 2, 0, "big");
-  WANT(fleet, gateway_engine_has_model(i, id_of_text("mid"), none));
+  EXPECT(fleet, gateway_engine_has_model(i, id_of_text("mid"), none));
   gateway_engine_mark_unloaded(i, id_of_text("big"), none);
   sim_run(fleet->sim, time_from_ms(1000));
   heartbeat(bare, "e1", "10.0.0.1:80", 3, 0, "big");
-  WANT(fleet, !gateway_engine_has_model(i, id_of_text("big"), none) &&
-                  gateway_engine_has_model(i, id_of_text("mid"), none));
+  EXPECT(fleet, !gateway_engine_has_model(i, id_of_text("big"), none) &&
+                    gateway_engine_has_model(i, id_of_text("mid"), none));
   sim_run(fleet->sim, time_from_ms(4000));
   /* a delayed heartbeat is applied with its own age */
   heartbeat(bare, "e1", "10.0.0.1:80", 4, 4500, "big");
-  WANT(fleet, gateway_engine_has_model(i, id_of_text("mid"), none));
+  EXPECT(fleet, gateway_engine_has_model(i, id_of_text("mid"), none));
   heartbeat(bare, "e1", "10.0.0.1:80", 6, 0, "big,low+a1");
-  WANT(fleet, gateway_engine_has_model(i, id_of_text("big"), none) &&
-                  !gateway_engine_has_model(i, id_of_text("mid"), none) &&
-                  gateway_engine_has_model(i, id_of_text("low"), id_of_text("a1")));
+  EXPECT(fleet, gateway_engine_has_model(i, id_of_text("big"), none) &&
+                    !gateway_engine_has_model(i, id_of_text("mid"), none) &&
+                    gateway_engine_has_model(i, id_of_text("low"), id_of_text("a1")));
   heartbeat(bare, "e1", "10.0.0.1:80", 5, 0, "mid");
-  WANT(fleet, gateway_engine_has_model(i, id_of_text("big"), none) &&
-                  g_hash_table_contains(i->residents.models_on_disk, "mid"));
+  EXPECT(fleet, gateway_engine_has_model(i, id_of_text("big"), none) &&
+                    g_hash_table_contains(i->residents.models_on_disk, "mid"));
   /* a new incarnation at the same address removes the previous one, which is never restored */
   gateway_engine *n = heartbeat(bare, "e2", "10.0.0.1:80", 1, 0, "");
-  WANT(fleet, i->gone && !n->gone && gateway_engine_usable(n) && !gateway_engine_usable(i));
+  EXPECT(fleet, i->gone && !n->gone && gateway_engine_usable(n) && !gateway_engine_usable(i));
   heartbeat(bare, "e1", "10.0.0.1:80", 9, 0, "big");
-  WANT(fleet, i->gone && !gateway_engine_has_model(i, id_of_text("big"), none));
+  EXPECT(fleet, i->gone && !gateway_engine_has_model(i, id_of_text("big"), none));
   bare_free(bare);
   return true;
 }
@@ -311,31 +312,31 @@
     gateway_engine_record_sent(engine, 1000);
     gateway_engine_record_end(engine, false);
   }
-  WANT(fleet, !gateway_engine_usable(engine));
+  EXPECT(fleet, !gateway_engine_usable(engine));
   for (int n = 0; n < 20; n++)
-    WANT(fleet, engine_select(&bare->gateway, &q, &why, &est) == k && why == ENGINE_SELECT_OK);
-  WANT(fleet, gateway_engine_unresponsive(engine) == false ||
-                  gateway_engines_count_replicas(&bare->gateway, id_of_text("s"), id_of_text("big"),
-                                                 id_of_text("")) == 1);
+    EXPECT(fleet, engine_select(&bare->gateway, &q, &why, &est) == k && why == ENGINE_SELECT_OK);
+  EXPECT(fleet, gateway_engine_unresponsive(engine) == false ||
+                    gateway_engines_count_replicas(&bare->gateway, id_of_text("s"),
+                                                   id_of_text("big"), id_of_text("")) == 1);
   sim_run(fleet->sim, time_from_ms(700));
-  WANT(fleet, gateway_engine_usable(engine));
+  EXPECT(fleet, gateway_engine_usable(engine));
   /* only one trial request at a time */
   gateway_engine_record_sent(engine, 1000);
-  WANT(fleet, !gateway_engine_usable(engine));
+  EXPECT(fleet, !gateway_engine_usable(engine));
   gateway_engine_record_first_event(engine, 1000, 80, 1);
   gateway_engine_record_end(engine, true);
-  WANT(fleet, gateway_engine_usable(engine) && !engine->health.consecutive_failures);
+  EXPECT(fleet, gateway_engine_usable(engine) && !engine->health.consecutive_failures);
   /* silence while a request waits */
   sim_run(fleet->sim, time_from_ms(5000));
   gateway_engine_record_sent(engine, 1000);
   sim_run(fleet->sim, time_from_ms(450));
   gateway_engine_check(engine);
-  WANT(fleet, engine->health.suspect);
+  EXPECT(fleet, engine->health.suspect);
   q.run_once = true;
   for (int n = 0; n < 20; n++)
-    WANT(fleet, engine_select(&bare->gateway, &q, &why, &est) == k);
+    EXPECT(fleet, engine_select(&bare->gateway, &q, &why, &est) == k);
   gateway_engine_record_first_event(engine, 1000, 450, 1);
-  WANT(fleet, !engine->health.suspect);
+  EXPECT(fleet, !engine->health.suspect);
   gateway_engine_record_end(engine, true);
   bare_free(bare);
   return true;
@@ -352,13 +353,13 @@
   uint64_t chain[8], other[8];
   double upto[8];
   id none = id_of_text("");
-  WANT(fleet, prefix_cache_parse("5c1e:800,91bd:410,e440:250", id_of_text("big"), none, chain, upto,
-                                 8) == 3 &&
-                  near(upto[2], 1460) && near(upto[0], 800));
+  EXPECT(fleet, prefix_cache_parse("5c1e:800,91bd:410,e440:250", id_of_text("big"), none, chain,
+                                   upto, 8) == 3 &&
+                    nearly_equal(upto[2], 1460) && nearly_equal(upto[0], 800));
   prefix_cache_parse("5c1e:800,91bd:410,ffff:250", id_of_text("big"), none, other, upto, 8);
-  WANT(fleet, chain[1] == other[1] && chain[2] != other[2]);
+  EXPECT(fleet, chain[1] == other[1] && chain[2] != other[2]);
   prefix_cache_parse("5c1e:800", id_of_text("big"), id_of_text("a1"), other, upto, 8);
-  WANT(fleet, chain[0] != other[0]);
+  EXPECT(fleet, chain[0] != other[0]);
   engine_select_request q = { .service = routing_find_service(bare->routing, "s"),
                               .model = id_of_text("big"),
                               .tokens = 1460,
@@ -372,20 +373,20 @@
   gateway_engine_record_end(home, true);
   q.prefix = "5c1e:800,91bd:410,aaaa:250";
   for (int n = 0; n < 10; n++)
-    WANT(fleet, engine_select(&bare->gateway, &q, &why, &est) == home && est < first);
+    EXPECT(fleet, engine_select(&bare->gateway, &q, &why, &est) == home && est < first);
   /* another engine is chosen only when the queue costs more than prefilling the prefix again */
   home->load.own_waiting_tokens = 1000;
-  WANT(fleet, engine_select(&bare->gateway, &q, &why, &busy) == home);
+  EXPECT(fleet, engine_select(&bare->gateway, &q, &why, &busy) == home);
   home->load.own_waiting_tokens = 8000;
-  WANT(fleet, engine_select(&bare->gateway, &q, &why, &busy) != home);
+  EXPECT(fleet, engine_select(&bare->gateway, &q, &why, &busy) != home);
   home->load.own_waiting_tokens = 0;
   home->load.own_running = 8;
-  WANT(fleet, engine_select(&bare->gateway, &q, &why, &busy) != home);
+  EXPECT(fleet, engine_select(&bare->gateway, &q, &why, &busy) != home);
   list_for_each (i, &bare->gateway.engines.list, gateway_engine, link)
     i->load.own_running = 8;
-  WANT(fleet, !engine_select(&bare->gateway, &q, &why, &busy) && why == ENGINE_SELECT_ALL_BUSY);
+  EXPECT(fleet, !engine_select(&bare->gateway, &q, &why, &busy) && why == ENGINE_SELECT_ALL_BUSY);
   q.model = id_of_text("low");
-  WANT(fleet, !engine_select(&bare->gateway, &q, &why, &busy) && why == ENGINE_SELECT_NO_MODEL);
+  EXPECT(fleet, !engine_select(&bare->gateway, &q, &why, &busy) && why == ENGINE_SELECT_NO_MODEL);
   list_for_each (i, &bare->gateway.engines.list, gateway_engine, link)
     i->load.own_running = 0;
   bare_free(bare);
@@ -394,11 +395,11 @@
 
 static bool estimates_rise_with_what_waits(fleet *fleet) {
   double idle = engine_select_estimate_ms(20, 0.05, 0, 1000, 0, 64, 400);
-  WANT(fleet, near(idle, 70));
-  WANT(fleet, near(engine_select_estimate_ms(20, 0.05, 2000, 1000, 0, 64, 400), 170));
-  WANT(fleet, engine_select_estimate_ms(20, 0.05, 0, 1000, 32, 64, 400) > idle &&
-                  engine_select_estimate_ms(20, 0.05, 0, 1000, 64, 64, 400) >
-                      engine_select_estimate_ms(20, 0.05, 0, 1000, 63, 64, 400) + 5);
+  EXPECT(fleet, nearly_equal(idle, 70));
+  EXPECT(fleet, nearly_equal(engine_select_estimate_ms(20, 0.05, 2000, 1000, 0, 64, 400), 170));
+  EXPECT(fleet, engine_select_estimate_ms(20, 0.05, 0, 1000, 32, 64, 400) > idle &&
+                    engine_select_estimate_ms(20, 0.05, 0, 1000, 64, 64, 400) >
+                        engine_select_estimate_ms(20, 0.05, 0, 1000, 63, 64, 400) + 5);
   return true;
 }
 
@@ -409,7 +410,7 @@
   int most = load_rate_limiter_max_loads(rate, window, over),
       limit = (int)(rate * window * over + 3);
   time_us span = { (int64_t)(window * 1e6) + 150000 }, now = { 1000000 };
-  WANT(fleet, most == 13);
+  EXPECT(fleet, most == 13);
   for (int change = 0; change < 3; change++) {
     GArray *log = g_array_new(FALSE, TRUE, sizeof(time_us)),
            *began = g_array_new(FALSE, TRUE, sizeof(time_us));
@@ -443,8 +444,8 @@
              g_array_index(began, time_us, m).us < till.us;
       worst = MAX(worst, n);
     }
-    WANT(fleet, worst <= limit);
-    WANT(fleet, (int)began->len > 60);
+    EXPECT(fleet, worst <= limit);
+    EXPECT(fleet, (int)began->len > 60);
     g_array_free(log, TRUE);
     g_array_free(began, TRUE);
   }
@@ -463,7 +464,7 @@
   int n = eviction_policy_select(&rule, all, 3, (capacity_shortage){ 35, 0 },
                                  (uint64_t(*)(void *))fleet->operator->world.random,
                                  &fleet->operator->world);
-  WANT(fleet, n == 2 && !strcmp(all[0].model.text, "b") && !strcmp(all[1].model.text, "a"));
+  EXPECT(fleet, n == 2 && !strcmp(all[0].model.text, "b") && !strcmp(all[1].model.text, "a"));
   return true;
 }
 
@@ -472,9 +473,9 @@
   bare_gateway *bare = bare_new(fleet);
   const service *service = routing_find_service(bare->routing, "s");
   gateway_engine *engine = heartbeat(bare, "e1", "10.0.0.1:80", 1, 0, "big,mid");
-  asked(bare, "big", "", 60);
+  record_requests(bare, "big", "", 60);
   sim_run(fleet->sim, time_from_ms(9000));
-  asked(bare, "mid", "", 1);
+  record_requests(bare, "mid", "", 1);
   static const struct {
     const char *policy;
     bool big;
@@ -517,18 +518,18 @@
   w.heartbeat_count = 1;
   w.gone = true;
   gateway_engine_update(&bare->gateway, &w);
-  WANT(fleet, engine->gone && !gateway_engine_usable(engine));
+  EXPECT(fleet, engine->gone && !gateway_engine_usable(engine));
   heartbeat(bare, "e1", "10.0.0.1:80", 1, 0, "big");
-  WANT(fleet, engine->gone);
+  EXPECT(fleet, engine->gone);
   heartbeat(bare, "e1", "10.0.0.1:80", 2, 0, "mid");
-  WANT(fleet, !engine->gone && gateway_engine_usable(engine) &&
-                  gateway_engine_has_model(engine, id_of_text("mid"), id_of_text("")) &&
-                  !gateway_engine_has_model(engine, id_of_text("big"), id_of_text("")));
+  EXPECT(fleet, !engine->gone && gateway_engine_usable(engine) &&
+                    gateway_engine_has_model(engine, id_of_text("mid"), id_of_text("")) &&
+                    !gateway_engine_has_model(engine, id_of_text("big"), id_of_text("")));
   w.heartbeat_count = 3;
   w.draining = true;
   gateway_engine_update(&bare->gateway, &w);
   heartbeat(bare, "e1", "10.0.0.1:80", 9, 0, "mid");
-  WANT(fleet, engine->gone && !gateway_engine_usable(engine));
+  EXPECT(fleet, engine->gone && !gateway_engine_usable(engine));
   bare_free(bare);
   return true;
 }
@@ -548,12 +549,12 @@
   w.gone = true;
   sim_run(fleet->sim, time_from_ms(200));
   gateway_engine_update(&bare->gateway, &w);
-  WANT(fleet, engine->gone);
+  EXPECT(fleet, engine->gone);
   sim_run(fleet->sim, time_from_ms(200));
   heartbeat(bare, "e1", "10.0.0.1:80", 2, 0, "big,mid");
-  WANT(fleet, !engine->gone &&
-                  gateway_engine_has_model(engine, id_of_text("big"), id_of_text("")) &&
-                  gateway_engine_has_model(engine, id_of_text("mid"), id_of_text("")));
+  EXPECT(fleet, !engine->gone &&
+                    gateway_engine_has_model(engine, id_of_text("big"), id_of_text("")) &&
+                    gateway_engine_has_model(engine, id_of_text("mid"), id_of_text("")));
   bare_free(bare);
   return true;
 }
@@ -566,16 +567,16 @@
   gateway_engine *engine = heartbeat(bare, "e1", "10.0.0.1:80", 1, 0, "big"),
                  *k = heartbeat(bare, "e2", "10.0.0.2:80", 1, 0, "big");
   heartbeat(bare, "e3", "10.0.0.3:80", 1, 0, "mid");
-  WANT(fleet, placement_missing_replicas(&bare->gateway, s, big, none) == 0);
+  EXPECT(fleet, placement_missing_replicas(&bare->gateway, s, big, none) == 0);
   engine->load.peers_waiting_tokens = 4000;
-  WANT(fleet, placement_missing_replicas(&bare->gateway, s, big, none) == 0);
+  EXPECT(fleet, placement_missing_replicas(&bare->gateway, s, big, none) == 0);
   engine->load.peers_waiting_tokens = 16000;
   k->load.own_waiting_tokens = 4000;
-  WANT(fleet, placement_missing_replicas(&bare->gateway, s, big, none) == 2);
+  EXPECT(fleet, placement_missing_replicas(&bare->gateway, s, big, none) == 2);
   engine->load.peers_waiting_tokens = 100000;
-  WANT(fleet, placement_missing_replicas(&bare->gateway, s, big, none) == 4);
-  WANT(fleet, placement_missing_replicas(&bare->gateway, s, id_of_text("mid"), none) == 0 &&
-                  placement_missing_replicas(&bare->gateway, s, id_of_text("low"), none) == 0);
+  EXPECT(fleet, placement_missing_replicas(&bare->gateway, s, big, none) == 4);
+  EXPECT(fleet, placement_missing_replicas(&bare->gateway, s, id_of_text("mid"), none) == 0 &&
+                    placement_missing_replicas(&bare->gateway, s, id_of_text("low"), none) == 0);
   bare_free(bare);
   return true;
 }
@@ -597,7 +598,7 @@
     gateway_engine_add_failure(engine, 1);
     sim_run(fleet->sim, time_from_ms(5000));
   }
-  WANT(fleet, !gateway_engine_unhealthy(engine));
+  EXPECT(fleet, !gateway_engine_unhealthy(engine));
   /* three failures in a short time do, even with successes between them; it takes more failures
    * that are reported by gateways of other zones */
   for (int n = 0; n < 3; n++) {
@@ -608,31 +609,31 @@
     gateway_engine_record_first_event(engine, 1000, 70, 1);
     gateway_engine_record_end(engine, true);
   }
-  WANT(fleet, gateway_engine_unhealthy(engine) && gateway_engine_usable(engine));
+  EXPECT(fleet, gateway_engine_unhealthy(engine) && gateway_engine_usable(engine));
   for (int n = 0; n < 20; n++)
-    WANT(fleet, engine_select(&bare->gateway, &q, &why, &est) == k);
+    EXPECT(fleet, engine_select(&bare->gateway, &q, &why, &est) == k);
   /* an unhealthy engine is chosen if no other engine holds the model */
   q.excluded = &k->engine_id;
   q.excluded_count = 1;
-  WANT(fleet, engine_select(&bare->gateway, &q, &why, &est) == engine);
+  EXPECT(fleet, engine_select(&bare->gateway, &q, &why, &est) == engine);
   q.excluded_count = 0;
   /* it becomes healthy again after a while; another failure soon after makes it unhealthy for
    * longer */
   sim_run(fleet->sim, time_from_ms(2100));
-  WANT(fleet, !gateway_engine_unhealthy(engine));
+  EXPECT(fleet, !gateway_engine_unhealthy(engine));
   gateway_engine_add_failure(engine, 1);
-  WANT(fleet, gateway_engine_unhealthy(engine));
+  EXPECT(fleet, gateway_engine_unhealthy(engine));
   sim_run(fleet->sim, time_from_ms(2100));
-  WANT(fleet, gateway_engine_unhealthy(engine));
+  EXPECT(fleet, gateway_engine_unhealthy(engine));
   sim_run(fleet->sim, time_from_ms(2100));
-  WANT(fleet, !gateway_engine_unhealthy(engine));
+  EXPECT(fleet, !gateway_engine_unhealthy(engine));
   /* a busy engine, or one with a recent order, is not lightly loaded */
-  WANT(fleet, gateway_engine_lightly_loaded(k));
+  EXPECT(fleet, gateway_engine_lightly_loaded(k));
   k->load.peers_running = 5;
-  WANT(fleet, !gateway_engine_lightly_loaded(k));
+  EXPECT(fleet, !gateway_engine_lightly_loaded(k));
   k->load.peers_running = 0;
   gateway_engine_mark_loaded(k, id_of_text("low"), id_of_text(""));
-  WANT(fleet, !gateway_engine_lightly_loaded(k));
+  EXPECT(fleet, !gateway_engine_lightly_loaded(k));
   bare_free(bare);
   return true;
 }
@@ -658,21 +659,22 @@
   sim_run(fleet->sim, time_from_ms(10));
   q.n_engines = 1;
   traffic_reports_apply(&bare->gateway, 8, true, &q);
-  WANT(fleet, engine->load.peers_running == 6 && k->load.peers_running == 2);
+  EXPECT(fleet, engine->load.peers_running == 6 && k->load.peers_running == 2);
   sim_run(fleet->sim, time_from_ms(10));
   traffic_reports_apply(&bare->gateway, 7, true, &q);
-  WANT(fleet, engine->load.peers_running == 6 && k->load.peers_running == 0 &&
-                  k->load.peers_waiting_tokens == 0);
+  EXPECT(fleet, engine->load.peers_running == 6 && k->load.peers_running == 0 &&
+                    k->load.peers_waiting_tokens == 0);
   q.n_engines = 0;
   sim_run(fleet->sim, time_from_ms(10));
   traffic_reports_apply(&bare->gateway, 7, true, &q);
-  WANT(fleet, engine->load.peers_running == 3 && near(engine->load.peers_waiting_tokens, 900));
+  EXPECT(fleet,
+         engine->load.peers_running == 3 && nearly_equal(engine->load.peers_waiting_tokens, 900));
   bare_free(bare);
   return true;
 }
 
 /* a clock that advances on each read, like that of a real process */
-static time_us moving_clock(void *context) {
+static time_us advancing_clock(void *context) {
   int64_t *us = context;
   return (time_us){ ++*us };
 }
@@ -696,13 +698,15 @@
   world *world = bare->router.node.world;
   int64_t us = world_now(world).us;
   scheduler saved = world->tasks;
-  world->tasks.now = moving_clock;
+  world->tasks.now = advancing_clock;
   world->tasks.now_context = &us;
   traffic_reports_apply(&bare->gateway, 7, true, &report);
   world->tasks.now = saved.now;
   world->tasks.now_context = saved.now_context;
-  WANT(fleet, engine->load.peers_running == 3 && near(engine->load.peers_waiting_tokens, 900));
-  WANT(fleet, other->load.peers_running == 2 && near(other->load.peers_waiting_tokens, 500));
+  EXPECT(fleet,
+         engine->load.peers_running == 3 && nearly_equal(engine->load.peers_waiting_tokens, 900));
+  EXPECT(fleet,
+         other->load.peers_running == 2 && nearly_equal(other->load.peers_waiting_tokens, 500));
   bare_free(bare);
   return true;
 }
@@ -723,10 +727,10 @@
   engine->orders.reported_at = world_now(bare->router.node.world);
   sim_run(fleet->sim, time_from_ms(100));
   heartbeat(bare, "e1", "10.0.0.1:80", 2, 900, "big");
-  WANT(fleet, gateway_engine_has_model(engine, id_of_text("mid"), id_of_text("")));
+  EXPECT(fleet, gateway_engine_has_model(engine, id_of_text("mid"), id_of_text("")));
   sim_run(fleet->sim, time_from_ms(3000));
   heartbeat(bare, "e1", "10.0.0.1:80", 3, 100, "big");
-  WANT(fleet, !gateway_engine_has_model(engine, id_of_text("mid"), id_of_text("")));
+  EXPECT(fleet, !gateway_engine_has_model(engine, id_of_text("mid"), id_of_text("")));
   bare_free(bare);
   return true;
 }
@@ -740,33 +744,34 @@
    * eviction candidates */
   gateway_engine *idle = heartbeat(bare, "e1", "10.0.0.1:80", 1, 0, "big,mid"),
                  *busy = heartbeat(bare, "e2", "10.0.0.2:80", 1, 0, "big,mid");
-  asked(bare, "big", "", 60);
-  asked(bare, "mid", "", 60);
+  record_requests(bare, "big", "", 60);
+  record_requests(bare, "mid", "", 60);
   sim_run(fleet->sim, time_from_ms(9000));
   double mb, drain, calm;
   unsigned slots;
   calm = eviction_placement_cost(idle, service, id_of_text("new"), id_of_text(""), &mb, &slots,
                                  &drain);
-  WANT(fleet, near(drain, 0) &&
-                  near(calm, eviction_placement_cost(busy, service, id_of_text("new"),
-                                                     id_of_text(""), &mb, &slots, &drain)) &&
-                  near(drain, 0));
+  EXPECT(fleet,
+         nearly_equal(drain, 0) &&
+             nearly_equal(calm, eviction_placement_cost(busy, service, id_of_text("new"),
+                                                        id_of_text(""), &mb, &slots, &drain)) &&
+             nearly_equal(drain, 0));
   static const char *const run[] = { "big", "mid" };
   for (int k = 0; k < 2; k++) {
     busy->selected.model = id_of_text(run[k]);
     gateway_engine_record_sent(busy, 100);
   }
-  WANT(fleet, near(eviction_placement_cost(idle, service, id_of_text("new"), id_of_text(""), &mb,
-                                           &slots, &drain),
-                   calm) &&
-                  near(drain, 0));
+  EXPECT(fleet, nearly_equal(eviction_placement_cost(idle, service, id_of_text("new"),
+                                                     id_of_text(""), &mb, &slots, &drain),
+                             calm) &&
+                    nearly_equal(drain, 0));
   double cost = eviction_placement_cost(busy, service, id_of_text("new"), id_of_text(""), &mb,
                                         &slots, &drain);
-  WANT(fleet, near(drain, 1000) && near(cost, calm * 3000 / 2000 + 300));
+  EXPECT(fleet, nearly_equal(drain, 1000) && nearly_equal(cost, calm * 3000 / 2000 + 300));
   busy->load.mean_run_ms = 4000;
-  WANT(fleet, eviction_placement_cost(busy, service, id_of_text("new"), id_of_text(""), &mb, &slots,
-                                      &drain) > cost + 300 &&
-                  near(drain, 8000));
+  EXPECT(fleet, eviction_placement_cost(busy, service, id_of_text("new"), id_of_text(""), &mb,
+                                        &slots, &drain) > cost + 300 &&
+                    nearly_equal(drain, 8000));
   bare_free(bare);
   return true;
 }
