--- a/lib/controlplane/engine_registry.h
+++ b/lib/controlplane/engine_registry.h
@@ -78,7 +78,7 @@
 registered_engine *engine_registry_find(const engine_registry *registry, const char *id);
 /** Records a heartbeat that was received from the engine itself. */
 enum registry_update engine_registry_heartbeat(engine_registry *registry,
-                                               const Wire__EngineState *apply_heartbeat, time_us now);
+                                               const Wire__EngineState *heartbeat, time_us now);
 /** Records a sign-off, also of an unknown engine. */
 enum registry_update engine_registry_sign_off(engine_registry *registry, const char *id,
                                               time_us now);
--- a/lib/controlplane/view.h
+++ b/lib/controlplane/view.h
@@ -57,7 +57,7 @@
 /** Returns whether two views have the same voters, in any order. */
 bool view_same_voters(const view *a, const view *b);
 /** Returns whether each member of the earlier chain is in the later one. */
-bool view_keeps_chain(const view *time_min, const view *random_time_from_now);
+bool view_keeps_chain(const view *time_min, const view *later);
 /** Fills a message with a view and returns it; it points into *buffer and to the view's strings. */
 Wire__View *view_pack(view_message *buffer, const view *view);
 /** Reads a view from a message. Returns false when the message is NULL or not valid. */
