--- a/tests/gateway/capacity_account.c
+++ b/tests/gateway/capacity_account.c
@@ -170,7 +170,7 @@
   }
 }
 
-static bool rooms_are_never_overrun(fleet *fleet) {
+static bool engine_capacity_is_never_exceeded(fleet *fleet) {
   deployment *deployment = deployment_new(fleet, 2, 1);
   deployment->loads_per_s = 20;
   capacity_test t = { deployment, fleet };
@@ -209,7 +209,7 @@
 
 /* Guards against freeing the slot of an adapter when an engine refuses a request for it: the
  * request arrived before the adapter was loaded, which uses its slot a moment later. */
-static bool a_refused_request_frees_no_place(fleet *fleet) {
+static bool a_refused_request_frees_no_adapter_slot(fleet *fleet) {
   deployment *deployment = deployment_new(fleet, 2, 1);
   deployment->loads_per_s = 20;
   set_initial_models(deployment->engine_processes[0], "m1", "m2");
@@ -244,7 +244,7 @@
 
 /* An order that its lease holder has given up reaches the engine late and is executed. Guards
  * against loads that ignore it, since no report that the holder has read includes its result. */
-static bool an_order_arrives_late(fleet *fleet) {
+static bool a_late_order_does_not_exceed_the_capacity(fleet *fleet) {
   deployment *deployment = deployment_new(fleet, 2, 1);
   deployment->loads_per_s = 20;
   for (size_t i = 0; i < deployment->model_count; i++)
@@ -298,7 +298,7 @@
     "{\"name\":\"mid\",\"weightsMb\":30000,\"loadS\":2}]}}]}";
 
 /* the capacity account alone, from a report and the orders accepted since */
-static bool an_account_follows_taken_orders(fleet *fleet) {
+static bool an_account_follows_accepted_orders(fleet *fleet) {
   error err = { 0 };
   json *json = json_parse(string_view_of(ROUTING), &err);
   routing *routing = json ? routing_compile(json, &err) : NULL;
@@ -347,9 +347,10 @@
 }
 
 const test_case capacity_account_tests[] = {
-  { "an_account_follows_taken_orders", an_account_follows_taken_orders, 1, 1, 10 },
-  { "a_refused_request_frees_no_place", a_refused_request_frees_no_place, 4, 0, 50 },
-  { "an_order_arrives_late", an_order_arrives_late, 4, 0, 50 },
-  { "rooms_are_never_overrun", rooms_are_never_overrun, 4, 0, 100 },
+  { "an_account_follows_accepted_orders", an_account_follows_accepted_orders, 1, 1, 10 },
+  { "a_refused_request_frees_no_adapter_slot", a_refused_request_frees_no_adapter_slot, 4, 0, 50 },
+  { "a_late_order_does_not_exceed_the_capacity", a_late_order_does_not_exceed_the_capacity, 4, 0,
+    50 },
+  { "engine_capacity_is_never_exceeded", engine_capacity_is_never_exceeded, 4, 0, 100 },
   { NULL, NULL, 0, 0, 0 }
 };
--- a/tests/gateway/loader.c
+++ b/tests/gateway/loader.c
@@ -106,7 +106,7 @@
   return a > b * 0.999 - 1e-9 && a < b * 1.001 + 1e-9;
 }
 
-static bool room_counts_in_both_measures(fleet *fleet) {
+static bool eviction_cost_counts_memory_and_slots(fleet *fleet) {
   bare_gateway *bare = bare_new(fleet);
   const service *service = routing_find_service(bare->routing, "s");
   gateway_engine *engine = heartbeat(bare, "e1", "10.0.0.1:80", 1, 0, "big,mid");
@@ -163,7 +163,7 @@
 /* An adapter that is to be unloaded is announced as not loaded at once, so that no gateway sends
  * requests for it that the engine would decline. Its slot counts as used until the engine has
  * confirmed the order. */
-static bool a_leaving_adapter_gets_no_work(fleet *fleet) {
+static bool an_unloading_adapter_gets_no_requests(fleet *fleet) {
   bare_gateway *bare = bare_new(fleet);
   const service *service = routing_find_service(bare->routing, "s");
   gateway_engine *engine = heartbeat(bare, "e1", "10.0.0.1:80", 1, 0, "big");
@@ -195,7 +195,7 @@
 
 /* An adapter that was just loaded has no request rate yet. If it were evicted first, engines with
  * too few slots would load and unload in turn without serving any request. */
-static bool a_new_adapter_is_not_the_first_to_go(fleet *fleet) {
+static bool a_new_adapter_is_not_evicted_first(fleet *fleet) {
   bare_gateway *bare = bare_new(fleet);
   const service *service = routing_find_service(bare->routing, "s");
   gateway_engine *engine = heartbeat(bare, "e1", "10.0.0.1:80", 1, 0, "big");
@@ -223,7 +223,7 @@
   return true;
 }
 
-static bool mechanisms_are_named(fleet *fleet) {
+static bool feature_flags_are_parsed_by_name(fleet *fleet) {
   unsigned set = 0;
   error err = { 0 };
   EXPECT(fleet, feature_flags_parse("prefix,cremebrulee", &set, &err) &&
@@ -235,7 +235,7 @@
   return true;
 }
 
-static bool copies_share_a_rate(fleet *fleet) {
+static bool replicas_share_a_request_rate(fleet *fleet) {
   bare_gateway *bare = bare_new(fleet);
   const service *service = routing_find_service(bare->routing, "s");
   gateway_engine *engine = heartbeat(bare, "e1", "10.0.0.1:80", 1, 0, "big,mid");
@@ -266,7 +266,7 @@
   return true;
 }
 
-static bool orders_outlast_older_beats(fleet *fleet) {
+static bool orders_override_older_heartbeats(fleet *fleet) {
   bare_gateway *bare = bare_new(fleet);
   gateway_engine *i = heartbeat(bare, "e1", "10.0.0.1:80", 1, 0, "big");
   id none = id_of_text("");
@@ -298,7 +298,7 @@
   return true;
 }
 
-static bool failures_shun_and_a_byte_clears(fleet *fleet) {
+static bool failures_eject_and_a_first_event_clears(fleet *fleet) {
   bare_gateway *bare = bare_new(fleet);
   gateway_engine *engine = heartbeat(bare, "e1", "10.0.0.1:80", 1, 0, "big"),
                  *k = heartbeat(bare, "e2", "10.0.0.2:80", 1, 0, "big");
@@ -342,7 +342,7 @@
   return true;
 }
 
-static bool prompts_go_where_their_parts_are(fleet *fleet) {
+static bool prompts_go_to_cached_prefixes(fleet *fleet) {
   bare_gateway *bare = bare_new(fleet);
   char name[16], addr[32];
   for (int n = 0; n < 4; n++) {
@@ -393,7 +393,7 @@
   return true;
 }
 
-static bool estimates_rise_with_what_waits(fleet *fleet) {
+static bool estimates_rise_with_the_queue(fleet *fleet) {
   double idle = engine_select_estimate_ms(20, 0.05, 0, 1000, 0, 64, 400);
   EXPECT(fleet, nearly_equal(idle, 70));
   EXPECT(fleet, nearly_equal(engine_select_estimate_ms(20, 0.05, 2000, 1000, 0, 64, 400), 170));
@@ -405,7 +405,7 @@
 
 /* Permits are requested all the time, and the holder of the limiter changes meanwhile; each load
  * reaches the store up to 150 ms after its permit. */
-static bool the_store_is_never_rushed(fleet *fleet) {
+static bool loads_stay_within_the_rate_limit(fleet *fleet) {
   const double rate = 2.6, window = 5, over = 1.1;
   int most = load_rate_limiter_max_loads(rate, window, over),
       limit = (int)(rate * window * over + 3);
@@ -453,7 +453,7 @@
 }
 
 /* the largest of the evicted models goes first, and no more are evicted than needed */
-static bool the_largest_goes_first(fleet *fleet) {
+static bool eviction_takes_the_largest_first(fleet *fleet) {
   host_start(fleet->operator);
   eviction_candidate all[3] = {
     { .model = id_of_text("a"), .weights_mb = 10, .load_ms = 1000, .request_rate = 0.1 },
@@ -469,7 +469,7 @@
 }
 
 /* eviction follows the policy resource in force, including expressions written by operators */
-static bool the_policy_in_force_chooses(fleet *fleet) {
+static bool eviction_follows_the_policy_in_force(fleet *fleet) {
   bare_gateway *bare = bare_new(fleet);
   const service *service = routing_find_service(bare->routing, "s");
   gateway_engine *engine = heartbeat(bare, "e1", "10.0.0.1:80", 1, 0, "big,mid");
@@ -536,7 +536,7 @@
 
 /* An engine that became silent soon after its own report is restored with the residents in its
  * heartbeat. Guards against restoring it without residents, since its memory would look free. */
-static bool silent_engines_come_back_with_what_they_hold(fleet *fleet) {
+static bool silent_engines_come_back_with_their_residents(fleet *fleet) {
   bare_gateway *bare = bare_new(fleet);
   gateway_engine *engine = heartbeat(bare, "e1", "10.0.0.1:80", 1, 0, "big,mid");
   engine->orders.reported_at = world_now(bare->router.node.world);
@@ -561,7 +561,7 @@
 
 /* When the demand for a model rises suddenly, it gets as many replicas as clear its queue, and none
  * if the queue is short. */
-static bool what_waits_says_how_many_copies(fleet *fleet) {
+static bool the_queue_determines_missing_replicas(fleet *fleet) {
   bare_gateway *bare = bare_new(fleet);
   id s = id_of_text("s"), big = id_of_text("big"), none = id_of_text("");
   gateway_engine *engine = heartbeat(bare, "e1", "10.0.0.1:80", 1, 0, "big"),
@@ -583,7 +583,7 @@
 
 /* An engine fails some of its requests and serves the rest. Each gateway sees few of the failures;
  * all together see enough to detect it. */
-static bool failures_now_and_then_add_up_over_nodes(fleet *fleet) {
+static bool sporadic_failures_add_up_across_gateways(fleet *fleet) {
   bare_gateway *bare = bare_new(fleet);
   gateway_engine *engine = heartbeat(bare, "e1", "10.0.0.1:80", 1, 0, "big"),
                  *k = heartbeat(bare, "e2", "10.0.0.2:80", 1, 0, "big");
@@ -640,7 +640,7 @@
 
 /* A gateway reports only the engines on which it runs requests; its earlier load on all other
  * engines is removed. */
-static bool what_is_not_named_runs_no_more(fleet *fleet) {
+static bool engines_missing_from_a_report_have_no_load(fleet *fleet) {
   bare_gateway *bare = bare_new(fleet);
   gateway_engine *engine = heartbeat(bare, "e1", "10.0.0.1:80", 1, 0, "big"),
                  *k = heartbeat(bare, "e2", "10.0.0.2:80", 1, 0, "big");
@@ -680,7 +680,7 @@
 }
 
 /* all loads in a report are kept even if the clock advances while the report is applied */
-static bool reported_loads_stay_while_the_clock_moves(fleet *fleet) {
+static bool reported_loads_stay_while_the_clock_advances(fleet *fleet) {
   bare_gateway *bare = bare_new(fleet);
   gateway_engine *engine = heartbeat(bare, "e1", "10.0.0.1:80", 1, 0, "big"),
                  *other = heartbeat(bare, "e2", "10.0.0.2:80", 1, 0, "big");
@@ -714,7 +714,7 @@
 /* A lease holder that has read an engine's own report must not lose a resident through an older
  * heartbeat that arrives later: its memory would look free, and an engine that loads beyond its
  * memory crashes. */
-static bool reports_outlast_older_beats(fleet *fleet) {
+static bool reports_override_older_heartbeats(fleet *fleet) {
   bare_gateway *bare = bare_new(fleet);
   gateway_engine *engine = heartbeat(bare, "e1", "10.0.0.1:80", 1, 0, "big");
   sim_run(fleet->sim, time_from_ms(2000));
@@ -737,7 +737,7 @@
 
 /* Running requests have to finish before a model is evicted, so evicting a busy model costs its
  * drain as well, and more the longer its requests usually take. */
-static bool busy_victims_cost_their_drain(fleet *fleet) {
+static bool evicting_busy_models_costs_their_drain(fleet *fleet) {
   bare_gateway *bare = bare_new(fleet);
   const service *service = routing_find_service(bare->routing, "s");
   /* two engines hold the same models with the same rates; one of them runs requests for the
@@ -777,27 +777,29 @@
 }
 
 const test_case loader_tests[] = {
-  { "room_counts_in_both_measures", room_counts_in_both_measures, 1, 1, 20 },
-  { "mechanisms_are_named", mechanisms_are_named, 1, 1, 20 },
-  { "a_new_adapter_is_not_the_first_to_go", a_new_adapter_is_not_the_first_to_go, 1, 1, 20 },
-  { "a_leaving_adapter_gets_no_work", a_leaving_adapter_gets_no_work, 1, 1, 20 },
-  { "copies_share_a_rate", copies_share_a_rate, 1, 1, 20 },
-  { "orders_outlast_older_beats", orders_outlast_older_beats, 1, 1, 20 },
-  { "failures_shun_and_a_byte_clears", failures_shun_and_a_byte_clears, 1, 1, 20 },
-  { "prompts_go_where_their_parts_are", prompts_go_where_their_parts_are, 1, 1, 100 },
-  { "estimates_rise_with_what_waits", estimates_rise_with_what_waits, 1, 1, 20 },
-  { "the_store_is_never_rushed", the_store_is_never_rushed, 1, 1, 100 },
-  { "the_largest_goes_first", the_largest_goes_first, 1, 1, 20 },
+  { "eviction_cost_counts_memory_and_slots", eviction_cost_counts_memory_and_slots, 1, 1, 20 },
+  { "feature_flags_are_parsed_by_name", feature_flags_are_parsed_by_name, 1, 1, 20 },
+  { "a_new_adapter_is_not_evicted_first", a_new_adapter_is_not_evicted_first, 1, 1, 20 },
+  { "an_unloading_adapter_gets_no_requests", an_unloading_adapter_gets_no_requests, 1, 1, 20 },
+  { "replicas_share_a_request_rate", replicas_share_a_request_rate, 1, 1, 20 },
+  { "orders_override_older_heartbeats", orders_override_older_heartbeats, 1, 1, 20 },
+  { "failures_eject_and_a_first_event_clears", failures_eject_and_a_first_event_clears, 1, 1, 20 },
+  { "prompts_go_to_cached_prefixes", prompts_go_to_cached_prefixes, 1, 1, 100 },
+  { "estimates_rise_with_the_queue", estimates_rise_with_the_queue, 1, 1, 20 },
+  { "loads_stay_within_the_rate_limit", loads_stay_within_the_rate_limit, 1, 1, 100 },
+  { "eviction_takes_the_largest_first", eviction_takes_the_largest_first, 1, 1, 20 },
   { "silent_engines_come_back", silent_engines_come_back, 1, 1, 20 },
-  { "silent_engines_come_back_with_what_they_hold", silent_engines_come_back_with_what_they_hold, 1,
-    1, 20 },
-  { "reports_outlast_older_beats", reports_outlast_older_beats, 1, 1, 20 },
-  { "the_policy_in_force_chooses", the_policy_in_force_chooses, 1, 1, 20 },
-  { "what_waits_says_how_many_copies", what_waits_says_how_many_copies, 1, 1, 20 },
-  { "failures_now_and_then_add_up_over_nodes", failures_now_and_then_add_up_over_nodes, 1, 1, 60 },
-  { "busy_victims_cost_their_drain", busy_victims_cost_their_drain, 1, 1, 20 },
-  { "what_is_not_named_runs_no_more", what_is_not_named_runs_no_more, 1, 1, 20 },
-  { "reported_loads_stay_while_the_clock_moves", reported_loads_stay_while_the_clock_moves, 1, 1,
+  { "silent_engines_come_back_with_their_residents", silent_engines_come_back_with_their_residents,
+    1, 1, 20 },
+  { "reports_override_older_heartbeats", reports_override_older_heartbeats, 1, 1, 20 },
+  { "eviction_follows_the_policy_in_force", eviction_follows_the_policy_in_force, 1, 1, 20 },
+  { "the_queue_determines_missing_replicas", the_queue_determines_missing_replicas, 1, 1, 20 },
+  { "sporadic_failures_add_up_across_gateways", sporadic_failures_add_up_across_gateways, 1, 1,
+    60 },
+  { "evicting_busy_models_costs_their_drain", evicting_busy_models_costs_their_drain, 1, 1, 20 },
+  { "engines_missing_from_a_report_have_no_load", engines_missing_from_a_report_have_no_load, 1, 1,
     20 },
+  { "reported_loads_stay_while_the_clock_advances", reported_loads_stay_while_the_clock_advances, 1,
+    1, 20 },
   { NULL, NULL, 0, 0, 0 }
 };
--- a/tests/gateway/placement.c
+++ b/tests/gateway/placement.c
@@ -30,7 +30,7 @@
   return event_history_request_rate(&process->gateway->router->history, key);
 }
 
-static bool rates_reach_newcomers(fleet *fleet) {
+static bool request_rates_reach_a_restarted_gateway(fleet *fleet) {
   deployment *deployment = deployment_new(fleet, 2, 1);
   if (!deployment_bring_up(deployment))
     return deployment_finish(deployment, 0);
@@ -57,7 +57,7 @@
   return deployment_finish(deployment, 0);
 }
 
-static bool a_base_takes_its_adapters_along(fleet *fleet) {
+static bool evicting_a_model_removes_its_adapters(fleet *fleet) {
   deployment *deployment = deployment_new(fleet, 1, 1);
   set_initial_models(deployment->engine_processes[0], "m0", "m3");
   if (!deployment_bring_up(deployment))
@@ -98,7 +98,7 @@
   return best;
 }
 
-static bool dear_room_is_refused(fleet *fleet) {
+static bool an_expensive_eviction_is_refused(fleet *fleet) {
   deployment *deployment = deployment_new(fleet, 6, 1);
   for (size_t i = 0; i < deployment->model_engine_count; i++)
     set_initial_models(deployment->engine_processes[i], "m0", "m3");
@@ -142,7 +142,7 @@
   return deployment_finish(deployment, 0);
 }
 
-static bool loads_go_by_what_they_gain(fleet *fleet) {
+static bool loads_run_in_order_of_utility(fleet *fleet) {
   deployment *deployment = deployment_new(fleet, 1, 1);
   set_initial_models(deployment->engine_processes[0], NULL, NULL);
   if (!deployment_bring_up(deployment))
@@ -182,7 +182,7 @@
     r->last_used_at = at->deployment->sim->now;
 }
 
-static bool rare_loads_are_not_starved(fleet *fleet) {
+static bool loads_of_rarely_used_models_do_not_starve(fleet *fleet) {
   deployment *deployment = deployment_new(fleet, 1, 1);
   deployment->loads_per_s = 4;
   set_initial_models(deployment->engine_processes[0], NULL, NULL);
@@ -249,7 +249,7 @@
   return true;
 }
 
-static bool a_leaving_holder_hands_over_quickly(fleet *fleet) {
+static bool a_gateway_shutdown_hands_over_leases_quickly(fleet *fleet) {
   deployment *deployment = deployment_new(fleet, 4, 1);
   if (!deployment_bring_up(deployment))
     return deployment_finish(deployment, 0);
@@ -288,7 +288,7 @@
   }
 }
 
-static bool a_busy_holder_leaves(fleet *fleet) {
+static bool a_shutdown_with_recent_orders_delays_the_next_holder(fleet *fleet) {
   deployment *deployment = deployment_new(fleet, 2, 1);
   deployment->loads_per_s = 6;
   for (size_t i = 0; i < deployment->model_engine_count; i++)
@@ -337,7 +337,7 @@
   return leases_held_by(d->deployment, d->holder).count >= d->count;
 }
 
-static bool a_restarted_holder_goes_on(fleet *fleet) {
+static bool a_restarted_gateway_holds_its_leases_again(fleet *fleet) {
   deployment *deployment = deployment_new(fleet, 4, 1);
   if (!deployment_bring_up(deployment))
     return deployment_finish(deployment, 0);
@@ -416,7 +416,7 @@
 
 /* In a large fleet not everything is sent to all gateways: rates go through collectors, load
  * reports to the next candidates for the singleton "pacer", and placement is sharded. */
-static bool a_large_fleet_places_by_parts(fleet *fleet) {
+static bool a_large_fleet_shards_placement(fleet *fleet) {
   deployment *deployment = deployment_new(fleet, 6, 1);
   if (!deployment_bring_up(deployment))
     return deployment_finish(deployment, 0);
@@ -541,16 +541,20 @@
 }
 
 const test_case placement_tests[] = {
-  { "rates_reach_newcomers", rates_reach_newcomers, 4, 0, 50 },
-  { "a_base_takes_its_adapters_along", a_base_takes_its_adapters_along, 2, 0, 50 },
-  { "dear_room_is_refused", dear_room_is_refused, 4, 0, 50 },
-  { "loads_go_by_what_they_gain", loads_go_by_what_they_gain, 2, 0, 50 },
-  { "rare_loads_are_not_starved", rare_loads_are_not_starved, 2, 0, 34 },
-  { "a_leaving_holder_hands_over_quickly", a_leaving_holder_hands_over_quickly, 4, 0, 100 },
-  { "a_busy_holder_leaves", a_busy_holder_leaves, 4, 0, 100 },
+  { "request_rates_reach_a_restarted_gateway", request_rates_reach_a_restarted_gateway, 4, 0, 50 },
+  { "evicting_a_model_removes_its_adapters", evicting_a_model_removes_its_adapters, 2, 0, 50 },
+  { "an_expensive_eviction_is_refused", an_expensive_eviction_is_refused, 4, 0, 50 },
+  { "loads_run_in_order_of_utility", loads_run_in_order_of_utility, 2, 0, 50 },
+  { "loads_of_rarely_used_models_do_not_starve", loads_of_rarely_used_models_do_not_starve, 2, 0,
+    34 },
+  { "a_gateway_shutdown_hands_over_leases_quickly", a_gateway_shutdown_hands_over_leases_quickly, 4,
+    0, 100 },
+  { "a_shutdown_with_recent_orders_delays_the_next_holder",
+    a_shutdown_with_recent_orders_delays_the_next_holder, 4, 0, 100 },
   { "a_long_load_outlives_its_holder", a_long_load_outlives_its_holder, 4, 0, 50 },
-  { "a_restarted_holder_goes_on", a_restarted_holder_goes_on, 4, 0, 100 },
-  { "a_large_fleet_places_by_parts", a_large_fleet_places_by_parts, 36, 0, 10 },
+  { "a_restarted_gateway_holds_its_leases_again", a_restarted_gateway_holds_its_leases_again, 4, 0,
+    100 },
+  { "a_large_fleet_shards_placement", a_large_fleet_shards_placement, 36, 0, 10 },
   { "model_is_removed_while_a_request_waits", model_is_removed_while_a_request_waits, 2, 2, 100 },
   { NULL, NULL, 0, 0, 0 }
 };
