--- a/lib/gateway/engine_loading.c
+++ b/lib/gateway/engine_loading.c
@@ -435,7 +435,7 @@
 
 /* sends the order until the engine has accepted it, or may have; *resident: the model is loaded
  * already */
-static enum error_code send_until_taken(engine_load_order *order, bool *resident) {
+static enum error_code send_until_accepted(engine_load_order *order, bool *resident) {
   for (int attempt = 0; attempt < MAX_SEND_ATTEMPTS; attempt++) {
     bool again = false;
     enum error_code code = prepare(order, attempt, &again, resident);
@@ -455,7 +455,7 @@
 
 /* counts the load, and notifies the gateways that may take over the lease that an order is in
  * progress */
-static void record_order_taken(const engine_load_order *order) {
+static void record_accepted_order(const engine_load_order *order) {
   gateway *gateway = order->gateway;
   gateway_engine *engine = order->engine;
   gateway->counts.loads++;
@@ -674,7 +674,7 @@
   bool resident = false;
   if (!code) {
     order.began_at = gateway_now(order.gateway);
-    code = send_until_taken(&order, &resident);
+    code = send_until_accepted(&order, &resident);
   }
   if (code)
     count_failure(&order, code);
@@ -682,7 +682,7 @@
     return code;
   order.accepted = order.status == 202;
   if (order.is_base && order.status != 200)
-    record_order_taken(&order);
+    record_accepted_order(&order);
   code = wait_until_loaded(&order);
   if (code)
     return record_failed(&order, code);
