--- a/lib/gateway/capacity_account.c
+++ b/lib/gateway/capacity_account.c
@@ -2,27 +2,28 @@
  * engine holds only some tens of them. */
 #include "capacity_account.h"
 
-void capacity_init(capacity_account *account) {
+void capacity_account_init(capacity_account *account) {
   *account = (capacity_account){ 0 };
   account->items = g_array_new(FALSE, TRUE, sizeof(capacity_item));
 }
 
-void capacity_free(capacity_account *account) {
+void capacity_account_free(capacity_account *account) {
   g_array_free(account->items, TRUE);
   account->items = NULL;
 }
 
-void capacity_forget(capacity_account *account, time_us now) {
+void capacity_account_discard(capacity_account *account, time_us now) {
   account->is_known = false;
   account->changed_at = now;
   g_array_set_size(account->items, 0);
 }
 
-bool capacity_covered_by_report(const capacity_account *account, time_us asked_at, time_us lag) {
+bool capacity_account_covered_by_report(const capacity_account *account, time_us asked_at,
+                                        time_us lag) {
   return time_reached(asked_at, time_add(account->changed_at, lag));
 }
 
-void capacity_begin(capacity_account *account, uint64_t order_count) {
+void capacity_account_reset(capacity_account *account, uint64_t order_count) {
   account->is_known = true;
   account->order_count = order_count;
   g_array_set_size(account->items, 0);
@@ -41,15 +42,15 @@
   return NULL;
 }
 
-void capacity_add(capacity_account *account, id model, id adapter) {
+void capacity_account_add(capacity_account *account, id model, id adapter) {
   if (item_of(account, model, adapter))
     return;
   capacity_item item = { model, adapter, 0, false };
   g_array_append_val(account->items, item);
 }
 
-void capacity_order_accepted(capacity_account *account, bool load, id model, id adapter,
-                             time_us now) {
+void capacity_account_order_accepted(capacity_account *account, bool load, id model, id adapter,
+                                     time_us now) {
   if (!account->is_known)
     return;
   capacity_item *item = item_of(account, model, adapter);
@@ -58,18 +59,18 @@
     return;
   if (!load && !item) {
     /* the engine unloads something that the account doesn't contain, so the account is wrong */
-    capacity_forget(account, now);
+    capacity_account_discard(account, now);
     return;
   }
   account->order_count++;
   account->changed_at = now;
   if (load)
-    capacity_add(account, model, adapter);
+    capacity_account_add(account, model, adapter);
   else
     item->unloading = true;
 }
 
-void capacity_remove(capacity_account *account, id model, id adapter) {
+void capacity_account_remove(capacity_account *account, id model, id adapter) {
   for (guint i = account->items->len; i-- > 0;) {
     const capacity_item *item = item_at(account, i);
     if (id_equal(item->model, model) && (id_is_empty(adapter) || id_equal(item->adapter, adapter)))
@@ -77,11 +78,12 @@
   }
 }
 
-bool capacity_contains(const capacity_account *account, id model, id adapter) {
+bool capacity_account_contains(const capacity_account *account, id model, id adapter) {
   return item_of(account, model, adapter) != NULL;
 }
 
-void capacity_used(capacity_account *account, const service *service, double *mb, unsigned *slots) {
+void capacity_account_used(capacity_account *account, const service *service, double *mb,
+                           unsigned *slots) {
   *mb = 0;
   *slots = 0;
   for (guint i = 0; i < account->items->len; i++) {
--- a/lib/gateway/capacity_account.h
+++ b/lib/gateway/capacity_account.h
@@ -30,27 +30,29 @@
   GArray *items; /* of capacity_item */
 } capacity_account;
 
-void capacity_init(capacity_account *account);
-void capacity_free(capacity_account *account);
+void capacity_account_init(capacity_account *account);
+void capacity_account_free(capacity_account *account);
 /** Discards the account; nothing is known until the next idle report. */
-void capacity_forget(capacity_account *account, time_us now);
+void capacity_account_discard(capacity_account *account, time_us now);
 /** True when a report requested at asked_at covers all changes in the account; the values in a
  * report are up to lag old. */
-bool capacity_covered_by_report(const capacity_account *account, time_us asked_at, time_us lag);
+bool capacity_account_covered_by_report(const capacity_account *account, time_us asked_at,
+                                        time_us lag);
 /** Resets the account to an idle report with this order count; the caller adds its residents by
- * capacity_add. */
-void capacity_begin(capacity_account *account, uint64_t order_count);
+ * capacity_account_add. */
+void capacity_account_reset(capacity_account *account, uint64_t order_count);
 /** Adds a model or adapter unless the account contains it. */
-void capacity_add(capacity_account *account, id model, id adapter);
+void capacity_account_add(capacity_account *account, id model, id adapter);
 /** Records that the engine has accepted (202) an order of this holder; a load uses its capacity
  * from now on. A repetition of an order in progress is not counted, since the engine doesn't count
  * it either. */
-void capacity_order_accepted(capacity_account *account, bool load, id model, id adapter,
-                             time_us now);
+void capacity_account_order_accepted(capacity_account *account, bool load, id model, id adapter,
+                                     time_us now);
 /** Records that the engine has confirmed an unload; unloading a model removes its adapters too. */
-void capacity_remove(capacity_account *account, id model, id adapter);
-bool capacity_contains(const capacity_account *account, id model, id adapter);
+void capacity_account_remove(capacity_account *account, id model, id adapter);
+bool capacity_account_contains(const capacity_account *account, id model, id adapter);
 /** The memory and adapter slots in use. An item that the configuration no longer contains counts
  * with its last size. */
-void capacity_used(capacity_account *account, const service *service, double *mb, unsigned *slots);
+void capacity_account_used(capacity_account *account, const service *service, double *mb,
+                           unsigned *slots);
 #endif
--- a/lib/gateway/engine_loading.c
+++ b/lib/gateway/engine_loading.c
@@ -129,7 +129,7 @@
   int count = eviction_candidates(engine, service, model, adapter, candidates, mb, slots);
   double account_mb;
   unsigned account_slots;
-  capacity_used(&engine->capacity, service, &account_mb, &account_slots);
+  capacity_account_used(&engine->capacity, service, &account_mb, &account_slots);
   if (account_mb > *mb || account_slots > *slots)
     log_debug(
         &engine->gateway->router->node.log, "place",
@@ -224,7 +224,7 @@
   if (engine->load_jobs.residents_epoch == epoch && engine->capacity.is_known)
     return OK;
   if (engine->load_jobs.residents_epoch != epoch)
-    capacity_forget(&engine->capacity, engine->capacity.changed_at);
+    capacity_account_discard(&engine->capacity, engine->capacity.changed_at);
   enum error_code code;
   time_us now = gateway_now(gateway), current_at = reports_are_current_at(engine, epoch);
   if (current_at.us > now.us &&
@@ -426,7 +426,7 @@
   if (code || !conflict)
     return code;
   if (++order->conflicts > 1)
-    capacity_forget(&engine->capacity, gateway_now(order->gateway));
+    capacity_account_discard(&engine->capacity, gateway_now(order->gateway));
   code = wait_while_busy(order);
   if (code)
     *order->retry_after_ms = RETRY_UNREACHABLE_MS;
@@ -516,7 +516,7 @@
   if (*loaded || busy)
     return OK;
   if (engine->capacity.is_known &&
-      !capacity_contains(&engine->capacity, order->model, order->adapter))
+      !capacity_account_contains(&engine->capacity, order->model, order->adapter))
     return fail(order, E_ORDER_FAILED, RETRY_GIVEN_UP_MS, "has given up the load of");
   if (order->polls > MAX_IDLE_POLLS)
     order->polls = 0;
@@ -527,7 +527,7 @@
   const capacity_account *capacity = &order->engine->capacity;
   int max_checks = order->is_base ? MAX_MODEL_ORDER_POLLS : MAX_ADAPTER_ORDER_POLLS;
   bool by_order = order->polls < max_checks && capacity->is_known &&
-                  capacity_contains(capacity, order->model, order->adapter);
+                  capacity_account_contains(capacity, order->model, order->adapter);
   return by_order ? poll_by_order(order, loaded) : poll_by_report(order, loaded);
 }
 
--- a/lib/gateway/engine_orders.c
+++ b/lib/gateway/engine_orders.c
@@ -140,10 +140,10 @@
     if (!id_is_valid(string_view_of(reported->model)))
       continue;
     id model = id_of_text(reported->model);
-    capacity_add(account, model, id_none);
+    capacity_account_add(account, model, id_none);
     for (size_t a = 0; a < reported->n_adapters; a++)
       if (id_is_valid(string_view_of(reported->adapters[a])))
-        capacity_add(account, model, id_of_text(reported->adapters[a]));
+        capacity_account_add(account, model, id_of_text(reported->adapters[a]));
   }
 }
 
@@ -151,17 +151,17 @@
 static void update_account(gateway_engine *engine, uint64_t order_count,
                            const reported_residents *residents, time_us asked_at) {
   capacity_account *account = &engine->capacity;
-  if (!capacity_covered_by_report(account, asked_at, time_from_ms(ENGINE_REPORT_LAG_MS))) {
+  if (!capacity_account_covered_by_report(account, asked_at, time_from_ms(ENGINE_REPORT_LAG_MS))) {
     /* the engine has accepted an order that this holder doesn't know of */
     if (account->is_known && order_count > account->order_count)
-      capacity_forget(account, gateway_engine_now(engine));
+      capacity_account_discard(account, gateway_engine_now(engine));
     return;
   }
   if (account->is_known && order_count != account->order_count)
     log_debug(&engine->gateway->router->node.log, "place",
               "Engine %s has accepted %" PRIu64 " orders; %" PRIu64 " were known.",
               engine->engine_id.text, order_count, account->order_count);
-  capacity_begin(account, order_count);
+  capacity_account_reset(account, order_count);
   add_to_account(account, residents);
 }
 
@@ -235,9 +235,9 @@
 static void record_result(gateway_engine *engine, bool load, id model, id adapter, int status) {
   time_us now = gateway_engine_now(engine);
   if (status == 202)
-    capacity_order_accepted(&engine->capacity, load, model, adapter, now);
+    capacity_account_order_accepted(&engine->capacity, load, model, adapter, now);
   if (status == ENGINE_ORDER_UNKNOWN)
-    capacity_forget(&engine->capacity, now);
+    capacity_account_discard(&engine->capacity, now);
   if (status > 0 && status != 421)
     engine->orders.identity_confirmed_at = now;
 }
@@ -349,7 +349,7 @@
   if (!engine_order_fetch_report(engine, &busy, &running, unload->err))
     return error_set(unload->err, E_NO_ENGINE, "%s does not report", engine->engine_id.text);
   if (busy || !engine->capacity.is_known ||
-      capacity_contains(&engine->capacity, unload->model, unload->adapter))
+      capacity_account_contains(&engine->capacity, unload->model, unload->adapter))
     return error_set(unload->err, E_ORDER_FAILED, "%s does not unload %s", engine->engine_id.text,
                      unload->model.text);
   return OK;
@@ -429,7 +429,7 @@
   history_event event = { EVENT_UNLOADED, { 0 },           engine->engine_id,
                           unload->model,  unload->adapter, 0 };
   event_history_append(&router->history, event);
-  capacity_remove(&engine->capacity, unload->model, unload->adapter);
+  capacity_account_remove(&engine->capacity, unload->model, unload->adapter);
   gateway_engine_mark_unloaded(engine, unload->model, unload->adapter);
 }
 
@@ -444,7 +444,7 @@
                     .err = err };
   enum error_code code = order_until_unloaded(&unload);
   if (code)
-    capacity_forget(&engine->capacity, gateway_engine_now(engine));
+    capacity_account_discard(&engine->capacity, gateway_engine_now(engine));
   else
     record_unloaded(&unload);
   return code;
--- a/lib/gateway/gateway_engines.c
+++ b/lib/gateway/gateway_engines.c
@@ -36,7 +36,7 @@
   engine_residents_init(&engine->residents);
   engine_load_init(&engine->load);
   engine_load_jobs_init(&engine->load_jobs);
-  capacity_init(&engine->capacity);
+  capacity_account_init(&engine->capacity);
   list_append(&gateway->engines.list, &engine->link);
   g_hash_table_insert(gateway->engines.by_id, engine->engine_id.text, engine);
   return engine;
@@ -48,7 +48,7 @@
   engine_residents_free(&engine->residents);
   engine_load_free(&engine->load);
   engine_load_jobs_free(&engine->load_jobs);
-  capacity_free(&engine->capacity);
+  capacity_account_free(&engine->capacity);
   prefix_cache_free(&engine->prefix_cache);
   g_free(engine);
 }
--- a/tests/gateway/capacity_account.c
+++ b/tests/gateway/capacity_account.c
@@ -313,35 +313,35 @@
   capacity_account account;
   double mb;
   unsigned slots;
-  capacity_init(&account);
+  capacity_account_init(&account);
   /* before a report nothing is known, and orders don't change the account */
-  capacity_order_accepted(&account, true, big, base, time_from_ms(1000));
+  capacity_account_order_accepted(&account, true, big, base, time_from_ms(1000));
   EXPECT(fleet, !account.is_known && !account.items->len);
-  capacity_begin(&account, 7);
-  capacity_add(&account, big, base);
-  capacity_order_accepted(&account, true, big, a1, time_from_ms(2000));
-  EXPECT(fleet, account.order_count == 8 && capacity_contains(&account, big, a1));
+  capacity_account_reset(&account, 7);
+  capacity_account_add(&account, big, base);
+  capacity_account_order_accepted(&account, true, big, a1, time_from_ms(2000));
+  EXPECT(fleet, account.order_count == 8 && capacity_account_contains(&account, big, a1));
   /* a repeated load adds neither an item nor an order */
-  capacity_order_accepted(&account, true, big, a1, time_from_ms(2100));
-  capacity_used(&account, service, &mb, &slots);
+  capacity_account_order_accepted(&account, true, big, a1, time_from_ms(2100));
+  capacity_account_used(&account, service, &mb, &slots);
   EXPECT(fleet, account.order_count == 8 && mb == 40040 && slots == 1);
   /* a report covers an order only if it was requested at least `lag` after it */
-  EXPECT(fleet, !capacity_covered_by_report(&account, time_from_ms(2449), lag) &&
-                    capacity_covered_by_report(&account, time_from_ms(2450), lag));
+  EXPECT(fleet, !capacity_account_covered_by_report(&account, time_from_ms(2449), lag) &&
+                    capacity_account_covered_by_report(&account, time_from_ms(2450), lag));
   /* an unload frees capacity only once it is confirmed, and unloading a model removes its adapters
    */
-  capacity_order_accepted(&account, false, big, base, time_from_ms(3000));
-  capacity_order_accepted(&account, false, big, base, time_from_ms(3050));
-  EXPECT(fleet, account.order_count == 9 && capacity_contains(&account, big, base));
-  capacity_remove(&account, big, base);
-  capacity_order_accepted(&account, true, mid, base, time_from_ms(3100));
-  capacity_used(&account, service, &mb, &slots);
+  capacity_account_order_accepted(&account, false, big, base, time_from_ms(3000));
+  capacity_account_order_accepted(&account, false, big, base, time_from_ms(3050));
+  EXPECT(fleet, account.order_count == 9 && capacity_account_contains(&account, big, base));
+  capacity_account_remove(&account, big, base);
+  capacity_account_order_accepted(&account, true, mid, base, time_from_ms(3100));
+  capacity_account_used(&account, service, &mb, &slots);
   EXPECT(fleet, account.order_count == 10 && mb == 30000 && slots == 0);
   /* an accepted unload of an item that the account doesn't contain discards the account */
-  capacity_order_accepted(&account, false, big, base, time_from_ms(4000));
-  EXPECT(fleet,
-         !account.is_known && !capacity_covered_by_report(&account, time_from_ms(4449), lag));
-  capacity_free(&account);
+  capacity_account_order_accepted(&account, false, big, base, time_from_ms(4000));
+  EXPECT(fleet, !account.is_known &&
+                    !capacity_account_covered_by_report(&account, time_from_ms(4449), lag));
+  capacity_account_free(&account);
   routing_unref(routing);
   return true;
 }
