--- a/lib/gateway/engine_health.h
+++ b/lib/gateway/engine_health.h
@@ -4,7 +4,7 @@
  * - consecutive failures eject the engine for a time that doubles with each further failure;
  * - silence while requests wait there makes it suspect: it gets no requests that may run only once;
  * - a decaying score of the failures seen by all gateways makes it unhealthy: it stays usable but
- * at a high cost, so that an engine that fails some of its requests is the last choice. */
+ *   at a high cost, so that an engine that fails some of its requests is the last choice. */
 #ifndef GATEWAY_ENGINE_HEALTH_H
 #define GATEWAY_ENGINE_HEALTH_H
 #include "world.h"
