--- a/tests/gateway/loader.c
+++ b/tests/gateway/loader.c
@@ -4,8 +4,8 @@
 #include "tests.h"
 #include <stdio.h>
 
-/* a gateway's knowledge alone, without a network: the clock and chance are those of a machine that
- * does nothing else */
+/* The state of a gateway without a network; clock and random numbers are those of an otherwise idle
+ * host. */
 typedef struct bare_gateway {
   gateway gateway;
   router router;
@@ -54,7 +54,7 @@
   g_free(bare);
 }
 
-/* takes over an engine's heartbeat: models as "m,m+a" */
+/* applies an engine's heartbeat; models: "model,model+adapter" */
 static gateway_engine *heartbeat(bare_gateway *bare, const char *self, const char *addr,
                                  uint64_t count, uint64_t age, const char *models) {
   Wire__EngineState w = WIRE__ENGINE_STATE__INIT;
@@ -89,7 +89,7 @@
   return gateway_engine_find(&bare->gateway, self);
 }
 
-static void asked(bare_gateway *bare, const char *model, const char *adapter, int times) {
+static void record_requests(bare_gateway *bare, const char *model, const char *adapter, int times) {
   for (int k = 0; k < times; k++)
     event_history_append(
         &bare->router.history,
@@ -97,206 +97,208 @@
             EVENT_ROUTED, { 0 }, id_of_text(""), id_of_text(model), id_of_text(adapter), 0 });
 }
 
-#define WANT(f, x)                                                                                 \
+#define EXPECT(f, x)                                                                               \
   do {                                                                                             \
     if (!(x))                                                                                      \
       fleet_add_violation(f, "line %d: %s", __LINE__, #x);                                         \
   } while (0)
-static bool near(double a, double b) {
+static bool nearly_equal(double a, double b) {
   return a > b * 0.999 - 1e-9 && a < b * 1.001 + 1e-9;
 }
 
-static bool room_counts_in_both_measures(fleet *fleet) {
+static bool eviction_cost_counts_memory_and_slots(fleet *fleet) {
   bare_gateway *bare = bare_new(fleet);
   const service *service = routing_find_service(bare->routing, "s");
   gateway_engine *engine = heartbeat(bare, "e1", "10.0.0.1:80", 1, 0, "big,mid");
-  /* half of a rate's weight lies on the last 5 s: of what was asked for 9 s ago, half is left */
-  asked(bare, "big", "", 60);
-  asked(bare, "mid", "", 30);
+  /* the last 5 s have half of a rate's weight, so half the rate of requests from 9 s ago is left */
+  record_requests(bare, "big", "", 60);
+  record_requests(bare, "mid", "", 30);
   sim_run(fleet->sim, time_from_ms(9000));
   double mb, drain;
   unsigned slots;
-  WANT(fleet, near(eviction_placement_cost(engine, service, id_of_text("low"), id_of_text(""), &mb,
-                                           &slots, &drain),
-                   0));
-  WANT(fleet, near(mb, 10000) && slots == 0);
-  /* the lesser worth goes: two seconds of load at half of half a request a second */
-  WANT(fleet, near(eviction_placement_cost(engine, service, id_of_text("new"), id_of_text(""), &mb,
-                                           &slots, &drain),
-                   2000 * 0.5 * 0.5));
-  /* an adapter takes a slot and its own weights, and those of its model when that is not resident
-   */
-  WANT(fleet, near(eviction_placement_cost(engine, service, id_of_text("big"), id_of_text("a1"),
-                                           &mb, &slots, &drain),
-                   0) &&
-                  near(mb, 40) && slots == 1);
+  EXPECT(fleet, nearly_equal(eviction_placement_cost(engine, service, id_of_text("low"),
+                                                     id_of_text(""), &mb, &slots, &drain),
+                             0));
+  EXPECT(fleet, nearly_equal(mb, 10000) && slots == 0);
+  /* the model with the lower utility is evicted: a load time of 2 s at half of 0.5 requests/s */
+  EXPECT(fleet, nearly_equal(eviction_placement_cost(engine, service, id_of_text("new"),
+                                                     id_of_text(""), &mb, &slots, &drain),
+                             2000 * 0.5 * 0.5));
+  /* an adapter uses a slot and the memory of its weights, plus that of its model if not resident */
+  EXPECT(fleet, nearly_equal(eviction_placement_cost(engine, service, id_of_text("big"),
+                                                     id_of_text("a1"), &mb, &slots, &drain),
+                             0) &&
+                    nearly_equal(mb, 40) && slots == 1);
   eviction_placement_cost(engine, service, id_of_text("new"), id_of_text("a1"), &mb, &slots,
                           &drain);
-  WANT(fleet, near(mb, 35040) && slots == 1);
-  /* both places taken: adapters go for an adapter, never the base that it needs */
+  EXPECT(fleet, nearly_equal(mb, 35040) && slots == 1);
+  /* both slots are taken: an adapter is evicted for an adapter, never the base model that it needs
+   */
   gateway_engine_mark_loaded(engine, id_of_text("big"), id_of_text("a2"));
   gateway_engine_mark_loaded(engine, id_of_text("big"), id_of_text("a3"));
-  asked(bare, "big", "a2", 12);
-  asked(bare, "big", "a3", 6);
+  record_requests(bare, "big", "a2", 12);
+  record_requests(bare, "big", "a3", 6);
   sim_run(fleet->sim, time_from_ms(9000));
-  WANT(fleet, near(eviction_placement_cost(engine, service, id_of_text("big"), id_of_text("a1"),
-                                           &mb, &slots, &drain),
-                   25 * 0.1 * 0.5));
-  /* what is owed counts as taken */
+  EXPECT(fleet, nearly_equal(eviction_placement_cost(engine, service, id_of_text("big"),
+                                                     id_of_text("a1"), &mb, &slots, &drain),
+                             25 * 0.1 * 0.5));
+  /* reserved memory counts as used */
   engine->load_jobs.reserved_mb = 10000;
-  WANT(fleet, eviction_placement_cost(engine, service, id_of_text("low"), id_of_text(""), &mb,
-                                      &slots, &drain) > 0);
+  EXPECT(fleet, eviction_placement_cost(engine, service, id_of_text("low"), id_of_text(""), &mb,
+                                        &slots, &drain) > 0);
   engine->load_jobs.reserved_mb = 60000;
-  WANT(fleet, eviction_placement_cost(engine, service, id_of_text("new"), id_of_text(""), &mb,
-                                      &slots, &drain) < 0);
+  EXPECT(fleet, eviction_placement_cost(engine, service, id_of_text("new"), id_of_text(""), &mb,
+                                        &slots, &drain) < 0);
   engine->load_jobs.reserved_mb = 0;
-  /* what is being unloaded keeps its memory, and can't be evicted twice */
+  /* a model that is being unloaded keeps its memory and can't be evicted again */
   gateway_engine_mark_unloading(engine, id_of_text("mid"), id_of_text(""));
-  WANT(fleet, !gateway_engine_has_model(engine, id_of_text("mid"), id_of_text("")) &&
-                  gateway_engine_has_model(engine, id_of_text("big"), id_of_text("a2")));
-  WANT(fleet, eviction_placement_cost(engine, service, id_of_text("new"), id_of_text(""), &mb,
-                                      &slots, &drain) > 2000 * 0.9 * 0.5);
+  EXPECT(fleet, !gateway_engine_has_model(engine, id_of_text("mid"), id_of_text("")) &&
+                    gateway_engine_has_model(engine, id_of_text("big"), id_of_text("a2")));
+  EXPECT(fleet, eviction_placement_cost(engine, service, id_of_text("new"), id_of_text(""), &mb,
+                                        &slots, &drain) > 2000 * 0.9 * 0.5);
   bare_free(bare);
   return true;
 }
 
-/* an adapter that is ordered away is announced as gone at once, so that nobody sends work for it
- * that the engine must decline; its slot counts until the engine has confirmed the order */
-static bool a_leaving_adapter_gets_no_work(fleet *fleet) {
+/* An adapter that is to be unloaded is announced as not loaded at once, so that no gateway sends
+ * requests for it that the engine would decline. Its slot counts as used until the engine has
+ * confirmed the order. */
+static bool an_unloading_adapter_gets_no_requests(fleet *fleet) {
   bare_gateway *bare = bare_new(fleet);
   const service *service = routing_find_service(bare->routing, "s");
   gateway_engine *engine = heartbeat(bare, "e1", "10.0.0.1:80", 1, 0, "big");
   id big = id_of_text("big"), first = id_of_text("a1"), second = id_of_text("a2");
   gateway_engine_mark_loaded(engine, big, first);
   gateway_engine_mark_loaded(engine, big, second);
-  asked(bare, "big", "a2", 12);
+  record_requests(bare, "big", "a2", 12);
   sim_run(fleet->sim, time_from_ms(700));
   gateway_engine_mark_unloading(engine, big, first);
-  WANT(fleet, !gateway_engine_has_model(engine, big, first) &&
-                  gateway_engine_has_model(engine, big, second));
+  EXPECT(fleet, !gateway_engine_has_model(engine, big, first) &&
+                    gateway_engine_has_model(engine, big, second));
   double mb, drain;
   unsigned slots;
-  WANT(fleet,
-       eviction_placement_cost(engine, service, big, id_of_text("a3"), &mb, &slots, &drain) > 0 &&
-           slots == 1);
+  EXPECT(fleet,
+         eviction_placement_cost(engine, service, big, id_of_text("a3"), &mb, &slots, &drain) > 0 &&
+             slots == 1);
   gateway_engine_mark_unloaded(engine, big, first);
-  WANT(fleet,
-       eviction_placement_cost(engine, service, big, id_of_text("a3"), &mb, &slots, &drain) == 0);
-  /* one that is loaded again while it leaves is there again, once */
+  EXPECT(fleet,
+         eviction_placement_cost(engine, service, big, id_of_text("a3"), &mb, &slots, &drain) == 0);
+  /* an adapter that is loaded again during its unload is listed again, only once */
   gateway_engine_mark_unloading(engine, big, second);
   gateway_engine_mark_loaded(engine, big, second);
-  WANT(fleet, gateway_engine_has_model(engine, big, second));
-  WANT(fleet,
-       eviction_placement_cost(engine, service, big, id_of_text("a3"), &mb, &slots, &drain) == 0);
+  EXPECT(fleet, gateway_engine_has_model(engine, big, second));
+  EXPECT(fleet,
+         eviction_placement_cost(engine, service, big, id_of_text("a3"), &mb, &slots, &drain) == 0);
   bare_free(bare);
   return true;
 }
 
-/* what was loaded a moment ago is not in the rates yet; it must not be the first to go, or engines
- * whose places are short load and unload in turn while nobody is served */
-static bool a_new_adapter_is_not_the_first_to_go(fleet *fleet) {
+/* An adapter that was just loaded has no request rate yet. If it were evicted first, engines with
+ * too few slots would load and unload in turn without serving any request. */
+static bool a_new_adapter_is_not_evicted_first(fleet *fleet) {
   bare_gateway *bare = bare_new(fleet);
   const service *service = routing_find_service(bare->routing, "s");
   gateway_engine *engine = heartbeat(bare, "e1", "10.0.0.1:80", 1, 0, "big");
   id big = id_of_text("big"), wanted = id_of_text("a3");
   double mb, drain;
   unsigned slots;
-  asked(bare, "big", "a1", 2);
+  record_requests(bare, "big", "a1", 2);
   gateway_engine_mark_loaded(engine, big, id_of_text("a1"));
   sim_run(fleet->sim, time_from_ms(6000));
   gateway_engine_mark_loaded(engine, big, id_of_text("a2"));
-  /* neither of two that have just come, the older one before the newer one, then by their rates */
+  /* neither of two adapters that were just loaded can be evicted; later the older one goes before
+   * the newer one, and finally their rates decide */
   double older = eviction_placement_cost(engine, service, big, wanted, &mb, &slots, &drain);
-  WANT(fleet, older > 0 && older < 25 * 0.2);
+  EXPECT(fleet, older > 0 && older < 25 * 0.2);
   gateway_engine_mark_loaded(engine, big, id_of_text("a1"));
-  WANT(fleet, eviction_placement_cost(engine, service, big, wanted, &mb, &slots, &drain) < 0);
+  EXPECT(fleet, eviction_placement_cost(engine, service, big, wanted, &mb, &slots, &drain) < 0);
   sim_run(fleet->sim, time_from_ms(2000));
-  WANT(fleet,
-       near(eviction_placement_cost(engine, service, big, wanted, &mb, &slots, &drain), 25 * 0.5));
+  EXPECT(fleet,
+         nearly_equal(eviction_placement_cost(engine, service, big, wanted, &mb, &slots, &drain),
+                      25 * 0.5));
   sim_run(fleet->sim, time_from_ms(4000));
-  WANT(fleet,
-       eviction_placement_cost(engine, service, big, wanted, &mb, &slots, &drain) < 25 * 0.1);
+  EXPECT(fleet,
+         eviction_placement_cost(engine, service, big, wanted, &mb, &slots, &drain) < 25 * 0.1);
   bare_free(bare);
   return true;
 }
 
-static bool mechanisms_are_named(fleet *fleet) {
+static bool feature_flags_are_parsed_by_name(fleet *fleet) {
   unsigned set = 0;
   error err = { 0 };
-  WANT(fleet, feature_flags_parse("prefix,cremebrulee", &set, &err) &&
-                  set == (1u << FEATURE_PREFIX | 1u << FEATURE_CREMEBRULEE));
+  EXPECT(fleet, feature_flags_parse("prefix,cremebrulee", &set, &err) &&
+                    set == (1u << FEATURE_PREFIX | 1u << FEATURE_CREMEBRULEE));
   for (int k = 0; k < FEATURE_COUNT; k++)
-    WANT(fleet, feature_flags_parse(feature_flag_name(k), &set, &err) && set == 1u << k);
-  WANT(fleet, !feature_flags_parse("prefix,nothing", &set, &err) && err.code == E_SETTINGS_KEY);
-  WANT(fleet, feature_flags_parse("", &set, &err) && !set);
+    EXPECT(fleet, feature_flags_parse(feature_flag_name(k), &set, &err) && set == 1u << k);
+  EXPECT(fleet, !feature_flags_parse("prefix,nothing", &set, &err) && err.code == E_SETTINGS_KEY);
+  EXPECT(fleet, feature_flags_parse("", &set, &err) && !set);
   return true;
 }
 
-static bool copies_share_a_rate(fleet *fleet) {
+static bool replicas_share_a_request_rate(fleet *fleet) {
   bare_gateway *bare = bare_new(fleet);
   const service *service = routing_find_service(bare->routing, "s");
   gateway_engine *engine = heartbeat(bare, "e1", "10.0.0.1:80", 1, 0, "big,mid");
-  asked(bare, "big", "", 60);
-  asked(bare, "mid", "", 36);
+  record_requests(bare, "big", "", 60);
+  record_requests(bare, "mid", "", 36);
   sim_run(fleet->sim, time_from_ms(9000));
   double mb, drain;
   unsigned slots;
-  WANT(fleet, near(eviction_placement_cost(engine, service, id_of_text("new"), id_of_text(""), &mb,
-                                           &slots, &drain),
-                   2000 * 0.6 * 0.5));
-  /* what is asked for now weighs more than what was asked for before: mid stays, big goes */
-  asked(bare, "mid", "", 36);
-  WANT(fleet, near(eviction_placement_cost(engine, service, id_of_text("new"), id_of_text(""), &mb,
-                                           &slots, &drain),
-                   2000 * 1.0 * 0.5));
+  EXPECT(fleet, nearly_equal(eviction_placement_cost(engine, service, id_of_text("new"),
+                                                     id_of_text(""), &mb, &slots, &drain),
+                             2000 * 0.6 * 0.5));
+  /* recent requests weigh more than older ones: mid stays, big is evicted */
+  record_requests(bare, "mid", "", 36);
+  EXPECT(fleet, nearly_equal(eviction_placement_cost(engine, service, id_of_text("new"),
+                                                     id_of_text(""), &mb, &slots, &drain),
+                             2000 * 1.0 * 0.5));
   sim_run(fleet->sim, time_from_ms(9000));
-  /* with a second and third replica of big, each is worth a third of its rate; by size it is the
-   * least
-   */
+  /* with three replicas of big, each has a third of its rate, which makes its utility by size the
+   * lowest */
   heartbeat(bare, "e2", "10.0.0.2:80", 1, 0, "big");
   heartbeat(bare, "e3", "10.0.0.3:80", 1, 0, "big");
-  WANT(fleet, gateway_engines_count_replicas(&bare->gateway, id_of_text("s"), id_of_text("big"),
-                                             id_of_text("")) == 3);
-  WANT(fleet, near(eviction_placement_cost(engine, service, id_of_text("new"), id_of_text(""), &mb,
-                                           &slots, &drain),
-                   2000 / 3.0 * 0.5));
+  EXPECT(fleet, gateway_engines_count_replicas(&bare->gateway, id_of_text("s"), id_of_text("big"),
+                                               id_of_text("")) == 3);
+  EXPECT(fleet, nearly_equal(eviction_placement_cost(engine, service, id_of_text("new"),
+                                                     id_of_text(""), &mb, &slots, &drain),
+                             2000 / 3.0 * 0.5));
   bare_free(bare);
   return true;
 }
 
-static bool orders_outlast_older_beats(fleet *fleet) {
+static bool orders_override_older_heartbeats(fleet *fleet) {
   bare_gateway *bare = bare_new(fleet);
   gateway_engine *i = heartbeat(bare, "e1", "10.0.0.1:80", 1, 0, "big");
   id none = id_of_text("");
   gateway_engine_mark_loaded(i, id_of_text("mid"), none);
   heartbeat(bare, "e1", "10.0.0.1:80", 2, 0, "big");
-  WANT(fleet, gateway_engine_has_model(i, id_of_text("mid"), none));
+  EXPECT(fleet, gateway_engine_has_model(i, id_of_text("mid"), none));
   gateway_engine_mark_unloaded(i, id_of_text("big"), none);
   sim_run(fleet->sim, time_from_ms(1000));
   heartbeat(bare, "e1", "10.0.0.1:80", 3, 0, "big");
-  WANT(fleet, !gateway_engine_has_model(i, id_of_text("big"), none) &&
-                  gateway_engine_has_model(i, id_of_text("mid"), none));
+  EXPECT(fleet, !gateway_engine_has_model(i, id_of_text("big"), none) &&
+                    gateway_engine_has_model(i, id_of_text("mid"), none));
   sim_run(fleet->sim, time_from_ms(4000));
-  /* a late heartbeat counts by its own age */
+  /* a delayed heartbeat is applied with its own age */
   heartbeat(bare, "e1", "10.0.0.1:80", 4, 4500, "big");
-  WANT(fleet, gateway_engine_has_model(i, id_of_text("mid"), none));
+  EXPECT(fleet, gateway_engine_has_model(i, id_of_text("mid"), none));
   heartbeat(bare, "e1", "10.0.0.1:80", 6, 0, "big,low+a1");
-  WANT(fleet, gateway_engine_has_model(i, id_of_text("big"), none) &&
-                  !gateway_engine_has_model(i, id_of_text("mid"), none) &&
-                  gateway_engine_has_model(i, id_of_text("low"), id_of_text("a1")));
+  EXPECT(fleet, gateway_engine_has_model(i, id_of_text("big"), none) &&
+                    !gateway_engine_has_model(i, id_of_text("mid"), none) &&
+                    gateway_engine_has_model(i, id_of_text("low"), id_of_text("a1")));
   heartbeat(bare, "e1", "10.0.0.1:80", 5, 0, "mid");
-  WANT(fleet, gateway_engine_has_model(i, id_of_text("big"), none) &&
-                  g_hash_table_contains(i->residents.models_on_disk, "mid"));
-  /* a new life at the same address ends the one before, and a life that ended never comes back */
+  EXPECT(fleet, gateway_engine_has_model(i, id_of_text("big"), none) &&
+                    g_hash_table_contains(i->residents.models_on_disk, "mid"));
+  /* a new incarnation at the same address removes the previous one, which is never restored */
   gateway_engine *n = heartbeat(bare, "e2", "10.0.0.1:80", 1, 0, "");
-  WANT(fleet, i->gone && !n->gone && gateway_engine_usable(n) && !gateway_engine_usable(i));
+  EXPECT(fleet, i->gone && !n->gone && gateway_engine_usable(n) && !gateway_engine_usable(i));
   heartbeat(bare, "e1", "10.0.0.1:80", 9, 0, "big");
-  WANT(fleet, i->gone && !gateway_engine_has_model(i, id_of_text("big"), none));
+  EXPECT(fleet, i->gone && !gateway_engine_has_model(i, id_of_text("big"), none));
   bare_free(bare);
   return true;
 }
 
-static bool failures_shun_and_a_byte_clears(fleet *fleet) {
+static bool failures_eject_and_a_first_event_clears(fleet *fleet) {
   bare_gateway *bare = bare_new(fleet);
   gateway_engine *engine = heartbeat(bare, "e1", "10.0.0.1:80", 1, 0, "big"),
                  *k = heartbeat(bare, "e2", "10.0.0.2:80", 1, 0, "big");
@@ -310,37 +312,37 @@
     gateway_engine_record_sent(engine, 1000);
     gateway_engine_record_end(engine, false);
   }
-  WANT(fleet, !gateway_engine_usable(engine));
+  EXPECT(fleet, !gateway_engine_usable(engine));
   for (int n = 0; n < 20; n++)
-    WANT(fleet, engine_select(&bare->gateway, &q, &why, &est) == k && why == ENGINE_SELECT_OK);
-  WANT(fleet, gateway_engine_unresponsive(engine) == false ||
-                  gateway_engines_count_replicas(&bare->gateway, id_of_text("s"), id_of_text("big"),
-                                                 id_of_text("")) == 1);
+    EXPECT(fleet, engine_select(&bare->gateway, &q, &why, &est) == k && why == ENGINE_SELECT_OK);
+  EXPECT(fleet, gateway_engine_unresponsive(engine) == false ||
+                    gateway_engines_count_replicas(&bare->gateway, id_of_text("s"),
+                                                   id_of_text("big"), id_of_text("")) == 1);
   sim_run(fleet->sim, time_from_ms(700));
-  WANT(fleet, gateway_engine_usable(engine));
-  /* one trial at a time */
+  EXPECT(fleet, gateway_engine_usable(engine));
+  /* only one trial request at a time */
   gateway_engine_record_sent(engine, 1000);
-  WANT(fleet, !gateway_engine_usable(engine));
+  EXPECT(fleet, !gateway_engine_usable(engine));
   gateway_engine_record_first_event(engine, 1000, 80, 1);
   gateway_engine_record_end(engine, true);
-  WANT(fleet, gateway_engine_usable(engine) && !engine->health.consecutive_failures);
-  /* silence while work is there */
+  EXPECT(fleet, gateway_engine_usable(engine) && !engine->health.consecutive_failures);
+  /* silence while a request waits */
   sim_run(fleet->sim, time_from_ms(5000));
   gateway_engine_record_sent(engine, 1000);
   sim_run(fleet->sim, time_from_ms(450));
   gateway_engine_check(engine);
-  WANT(fleet, engine->health.suspect);
+  EXPECT(fleet, engine->health.suspect);
   q.run_once = true;
   for (int n = 0; n < 20; n++)
-    WANT(fleet, engine_select(&bare->gateway, &q, &why, &est) == k);
+    EXPECT(fleet, engine_select(&bare->gateway, &q, &why, &est) == k);
   gateway_engine_record_first_event(engine, 1000, 450, 1);
-  WANT(fleet, !engine->health.suspect);
+  EXPECT(fleet, !engine->health.suspect);
   gateway_engine_record_end(engine, true);
   bare_free(bare);
   return true;
 }
 
-static bool prompts_go_where_their_parts_are(fleet *fleet) {
+static bool prompts_go_to_cached_prefixes(fleet *fleet) {
   bare_gateway *bare = bare_new(fleet);
   char name[16], addr[32];
   for (int n = 0; n < 4; n++) {
@@ -351,13 +353,13 @@
   uint64_t chain[8], other[8];
   double upto[8];
   id none = id_of_text("");
-  WANT(fleet, prefix_cache_parse("5c1e:800,91bd:410,e440:250", id_of_text("big"), none, chain, upto,
-                                 8) == 3 &&
-                  near(upto[2], 1460) && near(upto[0], 800));
+  EXPECT(fleet, prefix_cache_parse("5c1e:800,91bd:410,e440:250", id_of_text("big"), none, chain,
+                                   upto, 8) == 3 &&
+                    nearly_equal(upto[2], 1460) && nearly_equal(upto[0], 800));
   prefix_cache_parse("5c1e:800,91bd:410,ffff:250", id_of_text("big"), none, other, upto, 8);
-  WANT(fleet, chain[1] == other[1] && chain[2] != other[2]);
+  EXPECT(fleet, chain[1] == other[1] && chain[2] != other[2]);
   prefix_cache_parse("5c1e:800", id_of_text("big"), id_of_text("a1"), other, upto, 8);
-  WANT(fleet, chain[0] != other[0]);
+  EXPECT(fleet, chain[0] != other[0]);
   engine_select_request q = { .service = routing_find_service(bare->routing, "s"),
                               .model = id_of_text("big"),
                               .tokens = 1460,
@@ -371,44 +373,44 @@
   gateway_engine_record_end(home, true);
   q.prefix = "5c1e:800,91bd:410,aaaa:250";
   for (int n = 0; n < 10; n++)
-    WANT(fleet, engine_select(&bare->gateway, &q, &why, &est) == home && est < first);
-  /* it is left only when what waits there costs more than reading again */
+    EXPECT(fleet, engine_select(&bare->gateway, &q, &why, &est) == home && est < first);
+  /* another engine is chosen only when the queue costs more than prefilling the prefix again */
   home->load.own_waiting_tokens = 1000;
-  WANT(fleet, engine_select(&bare->gateway, &q, &why, &busy) == home);
+  EXPECT(fleet, engine_select(&bare->gateway, &q, &why, &busy) == home);
   home->load.own_waiting_tokens = 8000;
-  WANT(fleet, engine_select(&bare->gateway, &q, &why, &busy) != home);
+  EXPECT(fleet, engine_select(&bare->gateway, &q, &why, &busy) != home);
   home->load.own_waiting_tokens = 0;
   home->load.own_running = 8;
-  WANT(fleet, engine_select(&bare->gateway, &q, &why, &busy) != home);
+  EXPECT(fleet, engine_select(&bare->gateway, &q, &why, &busy) != home);
   list_for_each (i, &bare->gateway.engines.list, gateway_engine, link)
     i->load.own_running = 8;
-  WANT(fleet, !engine_select(&bare->gateway, &q, &why, &busy) && why == ENGINE_SELECT_ALL_BUSY);
+  EXPECT(fleet, !engine_select(&bare->gateway, &q, &why, &busy) && why == ENGINE_SELECT_ALL_BUSY);
   q.model = id_of_text("low");
-  WANT(fleet, !engine_select(&bare->gateway, &q, &why, &busy) && why == ENGINE_SELECT_NO_MODEL);
+  EXPECT(fleet, !engine_select(&bare->gateway, &q, &why, &busy) && why == ENGINE_SELECT_NO_MODEL);
   list_for_each (i, &bare->gateway.engines.list, gateway_engine, link)
     i->load.own_running = 0;
   bare_free(bare);
   return true;
 }
 
-static bool estimates_rise_with_what_waits(fleet *fleet) {
+static bool estimates_rise_with_the_queue(fleet *fleet) {
   double idle = engine_select_estimate_ms(20, 0.05, 0, 1000, 0, 64, 400);
-  WANT(fleet, near(idle, 70));
-  WANT(fleet, near(engine_select_estimate_ms(20, 0.05, 2000, 1000, 0, 64, 400), 170));
-  WANT(fleet, engine_select_estimate_ms(20, 0.05, 0, 1000, 32, 64, 400) > idle &&
-                  engine_select_estimate_ms(20, 0.05, 0, 1000, 64, 64, 400) >
-                      engine_select_estimate_ms(20, 0.05, 0, 1000, 63, 64, 400) + 5);
+  EXPECT(fleet, nearly_equal(idle, 70));
+  EXPECT(fleet, nearly_equal(engine_select_estimate_ms(20, 0.05, 2000, 1000, 0, 64, 400), 170));
+  EXPECT(fleet, engine_select_estimate_ms(20, 0.05, 0, 1000, 32, 64, 400) > idle &&
+                    engine_select_estimate_ms(20, 0.05, 0, 1000, 64, 64, 400) >
+                        engine_select_estimate_ms(20, 0.05, 0, 1000, 63, 64, 400) + 5);
   return true;
 }
 
-/* asks come all the time, and pacers change in the middle; the store sees every load up to 150 ms
- * late */
-static bool the_store_is_never_rushed(fleet *fleet) {
+/* Permits are requested all the time, and the holder of the limiter changes meanwhile; each load
+ * reaches the store up to 150 ms after its permit. */
+static bool loads_stay_within_the_rate_limit(fleet *fleet) {
   const double rate = 2.6, window = 5, over = 1.1;
   int most = load_rate_limiter_max_loads(rate, window, over),
       limit = (int)(rate * window * over + 3);
   time_us span = { (int64_t)(window * 1e6) + 150000 }, now = { 1000000 };
-  WANT(fleet, most == 13);
+  EXPECT(fleet, most == 13);
   for (int change = 0; change < 3; change++) {
     GArray *log = g_array_new(FALSE, TRUE, sizeof(time_us)),
            *began = g_array_new(FALSE, TRUE, sizeof(time_us));
@@ -418,7 +420,7 @@
       now.us += 5000;
       if (change && !changed && now.us > at) {
         changed = true;
-        /* the new one heard of all, or of none and is young */
+        /* the new holder has received all load reports, or has just started and received none */
         time_us born = change == 1 ? (time_us){ 0 } : now;
         if (change == 2)
           g_array_set_size(log, 0);
@@ -442,16 +444,16 @@
              g_array_index(began, time_us, m).us < till.us;
       worst = MAX(worst, n);
     }
-    WANT(fleet, worst <= limit);
-    WANT(fleet, (int)began->len > 60);
+    EXPECT(fleet, worst <= limit);
+    EXPECT(fleet, (int)began->len > 60);
     g_array_free(log, TRUE);
     g_array_free(began, TRUE);
   }
   return true;
 }
 
-/* of what has to go, the largest goes first, and no more of it than is needed */
-static bool the_largest_goes_first(fleet *fleet) {
+/* the largest of the evicted models goes first, and no more are evicted than needed */
+static bool eviction_takes_the_largest_first(fleet *fleet) {
   host_start(fleet->operator);
   eviction_candidate all[3] = {
     { .model = id_of_text("a"), .weights_mb = 10, .load_ms = 1000, .request_rate = 0.1 },
@@ -462,19 +464,18 @@
   int n = eviction_policy_select(&rule, all, 3, (capacity_shortage){ 35, 0 },
                                  (uint64_t(*)(void *))fleet->operator->world.random,
                                  &fleet->operator->world);
-  WANT(fleet, n == 2 && !strcmp(all[0].model.text, "b") && !strcmp(all[1].model.text, "a"));
+  EXPECT(fleet, n == 2 && !strcmp(all[0].model.text, "b") && !strcmp(all[1].model.text, "a"));
   return true;
 }
 
-/* what has to go is chosen by the policy resource that is in force, the operators' own expressions
- * too */
-static bool the_policy_in_force_chooses(fleet *fleet) {
+/* eviction follows the policy resource in force, including expressions written by operators */
+static bool eviction_follows_the_policy_in_force(fleet *fleet) {
   bare_gateway *bare = bare_new(fleet);
   const service *service = routing_find_service(bare->routing, "s");
   gateway_engine *engine = heartbeat(bare, "e1", "10.0.0.1:80", 1, 0, "big,mid");
-  asked(bare, "big", "", 60);
+  record_requests(bare, "big", "", 60);
   sim_run(fleet->sim, time_from_ms(9000));
-  asked(bare, "mid", "", 1);
+  record_requests(bare, "mid", "", 1);
   static const struct {
     const char *policy;
     bool big;
@@ -494,7 +495,7 @@
     double cost = eviction_placement_cost(engine, service, id_of_text("new"), id_of_text(""), &mb,
                                           &slots, &drain);
     if (given[k].big != (cost > 500))
-      fleet_add_violation(fleet, "under %s the cost of what goes is %g",
+      fleet_add_violation(fleet, "under the policy %s the eviction cost is %g",
                           given[k].policy ? given[k].policy : "none", cost);
     if (bare->router.config)
       config_free(bare->router.config);
@@ -505,7 +506,7 @@
   return true;
 }
 
-/* silence is no end: a later heartbeat brings an engine back; a sign-off is one */
+/* a silent engine is restored by a later heartbeat; one that has signed off is not */
 static bool silent_engines_come_back(fleet *fleet) {
   bare_gateway *bare = bare_new(fleet);
   gateway_engine *engine = heartbeat(bare, "e1", "10.0.0.1:80", 1, 0, "big");
@@ -517,25 +518,25 @@
   w.heartbeat_count = 1;
   w.gone = true;
   gateway_engine_update(&bare->gateway, &w);
-  WANT(fleet, engine->gone && !gateway_engine_usable(engine));
+  EXPECT(fleet, engine->gone && !gateway_engine_usable(engine));
   heartbeat(bare, "e1", "10.0.0.1:80", 1, 0, "big");
-  WANT(fleet, engine->gone);
+  EXPECT(fleet, engine->gone);
   heartbeat(bare, "e1", "10.0.0.1:80", 2, 0, "mid");
-  WANT(fleet, !engine->gone && gateway_engine_usable(engine) &&
-                  gateway_engine_has_model(engine, id_of_text("mid"), id_of_text("")) &&
-                  !gateway_engine_has_model(engine, id_of_text("big"), id_of_text("")));
+  EXPECT(fleet, !engine->gone && gateway_engine_usable(engine) &&
+                    gateway_engine_has_model(engine, id_of_text("mid"), id_of_text("")) &&
+                    !gateway_engine_has_model(engine, id_of_text("big"), id_of_text("")));
   w.heartbeat_count = 3;
   w.draining = true;
   gateway_engine_update(&bare->gateway, &w);
   heartbeat(bare, "e1", "10.0.0.1:80", 9, 0, "mid");
-  WANT(fleet, engine->gone && !gateway_engine_usable(engine));
+  EXPECT(fleet, engine->gone && !gateway_engine_usable(engine));
   bare_free(bare);
   return true;
 }
 
-/* an engine that was silent soon after its own report is back with what its heartbeat says, not
- * empty: its memory would look free */
-static bool silent_engines_come_back_with_what_they_hold(fleet *fleet) {
+/* An engine that became silent soon after its own report is restored with the residents in its
+ * heartbeat. Guards against restoring it without residents, since its memory would look free. */
+static bool silent_engines_come_back_with_their_residents(fleet *fleet) {
   bare_gateway *bare = bare_new(fleet);
   gateway_engine *engine = heartbeat(bare, "e1", "10.0.0.1:80", 1, 0, "big,mid");
   engine->orders.reported_at = world_now(bare->router.node.world);
@@ -548,41 +549,41 @@
   w.gone = true;
   sim_run(fleet->sim, time_from_ms(200));
   gateway_engine_update(&bare->gateway, &w);
-  WANT(fleet, engine->gone);
+  EXPECT(fleet, engine->gone);
   sim_run(fleet->sim, time_from_ms(200));
   heartbeat(bare, "e1", "10.0.0.1:80", 2, 0, "big,mid");
-  WANT(fleet, !engine->gone &&
-                  gateway_engine_has_model(engine, id_of_text("big"), id_of_text("")) &&
-                  gateway_engine_has_model(engine, id_of_text("mid"), id_of_text("")));
+  EXPECT(fleet, !engine->gone &&
+                    gateway_engine_has_model(engine, id_of_text("big"), id_of_text("")) &&
+                    gateway_engine_has_model(engine, id_of_text("mid"), id_of_text("")));
   bare_free(bare);
   return true;
 }
 
-/* the demand for one model begins suddenly: as many replicas as clear its queue, and none for a
- * queue that is short */
-static bool what_waits_says_how_many_copies(fleet *fleet) {
+/* When the demand for a model rises suddenly, it gets as many replicas as clear its queue, and none
+ * if the queue is short. */
+static bool the_queue_determines_missing_replicas(fleet *fleet) {
   bare_gateway *bare = bare_new(fleet);
   id s = id_of_text("s"), big = id_of_text("big"), none = id_of_text("");
   gateway_engine *engine = heartbeat(bare, "e1", "10.0.0.1:80", 1, 0, "big"),
                  *k = heartbeat(bare, "e2", "10.0.0.2:80", 1, 0, "big");
   heartbeat(bare, "e3", "10.0.0.3:80", 1, 0, "mid");
-  WANT(fleet, placement_missing_replicas(&bare->gateway, s, big, none) == 0);
+  EXPECT(fleet, placement_missing_replicas(&bare->gateway, s, big, none) == 0);
   engine->load.peers_waiting_tokens = 4000;
-  WANT(fleet, placement_missing_replicas(&bare->gateway, s, big, none) == 0);
+  EXPECT(fleet, placement_missing_replicas(&bare->gateway, s, big, none) == 0);
   engine->load.peers_waiting_tokens = 16000;
   k->load.own_waiting_tokens = 4000;
-  WANT(fleet, placement_missing_replicas(&bare->gateway, s, big, none) == 2);
+  EXPECT(fleet, placement_missing_replicas(&bare->gateway, s, big, none) == 2);
   engine->load.peers_waiting_tokens = 100000;
-  WANT(fleet, placement_missing_replicas(&bare->gateway, s, big, none) == 4);
-  WANT(fleet, placement_missing_replicas(&bare->gateway, s, id_of_text("mid"), none) == 0 &&
-                  placement_missing_replicas(&bare->gateway, s, id_of_text("low"), none) == 0);
+  EXPECT(fleet, placement_missing_replicas(&bare->gateway, s, big, none) == 4);
+  EXPECT(fleet, placement_missing_replicas(&bare->gateway, s, id_of_text("mid"), none) == 0 &&
+                    placement_missing_replicas(&bare->gateway, s, id_of_text("low"), none) == 0);
   bare_free(bare);
   return true;
 }
 
-/* an engine that fails some of its work and answers the rest: each node sees little of it, all
- * together see enough */
-static bool failures_now_and_then_add_up_over_nodes(fleet *fleet) {
+/* An engine fails some of its requests and serves the rest. Each gateway sees few of the failures;
+ * all together see enough to detect it. */
+static bool sporadic_failures_add_up_across_gateways(fleet *fleet) {
   bare_gateway *bare = bare_new(fleet);
   gateway_engine *engine = heartbeat(bare, "e1", "10.0.0.1:80", 1, 0, "big"),
                  *k = heartbeat(bare, "e2", "10.0.0.2:80", 1, 0, "big");
@@ -592,13 +593,14 @@
                               .remaining_ms = 4000 };
   enum engine_select_result why;
   double est;
-  /* one failure in some seconds is nobody's illness */
+  /* one failure every few seconds does not make an engine unhealthy */
   for (int n = 0; n < 6; n++) {
     gateway_engine_add_failure(engine, 1);
     sim_run(fleet->sim, time_from_ms(5000));
   }
-  WANT(fleet, !gateway_engine_unhealthy(engine));
-  /* three within a moment are, though successes came between; of others from afar it takes more */
+  EXPECT(fleet, !gateway_engine_unhealthy(engine));
+  /* three failures in a short time do, even with successes between them; it takes more failures
+   * that are reported by gateways of other zones */
   for (int n = 0; n < 3; n++) {
     gateway_engine_record_sent(engine, 1000);
     gateway_engine_record_end(engine, false);
@@ -607,37 +609,38 @@
     gateway_engine_record_first_event(engine, 1000, 70, 1);
     gateway_engine_record_end(engine, true);
   }
-  WANT(fleet, gateway_engine_unhealthy(engine) && gateway_engine_usable(engine));
+  EXPECT(fleet, gateway_engine_unhealthy(engine) && gateway_engine_usable(engine));
   for (int n = 0; n < 20; n++)
-    WANT(fleet, engine_select(&bare->gateway, &q, &why, &est) == k);
-  /* where nothing else holds it, an ill one is better than none */
+    EXPECT(fleet, engine_select(&bare->gateway, &q, &why, &est) == k);
+  /* an unhealthy engine is chosen if no other engine holds the model */
   q.excluded = &k->engine_id;
   q.excluded_count = 1;
-  WANT(fleet, engine_select(&bare->gateway, &q, &why, &est) == engine);
+  EXPECT(fleet, engine_select(&bare->gateway, &q, &why, &est) == engine);
   q.excluded_count = 0;
-  /* it is let in again, and a failure soon after ends that for longer */
+  /* it becomes healthy again after a while; another failure soon after makes it unhealthy for
+   * longer */
   sim_run(fleet->sim, time_from_ms(2100));
-  WANT(fleet, !gateway_engine_unhealthy(engine));
+  EXPECT(fleet, !gateway_engine_unhealthy(engine));
   gateway_engine_add_failure(engine, 1);
-  WANT(fleet, gateway_engine_unhealthy(engine));
+  EXPECT(fleet, gateway_engine_unhealthy(engine));
   sim_run(fleet->sim, time_from_ms(2100));
-  WANT(fleet, gateway_engine_unhealthy(engine));
+  EXPECT(fleet, gateway_engine_unhealthy(engine));
   sim_run(fleet->sim, time_from_ms(2100));
-  WANT(fleet, !gateway_engine_unhealthy(engine));
-  /* what is full, or was just ordered about, declines for good reason */
-  WANT(fleet, gateway_engine_lightly_loaded(k));
+  EXPECT(fleet, !gateway_engine_unhealthy(engine));
+  /* a busy engine, or one with a recent order, is not lightly loaded */
+  EXPECT(fleet, gateway_engine_lightly_loaded(k));
   k->load.peers_running = 5;
-  WANT(fleet, !gateway_engine_lightly_loaded(k));
+  EXPECT(fleet, !gateway_engine_lightly_loaded(k));
   k->load.peers_running = 0;
   gateway_engine_mark_loaded(k, id_of_text("low"), id_of_text(""));
-  WANT(fleet, !gateway_engine_lightly_loaded(k));
+  EXPECT(fleet, !gateway_engine_lightly_loaded(k));
   bare_free(bare);
   return true;
 }
 
-/* a node names only the engines that it runs something on, and the rest of what it said before is
- * over */
-static bool what_is_not_named_runs_no_more(fleet *fleet) {
+/* A gateway reports only the engines on which it runs requests; its earlier load on all other
+ * engines is removed. */
+static bool engines_missing_from_a_report_have_no_load(fleet *fleet) {
   bare_gateway *bare = bare_new(fleet);
   gateway_engine *engine = heartbeat(bare, "e1", "10.0.0.1:80", 1, 0, "big"),
                  *k = heartbeat(bare, "e2", "10.0.0.2:80", 1, 0, "big");
@@ -656,27 +659,28 @@
   sim_run(fleet->sim, time_from_ms(10));
   q.n_engines = 1;
   traffic_reports_apply(&bare->gateway, 8, true, &q);
-  WANT(fleet, engine->load.peers_running == 6 && k->load.peers_running == 2);
+  EXPECT(fleet, engine->load.peers_running == 6 && k->load.peers_running == 2);
   sim_run(fleet->sim, time_from_ms(10));
   traffic_reports_apply(&bare->gateway, 7, true, &q);
-  WANT(fleet, engine->load.peers_running == 6 && k->load.peers_running == 0 &&
-                  k->load.peers_waiting_tokens == 0);
+  EXPECT(fleet, engine->load.peers_running == 6 && k->load.peers_running == 0 &&
+                    k->load.peers_waiting_tokens == 0);
   q.n_engines = 0;
   sim_run(fleet->sim, time_from_ms(10));
   traffic_reports_apply(&bare->gateway, 7, true, &q);
-  WANT(fleet, engine->load.peers_running == 3 && near(engine->load.peers_waiting_tokens, 900));
+  EXPECT(fleet,
+         engine->load.peers_running == 3 && nearly_equal(engine->load.peers_waiting_tokens, 900));
   bare_free(bare);
   return true;
 }
 
-/* a clock that moves on with each look at it, as a process's does */
-static time_us moving_clock(void *context) {
+/* a clock that advances on each read, like that of a real process */
+static time_us advancing_clock(void *context) {
   int64_t *us = context;
   return (time_us){ ++*us };
 }
 
-/* what one report names stays, also when the clock moves on while the report is applied */
-static bool reported_loads_stay_while_the_clock_moves(fleet *fleet) {
+/* all loads in a report are kept even if the clock advances while the report is applied */
+static bool reported_loads_stay_while_the_clock_advances(fleet *fleet) {
   bare_gateway *bare = bare_new(fleet);
   gateway_engine *engine = heartbeat(bare, "e1", "10.0.0.1:80", 1, 0, "big"),
                  *other = heartbeat(bare, "e2", "10.0.0.2:80", 1, 0, "big");
@@ -694,21 +698,23 @@
   world *world = bare->router.node.world;
   int64_t us = world_now(world).us;
   scheduler saved = world->tasks;
-  world->tasks.now = moving_clock;
+  world->tasks.now = advancing_clock;
   world->tasks.now_context = &us;
   traffic_reports_apply(&bare->gateway, 7, true, &report);
   world->tasks.now = saved.now;
   world->tasks.now_context = saved.now_context;
-  WANT(fleet, engine->load.peers_running == 3 && near(engine->load.peers_waiting_tokens, 900));
-  WANT(fleet, other->load.peers_running == 2 && near(other->load.peers_waiting_tokens, 500));
+  EXPECT(fleet,
+         engine->load.peers_running == 3 && nearly_equal(engine->load.peers_waiting_tokens, 900));
+  EXPECT(fleet,
+         other->load.peers_running == 2 && nearly_equal(other->load.peers_waiting_tokens, 500));
   bare_free(bare);
   return true;
 }
 
-/* a holder that has read an engine's own report must not lose sight of a load by an older heartbeat
-   that comes after it: its memory would look free, and an engine that is filled beyond it crashes
- */
-static bool reports_outlast_older_beats(fleet *fleet) {
+/* A lease holder that has read an engine's own report must not lose a resident through an older
+ * heartbeat that arrives later: its memory would look free, and an engine that loads beyond its
+ * memory crashes. */
+static bool reports_override_older_heartbeats(fleet *fleet) {
   bare_gateway *bare = bare_new(fleet);
   gateway_engine *engine = heartbeat(bare, "e1", "10.0.0.1:80", 1, 0, "big");
   sim_run(fleet->sim, time_from_ms(2000));
@@ -721,76 +727,79 @@
   engine->orders.reported_at = world_now(bare->router.node.world);
   sim_run(fleet->sim, time_from_ms(100));
   heartbeat(bare, "e1", "10.0.0.1:80", 2, 900, "big");
-  WANT(fleet, gateway_engine_has_model(engine, id_of_text("mid"), id_of_text("")));
+  EXPECT(fleet, gateway_engine_has_model(engine, id_of_text("mid"), id_of_text("")));
   sim_run(fleet->sim, time_from_ms(3000));
   heartbeat(bare, "e1", "10.0.0.1:80", 3, 100, "big");
-  WANT(fleet, !gateway_engine_has_model(engine, id_of_text("mid"), id_of_text("")));
+  EXPECT(fleet, !gateway_engine_has_model(engine, id_of_text("mid"), id_of_text("")));
   bare_free(bare);
   return true;
 }
 
-/* what runs has to end before it goes: memory under a busy model costs its drain, and more the
- * longer runs usually take */
-static bool busy_victims_cost_their_drain(fleet *fleet) {
+/* Running requests have to finish before a model is evicted, so evicting a busy model costs its
+ * drain as well, and more the longer its requests usually take. */
+static bool evicting_busy_models_costs_their_drain(fleet *fleet) {
   bare_gateway *bare = bare_new(fleet);
   const service *service = routing_find_service(bare->routing, "s");
-  /* given two engines with the same models, asked for as much, and one of them runs what had to go
-   */
+  /* two engines hold the same models with the same rates; one of them runs requests for the
+   * eviction candidates */
   gateway_engine *idle = heartbeat(bare, "e1", "10.0.0.1:80", 1, 0, "big,mid"),
                  *busy = heartbeat(bare, "e2", "10.0.0.2:80", 1, 0, "big,mid");
-  asked(bare, "big", "", 60);
-  asked(bare, "mid", "", 60);
+  record_requests(bare, "big", "", 60);
+  record_requests(bare, "mid", "", 60);
   sim_run(fleet->sim, time_from_ms(9000));
   double mb, drain, calm;
   unsigned slots;
   calm = eviction_placement_cost(idle, service, id_of_text("new"), id_of_text(""), &mb, &slots,
                                  &drain);
-  WANT(fleet, near(drain, 0) &&
-                  near(calm, eviction_placement_cost(busy, service, id_of_text("new"),
-                                                     id_of_text(""), &mb, &slots, &drain)) &&
-                  near(drain, 0));
+  EXPECT(fleet,
+         nearly_equal(drain, 0) &&
+             nearly_equal(calm, eviction_placement_cost(busy, service, id_of_text("new"),
+                                                        id_of_text(""), &mb, &slots, &drain)) &&
+             nearly_equal(drain, 0));
   static const char *const run[] = { "big", "mid" };
   for (int k = 0; k < 2; k++) {
     busy->selected.model = id_of_text(run[k]);
     gateway_engine_record_sent(busy, 100);
   }
-  WANT(fleet, near(eviction_placement_cost(idle, service, id_of_text("new"), id_of_text(""), &mb,
-                                           &slots, &drain),
-                   calm) &&
-                  near(drain, 0));
+  EXPECT(fleet, nearly_equal(eviction_placement_cost(idle, service, id_of_text("new"),
+                                                     id_of_text(""), &mb, &slots, &drain),
+                             calm) &&
+                    nearly_equal(drain, 0));
   double cost = eviction_placement_cost(busy, service, id_of_text("new"), id_of_text(""), &mb,
                                         &slots, &drain);
-  WANT(fleet, near(drain, 1000) && near(cost, calm * 3000 / 2000 + 300));
+  EXPECT(fleet, nearly_equal(drain, 1000) && nearly_equal(cost, calm * 3000 / 2000 + 300));
   busy->load.mean_run_ms = 4000;
-  WANT(fleet, eviction_placement_cost(busy, service, id_of_text("new"), id_of_text(""), &mb, &slots,
-                                      &drain) > cost + 300 &&
-                  near(drain, 8000));
+  EXPECT(fleet, eviction_placement_cost(busy, service, id_of_text("new"), id_of_text(""), &mb,
+                                        &slots, &drain) > cost + 300 &&
+                    nearly_equal(drain, 8000));
   bare_free(bare);
   return true;
 }
 
 const test_case loader_tests[] = {
-  { "room_counts_in_both_measures", room_counts_in_both_measures, 1, 1, 20 },
-  { "mechanisms_are_named", mechanisms_are_named, 1, 1, 20 },
-  { "a_new_adapter_is_not_the_first_to_go", a_new_adapter_is_not_the_first_to_go, 1, 1, 20 },
-  { "a_leaving_adapter_gets_no_work", a_leaving_adapter_gets_no_work, 1, 1, 20 },
-  { "copies_share_a_rate", copies_share_a_rate, 1, 1, 20 },
-  { "orders_outlast_older_beats", orders_outlast_older_beats, 1, 1, 20 },
-  { "failures_shun_and_a_byte_clears", failures_shun_and_a_byte_clears, 1, 1, 20 },
-  { "prompts_go_where_their_parts_are", prompts_go_where_their_parts_are, 1, 1, 100 },
-  { "estimates_rise_with_what_waits", estimates_rise_with_what_waits, 1, 1, 20 },
-  { "the_store_is_never_rushed", the_store_is_never_rushed, 1, 1, 100 },
-  { "the_largest_goes_first", the_largest_goes_first, 1, 1, 20 },
+  { "eviction_cost_counts_memory_and_slots", eviction_cost_counts_memory_and_slots, 1, 1, 20 },
+  { "feature_flags_are_parsed_by_name", feature_flags_are_parsed_by_name, 1, 1, 20 },
+  { "a_new_adapter_is_not_evicted_first", a_new_adapter_is_not_evicted_first, 1, 1, 20 },
+  { "an_unloading_adapter_gets_no_requests", an_unloading_adapter_gets_no_requests, 1, 1, 20 },
+  { "replicas_share_a_request_rate", replicas_share_a_request_rate, 1, 1, 20 },
+  { "orders_override_older_heartbeats", orders_override_older_heartbeats, 1, 1, 20 },
+  { "failures_eject_and_a_first_event_clears", failures_eject_and_a_first_event_clears, 1, 1, 20 },
+  { "prompts_go_to_cached_prefixes", prompts_go_to_cached_prefixes, 1, 1, 100 },
+  { "estimates_rise_with_the_queue", estimates_rise_with_the_queue, 1, 1, 20 },
+  { "loads_stay_within_the_rate_limit", loads_stay_within_the_rate_limit, 1, 1, 100 },
+  { "eviction_takes_the_largest_first", eviction_takes_the_largest_first, 1, 1, 20 },
   { "silent_engines_come_back", silent_engines_come_back, 1, 1, 20 },
-  { "silent_engines_come_back_with_what_they_hold", silent_engines_come_back_with_what_they_hold, 1,
-    1, 20 },
-  { "reports_outlast_older_beats", reports_outlast_older_beats, 1, 1, 20 },
-  { "the_policy_in_force_chooses", the_policy_in_force_chooses, 1, 1, 20 },
-  { "what_waits_says_how_many_copies", what_waits_says_how_many_copies, 1, 1, 20 },
-  { "failures_now_and_then_add_up_over_nodes", failures_now_and_then_add_up_over_nodes, 1, 1, 60 },
-  { "busy_victims_cost_their_drain", busy_victims_cost_their_drain, 1, 1, 20 },
-  { "what_is_not_named_runs_no_more", what_is_not_named_runs_no_more, 1, 1, 20 },
-  { "reported_loads_stay_while_the_clock_moves", reported_loads_stay_while_the_clock_moves, 1, 1,
+  { "silent_engines_come_back_with_their_residents", silent_engines_come_back_with_their_residents,
+    1, 1, 20 },
+  { "reports_override_older_heartbeats", reports_override_older_heartbeats, 1, 1, 20 },
+  { "eviction_follows_the_policy_in_force", eviction_follows_the_policy_in_force, 1, 1, 20 },
+  { "the_queue_determines_missing_replicas", the_queue_determines_missing_replicas, 1, 1, 20 },
+  { "sporadic_failures_add_up_across_gateways", sporadic_failures_add_up_across_gateways, 1, 1,
+    60 },
+  { "evicting_busy_models_costs_their_drain", evicting_busy_models_costs_their_drain, 1, 1, 20 },
+  { "engines_missing_from_a_report_have_no_load", engines_missing_from_a_report_have_no_load, 1, 1,
     20 },
+  { "reported_loads_stay_while_the_clock_advances", reported_loads_stay_while_the_clock_advances, 1,
+    1, 20 },
   { NULL, NULL, 0, 0, 0 }
 };
