--- a/lib/gateway/attempt.c
+++ b/lib/gateway/attempt.c
@@ -1,35 +1,40 @@
 /** One attempt: sends a request to the engine of its slot, waits for the head of the response,
- * judges it, and has the rest relayed (response_relay.c).
+ * evaluates it, and has the rest relayed (response_relay.c).
  *
- * What decides on a retry is whether the engine may have run the request. One that was not sent, or
- * that the engine declined, goes to another engine in any case; one that may have run, only where
- * the route allows it to run twice. */
+ * Whether an attempt is retried depends on whether the engine may have run the request. A request
+ * that was not sent or that the engine declined may always go to another engine; one that may have
+ * run is retried only where the route allows it to run twice. */
 #include "inflight_request.h"
 #include "service_traffic.h"
 
 enum {
-  /* longest time for a connection to an engine */
+  /* timeout for connecting to an engine */
   CONNECT_TIMEOUT_MS = 300,
-  /* nothing is sent later than this after the choice: the choice is outdated by then */
+  /* a request is not sent later than this after the selection of its engine, which is outdated by
+   * then */
   SEND_DEADLINE_MS = 400,
-  /* after a request's deadline, for a response that is on its way */
+  /* margin after a request's deadline for a response in transit */
   DEADLINE_MARGIN_MS = 250,
-  /* an engine that did not show a sign of life for longer is not sent, over a pooled connection,
-     what may run only once */
+  /* an engine that has not been heard from for longer does not get a request that may run only once
+   * over a pooled connection */
   RECENTLY_HEARD_MS = 2000,
-  /* between two looks for a retry of an engine that stays silent */
+  /* interval between attempts to reserve a retry while an engine stays silent */
   RETRY_INTERVAL_MS = 500,
-  /* an engine that declined a request is ejected for this time, and up to as much by random */
+  /* an engine that declined a request is ejected for this time plus a random time of up to the same
+   * length */
   DECLINED_EJECTION_MS = 150,
-  /* silence before the first event, in estimated times to it, and at least */
+  /* tolerated silence before the first event: a multiple of the estimated time to it, and the
+   * minimum */
   SILENCE_FIRST_EVENTS = 3,
   SILENCE_MIN_MS = 250,
-  /* silence within a stream, in targets between events, and at least */
+  /* tolerated silence within a stream: a multiple of the target for gaps between events, and the
+   * minimum */
   SILENCE_GAPS = 3,
   STREAM_SILENCE_MIN_MS = 1000,
-  /* an engine that has sent something else so long after the request's last byte lives */
+  /* an engine is alive if it has sent other data this long after the request's last byte */
   ENGINE_LIVES_US = 100000,
-  /* a client that leaves sooner says nothing of the engine */
+  /* a client that leaves earlier than this and this multiple of the mean time to the first event
+   * does not count against the engine */
   CLIENT_LEFT_MIN_MS = 500,
   CLIENT_LEFT_FIRST_EVENTS = 3
 };
@@ -46,7 +51,8 @@
   return service_traffic_of(request->gateway, request->service)->mean_first_event_ms;
 }
 
-/* When a silent engine is given up for another: sooner when nothing else comes from it either. */
+/* When to give up a silent engine and retry at another one: earlier when the engine sends nothing
+ * for other requests either. */
 static time_us silence_deadline(const inflight_request *request, const http_call *call,
                                 time_us last_byte_at, bool events_passed) {
   double expected_ms = MAX(mean_first_event_ms(request), request->slot.estimate_ms),
@@ -57,7 +63,7 @@
   bool engine_lives =
       request->slot.engine->health.last_byte_at.us > last_byte_at.us + ENGINE_LIVES_US;
   if (engine_lives) {
-    /* it is only slow with this request, or has lost it */
+    /* the engine is only slow with this request, or has lost it */
     time_us sent_at = call->sent_at.us ? call->sent_at : request->received_at;
     double third_ms = (double)time_sub(request->deadline, sent_at).us / 3000;
     span_ms = events_passed ? 3 * span_ms : MAX(2 * span_ms, third_ms);
@@ -97,17 +103,18 @@
   if (!fields_get(http->fields, "Host", &host))
     host = string_view_of(http->host);
   fields_add(request->request_fields, "Host", host);
-  /* always sent, also when the client's Connection field names it: responses are known by it */
+  /* always sent, even when the client's Connection field names it: responses are matched by it */
   fields_add(request->request_fields, request_field_name(request, DF_REQUEST_ID),
              string_view_of(request->request_id));
   fields_forward(http->fields, request->request_fields, skip);
-  /* 1 for the most urgent priority, two more for each further one, 9 at most */
+  /* 1 for the most urgent priority, 2 more for each lower one, at most 9 */
   fields_add_format(request->request_fields, request_field_name(request, DF_PRIORITY), "%u",
                     MIN(9, 1 + 2 * request->route->priority));
   request->base_fields_length = request->request_fields->len;
 }
 
-/* where a stream is to continue: behind what was passed on, or where the client says */
+/* tells the engine where to resume a stream: after the last relayed event, or where the client asks
+ * to */
 static void add_resume_fields(inflight_request *request) {
   if (request->resumed) {
     fields_add_format(request->request_fields, request_field_name(request, DF_LAST_EVENT_ID),
@@ -139,7 +146,7 @@
   add_resume_fields(request);
 }
 
-/* a pooled connection to an engine that has crashed would lose what may be sent only once */
+/* a pooled connection to a crashed engine would lose a request that may be sent only once */
 static bool needs_new_connection(const inflight_request *request, const gateway_engine *engine) {
   const engine_health *health = &engine->health;
   if (health->suspect)
@@ -170,7 +177,7 @@
              : ATTEMPT_OUTCOME_FAILED;
 }
 
-/* waits for the response's first line; ATTEMPT_OUTCOME_DONE when it has come */
+/* waits for the head of the response; ATTEMPT_OUTCOME_DONE when it has arrived */
 static enum attempt_outcome await_response_head(inflight_request *request, http_call *call,
                                                 time_us began_at) {
   const http_request *http = request->http;
@@ -203,14 +210,14 @@
   }
 }
 
-/* statuses by which clients know that a request has not run and never will */
+/* statuses that tell clients that a request has not run and will not run */
 static bool status_means_not_run(int status) {
   return status == 408 || status == 421 || status == 429 || status == 503;
 }
 
-/* True when an engine's failure must not be passed on: its status would promise the client
- * something that the engine has not said, or it bears no stamp and would look like a refusal by the
- * gateway, after which clients don't come back. */
+/* True when an engine's error must not be relayed: its status would tell the client that the
+ * request has not run although the engine did not say so, or it has no stamp and would look like a
+ * refusal by the gateway, which clients do not retry. */
 static bool status_misleads(const inflight_request *request, int status, bool stamped,
                             bool not_run) {
   if (not_run || status / 100 == 2)
@@ -220,7 +227,8 @@
   return !stamped && status / 100 != 5;
 }
 
-/* the engine says that it did not run the request: its model is not there, or it is busy */
+/* handles an engine that did not run the request because its model is not loaded or the engine is
+ * busy */
 static enum attempt_outcome handle_declined(inflight_request *request, const http_call *call) {
   gateway_engine *engine = request->slot.engine;
   engine_health *health = &engine->health;
@@ -246,7 +254,7 @@
          value.length >= strlen(type) && !g_ascii_strncasecmp(value.data, type, strlen(type));
 }
 
-/* judges the head of a response, and relays it when it may be passed on */
+/* evaluates the head of a response and relays the response if that is allowed */
 static enum attempt_outcome evaluate_response_head(inflight_request *request, http_call *call,
                                                    time_us began_at) {
   engine_health *health = &request->slot.engine->health;
@@ -277,12 +285,13 @@
   return response_relay_complete(request, call, ok);
 }
 
-/* An engine that fails by itself is quick at it; that must not draw more requests there. */
+/* True when the response is an error of the engine itself. Such errors are returned quickly, which
+ * must not attract more requests to the engine. */
 static bool is_engine_failure(const inflight_request *request, const http_call *call) {
   return call->status >= 500 && call->status != 504 && !request->declined;
 }
 
-/* true when an attempt shows no fault of its engine; answered: the head of the response came */
+/* true when an attempt shows no fault of its engine; answered: the response head has arrived */
 static bool engine_did_well(const inflight_request *request, const http_call *call,
                             enum attempt_outcome outcome, bool answered, time_us began_at) {
   switch (outcome) {
@@ -306,7 +315,7 @@
   return false;
 }
 
-/* true when a stream fell silent at an engine that is not busy */
+/* true when a stream stalled at a lightly loaded engine */
 static bool stream_fell_silent(const inflight_request *request, enum attempt_outcome outcome) {
   double max_gap_ms =
       MAX(STREAM_SILENCE_MIN_MS, (double)SILENCE_GAPS * (double)request->route->gap_target_ms);
@@ -315,7 +324,7 @@
          gateway_engine_lightly_loaded(request->slot.engine);
 }
 
-/* learns from a request that was served */
+/* records the durations of a served request */
 static void record_served(inflight_request *request, const http_call *call, time_us began_at) {
   gateway *gateway = request->gateway;
   service_traffic_record_run(service_traffic_of(gateway, request->service),
@@ -328,7 +337,7 @@
 enum attempt_outcome attempt_run(inflight_request *request) {
   time_us began_at = request->last_event_bytes_at = request_now(request);
   gateway_engine *engine = request->slot.engine;
-  /* a stream of which nothing was passed on yet is sent anew */
+  /* a stream of which nothing has been relayed yet starts from the beginning */
   request->resumed = request->http->response_started;
   request->declined = false;
   http_call *call = open_call(request, began_at);
--- a/lib/gateway/canary_judging.c
+++ b/lib/gateway/canary_judging.c
@@ -4,17 +4,19 @@
 #include "gateway.h"
 
 enum {
-  /* from the decision until the candidate begins: by then all gateways know the instant */
+  /* time from the decision until the candidate starts, within which all gateways learn the start
+   * time */
   START_DELAY_MS = 3000,
-  /* a gateway that has reported in this span takes part */
+  /* a gateway takes part if it has reported within this time */
   RECENT_REPORT_MS = 3000,
-  /* less than a majority of the gateways reports for so long: the trial ends as unreachable */
+  /* the trial ends as unreachable when less than a majority of the gateways reports for this
+   * long */
   NO_REPORT_TIMEOUT_MS = 5000,
-  /* longest time for the write to the controllers */
+  /* timeout of the write to the controllers */
   END_TIMEOUT_MS = 3500
 };
 
-/** What the judge has received of one run of one gateway. */
+/** What the judge has received from one process of one gateway. */
 typedef struct canary_node_report {
   uint64_t nonce;
   id node_id;
@@ -80,7 +82,7 @@
   return count > peer_table_count(&gateway->router->node, ROLE_ROUTER) / 2;
 }
 
-/* the report of one run; added when it is the first */
+/* the report of one process; added if there is none yet */
 static canary_node_report *node_of(canary_judging *judging, id node_id, uint64_t nonce) {
   for (guint i = 0; i < judging->nodes->len; i++)
     if (node_at(judging, i)->nonce == nonce)
@@ -112,10 +114,10 @@
     record_cell(node, request->cells[i]);
   for (size_t i = 0; i < request->n_pinned_sessions; i++)
     pinned_sessions_add(&judging->pinned, request->pinned_sessions[i]);
-  /* what was sent before it knew this list was meant for another */
+  /* sessions that the gateway sent before it knew this list were meant for another judge */
   node->has_all_sessions |= request->pinned_list_id == judging->list_id && !request->more;
-  /* the candidate is on already, under an earlier judge; a gateway still begins only with the full
-   * list */
+  /* the candidate is on already, started by an earlier judge; a gateway still starts it only with
+   * the full list */
   judging->resumed |= request->started;
   int ready = canary_judging_count_recent(gateway, judging, true);
   if (!judging->candidate_starts_at.us && is_majority(gateway, ready))
@@ -152,7 +154,7 @@
       reply_new_body(reply, WIRE__ENVELOPE__BODY_CANARY_REPORT_RESPONSE,
                      &wire__canary_report_response__descriptor);
   canary_judging_fill_response(gateway, judging, request, response);
-  /* the list may move before the reply is packed */
+  /* the list may be reallocated before the reply is serialized */
   size_t count = response->n_pinned_sessions;
   uint64_t *sessions = reply_alloc(reply, sizeof(uint64_t) * (count + 1));
   if (count)
@@ -192,7 +194,7 @@
       comparison->mean_harm[CANARY_ARM_CANDIDATE], comparison->candidate_harm_lower_bound);
 }
 
-/* the resource by which the trial ends; to be freed */
+/* the resource that ends the trial; the caller frees it */
 static GString *end_resource(const gateway *gateway, const canary_judging *judging,
                              const char *verdict) {
   GString *text = g_string_new(NULL);
@@ -217,8 +219,8 @@
       urgent->candidate_harm_lower_bound);
 }
 
-/* where to send a write: the head of the chain, or else some controller; empty when none is known
- */
+/* the address to send a write to: the head of the chain, or else any controller; empty when none is
+ * known */
 static void controller_address(gateway *gateway, char address[48]) {
   router *router = gateway->router;
   peer_node *peer =
@@ -230,8 +232,9 @@
             48);
 }
 
-/* Ends the trial through the controllers, which accept it only from the holder of the lease, under
- * its epoch, and only for this very trial. A failed attempt is repeated by the next examination. */
+/* Ends the trial through the controllers, which accept this only from the holder of the lease,
+ * under its epoch, and only for this version of the trial. The next evaluation repeats a failed
+ * attempt. */
 static void end_trial(gateway *gateway, const canary_judging *judging, const char *verdict) {
   GString *resource = end_resource(gateway, judging, verdict);
   log_end(gateway, judging, verdict);
--- a/lib/gateway/canary_status.c
+++ b/lib/gateway/canary_status.c
@@ -1,4 +1,4 @@
-/** Status and metrics of a canary trial, from the gateway's and the judge's point of view. */
+/** Status and metrics of a canary trial, as seen by a gateway and by the judge. */
 #include "canary_status.h"
 #include "canary_judging.h"
 #include "gateway.h"
--- a/lib/gateway/canary_trial.c
+++ b/lib/gateway/canary_trial.c
@@ -1,26 +1,29 @@
 /** A gateway's part in a canary trial: assignment of requests, counts, and reports to the judge;
  * see canary_trial.h.
  *
- * Sessions that the draw gives to the candidate but that the control policy has served already are
- * pinned to it. The judge gathers the pinned sessions of all gateways, and a gateway begins only
- * once it has the full list: so no session changes its arm, wherever its next request comes. */
+ * Sessions that the random split assigns to the candidate but that the control policy has served
+ * already are pinned to the control policy. The judge collects the pinned sessions of all gateways,
+ * and a gateway starts the candidate only once it has the full list, so that no session changes its
+ * arm, whichever gateway gets its next request. */
 #include "canary_trial.h"
 #include "canary_judging.h"
 #include "gateway.h"
 
 enum {
-  /* without a response of a controller or of the judge for so long, new sessions go by the control
-     policy */
+  /* new sessions use the control policy after this time without a response from a controller or
+   * from the judge */
   CONTROLLER_SILENCE_MS = 3000,
   JUDGE_SILENCE_MS = 10000,
-  /* interval of reports; the shorter one while the judge has yet to learn something */
+  /* interval of reports; the shorter one after a failed report, while the start of the candidate is
+   * not known, and while the judge lacks some of our pinned sessions */
   REPORT_INTERVAL_MS = 1000,
   REPORT_SOON_MS = 250,
   REPORT_TIMEOUT_MS = 1500,
-  /* the candidate is switched off here so long after the trial's time, should no judge end it */
+  /* the candidate is switched off here this long after the trial's maximum duration if no judge has
+   * ended the trial */
   MAX_OVERTIME_MS = 15000
 };
-/* Seeds of the hashes by which sessions are named, one for each kind of name. */
+/* Seeds of the hashes that identify sessions, one for each kind of source. */
 enum { SEED_SESSION = 1, SEED_PREFIX = 2, SEED_ROUTE = 3 };
 
 static void canary_drop(gateway *gateway) {
@@ -32,7 +35,7 @@
   gateway->canary = NULL;
 }
 
-/* the hash of the name of a prompt's last shared part; the last part of all is its own */
+/* the hash of the name of a prompt's last shared part; the very last part is not shared */
 static uint64_t hash_shared_prefix(string_view prefix) {
   size_t end = prefix.length, start = 0, length = 0;
   for (size_t i = prefix.length; i-- > 0;)
@@ -48,9 +51,9 @@
   return hash_bytes(prefix.data + start, length, SEED_PREFIX);
 }
 
-/* What a session is known by at every gateway and for every retry: its name, or the last shared
- * part of its prompt, or the body of the request; only a request without any of these is a session
- * of its own. */
+/* Returns the hash that identifies a request's session, the same at every gateway and for every
+ * retry: that of the session's name, of the last shared part of the prompt, or of the request body.
+ * Only a request without any of these is a session of its own. */
 static uint64_t session_of(const gateway *gateway, const http_request *request,
                            const route *route) {
   const char *const *field = gateway->settings.dialect->header_names;
@@ -78,8 +81,8 @@
          !pinned_sessions_are_full(&canary->pinned);
 }
 
-/* While others may begin any moment, or have begun, they must know of a pinned session before its
- * next request. */
+/* Sends a pinned session to the other gateways at once. When they have started the candidate or may
+ * start it at any moment, they must know of the session before its next request. */
 static void broadcast_pinned_session(gateway *gateway, uint64_t session) {
   Wire__CanaryPinnedSessions pinned = WIRE__CANARY_PINNED_SESSIONS__INIT;
   pinned.version = gateway->canary->version;
@@ -114,7 +117,7 @@
   return gateway->canary->plan.name.text;
 }
 
-/* true for a status that the client's request itself has caused: no policy can help it */
+/* true for a status that the client's request itself has caused, whatever the policy */
 static bool is_client_error(int status) {
   return status >= 400 && status < 500 && status != 429 && status != 408;
 }
@@ -152,13 +155,14 @@
   return OK;
 }
 
-/* takes over the judge's response to a report after which it has `sent` of our pinned sessions */
+/* applies the judge's response to a report; with the report the judge has `sent` of our pinned
+ * sessions */
 static void apply_response(gateway *gateway, const Wire__CanaryReportResponse *response,
                            size_t sent) {
   canary_trial *canary = gateway->canary;
   canary->judge_heard_at = gateway_now(gateway);
   if (canary->judge_list_id != response->pinned_list_id) {
-    /* another judge knows nothing yet, and its list is another */
+    /* a new judge has a list of its own and none of our sessions yet */
     canary->judge_list_id = response->pinned_list_id;
     canary->sent_count = canary->known_count = 0;
     if (response->pinned_offset)
@@ -173,7 +177,7 @@
       canary->known_count >= response->pinned_total) {
     canary->candidate_starts_at = gateway_deadline_in_ms(gateway, (double)response->starts_in_ms);
     log_info(&gateway->router->node.log, "canary",
-             "The candidate of trial %s begins here in %" PRIu64
+             "The candidate of trial %s starts here in %" PRIu64
              " ms; %u sessions stay with the control policy.",
              canary->plan.name.text, response->starts_in_ms, canary->pinned.order->len);
   }
@@ -185,7 +189,7 @@
   Wire__CanaryCell cells[CANARY_ARMS * CANARY_PRIORITIES],
       *cell_list[CANARY_ARMS * CANARY_PRIORITIES];
   uint64_t buckets[CANARY_ARMS * CANARY_PRIORITIES][CANARY_BUCKETS];
-  /** Pinned sessions of ours that the judge has after this report. */
+  /** Number of our pinned sessions that the judge has after this report. */
   size_t sent_count;
 } canary_report;
 
@@ -205,7 +209,8 @@
   wire_cell->first_event_buckets = report->buckets[index];
 }
 
-/* fills in what this run of this gateway has counted; request.pinned_sessions is to be freed */
+/* fills in what this gateway has counted since its process started; the caller frees
+ * request.pinned_sessions */
 static void report_fill(const gateway *gateway, canary_report *report) {
   const canary_trial *canary = gateway->canary;
   Wire__CanaryReportRequest *request = &report->request;
@@ -226,7 +231,7 @@
     }
   uint64_t *sessions;
   size_t count = pinned_sessions_chunk(&canary->pinned, canary->sent_count, &sessions);
-  /* the list may move while the message is under way */
+  /* the list may be reallocated while the message is being sent */
   request->n_pinned_sessions = count;
   request->pinned_sessions = g_memdup2(sessions, sizeof(uint64_t) * count);
   report->sent_count = canary->sent_count + count;
@@ -243,7 +248,7 @@
   apply_response(gateway, &response, report->sent_count);
 }
 
-/* false when the judge did not answer, or the trial is over meanwhile */
+/* false when the judge did not respond or the trial has ended meanwhile */
 static bool report_to_peer(gateway *gateway, id judge, const char *judge_address,
                            canary_report *report) {
   uint64_t version = report->request.version;
@@ -295,7 +300,7 @@
     return "no controller answers";
   if (!canary_is_within(gateway, gateway->canary->judge_heard_at, JUDGE_SILENCE_MS))
     return "no judge answers";
-  return "the trial is past its time, or has too many pinned sessions";
+  return "the trial has exceeded its duration or has too many pinned sessions";
 }
 
 static void log_activity(gateway *gateway) {
@@ -303,7 +308,7 @@
   bool on = canary_trial_is_on(gateway);
   if (canary->was_active && !on)
     log_info(&gateway->router->node.log, "canary",
-             "The candidate is off here, new sessions go by the control policy: %s.",
+             "The candidate is off here, new sessions use the control policy: %s.",
              why_off(gateway));
   else if (!canary->was_active && on)
     log_info(&gateway->router->node.log, "canary", "The candidate is on here.");
@@ -319,7 +324,7 @@
   return !task->gateway->canary || task->gateway->canary->version != task->version;
 }
 
-/* reports while the trial runs, and judges where this gateway is the judge */
+/* reports while the trial runs, and evaluates the trial if this gateway is its judge */
 static void canary_run(void *context) {
   canary_task task = *(canary_task *)context;
   gateway *gateway = task.gateway;
@@ -349,7 +354,7 @@
   canary->may_have_begun_elsewhere = gateway->router->sync.sync_count <= 1;
   pinned_sessions_init(&canary->pinned);
   log_info(&gateway->router->node.log, "canary",
-           "Trial %s is declared for a share of %.3f of the sessions.", plan->name.text,
+           "Trial %s has started, for a share of %.3f of the sessions.", plan->name.text,
            plan->traffic_share);
   canary_task *task = g_new(canary_task, 1);
   *task = (canary_task){ gateway, version };
@@ -363,7 +368,7 @@
   if (!plan || plan->state != CANARY_RUNNING) {
     if (gateway->canary)
       log_info(&gateway->router->node.log, "canary",
-               "Trial %s is over; new requests go by the control policy.",
+               "Trial %s has ended; new requests use the control policy.",
                gateway->canary->plan.name.text);
     canary_drop(gateway);
     return;
--- a/lib/gateway/drain.c
+++ b/lib/gateway/drain.c
@@ -1,33 +1,36 @@
-/** Graceful shutdown of a gateway, within the grace that the platform gives. Its phases:
+/** Graceful shutdown of a gateway, within the grace period of the platform. Its phases:
  *
- * 1. not ready: requests are served, and responses close their connections, until clients have had
- *    the time to see that the gateway is not ready;
+ * 1. not ready: requests are still served, and responses close their connections, until clients
+ *    have had time to notice that the gateway is not ready;
  * 2. no admission: the listener is closed, and requests on open connections are refused at once,
- *    while other gateways have the time to serve them;
+ *    while other gateways still have time to serve them;
  * 3. shortly before the end, requests that wait for an engine are refused;
- * 4. at the end, requests that no engine has begun to answer get a 502; streams go on for as long
- *    as the process does. */
+ * 4. at the end, requests whose response has not started get a 502; streams continue until the
+ *    process exits. */
 #include "drain.h"
 #include "forward.h"
 #include "gateway.h"
 
 enum {
-  /* the platform needs two failed readiness checks, a second apart, to send no more connections */
+  /* the platform stops sending connections after two failed readiness checks, which are a second
+   * apart */
   UNREADY_MS = 2600,
   DEFAULT_GRACE_MS = 8000,
-  /* before the end of the grace: queued requests are refused, the last phase begins; and the
-     shortest time from the begin of the drain to these, for a short grace */
+  /* time before the end of the grace period at which queued requests are refused and at which the
+   * last phase starts; MIN: the minimum time from the start of the drain to these, which applies
+   * when the grace period is short */
   REFUSE_QUEUED_MS = 1200,
   REFUSE_QUEUED_MIN_MS = 300,
   LAST_PHASE_MS = 400,
   LAST_PHASE_MIN_MS = 500,
-  /* open requests are counted this often */
+  /* interval at which the number of open requests is checked */
   RECHECK_MS = 50,
-  /* for the last responses, which are on their way out */
+  /* time for sending the last responses */
   FLUSH_MS = 100
 };
 
-/* an instant before the end of the grace, but not earlier than min_ms after the begin */
+/* the time ms before the end of the grace period, but at least min_ms after the start of the
+ * drain */
 static time_us before_grace_end(const gateway *gateway, int64_t ms, int64_t min_ms) {
   int64_t grace_ms = gateway->settings.grace_ms > 0 ? gateway->settings.grace_ms : DEFAULT_GRACE_MS;
   return time_add(gateway->drain.started_at, time_from_ms(MAX(grace_ms - ms, min_ms)));
@@ -43,7 +46,8 @@
   return time_sub(last_phase_at(gateway), gateway_now(gateway)).us / 1000;
 }
 
-/* when admission ends: after the platform has seen it, but not after half of the grace */
+/* when admission ends: after the platform has noticed the drain, but no later than halfway through
+ * the grace period */
 static time_us admission_ends_at(const gateway *gateway) {
   time_us started_at = gateway->drain.started_at, grace_end = before_grace_end(gateway, 0, 0);
   return (time_us){ MIN(started_at.us + UNREADY_MS * 1000, (started_at.us + grace_end.us) / 2) };
@@ -67,7 +71,7 @@
   forward_wake_open_requests(gateway);
 }
 
-/* waits until all requests are served, or the last phase begins; false when the process stops */
+/* waits until all requests are served or the last phase starts; false when the process stops */
 static bool wait_for_open_requests(gateway *gateway, time_us refuse_at, time_us last) {
   world *world = gateway->router->node.world;
   while ((gateway->requests.open_count || gateway->client_listener.pending_exchanges) &&
@@ -95,7 +99,7 @@
   if (!world_sleep(world, time_from_ms(FLUSH_MS)))
     return;
   log_info(&gateway->router->node.log, "gateway",
-           "Drained, %d requests left, %" PRIu64 " channels broken off.",
+           "Drained: %d requests are still open, %" PRIu64 " connections were aborted.",
            gateway->requests.open_count, gateway->client_listener.requests_aborted);
   condition_broadcast(&gateway->drain.finished);
 }
@@ -107,7 +111,7 @@
   gateway->router->draining = true;
   node_start_draining(&gateway->router->node);
   gateway->drain.started_at = gateway_now(gateway);
-  log_info(&gateway->router->node.log, "gateway", "Asked to stop, %d requests are open.",
+  log_info(&gateway->router->node.log, "gateway", "Drain started, %d requests are open.",
            gateway->requests.open_count);
   task_start(&gateway->router->node.world->tasks, "gateway drain", drain_run, gateway);
 }
--- a/lib/gateway/drain.h
+++ b/lib/gateway/drain.h
@@ -5,22 +5,22 @@
 
 typedef struct gateway gateway;
 
-/** Written by drain.c, in this order. */
+/** Written by drain.c; the fields are set in this order. */
 typedef struct drain_state {
   bool draining;
   time_us started_at;
-  /** The listener is closed: no request is accepted any more, on any connection. */
+  /** The listener is closed, and no further request is accepted on any connection. */
   bool admission_stopped;
   /** Requests that wait for an engine are refused. */
   bool refusing_queued;
-  /** Requests that no engine has begun to answer are answered with 502. */
+  /** Requests whose response has not started are answered with 502. */
   bool grace_over;
   condition finished;
 } drain_state;
 
-/** Begins the shutdown; drain.finished is signalled at its end. */
+/** Starts the shutdown; drain.finished is signalled at its end. */
 void gateway_drain(gateway *gateway);
-/** Time in ms until open streams are cut by the end of this process; INT64_MAX when it is not
- * draining. */
+/** Time in ms until the last phase of the drain, when the exit of this process may cut off open
+ * streams; INT64_MAX when the gateway is not draining. */
 int64_t gateway_remaining_ms(const gateway *gateway);
 #endif
--- a/lib/gateway/engine_select.c
+++ b/lib/gateway/engine_select.c
@@ -1,58 +1,64 @@
-/** Choice of an engine for a request; see engine_select.h.
+/** Selects an engine for a request; see engine_select.h.
  *
- * Candidates are the engines that hold the model. Of these are passed over: the ejected ones,
- * unless that would leave fewer than half; the suspect ones, as long as others are there; those
- * without a free slot, or whose estimate is too late for the request. The rest compete by cost, in
- * ms:
+ * Candidates are the engines that hold the model. Excluded are ejected engines, unless that leaves
+ * fewer than half; suspect engines, as long as there are others; and engines that have no free slot
+ * or whose estimate is too late for the request. The engine with the lowest cost is selected. The
+ * cost in ms is:
  *
  *   load weight * estimated time to the first event
  *   + affinity weight * prefill of shared prompt parts that are not cached there
- *   + penalties: an estimate beyond half of the latency target, KV memory near its end, another
+ *   + penalties: an estimate beyond half of the latency target, nearly full KV memory, another
  *     zone, bad health
- *   + up to 1 ms by random, so that gateways don't all choose the same one
+ *   + a random term of up to 1 ms, so that gateways don't all select the same engine
  *
- * Shared prompt parts have a home among the candidates by rendezvous hashing: the first request
- * with a prefix goes there by every gateway's choice, and the next ones find it cached. */
+ * Rendezvous hashing assigns shared prompt parts a home among the candidates: all gateways prefer
+ * it for the first request with a prefix, and later requests find the prefix cached there. */
 #include "engine_select.h"
 #include "gateway.h"
 #include "load_requests.h"
 #include <stdio.h>
 
 enum {
-  /* engines of a service that are looked at: beyond, the choice is among the first */
+  /* maximum number of candidates; engines after these are not considered */
   MAX_CANDIDATES = 512,
-  /* shared parts of a prompt that are told apart */
+  /* maximum number of shared parts of a prompt that are distinguished */
   MAX_PREFIX_PARTS = 32,
-  /* an engine that ends sooner is no candidate */
+  /* an engine that ends within this time is not a candidate */
   MIN_REMAINING_MS = 1000,
-  /* ejected engines that come back when fewer than half are left: with a byte in this span */
+  /* when fewer than half of the engines are left, ejected ones are allowed again if they have sent
+   * a byte within this time */
   RECENT_BYTE_MS = 3000,
-  /* a suspect engine gets a request that may run only once when no other is left, but not sooner */
+  /* when no other engine is left, a suspect engine gets a request that may run only once after this
+   * time */
   SUSPECT_TRIAL_MS = 1000,
-  /* of a plain service an engine may have so many more requests than slots */
+  /* an engine of a plain service may have this many more requests than slots */
   PLAIN_EXTRA_REQUESTS = 2,
-  /* a slow estimate within this span of the last one asks for a further replica */
+  /* a slow estimate within this time after another one requests an additional replica */
   SLOW_ESTIMATE_SPAN_MS = 1000,
   REPLICA_REQUEST_INTERVAL_MS = 1500,
-  /* in larger fleets each gateway sees few requests of a model, and asks at the first one */
+  /* with more gateways than this, each one sees few requests for a model; a long queue then
+   * requests a replica at the first slow estimate */
   LARGE_FLEET_NODES = 16
 };
-/* Cost in ms of an engine that is unhealthy: more than any estimate that is in time. */
+/* Cost in ms of an unhealthy engine: greater than any estimate that is in time. */
 static const double UNHEALTHY_COST = 3000;
-/* Share of a KV memory that one gateway counts on for its prefixes, divided by the gateways. */
+/* Share of an engine's KV memory that is assumed to hold cached prefixes, divided evenly among the
+ * gateways. */
 static const double PREFIX_KV_SHARE = 0.8;
-/* Share of the shared tokens that is expected to be cached at the prefix's home. */
+/* Share of the shared tokens that is expected to be cached at the home of a prefix. */
 static const double HOME_CACHED_SHARE = 0.5;
-/* An estimate beyond this share of the target costs LATE_COST_FACTOR times what is beyond. */
+/* The part of an estimate beyond this share of the target costs LATE_COST_FACTOR times as much in
+ * addition. */
 static const double LATE_TARGET_SHARE = 0.5, LATE_COST_FACTOR = 3;
-/* KV memory: growth of a request beyond its prompt; use from which it costs, and cost in ms for all
- * of it. */
+/* KV memory: factor by which a request grows beyond its prompt; share in use above which there is a
+ * cost; cost in ms per unit of the share above that. */
 static const double KV_GROWTH = 1.15, KV_FULL_SHARE = 0.85, KV_FULL_COST = 4000;
-/* Cost of another zone, in units of the policy's zone weight: for a model, for a plain service. */
+/* Cost of another zone, in units of the policy's zone weight, for a model and for a plain
+ * service. */
 static const double ZONE_COST_MODEL = 3, ZONE_COST_PLAIN = 1.5;
-/* A queue of this share of the target asks for a further replica in a large fleet. */
+/* In a large fleet, a queue longer than this share of the target requests an additional replica. */
 static const double LONG_QUEUE_TARGET_SHARE = 0.4;
-/* An estimate that is slow in any case: no healthy engine is left. */
+/* Used as the estimate when no healthy engine is left; always counts as slow. */
 static const double NO_ESTIMATE_MS = 1e9;
 
 double engine_select_estimate_ms(double base_ms, double ms_per_token, double ahead, double uncached,
@@ -71,7 +77,7 @@
   return false;
 }
 
-/** When requests for a model last met a slow estimate, and a replica was last requested. */
+/** Time of the last slow estimate for a model, and of the last request for a replica. */
 typedef struct slow_estimate {
   time_us seen_at, requested_at;
 } slow_estimate;
@@ -96,8 +102,8 @@
   return at.us && !time_reached(now, time_add(at, time_from_ms(ms)));
 }
 
-/* Requests one more model replica when the best estimate is slow for a second time in a second, or,
- * in a large fleet, because of the requests that wait there. */
+/* Requests another replica of the model when the best estimate is slow for the second time within a
+ * second, or, in a large fleet, when it is slow and the queue is long. */
 static void request_extra_replica(gateway *gateway, const engine_select_request *request,
                                   double estimate_ms, double queue_ms) {
   double target_ms = (double)request->target_ms;
@@ -119,12 +125,12 @@
                       request->priority, true, &load_ms, &retry_after_ms);
 }
 
-/** The engines among which one is chosen. */
+/** The engines from which one is selected. */
 typedef struct candidates {
   gateway_engine *engines[MAX_CANDIDATES];
   int count;
-  /** Engines of the service; those with the model that show signs of life; candidates that are not
-   * ejected. */
+  /** Number of engines of the service; of those that hold the model and are responsive; of
+   * candidates that are not ejected. */
   int in_service, holding, open;
   /** Some candidate is neither suspect nor ejected. */
   bool some_clear;
@@ -202,7 +208,7 @@
   prefix->home = find_home(found, prefix->chain[shared_count - 1]);
 }
 
-/* tokens of a prompt that an engine is known to have cached */
+/* tokens of a prompt that an engine is known to have cached; -1 when there are none */
 static double cached_tokens(const gateway_engine *engine, const prompt_prefix *prefix,
                             double kv_tokens) {
   double max_age_tokens =
@@ -216,7 +222,7 @@
 typedef struct candidate_estimate {
   unsigned slots;
   int running;
-  double ahead;    /* tokens that wait there */
+  double ahead;    /* tokens queued there */
   double cached;   /* of the prompt */
   double uncached; /* of the prompt, to be prefilled */
   double ms;       /* to the first event */
@@ -245,20 +251,21 @@
   return estimate;
 }
 
-/* true when a candidate's health forbids it; let_ejected_in: fewer than half would be left */
+/* true when the health of a candidate rules it out; let_ejected_in: ejected engines are allowed,
+ * since fewer than half would be left otherwise */
 static bool is_passed_over(const gateway_engine *engine, const engine_select_request *request,
                            const candidates *found, bool let_ejected_in, time_us now) {
   const engine_health *health = &engine->health;
   if (is_ejected(engine, now) &&
       !(let_ejected_in && is_within(now, health->last_byte_at, RECENT_BYTE_MS)))
     return true;
-  /* where only requests come that may run once, one of them has to find out in the end */
+  /* when only requests that may run once arrive, one of them eventually has to probe the engine */
   time_us trial_at = time_add(health->suspect_at, time_from_ms(SUSPECT_TRIAL_MS));
   return health->suspect &&
          (found->some_clear || (request->run_once && !time_reached(now, trial_at)));
 }
 
-/* true when the request should not go there, however cheap it is */
+/* true when the engine must not get the request, whatever its cost */
 static bool is_overloaded(const engine_select_request *request,
                           const candidate_estimate *estimate) {
   bool plain = id_is_empty(request->model);
@@ -267,13 +274,13 @@
     return true;
   if (request->remaining_ms > 0 && estimate->ms > (double)request->remaining_ms)
     return true;
-  /* in a queue that is already too long it would only delay those behind it */
+  /* in a queue that is already too long, the request would only delay those behind it */
   return !plain && request->target_ms &&
          estimate->ms > policy_of(request)->reject_threshold * (double)request->target_ms &&
          estimate->ahead > 0;
 }
 
-/* cost of a full KV memory, where requests would be preempted */
+/* cost of nearly full KV memory, where the engine would preempt requests */
 static double kv_cost(const gateway_engine *engine, const service *service, int running) {
   if (service->kv_tokens <= 0 || !gateway_feature_enabled(engine->gateway, FEATURE_KV))
     return 0;
@@ -282,7 +289,7 @@
   return use > KV_FULL_SHARE ? (use - KV_FULL_SHARE) * KV_FULL_COST : 0;
 }
 
-/* cost of a request for a model by its estimate */
+/* cost of a request for a model */
 static double model_cost(const gateway_engine *engine, const engine_select_request *request,
                          const prompt_prefix *prefix, const candidate_estimate *estimate) {
   const select_policy *policy = policy_of(request);
@@ -296,7 +303,7 @@
   return kv > 0 ? cost + kv : cost;
 }
 
-/* a plain request costs by the share of the slots that are taken */
+/* cost of a plain request, which grows with the share of slots in use */
 static double plain_cost(const engine_select_request *request, const candidate_estimate *estimate) {
   double running = estimate->running;
   return policy_of(request)->load_weight * estimate->ms *
@@ -319,11 +326,11 @@
 
 /** The cheapest candidate so far. */
 typedef struct selection {
-  gateway_engine *engine; /* NULL when all are passed over or overloaded */
+  gateway_engine *engine; /* NULL when all are ruled out or overloaded */
   double cost;
   candidate_estimate estimate;
-  /** Of all that are not passed over: the soonest first event and the shortest queue, in ms;
-   * negative when there are none. */
+  /** Over all candidates that are not ruled out by their health: the earliest first event and the
+   * shortest queue, in ms; negative when there are none. */
   double soonest_ms, queue_ms;
 } selection;
 
--- a/lib/gateway/engine_select.h
+++ b/lib/gateway/engine_select.h
@@ -1,4 +1,4 @@
-/** Choice of the engine for a request: the one with the lowest cost among those that hold its model
+/** Selects the engine for a request: the one with the lowest cost among those that hold its model
  * and have a free slot. The cost is the estimated time to the first event, plus terms for cache
  * affinity, a late estimate, full KV memory, another zone and bad health; see engine_select.c. */
 #ifndef GATEWAY_ENGINE_SELECT_H
@@ -10,8 +10,9 @@
 typedef struct gateway gateway;
 typedef struct gateway_engine gateway_engine;
 
-/** The request that was given an engine last; kept until gateway_engine_record_sent reads it. No
- * other is given the engine in between, since the caller does not yield. */
+/** The request for which an engine was selected last, kept until gateway_engine_record_sent reads
+ * it. The engine is not selected for another request in between, since the caller does not
+ * yield. */
 typedef struct selected_request {
   id model, adapter;
   double tokens, uncached_tokens;
@@ -26,8 +27,8 @@
   int64_t remaining_ms; /* until the first event would come too late; 0: no bound */
   unsigned priority;
   const select_policy *policy; /* NULL: select_policy_default */
-  bool run_once;               /* it may not be sent again once it was sent */
-  const id *excluded;          /* engines that it must not get */
+  bool run_once;               /* must not be sent again once it was sent */
+  const id *excluded;          /* engines that must not be selected */
   int excluded_count;
 } engine_select_request;
 
@@ -39,13 +40,14 @@
   ENGINE_SELECT_ALL_BUSY
 };
 
-/** Chooses an engine; NULL when there is none, with the reason in result. estimate_ms is the
- * estimated time to the first event, at the chosen engine or else at the best one. May request a
- * further model replica. */
+/** Selects an engine; NULL when there is none, with the reason in result. estimate_ms is the
+ * estimated time to the first event, at the selected engine or else at the best one. May request
+ * another replica of the model. */
 gateway_engine *engine_select(gateway *gateway, const engine_select_request *request,
                               enum engine_select_result *result, double *estimate_ms);
-/** The estimate in ms: tokens that wait ahead of the request, its own tokens to prefill, requests
- * that run, slots (0: unknown), mean duration of a run. */
+/** Estimated time in ms to the first event. ahead: tokens queued ahead of the request; uncached:
+ * its own tokens to prefill; running: running requests; slots: 0 if unknown; run_ms: mean duration
+ * of a run. */
 double engine_select_estimate_ms(double base_ms, double ms_per_token, double ahead, double uncached,
                                  int running, unsigned slots, double run_ms);
 #endif
--- a/lib/gateway/event_stream.c
+++ b/lib/gateway/event_stream.c
@@ -1,9 +1,9 @@
-/** Reads events of a stream; see event_stream.h. An event ends with an empty line, and lines end
+/** Parses events of a stream; see event_stream.h. An event ends with an empty line, and lines end
  * with LF or CR LF. */
 #include "event_stream.h"
 #include <stdlib.h>
 
-/* an id is a number of fewer digits */
+/* an event id has fewer digits than this */
 enum { MAX_EVENT_ID_LENGTH = 32 };
 
 size_t event_complete_length(const char *bytes, size_t length) {
@@ -18,7 +18,7 @@
   return 0;
 }
 
-/* without blanks around it, and without a CR at its end */
+/* removes blanks at both ends and a CR at the end */
 static string_view trimmed(const char *start, const char *end) {
   while (start < end && *start == ' ')
     start++;
--- a/lib/gateway/forward.h
+++ b/lib/gateway/forward.h
@@ -1,8 +1,8 @@
-/** The way of a client's request through the gateway: admission, engine, attempts, response.
+/** Serves client requests: admission, engine selection, attempts and response.
  *
- * forward.c admits a request and runs its steps; request_queue.c lets it wait for a slot or a load;
- * attempt.c sends it to an engine and decides on retries; response_relay.c passes the response
- * on. */
+ * forward.c admits a request and runs its steps; request_queue.c lets it wait for a free slot or a
+ * model load; attempt.c sends it to an engine and decides on retries; response_relay.c relays the
+ * response. */
 #ifndef GATEWAY_FORWARD_H
 #define GATEWAY_FORWARD_H
 #include "http_request.h"
@@ -11,8 +11,9 @@
 
 /** Serves one request to its end; context is the gateway. */
 void forward_request(void *context, http_request *http);
-/** Wakes each open request, so that it looks at the state of the drain again. */
+/** Wakes all open requests, so that they check the state of the drain again. */
 void forward_wake_open_requests(gateway *gateway);
-/** Logs the open requests, with what an end of the process now would mean for them. */
+/** Logs the open requests and the phase that each is in, which shows what an exit of the process at
+ * this time would interrupt. */
 void forward_log_open_requests(gateway *gateway);
 #endif
--- a/lib/gateway/gateway.c
+++ b/lib/gateway/gateway.c
@@ -1,5 +1,6 @@
-/** Start and end of a gateway, its readiness page, and what the router calls it for: a new
- * configuration, engines of a config sync, the singletons that it competes for, and its pages. */
+/** Creation and shutdown of a gateway, its readiness page, and its callbacks from the router: for a
+ * new configuration, for the engines of a config sync, for the singletons that it competes for, and
+ * for its status and metrics pages. */
 #include "gateway.h"
 #include "forward.h"
 #include "load_jobs.h"
@@ -8,14 +9,14 @@
 #include "traffic_reports.h"
 
 enum {
-  /* pooled connections that have been idle for longer are closed */
+  /* pooled connections are closed after this idle time */
   POOLED_IDLE_MS = 4000,
-  /* limits of clients' requests where the configuration has none */
+  /* default limits of client requests, used where the configuration sets none */
   HEADER_MAX_BYTES = 16 << 10,
   BODY_MAX_BYTES = 4 << 20,
   HEADER_TIMEOUT_MS = 3000,
   IDLE_TIMEOUT_MS = 15000,
-  /* limits of requests for readiness */
+  /* limits of readiness requests */
   HEALTH_HEADER_MAX_BYTES = 8 << 10,
   HEALTH_BODY_MAX_BYTES = 4 << 10
 };
@@ -32,7 +33,7 @@
   listener->idle_timeout_ms = limits->idle_timeout_ms ? limits->idle_timeout_ms : IDLE_TIMEOUT_MS;
 }
 
-/* takes over the router's newest configuration */
+/* switches to the router's newest configuration */
 static void on_installed(void *context) {
   gateway *gateway = context;
   canary_config_installed(gateway);
@@ -53,8 +54,8 @@
     gateway->engines.is_known = true;
 }
 
-/* calls visit for each singleton that this gateway competes for: the judge of a trial, and the
- * leases on the engines that hold models */
+/* calls visit for each singleton that this gateway competes for: the judge of a canary trial, and
+ * the leases on the engines of services with models */
 static void for_each_singleton(void *context, void (*visit)(router *router, const char *name)) {
   gateway *gateway = context;
   if (gateway->canary)
@@ -135,7 +136,7 @@
   on_installed(gateway);
 }
 
-/* registers the messages of placement and starts the task that exchanges rates */
+/* registers the message handlers of placement and starts the task that exchanges request rates */
 static void start_placement(gateway *gateway) {
   node *node = &gateway->router->node;
   peer_rpc_register_handler(node, WIRE__ENVELOPE__BODY_LOAD_PERMIT_REQUEST,
--- a/lib/gateway/gateway.h
+++ b/lib/gateway/gateway.h
@@ -1,9 +1,9 @@
 /** The gateway: a router that accepts plain HTTP requests by routes, forwards them to registered
  * engines, and places models on those engines. Membership, configuration, leases, history and the
- * eviction policies are the router's (lib/router).
+ * eviction policies are part of the router (lib/router).
  *
- * struct gateway only puts the states of the modules together; who writes a state is said in the
- * module's header. */
+ * struct gateway combines the state of all gateway modules; each module's header says which file
+ * writes its state. */
 #ifndef GATEWAY_GATEWAY_H
 #define GATEWAY_GATEWAY_H
 #include "canary_trial.h"
@@ -21,7 +21,7 @@
 #include "router.h"
 #include "unserved.h"
 
-/** Counters for status, metrics and tests; each is raised where the event happens. */
+/** Counters for status, metrics and tests; each is incremented where the event occurs. */
 typedef struct gateway_counts {
   uint64_t requests, served, refused, failed, client_left, no_route, attempts, retries, resumed,
       load_requests, loads, unloads, orders, reports, failed_loads, unserved[UNSERVED_COUNT];
@@ -30,18 +30,18 @@
 typedef struct gateway {
   router *router;
   gateway_settings settings;
-  /** The configuration in force; NULL until one is known. */
+  /** The current configuration; NULL until one is known. */
   const routing *routing;
   http_listener client_listener, health_listener;
   gateway_counts counts;
-  /** Gateways that are known, this one included; written by traffic_reports.c. */
+  /** Number of known gateways, including this one; written by traffic_reports.c. */
   int router_count;
 
   gateway_engine_table engines;
   request_table requests;
   GHashTable *traffic;       /* service -> service_traffic */
   GHashTable *retry_budgets; /* service -> retry_budget */
-  /** Durations of streams that were served in full. */
+  /** Durations of streams that were served to their end. */
   route_durations *route_durations;
   drain_state drain;
 
@@ -56,18 +56,18 @@
   /** Loads that failed since the last one that succeeded; written by engine_loading.c. */
   int consecutive_load_failures;
 
-  /** The trial that runs, and at its judge what it has received; NULL without one. */
+  /** The running canary trial, and the judge's state if this gateway judges it; NULL otherwise. */
   struct canary_trial *canary;
   struct canary_judging *canary_judging;
 } gateway;
 
-/** Makes the gateway part of a router, whose settings must say so; NULL on an error. The router
- * must outlive it. */
+/** Creates the gateway of a router, whose settings must have is_gateway set; NULL on an error. The
+ * router must outlive the gateway. */
 gateway *gateway_new(router *router, const gateway_settings *settings, error *err);
 /** Opens the listeners. */
 enum error_code gateway_open(gateway *gateway, error *err);
 void gateway_free(gateway *gateway);
-/** Takes over the bounds of new settings; addresses, dialect and features stay. */
+/** Applies the limits of new settings; addresses, dialect and feature flags do not change. */
 void gateway_reload_settings(gateway *gateway, const gateway_settings *settings);
 
 static const id id_none = { "" };
@@ -84,7 +84,7 @@
   return time_add(gateway_now(gateway), (time_us){ (int64_t)(ms * 1000) });
 }
 
-/** 0 when the instant has passed. */
+/** Returns 0 when the time has passed. */
 static inline int64_t gateway_ms_until(const gateway *gateway, time_us at) {
   int64_t ms = time_sub(at, gateway_now(gateway)).us / 1000;
   return MAX(ms, 0);
@@ -98,8 +98,8 @@
   return gateway_now(engine->gateway);
 }
 
-/** A service of the configuration in force; NULL when it has none of that name. A pointer is good
- * only until the next wait. */
+/** Finds a service of the current configuration by name; NULL when there is none. The pointer is
+ * valid only until the calling task waits. */
 static inline const service *gateway_service_of(const gateway *gateway, id name) {
   return gateway->routing ? routing_find_service(gateway->routing, name.text) : NULL;
 }
--- a/lib/gateway/gateway_settings.h
+++ b/lib/gateway/gateway_settings.h
@@ -1,29 +1,30 @@
-/** Settings of a gateway. The platform's adapter or the command line fills them; the bounds may be
- * replaced at run time by gateway_reload_settings. */
+/** Settings of a gateway, filled in by the platform's adapter or from the command line.
+ * gateway_reload_settings may replace the limits at run time. */
 #ifndef GATEWAY_GATEWAY_SETTINGS_H
 #define GATEWAY_GATEWAY_SETTINGS_H
 #include "dialect.h"
 
-/** A bound of 0 means its default, which stands where the bound is used. */
+/** A limit of 0 means the default, which is defined where the limit is used. */
 typedef struct gateway_settings {
-  /** Where requests are accepted, and where readiness is asked for. */
+  /** Listen addresses for client requests and for readiness checks. */
   char front_ip[48], ready_ip[48];
   int front_port, ready_port;
   /** The platform's names of header fields, paths and JSON keys; never NULL. */
   const dialect *dialect;
-  /** Time from the request to stop until the process is killed. */
+  /** Grace period: time from the request to stop until the process is killed. */
   int64_t grace_ms;
   /** Length of a singleton lease. */
   int64_t lease_ms;
   /** Interval of an engine's heartbeats, for the controllers. */
   int64_t heartbeat_ms;
-  /** Retries of the whole fleet over a window: a share of the requests, plus a constant number. */
+  /** Limit on the retries of the whole fleet over a window: a ratio of the requests, plus a
+   * constant number (slack). */
   double retry_ratio, retry_slack, retry_window_s;
-  /** Window of the load rate limit, and the share of the limit that may be used. */
+  /** Window of the load rate limit, and the factor by which the limit is multiplied. */
   double load_window_s, load_excess;
-  /** Window over which request rates are counted, in s. */
+  /** Window in s over which request rates are measured. */
   double rate_window_s;
-  /** Set of enum feature_flag, a bit each, that are switched off. */
+  /** The feature flags that are off, as a bit set indexed by enum feature_flag. */
   unsigned disabled_features;
 } gateway_settings;
 #endif
--- a/lib/gateway/pinned_sessions.c
+++ b/lib/gateway/pinned_sessions.c
@@ -1,7 +1,7 @@
-/** Pinned sessions of a trial: a hash set with an insertion-ordered array beside it. */
+/** Pinned sessions of a trial: a hash set, and an array in insertion order. */
 #include "pinned_sessions.h"
 
-/** Sessions in one message: 16 KB. */
+/** Maximum number of sessions in one message: 16 KB. */
 enum { CHUNK_SESSIONS = 2048 };
 
 void pinned_sessions_init(pinned_sessions *sessions) {
--- a/lib/gateway/prefix_cache.c
+++ b/lib/gateway/prefix_cache.c
@@ -2,7 +2,8 @@
 #include "prefix_cache.h"
 #include <stdlib.h>
 
-/* Bound of the tokens of one part, against nonsense in a client's field. */
+/* Maximum number of tokens of one part, which limits nonsensical values in a client's header
+ * field. */
 static const double MAX_PART_TOKENS = 1e7;
 
 int prefix_cache_parse(const char *prefix, id model, id adapter, uint64_t *chain,
@@ -47,7 +48,7 @@
   return matched;
 }
 
-/* the entry of a prefix, or else the free or oldest one of its set */
+/* the entry of a prefix, or else a free or the oldest entry of its set */
 static prefix_cache_entry *entry_for(const prefix_cache *cache, uint64_t hash) {
   prefix_cache_entry *set = set_of(cache, hash), *entry = set;
   for (int way = 0; way < PREFIX_CACHE_WAYS; way++) {
--- a/lib/gateway/request_queue.c
+++ b/lib/gateway/request_queue.c
@@ -1,37 +1,38 @@
 /** The queue of requests that wait for an engine; see request_queue.h.
  *
- * A request waits only while that can help: it is refused early when its turn is expected too late
- * for its latency target, so that the client can go to another gateway; when it has waited a share
- * of its time; or when its model can't be loaded in time. */
+ * A request waits only as long as it can still be served in time. It is refused early when its slot
+ * is expected too late for its latency target, so that the client can go to another gateway; when
+ * it has waited for a share of its time; or when its model can't be loaded in time. */
 #include "request_queue.h"
 #include "inflight_request.h"
 #include "load_requests.h"
 #include "service_traffic.h"
 
 enum {
-  /* the state is looked at again this often, also without a signal */
+  /* a waiting request is checked again after this time, also without a signal */
   RECHECK_MS = 200,
-  /* a load that is under way is requested again this often, so that it does not expire */
+  /* the request for a load in progress is repeated at this interval, so that it does not expire */
   LOAD_REQUEST_REPEAT_MS = 1000,
   LOAD_RETRY_MIN_MS = 50,
-  /* engines that take no requests now (ejected, ending) are waited for this long: a quarter of the
-     target when that is short */
+  /* a request waits this long while no engine accepts requests (ejected, ending); a quarter of the
+   * latency target when that is below NO_ENGINE_LONG_TARGET_MS */
   NO_ENGINE_WAIT_MS = 1000,
   NO_ENGINE_LONG_TARGET_MS = 4000,
   NO_ENGINE_RETRY_AFTER_MS = 300,
-  /* other gateways are there to ask */
+  /* short, since other gateways can serve the request */
   DRAINING_RETRY_AFTER_MS = 20,
-  /* distinct models without a free engine that one pass over the queue remembers */
+  /* maximum number of models without a free engine that one pass over the queue remembers */
   MAX_FULL_TARGETS = 24
 };
 
-/** One request's wait. */
+/** State of one request's wait in the queue. */
 typedef struct queue_wait {
   inflight_request *request;
   time_us began_at;
-  /** Latency target in ms, or all the time there is. */
+  /** Latency target in ms; without one, the time that is left. */
   int64_t target_ms;
-  /** When its chance is judged at the latest, and when it is refused if all engines are busy. */
+  /** When to check at the latest whether the target can be met, and when to refuse the request if
+   * all engines are still busy. */
   time_us judge_at, give_up_at;
   bool judged;
   /** A load was requested: when to request it again, and when it is expected to be done. */
@@ -44,7 +45,8 @@
          id_equal(a->adapter, b->adapter);
 }
 
-/* requests that wait and come first: for the same model, or for the same service */
+/* number of queued requests that come before this one, for the same model or for the same
+ * service */
 static int count_ahead(const inflight_request *request, bool same_model) {
   int count = 0;
   list_for_each (other, &request->gateway->requests.queue, inflight_request, queue_link) {
@@ -81,7 +83,7 @@
   service_traffic_of(request->gateway, request->service)->waiting--;
 }
 
-/* how long until a first event, when a slot has to come free for this request */
+/* expected time to the first event when the request has to wait for a free slot */
 static double slot_wait_ms(const inflight_request *request, double first_event_ms) {
   const service_traffic *traffic = service_traffic_of(request->gateway, request->service);
   double interval_ms = traffic->mean_slot_interval_ms > 0
@@ -91,7 +93,7 @@
          (count_ahead(request, false) + 1) * interval_ms;
 }
 
-/* no engine holds the model: requests a load, while it can be done in time */
+/* no engine holds the model: requests a load as long as it can complete in time */
 static enum error_code wait_for_load(queue_wait *wait, time_us now, int64_t left_ms,
                                      double first_event_ms, time_us *until) {
   inflight_request *request = wait->request;
@@ -158,8 +160,8 @@
   return OK;
 }
 
-/* one look at a waiting request: an error ends the wait, a reserved slot as well; else *until is
- * when to look again */
+/* checks a waiting request once. An error or a reserved slot ends the wait; otherwise *until is the
+ * time of the next check */
 static enum error_code look(queue_wait *wait, time_us *until) {
   inflight_request *request = wait->request;
   gateway *gateway = request->gateway;
@@ -229,8 +231,8 @@
   return code;
 }
 
-/* gives free slots to the requests in the queue, in order; one choice without an engine holds for
- * all requests of the same target */
+/* assigns free slots to the queued requests in order. When no engine is found for a request, others
+ * for the same model are skipped, unless one of the two excludes engines */
 static void serve_queue(gateway *gateway) {
   const inflight_request *full[MAX_FULL_TARGETS];
   int full_count = 0;
--- a/lib/gateway/request_queue.h
+++ b/lib/gateway/request_queue.h
@@ -1,7 +1,7 @@
 /** Open requests of a gateway, and the queue of those that wait for an engine.
  *
- * The queue is ordered by arrival, where each step of priority counts as PRIORITY_AGE_MS of
- * waiting: urgent requests go first, and no request starves. */
+ * The queue is ordered by arrival time plus PRIORITY_AGE_MS for each priority level: urgent
+ * requests go first, and no request starves. */
 #ifndef GATEWAY_REQUEST_QUEUE_H
 #define GATEWAY_REQUEST_QUEUE_H
 #include "world.h"
@@ -16,11 +16,12 @@
   list_node queue; /* of inflight_request, in order of queue_rank */
 } request_table;
 
-/** Waits for a slot or a load, for as long as that can help. OK with a slot reserved; else the
- * request's status and text are set. */
+/** Waits for a free slot or a model load as long as the request can still be served in time. OK
+ * with a slot reserved; else the request's status and error text are set, unless the client has
+ * left. */
 enum error_code request_queue_wait(inflight_request *request);
-/** Number of requests that wait for the same model and come first. */
+/** Number of queued requests for the same model that come before this one. */
 int request_queue_count_ahead(const inflight_request *request);
-/** Starts the task that gives slots that come free to requests in the queue. */
+/** Starts the task that assigns freed slots to queued requests. */
 void request_queue_start(gateway *gateway);
 #endif
--- a/lib/gateway/reserved_slot.c
+++ b/lib/gateway/reserved_slot.c
@@ -1,15 +1,15 @@
-/** Slots that a request reserves at engines, and the engines that it does not go to again. */
+/** Reserves engine slots for requests, and excludes engines that a request must not use again. */
 #include "engine_select.h"
 #include "inflight_request.h"
 #include "service_traffic.h"
 
 enum {
-  /* clients give a stream up after a silence; of their patience the route's bounds tell: at least
-     this time, and some multiple of the targets */
+  /* clients abandon a stream after a silence; how long they wait is estimated as at least this
+   * time, and a multiple of each of the route's targets */
   CLIENT_PATIENCE_MS = 2000,
   CLIENT_PATIENCE_TARGETS = 4,
   CLIENT_PATIENCE_GAPS = 8,
-  /* a retry with less time left would only load an engine */
+  /* a retry with less time left would only put load on an engine */
   RETRY_MIN_LEFT_MS = 50
 };
 
--- a/lib/gateway/response_relay.c
+++ b/lib/gateway/response_relay.c
@@ -1,16 +1,17 @@
 /** Relays an engine's response to the client.
  *
- * An event stream is passed on event by event, never in part, so that another engine can continue
- * it behind the last id. Any other response is read to its end first: one that is cut short never
+ * An event stream is relayed in complete events only, so that another engine can resume it after
+ * the last event id. Any other response is read to its end first, so that a truncated one never
  * looks complete. */
 #include "event_stream.h"
 #include "inflight_request.h"
 #include "service_traffic.h"
 
-/* A response that is not a stream is kept in memory up to this size, and of a stream one event. */
+/* Maximum size of what is buffered in memory: a response that is not a stream, or one event of a
+ * stream. */
 enum { MAX_BODY_BYTES = 8 << 20 };
 
-/* copies the engine's fields, but those of its own connection */
+/* copies the engine's header fields except hop-by-hop ones */
 static void begin_response(inflight_request *request, const http_call *call) {
   static const char *const skip_none[] = { NULL };
   http_request *http = request->http;
@@ -46,7 +47,7 @@
 }
 
 void response_relay_record_versions(inflight_request *request, string_view versions) {
-  /* of a list, the last is in force */
+  /* the last version of a list is the current one */
   for (size_t i = versions.length; i > 0; i--)
     if (versions.data[i - 1] == ',' || versions.data[i - 1] == ' ') {
       versions.data += i;
@@ -59,8 +60,9 @@
   request->versions[versions.length] = 0;
 }
 
-/* Records ids and versions of complete events, and finds where the part begins that the client does
- * not have yet. False when a resumed stream doesn't fit behind what was passed on. */
+/* Records ids and weight versions of complete events, and sets *new_from to the start of the events
+ * that the client does not have yet. False when a resumed stream does not continue what was relayed
+ * before. */
 static bool track_events(inflight_request *request, const char *events, size_t length,
                          size_t *new_from) {
   const char *versions_name = request_field_name(request, DF_WEIGHT_VERSIONS);
@@ -91,17 +93,17 @@
   return true;
 }
 
-/* true when another engine may continue the response */
+/* true when another engine may resume the response */
 static bool can_resume(const inflight_request *request) {
   return !request->http->response_started ||
          (gateway_feature_enabled(request->gateway, FEATURE_RESUME) && request->route->resumable &&
           !request->unresumable && request->last_id);
 }
 
-/** How one step of a stream went. */
+/** Result of one step of relaying a stream. */
 enum relay_step { RELAY_WAIT, RELAY_AGAIN, RELAY_ENDED };
 
-/* passes on the complete events that have come; RELAY_ENDED with *outcome when that failed */
+/* relays the complete events received so far; RELAY_ENDED with *outcome when that failed */
 static enum relay_step relay_events(inflight_request *request, http_call *call, time_us sent_at,
                                     bool *events_passed, enum attempt_outcome *outcome) {
   GString *body = call->response_body;
@@ -170,7 +172,7 @@
   }
 }
 
-/* reads a response to its end; ATTEMPT_OUTCOME_DONE when it ended or broke off */
+/* reads a response to its end; ATTEMPT_OUTCOME_DONE when it ended or its connection broke */
 static enum attempt_outcome read_to_end(inflight_request *request, http_call *call) {
   http_request *http = request->http;
   time_us deadline = attempt_deadline(request), last_byte_at = request_now(request),
--- a/lib/gateway/retry_budget.c
+++ b/lib/gateway/retry_budget.c
@@ -1,13 +1,13 @@
 /** Retry budget; see retry_budget.h. Requests and retries are counted in buckets of BUCKET_MS, so
- * that a window costs a bounded amount of memory. */
+ * that a window uses a bounded amount of memory. */
 #include "retry_budget.h"
 #include "gateway.h"
 
 enum { BUCKET_MS = 500, DEFAULT_WINDOW_MS = 10000 };
 /* Defaults of the settings. */
 static const double DEFAULT_RATIO = 0.2, DEFAULT_SLACK = 20;
-/* Shares of the fleet's bound that the gateways take together; the rest is for gateways that don't
- * know of each other or have restarted within the window. */
+/* Shares of the fleet-wide limit that all gateways together use. The rest is a reserve for gateways
+ * that don't know of each other or have restarted within the window. */
 static const double SLACK_SHARE = 0.5, RATIO_SHARE = 0.6;
 
 typedef struct budget_bucket {
@@ -62,7 +62,7 @@
   g_array_append_val(buckets, first);
 }
 
-/* the sum over the buckets behind an index; the others are dropped */
+/* sums up the buckets after an index and drops the others */
 static int count_since(GArray *buckets, int64_t index) {
   guint expired = 0;
   int count = 0;
@@ -105,8 +105,8 @@
 bool retry_budget_available(gateway *gateway, const service *service) {
   retry_budget *budget = retry_budget_of(gateway, service);
   int64_t now = current_bucket(gateway), span = window_ms(gateway) / BUCKET_MS;
-  /* a retry counts for one bucket longer than the window, a request for no longer: the window of
-   * the bound may lie anywhere */
+  /* a retry counts for one bucket longer than the window and a request does not, so that the limit
+   * holds for a window at any offset from the bucket boundaries */
   int requests = count_since(budget->request_buckets, now - span),
       retries = count_since(budget->retry_buckets, now - span - 1);
   return retries + 1 <= retry_budget_node_share(retry_slack_of(gateway), retry_ratio_of(gateway),
--- a/lib/gateway/retry_budget.h
+++ b/lib/gateway/retry_budget.h
@@ -1,14 +1,14 @@
-/** Retry budget: bounds the retries of the whole fleet to a share of its requests plus a constant,
- * over a sliding window, for each service. Gateways don't talk to each other about it: each one
- * takes at most a share of its own, which is computed so that the sum stays below the bound even
- * when some gateways don't know of each other yet or have just forgotten what they took. */
+/** Retry budget: limits the retries of the whole fleet to a share of its requests plus a constant,
+ * over a sliding window, for each service. Gateways don't coordinate: each one uses at most its own
+ * share, which is computed so that the sum stays below the limit even when some gateways don't know
+ * of each other yet or have lost their counts in a restart. */
 #ifndef GATEWAY_RETRY_BUDGET_H
 #define GATEWAY_RETRY_BUDGET_H
 #include "routing.h"
 
 typedef struct gateway gateway;
 
-/** Budget of one service; written by retry_budget.c. */
+/** The budget of one service; written by retry_budget.c. */
 typedef struct retry_budget {
   id service;
   /** Counts per BUCKET_MS, oldest first. */
@@ -23,11 +23,11 @@
 retry_budget *retry_budget_of(gateway *gateway, const service *service);
 /** Counts a request, which raises the budget. */
 void retry_budget_record_request(gateway *gateway, const service *service);
-/** The retries of one gateway over a window at most. */
+/** The maximum number of retries of one gateway over a window. */
 double retry_budget_node_share(double retry_slack, double retry_ratio, int node_count,
                                double own_requests);
-/** True when there is a retry left. */
+/** True when the budget allows another retry. */
 bool retry_budget_available(gateway *gateway, const service *service);
-/** Takes one retry; false when there is none left. */
+/** Takes one retry from the budget; false when none is left. */
 bool retry_budget_take(gateway *gateway, const service *service);
 #endif
--- a/lib/gateway/status.c
+++ b/lib/gateway/status.c
@@ -1,11 +1,11 @@
-/** Status page, metrics and readiness of a gateway. Names in JSON and metrics are an interface:
- * they don't follow names in the code. */
+/** Status page, metrics and readiness of a gateway. Names in JSON and metrics are a public
+ * interface and do not follow names in the code. */
 #include "status.h"
 #include "canary_status.h"
 #include "gateway.h"
 #include "service_traffic.h"
 
-/* the age of an instant in ms; -1 when there was none */
+/* the age of a time in ms; -1 when it is not set */
 static int64_t age_ms(time_us now, time_us at) {
   return at.us ? time_sub(now, at).us / 1000 : -1;
 }
@@ -123,7 +123,7 @@
   g_string_append_c(to, '}');
 }
 
-/* members of the status that concern the gateway as a whole */
+/* status members of the gateway as a whole */
 static void counts_to_json(const gateway *gateway, GString *to) {
   const gateway_counts *counts = &gateway->counts;
   const char *reason = gateway_unready_reason(gateway);
--- a/lib/gateway/status.h
+++ b/lib/gateway/status.h
@@ -5,7 +5,7 @@
 
 typedef struct gateway gateway;
 
-/** Why the gateway is not ready; NULL when it is. */
+/** The reason why the gateway is not ready; NULL when it is ready. */
 const char *gateway_unready_reason(const gateway *gateway);
 /** Appends the status as a JSON object. */
 void gateway_status(gateway *gateway, GString *to);
--- a/lib/gateway/unserved.c
+++ b/lib/gateway/unserved.c
@@ -1,9 +1,9 @@
-/** Why requests were not served: names of the reasons, and a line of the log for each interval in
- * which some were not. */
+/** Why requests were not served: names of the reasons, and a log line for each interval in which
+ * some were not served. */
 #include "unserved.h"
 #include "gateway.h"
 
-/* Between two lines of the log: short enough to tell one fault from the next. */
+/* Interval of the log lines: short enough to tell one fault from the next. */
 enum { SUMMARY_MS = 10000 };
 
 static const char *const names[UNSERVED_COUNT] = {
@@ -17,7 +17,7 @@
   return names[reason];
 }
 
-/* logs what was not served since the last time, and updates the counts that were logged */
+/* logs the counts that have increased since the last call, and updates the logged counts */
 static void log_summary(gateway *gateway, uint64_t logged[UNSERVED_COUNT]) {
   GString *line = g_string_new(NULL);
   for (int reason = 0; reason < UNSERVED_COUNT; reason++) {
--- a/lib/gateway/unserved.h
+++ b/lib/gateway/unserved.h
@@ -6,17 +6,17 @@
 typedef struct gateway gateway;
 
 enum unserved_reason {
-  /** The engine declined it, for example while an order concerns its model. */
+  /** The engine declined it, for example while it carries out an order for the model. */
   UNSERVED_DECLINED,
-  /** No engine holds its model, and a load would come too late. */
+  /** No engine holds its model, and a load would complete too late. */
   UNSERVED_NO_MODEL,
   /** All engines that hold its model are full. */
   UNSERVED_BUSY,
-  /** No engine takes work, or could be reached. */
+  /** No engine accepts requests, or none could be reached. */
   UNSERVED_NO_ENGINE,
-  /** This gateway drains. */
+  /** This gateway is draining. */
   UNSERVED_DRAINING,
-  /** The engine broke off. */
+  /** The engine failed after the request was sent. */
   UNSERVED_BROKEN,
   /** The engine did not respond in time. */
   UNSERVED_TIMEOUT,
