--- a/lib/gateway/drain.c
+++ b/lib/gateway/drain.c
@@ -40,7 +40,7 @@
   return before_grace_end(gateway, LAST_PHASE_MS, LAST_PHASE_MIN_MS);
 }
 
-int64_t gateway_remaining_ms(const gateway *gateway) {
+int64_t gateway_drain_remaining_ms(const gateway *gateway) {
   if (!gateway->drain.draining)
     return INT64_MAX;
   return time_sub(last_phase_at(gateway), gateway_now(gateway)).us / 1000;
@@ -65,7 +65,7 @@
   condition_broadcast(&gateway->engines.changed);
 }
 
-static void answer_unbegun(gateway *gateway) {
+static void end_grace_period(gateway *gateway) {
   forward_log_open_requests(gateway);
   gateway->drain.grace_over = true;
   forward_wake_open_requests(gateway);
@@ -95,7 +95,7 @@
   if (!wait_for_open_requests(gateway, refuse_at, last))
     return;
   world->listener_close_idle(world, &gateway->client_listener);
-  answer_unbegun(gateway);
+  end_grace_period(gateway);
   if (!world_sleep(world, time_from_ms(FLUSH_MS)))
     return;
   log_info(&gateway->router->node.log, "gateway",
--- a/lib/gateway/drain.h
+++ b/lib/gateway/drain.h
@@ -22,5 +22,5 @@
 void gateway_drain(gateway *gateway);
 /** Time in ms until the last phase of the drain, when the exit of this process may cut off open
  * streams; INT64_MAX when the gateway is not draining. */
-int64_t gateway_remaining_ms(const gateway *gateway);
+int64_t gateway_drain_remaining_ms(const gateway *gateway);
 #endif
--- a/lib/gateway/forward.c
+++ b/lib/gateway/forward.c
@@ -314,7 +314,7 @@
       !gateway_feature_enabled(gateway, FEATURE_DRAIN_STREAMS))
     return false;
   return route_durations_upper_ms(gateway->route_durations, request->route->name) >
-         (double)gateway_remaining_ms(gateway);
+         (double)gateway_drain_remaining_ms(gateway);
 }
 
 /* finds the route of a request that can be forwarded; otherwise sends an error response and returns
--- a/tests/gateway/drain.c
+++ b/tests/gateway/drain.c
@@ -107,7 +107,7 @@
   fixture *fixture = fixture_new(fleet, long_routes, true, 2, 8);
   fixture_request *late = ask_after_stop(fixture, LONG_TOKENS);
   double most = route_durations_upper_ms(fixture->gateway->route_durations, id_of_text("t"));
-  if (most < (double)gateway_remaining_ms(fixture->gateway))
+  if (most < (double)gateway_drain_remaining_ms(fixture->gateway))
     fleet_add_violation(fleet, "the streams of this test last %.0f ms, too short for it", most);
   if (!late->done || late->status != 503 || fixture_runs(fixture, late, true))
     fleet_add_violation(fleet, "a stream that would be cut was taken (status %d)", late->status);
