--- a/lib/gateway/request_queue.c
+++ b/lib/gateway/request_queue.c
@@ -22,7 +22,7 @@
   /* short, since other gateways can serve the request */
   DRAINING_RETRY_AFTER_MS = 20,
   /* maximum number of models without a free engine that one pass over the queue remembers */
-  MAX_FULL_TARGETS = 24
+  MAX_FULL_MODELS = 24
 };
 
 /** State of one request's wait in the queue. */
@@ -33,14 +33,14 @@
   int64_t target_ms;
   /** When to check at the latest whether the target can be met, and when to refuse the request if
    * all engines are still busy. */
-  time_us judge_at, give_up_at;
-  bool judged;
+  time_us target_check_at, give_up_at;
+  bool target_checked;
   /** A load was requested: when to request it again, and when it is expected to be done. */
   bool load_requested;
   time_us request_load_at, loaded_at;
 } queue_wait;
 
-static bool same_target(const inflight_request *a, const inflight_request *b) {
+static bool is_same_model(const inflight_request *a, const inflight_request *b) {
   return id_equal(a->service->name, b->service->name) && id_equal(a->model, b->model) &&
          id_equal(a->adapter, b->adapter);
 }
@@ -55,7 +55,7 @@
     if (other->slot.engine || other->http->client_gone)
       continue;
     count += same_model
-                 ? same_target(other, request) && other->select_result == ENGINE_SELECT_ALL_BUSY
+                 ? is_same_model(other, request) && other->select_result == ENGINE_SELECT_ALL_BUSY
                  : id_equal(other->service->name, request->service->name);
   }
   return count;
@@ -65,7 +65,7 @@
   return count_ahead(request, true);
 }
 
-static void join(inflight_request *request) {
+static void enqueue(inflight_request *request) {
   list_node *queue = &request->gateway->requests.queue, *before = queue->next;
   while (before != queue &&
          list_item(before, inflight_request, queue_link)->queue_rank <= request->queue_rank)
@@ -75,7 +75,7 @@
   service_traffic_of(request->gateway, request->service)->waiting++;
 }
 
-static void leave(inflight_request *request) {
+static void dequeue(inflight_request *request) {
   if (!request->queued)
     return;
   list_remove(&request->queue_link);
@@ -134,16 +134,17 @@
          spare_ms = (double)wait->target_ms - request_ms_since(request, request->received_at);
   bool refuse =
       time_reached(now, wait->give_up_at) || !gateway_feature_enabled(gateway, FEATURE_QUEUE);
-  if (!wait->judged && (time_reached(now, wait->judge_at) || estimate_ms > spare_ms)) {
-    wait->judged = true;
+  if (!wait->target_checked &&
+      (time_reached(now, wait->target_check_at) || estimate_ms > spare_ms)) {
+    wait->target_checked = true;
     refuse |= estimate_ms > spare_ms && gateway_feature_enabled(gateway, FEATURE_EARLY_REFUSAL);
   }
   if (refuse) {
     request_fail(request, 503, (int64_t)estimate_ms, "all engines are busy\n");
     return E_DEADLINE_EXCEEDED;
   }
-  if (!wait->judged)
-    *until = time_min(*until, wait->judge_at);
+  if (!wait->target_checked)
+    *until = time_min(*until, wait->target_check_at);
   return OK;
 }
 
@@ -162,7 +163,7 @@
 
 /* checks a waiting request once. An error or a reserved slot ends the wait; otherwise *until is the
  * time of the next check */
-static enum error_code look(queue_wait *wait, time_us *until) {
+static enum error_code check_wait(queue_wait *wait, time_us *until) {
   inflight_request *request = wait->request;
   gateway *gateway = request->gateway;
   time_us now = request_now(request);
@@ -202,7 +203,7 @@
     .request = request,
     .began_at = request_now(request),
     .target_ms = target_ms,
-    .judge_at = time_add(request->received_at, time_from_ms(target_ms / 4)),
+    .target_check_at = time_add(request->received_at, time_from_ms(target_ms / 4)),
     .give_up_at =
         time_add(request->received_at, time_from_ms(left_ms * policy->wait_percent / 100)),
     .loaded_at = time_never(),
@@ -214,17 +215,17 @@
     return OK;
   queue_wait wait = wait_begin(request);
   enum error_code code;
-  join(request);
+  enqueue(request);
   request->http->client_gone_condition = &request->wake;
   for (;;) {
     time_us until = time_never();
-    code = look(&wait, &until);
+    code = check_wait(&wait, &until);
     if (code || request->slot.engine)
       break;
     condition_wait(&request->gateway->router->node.world->tasks, &request->wake, until);
   }
   request->http->client_gone_condition = NULL;
-  leave(request);
+  dequeue(request);
   request->queued_ms += request_ms_since(request, wait.began_at);
   if (code)
     reserved_slot_release(request, &request->slot, true);
@@ -234,15 +235,15 @@
 /* assigns free slots to the queued requests in order. When no engine is found for a request, others
  * for the same model are skipped, unless one of the two excludes engines */
 static void serve_queue(gateway *gateway) {
-  const inflight_request *full[MAX_FULL_TARGETS];
+  const inflight_request *full[MAX_FULL_MODELS];
   int full_count = 0;
   list_for_each (request, &gateway->requests.queue, inflight_request, queue_link) {
     if (request->slot.engine)
       continue;
     bool skip = request->http->client_gone || gateway->drain.refusing_queued;
     for (int i = 0; i < full_count && !skip; i++)
-      skip = same_target(full[i], request) && !request->excluded_count;
-    if (!skip && !reserved_slot_take(request, &request->slot) && full_count < MAX_FULL_TARGETS &&
+      skip = is_same_model(full[i], request) && !request->excluded_count;
+    if (!skip && !reserved_slot_take(request, &request->slot) && full_count < MAX_FULL_MODELS &&
         !request->excluded_count)
       full[full_count++] = request;
     if (request->slot.engine || request->http->client_gone || gateway->drain.refusing_queued)
