--- a/lib/gateway/engine_select.c
+++ b/lib/gateway/engine_select.c
@@ -131,7 +131,7 @@
   int count;
   /** Number of engines of the service; of those that hold the model and are responsive; of
    * candidates that are not ejected. */
-  int in_service, holding, open;
+  int in_service, holding, not_ejected;
   /** Some candidate is neither suspect nor ejected. */
   bool some_clear;
 } candidates;
@@ -143,7 +143,7 @@
 static void find_candidates(gateway *gateway, const engine_select_request *request,
                             candidates *found) {
   time_us now = gateway_now(gateway), ends_after = time_add(now, time_from_ms(MIN_REMAINING_MS));
-  found->count = found->in_service = found->holding = found->open = 0;
+  found->count = found->in_service = found->holding = found->not_ejected = 0;
   found->some_clear = false;
   list_for_each (engine, &gateway->engines.list, gateway_engine, link) {
     if (engine->gone || engine->draining || !id_equal(engine->service, request->service->name))
@@ -158,7 +158,7 @@
     if (is_excluded(request, engine->engine_id))
       continue;
     bool ejected = is_ejected(engine, now);
-    found->open += !ejected;
+    found->not_ejected += !ejected;
     if (found->count == MAX_CANDIDATES)
       continue;
     found->some_clear |= !engine->health.suspect && !ejected;
@@ -251,13 +251,13 @@
   return estimate;
 }
 
-/* true when the health of a candidate rules it out; let_ejected_in: ejected engines are allowed,
+/* true when the health of a candidate rules it out; allow_ejected: ejected engines are allowed,
  * since fewer than half would be left otherwise */
-static bool is_passed_over(const gateway_engine *engine, const engine_select_request *request,
-                           const candidates *found, bool let_ejected_in, time_us now) {
+static bool is_ruled_out(const gateway_engine *engine, const engine_select_request *request,
+                         const candidates *found, bool allow_ejected, time_us now) {
   const engine_health *health = &engine->health;
   if (is_ejected(engine, now) &&
-      !(let_ejected_in && is_within(now, health->last_byte_at, RECENT_BYTE_MS)))
+      !(allow_ejected && is_within(now, health->last_byte_at, RECENT_BYTE_MS)))
     return true;
   /* when only requests that may run once arrive, one of them eventually has to probe the engine */
   time_us trial_at = time_add(health->suspect_at, time_from_ms(SUSPECT_TRIAL_MS));
@@ -338,10 +338,10 @@
                                  const candidates *found, const prompt_prefix *prefix) {
   selection best = { .soonest_ms = -1, .queue_ms = -1 };
   time_us now = gateway_now(gateway);
-  bool let_ejected_in = found->open * 2 < found->holding;
+  bool allow_ejected = found->not_ejected * 2 < found->holding;
   for (int i = 0; i < found->count; i++) {
     gateway_engine *engine = found->engines[i];
-    if (is_passed_over(engine, request, found, let_ejected_in, now))
+    if (is_ruled_out(engine, request, found, allow_ejected, now))
       continue;
     candidate_estimate estimate = estimate_candidate(engine, request, prefix);
     double queue_ms = engine->load.ms_per_token * estimate.ahead;
