--- a/lib/gateway/attempt.c
+++ b/lib/gateway/attempt.c
@@ -32,7 +32,7 @@
   SILENCE_GAPS = 3,
   STREAM_SILENCE_MIN_MS = 1000,
   /* an engine is alive if it has sent other data this long after the request's last byte */
-  ENGINE_LIVES_US = 100000,
+  ENGINE_ALIVE_US = 100000,
   /* a client that leaves earlier than this and this multiple of the mean time to the first event
    * does not count against the engine */
   CLIENT_LEFT_MIN_MS = 500,
@@ -60,9 +60,9 @@
   if (events_passed)
     span_ms =
         MAX(STREAM_SILENCE_MIN_MS, (double)SILENCE_GAPS * (double)request->route->gap_target_ms);
-  bool engine_lives =
-      request->slot.engine->health.last_byte_at.us > last_byte_at.us + ENGINE_LIVES_US;
-  if (engine_lives) {
+  bool engine_alive =
+      request->slot.engine->health.last_byte_at.us > last_byte_at.us + ENGINE_ALIVE_US;
+  if (engine_alive) {
     /* the engine is only slow with this request, or has lost it */
     time_us sent_at = call->sent_at.us ? call->sent_at : request->received_at;
     double third_ms = (double)time_sub(request->deadline, sent_at).us / 3000;
@@ -71,17 +71,17 @@
   return time_add(last_byte_at, time_from_ms((int64_t)span_ms));
 }
 
-bool attempt_unresponsive_and_retried(inflight_request *request, const http_call *call,
-                                      time_us last_byte_at, bool events_passed,
-                                      time_us *look_again_at, time_us *until) {
+bool attempt_retry_if_unresponsive(inflight_request *request, const http_call *call,
+                                   time_us last_byte_at, bool events_passed, time_us *next_retry_at,
+                                   time_us *until) {
   time_us now = request_now(request),
           give_up_at = silence_deadline(request, call, last_byte_at, events_passed);
-  if (look_again_at->us > give_up_at.us)
-    give_up_at = *look_again_at;
+  if (next_retry_at->us > give_up_at.us)
+    give_up_at = *next_retry_at;
   if (time_reached(now, give_up_at)) {
     if (reserved_slot_take_for_retry(request))
       return true;
-    *look_again_at = give_up_at = time_add(now, time_from_ms(RETRY_INTERVAL_MS));
+    *next_retry_at = give_up_at = time_add(now, time_from_ms(RETRY_INTERVAL_MS));
   }
   *until = time_min(*until, give_up_at);
   return false;
@@ -182,7 +182,7 @@
                                                 time_us began_at) {
   const http_request *http = request->http;
   time_us connect_until = time_add(began_at, time_from_ms(CONNECT_TIMEOUT_MS)),
-          deadline = attempt_deadline(request), look_again_at = { 0 };
+          deadline = attempt_deadline(request), next_retry_at = { 0 };
   bool counted = false;
   for (;;) {
     if (call->sent && !counted) {
@@ -203,8 +203,7 @@
       return call->sent ? ATTEMPT_OUTCOME_TIMEOUT : ATTEMPT_OUTCOME_NOT_SENT;
     time_us last_byte_at = call->sent_at.us ? call->sent_at : began_at;
     if (call->sent && request_may_retry(request) &&
-        attempt_unresponsive_and_retried(request, call, last_byte_at, false, &look_again_at,
-                                         &until))
+        attempt_retry_if_unresponsive(request, call, last_byte_at, false, &next_retry_at, &until))
       return ATTEMPT_OUTCOME_RETRY;
     condition_wait(&http->world->tasks, &call->progressed, until);
   }
@@ -292,8 +291,8 @@
 }
 
 /* true when an attempt shows no fault of its engine; answered: the response head has arrived */
-static bool engine_did_well(const inflight_request *request, const http_call *call,
-                            enum attempt_outcome outcome, bool answered, time_us began_at) {
+static bool engine_not_at_fault(const inflight_request *request, const http_call *call,
+                                enum attempt_outcome outcome, bool answered, time_us began_at) {
   switch (outcome) {
   case ATTEMPT_OUTCOME_DONE:
     return !is_engine_failure(request, call);
@@ -316,7 +315,7 @@
 }
 
 /* true when a stream stalled at a lightly loaded engine */
-static bool stream_fell_silent(const inflight_request *request, enum attempt_outcome outcome) {
+static bool stream_stalled(const inflight_request *request, enum attempt_outcome outcome) {
   double max_gap_ms =
       MAX(STREAM_SILENCE_MIN_MS, (double)SILENCE_GAPS * (double)request->route->gap_target_ms);
   return (outcome == ATTEMPT_OUTCOME_CLIENT_LEFT || outcome == ATTEMPT_OUTCOME_TIMEOUT) &&
@@ -350,8 +349,8 @@
   request->http->client_gone_condition = NULL;
   if (call->sent && !request->declined)
     request->may_have_run = true;
-  bool ok = engine_did_well(request, call, outcome, answered, began_at);
-  if (ok && answered && stream_fell_silent(request, outcome))
+  bool ok = engine_not_at_fault(request, call, outcome, answered, began_at);
+  if (ok && answered && stream_stalled(request, outcome))
     gateway_engine_add_own_failure(engine);
   if (outcome == ATTEMPT_OUTCOME_NOT_SENT)
     request_exclude_engine(request, engine->engine_id);
--- a/lib/gateway/inflight_request.h
+++ b/lib/gateway/inflight_request.h
@@ -134,12 +134,12 @@
 /** True when the drain's grace period is over and the response has not started. */
 bool attempt_past_grace_period(const inflight_request *request);
 /** True when the engine has been silent for too long and a slot for a retry has been reserved.
- * Otherwise limits *until to the time of the next check. *look_again_at keeps the time of the next
+ * Otherwise limits *until to the time of the next check. *next_retry_at keeps the time of the next
  * attempt to reserve a slot between calls; it is 0 at first. events_passed: events of the stream
  * have been received already. */
-bool attempt_unresponsive_and_retried(inflight_request *request, const http_call *call,
-                                      time_us last_byte_at, bool events_passed,
-                                      time_us *look_again_at, time_us *until);
+bool attempt_retry_if_unresponsive(inflight_request *request, const http_call *call,
+                                   time_us last_byte_at, bool events_passed, time_us *next_retry_at,
+                                   time_us *until);
 /** The deadline of a request plus a margin for a response in transit. */
 time_us attempt_deadline(const inflight_request *request);
 
@@ -148,9 +148,9 @@
 enum attempt_outcome response_relay_stream(inflight_request *request, http_call *call,
                                            time_us sent_at);
 /** Reads a response to its end before sending it to the client, so that a truncated response never
- * looks complete. A response with a 5xx status may be retried unless stamped is set. */
-enum attempt_outcome response_relay_complete(inflight_request *request, http_call *call,
-                                             bool stamped);
+ * looks complete. ok: the status is 2xx; other responses are retried after a 5xx where the route
+ * allows it. */
+enum attempt_outcome response_relay_complete(inflight_request *request, http_call *call, bool ok);
 /** Records the time to the first event, once for each slot. */
 void response_relay_record_first_event(inflight_request *request, double ms);
 /** Records the current weight version, which is the last one of a list. */
--- a/lib/gateway/response_relay.c
+++ b/lib/gateway/response_relay.c
@@ -135,7 +135,7 @@
                                            time_us sent_at) {
   http_request *http = request->http;
   time_us last_byte_at = request_now(request), deadline = attempt_deadline(request),
-          look_again_at = { 0 };
+          next_retry_at = { 0 };
   bool events_passed = false;
   for (;;) {
     if (http->client_gone || http->world->tasks.stopped)
@@ -143,7 +143,7 @@
     time_us now = request_now(request);
     if (call->response_body->len) {
       request->last_event_bytes_at = last_byte_at = request->slot.engine->health.last_byte_at = now;
-      look_again_at = (time_us){ 0 };
+      next_retry_at = (time_us){ 0 };
     }
     enum attempt_outcome outcome;
     enum relay_step step = relay_events(request, call, sent_at, &events_passed, &outcome);
@@ -165,8 +165,8 @@
     if (time_reached(now, deadline))
       return ATTEMPT_OUTCOME_TIMEOUT;
     time_us until = deadline;
-    if (may_resume && attempt_unresponsive_and_retried(request, call, last_byte_at, events_passed,
-                                                       &look_again_at, &until))
+    if (may_resume && attempt_retry_if_unresponsive(request, call, last_byte_at, events_passed,
+                                                    &next_retry_at, &until))
       return ATTEMPT_OUTCOME_RETRY;
     condition_wait(&http->world->tasks, &call->progressed, until);
   }
@@ -176,7 +176,7 @@
 static enum attempt_outcome read_to_end(inflight_request *request, http_call *call) {
   http_request *http = request->http;
   time_us deadline = attempt_deadline(request), last_byte_at = request_now(request),
-          look_again_at = { 0 };
+          next_retry_at = { 0 };
   size_t read = 0;
   while (!call->ended && !call->broken) {
     if (http->client_gone || http->world->tasks.stopped)
@@ -194,16 +194,14 @@
       return ATTEMPT_OUTCOME_TIMEOUT;
     time_us until = deadline;
     if (request_may_retry(request) &&
-        attempt_unresponsive_and_retried(request, call, last_byte_at, false, &look_again_at,
-                                         &until))
+        attempt_retry_if_unresponsive(request, call, last_byte_at, false, &next_retry_at, &until))
       return ATTEMPT_OUTCOME_RETRY;
     condition_wait(&http->world->tasks, &call->progressed, until);
   }
   return ATTEMPT_OUTCOME_DONE;
 }
 
-enum attempt_outcome response_relay_complete(inflight_request *request, http_call *call,
-                                             bool stamped) {
+enum attempt_outcome response_relay_complete(inflight_request *request, http_call *call, bool ok) {
   enum attempt_outcome outcome = read_to_end(request, call);
   if (outcome != ATTEMPT_OUTCOME_DONE)
     return outcome;
@@ -214,7 +212,7 @@
                ? ATTEMPT_OUTCOME_RETRY
                : ATTEMPT_OUTCOME_FAILED;
   request->slot.engine->health.last_byte_at = request_now(request);
-  if (!stamped && request_may_retry(request) && call->status >= 500 &&
+  if (!ok && request_may_retry(request) && call->status >= 500 &&
       reserved_slot_take_for_retry(request))
     return ATTEMPT_OUTCOME_RETRY;
   send_complete_response(request, call);
