--- a/lib/gateway/attempt.c
+++ b/lib/gateway/attempt.c
@@ -118,10 +118,10 @@
 static void add_resume_fields(inflight_request *request) {
   if (request->resumed) {
     fields_add_format(request->request_fields, request_field_name(request, DF_LAST_EVENT_ID),
-                      "%" PRIu64, request->last_id);
-    if (request->versions[0])
+                      "%" PRIu64, request->last_event_id);
+    if (request->weight_version[0])
       fields_add(request->request_fields, request_field_name(request, DF_EXPECT_VERSION),
-                 string_view_of(request->versions));
+                 string_view_of(request->weight_version));
     return;
   }
   static const enum dialect_field from_client[] = { DF_LAST_EVENT_ID, DF_EXPECT_VERSION };
@@ -275,7 +275,7 @@
   time_us sent_at = call->sent_at.us ? call->sent_at : began_at;
   if (events) {
     if (fields_get(call->response_fields, request_field_name(request, DF_WEIGHT_VERSIONS), &value))
-      response_relay_record_versions(request, value);
+      response_relay_record_weight_version(request, value);
     return response_relay_stream(request, call, sent_at);
   }
   if (call->status < 500)
--- a/lib/gateway/response_relay.c
+++ b/lib/gateway/response_relay.c
@@ -46,7 +46,7 @@
   service_traffic_record_first_event(service_traffic_of(request->gateway, request->service), ms);
 }
 
-void response_relay_record_versions(inflight_request *request, string_view versions) {
+void response_relay_record_weight_version(inflight_request *request, string_view versions) {
   /* the last version of a list is the current one */
   for (size_t i = versions.length; i > 0; i--)
     if (versions.data[i - 1] == ',' || versions.data[i - 1] == ' ') {
@@ -54,10 +54,10 @@
       versions.length -= i;
       break;
     }
-  if (!versions.length || versions.length >= sizeof request->versions)
+  if (!versions.length || versions.length >= sizeof request->weight_version)
     return;
-  memcpy(request->versions, versions.data, versions.length);
-  request->versions[versions.length] = 0;
+  memcpy(request->weight_version, versions.data, versions.length);
+  request->weight_version[versions.length] = 0;
 }
 
 /* Records ids and weight versions of complete events, and sets *new_from to the start of the events
@@ -73,19 +73,19 @@
     event_info event;
     size_t event_length = event_parse(events + at, length - at, versions_name, &event);
     if (event.weight_versions.length)
-      response_relay_record_versions(request, event.weight_versions);
+      response_relay_record_weight_version(request, event.weight_versions);
     if (request->resumed) {
       if (!event.has_id && event.has_data)
         return false;
-      if (event.has_id && event.id <= request->last_id) {
+      if (event.has_id && event.id <= request->last_event_id) {
         if (new_seen)
           return false;
         *new_from = at + event_length;
       } else
         new_seen = true;
     }
-    if (event.has_id && event.id >= request->last_id)
-      request->last_id = event.id;
+    if (event.has_id && event.id >= request->last_event_id)
+      request->last_event_id = event.id;
     else if (event.has_data && !request->resumed)
       request->unresumable = true;
     at += event_length;
@@ -97,7 +97,7 @@
 static bool can_resume(const inflight_request *request) {
   return !request->http->response_started ||
          (gateway_feature_enabled(request->gateway, FEATURE_RESUME) && request->route->resumable &&
-          !request->unresumable && request->last_id);
+          !request->unresumable && request->last_event_id);
 }
 
 /** Result of one step of relaying a stream. */
