--- a/lib/gateway/canary_judging.c
+++ b/lib/gateway/canary_judging.c
@@ -201,15 +201,15 @@
   json_appendf(
       text, "{\"state\":\"ended\",\"end\":{\"verdict\":\"%s\",\"by\":\"%s\",\"epoch\":%" PRIu64 ",",
       verdict, gateway->router->node.settings.self.text, judging->epoch);
-  canary_comparison_append_json(text, "urgent", &judging->last_finding.urgent);
+  canary_comparison_append_json(text, "urgent", &judging->last_verdict.urgent);
   g_string_append_c(text, ',');
-  canary_comparison_append_json(text, "rest", &judging->last_finding.rest);
+  canary_comparison_append_json(text, "rest", &judging->last_verdict.rest);
   g_string_append(text, "}}");
   return text;
 }
 
 static void log_end(const gateway *gateway, const canary_judging *judging, const char *verdict) {
-  const canary_comparison *urgent = &judging->last_finding.urgent;
+  const canary_comparison *urgent = &judging->last_verdict.urgent;
   log_info(
       &gateway->router->node.log, "canary",
       "The judge ends trial %s: %s. Harm to urgent requests: %.4f of %.0f by the control policy (at most %.4f), %.4f of %.0f by the candidate (at least %.4f).",
@@ -260,7 +260,7 @@
   g_string_free(resource, TRUE);
 }
 
-void canary_judging_examine(gateway *gateway) {
+void canary_judging_evaluate(gateway *gateway) {
   canary_judging *judging = canary_judging_of(gateway);
   if (!judging)
     return;
@@ -268,7 +268,7 @@
   canary_totals totals;
   uint64_t age_ms;
   canary_judging_sum(judging, &totals, &age_ms);
-  judging->last_finding = canary_judge(plan, &totals);
+  judging->last_verdict = canary_judge(plan, &totals);
   time_us now = gateway_now(gateway);
   if (is_majority(gateway, canary_judging_count_recent(gateway, judging, false)))
     judging->no_reports_since = (time_us){ 0 };
@@ -277,11 +277,11 @@
   bool unreachable =
       judging->no_reports_since.us &&
       time_reached(now, time_add(judging->no_reports_since, time_from_ms(NO_REPORT_TIMEOUT_MS)));
-  if (judging->last_finding.harm_proven)
+  if (judging->last_verdict.harm_proven)
     end_trial(gateway, judging, "harm");
   else if (unreachable)
     end_trial(gateway, judging, "unreachable");
   else if (age_ms >= (uint64_t)plan->max_duration_ms)
     end_trial(gateway, judging,
-              judging->last_finding.has_enough_requests ? "no harm" : "too little");
+              judging->last_verdict.has_enough_requests ? "no harm" : "too little");
 }
--- a/lib/gateway/canary_judging.h
+++ b/lib/gateway/canary_judging.h
@@ -25,7 +25,7 @@
   time_us candidate_starts_at;
   /** Since when less than a majority of the gateways reports; 0 while a majority does. */
   time_us no_reports_since;
-  canary_verdict last_finding;
+  canary_verdict last_verdict;
 } canary_judging;
 
 /** This gateway's state as judge; NULL when it does not hold the singleton or no trial runs. */
@@ -42,7 +42,7 @@
                                   Wire__CanaryReportResponse *response);
 /** Evaluates the counts so far and may end the trial; does nothing if this gateway is not the
  * judge. */
-void canary_judging_examine(gateway *gateway);
+void canary_judging_evaluate(gateway *gateway);
 /** Sums up the counts of all gateway processes; age_ms is the age of the trial at the process that
  * has run it longest. */
 void canary_judging_sum(const canary_judging *judging, canary_totals *totals, uint64_t *age_ms);
--- a/lib/gateway/canary_status.c
+++ b/lib/gateway/canary_status.c
@@ -38,10 +38,10 @@
   canary_judging_sum(judging, &totals, &age_ms);
   json_appendf(to, ",\"judges\":{\"nodes\":%d,\"ageMs\":%" PRIu64 ",\"enough\":%s,",
                canary_judging_count_recent(gateway, judging, false), age_ms,
-               judging->last_finding.has_enough_requests ? "true" : "false");
-  canary_comparison_append_json(to, "urgent", &judging->last_finding.urgent);
+               judging->last_verdict.has_enough_requests ? "true" : "false");
+  canary_comparison_append_json(to, "urgent", &judging->last_verdict.urgent);
   g_string_append_c(to, ',');
-  canary_comparison_append_json(to, "rest", &judging->last_finding.rest);
+  canary_comparison_append_json(to, "rest", &judging->last_verdict.rest);
   g_string_append(to, ",\"sides\":");
   totals_append_json(to, &totals);
   g_string_append_c(to, '}');
--- a/lib/gateway/canary_trial.c
+++ b/lib/gateway/canary_trial.c
@@ -103,7 +103,7 @@
   if (on && !pinned_sessions_contain(&canary->pinned, session))
     return (canary_assignment){ canary->version, CANARY_ARM_CANDIDATE, true };
   if (pinned_sessions_add(&canary->pinned, session) &&
-      (canary->candidate_starts_at.us || canary->may_have_begun_elsewhere))
+      (canary->candidate_starts_at.us || canary->may_be_on_elsewhere))
     broadcast_pinned_session(gateway, session);
   return (canary_assignment){ canary->version, CANARY_ARM_CONTROL, false };
 }
@@ -333,7 +333,7 @@
     bool reported = report_to_judge(gateway);
     if (trial_is_over(&task))
       return;
-    canary_judging_examine(gateway);
+    canary_judging_evaluate(gateway);
     if (trial_is_over(&task))
       return;
     log_activity(gateway);
@@ -346,12 +346,12 @@
   }
 }
 
-static void take_up(gateway *gateway, const canary_plan *plan, uint64_t version) {
+static void start_trial(gateway *gateway, const canary_plan *plan, uint64_t version) {
   canary_trial *canary = gateway->canary = g_new0(canary_trial, 1);
   canary->plan = *plan;
   canary->version = version;
   canary->started_at = gateway_now(gateway);
-  canary->may_have_begun_elsewhere = gateway->router->sync.sync_count <= 1;
+  canary->may_be_on_elsewhere = gateway->router->sync.sync_count <= 1;
   pinned_sessions_init(&canary->pinned);
   log_info(&gateway->router->node.log, "canary",
            "Trial %s has started, for a share of %.3f of the sessions.", plan->name.text,
@@ -376,7 +376,7 @@
   if (gateway->canary && gateway->canary->version == version)
     return;
   canary_drop(gateway);
-  take_up(gateway, plan, version);
+  start_trial(gateway, plan, version);
 }
 
 void canary_start(gateway *gateway) {
--- a/lib/gateway/canary_trial.h
+++ b/lib/gateway/canary_trial.h
@@ -40,7 +40,7 @@
   bool was_active;
   /** The trial was running when this process started, so the candidate may be on at other
    * gateways. */
-  bool may_have_begun_elsewhere;
+  bool may_be_on_elsewhere;
 } canary_trial;
 
 /** Starts or ends a trial according to the newest configuration. */
