--- a/lib/gateway/gateway.c
+++ b/lib/gateway/gateway.c
@@ -17,8 +17,8 @@
   HEADER_TIMEOUT_MS = 3000,
   IDLE_TIMEOUT_MS = 15000,
   /* limits of readiness requests */
-  HEALTH_HEADER_MAX_BYTES = 8 << 10,
-  HEALTH_BODY_MAX_BYTES = 4 << 10
+  READY_HEADER_MAX_BYTES = 8 << 10,
+  READY_BODY_MAX_BYTES = 4 << 10
 };
 
 static void apply_listener_limits(gateway *gateway) {
@@ -100,8 +100,8 @@
                                               .port = settings->ready_port,
                                               .serve = serve_readiness,
                                               .serve_context = gateway,
-                                              .header_max_bytes = HEALTH_HEADER_MAX_BYTES,
-                                              .body_max_bytes = HEALTH_BODY_MAX_BYTES,
+                                              .header_max_bytes = READY_HEADER_MAX_BYTES,
+                                              .body_max_bytes = READY_BODY_MAX_BYTES,
                                               .header_timeout_ms = HEADER_TIMEOUT_MS,
                                               .idle_timeout_ms = IDLE_TIMEOUT_MS };
   g_strlcpy(gateway->health_listener.ip, settings->ready_ip, sizeof gateway->health_listener.ip);
