--- a/tests/gateway/drain.c
+++ b/tests/gateway/drain.c
@@ -2,7 +2,8 @@
 #include "fixture.h"
 #include <stdio.h>
 
-/* a gateway is asked to stop: what it still takes, and how what it has taken ends */
+/* Tests of graceful shutdown: which requests a draining gateway still accepts, and how the accepted
+ * ones end. */
 
 enum { LISTENER_MS = 2600, TRIP_MS = 100, CALLERS = 6, LONG_MS = 60000 };
 
@@ -24,22 +25,23 @@
     "\"targetMs\":20000,\"priority\":0,\"service\":\"svc\",\"attempts\":1}],"
     "\"services\":[{\"name\":\"svc\",\"health\":\"/health\"}]}";
 
-/** The process ends when its gateway says that it is over, as the program does. */
-static void run_to_the_end(fixture *fixture) {
-  for (int i = 0; i < 1000 && !fixture->over; i++)
+/** Runs until the gateway reports the end of its drain, then ends the process, as the program
+ * does. */
+static void run_until_drained(fixture *fixture) {
+  for (int i = 0; i < 1000 && !fixture->drain_finished; i++)
     fixture_run(fixture, 10);
-  if (!fixture->over)
+  if (!fixture->drain_finished)
     fleet_add_violation(fixture->fleet, "the gateway does not end");
   host_kill(fixture->node);
   fixture_run(fixture, 200);
 }
 
-/** Requests that reached an engine although their callers sent them after an instant. */
-static int passed_on_after(fixture *fixture, time_us instant) {
+/** Number of requests that reached an engine although the client sent them after a given time. */
+static int count_forwarded_after(fixture *fixture, time_us instant) {
   int n = 0;
   for (guint i = 0; i < fixture->requests->len; i++) {
     fixture_request *request = fixture->requests->pdata[i];
-    n += request->sent.us > instant.us && fixture_runs(fixture, request, true);
+    n += request->request_sent_at.us > instant.us && fixture_count_runs(fixture, request, true);
   }
   return n;
 }
@@ -49,29 +51,29 @@
   snprintf(fields, sizeof fields,
            "Asterfall-Model: m\r\nAsterfall-Tokens: 400,%u\r\nAsterfall-Prefix: aa:200,bb:200\r\n",
            tokens_out);
-  return fixture_ask(fixture, "/stream/x", 20000, fields);
+  return fixture_send(fixture, "/stream/x", 20000, fields);
 }
 
-/* Streams that began before the stop end after the listener was shut. Their callers know of no
- * stop, since the head of their answers was written before it, and send the next request on the
- * connection that they have. */
+/* Streams that started before the drain end after the listener is closed. Their clients don't know
+ * of the drain, since the response heads were written before it, and send the next request on the
+ * same connection. */
 static bool a_kept_connection_brings_nothing_after_the_listener_is_shut(fleet *fleet) {
   fixture *fixture = fixture_new(fleet, long_routes, true, 2, 8);
-  fixture_watch_end(fixture);
+  fixture_watch_drain(fixture);
   fixture_request *now[CALLERS];
   for (unsigned i = 0; i < CALLERS; i++)
     now[i] = ask_stream(fixture, 350 + 60 * i);
   fixture_run(fixture, 400);
   time_us asked = fleet->sim->now;
   gateway_drain(fixture->gateway);
-  while (!fixture->over && fleet->sim->now.us - asked.us < 9000000) {
+  while (!fixture->drain_finished && fleet->sim->now.us - asked.us < 9000000) {
     fixture_run(fixture, 10);
     for (int i = 0; i < CALLERS; i++)
       if (now[i]->done && now[i]->ended && now[i]->status == 200)
         now[i] = ask_stream(fixture, 500);
   }
-  run_to_the_end(fixture);
-  int late = passed_on_after(fixture, time_add(asked, time_from_ms(LISTENER_MS + TRIP_MS)));
+  run_until_drained(fixture);
+  int late = count_forwarded_after(fixture, time_add(asked, time_from_ms(LISTENER_MS + TRIP_MS)));
   if (late)
     fleet_add_violation(
         fleet, "LOST %d requests were passed on although they came after the listener was shut",
@@ -79,17 +81,18 @@
   for (guint i = 0; i < CALLERS; i++) {
     fixture_request *first = fixture->requests->pdata[i];
     if (first->status != 200 || !first->ended)
-      fleet_add_violation(fleet, "LOST %s began before the stop and was cut (%d)", first->request,
-                          first->status);
+      fleet_add_violation(fleet, "LOST %s began before the stop and was cut (%d)",
+                          first->request_id_text, first->status);
   }
   fixture_free(fixture);
   return true;
 }
 
-/* asks for streams of a length, then for the gateway's stop, then for one more; gives that one */
+/* requests some streams of a given length, starts the drain, and returns one more request for such
+ * a stream */
 static fixture_request *ask_after_stop(fixture *fixture, unsigned tokens_out) {
   enum { STREAMS = 6, ALL_END_MS = 40000, AFTER_STOP_MS = 1500, ANSWER_MS = 300 };
-  fixture_watch_end(fixture);
+  fixture_watch_drain(fixture);
   for (int i = 0; i < STREAMS; i++)
     ask_stream(fixture, tokens_out);
   fixture_run(fixture, ALL_END_MS);
@@ -100,8 +103,9 @@
   return late;
 }
 
-/* Streams of a route that last longer than what is left of the grace are refused at once, while
- * other machines have the time to serve them; short ones are taken until the listener is shut. */
+/* On a route whose streams last longer than the rest of the grace period, requests are refused at
+ * once, while other gateways still have time to serve them; short streams are accepted until the
+ * listener is closed. */
 static bool streams_that_would_be_cut_are_refused(fleet *fleet) {
   enum { LONG_TOKENS = 900, SHORT_TOKENS = 150 };
   fixture *fixture = fixture_new(fleet, long_routes, true, 2, 8);
@@ -109,47 +113,48 @@
   double most = route_durations_upper_ms(fixture->gateway->route_durations, id_of_text("t"));
   if (most < (double)gateway_drain_remaining_ms(fixture->gateway))
     fleet_add_violation(fleet, "the streams of this test last %.0f ms, too short for it", most);
-  if (!late->done || late->status != 503 || fixture_runs(fixture, late, true))
+  if (!late->done || late->status != 503 || fixture_count_runs(fixture, late, true))
     fleet_add_violation(fleet, "a stream that would be cut was taken (status %d)", late->status);
   if (fixture->gateway->counts.unserved[UNSERVED_DRAINING] != 1)
     fleet_add_violation(fleet, "the refusal is not counted by its reason");
-  run_to_the_end(fixture);
+  run_until_drained(fixture);
   fixture_free(fixture);
   fixture = fixture_new(fleet, long_routes, true, 2, 8);
   late = ask_after_stop(fixture, SHORT_TOKENS);
-  run_to_the_end(fixture);
+  run_until_drained(fixture);
   if (late->status != 200 || !late->ended)
     fleet_add_violation(fleet, "a short stream was not served (status %d)", late->status);
   fixture_free(fixture);
   return true;
 }
 
-/* At the end of the grace a request may still be at an engine that has sent nothing yet. The caller
- * gets a final answer, which says nothing of whether it has run; its connection is not just closed.
- */
+/* At the end of the grace period a request may still be at an engine that has sent nothing yet. The
+ * client gets a final response that does not say whether the request has run; its connection is not
+ * just closed. */
 static bool what_has_not_begun_is_answered_at_the_end(fleet *fleet) {
   fixture *fixture = fixture_new(fleet, plain_routes, false, 2, 8);
-  fixture_watch_end(fixture);
+  fixture_watch_drain(fixture);
   for (int i = 0; i < FIXTURE_ENGINES; i++)
     if (fixture->engines[i])
       fixture->engines[i]->plan->work_ms = LONG_MS;
   for (int i = 0; i < 4; i++)
-    fixture_ask(fixture, i % 2 ? "/once/x" : "/safe/x", LONG_MS, "");
+    fixture_send(fixture, i % 2 ? "/once/x" : "/safe/x", LONG_MS, "");
   fixture_run(fixture, 400);
   gateway_drain(fixture->gateway);
-  run_to_the_end(fixture);
+  run_until_drained(fixture);
   for (guint i = 0; i < fixture->requests->len; i++) {
     fixture_request *request = fixture->requests->pdata[i];
     if (!request->done || !request->ended || (request->status != 502 && request->status != 504))
       fleet_add_violation(fleet,
                           "LOST %s to %s was passed on and ended without an answer (status %d)",
-                          request->request, request->target, request->status);
+                          request->request_id_text, request->target, request->status);
   }
   fixture_free(fixture);
   return true;
 }
 
-/* Callers keep to the connection that they have, also when the platform sends no new ones there. */
+/* Clients keep using their open connections, also when the platform sends no new connections to the
+ * gateway. */
 static bool gateways_stop_under_long_streams(fleet *fleet) {
   deployment *deployment = deployment_new(fleet, 6, 2);
   if (!deployment_bring_up(deployment))
@@ -168,7 +173,7 @@
   return deployment_finish(deployment, 0.9);
 }
 
-static void start_what_has_ended(fleet *fleet) {
+static void start_stopped_nodes(fleet *fleet) {
   for (int i = 0; i < fleet->routers; i++)
     if (!fleet->router[i]->alive)
       host_start(fleet->router[i]);
@@ -190,8 +195,8 @@
   g_free(text);
 }
 
-/* Stops at any hour, beside changes, new settings, engines that leave and core machines that are
- * killed: each gateway is stopped, and started again, several times under long streams. */
+/* Drains coincide with configuration changes, reloaded settings, draining engines and controller
+ * crashes: each gateway is stopped and restarted several times under long streams. */
 static bool gateways_stop_at_any_hour(fleet *fleet) {
   enum { STEPS = 14, SETTLE_MS = 11000 };
   deployment *deployment = deployment_new(fleet, 6, 3);
@@ -233,25 +238,25 @@
         deployment_terminate_gateway(deployment, gateway);
     }
     sim_run(deployment->sim, time_from_ms(300 + (int64_t)sim_random(deployment->sim, 4000)));
-    start_what_has_ended(fleet);
+    start_stopped_nodes(fleet);
   }
   sim_run(deployment->sim, time_from_ms(SETTLE_MS));
-  start_what_has_ended(fleet);
+  start_stopped_nodes(fleet);
   sim_run(deployment->sim, time_from_ms(SETTLE_MS));
   deployment_finish_traffic(deployment);
   return deployment_finish(deployment, 0.6);
 }
 
-/** Reads of the configuration, one after the other on kept connections, from one machine. */
-typedef struct reader {
+/** A client that reads the configuration repeatedly over pooled connections. */
+typedef struct routing_reader {
   world *world;
   char addr[64];
   int asked, answered, unread;
   bool stop, done;
-} reader;
+} routing_reader;
 
-static void read_run(void *p) {
-  reader *reader = p;
+static void routing_reader_run(void *p) {
+  routing_reader *reader = p;
   const char *host = "Host: control\r\n";
   while (!reader->stop && !reader->world->tasks.stopped) {
     fields *fields = g_string_new(host);
@@ -271,55 +276,55 @@
   reader->done = true;
 }
 
-typedef struct leaver {
+typedef struct draining_controller {
   host *host;
   int left;
   bool over;
-} leaver;
+} draining_controller;
 
-static void leaver_run(void *p) {
-  leaver *leaver = p;
-  controller *controller = leaver->host->controller;
-  if (condition_wait(&leaver->host->world.tasks, &controller->stopped, time_never()) !=
+static void draining_controller_run(void *p) {
+  draining_controller *draining = p;
+  controller *controller = draining->host->controller;
+  if (condition_wait(&draining->host->world.tasks, &controller->stopped, time_never()) !=
       WAKE_SIGNALLED)
     return;
-  leaver->left = controller->control_listener.http.pending_exchanges;
-  leaver->over = true;
+  draining->left = controller->control_listener.http.pending_exchanges;
+  draining->over = true;
 }
 
-/* All controllers are asked to stop, so that a read waits for an acting tail before it is refused.
- * None that was read may be under way when a process ends. */
+/* All controllers are draining, so that a read waits for an acting tail before it is refused. No
+ * call that a controller has read may be pending when its process ends. */
 static bool leaving_controllers_answer_what_they_have_read(fleet *fleet) {
   enum { READERS = 4 };
   deployment *deployment = deployment_new(fleet, 2, 1);
   if (!deployment_bring_up(deployment))
     return deployment_finish(deployment, 0);
-  leaver leavers[3];
-  reader readers[3 * READERS];
+  draining_controller stopping[3];
+  routing_reader readers[3 * READERS];
   for (int i = 0; i < fleet->controllers; i++) {
     host *host = fleet->controller[i];
-    leavers[i] = (leaver){ .host = host, .left = -1 };
+    stopping[i] = (draining_controller){ .host = host, .left = -1 };
     for (int k = 0; k < READERS; k++) {
-      reader *reader = &readers[i * READERS + k];
-      *reader = (struct reader){ .world = &deployment->operator_host->world };
+      routing_reader *reader = &readers[i * READERS + k];
+      *reader = (struct routing_reader){ .world = &deployment->operator_host->world };
       snprintf(reader->addr, sizeof reader->addr, "%.*s:%d", (int)strcspn(host->addr, ":"),
                host->addr, host->controller->control_listener.http.port);
-      task_start(&deployment->operator_host->world.tasks, "reader", read_run, reader);
+      task_start(&deployment->operator_host->world.tasks, "reader", routing_reader_run, reader);
     }
     controller_drain(host->controller);
-    task_start(&host->world.tasks, "leaver", leaver_run, &leavers[i]);
+    task_start(&host->world.tasks, "leaver", draining_controller_run, &stopping[i]);
   }
   deployment->operator_host->next_wake_at = deployment->sim->now;
   for (int i = 0; i < 1000; i++) {
     sim_run(deployment->sim, time_from_ms(10));
     for (int k = 0; k < fleet->controllers; k++)
-      if (leavers[k].over && leavers[k].host->alive)
-        host_kill(leavers[k].host);
+      if (stopping[k].over && stopping[k].host->alive)
+        host_kill(stopping[k].host);
   }
   for (int i = 0; i < fleet->controllers; i++)
-    if (leavers[i].left)
+    if (stopping[i].left)
       fleet_add_violation(fleet, "%s ended with %d calls that it had read",
-                          leavers[i].host->self.text, leavers[i].left);
+                          stopping[i].host->self.text, stopping[i].left);
   for (int i = 0; i < fleet->controllers * READERS; i++) {
     readers[i].stop = true;
     if (readers[i].answered < 2)
--- a/tests/gateway/fixture.c
+++ b/tests/gateway/fixture.c
@@ -5,12 +5,12 @@
 #include <stdio.h>
 #include <stdlib.h>
 
-/* interval of heartbeats, and after how long a new gateway knows its engines */
+/* interval of heartbeats, and the time after which a new gateway knows its engines */
 enum { HEARTBEAT_MS = 500, STARTED_MS = 600 };
 
 static const engine_model_spec models[] = { { { "m" }, 1000, 1500, 10, 4 } };
 
-static void node_begin(host *host) {
+static void start_gateway_process(host *host) {
   fixture *fixture = host->context;
   error err = { 0 };
   fixture->gateway = gateway_new(host->router, &fixture->settings, &err);
@@ -20,13 +20,13 @@
   }
 }
 
-static void node_finish(host *host) {
+static void stop_gateway_process(host *host) {
   fixture *fixture = host->context;
   gateway_free(fixture->gateway);
   fixture->gateway = NULL;
 }
 
-static void engine_begin(host *host) {
+static void start_engine_process(host *host) {
   fixture *fixture = host->context;
   for (int i = 0; i < FIXTURE_ENGINES; i++)
     if (fixture->engine_hosts[i] == host) {
@@ -40,7 +40,7 @@
     }
 }
 
-static void engine_finish(host *host) {
+static void stop_engine_process(host *host) {
   fixture *fixture = host->context;
   for (int i = 0; i < FIXTURE_ENGINES; i++)
     if (fixture->engine_hosts[i] == host && fixture->engines[i]) {
@@ -49,7 +49,7 @@
     }
 }
 
-/* fills in the heartbeat of an engine, as a controller passes it on */
+/* fills in the state of an engine as a controller would send it */
 static void set_engine_state(fixture *fixture, int i, Wire__EngineState *state,
                              Wire__ResidentModel **resident) {
   const registering_engine_plan *plan = &fixture->plan[i];
@@ -60,14 +60,14 @@
   state->zone = (char *)plan->area.text;
   state->version = "v1";
   state->slots = plan->slots;
-  state->heartbeat_count = fixture->beats;
+  state->heartbeat_count = fixture->heartbeats_sent;
   if (plan->model_count) {
     state->n_models = 1;
     state->models = resident;
   }
 }
 
-/* what a controller would send: the state of every engine that sends heartbeats */
+/* gives the gateway what a controller would send: the states of the engines that send heartbeats */
 static void send_engine_states(fixture *fixture) {
   if (!fixture->gateway || !fixture->node->alive || fixture->node->frozen)
     return;
@@ -76,9 +76,9 @@
   Wire__ConfigPollResponse response = WIRE__CONFIG_POLL_RESPONSE__INIT;
   model.model = (char *)models[0].name.text;
   model.weights_version = 1;
-  fixture->beats++;
+  fixture->heartbeats_sent++;
   for (int i = 0; i < FIXTURE_ENGINES; i++) {
-    if (!fixture->engines[i] || fixture->silent[i])
+    if (!fixture->engines[i] || fixture->heartbeats_stopped[i])
       continue;
     Wire__EngineState *state = pointers[response.n_engines] = &states[response.n_engines];
     response.n_engines++;
@@ -99,7 +99,7 @@
   }
 }
 
-/* the gateway's process; it is not started */
+/* adds the gateway's host without starting it */
 static void add_gateway(fixture *fixture) {
   fleet *fleet = fixture->fleet;
   fixture->settings = (gateway_settings){ .front_ip = "10.9.0.1",
@@ -116,8 +116,8 @@
   node->settings.self = id_of_text("gw");
   node->settings.is_gateway = true;
   g_strlcpy(node->settings.address, "10.9.0.1:7660", sizeof node->settings.address);
-  node->on_start = node_begin;
-  node->on_stop = node_finish;
+  node->on_start = start_gateway_process;
+  node->on_stop = stop_gateway_process;
   node->context = fixture;
   fixture->node = node;
 }
@@ -143,7 +143,7 @@
                                     .models = models,
                                     .model_count = llm ? 1 : 0,
                                     .controllers = fixture->controllers,
-                                    .initial_models = llm ? fixture->first : NULL,
+                                    .initial_models = llm ? fixture->preloaded_models : NULL,
                                     .models_on_disk = g_hash_table_new_full(g_str_hash, g_str_equal,
                                                                             g_free, NULL),
                                     .dialect = &dialect_native,
@@ -160,8 +160,8 @@
   g_strlcpy(fixture->plan[i].ip, ip, sizeof fixture->plan[i].ip);
   host *host = fixture->engine_hosts[i] =
       sim_add_host(fixture->fleet->sim, HOST_OTHER, name, "north", address);
-  host->on_start = engine_begin;
-  host->on_stop = engine_finish;
+  host->on_start = start_engine_process;
+  host->on_stop = stop_engine_process;
   host->context = fixture;
   host_start(host);
 }
@@ -186,8 +186,8 @@
   created->store = (weight_store_sim){ 8, 0 };
   created->requests = g_ptr_array_new();
   created->controllers = g_ptr_array_new();
-  created->first = g_ptr_array_new();
-  g_ptr_array_add(created->first, "m");
+  created->preloaded_models = g_ptr_array_new();
+  g_ptr_array_add(created->preloaded_models, "m");
   add_gateway(created);
   for (int i = 0; i < engines; i++)
     start_engine(created, i, llm, slots);
@@ -199,14 +199,14 @@
   return created;
 }
 
-static void fixture_request_free(fixture_request *attempt) {
-  g_free(attempt->target);
-  g_free(attempt->body);
-  if (attempt->in)
-    g_string_free(attempt->in, TRUE);
-  g_string_free(attempt->more, TRUE);
-  g_string_free(attempt->got, TRUE);
-  g_free(attempt);
+static void fixture_request_free(fixture_request *request) {
+  g_free(request->target);
+  g_free(request->body);
+  if (request->received_fields)
+    g_string_free(request->received_fields, TRUE);
+  g_string_free(request->extra_fields, TRUE);
+  g_string_free(request->received_body, TRUE);
+  g_free(request);
 }
 
 void fixture_free(fixture *fixture) {
@@ -221,86 +221,93 @@
     fixture_request_free(fixture->requests->pdata[i]);
   g_ptr_array_free(fixture->requests, TRUE);
   g_ptr_array_free(fixture->controllers, TRUE);
-  g_ptr_array_free(fixture->first, TRUE);
+  g_ptr_array_free(fixture->preloaded_models, TRUE);
   engine_record_log_free(fixture->log);
   g_free(fixture);
 }
 
 static void fixture_request_run(void *p) {
-  fixture_request *attempt = p;
-  world *world = &attempt->fixture->caller->world;
+  fixture_request *request = p;
+  world *world = &request->fixture->caller->world;
   fields *fields = g_string_new("Host: svc.example\r\n");
   const dialect *dialect = &dialect_native;
-  if (attempt->request[0])
-    fields_add(fields, dialect->header_names[DF_REQUEST_ID], string_view_of(attempt->request));
-  if (attempt->left)
-    fields_add_format(fields, dialect->header_names[DF_TIME_LEFT_MS], "%" PRId64, attempt->left);
-  g_string_append_len(fields, attempt->more->str, (gssize)attempt->more->len);
-  attempt->sent = world_now(world);
-  http_call *call =
-      http_call_open_fields(world, "10.9.0.1:8144", "POST", attempt->target, fields,
-                            string_view_of(attempt->body), attempt->fresh, time_never());
+  if (request->request_id_text[0])
+    fields_add(fields, dialect->header_names[DF_REQUEST_ID],
+               string_view_of(request->request_id_text));
+  if (request->named_deadline_ms)
+    fields_add_format(fields, dialect->header_names[DF_TIME_LEFT_MS], "%" PRId64,
+                      request->named_deadline_ms);
+  g_string_append_len(fields, request->extra_fields->str, (gssize)request->extra_fields->len);
+  request->request_sent_at = world_now(world);
+  http_call *call = http_call_open_fields(world, "10.9.0.1:8144", "POST", request->target, fields,
+                                          string_view_of(request->body),
+                                          request->use_new_connection, time_never());
   g_string_free(fields, TRUE);
   time_us till =
-      attempt->leave_ms
-          ? time_add(attempt->sent, time_from_ms(attempt->leave_ms))
-          : time_add(attempt->sent, time_from_ms(attempt->left ? attempt->left + 500 : 30000));
+      request->disconnect_after_ms
+          ? time_add(request->request_sent_at, time_from_ms(request->disconnect_after_ms))
+          : time_add(request->request_sent_at,
+                     time_from_ms(request->named_deadline_ms ? request->named_deadline_ms + 500
+                                                             : 30000));
   while (!call->ended && !call->broken && !time_reached(world_now(world), till)) {
     if (condition_wait(&world->tasks, &call->progressed, till) == WAKE_STOPPED)
       break;
-    if (call->response_body->len && !attempt->first.us)
-      attempt->first = world_now(world);
+    if (call->response_body->len && !request->first_byte_received_at.us)
+      request->first_byte_received_at = world_now(world);
   }
-  attempt->last = world_now(world);
-  attempt->status = call->status;
-  attempt->ended = call->ended;
-  attempt->broken = call->broken;
+  request->last_byte_received_at = world_now(world);
+  request->status = call->status;
+  request->ended = call->ended;
+  request->broken = call->broken;
   if (call->response_fields)
-    attempt->in = g_string_new(call->response_fields->str);
-  g_string_append_len(attempt->got, call->response_body->str, (gssize)call->response_body->len);
-  attempt->done = true;
+    request->received_fields = g_string_new(call->response_fields->str);
+  g_string_append_len(request->received_body, call->response_body->str,
+                      (gssize)call->response_body->len);
+  request->done = true;
   http_call_close(call);
 }
 
-fixture_request *fixture_ask(fixture *fixture, const char *target, int64_t left, const char *more) {
-  fixture_request *attempt = g_new0(fixture_request, 1);
-  attempt->fixture = fixture;
-  attempt->target = g_strdup(target);
-  attempt->body = g_strdup_printf("{\"bytes\":300,\"n\":%d}", fixture->request_count);
-  attempt->more = g_string_new(more);
-  attempt->left = left;
-  attempt->got = g_string_new(NULL);
-  snprintf(attempt->request, sizeof attempt->request, "r%06d", ++fixture->request_count);
-  g_ptr_array_add(fixture->requests, attempt);
-  task_start(&fixture->caller->world.tasks, "attempt", fixture_request_run, attempt);
+fixture_request *fixture_send(fixture *fixture, const char *target, int64_t deadline_ms,
+                              const char *extra_fields) {
+  fixture_request *request = g_new0(fixture_request, 1);
+  request->fixture = fixture;
+  request->target = g_strdup(target);
+  request->body = g_strdup_printf("{\"bytes\":300,\"n\":%d}", fixture->request_count);
+  request->extra_fields = g_string_new(extra_fields);
+  request->named_deadline_ms = deadline_ms;
+  request->received_body = g_string_new(NULL);
+  snprintf(request->request_id_text, sizeof request->request_id_text, "r%06d",
+           ++fixture->request_count);
+  g_ptr_array_add(fixture->requests, request);
+  task_start(&fixture->caller->world.tasks, "attempt", fixture_request_run, request);
   fixture->caller->next_wake_at = fixture->fleet->sim->now;
-  return attempt;
+  return request;
 }
 
-static void end_run(void *p) {
+static void drain_watch_run(void *p) {
   fixture *fixture = p;
   if (condition_wait(&fixture->node->world.tasks, &fixture->gateway->drain.finished,
                      time_never()) == WAKE_SIGNALLED)
-    fixture->over = true;
+    fixture->drain_finished = true;
 }
 
-void fixture_watch_end(fixture *fixture) {
-  task_start(&fixture->node->world.tasks, "watch", end_run, fixture);
+void fixture_watch_drain(fixture *fixture) {
+  task_start(&fixture->node->world.tasks, "watch", drain_watch_run, fixture);
 }
 
-int fixture_runs(fixture *fixture, const fixture_request *attempt, bool arrivals) {
+int fixture_count_runs(fixture *fixture, const fixture_request *request, bool arrivals) {
   int n = 0;
   for (guint i = 0; i < fixture->log->runs->len; i++) {
     engine_run_record *run = fixture->log->runs->pdata[i];
-    if (!strcmp(run->request_id, attempt->request) && (arrivals || run->started_at.us))
+    if (!strcmp(run->request_id, request->request_id_text) && (arrivals || run->started_at.us))
       n++;
   }
   return n;
 }
 
-char *fixture_ids(const fixture_request *attempt) {
+char *fixture_event_ids(const fixture_request *request) {
   GString *ids = g_string_new(NULL);
-  const char *p = attempt->got->str;
+  const char *p = request->received_body->str;
   while (*p) {
     const char *end = strstr(p, "\n\n");
     if (!end || strncmp(p, "id: ", 4)) {
--- a/tests/gateway/fixture.h
+++ b/tests/gateway/fixture.h
@@ -1,7 +1,5 @@
-/**
- * One gateway without controllers: the test puts its routing and its engines in, so that only the
- * request path is tested.
- */
+/** One gateway without controllers: the test installs its routing and its engines, so that only the
+ * request path is tested. */
 #ifndef TESTS_FIXTURE_H
 #define TESTS_FIXTURE_H
 #include "gateway.h"
@@ -11,58 +9,61 @@
 enum { FIXTURE_ENGINES = 4 };
 typedef struct fixture fixture;
 
-/** One request of a caller, and what came of it. Owned by the fixture. */
+/** One client request and its result. Owned by the fixture. */
 typedef struct fixture_request {
   fixture *fixture;
-  /** Path, body and request id that are sent. */
-  char *target, *body, request[24];
-  /** Further header fields, or NULL. */
-  fields *more;
-  /** Deadline that the request names (0: none), and after how long its caller disconnects (0: half
-   * a second after the deadline, or after 30 s); both in ms. */
-  int64_t left, leave_ms;
-  /** When it was sent, and when the first and the last byte of the response came. */
-  time_us sent, first, last;
+  /** The path, body and request id to send. */
+  char *target, *body, request_id_text[24];
+  /** Additional header fields, or NULL. */
+  fields *extra_fields;
+  /** The deadline that the request states (0: none), and the time after which the client
+   * disconnects (0: half a second after the deadline, or after 30 s); both in ms. */
+  int64_t named_deadline_ms, disconnect_after_ms;
+  /** When the request was sent, and when the first and the last byte of the response arrived. */
+  time_us request_sent_at, first_byte_received_at, last_byte_received_at;
   int status;
   /** Header fields and body of the response. */
-  fields *in;
-  GString *got;
-  /** On a new connection; the response ended, was cut off; the task of the caller has returned. */
-  bool fresh, ended, broken, done;
+  fields *received_fields;
+  GString *received_body;
+  /** Whether to use a new connection; whether the response ended or broke off; whether the client
+   * task has returned. */
+  bool use_new_connection, ended, broken, done;
 } fixture_request;
 
 struct fixture {
-  /** The fleet is the test's; hosts are the simulator's. */
+  /** The fleet is owned by the test, the hosts by the simulator. */
   fleet *fleet;
   host *node, *caller, *engine_hosts[FIXTURE_ENGINES];
-  /** Set while its host is alive. */
+  /** NULL unless its host is alive. */
   gateway *gateway;
   registering_engine_sim *engines[FIXTURE_ENGINES];
   registering_engine_plan plan[FIXTURE_ENGINES];
   engine_record_log *log;
   weight_store_sim store;
   gateway_settings settings;
-  /** JSON of the routing in force. */
+  /** JSON of the current routing. */
   const char *config;
-  GPtrArray *requests, *controllers, *first;
+  GPtrArray *requests, *controllers, *preloaded_models;
   int request_count;
-  uint64_t beats;
-  /** The gateway reported that it has drained; engines that send no heartbeats. */
-  bool over, silent[FIXTURE_ENGINES];
+  uint64_t heartbeats_sent;
+  /** Whether the gateway has reported the end of its drain; which engines send no heartbeats. */
+  bool drain_finished, heartbeats_stopped[FIXTURE_ENGINES];
 };
 
-/** A gateway with engines of one service; llm ones hold the model "m". The configuration is in
- * force, and engines are known. */
+/** Creates a gateway with engines of one service, which hold the model "m" if llm is set. On return
+ * the configuration is installed and the engines are known. */
 fixture *fixture_new(fleet *fleet, const char *config, bool llm, int engines, unsigned slots);
 void fixture_free(fixture *fixture);
-/** Runs on, and tells the gateway of live engines twice a second. */
+/** Runs the simulation for a time, and sends the gateway the states of live engines twice a
+ * second. */
 void fixture_run(fixture *fixture, int64_t ms);
-/** Sends a request; more: further fields, or NULL. */
-fixture_request *fixture_ask(fixture *fixture, const char *target, int64_t left, const char *more);
-/** Notes in fixture->over when the gateway says that it has drained. */
-void fixture_watch_end(fixture *fixture);
-/** The number of runs, or of arrivals, of a request at engines. */
-int fixture_runs(fixture *fixture, const fixture_request *attempt, bool arrivals);
-/** The numbers of the events that came, in order; "bad" when their text is malformed. */
-char *fixture_ids(const fixture_request *attempt);
+/** Sends a request; extra_fields: additional header fields, or NULL. */
+fixture_request *fixture_send(fixture *fixture, const char *target, int64_t deadline_ms,
+                              const char *extra_fields);
+/** Starts a task that sets drain_finished when the gateway reports the end of its drain. */
+void fixture_watch_drain(fixture *fixture);
+/** Number of times that engines ran a request or, with arrivals set, received it. */
+int fixture_count_runs(fixture *fixture, const fixture_request *request, bool arrivals);
+/** The ids of the received events in order; "bad" when their text is malformed. */
+char *fixture_event_ids(const fixture_request *request);
 #endif
--- a/tests/gateway/forward.c
+++ b/tests/gateway/forward.c
@@ -3,7 +3,7 @@
 #include <stdio.h>
 #include <stdlib.h>
 
-/* the request path alone: one gateway, no core, engines that misbehave */
+/* Tests of the request path alone: one gateway without controllers, and engines that misbehave. */
 
 #define ROUTES(attempts, resumable)                                                                                                                                                     \
   "{\"version\":1,\"routes\":["                                                                                                                                                         \
@@ -22,59 +22,60 @@
   "Asterfall-Model: m\r\nAsterfall-Tokens: 400,40\r\nAsterfall-Prefix: aa:200,bb:200\r\n"
 static const char all_events[] = "1 2 3 4 5 6 7 8 9 10 11 12 13 14 15 16 17 18 19 20";
 
-/* a 2xx is whole and the engine's own; what says that it was not run was not; nothing ran more
- * often than it may */
-static void check(fixture *fixture, bool once) {
+/* Checks all requests: a 2xx response is complete and belongs to its request, a request that was
+ * refused did not run, and, with once set, none ran more than once. */
+static void check_responses(fixture *fixture, bool once) {
   for (guint i = 0; i < fixture->requests->len; i++) {
-    fixture_request *attempt = fixture->requests->pdata[i];
+    fixture_request *request = fixture->requests->pdata[i];
     string_view v;
-    int runs = fixture_runs(fixture, attempt, false);
+    int runs = fixture_count_runs(fixture, request, false);
     if (once && runs > 1)
-      fleet_add_violation(fixture->fleet, "%s ran %d times", attempt->request, runs);
-    if (!attempt->done) {
-      fleet_add_violation(fixture->fleet, "%s has no end", attempt->request);
+      fleet_add_violation(fixture->fleet, "%s ran %d times", request->request_id_text, runs);
+    if (!request->done) {
+      fleet_add_violation(fixture->fleet, "%s has no end", request->request_id_text);
       continue;
     }
-    if (once && attempt->status == 503 && runs)
-      fleet_add_violation(fixture->fleet, "%s was refused and ran", attempt->request);
-    if (attempt->status / 100 != 2)
+    if (once && request->status == 503 && runs)
+      fleet_add_violation(fixture->fleet, "%s was refused and ran", request->request_id_text);
+    if (request->status / 100 != 2)
       continue;
-    if (!fields_get(attempt->in, "Asterfall-Stamp", &v))
-      fleet_add_violation(fixture->fleet, "%s has no stamp", attempt->request);
-    if (!fields_get(attempt->in, "Asterfall-Request", &v) ||
-        !string_view_equal(v, string_view_of(attempt->request)))
-      fleet_add_violation(fixture->fleet, "%s has another's answer", attempt->request);
-    if (!attempt->ended || g_str_has_prefix(attempt->target, "/stream/"))
+    if (!fields_get(request->received_fields, "Asterfall-Stamp", &v))
+      fleet_add_violation(fixture->fleet, "%s has no stamp", request->request_id_text);
+    if (!fields_get(request->received_fields, "Asterfall-Request", &v) ||
+        !string_view_equal(v, string_view_of(request->request_id_text)))
+      fleet_add_violation(fixture->fleet, "%s has another's answer", request->request_id_text);
+    if (!request->ended || g_str_has_prefix(request->target, "/stream/"))
       continue;
     GString *due = g_string_new(NULL);
-    engine_response_body(due, attempt->request, 300);
-    if (!g_string_equal(due, attempt->got))
-      fleet_add_violation(fixture->fleet, "%s has another body", attempt->request);
+    engine_response_body(due, request->request_id_text, 300);
+    if (!g_string_equal(due, request->received_body))
+      fleet_add_violation(fixture->fleet, "%s has another body", request->request_id_text);
     g_string_free(due, TRUE);
   }
 }
 
-static int with(fixture *fixture, int status) {
+static int count_by_status(fixture *fixture, int status) {
   int n = 0;
   for (guint i = 0; i < fixture->requests->len; i++) {
-    fixture_request *attempt = fixture->requests->pdata[i];
-    n += attempt->done && attempt->status == status && attempt->ended;
+    fixture_request *request = fixture->requests->pdata[i];
+    n += request->done && request->status == status && request->ended;
   }
   return n;
 }
 
-static void expect(fixture *fixture, const char *what, int64_t is, int64_t least, int64_t most) {
+static void expect_between(fixture *fixture, const char *what, int64_t is, int64_t least,
+                           int64_t most) {
   if (is < least || is > most)
     fleet_add_violation(fixture->fleet, "%s: %" PRId64 ", not %" PRId64 " to %" PRId64, what, is,
                         least, most);
 }
 
-static void events_whole(fixture *fixture, int n) {
+static void expect_all_events(fixture *fixture, int n) {
   for (int i = 0; i < n; i++) {
-    fixture_request *attempt = fixture->requests->pdata[i];
-    char *ids = fixture_ids(attempt);
+    fixture_request *request = fixture->requests->pdata[i];
+    char *ids = fixture_event_ids(request);
     if (strcmp(ids, all_events))
-      fleet_add_violation(fixture->fleet, "%s got events %s", attempt->request, ids);
+      fleet_add_violation(fixture->fleet, "%s got events %s", request->request_id_text, ids);
     g_free(ids);
   }
 }
@@ -82,26 +83,26 @@
 static bool requests_go_through(fleet *fleet) {
   fixture *fixture = fixture_new(fleet, PLAIN("2"), false, 2, 6);
   for (int i = 0; i < 40; i++) {
-    fixture_ask(fixture, i % 2 ? "/once/x?y=1" : "/safe/x", 2000,
-                i % 3 ? NULL : "X-Other: kept\r\nConnection: close\r\n");
+    fixture_send(fixture, i % 2 ? "/once/x?y=1" : "/safe/x", 2000,
+                 i % 3 ? NULL : "X-Other: kept\r\nConnection: close\r\n");
     fixture_run(fixture, 30);
   }
   fixture_run(fixture, 1000);
-  check(fixture, true);
-  expect(fixture, "served", with(fixture, 200), 40, 40);
+  check_responses(fixture, true);
+  expect_between(fixture, "served", count_by_status(fixture, 200), 40, 40);
   for (guint i = 0; i < fixture->log->runs->len; i++) {
     engine_run_record *run = fixture->log->runs->pdata[i];
-    fixture_request *attempt = fixture->requests->pdata[atoi(run->request_id + 1) - 1];
+    fixture_request *request = fixture->requests->pdata[atoi(run->request_id + 1) - 1];
     if (run->request_checksum !=
-        engine_request_checksum("POST", attempt->target, string_view_of(attempt->body)))
+        engine_request_checksum("POST", request->target, string_view_of(request->body)))
       fleet_add_violation(fleet, "%s was changed", run->request_id);
   }
-  fixture_request *none = fixture_ask(fixture, "/nowhere/x", 2000, NULL),
-                  *nameless = fixture_ask(fixture, "/safe/x", 2000, NULL);
-  nameless->request[0] = 0;
+  fixture_request *none = fixture_send(fixture, "/nowhere/x", 2000, NULL),
+                  *nameless = fixture_send(fixture, "/safe/x", 2000, NULL);
+  nameless->request_id_text[0] = 0;
   fixture_run(fixture, 1000);
-  expect(fixture, "no route", none->status, 404, 404);
-  expect(fixture, "no id", nameless->status, 400, 400);
+  expect_between(fixture, "no route", none->status, 404, 404);
+  expect_between(fixture, "no id", nameless->status, 400, 400);
   fixture_free(fixture);
   return true;
 }
@@ -109,27 +110,28 @@
 static bool streams_go_through(fleet *fleet) {
   fixture *fixture = fixture_new(fleet, LLM("2", "true"), true, 2, 8);
   for (int i = 0; i < 12; i++) {
-    fixture_ask(fixture, "/stream/x", 6000, STREAM);
+    fixture_send(fixture, "/stream/x", 6000, STREAM);
     fixture_run(fixture, 60);
   }
-  fixture_request *odd = fixture_ask(fixture, "/stream/x", 6000,
-                                     "Asterfall-Model: other\r\nAsterfall-Tokens: 400,40\r\n");
+  fixture_request *odd = fixture_send(fixture, "/stream/x", 6000,
+                                      "Asterfall-Model: other\r\nAsterfall-Tokens: 400,40\r\n");
   fixture_run(fixture, 4000);
-  check(fixture, true);
-  expect(fixture, "served", with(fixture, 200), 12, 12);
-  expect(fixture, "an unknown model", odd->status, 404, 404);
-  events_whole(fixture, 12);
-  /* events come as they are made: the first long before the last */
+  check_responses(fixture, true);
+  expect_between(fixture, "served", count_by_status(fixture, 200), 12, 12);
+  expect_between(fixture, "an unknown model", odd->status, 404, 404);
+  expect_all_events(fixture, 12);
+  /* events are relayed as they are generated: the first one long before the last one */
   for (int i = 0; i < 12; i++) {
-    fixture_request *attempt = fixture->requests->pdata[i];
-    if (time_sub(attempt->last, attempt->first).us < 100000)
-      fleet_add_violation(fleet, "%s came in one piece", attempt->request);
+    fixture_request *request = fixture->requests->pdata[i];
+    if (time_sub(request->last_byte_received_at, request->first_byte_received_at).us < 100000)
+      fleet_add_violation(fleet, "%s came in one piece", request->request_id_text);
   }
   fixture_free(fixture);
   return true;
 }
 
-/* engines lose answers, cut them, send others': a once-only request ends there */
+/* Engines truncate responses and send extra, stale or garbage ones. A request that may run only
+ * once must not be sent again. */
 static bool once_is_sent_once(fleet *fleet) {
   fixture *fixture = fixture_new(fleet, PLAIN("3"), false, 3, 6);
   for (int i = 0; i < 60; i++) {
@@ -142,13 +144,13 @@
       faults->stale_responses = 1;
     if (i % 10 == 9)
       faults->garbage_responses = 1;
-    fixture_ask(fixture, "/once/x", 2000, NULL);
+    fixture_send(fixture, "/once/x", 2000, NULL);
     fixture_run(fixture, 40);
   }
   fixture_run(fixture, 3500);
-  check(fixture, true);
-  expect(fixture, "served", with(fixture, 200), 40, 60);
-  expect(fixture, "failed", with(fixture, 502), 1, 20);
+  check_responses(fixture, true);
+  expect_between(fixture, "served", count_by_status(fixture, 200), 40, 60);
+  expect_between(fixture, "failed", count_by_status(fixture, 502), 1, 20);
   fixture_free(fixture);
   return true;
 }
@@ -161,21 +163,21 @@
       fixture->plan[i % 3].faults.truncate_responses = 1;
     if (i % 10 == 6)
       fixture->plan[i % 3].faults.lose_responses = 1;
-    fixture_ask(fixture, "/safe/x", 2500, NULL);
+    fixture_send(fixture, "/safe/x", 2500, NULL);
     fixture_run(fixture, 40);
   }
   fixture_run(fixture, 3500);
-  check(fixture, false);
-  expect(fixture, "served", with(fixture, 200), 57, 60);
+  check_responses(fixture, false);
+  expect_between(fixture, "served", count_by_status(fixture, 200), 57, 60);
   for (guint i = 0; i < fixture->requests->len; i++)
-    expect(fixture, "arrivals of one", fixture_runs(fixture, fixture->requests->pdata[i], true), 1,
-           3);
+    expect_between(fixture, "arrivals of one",
+                   fixture_count_runs(fixture, fixture->requests->pdata[i], true), 1, 3);
   fixture_free(fixture);
   return true;
 }
 
-/* the engine that came last breaks off its next answer */
-static void last_breaks(fixture *fixture) {
+/* makes the engine that received the last request truncate its next response */
+static void break_last_engine(fixture *fixture) {
   if (!fixture->log->runs->len)
     return;
   engine_run_record *run = fixture->log->runs->pdata[fixture->log->runs->len - 1];
@@ -184,23 +186,23 @@
       fixture->plan[i].faults.truncate_responses = 1;
 }
 
-/* an engine breaks a stream: where it may be resumed, the answer goes on without a gap, else it is
- * seen to be cut */
+/* An engine truncates a stream. On a resumable route another engine continues it without a gap; on
+ * other routes the client must see that it is incomplete. */
 static bool streams_are_resumed(fleet *fleet) {
   fixture *fixture = fixture_new(fleet, LLM("3", "true"), true, 3, 8);
   for (int i = 0; i < 3; i++)
     fixture->plan[i].faults.truncate_after_events = 4 + (unsigned)sim_random(fleet->sim, 10);
   for (int i = 0; i < 15; i++) {
     if (i % 3 == 1)
-      last_breaks(fixture);
-    fixture_ask(fixture, "/stream/x", 7000, STREAM);
+      break_last_engine(fixture);
+    fixture_send(fixture, "/stream/x", 7000, STREAM);
     fixture_run(fixture, 150);
   }
   fixture_run(fixture, 5000);
-  check(fixture, false);
-  expect(fixture, "served", with(fixture, 200), 15, 15);
-  expect(fixture, "resumed", (int64_t)fixture->gateway->counts.resumed, 1, 5);
-  events_whole(fixture, 15);
+  check_responses(fixture, false);
+  expect_between(fixture, "served", count_by_status(fixture, 200), 15, 15);
+  expect_between(fixture, "resumed", (int64_t)fixture->gateway->counts.resumed, 1, 5);
+  expect_all_events(fixture, 15);
   fixture_free(fixture);
   return true;
 }
@@ -211,55 +213,56 @@
     fixture->plan[i].faults.truncate_after_events = (unsigned)sim_random(fleet->sim, 10);
   for (int i = 0; i < 15; i++) {
     if (i % 3 == 1)
-      last_breaks(fixture);
-    fixture_ask(fixture, "/stream/x", 7000, STREAM);
+      break_last_engine(fixture);
+    fixture_send(fixture, "/stream/x", 7000, STREAM);
     fixture_run(fixture, 150);
   }
   fixture_run(fixture, 6000);
-  check(fixture, true);
+  check_responses(fixture, true);
   int cut = 0;
   for (int i = 0; i < 15; i++) {
-    fixture_request *attempt = fixture->requests->pdata[i];
-    char *ids = fixture_ids(attempt);
+    fixture_request *request = fixture->requests->pdata[i];
+    char *ids = fixture_event_ids(request);
     bool all = !strcmp(ids, all_events);
-    if (attempt->status == 200 && attempt->ended && !all)
-      fleet_add_violation(fleet, "%s looks whole with events %s", attempt->request, ids);
+    if (request->status == 200 && request->ended && !all)
+      fleet_add_violation(fleet, "%s looks whole with events %s", request->request_id_text, ids);
     cut += !all;
     g_free(ids);
   }
-  expect(fixture, "cut", cut, 1, 5);
+  expect_between(fixture, "cut", cut, 1, 5);
   fixture_free(fixture);
   return true;
 }
 
-/* an engine's machine goes dark: what is sent once goes over channels that come up, and is not lost
- * to a dead one */
+/* The machine of an engine loses power. Requests that may be sent only once use new connections and
+ * are not lost on a pooled connection to the dead machine. */
 static bool once_is_not_lost_to_the_dark(fleet *fleet) {
   fixture *fixture = fixture_new(fleet, PLAIN("1"), false, 3, 6);
   for (int i = 0; i < 20; i++) {
-    fixture_ask(fixture, "/once/x", 2000, NULL);
+    fixture_send(fixture, "/once/x", 2000, NULL);
     fixture_run(fixture, 50);
   }
   host_power_off(fixture->engine_hosts[0]);
-  fixture->silent[0] = true;
-  /* what has not been heard of for a while gets nothing over a channel that was kept */
+  fixture->heartbeats_stopped[0] = true;
+  /* an engine that has not been heard from for a while gets no request over a pooled connection */
   fixture_run(fixture, 2500);
   for (int i = 0; i < 10; i++)
-    fixture_ask(fixture, "/once/x", 2000, NULL);
+    fixture_send(fixture, "/once/x", 2000, NULL);
   fixture_run(fixture, 2500);
-  expect(fixture, "served after a pause", with(fixture, 200), 30, 30);
+  expect_between(fixture, "served after a pause", count_by_status(fixture, 200), 30, 30);
   for (int i = 0; i < 100; i++) {
-    fixture_ask(fixture, "/once/x", 2000, NULL);
+    fixture_send(fixture, "/once/x", 2000, NULL);
     fixture_run(fixture, 100);
   }
   fixture_run(fixture, 3000);
-  check(fixture, true);
-  expect(fixture, "served", with(fixture, 200), 126, 130);
+  check_responses(fixture, true);
+  expect_between(fixture, "served", count_by_status(fixture, 200), 126, 130);
   fixture_free(fixture);
   return true;
 }
 
-/* far more comes than there are places: some are served, all others are told early */
+/* Far more requests arrive than there are slots: some are served, and all others are refused
+ * early. */
 static bool too_much_is_refused_early(fleet *fleet) {
   fixture *fixture = fixture_new(fleet, PLAIN("1"), false, 2, 2);
   for (int i = 0; i < 2; i++) {
@@ -267,27 +270,29 @@
     fixture->plan[i].queue = 8;
   }
   for (int i = 0; i < 150; i++) {
-    fixture_ask(fixture, "/once/x", 2000, NULL);
+    fixture_send(fixture, "/once/x", 2000, NULL);
     fixture_run(fixture, 20);
   }
   fixture_run(fixture, 4000);
-  check(fixture, true);
-  expect(fixture, "served", with(fixture, 200), 25, 60);
-  expect(fixture, "served or refused", with(fixture, 200) + with(fixture, 503), 150, 150);
+  check_responses(fixture, true);
+  expect_between(fixture, "served", count_by_status(fixture, 200), 25, 60);
+  expect_between(fixture, "served or refused",
+                 count_by_status(fixture, 200) + count_by_status(fixture, 503), 150, 150);
   int late = 0;
   for (guint i = 0; i < fixture->requests->len; i++) {
-    fixture_request *attempt = fixture->requests->pdata[i];
+    fixture_request *request = fixture->requests->pdata[i];
     string_view v;
-    if (attempt->status != 503)
+    if (request->status != 503)
       continue;
-    if (!fields_get(attempt->in, "Retry-After", &v))
-      fleet_add_violation(fleet, "%s was refused without a time to come back", attempt->request);
+    if (!fields_get(request->received_fields, "Retry-After", &v))
+      fleet_add_violation(fleet, "%s was refused without a time to come back",
+                          request->request_id_text);
     else if (g_ascii_strtod(v.data, NULL) > 0.667)
-      fleet_add_violation(fleet, "%s is to come back after %.*s s", attempt->request, (int)v.length,
-                          v.data);
-    late += time_sub(attempt->last, attempt->sent).us > 180000;
+      fleet_add_violation(fleet, "%s is to come back after %.*s s", request->request_id_text,
+                          (int)v.length, v.data);
+    late += time_sub(request->last_byte_received_at, request->request_sent_at).us > 180000;
   }
-  expect(fixture, "refused late", late, 0, 20);
+  expect_between(fixture, "refused late", late, 0, 20);
   fixture_free(fixture);
   return true;
 }
@@ -295,12 +300,12 @@
 static bool runs_end_when_their_callers_leave(fleet *fleet) {
   fixture *fixture = fixture_new(fleet, LLM("2", "true"), true, 2, 8);
   for (int i = 0; i < 10; i++) {
-    fixture_request *attempt = fixture_ask(fixture, "/stream/x", 6000, STREAM);
-    attempt->leave_ms = 30 + (int64_t)sim_random(fleet->sim, 250);
+    fixture_request *request = fixture_send(fixture, "/stream/x", 6000, STREAM);
+    request->disconnect_after_ms = 30 + (int64_t)sim_random(fleet->sim, 250);
     fixture_run(fixture, 50);
   }
   fixture_run(fixture, 1500);
-  expect(fixture, "open", fixture->gateway->requests.open_count, 0, 0);
+  expect_between(fixture, "open", fixture->gateway->requests.open_count, 0, 0);
   for (guint i = 0; i < fixture->log->runs->len; i++) {
     engine_run_record *run = fixture->log->runs->pdata[i];
     if (run->outcome == 'r' || (run->outcome == 'd' && run->events < 20))
@@ -308,78 +313,80 @@
   }
   for (int i = 0; i < 2; i++) {
     gateway_engine *n = gateway_engine_find(fixture->gateway, fixture->engines[i]->self.text);
-    expect(fixture, "running there", n ? n->load.own_running : -1, 0, 0);
-    expect(fixture, "refs", n ? n->refs : -1, 0, 0);
+    expect_between(fixture, "running there", n ? n->load.own_running : -1, 0, 0);
+    expect_between(fixture, "refs", n ? n->refs : -1, 0, 0);
   }
   fixture_free(fixture);
   return true;
 }
 
-static void ready_run(void *p) {
-  fixture_request *attempt = p;
-  attempt->status =
-      http_call_fetch(&attempt->fixture->caller->world, "10.9.0.1:8140", "GET", "/ready", NULL,
-                      string_view_of(""), attempt->got, time_from_ms(500), NULL);
-  attempt->done = true;
+static void readiness_run(void *p) {
+  fixture_request *request = p;
+  request->status =
+      http_call_fetch(&request->fixture->caller->world, "10.9.0.1:8140", "GET", "/ready", NULL,
+                      string_view_of(""), request->received_body, time_from_ms(500), NULL);
+  request->done = true;
 }
 
-static int ready(fixture *fixture) {
-  fixture_request k = { .fixture = fixture, .got = g_string_new(NULL) };
-  task_start(&fixture->caller->world.tasks, "ready", ready_run, &k);
+static int readiness_status(fixture *fixture) {
+  fixture_request k = { .fixture = fixture, .received_body = g_string_new(NULL) };
+  task_start(&fixture->caller->world.tasks, "ready", readiness_run, &k);
   fixture->caller->next_wake_at = fixture->fleet->sim->now;
   fixture_run(fixture, 600);
-  g_string_free(k.got, TRUE);
+  g_string_free(k.received_body, TRUE);
   return k.done ? k.status : -1;
 }
 
 static bool a_gateway_leaves_in_order(fleet *fleet) {
   fixture *fixture = fixture_new(fleet, LLM("1", "false"), true, 2, 8);
-  expect(fixture, "ready", ready(fixture), 200, 200);
-  fixture_watch_end(fixture);
+  expect_between(fixture, "ready", readiness_status(fixture), 200, 200);
+  fixture_watch_drain(fixture);
   for (int i = 0; i < 8; i++) {
-    fixture_ask(fixture, "/stream/x", 6000, STREAM);
+    fixture_send(fixture, "/stream/x", 6000, STREAM);
     fixture_run(fixture, 40);
   }
   gateway_drain(fixture->gateway);
-  expect(fixture, "ready while it leaves", ready(fixture), 503, 503);
+  expect_between(fixture, "ready while it leaves", readiness_status(fixture), 503, 503);
   for (int i = 0; i < 8; i++) {
-    fixture_request *attempt = fixture_ask(fixture, "/stream/x", 6000, STREAM);
-    attempt->fresh = true;
+    fixture_request *request = fixture_send(fixture, "/stream/x", 6000, STREAM);
+    request->use_new_connection = true;
     fixture_run(fixture, 100);
   }
-  for (int i = 0; i < 70 && !fixture->over; i++)
+  for (int i = 0; i < 70 && !fixture->drain_finished; i++)
     fixture_run(fixture, 100);
-  expect(fixture, "over", fixture->over, 1, 1);
-  expect(fixture, "open", fixture->gateway->requests.open_count, 0, 0);
-  check(fixture, true);
-  expect(fixture, "served", with(fixture, 200), 16, 16);
+  expect_between(fixture, "over", fixture->drain_finished, 1, 1);
+  expect_between(fixture, "open", fixture->gateway->requests.open_count, 0, 0);
+  check_responses(fixture, true);
+  expect_between(fixture, "served", count_by_status(fixture, 200), 16, 16);
   fixture_free(fixture);
   return true;
 }
 
-/* a caller's kept channel that is idle when all is served must not bring one more request, which
- * the end would cut */
+/* A client's pooled connection that is idle once all requests are served must be closed: a further
+ * request on it would be cut off when the process exits. */
 static bool a_gateway_ends_its_idle_channels(fleet *fleet) {
   fixture *fixture = fixture_new(fleet, LLM("1", "false"), true, 2, 8);
-  fixture_watch_end(fixture);
+  fixture_watch_drain(fixture);
   for (int i = 0; i < 4; i++)
-    fixture_ask(fixture, "/stream/x", 6000, STREAM);
+    fixture_send(fixture, "/stream/x", 6000, STREAM);
   fixture_run(fixture, 2000);
-  expect(fixture, "idle channels before", fixture->gateway->client_listener.connections > 0, 1, 1);
+  expect_between(fixture, "idle channels before", fixture->gateway->client_listener.connections > 0,
+                 1, 1);
   gateway_drain(fixture->gateway);
-  for (int i = 0; i < 500 && !fixture->over; i++)
+  for (int i = 0; i < 500 && !fixture->drain_finished; i++)
     fixture_run(fixture, 10);
-  expect(fixture, "over", fixture->over, 1, 1);
-  expect(fixture, "open at the end",
-         fixture->gateway->requests.open_count +
-             fixture->gateway->client_listener.pending_exchanges,
-         0, 0);
-  expect(fixture, "channels at the end", fixture->gateway->client_listener.connections, 0, 0);
+  expect_between(fixture, "over", fixture->drain_finished, 1, 1);
+  expect_between(fixture, "open at the end",
+                 fixture->gateway->requests.open_count +
+                     fixture->gateway->client_listener.pending_exchanges,
+                 0, 0);
+  expect_between(fixture, "channels at the end", fixture->gateway->client_listener.connections, 0,
+                 0);
   fixture_free(fixture);
   return true;
 }
 
-/* events are found whole, whatever their line ends, and say what they are */
+/* Complete events are found with either kind of line end, and their fields are parsed. */
 static bool events_are_read(fleet *fleet) {
   static const struct {
     const char *text;
--- a/tests/gateway/retry_budget.c
+++ b/tests/gateway/retry_budget.c
@@ -23,8 +23,8 @@
   return true;
 }
 
-/* whatever the pattern of requests, no window of the rule holds more extras than one node's share
- * of it */
+/* Whatever the pattern of requests, no window of the retry limit contains more retries than the
+ * share of one gateway. */
 static bool no_window_is_overdrawn(fleet *fleet) {
   fixture *fixture = fixture_new(fleet, plain, false, 1, 4);
   const service *service = routing_find_service(fixture->gateway->routing, "svc");
