--- a/tests/gateway/canary.c
+++ b/tests/gateway/canary.c
@@ -140,7 +140,7 @@
   return deployment_finish(deployment, 0.99);
 }
 
-static bool a_harmless_trial_runs_its_time(fleet *fleet) {
+static bool a_harmless_trial_runs_to_its_end(fleet *fleet) {
   deployment *deployment = deployment_new(fleet, 5, 2);
   if (!deployment_bring_up(deployment))
     return deployment_finish(deployment, 0);
@@ -161,7 +161,7 @@
   return over(deployment, "calm", at, 0.97);
 }
 
-static bool a_harmful_trial_ends_itself(fleet *fleet) {
+static bool a_harmful_trial_is_ended_early(fleet *fleet) {
   deployment *deployment = deployment_new(fleet, 5, 2);
   if (!deployment_bring_up(deployment))
     return deployment_finish(deployment, 0);
@@ -190,7 +190,7 @@
   return over(deployment, "harm", at, 0.5);
 }
 
-static bool the_judge_dies_in_a_trial(fleet *fleet) {
+static bool the_judge_crashes_in_a_trial(fleet *fleet) {
   deployment *deployment = deployment_new(fleet, 5, 2);
   if (!deployment_bring_up(deployment))
     return deployment_finish(deployment, 0);
@@ -219,7 +219,7 @@
   return judge_of(p) != NULL;
 }
 
-static bool a_trial_goes_on_under_a_new_judge(fleet *fleet) {
+static bool a_trial_continues_under_a_new_judge(fleet *fleet) {
   deployment *deployment = deployment_new(fleet, 5, 2);
   if (!deployment_bring_up(deployment))
     return deployment_finish(deployment, 0);
@@ -269,7 +269,7 @@
   return is;
 }
 
-static bool a_judge_forgets_and_judges_on(fleet *fleet) {
+static bool a_judge_loses_its_state_and_continues(fleet *fleet) {
   deployment *deployment = deployment_new(fleet, 5, 2);
   if (!deployment_bring_up(deployment))
     return deployment_finish(deployment, 0);
@@ -350,7 +350,7 @@
   return over(deployment, "forgets", at, 0.7);
 }
 
-static bool nodes_restart_in_a_trial(fleet *fleet) {
+static bool gateways_restart_in_a_trial(fleet *fleet) {
   deployment *deployment = deployment_new(fleet, 5, 2);
   if (!deployment_bring_up(deployment))
     return deployment_finish(deployment, 0);
@@ -372,7 +372,7 @@
   return over(deployment, "restarts", at, 0.9);
 }
 
-static bool a_node_is_cut_off_in_a_trial(fleet *fleet) {
+static bool a_gateway_is_partitioned_in_a_trial(fleet *fleet) {
   deployment *deployment = deployment_new(fleet, 5, 2);
   if (!deployment_bring_up(deployment))
     return deployment_finish(deployment, 0);
@@ -423,7 +423,7 @@
   return deployment_finish(deployment, 0.9);
 }
 
-static bool the_judge_hears_nobody(fleet *fleet) {
+static bool the_judge_receives_no_reports(fleet *fleet) {
   deployment *deployment = deployment_new(fleet, 5, 2);
   if (!deployment_bring_up(deployment))
     return deployment_finish(deployment, 0);
@@ -491,7 +491,7 @@
   return over(deployment, won, at, 0.97);
 }
 
-static bool sessions_keep_their_policy_through_tries(fleet *fleet) {
+static bool sessions_keep_their_policy_through_retries(fleet *fleet) {
   deployment *deployment = deployment_new(fleet, 4, 2);
   if (!deployment_bring_up(deployment))
     return deployment_finish(deployment, 0);
@@ -536,7 +536,7 @@
 }
 
 /* what the end says was judged is no more than what engines ran, or callers were refused */
-static bool a_guard_counts_each_request_once(fleet *fleet) {
+static bool a_trial_counts_each_request_once(fleet *fleet) {
   deployment *deployment = deployment_new(fleet, 5, 2);
   if (!deployment_bring_up(deployment))
     return deployment_finish(deployment, 0);
@@ -645,7 +645,7 @@
   return over(deployment, "guarded", at, 0.97);
 }
 
-static bool a_judge_freezes_and_wakes(fleet *fleet) {
+static bool a_judge_freezes_and_resumes(fleet *fleet) {
   deployment *deployment = deployment_new(fleet, 5, 2);
   if (!deployment_bring_up(deployment))
     return deployment_finish(deployment, 0);
@@ -862,7 +862,7 @@
   return -1;
 }
 
-static bool a_guard_seldom_errs_and_sees_harm(fleet *fleet) {
+static bool harm_is_detected_with_few_false_alarms(fleet *fleet) {
   canary_plan p = { .traffic_share = 0.3,
                     .late_penalty = 0.5,
                     .margin = 0,
@@ -986,23 +986,23 @@
 
 const test_case canary_tests[] = {
   { "trials_are_compiled", trials_are_compiled, 1, 1, 17 },
-  { "a_guard_seldom_errs_and_sees_harm", a_guard_seldom_errs_and_sees_harm, 1, 1, 50 },
+  { "harm_is_detected_with_few_false_alarms", harm_is_detected_with_few_false_alarms, 1, 1, 50 },
   { "no_trial_leaves_no_trace", no_trial_leaves_no_trace, 3, 0, 34 },
   { "trial_checkers_can_fail", trial_checkers_can_fail, 3, 0, 20 },
-  { "a_harmless_trial_runs_its_time", a_harmless_trial_runs_its_time, 4, 0, 100 },
-  { "a_harmful_trial_ends_itself", a_harmful_trial_ends_itself, 4, 0, 100 },
-  { "the_judge_dies_in_a_trial", the_judge_dies_in_a_trial, 5, 0, 100 },
-  { "nodes_restart_in_a_trial", nodes_restart_in_a_trial, 4, 0, 100 },
-  { "a_node_is_cut_off_in_a_trial", a_node_is_cut_off_in_a_trial, 5, 0, 100 },
-  { "the_judge_hears_nobody", the_judge_hears_nobody, 5, 0, 100 },
-  { "a_guard_counts_each_request_once", a_guard_counts_each_request_once, 4, 0, 100 },
-  { "a_trial_goes_on_under_a_new_judge", a_trial_goes_on_under_a_new_judge, 5, 0, 100 },
+  { "a_harmless_trial_runs_to_its_end", a_harmless_trial_runs_to_its_end, 4, 0, 100 },
+  { "a_harmful_trial_is_ended_early", a_harmful_trial_is_ended_early, 4, 0, 100 },
+  { "the_judge_crashes_in_a_trial", the_judge_crashes_in_a_trial, 5, 0, 100 },
+  { "gateways_restart_in_a_trial", gateways_restart_in_a_trial, 4, 0, 100 },
+  { "a_gateway_is_partitioned_in_a_trial", a_gateway_is_partitioned_in_a_trial, 5, 0, 100 },
+  { "the_judge_receives_no_reports", the_judge_receives_no_reports, 5, 0, 100 },
+  { "a_trial_counts_each_request_once", a_trial_counts_each_request_once, 4, 0, 100 },
+  { "a_trial_continues_under_a_new_judge", a_trial_continues_under_a_new_judge, 5, 0, 100 },
   { "anything_happens_in_a_trial", anything_happens_in_a_trial, 5, 0, 200 },
-  { "a_judge_forgets_and_judges_on", a_judge_forgets_and_judges_on, 5, 0, 100 },
+  { "a_judge_loses_its_state_and_continues", a_judge_loses_its_state_and_continues, 5, 0, 100 },
   { "only_the_judge_ends_a_trial", only_the_judge_ends_a_trial, 4, 0, 100 },
-  { "a_judge_freezes_and_wakes", a_judge_freezes_and_wakes, 5, 0, 100 },
+  { "a_judge_freezes_and_resumes", a_judge_freezes_and_resumes, 5, 0, 100 },
   { "operators_start_stop_and_race_trials", operators_start_stop_and_race_trials, 4, 0, 100 },
-  { "sessions_keep_their_policy_through_tries", sessions_keep_their_policy_through_tries, 4, 0,
+  { "sessions_keep_their_policy_through_retries", sessions_keep_their_policy_through_retries, 4, 0,
     100 },
   { NULL, NULL, 0, 0, 0 }
 };
--- a/tests/gateway/drain.c
+++ b/tests/gateway/drain.c
@@ -57,7 +57,7 @@
 /* Streams that started before the drain end after the listener is closed. Their clients don't know
  * of the drain, since the response heads were written before it, and send the next request on the
  * same connection. */
-static bool a_kept_connection_brings_nothing_after_the_listener_is_shut(fleet *fleet) {
+static bool pooled_connections_bring_no_requests_after_the_listener_closes(fleet *fleet) {
   fixture *fixture = fixture_new(fleet, long_routes, true, 2, 8);
   fixture_watch_drain(fixture);
   fixture_request *now[CALLERS];
@@ -106,7 +106,7 @@
 /* On a route whose streams last longer than the rest of the grace period, requests are refused at
  * once, while other gateways still have time to serve them; short streams are accepted until the
  * listener is closed. */
-static bool streams_that_would_be_cut_are_refused(fleet *fleet) {
+static bool streams_that_would_be_cut_off_are_refused(fleet *fleet) {
   enum { LONG_TOKENS = 900, SHORT_TOKENS = 150 };
   fixture *fixture = fixture_new(fleet, long_routes, true, 2, 8);
   fixture_request *late = ask_after_stop(fixture, LONG_TOKENS);
@@ -131,7 +131,7 @@
 /* At the end of the grace period a request may still be at an engine that has sent nothing yet. The
  * client gets a final response that does not say whether the request has run; its connection is not
  * just closed. */
-static bool what_has_not_begun_is_answered_at_the_end(fleet *fleet) {
+static bool unstarted_responses_get_an_error_at_the_end_of_a_drain(fleet *fleet) {
   fixture *fixture = fixture_new(fleet, plain_routes, false, 2, 8);
   fixture_watch_drain(fixture);
   for (int i = 0; i < FIXTURE_ENGINES; i++)
@@ -155,7 +155,7 @@
 
 /* Clients keep using their open connections, also when the platform sends no new connections to the
  * gateway. */
-static bool gateways_stop_under_long_streams(fleet *fleet) {
+static bool gateways_drain_under_long_streams(fleet *fleet) {
   deployment *deployment = deployment_new(fleet, 6, 2);
   if (!deployment_bring_up(deployment))
     return deployment_finish(deployment, 0);
@@ -197,7 +197,7 @@
 
 /* Drains coincide with configuration changes, reloaded settings, draining engines and controller
  * crashes: each gateway is stopped and restarted several times under long streams. */
-static bool gateways_stop_at_any_hour(fleet *fleet) {
+static bool gateways_drain_during_other_changes(fleet *fleet) {
   enum { STEPS = 14, SETTLE_MS = 11000 };
   deployment *deployment = deployment_new(fleet, 6, 3);
   if (!deployment_bring_up(deployment))
@@ -294,7 +294,7 @@
 
 /* All controllers are draining, so that a read waits for an acting tail before it is refused. No
  * call that a controller has read may be pending when its process ends. */
-static bool leaving_controllers_answer_what_they_have_read(fleet *fleet) {
+static bool draining_controllers_answer_calls_that_they_have_read(fleet *fleet) {
   enum { READERS = 4 };
   deployment *deployment = deployment_new(fleet, 2, 1);
   if (!deployment_bring_up(deployment))
@@ -339,14 +339,15 @@
 }
 
 const test_case drain_tests[] = {
-  { "a_kept_connection_brings_nothing_after_the_listener_is_shut",
-    a_kept_connection_brings_nothing_after_the_listener_is_shut, 1, 1, 50 },
-  { "streams_that_would_be_cut_are_refused", streams_that_would_be_cut_are_refused, 1, 1, 20 },
-  { "what_has_not_begun_is_answered_at_the_end", what_has_not_begun_is_answered_at_the_end, 1, 1,
-    50 },
-  { "gateways_stop_under_long_streams", gateways_stop_under_long_streams, 3, 0, 100 },
-  { "gateways_stop_at_any_hour", gateways_stop_at_any_hour, 4, 0, 200 },
-  { "leaving_controllers_answer_what_they_have_read",
-    leaving_controllers_answer_what_they_have_read, 2, 0, 50 },
+  { "pooled_connections_bring_no_requests_after_the_listener_closes",
+    pooled_connections_bring_no_requests_after_the_listener_closes, 1, 1, 50 },
+  { "streams_that_would_be_cut_off_are_refused", streams_that_would_be_cut_off_are_refused, 1, 1,
+    20 },
+  { "unstarted_responses_get_an_error_at_the_end_of_a_drain",
+    unstarted_responses_get_an_error_at_the_end_of_a_drain, 1, 1, 50 },
+  { "gateways_drain_under_long_streams", gateways_drain_under_long_streams, 3, 0, 100 },
+  { "gateways_drain_during_other_changes", gateways_drain_during_other_changes, 4, 0, 200 },
+  { "draining_controllers_answer_calls_that_they_have_read",
+    draining_controllers_answer_calls_that_they_have_read, 2, 0, 50 },
   { NULL, NULL, 0, 0, 0 }
 };
--- a/tests/gateway/forward.c
+++ b/tests/gateway/forward.c
@@ -80,7 +80,7 @@
   }
 }
 
-static bool requests_go_through(fleet *fleet) {
+static bool requests_are_forwarded(fleet *fleet) {
   fixture *fixture = fixture_new(fleet, PLAIN("2"), false, 2, 6);
   for (int i = 0; i < 40; i++) {
     fixture_send(fixture, i % 2 ? "/once/x?y=1" : "/safe/x", 2000,
@@ -107,7 +107,7 @@
   return true;
 }
 
-static bool streams_go_through(fleet *fleet) {
+static bool streams_are_forwarded(fleet *fleet) {
   fixture *fixture = fixture_new(fleet, LLM("2", "true"), true, 2, 8);
   for (int i = 0; i < 12; i++) {
     fixture_send(fixture, "/stream/x", 6000, STREAM);
@@ -132,7 +132,7 @@
 
 /* Engines truncate responses and send extra, stale or garbage ones. A request that may run only
  * once must not be sent again. */
-static bool once_is_sent_once(fleet *fleet) {
+static bool once_requests_are_sent_once(fleet *fleet) {
   fixture *fixture = fixture_new(fleet, PLAIN("3"), false, 3, 6);
   for (int i = 0; i < 60; i++) {
     registering_engine_faults *faults = &fixture->plan[i % 3].faults;
@@ -155,7 +155,7 @@
   return true;
 }
 
-static bool safe_is_sent_again(fleet *fleet) {
+static bool safe_requests_are_retried(fleet *fleet) {
   fixture *fixture = fixture_new(fleet, PLAIN("3"), false, 3, 6);
   fixture->plan[0].faults.intermittent_failures = 0.2;
   for (int i = 0; i < 60; i++) {
@@ -207,7 +207,7 @@
   return true;
 }
 
-static bool broken_streams_look_broken(fleet *fleet) {
+static bool truncated_streams_do_not_look_complete(fleet *fleet) {
   fixture *fixture = fixture_new(fleet, LLM("3", "false"), true, 3, 8);
   for (int i = 0; i < 3; i++)
     fixture->plan[i].faults.truncate_after_events = (unsigned)sim_random(fleet->sim, 10);
@@ -236,7 +236,7 @@
 
 /* The machine of an engine loses power. Requests that may be sent only once use new connections and
  * are not lost on a pooled connection to the dead machine. */
-static bool once_is_not_lost_to_the_dark(fleet *fleet) {
+static bool once_requests_are_not_lost_to_a_dead_machine(fleet *fleet) {
   fixture *fixture = fixture_new(fleet, PLAIN("1"), false, 3, 6);
   for (int i = 0; i < 20; i++) {
     fixture_send(fixture, "/once/x", 2000, NULL);
@@ -263,7 +263,7 @@
 
 /* Far more requests arrive than there are slots: some are served, and all others are refused
  * early. */
-static bool too_much_is_refused_early(fleet *fleet) {
+static bool overload_is_refused_early(fleet *fleet) {
   fixture *fixture = fixture_new(fleet, PLAIN("1"), false, 2, 2);
   for (int i = 0; i < 2; i++) {
     fixture->plan[i].work_ms = 300;
@@ -297,7 +297,7 @@
   return true;
 }
 
-static bool runs_end_when_their_callers_leave(fleet *fleet) {
+static bool runs_end_when_clients_disconnect(fleet *fleet) {
   fixture *fixture = fixture_new(fleet, LLM("2", "true"), true, 2, 8);
   for (int i = 0; i < 10; i++) {
     fixture_request *request = fixture_send(fixture, "/stream/x", 6000, STREAM);
@@ -337,7 +337,7 @@
   return k.done ? k.status : -1;
 }
 
-static bool a_gateway_leaves_in_order(fleet *fleet) {
+static bool a_gateway_drains_gracefully(fleet *fleet) {
   fixture *fixture = fixture_new(fleet, LLM("1", "false"), true, 2, 8);
   expect_between(fixture, "ready", readiness_status(fixture), 200, 200);
   fixture_watch_drain(fixture);
@@ -364,7 +364,7 @@
 
 /* A client's pooled connection that is idle once all requests are served must be closed: a further
  * request on it would be cut off when the process exits. */
-static bool a_gateway_ends_its_idle_channels(fleet *fleet) {
+static bool a_draining_gateway_closes_idle_connections(fleet *fleet) {
   fixture *fixture = fixture_new(fleet, LLM("1", "false"), true, 2, 8);
   fixture_watch_drain(fixture);
   for (int i = 0; i < 4; i++)
@@ -387,7 +387,7 @@
 }
 
 /* Complete events are found with either kind of line end, and their fields are parsed. */
-static bool events_are_read(fleet *fleet) {
+static bool events_are_parsed(fleet *fleet) {
   static const struct {
     const char *text;
     size_t whole, first;
@@ -420,17 +420,19 @@
 }
 
 const test_case forward_tests[] = {
-  { "events_are_read", events_are_read, 1, 1, 2 },
-  { "requests_go_through", requests_go_through, 1, 1, 50 },
-  { "streams_go_through", streams_go_through, 1, 1, 50 },
-  { "once_is_sent_once", once_is_sent_once, 1, 1, 100 },
-  { "safe_is_sent_again", safe_is_sent_again, 1, 1, 100 },
+  { "events_are_parsed", events_are_parsed, 1, 1, 2 },
+  { "requests_are_forwarded", requests_are_forwarded, 1, 1, 50 },
+  { "streams_are_forwarded", streams_are_forwarded, 1, 1, 50 },
+  { "once_requests_are_sent_once", once_requests_are_sent_once, 1, 1, 100 },
+  { "safe_requests_are_retried", safe_requests_are_retried, 1, 1, 100 },
   { "streams_are_resumed", streams_are_resumed, 1, 1, 100 },
-  { "broken_streams_look_broken", broken_streams_look_broken, 1, 1, 100 },
-  { "once_is_not_lost_to_the_dark", once_is_not_lost_to_the_dark, 1, 1, 100 },
-  { "too_much_is_refused_early", too_much_is_refused_early, 1, 1, 50 },
-  { "runs_end_when_their_callers_leave", runs_end_when_their_callers_leave, 1, 1, 50 },
-  { "a_gateway_leaves_in_order", a_gateway_leaves_in_order, 1, 1, 50 },
-  { "a_gateway_ends_its_idle_channels", a_gateway_ends_its_idle_channels, 1, 1, 50 },
+  { "truncated_streams_do_not_look_complete", truncated_streams_do_not_look_complete, 1, 1, 100 },
+  { "once_requests_are_not_lost_to_a_dead_machine", once_requests_are_not_lost_to_a_dead_machine, 1,
+    1, 100 },
+  { "overload_is_refused_early", overload_is_refused_early, 1, 1, 50 },
+  { "runs_end_when_clients_disconnect", runs_end_when_clients_disconnect, 1, 1, 50 },
+  { "a_gateway_drains_gracefully", a_gateway_drains_gracefully, 1, 1, 50 },
+  { "a_draining_gateway_closes_idle_connections", a_draining_gateway_closes_idle_connections, 1, 1,
+    50 },
   { NULL, NULL, 0, 0, 0 }
 };
--- a/tests/gateway/gateway.c
+++ b/tests/gateway/gateway.c
@@ -7,7 +7,7 @@
 /* tests of gateways: given a fleet with traffic, when something happens, then the rules hold and
  * requests are served */
 
-static bool a_calm_minute_is_served(fleet *fleet) {
+static bool traffic_without_faults_is_served(fleet *fleet) {
   deployment *deployment = deployment_new(fleet, 5, 2);
   if (!deployment_bring_up(deployment))
     return deployment_finish(deployment, 0);
@@ -32,7 +32,7 @@
   return NULL;
 }
 
-static bool an_engine_crashes_in_mid_stream(fleet *fleet) {
+static bool engines_crash_during_streams(fleet *fleet) {
   deployment *deployment = deployment_new(fleet, 5, 2);
   if (!deployment_bring_up(deployment))
     return deployment_finish(deployment, 0);
@@ -55,7 +55,7 @@
   return deployment_finish(deployment, 0.9);
 }
 
-static bool an_engine_goes_dark(fleet *fleet) {
+static bool engine_machines_lose_power(fleet *fleet) {
   deployment *deployment = deployment_new(fleet, 5, 2);
   if (!deployment_bring_up(deployment))
     return deployment_finish(deployment, 0);
@@ -76,7 +76,7 @@
   return deployment_finish(deployment, 0.9);
 }
 
-static bool answers_are_lost_cut_and_doubled(fleet *fleet) {
+static bool responses_are_lost_truncated_and_duplicated(fleet *fleet) {
   deployment *deployment = deployment_new(fleet, 4, 2);
   if (!deployment_bring_up(deployment))
     return deployment_finish(deployment, 0);
@@ -110,7 +110,7 @@
   return deployment_finish(deployment, 0.9);
 }
 
-static bool an_engine_is_grey(fleet *fleet) {
+static bool engines_fail_intermittently(fleet *fleet) {
   deployment *deployment = deployment_new(fleet, 4, 3);
   if (!deployment_bring_up(deployment))
     return deployment_finish(deployment, 0);
@@ -121,7 +121,7 @@
   return deployment_finish(deployment, 0.8);
 }
 
-static bool engines_leave_after_word(fleet *fleet) {
+static bool engines_drain_with_acknowledgement(fleet *fleet) {
   deployment *deployment = deployment_new(fleet, 5, 3);
   if (!deployment_bring_up(deployment))
     return deployment_finish(deployment, 0);
@@ -150,7 +150,7 @@
   return deployment_finish(deployment, 0.97);
 }
 
-static bool an_engine_is_taken_at_short_notice(fleet *fleet) {
+static bool an_engine_drains_at_short_notice(fleet *fleet) {
   deployment *deployment = deployment_new(fleet, 5, 2);
   if (!deployment_bring_up(deployment))
     return deployment_finish(deployment, 0);
@@ -164,7 +164,7 @@
   return deployment_finish(deployment, 0.93);
 }
 
-static bool a_gateway_is_told_to_stop(fleet *fleet) {
+static bool gateways_drain_under_traffic(fleet *fleet) {
   deployment *deployment = deployment_new(fleet, 5, 2);
   if (!deployment_bring_up(deployment))
     return deployment_finish(deployment, 0);
@@ -182,7 +182,7 @@
   return deployment_finish(deployment, 0.97);
 }
 
-static bool a_gateway_is_killed(fleet *fleet) {
+static bool gateways_crash_under_traffic(fleet *fleet) {
   deployment *deployment = deployment_new(fleet, 4, 2);
   if (!deployment_bring_up(deployment))
     return deployment_finish(deployment, 0);
@@ -200,7 +200,7 @@
   return deployment_finish(deployment, 0.93);
 }
 
-static bool controllers_die_under_traffic(fleet *fleet) {
+static bool controllers_crash_under_traffic(fleet *fleet) {
   deployment *deployment = deployment_new(fleet, 4, 3);
   if (!deployment_bring_up(deployment))
     return deployment_finish(deployment, 0);
@@ -231,7 +231,7 @@
   return deployment_finish(deployment, 0.97);
 }
 
-static bool configurations_change_race_and_are_bad(fleet *fleet) {
+static bool configurations_change_race_and_are_invalid(fleet *fleet) {
   deployment *deployment = deployment_new(fleet, 4, 4);
   if (!deployment_bring_up(deployment))
     return deployment_finish(deployment, 0);
@@ -297,7 +297,7 @@
   return deployment_finish(deployment, 0.97);
 }
 
-static bool a_missing_model_is_loaded_by_rule(fleet *fleet) {
+static bool a_missing_model_is_loaded_on_demand(fleet *fleet) {
   deployment *deployment = deployment_new(fleet, 4, 1);
   if (!deployment_bring_up(deployment))
     return deployment_finish(deployment, 0);
@@ -314,7 +314,7 @@
   return deployment_finish(deployment, 0.97);
 }
 
-static bool rare_models_come_at_once(fleet *fleet) {
+static bool a_burst_of_rare_models_is_requested(fleet *fleet) {
   deployment *deployment = deployment_new(fleet, 5, 1);
   deployment->loads_per_s = 0.8;
   if (!deployment_bring_up(deployment))
@@ -360,7 +360,7 @@
 
 /* whoever places freezes in the middle of it, another takes over, and then the first one wakes with
  * its orders in hand */
-static bool a_placer_freezes_and_wakes(fleet *fleet) {
+static bool a_placement_coordinator_freezes_and_resumes(fleet *fleet) {
   deployment *deployment = deployment_new(fleet, 4, 1);
   if (!deployment_bring_up(deployment))
     return deployment_finish(deployment, 0);
@@ -387,7 +387,7 @@
   return deployment_finish(deployment, 0.7);
 }
 
-static bool orders_are_lost(fleet *fleet) {
+static bool engine_orders_are_lost(fleet *fleet) {
   deployment *deployment = deployment_new(fleet, 4, 1);
   if (!deployment_bring_up(deployment))
     return deployment_finish(deployment, 0);
@@ -405,7 +405,7 @@
   return deployment_finish(deployment, 0.95);
 }
 
-static bool gateways_are_cut_off_from_the_core(fleet *fleet) {
+static bool gateways_are_partitioned_from_controllers(fleet *fleet) {
   deployment *deployment = deployment_new(fleet, 4, 2);
   if (!deployment_bring_up(deployment))
     return deployment_finish(deployment, 0);
@@ -426,7 +426,7 @@
 
 /* the head is cut off from the rest of the core, and routers still reach it: they must not wait for
  * news there */
-static bool a_head_is_cut_off_before_a_change(fleet *fleet) {
+static bool the_chain_head_is_partitioned_before_a_change(fleet *fleet) {
   deployment *deployment = deployment_new(fleet, 4, 3);
   if (!deployment_bring_up(deployment))
     return deployment_finish(deployment, 0);
@@ -466,7 +466,7 @@
 
 /* everything loses power after an acknowledgement; what was acknowledged is there, and traffic
  * comes back */
-static bool all_lose_power_at_the_end(fleet *fleet) {
+static bool all_machines_lose_power_after_a_change(fleet *fleet) {
   deployment *deployment = deployment_new(fleet, 4, 3);
   if (!deployment_bring_up(deployment))
     return deployment_finish(deployment, 0);
@@ -502,7 +502,7 @@
 }
 
 /* an address is given to an engine of another service a while after its own has ended */
-static bool an_address_goes_to_another_service(fleet *fleet) {
+static bool an_address_is_reused_by_another_service(fleet *fleet) {
   deployment *deployment = deployment_new(fleet, 4, 4);
   if (!deployment_bring_up(deployment))
     return deployment_finish(deployment, 0);
@@ -540,7 +540,7 @@
   return deployment_finish(deployment, 0.85);
 }
 
-static bool second_tries_come_in_plenty(fleet *fleet) {
+static bool many_attempts_fail_and_are_retried(fleet *fleet) {
   deployment *deployment = deployment_new(fleet, 4, 3);
   if (!deployment_bring_up(deployment))
     return deployment_finish(deployment, 0);
@@ -564,7 +564,7 @@
   return deployment_finish(deployment, 0.05);
 }
 
-static bool everybody_comes_at_once(fleet *fleet) {
+static bool the_request_rate_spikes(fleet *fleet) {
   deployment *deployment = deployment_new(fleet, 3, 2);
   if (!deployment_bring_up(deployment))
     return deployment_finish(deployment, 0);
@@ -600,7 +600,7 @@
   return deployment_finish(deployment, 0.85);
 }
 
-static bool routings_grow_large(fleet *fleet) {
+static bool a_large_routing_is_installed(fleet *fleet) {
   deployment *deployment = deployment_new(fleet, 4, 3);
   if (!deployment_bring_up(deployment))
     return deployment_finish(deployment, 0);
@@ -806,7 +806,7 @@
   sim_run_until(deployment->sim, probed, k, time_from_ms(3000));
 }
 
-static bool kept_channels_have_lives(fleet *fleet) {
+static bool pooled_connections_notice_restarts(fleet *fleet) {
   deployment *deployment = deployment_new(fleet, 2, 1);
   if (!deployment_bring_up(deployment))
     return deployment_finish(deployment, 0);
@@ -1079,31 +1079,36 @@
 }
 
 const test_case gateway_tests[] = {
-  { "a_calm_minute_is_served", a_calm_minute_is_served, 4, 0, 50 },
+  { "traffic_without_faults_is_served", traffic_without_faults_is_served, 4, 0, 50 },
   { "gateway_checkers_can_fail", gateway_checkers_can_fail, 3, 0, 20 },
-  { "an_engine_crashes_in_mid_stream", an_engine_crashes_in_mid_stream, 4, 0, 100 },
-  { "an_engine_goes_dark", an_engine_goes_dark, 4, 0, 100 },
-  { "answers_are_lost_cut_and_doubled", answers_are_lost_cut_and_doubled, 3, 0, 100 },
-  { "an_engine_is_grey", an_engine_is_grey, 3, 0, 50 },
-  { "engines_leave_after_word", engines_leave_after_word, 4, 0, 100 },
-  { "an_engine_is_taken_at_short_notice", an_engine_is_taken_at_short_notice, 4, 0, 100 },
-  { "a_gateway_is_told_to_stop", a_gateway_is_told_to_stop, 3, 0, 100 },
-  { "a_gateway_is_killed", a_gateway_is_killed, 4, 0, 100 },
-  { "controllers_die_under_traffic", controllers_die_under_traffic, 4, 0, 100 },
-  { "configurations_change_race_and_are_bad", configurations_change_race_and_are_bad, 4, 0, 100 },
-  { "a_missing_model_is_loaded_by_rule", a_missing_model_is_loaded_by_rule, 4, 0, 100 },
-  { "rare_models_come_at_once", rare_models_come_at_once, 4, 0, 100 },
-  { "a_placer_freezes_and_wakes", a_placer_freezes_and_wakes, 4, 0, 500 },
-  { "orders_are_lost", orders_are_lost, 3, 0, 50 },
-  { "gateways_are_cut_off_from_the_core", gateways_are_cut_off_from_the_core, 4, 0, 100 },
-  { "a_head_is_cut_off_before_a_change", a_head_is_cut_off_before_a_change, 4, 0, 100 },
-  { "all_lose_power_at_the_end", all_lose_power_at_the_end, 4, 0, 100 },
-  { "an_address_goes_to_another_service", an_address_goes_to_another_service, 4, 0, 100 },
-  { "second_tries_come_in_plenty", second_tries_come_in_plenty, 4, 0, 50 },
-  { "everybody_comes_at_once", everybody_comes_at_once, 4, 0, 50 },
+  { "engines_crash_during_streams", engines_crash_during_streams, 4, 0, 100 },
+  { "engine_machines_lose_power", engine_machines_lose_power, 4, 0, 100 },
+  { "responses_are_lost_truncated_and_duplicated", responses_are_lost_truncated_and_duplicated, 3,
+    0, 100 },
+  { "engines_fail_intermittently", engines_fail_intermittently, 3, 0, 50 },
+  { "engines_drain_with_acknowledgement", engines_drain_with_acknowledgement, 4, 0, 100 },
+  { "an_engine_drains_at_short_notice", an_engine_drains_at_short_notice, 4, 0, 100 },
+  { "gateways_drain_under_traffic", gateways_drain_under_traffic, 3, 0, 100 },
+  { "gateways_crash_under_traffic", gateways_crash_under_traffic, 4, 0, 100 },
+  { "controllers_crash_under_traffic", controllers_crash_under_traffic, 4, 0, 100 },
+  { "configurations_change_race_and_are_invalid", configurations_change_race_and_are_invalid, 4, 0,
+    100 },
+  { "a_missing_model_is_loaded_on_demand", a_missing_model_is_loaded_on_demand, 4, 0, 100 },
+  { "a_burst_of_rare_models_is_requested", a_burst_of_rare_models_is_requested, 4, 0, 100 },
+  { "a_placement_coordinator_freezes_and_resumes", a_placement_coordinator_freezes_and_resumes, 4,
+    0, 500 },
+  { "engine_orders_are_lost", engine_orders_are_lost, 3, 0, 50 },
+  { "gateways_are_partitioned_from_controllers", gateways_are_partitioned_from_controllers, 4, 0,
+    100 },
+  { "the_chain_head_is_partitioned_before_a_change", the_chain_head_is_partitioned_before_a_change,
+    4, 0, 100 },
+  { "all_machines_lose_power_after_a_change", all_machines_lose_power_after_a_change, 4, 0, 100 },
+  { "an_address_is_reused_by_another_service", an_address_is_reused_by_another_service, 4, 0, 100 },
+  { "many_attempts_fail_and_are_retried", many_attempts_fail_and_are_retried, 4, 0, 50 },
+  { "the_request_rate_spikes", the_request_rate_spikes, 4, 0, 50 },
   { "engines_fall_silent", engines_fall_silent, 4, 0, 100 },
-  { "routings_grow_large", routings_grow_large, 4, 0, 34 },
+  { "a_large_routing_is_installed", a_large_routing_is_installed, 4, 0, 34 },
   { "anything_happens_to_gateways", anything_happens_to_gateways, 4, 0, 200 },
-  { "kept_channels_have_lives", kept_channels_have_lives, 2, 0, 50 },
+  { "pooled_connections_notice_restarts", pooled_connections_notice_restarts, 2, 0, 50 },
   { NULL, NULL, 0, 0, 0 }
 };
--- a/tests/gateway/retry_budget.c
+++ b/tests/gateway/retry_budget.c
@@ -3,7 +3,7 @@
 static const char plain[] =
     "{\"version\":1,\"routes\":[{\"name\":\"a\",\"host\":\"svc.example\",\"prefix\":\"/a/\",\"mode\":\"safe\",\"timeoutMs\":3000,\"targetMs\":500,\"priority\":0,\"service\":\"svc\",\"attempts\":3}],\"services\":[{\"name\":\"svc\",\"health\":\"/health\"}]}";
 
-static bool shares_stay_within_the_whole(fleet *fleet) {
+static bool node_shares_stay_within_the_fleet_limit(fleet *fleet) {
   for (int nodes = 1; nodes <= 40; nodes++)
     for (int k = 0; k < 20; k++) {
       double slack = 5 + (double)sim_random(fleet->sim, 80),
@@ -25,7 +25,7 @@
 
 /* Whatever the pattern of requests, no window of the retry limit contains more retries than the
  * share of one gateway. */
-static bool no_window_is_overdrawn(fleet *fleet) {
+static bool no_window_exceeds_the_retry_budget(fleet *fleet) {
   fixture *fixture = fixture_new(fleet, plain, false, 1, 4);
   const service *service = routing_find_service(fixture->gateway->routing, "svc");
   enum { STEPS = 1200, STEP_MS = 50, WINDOW = 10000 / STEP_MS };
@@ -66,7 +66,7 @@
 }
 
 const test_case retry_budget_tests[] = {
-  { "shares_stay_within_the_whole", shares_stay_within_the_whole, 1, 1, 50 },
-  { "no_window_is_overdrawn", no_window_is_overdrawn, 1, 1, 50 },
+  { "node_shares_stay_within_the_fleet_limit", node_shares_stay_within_the_fleet_limit, 1, 1, 50 },
+  { "no_window_exceeds_the_retry_budget", no_window_exceeds_the_retry_budget, 1, 1, 50 },
   { NULL, NULL, 0, 0, 0 }
 };
