--- a/tests/gateway/canary.c
+++ b/tests/gateway/canary.c
@@ -5,12 +5,12 @@
 #include <stdio.h>
 #include <stdlib.h>
 
-/* trials of a selection policy: given a fleet of gateways under traffic and a trial, when something
- * happens, then each session keeps to one policy, nothing runs twice or is dropped, and the trial
- * ends when it must */
+/* Tests of canary trials of a selection policy: while a fleet of gateways has traffic and a trial
+ * runs, faults and changes are injected. Each session must keep its policy, no request may run
+ * twice or be dropped, and the trial must end when it should. */
 
 static const char harmless[] = "{\"affinity\":0.9}";
-/* behind anything else there is no place, and nothing may wait */
+/* rejects almost every request that would queue behind others, and allows almost no waiting */
 static const char harmful[] =
     "{\"load\":0,\"affinity\":1000,\"area\":1000,\"lateShare\":0.05,\"holdPercent\":1}";
 
@@ -21,14 +21,15 @@
       name, share, candidate, warm, least, most);
 }
 
-/* many callers, who come again now and then, so that sessions begin all the time */
-static void busy(deployment *deployment, double rate) {
+/* many users who return now and then, so that new sessions start all the time */
+static void start_busy_traffic(deployment *deployment, double rate) {
   deployment->client->users = 500;
   deployment_start_traffic(deployment, rate);
 }
 
-/* writes by any controller; says the status, and looks for a code in the answer */
-static int put(deployment *deployment, const char *verb, const char *text, int code) {
+/* writes the canary resource through a random controller; returns the status, and checks that the
+ * response contains an error code, if one is given */
+static int write_canary(deployment *deployment, const char *verb, const char *text, int code) {
   operator_call *call = fleet_call(
       deployment->fleet,
       deployment->fleet
@@ -47,15 +48,15 @@
 static bool begin_trial(deployment *deployment, const char *name, double share,
                         const char *candidate, double warm, double most, int least) {
   char *t = trial_text(name, share, candidate, warm, most, least);
-  int st = put(deployment, "PUT", t, 0);
+  int st = write_canary(deployment, "PUT", t, 0);
   g_free(t);
   if (st != 200)
-    fleet_add_violation(deployment->fleet, "the trial %s was not taken (%d)", name, st);
+    fleet_add_violation(deployment->fleet, "the trial %s was not accepted (%d)", name, st);
   return st == 200;
 }
 
-/* what stands of a trial at the core; the caller frees it */
-static json *stands(deployment *deployment) {
+/* reads the canary resource from the controllers; the caller frees it */
+static json *read_trial(deployment *deployment) {
   for (int i = 0; i < 20; i++) {
     operator_call *call = fleet_call(
         deployment->fleet,
@@ -76,13 +77,14 @@
   return json_text(json_get(json_get(json, "value"), "end"), "verdict", "");
 }
 
-/* runs until the core has the end, or for a span; says the verdict */
-static bool ends(deployment *deployment, const char *want, int64_t ms, time_us *at) {
+/* runs until the controllers have the end of the trial, or for a time; true when the verdict is the
+ * expected one */
+static bool wait_for_verdict(deployment *deployment, const char *want, int64_t ms, time_us *at) {
   time_us till = time_add(deployment->sim->now, time_from_ms(ms));
   char got[24] = "";
   while (!got[0] && !time_reached(deployment->sim->now, till)) {
     sim_run(deployment->sim, time_from_ms(250));
-    json *json = stands(deployment);
+    json *json = read_trial(deployment);
     if (!json)
       return false;
     g_strlcpy(got, verdict(json), sizeof got);
@@ -94,7 +96,7 @@
   return !strcmp(got, want);
 }
 
-static int candidates(deployment *deployment, time_us from, time_us till) {
+static int count_candidate_runs(deployment *deployment, time_us from, time_us till) {
   int n = 0;
   for (guint i = 0; i < deployment->log->runs->len; i++) {
     engine_run_record *run = deployment->log->runs->pdata[i];
@@ -112,7 +114,7 @@
   return NULL;
 }
 
-static bool over(deployment *deployment, const char *trial, time_us ended, double least) {
+static bool finish_trial(deployment *deployment, const char *trial, time_us ended, double least) {
   deployment_finish_traffic(deployment);
   gateway_check_trial_policies(deployment);
   if (ended.us) {
@@ -129,11 +131,11 @@
   deployment_run_traffic(deployment, 1, 8000);
   for (guint i = 0; i < deployment->log->runs->len; i++)
     if (((engine_run_record *)deployment->log->runs->pdata[i])->policy[0]) {
-      fleet_add_violation(fleet, "a policy is named, and there is no trial");
+      fleet_add_violation(fleet, "a run names a policy although there is no trial");
       break;
     }
   if (judge_of(deployment))
-    fleet_add_violation(fleet, "there is a judge without a trial");
+    fleet_add_violation(fleet, "a gateway holds the judge's lease without a trial");
   for (int i = 0; i < fleet->routers; i++)
     if (deployment->gateway_processes[i]->gateway->canary)
       fleet_add_violation(fleet, "there is a trial at %s", fleet->router[i]->self.text);
@@ -144,41 +146,41 @@
   deployment *deployment = deployment_new(fleet, 5, 2);
   if (!deployment_bring_up(deployment))
     return deployment_finish(deployment, 0);
-  busy(deployment, 1.2);
+  start_busy_traffic(deployment, 1.2);
   time_us began = deployment->sim->now, at = { 0 };
   if (!begin_trial(deployment, "calm", 0.4, harmless, 4, 40, 30))
     return deployment_finish(deployment, 0);
-  ends(deployment, "no harm", 60000, &at);
+  wait_for_verdict(deployment, "no harm", 60000, &at);
   if (time_sub(at, began).us < 39000000)
     fleet_add_violation(fleet, "the trial ended after %.1f s",
                         (double)time_sub(at, began).us / 1e6);
-  int n = candidates(deployment, began, at);
+  int n = count_candidate_runs(deployment, began, at);
   if (n < 40)
     fleet_add_violation(fleet, "the candidate had only %d runs", n);
   sim_run(deployment->sim, time_from_ms(8000));
   if (judge_of(deployment))
     fleet_add_violation(fleet, "a judge is left after the trial");
-  return over(deployment, "calm", at, 0.97);
+  return finish_trial(deployment, "calm", at, 0.97);
 }
 
 static bool a_harmful_trial_is_ended_early(fleet *fleet) {
   deployment *deployment = deployment_new(fleet, 5, 2);
   if (!deployment_bring_up(deployment))
     return deployment_finish(deployment, 0);
-  /* long prompts: there is mostly something ahead */
+  /* long prompts, so that most requests have others ahead of them */
   deployment->chat->tokens_in = 1300;
-  busy(deployment, 5);
+  start_busy_traffic(deployment, 5);
   time_us at = { 0 };
   if (!begin_trial(deployment, "harm", 0.4, harmful, 4, 300, 20))
     return deployment_finish(deployment, 0);
-  if (!ends(deployment, "harm", 120000, &at))
-    return over(deployment, "harm", at, 0);
-  json *value = stands(deployment);
+  if (!wait_for_verdict(deployment, "harm", 120000, &at))
+    return finish_trial(deployment, "harm", at, 0);
+  json *value = read_trial(deployment);
   const json *u =
       json_get(json_get(json_get(json_get(value, "value"), "end"), "urgent"), "candidate");
   double n = json_number(u, "requests", 1e9);
   if (n > 200)
-    fleet_add_violation(fleet, "%.0f urgent requests were put under a harmful candidate", n);
+    fleet_add_violation(fleet, "%.0f urgent requests were served by a harmful candidate", n);
   json_free(value);
   sim_run(deployment->sim, time_from_ms(TRIAL_END_PROPAGATION_MS));
   time_us back = deployment->sim->now;
@@ -187,34 +189,34 @@
   double served = deployment_served_ratio(deployment, deployment->chat, back, time_never());
   if (served < 0.9)
     fleet_add_violation(fleet, "after the trial only %.2f of the urgent work was served", served);
-  return over(deployment, "harm", at, 0.5);
+  return finish_trial(deployment, "harm", at, 0.5);
 }
 
 static bool the_judge_crashes_in_a_trial(fleet *fleet) {
   deployment *deployment = deployment_new(fleet, 5, 2);
   if (!deployment_bring_up(deployment))
     return deployment_finish(deployment, 0);
-  busy(deployment, 6);
+  start_busy_traffic(deployment, 6);
   time_us at = { 0 };
   if (!begin_trial(deployment, "orphan", 0.4, harmful, 4, 300, 60))
     return deployment_finish(deployment, 0);
   sim_run(deployment->sim, time_from_ms(8000));
   deployment_process *process = judge_of(deployment);
   if (!process) {
-    fleet_add_violation(fleet, "nobody judges");
-    return over(deployment, "orphan", at, 0);
+    fleet_add_violation(fleet, "no gateway judges the trial");
+    return finish_trial(deployment, "orphan", at, 0);
   }
   deployment_record_fault(deployment, process->host, 'k', 4000);
   host_kill(process->host);
   sim_run(deployment->sim, time_from_ms(3000));
   host_start(process->host);
-  /* its successor finds the harm, from what the others still have */
-  ends(deployment, "harm", 120000, &at);
+  /* the next judge finds the harm from the counts that the other gateways still have */
+  wait_for_verdict(deployment, "harm", 120000, &at);
   sim_run(deployment->sim, time_from_ms(6000));
-  return over(deployment, "orphan", at, 0.5);
+  return finish_trial(deployment, "orphan", at, 0.5);
 }
 
-static bool judged(sim *sim, void *p) {
+static bool has_judge(sim *sim, void *p) {
   (void)sim;
   return judge_of(p) != NULL;
 }
@@ -223,24 +225,24 @@
   deployment *deployment = deployment_new(fleet, 5, 2);
   if (!deployment_bring_up(deployment))
     return deployment_finish(deployment, 0);
-  busy(deployment, 1);
+  start_busy_traffic(deployment, 1);
   time_us at = { 0 };
   if (!begin_trial(deployment, "heir", 0.5, harmless, 3, 200, 500))
     return deployment_finish(deployment, 0);
   sim_run(deployment->sim, time_from_ms(9000));
   deployment_process *process = judge_of(deployment);
   if (!process) {
-    fleet_add_violation(fleet, "nobody judges");
-    return over(deployment, "heir", at, 0);
+    fleet_add_violation(fleet, "no gateway judges the trial");
+    return finish_trial(deployment, "heir", at, 0);
   }
   deployment_record_fault(deployment, process->host, 'k', 9000);
   host_kill(process->host);
   sim_run(deployment->sim, time_from_ms(3000));
   host_start(process->host);
-  if (!sim_run_until(deployment->sim, judged, deployment, time_from_ms(15000)))
-    fleet_add_violation(fleet, "nobody takes the judge's place");
+  if (!sim_run_until(deployment->sim, has_judge, deployment, time_from_ms(15000)))
+    fleet_add_violation(fleet, "no gateway replaces the judge");
   sim_run(deployment->sim, time_from_ms(2000));
-  /* no node waits for a second beginning, not even the one that forgot the first */
+  /* no gateway waits for a second start, not even the one that lost the first in its restart */
   for (int i = 0; i < fleet->routers; i++) {
     GString *b = g_string_new(NULL);
     canary_metrics(deployment->gateway_processes[i]->gateway, b);
@@ -248,15 +250,15 @@
       fleet_add_violation(fleet, "the trial is not on at %s", fleet->router[i]->self.text);
     g_string_free(b, TRUE);
   }
-  json *json = stands(deployment);
+  json *json = read_trial(deployment);
   if (verdict(json)[0])
     fleet_add_violation(fleet, "the trial ended with its judge");
   json_free(json);
-  return over(deployment, "heir", at, 0.85);
+  return finish_trial(deployment, "heir", at, 0.85);
 }
 
-/* the sessions that a node keeps with the old policy; -1 when the trial is not on there */
-static int elders_at(deployment *deployment, int i) {
+/* the number of pinned sessions at a gateway; -1 when the candidate is not on there */
+static int pinned_sessions_at(deployment *deployment, int i) {
   if (!deployment->gateway_processes[i]->gateway || !deployment->fleet->router[i]->alive)
     return -1;
   GString *b = g_string_new(NULL);
@@ -273,26 +275,26 @@
   deployment *deployment = deployment_new(fleet, 5, 2);
   if (!deployment_bring_up(deployment))
     return deployment_finish(deployment, 0);
-  busy(deployment, 2);
+  start_busy_traffic(deployment, 2);
   time_us at = { 0 };
   if (!begin_trial(deployment, "forgets", 0.5, harmless, 4, 200, 2000))
     return deployment_finish(deployment, 0);
   sim_run(deployment->sim, time_from_ms(12000));
   deployment_process *u = judge_of(deployment);
   if (!u) {
-    fleet_add_violation(fleet, "nobody judges");
-    return over(deployment, "forgets", at, 0);
+    fleet_add_violation(fleet, "no gateway judges the trial");
+    return finish_trial(deployment, "forgets", at, 0);
   }
   int it = 0, other = 0;
   for (int i = 0; i < fleet->routers; i++)
     if (deployment->gateway_processes[i] == u)
       it = i;
   other = (it + 1) % fleet->routers;
-  int known = elders_at(deployment, other);
+  int known = pinned_sessions_at(deployment, other);
   if (known < 20)
-    fleet_add_violation(fleet, "only %d elders: this shows nothing", known);
-  /* a new run of it has its duty again at once, and knows nothing: it must hear of them before it
-   * begins itself */
+    fleet_add_violation(fleet, "only %d pinned sessions: the test shows nothing", known);
+  /* the restarted judge has its lease again at once but has lost its state: it must learn the
+   * pinned sessions before it starts the candidate itself */
   deployment_record_fault(deployment, u->host, 'k', 6000);
   host_kill(u->host);
   sim_run(deployment->sim, time_from_ms(50));
@@ -300,20 +302,21 @@
   bool on = false;
   for (int i = 0; i < 700 && !on; i++) {
     sim_run(deployment->sim, time_from_ms(10));
-    int n = elders_at(deployment, it);
+    int n = pinned_sessions_at(deployment, it);
     on = n >= 0;
     if (on && n < known)
-      fleet_add_violation(fleet, "it begins with %d elders, and the others have %d", n, known);
+      fleet_add_violation(fleet, "the judge starts with %d pinned sessions, and the others have %d",
+                          n, known);
   }
   if (!on)
     fleet_add_violation(fleet, "the trial did not go on at %s", u->host->self.text);
   sim_run(deployment->sim, time_from_ms(3000));
-  /* its contract lapses while it is frozen, and comes back under the same epoch: it must learn
-   * anew, and so must another's new run */
+  /* the judge's lease expires while it is frozen and is renewed under the same epoch: the judge
+   * must learn the pinned sessions again, and so must a restarted gateway */
   deployment_process *j = judge_of(deployment);
   if (!j) {
-    fleet_add_violation(fleet, "nobody judges");
-    return over(deployment, "forgets", at, 0);
+    fleet_add_violation(fleet, "no gateway judges the trial");
+    return finish_trial(deployment, "forgets", at, 0);
   }
   for (int i = 0; i < fleet->routers; i++)
     if (deployment->gateway_processes[i] == j)
@@ -331,7 +334,7 @@
                 ? singleton_lease_epoch(judge_of(deployment)->host->router, "canary")
                 : 0);
   int third = (it + 2) % fleet->routers;
-  known = elders_at(deployment, third);
+  known = pinned_sessions_at(deployment, third);
   deployment_record_fault(deployment, fleet->router[other], 'k', 6000);
   host_kill(fleet->router[other]);
   sim_run(deployment->sim, time_from_ms(500));
@@ -339,22 +342,23 @@
   on = false;
   for (int i = 0; i < 700 && !on; i++) {
     sim_run(deployment->sim, time_from_ms(10));
-    int n = elders_at(deployment, other);
+    int n = pinned_sessions_at(deployment, other);
     on = n >= 0;
     if (on && n < known)
-      fleet_add_violation(fleet, "a new run begins with %d elders, and the others have %d", n,
-                          known);
+      fleet_add_violation(
+          fleet, "a restarted gateway starts with %d pinned sessions, and the others have %d", n,
+          known);
   }
   if (!on)
     fleet_add_violation(fleet, "the trial did not go on at %s", fleet->router[other]->self.text);
-  return over(deployment, "forgets", at, 0.7);
+  return finish_trial(deployment, "forgets", at, 0.7);
 }
 
 static bool gateways_restart_in_a_trial(fleet *fleet) {
   deployment *deployment = deployment_new(fleet, 5, 2);
   if (!deployment_bring_up(deployment))
     return deployment_finish(deployment, 0);
-  busy(deployment, 1.2);
+  start_busy_traffic(deployment, 1.2);
   time_us at = { 0 };
   if (!begin_trial(deployment, "restarts", 0.4, harmless, 4, 45, 30))
     return deployment_finish(deployment, 0);
@@ -367,22 +371,22 @@
     host_start(host);
     sim_run(deployment->sim, time_from_ms(5000));
   }
-  ends(deployment, "no harm", 60000, &at);
+  wait_for_verdict(deployment, "no harm", 60000, &at);
   sim_run(deployment->sim, time_from_ms(4000));
-  return over(deployment, "restarts", at, 0.9);
+  return finish_trial(deployment, "restarts", at, 0.9);
 }
 
 static bool a_gateway_is_partitioned_in_a_trial(fleet *fleet) {
   deployment *deployment = deployment_new(fleet, 5, 2);
   if (!deployment_bring_up(deployment))
     return deployment_finish(deployment, 0);
-  busy(deployment, 1.5);
+  start_busy_traffic(deployment, 1.5);
   time_us at = { 0 };
   if (!begin_trial(deployment, "cut", 0.5, harmless, 3, 200, 50))
     return deployment_finish(deployment, 0);
   sim_run(deployment->sim, time_from_ms(10000));
   host *host = fleet->router[sim_random(deployment->sim, (uint64_t)fleet->routers)];
-  /* neither core machines nor nodes reach it; callers do */
+  /* neither controllers nor gateways reach it; clients do */
   deployment_record_fault(deployment, host, 'n', 14000);
   for (int m = 0; m < fleet->controllers; m++)
     sim_set_partition_both_ways(deployment->sim, host->self.text, fleet->controller[m]->self.text,
@@ -393,11 +397,12 @@
                                   true);
   time_us cut = deployment->sim->now;
   sim_run(deployment->sim, time_from_ms(2000));
-  if (put(deployment, "PATCH", "{\"state\":\"ended\",\"end\":{\"verdict\":\"stopped\"}}", 0) != 200)
+  if (write_canary(deployment, "PATCH", "{\"state\":\"ended\",\"end\":{\"verdict\":\"stopped\"}}",
+                   0) != 200)
     fleet_add_violation(fleet, "the trial could not be stopped");
   sim_run(deployment->sim, time_from_ms(12000));
   time_us mended = deployment->sim->now;
-  /* it can't know of the end, and yet gives the candidate nothing more */
+  /* it cannot know of the end of the trial, and still must not use the candidate any more */
   char ip[48];
   g_strlcpy(ip, host->addr, sizeof ip);
   *strchr(ip, ':') = 0;
@@ -410,7 +415,7 @@
       engine_run_record *run = deployment->log->runs->pdata[k];
       if (!strcmp(run->request_id, attempt->request_id) &&
           g_str_has_suffix(run->policy, " candidate"))
-        fleet_add_violation(fleet, "a node that is cut off goes on with the candidate after %.1f s",
+        fleet_add_violation(fleet, "a partitioned gateway still uses the candidate after %.1f s",
                             (double)(attempt->sent_at.us - cut.us) / 1e6);
     }
   }
@@ -427,33 +432,33 @@
   deployment *deployment = deployment_new(fleet, 5, 2);
   if (!deployment_bring_up(deployment))
     return deployment_finish(deployment, 0);
-  busy(deployment, 1);
+  start_busy_traffic(deployment, 1);
   time_us at = { 0 };
   if (!begin_trial(deployment, "unreachable", 0.5, harmless, 3, 200, 50))
     return deployment_finish(deployment, 0);
   sim_run(deployment->sim, time_from_ms(9000));
   deployment_process *process = judge_of(deployment);
   if (!process) {
-    fleet_add_violation(fleet, "nobody judges");
-    return over(deployment, "unreachable", at, 0);
+    fleet_add_violation(fleet, "no gateway judges the trial");
+    return finish_trial(deployment, "unreachable", at, 0);
   }
-  /* it keeps its duty, as the core hears it */
+  /* it keeps its lease, since the controllers reach it */
   deployment_record_fault(deployment, NULL, 'n', 20000);
   for (int v = 0; v < fleet->routers; v++)
     if (fleet->router[v] != process->host)
       sim_set_partition_both_ways(deployment->sim, process->host->self.text,
                                   fleet->router[v]->self.text, true);
-  ends(deployment, "unreachable", 25000, &at);
+  wait_for_verdict(deployment, "unreachable", 25000, &at);
   sim_heal_partitions(deployment->sim);
   sim_run(deployment->sim, time_from_ms(4000));
-  return over(deployment, "unreachable", at, 0.9);
+  return finish_trial(deployment, "unreachable", at, 0.9);
 }
 
 static bool operators_start_stop_and_race_trials(fleet *fleet) {
   deployment *deployment = deployment_new(fleet, 5, 2);
   if (!deployment_bring_up(deployment))
     return deployment_finish(deployment, 0);
-  busy(deployment, 1);
+  start_busy_traffic(deployment, 1);
   char *a = trial_text("ours", 0.5, harmless, 3, 300, 50),
        *b = trial_text("theirs", 0.5, harmless, 3, 300, 50);
   operator_call *x = fleet_send(fleet, fleet->controller[0], "PUT", "/v1/canary", a, NULL, NULL),
@@ -461,47 +466,49 @@
   while (!x->done || !y->done)
     sim_run(deployment->sim, time_from_ms(50));
   if ((x->status == 200) == (y->status == 200))
-    fleet_add_violation(fleet, "of two trials at once the core took %d and %d", x->status,
+    fleet_add_violation(fleet, "two concurrent trials got the statuses %d and %d", x->status,
                         y->status);
   const char *won = x->status == 200 ? "ours" : "theirs", *mine = x->status == 200 ? a : b;
   operator_call_free(x);
   operator_call_free(y);
-  if (put(deployment, "PUT", a, E_CANARY_RUNNING) != 400)
-    fleet_add_violation(fleet, "a trial was put over one that runs");
-  if (put(deployment, "PUT", "{}", E_CANARY_RUNNING) != 400)
-    fleet_add_violation(fleet, "a trial that runs was taken away");
-  if (put(deployment, "PATCH", "{\"state\":\"ended\",\"share\":0.1}", E_CANARY_IMMUTABLE) != 400)
+  if (write_canary(deployment, "PUT", a, E_CANARY_RUNNING) != 400)
+    fleet_add_violation(fleet, "a running trial was replaced");
+  if (write_canary(deployment, "PUT", "{}", E_CANARY_RUNNING) != 400)
+    fleet_add_violation(fleet, "a running trial was removed");
+  if (write_canary(deployment, "PATCH", "{\"state\":\"ended\",\"share\":0.1}",
+                   E_CANARY_IMMUTABLE) != 400)
     fleet_add_violation(fleet, "an end changed the share");
   sim_run(deployment->sim, time_from_ms(9000));
-  if (!candidates(deployment, (time_us){ 0 }, time_never()))
+  if (!count_candidate_runs(deployment, (time_us){ 0 }, time_never()))
     fleet_add_violation(fleet, "the candidate got nothing");
-  if (put(deployment, "PATCH", "{\"state\":\"ended\",\"end\":{\"verdict\":\"stopped\"}}", 0) != 200)
+  if (write_canary(deployment, "PATCH", "{\"state\":\"ended\",\"end\":{\"verdict\":\"stopped\"}}",
+                   0) != 200)
     fleet_add_violation(fleet, "a trial was not stopped");
   time_us at = deployment->sim->now;
-  if (put(deployment, "PATCH", "{\"state\":\"ended\",\"end\":{\"verdict\":\"again\"}}",
-          E_NO_CANARY) != 400)
+  if (write_canary(deployment, "PATCH", "{\"state\":\"ended\",\"end\":{\"verdict\":\"again\"}}",
+                   E_NO_CANARY) != 400)
     fleet_add_violation(fleet, "a trial ended twice");
-  if (put(deployment, "PUT", mine, E_CANARY_NAME_REUSED) != 400)
-    fleet_add_violation(fleet, "a trial began again under its name");
+  if (write_canary(deployment, "PUT", mine, E_CANARY_NAME_REUSED) != 400)
+    fleet_add_violation(fleet, "a trial with the name of an ended one was accepted");
   sim_run(deployment->sim, time_from_ms(6000));
-  if (put(deployment, "PUT", "{}", 0) != 200)
-    fleet_add_violation(fleet, "a trial that has ended can't be taken away");
+  if (write_canary(deployment, "PUT", "{}", 0) != 200)
+    fleet_add_violation(fleet, "a trial that has ended can't be removed");
   g_free(a);
   g_free(b);
-  return over(deployment, won, at, 0.97);
+  return finish_trial(deployment, won, at, 0.97);
 }
 
 static bool sessions_keep_their_policy_through_retries(fleet *fleet) {
   deployment *deployment = deployment_new(fleet, 4, 2);
   if (!deployment_bring_up(deployment))
     return deployment_finish(deployment, 0);
-  busy(deployment, 1.2);
+  start_busy_traffic(deployment, 1.2);
   time_us at = { 0 };
   if (!begin_trial(deployment, "tries", 0.5, harmless, 4, 40, 500))
     return deployment_finish(deployment, 0);
   sim_run(deployment->sim, time_from_ms(8000));
-  /* answers are lost and cut, so that requests are tried again, resumed at other engines, and sent
-   * anew by callers to other nodes */
+  /* responses are lost and truncated, so that requests are retried, resumed at other engines, and
+   * sent again by clients to other gateways */
   for (int i = 0; i < 20; i++) {
     registering_engine_faults *faults =
         &deployment
@@ -525,22 +532,22 @@
     resumed += run->policy[0] && run->resumed_after;
   }
   sim_run(deployment->sim, time_from_ms(14000));
-  json *json = stands(deployment);
+  json *json = read_trial(deployment);
   if (!verdict(json)[0])
-    fleet_add_violation(fleet, "the trial goes on past its time");
+    fleet_add_violation(fleet, "the trial continues past its maximum duration");
   json_free(json);
   if (!again || !resumed)
-    fleet_add_violation(fleet, "nothing was tried again (%d) or resumed (%d): this shows nothing",
+    fleet_add_violation(fleet, "nothing was retried (%d) or resumed (%d): the test shows nothing",
                         again, resumed);
-  return over(deployment, "tries", at, 0.85);
+  return finish_trial(deployment, "tries", at, 0.85);
 }
 
-/* what the end says was judged is no more than what engines ran, or callers were refused */
+/* The end of the trial reports at most as many requests as were sent, and at least 40 % of them. */
 static bool a_trial_counts_each_request_once(fleet *fleet) {
   deployment *deployment = deployment_new(fleet, 5, 2);
   if (!deployment_bring_up(deployment))
     return deployment_finish(deployment, 0);
-  busy(deployment, 1.2);
+  start_busy_traffic(deployment, 1.2);
   time_us began = deployment->sim->now, at = { 0 };
   if (!begin_trial(deployment, "counts", 0.4, harmless, 3, 30, 20))
     return deployment_finish(deployment, 0);
@@ -550,8 +557,8 @@
   host_kill(host);
   sim_run(deployment->sim, time_from_ms(500));
   host_start(host);
-  ends(deployment, "no harm", 40000, &at);
-  json *value = stands(deployment);
+  wait_for_verdict(deployment, "no harm", 40000, &at);
+  json *value = read_trial(deployment);
   const json *end = json_get(json_get(value, "value"), "end");
   double judged = 0;
   static const char *const parts[] = { "urgent", "rest" }, *const sides[] = { "old", "candidate" };
@@ -567,20 +574,20 @@
     fleet_add_violation(fleet, "%.0f requests were judged, and %d were sent", judged, sent);
   json_free(value);
   sim_run(deployment->sim, time_from_ms(4000));
-  return over(deployment, "counts", at, 0.9);
+  return finish_trial(deployment, "counts", at, 0.9);
 }
 
-/** An end as some node sends it to the head. */
-typedef struct end_try {
+/** A request to end a trial that a node sends to the head of the chain. */
+typedef struct trial_end_call {
   host *host;
   char head[48];
   uint64_t version, epoch;
   int code;
   bool done;
-} end_try;
+} trial_end_call;
 
-static void end_run(void *p) {
-  end_try *t = p;
+static void trial_end_run(void *p) {
+  trial_end_call *t = p;
   Wire__CanaryEndRequest q = WIRE__CANARY_END_REQUEST__INIT;
   static const char text[] = "{\"state\":\"ended\",\"end\":{\"verdict\":\"told\"}}";
   q.version = t->version;
@@ -595,10 +602,10 @@
   t->done = true;
 }
 
-static int told_to_end(deployment *deployment, host *host, uint64_t version, uint64_t epoch) {
-  end_try t = { .host = host, .version = version, .epoch = epoch };
+static int send_trial_end(deployment *deployment, host *host, uint64_t version, uint64_t epoch) {
+  trial_end_call t = { .host = host, .version = version, .epoch = epoch };
   g_strlcpy(t.head, fleet_find_head(deployment->fleet)->addr, sizeof t.head);
-  task_start(&host->world.tasks, "end", end_run, &t);
+  task_start(&host->world.tasks, "end", trial_end_run, &t);
   host->next_wake_at = deployment->sim->now;
   while (!t.done)
     sim_run(deployment->sim, time_from_ms(20));
@@ -609,7 +616,7 @@
   deployment *deployment = deployment_new(fleet, 4, 2);
   if (!deployment_bring_up(deployment))
     return deployment_finish(deployment, 0);
-  busy(deployment, 1);
+  start_busy_traffic(deployment, 1);
   time_us at = { 0 };
   if (!begin_trial(deployment, "guarded", 0.5, harmless, 3, 200, 5000))
     return deployment_finish(deployment, 0);
@@ -620,61 +627,61 @@
     if (fleet->router[i] != process->host)
       other = fleet->router[i];
   if (!other) {
-    fleet_add_violation(fleet, "nobody judges");
-    return over(deployment, "guarded", at, 0);
+    fleet_add_violation(fleet, "no gateway judges the trial");
+    return finish_trial(deployment, "guarded", at, 0);
   }
   uint64_t version = process->host->router->sync.resource_versions[RESOURCE_CANARY],
            epoch = singleton_lease_epoch(process->host->router, "canary");
-  int x = told_to_end(deployment, other, version, epoch);
+  int x = send_trial_end(deployment, other, version, epoch);
   if (x != E_STALE_EPOCH)
-    fleet_add_violation(fleet, "one that does not judge ended the trial (%d)", x);
-  if ((x = told_to_end(deployment, process->host, version, epoch - 1)) != E_STALE_EPOCH)
+    fleet_add_violation(fleet, "a node that does not judge the trial ended it (%d)", x);
+  if ((x = send_trial_end(deployment, process->host, version, epoch - 1)) != E_STALE_EPOCH)
     fleet_add_violation(fleet, "a judge of an older epoch ended the trial (%d)", x);
-  if ((x = told_to_end(deployment, process->host, version - 1, epoch)) != E_VERSION_CONFLICT)
-    fleet_add_violation(fleet, "the end of another trial was taken (%d)", x);
-  json *json = stands(deployment);
+  if ((x = send_trial_end(deployment, process->host, version - 1, epoch)) != E_VERSION_CONFLICT)
+    fleet_add_violation(fleet, "the end of another trial was accepted (%d)", x);
+  json *json = read_trial(deployment);
   if (verdict(json)[0])
-    fleet_add_violation(fleet, "the trial has ended by whom it must not");
+    fleet_add_violation(fleet, "a node that does not judge the trial has ended it");
   json_free(json);
-  if ((x = told_to_end(deployment, process->host, version, epoch)) != OK)
+  if ((x = send_trial_end(deployment, process->host, version, epoch)) != OK)
     fleet_add_violation(fleet, "its judge could not end it (%d)", x);
   at = deployment->sim->now;
-  if ((x = told_to_end(deployment, process->host, version, epoch)) == OK)
+  if ((x = send_trial_end(deployment, process->host, version, epoch)) == OK)
     fleet_add_violation(fleet, "its judge ended it twice");
   sim_run(deployment->sim, time_from_ms(5000));
-  return over(deployment, "guarded", at, 0.97);
+  return finish_trial(deployment, "guarded", at, 0.97);
 }
 
 static bool a_judge_freezes_and_resumes(fleet *fleet) {
   deployment *deployment = deployment_new(fleet, 5, 2);
   if (!deployment_bring_up(deployment))
     return deployment_finish(deployment, 0);
-  busy(deployment, 1.2);
+  start_busy_traffic(deployment, 1.2);
   time_us at = { 0 };
   if (!begin_trial(deployment, "frozen", 0.5, harmless, 3, 40, 30))
     return deployment_finish(deployment, 0);
   sim_run(deployment->sim, time_from_ms(9000));
   deployment_process *process = judge_of(deployment);
   if (!process) {
-    fleet_add_violation(fleet, "nobody judges");
-    return over(deployment, "frozen", at, 0);
+    fleet_add_violation(fleet, "no gateway judges the trial");
+    return finish_trial(deployment, "frozen", at, 0);
   }
   deployment_record_fault(deployment, process->host, 'f', 9000);
   host_freeze(process->host);
   sim_run(deployment->sim, time_from_ms(9000));
   host_unfreeze(process->host);
-  ends(deployment, "no harm", 60000, &at);
+  wait_for_verdict(deployment, "no harm", 60000, &at);
   sim_run(deployment->sim, time_from_ms(4000));
-  return over(deployment, "frozen", at, 0.8);
+  return finish_trial(deployment, "frozen", at, 0.8);
 }
 
-/* what may happen, happens while a trial runs; its sides stay apart, and in the end all are back
- * with the old policy */
+/* Random faults while a trial runs: no session changes its arm, and in the end all sessions are
+ * back with the control policy. */
 static bool anything_happens_in_a_trial(fleet *fleet) {
   deployment *deployment = deployment_new(fleet, 5, 3);
   if (!deployment_bring_up(deployment))
     return deployment_finish(deployment, 0);
-  busy(deployment, 1);
+  start_busy_traffic(deployment, 1);
   time_us at = { 0 };
   if (!begin_trial(deployment, "storm", 0.5, harmless, 3, 600, 30))
     return deployment_finish(deployment, 0);
@@ -756,24 +763,24 @@
   for (size_t e = 0; e < deployment->model_engine_count + deployment->plain_engine_count; e++)
     if (!deployment->engine_processes[e]->host->alive)
       host_start(deployment->engine_processes[e]->host);
-  json *json = stands(deployment);
+  json *json = read_trial(deployment);
   if (!strcmp(verdict(json), "harm"))
-    fleet_add_violation(fleet, "a harmless candidate was found to do harm");
+    fleet_add_violation(fleet, "the verdict on a harmless candidate is harm");
   if (!verdict(json)[0]) {
-    /* a duty may be on its way from one to another */
-    if (!sim_run_until(deployment->sim, judged, deployment, time_from_ms(10000)))
-      fleet_add_violation(fleet, "nobody judges, long after all is well again");
-    if (put(deployment, "PATCH", "{\"state\":\"ended\",\"end\":{\"verdict\":\"stopped\"}}", 0) !=
-        200)
+    /* the judge's lease may be moving from one gateway to another */
+    if (!sim_run_until(deployment->sim, has_judge, deployment, time_from_ms(10000)))
+      fleet_add_violation(fleet, "no gateway judges the trial long after the last fault");
+    if (write_canary(deployment, "PATCH", "{\"state\":\"ended\",\"end\":{\"verdict\":\"stopped\"}}",
+                     0) != 200)
       fleet_add_violation(fleet, "the trial could not be stopped");
   }
   at = deployment->sim->now;
   json_free(json);
   sim_run(deployment->sim, time_from_ms(8000));
-  return over(deployment, "storm", at, 0.4);
+  return finish_trial(deployment, "storm", at, 0.4);
 }
 
-/* names, codes and the draw, without a fleet */
+/* The compilation of trials, its error codes, and the random split of sessions, without a fleet. */
 static bool trials_are_compiled(fleet *fleet) {
   static const struct {
     const char *text;
@@ -812,12 +819,12 @@
   if (canary_compile(&p, value, NULL) || p.state != CANARY_RUNNING ||
       p.candidate.zone_weight != 2 ||
       p.candidate.reject_threshold != select_policy_default.reject_threshold)
-    fleet_add_violation(fleet, "a sound trial is not taken");
+    fleet_add_violation(fleet, "a valid trial is rejected");
   if (canary_compile(&blank, NULL, NULL) || blank.state != CANARY_NONE)
     fleet_add_violation(fleet, "without a value there is a trial");
   if (!canary_includes(&p, id_of_text("r"), 1) || canary_includes(&p, id_of_text("r"), 2) ||
       canary_includes(&p, id_of_text("q"), 0))
-    fleet_add_violation(fleet, "the wrong requests take part");
+    fleet_add_violation(fleet, "the trial includes the wrong requests");
   int in = 0, other = 0;
   canary_plan q = p;
   q.name = id_of_text("b");
@@ -827,32 +834,34 @@
     other += x && canary_session_is_candidate(&q, hash_bytes(&s, sizeof s, 9));
   }
   if (abs(in - 5000) > 250 || abs(other - 1250) > 150)
-    fleet_add_violation(fleet, "of 20000 sessions %d are drawn, and %d by two trials", in, other);
+    fleet_add_violation(fleet,
+                        "of 20000 sessions %d are assigned to the candidate, and %d by two trials",
+                        in, other);
   json_free(value);
   return !fleet->violations->len;
 }
 
-/* the streams of neighbouring seeds are one stream, a draw apart: too much alike where nothing but
- * numbers is drawn */
-static double unit_draw(fleet *fleet) {
+/* A random number from 0 to 1. The simulator's random streams of neighbouring seeds are the same
+ * stream shifted by one number, which makes them too similar for a test that only draws numbers. */
+static double draw_fraction(fleet *fleet) {
   uint64_t n = fleet->sim->random_state++;
   return (double)(hash_bytes(&n, sizeof n, fleet->seed * 0x5851f42d4c957f2dull) >> 11) /
          (double)(1ull << 53);
 }
 
-/* one trial by numbers, looked at after every request; gives the candidate's requests at the alarm,
- * or -1 */
-static int drawn_trial(fleet *fleet, const canary_plan *plan, double old, double candidate,
-                       double late, int most, bool drifts) {
+/* Simulates the counts of one trial and evaluates them after every fifth request; returns the
+ * number of candidate requests when harm is proven, or -1. */
+static int simulate_trial(fleet *fleet, const canary_plan *plan, double old, double candidate,
+                          double late, int most, bool drifts) {
   canary_totals t = { 0 };
   for (int i = 0; i < most; i++) {
-    int s = unit_draw(fleet) < plan->traffic_share ? CANARY_ARM_CANDIDATE : CANARY_ARM_CONTROL;
+    int s = draw_fraction(fleet) < plan->traffic_share ? CANARY_ARM_CANDIDATE : CANARY_ARM_CONTROL;
     canary_cell *c = &t.cells[s][0];
-    /* a bad hour that strikes both sides alike */
+    /* a period of more failures in both arms */
     double worse = drifts && i > most / 3 && i < most / 2 ? 0.4 : 0;
-    if (unit_draw(fleet) < (s == CANARY_ARM_CANDIDATE ? candidate : old) + worse)
+    if (draw_fraction(fleet) < (s == CANARY_ARM_CANDIDATE ? candidate : old) + worse)
       c->failed++;
-    else if (unit_draw(fleet) < late)
+    else if (draw_fraction(fleet) < late)
       c->late++;
     else
       c->within_target++;
@@ -873,15 +882,15 @@
   enum { CALM = 400, TRIALS = 150, MOST = 1500 };
   static const double rates[] = { 0.02, 0.1, 0.4 };
   for (int i = 0; i < CALM; i++)
-    alarms +=
-        drawn_trial(fleet, &p, rates[i % 3], rates[i % 3], i % 2 ? 0.2 : 0, MOST, i % 4 > 1) >= 0;
-  /* a chance of 5 in 100 at most; with 400 trials more than 34 would be seen less than once in 1000
-   */
+    alarms += simulate_trial(fleet, &p, rates[i % 3], rates[i % 3], i % 2 ? 0.2 : 0, MOST,
+                             i % 4 > 1) >= 0;
+  /* the chance of a false alarm is at most 5 %; more than 34 in 400 trials then occur less than
+   * once in 1000 */
   if (alarms > 34)
     fleet_add_violation(fleet, "%d of %d trials without a difference ended in alarm", alarms, CALM);
   p.margin = 0.02;
   for (int i = 0; i < TRIALS; i++) {
-    int n = drawn_trial(fleet, &p, 0.03, 0.3, 0, MOST, false);
+    int n = simulate_trial(fleet, &p, 0.03, 0.3, 0, MOST, false);
     seen += n >= 0;
     worst = MAX(worst, n);
   }
@@ -897,14 +906,14 @@
       canary_evidence(1, 100, 30, 100, 0.2) > canary_evidence(1, 100, 30, 100, 0))
     fleet_add_violation(fleet, "the evidence is wrong");
   if (canary_bound(0, 0, 0.05, true) != 1 || canary_bound(0, 0, 0.05, false) != 0)
-    fleet_add_violation(fleet, "nothing is known, and yet there is a bound");
+    fleet_add_violation(fleet, "there is a bound although there is no data");
   if (!(canary_bound(10, 100, 0.05, false) < 0.1 && canary_bound(10, 100, 0.05, true) > 0.1 &&
         canary_bound(10, 100, 0.01, true) > canary_bound(10, 100, 0.05, true)))
-    fleet_add_violation(fleet, "the bounds lie wrong");
+    fleet_add_violation(fleet, "the bounds are wrong");
   return !fleet->violations->len;
 }
 
-static int seen(deployment *deployment, const char *word) {
+static int violation_seen(deployment *deployment, const char *word) {
   bool is = strstr(deployment->fleet->violations->str, word) != NULL;
   if (!is)
     fprintf(stderr, "  %s was not seen\n", word);
@@ -916,11 +925,11 @@
   deployment *deployment = deployment_new(fleet, 4, 2);
   if (!deployment_bring_up(deployment))
     return deployment_finish(deployment, 0);
-  busy(deployment, 1.2);
+  start_busy_traffic(deployment, 1.2);
   time_us at = { 0 };
   if (!begin_trial(deployment, "mutate", 0.5, harmless, 3, 25, 20))
     return deployment_finish(deployment, 0);
-  ends(deployment, "no harm", 40000, &at);
+  wait_for_verdict(deployment, "no harm", 40000, &at);
   sim_run(deployment->sim, time_from_ms(5000));
   deployment_finish_traffic(deployment);
   gateway_check_trial_policies(deployment);
@@ -947,27 +956,27 @@
   }
   int shown = 0;
   char session[48];
-  /* a session of the candidate that the old policy had long before */
+  /* a session of the candidate that the control policy served long before */
   g_strlcpy(session, o->session, sizeof session);
   g_strlcpy(o->session, c->session, sizeof o->session);
   gateway_check_trial_policies(deployment);
-  shown += seen(deployment, "SIDES");
+  shown += violation_seen(deployment, "SIDES");
   g_strlcpy(o->session, session, sizeof session);
   /* one request under two policies */
   engine_run_record *two = g_memdup2(c, sizeof *c);
   g_strlcpy(two->policy, "mutate old", sizeof two->policy);
   g_ptr_array_add(deployment->log->runs, two);
   gateway_check_trial_policies(deployment);
-  shown += seen(deployment, "SIDES");
+  shown += violation_seen(deployment, "SIDES");
   g_strlcpy(two->policy, "mutate both", sizeof two->policy);
   two->request_id[0] = 0;
   g_strlcpy(two->request_id, last->request_id, sizeof two->request_id);
   gateway_check_trial_policies(deployment);
-  shown += seen(deployment, "SIDES");
+  shown += violation_seen(deployment, "SIDES");
   g_ptr_array_set_size(deployment->log->runs, (int)deployment->log->runs->len - 1);
   g_strlcpy(last->policy, "mutate candidate", sizeof last->policy);
   gateway_check_trial_ended(deployment, "mutate", at);
-  shown += seen(deployment, "RETURN");
+  shown += violation_seen(deployment, "RETURN");
   last->policy[0] = 0;
   client_sim_attempt *attempt = NULL;
   for (guint i = 0; i < deployment->client->attempts->len && !attempt; i++) {
@@ -977,7 +986,7 @@
   }
   attempt->outcome = 'e';
   gateway_check_dropped(deployment, attempt->sent_at);
-  shown += seen(deployment, "DROPPED");
+  shown += violation_seen(deployment, "DROPPED");
   attempt->outcome = 'd';
   if (shown != 5)
     fleet_add_violation(fleet, "only %d of 5 violations were seen", shown);
--- a/tests/gateway/gateway.c
+++ b/tests/gateway/gateway.c
@@ -4,8 +4,8 @@
 #include <stdio.h>
 #include <stdlib.h>
 
-/* tests of gateways: given a fleet with traffic, when something happens, then the rules hold and
- * requests are served */
+/* Tests of gateways under faults: while a fleet has traffic, faults and changes are injected; no
+ * rule may be violated, and a minimum share of requests must be served. */
 
 static bool traffic_without_faults_is_served(fleet *fleet) {
   deployment *deployment = deployment_new(fleet, 5, 2);
@@ -15,7 +15,7 @@
   return deployment_finish(deployment, 0.995);
 }
 
-static registering_engine_sim *busy_engine(deployment *deployment) {
+static registering_engine_sim *busiest_engine(deployment *deployment) {
   registering_engine_sim *best = NULL;
   for (size_t i = 0; i < deployment->model_engine_count; i++)
     if (deployment->engine_processes[i]->engine &&
@@ -25,7 +25,8 @@
   return best;
 }
 
-static deployment_process *unit_of(deployment *deployment, const registering_engine_sim *engine) {
+static deployment_process *engine_process_of(deployment *deployment,
+                                             const registering_engine_sim *engine) {
   for (size_t i = 0; i < deployment->model_engine_count + deployment->plain_engine_count; i++)
     if (deployment->engine_processes[i]->engine == engine)
       return deployment->engine_processes[i];
@@ -39,19 +40,19 @@
   deployment_start_traffic(deployment, 1.5);
   for (int i = 0; i < 4; i++) {
     sim_run(deployment->sim, time_from_ms(5000));
-    deployment_process *unit = unit_of(deployment, busy_engine(deployment));
-    deployment_record_fault(deployment, unit->host, 'e', 3000);
-    host_kill(unit->host);
+    deployment_process *process = engine_process_of(deployment, busiest_engine(deployment));
+    deployment_record_fault(deployment, process->host, 'e', 3000);
+    host_kill(process->host);
     sim_run(deployment->sim, time_from_ms(2500));
-    host_start(unit->host);
+    host_start(process->host);
   }
   sim_run(deployment->sim, time_from_ms(5000));
   deployment_finish_traffic(deployment);
-  /* what may be resumed is whole, without a gap */
+  /* resumable streams are complete, without a gap */
   double notes =
       deployment_served_ratio(deployment, deployment->note, (time_us){ 0 }, time_never());
   if (notes < 0.95)
-    fleet_add_violation(fleet, "only %.3f of the streams that may be resumed came whole", notes);
+    fleet_add_violation(fleet, "only %.3f of the resumable streams were complete", notes);
   return deployment_finish(deployment, 0.9);
 }
 
@@ -61,15 +62,15 @@
     return deployment_finish(deployment, 0);
   deployment_start_traffic(deployment, 1.2);
   sim_run(deployment->sim, time_from_ms(6000));
-  deployment_process *unit = unit_of(deployment, busy_engine(deployment)),
+  deployment_process *process = engine_process_of(deployment, busiest_engine(deployment)),
                      *p = deployment->engine_processes[deployment->model_engine_count];
-  deployment_record_fault(deployment, unit->host, 'e', 25000);
-  host_power_off(unit->host);
+  deployment_record_fault(deployment, process->host, 'e', 25000);
+  host_power_off(process->host);
   sim_run(deployment->sim, time_from_ms(6000));
   deployment_record_fault(deployment, p->host, 'e', 12000);
   host_power_off(p->host);
   sim_run(deployment->sim, time_from_ms(12000));
-  host_start(unit->host);
+  host_start(process->host);
   host_start(p->host);
   sim_run(deployment->sim, time_from_ms(8000));
   deployment_finish_traffic(deployment);
@@ -128,13 +129,13 @@
   deployment_start_traffic(deployment, 1.2);
   for (int i = 0; i < 3; i++) {
     sim_run(deployment->sim, time_from_ms(3000));
-    deployment_process *unit = deployment->engine_processes[sim_random(
+    deployment_process *process = deployment->engine_processes[sim_random(
         deployment->sim, deployment->model_engine_count + deployment->plain_engine_count - 1)];
-    if (unit->engine)
-      registering_engine_sim_drain(unit->engine, 0);
+    if (process->engine)
+      registering_engine_sim_drain(process->engine, 0);
     sim_run(deployment->sim, time_from_ms(9000));
-    if (!unit->host->alive)
-      host_start(unit->host);
+    if (!process->host->alive)
+      host_start(process->host);
   }
   sim_run(deployment->sim, time_from_ms(3000));
   deployment_finish_traffic(deployment);
@@ -145,7 +146,7 @@
     heard += e->acked_at.us != 0;
   }
   if (heard < said)
-    fleet_add_violation(fleet, "%d of %d engines that left had no acknowledgement", said - heard,
+    fleet_add_violation(fleet, "%d of %d engines that drained got no acknowledgement", said - heard,
                         said);
   return deployment_finish(deployment, 0.97);
 }
@@ -156,9 +157,9 @@
     return deployment_finish(deployment, 0);
   deployment_start_traffic(deployment, 1.2);
   sim_run(deployment->sim, time_from_ms(5000));
-  deployment_process *unit = unit_of(deployment, busy_engine(deployment));
-  deployment_record_fault(deployment, unit->host, 'e', 6000);
-  registering_engine_sim_drain(unit->engine, 2500);
+  deployment_process *process = engine_process_of(deployment, busiest_engine(deployment));
+  deployment_record_fault(deployment, process->host, 'e', 6000);
+  registering_engine_sim_drain(process->engine, 2500);
   sim_run(deployment->sim, time_from_ms(12000));
   deployment_finish_traffic(deployment);
   return deployment_finish(deployment, 0.93);
@@ -174,7 +175,7 @@
     deployment_terminate_gateway(deployment, deployment->gateway_processes[i]);
     sim_run(deployment->sim, time_from_ms(9500));
     if (fleet->router[i]->alive)
-      fleet_add_violation(fleet, "%s is there after the grace", fleet->router[i]->self.text);
+      fleet_add_violation(fleet, "%s is alive after the grace period", fleet->router[i]->self.text);
     host_start(fleet->router[i]);
     sim_run(deployment->sim, time_from_ms(4000));
   }
@@ -224,7 +225,7 @@
   operator_sim_change *change = deployment_put_config(deployment, 4, 1, text, true);
   g_free(text);
   if (!change->acked_at.us)
-    fleet_add_violation(fleet, "after the core was gone no configuration is taken (%d)",
+    fleet_add_violation(fleet, "no configuration is accepted after all controllers crashed (%d)",
                         change->status);
   sim_run(deployment->sim, time_from_ms(4000));
   deployment_finish_traffic(deployment);
@@ -241,7 +242,7 @@
     sim_run(deployment->sim, time_from_ms(1500 + (int64_t)sim_random(deployment->sim, 2500)));
     const char *to = i % 2 ? "ledger" : "spare";
     if (i % 3 == 0) {
-      /* two at once on top of the same one */
+      /* two concurrent changes based on the same version */
       char *a = deployment_config(deployment, now + 2, to),
            *b = deployment_config(deployment, now + 3, "ledger");
       operator_sim_change *x =
@@ -255,7 +256,7 @@
       else if (y->acked_at.us)
         now = y->version;
       else
-        fleet_add_violation(fleet, "neither of two configurations was taken (%d, %d)", x->status,
+        fleet_add_violation(fleet, "neither of two configurations was accepted (%d, %d)", x->status,
                             y->status);
       g_free(a);
       g_free(b);
@@ -282,7 +283,7 @@
       while (!change->done)
         sim_run(deployment->sim, time_from_ms(50));
       if (!change->acked_at.us)
-        fleet_add_violation(fleet, "a change of one route was not taken (%d)", change->status);
+        fleet_add_violation(fleet, "a change of one route was not accepted (%d)", change->status);
       else
         now += 2;
       g_free(t);
@@ -309,8 +310,9 @@
   sim_run(deployment->sim, time_from_ms(15000));
   deployment_finish_traffic(deployment);
   if (!a->served || !b->served || !c->served)
-    fleet_add_violation(fleet, "what was not there was not served (%d %d %d)", a->served, b->served,
-                        c->served);
+    fleet_add_violation(fleet,
+                        "requests for models that were not loaded were not served (%d %d %d)",
+                        a->served, b->served, c->served);
   return deployment_finish(deployment, 0.97);
 }
 
@@ -338,8 +340,8 @@
   return deployment_finish(deployment, 0.8);
 }
 
-/* the machine that gave the last order, or any */
-static host *last_placer(deployment *deployment) {
+/* the gateway that sent the last order to an engine, or else a random one */
+static host *last_order_holder(deployment *deployment) {
   guint n = deployment->log->orders->len;
   host *host =
       n ? sim_find_host(deployment->sim,
@@ -350,7 +352,7 @@
              : deployment->fleet->router[sim_random(deployment->sim, deployment->fleet->routers)];
 }
 
-static void request_for_rare(deployment *deployment, int n) {
+static void request_rare_models(deployment *deployment, int n) {
   char name[16];
   for (int k = 0; k < n; k++) {
     snprintf(name, sizeof name, "m%d", 6 + (int)sim_random(deployment->sim, 8));
@@ -358,27 +360,27 @@
   }
 }
 
-/* whoever places freezes in the middle of it, another takes over, and then the first one wakes with
- * its orders in hand */
+/* The gateway that places models freezes during a placement, another one takes over, and then the
+ * first one resumes with orders that are still to be sent. */
 static bool a_placement_coordinator_freezes_and_resumes(fleet *fleet) {
   deployment *deployment = deployment_new(fleet, 4, 1);
   if (!deployment_bring_up(deployment))
     return deployment_finish(deployment, 0);
   deployment_start_traffic(deployment, 0.8);
   for (int i = 0; i < 5; i++) {
-    request_for_rare(deployment, 5);
+    request_rare_models(deployment, 5);
     sim_run(deployment->sim, time_from_ms(100 + (int64_t)sim_random(deployment->sim, 900)));
-    host *host = last_placer(deployment);
+    host *host = last_order_holder(deployment);
     int64_t ms = 3500 + (int64_t)sim_random(deployment->sim, 4000);
     deployment_record_fault(deployment, host, 'f', ms);
     host_freeze(host);
     for (int64_t left = ms; left > 0; left -= 500) {
-      request_for_rare(deployment, 1);
+      request_rare_models(deployment, 1);
       sim_run(deployment->sim, time_from_ms(MIN(left, 500)));
     }
     host_unfreeze(host);
     for (int k = 0; k < 5; k++) {
-      request_for_rare(deployment, 1);
+      request_rare_models(deployment, 1);
       sim_run(deployment->sim, time_from_ms(500));
     }
   }
@@ -400,7 +402,7 @@
   sim_run(deployment->sim, time_from_ms(20000));
   deployment_finish_traffic(deployment);
   if (!a->served || !b->served)
-    fleet_add_violation(fleet, "with orders that get lost, nothing was loaded (%d %d)", a->served,
+    fleet_add_violation(fleet, "with lost orders, nothing was loaded (%d %d)", a->served,
                         b->served);
   return deployment_finish(deployment, 0.95);
 }
@@ -424,8 +426,8 @@
   return deployment_finish(deployment, 0.95);
 }
 
-/* the head is cut off from the rest of the core, and routers still reach it: they must not wait for
- * news there */
+/* The head of the chain is partitioned from the other controllers while routers still reach it:
+ * they must not keep waiting for updates from it. */
 static bool the_chain_head_is_partitioned_before_a_change(fleet *fleet) {
   deployment *deployment = deployment_new(fleet, 4, 3);
   if (!deployment_bring_up(deployment))
@@ -446,7 +448,8 @@
         deployment_put_config(deployment, version + 4, version, text, true);
     g_free(text);
     if (!change->acked_at.us)
-      fleet_add_violation(fleet, "round %d: the change was not taken (%d)", round, change->status);
+      fleet_add_violation(fleet, "round %d: the change was not accepted (%d)", round,
+                          change->status);
     version += 4;
     sim_run(deployment->sim, time_from_ms(APPLY_MS));
     for (int v = 0; v < fleet->routers; v++) {
@@ -464,8 +467,8 @@
   return deployment_finish(deployment, 0.9);
 }
 
-/* everything loses power after an acknowledgement; what was acknowledged is there, and traffic
- * comes back */
+/* All machines lose power after a configuration change was acknowledged. The change must be there
+ * after the restart, and traffic must recover. */
 static bool all_machines_lose_power_after_a_change(fleet *fleet) {
   deployment *deployment = deployment_new(fleet, 4, 3);
   if (!deployment_bring_up(deployment))
@@ -476,7 +479,7 @@
   operator_sim_change *change = deployment_put_config(deployment, 5, 1, text, true);
   g_free(text);
   if (!change->acked_at.us)
-    fleet_add_violation(fleet, "the last configuration was not taken (%d)", change->status);
+    fleet_add_violation(fleet, "the last configuration was not accepted (%d)", change->status);
   time_us loss = deployment->sim->now;
   deployment_record_fault(deployment, NULL, 'p', 6000);
   for (int i = 0; i < fleet->controllers; i++)
@@ -501,7 +504,8 @@
   return deployment_finish(deployment, 0.4);
 }
 
-/* an address is given to an engine of another service a while after its own has ended */
+/* An address is given to an engine of another service some time after the engine that had it has
+ * ended. */
 static bool an_address_is_reused_by_another_service(fleet *fleet) {
   deployment *deployment = deployment_new(fleet, 4, 4);
   if (!deployment_bring_up(deployment))
@@ -524,7 +528,7 @@
     g_strlcpy(ip, next->plan.ip, sizeof ip);
     g_strlcpy(next->plan.ip, old->plan.ip, sizeof ip);
     sim_run(deployment->sim, time_from_ms(2000));
-    /* nobody hears of it at first */
+    /* no controller knows of it at first */
     next->plan.faults.no_heartbeats = true;
     host_start(next->host);
     sim_run(deployment->sim, time_from_ms(1500));
@@ -560,7 +564,7 @@
   deployment_finish_traffic(deployment);
   double share = deployment_served_ratio(deployment, NULL, from, time_never());
   if (share < 0.9)
-    fleet_add_violation(fleet, "only %.3f served after the engines were well again", share);
+    fleet_add_violation(fleet, "only %.3f served after the engines recovered", share);
   return deployment_finish(deployment, 0.05);
 }
 
@@ -578,7 +582,7 @@
   deployment_finish_traffic(deployment);
   double share = deployment_served_ratio(deployment, NULL, calm, time_never());
   if (share < 0.97)
-    fleet_add_violation(fleet, "only %.3f served once the crowd is gone", share);
+    fleet_add_violation(fleet, "only %.3f served after the spike", share);
   return deployment_finish(deployment, 0.2);
 }
 
@@ -589,11 +593,11 @@
   deployment_start_traffic(deployment, 1);
   for (int i = 0; i < 3; i++) {
     sim_run(deployment->sim, time_from_ms(3000));
-    deployment_process *unit = deployment->engine_processes[sim_random(
+    deployment_process *process = deployment->engine_processes[sim_random(
         deployment->sim, deployment->model_engine_count + deployment->plain_engine_count - 1)];
-    unit->plan.faults.unresponsive = true;
+    process->plan.faults.unresponsive = true;
     sim_run(deployment->sim, time_from_ms(6000));
-    unit->plan.faults.unresponsive = false;
+    process->plan.faults.unresponsive = false;
   }
   sim_run(deployment->sim, time_from_ms(5000));
   deployment_finish_traffic(deployment);
@@ -615,7 +619,7 @@
   operator_sim_change *change = deployment_put_config(deployment, 8, 1, text, true);
   g_free(text);
   if (!change->acked_at.us)
-    fleet_add_violation(fleet, "a large configuration was not taken (%d)", change->status);
+    fleet_add_violation(fleet, "a large configuration was not accepted (%d)", change->status);
   sim_run(deployment->sim, time_from_ms(APPLY_MS + 200));
   client_sim_kind *late =
       client_sim_add_kind(deployment->client, (client_sim_kind){ .name = "late",
@@ -646,8 +650,8 @@
   return deployment_finish(deployment, 0.97);
 }
 
-/* what may happen, happens, two or three at a time; the rules hold, and afterwards all is served
- * again */
+/* Random faults, often several at a time: no rule may be violated, and afterwards all requests are
+ * served again. */
 static bool anything_happens_to_gateways(fleet *fleet) {
   deployment *deployment = deployment_new(fleet, 5, 3);
   if (!deployment_bring_up(deployment))
@@ -656,37 +660,37 @@
   uint64_t now = 1;
   for (int i = 0; i < 12; i++) {
     sim_run(deployment->sim, time_from_ms(500 + (int64_t)sim_random(deployment->sim, 4000)));
-    deployment_process *unit = deployment->engine_processes[sim_random(
+    deployment_process *process = deployment->engine_processes[sim_random(
         deployment->sim, deployment->model_engine_count + deployment->plain_engine_count)];
     host *v = fleet->router[sim_random(deployment->sim, fleet->routers)],
          *m = fleet->controller[sim_random(deployment->sim, fleet->controllers)];
     int64_t ms = 500 + (int64_t)sim_random(deployment->sim, 4000);
     switch (sim_random(deployment->sim, 12)) {
     case 0:
-      deployment_record_fault(deployment, unit->host, 'e', ms);
-      if (unit->host->alive)
-        host_kill(unit->host);
+      deployment_record_fault(deployment, process->host, 'e', ms);
+      if (process->host->alive)
+        host_kill(process->host);
       break;
     case 1:
-      deployment_record_fault(deployment, unit->host, 'e', ms);
-      if (unit->host->alive)
-        host_power_off(unit->host);
+      deployment_record_fault(deployment, process->host, 'e', ms);
+      if (process->host->alive)
+        host_power_off(process->host);
       break;
     case 2:
-      if (unit->engine)
-        registering_engine_sim_drain(unit->engine, sim_random(deployment->sim, 2) ? 0 : 1500);
-      deployment_record_fault(deployment, unit->host, 'e', 5000);
+      if (process->engine)
+        registering_engine_sim_drain(process->engine, sim_random(deployment->sim, 2) ? 0 : 1500);
+      deployment_record_fault(deployment, process->host, 'e', 5000);
       break;
     case 3:
-      unit->plan.faults.lose_responses = 2;
+      process->plan.faults.lose_responses = 2;
       break;
     case 4:
-      unit->plan.faults.truncate_responses = 3;
-      unit->plan.faults.truncate_after_events = 2;
+      process->plan.faults.truncate_responses = 3;
+      process->plan.faults.truncate_after_events = 2;
       break;
     case 5:
-      unit->plan.faults.stale_responses = 2;
-      unit->plan.faults.extra_responses = 2;
+      process->plan.faults.stale_responses = 2;
+      process->plan.faults.extra_responses = 2;
       break;
     case 6:
       deployment_record_fault(deployment, v, 'k', ms);
@@ -750,7 +754,7 @@
     if (!deployment->engine_processes[e]->host->alive)
       host_start(deployment->engine_processes[e]->host);
   }
-  /* those who were still on their way out come back too */
+  /* engines that were still draining are restarted, too */
   for (int i = 0; i < 24; i++) {
     for (size_t e = 0;
          i < 14 && e < deployment->model_engine_count + deployment->plain_engine_count; e++)
@@ -767,12 +771,12 @@
     fleet_add_violation(fleet, "CONFIG nothing could be read back");
   double share = deployment_served_ratio(deployment, NULL, calm, time_never());
   if (share < 0.95)
-    fleet_add_violation(fleet, "only %.3f served once all is well again", share);
+    fleet_add_violation(fleet, "only %.3f served after the last fault", share);
   return deployment_finish(deployment, 0.5);
 }
 
-/* a kept channel has an identity: a life that ended silently is met only by what was sent on it,
- * and a new channel tells before */
+/* One call to an engine over HTTP. On a pooled connection, a restart that sent no signal is noticed
+ * only after the next request was sent; a new connection shows it before anything is sent. */
 typedef struct probe_call {
   host *host;
   http_call *call;
@@ -792,7 +796,7 @@
   g_string_free(b, TRUE);
   k->done = true;
 }
-static bool probed(sim *sim, void *p) {
+static bool probe_is_done(sim *sim, void *p) {
   (void)sim;
   return ((probe_call *)p)->done;
 }
@@ -803,68 +807,75 @@
   k->done = false;
   k->fresh = fresh;
   task_start(&k->host->world.tasks, "probe", probe_run, k);
-  sim_run_until(deployment->sim, probed, k, time_from_ms(3000));
+  sim_run_until(deployment->sim, probe_is_done, k, time_from_ms(3000));
 }
 
 static bool pooled_connections_notice_restarts(fleet *fleet) {
   deployment *deployment = deployment_new(fleet, 2, 1);
   if (!deployment_bring_up(deployment))
     return deployment_finish(deployment, 0);
-  deployment_process *unit = deployment->engine_processes[0];
+  deployment_process *process = deployment->engine_processes[0];
   probe_call k = { .host = deployment->client_host };
-  snprintf(k.addr, sizeof k.addr, "%s:%d", unit->plan.ip, unit->plan.port);
+  snprintf(k.addr, sizeof k.addr, "%s:%d", process->plan.ip, process->plan.port);
   probe_once(deployment, &k, false);
   if (k.got || k.call->reused_connection || k.call->status != 200)
-    fleet_add_violation(fleet, "a first call is on a new channel and answered");
+    fleet_add_violation(fleet, "the first call did not succeed on a new connection");
   probe_once(deployment, &k, false);
   if (k.got || !k.call->reused_connection)
-    fleet_add_violation(fleet, "a second call goes over the same channel");
+    fleet_add_violation(fleet, "the second call did not reuse the connection");
   probe_once(deployment, &k, true);
   if (k.got || k.call->reused_connection)
-    fleet_add_violation(fleet, "one that asks for a new channel gets one");
-  host_power_off(unit->host);
+    fleet_add_violation(fleet, "a call that asked for a new connection did not get one");
+  host_power_off(process->host);
   sim_run(deployment->sim, time_from_ms(200));
   probe_once(deployment, &k, true);
   if (k.got != E_NO_RESPONSE || k.call->sent)
-    fleet_add_violation(fleet, "a dark machine lets no channel come up (%d)", k.got);
+    fleet_add_violation(
+        fleet, "a call to a machine without power did not fail before it was sent (%d)", k.got);
   http_call_close(k.call);
   k.call = NULL;
-  host_start(unit->host);
+  host_start(process->host);
   sim_run(deployment->sim, time_from_ms(200));
   probe_once(deployment, &k, false);
   if (k.got != E_CONNECTION_LOST_AFTER_SEND || !k.call->reused_connection || !k.call->sent)
     fleet_add_violation(
-        fleet, "on a channel of an earlier life a call is broken after it was sent (%d, reused %d)",
+        fleet,
+        "a call on a connection from before a restart did not break after it was sent (%d, reused %d)",
         k.got, k.call->reused_connection);
   k.host->world.pool_close_idle(&k.host->world, k.addr);
-  host_kill(unit->host);
+  host_kill(process->host);
   sim_run(deployment->sim, time_from_ms(200));
   probe_once(deployment, &k, false);
   if (k.got != E_NOT_CONNECTED || k.call->sent)
-    fleet_add_violation(fleet, "a dead process refuses, and nothing was sent (%d, sent %d)", k.got,
-                        k.call->sent);
-  host_start(unit->host);
+    fleet_add_violation(fleet,
+                        "a call to a dead process was not refused before it was sent (%d, sent %d)",
+                        k.got, k.call->sent);
+  host_start(process->host);
   probe_once(deployment, &k, false);
   sim_run(deployment->sim, time_from_ms(5200));
   probe_once(deployment, &k, false);
   if (k.got || k.call->reused_connection)
-    fleet_add_violation(fleet, "a channel that was idle for long is ended by the other side");
-  host_freeze(unit->host);
+    fleet_add_violation(fleet,
+                        "a connection that was idle for long was not closed by the other side");
+  host_freeze(process->host);
   probe_once(deployment, &k, false);
   if (k.got != E_NO_RESPONSE || !k.call->sent)
-    fleet_add_violation(fleet, "a frozen process takes a request and says nothing (%d)", k.got);
-  host_unfreeze(unit->host);
+    fleet_add_violation(fleet, "a call to a frozen process did not end without a response (%d)",
+                        k.got);
+  host_unfreeze(process->host);
   sim_set_partition(deployment->sim, "unit-1", "outside", true);
   probe_once(deployment, &k, false);
   if (k.got != E_NO_RESPONSE)
-    fleet_add_violation(fleet, "over a cut nothing comes back (%d)", k.got);
+    fleet_add_violation(fleet, "a call over a partition did not end without a response (%d)",
+                        k.got);
   sim_heal_partitions(deployment->sim);
   http_call_close(k.call);
   return deployment_finish(deployment, 0);
 }
 
-/* a checker that cannot fail proves nothing: each is shown a violation that was seeded for it */
-static bool seen(deployment *deployment, const char *what) {
+/* A checker that cannot fail proves nothing: each one must report a violation that was injected for
+ * it. */
+static bool violation_seen(deployment *deployment, const char *what) {
   bool yes = strstr(deployment->fleet->violations->str, what) != NULL;
   if (!yes)
     fprintf(stderr, "  the checker of %s saw nothing\n", what);
@@ -872,17 +883,18 @@
   return yes;
 }
 
-/* A run that lasts into the last sixth of the grace excuses a request only if it was sent soon
- * after SIGTERM; gives how many of the two judgements are right. */
-static int late_requests_are_judged(deployment *deployment, client_sim_attempt *attempt,
-                                    engine_run_record *run, const injected_fault *stop) {
+/* A run that lasts into the last sixth of the grace period excuses a lost request only if the
+ * request was sent soon after SIGTERM. Returns how many of the two cases the checker judges
+ * correctly. */
+static int check_late_requests(deployment *deployment, client_sim_attempt *attempt,
+                               engine_run_record *run, const injected_fault *stop) {
   injected_fault *t = &g_array_index(deployment->injected_faults, injected_fault,
                                      deployment->injected_faults->len - 1);
   time_us to = attempt->ended_at, run_to = run->ended_at;
   t->from_at = time_sub(attempt->sent_at, time_from_ms(STOP_PROPAGATION_MS + 100));
   run->ended_at = time_add(t->from_at, time_from_ms(GRACE_S * 1000 - 300));
   gateway_check_lost(deployment);
-  int right = seen(deployment, "LOST");
+  int right = violation_seen(deployment, "LOST");
   t->from_at = time_sub(attempt->sent_at, time_from_ms(STOP_PROPAGATION_MS - 100));
   run->ended_at = time_add(t->from_at, time_from_ms(GRACE_S * 1000 - 300));
   gateway_check_lost(deployment);
@@ -893,8 +905,9 @@
   return right;
 }
 
-/* Kept connections that a node without trouble closes under requests that sound engines have. */
-static int unanswered_requests_are_judged(deployment *deployment) {
+/* A node without faults closes pooled connections while healthy engines run requests that were sent
+ * on them. Returns 1 when the checker reports it. */
+static int check_unanswered_requests(deployment *deployment) {
   client_sim_attempt *broken[UNANSWERED_MAX + 1];
   int n = 0;
   for (guint i = 0; i < deployment->client->attempts->len && n <= UNANSWERED_MAX; i++) {
@@ -907,7 +920,7 @@
     attempt->reused_connection = true;
   }
   gateway_check_unanswered(deployment);
-  int right = seen(deployment, "LOST");
+  int right = violation_seen(deployment, "LOST");
   for (int i = 0; i < n; i++) {
     broken[i]->outcome = 'd';
     broken[i]->status = 200;
@@ -942,7 +955,7 @@
                 once->request_id))
       run = deployment->log->runs->pdata[i];
   if (!once || !plain || !run) {
-    fleet_add_violation(fleet, "nothing to mutate a violation in");
+    fleet_add_violation(fleet, "there is no run in which a violation can be injected");
     return deployment_finish(deployment, 0);
   }
   int shown = 0;
@@ -950,21 +963,21 @@
   g_strlcpy(was, plain->run_id, sizeof was);
   g_strlcpy(plain->run_id, "e-none.1", sizeof plain->run_id);
   gateway_check_answers_not_mixed(deployment);
-  shown += seen(deployment, "MIXED");
+  shown += violation_seen(deployment, "MIXED");
   g_strlcpy(plain->run_id, was, sizeof was);
   run->request_checksum++;
   gateway_check_unasked(deployment);
-  shown += seen(deployment, "UNASKED");
+  shown += violation_seen(deployment, "UNASKED");
   run->request_checksum--;
   engine_run_record *more = g_memdup2(run, sizeof *run);
   g_ptr_array_add(deployment->log->runs, more);
   gateway_check_run_once(deployment);
-  shown += seen(deployment, "TWICE");
+  shown += violation_seen(deployment, "TWICE");
   g_ptr_array_set_size(deployment->log->runs, (int)deployment->log->runs->len - 1);
   once->outcome = 's';
   once->status = 503;
   gateway_check_refused(deployment);
-  shown += seen(deployment, "REFUSED");
+  shown += violation_seen(deployment, "REFUSED");
   once->outcome = 'd';
   once->status = 200;
   int n = 0;
@@ -977,9 +990,9 @@
     }
   }
   gateway_check_denied(deployment);
-  shown += seen(deployment, "DENIED");
+  shown += violation_seen(deployment, "DENIED");
   gateway_check_config(deployment);
-  shown += seen(deployment, "CONFIG");
+  shown += violation_seen(deployment, "CONFIG");
   for (guint i = 0; i < deployment->client->attempts->len; i++) {
     client_sim_attempt *attempt = deployment->client->attempts->pdata[i];
     if (attempt->outcome == 's' && attempt->status == 404) {
@@ -990,7 +1003,7 @@
   id service = run->service;
   run->service = id_of_text("ledger");
   gateway_check_route(deployment);
-  shown += seen(deployment, "ROUTE");
+  shown += violation_seen(deployment, "ROUTE");
   run->service = service;
   engine_stop_record *e = NULL;
   for (guint i = 0; i < deployment->log->stops->len; i++)
@@ -998,7 +1011,7 @@
       e = deployment->log->stops->pdata[i];
   e->acked_at = time_sub(run->received_at, time_from_ms(DRAIN_MS + 1));
   gateway_check_drained(deployment);
-  shown += seen(deployment, "DRAIN");
+  shown += violation_seen(deployment, "DRAIN");
   e->acked_at = (time_us){ 0 };
   injected_fault t = { NULL, time_sub(once->sent_at, time_from_ms(10)),
                        time_add(once->ended_at, time_from_ms(10)), 't' };
@@ -1008,11 +1021,11 @@
   g_array_append_val(deployment->injected_faults, t);
   once->outcome = 'e';
   gateway_check_lost(deployment);
-  shown += seen(deployment, "LOST");
-  shown += late_requests_are_judged(deployment, once, run, &t);
+  shown += violation_seen(deployment, "LOST");
+  shown += check_late_requests(deployment, once, run, &t);
   once->outcome = 'd';
   g_array_set_size(deployment->injected_faults, 0);
-  shown += unanswered_requests_are_judged(deployment);
+  shown += check_unanswered_requests(deployment);
   operator_sim_change two = { .version = 9,
                               .base = 0,
                               .text = (char *)"{}",
@@ -1023,7 +1036,7 @@
                               .status = 200 };
   g_ptr_array_add(deployment->operator->changes, &two);
   gateway_check_config(deployment);
-  shown += seen(deployment, "CONFIG");
+  shown += violation_seen(deployment, "CONFIG");
   g_ptr_array_set_size(deployment->operator->changes, (int)deployment->operator->changes->len - 1);
   guint len = deployment->log->runs->len;
   for (int i = 0; i < 400; i++) {
@@ -1032,11 +1045,11 @@
     g_ptr_array_add(deployment->log->runs, more);
   }
   gateway_check_budget(deployment);
-  shown += seen(deployment, "BUDGET");
+  shown += violation_seen(deployment, "BUDGET");
   g_ptr_array_set_size(deployment->log->runs, (int)len);
   g_strlcpy(once->fault, "order", sizeof once->fault);
   gateway_check_order(deployment);
-  shown += seen(deployment, "ORDER");
+  shown += violation_seen(deployment, "ORDER");
   once->fault[0] = 0;
   engine_order_record *first =
       deployment->log->orders->len ? deployment->log->orders->pdata[0] : NULL;
@@ -1050,11 +1063,11 @@
   order->received_at.us++;
   g_ptr_array_add(deployment->log->orders, order);
   gateway_check_single_holder(deployment);
-  shown += seen(deployment, "ONE");
+  shown += violation_seen(deployment, "ONE");
   g_ptr_array_set_size(deployment->log->orders, (int)len);
   first->over_capacity = true;
   gateway_check_limit(deployment);
-  shown += seen(deployment, "LIMIT");
+  shown += violation_seen(deployment, "LIMIT");
   first->over_capacity = false;
   for (int i = 0; i < 30; i++) {
     order = g_memdup2(first, sizeof *first);
@@ -1064,7 +1077,7 @@
     g_ptr_array_add(deployment->log->orders, order);
   }
   gateway_check_load_rate(deployment);
-  shown += seen(deployment, "CEILING");
+  shown += violation_seen(deployment, "CEILING");
   g_ptr_array_set_size(deployment->log->orders, (int)len);
   time_us half = ((client_sim_request *)
                       deployment->client->requests->pdata[deployment->client->requests->len / 2])
@@ -1072,7 +1085,7 @@
   for (guint i = deployment->client->requests->len / 2; i < deployment->client->requests->len; i++)
     ((client_sim_request *)deployment->client->requests->pdata[i])->served = false;
   gateway_check_recovery(deployment, half, time_sub(half, time_from_ms(RECOVERY_S * 1000)));
-  shown += seen(deployment, "RECOVER");
+  shown += violation_seen(deployment, "RECOVER");
   if (shown != 19)
     fleet_add_violation(fleet, "only %d of 19 violations were seen", shown);
   return deployment_finish(deployment, 0);
