--- a/tests/gateway/drain.c
+++ b/tests/gateway/drain.c
@@ -31,7 +31,7 @@
   for (int i = 0; i < 1000 && !fixture->drain_finished; i++)
     fixture_run(fixture, 10);
   if (!fixture->drain_finished)
-    fleet_add_violation(fixture->fleet, "the gateway does not end");
+    fleet_add_violation(fixture->fleet, "the drain does not end");
   host_kill(fixture->node);
   fixture_run(fixture, 200);
 }
@@ -76,12 +76,13 @@
   int late = count_forwarded_after(fixture, time_add(asked, time_from_ms(LISTENER_MS + TRIP_MS)));
   if (late)
     fleet_add_violation(
-        fleet, "LOST %d requests were passed on although they came after the listener was shut",
+        fleet,
+        "LOST %d requests were forwarded although they were sent after the listener was closed",
         late);
   for (guint i = 0; i < CALLERS; i++) {
     fixture_request *first = fixture->requests->pdata[i];
     if (first->status != 200 || !first->ended)
-      fleet_add_violation(fleet, "LOST %s began before the stop and was cut (%d)",
+      fleet_add_violation(fleet, "LOST %s started before the drain and was cut off (%d)",
                           first->request_id_text, first->status);
   }
   fixture_free(fixture);
@@ -114,9 +115,10 @@
   if (most < (double)gateway_drain_remaining_ms(fixture->gateway))
     fleet_add_violation(fleet, "the streams of this test last %.0f ms, too short for it", most);
   if (!late->done || late->status != 503 || fixture_count_runs(fixture, late, true))
-    fleet_add_violation(fleet, "a stream that would be cut was taken (status %d)", late->status);
+    fleet_add_violation(fleet, "a stream that would be cut off was accepted (status %d)",
+                        late->status);
   if (fixture->gateway->counts.unserved[UNSERVED_DRAINING] != 1)
-    fleet_add_violation(fleet, "the refusal is not counted by its reason");
+    fleet_add_violation(fleet, "the refusal is not counted under its reason");
   run_until_drained(fixture);
   fixture_free(fixture);
   fixture = fixture_new(fleet, long_routes, true, 2, 8);
@@ -146,7 +148,7 @@
     fixture_request *request = fixture->requests->pdata[i];
     if (!request->done || !request->ended || (request->status != 502 && request->status != 504))
       fleet_add_violation(fleet,
-                          "LOST %s to %s was passed on and ended without an answer (status %d)",
+                          "LOST %s to %s was forwarded and ended without a response (status %d)",
                           request->request_id_text, request->target, request->status);
   }
   fixture_free(fixture);
@@ -323,7 +325,7 @@
   }
   for (int i = 0; i < fleet->controllers; i++)
     if (stopping[i].left)
-      fleet_add_violation(fleet, "%s ended with %d calls that it had read",
+      fleet_add_violation(fleet, "%s ended with %d pending calls that it had read",
                           stopping[i].host->self.text, stopping[i].left);
   for (int i = 0; i < fleet->controllers * READERS; i++) {
     readers[i].stop = true;
--- a/tests/gateway/forward.c
+++ b/tests/gateway/forward.c
@@ -32,24 +32,26 @@
     if (once && runs > 1)
       fleet_add_violation(fixture->fleet, "%s ran %d times", request->request_id_text, runs);
     if (!request->done) {
-      fleet_add_violation(fixture->fleet, "%s has no end", request->request_id_text);
+      fleet_add_violation(fixture->fleet, "%s has not ended", request->request_id_text);
       continue;
     }
     if (once && request->status == 503 && runs)
-      fleet_add_violation(fixture->fleet, "%s was refused and ran", request->request_id_text);
+      fleet_add_violation(fixture->fleet, "%s was refused although it ran",
+                          request->request_id_text);
     if (request->status / 100 != 2)
       continue;
     if (!fields_get(request->received_fields, "Asterfall-Stamp", &v))
       fleet_add_violation(fixture->fleet, "%s has no stamp", request->request_id_text);
     if (!fields_get(request->received_fields, "Asterfall-Request", &v) ||
         !string_view_equal(v, string_view_of(request->request_id_text)))
-      fleet_add_violation(fixture->fleet, "%s has another's answer", request->request_id_text);
+      fleet_add_violation(fixture->fleet, "%s got the response to another request",
+                          request->request_id_text);
     if (!request->ended || g_str_has_prefix(request->target, "/stream/"))
       continue;
     GString *due = g_string_new(NULL);
     engine_response_body(due, request->request_id_text, 300);
     if (!g_string_equal(due, request->received_body))
-      fleet_add_violation(fixture->fleet, "%s has another body", request->request_id_text);
+      fleet_add_violation(fixture->fleet, "%s got a wrong response body", request->request_id_text);
     g_string_free(due, TRUE);
   }
 }
@@ -75,7 +77,8 @@
     fixture_request *request = fixture->requests->pdata[i];
     char *ids = fixture_event_ids(request);
     if (strcmp(ids, all_events))
-      fleet_add_violation(fixture->fleet, "%s got events %s", request->request_id_text, ids);
+      fleet_add_violation(fixture->fleet, "%s received the events %s", request->request_id_text,
+                          ids);
     g_free(ids);
   }
 }
@@ -95,7 +98,7 @@
     fixture_request *request = fixture->requests->pdata[atoi(run->request_id + 1) - 1];
     if (run->request_checksum !=
         engine_request_checksum("POST", request->target, string_view_of(request->body)))
-      fleet_add_violation(fleet, "%s was changed", run->request_id);
+      fleet_add_violation(fleet, "%s was modified on the way to the engine", run->request_id);
   }
   fixture_request *none = fixture_send(fixture, "/nowhere/x", 2000, NULL),
                   *nameless = fixture_send(fixture, "/safe/x", 2000, NULL);
@@ -124,7 +127,7 @@
   for (int i = 0; i < 12; i++) {
     fixture_request *request = fixture->requests->pdata[i];
     if (time_sub(request->last_byte_received_at, request->first_byte_received_at).us < 100000)
-      fleet_add_violation(fleet, "%s came in one piece", request->request_id_text);
+      fleet_add_violation(fleet, "%s was received in one piece", request->request_id_text);
   }
   fixture_free(fixture);
   return true;
@@ -225,7 +228,8 @@
     char *ids = fixture_event_ids(request);
     bool all = !strcmp(ids, all_events);
     if (request->status == 200 && request->ended && !all)
-      fleet_add_violation(fleet, "%s looks whole with events %s", request->request_id_text, ids);
+      fleet_add_violation(fleet, "%s looks complete with the events %s", request->request_id_text,
+                          ids);
     cut += !all;
     g_free(ids);
   }
@@ -285,10 +289,9 @@
     if (request->status != 503)
       continue;
     if (!fields_get(request->received_fields, "Retry-After", &v))
-      fleet_add_violation(fleet, "%s was refused without a time to come back",
-                          request->request_id_text);
+      fleet_add_violation(fleet, "%s was refused without Retry-After", request->request_id_text);
     else if (g_ascii_strtod(v.data, NULL) > 0.667)
-      fleet_add_violation(fleet, "%s is to come back after %.*s s", request->request_id_text,
+      fleet_add_violation(fleet, "%s is to be retried only after %.*s s", request->request_id_text,
                           (int)v.length, v.data);
     late += time_sub(request->last_byte_received_at, request->request_sent_at).us > 180000;
   }
@@ -309,7 +312,7 @@
   for (guint i = 0; i < fixture->log->runs->len; i++) {
     engine_run_record *run = fixture->log->runs->pdata[i];
     if (run->outcome == 'r' || (run->outcome == 'd' && run->events < 20))
-      fleet_add_violation(fleet, "%s runs on", run->request_id);
+      fleet_add_violation(fleet, "%s is still running", run->request_id);
   }
   for (int i = 0; i < 2; i++) {
     gateway_engine *n = gateway_engine_find(fixture->gateway, fixture->engines[i]->self.text);
@@ -414,7 +417,7 @@
     if (head.has_id != cases[i].has_id || head.has_data != cases[i].has_data ||
         (head.has_id && head.id != cases[i].id) ||
         !string_view_equal(head.weight_versions, string_view_of(cases[i].versions)))
-      fleet_add_violation(fleet, "event %zu is read as another", i);
+      fleet_add_violation(fleet, "event %zu is parsed wrongly", i);
   }
   return true;
 }
--- a/tests/gateway/retry_budget.c
+++ b/tests/gateway/retry_budget.c
@@ -14,10 +14,10 @@
         all += retry_budget_node_share(slack, ratio, nodes, own);
       }
       if (all > ratio * came + slack + 1e-9)
-        fleet_add_violation(fleet, "%d nodes may take %.1f of %.1f", nodes, all,
+        fleet_add_violation(fleet, "%d nodes may use %.1f of %.1f retries", nodes, all,
                             ratio * came + slack);
       if (all < 0.5 * slack - 1e-9)
-        fleet_add_violation(fleet, "%d nodes may take only %.1f of a slack of %.1f", nodes, all,
+        fleet_add_violation(fleet, "%d nodes may use only %.1f of a slack of %.1f", nodes, all,
                             slack);
     }
   return true;
@@ -56,11 +56,11 @@
     }
     double most = 0.2 * MAX(c, MAX(half, before)) + 50;
     if (t > most)
-      fleet_add_violation(fleet, "a window from step %d has %d extras where %.1f may be", i, t,
+      fleet_add_violation(fleet, "the window from step %d has %d retries, more than %.1f", i, t,
                           most);
   }
   if (all < 25)
-    fleet_add_violation(fleet, "only %d extras were given in a minute", all);
+    fleet_add_violation(fleet, "only %d retries were granted in a minute", all);
   fixture_free(fixture);
   return true;
 }
