--- a/lib/gateway/attempt.c
+++ b/lib/gateway/attempt.c
@@ -15,8 +15,8 @@
   SEND_DEADLINE_MS = 400,
   /* margin after a request's deadline for a response in transit */
   DEADLINE_MARGIN_MS = 250,
-  /* an engine that has not been heard from for longer does not get a request that may run only once
-   * over a pooled connection */
+  /* a request that may run only once is not sent over a pooled connection to an engine that has not
+   * been heard from for longer than this */
   RECENTLY_HEARD_MS = 2000,
   /* interval between attempts to reserve a retry while an engine stays silent */
   RETRY_INTERVAL_MS = 500,
@@ -33,8 +33,8 @@
   STREAM_SILENCE_MIN_MS = 1000,
   /* an engine is alive if it has sent other data this long after the request's last byte */
   ENGINE_ALIVE_US = 100000,
-  /* a client that leaves earlier than this and this multiple of the mean time to the first event
-   * does not count against the engine */
+  /* a client that leaves within the longer of these times does not count against the engine; the
+   * second is a multiple of the mean time to the first event */
   CLIENT_LEFT_MIN_MS = 500,
   CLIENT_LEFT_FIRST_EVENTS = 3
 };
--- a/lib/gateway/pinned_sessions.h
+++ b/lib/gateway/pinned_sessions.h
@@ -5,8 +5,8 @@
 #define GATEWAY_PINNED_SESSIONS_H
 #include "base.h"
 
-/** With more, the candidate is switched off at this gateway: 1 MB of ids, and as much in each
- * message exchange that has to transfer them. */
+/** Maximum number of pinned sessions of a trial: 1 MB of ids, and as much in each message exchange
+ * that has to transfer them. A gateway that reaches it switches the candidate off. */
 enum { MAX_PINNED_SESSIONS = 1 << 17 };
 
 typedef struct pinned_sessions {
--- a/lib/gateway/unserved.c
+++ b/lib/gateway/unserved.c
@@ -3,7 +3,7 @@
 #include "unserved.h"
 #include "gateway.h"
 
-/* Interval of the log lines: short enough to tell one fault from the next. */
+/* Interval of the log lines: short enough to distinguish successive faults. */
 enum { SUMMARY_MS = 10000 };
 
 static const char *const names[UNSERVED_COUNT] = {
--- a/lib/gateway/unserved.h
+++ b/lib/gateway/unserved.h
@@ -6,7 +6,8 @@
 typedef struct gateway gateway;
 
 enum unserved_reason {
-  /** The engine declined it, for example while it carries out an order for the model. */
+  /** The engine declined the request, for example while it loads or unloads the model by an
+   * order. */
   UNSERVED_DECLINED,
   /** No engine holds its model, and a load would complete too late. */
   UNSERVED_NO_MODEL,
