--- a/tests/gateway/drain.c
+++ b/tests/gateway/drain.c
@@ -253,7 +253,7 @@
 typedef struct routing_reader {
   world *world;
   char addr[64];
-  int asked, answered, unread;
+  int calls_made, calls_answered, calls_unsent;
   bool stop, done;
 } routing_reader;
 
@@ -265,12 +265,12 @@
     http_call *call = http_call_open_fields(reader->world, reader->addr, "GET", "/v1/routing",
                                             fields, string_view_of(""), false, time_never());
     g_string_free(fields, TRUE);
-    reader->asked++;
+    reader->calls_made++;
     time_us till = time_add(world_now(reader->world), time_from_ms(2000));
     GString *got = g_string_new(NULL);
     bool whole = http_call_read_all(call, got, till) == OK;
-    reader->answered += whole;
-    reader->unread += !whole && !call->sent;
+    reader->calls_answered += whole;
+    reader->calls_unsent += !whole && !call->sent;
     g_string_free(got, TRUE);
     http_call_close(call);
     world_sleep(reader->world, time_from_ms(whole ? 1 : 100));
@@ -280,8 +280,8 @@
 
 typedef struct draining_controller {
   host *host;
-  int left;
-  bool over;
+  int calls_left;
+  bool drain_done;
 } draining_controller;
 
 static void draining_controller_run(void *p) {
@@ -290,8 +290,8 @@
   if (condition_wait(&draining->host->world.tasks, &controller->stopped, time_never()) !=
       WAKE_SIGNALLED)
     return;
-  draining->left = controller->control_listener.http.pending_exchanges;
-  draining->over = true;
+  draining->calls_left = controller->control_listener.http.pending_exchanges;
+  draining->drain_done = true;
 }
 
 /* All controllers are draining, so that a read waits for an acting tail before it is refused. No
@@ -305,7 +305,7 @@
   routing_reader readers[3 * READERS];
   for (int i = 0; i < fleet->controllers; i++) {
     host *host = fleet->controller[i];
-    stopping[i] = (draining_controller){ .host = host, .left = -1 };
+    stopping[i] = (draining_controller){ .host = host, .calls_left = -1 };
     for (int k = 0; k < READERS; k++) {
       routing_reader *reader = &readers[i * READERS + k];
       *reader = (struct routing_reader){ .world = &deployment->operator_host->world };
@@ -320,18 +320,18 @@
   for (int i = 0; i < 1000; i++) {
     sim_run(deployment->sim, time_from_ms(10));
     for (int k = 0; k < fleet->controllers; k++)
-      if (stopping[k].over && stopping[k].host->alive)
+      if (stopping[k].drain_done && stopping[k].host->alive)
         host_kill(stopping[k].host);
   }
   for (int i = 0; i < fleet->controllers; i++)
-    if (stopping[i].left)
+    if (stopping[i].calls_left)
       fleet_add_violation(fleet, "%s ended with %d pending calls that it had read",
-                          stopping[i].host->self.text, stopping[i].left);
+                          stopping[i].host->self.text, stopping[i].calls_left);
   for (int i = 0; i < fleet->controllers * READERS; i++) {
     readers[i].stop = true;
-    if (readers[i].answered < 2)
-      fleet_add_violation(fleet, "only %d of %d reads were answered", readers[i].answered,
-                          readers[i].asked);
+    if (readers[i].calls_answered < 2)
+      fleet_add_violation(fleet, "only %d of %d reads were answered", readers[i].calls_answered,
+                          readers[i].calls_made);
   }
   sim_run(deployment->sim, time_from_ms(3000));
   for (int i = 0; i < fleet->controllers; i++)
--- a/tests/gateway/gateway.c
+++ b/tests/gateway/gateway.c
@@ -780,19 +780,20 @@
 typedef struct probe_call {
   host *host;
   http_call *call;
-  int got;
+  int probe_result;
   bool done;
-  bool fresh;
+  bool force_new_connection;
   char addr[64];
 } probe_call;
 static void probe_run(void *p) {
   probe_call *k = p;
   fields *fields = g_string_new("Host: x\r\n");
   k->call = http_call_open_fields(&k->host->world, k->addr, "GET", "/v1/report", fields,
-                                  string_view_of(""), k->fresh, time_never());
+                                  string_view_of(""), k->force_new_connection, time_never());
   g_string_free(fields, TRUE);
   GString *b = g_string_new(NULL);
-  k->got = http_call_read_all(k->call, b, time_add(world_now(&k->host->world), time_from_ms(2000)));
+  k->probe_result =
+      http_call_read_all(k->call, b, time_add(world_now(&k->host->world), time_from_ms(2000)));
   g_string_free(b, TRUE);
   k->done = true;
 }
@@ -805,7 +806,7 @@
     http_call_close(k->call);
   k->call = NULL;
   k->done = false;
-  k->fresh = fresh;
+  k->force_new_connection = fresh;
   task_start(&k->host->world.tasks, "probe", probe_run, k);
   sim_run_until(deployment->sim, probe_is_done, k, time_from_ms(3000));
 }
@@ -818,56 +819,57 @@
   probe_call k = { .host = deployment->client_host };
   snprintf(k.addr, sizeof k.addr, "%s:%d", process->plan.ip, process->plan.port);
   probe_once(deployment, &k, false);
-  if (k.got || k.call->reused_connection || k.call->status != 200)
+  if (k.probe_result || k.call->reused_connection || k.call->status != 200)
     fleet_add_violation(fleet, "the first call did not succeed on a new connection");
   probe_once(deployment, &k, false);
-  if (k.got || !k.call->reused_connection)
+  if (k.probe_result || !k.call->reused_connection)
     fleet_add_violation(fleet, "the second call did not reuse the connection");
   probe_once(deployment, &k, true);
-  if (k.got || k.call->reused_connection)
+  if (k.probe_result || k.call->reused_connection)
     fleet_add_violation(fleet, "a call that asked for a new connection did not get one");
   host_power_off(process->host);
   sim_run(deployment->sim, time_from_ms(200));
   probe_once(deployment, &k, true);
-  if (k.got != E_NO_RESPONSE || k.call->sent)
-    fleet_add_violation(
-        fleet, "a call to a machine without power did not fail before it was sent (%d)", k.got);
+  if (k.probe_result != E_NO_RESPONSE || k.call->sent)
+    fleet_add_violation(fleet,
+                        "a call to a machine without power did not fail before it was sent (%d)",
+                        k.probe_result);
   http_call_close(k.call);
   k.call = NULL;
   host_start(process->host);
   sim_run(deployment->sim, time_from_ms(200));
   probe_once(deployment, &k, false);
-  if (k.got != E_CONNECTION_LOST_AFTER_SEND || !k.call->reused_connection || !k.call->sent)
+  if (k.probe_result != E_CONNECTION_LOST_AFTER_SEND || !k.call->reused_connection || !k.call->sent)
     fleet_add_violation(
         fleet,
         "a call on a connection from before a restart did not break after it was sent (%d, reused %d)",
-        k.got, k.call->reused_connection);
+        k.probe_result, k.call->reused_connection);
   k.host->world.pool_close_idle(&k.host->world, k.addr);
   host_kill(process->host);
   sim_run(deployment->sim, time_from_ms(200));
   probe_once(deployment, &k, false);
-  if (k.got != E_NOT_CONNECTED || k.call->sent)
+  if (k.probe_result != E_NOT_CONNECTED || k.call->sent)
     fleet_add_violation(fleet,
                         "a call to a dead process was not refused before it was sent (%d, sent %d)",
-                        k.got, k.call->sent);
+                        k.probe_result, k.call->sent);
   host_start(process->host);
   probe_once(deployment, &k, false);
   sim_run(deployment->sim, time_from_ms(5200));
   probe_once(deployment, &k, false);
-  if (k.got || k.call->reused_connection)
+  if (k.probe_result || k.call->reused_connection)
     fleet_add_violation(fleet,
                         "a connection that was idle for long was not closed by the other side");
   host_freeze(process->host);
   probe_once(deployment, &k, false);
-  if (k.got != E_NO_RESPONSE || !k.call->sent)
+  if (k.probe_result != E_NO_RESPONSE || !k.call->sent)
     fleet_add_violation(fleet, "a call to a frozen process did not end without a response (%d)",
-                        k.got);
+                        k.probe_result);
   host_unfreeze(process->host);
   sim_set_partition(deployment->sim, "unit-1", "outside", true);
   probe_once(deployment, &k, false);
-  if (k.got != E_NO_RESPONSE)
+  if (k.probe_result != E_NO_RESPONSE)
     fleet_add_violation(fleet, "a call over a partition did not end without a response (%d)",
-                        k.got);
+                        k.probe_result);
   sim_heal_partitions(deployment->sim);
   http_call_close(k.call);
   return deployment_finish(deployment, 0);
