--- a/lib/gateway/canary_status.c
+++ b/lib/gateway/canary_status.c
@@ -47,7 +47,7 @@
   g_string_append_c(to, '}');
 }
 
-void canary_json(gateway *gateway, GString *to) {
+void canary_status_append_json(gateway *gateway, GString *to) {
   const canary_trial *canary = gateway->canary;
   if (!canary)
     return;
@@ -76,7 +76,7 @@
                  arm_names[arm], priority, ends[i].end, ends[i].count);
 }
 
-void canary_metrics(gateway *gateway, GString *to) {
+void canary_status_append_metrics(gateway *gateway, GString *to) {
   const canary_trial *canary = gateway->canary;
   if (!canary)
     return;
--- a/lib/gateway/canary_status.h
+++ b/lib/gateway/canary_status.h
@@ -6,7 +6,7 @@
 typedef struct gateway gateway;
 
 /** Appends ,"canary":{...} while a trial runs. */
-void canary_json(gateway *gateway, GString *to);
+void canary_status_append_json(gateway *gateway, GString *to);
 /** Appends the metrics of the trial, if one runs. */
-void canary_metrics(gateway *gateway, GString *to);
+void canary_status_append_metrics(gateway *gateway, GString *to);
 #endif
--- a/lib/gateway/engine_select.c
+++ b/lib/gateway/engine_select.c
@@ -133,7 +133,7 @@
    * candidates that are not ejected. */
   int in_service, holding, not_ejected;
   /** Some candidate is neither suspect nor ejected. */
-  bool some_clear;
+  bool any_in_good_health;
 } candidates;
 
 static bool is_ejected(const gateway_engine *engine, time_us now) {
@@ -144,7 +144,7 @@
                             candidates *found) {
   time_us now = gateway_now(gateway), ends_after = time_add(now, time_from_ms(MIN_REMAINING_MS));
   found->count = found->in_service = found->holding = found->not_ejected = 0;
-  found->some_clear = false;
+  found->any_in_good_health = false;
   list_for_each (engine, &gateway->engines.list, gateway_engine, link) {
     if (engine->gone || engine->draining || !id_equal(engine->service, request->service->name))
       continue;
@@ -161,7 +161,7 @@
     found->not_ejected += !ejected;
     if (found->count == MAX_CANDIDATES)
       continue;
-    found->some_clear |= !engine->health.suspect && !ejected;
+    found->any_in_good_health |= !engine->health.suspect && !ejected;
     found->engines[found->count++] = engine;
   }
 }
@@ -262,7 +262,7 @@
   /* when only requests that may run once arrive, one of them eventually has to probe the engine */
   time_us trial_at = time_add(health->suspect_at, time_from_ms(SUSPECT_TRIAL_MS));
   return health->suspect &&
-         (found->some_clear || (request->run_once && !time_reached(now, trial_at)));
+         (found->any_in_good_health || (request->run_once && !time_reached(now, trial_at)));
 }
 
 /* true when the engine must not get the request, whatever its cost */
--- a/lib/gateway/status.c
+++ b/lib/gateway/status.c
@@ -160,7 +160,7 @@
   g_string_append(to, "],\"engines\":[");
   engines_to_json(gateway, to);
   g_string_append_c(to, ']');
-  canary_json(gateway, to);
+  canary_status_append_json(gateway, to);
   g_string_append_c(to, '}');
 }
 
@@ -191,5 +191,5 @@
   for (int reason = 0; reason < UNSERVED_COUNT; reason++)
     json_appendf(to, "asterfall_gateway_unserved{reason=\"%s\"} %" PRIu64 "\n",
                  unserved_name(reason), counts->unserved[reason]);
-  canary_metrics(gateway, to);
+  canary_status_append_metrics(gateway, to);
 }
--- a/tests/gateway/canary.c
+++ b/tests/gateway/canary.c
@@ -245,7 +245,7 @@
   /* no gateway waits for a second start, not even the one that lost the first in its restart */
   for (int i = 0; i < fleet->routers; i++) {
     GString *b = g_string_new(NULL);
-    canary_metrics(deployment->gateway_processes[i]->gateway, b);
+    canary_status_append_metrics(deployment->gateway_processes[i]->gateway, b);
     if (!strstr(b->str, "asterfall_canary_on 1\n"))
       fleet_add_violation(fleet, "the trial is not on at %s", fleet->router[i]->self.text);
     g_string_free(b, TRUE);
@@ -262,7 +262,7 @@
   if (!deployment->gateway_processes[i]->gateway || !deployment->fleet->router[i]->alive)
     return -1;
   GString *b = g_string_new(NULL);
-  canary_metrics(deployment->gateway_processes[i]->gateway, b);
+  canary_status_append_metrics(deployment->gateway_processes[i]->gateway, b);
   const char *n = strstr(b->str, "asterfall_canary_elders ");
   int is = n && strstr(b->str, "asterfall_canary_on 1\n")
                ? atoi(n + strlen("asterfall_canary_elders "))
