--- a/lib/gateway/canary_status.c
+++ b/lib/gateway/canary_status.c
@@ -1,4 +1,4 @@
-/** Status and metrics of a canary trial, from the gateway's and the judge's point of view. */
+/** Status and metrics of a canary trial, as seen by a gateway and by the judge. */
 #include "canary_status.h"
 #include "canary_judging.h"
 #include "gateway.h"
@@ -38,16 +38,16 @@
   canary_judging_sum(judging, &totals, &age_ms);
   json_appendf(to, ",\"judges\":{\"nodes\":%d,\"ageMs\":%" PRIu64 ",\"enough\":%s,",
                canary_judging_count_recent(gateway, judging, false), age_ms,
-               judging->last_finding.has_enough_requests ? "true" : "false");
-  canary_comparison_append_json(to, "urgent", &judging->last_finding.urgent);
+               judging->last_verdict.has_enough_requests ? "true" : "false");
+  canary_comparison_append_json(to, "urgent", &judging->last_verdict.urgent);
   g_string_append_c(to, ',');
-  canary_comparison_append_json(to, "rest", &judging->last_finding.rest);
+  canary_comparison_append_json(to, "rest", &judging->last_verdict.rest);
   g_string_append(to, ",\"sides\":");
   totals_append_json(to, &totals);
   g_string_append_c(to, '}');
 }
 
-void canary_json(gateway *gateway, GString *to) {
+void canary_status_append_json(gateway *gateway, GString *to) {
   const canary_trial *canary = gateway->canary;
   if (!canary)
     return;
@@ -76,7 +76,7 @@
                  arm_names[arm], priority, ends[i].end, ends[i].count);
 }
 
-void canary_metrics(gateway *gateway, GString *to) {
+void canary_status_append_metrics(gateway *gateway, GString *to) {
   const canary_trial *canary = gateway->canary;
   if (!canary)
     return;
--- a/lib/gateway/response_relay.c
+++ b/lib/gateway/response_relay.c
@@ -1,16 +1,17 @@
 /** Relays an engine's response to the client.
  *
- * An event stream is passed on event by event, never in part, so that another engine can continue
- * it behind the last id. Any other response is read to its end first: one that is cut short never
+ * An event stream is relayed in complete events only, so that another engine can resume it after
+ * the last event id. Any other response is read to its end first, so that a truncated one never
  * looks complete. */
 #include "event_stream.h"
 #include "inflight_request.h"
 #include "service_traffic.h"
 
-/* A response that is not a stream is kept in memory up to this size, and of a stream one event. */
+/* Maximum size of what is buffered in memory: a response that is not a stream, or one event of a
+ * stream. */
 enum { MAX_BODY_BYTES = 8 << 20 };
 
-/* copies the engine's fields, but those of its own connection */
+/* copies the engine's header fields except hop-by-hop ones */
 static void begin_response(inflight_request *request, const http_call *call) {
   static const char *const skip_none[] = { NULL };
   http_request *http = request->http;
@@ -45,22 +46,23 @@
   service_traffic_record_first_event(service_traffic_of(request->gateway, request->service), ms);
 }
 
-void response_relay_record_versions(inflight_request *request, string_view versions) {
-  /* of a list, the last is in force */
+void response_relay_record_weight_version(inflight_request *request, string_view versions) {
+  /* the last version of a list is the current one */
   for (size_t i = versions.length; i > 0; i--)
     if (versions.data[i - 1] == ',' || versions.data[i - 1] == ' ') {
       versions.data += i;
       versions.length -= i;
       break;
     }
-  if (!versions.length || versions.length >= sizeof request->versions)
+  if (!versions.length || versions.length >= sizeof request->weight_version)
     return;
-  memcpy(request->versions, versions.data, versions.length);
-  request->versions[versions.length] = 0;
+  memcpy(request->weight_version, versions.data, versions.length);
+  request->weight_version[versions.length] = 0;
 }
 
-/* Records ids and versions of complete events, and finds where the part begins that the client does
- * not have yet. False when a resumed stream doesn't fit behind what was passed on. */
+/* Records ids and weight versions of complete events, and sets *new_from to the start of the events
+ * that the client does not have yet. False when a resumed stream does not continue what was relayed
+ * before. */
 static bool track_events(inflight_request *request, const char *events, size_t length,
                          size_t *new_from) {
   const char *versions_name = request_field_name(request, DF_WEIGHT_VERSIONS);
@@ -71,19 +73,19 @@
     event_info event;
     size_t event_length = event_parse(events + at, length - at, versions_name, &event);
     if (event.weight_versions.length)
-      response_relay_record_versions(request, event.weight_versions);
+      response_relay_record_weight_version(request, event.weight_versions);
     if (request->resumed) {
       if (!event.has_id && event.has_data)
         return false;
-      if (event.has_id && event.id <= request->last_id) {
+      if (event.has_id && event.id <= request->last_event_id) {
         if (new_seen)
           return false;
         *new_from = at + event_length;
       } else
         new_seen = true;
     }
-    if (event.has_id && event.id >= request->last_id)
-      request->last_id = event.id;
+    if (event.has_id && event.id >= request->last_event_id)
+      request->last_event_id = event.id;
     else if (event.has_data && !request->resumed)
       request->unresumable = true;
     at += event_length;
@@ -91,17 +93,17 @@
   return true;
 }
 
-/* true when another engine may continue the response */
+/* true when another engine may resume the response */
 static bool can_resume(const inflight_request *request) {
   return !request->http->response_started ||
          (gateway_feature_enabled(request->gateway, FEATURE_RESUME) && request->route->resumable &&
-          !request->unresumable && request->last_id);
+          !request->unresumable && request->last_event_id);
 }
 
-/** How one step of a stream went. */
+/** Result of one step of relaying a stream. */
 enum relay_step { RELAY_WAIT, RELAY_AGAIN, RELAY_ENDED };
 
-/* passes on the complete events that have come; RELAY_ENDED with *outcome when that failed */
+/* relays the complete events received so far; RELAY_ENDED with *outcome when that failed */
 static enum relay_step relay_events(inflight_request *request, http_call *call, time_us sent_at,
                                     bool *events_passed, enum attempt_outcome *outcome) {
   GString *body = call->response_body;
@@ -133,7 +135,7 @@
                                            time_us sent_at) {
   http_request *http = request->http;
   time_us last_byte_at = request_now(request), deadline = attempt_deadline(request),
-          look_again_at = { 0 };
+          next_retry_at = { 0 };
   bool events_passed = false;
   for (;;) {
     if (http->client_gone || http->world->tasks.stopped)
@@ -141,7 +143,7 @@
     time_us now = request_now(request);
     if (call->response_body->len) {
       request->last_event_bytes_at = last_byte_at = request->slot.engine->health.last_byte_at = now;
-      look_again_at = (time_us){ 0 };
+      next_retry_at = (time_us){ 0 };
     }
     enum attempt_outcome outcome;
     enum relay_step step = relay_events(request, call, sent_at, &events_passed, &outcome);
@@ -163,18 +165,18 @@
     if (time_reached(now, deadline))
       return ATTEMPT_OUTCOME_TIMEOUT;
     time_us until = deadline;
-    if (may_resume && attempt_unresponsive_and_retried(request, call, last_byte_at, events_passed,
-                                                       &look_again_at, &until))
+    if (may_resume && attempt_retry_if_unresponsive(request, call, last_byte_at, events_passed,
+                                                    &next_retry_at, &until))
       return ATTEMPT_OUTCOME_RETRY;
     condition_wait(&http->world->tasks, &call->progressed, until);
   }
 }
 
-/* reads a response to its end; ATTEMPT_OUTCOME_DONE when it ended or broke off */
+/* reads a response to its end; ATTEMPT_OUTCOME_DONE when it ended or its connection broke */
 static enum attempt_outcome read_to_end(inflight_request *request, http_call *call) {
   http_request *http = request->http;
   time_us deadline = attempt_deadline(request), last_byte_at = request_now(request),
-          look_again_at = { 0 };
+          next_retry_at = { 0 };
   size_t read = 0;
   while (!call->ended && !call->broken) {
     if (http->client_gone || http->world->tasks.stopped)
@@ -192,16 +194,14 @@
       return ATTEMPT_OUTCOME_TIMEOUT;
     time_us until = deadline;
     if (request_may_retry(request) &&
-        attempt_unresponsive_and_retried(request, call, last_byte_at, false, &look_again_at,
-                                         &until))
+        attempt_retry_if_unresponsive(request, call, last_byte_at, false, &next_retry_at, &until))
       return ATTEMPT_OUTCOME_RETRY;
     condition_wait(&http->world->tasks, &call->progressed, until);
   }
   return ATTEMPT_OUTCOME_DONE;
 }
 
-enum attempt_outcome response_relay_complete(inflight_request *request, http_call *call,
-                                             bool stamped) {
+enum attempt_outcome response_relay_complete(inflight_request *request, http_call *call, bool ok) {
   enum attempt_outcome outcome = read_to_end(request, call);
   if (outcome != ATTEMPT_OUTCOME_DONE)
     return outcome;
@@ -212,7 +212,7 @@
                ? ATTEMPT_OUTCOME_RETRY
                : ATTEMPT_OUTCOME_FAILED;
   request->slot.engine->health.last_byte_at = request_now(request);
-  if (!stamped && request_may_retry(request) && call->status >= 500 &&
+  if (!ok && request_may_retry(request) && call->status >= 500 &&
       reserved_slot_take_for_retry(request))
     return ATTEMPT_OUTCOME_RETRY;
   send_complete_response(request, call);
--- a/lib/gateway/status.c
+++ b/lib/gateway/status.c
@@ -1,11 +1,11 @@
-/** Status page, metrics and readiness of a gateway. Names in JSON and metrics are an interface:
- * they don't follow names in the code. */
+/** Status page, metrics and readiness of a gateway. Names in JSON and metrics are a public
+ * interface and do not follow names in the code. */
 #include "status.h"
 #include "canary_status.h"
 #include "gateway.h"
 #include "service_traffic.h"
 
-/* the age of an instant in ms; -1 when there was none */
+/* the age of a time in ms; -1 when it is not set */
 static int64_t age_ms(time_us now, time_us at) {
   return at.us ? time_sub(now, at).us / 1000 : -1;
 }
@@ -123,7 +123,7 @@
   g_string_append_c(to, '}');
 }
 
-/* members of the status that concern the gateway as a whole */
+/* status members of the gateway as a whole */
 static void counts_to_json(const gateway *gateway, GString *to) {
   const gateway_counts *counts = &gateway->counts;
   const char *reason = gateway_unready_reason(gateway);
@@ -160,7 +160,7 @@
   g_string_append(to, "],\"engines\":[");
   engines_to_json(gateway, to);
   g_string_append_c(to, ']');
-  canary_json(gateway, to);
+  canary_status_append_json(gateway, to);
   g_string_append_c(to, '}');
 }
 
@@ -191,5 +191,5 @@
   for (int reason = 0; reason < UNSERVED_COUNT; reason++)
     json_appendf(to, "asterfall_gateway_unserved{reason=\"%s\"} %" PRIu64 "\n",
                  unserved_name(reason), counts->unserved[reason]);
-  canary_metrics(gateway, to);
+  canary_status_append_metrics(gateway, to);
 }
--- a/tests/gateway/retry_budget.c
+++ b/tests/gateway/retry_budget.c
@@ -3,7 +3,7 @@
 static const char plain[] =
     "{\"version\":1,\"routes\":[{\"name\":\"a\",\"host\":\"svc.example\",\"prefix\":\"/a/\",\"mode\":\"safe\",\"timeoutMs\":3000,\"targetMs\":500,\"priority\":0,\"service\":\"svc\",\"attempts\":3}],\"services\":[{\"name\":\"svc\",\"health\":\"/health\"}]}";
 
-static bool shares_stay_within_the_whole(fleet *fleet) {
+static bool node_shares_stay_within_the_fleet_limit(fleet *fleet) {
   for (int nodes = 1; nodes <= 40; nodes++)
     for (int k = 0; k < 20; k++) {
       double slack = 5 + (double)sim_random(fleet->sim, 80),
@@ -14,18 +14,18 @@
         all += retry_budget_node_share(slack, ratio, nodes, own);
       }
       if (all > ratio * came + slack + 1e-9)
-        fleet_add_violation(fleet, "%d nodes may take %.1f of %.1f", nodes, all,
+        fleet_add_violation(fleet, "%d nodes may use %.1f of %.1f retries", nodes, all,
                             ratio * came + slack);
       if (all < 0.5 * slack - 1e-9)
-        fleet_add_violation(fleet, "%d nodes may take only %.1f of a slack of %.1f", nodes, all,
+        fleet_add_violation(fleet, "%d nodes may use only %.1f of a slack of %.1f", nodes, all,
                             slack);
     }
   return true;
 }
 
-/* whatever the pattern of requests, no window of the rule holds more extras than one node's share
- * of it */
-static bool no_window_is_overdrawn(fleet *fleet) {
+/* Whatever the pattern of requests, no window of the retry limit contains more retries than the
+ * share of one gateway. */
+static bool no_window_exceeds_the_retry_budget(fleet *fleet) {
   fixture *fixture = fixture_new(fleet, plain, false, 1, 4);
   const service *service = routing_find_service(fixture->gateway->routing, "svc");
   enum { STEPS = 1200, STEP_MS = 50, WINDOW = 10000 / STEP_MS };
@@ -56,17 +56,17 @@
     }
     double most = 0.2 * MAX(c, MAX(half, before)) + 50;
     if (t > most)
-      fleet_add_violation(fleet, "a window from step %d has %d extras where %.1f may be", i, t,
+      fleet_add_violation(fleet, "the window from step %d has %d retries, more than %.1f", i, t,
                           most);
   }
   if (all < 25)
-    fleet_add_violation(fleet, "only %d extras were given in a minute", all);
+    fleet_add_violation(fleet, "only %d retries were granted in a minute", all);
   fixture_free(fixture);
   return true;
 }
 
 const test_case retry_budget_tests[] = {
-  { "shares_stay_within_the_whole", shares_stay_within_the_whole, 1, 1, 50 },
-  { "no_window_is_overdrawn", no_window_is_overdrawn, 1, 1, 50 },
+  { "node_shares_stay_within_the_fleet_limit", node_shares_stay_within_the_fleet_limit, 1, 1, 50 },
+  { "no_window_exceeds_the_retry_budget", no_window_exceeds_the_retry_budget, 1, 1, 50 },
   { NULL, NULL, 0, 0, 0 }
 };
