--- a/lib/controlplane/bootstrap.c
+++ b/lib/controlplane/bootstrap.c
@@ -1,14 +1,14 @@
 /** Bootstrap of a fleet.
  *
- * The founders are named in the settings, by name or, for a first start, by address. The first of
- * them asks each other one whether it is blank, that is, knows no view and has no fault, and then
- * proposes the first view, which all of them have to accept. A founder that knows a view answers
- * with it: the fleet exists already, and the first founder joins it. A controller whose disk was
- * lost can so never bootstrap a second fleet while one of the others has its disk. */
+ * The settings list the founders, by name or, for a first start, by address. The first founder asks
+ * every other founder whether it is blank, that is, knows no view and has a working disk. It then
+ * proposes the first view, which all founders must accept. A founder that knows a view answers with
+ * it: the fleet already exists, and the first founder joins it. A controller that lost its disk can
+ * therefore never bootstrap a second fleet while one of the other founders still has its disk. */
 #include "replica.h"
 
 enum {
-  /** A request to a founder has so many ms to be answered. */
+  /** Timeout of a request to a founder, in ms. */
   BOOTSTRAP_TIMEOUT_MS = 600
 };
 
@@ -103,7 +103,7 @@
   return !strcmp(replica->bootstrap.founder_addresses[index], settings->address);
 }
 
-/* finds the address of a founder; false while a named one is not known */
+/* finds the address of a founder; returns false while a founder given by name is not yet known */
 static bool find_founder_address(const replica *replica, int index,
                                  char address[MEMBER_ADDRESS_SIZE]) {
   if (!founders_are_named(replica)) {
@@ -117,7 +117,8 @@
   return true;
 }
 
-/* whether a founder's response allows the first view with it as another member */
+/* Whether a founder's response allows it to be a member of the first view. Sets *founder to that
+ * member. */
 static bool founder_may_join(const replica *replica, int index, const char *address,
                              const Wire__BootstrapResponse *response, const view *first,
                              member *founder) {
@@ -158,8 +159,8 @@
   return true;
 }
 
-/* the first view with this controller alone; its fleet number is the one that this acceptor has
- * accepted, if any */
+/* Returns the first view with this controller as its only member. Its fleet id is the one that this
+ * acceptor has already accepted, if any, or else a random number. */
 static view start_first_view(const replica *replica) {
   const acceptor_state *acceptor = &replica->acceptor;
   world *world = replica->node->world;
@@ -179,7 +180,7 @@
   for (int i = 0; i < count_founders(replica); i++)
     if (!founder_is_self(replica, i) && !add_founder(replica, i, first))
       return;
-  /* two voters would bear no loss, like one, but both would have to agree */
+  /* two voters tolerate no failure, like one, but both would have to agree */
   first->voter_count = first->chain_length == 3 ? 3 : 1;
   memcpy(first->voters, first->chain, sizeof first->chain[0] * first->voter_count);
   first->chain_length = MIN(first->chain_length, replica_chain_max(replica));
--- a/lib/controlplane/bootstrap.h
+++ b/lib/controlplane/bootstrap.h
@@ -1,17 +1,17 @@
 #ifndef CONTROLPLANE_BOOTSTRAP_H
 #define CONTROLPLANE_BOOTSTRAP_H
-/** Bootstrap of a fleet: how the founders agree on its first view. */
+/** Bootstrap of a fleet: the founders agree on its first view. */
 #include "node.h"
 
 struct replica;
 
-/** The founders by address, each once. They are kept in the log until a view is known. */
+/** The addresses of the founders, without duplicates. Kept in the log until a view is known. */
 typedef struct bootstrap_state {
   int founder_count;
   char founder_addresses[FOUNDERS_MAX][sizeof(((settings *)NULL)->founder_addresses[0])];
 } bootstrap_state;
 
-/** Takes the founders' addresses from the settings, if there are any. */
+/** Loads the founders' addresses from the settings, if they contain any. */
 void bootstrap_load_settings(bootstrap_state *bootstrap, const settings *settings);
 /** Reads the founders' addresses from the body of an ENTRY_FOUNDERS. */
 void bootstrap_replay_founders(bootstrap_state *bootstrap, string_view body);
--- a/lib/controlplane/chain_join.c
+++ b/lib/controlplane/chain_join.c
@@ -1,26 +1,28 @@
 /** Joining the chain.
  *
  * A controller outside the chain asks other controllers for the view until it knows one. It then
- * fetches a snapshot from a member of the chain, and tells all that may propose a view that it has
- * caught up. The next view takes it in as the last of the chain, where its predecessor sends it the
- * records after the snapshot. */
+ * fetches a snapshot from a chain member and tells every controller that may propose a view that it
+ * has caught up. The next view adds it at the end of the chain, where its predecessor sends it the
+ * records that follow the snapshot. */
 #include "replica.h"
 
 enum {
-  /** A controller outside the chain tries again after about so many ms. */
+  /** Interval between attempts of a controller outside the chain, in ms, before jitter. */
   JOIN_INTERVAL_MS = 300,
-  /** A request for the view has so many ms to be answered. */
+  /** Timeout of a request for the view, in ms. */
   VIEW_REQUEST_TIMEOUT_MS = 600,
-  /** Once it knows a view, one in so many attempts asks some controller in place of the tail. */
+  /** Once a view is known, one in this many attempts asks another controller instead of the tail.
+   */
   ASK_OTHER_THAN_TAIL = 3,
-  /** One in so many attempts asks a random controller in place of the one heard last. */
+  /** One in this many attempts asks a random controller instead of the most recently heard one. */
   ASK_RANDOM_PEER = 3,
-  /** Waiting for the lock of replication ends after so many ms. */
+  /** Timeout for acquiring the replication lock, in ms. */
   LOCK_TIMEOUT_MS = 1000,
-  /** A request to join is valid for so many ms at a voter, and repeated more often. */
+  /** How long a join request is valid at its receiver, and how often it is repeated, in ms. */
   JOIN_REQUEST_VALID_MS = 1500,
   JOIN_REQUEST_REPEAT_MS = 500,
-  /** A controller that is not taken in after so many ms fetches a new snapshot. */
+  /** A controller that has not been added to the chain within this many ms fetches a new snapshot.
+   */
   JOIN_REQUEST_TIMEOUT_MS = 3000
 };
 
@@ -35,7 +37,7 @@
   return &replica->join_requests.entries[index].member;
 }
 
-/* the entry of a controller, else the one that was received longest ago */
+/* returns the index of the entry for a controller, or else of the oldest request */
 static int find_entry(const join_requests *requests, id controller) {
   int oldest = 0;
   for (int i = 0; i < JOIN_REQUESTS_MAX; i++) {
@@ -91,8 +93,8 @@
   peer_rpc_message_free(response);
 }
 
-/* the controller that was heard last, or at times a random one, since what is known of peers may
- * come from others and name dead ones; NULL when none is known */
+/* Returns the most recently heard controller, or sometimes a random one, since peer information may
+ * come from other processes and include dead controllers. Returns NULL if none is known. */
 static const peer_node *choose_peer(const replica *replica) {
   world *world = replica->node->world;
   const peer_node *chosen = NULL;
@@ -108,7 +110,7 @@
   return chosen;
 }
 
-/* learns the newest view from the tail of the known one, or from another controller */
+/* requests the newest view from the tail of the known view, or from another controller */
 static void discover_view(replica *replica) {
   char address[MEMBER_ADDRESS_SIZE] = "";
   const peer_node *peer = choose_peer(replica);
@@ -120,15 +122,16 @@
     request_view(replica, address);
 }
 
-/* whether the chain has space for this controller, or a member that is this controller with an
- * earlier disk */
+/* whether the chain has space for one more member, or contains this controller with an earlier disk
+ */
 static bool chain_has_space(const replica *replica) {
   return replica->view.chain_length < replica_chain_max(replica) ||
          view_chain_index_of_controller(&replica->view, replica->node->settings.self) >= 0;
 }
 
-/* Fetches a snapshot from the member nearest to the tail that can give one: a member that is lost
- * stays in the chain for a while, and one that joined lately is out of sync. */
+/* Fetches a snapshot from the member nearest to the tail that can provide one. Some members cannot:
+ * a lost member stays in the chain for a while, and a member that joined recently is out of sync.
+ */
 static enum error_code fetch_from_chain(replica *replica, error *err) {
   view view = replica->view;
   enum error_code r = error_set(err, E_NO_CONTROLLER, "no other member is heard");
@@ -152,8 +155,8 @@
   return r;
 }
 
-/* Tells all that may propose a view that this controller has caught up. No response is waited for,
- * since some of them may be lost. */
+/* Tells every controller that may propose a view that this one has caught up. Does not wait for
+ * responses, since some of the receivers may be lost. */
 static void announce_ready(replica *replica) {
   view view = replica->view;
   id controller = replica->node->settings.self;
@@ -178,7 +181,7 @@
   return replica_chain_index(replica) < 0 && !replica->wal.failed && !replica->node->draining;
 }
 
-/* waits for a new view until it is time to repeat the request */
+/* waits until a new view is entered or the request must be repeated */
 static void wait_for_view_after(replica *replica, uint64_t epoch) {
   world *world = replica->node->world;
   time_us repeat_at = time_add(world_now(world), time_from_ms(JOIN_REQUEST_REPEAT_MS));
@@ -187,9 +190,9 @@
       return;
 }
 
-/* Asks to join, again under each new view. The snapshot stays usable meanwhile, since the
- * predecessor sends the records after it. A replica that is in sync has been in the chain since it
- * was fetched; when it is left out it has to be fetched again. */
+/* Asks to join, and repeats the request under each new view. The snapshot stays usable in the
+ * meantime, since the predecessor sends the records that follow it. A replica that is in sync has
+ * been in the chain since the fetch; once it is removed it must fetch a new snapshot. */
 static void request_join(replica *replica) {
   world *world = replica->node->world;
   time_us deadline = time_add(world_now(world), time_from_ms(JOIN_REQUEST_TIMEOUT_MS));
@@ -216,7 +219,7 @@
   error err = { 0 };
   enum error_code r = catch_up(replica, &err);
   if (r) {
-    log_debug(&replica->node->log, "replica", "Could not catch up: %s (code %d).", err.text, r);
+    log_debug(&replica->node->log, "replica", "Failed to catch up: %s (code %d).", err.text, r);
     return;
   }
   request_join(replica);
--- a/lib/controlplane/chain_repair.c
+++ b/lib/controlplane/chain_repair.c
@@ -1,31 +1,32 @@
-/** When this process proposes a repair of the view, and its own part in the chain.
+/** Repair of the chain.
  *
- * Each voter looks at the view ten times a second and works out the next one that it wants
- * (repair_plan.c). To avoid proposals that compete, a voter waits longer the more live voters come
- * before it, and some random time. A voter also proposes a view when a vote has been under way for
- * so long that its proposer is probably lost.
+ * Each voter checks the view ten times a second and computes the view that should come next
+ * (repair_plan.c). To avoid competing proposals, a voter waits for a time that grows with the
+ * number of live voters before it, plus a random time. A voter also proposes a view when a vote has
+ * been pending for so long that its proposer is probably lost.
  *
- * A process whose disk fails or stalls drains: the others leave it out. */
+ * A process whose disk fails or stalls drains, so that the other voters remove it from the chain.
+ */
 #include "chain_repair.h"
 #include "replica.h"
 
 enum {
-  /** The view and the disk are checked every so many ms. */
+  /** Interval between checks of the view and the disk, in ms. */
   CHECK_INTERVAL_MS = 100,
-  /** The first view after the start is proposed so many ms after the process may act, so that its
-   * heartbeats have arrived. */
+  /** Delay of the first proposal after the process may act, in ms, so that its heartbeats have
+   * arrived by then. */
   START_DELAY_MS = 200,
-  /** After a view was entered, the next one is not proposed for so many ms. */
+  /** Minimum time between entering a view and proposing the next one, in ms. */
   REPAIR_DELAY_MS = 500,
-  /** At least so many ms, and a random part of so many more, lie between two proposals of one
-   * voter. */
+  /** Minimum time between two proposals of one voter, and the maximum random addition to it, in ms.
+   */
   PROPOSAL_INTERVAL_MS = 500,
   PROPOSAL_JITTER_MS = 300,
-  /** A voter waits so many ms for each live voter that comes before it. */
+  /** Delay of a voter's proposal for each live voter before it, in ms. */
   RANK_DELAY_MS = 250,
-  /** A vote whose outcome has been unknown for so many ms is taken up. */
+  /** A voter makes a new proposal once the outcome of a vote has been unknown for this many ms. */
   STUCK_VOTE_MS = 900,
-  /** A disk that has synced nothing for so many ms though entries wait counts as stalled. */
+  /** A disk is considered stalled if it has synced nothing for this many ms while entries wait. */
   DISK_STALL_MS = 2000
 };
 
@@ -45,7 +46,7 @@
                                     time_from_ms(STUCK_VOTE_MS)));
 }
 
-/* how long this voter waits for those before it to propose the change */
+/* returns how long this voter waits for the voters before it to propose the change */
 static time_us rank_delay(const replica *replica) {
   int live_voters_before = 0;
   for (int i = 0; i < replica_voter_index(replica); i++)
@@ -53,7 +54,7 @@
   return time_from_ms(live_voters_before * RANK_DELAY_MS);
 }
 
-/* whether it is this voter's turn to propose a change that has been needed for some time */
+/* whether this voter has waited long enough to propose a change itself */
 static bool may_propose_now(const replica *replica, time_us now) {
   const chain_repair_state *repair = &replica->chain_repair;
   if (!time_reached(now, time_add(repair->change_needed_at, rank_delay(replica))))
@@ -63,7 +64,7 @@
   return time_reached(now, time_add(repair->last_proposal_at, time_from_ms(interval_ms)));
 }
 
-/* proposes the next view when one is needed */
+/* proposes the next view if one is needed */
 static void repair_view(replica *replica) {
   chain_repair_state *repair = &replica->chain_repair;
   time_us now = world_now(replica->node->world);
@@ -81,10 +82,10 @@
   repair->last_proposal_at = now;
   if (paxos_propose(replica, &plan.proposal))
     log_info(&replica->node->log, "replica", "Changed the view%s%s.",
-             plan.proposal.dropped_count ? ", left out " : "", plan.proposal.dropped[0].text);
+             plan.proposal.dropped_count ? ", removed " : "", plan.proposal.dropped[0].text);
 }
 
-/* whether entries have waited for the disk for too long while it synced none */
+/* whether entries have waited for too long while the disk synced none */
 static bool disk_stalls(replica *replica) {
   chain_repair_state *repair = &replica->chain_repair;
   const wal *wal = &replica->wal;
@@ -100,7 +101,8 @@
   return stalls;
 }
 
-/* lets this process drain while its disk does not work, or for good once it was asked to */
+/* makes this process drain while its disk does not work, or permanently once it was asked to stop
+ */
 static void update_draining(replica *replica) {
   bool stalls = disk_stalls(replica);
   bool draining = replica->wal.failed || stalls || replica->draining;
@@ -108,9 +110,9 @@
     return;
   if (draining)
     log_info(&replica->node->log, "replica", "%s; this controller leaves the chain.",
-             replica->wal.failed ? "The disk refuses writes"
-             : stalls            ? "The disk stalls"
-                                 : "Asked to stop");
+             replica->wal.failed ? "The disk rejects writes"
+             : stalls            ? "The disk is stalled"
+                                 : "Shutdown requested");
   replica->node->draining = draining;
 }
 
--- a/lib/controlplane/chain_repair.h
+++ b/lib/controlplane/chain_repair.h
@@ -1,27 +1,27 @@
 #ifndef CONTROLPLANE_CHAIN_REPAIR_H
 #define CONTROLPLANE_CHAIN_REPAIR_H
-/** Repair of the view: when this process proposes the next one, and when it drains. */
+/** Repair of the chain: decides when this process proposes the next view and when it drains. */
 #include "node.h"
 
 struct replica;
 
-/** The state of repair; only chain_repair.c writes it. */
+/** The state of chain repair; written by chain_repair.c only. */
 typedef struct chain_repair_state {
-  /** No view is proposed before this instant. */
+  /** No view is proposed before this time. */
   time_us not_before;
-  /** Since when the view has needed a change; 0: it does not. */
+  /** Since when the view has needed a change, or 0 if it needs none. */
   time_us change_needed_at;
   time_us last_proposal_at;
-  /** The log's last synced number as seen last, and since when it has not risen though entries
-   * wait; 0: none wait. */
+  /** The log's synced count at the last check, and since when it has not increased although entries
+   * are waiting, or 0 if none are waiting. */
   uint64_t wal_synced_seen;
   time_us wal_waiting_since;
 } chain_repair_state;
 
-/** Initializes the state at the start of a process that may act from an instant on. */
+/** Initializes the state at the start of a process that may act from may_act_at on. */
 void chain_repair_init(chain_repair_state *repair, time_us may_act_at);
-/** Notes that a view was entered: the next one is not proposed at once. */
+/** Records that a view was entered, and delays the next proposal. */
 void chain_repair_on_new_view(chain_repair_state *repair, time_us now);
-/** The task: checks the view and the disk ten times a second. Its context is the replica. */
+/** Task function: checks the view and the disk ten times a second. The context is the replica. */
 void chain_repair_run(void *ctx);
 #endif
--- a/lib/controlplane/chain_rules.c
+++ b/lib/controlplane/chain_rules.c
@@ -1,8 +1,8 @@
 /** The rules of chain replication.
  *
- * Each member appends the records of its predecessor in order and syncs them before it sends them
- * on, so that what the tail has synced is on the disk of every member: that is committed. A member
- * that joins is out of sync until it has all that an in-sync predecessor had. */
+ * Each member appends the records of its predecessor in order and syncs them before it forwards
+ * them. A record that the tail has synced is therefore on the disk of every member and counts as
+ * committed. A joining member is out of sync until it has all records of an in-sync predecessor. */
 #include "chain_rules.h"
 
 static bool is_tail(const chain_position *position, const view *known) {
--- a/lib/controlplane/member_lease.c
+++ b/lib/controlplane/member_lease.c
@@ -1,33 +1,33 @@
 /** Member leases: requests and grants. The rules are in member_lease_rules.c.
  *
- * One task for each index among the voters requests a lease from that voter, again and again. Also
- * a controller that is not in the chain asks, once in each view: the voters thereby learn that it
- * knows that it was left out, and release what they had granted it. A requester reports when it has
- * heard nothing from the voter for a while, since the voter can't know that its messages are lost.
+ * One task per voter index requests a lease from that voter repeatedly. A controller that is not in
+ * the chain also sends one request in each view: this tells the voters that it knows of its
+ * removal, so that they release its leases. A requester reports when it has heard nothing from the
+ * voter for some time, since the voter cannot know that its messages are lost.
  */
 #include "replica.h"
 
 enum {
-  /** A lease is renewed so many ms after it was granted: four attempts while it is valid. */
+  /** Interval between renewals of a granted lease, in ms: four attempts while it is valid. */
   MEMBER_LEASE_RENEW_MS = 250,
-  /** A request that was not granted is retried after so many ms. */
+  /** Delay before a request that was not granted is retried, in ms. */
   MEMBER_LEASE_RETRY_MS = 80,
-  /** A request has so many ms to be answered. */
+  /** Timeout of a request, in ms. */
   MEMBER_LEASE_REQUEST_TIMEOUT_MS = 600,
-  /** A report that a peer hears nothing is valid for so many ms; requests repeat it more often. */
+  /** How long a report that a peer hears nothing is valid, in ms. Requests repeat it more often. */
   DEAF_REPORT_VALID_MS = 600
 };
 
-/* the task that requests leases from one voter */
+/* state of the task that requests leases from one voter */
 typedef struct {
   replica *replica;
   int voter_index;
-  /* the voter that was asked last, and when it answered last */
+  /* the voter of the last request, and the time of its last response */
   member voter;
   time_us answered_at;
-  /* the epoch in which it was last told that this controller is not in the chain */
+  /* the last epoch in which this controller told the voter that it is not in the chain */
   uint64_t left_out_epoch;
-  /* whether the last request had the result that was wanted */
+  /* whether the last request succeeded; if not, it is retried sooner */
   bool satisfied;
 } lease_requester;
 
@@ -38,7 +38,7 @@
   if (!member_leases_majority(&replica->lease.leases, &replica->view, replica_voter_index(replica),
                               view_change_prepare_pending(replica), now))
     return false;
-  /* from here on no other head can have granted anything */
+  /* no other head can have granted anything since this time */
   if (!replica->lease_held_since.us)
     replica->lease_held_since = now;
   return true;
@@ -56,7 +56,7 @@
   return false;
 }
 
-/* the entry of a peer, else the one with the oldest report */
+/* returns the index of the entry for a peer, or else of the oldest report */
 static size_t find_deaf_entry(const member_lease_state *lease, id peer) {
   size_t oldest = 0;
   for (size_t i = 0; i < G_N_ELEMENTS(lease->deaf_peers); i++) {
@@ -95,7 +95,7 @@
   else if (request->epoch > view->epoch)
     response->behind = true;
   else if (member_index(view->chain, view->chain_length, &requester) < 0)
-    /* it knows that it was left out, so it uses no lease of an earlier view any more */
+    /* the requester knows of its removal, so it no longer uses leases of earlier views */
     member_leases_release(&lease->leases, request->disk_id);
   else if (replica_voter_index(replica) >= 0)
     response->granted = member_leases_grant(&lease->leases, view,
@@ -103,7 +103,7 @@
   return OK;
 }
 
-/* whether there is a voter to ask, and something to ask it for */
+/* whether there is a voter with this index and a reason to send it a request */
 static bool has_request(const lease_requester *requester) {
   const replica *replica = requester->replica;
   if (!replica->view.epoch || requester->voter_index >= replica->view.voter_count ||
@@ -128,7 +128,7 @@
                        time_from_ms(MEMBER_LEASE_REQUEST_TIMEOUT_MS), response, &err);
 }
 
-/* whether the voter that was asked in an epoch is still the one with this index */
+/* whether the voter that was asked in that epoch still has this index in the known view */
 static bool is_current_voter(const lease_requester *requester, uint64_t epoch) {
   const view *view = &requester->replica->view;
   return epoch == view->epoch && requester->voter_index < view->voter_count &&
@@ -152,7 +152,7 @@
   view_change_adopt(replica, response->newer);
 }
 
-/* requests a lease once */
+/* sends one lease request and handles the response */
 static void request_lease(lease_requester *requester) {
   replica *replica = requester->replica;
   time_us now = world_now(replica->node->world);
@@ -179,7 +179,7 @@
   peer_rpc_message_free(response);
 }
 
-/* waits until the next request; false when the tasks are stopped */
+/* waits until the next request is due; returns false if the tasks are stopped */
 static bool wait_for_renewal(const lease_requester *requester) {
   replica *replica = requester->replica;
   world *world = replica->node->world;
--- a/lib/controlplane/member_lease_rules.c
+++ b/lib/controlplane/member_lease_rules.c
@@ -1,13 +1,14 @@
 /** The rules of member leases.
  *
- * A member acts as head or tail only while a majority of voters has granted it a lease in the view
- * that it knows. A voter grants nothing, to itself neither, while a lease that it granted to a
- * member outside its view may still be valid. Two majorities of the same voters share one of them,
- * so a member that was left out and one that took its position never act at once. When the voters
- * change, or the process restarts and has forgotten what it granted, waiting replaces this. */
+ * A member acts as head or tail only while it holds leases from a majority of voters in the view
+ * that it knows. A voter grants no lease, not even to itself, while a lease that it granted to a
+ * member outside its view may still be valid. Any two majorities of the same voters overlap, so a
+ * removed member and the member that replaced it never act at the same time. This does not work
+ * when the voters change, or when a voter restarts and loses its record of granted leases; in these
+ * cases the process waits until all earlier leases have expired. */
 #include "member_lease_rules.h"
 
-/* when a lease that was granted at an instant has expired by any clock */
+/* returns when a lease granted at granted_at has expired by any clock */
 static time_us expiry_at_voter(time_us granted_at) {
   return time_add(granted_at, time_from_ms(MEMBER_LEASE_EXPIRED_MS));
 }
@@ -39,7 +40,7 @@
   return true;
 }
 
-/* the entry of a disk, else the one that was granted longest ago */
+/* returns the index of the entry for a disk, or else of the oldest grant */
 static size_t find_granted_entry(const member_leases *leases, uint64_t disk_id) {
   size_t oldest = 0;
   for (size_t i = 0; i < G_N_ELEMENTS(leases->granted); i++) {
@@ -51,7 +52,8 @@
   return oldest;
 }
 
-/* remembers a lease that is granted; false when each entry holds another one that may be valid */
+/* Records a granted lease. Returns false if every entry holds another lease that may still be
+ * valid. */
 static bool remember_granted(member_leases *leases, uint64_t disk_id, time_us now) {
   size_t i = find_granted_entry(leases, disk_id);
   time_us granted_at = leases->granted[i].granted_at;
@@ -83,7 +85,8 @@
   leases->held[voter_index].requested_at = requested_at;
 }
 
-/* whether the lease of the voter with an index was granted by this very member and is valid */
+/* whether the lease from the voter at voter_index is valid and was granted by that voter's current
+ * disk */
 static bool holds_lease_of(const member_leases *leases, const view *known, int voter_index,
                            time_us now) {
   time_us requested_at = leases->held[voter_index].requested_at;
@@ -109,8 +112,8 @@
 void member_leases_enter_view(member_leases *leases, const view *time_min, const view *next,
                               time_us now) {
   bool follows = next->epoch == time_min->epoch + 1;
-  /* Nobody who was left out can act any longer when this member acted and nobody is left out now;
-     and when the voters have long been the same, each of them enforces it by itself. */
+  /* If this member has acted and the next view removes no member, no removed member can still act.
+     If the voters have been the same for long enough, each voter enforces this by itself. */
   bool may_go_on = follows && leases->has_acted && view_keeps_chain(time_min, next);
   if (!follows || !view_same_voters(time_min, next))
     leases->voters_known_at = now;
--- a/lib/controlplane/operation_pack.h
+++ b/lib/controlplane/operation_pack.h
@@ -5,10 +5,11 @@
 #include "config.h"
 #include "wire.pb-c.h"
 
-/** Replaces `to` by the packed operation. */
+/** Replaces the contents of `to` with the packed operation. */
 void operation_pack(const Wire__Operation *operation, GString *to);
-/** Makes an operation one that sets a resource to `text`, and replaces `to` by its packed form.
- * Other fields of `operation`, such as its idempotency key, are set by the caller before. */
+/** Makes the operation set a resource to `text`, and replaces the contents of `to` with the packed
+ * operation. The caller sets other fields of `operation`, such as its idempotency key, beforehand.
+ */
 void operation_pack_resource(Wire__Operation *operation, enum resource_kind resource,
                              string_view text, GString *to);
 #endif
--- a/lib/controlplane/parallel_call.c
+++ b/lib/controlplane/parallel_call.c
@@ -1,5 +1,5 @@
-/** Parallel calls. Each target has a task of its own, which waits for its response. The call is
- * counted by reference, since the caller may be done with it while tasks still wait. */
+/** Parallel calls. Each target has its own task, which waits for the response. The call is
+ * reference counted, since the caller may release it while tasks are still waiting. */
 #include "parallel_call.h"
 
 struct parallel_call {
@@ -8,10 +8,10 @@
   time_us timeout, deadline;
   /* targets that have neither responded nor failed */
   int outstanding;
-  /* one for each task, and one for the caller */
+  /* one reference per task and one for the caller */
   int references;
   condition changed;
-  /* by target; NULL: none has come */
+  /* indexed by target; NULL if there is no response */
   Wire__Envelope *responses[VOTERS_MAX];
   member targets[VOTERS_MAX];
 };
@@ -38,7 +38,7 @@
   Wire__Envelope *request = wire__envelope__unpack(NULL, size, bytes);
   Wire__Envelope *response = NULL;
   error err = { 0 };
-  /* a failed call leaves no response, which is all that the caller needs to know */
+  /* a failed call leaves the response NULL; the caller does not need the error */
   if (request)
     peer_rpc_call(call->node, call->targets[task->index].address, request, call->timeout, &response,
                   &err);
--- a/lib/controlplane/paxos_acceptor.c
+++ b/lib/controlplane/paxos_acceptor.c
@@ -1,15 +1,16 @@
-/** The acceptor's side of the vote on the next view: handlers of PrepareRequest and AcceptRequest.
- * The rules are in paxos_rules.c; here the acceptor's state is synced before a response rests on
- * it, and a voter refuses to help leaving out a member that it would keep. */
+/** The Paxos acceptor: handlers of PrepareRequest and AcceptRequest.
+ * The rules are in paxos_rules.c. This file syncs the acceptor's state before it sends a response
+ * that depends on it, and refuses to promise a proposal that removes a member which this voter
+ * considers healthy. */
 #include "replica.h"
 
 enum {
-  /** A voter does not help to leave out a peer that it has heard within so many ms. */
+  /** A voter refuses to remove a peer that it has heard from within this many ms. */
   PEER_HEARD_MS = 600
 };
 
-/* whether this controller votes on the view of an epoch that a peer proposes; on the first view of
- * a fleet the founders vote */
+/* Whether this controller may vote on a view of this epoch proposed by this peer. The founders vote
+ * on the first view of a fleet. */
 static bool may_vote(const replica *replica, uint64_t epoch, const Wire__NodeInfo *proposer) {
   if (!replica->running || replica->wal.failed)
     return false;
@@ -19,7 +20,7 @@
          bootstrap_is_first_founder(replica, proposer->id, proposer->address);
 }
 
-/* a vote for another epoch than the last one is not the one that may be stuck */
+/* resets the timer of a stuck vote when a vote for another epoch begins */
 static void forget_stuck_vote(replica *replica, uint64_t epoch) {
   if (replica->acceptor.epoch != epoch)
     replica->view_change.prepare_pending_since = (time_us){ 0 };
@@ -35,7 +36,7 @@
   return r;
 }
 
-/* whether this process hears a peer, and the peer hears it and wants to stay */
+/* whether this process and a peer hear each other, and the peer is not draining */
 static bool is_well_connected(const replica *replica, id who) {
   const peer_node *peer = peer_table_find(replica->node, who);
   if (!peer || peer->draining || member_lease_peer_hears_nothing(replica, peer->self))
@@ -44,7 +45,7 @@
                        time_add(peer->last_heard_at, time_from_ms(PEER_HEARD_MS)));
 }
 
-/* whether a proposal leaves out a member that this voter would keep */
+/* whether a proposal removes a member that this voter would keep */
 static bool objects_to_dropped(const replica *replica, const Wire__PrepareRequest *request) {
   if (request->link_broken)
     return false;
--- a/lib/controlplane/paxos_acceptor.h
+++ b/lib/controlplane/paxos_acceptor.h
@@ -1,6 +1,6 @@
 #ifndef CONTROLPLANE_PAXOS_ACCEPTOR_H
 #define CONTROLPLANE_PAXOS_ACCEPTOR_H
-/** The acceptor's side of the vote on the next view. */
+/** The Paxos acceptor for votes on the next view. */
 #include "node.h"
 
 /** Handles PrepareRequest; the context is the replica. */
--- a/lib/controlplane/paxos_proposer.c
+++ b/lib/controlplane/paxos_proposer.c
@@ -1,22 +1,24 @@
-/** The proposer's side of the vote on the next view.
+/** The Paxos proposer.
  *
- * A proposer first asks the voters whether they would promise (pre-vote): a promise that leads
- * nowhere would stop those who gave it from granting leases and taking writes. Then come the two
- * phases of Paxos (paxos_rules.c), and the decided view is sent to all controllers. */
+ * A proposer first asks the voters whether they would promise (pre-vote), because voters stop
+ * granting leases and accepting writes once they have promised, even if the proposal then fails.
+ * The two phases of Paxos follow (paxos_rules.c), and the decided view is sent to all controllers.
+ */
 #include "replica.h"
 
 enum {
-  /** The pre-vote may take so many ms. */
+  /** Timeout of the pre-vote, in ms. */
   PRE_VOTE_TIMEOUT_MS = 800,
-  /** The prepare phase and the accept phase may each take so many ms. */
+  /** Timeout of each of the prepare and accept phases, in ms. */
   PHASE_TIMEOUT_MS = 1500
 };
 
-/* a proposal under way */
+/* a proposal in progress */
 typedef struct {
   replica *replica;
   const view_proposal *proposal;
-  /* the view whose voters decide; for the first view of a fleet, that view itself */
+  /* the view whose voters decide: the known view, or the proposed one when a fleet is bootstrapped
+   */
   view voting;
   proposal_number number;
   proposer_state state;
@@ -80,7 +82,8 @@
              : NULL;
 }
 
-/* counts the voters that would promise; -1 when one of them knows a newer view, which is adopted */
+/* Counts the voters that would promise. If one of them knows a newer view, adopts it and returns
+ * -1. */
 static int count_pre_votes(const vote *vote, const parallel_call *call) {
   int count = 0;
   for (int i = 0; i < vote->voting.voter_count; i++) {
@@ -116,7 +119,8 @@
   return result;
 }
 
-/* counts the promises so far; false when a voter knows a newer view, which is adopted */
+/* Counts the promises received so far. If a voter knows a newer view, adopts it and returns false.
+ */
 static bool count_promises(vote *vote, const parallel_call *call) {
   view_change_state *state = &vote->replica->view_change;
   for (int i = 0; i < vote->voting.voter_count; i++) {
@@ -135,7 +139,7 @@
   return true;
 }
 
-/* the prepare phase: sets *value to the view to ask acceptance for */
+/* the prepare phase: sets *value to the view for the accept phase; returns false if it failed */
 static bool prepare(vote *vote, view *value) {
   parallel_call *call = call_prepare(vote, false, PHASE_TIMEOUT_MS);
   bool chosen = false, goes_on;
--- a/lib/controlplane/paxos_rules.c
+++ b/lib/controlplane/paxos_rules.c
@@ -1,13 +1,14 @@
 /** Single-decree Paxos for each epoch.
  *
- * The voters of view e decide the view of epoch e + 1. A proposer asks them to promise that they
- * accept nothing under a lower proposal number, takes over the value of the highest proposal that
- * one of a majority has accepted, if any, and asks them to accept it. Two majorities share a voter,
- * so a decided value is found by each later proposer. An acceptor keeps the state of one epoch:
- * that of an earlier epoch has lost its meaning once the view of that epoch is known.
+ * The voters of the view of epoch e decide the view of epoch e + 1. A proposer asks them to promise
+ * not to accept any proposal with a lower number. From a majority's promises it adopts the value of
+ * the highest accepted proposal, if any, and then asks the voters to accept that value. Any two
+ * majorities overlap, so every later proposer finds a decided value. An acceptor keeps the state of
+ * one epoch only: the state of an earlier epoch is no longer needed once the view of that epoch is
+ * known.
  *
- * Beyond Paxos, a proposal that changes the head waits until it knows that the new head's replica
- * is in sync, see proposer_choose_view. */
+ * In addition to Paxos, a proposal that changes the head waits until the new head's replica is
+ * known to be in sync, see proposer_choose_view. */
 #include "paxos_rules.h"
 
 int proposal_number_compare(const proposal_number *a, const proposal_number *b) {
@@ -32,7 +33,7 @@
   return acceptor->epoch == known_epoch + 1 && acceptor->promised.round > 0;
 }
 
-/* what to do with a request for an epoch, going by the epoch alone */
+/* decides by the epoch alone what to do with a request */
 static acceptor_action acceptor_check_epoch(uint64_t known_epoch, uint64_t epoch) {
   if (epoch <= known_epoch)
     return ACCEPTOR_KNOWS_NEWER;
@@ -54,7 +55,8 @@
   acceptor_start_epoch(acceptor, epoch);
   if (proposal_number_compare(&acceptor->promised, &number) > 0)
     return ACCEPTOR_RESPOND;
-  /* also for a number that was promised before: the sync of that promise may still be in flight */
+  /* Sync again even if this number was already promised: the sync of that promise may still be in
+     progress. */
   acceptor->promised = number;
   return ACCEPTOR_SYNC;
 }
@@ -125,15 +127,15 @@
   proposer_note_in_sync(proposer, result);
   if (!result->has_accepted || proposal_number_compare(&proposer->accepted, &result->accepted) >= 0)
     return;
-  /* a first view that names another disk of a founder can't be decided any more */
+  /* a first view that contains an earlier disk of a founder can no longer be decided */
   if (proposer->bootstrapping && !view_same_voters(&result->value, &proposer->proposed))
     return;
   proposer->accepted = result->accepted;
   proposer->value = result->value;
 }
 
-/* the first member of the proposed chain that is not known to be out of sync, if it is known to be
- * in sync; else -1 */
+/* Returns the index of the first member of the proposed chain that is not known to be out of sync.
+ * Returns -1 if there is none or if it is not known to be in sync. */
 static int proposer_first_in_sync(const proposer_state *proposer) {
   int i = 0;
   while (i < proposer->proposed.chain_length && proposer->out_of_sync[i])
@@ -142,8 +144,8 @@
 }
 
 bool proposer_choose_view(const proposer_state *proposer, const view *known, view *chosen) {
-  /* The proposer's own promise is required among them: it is synced, so that after a crash the
-     proposer does not use the same number for another value. */
+  /* The proposer's own promise must be among them. It is synced to disk, so that the proposer does
+     not use the same number for another value after a crash. */
   if (proposer->promises < proposer->quorum || !proposer->own_promise)
     return false;
   *chosen = proposer->value;
@@ -154,8 +156,8 @@
     return false;
   if (!head)
     return true;
-  /* Replicas that are out of sync can't lead: they are left out, and join again after they have
-     fetched a snapshot. A view that leaves a member out keeps its voters. */
+  /* Replicas that are out of sync cannot lead, so they are removed and rejoin after they have
+     fetched a snapshot. A view that removes a member keeps its voters. */
   chosen->chain_length -= head;
   memmove(chosen->chain, chosen->chain + head, sizeof chosen->chain[0] * chosen->chain_length);
   chosen->voter_count = known->voter_count;
--- a/lib/controlplane/recent_records.c
+++ b/lib/controlplane/recent_records.c
@@ -1,9 +1,10 @@
-/** The latest records of the chain, as a bounded queue. A successor that needs an older record than
- * the queue holds gets a snapshot instead. */
+/** The most recent records of the chain, as a bounded queue. A successor that needs an older record
+ * than the queue holds fetches a snapshot instead. */
 #include "recent_records.h"
 
 enum {
-  /** Committed records are dropped beyond so many, or so many bytes. */
+  /** Maximum number of records, and maximum size of their operations in bytes, before committed
+   * records are dropped. */
   RECENT_RECORDS_MAX = 2048,
   RECENT_BYTES_MAX = 2 << 20
 };
--- a/lib/controlplane/recent_records.h
+++ b/lib/controlplane/recent_records.h
@@ -1,7 +1,7 @@
 #ifndef CONTROLPLANE_RECENT_RECORDS_H
 #define CONTROLPLANE_RECENT_RECORDS_H
-/** The latest records of the chain in memory: those that are not committed yet, and committed ones
- * for a successor that lags. */
+/** The most recent records of the chain, kept in memory: uncommitted records, and committed ones
+ * for a successor that lags behind. */
 #include "base.h"
 
 /** One record of the chain. */
@@ -13,7 +13,7 @@
   GString *operation;
 } record;
 
-/** Records by rising number, without gaps. */
+/** Records in ascending order of sequence number, without gaps. */
 typedef struct recent_records {
   /** Of record; owned. */
   GQueue queue;
@@ -25,7 +25,7 @@
 void recent_records_init(recent_records *records);
 /** Removes and frees all records. */
 void recent_records_clear(recent_records *records);
-/** Appends a copy of a record, and drops the oldest ones when there are too many; records after
+/** Appends a copy of a record and drops the oldest records if there are too many. Records after
  * committed_seq are never dropped. */
 void recent_records_add(recent_records *records, uint64_t seq, uint64_t epoch,
                         string_view operation, uint64_t committed_seq);
--- a/lib/controlplane/repair_plan.c
+++ b/lib/controlplane/repair_plan.c
@@ -1,18 +1,18 @@
-/** The next view that a voter wants.
+/** The plan for the next view.
  *
- * The chain is the known one without the members that are lost, and with the controllers that have
- * caught up and asked to join at its end. Votes of members out of the chain move to members in it,
- * but not in a view that leaves a member out. */
+ * The planned chain is the known one without its lost members, followed by the controllers that
+ * have caught up and asked to join. Votes of controllers outside the chain move to chain members,
+ * except in a view that removes a member. */
 #include "repair_plan.h"
 #include "replica.h"
 
 enum {
-  /** A successor that has answered nothing for so many ms is left out: the link to it is broken
-   * though both may hear the voters. */
+  /** A successor that has not answered for this many ms is removed: the link to it is broken even
+   * if both members hear the voters. */
   SUCCESSOR_TIMEOUT_MS = 1300,
-  /** A voter out of the chain that was silent for so many ms counts as lost. */
+  /** A voter outside the chain is considered lost after this many ms of silence. */
   VOTER_LOST_MS = 20000,
-  /** With so few voters none is removed. */
+  /** No voter is removed if there are only this many. */
   VOTERS_MIN = 3
 };
 
@@ -20,7 +20,7 @@
   if (id_equal(member->self, replica->node->settings.self))
     return member->disk_id != replica->disk_id;
   const peer_node *peer = peer_table_find(replica->node, member->self);
-  /* a peer that is not known yet counts as heard soon after the start */
+  /* a peer that is not yet known is treated as if it had been heard shortly after the start */
   time_us heard_at =
       peer ? peer->last_heard_at
            : time_add(replica->lease.leases.started_at, time_from_ms(2 * MEMBER_LEASE_EXPIRED_MS));
@@ -36,7 +36,7 @@
   return repair_plan_member_is_silent(replica, member, MEMBER_LEASE_EXPIRED_MS);
 }
 
-/* whether the member with an index is this member's successor and has not answered for long */
+/* whether the member at an index is this member's successor and has not answered for too long */
 static bool link_to_member_is_broken(const replica *replica, int index) {
   int own_index = replica_chain_index(replica);
   if (own_index < 0 || index != own_index + 1)
@@ -46,7 +46,7 @@
       time_add(replica->replication.successor_answered_at, time_from_ms(SUCCESSOR_TIMEOUT_MS)));
 }
 
-/* whether the member's controller has asked to join with another disk */
+/* whether a member's controller has asked to join with another disk */
 static bool came_back_with_other_disk(const replica *replica, const member *member) {
   bool found = false;
   for (int i = 0; i < JOIN_REQUESTS_MAX; i++) {
@@ -57,7 +57,7 @@
   return found;
 }
 
-/* plans the chain: the members of the known one without those that have to be left out */
+/* plans the chain: the members of the known chain without those that must be removed */
 static void plan_chain(const replica *replica, repair_plan *plan) {
   view *next = &plan->proposal.view;
   next->chain_length = 0;
@@ -93,7 +93,7 @@
   }
 }
 
-/* members of the chain without a vote, used from the end */
+/* chain members without a vote; the last ones are used first */
 typedef struct {
   const member *members[CHAIN_MAX];
   int count;
@@ -111,8 +111,8 @@
   return member_index(view->chain, view->chain_length, &view->voters[voter_index]) >= 0;
 }
 
-/* Gives the votes of members out of the chain to spare members; with only_replaced_disks only the
- * votes of disks whose controller is in the chain with another one. */
+/* Gives the votes of members outside the chain to spare members. With only_replaced_disks, moves
+ * only the votes of members whose controller is in the chain with another disk. */
 static bool replace_voters(view *view, spare_members *spare, bool only_replaced_disks) {
   bool changed = false;
   for (int i = 0; i < view->voter_count && spare->count; i++) {
@@ -126,8 +126,8 @@
   return changed;
 }
 
-/* Gives votes to spare members until there are as many voters as the chain's length allows; an odd
- * number, since one more would bear no more losses. */
+/* Gives votes to spare members until there are as many voters as the chain length allows. Their
+ * number is odd, since an even number would tolerate no more failures. */
 static bool add_voters(view *view, spare_members *spare, int chain_max) {
   int wanted = (MIN(view->chain_length, chain_max) - 1) / 2 * 2 + 1;
   if (view->voter_count >= wanted || view->voter_count + spare->count < wanted)
@@ -142,8 +142,8 @@
          repair_plan_member_is_silent(replica, &view->voters[voter_index], VOTER_LOST_MS);
 }
 
-/* Takes the votes of lost members, for which there is no spare one, so that the number of voters
- * stays or becomes odd: two at a time, or one of an even number. */
+/* Removes lost voters for which there is no spare member. Removes two at a time, or one if the
+ * number of voters is even, so that the number stays or becomes odd. */
 static bool remove_lost_voters(const replica *replica, view *view) {
   int lost = 0, to_remove = view->voter_count % 2 ? 2 : 1;
   for (int i = 0; i < view->voter_count; i++)
@@ -162,8 +162,8 @@
   return changed;
 }
 
-/* plans the voters; a view that leaves a member out keeps them, so that the others may act at once
- */
+/* Plans the voters. A view that removes a member keeps its voters, so that the other members may
+ * act immediately. */
 static void plan_voters(const replica *replica, repair_plan *plan) {
   view *next = &plan->proposal.view;
   if (!proposer_may_replace_voters(plan->left_out) || !next->chain_length)
--- a/lib/controlplane/replica.c
+++ b/lib/controlplane/replica.c
@@ -1,14 +1,15 @@
-/** A replica: its start, and its role in the known view. */
+/** A replica: startup and recovery, and its role in the known view. */
 #include "replica.h"
 
 enum {
-  /** Size of a log file when the settings name none, in bytes. */
+  /** Default size of a log file, in bytes. */
   LOG_FILE_BYTES_DEFAULT = 16 << 20,
-  /** A disk that refuses to be opened is tried again after so many ms. */
+  /** Delay before opening the disk is retried, in ms. */
   OPEN_RETRY_MS = 500,
-  /** Members of the chain when the settings name no number. */
+  /** Default maximum number of chain members. */
   CHAIN_MAX_DEFAULT = 3,
-  /** Replicas and zones that a write needs when the settings name none: one loss is survived. */
+  /** Default number of replicas and zones that a write requires, so that it survives one failure.
+   */
   WRITE_REPLICAS_DEFAULT = 2,
   WRITE_ZONES_DEFAULT = 2
 };
@@ -116,7 +117,7 @@
   return code == E_DISK_FULL || code == E_DISK_SYNC;
 }
 
-/* opens and replays the log; a disk that is full or can't sync is tried again */
+/* opens and replays the log; retries while the disk is full or cannot sync */
 static enum error_code open_log(replica *replica, enum wal_condition *condition, error *err) {
   node *node = replica->node;
   size_t size =
@@ -127,14 +128,14 @@
     if (!may_open_later(r))
       return r;
     if (!logged)
-      log_info(&node->log, "wal", "The disk refuses to be opened: %s (code %d).", err->text, r);
+      log_info(&node->log, "wal", "The disk cannot be opened: %s (code %d).", err->text, r);
     logged = true;
     if (!world_sleep(node->world, time_from_ms(OPEN_RETRY_MS)))
       return E_STOPPING;
   }
 }
 
-/* starts with a blank disk, as a new member */
+/* resets the replica to a new member with a blank disk */
 static void reset_to_blank(replica *replica) {
   world *world = replica->node->world;
   state_free(&replica->committed);
@@ -148,7 +149,7 @@
   replica->disk_id = world->random(world) | 1;
 }
 
-/* opens the log, and starts its writer; sets *blank when the disk holds nothing that counts */
+/* opens and replays the log and starts its writer; sets *blank if the disk holds no usable state */
 static enum error_code recover(replica *replica, bool *blank, error *err) {
   node *node = replica->node;
   enum wal_condition condition;
@@ -157,8 +158,8 @@
     return r;
   if (condition == WAL_CORRUPT)
     log_info(&node->log, "wal",
-             "A record before the end is bad (code %d); this disk starts blank, and the state comes"
-             " from the other controllers.",
+             "A record before the end of the log is corrupt (code %d); this disk starts blank, and"
+             " the state is fetched from the other controllers.",
              E_BAD_RECORD);
   *blank = condition != WAL_INTACT || !replica->disk_id;
   if (*blank)
@@ -168,14 +169,14 @@
   return wal_start(&replica->wal, *blank, err);
 }
 
-/* initializes what depends on the instant at which the log has been replayed */
+/* initializes the state that depends on when the replay of the log has finished */
 static void begin_running(replica *replica) {
   time_us now = world_now(replica->node->world);
   replica->last_seq_at_start = replica->last_seq;
   replica->running = true;
   replica->replication.successor_answered_at = now;
   member_leases_init(&replica->lease.leases, now);
-  /* what this replica renewed as head of the same view, it renewed before the process ended */
+  /* any lease that this replica renewed as head of the same view was renewed before the restart */
   replica->lease_held_since = now;
   chain_repair_init(&replica->chain_repair, replica->lease.leases.may_act_at);
   if (view_change_prepare_pending(replica))
--- a/lib/controlplane/replica.h
+++ b/lib/controlplane/replica.h
@@ -1,7 +1,7 @@
 #ifndef CONTROLPLANE_REPLICA_H
 #define CONTROLPLANE_REPLICA_H
 /** One controller's replica of the control state: its disk, its view, its position in the chain.
- * This header only puts the modules' states together; each module writes its own. */
+ * This header only combines the states of the modules; each module writes its own. */
 #include "bootstrap.h"
 #include "chain_join.h"
 #include "chain_repair.h"
@@ -27,47 +27,48 @@
   /** The process that this replica belongs to; not owned. */
   node *node;
   wal wal;
-  /** Set once the log has been replayed; nothing is answered before. */
+  /** Set once the log has been replayed; requests are not served before that. */
   bool running;
   /** Set by the controller when the process is asked to stop; see chain_repair.c. */
   bool draining;
 
-  /* What the log holds, as it is in memory. It is replayed by wal_entries.c. */
+  /* The in-memory copy of what the log holds, replayed by wal_entries.c. */
 
-  /** Number of the disk; never 0 once the replica runs. */
+  /** Id of the disk; never 0 once the replica runs. */
   uint64_t disk_id;
-  /** Whether this replica holds each write that may be acknowledged. Written by replication.c and
-   * snapshot.c; see replica_in_sync. */
+  /** Whether this replica holds every write that may have been acknowledged. Written by
+   * replication.c and snapshot.c; see replica_in_sync. */
   bool in_sync;
-  /** The known view, epoch 0 when there is none. Written by view_change.c. */
+  /** The known view; its epoch is 0 if there is none. Written by view_change.c. */
   view view;
   /** Written by paxos_acceptor.c. */
   acceptor_state acceptor;
   /** The state with all records that are known to be committed. */
   state committed;
   /** The last record that is synced here, and the records in memory. Written by replication.c,
-   * replica_write.c and snapshot.c, under the lock of replication. */
+   * replica_write.c and snapshot.c, under the replication lock. */
   uint64_t last_seq;
   recent_records recent_records;
 
   /* In memory only. */
 
-  /** The last record that was in the log at the start. Until the chain has confirmed all records up
-   * to it, the committed state may be older than what is acknowledged. 0 after a snapshot. */
+  /** The last record in the log at the start. Until the chain has confirmed all records up to it,
+   * the committed state may be older than what was acknowledged. 0 after a snapshot. */
   uint64_t last_seq_at_start;
-  /** How often the state was replaced by a snapshot since the start: numbers of records from before
-   * may belong to other records since. Written by snapshot.c. */
+  /** How often the state was replaced by a snapshot since the start. A sequence number from before
+   * such a replacement may refer to another record afterwards. Written by snapshot.c. */
   uint64_t log_resets;
   /** Signalled when the committed state or the view has changed. */
   condition state_changed;
   /** Signalled when there may be something to send to the successor. */
   condition replication_wanted;
-  /** Since when this replica has held a member lease in the known view, 0 while it has not. For a
-   * head: no other head can have renewed a singleton lease after this instant, so grants count
-   * from it. Written by member_lease.c, reset by view_change.c. */
+  /** Since when this replica has held a member lease in the known view, or 0 if it has not. No
+   * other head can have renewed a singleton lease after this time, so a head uses it as the renewal
+   * time of grants that it has not renewed itself. Written by member_lease.c, reset by
+   * view_change.c. */
   time_us lease_held_since;
-  /** The controller's own: when each singleton lease was renewed last, as name to time_us. Reset by
-   * view_change.c when this replica is no longer the head. */
+  /** When each singleton lease was last renewed, as a map from name to time_us. Written by the
+   * controller, and reset by view_change.c when this replica is no longer the head. */
   GHashTable *singleton_renewed_at;
 
   view_change_state view_change;
@@ -79,13 +80,13 @@
   bootstrap_state bootstrap;
 } replica;
 
-/** Opens the log, replays it and starts the replica's tasks. It waits for a disk that refuses to be
- * opened, so it runs in a task. Returns OK, E_STOPPING or the disk's error. */
+/** Opens the log, replays it and starts the replica's tasks. Must run in a task, since it retries
+ * while the disk cannot be opened. Returns OK, E_STOPPING or the disk's error. */
 enum error_code replica_start(replica *replica, node *node, error *err);
-/** Frees the replica's memory, once no task is left. */
+/** Frees the replica's memory. All of its tasks must have ended. */
 void replica_free(replica *replica);
 
-/** Returns this controller as a member, with the disk that it has now. */
+/** Returns this controller as a member with its current disk. */
 member replica_as_member(const replica *replica);
 /** Returns this member's index in the chain, or -1. */
 int replica_chain_index(const replica *replica);
@@ -93,24 +94,25 @@
 int replica_voter_index(const replica *replica);
 /** Returns this member's position for the rules of replication. */
 chain_position replica_chain_position(const replica *replica);
-/** Returns the most members that the chain may have, by the settings. */
+/** Returns the maximum number of chain members, from the settings. */
 int replica_chain_max(const replica *replica);
-/** Returns whether this replica holds each write that may be acknowledged, and its log says so. */
+/** Returns whether this replica holds every write that may have been acknowledged, and this is
+ * recorded in its log. */
 bool replica_in_sync(const replica *replica);
-/** Returns whether this replica is in sync and its committed state holds each acknowledged write
- * that its log held at the start. */
+/** Returns whether this replica is in sync and its committed state includes every record that its
+ * log held at the start. */
 bool replica_is_current(const replica *replica);
 /** Returns whether this replica leads the chain and holds a lease. */
 bool replica_is_acting_head(replica *replica);
-/** Returns whether this replica may answer reads: it is the tail, knows all its records to be
+/** Returns whether this replica may serve reads: it is the tail, knows that all its records are
  * committed, and holds a lease. */
 bool replica_is_acting_tail(replica *replica);
-/** Returns whether the chain of a view has too few members, or spans too few zones, to take writes.
- */
+/** Returns whether the chain of a view has too few members, or spans too few zones, to accept
+ * writes. */
 bool replica_view_is_under_replicated(const replica *replica, const view *view);
-/** Returns the first member of the known chain, or NULL when no view is known. */
+/** Returns the first member of the known chain, or NULL if no view is known. */
 const member *replica_head(const replica *replica);
-/** Returns the last member of the known chain, or NULL when no view is known. */
+/** Returns the last member of the known chain, or NULL if no view is known. */
 const member *replica_tail(const replica *replica);
 /** Appends the known view as JSON. */
 void replica_view_json(const replica *replica, GString *to);
--- a/lib/controlplane/replica_write.c
+++ b/lib/controlplane/replica_write.c
@@ -1,18 +1,19 @@
 /** Writes at the head.
  *
- * A write is checked against the state with all writes that were ordered before it, since these may
- * still be committed. How many may wait for the tail is bounded, in number and by what a log file
- * can hold. */
+ * A write is checked against the state that includes all writes ordered before it, since these may
+ * still be committed. The number of writes that wait for the tail is limited, directly and by the
+ * space in a log file. */
 #include "replica.h"
 
 enum {
-  /** So many writes may wait for the tail; replication_free_bytes bounds them further. */
+  /** Maximum number of writes that may wait for the tail; replication_free_bytes limits it further.
+   */
   PENDING_WRITES_MAX = 32,
-  /** Once so many bytes wait for the tail, only a few writes may: a backlog of large ones would
-   * hold up a member that catches up over a slow link. */
+  /** Once more than this many bytes wait for the tail, only a few writes may wait: a backlog of
+   * large writes would delay a member that catches up over a slow link. */
   PENDING_BYTES_LARGE = 128 * 1024,
   PENDING_LARGE_WRITES_MAX = 3,
-  /** Bytes that a record takes in the log beside its operation, at most. */
+  /** Maximum overhead of a record in the log in addition to its operation, in bytes. */
   RECORD_OVERHEAD_BYTES = 64
 };
 
@@ -31,7 +32,7 @@
   return ordered;
 }
 
-/* whether no more writes may wait for the tail */
+/* whether no further write may wait for the tail */
 static bool backlog_is_full(const replica *replica) {
   size_t bytes;
   recent_records_count_after(&replica->recent_records, replica->committed.seq, &bytes);
@@ -39,7 +40,8 @@
   return waiting > (bytes > PENDING_BYTES_LARGE ? PENDING_LARGE_WRITES_MAX : PENDING_WRITES_MAX);
 }
 
-/* what a log file can hold beside the state and the writes that wait for the tail, in bytes */
+/* returns the free space of a log file after the state and the writes that wait for the tail, in
+ * bytes */
 static size_t replication_free_bytes(const replica *replica) {
   size_t bytes;
   size_t waiting =
@@ -60,7 +62,7 @@
   return OK;
 }
 
-/* builds the operation of a write that may be made */
+/* builds the operation of a write if this replica may write and the operation fits */
 static enum error_code build_operation(replica *replica, operation_builder build, void *ctx,
                                        GString *operation, error *err) {
   enum error_code r = check_may_write(replica, err);
@@ -78,7 +80,7 @@
   return OK;
 }
 
-/* writes a record to the log, and waits for the sync */
+/* writes a record to the log and waits for the sync */
 static enum error_code store_record(replica *replica, uint64_t seq, uint64_t epoch,
                                     string_view operation, error *err) {
   uint64_t log_resets = replica->log_resets;
@@ -93,7 +95,7 @@
   return r;
 }
 
-/* orders an operation: syncs it as the next record, and lets it be sent down the chain */
+/* orders an operation: syncs it as the next record and triggers replication to the successor */
 static enum error_code order_operation(replica *replica, string_view operation, uint64_t *seq,
                                        error *err) {
   replication_state *replication = &replica->replication;
@@ -106,13 +108,13 @@
   if (replication->ordered_valid)
     state_apply(&replication->ordered, number, operation);
   *seq = number;
-  /* a head without a successor is the tail as well */
+  /* a head without a successor is also the tail */
   replication_commit_as_tail(replica);
   condition_broadcast(&replica->replication_wanted);
   return OK;
 }
 
-/* waits until the tail has committed a record, and returns whether it may be acknowledged */
+/* waits until the tail has committed a record; returns OK if it may be acknowledged */
 static enum error_code wait_for_acknowledgement(replica *replica, uint64_t seq, uint64_t log_resets,
                                                 time_us deadline, error *err) {
   scheduler *tasks = &replica->node->world->tasks;
--- a/lib/controlplane/replication.c
+++ b/lib/controlplane/replication.c
@@ -1,15 +1,15 @@
-/** Replication at the receiving member.
+/** The receiving side of chain replication.
  *
- * The head orders writes, each member syncs a record before it sends it on, and the sync at the
- * tail commits it. The response to a ReplicateRequest carries the number up to which the sender may
- * commit, so that commits travel back to the head. From time to time a request carries a checksum
- * of the committed state; a replica that differs fetches a snapshot. */
+ * The head orders writes, each member syncs a record before it forwards it, and the sync at the
+ * tail commits it. The response to a ReplicateRequest carries the sequence number up to which the
+ * sender may commit, so that commits propagate back to the head. Some requests carry a checksum of
+ * the committed state; a replica whose state differs fetches a snapshot. */
 #include "replica.h"
 
 enum {
-  /** Waiting for the lock ends after so many ms, before the sender's request times out. */
+  /** Timeout for acquiring the lock, in ms; must end before the sender's request times out. */
   LOCK_TIMEOUT_MS = 1000,
-  /** A response waits so many ms for the records to be committed. */
+  /** Maximum time that a response waits for the records to be committed, in ms. */
   COMMIT_WAIT_MS = 150
 };
 
@@ -49,8 +49,9 @@
                                      replica_view_is_under_replicated(replica, &replica->view)));
 }
 
-/* Writes to the log whether this replica is in sync, and waits for the sync. Nothing rests on an
- * in-sync replica before that; a log file that is begun meanwhile has the new value already. */
+/* Writes to the log whether this replica is in sync, and waits for the sync. Until then the replica
+ * does not count as in sync, but a log file that is started in the meantime already contains the
+ * new value. */
 static enum error_code store_in_sync(replica *replica, bool in_sync, error *err) {
   replication_state *replication = &replica->replication;
   GString *entries = g_string_new(NULL);
@@ -65,8 +66,8 @@
   return r;
 }
 
-/* Fetches the state of the predecessor. This replica is out of sync from the first byte on, so that
- * a vote in the meantime does not make it the head. */
+/* Fetches a snapshot from the predecessor. Marks this replica as out of sync before the fetch
+ * starts, so that a vote in the meantime does not make it the head. */
 static enum error_code fetch_snapshot(replica *replica, const char *address, error *err) {
   enum error_code r = store_in_sync(replica, false, err);
   return r ? r : snapshot_fetch(replica, address, err);
@@ -76,8 +77,8 @@
   return (string_view){ (char *)record->operation.data, record->operation.len };
 }
 
-/* records of a request that follow on those that are here: from first on, those after number low up
- * to number high */
+/* The records of a request that directly follow the local ones: those from index first on whose
+ * sequence numbers are greater than low and at most high. */
 typedef struct {
   size_t first, count;
   uint64_t low, high;
@@ -99,7 +100,7 @@
   return record->sequence > appendable->low && record->sequence <= appendable->high;
 }
 
-/* writes records to the log, and waits for the sync */
+/* writes the appendable records to the log and waits for the sync */
 static enum error_code store_records(replica *replica, const Wire__ReplicateRequest *request,
                                      const appendable_records *appendable, error *err) {
   GString *entries = g_string_new(NULL);
@@ -113,7 +114,8 @@
   return r;
 }
 
-/* Syncs the records that follow on those that are here without a gap, and keeps them in memory. */
+/* syncs the records that follow the local ones without a gap, and adds them to the recent records
+ */
 static enum error_code append_records(replica *replica, const Wire__ReplicateRequest *request,
                                       error *err) {
   appendable_records appendable = find_appendable(replica, request);
@@ -142,8 +144,7 @@
       !replica_in_sync(replica) || state_checksum(&replica->committed) == request->checksum)
     return false;
   log_info(&replica->node->log, "chain",
-           "The state differs from that of %s at write %" PRIu64
-           "; a snapshot is fetched (code %d).",
+           "The state differs from that of %s at write %" PRIu64 "; fetching a snapshot (code %d).",
            in->from->id, request->checksum_sequence, E_BAD_RECORD);
   return true;
 }
@@ -169,7 +170,7 @@
   return OK;
 }
 
-/* becomes in sync when the predecessor is, and all that it has is here */
+/* marks this replica as in sync if the predecessor is and this replica has all of its records */
 static enum error_code become_in_sync(replica *replica, const Wire__ReplicateRequest *request,
                                       error *err) {
   chain_position position = replica_chain_position(replica);
@@ -182,7 +183,7 @@
   return r;
 }
 
-/* takes what a request brings; needs the lock */
+/* applies a request; the caller holds the replication lock */
 static enum error_code take_request(replica *replica, const Wire__Envelope *in, error *err) {
   const Wire__ReplicateRequest *request = in->replicate_request;
   enum error_code r = OK;
@@ -198,7 +199,7 @@
   return r;
 }
 
-/* waits a little until all records that are here are committed, so that the response says so */
+/* waits briefly for all local records to be committed, so that the response can report it */
 static void wait_for_commit(replica *replica, uint64_t epoch) {
   world *world = replica->node->world;
   time_us deadline = time_add(world_now(world), time_from_ms(COMMIT_WAIT_MS));
--- a/lib/controlplane/replication_sender.c
+++ b/lib/controlplane/replication_sender.c
@@ -1,22 +1,22 @@
-/** The link to the successor.
+/** The sending side of chain replication.
  *
- * One request is under way at a time. The first one in a view carries no records: its response says
- * which the successor has. Each later one carries the records after those, or, when they are not in
- * memory any more, lets the successor fetch a snapshot. While there is nothing to send, a request
- * goes out now and then all the same: it shows that the link works, brings the number of the last
- * committed record, and carries a checksum of the state. */
+ * One request is in flight at a time. The first request in a view carries no records; its response
+ * reports the last record of the successor. Later requests carry the records after that one or, if
+ * these are no longer in memory, tell the successor to fetch a snapshot. When there is nothing to
+ * send, a request is still sent periodically: it verifies that the link works, and carries the
+ * number of the last committed record and from time to time a checksum of the state. */
 #include "replica.h"
 
 enum {
-  /** How long the sender waits while it may not send, and while there is nothing to send, in ms. */
+  /** Wait while this member may not send, and while there is nothing to send, in ms. */
   MAY_NOT_SEND_WAIT_MS = 200,
   IDLE_INTERVAL_MS = 250,
-  /** A failed request is repeated after so many ms. */
+  /** Delay before a failed request is retried, in ms. */
   RETRY_MS = 100,
-  /** A request has so many ms to be answered; more when the successor fetches a snapshot first. */
+  /** Timeout of a request, and of one that makes the successor fetch a snapshot first, in ms. */
   REPLICATE_TIMEOUT_MS = 1000,
   REPLICATE_SNAPSHOT_TIMEOUT_MS = 4000,
-  /** A checksum of the committed state is sent every so many ms. */
+  /** Interval between checksums of the committed state, in ms. */
   CHECKSUM_INTERVAL_MS = 2000
 };
 
@@ -24,10 +24,10 @@
 typedef struct {
   replica *replica;
   uint64_t epoch;
-  /* the last record that the successor has, once it has answered */
+  /* the last record of the successor; valid if successor_known is set */
   uint64_t successor_last;
   bool successor_known;
-  /* whether it has to fetch a snapshot */
+  /* whether the successor must fetch a snapshot */
   bool needs_snapshot;
 } successor_link;
 
@@ -39,11 +39,11 @@
 } record_batch;
 
 size_t replication_batch_bytes(const replica *replica) {
-  /* an eighth, so that a frame always fits into a file beside its base */
+  /* an eighth of a file, so that a frame always fits into a file after its checkpoint */
   return MIN((size_t)REPLICATE_BATCH_BYTES, replica->wal.size / 8);
 }
 
-/* waits for work; false when the tasks are stopped */
+/* waits for work; returns false if the tasks are stopped */
 static bool wait_for_work(replica *replica, int64_t ms) {
   world *world = replica->node->world;
   time_us deadline = time_add(world_now(world), time_from_ms(ms));
@@ -81,7 +81,7 @@
   batch->bytes += record->operation->len;
 }
 
-/* fills a batch with the records that the successor lacks, or notes that it needs a snapshot */
+/* fills a batch with the records that the successor lacks, or records that it needs a snapshot */
 static void collect_records(successor_link *link, record_batch *batch) {
   const replica *replica = link->replica;
   const recent_records *recent = &replica->recent_records;
@@ -147,12 +147,14 @@
   replica->replication.successor_answered_at = world_now(replica->node->world);
   if (link->successor_last > replica->last_seq)
     log_info(&replica->node->log, "chain",
-             "The successor %s has write %" PRIu64 ", this replica only %" PRIu64 " (code %d).",
+             "The successor %s has write %" PRIu64 ", but this replica only has %" PRIu64
+             " (code %d).",
              address, link->successor_last, replica->last_seq, E_BAD_RECORD);
   replication_commit(replica, replicated->commit_sequence);
 }
 
-/* one request to the successor; false when the tasks are stopped */
+/* sends one request to the successor and handles the response; returns false if the tasks are
+ * stopped */
 static bool replicate(successor_link *link) {
   replica *replica = link->replica;
   char address[MEMBER_ADDRESS_SIZE];
@@ -175,11 +177,12 @@
   return world_sleep(replica->node->world, time_from_ms(RETRY_MS));
 }
 
-/* one step of the task; false when the tasks are stopped */
+/* one iteration of the task; returns false if the tasks are stopped */
 static bool step(successor_link *link) {
   replica *replica = link->replica;
   if (!may_send(replica)) {
-    /* a vote stops the link, but does not show whether it works */
+    /* a pending vote suspends the link but says nothing about whether it works, so the timer of the
+       successor is kept */
     if (!view_change_prepare_pending(replica))
       replica->replication.successor_answered_at = world_now(replica->node->world);
     return wait_for_work(replica, MAY_NOT_SEND_WAIT_MS);
--- a/lib/controlplane/reply_text.h
+++ b/lib/controlplane/reply_text.h
@@ -3,6 +3,6 @@
 #define CONTROLPLANE_REPLY_TEXT_H
 #include "node.h"
 
-/** A copy of a text that lasts until the reply is sent. */
+/** Returns a copy of a text that is valid until the reply is sent. */
 char *reply_copy_text(reply *reply, const char *text);
 #endif
--- a/lib/controlplane/snapshot.c
+++ b/lib/controlplane/snapshot.c
@@ -1,18 +1,18 @@
 /** Snapshots of the committed state.
  *
- * A member that fetches asks for one chunk after the other. The first chunk (offset 0) names no
- * write and is answered from a cached snapshot, if the records after it are still in memory, else
- * from a new one; the later chunks belong to the snapshot of the write that the first one named. */
+ * A member fetches one chunk after the other. Its first request (offset 0) names no write and is
+ * answered from a cached snapshot if the records after that are still in memory, or else from a new
+ * one. Later requests name the write of the snapshot that the first response was part of. */
 #include "replica.h"
 
 enum {
   /** Size of a chunk, in bytes. */
   SNAPSHOT_CHUNK_BYTES = 256 * 1024,
-  /** A chunk has so many ms to arrive. */
+  /** Timeout of the request for a chunk, in ms. */
   SNAPSHOT_CHUNK_TIMEOUT_MS = 1500
 };
 
-/* a snapshot that is being fetched */
+/* a snapshot fetch in progress */
 typedef struct {
   GString *text;
   uint64_t seq, size;
@@ -46,7 +46,7 @@
   return r;
 }
 
-/* fetches and unpacks the state of a member; the caller frees *fetched, also on an error */
+/* fetches and unpacks the state of a member; the caller frees *fetched even if an error occurs */
 static enum error_code fetch_state(replica *replica, const char *address, state *fetched,
                                    error *err) {
   download download = { .text = g_string_new(NULL) };
@@ -62,7 +62,7 @@
   return r;
 }
 
-/* replaces the state by a fetched one, and takes over its ownership */
+/* replaces the state with a fetched one and takes ownership of it */
 static void install_state(replica *replica, const state *fetched) {
   snapshot_cache_clear(&replica->snapshot_cache);
   state_free(&replica->committed);
@@ -115,15 +115,15 @@
   return NULL;
 }
 
-/* whether all records after a snapshot are still in memory, so that a member that installs it can
- * be sent the rest */
+/* whether all records after a snapshot are still in memory, so that they can be sent to a member
+ * that installs it */
 static bool has_records_after(const replica *replica, const snapshot *snapshot) {
   const record *oldest = recent_records_oldest(&replica->recent_records);
   return snapshot->seq == replica->last_seq || (oldest && oldest->seq <= snapshot->seq + 1);
 }
 
-/* the newest cached snapshot whose later records are in memory; else a new one, in the entry that
- * is free or was used longest ago */
+/* Returns the newest cached snapshot whose following records are in memory. If there is none,
+ * creates one in a free entry or in the least recently used one. */
 static snapshot *begin_transfer(replica *replica) {
   snapshot_cache *cache = &replica->snapshot_cache;
   snapshot *newest = NULL, *oldest = &cache->entries[0];
--- a/lib/controlplane/state.c
+++ b/lib/controlplane/state.c
@@ -1,13 +1,13 @@
-/** The replicated state as a fold over the records of the chain.
+/** The replicated state machine, driven by the records of the chain.
  *
- * Each record is a packed Operation. It may set one resource, grant singleton leases, and note
- * under which idempotency key, or as which accepted change, it was written. state_apply must do the
- * same at each replica, whatever its version, so it depends on nothing but the state and the
- * record. */
+ * Each record is a packed Operation. It may set one resource, grant singleton leases, and record
+ * under which idempotency key, or as which accepted change, it was written. state_apply must have
+ * the same result at every replica and in every software version, so it depends only on the state
+ * and the record. */
 #include "state.h"
 
 enum {
-  /** The latest writes that are known by their idempotency keys. */
+  /** Number of recent writes whose idempotency keys are kept. */
   IDEMPOTENCY_RECORDS_MAX = 512
 };
 
@@ -118,8 +118,8 @@
 
 static uint64_t resources_checksum(const state *state) {
   uint64_t checksum = 0;
-  /* resources from RESOURCE_CANARY on are not known to controllers of an earlier version, whose
-     checksum has to be the same while these were never set */
+  /* Controllers of an earlier version do not know the resources from RESOURCE_CANARY on. Their
+     checksum must be the same as long as these resources were never set. */
   for (int i = 0; i < RESOURCE_COUNT; i++)
     if (i < RESOURCE_CANARY || state->resources[i].version)
       checksum ^= hash_bytes(state->resources[i].text->str, state->resources[i].text->len,
--- a/lib/controlplane/state_snapshot.c
+++ b/lib/controlplane/state_snapshot.c
@@ -1,23 +1,23 @@
-/** Packing of the replicated state as a StateSnapshot message, complete for other replicas and the
- * log, or reduced for routers. */
+/** Packs the replicated state as a StateSnapshot message: complete for other replicas and the log,
+ * reduced for routers. */
 #include "state.h"
 
 enum {
-  /** Upper bounds of what a snapshot takes beside texts and records, in bytes: fixed fields, and
-   * the tags and lengths of each resource and of each grant or idempotency record. */
+  /** Upper bounds on the size of a snapshot without its texts and records, in bytes: the fixed
+   * fields, and the tags and lengths of each resource and of each grant or idempotency record. */
   SNAPSHOT_FIXED_BYTES = 256,
   RESOURCE_OVERHEAD_BYTES = 64,
   ENTRY_OVERHEAD_BYTES = 32
 };
 
-/* what to leave out of a snapshot */
+/* what a snapshot omits */
 typedef struct {
-  /* Leave out idempotency records and accepted changes. */
+  /* Omit idempotency records and accepted changes. */
   bool for_router;
-  /* The receiver has these versions of the first held_count resources. */
+  /* The receiver's versions of the first held_count resources. */
   const uint64_t *held_versions;
   size_t held_count;
-  /* A delta of the routing resource to this version; empty: send the text. */
+  /* A delta of the routing resource to version delta_base. If it is empty, the text is sent. */
   uint64_t delta_base;
   string_view delta;
 } snapshot_options;
@@ -63,7 +63,7 @@
     pack_resource(state, i, options, &snapshot->resources[i]);
     snapshot->resource_pointers[i] = &snapshot->resources[i];
   }
-  /* where no canary was ever declared, that resource is left out, as by earlier versions */
+  /* if no canary was ever declared, omit that resource, as earlier versions do */
   snapshot->message.n_resources =
       state->resources[RESOURCE_CANARY].version ? RESOURCE_COUNT : RESOURCE_CANARY;
   snapshot->message.resources = snapshot->resource_pointers;
--- a/lib/controlplane/view.c
+++ b/lib/controlplane/view.c
@@ -1,8 +1,8 @@
 /** Views and members: comparison, and packing into messages.
  *
- * Members are compared by controller and disk, see struct member. A view that arrives is checked in
- * full before it is used: a view without an epoch, a fleet, a chain or voters, with more members
- * than the arrays hold, or with a malformed member is refused. */
+ * Members are compared by controller and disk, see struct member. A received view is fully
+ * validated before it is used: a view is rejected if it lacks an epoch, a fleet, a chain or voters,
+ * has more members than the arrays hold, or contains a malformed member. */
 #include "view.h"
 
 bool member_equal(const member *a, const member *b) {
--- a/lib/controlplane/view.h
+++ b/lib/controlplane/view.h
@@ -1,32 +1,32 @@
 #ifndef CONTROLPLANE_VIEW_H
 #define CONTROLPLANE_VIEW_H
-/** The view of the control plane: the replication chain and the voters of one epoch, their
- * comparison, and their form as messages. Plain values, without I/O and without a clock. */
+/** The view of the control plane: the replication chain and the voters of one epoch. Compares views
+ * and converts them to and from messages. Plain values, without I/O or clock reads. */
 #include "node.h"
 
 enum {
-  /** Upper bounds of the members of a chain and of the voters of a view. */
+  /** Maximum number of members of a chain and of voters of a view. */
   CHAIN_MAX = REPLICAS_MAX,
   VOTERS_MAX = REPLICAS_MAX,
-  /** Size of the text of an address, "ip:port" with its terminating zero. */
+  /** Buffer size for an address, "ip:port" with the terminating null byte. */
   MEMBER_ADDRESS_SIZE = 48
 };
 
-/** A controller together with its disk. A controller that comes back with another disk is another
- * member, since it has lost what the member had promised and stored. */
+/** A controller together with its disk. A controller that returns with another disk is a different
+ * member, since it has lost the promises and data of the earlier one. */
 typedef struct member {
   id self, zone;
   /** Address of its peer listener, "ip:port". */
   char address[MEMBER_ADDRESS_SIZE];
-  /** Random number that is stored on the disk when it is initialized; never 0. */
+  /** Random number stored on the disk when it is initialized; never 0. */
   uint64_t disk_id;
 } member;
 
 /** What the voters have agreed on for one epoch. */
 typedef struct view {
-  /** Epochs rise by 1 with each decided view; 0: no view is known. */
+  /** Increases by 1 with each decided view; 0 if no view is known. */
   uint64_t epoch;
-  /** Random number of the fleet, chosen when it is bootstrapped. */
+  /** Random number that identifies the fleet, chosen when it is bootstrapped. */
   uint64_t fleet_id;
   /** The order of replication: the first member is the head, the last one the tail. */
   member chain[CHAIN_MAX];
@@ -46,25 +46,25 @@
 bool member_equal(const member *a, const member *b);
 /** Returns the index of a member among count members, or -1. */
 int member_index(const member *members, int count, const member *member);
-/** Fills a message with a member; the message points to the member's strings. */
+/** Fills a message with a member. The message points to the member's strings. */
 void member_pack(Wire__Member *message, const member *member);
-/** Reads a member from a message. Returns false when the message is NULL or not valid. */
+/** Reads a member from a message. Returns false if the message is NULL or invalid. */
 bool member_unpack(member *member, const Wire__Member *message);
 
-/** Returns the index in the chain of the member that runs on a controller, whatever its disk, or
- * -1. */
+/** Returns the chain index of the member that runs on a controller, with any disk, or -1. */
 int view_chain_index_of_controller(const view *view, id controller);
 /** Returns whether two views have the same voters, in any order. */
 bool view_same_voters(const view *a, const view *b);
 /** Returns whether each member of the earlier chain is in the later one. */
 bool view_keeps_chain(const view *time_min, const view *later);
-/** Fills a message with a view and returns it; it points into *buffer and to the view's strings. */
+/** Packs a view into *buffer and returns the message. The message points into *buffer and to the
+ * view's strings. */
 Wire__View *view_pack(view_message *buffer, const view *view);
-/** Reads a view from a message. Returns false when the message is NULL or not valid. */
+/** Reads a view from a message. Returns false if the message is NULL or invalid. */
 bool view_unpack(view *view, const Wire__View *message);
 
-/** Returns a message with a copy of a view; both live as long as the reply. */
+/** Returns a message with a copy of a view; both are freed with the reply. */
 Wire__View *response_view(reply *reply, const view *original);
-/** Returns a message with a copy of a member; both live as long as the reply. */
+/** Returns a message with a copy of a member; both are freed with the reply. */
 Wire__Member *response_member(reply *reply, const member *original);
 #endif
--- a/lib/controlplane/view_change.c
+++ b/lib/controlplane/view_change.c
@@ -1,8 +1,8 @@
-/** The change to a decided view.
+/** The switch to a decided view.
  *
  * A decided view is written to the log and then entered. Its proposer sends it to all controllers
- * (paxos_proposer.c); a controller that misses it gets it with the response to its next lease
- * request, or when it asks to join. */
+ * (paxos_proposer.c). A controller that misses this message receives the view in the response to
+ * its next lease request or join request. */
 #include "replica.h"
 
 bool view_change_prepare_pending(const replica *replica) {
@@ -15,7 +15,7 @@
   for (int i = 0; i < view->chain_length; i++)
     g_string_append_printf(chain, "%s%s", i ? " > " : "", view->chain[i].self.text);
   log_info(&replica->node->log, "replica", "View %" PRIu64 ": chain %s%s.", view->epoch, chain->str,
-           replica_view_is_under_replicated(replica, view) ? ", under-replicated, takes no writes"
+           replica_view_is_under_replicated(replica, view) ? ", under-replicated, accepts no writes"
                                                            : "");
   g_string_free(chain, TRUE);
 }
@@ -49,7 +49,7 @@
   if (!replica->view.fleet_id || view->fleet_id == replica->view.fleet_id)
     return true;
   log_info(&replica->node->log, "replica",
-           "Refused view %" PRIu64 " of another fleet %016" PRIx64 " (code %d).", view->epoch,
+           "Rejected view %" PRIu64 " of another fleet %016" PRIx64 " (code %d).", view->epoch,
            view->fleet_id, E_VIEW_MISMATCH);
   return false;
 }
@@ -66,7 +66,7 @@
   if (replica->view_change.adopting_epoch == view.epoch)
     replica->view_change.adopting_epoch = 0;
   g_string_free(entries, TRUE);
-  /* the sync took time, in which a newer view may have been entered */
+  /* a newer view may have been entered during the sync */
   if (!r && view.epoch > replica->view.epoch)
     enter_view(replica, &view);
 }
--- a/lib/controlplane/wal.c
+++ b/lib/controlplane/wal.c
@@ -1,29 +1,31 @@
-/** Writing of the write-ahead log.
+/** Writes the write-ahead log.
  *
- * Callers add entries to a buffer and wait; one writer task takes the buffer, writes it as one
- * frame and syncs it, so that entries that come while the disk is busy share the next sync. When
- * the frame does not fit into the current file any more, the next file of the ring is begun with a
- * base: all that matters, as it is then.
+ * Callers append entries to a buffer and wait. One writer task takes the buffer, writes it as one
+ * frame and syncs it, so that entries that arrive while the disk is busy share the next sync (group
+ * commit). If the frame no longer fits into the current file, the next file of the ring is started
+ * with a checkpoint: the complete state at that time.
  *
- * When the disk refuses a write, the entries that wait are dropped and the log counts as failed. A
- * base in a new file is then retried; once one is synced, the log accepts entries again. */
+ * If the disk rejects a write, the waiting entries are discarded and the log counts as failed. The
+ * writer then retries to write a checkpoint to a new file; once that is synced, the log accepts
+ * entries again. */
 #include "wal.h"
 #include "wal_recovery.h"
 #include <malloc.h>
 #include <zlib.h>
 
 enum {
-  /** A failed log retries to write a base after so many ms. */
+  /** Delay before a failed log retries to write a checkpoint, in ms. */
   FAILED_RETRY_MS = 500,
-  /** A base must leave so many bytes of a file for the entries after it. */
+  /** Minimum number of bytes that must remain free in a file after its checkpoint. */
   MIN_FREE_BYTES = 4096,
-  /** A frame longer than a file divided by this begins a new file. */
+  /** A frame longer than the file size divided by this starts a new file. */
   LONG_FRAME_DIVISOR = 4,
-  /** After a base of more bytes the allocator's free memory goes back to the system. */
+  /** After a checkpoint of more than this many bytes, the allocator returns free memory to the
+   * system. */
   LARGE_BASE_BYTES = 1 << 20
 };
 
-/* a buffer with space for the header of its frame */
+/* returns a buffer with space reserved for the header of its frame */
 static GString *frame_new(void) {
   GString *frame = g_string_sized_new(256);
   g_string_set_size(frame, sizeof(wal_frame));
@@ -44,7 +46,8 @@
   return OK;
 }
 
-/* What an earlier process wrote may still be unsynced, and counts from here on. */
+/* Syncs what an earlier process may have written without a sync, since this process relies on it.
+ */
 static enum error_code sync_files(wal *wal, error *err) {
   world *world = wal->node->world;
   for (unsigned file = 0; file < WAL_FILE_COUNT; file++) {
@@ -97,7 +100,7 @@
   return r;
 }
 
-/* begins the next file of the ring with a base */
+/* starts the next file of the ring with a checkpoint */
 static enum error_code begin_file(wal *wal, error *err) {
   GString *base = frame_new();
   wal->write_base(wal->ctx, base);
@@ -124,8 +127,9 @@
   wal->failed = true;
   wal->discarded = wal->appended;
   g_string_set_size(wal->pending, sizeof(wal_frame));
-  log_info(&wal->node->log, "wal", "The disk refuses writes; this replica is out: %s (code %d).",
-           err->text, code);
+  log_info(&wal->node->log, "wal",
+           "The disk rejects writes; this replica is out of service: %s (code %d).", err->text,
+           code);
   condition_broadcast(&wal->progress);
 }
 
@@ -134,7 +138,7 @@
   condition_broadcast(&wal->progress);
 }
 
-/* Retries a failed log once; E_STOPPING ends the writer. */
+/* Tries once to recover a failed log. E_STOPPING ends the writer. */
 static enum error_code retry_failed(wal *wal) {
   error err = { 0 };
   if (!world_sleep(wal->node->world, time_from_ms(FAILED_RETRY_MS)))
@@ -143,12 +147,12 @@
   if (r)
     return r;
   wal->failed = false;
-  log_info(&wal->node->log, "wal", "The disk takes writes again.");
+  log_info(&wal->node->log, "wal", "The disk accepts writes again.");
   mark_synced(wal, wal->appended);
   return OK;
 }
 
-/* Appends a frame to the current file, or to a new one when it does not fit. */
+/* Appends a frame to the current file, or to a new one if it does not fit or is long. */
 static enum error_code append_frame(wal *wal, GString *frame, error *err) {
   size_t length = wal_align(frame->len);
   if (wal->offset + length > wal->size || frame->len > wal->size / LONG_FRAME_DIVISOR) {
@@ -166,7 +170,7 @@
   return OK;
 }
 
-/* Writes all entries that wait, as one frame; E_STOPPING ends the writer. */
+/* Writes all waiting entries as one frame. E_STOPPING ends the writer. */
 static enum error_code write_pending(wal *wal) {
   error err = { 0 };
   GString *frame = wal->pending;
@@ -187,7 +191,7 @@
   return stopped ? E_STOPPING : OK;
 }
 
-/* the writer task */
+/* task function of the writer */
 static void writer_run(void *ctx) {
   wal *wal = ctx;
   enum error_code r = OK;
@@ -228,8 +232,8 @@
 enum error_code wal_rotate(wal *wal, error *err) {
   if (wal->failed)
     return error_set(err, E_DISK, "the disk of this machine refuses writes");
-  /* The current file counts as full, so that the next write begins a new one; the empty entry
-     causes that write. */
+  /* Marks the current file as full, so that the next write starts a new one. The empty entry
+     triggers that write. */
   wal->offset = wal->size;
   GString *entry = g_string_new(NULL);
   wal_entry_add(entry, ENTRY_NONE, "", 0);
--- a/lib/controlplane/wal_entries.c
+++ b/lib/controlplane/wal_entries.c
@@ -1,9 +1,9 @@
 /** Entries of a replica's log.
  *
- * A base holds the disk's number, the known view, the acceptor's state, a snapshot of the committed
- * state and the records after it. Later entries replace the view, the acceptor's state or the
- * disk's entry, or append a record. Entries of an unknown kind, or that can't be unpacked, are
- * skipped. */
+ * A checkpoint holds the disk's id, the known view, the acceptor's state, the founders' addresses
+ * while no view is known, a snapshot of the committed state, and the records after it. Later
+ * entries replace the view, the acceptor's state or the disk's entry, or append a record. Entries
+ * that are of an unknown kind or cannot be unpacked are skipped. */
 #include "replica.h"
 
 void wal_entries_add_view(GString *buffer, const view *view) {
@@ -47,7 +47,7 @@
   g_free(bytes);
 }
 
-/* the body of an ENTRY_DISK, as it is on disk */
+/* the body of an ENTRY_DISK in its on-disk format */
 typedef struct {
   uint64_t disk_id, in_sync;
 } disk_entry;
--- a/lib/controlplane/wal_entries.h
+++ b/lib/controlplane/wal_entries.h
@@ -1,6 +1,6 @@
 #ifndef CONTROLPLANE_WAL_ENTRIES_H
 #define CONTROLPLANE_WAL_ENTRIES_H
-/** What a replica writes to its log, as entries, and how they are replayed at the start. */
+/** The entries that a replica writes to its log, and their replay at the start. */
 #include "paxos_rules.h"
 #include "wal.h"
 
@@ -12,10 +12,10 @@
 void wal_entries_add_acceptor(GString *buffer, const acceptor_state *acceptor);
 /** Appends a record of the chain to a buffer. */
 void wal_entries_add_record(GString *buffer, uint64_t seq, uint64_t epoch, string_view operation);
-/** Appends the disk's number, and whether the replica is in sync, to a buffer. */
+/** Appends the disk's id, and whether the replica is in sync, to a buffer. */
 void wal_entries_add_disk(GString *buffer, uint64_t disk_id, bool in_sync);
-/** Writes all that matters of a replica: a wal_base_writer whose context is the replica. */
+/** Writes the checkpoint of a replica. A wal_base_writer whose context is the replica. */
 void wal_entries_write_base(void *ctx, GString *buffer);
-/** Takes one entry of the log into a replica: a wal_entry_handler whose context is the replica. */
+/** Applies one entry of the log to a replica. A wal_entry_handler whose context is the replica. */
 void wal_entries_replay(void *ctx, int kind, string_view body);
 #endif
--- a/lib/controlplane/wal_format.c
+++ b/lib/controlplane/wal_format.c
@@ -1,4 +1,4 @@
-/** Packing and unpacking of frames and entries of the write-ahead log. */
+/** Packs and unpacks frames and entries of the write-ahead log. */
 #include "wal_format.h"
 #include <zlib.h>
 
--- a/lib/controlplane/wal_recovery.c
+++ b/lib/controlplane/wal_recovery.c
@@ -1,22 +1,22 @@
 /** Recovery of the write-ahead log.
  *
- * The newest file is the one whose first frame is sound and has the highest generation. Its frames
- * are sound and of that generation up to the first one that is not: that is the end of the log.
+ * The newest file is the one whose first frame is valid and has the highest generation. The log
+ * ends at the first frame of this file that is invalid or has another generation.
  *
- * A torn last frame is the trace of a crash during a write that nobody rested on. A sound frame of
- * this or a later generation behind a bad one is not: what was synced there is lost, and with it
- * perhaps a promise, so the disk counts as corrupt. To find such frames the rest of the newest file
- * and all other files whose first frame is bad are searched at each aligned offset.
+ * A torn last frame results from a crash during a write, and nothing depends on that write. A valid
+ * frame of this or a later generation after an invalid one is different: synced data, possibly a
+ * promise, has been lost, so the disk counts as corrupt. To find such frames, the rest of the
+ * newest file and all other files with an invalid first frame are searched at every aligned offset.
  *
- * Files are read through windows of WINDOW_BYTES, so that none is in memory in full. */
+ * Files are read through windows of WINDOW_BYTES, so that no file is ever in memory completely. */
 #include "wal_recovery.h"
 #include <zlib.h>
 
 enum {
   /** Size of a window onto a file, in bytes. */
   WINDOW_BYTES = 256 << 10,
-  /** So many bytes after the end of the log tell whether its end is torn: a file is zeroed when it
-     is allocated. */
+  /** Number of bytes after the end of the log that are checked for a torn end. They are zero unless
+     a frame was torn, since files are zeroed when they are allocated. */
   TORN_END_BYTES = 4096
 };
 
@@ -28,12 +28,12 @@
   char *buffer;
 } file_window;
 
-/* what recovery knows while it runs */
+/* the state of a recovery in progress */
 typedef struct {
   wal *wal;
-  /* two windows: one for the search, one for the bodies of what it finds */
+  /* two windows: one for the search, one for reading the frames that it finds */
   file_window scan, body;
-  /* which files have a sound first frame, the newest of them or -1, and its generation */
+  /* which files have a valid first frame, the newest of these files or -1, and its generation */
   bool has_base[WAL_FILE_COUNT];
   int newest_file;
   uint64_t generation;
@@ -46,8 +46,8 @@
   recovery->scan.length = recovery->body.length = 0;
 }
 
-/* Sets *bytes to length bytes of the file from an offset on; they are valid until the window is
- * used again. */
+/* Sets *bytes to length bytes of the file at an offset. They are valid until the window is used
+ * again. */
 static enum error_code window_read(file_window *window, size_t offset, size_t length,
                                    const char **bytes, error *err) {
   if (offset < window->offset || offset + length > window->offset + window->length) {
@@ -64,7 +64,7 @@
   return OK;
 }
 
-/* Reads the header of a frame; *plausible is false when there can be no frame at this offset. */
+/* Reads the header of a frame. Sets *plausible to false if there can be no frame at this offset. */
 static enum error_code read_frame_header(file_window *window, size_t offset, wal_frame *frame,
                                          bool *plausible, error *err) {
   size_t size = window->wal->size;
@@ -80,8 +80,8 @@
   return OK;
 }
 
-/* Reads the frame at an offset; *sound is false when there is none or its CRC is wrong. body takes
- * its body unless NULL. */
+/* Reads the frame at an offset. Sets *sound to false if there is none or its CRC is wrong. Copies
+ * the frame's body to body unless that is NULL. */
 static enum error_code read_frame(file_window *window, size_t offset, wal_frame *frame, bool *sound,
                                   GString *body, error *err) {
   enum error_code r = read_frame_header(window, offset, frame, sound, err);
@@ -110,8 +110,8 @@
   return OK;
 }
 
-/* Looks for frames in the bytes that a window holds from an offset on, and raises *highest to the
- * generation of each sound one from min_generation on. */
+/* Searches length bytes of a file, which start at offset, for valid frames. Raises *highest to the
+ * highest generation found that is at least min_generation. */
 static enum error_code search_bytes(recovery *recovery, const char *bytes, size_t length,
                                     size_t offset, uint64_t min_generation, uint64_t *highest,
                                     size_t *searched, error *err) {
@@ -133,8 +133,8 @@
   return OK;
 }
 
-/* Sets *highest to the highest generation of a sound frame of the windows' file from an offset on,
- * among those from min_generation on; 0 when there is none. */
+/* Searches the windows' file from an offset on. Sets *highest to the highest generation of a valid
+ * frame that is at least min_generation, or to 0 if there is none. */
 static enum error_code find_highest_generation(recovery *recovery, size_t offset,
                                                uint64_t min_generation, uint64_t *highest,
                                                error *err) {
@@ -170,7 +170,7 @@
   return OK;
 }
 
-/* Finds where the sound frames of the newest file end. */
+/* Finds the end of the valid frames of the newest file. */
 static enum error_code find_end(recovery *recovery, error *err) {
   wal_frame frame;
   bool sound;
@@ -215,7 +215,7 @@
   return r;
 }
 
-/* Examines the newest file, and replays it unless it is corrupt. */
+/* Examines the newest file and replays it unless it is corrupt. */
 static enum error_code recover_newest_file(recovery *recovery, enum wal_condition *condition,
                                            error *err) {
   uint64_t later;
@@ -233,7 +233,8 @@
   return r;
 }
 
-/* A file without a sound first frame must hold no frame that is newer than the newest file. */
+/* The log is corrupt if a file without a valid first frame holds a frame that is newer than the
+ * newest file. */
 static enum error_code check_other_files(recovery *recovery, enum wal_condition *condition,
                                          error *err) {
   for (unsigned i = 0; i < WAL_FILE_COUNT; i++) {
@@ -251,7 +252,7 @@
   return OK;
 }
 
-/* A corrupt log is begun anew above all generations that are on the disk. */
+/* A corrupt log is started anew with a generation above all that are on the disk. */
 static enum error_code raise_generation(recovery *recovery, error *err) {
   for (unsigned i = 0; i < WAL_FILE_COUNT; i++) {
     uint64_t later;
--- a/lib/controlplane/wal_recovery.h
+++ b/lib/controlplane/wal_recovery.h
@@ -3,8 +3,8 @@
 /** Recovery of the write-ahead log at the start of a process. */
 #include "wal.h"
 
-/** Examines the open files of a log. Replays the newest file by wal->replay_entry when it is
- * intact, and sets *condition and the log's position (current_file, offset, generation,
- * has_torn_end). Returns OK or the disk's error. */
+/** Examines the open files of a log. Replays the newest file through wal->replay_entry if it is
+ * intact. Sets *condition and the log's position (current_file, offset, generation, has_torn_end).
+ * Returns OK or the disk's error. */
 enum error_code wal_recover(wal *wal, enum wal_condition *condition, error *err);
 #endif
