--- a/lib/controlplane/member_lease_rules.c
+++ b/lib/controlplane/member_lease_rules.c
@@ -109,13 +109,13 @@
   return true;
 }
 
-void member_leases_enter_view(member_leases *leases, const view *time_min, const view *next,
+void member_leases_enter_view(member_leases *leases, const view *previous, const view *next,
                               time_us now) {
-  bool follows = next->epoch == time_min->epoch + 1;
+  bool follows = next->epoch == previous->epoch + 1;
   /* If this member has acted and the next view removes no member, no removed member can still act.
      If the voters have been the same for long enough, each voter enforces this by itself. */
-  bool may_go_on = follows && leases->has_acted && view_keeps_chain(time_min, next);
-  if (!follows || !view_same_voters(time_min, next))
+  bool may_go_on = follows && leases->has_acted && view_keeps_chain(previous, next);
+  if (!follows || !view_same_voters(previous, next))
     leases->voters_known_at = now;
   time_us others_expired_at = expiry_at_voter(leases->voters_known_at);
   if (!may_go_on && !time_reached(leases->may_act_at, others_expired_at))
--- a/lib/controlplane/member_lease_rules.h
+++ b/lib/controlplane/member_lease_rules.h
@@ -64,6 +64,6 @@
                             bool prepare_pending, time_us now);
 /** Switches to another view: sets the earliest time at which this member may act in it, and
  * discards the leases of the previous view. */
-void member_leases_enter_view(member_leases *leases, const view *time_min, const view *next,
+void member_leases_enter_view(member_leases *leases, const view *previous, const view *next,
                               time_us now);
 #endif
--- a/lib/controlplane/view.c
+++ b/lib/controlplane/view.c
@@ -49,9 +49,9 @@
   return a->voter_count == b->voter_count;
 }
 
-bool view_keeps_chain(const view *time_min, const view *later) {
-  for (int i = 0; i < time_min->chain_length; i++)
-    if (member_index(later->chain, later->chain_length, &time_min->chain[i]) < 0)
+bool view_keeps_chain(const view *earlier, const view *later) {
+  for (int i = 0; i < earlier->chain_length; i++)
+    if (member_index(later->chain, later->chain_length, &earlier->chain[i]) < 0)
       return false;
   return true;
 }
--- a/lib/controlplane/view.h
+++ b/lib/controlplane/view.h
@@ -56,7 +56,7 @@
 /** Returns whether two views have the same voters, in any order. */
 bool view_same_voters(const view *a, const view *b);
 /** Returns whether each member of the earlier chain is in the later one. */
-bool view_keeps_chain(const view *time_min, const view *later);
+bool view_keeps_chain(const view *earlier, const view *later);
 /** Packs a view into *buffer and returns the message. The message points into *buffer and to the
  * view's strings. */
 Wire__View *view_pack(view_message *buffer, const view *view);
