--- a/lib/controlplane/member_lease.c
+++ b/lib/controlplane/member_lease.c
@@ -15,7 +15,7 @@
   /** Timeout of a request, in ms. */
   MEMBER_LEASE_REQUEST_TIMEOUT_MS = 600,
   /** How long a report that a peer hears nothing is valid, in ms. Requests repeat it more often. */
-  DEAF_REPORT_VALID_MS = 600
+  HEARS_NOTHING_REPORT_VALID_MS = 600
 };
 
 /* state of the task that requests leases from one voter */
@@ -46,34 +46,36 @@
 
 bool member_lease_peer_hears_nothing(const replica *replica, id peer) {
   const member_lease_state *lease = &replica->lease;
-  for (size_t i = 0; i < G_N_ELEMENTS(lease->deaf_peers); i++) {
-    time_us reported_at = lease->deaf_peers[i].reported_at;
-    if (id_equal(lease->deaf_peers[i].peer, peer))
+  for (size_t i = 0; i < G_N_ELEMENTS(lease->hears_nothing_reports); i++) {
+    time_us reported_at = lease->hears_nothing_reports[i].reported_at;
+    if (id_equal(lease->hears_nothing_reports[i].peer, peer))
       return reported_at.us &&
              !time_reached(world_now(replica->node->world),
-                           time_add(reported_at, time_from_ms(DEAF_REPORT_VALID_MS)));
+                           time_add(reported_at, time_from_ms(HEARS_NOTHING_REPORT_VALID_MS)));
   }
   return false;
 }
 
 /* returns the index of the entry for a peer, or else of the oldest report */
-static size_t find_deaf_entry(const member_lease_state *lease, id peer) {
+static size_t find_hears_nothing_report(const member_lease_state *lease, id peer) {
   size_t oldest = 0;
-  for (size_t i = 0; i < G_N_ELEMENTS(lease->deaf_peers); i++) {
-    if (id_equal(lease->deaf_peers[i].peer, peer))
+  for (size_t i = 0; i < G_N_ELEMENTS(lease->hears_nothing_reports); i++) {
+    if (id_equal(lease->hears_nothing_reports[i].peer, peer))
       return i;
-    if (lease->deaf_peers[i].reported_at.us < lease->deaf_peers[oldest].reported_at.us)
+    if (lease->hears_nothing_reports[i].reported_at.us <
+        lease->hears_nothing_reports[oldest].reported_at.us)
       oldest = i;
   }
   return oldest;
 }
 
-static void note_hearing(member_lease_state *lease, id peer, bool hears_nothing, time_us now) {
-  size_t i = find_deaf_entry(lease, peer);
-  if (!hears_nothing && !id_equal(lease->deaf_peers[i].peer, peer))
+static void update_hears_nothing_report(member_lease_state *lease, id peer, bool hears_nothing,
+                                        time_us now) {
+  size_t i = find_hears_nothing_report(lease, peer);
+  if (!hears_nothing && !id_equal(lease->hears_nothing_reports[i].peer, peer))
     return;
-  lease->deaf_peers[i].peer = peer;
-  lease->deaf_peers[i].reported_at = hears_nothing ? now : (time_us){ 0 };
+  lease->hears_nothing_reports[i].peer = peer;
+  lease->hears_nothing_reports[i].reported_at = hears_nothing ? now : (time_us){ 0 };
 }
 
 enum error_code member_lease_on_request(void *ctx, Wire__Envelope *in, reply *reply, error *err) {
@@ -89,7 +91,7 @@
   Wire__MemberLeaseResponse *response = reply_new_body(
       reply, WIRE__ENVELOPE__BODY_MEMBER_LEASE_RESPONSE, &wire__member_lease_response__descriptor);
   member requester = { .self = id_of_text(request->id), .disk_id = request->disk_id };
-  note_hearing(lease, requester.self, request->hears_nothing, now);
+  update_hears_nothing_report(lease, requester.self, request->hears_nothing, now);
   if (request->epoch < view->epoch)
     response->newer = response_view(reply, view);
   else if (request->epoch > view->epoch)
@@ -115,13 +117,14 @@
 static enum error_code send_request(const lease_requester *requester, time_us now,
                                     Wire__Envelope **response) {
   replica *replica = requester->replica;
-  time_us deaf_at = time_add(requester->answered_at, time_from_ms(MEMBER_LEASE_EXPIRED_MS));
+  time_us hears_nothing_at =
+      time_add(requester->answered_at, time_from_ms(MEMBER_LEASE_EXPIRED_MS));
   Wire__MemberLeaseRequest request = WIRE__MEMBER_LEASE_REQUEST__INIT;
   request.epoch = replica->view.epoch;
   request.fleet_id = replica->view.fleet_id;
   request.id = replica->node->settings.self.text;
   request.disk_id = replica->disk_id;
-  request.hears_nothing = time_reached(now, deaf_at);
+  request.hears_nothing = time_reached(now, hears_nothing_at);
   Wire__Envelope message = wire_envelope(WIRE__ENVELOPE__BODY_MEMBER_LEASE_REQUEST, &request);
   error err = { 0 };
   return peer_rpc_call(replica->node, requester->voter.address, &message,
--- a/lib/controlplane/member_lease.h
+++ b/lib/controlplane/member_lease.h
@@ -14,7 +14,7 @@
   struct {
     id peer;
     time_us reported_at;
-  } deaf_peers[CHAIN_MAX];
+  } hears_nothing_reports[CHAIN_MAX];
   /** Signalled when the leases must be requested again immediately. */
   condition renewal_wanted;
 } member_lease_state;
