--- a/lib/controlplane/replica.c
+++ b/lib/controlplane/replica.c
@@ -93,7 +93,7 @@
   condition_init(&replica->replication.unlocked);
   condition_init(&replica->lease.renewal_wanted);
   replica->wal.replay_entry = wal_entries_replay;
-  replica->wal.write_base = wal_entries_write_base;
+  replica->wal.write_checkpoint = wal_entries_write_checkpoint;
   replica->wal.ctx = replica;
 }
 
--- a/lib/controlplane/wal.c
+++ b/lib/controlplane/wal.c
@@ -22,7 +22,7 @@
   LONG_FRAME_DIVISOR = 4,
   /** After a checkpoint of more than this many bytes, the allocator returns free memory to the
    * system. */
-  LARGE_BASE_BYTES = 1 << 20
+  LARGE_CHECKPOINT_BYTES = 1 << 20
 };
 
 /* returns a buffer with space reserved for the header of its frame */
@@ -102,23 +102,23 @@
 
 /* starts the next file of the ring with a checkpoint */
 static enum error_code begin_file(wal *wal, error *err) {
-  GString *base = frame_new();
-  wal->write_base(wal->ctx, base);
-  size_t length = base->len;
+  GString *checkpoint = frame_new();
+  wal->write_checkpoint(wal->ctx, checkpoint);
+  size_t length = checkpoint->len;
   wal->base_size = length - sizeof(wal_frame);
   unsigned next_file = (wal->current_file + 1) % wal->file_count;
   enum error_code r = OK;
   if (length + MIN_FREE_BYTES > wal->size)
     r = error_set(err, E_DISK_FULL, "the state of %zu bytes outgrows a ring file", length);
   if (!r)
-    r = write_frame(wal, next_file, 0, wal->generation + 1, base, err);
+    r = write_frame(wal, next_file, 0, wal->generation + 1, checkpoint, err);
   if (!r) {
     wal->current_file = next_file;
     wal->generation++;
     wal->offset = wal->last_frame_offset = wal_align(length);
   }
-  g_string_free(base, TRUE);
-  if (length > LARGE_BASE_BYTES)
+  g_string_free(checkpoint, TRUE);
+  if (length > LARGE_CHECKPOINT_BYTES)
     malloc_trim(0);
   return r;
 }
--- a/lib/controlplane/wal.h
+++ b/lib/controlplane/wal.h
@@ -23,7 +23,7 @@
 };
 
 /** Appends the entries of a checkpoint, that is, the complete state, to a buffer. */
-typedef void (*wal_base_writer)(void *ctx, GString *buffer);
+typedef void (*wal_checkpoint_writer)(void *ctx, GString *buffer);
 
 /** The log. Only the modules of the log write these fields. When the disk rejects a write, the log
  * counts as failed: it rejects all entries, and retries to write a checkpoint until it succeeds. */
@@ -55,7 +55,7 @@
   /** Callbacks set by the owner before wal_open: one handles each replayed entry, the other writes
    * the checkpoint of a new file. */
   wal_entry_handler replay_entry;
-  wal_base_writer write_base;
+  wal_checkpoint_writer write_checkpoint;
   void *ctx;
 } wal;
 
--- a/lib/controlplane/wal_entries.c
+++ b/lib/controlplane/wal_entries.c
@@ -77,7 +77,7 @@
   }
 }
 
-void wal_entries_write_base(void *ctx, GString *buffer) {
+void wal_entries_write_checkpoint(void *ctx, GString *buffer) {
   const replica *replica = ctx;
   wal_entries_add_disk(buffer, replica->disk_id, replica->in_sync);
   if (replica->view.epoch)
--- a/lib/controlplane/wal_recovery.c
+++ b/lib/controlplane/wal_recovery.c
@@ -34,7 +34,7 @@
   /* two windows: one for the search, one for reading the frames that it finds */
   file_window scan, body;
   /* which files have a valid first frame, the newest of these files or -1, and its generation */
-  bool has_base[WAL_FILE_COUNT];
+  bool has_checkpoint[WAL_FILE_COUNT];
   int newest_file;
   uint64_t generation;
   /* the end of the log in the newest file */
@@ -159,10 +159,11 @@
   for (unsigned i = 0; i < WAL_FILE_COUNT; i++) {
     wal_frame frame;
     move_windows(recovery, i);
-    enum error_code r = read_frame(&recovery->scan, 0, &frame, &recovery->has_base[i], NULL, err);
+    enum error_code r =
+        read_frame(&recovery->scan, 0, &frame, &recovery->has_checkpoint[i], NULL, err);
     if (r)
       return r;
-    if (recovery->has_base[i] && frame.generation > recovery->generation) {
+    if (recovery->has_checkpoint[i] && frame.generation > recovery->generation) {
       recovery->generation = frame.generation;
       recovery->newest_file = i;
     }
@@ -238,7 +239,7 @@
 static enum error_code check_other_files(recovery *recovery, enum wal_condition *condition,
                                          error *err) {
   for (unsigned i = 0; i < WAL_FILE_COUNT; i++) {
-    if ((int)i == recovery->newest_file || recovery->has_base[i])
+    if ((int)i == recovery->newest_file || recovery->has_checkpoint[i])
       continue;
     uint64_t later;
     move_windows(recovery, i);
