--- a/lib/controlplane/wal_recovery.c
+++ b/lib/controlplane/wal_recovery.c
@@ -80,14 +80,14 @@
   return OK;
 }
 
-/* Reads the frame at an offset. Sets *sound to false if there is none or its CRC is wrong. Copies
+/* Reads the frame at an offset. Sets *valid to false if there is none or its CRC is wrong. Copies
  * the frame's body to body unless that is NULL. */
-static enum error_code read_frame(file_window *window, size_t offset, wal_frame *frame, bool *sound,
+static enum error_code read_frame(file_window *window, size_t offset, wal_frame *frame, bool *valid,
                                   GString *body, error *err) {
-  enum error_code r = read_frame_header(window, offset, frame, sound, err);
-  if (r || !*sound)
+  enum error_code r = read_frame_header(window, offset, frame, valid, err);
+  if (r || !*valid)
     return r;
-  *sound = false;
+  *valid = false;
   uint32_t crc = wal_frame_header_crc(frame);
   if (body)
     g_string_truncate(body, 0);
@@ -106,7 +106,7 @@
     at += length;
     left -= length;
   }
-  *sound = crc == frame->crc;
+  *valid = crc == frame->crc;
   return OK;
 }
 
@@ -122,11 +122,11 @@
     if (frame.magic != WAL_FRAME_MAGIC || frame.generation < min_generation ||
         frame.generation <= *highest)
       continue;
-    bool sound;
-    enum error_code r = read_frame(&recovery->body, offset + i, &frame, &sound, NULL, err);
+    bool valid;
+    enum error_code r = read_frame(&recovery->body, offset + i, &frame, &valid, NULL, err);
     if (r)
       return r;
-    if (sound)
+    if (valid)
       *highest = frame.generation;
   }
   *searched = i;
@@ -174,11 +174,11 @@
 /* Finds the end of the valid frames of the newest file. */
 static enum error_code find_end(recovery *recovery, error *err) {
   wal_frame frame;
-  bool sound;
+  bool valid;
   move_windows(recovery, recovery->newest_file);
   for (;;) {
-    enum error_code r = read_frame(&recovery->scan, recovery->end, &frame, &sound, NULL, err);
-    if (r || !sound || frame.generation != recovery->generation)
+    enum error_code r = read_frame(&recovery->scan, recovery->end, &frame, &valid, NULL, err);
+    if (r || !valid || frame.generation != recovery->generation)
       return r;
     recovery->end += wal_align(sizeof frame + frame.length);
   }
@@ -205,8 +205,8 @@
   size_t offset = 0;
   while (!r && offset < recovery->end) {
     wal_frame frame;
-    bool sound;
-    r = read_frame(&recovery->scan, offset, &frame, &sound, body, err);
+    bool valid;
+    r = read_frame(&recovery->scan, offset, &frame, &valid, body, err);
     if (r)
       break;
     wal_entries_for_each(string_view_of_gstring(body), wal->replay_entry, wal->ctx);
