--- a/lib/controlplane/chain_repair.c
+++ b/lib/controlplane/chain_repair.c
@@ -50,7 +50,7 @@
 static time_us rank_delay(const replica *replica) {
   int live_voters_before = 0;
   for (int i = 0; i < replica_voter_index(replica); i++)
-    live_voters_before += !repair_plan_member_is_out(replica, &replica->view.voters[i]);
+    live_voters_before += !repair_plan_member_is_unavailable(replica, &replica->view.voters[i]);
   return time_from_ms(live_voters_before * RANK_DELAY_MS);
 }
 
--- a/lib/controlplane/repair_plan.c
+++ b/lib/controlplane/repair_plan.c
@@ -27,7 +27,7 @@
   return time_reached(world_now(replica->node->world), time_add(heard_at, time_from_ms(ms)));
 }
 
-bool repair_plan_member_is_out(const replica *replica, const member *member) {
+bool repair_plan_member_is_unavailable(const replica *replica, const member *member) {
   if (!id_equal(member->self, replica->node->settings.self)) {
     const peer_node *peer = peer_table_find(replica->node, member->self);
     if (peer && (peer->draining || member_lease_peer_hears_nothing(replica, peer->self)))
@@ -63,16 +63,16 @@
   next->chain_length = 0;
   for (int i = 0; i < replica->view.chain_length; i++) {
     const member *member = &replica->view.chain[i];
-    bool out = repair_plan_member_is_out(replica, member);
+    bool unavailable = repair_plan_member_is_unavailable(replica, member);
     bool link_broken = link_to_member_is_broken(replica, i);
     bool other_disk = came_back_with_other_disk(replica, member);
-    if (!out && !link_broken && !other_disk) {
+    if (!unavailable && !link_broken && !other_disk) {
       next->chain[next->chain_length++] = *member;
       continue;
     }
     plan->proposal.dropped[plan->proposal.dropped_count++] = member->self;
     plan->proposal.link_broken |= link_broken || other_disk;
-    plan->left_out += out || link_broken;
+    plan->left_out += unavailable || link_broken;
     plan->changed = true;
   }
 }
@@ -85,7 +85,7 @@
   for (int i = 0; i < JOIN_REQUESTS_MAX; i++) {
     const member *candidate = chain_join_candidate(replica, i);
     if (!candidate || next->chain_length >= replica_chain_max(replica) ||
-        repair_plan_member_is_out(replica, candidate) ||
+        repair_plan_member_is_unavailable(replica, candidate) ||
         view_chain_index_of_controller(next, candidate->self) >= 0)
       continue;
     next->chain[next->chain_length++] = *candidate;
--- a/lib/controlplane/repair_plan.h
+++ b/lib/controlplane/repair_plan.h
@@ -20,5 +20,5 @@
 bool repair_plan_member_is_silent(const struct replica *replica, const member *member, int64_t ms);
 /** Returns whether a member should not be in the chain because it is lost, is draining, or hears
  * nothing from this controller. */
-bool repair_plan_member_is_out(const struct replica *replica, const member *member);
+bool repair_plan_member_is_unavailable(const struct replica *replica, const member *member);
 #endif
