--- a/lib/controlplane/member_lease.c
+++ b/lib/controlplane/member_lease.c
@@ -26,7 +26,7 @@
   member voter;
   time_us answered_at;
   /* the last epoch in which this controller told the voter that it is not in the chain */
-  uint64_t left_out_epoch;
+  uint64_t non_member_epoch;
   /* whether the last request succeeded; if not, it is retried sooner */
   bool satisfied;
 } lease_requester;
@@ -111,7 +111,7 @@
   if (!replica->view.epoch || requester->voter_index >= replica->view.voter_count ||
       requester->voter_index == replica_voter_index(replica))
     return false;
-  return replica_chain_index(replica) >= 0 || requester->left_out_epoch != replica->view.epoch;
+  return replica_chain_index(replica) >= 0 || requester->non_member_epoch != replica->view.epoch;
 }
 
 static enum error_code send_request(const lease_requester *requester, time_us now,
@@ -144,7 +144,7 @@
   if (was_member && !response->granted)
     requester->satisfied = false;
   if (!was_member)
-    requester->left_out_epoch = epoch;
+    requester->non_member_epoch = epoch;
   else if (response->granted && is_current_voter(requester, epoch)) {
     member_leases_record(&replica->lease.leases, requester->voter_index, requester->voter.disk_id,
                          requested_at);
--- a/lib/controlplane/repair_plan.h
+++ b/lib/controlplane/repair_plan.h
@@ -8,7 +8,7 @@
 typedef struct repair_plan {
   view_proposal proposal;
   /** Number of removed members that may still act. Members whose disk was replaced do not count. */
-  int left_out;
+  int removed_live_members;
   /** Whether the planned view differs from the known one in more than its epoch. */
   bool changed;
 } repair_plan;
