--- a/lib/controlplane/wal_entries.c
+++ b/lib/controlplane/wal_entries.c
@@ -30,7 +30,7 @@
   size_t length = wire__acceptor_state__get_packed_size(&message);
   uint8_t *bytes = g_malloc(length);
   wire__acceptor_state__pack(&message, bytes);
-  wal_entry_add(buffer, ENTRY_VOTE, bytes, length);
+  wal_entry_add(buffer, ENTRY_ACCEPTOR, bytes, length);
   g_free(bytes);
 }
 
@@ -149,7 +149,7 @@
   case ENTRY_VIEW:
     replay_view(replica, body);
     break;
-  case ENTRY_VOTE:
+  case ENTRY_ACCEPTOR:
     replay_acceptor(replica, body);
     break;
   case ENTRY_RECORD:
--- a/lib/controlplane/wal_format.h
+++ b/lib/controlplane/wal_format.h
@@ -26,7 +26,7 @@
   /** The known view. */
   ENTRY_VIEW = 2,
   /** The Paxos acceptor's state. */
-  ENTRY_VOTE = 3,
+  ENTRY_ACCEPTOR = 3,
   /** One record of the chain. */
   ENTRY_RECORD = 4,
   /** Snapshot of the committed state. */
