--- a/lib/controlplane/paxos_acceptor.c
+++ b/lib/controlplane/paxos_acceptor.c
@@ -21,7 +21,7 @@
 }
 
 /* resets the timer of a stuck vote when a vote for another epoch begins */
-static void forget_stuck_vote(replica *replica, uint64_t epoch) {
+static void reset_stuck_vote_timer(replica *replica, uint64_t epoch) {
   if (replica->acceptor.epoch != epoch)
     replica->view_change.prepare_pending_since = (time_us){ 0 };
 }
@@ -46,7 +46,7 @@
 }
 
 /* whether a proposal removes a member that this voter would keep */
-static bool objects_to_dropped(const replica *replica, const Wire__PrepareRequest *request) {
+static bool objects_to_removal(const replica *replica, const Wire__PrepareRequest *request) {
   if (request->link_broken)
     return false;
   for (size_t i = 0; i < request->n_dropped; i++) {
@@ -71,7 +71,7 @@
                                Wire__PrepareResponse *response, error *err) {
   acceptor_state *acceptor = &replica->acceptor;
   proposal_number number = proposal_number_unpack(request->number);
-  forget_stuck_vote(replica, request->epoch);
+  reset_stuck_vote_timer(replica, request->epoch);
   if (acceptor_prepare(acceptor, replica->view.epoch, request->epoch, number) == ACCEPTOR_SYNC) {
     enum error_code r = store_acceptor(replica, err);
     if (r)
@@ -103,7 +103,7 @@
     response->newer = response_view(reply, &replica->view);
     return OK;
   }
-  if (request->epoch != replica->view.epoch + 1 || objects_to_dropped(replica, request))
+  if (request->epoch != replica->view.epoch + 1 || objects_to_removal(replica, request))
     return OK;
   if (request->pre_vote) {
     response->promised_now = true;
@@ -124,7 +124,7 @@
                                                   &wire__accept_response__descriptor);
   proposal_number number = proposal_number_unpack(request->number);
   if (request->epoch == replica->view.epoch + 1)
-    forget_stuck_vote(replica, request->epoch);
+    reset_stuck_vote_timer(replica, request->epoch);
   enum error_code r = OK;
   switch (
       acceptor_accept(&replica->acceptor, replica->view.epoch, request->epoch, number, &value)) {
