--- a/lib/controlplane/member_lease.c
+++ b/lib/controlplane/member_lease.c
@@ -138,8 +138,8 @@
          member_equal(&requester->voter, &view->voters[requester->voter_index]);
 }
 
-static void take_response(lease_requester *requester, const Wire__MemberLeaseResponse *response,
-                          bool was_member, uint64_t epoch, time_us requested_at) {
+static void handle_response(lease_requester *requester, const Wire__MemberLeaseResponse *response,
+                            bool was_member, uint64_t epoch, time_us requested_at) {
   replica *replica = requester->replica;
   if (was_member && !response->granted)
     requester->satisfied = false;
@@ -178,7 +178,7 @@
   if (r)
     return;
   if (response->body_case == WIRE__ENVELOPE__BODY_MEMBER_LEASE_RESPONSE)
-    take_response(requester, response->member_lease_response, was_member, epoch, now);
+    handle_response(requester, response->member_lease_response, was_member, epoch, now);
   peer_rpc_message_free(response);
 }
 
--- a/lib/controlplane/replication.c
+++ b/lib/controlplane/replication.c
@@ -184,7 +184,7 @@
 }
 
 /* applies a request; the caller holds the replication lock */
-static enum error_code take_request(replica *replica, const Wire__Envelope *in, error *err) {
+static enum error_code apply_request(replica *replica, const Wire__Envelope *in, error *err) {
   const Wire__ReplicateRequest *request = in->replicate_request;
   enum error_code r = OK;
   if (!may_accept(replica, in))
@@ -216,7 +216,7 @@
   time_us deadline = time_add(world_now(replica->node->world), time_from_ms(LOCK_TIMEOUT_MS));
   if (!replication_lock(replica, deadline))
     return error_set(err, E_OVERLOADED, "still writing");
-  r = take_request(replica, in, err);
+  r = apply_request(replica, in, err);
   replication_commit_as_tail(replica);
   replication_unlock(replica);
   if (r)
--- a/lib/controlplane/replication_sender.c
+++ b/lib/controlplane/replication_sender.c
@@ -135,8 +135,8 @@
   return peer_rpc_call(replica->node, address, &message, timeout, response, err);
 }
 
-static void take_response(successor_link *link, const char *address,
-                          const Wire__Envelope *response) {
+static void handle_response(successor_link *link, const char *address,
+                            const Wire__Envelope *response) {
   replica *replica = link->replica;
   if (response->body_case != WIRE__ENVELOPE__BODY_REPLICATE_RESPONSE ||
       link->epoch != replica->view.epoch)
@@ -166,7 +166,7 @@
   if (r == E_STOPPING)
     return false;
   if (!r) {
-    take_response(link, address, response);
+    handle_response(link, address, response);
     peer_rpc_message_free(response);
     return true;
   }
