--- a/lib/controlplane/replica.c
+++ b/lib/controlplane/replica.c
@@ -113,7 +113,7 @@
     peer_rpc_register_handler(replica->node, handlers[i].kind, handlers[i].handler, replica);
 }
 
-static bool may_open_later(enum error_code code) {
+static bool is_retryable_open_error(enum error_code code) {
   return code == E_DISK_FULL || code == E_DISK_SYNC;
 }
 
@@ -125,7 +125,7 @@
   bool logged = false;
   for (;;) {
     enum error_code r = wal_open(&replica->wal, node, size, condition, err);
-    if (!may_open_later(r))
+    if (!is_retryable_open_error(r))
       return r;
     if (!logged)
       log_info(&node->log, "wal", "The disk cannot be opened: %s (code %d).", err->text, r);
--- a/lib/controlplane/snapshot.c
+++ b/lib/controlplane/snapshot.c
@@ -18,7 +18,8 @@
   uint64_t seq, size;
 } download;
 
-static enum error_code take_chunk(download *download, const Wire__Envelope *response, error *err) {
+static enum error_code append_chunk(download *download, const Wire__Envelope *response,
+                                    error *err) {
   const Wire__SnapshotResponse *chunk = response->snapshot_response;
   if (response->body_case != WIRE__ENVELOPE__BODY_SNAPSHOT_RESPONSE || !chunk->chunk.len)
     return error_set(err, E_WIRE_MESSAGE, "no chunk of a snapshot");
@@ -41,7 +42,7 @@
                                     time_from_ms(SNAPSHOT_CHUNK_TIMEOUT_MS), &response, err);
   if (r)
     return r;
-  r = take_chunk(download, response, err);
+  r = append_chunk(download, response, err);
   peer_rpc_message_free(response);
   return r;
 }
@@ -87,7 +88,7 @@
   return wal_rotate(&replica->wal, err);
 }
 
-static void drop(snapshot *snapshot) {
+static void free_snapshot(snapshot *snapshot) {
   if (snapshot->text)
     g_string_free(snapshot->text, TRUE);
   memset(snapshot, 0, sizeof *snapshot);
@@ -98,13 +99,13 @@
     snapshot *entry = &cache->entries[i];
     time_us idle_at = time_add(entry->used_at, time_from_ms(SNAPSHOT_IDLE_MS));
     if (entry->text && time_reached(now, idle_at))
-      drop(entry);
+      free_snapshot(entry);
   }
 }
 
 void snapshot_cache_clear(snapshot_cache *cache) {
   for (int i = 0; i < SNAPSHOTS_MAX; i++)
-    drop(&cache->entries[i]);
+    free_snapshot(&cache->entries[i]);
 }
 
 /* the cached snapshot of a write, or NULL */
@@ -136,7 +137,7 @@
   }
   if (newest)
     return newest;
-  drop(oldest);
+  free_snapshot(oldest);
   oldest->seq = replica->committed.seq;
   oldest->text = g_string_new(NULL);
   state_pack(&replica->committed, replica->view.epoch, oldest->text);
