--- a/tests/controlplane/catch_up.c
+++ b/tests/controlplane/catch_up.c
@@ -240,7 +240,7 @@
 
 /* All chunks of one fetch must belong to the same state, even if other fetches start and end in
  * between and the state changes. A snapshot that is no longer fetched must be freed. */
-static bool a_state_is_kept_for_all_who_fetch_it(fleet *fleet) {
+static bool a_snapshot_is_kept_for_all_fetches(fleet *fleet) {
   if (!start_controllers(fleet, 3, RING_BYTES))
     return false;
   put_catalogue(fleet, 19000 + (int)sim_random(fleet->sim, 6000));
@@ -307,12 +307,12 @@
   return true;
 }
 
-static bool a_member_catches_up_in_a_storm(fleet *fleet) {
+static bool a_member_catches_up_during_small_changes(fleet *fleet) {
   return catches_up_under_load(fleet, sim_random(fleet->sim, 2) ? 5 : 3, 0, FAST_LINK_BYTES_PER_S,
                                SLOW_DISK_MS);
 }
 
-static bool a_member_catches_up_in_a_storm_of_large_changes(fleet *fleet) {
+static bool a_member_catches_up_during_large_changes(fleet *fleet) {
   return catches_up_under_load(fleet, sim_random(fleet->sim, 2) ? 5 : 3,
                                5000 + (int)sim_random(fleet->sim, 45000), FAST_LINK_BYTES_PER_S,
                                sim_random(fleet->sim, 2) ? SLOW_DISK_MS : 0);
@@ -325,7 +325,7 @@
 }
 
 /* While a member is down, several times more changes are made than are kept in memory. */
-static bool thousands_of_changes_pass(fleet *fleet) {
+static bool a_member_misses_thousands_of_changes(fleet *fleet) {
   if (!start_controllers(fleet, 3, RING_BYTES))
     return false;
   workload load = { .fleet = fleet, .change_interval_ms = 20 };
@@ -346,7 +346,7 @@
 
 /* Power fails at a random time during a snapshot fetch and the writes that store it: at the
  * fetching controller, at all others, or at all controllers. */
-static bool power_goes_while_a_state_is_fetched(fleet *fleet) {
+static bool power_fails_while_a_state_is_fetched(fleet *fleet) {
   int members = sim_random(fleet->sim, 2) ? 5 : 3;
   if (!start_controllers(fleet, members, 1 << 20))
     return false;
@@ -387,7 +387,7 @@
 
 /* A member that has just joined drains and is removed. The others still hold its join request and
  * could let it join again without a new fetch, although it lacks what was written in between. */
-static bool a_member_comes_in_twice_on_one_fetch(fleet *fleet) {
+static bool a_member_joins_twice_on_one_fetch(fleet *fleet) {
   if (!start_controllers(fleet, 3, RING_BYTES))
     return false;
   for (int i = 0; i < fleet->controllers; i++)
@@ -441,14 +441,15 @@
 
 const test_case catch_up_tests[] = {
   { "two_come_back_empty_at_once", two_come_back_empty_at_once, 1, 1, 34 },
-  { "a_state_is_kept_for_all_who_fetch_it", a_state_is_kept_for_all_who_fetch_it, 1, 1, 34 },
-  { "a_member_catches_up_in_a_storm", a_member_catches_up_in_a_storm, 1, 1, 100 },
-  { "a_member_catches_up_in_a_storm_of_large_changes",
-    a_member_catches_up_in_a_storm_of_large_changes, 1, 1, 17 },
+  { "a_snapshot_is_kept_for_all_fetches", a_snapshot_is_kept_for_all_fetches, 1, 1, 34 },
+  { "a_member_catches_up_during_small_changes", a_member_catches_up_during_small_changes, 1, 1,
+    100 },
+  { "a_member_catches_up_during_large_changes", a_member_catches_up_during_large_changes, 1, 1,
+    17 },
   { "a_member_catches_up_over_slow_links", a_member_catches_up_over_slow_links, 1, 1, 50 },
-  { "a_member_comes_in_twice_on_one_fetch", a_member_comes_in_twice_on_one_fetch, 1, 1, 100 },
+  { "a_member_joins_twice_on_one_fetch", a_member_joins_twice_on_one_fetch, 1, 1, 100 },
   { "a_new_tail_reads_what_was_written", a_new_tail_reads_what_was_written, 1, 1, 100 },
-  { "thousands_of_changes_pass", thousands_of_changes_pass, 1, 1, 17 },
-  { "power_goes_while_a_state_is_fetched", power_goes_while_a_state_is_fetched, 1, 1, 200 },
+  { "a_member_misses_thousands_of_changes", a_member_misses_thousands_of_changes, 1, 1, 17 },
+  { "power_fails_while_a_state_is_fetched", power_fails_while_a_state_is_fetched, 1, 1, 200 },
   { NULL, NULL, 0, 0, 0 }
 };
--- a/tests/controlplane/replica.c
+++ b/tests/controlplane/replica.c
@@ -76,7 +76,7 @@
   return false;
 }
 
-static bool a_core_is_founded_by_addresses(fleet *fleet) {
+static bool a_fleet_is_bootstrapped_by_addresses(fleet *fleet) {
   int founders = 1 + (int)sim_random(fleet->sim, 3);
   chain_bootstrap_by_address(fleet, founders);
   chain_set_size(fleet, 3, founders == 1 ? 1 : 2, 1);
@@ -112,7 +112,7 @@
   return true;
 }
 
-static bool a_founding_is_broken_off(fleet *f) {
+static bool a_bootstrap_is_interrupted(fleet *f) {
   chain_bootstrap_by_address(f, 3);
   for (int i = 0; i < 3; i++)
     host_start(f->controller[i]);
@@ -292,7 +292,7 @@
   return true;
 }
 
-static bool a_full_disk_empties_again(fleet *fleet) {
+static bool a_full_disk_is_freed(fleet *fleet) {
   if (!fleet_bring_up(fleet))
     return false;
   fleet_start_sampling(fleet);
@@ -374,7 +374,7 @@
   return true;
 }
 
-static bool a_state_outgrows_a_ring_file(fleet *fleet) {
+static bool a_state_exceeds_a_log_file(fleet *fleet) {
   if (!fleet_bring_up(fleet))
     return false;
   fleet_start_sampling(fleet);
@@ -536,15 +536,15 @@
 }
 
 const test_case replica_tests[] = {
-  { "a_core_is_founded_by_addresses", a_core_is_founded_by_addresses, 2, 2, 200 },
-  { "a_founding_is_broken_off", a_founding_is_broken_off, 1, 1, 300 },
+  { "a_fleet_is_bootstrapped_by_addresses", a_fleet_is_bootstrapped_by_addresses, 2, 2, 200 },
+  { "a_bootstrap_is_interrupted", a_bootstrap_is_interrupted, 1, 1, 300 },
   { "a_chain_of_one_commits", a_chain_of_one_commits, 1, 1, 50 },
   { "seven_members_lose_three", seven_members_lose_three, 2, 2, 100 },
   { "five_members_lose_two", five_members_lose_two, 2, 2, 200 },
   { "a_machine_is_replaced_at_a_new_address", a_machine_is_replaced_at_a_new_address, 2, 2, 200 },
-  { "a_full_disk_empties_again", a_full_disk_empties_again, 2, 2, 200 },
+  { "a_full_disk_is_freed", a_full_disk_is_freed, 2, 2, 200 },
   { "slow_disks_stay_and_hung_ones_come_back", slow_disks_stay_and_hung_ones_come_back, 2, 2, 200 },
-  { "a_state_outgrows_a_ring_file", a_state_outgrows_a_ring_file, 2, 2, 34 },
+  { "a_state_exceeds_a_log_file", a_state_exceeds_a_log_file, 2, 2, 34 },
   { "a_head_is_lost_and_the_next_acts", a_head_is_lost_and_the_next_acts, 2, 2, 200 },
   { "a_link_to_the_head_is_cut", a_link_to_the_head_is_cut, 2, 2, 200 },
   { "all_controllers_are_back_within_a_second", all_controllers_are_back_within_a_second, 2, 2,
