--- a/tests/chain_scenario.h
+++ b/tests/chain_scenario.h
@@ -14,11 +14,11 @@
 void chain_clear_founders(fleet *fleet);
 /** Sets the number of chain members, and the number of replicas and zones on which a write must be
  * synced before it is acknowledged. */
-void chain_set_size(fleet *fleet, int members, int copies, int areas);
+void chain_set_size(fleet *fleet, int members, int replicas, int zones);
 /** Writes an evacuation whose contents depend on n. Adds a violation, whose text contains when, if
  * no controller acknowledges it. */
 void chain_put_evacuation(fleet *fleet, int n, const char *when);
 /** Waits up to ms milliseconds until a chain of the given length acts with the given number of
  * voters (0: any). If there is none by then, adds a violation and returns false. */
-bool chain_wait_for_shape(fleet *fleet, int links, int votes, int64_t ms);
+bool chain_wait_for_shape(fleet *fleet, int chain_length, int voter_count, int64_t ms);
 #endif
--- a/tests/controlplane/catch_up.c
+++ b/tests/controlplane/catch_up.c
@@ -8,9 +8,9 @@
 #include <stdio.h>
 
 enum {
-  SMALL_SYNC_MS = 4000,
-  GROWN_SYNC_MS = 6000,
-  RING_BYTES = 8 << 20,
+  SMALL_CHAIN_SYNC_MS = 4000,
+  LARGE_CHAIN_SYNC_MS = 6000,
+  LOG_FILE_BYTES = 8 << 20,
   FAST_LINK_BYTES_PER_S = 1000 * 1000 * 1000 / 8,
   SLOW_LINK_BYTES_PER_S = 10 * 1000 * 1000 / 8,
   SLOW_DISK_MS = 15,
@@ -22,7 +22,7 @@
 /** A read by the operator, and the highest version known when it was sent. */
 typedef struct pending_read {
   operator_call *call;
-  uint64_t floor;
+  uint64_t min_version;
 } pending_read;
 
 /** Changes and reads that are sent while controllers stop and start. */
@@ -35,12 +35,12 @@
   time_us next_change_at, next_read_at;
   int sent;
   uint64_t seen;
-  guint acks;
+  guint next_ack;
   /* the host that reads are sent to (NULL: a random one), and the interval between them */
-  host *at;
+  host *read_host;
   int64_t read_interval_ms;
   pending_read reads[MAX_READS];
-  int open, answered, acked;
+  int open_reads, answered, acked;
 } workload;
 
 /* Returns a catalogue with the given number of models and adapters, of which at most MAX_MODELS are
@@ -68,39 +68,40 @@
 static void workload_collect(workload *workload) {
   fleet *fleet = workload->fleet;
   int which = workload->entries ? RESOURCE_CATALOGUE : RESOURCE_EVACUATION;
-  for (; workload->acks < fleet->write_acks->len; workload->acks++) {
-    write_ack *a = &g_array_index(fleet->write_acks, write_ack, workload->acks);
+  for (; workload->next_ack < fleet->write_acks->len; workload->next_ack++) {
+    write_ack *a = &g_array_index(fleet->write_acks, write_ack, workload->next_ack);
     if (a->resource != which)
       continue;
     workload->seen = MAX(workload->seen, a->version);
     workload->acked++;
   }
-  for (int i = 0; i < workload->open; i++) {
+  for (int i = 0; i < workload->open_reads; i++) {
     operator_call *call = workload->reads[i].call;
     if (!call->done)
       continue;
-    if (call->status == 200 && call->version < workload->reads[i].floor)
+    if (call->status == 200 && call->version < workload->reads[i].min_version)
       fleet_add_violation(
           fleet, "a read at %s gave version %" PRIu64 " after %" PRIu64 " was known: %.60s",
-          call->addr, call->version, workload->reads[i].floor, call->body->str);
+          call->addr, call->version, workload->reads[i].min_version, call->body->str);
     if (call->status == 200) {
       workload->answered++;
       workload->seen = MAX(workload->seen, call->version);
     }
     operator_call_free(call);
-    workload->reads[i--] = workload->reads[--workload->open];
+    workload->reads[i--] = workload->reads[--workload->open_reads];
   }
 }
 
 static void workload_send_read(workload *workload) {
   fleet *fleet = workload->fleet;
-  host *to = workload->at ? workload->at
-                          : fleet->controller[sim_random(fleet->sim, (uint64_t)fleet->controllers)];
-  if (!to->alive || workload->open == MAX_READS)
+  host *to = workload->read_host
+                 ? workload->read_host
+                 : fleet->controller[sim_random(fleet->sim, (uint64_t)fleet->controllers)];
+  if (!to->alive || workload->open_reads == MAX_READS)
     return;
   operator_call *call = fleet_send(
       fleet, to, "GET", workload->entries ? "/v1/catalogue" : "/v1/evacuation", NULL, NULL, NULL);
-  workload->reads[workload->open++] = (pending_read){ call, workload->seen };
+  workload->reads[workload->open_reads++] = (pending_read){ call, workload->seen };
 }
 
 static void workload_step(workload *workload, int64_t ms) {
@@ -129,19 +130,19 @@
 static void workload_end(workload *workload) {
   workload->change_interval_ms = 0;
   workload->next_read_at = time_never();
-  for (int round = 0; round < 400 && workload->open; round++)
+  for (int round = 0; round < 400 && workload->open_reads; round++)
     workload_step(workload, 100);
   if (!workload->answered)
     fleet_add_violation(workload->fleet, "no read was answered");
-  while (workload->open)
-    operator_call_free(workload->reads[--workload->open].call);
+  while (workload->open_reads)
+    operator_call_free(workload->reads[--workload->open_reads].call);
 }
 
-static bool start_controllers(fleet *fleet, int members, size_t ring) {
+static bool start_controllers(fleet *fleet, int members, size_t log_file_bytes) {
   while (fleet->controllers < members)
     chain_add_controller(fleet, fleet->controllers + 1);
   for (int i = 0; i < fleet->controllers; i++)
-    fleet->controller[i]->settings.log_file_bytes = ring;
+    fleet->controller[i]->settings.log_file_bytes = log_file_bytes;
   chain_bootstrap_by_address(fleet, 3);
   chain_set_size(fleet, members, members / 2 + 1, 1);
   if (!fleet_bring_up(fleet))
@@ -165,13 +166,13 @@
 static bool is_in_sync_member(const fleet *fleet, const host *host) {
   if (!host->alive || !host->controller->replica.running)
     return false;
-  uint64_t youngest = 0;
+  uint64_t latest_epoch = 0;
   for (int i = 0; i < fleet->controllers; i++)
     if (fleet->controller[i]->alive)
-      youngest = MAX(youngest, fleet->controller[i]->controller->replica.view.epoch);
-  const replica *core = &host->controller->replica;
-  return core->view.epoch == youngest && replica_chain_index(core) >= 0 && core->in_sync &&
-         replica_voter_index(core) >= 0;
+      latest_epoch = MAX(latest_epoch, fleet->controller[i]->controller->replica.view.epoch);
+  const replica *replica = &host->controller->replica;
+  return replica->view.epoch == latest_epoch && replica_chain_index(replica) >= 0 &&
+         replica->in_sync && replica_voter_index(replica) >= 0;
 }
 
 /* Runs until a returned controller is in sync and votes. Adds a violation if this takes longer than
@@ -197,7 +198,7 @@
 
 /* Two controllers fetch the same state in many chunks, at different offsets, from one member. */
 static bool two_come_back_empty_at_once(fleet *fleet) {
-  if (!start_controllers(fleet, 5, RING_BYTES))
+  if (!start_controllers(fleet, 5, LOG_FILE_BYTES))
     return false;
   fleet->sim->bytes_per_s = SLOW_LINK_BYTES_PER_S;
   put_catalogue(fleet, 10000 + (int)sim_random(fleet->sim, 20000));
@@ -210,8 +211,8 @@
     sim_run(fleet->sim, (time_us){ (int64_t)sim_random(fleet->sim, 600000) });
     restart_empty(fleet->controller[b]);
     time_us second = fleet->sim->now;
-    check_catch_up_time(&load, fleet->controller[a], first, GROWN_SYNC_MS, "empty-first");
-    check_catch_up_time(&load, fleet->controller[b], second, GROWN_SYNC_MS, "empty-second");
+    check_catch_up_time(&load, fleet->controller[a], first, LARGE_CHAIN_SYNC_MS, "empty-first");
+    check_catch_up_time(&load, fleet->controller[b], second, LARGE_CHAIN_SYNC_MS, "empty-second");
   }
   workload_end(&load);
   scenario_check_acknowledged_writes(fleet);
@@ -220,7 +221,7 @@
 
 /* Requests one chunk of a snapshot. Returns the number of bytes received, or 0 if the request was
  * rejected. */
-static size_t fetch_part(host *host, uint64_t *seq, size_t off, GString *to) {
+static size_t fetch_snapshot_chunk(host *host, uint64_t *seq, size_t off, GString *to) {
   Wire__SnapshotRequest f = WIRE__SNAPSHOT_REQUEST__INIT;
   Wire__Envelope in = wire_envelope(WIRE__ENVELOPE__BODY_SNAPSHOT_REQUEST, &f);
   reply out = { WIRE__ENVELOPE__INIT, NULL };
@@ -241,7 +242,7 @@
 /* All chunks of one fetch must belong to the same state, even if other fetches start and end in
  * between and the state changes. A snapshot that is no longer fetched must be freed. */
 static bool a_snapshot_is_kept_for_all_fetches(fleet *fleet) {
-  if (!start_controllers(fleet, 3, RING_BYTES))
+  if (!start_controllers(fleet, 3, LOG_FILE_BYTES))
     return false;
   put_catalogue(fleet, 19000 + (int)sim_random(fleet->sim, 6000));
   host *host = fleet_find_head(fleet);
@@ -250,15 +251,15 @@
   for (int i = 0; i < 3; i++)
     got[i] = g_string_new(NULL);
   /* the first fetch is in progress; the second starts after a change and fetches everything */
-  if (!fetch_part(host, &seq[0], 0, got[0]))
+  if (!fetch_snapshot_chunk(host, &seq[0], 0, got[0]))
     fleet_add_violation(fleet, "a first chunk was rejected");
   chain_put_evacuation(fleet, 1, "while a state is fetched");
-  for (size_t n; (n = fetch_part(host, &seq[1], got[1]->len, got[1]));)
+  for (size_t n; (n = fetch_snapshot_chunk(host, &seq[1], got[1]->len, got[1]));)
     ;
   chain_put_evacuation(fleet, 2, "while a state is fetched");
-  fetch_part(host, &seq[2], 0, got[2]);
+  fetch_snapshot_chunk(host, &seq[2], 0, got[2]);
   for (int i = 0; i < 3; i++) {
-    while (fetch_part(host, &seq[i], got[i]->len, got[i]))
+    while (fetch_snapshot_chunk(host, &seq[i], got[i]->len, got[i]))
       ;
     state t;
     state_init(&t);
@@ -278,9 +279,9 @@
 /* The state changes ten times a second while a controller fetches it. */
 static bool catches_up_under_load(fleet *fleet, int members, int entries, int64_t rate,
                                   int64_t disk_ms) {
-  if (!start_controllers(fleet, members, RING_BYTES))
+  if (!start_controllers(fleet, members, LOG_FILE_BYTES))
     return false;
-  int64_t max_ms = members > 3 ? GROWN_SYNC_MS : SMALL_SYNC_MS;
+  int64_t max_ms = members > 3 ? LARGE_CHAIN_SYNC_MS : SMALL_CHAIN_SYNC_MS;
   fleet->sim->bytes_per_s = rate;
   for (int i = 0; i < fleet->controllers; i++)
     fleet->controller[i]->disk->sync_delay_ms = disk_ms;
@@ -326,7 +327,7 @@
 
 /* While a member is down, several times more changes are made than are kept in memory. */
 static bool a_member_misses_thousands_of_changes(fleet *fleet) {
-  if (!start_controllers(fleet, 3, RING_BYTES))
+  if (!start_controllers(fleet, 3, LOG_FILE_BYTES))
     return false;
   workload load = { .fleet = fleet, .change_interval_ms = 20 };
   for (int round = 0; round < 3; round++) {
@@ -335,7 +336,7 @@
     host_power_off(host);
     workload_run(&load, 50000);
     host_start(host);
-    check_catch_up_time(&load, host, fleet->sim->now, SMALL_SYNC_MS, "after-thousands");
+    check_catch_up_time(&load, host, fleet->sim->now, SMALL_CHAIN_SYNC_MS, "after-thousands");
   }
   if (load.acked < 3000)
     fleet_add_violation(fleet, "only %d changes were taken", load.acked);
@@ -361,7 +362,7 @@
     workload_run(&load, 2000);
     host *host = fleet->controller[sim_random(fleet->sim, (uint64_t)members)];
     restart_empty(host);
-    time_us began = fleet->sim->now;
+    time_us started_at = fleet->sim->now;
     int64_t us = (int64_t)sim_random(fleet->sim, 2500000);
     workload_run(&load, us / 1000);
     sim_run(fleet->sim, (time_us){ us % 1000 });
@@ -373,10 +374,10 @@
     for (int i = 0; i < fleet->controllers; i++)
       if (!fleet->controller[i]->alive) {
         host_start(fleet->controller[i]);
-        began = fleet->sim->now;
+        started_at = fleet->sim->now;
       }
-    int64_t max_ms = members > 3 ? GROWN_SYNC_MS : SMALL_SYNC_MS;
-    check_catch_up_time(&load, host, began, max_ms, "power-in-a-fetch");
+    int64_t max_ms = members > 3 ? LARGE_CHAIN_SYNC_MS : SMALL_CHAIN_SYNC_MS;
+    check_catch_up_time(&load, host, started_at, max_ms, "power-in-a-fetch");
     if (!chain_wait_for_shape(fleet, members, members, max_ms))
       return false;
   }
@@ -388,7 +389,7 @@
 /* A member that has just joined drains and is removed. The others still hold its join request and
  * could let it join again without a new fetch, although it lacks what was written in between. */
 static bool a_member_joins_twice_on_one_fetch(fleet *fleet) {
-  if (!start_controllers(fleet, 3, RING_BYTES))
+  if (!start_controllers(fleet, 3, LOG_FILE_BYTES))
     return false;
   for (int i = 0; i < fleet->controllers; i++)
     fleet->controller[i]->disk->sync_delay_ms = SLOW_DISK_MS;
@@ -396,16 +397,16 @@
   workload_run(&load, 2000);
   host *host = fleet->controller[sim_random(fleet->sim, 3)];
   restart_empty(host);
-  check_catch_up_time(&load, host, fleet->sim->now, SMALL_SYNC_MS, "before-it-leaves");
+  check_catch_up_time(&load, host, fleet->sim->now, SMALL_CHAIN_SYNC_MS, "before-it-leaves");
   controller_drain(host->controller);
-  load.at = host;
+  load.read_host = host;
   load.read_interval_ms = 2;
   workload_run(&load, 2500);
-  load.at = NULL;
+  load.read_host = NULL;
   load.read_interval_ms = 0;
   host_kill(host);
   host_start(host);
-  check_catch_up_time(&load, host, fleet->sim->now, SMALL_SYNC_MS, "after-it-left");
+  check_catch_up_time(&load, host, fleet->sim->now, SMALL_CHAIN_SYNC_MS, "after-it-left");
   workload_end(&load);
   scenario_check_acknowledged_writes(fleet);
   return true;
@@ -415,7 +416,7 @@
  * log to be committed, so this is what it fetches. It must not serve reads from that state once it
  * is the tail. */
 static bool a_new_tail_reads_what_was_written(fleet *fleet) {
-  if (!start_controllers(fleet, 3, RING_BYTES))
+  if (!start_controllers(fleet, 3, LOG_FILE_BYTES))
     return false;
   for (int i = 0; i < fleet->controllers; i++)
     fleet->controller[i]->disk->sync_delay_ms = SLOW_DISK_MS;
@@ -429,10 +430,10 @@
   host_wipe_disk(host);
   for (int i = 0; i < fleet->controllers; i++)
     host_start(fleet->controller[i]);
-  load.at = host;
+  load.read_host = host;
   load.read_interval_ms = 2;
-  workload_run(&load, SMALL_SYNC_MS);
-  load.at = NULL;
+  workload_run(&load, SMALL_CHAIN_SYNC_MS);
+  load.read_host = NULL;
   load.read_interval_ms = 0;
   workload_end(&load);
   scenario_check_acknowledged_writes(fleet);
--- a/tests/controlplane/chain_repair.c
+++ b/tests/controlplane/chain_repair.c
@@ -8,8 +8,8 @@
 
 enum {
   /* how long a controller counts as lost after its start, in chains of three and of more members */
-  SMALL_SYNC_MS = 4000,
-  GROWN_SYNC_MS = 6000,
+  SMALL_CHAIN_SYNC_MS = 4000,
+  LARGE_CHAIN_SYNC_MS = 6000,
   OBSERVE_INTERVAL_MS = 20,
   GRACE_MS = 8000,
   ACTS_AGAIN_MS = 6000,
@@ -34,7 +34,7 @@
 } returned;
 
 /** A control plane under test: its size, and the controllers that returned recently. */
-typedef struct core_trial {
+typedef struct repair_trial {
   fleet *fleet;
   /* number of chain members, and how many of them may be lost at once */
   int members, tolerated;
@@ -42,13 +42,13 @@
   /* number of controllers added after the first three, and the added delay of each disk operation
    */
   int added;
-  int64_t slow_ms;
+  int64_t disk_delay_ms;
   returned back[CHAIN_MAX];
   int returns;
-} core_trial;
+} repair_trial;
 
 /* ends the process of a controller that has shut down after SIGTERM */
-static void process_ended(void *p) {
+static void end_process(void *p) {
   host *host = p;
   if (host->alive && host->controller->exit_code == OK)
     host_kill(host);
@@ -58,10 +58,10 @@
   host *host = p;
   if (condition_wait(&host->world.tasks, &host->controller->stopped, time_never()) ==
       WAKE_SIGNALLED)
-    sim_schedule(host->sim, host->sim->now, process_ended, host);
+    sim_schedule(host->sim, host->sim->now, end_process, host);
 }
 
-static void process_began(host *host) {
+static void on_process_start(host *host) {
   char ip[48];
   error err = { 0 };
   g_strlcpy(ip, host->addr, (size_t)(strrchr(host->addr, ':') - host->addr) + 1);
@@ -71,22 +71,22 @@
 }
 
 /* adds a controller, in the zone of old unless that is NULL */
-static host *trial_add(core_trial *trial, const host *old) {
+static host *trial_add(repair_trial *trial, const host *old) {
   host *host = chain_add_controller(trial->fleet, 10 + trial->added++);
-  host->on_start = process_began;
-  host->disk->sync_delay_ms = trial->slow_ms;
+  host->on_start = on_process_start;
+  host->disk->sync_delay_ms = trial->disk_delay_ms;
   if (old)
     host->area = host->settings.zone = old->area;
   return host;
 }
 
-static bool trial_up(core_trial *trial, fleet *fleet, int members) {
-  *trial = (core_trial){ .fleet = fleet,
-                         .members = members,
-                         .tolerated = members / 2,
-                         .sync_ms = members > 3 ? GROWN_SYNC_MS : SMALL_SYNC_MS };
+static bool trial_bring_up(repair_trial *trial, fleet *fleet, int members) {
+  *trial = (repair_trial){ .fleet = fleet,
+                           .members = members,
+                           .tolerated = members / 2,
+                           .sync_ms = members > 3 ? LARGE_CHAIN_SYNC_MS : SMALL_CHAIN_SYNC_MS };
   for (int i = 0; i < fleet->controllers; i++)
-    fleet->controller[i]->on_start = process_began;
+    fleet->controller[i]->on_start = on_process_start;
   while (fleet->controllers < members)
     trial_add(trial, NULL);
   chain_bootstrap_by_address(fleet, 3);
@@ -104,12 +104,12 @@
   int64_t slow = sim_random(fleet->sim, 3) ? 0 : 15 + (int64_t)sim_random(fleet->sim, 16);
   for (int i = 0; i < fleet->controllers; i++)
     fleet->controller[i]->disk->sync_delay_ms = slow;
-  trial->slow_ms = slow;
+  trial->disk_delay_ms = slow;
   return chain_wait_for_shape(fleet, members, members, 10000);
 }
 
 /* returns the latest view that any live controller knows, or NULL if none is running */
-static const view *trial_view(core_trial *trial) {
+static const view *trial_view(repair_trial *trial) {
   const view *latest = NULL;
   for (int i = 0; i < trial->fleet->controllers; i++) {
     host *host = trial->fleet->controller[i];
@@ -122,7 +122,7 @@
 
 /* returns a random live chain member that has not returned recently, or NULL if sixty draws found
  * none */
-static host *trial_member(core_trial *trial) {
+static host *trial_member(repair_trial *trial) {
   const view *view = trial_view(trial);
   for (int turn = 0; view && turn < 60; turn++) {
     host *host = sim_find_host(
@@ -138,7 +138,7 @@
 }
 
 /* records when each returned controller is in sync in the chain and when it is a voter */
-static void trial_observe(core_trial *trial) {
+static void trial_observe(repair_trial *trial) {
   const view *view = trial_view(trial);
   for (int i = 0; view && i < trial->returns; i++) {
     returned *it = &trial->back[i];
@@ -159,19 +159,19 @@
   }
 }
 
-static void trial_run(core_trial *trial, int64_t ms) {
+static void trial_run(repair_trial *trial, int64_t ms) {
   for (int64_t at = 0; at < ms; at += OBSERVE_INTERVAL_MS) {
     sim_run(trial->fleet->sim, time_from_ms(MIN(OBSERVE_INTERVAL_MS, ms - at)));
     trial_observe(trial);
   }
 }
 
-static void trial_start(core_trial *trial, host *host) {
+static void trial_start(repair_trial *trial, host *host) {
   host_start(host);
   trial->back[trial->returns++] = (returned){ host, trial->fleet->sim->now, false, false };
 }
 
-static void use_live_seeds(core_trial *trial, host *replacement, host *old) {
+static void use_live_seeds(repair_trial *trial, host *replacement, host *old) {
   for (int i = trial->fleet->controllers - 1, k = 0; i >= 0 && k < 3; i--)
     if (trial->fleet->controller[i] != old &&
         (trial->fleet->controller[i]->alive || trial->fleet->controller[i] == replacement))
@@ -181,10 +181,10 @@
 
 /* Sends SIGTERM, and SIGKILL after the grace period. Returns whether the process ended by itself.
  */
-static bool trial_stop(core_trial *trial, host *host) {
-  uint64_t life = host->incarnation;
+static bool trial_stop(repair_trial *trial, host *host) {
+  uint64_t incarnation_before = host->incarnation;
   controller_drain(host->controller);
-  for (int64_t at = 0; at < GRACE_MS && host->alive && host->incarnation == life;
+  for (int64_t at = 0; at < GRACE_MS && host->alive && host->incarnation == incarnation_before;
        at += OBSERVE_INTERVAL_MS)
     trial_run(trial, OBSERVE_INTERVAL_MS);
   bool by_itself = !host->alive;
@@ -194,7 +194,7 @@
 }
 
 /* freezes a controller, or partitions it from all others, for ms milliseconds */
-static void trial_pause(core_trial *trial, host *h, loss kind, int64_t ms) {
+static void trial_pause(repair_trial *trial, host *h, loss kind, int64_t ms) {
   if (kind == LOSS_FROZEN)
     host_freeze(h);
   list_for_each (k, &trial->fleet->sim->hosts, host, link)
@@ -210,7 +210,7 @@
 }
 
 /* makes one controller fail; on return its replacement has been started */
-static bool trial_lose(core_trial *trial, host *old, loss kind) {
+static bool trial_lose(repair_trial *trial, host *old, loss kind) {
   sim *sim = trial->fleet->sim;
   int64_t pause = (int64_t)sim_random(sim, 2500);
   if (kind == LOSS_PLANNED) {
@@ -241,7 +241,7 @@
 }
 
 /* runs until no returned controller counts as lost any more */
-static void trial_settle(core_trial *trial) {
+static void trial_wait_until_recovered(repair_trial *trial) {
   for (int i = 0; i < trial->returns; i++) {
     time_us due = time_add(trial->back[i].started, time_from_ms(trial->sync_ms));
     if (due.us > trial->fleet->sim->now.us)
@@ -250,7 +250,7 @@
 }
 
 /* checks that the returned controllers, which no longer count as lost, are in sync and vote */
-static void trial_check_returned(core_trial *trial, const char *when) {
+static void trial_check_returned(repair_trial *trial, const char *when) {
   for (int i = 0; i < trial->returns; i++) {
     returned *it = &trial->back[i];
     if (!it->in_sync)
@@ -265,8 +265,8 @@
 
 /* checks that a majority and an in-sync replica are left: the chain acts, commits a write, and
  * reads return what was acknowledged */
-static void trial_check_available(core_trial *trial, int links, const char *when) {
-  if (!scenario_wait_for_chain(trial->fleet, links, ACTS_AGAIN_MS)) {
+static void trial_check_available(repair_trial *trial, int chain_length, const char *when) {
+  if (!scenario_wait_for_chain(trial->fleet, chain_length, ACTS_AGAIN_MS)) {
     fleet_add_violation(trial->fleet, "%s: no majority or no replica in sync is left", when);
     return;
   }
@@ -275,7 +275,7 @@
 }
 
 /* permanently loses as many controllers at once as are tolerated, and checks availability */
-static void trial_last_loss(core_trial *trial, const char *when) {
+static void trial_lose_tolerated(repair_trial *trial, const char *when) {
   char *text = scenario_evacuation_json(1 + (int)sim_random(trial->fleet->sim, 8));
   operator_call *call = fleet_send(trial->fleet, trial->fleet->controller[0], "PUT",
                                    "/v1/evacuation", text, NULL, NULL);
@@ -295,8 +295,8 @@
 }
 
 static bool losses_in_turn(fleet *fleet, int members, bool planned) {
-  core_trial trial;
-  if (!trial_up(&trial, fleet, members))
+  repair_trial trial;
+  if (!trial_bring_up(&trial, fleet, members))
     return false;
   for (int turn = 0; turn < 3; turn++) {
     chain_put_evacuation(fleet, turn, "before a loss");
@@ -309,12 +309,12 @@
       if (!trial_lose(&trial, host, kind))
         return false;
     }
-    trial_settle(&trial);
+    trial_wait_until_recovered(&trial);
     trial_check_returned(&trial, planned ? "after a planned replacement" : "after a loss");
     if (fleet->violations->len)
       return false;
   }
-  trial_last_loss(&trial, "after the last loss");
+  trial_lose_tolerated(&trial, "after the last loss");
   return true;
 }
 
@@ -337,8 +337,8 @@
 /* The replacement no longer counts as lost when the old controller gets SIGTERM. The old one stops
  * counting as lost the moment its process ends, so another controller may be lost then. */
 static bool another_is_lost_as_a_member_ends(fleet *fleet) {
-  core_trial trial;
-  if (!trial_up(&trial, fleet, sim_random(fleet->sim, 2) ? 5 : 3))
+  repair_trial trial;
+  if (!trial_bring_up(&trial, fleet, sim_random(fleet->sim, 2) ? 5 : 3))
     return false;
   chain_put_evacuation(fleet, 1, "before the replacement");
   host *old = trial_member(&trial), *replacement = trial_add(&trial, old);
@@ -348,15 +348,15 @@
   if (!trial_stop(&trial, old))
     fleet_add_violation(fleet, "%s did not end within its grace", old->self.text);
   host_wipe_disk(old);
-  trial_last_loss(&trial, "right after a member ended by plan");
+  trial_lose_tolerated(&trial, "right after a member ended by plan");
   return true;
 }
 
 /* A member that has the only in-sync replica gets SIGTERM and later loses its disk. The others
  * return in time, so that it can hand over its state within the grace period. */
 static bool a_member_with_the_only_replica_is_stopped(fleet *fleet) {
-  core_trial trial;
-  if (!trial_up(&trial, fleet, 3))
+  repair_trial trial;
+  if (!trial_bring_up(&trial, fleet, 3))
     return false;
   chain_put_evacuation(fleet, 2, "before the losses");
   host *last = fleet_find_head(fleet);
@@ -365,10 +365,10 @@
   for (int i = 0; i < fleet->controllers; i++)
     if (fleet->controller[i] != last)
       host_kill(fleet->controller[i]);
-  int64_t late = 500 + (int64_t)sim_random(fleet->sim, 4500);
+  int64_t start_delay_ms = 500 + (int64_t)sim_random(fleet->sim, 4500);
   bool empty = sim_random(fleet->sim, 2);
   controller_drain(last->controller);
-  trial_run(&trial, late);
+  trial_run(&trial, start_delay_ms);
   int wiped = (int)sim_random(fleet->sim, 3);
   for (int i = 0; i < 3; i++) {
     host *host = fleet->controller[i];
@@ -379,7 +379,7 @@
       host_wipe_disk(host);
     host_start(host);
   }
-  for (int64_t at = 0; at < GRACE_MS - late && last->alive; at += OBSERVE_INTERVAL_MS)
+  for (int64_t at = 0; at < GRACE_MS - start_delay_ms && last->alive; at += OBSERVE_INTERVAL_MS)
     trial_run(&trial, OBSERVE_INTERVAL_MS);
   if (last->alive) {
     fleet_add_violation(fleet, "%s did not end within its grace", last->self.text);
@@ -393,8 +393,8 @@
 /* All controllers lose power at a random time during a repair, for example while a view is decided,
  * a snapshot is fetched or a voter is added. All that were alive return with their disks. */
 static bool all_lose_power_in_a_repair(fleet *fleet) {
-  core_trial trial;
-  if (!trial_up(&trial, fleet, sim_random(fleet->sim, 2) ? 5 : 3))
+  repair_trial trial;
+  if (!trial_bring_up(&trial, fleet, sim_random(fleet->sim, 2) ? 5 : 3))
     return false;
   chain_put_evacuation(fleet, 3, "before the losses");
   for (int i = 0; i < trial.tolerated; i++) {
@@ -406,29 +406,29 @@
   int64_t us = (int64_t)sim_random(fleet->sim, 6000000);
   trial_run(&trial, us / 1000);
   sim_run(fleet->sim, (time_us){ us % 1000 });
-  GPtrArray *dark = g_ptr_array_new();
+  GPtrArray *powered_off = g_ptr_array_new();
   for (int i = 0; i < fleet->controllers; i++)
     if (fleet->controller[i]->alive) {
       host_power_off(fleet->controller[i]);
-      g_ptr_array_add(dark, fleet->controller[i]);
+      g_ptr_array_add(powered_off, fleet->controller[i]);
     }
-  for (guint i = 0; i < dark->len; i++) {
+  for (guint i = 0; i < powered_off->len; i++) {
     sim_run(fleet->sim, time_from_ms((int64_t)sim_random(fleet->sim, 800)));
-    host_start(dark->pdata[i]);
+    host_start(powered_off->pdata[i]);
   }
-  g_ptr_array_free(dark, TRUE);
+  g_ptr_array_free(powered_off, TRUE);
   trial.returns = 0;
   sim_run(fleet->sim, time_from_ms(trial.sync_ms));
   trial_check_available(&trial, trial.members, "after all lost power in a repair");
-  trial_last_loss(&trial, "after all lost power in a repair and came back");
+  trial_lose_tolerated(&trial, "after all lost power in a repair and came back");
   return true;
 }
 
 /* Right after a write was acknowledged, as many disks are lost as may be lost, and at the same time
  * all processes lose power, including the routers. All of them return within about a second. */
 static bool disks_are_lost_as_all_lose_power(fleet *fleet) {
-  core_trial trial;
-  if (!trial_up(&trial, fleet, sim_random(fleet->sim, 2) ? 5 : 3))
+  repair_trial trial;
+  if (!trial_bring_up(&trial, fleet, sim_random(fleet->sim, 2) ? 5 : 3))
     return false;
   chain_put_evacuation(fleet, (int)sim_random(fleet->sim, 9), "just before the losses");
   sim_run(fleet->sim, (time_us){ (int64_t)sim_random(fleet->sim, 30000) });
--- a/tests/controlplane/replica.c
+++ b/tests/controlplane/replica.c
@@ -298,7 +298,7 @@
   fleet_start_sampling(fleet);
   for (int turn = 0; turn < 3; turn++) {
     host *h = turn ? fleet->controller[sim_random(fleet->sim, 3)] : fleet_find_head(fleet);
-    uint64_t life = h->incarnation;
+    uint64_t incarnation_before = h->incarnation;
     h->disk->full = true;
     chain_put_evacuation(fleet, turn, "while one disk of three is full");
     if (!scenario_wait_for_chain(fleet, 2, 8000))
@@ -308,7 +308,7 @@
     h->disk->full = false;
     if (!scenario_wait_for_chain(fleet, 3, 8000))
       return false;
-    if (h->incarnation != life)
+    if (h->incarnation != incarnation_before)
       fleet_add_violation(fleet, "%s had to be restarted", h->self.text);
     scenario_check_acknowledged_writes(fleet);
   }
