--- a/tests/model/chain.c
+++ b/tests/model/chain.c
@@ -1,6 +1,6 @@
 /** Replication, snapshots and joins in the model. The order of steps mirrors replication.c,
  * replication_sender.c, replica_write.c, snapshot.c and chain_join.c of lib/controlplane and must
- * be kept like it. */
+ * be kept the same. */
 #include "model_parts.h"
 #include <stdio.h>
 
@@ -66,7 +66,6 @@
   model_send(s, m);
 }
 
-/* after the records of a ReplicateRequest are synced */
 void model_after_records_synced(model_state *s, const model_scope *p, int node, const disk_write *w,
                                 char *fault) {
   chain_position c = model_chain_position(s, node);
--- a/tests/model/check.c
+++ b/tests/model/check.c
@@ -22,7 +22,7 @@
   s->read = MAX(s->read, m->committed);
 }
 
-/* a member of the newest view has all that was acknowledged */
+/* an in-sync member of the newest view has all acknowledged records */
 static void check_survival(const model_state *s, char *fault) {
   int newest = model_newest_view(s);
   const model_view *v = &s->decided[newest];
@@ -37,7 +37,7 @@
            newest, s->acknowledged);
 }
 
-/* a proposal number stands for one value */
+/* no proposal number is used for two values */
 static void check_proposal_numbers(const model_state *s, const model_scope *p, char *fault) {
   for (int i = 0; i < p->nodes; i++)
     for (int k = 0; k < i; k++) {
--- a/tests/model/convert.c
+++ b/tests/model/convert.c
@@ -1,4 +1,4 @@
-/** Conversion between the model's states and those of the daemon's rules. */
+/** Converts between the states of the model and those of the daemon's rules. */
 #include "model_parts.h"
 
 id model_node_id(int node) {
--- a/tests/model/events.c
+++ b/tests/model/events.c
@@ -1,4 +1,4 @@
-/** What may happen in the model, and how an event changes its state. */
+/** The events that may happen in the model, and how each one changes its state. */
 #include "model.h"
 #include <stdio.h>
 #include <stdlib.h>
@@ -67,8 +67,8 @@
   return -1;
 }
 
-/* The environment loses no more than is tolerated: of the members of a view, one keeps its disk and
-   is in sync. Left out, it would be lost as well, though its disk is sound. */
+/* The environment causes no more losses than are tolerated: one member of a view keeps its disk and
+   is in sync. A member that the view removes counts as lost even if its disk is intact. */
 static bool keeps_a_replica(const model_state *s, const model_view *v, int but) {
   for (int i = 0; i < v->chain_length; i++) {
     int node = model_node_of(v->chain[i]);
@@ -87,7 +87,7 @@
   return newest;
 }
 
-/* whether the view after the newest may be decided by what is in flight already */
+/* whether votes in progress may still decide the view after the newest one */
 static bool vote_is_under_way(const model_state *s, const model_scope *p) {
   int newest = model_newest_view(s);
   for (int i = 0; i < p->nodes; i++) {
@@ -102,12 +102,13 @@
   return false;
 }
 
-/* whether a node's replica may be lost, for good or until it fetches a snapshot */
+/* whether a node's replica may be lost, permanently or until it fetches a snapshot */
 static bool may_lose_replica(const model_state *s, const model_scope *p, int node) {
   return !vote_is_under_way(s, p) && keeps_a_replica(s, &s->decided[model_newest_view(s)], node);
 }
 
-/* the view that a node may propose: like repair_plan_make, but without its delays */
+/* computes the view that a node may propose, like repair_plan_make but without its delays; returns
+ * false if there is none */
 static bool make_proposal(const model_state *s, const model_scope *p, model_event e,
                           model_view *v) {
   const model_node *n = &s->node[e.a];
@@ -382,7 +383,7 @@
   model_send(s, m);
 }
 
-/* ends a process; its disk stays */
+/* ends a process, which keeps only its disk */
 static void end_node(model_state *s, int node) {
   model_node *n = &s->node[node], off = { 0 };
   off.disk = n->disk;
@@ -484,7 +485,7 @@
   }
 }
 
-/* syncs all disks, and delivers all messages of a node to itself where the pace says so */
+/* syncs all disks, and delivers the messages of nodes to themselves if the scope requires it */
 static void run_to_quiet(model_state *s, const model_scope *p, char *fault) {
   for (bool more = true; more;) {
     more = false;
@@ -502,8 +503,8 @@
   }
 }
 
-/* responses that nobody waits for any more change nothing; where disks sync at once they are taken
- * away */
+/* removes responses that no node is waiting for, which would change nothing; used if disks sync
+ * immediately */
 static void forget_stale_responses(model_state *s) {
   for (int i = 0; i < MESSAGES_MAX; i++) {
     model_message *m = &s->message[i];
@@ -523,7 +524,7 @@
     run_to_quiet(s, p, fault);
   if (p->pace)
     forget_stale_responses(s);
-  /* the daemon looks at its lease at any time, and notes that it acted */
+  /* the daemon may check its lease at any time, which records that it has acted */
   for (int i = 0; i < p->nodes; i++)
     if (model_holds_lease(s, i))
       s->node[i].lease.has_acted = 1;
--- a/tests/model/main.c
+++ b/tests/model/main.c
@@ -1,5 +1,5 @@
-/** The model checker's program: searches each scope, and says how much was seen. The bounds are
- * fixed, so that the verdict is the same in each run. Ends with 1 when a rule was broken.
+/** The model checker's main program: searches each scope and reports the coverage. The bounds are
+ * fixed, so that the result is the same in every run. Exits with 1 if a rule was violated.
  * usage: model-check [SCOPE ...] */
 #include "search.h"
 #include <pthread.h>
@@ -7,7 +7,8 @@
 
 enum { THREADS = 4, SEED = 1000, CHUNKS = 8 };
 
-/* breadth-first scopes are narrow, each with the events of one question; walks have all of them */
+/* Breadth-first scopes are narrow: each has only the events needed to examine one question. Scopes
+ * with random walks have many more kinds of events. */
 static const model_scope scopes[] = {
   { .name = "vote3",
     .nodes = 3,
--- a/tests/model/model.h
+++ b/tests/model/model.h
@@ -1,13 +1,13 @@
 #ifndef MODEL_MODEL_H
 #define MODEL_MODEL_H
 /** A model of the control plane for the model checker: members, their disks and the messages
- * between them. The decisions are those of lib/controlplane/paxos_rules.c, chain_rules.c and
- * member_lease_rules.c, the very code of the daemon; the model only plays the network, the disks
- * and the clocks. A state has no pointers, so that it can be copied, compared and hashed as bytes;
- * its unused parts are zero.
+ * between them. All decisions are made by the daemon's own code in lib/controlplane/paxos_rules.c,
+ * chain_rules.c and member_lease_rules.c; the model only simulates the network, the disks and the
+ * clocks. A state has no pointers, so that it can be copied, compared and hashed as bytes; its
+ * unused parts are zero.
  *
- * Time goes in units of UNIT_MS. A step of time is 10 units on a slow clock and 11 on a fast one,
- * which is the most that the slack of a lease allows for. */
+ * Time is counted in units of UNIT_MS. A time step is 10 units on a slow clock and 11 on a fast
+ * one, which is the largest difference that the clock slack of a lease allows for. */
 #include "chain_rules.h"
 #include "member_lease_rules.h"
 #include "paxos_rules.h"
@@ -16,31 +16,32 @@
   MEMBERS_MAX = 5,
   RECORDS_MAX = 4,
   MESSAGES_MAX = 10,
-  /** Writes of one disk that may wait for their sync. */
+  /** Number of writes of one disk that may wait for their sync. */
   DISK_QUEUE = 2,
   EPOCHS_MAX = 8,
   EVENTS_MAX = 512,
-  /** Ages are counted in units, up to AGE_OLD; AGE_NONE: it never happened. */
+  /** Ages are counted in units, up to AGE_OLD. AGE_NONE means that the event never happened. */
   UNIT_MS = 50,
   AGE_NONE = 255,
   AGE_OLD = 60,
-  /** Size of the text that says which rule was broken. */
+  /** Size of the text that describes a violated rule. */
   FAULT_SIZE = 160
 };
 
-/** A view; a member is its node's number and how often its disk was replaced, see model_member. */
+/** A view. A member is encoded as its node and the number of replacements of its disk, see
+ * model_member. */
 typedef struct model_view {
   uint8_t epoch, chain_length, voter_count, chain[MEMBERS_MAX], voters[MEMBERS_MAX];
 } model_view;
 
-/** An acceptor's state; a proposal number is a round and the node that made it. */
+/** An acceptor's state. A proposal number consists of a round and the proposing node. */
 typedef struct model_acceptor {
   uint8_t epoch, round, proposer, has_accepted, accepted_round, accepted_proposer;
   model_view value;
 } model_acceptor;
 
-/** What a disk holds, and the same in memory. committed is the last record known to be committed.
- */
+/** The contents of a disk, or the in-memory copy of them. committed is the last record known to be
+ * committed. */
 typedef struct model_image {
   model_view view;
   model_acceptor acceptor;
@@ -59,7 +60,7 @@
   DISK_SNAPSHOT
 } disk_kind;
 
-/** A write to the disk that is not synced yet, and what the response after the sync needs. */
+/** A disk write that is not yet synced, and the data for the response after the sync. */
 typedef struct disk_write {
   uint8_t kind, peer, epoch, round, proposer, in_sync, first, count, sender_in_sync, sender_last,
       log_resets;
@@ -74,15 +75,15 @@
   model_view value;
 } model_promise;
 
-/** A proposal under way: phase 1 is prepare, 2 is accept, 0 is none. */
+/** A proposal in progress. Phase 1 is prepare, 2 is accept, 0 is none. */
 typedef struct model_proposal {
   uint8_t phase, round, accepts;
   model_view value;
   model_promise promises[MEMBERS_MAX];
 } model_proposal;
 
-/** The member leases of a node. Instants are ages in units; may_act_in is how long until the member
- * may act. */
+/** The member leases of a node. Times are stored as ages in units; may_act_in is the time until the
+ * member may act. */
 typedef struct model_lease {
   uint8_t started, voters_known, may_act_in, has_acted;
   struct {
@@ -91,10 +92,10 @@
 } model_lease;
 
 typedef struct model_node {
-  /** busy: the lock of replication is taken; waiting_seq: the write that waits for the tail. */
+  /** busy: the replication lock is held. waiting_seq: the write that waits for the tail. */
   uint8_t up, disk_number, busy, fetching, log_resets, highest_round, waiting_seq,
       waiting_log_resets, adopting;
-  /** The number of the last ReplicateRequest sent, and the one that a fetch under way belongs to.
+  /** The number of the last ReplicateRequest sent, and of the one that triggered the current fetch.
    */
   uint8_t call, fetch_call, fetch_epoch;
   /** The latest JoinRequest. */
@@ -123,21 +124,21 @@
 
 typedef struct model_message {
   uint8_t kind, from, to, epoch, member, round, proposer, ok, in_sync, last, commit, age, call;
-  /** The number of records in a ReplicateRequest; they are the first of those of the sender. */
+  /** The number of records in a ReplicateRequest. They are the first records of the sender. */
   uint8_t count;
   uint8_t has_accepted, accepted_round, accepted_proposer, record[RECORDS_MAX];
   model_view view;
 } model_message;
 
-/** How often each event may still happen in a run. */
+/** How often each kind of event may still happen in a run. */
 typedef struct model_budget {
   uint8_t crashes, wipes, ticks, drops, duplicates, writes, proposals, refetches, cuts, leases,
       announcements;
   uint8_t replications, joins;
 } model_budget;
 
-/** Which events follow at once in a scope: the more do, the fewer orders there are, and the longer
- * the runs that can be searched. */
+/** Which events are interleaved in a scope. If disk syncs, or messages of a node to itself, happen
+ * immediately, there are fewer orders of events, so longer runs can be searched. */
 typedef enum model_pace {
   PACE_EACH_STEP,
   PACE_DISKS_AT_ONCE,
@@ -148,14 +149,15 @@
 typedef struct model_scope {
   const char *name;
   uint8_t nodes, chain_length, min_replicas, slow_clock;
-  /** How many at the end of the first chain are out of sync, and how many records are acknowledged.
-   */
+  /** In the initial state: how many members at the end of the chain are out of sync, and how many
+   * records are acknowledged. */
   uint8_t out_of_sync, records;
-  /** A node, counted from 1, that has granted nothing lately; 0 for none. */
+  /** A node, counted from 1, that has granted no leases recently; 0 for none. */
   uint8_t quiet_voter;
-  /** A bit for each node that may propose and crash; 0 for all. */
+  /** Bit mask of the nodes that may propose and crash; 0 for all. */
   uint8_t actors;
-  /** The first node remembers a JoinRequest of the last one that is older than the first view. */
+  /** Whether the first node holds a JoinRequest of the last chain member that is older than the
+   * first view. */
   bool old_join_request;
   model_pace pace;
   model_budget budget;
@@ -192,13 +194,13 @@
   EVENT_REQUEST_JOIN
 } event_kind;
 
-/** One step of a run; what a, b and c mean depends on the kind. */
+/** One step of a run. The meaning of a, b and c depends on the kind. */
 typedef struct model_event {
   uint8_t kind, a, b, c;
 } model_event;
 
-/** Returns the name of a node's member in views: the node and how often its disk was replaced;
- * never 0. */
+/** Returns the encoding of a node's member in views: the node and the number of replacements of its
+ * disk. Never 0. */
 uint8_t model_member(const model_state *s, int node);
 /** Returns the node of a member. */
 int model_node_of(uint8_t member);
@@ -207,36 +209,37 @@
 /** Converts a node's leases to the daemon's, and back. */
 void model_expand_lease(const model_lease *m, member_leases *b);
 void model_compress_lease(const member_leases *b, model_lease *m);
-/** Returns the index of a node in the chain that it knows, or -1. */
+/** Returns a node's index in the chain that it knows, or -1. */
 int model_chain_index(const model_state *s, int node);
-/** Returns whether a node holds a lease at this instant. */
+/** Returns whether a node currently holds a lease. */
 bool model_holds_lease(const model_state *s, int node);
 /** Returns a node's position for the rules of replication. */
 chain_position model_chain_position(const model_state *s, int node);
 
-/** Sends a message; it is lost when the link is cut or too many are in flight. */
+/** Sends a message. It is lost if the link is cut or too many messages are in flight. */
 void model_send(model_state *s, model_message m);
 /** Handles a message. */
 void model_deliver(model_state *s, const model_scope *p, const model_message *m, char *fault);
-/** Syncs the oldest write of a node's disk, and does what follows it; with answered false the node
- * ends right after the sync. */
+/** Syncs the oldest write of a node's disk. If answered is true, also performs the actions that
+ * follow the sync; otherwise the caller ends the node right after it. */
 void model_sync(model_state *s, const model_scope *p, int node, bool answered, char *fault);
-/** Queues a write; false when the queue is full. */
+/** Queues a disk write. Returns false if the queue is full. */
 bool model_write_disk(model_state *s, int node, disk_write w);
-/** Commits what the rules allow, and acknowledges the write that waits for it. */
+/** Commits records up to seq, and acknowledges the write that waits for the tail if allowed. */
 void model_commit(model_state *s, const model_scope *p, int node, uint64_t seq, char *fault);
 /** Starts a node from its disk. */
 void model_start(model_state *s, const model_scope *p, int node);
 
-/** Returns whether the receiver of a ReplicateRequest may take it. */
+/** Returns whether the receiver of a ReplicateRequest may accept it. */
 bool model_may_accept_records(const model_state *s, const model_message *m);
-/** Begins to fetch a snapshot instead of taking a ReplicateRequest: the states differ. */
+/** Starts to fetch a snapshot instead of handling a ReplicateRequest, as if the states differed. */
 void model_refetch(model_state *s, const model_message *m);
-/** Initializes the first state of a scope: one decided view, all members in sync, blank logs. */
+/** Initializes the first state of a scope: one decided view. All members are in sync and all logs
+ * are empty unless the scope says otherwise. */
 void model_init(model_state *s, const model_scope *p);
-/** Lists all events that may happen; returns their number. */
+/** Lists all events that may happen next. Returns their number. */
 int model_events(const model_state *s, const model_scope *p, model_event *e);
-/** Does an event; fault says which rule was broken, or is empty. */
+/** Applies an event. Sets fault to a description of the violated rule, or to an empty string. */
 void model_apply(model_state *s, const model_scope *p, model_event e, char *fault);
 /** Returns the epoch of the newest view that was decided. */
 int model_newest_view(const model_state *s);
--- a/tests/model/model_parts.h
+++ b/tests/model/model_parts.h
@@ -1,9 +1,9 @@
 #ifndef MODEL_PARTS_H
 #define MODEL_PARTS_H
-/** What the files of the model's node share: convert.c, vote.c, chain.c and node.c. */
+/** Declarations shared by the files of the model's node: convert.c, vote.c, chain.c and node.c. */
 #include "model.h"
 
-/** The instant that every clock of the model shows; instants are ages relative to it. */
+/** The current time of every clock of the model. Other times are given as ages relative to it. */
 static const time_us MODEL_NOW = { 100 * 1000 * 1000 };
 
 /* convert.c */
@@ -20,7 +20,7 @@
 void model_expand_acceptor(const model_acceptor *m, acceptor_state *v);
 /** Converts a daemon's acceptor state to the model's. */
 model_acceptor model_compress_acceptor(const acceptor_state *v);
-/** Returns the instant of an age in units. */
+/** Converts an age in units to a time. */
 time_us model_instant(uint8_t age);
 /** Converts a response to a PrepareRequest to the daemon's. */
 void model_expand_promise(const model_promise *m, prepare_result *a);
@@ -29,17 +29,17 @@
 
 /** Returns whether a node votes on the view after the one that it knows. */
 bool model_may_vote(const model_state *s, int node);
-/** Sends the response to a PrepareRequest, whose promise is synced. */
+/** Sends the response to a PrepareRequest once its promise is synced. */
 void model_respond_to_prepare(model_state *s, int node, const disk_write *w);
 /** Handles PrepareRequest. */
 void model_on_prepare_request(model_state *s, int node, const model_message *m);
-/** Sends the response to an AcceptRequest, whose acceptance is synced. */
+/** Sends the response to an AcceptRequest once its acceptance is synced. */
 void model_respond_to_accept(model_state *s, int node, const disk_write *w);
 /** Handles AcceptRequest. */
 void model_on_accept_request(model_state *s, int node, const model_message *m);
 /** Handles the response to a PrepareRequest. */
 void model_on_prepare_response(model_state *s, int node, const model_message *m);
-/** Adopts a decided view: queues its write. */
+/** Starts to adopt a decided view: queues its disk write. */
 void model_adopt(model_state *s, int node, const model_view *v);
 /** Handles the response to an AcceptRequest. */
 void model_on_accept_response(model_state *s, int node, const model_message *m, char *fault);
@@ -49,14 +49,14 @@
 
 /* chain.c */
 
-/** Acknowledges the write that waits for the tail, if it may. */
+/** Acknowledges the write that waits for the tail, if allowed. */
 void model_acknowledge_waiting(model_state *s, const model_scope *p, int node, char *fault);
-/** Commits all records of a node that is the tail. */
+/** Commits all records of a node if it is the tail. */
 void model_commit_tail(model_state *s, const model_scope *p, int node, char *fault);
-/** Sends the response to a ReplicateRequest, and releases the lock. */
+/** Sends the response to a ReplicateRequest and releases the replication lock. */
 void model_respond_to_replicate(model_state *s, const model_scope *p, int node, const disk_write *w,
                                 char *fault);
-/** Goes on with a ReplicateRequest once its records are synced. */
+/** Continues to handle a ReplicateRequest once its records are synced. */
 void model_after_records_synced(model_state *s, const model_scope *p, int node, const disk_write *w,
                                 char *fault);
 /** Handles ReplicateRequest. */
@@ -75,6 +75,6 @@
 int model_voter_index(const model_view *v, uint8_t member);
 /** Sends the view that a node knows, if any. */
 void model_send_view(model_state *s, int from, int to);
-/** Returns whether one more write may be queued. */
+/** Returns whether another disk write may be queued. */
 bool model_disk_queue_has_space(const model_state *s, int node);
 #endif
--- a/tests/model/node.c
+++ b/tests/model/node.c
@@ -151,7 +151,7 @@
     model_on_replicate_request(s, p, node, m, fault);
     break;
   case MSG_REPLICATE_RESPONSE:
-    /* a response that comes after its call has timed out is ignored */
+    /* a response that arrives after its call has timed out is ignored */
     if (m->epoch == s->node[node].memory.view.epoch && m->call == s->node[node].call)
       model_commit(s, p, node, m->commit, fault);
     break;
@@ -200,7 +200,7 @@
   }
 }
 
-/* what a node does once a write is synced */
+/* performs the actions of a node that follow the sync of a write */
 static void after_sync(model_state *s, const model_scope *p, int node, const disk_write *w,
                        char *fault) {
   model_node *n = &s->node[node];
@@ -240,7 +240,7 @@
     model_acknowledge_waiting(s, p, node, fault);
     break;
   case DISK_SNAPSHOT:
-    /* a fetch that a ReplicateRequest asked for ends with its response */
+    /* a fetch that a ReplicateRequest triggered ends with the response to that request */
     if (w->call)
       model_respond_to_replicate(s, p, node, w, fault);
     n->busy = 0;
--- a/tests/model/search.c
+++ b/tests/model/search.c
@@ -24,7 +24,7 @@
   size_t size;
 } hash_set;
 
-/* true when the hash was not there before */
+/* adds a hash; returns whether it was not in the set before */
 static bool set_add(hash_set *t, uint64_t h) {
   for (size_t i = h & (t->size - 1);; i = (i + 1) & (t->size - 1)) {
     if (t->slot[i] == h)
@@ -36,7 +36,7 @@
   }
 }
 
-/* how a state was come to, for the trace */
+/* the state and event from which a state was reached, for the trace */
 typedef struct {
   uint32_t from;
   model_event by;
@@ -78,7 +78,7 @@
     slots *= 2;
   hash_set seen = { g_new0(uint64_t, slots), slots };
   origin *o = g_new(origin, p->states);
-  /* only the states of two levels are held */
+  /* only the states of two levels are kept in memory */
   GArray *level = g_array_new(FALSE, FALSE, sizeof(model_state));
   GArray *next = g_array_new(FALSE, FALSE, sizeof(model_state));
   model_state first;
@@ -137,7 +137,7 @@
   return e.kind == EVENT_DELIVER || e.kind == EVENT_SYNC;
 }
 
-/* mostly what has begun goes on, so that a walk comes far */
+/* prefers deliveries and syncs, so that operations in progress complete and walks get far */
 static model_event choose(const model_event *e, int n, uint64_t *x) {
   int go = 0;
   for (int i = 0; i < n; i++)
--- a/tests/model/search.h
+++ b/tests/model/search.h
@@ -2,7 +2,7 @@
 #define MODEL_SEARCH_H
 #include "model.h"
 
-/** What a search found. */
+/** The result of a search. */
 typedef struct search_result {
   uint64_t states, steps, acknowledged, views;
   uint32_t depth;
@@ -12,8 +12,9 @@
   GString *trace;
 } search_result;
 
-/** Visits all states of a scope, the nearest first, up to its bound on states. */
+/** Visits the states of a scope in breadth-first order, up to the scope's maximum number of states.
+ */
 void search_breadth(const model_scope *p, search_result *r);
-/** Takes random walks through a scope; the seed and the count fix what they do. */
+/** Takes random walks through a scope. The result depends only on the seed and the count. */
 void search_walks(const model_scope *p, uint64_t seed, uint32_t count, search_result *r);
 #endif
--- a/tests/model/vote.c
+++ b/tests/model/vote.c
@@ -1,10 +1,11 @@
 /** Votes on views in the model. The order of steps mirrors paxos_acceptor.c, paxos_proposer.c and
- * view_change.c of lib/controlplane and must be kept like it; all that is decided in between is
- * decided by the daemon's own functions. */
+ * view_change.c of lib/controlplane and must be kept the same. All decisions between the steps are
+ * made by the daemon's own functions. */
 #include "model_parts.h"
 #include <stdio.h>
 
-/* the index of the voter that runs, or ran, on a node: calls go by address, not by disk */
+/* returns the index of the voter that runs or ran on a node, with any disk, since calls are sent to
+ * an address */
 static int voter_index_of_node(const model_view *v, int node) {
   for (int i = 0; i < v->voter_count; i++)
     if (model_node_of(v->voters[i]) == node)
@@ -147,7 +148,7 @@
   return true;
 }
 
-/* checks a view that was decided */
+/* checks the rules for a view that was decided */
 static void check_decided(model_state *s, const model_view *was, const model_view *v, char *fault) {
   model_view *d = &s->decided[v->epoch];
   if (d->epoch && memcmp(d, v, sizeof *v))
