--- a/tests/model/events.c
+++ b/tests/model/events.c
@@ -486,13 +486,14 @@
 }
 
 /* syncs all disks, and delivers the messages of nodes to themselves if the scope requires it */
-static void run_to_quiet(model_state *s, const model_scope *p, char *fault) {
+static void run_until_idle(model_state *s, const model_scope *p, char *fault) {
   for (bool more = true; more;) {
     more = false;
     for (int i = 0; i < p->nodes; i++)
       for (; s->node[i].queue[0].kind; more = true)
         model_sync(s, p, i, true, fault);
-    for (int i = 0; i < MESSAGES_MAX && p->pace == PACE_DISKS_AND_OWN_MESSAGES_AT_ONCE; i++) {
+    for (int i = 0;
+         i < MESSAGES_MAX && p->interleaving == INTERLEAVE_WITHOUT_DISKS_AND_OWN_MESSAGES; i++) {
       model_message m = s->message[i];
       if (!m.kind || m.from != m.to)
         continue;
@@ -505,7 +506,7 @@
 
 /* removes responses that no node is waiting for, which would change nothing; used if disks sync
  * immediately */
-static void forget_stale_responses(model_state *s) {
+static void discard_stale_responses(model_state *s) {
   for (int i = 0; i < MESSAGES_MAX; i++) {
     model_message *m = &s->message[i];
     const model_proposal *q = &s->node[m->to].proposal;
@@ -520,10 +521,10 @@
 void model_apply(model_state *s, const model_scope *p, model_event e, char *fault) {
   fault[0] = 0;
   do_event(s, p, e, fault);
-  if (p->pace)
-    run_to_quiet(s, p, fault);
-  if (p->pace)
-    forget_stale_responses(s);
+  if (p->interleaving)
+    run_until_idle(s, p, fault);
+  if (p->interleaving)
+    discard_stale_responses(s);
   /* the daemon may check its lease at any time, which records that it has acted */
   for (int i = 0; i < p->nodes; i++)
     if (model_holds_lease(s, i))
--- a/tests/model/model.h
+++ b/tests/model/model.h
@@ -139,11 +139,11 @@
 
 /** Which events are interleaved in a scope. If disk syncs, or messages of a node to itself, happen
  * immediately, there are fewer orders of events, so longer runs can be searched. */
-typedef enum model_pace {
-  PACE_EACH_STEP,
-  PACE_DISKS_AT_ONCE,
-  PACE_DISKS_AND_OWN_MESSAGES_AT_ONCE
-} model_pace;
+typedef enum model_interleaving {
+  INTERLEAVE_ALL,
+  INTERLEAVE_WITHOUT_DISKS,
+  INTERLEAVE_WITHOUT_DISKS_AND_OWN_MESSAGES
+} model_interleaving;
 
 /** The bounds of a search. */
 typedef struct model_scope {
@@ -159,7 +159,7 @@
   /** Whether the first node holds a JoinRequest of the last chain member that is older than the
    * first view. */
   bool old_join_request;
-  model_pace pace;
+  model_interleaving interleaving;
   model_budget budget;
   uint32_t states, walks, steps;
 } model_scope;
