--- a/tests/model/search.c
+++ b/tests/model/search.c
@@ -3,7 +3,7 @@
 #include <stdio.h>
 #include <stdlib.h>
 
-enum { WALK_STEPS_MAX = 400, PROGRESS_OF_TEN = 7 };
+enum { WALK_STEPS_MAX = 400, PROGRESS_TENTHS = 7 };
 
 static uint64_t hash_state(const model_state *s) {
   uint64_t h = 0xcbf29ce484222325u, word;
@@ -64,7 +64,7 @@
   }
 }
 
-static void note(search_result *r, const model_state *s) {
+static void record_coverage(search_result *r, const model_state *s) {
   uint64_t views = 0;
   for (int i = 0; i < EPOCHS_MAX; i++)
     views += s->decided[i].epoch > 0;
@@ -109,7 +109,7 @@
           break;
         }
         o[r->states++] = (origin){ base + i, e[k] };
-        note(r, &s);
+        record_coverage(r, &s);
         g_array_append_val(next, s);
       }
     }
@@ -126,7 +126,7 @@
   g_free(o);
 }
 
-static uint64_t draw(uint64_t *x) {
+static uint64_t next_random(uint64_t *x) {
   *x ^= *x << 13;
   *x ^= *x >> 7;
   *x ^= *x << 17;
@@ -138,13 +138,13 @@
 }
 
 /* prefers deliveries and syncs, so that operations in progress complete and walks get far */
-static model_event choose(const model_event *e, int n, uint64_t *x) {
-  int go = 0;
+static model_event choose_event(const model_event *e, int n, uint64_t *x) {
+  int progress_count = 0;
   for (int i = 0; i < n; i++)
-    go += is_progress(e[i]);
-  if (!go || draw(x) % 10 >= PROGRESS_OF_TEN)
-    return e[draw(x) % (uint64_t)n];
-  int k = (int)(draw(x) % (uint64_t)go);
+    progress_count += is_progress(e[i]);
+  if (!progress_count || next_random(x) % 10 >= PROGRESS_TENTHS)
+    return e[next_random(x) % (uint64_t)n];
+  int k = (int)(next_random(x) % (uint64_t)progress_count);
   for (int i = 0;; i++)
     if (is_progress(e[i]) && !k--)
       return e[i];
@@ -157,14 +157,14 @@
   int n = 0;
   model_init(&s, p);
   for (; n < (int)p->steps && !r->fault[0]; n++) {
-    int may = model_events(&s, p, e);
-    if (!may)
+    int event_count = model_events(&s, p, e);
+    if (!event_count)
       break;
-    path[n] = choose(e, may, &x);
+    path[n] = choose_event(e, event_count, &x);
     model_apply(&s, p, path[n], r->fault);
   }
   r->steps += (uint64_t)n;
-  note(r, &s);
+  record_coverage(r, &s);
   if (!r->fault[0])
     return;
   char fault[FAULT_SIZE];
