--- a/tests/model/events.c
+++ b/tests/model/events.c
@@ -7,8 +7,8 @@
   STEP_SLOW = 10,
   STEP_FAST = 11,
   PENDING_WRITES_MAX = 2,
-  PROPOSAL_ADDS = 1,
-  PROPOSAL_EXCHANGES = 2
+  PROPOSAL_ADDS_MEMBER = 1,
+  PROPOSAL_REPLACES_VOTER = 2
 };
 
 static void init_records(model_image *m, int records) {
@@ -23,7 +23,7 @@
   for (int i = 0; i < p->chain_length; i++)
     v.chain[i] = v.voters[i] = model_member(s, i);
   s->decided[1] = v;
-  s->left = p->budget;
+  s->remaining = p->budget;
   if (p->old_join_request)
     s->node[0].join_member = model_member(s, p->chain_length - 1);
   s->acknowledged = s->read = s->values = p->records;
@@ -50,8 +50,8 @@
       if (k == i)
         continue;
       n->lease.held[k].member = n->lease.granted[k].member = model_member(s, k);
-      n->lease.held[k].age = k + 1 == p->quiet_voter ? AGE_NONE : 0;
-      n->lease.granted[k].age = i + 1 == p->quiet_voter ? AGE_NONE : 0;
+      n->lease.held[k].age = k + 1 == p->non_granting_voter ? AGE_NONE : 0;
+      n->lease.granted[k].age = i + 1 == p->non_granting_voter ? AGE_NONE : 0;
     }
   }
 }
@@ -69,11 +69,11 @@
 
 /* The environment causes no more losses than are tolerated: one member of a view keeps its disk and
    is in sync. A member that the view removes counts as lost even if its disk is intact. */
-static bool keeps_a_replica(const model_state *s, const model_view *v, int but) {
+static bool has_surviving_replica(const model_state *s, const model_view *v, int excluded_node) {
   for (int i = 0; i < v->chain_length; i++) {
     int node = model_node_of(v->chain[i]);
     const model_node *n = &s->node[node];
-    if (node != but && v->chain[i] == model_member(s, node) && n->disk.in_sync &&
+    if (node != excluded_node && v->chain[i] == model_member(s, node) && n->disk.in_sync &&
         (n->memory.in_sync || !n->up))
       return true;
   }
@@ -104,7 +104,8 @@
 
 /* whether a node's replica may be lost, permanently or until it fetches a snapshot */
 static bool may_lose_replica(const model_state *s, const model_scope *p, int node) {
-  return !vote_is_under_way(s, p) && keeps_a_replica(s, &s->decided[model_newest_view(s)], node);
+  return !vote_is_under_way(s, p) &&
+         has_surviving_replica(s, &s->decided[model_newest_view(s)], node);
 }
 
 /* computes the view that a node may propose, like repair_plan_make but without its delays; returns
@@ -112,28 +113,29 @@
 static bool make_proposal(const model_state *s, const model_scope *p, model_event e,
                           model_view *v) {
   const model_node *n = &s->node[e.a];
-  const model_view *was = &n->memory.view;
-  int left_out = 0;
-  *v = *was;
+  const model_view *known_view = &n->memory.view;
+  int removed_live_members = 0;
+  *v = *known_view;
   v->epoch++;
-  if (v->epoch >= EPOCHS_MAX || !contains(was->voters, was->voter_count, model_member(s, e.a)))
+  if (v->epoch >= EPOCHS_MAX ||
+      !contains(known_view->voters, known_view->voter_count, model_member(s, e.a)))
     return false;
   v->chain_length = 0;
   memset(v->chain, 0, sizeof v->chain);
-  bool adds = e.c & PROPOSAL_ADDS;
+  bool adds = e.c & PROPOSAL_ADDS_MEMBER;
   view known;
-  model_expand_view(was, &known);
+  model_expand_view(known_view, &known);
   if (adds && (!n->join_member || !chain_may_join(&known, n->join_epoch)))
     return false;
-  for (int i = 0; i < was->chain_length; i++) {
-    bool replaced = adds && model_node_of(was->chain[i]) == model_node_of(n->join_member) &&
-                    was->chain[i] != n->join_member;
-    bool dropped = e.b == i + 1 && was->chain[i] != model_member(s, e.a);
-    left_out += dropped;
+  for (int i = 0; i < known_view->chain_length; i++) {
+    bool replaced = adds && model_node_of(known_view->chain[i]) == model_node_of(n->join_member) &&
+                    known_view->chain[i] != n->join_member;
+    bool dropped = e.b == i + 1 && known_view->chain[i] != model_member(s, e.a);
+    removed_live_members += dropped;
     if (!replaced && !dropped)
-      v->chain[v->chain_length++] = was->chain[i];
+      v->chain[v->chain_length++] = known_view->chain[i];
   }
-  if (e.b && !left_out)
+  if (e.b && !removed_live_members)
     return false;
   if (adds) {
     if (!v->chain_length || v->chain_length >= p->chain_length ||
@@ -143,9 +145,9 @@
   }
   if (!v->chain_length)
     return false;
-  if (!(e.c & PROPOSAL_EXCHANGES))
+  if (!(e.c & PROPOSAL_REPLACES_VOTER))
     return true;
-  if (!proposer_may_replace_voters(left_out))
+  if (!proposer_may_replace_voters(removed_live_members))
     return false;
   for (int i = 0; i < v->voter_count; i++) {
     if (contains(v->chain, v->chain_length, v->voters[i]))
@@ -178,13 +180,13 @@
     const model_message *m = &s->message[i];
     /* checksums are compared at the same committed record only, see state_differs in replication.c
      */
-    if (s->left.refetches && m->kind == MSG_REPLICATE_REQUEST && s->node[m->to].memory.in_sync &&
-        m->commit == s->node[m->to].memory.committed && model_may_accept_records(s, m) &&
-        may_lose_replica(s, p, m->to))
+    if (s->remaining.refetches && m->kind == MSG_REPLICATE_REQUEST &&
+        s->node[m->to].memory.in_sync && m->commit == s->node[m->to].memory.committed &&
+        model_may_accept_records(s, m) && may_lose_replica(s, p, m->to))
       add(l, EVENT_REFETCH, i, 0, 0);
-    if (s->left.drops)
+    if (s->remaining.drops)
       add(l, EVENT_DROP, i, 0, 0);
-    if (s->left.duplicates)
+    if (s->remaining.duplicates)
       add(l, EVENT_DUPLICATE, i, 0, 0);
   }
 }
@@ -200,7 +202,7 @@
       bool same = !b && !c;
       if (same && !acceptor_prepare_pending(&pending, n->memory.view.epoch))
         continue;
-      if (make_proposal(s, p, e, &v) && keeps_a_replica(s, &v, -1))
+      if (make_proposal(s, p, e, &v) && has_surviving_replica(s, &v, -1))
         add(l, EVENT_PROPOSE, i, b, c);
     }
 }
@@ -210,16 +212,18 @@
   chain_position c = model_chain_position(s, i);
   view v;
   model_expand_view(&n->memory.view, &v);
-  bool room = !n->queue[DISK_QUEUE - 1].kind;
-  if (s->left.writes && !n->busy && room && chain_may_lead(&c) && c.last < RECORDS_MAX &&
+  bool has_space = !n->queue[DISK_QUEUE - 1].kind;
+  if (s->remaining.writes && !n->busy && has_space && chain_may_lead(&c) && c.last < RECORDS_MAX &&
       c.last - c.committed < PENDING_WRITES_MAX &&
       !chain_is_under_replicated(&v, p->min_replicas, 1) && model_holds_lease(s, i))
     add(l, EVENT_WRITE, i, 0, 0);
-  for (int bare = 0; bare < 2 && s->left.replications && chain_may_send(&c, &v); bare++)
-    add(l, EVENT_REPLICATE, i, bare, 0);
-  if (c.index >= 0 || !n->memory.view.epoch || !s->left.joins)
+  for (int without_records = 0;
+       without_records < 2 && s->remaining.replications && chain_may_send(&c, &v);
+       without_records++)
+    add(l, EVENT_REPLICATE, i, without_records, 0);
+  if (c.index >= 0 || !n->memory.view.epoch || !s->remaining.joins)
     return;
-  if (!n->busy && room)
+  if (!n->busy && has_space)
     add(l, EVENT_FETCH_SNAPSHOT, i, 0, 0);
   for (int k = 0; k < n->memory.view.voter_count && !n->memory.in_sync && !n->busy; k++)
     if (model_node_of(n->memory.view.voters[k]) != i)
@@ -230,32 +234,32 @@
   const model_node *n = &s->node[i];
   if (!n->up) {
     add(l, EVENT_RESTART, i, 0, 0);
-    if (s->left.wipes && may_lose_replica(s, p, i))
+    if (s->remaining.wipes && may_lose_replica(s, p, i))
       add(l, EVENT_WIPE, i, 0, 0);
     return;
   }
   if (n->queue[0].kind)
     add(l, EVENT_SYNC, i, 0, 0);
   bool acts = !p->actors || p->actors & 1 << i;
-  if (s->left.crashes && acts) {
+  if (s->remaining.crashes && acts) {
     add(l, EVENT_CRASH, i, 0, 0);
     if (n->queue[0].kind)
       add(l, EVENT_CRASH_SYNCED, i, 0, 0);
   }
-  if (s->left.proposals && n->memory.view.epoch && acts)
+  if (s->remaining.proposals && n->memory.view.epoch && acts)
     add_proposals(s, p, i, l);
   add_replication(s, p, i, l);
   for (int k = 0; k < p->nodes; k++) {
     if (k == i)
       continue;
-    if (s->left.announcements && n->memory.view.epoch > s->node[k].memory.view.epoch &&
+    if (s->remaining.announcements && n->memory.view.epoch > s->node[k].memory.view.epoch &&
         s->node[k].up)
       add(l, EVENT_ANNOUNCE_VIEW, i, k, 0);
-    if (s->left.leases && n->memory.view.epoch)
+    if (s->remaining.leases && n->memory.view.epoch)
       for (int v = 0; v < n->memory.view.voter_count; v++)
         if (model_node_of(n->memory.view.voters[v]) == k)
           add(l, EVENT_REQUEST_LEASE, i, k, 0);
-    if (s->left.cuts || s->cut[i] & 1 << k)
+    if (s->remaining.cuts || s->cut[i] & 1 << k)
       add(l, EVENT_CUT, i, k, 0);
   }
 }
@@ -265,7 +269,7 @@
   add_message_events(s, p, &l);
   for (int i = 0; i < p->nodes; i++)
     add_node_events(s, p, i, &l);
-  if (s->left.ticks)
+  if (s->remaining.ticks)
     add(&l, EVENT_TICK, 0, 0, 0);
   return l.n;
 }
@@ -280,7 +284,7 @@
   return p->slow_clock & 1 << node ? STEP_SLOW : STEP_FAST;
 }
 
-static void pass_time(model_state *s, const model_scope *p) {
+static void advance_time(model_state *s, const model_scope *p) {
   for (int i = 0; i < p->nodes; i++) {
     int step = clock_step(p, i);
     model_lease *b = &s->node[i].lease;
@@ -337,18 +341,18 @@
 /* the daemon's first request in a view carries no records, since it does not know what the
  * successor has
  */
-static void send_records(model_state *s, int node, bool bare) {
+static void send_records(model_state *s, int node, bool without_records) {
   model_node *n = &s->node[node];
-  int place = model_chain_index(s, node);
+  int index = model_chain_index(s, node);
   model_message m = { .kind = MSG_REPLICATE_REQUEST,
                       .from = (uint8_t)node,
                       .epoch = n->memory.view.epoch };
-  m.to = (uint8_t)model_node_of(n->memory.view.chain[place + 1]);
+  m.to = (uint8_t)model_node_of(n->memory.view.chain[index + 1]);
   m.call = ++n->call;
   m.in_sync = n->memory.in_sync;
   m.last = n->memory.last;
   m.commit = n->memory.committed;
-  m.count = bare ? 0 : n->memory.last;
+  m.count = without_records ? 0 : n->memory.last;
   memcpy(m.record, n->memory.record, m.count);
   model_send(s, m);
 }
@@ -384,7 +388,7 @@
 }
 
 /* ends a process, which keeps only its disk */
-static void end_node(model_state *s, int node) {
+static void stop_node(model_state *s, int node) {
   model_node *n = &s->node[node], off = { 0 };
   off.disk = n->disk;
   off.disk_number = n->disk_number;
@@ -411,11 +415,11 @@
     model_deliver(s, p, &m, fault);
     break;
   case EVENT_DROP:
-    s->left.drops--;
+    s->remaining.drops--;
     memset(&s->message[e.a], 0, sizeof m);
     break;
   case EVENT_DUPLICATE:
-    s->left.duplicates--;
+    s->remaining.duplicates--;
     m = s->message[e.a];
     model_deliver(s, p, &m, fault);
     break;
@@ -426,58 +430,58 @@
     model_sync(s, p, e.a, false, fault);
     /* fall through */
   case EVENT_CRASH:
-    s->left.crashes--;
-    end_node(s, e.a);
+    s->remaining.crashes--;
+    stop_node(s, e.a);
     break;
   case EVENT_RESTART:
     model_start(s, p, e.a);
     break;
   case EVENT_WIPE:
-    s->left.wipes--;
+    s->remaining.wipes--;
     wipe(s, e.a);
     break;
   case EVENT_TICK:
-    s->left.ticks--;
-    pass_time(s, p);
+    s->remaining.ticks--;
+    advance_time(s, p);
     break;
   case EVENT_CUT:
-    s->left.cuts -= !(s->cut[e.a] & 1 << e.b);
+    s->remaining.cuts -= !(s->cut[e.a] & 1 << e.b);
     s->cut[e.a] ^= (uint8_t)(1 << e.b);
     break;
   case EVENT_PROPOSE:
-    s->left.proposals--;
+    s->remaining.proposals--;
     propose(s, p, e);
     break;
   case EVENT_ANNOUNCE_VIEW:
-    s->left.announcements--;
+    s->remaining.announcements--;
     m = (model_message){ .kind = MSG_VIEW_ANNOUNCEMENT, .from = e.a, .to = e.b };
     m.view = s->node[e.a].memory.view;
     model_send(s, m);
     break;
   case EVENT_REQUEST_LEASE:
-    s->left.leases--;
+    s->remaining.leases--;
     request_lease(s, e.a, e.b);
     break;
   case EVENT_WRITE:
-    s->left.writes--;
+    s->remaining.writes--;
     write_record(s, e.a);
     break;
   case EVENT_REPLICATE:
-    s->left.replications--;
+    s->remaining.replications--;
     send_records(s, e.a, e.b);
     break;
   case EVENT_REFETCH:
-    s->left.refetches--;
+    s->remaining.refetches--;
     m = s->message[e.a];
     memset(&s->message[e.a], 0, sizeof m);
     model_refetch(s, &m);
     break;
   case EVENT_FETCH_SNAPSHOT:
-    s->left.joins--;
+    s->remaining.joins--;
     begin_snapshot_fetch(s, e.a);
     break;
   case EVENT_REQUEST_JOIN:
-    s->left.joins--;
+    s->remaining.joins--;
     request_join(s, e.a, e.b);
     break;
   default:
--- a/tests/model/main.c
+++ b/tests/model/main.c
@@ -45,7 +45,7 @@
     .min_replicas = 2,
     .interleaving = INTERLEAVE_WITHOUT_DISKS_AND_OWN_MESSAGES,
     .slow_clock = 1,
-    .quiet_voter = 2,
+    .non_granting_voter = 2,
     .budget = { .proposals = 1, .crashes = 1, .leases = 1, .announcements = 1 },
     .states = 500000 },
   { .name = "return3",
@@ -155,7 +155,7 @@
   pthread_mutex_t lock;
 } job_list;
 
-static void *work(void *arg) {
+static void *run_jobs(void *arg) {
   job_list *l = arg;
   for (;;) {
     pthread_mutex_lock(&l->lock);
@@ -170,7 +170,7 @@
   }
 }
 
-static bool is_asked_for(int argc, char **argv, const char *name) {
+static bool is_scope_selected(int argc, char **argv, const char *name) {
   bool any = argc < 2;
   for (int i = 1; i < argc; i++)
     any |= !strcmp(argv[i], name);
@@ -218,7 +218,7 @@
   static job jobs[G_N_ELEMENTS(scopes) * CHUNKS];
   job_list l = { jobs, 0, 0, PTHREAD_MUTEX_INITIALIZER };
   for (size_t i = 0; i < G_N_ELEMENTS(scopes); i++)
-    if (is_asked_for(argc, argv, scopes[i].name))
+    if (is_scope_selected(argc, argv, scopes[i].name))
       add_jobs(&l, &scopes[i]);
   if (!l.n) {
     fprintf(stderr, "no such scope\n");
@@ -226,12 +226,12 @@
   }
   pthread_t t[THREADS];
   for (int i = 0; i < THREADS; i++)
-    pthread_create(&t[i], NULL, work, &l);
+    pthread_create(&t[i], NULL, run_jobs, &l);
   for (int i = 0; i < THREADS; i++)
     pthread_join(t[i], NULL);
   bool ok = true;
   for (size_t i = 0; i < G_N_ELEMENTS(scopes); i++)
-    if (is_asked_for(argc, argv, scopes[i].name))
+    if (is_scope_selected(argc, argv, scopes[i].name))
       ok &= report(&scopes[i], &l);
   for (int i = 0; i < l.n; i++)
     g_string_free(jobs[i].run.trace, TRUE);
--- a/tests/model/model.h
+++ b/tests/model/model.h
@@ -153,7 +153,7 @@
    * records are acknowledged. */
   uint8_t out_of_sync, records;
   /** A node, counted from 1, that has granted no leases recently; 0 for none. */
-  uint8_t quiet_voter;
+  uint8_t non_granting_voter;
   /** Bit mask of the nodes that may propose and crash; 0 for all. */
   uint8_t actors;
   /** Whether the first node holds a JoinRequest of the last chain member that is older than the
@@ -170,7 +170,7 @@
   model_view decided[EPOCHS_MAX];
   uint8_t cut[MEMBERS_MAX];
   uint8_t acknowledged, acknowledged_value[RECORDS_MAX], read, read_value[RECORDS_MAX], values;
-  model_budget left;
+  model_budget remaining;
 } model_state;
 
 typedef enum event_kind {
--- a/tests/model/vote.c
+++ b/tests/model/vote.c
@@ -141,31 +141,32 @@
     request_acceptance(s, node, &use);
 }
 
-static bool is_left_out(const model_view *was, const model_view *next, int i) {
+static bool is_removed(const model_view *previous, const model_view *next, int i) {
   for (int k = 0; k < next->chain_length; k++)
-    if (next->chain[k] == was->chain[i])
+    if (next->chain[k] == previous->chain[i])
       return false;
   return true;
 }
 
 /* checks the rules for a view that was decided */
-static void check_decided(model_state *s, const model_view *was, const model_view *v, char *fault) {
+static void check_decided(model_state *s, const model_view *previous, const model_view *v,
+                          char *fault) {
   model_view *d = &s->decided[v->epoch];
   if (d->epoch && memcmp(d, v, sizeof *v))
     snprintf(fault, FAULT_SIZE, "two views of epoch %d were decided", v->epoch);
   if (d->epoch)
     return;
   *d = *v;
-  bool same = was->voter_count == v->voter_count;
+  bool same = previous->voter_count == v->voter_count;
   for (int i = 0; i < v->voter_count; i++)
-    same &= model_voter_index(was, v->voters[i]) >= 0;
-  for (int i = 0; i < was->chain_length; i++)
-    if (is_left_out(was, v, i) && !same &&
-        was->chain[i] == model_member(s, model_node_of(was->chain[i])))
+    same &= model_voter_index(previous, v->voters[i]) >= 0;
+  for (int i = 0; i < previous->chain_length; i++)
+    if (is_removed(previous, v, i) && !same &&
+        previous->chain[i] == model_member(s, model_node_of(previous->chain[i])))
       snprintf(fault, FAULT_SIZE, "view %d leaves a member out and replaces voters", v->epoch);
   for (int i = 0; i < v->chain_length; i++) {
     int node = model_node_of(v->chain[i]);
-    if (is_left_out(v, was, i) && v->chain[i] == model_member(s, node) &&
+    if (is_removed(v, previous, i) && v->chain[i] == model_member(s, node) &&
         s->node[node].disk.in_sync)
       snprintf(fault, FAULT_SIZE,
                "n%d joins view %d in sync, by what its disk says of an earlier view", node,
@@ -211,11 +212,11 @@
   if (v->epoch <= n->memory.view.epoch)
     return;
   member_leases b;
-  view was, next;
+  view previous, next;
   model_expand_lease(&n->lease, &b);
-  model_expand_view(&n->memory.view, &was);
+  model_expand_view(&n->memory.view, &previous);
   model_expand_view(v, &next);
-  member_leases_enter_view(&b, &was, &next, MODEL_NOW);
+  member_leases_enter_view(&b, &previous, &next, MODEL_NOW);
   model_compress_lease(&b, &n->lease);
   n->memory.view = *v;
   memset(&n->proposal, 0, sizeof n->proposal);
