--- a/lib/controlplane/chain_rules.h
+++ b/lib/controlplane/chain_rules.h
@@ -46,8 +46,9 @@
  * committed, an earlier tail may already have served them to readers, so it does not answer. After
  * a restart these are all records since the last snapshot in the log. */
 bool chain_may_read(const chain_position *position, const view *known);
-/** Returns whether a JoinRequest is valid: the sender must have made it as a non-member of exactly
- * the view that is known here. The sender of a request from an older view may have been a member
- * again in the meantime, and its snapshot may lack writes that were acknowledged since. */
+/** Returns whether a JoinRequest is valid: the sender, with the snapshot that it fetched, was
+ * outside the chain in exactly the view that is known here. The sender of a request from an older
+ * view may have been a member again in the meantime, and its snapshot may lack writes that were
+ * acknowledged since. */
 bool chain_may_join(const view *known, uint64_t request_epoch);
 #endif
--- a/lib/controlplane/member_lease_rules.h
+++ b/lib/controlplane/member_lease_rules.h
@@ -26,7 +26,7 @@
   time_us started_at;
   /** When it learned the voters of the known view. */
   time_us voters_known_at;
-  /** The earliest instant at which it may act as a member. */
+  /** The earliest time at which it may act as a member. */
   time_us may_act_at;
   /** Whether it has acted in the known view, or in an earlier view after which no member was
    * removed. */
--- a/lib/controlplane/repair_plan.h
+++ b/lib/controlplane/repair_plan.h
@@ -15,8 +15,8 @@
 
 /** Returns the next view that this voter wants. */
 repair_plan repair_plan_make(const struct replica *replica);
-/** Returns whether a member has not been heard from for ms milliseconds. A member of this
- * controller counts as silent if it is for another disk than the current one. */
+/** Returns whether a member has not been heard from for ms milliseconds. This controller's own
+ * member counts as silent if it has another disk than the controller's current one. */
 bool repair_plan_member_is_silent(const struct replica *replica, const member *member, int64_t ms);
 /** Returns whether a member should not be in the chain because it is lost, is draining, or hears
  * nothing from this controller. */
--- a/lib/controlplane/replication.c
+++ b/lib/controlplane/replication.c
@@ -7,7 +7,8 @@
 #include "replica.h"
 
 enum {
-  /** Timeout for acquiring the lock, in ms; must end before the sender's request times out. */
+  /** Timeout for acquiring the lock, in ms. The wait has to end before the sender's request times
+   * out. */
   LOCK_TIMEOUT_MS = 1000,
   /** Maximum time that a response waits for the records to be committed, in ms. */
   COMMIT_WAIT_MS = 150
--- a/lib/controlplane/wal_recovery.c
+++ b/lib/controlplane/wal_recovery.c
@@ -253,7 +253,7 @@
   return OK;
 }
 
-/* A corrupt log is started anew with a generation above all that are on the disk. */
+/* Ensures that a corrupt log restarts with a generation above all that are on the disk. */
 static enum error_code raise_generation(recovery *recovery, error *err) {
   for (unsigned i = 0; i < WAL_FILE_COUNT; i++) {
     uint64_t later;
