--- a/bin/asterctl.c
+++ b/bin/asterctl.c
@@ -1,20 +1,20 @@
-/** asterctl: the operators' command line. This file has the table of commands, from which the help
- * text is made; the commands themselves are in lib/cli. */
+/** asterctl: the command-line tool for operators. This file has the table of commands, from which
+ * the help text is generated; the commands are implemented in lib/cli. */
 #include "node.h"
 #include "commands.h"
 #include "program.h"
 #include <stdio.h>
 
-/** A command. Where one name has several rows, as `canary` does, the first one runs, and the others
- * are there for the help text. */
+/** A command. When a name has several rows, as `canary` does, the first one runs, and the others
+ * only add to the help text. */
 struct command {
   const char *name;
-  /** How it is called, and what it does; a line feed starts another line of the help text. */
+  /** The usage and a summary for the help text; a line feed in the summary starts a new line. */
   const char *usage, *summary;
   enum exit_code (*run)(const struct command_context *context);
-  /** How many words it takes, itself among them. */
+  /** The number of words on the command line, including the name. */
   int words_min, words_max;
-  /** It asks processes of a fleet, so it needs addresses and a world. */
+  /** True when the command sends requests to a fleet, so it needs addresses and a world. */
   bool needs_fleet;
 };
 
@@ -59,7 +59,7 @@
     "\nEnds with 0 done, 1 refused or fault found, 2 bad use, 3 lost race, 4 outcome not known, 5 no answer,\n"
     "6 written, but not in force at every live node in time (--wait).\n";
 
-/** The column of the help text at which summaries start, less the two spaces before each usage. */
+/** The width of the usage column in the help text, without the two spaces before it. */
 enum { SUMMARY_COLUMN = 27 };
 
 /** Appends the row of a command to the help text. */
@@ -71,7 +71,7 @@
   g_strfreev(lines);
 }
 
-/** The help text as argp takes it; the caller frees it. */
+/** Returns the help text in the format of argp; the caller frees it. */
 static GString *make_help(void) {
   GString *help = g_string_new(help_start);
   for (size_t i = 0; i < G_N_ELEMENTS(commands); i++)
@@ -80,7 +80,7 @@
   return help;
 }
 
-/** The command that the words of the command line call, or NULL. */
+/** Returns the command that matches the words of the command line, or NULL. */
 static const struct command *find_command(const struct asterctl_options *options) {
   for (size_t i = 0; i < G_N_ELEMENTS(commands); i++) {
     const struct command *command = &commands[i];
@@ -92,7 +92,7 @@
   return NULL;
 }
 
-/** True when there are addresses and each is an ip:port; prints an error when not. */
+/** True when there are addresses and each is an ip:port; prints an error otherwise. */
 static bool addresses_are_valid(const char *addresses) {
   if (!addresses) {
     asterctl_error("--at or ASTERCTL_AT is needed");
@@ -103,20 +103,20 @@
   for (char **address = split; *address && are_valid; address++) {
     are_valid = address_is_valid(*address);
     if (!are_valid)
-      asterctl_error("%s is no ip:port", *address);
+      asterctl_error("%s is not an ip:port", *address);
   }
   g_strfreev(split);
   return are_valid;
 }
 
-/** A command that runs in a task. */
+/** The argument and result of the task that runs a command. */
 struct command_run {
   const struct command *command;
   struct command_context *context;
   enum exit_code exit_code;
 };
 
-/** The task of the command; the event loop ends with it. */
+/** The task that runs the command and then stops the event loop. */
 static void run_command(void *argument) {
   struct command_run *run = argument;
   run->exit_code = run->command->run(run->context);
@@ -147,7 +147,7 @@
   if (!addresses_are_valid(context.options.addresses))
     return EXIT_CODE_USAGE;
   if (!command) {
-    asterctl_error("no such command, or not so many words; see --help");
+    asterctl_error("unknown command, or wrong number of arguments; see --help");
     return EXIT_CODE_USAGE;
   }
   return run_with_world(command, &context);
--- a/bin/asterfall-controller.c
+++ b/bin/asterfall-controller.c
@@ -1,5 +1,5 @@
 /** asterfall-controller: a process of the control plane, with a disk. It reads its settings, runs
- * lib/controlplane over the real world, and ends when a signal has drained it, or with
+ * lib/controlplane on the real world, and exits after a signal and a graceful shutdown, or with
  * PROGRAM_EXIT_FAULT when it had to stop by itself. */
 #include "args.h"
 #include "controller.h"
@@ -7,7 +7,7 @@
 
 const char *argp_program_version = "asterfall-controller (asterfall) 0.1";
 
-/** A body may be the largest resource, with some bytes for what stands around it. */
+/** The largest body of a request, in bytes: the largest resource and its framing. */
 enum { BODY_MAX_BYTES = RESOURCE_BYTES_MAX + 4096 };
 
 static void drain(void *service) {
--- a/bin/asterfall-emulate.c
+++ b/bin/asterfall-emulate.c
@@ -1,9 +1,9 @@
-/** asterfall-emulate: plays days of a deployment in virtual time (emulator/day.h), and reports
- * them.
+/** asterfall-emulate: emulates days of a deployment in virtual time (emulator/day.h) and reports
+ * the results.
  *
- * With --against or --against-seed there are two sides, A and B. Each day is played on both, and
- * the differences are taken day by day, so that the spread between days does not hide a difference
- * between the sides. */
+ * With --against or --against-seed it compares two sides, A and B. Each day is played on both, and
+ * the differences are computed day by day, so that the variance between days does not hide a
+ * difference between the sides. */
 #include "day_faults.h"
 #include "day_figures.h"
 #include "day_play.h"
@@ -18,26 +18,26 @@
 
 static const char program_name[] = "asterfall-emulate";
 
-/** Days to play: the most, and the number when none is given. */
+/** The largest number of days, and the defaults without and with a comparison. */
 enum { DAYS_MAX = 200, DAYS_DEFAULT = 1, DAYS_DEFAULT_OF_COMPARISON = 5 };
 
-/** The limits of --rate and --seconds. */
+/** The ranges of --rate and --seconds. */
 static const double rate_factor_min = 0.01, rate_factor_max = 100;
 static const double duration_min_s = 2, duration_max_s = 3800;
 
-/** The command line; the texts belong to argv. */
+/** The command line; the strings belong to argv. */
 struct options {
   const char *day_file;
   /** NULL: no plot. */
   const char *plot_file;
-  /** The eviction policies of A and B in place of the day's own; NULL: not given. */
+  /** The eviction policies of A and B that replace the day's own; NULL: not given. */
   const char *policy, *against_policy;
   uint64_t first_seed;
   /** 0: not given. */
   uint64_t against_seed;
   int day_count;
   bool json, log, without_own_troubles;
-  /** Flags of troubles to add, of const char *. */
+  /** The faults to add, as given with --trouble; elements are of type const char *. */
   GPtrArray *troubles;
   /** 0: not given. */
   double rate_factor, duration_s;
@@ -75,7 +75,7 @@
     argp_error(state, "--seeds takes 1 to %d", DAYS_MAX);
 }
 
-/** Reads a number from a range; other texts end the program. */
+/** Parses a number and ends the program when it is out of range. */
 static double parse_number(const char *flag, const char *value, double min, double max,
                            struct argp_state *state) {
   double number = atof(value);
@@ -87,7 +87,7 @@
 
 static void set_day_file(struct options *options, const char *file, struct argp_state *state) {
   if (options->day_file)
-    argp_error(state, "one day only");
+    argp_error(state, "only one day file is allowed");
   options->day_file = file;
 }
 
@@ -150,11 +150,11 @@
 struct side {
   day *day;
   uint64_t first_seed;
-  /** The policy that the command line names for this side; NULL: none. */
+  /** The policy that the command line sets for this side; NULL: none. */
   const char *named_policy;
-  /** Of the day that was played last. */
+  /** The result of the day that was played last. */
   day_result *result;
-  /** Policy and seed of the first day, as the reader is told them. */
+  /** The policy and the seed of the first day, as shown in reports. */
   char name[80];
 };
 
@@ -169,14 +169,14 @@
   return day;
 }
 
-/** Sets the length of a day and drops the troubles past its end; they are in order of time. */
+/** Sets the length of a day and removes the faults after its end; faults are sorted by time. */
 static void set_duration(day *day, double duration_s) {
   day->seconds = duration_s;
   while (day->fault_count && day->faults[day->fault_count - 1].at_s > duration_s)
     day->fault_count--;
 }
 
-/** Changes a day as the command line asks. A code other than OK with err set when it can't be. */
+/** Applies the command line to a day. Returns a code other than OK, with err set, on failure. */
 static enum error_code change_day(day *day, const struct options *options, const char *policy,
                                   error *err) {
   if (options->without_own_troubles)
@@ -191,8 +191,8 @@
   return code;
 }
 
-/** Reads the day of a side, under a policy of its own or (NULL) the day's. False with err set when
- * that fails. Free the side with side_clear in any case. */
+/** Reads the day of a side; a policy that is not NULL replaces the day's own. Returns false with
+ * err set on failure. Free the side with side_clear in either case. */
 static bool side_init(struct side *side, const struct options *options, const char *policy,
                       error *err) {
   side->result = g_new0(day_result, 1);
@@ -217,8 +217,8 @@
   g_string_free(text, TRUE);
 }
 
-/** Plays and prints a day of a side; true when all rules were kept. The result stays with the side
- * until day_result_clear. */
+/** Plays and prints a day of a side. Returns true when no rule was violated. The result stays in
+ * the side until day_result_clear. */
 static bool side_play(struct side *side, const struct options *options, int day_index) {
   uint64_t seed = side->first_seed + (uint64_t)day_index;
   bool came_up = day_play(side->day, seed, options->log, side->result);
@@ -235,7 +235,7 @@
 /** The figures of both sides over all days. */
 struct comparison {
   size_t day_count;
-  /** B less A, of each day. */
+  /** B minus A, for each day. */
   double differences[DAY_FIGURE_COUNT][DAYS_MAX];
   double sum_a[DAY_FIGURE_COUNT], sum_b[DAY_FIGURE_COUNT];
 };
@@ -255,7 +255,8 @@
 /** One figure over all days. */
 struct paired_figure {
   double mean_a, mean_b, mean_difference;
-  /** Half the width of the 95 % interval of the difference; below 0 when there are too few days. */
+  /** Half the width of the 95 % confidence interval of the difference; below 0 when there are too
+   * few days. */
   double half_width;
 };
 
@@ -306,7 +307,7 @@
   }
 }
 
-/** Writes the plot of a day; prints an error and gives false when that fails. */
+/** Writes the plot of a day; prints an error and returns false on failure. */
 static bool write_plot(const char *file, const GString *plot) {
   bool is_written = g_file_set_contents(file, plot->str, (gssize)plot->len, NULL);
   if (!is_written)
@@ -314,8 +315,9 @@
   return is_written;
 }
 
-/** Plays all days on side A, and on side B unless it is NULL; prints each, and the comparison. The
- * plot, unless it is NULL, gets the first day. True when all rules were kept. */
+/** Plays all days on side A, and on side B unless it is NULL; prints each day and the comparison.
+ * Appends the plot of the first day to `plot` unless that is NULL. Returns true when no rule was
+ * violated. */
 static bool play_days(const struct options *options, struct side *a, struct side *b,
                       GString *plot) {
   struct comparison *comparison = g_new0(struct comparison, 1);
@@ -345,7 +347,7 @@
   return kept_rules;
 }
 
-/** Plays the days of sides that are ready, and writes the plot. */
+/** Plays all days of the sides, which must be initialized, and writes the plot. */
 static enum program_exit play_and_plot(const struct options *options, struct side *a,
                                        struct side *b) {
   GString *plot = options->plot_file ? g_string_new(NULL) : NULL;
@@ -358,7 +360,7 @@
   return kept_rules ? PROGRAM_EXIT_OK : PROGRAM_EXIT_FAULT;
 }
 
-/** Reads the day for each side and plays it. */
+/** Initializes the sides and plays their days. */
 static enum program_exit run(const struct options *options) {
   const char *policy = options->policy, *against_policy = options->against_policy;
   uint64_t against_seed = options->against_seed;
--- a/bin/asterfall-engine-sim.c
+++ b/bin/asterfall-engine-sim.c
@@ -1,5 +1,5 @@
-/** asterfall-engine-sim: a simulated engine for a real fleet. It loads and runs models in name
- * only, and keeps a record of all orders, runs and refusals, which it prints at its end as JSON. */
+/** asterfall-engine-sim: a simulated engine for a real fleet. It only pretends to load and run
+ * models. It records all orders, runs and refusals, and prints the record as JSON when it exits. */
 #include "node.h"
 #include "program.h"
 #include "simulators.h"
@@ -12,10 +12,10 @@
 /** The largest body of a request, in bytes. */
 enum { BODY_MAX_BYTES = 1 << 20 };
 
-/** The command line; the texts belong to argv. */
+/** The command line; the strings belong to argv. */
 struct options {
   const char *name, *zone, *type, *listen_address;
-  /** The file that the record is appended to as it grows; NULL: none. */
+  /** The file to which each entry of the record is appended at once; NULL: none. */
   const char *record_file;
   double weights_mb, adapter_slots, load_mb_per_s, token_ms;
 };
@@ -77,13 +77,13 @@
   }
 }
 
-/** Appends a line of the record to its file at once, so that it outlives a crash. */
+/** Appends a line to the record file and flushes it, so that it survives a crash. */
 static void append_record_line(void *stream, const char *line) {
   fprintf(stream, "%s\n", line);
   fflush(stream);
 }
 
-/** Makes the engine that the command line describes; `record` may be NULL. */
+/** Creates the engine that the command line describes; `record` may be NULL. */
 static engine_sim *make_engine(const struct options *options, world *world, FILE *record) {
   engine_sim *engine = engine_sim_new(world, id_of_text(options->name), id_of_text(options->type),
                                       id_of_text(options->zone), (uint64_t)options->weights_mb,
--- a/bin/asterfall-loadgen.c
+++ b/bin/asterfall-loadgen.c
@@ -1,6 +1,6 @@
-/** asterfall-loadgen: simulated callers of a real fleet. It asks for the models and adapters of a
- * catalogue at a given rate, checks every event that comes back, and prints what became of the
- * requests as JSON. It ends with PROGRAM_EXIT_FAULT when an answer was wrong. */
+/** asterfall-loadgen: simulated callers of a real fleet. It requests the models and adapters of a
+ * catalogue at a given rate, checks every event of the responses, and prints the outcomes of the
+ * requests as JSON. It exits with PROGRAM_EXIT_FAULT when a response was wrong. */
 #include "config.h"
 #include "program.h"
 #include "simulators.h"
@@ -11,21 +11,22 @@
 static const char program_name[] = "asterfall-loadgen";
 
 enum {
-  /** How often it looks whether all requests were sent. */
+  /** The interval between two checks whether all requests were sent. */
   SEND_POLL_MS = 20,
-  /** How long it then waits for open requests: longer than a request may take. */
+  /** How long it then waits for open requests: longer than a request can take. */
   OPEN_REQUESTS_WAIT_MS = 130000
 };
 
-/** The command line; the texts belong to argv. */
+/** The command line; the strings belong to argv. */
 struct options {
   /** Separated by commas. */
   const char *routers;
   const char *catalogue_file, *policy_file, *ip;
-  /** NULL: none is written. */
+  /** NULL: no log is written. */
   const char *attempt_log_file;
   double requests_per_s, request_count, duration_s, zipf_exponent;
-  /** How often a caller comes back when an answer says when. */
+  /** How many times a caller repeats a rejected request after the wait that Retry-After asks for.
+   */
   int retry_count;
 };
 
@@ -87,8 +88,8 @@
   }
 }
 
-/** Compiles catalogue and policy; the policy may be missing. The caller frees the configuration;
- * NULL with err set when it is bad. */
+/** Compiles the catalogue and, when it can be read, the policy. The caller frees the configuration;
+ * NULL with err set when it is invalid. */
 static config *make_config(const GString *catalogue, const char *policy_file, error *err) {
   json *resources[RESOURCE_COUNT] = { 0 };
   resources[RESOURCE_CATALOGUE] = json_parse(string_view_of_gstring(catalogue), err);
@@ -105,7 +106,7 @@
   return config;
 }
 
-/** Gives the generator the models, adapters and kinds of request to draw from. */
+/** Sets the models, adapters and kinds of request from which the generator draws. */
 static void set_demand(loadgen *loadgen, const config *config) {
   for (guint i = 0; i < config->models->len; i++) {
     const catalogue_model *model = &g_array_index(config->models, catalogue_model, i);
@@ -130,13 +131,14 @@
   loadgen->plan.attempts_max = options->retry_count;
 }
 
-/** What the task that ends the run has. */
+/** The argument of the task that ends the run. */
 struct run {
   loadgen *loadgen;
   const struct options *options;
 };
 
-/** Waits until all requests were sent or the time is up. False when the process is to end. */
+/** Waits until all requests were sent or the time is over. Returns false when the process shuts
+ * down. */
 static bool wait_until_sent(const struct run *run) {
   loadgen *loadgen = run->loadgen;
   int64_t duration_ms = (int64_t)(run->options->duration_s * 1000);
@@ -169,8 +171,8 @@
   g_string_free(text, TRUE);
 }
 
-/** Writes a line for each attempt: T, start and end in us, tag, outcome, code, whether it may be
- * resumed, router, and the seconds after which it was to come back. */
+/** Writes one line per attempt: T, start and end in us, tag, outcome, code, "resumable" or "once",
+ * router, and the seconds of Retry-After. */
 static void write_attempt_log(const loadgen *loadgen, const char *file) {
   static const char *const outcome_names[] = {
     [OUTCOME_OPEN] = "open",       [OUTCOME_DONE] = "done",     [OUTCOME_NOT_RUN] = "notRun",
@@ -190,7 +192,7 @@
   fclose(stream);
 }
 
-/** Runs the callers until all is sent, and prints what became of it. */
+/** Runs the callers until all requests have ended, and prints the outcomes. */
 static enum program_exit generate_load(const struct options *options, const config *config) {
   real_settings caller = { .port = 0 };
   g_strlcpy(caller.ip, options->ip, sizeof caller.ip);
--- a/bin/asterfall-platform-sim.c
+++ b/bin/asterfall-platform-sim.c
@@ -1,5 +1,5 @@
-/** asterfall-platform-sim: a simulated platform. It serves a list of engines, read from a file, to
- * the routers of a real fleet. */
+/** asterfall-platform-sim: a simulated platform. It serves a list of engines from a file to the
+ * routers of a real fleet. */
 #include "node.h"
 #include "program.h"
 #include "simulators.h"
@@ -10,7 +10,7 @@
 /** The largest body of a request, in bytes. */
 enum { BODY_MAX_BYTES = 1 << 20 };
 
-/** The command line; the texts belong to argv. */
+/** The command line; the strings belong to argv. */
 struct options {
   char *listen_address, *engines_file;
 };
@@ -35,7 +35,7 @@
   }
 }
 
-/** Serves a list until a signal ends the process. */
+/** Serves the list until a signal ends the process. */
 static enum program_exit serve(const struct options *options, const json *engines) {
   real_settings listener = { .body_max_bytes = BODY_MAX_BYTES };
   world *world = program_listener_world(program_name, options->listen_address, &listener);
--- a/bin/asterfall-router.c
+++ b/bin/asterfall-router.c
@@ -1,5 +1,5 @@
-/** asterfall-router: a process of the data plane, with the product's own request API. It reads its
- * settings, runs lib/router over the real world, and ends when a signal has drained it. */
+/** asterfall-router: a process of the data plane, with asterfall's own request API. It reads its
+ * settings, runs lib/router on the real world, and exits after a signal and a graceful shutdown. */
 #include "args.h"
 #include "program.h"
 #include "router.h"
--- a/lib/cli/asterctl_options.c
+++ b/lib/cli/asterctl_options.c
@@ -32,7 +32,7 @@
   { 0 }
 };
 
-/** The defaults that the help text gives; 0 stands for the replay's own default. */
+/** The defaults that the help text states; 0 stands for the default of the replay itself. */
 static const struct asterctl_options defaults = {
   .trace_count = 11,
   .policies = "cremebrulee,popularity,lru,random,belady,oracle",
@@ -61,11 +61,11 @@
 
 static void add_word(struct asterctl_options *options, const char *word, struct argp_state *state) {
   if (options->word_count == ASTERCTL_WORDS_MAX)
-    argp_error(state, "too many words");
+    argp_error(state, "too many arguments");
   options->words[options->word_count++] = word;
 }
 
-/** Reads an option of `trial`. ARGP_ERR_UNKNOWN when the key is none. */
+/** Reads an option of `trial`. Returns ARGP_ERR_UNKNOWN for any other key. */
 static error_t parse_trial_option(struct asterctl_options *options, int key, const char *value) {
   switch (key) {
   case 's':
@@ -109,7 +109,7 @@
   }
 }
 
-/** The parser that argp calls for each option and word. */
+/** The parser that argp calls for each option and argument. */
 static error_t parse(int key, char *value, struct argp_state *state) {
   struct asterctl_options *options = state->input;
   switch (key) {
--- a/lib/cli/canary_command.c
+++ b/lib/cli/canary_command.c
@@ -1,24 +1,24 @@
 /** The command canary: starts, shows and stops the canary of a routing policy (docs/trial.md). Its
- * state is the resource "canary"; what each arm has done so far is summed over the pages of the
+ * state is the resource "canary"; the counts of each arm are summed over the pages of the
  * gateways. */
 #include "commands.h"
 #include "canary.h"
 #include "resource_write.h"
 #include <stdio.h>
 
-/** What the gateways counted for one arm and priority. */
+/** The requests of one arm and priority, by outcome, summed over the gateways. */
 struct arm_total {
   double requests, within_target, late, rejected, failed;
 };
 
-/** The canary as the gateways see it. */
+/** The canary as the gateways report it. */
 struct canary_survey {
   struct arm_total totals[CANARY_ARMS][CANARY_PRIORITIES];
   /** Gateways that answered, and those of them that run the canary. */
   int gateway_count, running_count;
 };
 
-/** Prints the harm by each arm for a class of requests, unless there were none. */
+/** Prints the harm in each arm for a class of requests, unless it has no requests. */
 static void print_comparison(const char *name, const json *comparison) {
   const json *control = json_get(comparison, "old");
   const json *candidate = json_get(comparison, "candidate");
@@ -38,7 +38,8 @@
   print_comparison("rest", json_get(verdict, "rest"));
 }
 
-/** Prints what the gateway that judges the canary has heard; others have no such part. */
+/** Prints the interim verdict of the gateway that judges the canary. `judge` is NULL at the others.
+ */
 static void print_judge(const json *node, const json *judge) {
   if (!judge)
     return;
@@ -62,7 +63,7 @@
   total->failed += json_number(counts, "failed", 0);
 }
 
-/** Asks one gateway; prints its judgement if it is the judge. */
+/** Queries one gateway, and prints its interim verdict if it is the judge. */
 static void survey_gateway(const struct command_context *context, const json *node,
                            struct canary_survey *survey) {
   json *gateway = control_page(context, json_text(node, "addr", ""), "/v1/gateway");
@@ -93,8 +94,8 @@
       print_total(arm, priority, &survey->totals[arm][priority]);
 }
 
-/** Prints a declared canary: its state, its verdict if it has ended, and else what the gateways of
- * a list of nodes have counted. */
+/** Prints a canary: its state, and either the verdict that ended it or what the gateways among the
+ * nodes have counted so far. */
 static void print_canary(const struct command_context *context, const json *canary,
                          const json *nodes) {
   const json *end = json_get(canary, "end");
@@ -116,7 +117,7 @@
   const json *canary = json_get(resource, "value");
   enum exit_code exit_code = EXIT_CODE_OK;
   if (!resource || !nodes) {
-    asterctl_error("the core does not answer");
+    asterctl_error("no address returned the canary and the list of nodes");
     exit_code = EXIT_CODE_NO_ANSWER;
   } else if (!json_count(canary))
     printf("no trial\n");
@@ -142,6 +143,6 @@
     return stop(context);
   if (!strcmp(action, "status"))
     return print_status(context);
-  asterctl_error("canary start -f FILE, canary status or canary stop");
+  asterctl_error("usage: canary start -f FILE, canary status or canary stop");
   return EXIT_CODE_USAGE;
 }
--- a/lib/cli/commands.h
+++ b/lib/cli/commands.h
@@ -11,17 +11,17 @@
 enum exit_code apply_command_run(const struct command_context *context);
 /** patch RESOURCE -f FILE: merges a file into a resource (RFC 7396). */
 enum exit_code patch_command_run(const struct command_context *context);
-/** watch RESOURCE: prints each new version of a resource until the fleet no longer answers. */
+/** watch RESOURCE: prints each new version of a resource until no address answers any more. */
 enum exit_code watch_command_run(const struct command_context *context);
-/** evacuate AREA [SHARE]: moves the load of a zone elsewhere, by a share of its engines. */
+/** evacuate AREA [SHARE]: moves load out of a zone, or out of a share of its engines. */
 enum exit_code evacuate_command_run(const struct command_context *context);
-/** status: prints the chain of controllers and a row for each node. */
+/** status: prints the chain of controllers and one row per node. */
 enum exit_code status_command_run(const struct command_context *context);
-/** gateways: prints a row for each gateway. */
+/** gateways: prints one row per gateway. */
 enum exit_code gateways_command_run(const struct command_context *context);
 /** canary start, status or stop: a canary of a routing policy. */
 enum exit_code canary_command_run(const struct command_context *context);
-/** doctor: looks for common faults of a running fleet. */
+/** doctor: checks a running fleet for common faults. */
 enum exit_code doctor_command_run(const struct command_context *context);
 /** record -f FILE: writes recently routed requests as a trace. */
 enum exit_code record_command_run(const struct command_context *context);
--- a/lib/cli/control_client.c
+++ b/lib/cli/control_client.c
@@ -1,9 +1,9 @@
 /** Requests to the control API of a fleet. See control_client.h.
  *
- * Any controller or router answers reads, and passes writes on to the head of the chain. So a
- * request goes to the addresses in the order given, and the first answer counts. An answer of 503
- * (no controller can commit now) counts only in the last round, since a view change is over within
- * the rounds as a rule. */
+ * Every controller and router answers reads and forwards writes to the head of the chain. So a
+ * request goes to the addresses in the given order, and the first answer is used. A 503 (no
+ * controller can commit now) is final only in the last round, because a view change is normally
+ * over by then. */
 #include "control_client.h"
 #include <stdarg.h>
 #include <stdio.h>
@@ -11,9 +11,9 @@
 enum {
   /** Rounds over all addresses. */
   REQUEST_ROUNDS = 3,
-  /** The pause between two rounds, which gives a view change time. */
+  /** The pause between two rounds, which gives a view change time to finish. */
   ROUND_PAUSE_MS = 600,
-  /** The timeout of a page, of which a command fetches one from every node. */
+  /** The timeout of a page: short, because some commands fetch one from every node. */
   PAGE_TIMEOUT_MS = 2500
 };
 
@@ -33,8 +33,8 @@
   return request->headers && request->headers->values[HEADER_IDEMPOTENCY_KEY];
 }
 
-/** Sends a request to the addresses in turn until one answers. 503 is no answer unless this is the
- * last round. */
+/** Sends a request to the addresses in turn until one answers. A 503 does not count as an answer
+ * before the last round. */
 static int send_one_round(const struct command_context *context,
                           const struct control_request *request, char *const *addresses,
                           bool is_last_round, GString *response) {
@@ -94,7 +94,7 @@
 }
 
 enum exit_code control_no_answer(const struct command_context *context) {
-  asterctl_error("nobody at %s answers", context->options.addresses);
+  asterctl_error("no process at %s answers", context->options.addresses);
   return EXIT_CODE_NO_ANSWER;
 }
 
@@ -108,7 +108,8 @@
     fprintf(stream, "%s%s", body->str, ends_with_line_feed ? "" : "\n");
   }
   if (status == HTTP_STATUS_GATEWAY_TIMEOUT)
-    asterctl_error("whether it was written is not known; send it again with the same --key");
+    asterctl_error(
+        "it is not known whether the write was committed; send it again with the same --key");
   return control_exit_code(status);
 }
 
--- a/lib/cli/evacuate_command.c
+++ b/lib/cli/evacuate_command.c
@@ -1,25 +1,25 @@
 /** The command evacuate: reads the resource "evacuation", replaces the entry of one zone, and
- * writes it over the version that was read. When another write came first it starts over. */
+ * writes the result on condition that the version is unchanged. After a conflict it starts over. */
 #include "commands.h"
 #include "resource_write.h"
 #include <stdio.h>
 
-/** How often it reads and writes before it gives up. */
+/** The number of attempts to read and write before the command gives up. */
 enum { EVACUATE_ATTEMPTS = 4 };
 
-/** The entry that the resource gets for a zone. */
+/** The new entry of a zone. */
 struct evacuation_entry {
   const char *zone;
-  /** The share of its engines to empty, from 0 to 1; 0: no entry. */
+  /** The share of its engines to evacuate, from 0 to 1; 0 removes the entry. */
   double share;
 };
 
-/** Reads the arguments; prints an error and gives false when they are bad. */
+/** Parses the arguments; prints an error and returns false when they are invalid. */
 static bool parse_entry(const struct asterctl_options *options, struct evacuation_entry *entry) {
   entry->zone = asterctl_options_word(options, 1);
   entry->share = 1;
   if (options->word_count < 2 || !id_is_valid(string_view_of(entry->zone))) {
-    asterctl_error("evacuate AREA [SHARE]");
+    asterctl_error("usage: evacuate AREA [SHARE]");
     return false;
   }
   if (options->word_count == 2)
@@ -27,7 +27,7 @@
   char *end = NULL;
   entry->share = g_ascii_strtod(options->words[2], &end);
   if (*end)
-    asterctl_error("a share goes from 0 to 1");
+    asterctl_error("the share must be a number from 0 to 1");
   return !*end;
 }
 
@@ -37,7 +37,7 @@
   json_appendf(text, "%s{\"area\":\"%s\",\"share\":%g}", is_first ? "" : ",", zone, share);
 }
 
-/** The value with the entry of one zone replaced, as JSON; the caller frees it. */
+/** Returns the value with the entry of one zone replaced, as JSON; the caller frees it. */
 static GString *replace_entry(const json *value, const struct evacuation_entry *entry) {
   GString *replaced = g_string_new("{\"areas\":[");
   const json *zones = json_get(value, "areas");
@@ -52,7 +52,7 @@
   return replaced;
 }
 
-/** Reads the resource; the caller frees it. NULL with the exit code set when that fails. */
+/** Fetches the resource, which the caller frees. Returns NULL and sets the exit code on failure. */
 static json *read_evacuation(const struct command_context *context, enum exit_code *exit_code) {
   GString *response = g_string_new(NULL);
   int status = control_get(context, "/v1/evacuation", response, CONTROL_REQUEST_TIMEOUT_MS);
@@ -60,13 +60,14 @@
       status == HTTP_STATUS_OK ? json_parse(string_view_of_gstring(response), NULL) : NULL;
   g_string_free(response, TRUE);
   if (!resource) {
-    asterctl_error("the core does not answer");
+    asterctl_error("the evacuation can't be read");
     *exit_code = control_exit_code(status);
   }
   return resource;
 }
 
-/** One attempt to read, replace and write. EXIT_CODE_CONFLICT when another write came between. */
+/** Reads, replaces and writes once. Returns EXIT_CODE_CONFLICT when another write came in between.
+ */
 static enum exit_code replace_once(const struct command_context *context,
                                    const struct evacuation_entry *entry) {
   enum exit_code exit_code = EXIT_CODE_OK;
--- a/lib/cli/gateways_command.c
+++ b/lib/cli/gateways_command.c
@@ -1,4 +1,4 @@
-/** The command gateways: a row for each live gateway, from its own page. */
+/** The command gateways: prints one row per live gateway, from the gateway's own page. */
 #include "commands.h"
 #include <stdio.h>
 
@@ -21,7 +21,7 @@
          reason);
 }
 
-/** Prints the row of a router. False when it does not answer. */
+/** Prints the row of a router. Returns false when it returns no gateway page. */
 static bool print_router(const struct command_context *context, const json *node) {
   json *gateway = control_page(context, json_text(node, "addr", ""), "/v1/gateway");
   bool answered = gateway != NULL;
--- a/lib/cli/program.c
+++ b/lib/cli/program.c
@@ -1,4 +1,4 @@
-/** What the main functions of the programs share. See program.h. */
+/** Functions that the programs' main functions share. See program.h. */
 #include "program.h"
 #include "args.h"
 #include <stdarg.h>
@@ -42,7 +42,7 @@
   return program_client_world(program, &listening);
 }
 
-/** A service whose end a task waits for. */
+/** The argument of the task that waits for a service to stop. */
 struct service_run {
   world *world;
   condition *stopped;
--- a/lib/cli/program.h
+++ b/lib/cli/program.h
@@ -1,16 +1,16 @@
 #ifndef CLI_PROGRAM_H
 #define CLI_PROGRAM_H
-/** What the main functions of the programs share: errors on standard error, the real world of a
- * process, and the run of a service up to the end of its graceful shutdown. */
+/** Functions that the programs' main functions share: printing errors, creating the real world of a
+ * process, and running a service until its graceful shutdown has ended. */
 #include "real_world.h"
 
 /** The exit codes of all programs but asterctl, whose are in exit_code.h. Scripts and the units
  * that start the programs depend on the numbers, so they never change. */
 enum program_exit {
   PROGRAM_EXIT_OK = 0,
-  /** It ran, and what it did or checked went wrong. */
+  /** It ran, and its work failed or a check found a fault. */
   PROGRAM_EXIT_FAULT = 1,
-  /** It did not run: the command line, a file or the listening address is bad. */
+  /** It did not start: the command line, a file or the listening address is invalid. */
   PROGRAM_EXIT_NOT_STARTED = 2
 };
 
@@ -23,18 +23,17 @@
 /** Reads a file. The caller frees the text with g_string_free; NULL when it can't be read. */
 GString *program_read_file(const char *path);
 
-/** Makes the world of a process that only calls others. NULL when that fails, which it has reported
- * on standard error. Free it with real_world_free. */
+/** Creates the world of a process that only calls others. Returns NULL after printing the error on
+ * failure. Free it with real_world_free. */
 world *program_client_world(const char *program, const real_settings *settings);
-/** Makes the world of a process that listens at a valid ip:port. The ip and port of the settings
- * are not read. NULL when that fails, which it has reported on standard error. Free it with
- * real_world_free. */
+/** Creates the world of a process that listens at a valid ip:port; ip and port in the settings are
+ * ignored. Returns NULL after printing the error on failure. Free it with real_world_free. */
 world *program_listener_world(const char *program, const char *listen_address,
                               const real_settings *settings);
 
 /** Runs a service until its condition `stopped` is signalled. The first SIGTERM or SIGINT starts
- * its graceful shutdown by `drain`, which gets the service. The caller still owns world and
- * service. */
+ * its graceful shutdown by calling `drain` with the service. The caller keeps ownership of world
+ * and service. */
 void program_run_service(world *world, condition *stopped, void (*drain)(void *service),
                          void *service);
 #endif
--- a/lib/cli/record_command.c
+++ b/lib/cli/record_command.c
@@ -1,29 +1,31 @@
-/** The command record: writes a trace, for `asterctl trial`, of what the routers routed lately.
+/** The command record: writes the requests that the routers have routed recently as a trace for
+ * `asterctl trial`.
  *
  * Each router keeps a journal of its last events, with their age. The "routed" events of all
- * addresses are merged by age; sizes and load times come from the first catalogue that is found. */
+ * addresses are merged by age; sizes and load times come from the first catalogue that can be
+ * fetched. */
 #include "commands.h"
 #include <stdio.h>
 
-/** What a model that the catalogue lacks is taken to be. */
+/** The size and load time assumed for models that are not in the catalogue. */
 static const double unknown_weights_mb = 1000;
 static const double unknown_load_ms = 4000;
 
-/** A request that a router routed. */
+/** A request in a router's journal. */
 struct routed_request {
   double age_ms;
   char model[100];
 };
 
-/** What the addresses have said. */
+/** The data collected from all addresses. */
 struct recording {
-  /** Of struct routed_request. */
+  /** Elements are of type struct routed_request. */
   GArray *requests;
-  /** The resource "catalogue"; NULL when no address had it. */
+  /** The resource "catalogue"; NULL when no address returned it. */
   json *catalogue;
 };
 
-/** Sorts the oldest request first. */
+/** Orders requests from oldest to newest. */
 static int compare_by_age(gconstpointer first, gconstpointer second) {
   const struct routed_request *a = first, *b = second;
   return a->age_ms > b->age_ms ? -1 : a->age_ms < b->age_ms;
@@ -40,7 +42,7 @@
   }
 }
 
-/** Asks all addresses. The requests come sorted, the oldest first. */
+/** Queries all addresses. The requests are sorted from oldest to newest. */
 static struct recording collect(const struct command_context *context) {
   struct recording recording = { g_array_new(FALSE, TRUE, sizeof(struct routed_request)), NULL };
   char **addresses = g_strsplit(context->options.addresses, ",", -1);
@@ -61,7 +63,8 @@
   g_array_free(recording->requests, TRUE);
 }
 
-/** Writes a line of a trace: ms since the first request, model, weights in MB, load time in ms. */
+/** Writes one line of a trace: ms since the first request, model, weights in MB, load time in ms.
+ */
 static void write_request(FILE *stream, const struct routed_request *request, double first_age_ms,
                           const json *models) {
   double weights_mb = unknown_weights_mb;
@@ -77,7 +80,7 @@
           load_ms);
 }
 
-/** Writes the trace. False when there is nothing to write or the file can't be opened. */
+/** Writes the trace. Returns false when there are no requests or the file can't be opened. */
 static bool write_trace(const struct recording *recording, const char *file) {
   const GArray *requests = recording->requests;
   FILE *stream = requests->len ? fopen(file, "w") : NULL;
--- a/lib/cli/resource_commands.c
+++ b/lib/cli/resource_commands.c
@@ -4,9 +4,9 @@
 #include <stdio.h>
 
 enum {
-  /** A long poll ends with 304 well before this. */
+  /** The server ends a long poll with 304 well before this timeout. */
   WATCH_TIMEOUT_MS = 25000,
-  /** The pause after a poll without an answer, and how many of those in a row end the watch. */
+  /** The pause after a failed poll, and the number of failures in a row that are tolerated. */
   WATCH_RETRY_PAUSE_MS = 500,
   WATCH_FAILURES_MAX = 5
 };
@@ -29,10 +29,10 @@
   return resource_write_file(context, "PATCH", asterctl_options_word(&context->options, 1));
 }
 
-/** Prints a version of a resource. Returns its number, or the earlier one when it has none. */
-static uint64_t print_version(const GString *response, uint64_t time_min) {
+/** Prints a version of a resource. Returns its number, or the previous one when it has none. */
+static uint64_t print_version(const GString *response, uint64_t previous_version) {
   json *resource = json_parse(string_view_of_gstring(response), NULL);
-  uint64_t version = (uint64_t)json_number(resource, "version", (double)time_min);
+  uint64_t version = (uint64_t)json_number(resource, "version", (double)previous_version);
   json_free(resource);
   printf("%s", response->str);
   fflush(stdout);
--- a/lib/cli/resource_wait.c
+++ b/lib/cli/resource_wait.c
@@ -1,26 +1,26 @@
 /** Waits until a write is in force at every live node (--wait). See resource_write.h.
  *
- * A write is committed once the chain has it; nodes get it by config sync a little later. So every
- * node that /v1/nodes has and does not call gone is asked for the version that it acts on, again
- * and again, until all have at least the one written. */
+ * A write is committed once the chain has stored it; nodes receive it a little later through config
+ * sync. So each node that /v1/nodes lists as not gone is polled for the version that it applies,
+ * until all have at least the version that was written. */
 #include "resource_write.h"
 #include <stdio.h>
 
-/** The pause between two rounds over the nodes. */
+/** The pause between two rounds of polling. */
 enum { POLL_INTERVAL_MS = 300 };
 
-/** What one round over the nodes has found. */
+/** The result of one round of polling. */
 struct in_force_poll {
-  /** Some process had the list of nodes. */
+  /** Some process returned the list of nodes. */
   bool has_nodes;
   /** Nodes that have the version in force. */
   int confirmed_count;
-  /** The names of live nodes that have not confirmed it, and of those that are gone and were not
-   * asked, each after a space. */
+  /** Names with a space before each: live nodes that have not confirmed the version, and nodes that
+   * are gone and were not polled. */
   GString *unconfirmed, *gone;
 };
 
-/** True when a node acts on a version or a later one. */
+/** True when a node has this version or a later one in force. */
 static bool node_has_version(const struct command_context *context, const json *node,
                              uint64_t version) {
   json *status = control_page(context, json_text(node, "addr", ""), "/v1/status");
@@ -29,7 +29,7 @@
   return has_version;
 }
 
-/** Asks every live node once. */
+/** Polls every live node once. */
 static void poll_nodes(const struct command_context *context, uint64_t version,
                        struct in_force_poll *poll) {
   json *nodes = control_page_from_any(context, "/v1/nodes");
@@ -49,18 +49,18 @@
 
 static void report_in_force(uint64_t version, const struct in_force_poll *poll) {
   asterctl_error("write %" PRIu64 " is in force at all %d live nodes%s%s", version,
-                 poll->confirmed_count, poll->gone->len ? "; gone and not asked:" : "",
+                 poll->confirmed_count, poll->gone->len ? "; gone and not polled:" : "",
                  poll->gone->str);
 }
 
 static void report_timeout(uint64_t version, const struct in_force_poll *poll) {
   asterctl_error("write %" PRIu64 " is in force at %d nodes; not confirmed by:%s%s%s", version,
                  poll->confirmed_count,
-                 poll->unconfirmed->len ? poll->unconfirmed->str : " anybody",
+                 poll->unconfirmed->len ? poll->unconfirmed->str : " any node",
                  poll->gone->len ? "; gone:" : "", poll->gone->str);
 }
 
-/** Asks every live node once. True when that ends the wait; the exit code is then set, and the
+/** Polls every live node once. Returns true when the wait is over, with the exit code set and the
  * outcome printed. */
 static bool poll_ends_wait(const struct command_context *context, uint64_t version,
                            time_us deadline, enum exit_code *exit_code) {
--- a/lib/cli/resource_write.c
+++ b/lib/cli/resource_write.c
@@ -4,7 +4,7 @@
 #include "program.h"
 #include <stdio.h>
 
-/** "asterctl-" and 16 hexadecimal digits fit. */
+/** DRAWN_KEY_SIZE has room for "asterctl-" and 16 hexadecimal digits. */
 enum { DRAWN_KEY_SIZE = 40, INPUT_CHUNK_SIZE = 4096 };
 
 bool resource_name_is_valid(const char *name) {
@@ -27,7 +27,7 @@
   http_headers_set(headers, HEADER_IDEMPOTENCY_KEY, given_key ? given_key : drawn_key);
 }
 
-/** Waits until the write that an answer acknowledges is in force. */
+/** Waits until the write that a response acknowledges is in force. */
 static enum exit_code wait_for_response(const struct command_context *context,
                                         const GString *response) {
   json *written = json_parse(string_view_of_gstring(response), NULL);
@@ -75,7 +75,7 @@
                                    const char *resource) {
   const struct asterctl_options *options = &context->options;
   if (!options->file || !resource_name_is_valid(resource)) {
-    asterctl_error("needs catalogue, policy, evacuation, routing or canary, and --file");
+    asterctl_error("catalogue, policy, evacuation, routing or canary is needed, and --file");
     return EXIT_CODE_USAGE;
   }
   GString *body = read_file_or_input(options->file);
--- a/lib/cli/status_command.c
+++ b/lib/cli/status_command.c
@@ -1,9 +1,9 @@
-/** The command status: the view of the controllers, and a row for each node that membership knows.
- * Each live node is asked for its own status page. */
+/** The command status: prints the view of the controllers and one row per node that membership
+ * knows, with the version from the status page of each live node. */
 #include "commands.h"
 #include <stdio.h>
 
-/** Fits any version that a double holds exactly. */
+/** Large enough for any version that a double represents exactly. */
 enum { VERSION_TEXT_SIZE = 24 };
 
 /** Prints the epoch and chain of the view. */
@@ -15,8 +15,8 @@
   printf("%s\n", json_bool(view, "thin", false) ? " (too thin to write)" : "");
 }
 
-/** Whether a node's configuration was confirmed lately, as text: routers say "fresh", controllers
- * "acts". NULL: there is no status page. */
+/** Whether a node's configuration was confirmed recently, as text: routers report "fresh",
+ * controllers "acts". `status` is NULL when there is no status page. */
 static const char *freshness_text(const json *status) {
   if (!status)
     return "-";
--- a/lib/cli/trial_command.c
+++ b/lib/cli/trial_command.c
@@ -1,9 +1,10 @@
-/** The command trial: replays traces under several eviction policies (lib/router/policy_replay.h),
- * and prints a table of the costs.
+/** The command trial: replays traces under several eviction policies
+ * (lib/policy_replay/policy_replay.h), and prints a table of the costs.
  *
  * All policies run over the same traces, and each is compared with the first one trace by trace, so
- * that the spread between traces does not hide a difference between policies. The traces are drawn
- * with the seeds 1, 2, 3...; or there is one, from a file or the paper's table. */
+ * that the variance between traces does not hide a difference between policies. The traces are
+ * generated with the seeds 1, 2, 3...; or there is a single one, from a file or from the table of
+ * the paper. */
 #include "commands.h"
 #include "formula.h"
 #include "program.h"
@@ -12,23 +13,23 @@
 
 enum { TRACES_MAX = 1000, MODELS_MIN = 2, MODELS_MAX = 5000, REQUESTS_MAX = 2000000 };
 
-/** The engine of the paper's table has room for two models of size 1. */
+/** The engine in the example of the paper holds two models of size 1. */
 enum { REFERENCE_CAPACITY_MB = 2 };
 
-/** What comes before a policy that is an expression. */
+/** Marks a policy that is an expression. */
 static const char expression_prefix[] = "expr:";
 
 /** Where the traces come from. */
 enum trace_source { TRACE_DRAWN, TRACE_FROM_FILE, TRACE_REFERENCE_EXAMPLE };
 
-/** What is measured of each policy on each trace. */
+/** The measures taken of each policy on each trace. */
 enum measure {
   MEASURE_LOADS,
   MEASURE_WASTED,
   MEASURE_HIT_SHARE,
-  /** Load delay in ms a request; of the reference example in all. */
+  /** Load delay in ms per request; for the reference example, the total. */
   MEASURE_DELAY,
-  /** That delay as a factor of the first policy's. */
+  /** The ratio of MEASURE_DELAY to that of the first policy. */
   MEASURE_DELAY_RATIO,
   MEASURE_COUNT
 };
@@ -37,10 +38,10 @@
 struct trial {
   const struct asterctl_options *options;
   enum trace_source source;
-  /** Names or expressions, ended by NULL. */
+  /** Names or expressions, terminated by NULL. */
   char **policies;
   int policy_count, trace_count;
-  /** By policy, then by trace. */
+  /** Indexed by policy, then by trace. */
   double *results[MEASURE_COUNT];
 };
 
@@ -87,7 +88,7 @@
                       is_outside(plan->request_count, 1, REQUESTS_MAX) ||
                       plan->requests_per_s <= 0 || trial->options->replay.capacity_share <= 0;
   if (out_of_range)
-    asterctl_error("a number is out of range");
+    asterctl_error("a numeric option is out of range");
   return !out_of_range;
 }
 
@@ -100,7 +101,7 @@
   return false;
 }
 
-/** True for a policy's name, or an expression that compiles; prints an error when it is neither. */
+/** True for the name of a policy or an expression that compiles; prints an error for others. */
 static bool policy_is_valid(const char *policy) {
   if (is_known_policy(policy))
     return true;
@@ -111,7 +112,7 @@
       return true;
     asterctl_error("%s (code %d)", err.text, err.code);
   }
-  asterctl_error("no policy %s", policy);
+  asterctl_error("unknown policy %s", policy);
   return false;
 }
 
@@ -122,7 +123,7 @@
   return true;
 }
 
-/** Reads a trace; NULL with err set when the file holds none. */
+/** Reads a trace; NULL with err set when the file can't be read or parsed. */
 static trace *read_trace(const char *file, error *err) {
   GString *text = program_read_file(file);
   if (!text) {
@@ -134,8 +135,7 @@
   return trace;
 }
 
-/** The trace of a seed. The caller frees it with trace_free; NULL with err set when there is none.
- */
+/** Makes the trace of a seed. The caller frees it with trace_free; NULL with err set on failure. */
 static trace *make_trace(const struct trial *trial, uint64_t seed, error *err) {
   trace_plan plan = trial->options->trace_plan;
   switch (trial->source) {
@@ -155,7 +155,7 @@
   return (uint64_t)(trial->options->replay.capacity_share * (double)trace_total_mb(trace));
 }
 
-/** Keeps what a policy made of a trace. The first policy's results must be there already. */
+/** Stores the results of a policy on a trace. Those of the first policy must be stored first. */
 static void store_result(struct trial *trial, int policy, int trace_index,
                          const replay_result *result) {
   double requests = (double)result->requests;
@@ -170,7 +170,8 @@
       delay / (first_delay > 0 ? first_delay : 1);
 }
 
-/** Replays one trace under every policy; false, with an error printed, when there is no trace. */
+/** Replays one trace under every policy; prints an error and returns false when there is no trace.
+ */
 static bool replay_trace(struct trial *trial, int trace_index) {
   uint64_t seed = (uint64_t)trace_index + 1;
   error err = { 0 };
@@ -201,7 +202,7 @@
   return a < b ? -1 : a > b;
 }
 
-/** The median of a measure over the traces, with the least and the greatest. */
+/** The median, minimum and maximum of a measure over the traces. */
 struct spread {
   double min, median, max;
 };
--- a/lib/doctor/check_controllers.c
+++ b/lib/doctor/check_controllers.c
@@ -1,8 +1,8 @@
-/** Controllers: one view, a full chain, an acting head and tail, disks that keep up. */
+/** Checks controllers: their view, the length of the chain, member leases and disks. */
 #include "examination.h"
 
 enum { CHAIN_MEMBERS_EXPECTED = 3, SLOW_WRITE_MS = 500 };
-/** A log file that the state fills by more than this share leaves little room for writes. */
+/** When the state fills more than this share of a log file, little space is left for writes. */
 static const double full_log_file = 0.6;
 
 static void check_disk(examination *examination, const examined_node *node) {
--- a/lib/doctor/check_engines.c
+++ b/lib/doctor/check_engines.c
@@ -1,10 +1,12 @@
-/** Engines of the platform's list, as one router sees them: lease holders, reports, residents; and
- * the catalogue against the largest engine. Gateways' engines are in check_gateways.c. */
+/** Checks the engines of the platform's list as one router sees them: lease holders, reports and
+ * resident models; and whether the largest engine has room for each entry of the catalogue. The
+ * engines of gateways are checked in check_gateways.c. */
 #include "examination.h"
 
 enum {
   OLD_REPORT_MS = 3000,
-  /** Residents move: a difference counts when it is there at each of so many looks. */
+  /** Resident models change all the time, so a difference counts only when it is seen at each of
+   * this many checks in a row. */
   RESIDENT_LOOKS = 3,
   RESIDENT_LOOK_MS = 700
 };
@@ -32,7 +34,8 @@
   return true;
 }
 
-/* true as well when one of the two gives no page, or the router does not know the engine */
+/* Compares the resident models of an engine's own page with those on the router's page. Also true
+ * when one of the pages can't be fetched. */
 static bool residents_agree(const examination *examination, const char *router, const char *engine,
                             const char *address) {
   json *own = examination_fetch(examination, address, "/v1/state", NULL),
@@ -48,7 +51,7 @@
   return agree;
 }
 
-/* an engine's own report against what one router believes */
+/* True when an engine's own report differs from what the router believes at every check. */
 static bool residents_differ(const examination *examination, const char *router, const char *engine,
                              const char *address) {
   for (int look = 0; look < RESIDENT_LOOKS; look++) {
@@ -98,7 +101,8 @@
   }
 }
 
-/* a router with engines of a platform's list that is to stay, or NULL */
+/* The first router that is live, not draining and not a gateway, so that it has the platform's list
+ * of engines; or NULL. */
 static const examined_node *choose_router(const examination *examination) {
   for (guint i = 0; i < examination->nodes->len; i++) {
     const examined_node *node = examination_node(examination, i);
@@ -108,7 +112,7 @@
   return NULL;
 }
 
-/* the catalogue of the first controller that gives it, or NULL */
+/* The catalogue from the first controller that returns it, or NULL. */
 static json *fetch_catalogue(const examination *examination) {
   json *catalogue = NULL;
   for (guint i = 0; i < examination->nodes->len && !catalogue; i++) {
--- a/lib/doctor/check_gateways.c
+++ b/lib/doctor/check_gateways.c
@@ -1,5 +1,5 @@
-/** Gateways: a configuration, engines for each service, what many of them eject, the load rate
- * limiter, retry budgets, loads. */
+/** Checks gateways: configuration, usable engines of each service, engines that many gateways
+ * eject, the load rate limiter, retry budgets and failed loads. */
 #include "examination.h"
 
 enum { FAILED_LOADS_MIN = 3 };
@@ -8,7 +8,7 @@
                           const json *service) {
   const char *name = json_text(service, "service", "?");
   double engines = json_number(service, "engines", 0);
-  /* before a gateway was told of the engines it knows of none */
+  /* A gateway that has not yet received the list of engines knows none; that is no fault. */
   bool counts = json_bool(service, "routed", false) && json_bool(node->gateway, "told", false);
   if (counts && engines < 1)
     examination_add(examination, D_SERVICE, "%s knows of no engine of %s, which routes lead to",
@@ -21,7 +21,7 @@
                     name);
 }
 
-/* counts the engines that a gateway has ejected, by their names */
+/* Adds one to the count of each engine that the gateway has ejected; the counts are by name. */
 static void count_ejected(const json *engines, GHashTable *ejected) {
   for (size_t i = 0; i < json_count(engines); i++) {
     const json *engine = json_at(engines, i);
@@ -52,7 +52,7 @@
                     failed);
 }
 
-/* an engine that half of the gateways eject has a fault of its own */
+/* An engine that at least half of the gateways have ejected is itself at fault. */
 static void check_ejected(examination *examination, GHashTable *ejected, int gateways) {
   GHashTableIter iterator;
   gpointer name, value;
--- a/lib/doctor/check_nodes.c
+++ b/lib/doctor/check_nodes.c
@@ -1,12 +1,14 @@
-/** All nodes: names, seeds, wire versions, how recent their configuration and lists are. */
+/** Checks all nodes: response times, unique names, seeds, wire versions, and how recent their
+ * configuration and lists of engines are. */
 #include "examination.h"
 
 enum {
   SLOW_RESPONSE_MS = 1000,
-  /** Between two answers of a controller a router may lag for a moment: it is looked at again. */
+  /** The wait before a stale router is checked again, since it may lag for a moment between two
+   * answers of a controller. */
   SECOND_LOOK_MS = 1500,
   OLD_LIST_MS = 5000,
-  /** Fewer refused permits than this are no finding. */
+  /** Up to this many refused load permits are no finding. */
   REFUSED_PERMITS_MIN = 5
 };
 
@@ -56,12 +58,13 @@
   check_seeds(examination, node);
 }
 
-/* a router whose configuration is not confirmed, or older than that of others, twice in a row */
+/* Reports a router whose configuration is unconfirmed, or older than that of others, at two checks
+ * in a row. */
 static void check_configuration(examination *examination, const examined_node *node,
                                 double newest) {
   double version = json_number(node->status, "version", 0);
   bool confirmed = json_bool(node->status, "fresh", false);
-  /* versions are whole numbers */
+  /* Versions are whole numbers in a double; 0.5 absorbs rounding. */
   if (confirmed && version + 0.5 >= newest)
     return;
   examination_wait(examination, SECOND_LOOK_MS);
@@ -77,7 +80,7 @@
 
 static void check_router(examination *examination, const examined_node *node, double newest) {
   check_configuration(examination, node, newest);
-  /* engines register at controllers where gateways run; no platform lists them there */
+  /* In a fleet of gateways, engines register at the controllers and no platform lists them. */
   double list_ms = json_number(node->status, "listMs", -1);
   if (!node->gateway && (list_ms < 0 || list_ms > OLD_LIST_MS))
     examination_add(examination, D_ENGINE_LIST, "%s had its last list of engines %s",
--- a/lib/doctor/doctor.c
+++ b/lib/doctor/doctor.c
@@ -1,9 +1,10 @@
-/** Runs the checks: finds all processes by asking those that are known for the ones that they know,
- * fetches their pages once, and hands them to the checks. */
+/** Runs the checks: discovers all processes by asking the known ones for their peers, fetches the
+ * pages of each process once, and passes them to the checks. */
 #include "doctor.h"
 #include "examination.h"
 
-/** Of so many processes the table of peers is fetched; the others are known from those. */
+/** The table of peers is fetched from at most this many processes; any others are discovered
+ * through those tables. */
 enum { NODES_ASKED_MAX = 64 };
 
 static void add_node(examination *examination, const char *address, id self, bool is_controller,
@@ -23,7 +24,7 @@
   node->draining |= !strcmp(state, "leaving");
 }
 
-/* adds the processes that one of them knows */
+/* Adds the processes that are in the table of peers of one process. */
 static void add_peers_of(examination *examination, const char *address) {
   json *peers = examination_fetch(examination, address, "/v1/nodes", NULL);
   for (size_t i = 0; i < json_count(peers); i++) {
@@ -35,7 +36,7 @@
 }
 
 static void fetch_pages(examination *examination, guint index) {
-  /* a fetch may add nothing, but the array is not held over a wait all the same */
+  /* Copied so that no pointer into the array is held while a fetch waits. */
   char address[48];
   g_strlcpy(address, examination_node(examination, index)->address, sizeof address);
   int64_t ms;
@@ -71,7 +72,7 @@
                               g_array_new(FALSE, TRUE, sizeof(examined_node)) };
   for (int i = 0; i < count; i++)
     add_node(&examination, addresses[i], id_of_text(""), true, "");
-  /* the list grows while it is walked */
+  /* The list grows while it is iterated. */
   for (guint i = 0; i < examination.nodes->len && i < NODES_ASKED_MAX; i++) {
     char address[48];
     g_strlcpy(address, examination_node(&examination, i)->address, sizeof address);
--- a/lib/doctor/doctor.h
+++ b/lib/doctor/doctor.h
@@ -1,18 +1,18 @@
 #ifndef DOCTOR_DOCTOR_H
 #define DOCTOR_DOCTOR_H
-/** Checks of a running fleet for common faults, by the pages that its processes serve. It changes
- * nothing. `asterctl doctor` prints what it finds. */
+/** Checks a running fleet for common faults. It only reads the HTTP pages that the processes serve
+ * and changes nothing. `asterctl doctor` prints the findings. */
 #include "node.h"
 
-/** What was found: a code, evidence, and what to do next. */
+/** A fault that was found: its code, the evidence for it, and how to fix it. */
 typedef struct finding {
   /** One of enum diagnosis. */
   int code;
   char evidence[200];
-  /** A constant text. */
+  /** What to do next; a string constant. */
   const char *remedy;
 } finding;
-/** The codes of findings; docs/codes.md has the table. The numbers never change. */
+/** The codes of findings, listed in docs/codes.md. The numbers never change. */
 enum diagnosis {
   D_NO_ANSWER = 801,
   D_SEED,
@@ -37,8 +37,8 @@
   D_BUDGET,
   D_LOADS
 };
-/** Asks every process that the given ones know of, and looks for common faults. It waits for
- * responses and looks twice at what moves, so it takes some seconds; run it in a task. Gives an
- * array of finding, which the caller frees with g_array_free. */
+/** Queries every process that the given addresses know of, and checks for common faults. It waits
+ * for responses and checks changing values again before it reports them, so it takes some seconds:
+ * run it in a task. Returns an array of finding, which the caller frees with g_array_free. */
 GArray *doctor_examine(world *world, char **addresses, int count);
 #endif
--- a/lib/doctor/examination.c
+++ b/lib/doctor/examination.c
@@ -1,11 +1,11 @@
-/** What the checks share: nodes, pages and findings. */
+/** Functions that the checks share: access to nodes, pages and findings. */
 #include "examination.h"
 #include <stdarg.h>
 #include <stdio.h>
 
 enum { PAGE_TIMEOUT_MS = 2500 };
 
-/** What to do next, in the order of enum diagnosis. */
+/** The remedy of each finding, in the order of enum diagnosis. */
 static const char *const remedies[] = {
   "Is the process up? Look at its log; start it again with its settings.",
   "Put a live address into the settings' seeds before the next restart.",
@@ -53,11 +53,11 @@
   return false;
 }
 
-void examination_add(examination *examination, enum diagnosis code, const char *form, ...) {
+void examination_add(examination *examination, enum diagnosis code, const char *format, ...) {
   finding new = { .code = code, .remedy = remedies[code - D_NO_ANSWER] };
   va_list arguments;
-  va_start(arguments, form);
-  vsnprintf(new.evidence, sizeof new.evidence, form, arguments);
+  va_start(arguments, format);
+  vsnprintf(new.evidence, sizeof new.evidence, format, arguments);
   va_end(arguments);
   for (guint i = 0; i < examination->findings->len; i++) {
     const finding *known = &g_array_index(examination->findings, finding, i);
--- a/lib/policy_replay/policy_replay.c
+++ b/lib/policy_replay/policy_replay.c
@@ -1,6 +1,6 @@
 /**
- * Replays traces through eviction policies. An engine is simulated by which models are resident and
- * how much they take; loads end at once, and only their time is added up.
+ * Replays traces through eviction policies. The simulated engine consists of the resident models
+ * and the memory that they use; loads complete at once, and only their durations are summed.
  */
 #include "policy_replay.h"
 #include "event_history.h"
@@ -8,22 +8,22 @@
 #include "model_loading.h"
 
 enum {
-  /* Load time that a policy assumes before it has seen a load. */
+  /* The load time that a policy assumes before it has observed a load. */
   DEFAULT_LOAD_MS = 4000,
-  /* Only before the first request; later the clock is the trace's. */
+  /* The time before the first request; after that, the trace sets the clock. */
   START_MS = 1000000,
   NEVER = -1
 };
 
-/* Whether a policy knows the future: by how soon a model is requested again, and the oracle also by
- * its true load time. */
+/* Whether a policy knows the future. Both kinds of foresight get the exact distance to a model's
+ * next request and its exact load time; Belady's policy ranks by the first alone. */
 enum foresight { FORESIGHT_NONE, FORESIGHT_BELADY, FORESIGHT_ORACLE };
 
 typedef struct replayed_model {
   bool resident;
-  /* index of the next request for it, as of the request that is replayed */
+  /* Index of the next request for the model after the one being replayed, or NEVER. */
   int next_request;
-  /* 0: never */
+  /* 0: never unloaded */
   time_us unloaded_at;
 } replayed_model;
 
@@ -40,7 +40,7 @@
   id engine_type;
   double initial_load_ms;
   uint64_t capacity_mb, used_mb;
-  /* by the index of the trace's models */
+  /* Indexed like the models of the trace. */
   replayed_model *models;
   eviction_candidate *candidates;
   replay_result result;
@@ -62,7 +62,8 @@
   return &g_array_index(trace->requests, trace_request, i);
 }
 
-/* For each request, the index of the next one for the same model, or NEVER; to be freed. */
+/* Returns, for each request, the index of the next one for the same model, or NEVER. The caller
+ * frees the array. */
 static int *find_next_requests(const trace *trace) {
   int *next = g_new(int, trace->requests->len), *seen = g_new(int, trace->models->len);
   for (guint i = 0; i < trace->models->len; i++)
@@ -76,7 +77,7 @@
   return next;
 }
 
-/* The oracles are policies that are given exact figures. */
+/* "oracle" and "belady" are regular policies that get exact figures instead of estimates. */
 static void set_policy(replay *replay, const char *policy) {
   const char *name = policy;
   if (!strcmp(policy, "oracle")) {
@@ -123,7 +124,7 @@
   g_free(replay->candidates);
 }
 
-/* request: index of the request that is replayed. */
+/* `request` is the index of the request being replayed. */
 static eviction_candidate make_candidate(replay *replay, guint i, int request) {
   const trace_model *model = trace_model_at(replay->trace, i);
   eviction_candidate candidate = { .model = model->self, .weights_mb = model->weights_mb };
@@ -153,7 +154,7 @@
   }
 }
 
-/* Unloads the first victim of the policy; false when it names none. */
+/* Unloads the first victim that the policy selects; returns false when it selects none. */
 static bool evict_one(replay *replay, uint64_t needed_mb, int request) {
   int count = 0;
   for (guint i = 0; i < replay->trace->models->len; i++)
@@ -177,7 +178,8 @@
   replay->result.delay_ms += model->load_ms;
 }
 
-/* A model that is larger than the engine is counted and passes through without staying. */
+/* The load of a model that is larger than the engine is counted, but the model does not become
+ * resident. */
 static void load(replay *replay, int i, int request) {
   const trace_model *model = trace_model_at(replay->trace, (guint)i);
   count_load(replay, i);
--- a/lib/policy_replay/trace.c
+++ b/lib/policy_replay/trace.c
@@ -1,27 +1,27 @@
 /**
- * Makes traces of requests.
+ * Generates and parses traces of requests.
  */
 #include "trace.h"
 #include <math.h>
 #include <stdio.h>
 
 enum {
-  /* Traces begin here rather than at 0, which stands for "never" elsewhere. */
+  /* Traces start at this time and not at 0, which means "never" elsewhere. */
   TRACE_START_MS = 1000000,
-  /* The reference example has one request a second. */
+  /* The reference example has one request per second. */
   REFERENCE_INTERVAL_MS = 1000,
   REFERENCE_MODELS = 3,
   MIN_BURST = 5,
   BURST_SPREAD = 20,
   MIN_WEIGHTS_MB = 1500,
   MIN_LOAD_MS = 300,
-  /* MB that are loaded in a ms, about. */
+  /* Approximate load rate. */
   LOAD_MB_PER_MS = 8
 };
 
-/* Share of the requests during a burst that are for its model. */
+/* The share of requests during a burst that are for the burst's model. */
 static const double BURST_SHARE = 0.7;
-/* Bounds of what a line may say. */
+/* Upper bounds of the values in a line. */
 static const double MAX_WEIGHTS_MB = 1e9, MAX_AT_MS = 1e15;
 
 uint64_t splitmix64_next(uint64_t *state) {
@@ -82,8 +82,9 @@
   }
 }
 
-/* Sizes spread over a decade; load time grows with size, though not strictly. Model 0 is to be the
- * most popular one. */
+/* Sizes are spread over a factor of ten; the load time grows with size, with random variation.
+ * Model 0 becomes the most popular one, so the models are sorted when popularity depends on load
+ * time. */
 static void draw_models(trace *trace, const trace_plan *plan, uint64_t *state) {
   for (int i = 0; i < plan->model_count; i++) {
     trace_model model = { .weights_mb = (uint64_t)(MIN_WEIGHTS_MB * pow(10, random_unit(state))) };
@@ -99,7 +100,7 @@
     set_name(model_at(trace, (guint)i), i);
 }
 
-/* Cumulated weights of the Zipf distribution; to be freed. */
+/* Returns the cumulative weights of the Zipf distribution, which the caller frees. */
 static double *cumulate_weights(const trace_plan *plan) {
   double *cumulated = g_new(double, plan->model_count), total = 0;
   for (int i = 0; i < plan->model_count; i++)
@@ -158,7 +159,7 @@
          !(line->weights_mb > MAX_WEIGHTS_MB) && !(line->at_ms > MAX_AT_MS);
 }
 
-/* indexes: name -> index of the model plus one. */
+/* `indexes` maps a name to the index of its model plus one. */
 static int find_or_add_model(trace *trace, GHashTable *indexes, const trace_line *line) {
   guint known = GPOINTER_TO_UINT(g_hash_table_lookup(indexes, line->name));
   if (!known) {
@@ -170,7 +171,7 @@
   return (int)known - 1;
 }
 
-/* Reads all lines; returns the number of the first one that is malformed, or 0. */
+/* Parses all lines; returns the number of the first malformed one, or 0. */
 static int parse_lines(trace *trace, char **lines) {
   GHashTable *indexes = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
   trace_line line = { 0 };
--- a/lib/policy_replay/trace.h
+++ b/lib/policy_replay/trace.h
@@ -1,37 +1,38 @@
 #ifndef POLICY_REPLAY_TRACE_H
 #define POLICY_REPLAY_TRACE_H
 /**
- * Traces of requests for models: drawn at random, read from a file, or the example of the paper.
+ * Traces of requests for models: generated at random, parsed from text, or the example of the
+ * paper.
  */
 #include "base.h"
 
-/** A model that a trace asks for. */
+/** A model that a trace requests. */
 typedef struct trace_model {
   id self;
   uint64_t weights_mb;
   double load_ms;
 } trace_model;
 
-/** One request of a trace; the index is into its models. */
+/** One request of a trace; model_index is an index into the models of the trace. */
 typedef struct trace_request {
   time_us at;
   int model_index;
 } trace_request;
 
-/** Arrays of trace_model and of trace_request, the latter in the order of time. */
+/** Arrays of trace_model and of trace_request; the requests are sorted by time. */
 typedef struct trace {
   GArray *models, *requests;
 } trace;
 
-/** How popularity goes with load time, as in the paper's workloads. */
+/** How popularity correlates with load time, as in the paper's workloads. */
 enum popularity_relation {
   POPULARITY_INDEPENDENT,
   POPULARITY_RISES_WITH_LOAD_TIME,
   POPULARITY_FALLS_WITH_LOAD_TIME
 };
 
-/** What to draw: popularity is Zipf distributed, arrivals are Poisson, and a request starts a burst
- * for one model with burst_probability. */
+/** The parameters of a generated trace. Popularity follows a Zipf distribution, arrivals are a
+ * Poisson process, and each request starts a burst for one model with burst_probability. */
 typedef struct trace_plan {
   int model_count, request_count;
   double zipf_exponent, requests_per_s, burst_probability;
@@ -39,15 +40,15 @@
   uint64_t seed;
 } trace_plan;
 
-/** Draws a trace: the same plan and seed give the same one. To be freed with trace_free. */
+/** Generates a trace, which depends only on the plan with its seed. Free it with trace_free. */
 trace *trace_generate(const trace_plan *plan);
-/** Reads lines of "ms name weights_mb load_ms"; NULL with err set when the text is malformed. */
+/** Parses lines of "ms name weights_mb load_ms"; NULL with err set when the text is malformed. */
 trace *trace_parse(string_view text, error *err);
 /** The paper's table of 14 requests. */
 trace *trace_reference_example(void);
-/** NULL is allowed. */
+/** Frees a trace; NULL is allowed. */
 void trace_free(trace *trace);
-/** The MB of all models of a trace. */
+/** The total weights of all models of a trace, in MB. */
 uint64_t trace_total_mb(const trace *trace);
 /** The next number of the generator splitmix64. */
 uint64_t splitmix64_next(uint64_t *state);
