--- a/lib/doctor/check_gateways.c
+++ b/lib/doctor/check_gateways.c
@@ -11,14 +11,14 @@
   /* A gateway that has not yet received the list of engines knows none; that is no fault. */
   bool counts = json_bool(service, "routed", false) && json_bool(node->gateway, "told", false);
   if (counts && engines < 1)
-    examination_add(examination, D_SERVICE, "%s knows of no engine of %s, which routes lead to",
-                    node->self.text, name);
+    examination_add(examination, D_SERVICE_NO_ENGINE,
+                    "%s knows of no engine of %s, which routes lead to", node->self.text, name);
   else if (counts && json_number(service, "usable", 0) < 1)
-    examination_add(examination, D_SERVICE, "%s can use none of the %.0f engines of %s",
+    examination_add(examination, D_SERVICE_NO_ENGINE, "%s can use none of the %.0f engines of %s",
                     node->self.text, engines, name);
   if (!json_bool(service, "retryRoom", true))
-    examination_add(examination, D_BUDGET, "%s has no extra attempts left for %s", node->self.text,
-                    name);
+    examination_add(examination, D_RETRY_BUDGET, "%s has no extra attempts left for %s",
+                    node->self.text, name);
 }
 
 /* Adds one to the count of each engine that the gateway has ejected; the counts are by name. */
@@ -38,9 +38,10 @@
 static void check_gateway(examination *examination, const examined_node *node,
                           GHashTable *ejected) {
   if (json_number(node->gateway, "revision", 0) < 1)
-    examination_add(examination, D_ROUTING, "%s has no configuration of routes", node->self.text);
+    examination_add(examination, D_NO_ROUTING, "%s has no configuration of routes",
+                    node->self.text);
   if (!json_bool(node->gateway, "ready", false))
-    examination_add(examination, D_UNREADY, "%s is not ready: %s", node->self.text,
+    examination_add(examination, D_NOT_READY, "%s is not ready: %s", node->self.text,
                     json_text(node->gateway, "why", ""));
   const json *services = json_get(node->gateway, "services");
   for (size_t i = 0; i < json_count(services); i++)
@@ -48,7 +49,7 @@
   count_ejected(json_get(node->gateway, "engines"), ejected);
   double failed = json_number(node->gateway, "loadFailsInARow", 0);
   if (failed >= FAILED_LOADS_MIN)
-    examination_add(examination, D_LOADS, "%s: the last %.0f loads failed", node->self.text,
+    examination_add(examination, D_LOAD_FAILURES, "%s: the last %.0f loads failed", node->self.text,
                     failed);
 }
 
--- a/lib/doctor/check_nodes.c
+++ b/lib/doctor/check_nodes.c
@@ -37,18 +37,18 @@
     const char *address = seed->kind == JSON_STRING ? seed->text->str : "";
     const examined_node *at_seed = examination_find_node(examination, address);
     if (!at_seed || !at_seed->status)
-      examination_add(examination, D_SEED,
+      examination_add(examination, D_SEED_NO_ANSWER,
                       "nobody answers at seed %s, which nodes are to start with", address);
   }
 }
 
 static void check_process(examination *examination, const examined_node *node) {
   if (node->response_ms > SLOW_RESPONSE_MS)
-    examination_add(examination, D_CLOCK, "%s answered after %" PRId64 " ms", node->self.text,
-                    node->response_ms);
+    examination_add(examination, D_SLOW_RESPONSE, "%s answered after %" PRId64 " ms",
+                    node->self.text, node->response_ms);
   double refused = json_number(node->status, "wireOdd", 0);
   if (refused > 0)
-    examination_add(examination, D_VERSION, "%s refused %.0f messages of another wire version",
+    examination_add(examination, D_WIRE_VERSION, "%s refused %.0f messages of another wire version",
                     node->self.text, refused);
   if (node->draining)
     examination_add(examination, D_DRAINING, "%s is draining", node->self.text);
@@ -70,10 +70,10 @@
   examination_wait(examination, SECOND_LOOK_MS);
   json *again = examination_fetch(examination, node->address, "/v1/status", NULL);
   if (!confirmed && !json_bool(again, "fresh", false))
-    examination_add(examination, D_STALE, "%s has no confirmation of its version %.0f",
+    examination_add(examination, D_CONFIG_STALE, "%s has no confirmation of its version %.0f",
                     node->self.text, version);
   else if (confirmed && again && json_number(again, "version", 0) + 0.5 < newest)
-    examination_add(examination, D_STALE, "%s stays at version %.0f, others have %.0f",
+    examination_add(examination, D_CONFIG_STALE, "%s stays at version %.0f, others have %.0f",
                     node->self.text, json_number(again, "version", 0), newest);
   json_free(again);
 }
--- a/lib/doctor/doctor.h
+++ b/lib/doctor/doctor.h
@@ -15,27 +15,27 @@
 /** The codes of findings, listed in docs/codes.md. The numbers never change. */
 enum diagnosis {
   D_NO_ANSWER = 801,
-  D_SEED,
+  D_SEED_NO_ANSWER,
   D_CHAIN,
   D_VIEWS_DIFFER,
-  D_STALE,
+  D_CONFIG_STALE,
   D_NO_SINGLETON_HOLDER,
   D_RESIDENT_DIFFERS,
   D_FITS_NO_ENGINE,
   D_LOAD_RATE_LIMIT,
   D_DISK,
-  D_CLOCK,
+  D_SLOW_RESPONSE,
   D_DUPLICATE_NAME,
   D_ENGINE_LIST,
-  D_VERSION,
+  D_WIRE_VERSION,
   D_DRAINING,
-  D_ROUTING,
-  D_SERVICE,
-  D_UNREADY,
+  D_NO_ROUTING,
+  D_SERVICE_NO_ENGINE,
+  D_NOT_READY,
   D_ENGINE_EJECTED,
   D_NO_LOAD_RATE_LIMITER,
-  D_BUDGET,
-  D_LOADS
+  D_RETRY_BUDGET,
+  D_LOAD_FAILURES
 };
 /** Queries every process that the given addresses know of, and checks for common faults. It waits
  * for responses and checks changing values again before it reports them, so it takes some seconds:
--- a/tests/doctor/doctor.c
+++ b/tests/doctor/doctor.c
@@ -22,7 +22,7 @@
   sim_run(fleet->sim, time_from_ms(NOTICED_MS));
   scenario_expect_diagnosis(fleet, D_CHAIN, "a lost controller");
   scenario_expect_diagnosis(fleet, D_NO_ANSWER, "a lost controller");
-  scenario_expect_diagnosis(fleet, D_SEED, "a lost seed");
+  scenario_expect_diagnosis(fleet, D_SEED_NO_ANSWER, "a lost seed");
   host_start(fleet->controller[2]);
   return scenario_wait_for_chain(fleet, 3, 15000);
 }
@@ -38,7 +38,7 @@
   for (int i = 1; i < fleet->routers; i++)
     sim_set_partition_both_ways(fleet->sim, router, fleet->router[i]->self.text, true);
   sim_run(fleet->sim, time_from_ms(NOTICED_MS));
-  scenario_expect_diagnosis(fleet, D_STALE, "a router cut off");
+  scenario_expect_diagnosis(fleet, D_CONFIG_STALE, "a router cut off");
   sim_heal_partitions(fleet->sim);
   sim_run(fleet->sim, time_from_ms(6000));
 }
@@ -84,7 +84,7 @@
 
 static bool diagnose_slow_links(fleet *fleet) {
   fleet->sim->delay_ms = 300;
-  scenario_expect_diagnosis(fleet, D_CLOCK, "slow answers");
+  scenario_expect_diagnosis(fleet, D_SLOW_RESPONSE, "slow answers");
   fleet->sim->delay_ms = 1;
   sim_run(fleet->sim, time_from_ms(8000));
   return scenario_wait_for_chain(fleet, 3, 15000);
@@ -138,7 +138,7 @@
 
 static void diagnose_refused_messages(fleet *fleet) {
   fleet->router[2]->router->node.rpc.refused_wire_versions = 3;
-  scenario_expect_diagnosis(fleet, D_VERSION, "messages of another version");
+  scenario_expect_diagnosis(fleet, D_WIRE_VERSION, "messages of another version");
 }
 
 static void diagnose_starved_loads(fleet *fleet) {
--- a/tests/doctor/operators.c
+++ b/tests/doctor/operators.c
@@ -106,8 +106,8 @@
   list_for_each (h, &deployment->sim->hosts, host, link)
     host_start(h);
   sim_run(deployment->sim, time_from_ms(4000));
-  scenario_expect_diagnosis(fleet, D_ROUTING, "no configuration");
-  scenario_expect_diagnosis(fleet, D_UNREADY, "no configuration");
+  scenario_expect_diagnosis(fleet, D_NO_ROUTING, "no configuration");
+  scenario_expect_diagnosis(fleet, D_NOT_READY, "no configuration");
   char *text = deployment_config(deployment, 1, NULL);
   if (!deployment_put_config(deployment, 1, 0, text, true)->acked_at.us)
     fleet_add_violation(fleet, "the first configuration was not taken");
@@ -122,7 +122,7 @@
   for (size_t i = 4; i < 6; i++)
     host_kill(deployment->engine_processes[i]->host);
   sim_run(deployment->sim, time_from_ms(12000));
-  scenario_expect_diagnosis(fleet, D_SERVICE, "a service without an engine");
+  scenario_expect_diagnosis(fleet, D_SERVICE_NO_ENGINE, "a service without an engine");
   for (size_t i = 4; i < 6; i++)
     host_start(deployment->engine_processes[i]->host);
   sim_run(deployment->sim, time_from_ms(5000));
@@ -144,7 +144,7 @@
     deployment->client->rate_factor = 6;
     sim_run(deployment->sim, time_from_ms(1000));
   }
-  scenario_expect_diagnosis(deployment->fleet, D_BUDGET, "responses that are cut off");
+  scenario_expect_diagnosis(deployment->fleet, D_RETRY_BUDGET, "responses that are cut off");
   for (size_t i = 0; i < 6; i++)
     deployment->engine_processes[i]->plan.faults.truncate_responses = 0;
   deployment->client->rate_factor = 0.5;
@@ -156,7 +156,7 @@
   fleet *fleet = deployment->fleet;
   deployment_terminate_gateway(deployment, deployment->gateway_processes[0]);
   sim_run(deployment->sim, time_from_ms(200));
-  scenario_expect_diagnosis(fleet, D_UNREADY, "a gateway that drains");
+  scenario_expect_diagnosis(fleet, D_NOT_READY, "a gateway that drains");
   sim_run(deployment->sim, time_from_ms(GRACE_S * 1000));
   if (!fleet->router[0]->alive)
     host_start(fleet->router[0]);
@@ -177,7 +177,7 @@
       fails |= fleet->router[i]->alive &&
                deployment->gateway_processes[i]->gateway->consecutive_load_failures >= 3;
   }
-  scenario_expect_diagnosis(fleet, D_LOADS, "loads that fail");
+  scenario_expect_diagnosis(fleet, D_LOAD_FAILURES, "loads that fail");
   for (size_t i = 0; i < 4; i++)
     deployment->engine_processes[i]->plan.faults.drop_orders = 0;
 }
