--- a/lib/doctor/check_controllers.c
+++ b/lib/doctor/check_controllers.c
@@ -3,7 +3,7 @@
 
 enum { CHAIN_MEMBERS_EXPECTED = 3, SLOW_WRITE_MS = 500 };
 /** When the state fills more than this share of a log file, little space is left for writes. */
-static const double full_log_file = 0.6;
+static const double log_file_fill_max = 0.6;
 
 static void check_disk(examination *examination, const examined_node *node) {
   const json *disk = json_get(node->status, "disk");
@@ -13,7 +13,7 @@
   else if (write_ms > SLOW_WRITE_MS)
     examination_add(examination, D_DISK, "%s: the last write took %.0f ms", node->self.text,
                     write_ms);
-  if (fill > full_log_file)
+  if (fill > log_file_fill_max)
     examination_add(examination, D_DISK, "%s: the state fills %.0f %% of a log file",
                     node->self.text, 100 * fill);
 }
--- a/lib/doctor/check_engines.c
+++ b/lib/doctor/check_engines.c
@@ -4,22 +4,22 @@
 #include "examination.h"
 
 enum {
-  OLD_REPORT_MS = 3000,
+  ENGINE_REPORT_AGE_MAX_MS = 3000,
   /** Resident models change all the time, so a difference counts only when it is seen at each of
    * this many checks in a row. */
-  RESIDENT_LOOKS = 3,
-  RESIDENT_LOOK_MS = 700
+  RESIDENT_CHECKS = 3,
+  RESIDENT_CHECK_INTERVAL_MS = 700
 };
 
-static bool same_member(const json *a, const json *b, const char *key) {
+static bool has_same_text(const json *a, const json *b, const char *key) {
   return !strcmp(json_text(a, key, ""), json_text(b, key, ""));
 }
 
 static bool contains_resident(const json *residents, const json *resident) {
   for (size_t i = 0; i < json_count(residents); i++) {
     const json *other = json_at(residents, i);
-    if (same_member(resident, other, "model") && same_member(resident, other, "adapter") &&
-        same_member(resident, other, "state"))
+    if (has_same_text(resident, other, "model") && has_same_text(resident, other, "adapter") &&
+        has_same_text(resident, other, "state"))
       return true;
   }
   return false;
@@ -54,10 +54,10 @@
 /* True when an engine's own report differs from what the router believes at every check. */
 static bool residents_differ(const examination *examination, const char *router, const char *engine,
                              const char *address) {
-  for (int look = 0; look < RESIDENT_LOOKS; look++) {
+  for (int check = 0; check < RESIDENT_CHECKS; check++) {
     if (residents_agree(examination, router, engine, address))
       return false;
-    if (!world_sleep(examination->world, time_from_ms(RESIDENT_LOOK_MS)))
+    if (!world_sleep(examination->world, time_from_ms(RESIDENT_CHECK_INTERVAL_MS)))
       return false;
   }
   return true;
@@ -71,7 +71,7 @@
     examination_add(examination, D_NO_SINGLETON_HOLDER, "the lease on %s is held by %s", name,
                     holder[0] ? holder : "nobody");
   double report_ms = json_number(engine, "heardMs", -1);
-  if (report_ms < 0 || report_ms > OLD_REPORT_MS)
+  if (report_ms < 0 || report_ms > ENGINE_REPORT_AGE_MAX_MS)
     examination_add(examination, D_NO_ANSWER, "%s at %s gives no report", name, address);
   else if (json_bool(engine, "odd", false))
     examination_add(examination, D_RESIDENT_DIFFERS, "the report of %s is malformed", name);
--- a/lib/doctor/check_nodes.c
+++ b/lib/doctor/check_nodes.c
@@ -6,10 +6,10 @@
   SLOW_RESPONSE_MS = 1000,
   /** The wait before a stale router is checked again, since it may lag for a moment between two
    * answers of a controller. */
-  SECOND_LOOK_MS = 1500,
-  OLD_LIST_MS = 5000,
+  RECHECK_DELAY_MS = 1500,
+  ENGINE_LIST_AGE_MAX_MS = 5000,
   /** Up to this many refused load permits are no finding. */
-  REFUSED_PERMITS_MIN = 5
+  REFUSED_PERMITS_TOLERATED = 5
 };
 
 static double newest_version(const examination *examination) {
@@ -67,7 +67,7 @@
   /* Versions are whole numbers in a double; 0.5 absorbs rounding. */
   if (confirmed && version + 0.5 >= newest)
     return;
-  examination_wait(examination, SECOND_LOOK_MS);
+  examination_wait(examination, RECHECK_DELAY_MS);
   json *again = examination_fetch(examination, node->address, "/v1/status", NULL);
   if (!confirmed && !json_bool(again, "fresh", false))
     examination_add(examination, D_CONFIG_STALE, "%s has no confirmation of its version %.0f",
@@ -82,12 +82,12 @@
   check_configuration(examination, node, newest);
   /* In a fleet of gateways, engines register at the controllers and no platform lists them. */
   double list_ms = json_number(node->status, "listMs", -1);
-  if (!node->gateway && (list_ms < 0 || list_ms > OLD_LIST_MS))
+  if (!node->gateway && (list_ms < 0 || list_ms > ENGINE_LIST_AGE_MAX_MS))
     examination_add(examination, D_ENGINE_LIST, "%s had its last list of engines %s",
                     node->self.text, list_ms < 0 ? "never" : "over 5 s ago");
   double refused = json_number(node->status, "paceFull", 0),
          granted = json_number(node->status, "paceGiven", 0);
-  if (refused > REFUSED_PERMITS_MIN && refused > granted)
+  if (refused > REFUSED_PERMITS_TOLERATED && refused > granted)
     examination_add(examination, D_LOAD_RATE_LIMIT,
                     "%s refused %.0f load permits lately and granted %.0f", node->self.text,
                     refused, granted);
--- a/lib/doctor/doctor.c
+++ b/lib/doctor/doctor.c
@@ -5,7 +5,7 @@
 
 /** The table of peers is fetched from at most this many processes; any others are discovered
  * through those tables. */
-enum { NODES_ASKED_MAX = 64 };
+enum { NODES_QUERIED_MAX = 64 };
 
 static void add_node(examination *examination, const char *address, id self, bool is_controller,
                      const char *state) {
@@ -73,7 +73,7 @@
   for (int i = 0; i < count; i++)
     add_node(&examination, addresses[i], id_of_text(""), true, "");
   /* The list grows while it is iterated. */
-  for (guint i = 0; i < examination.nodes->len && i < NODES_ASKED_MAX; i++) {
+  for (guint i = 0; i < examination.nodes->len && i < NODES_QUERIED_MAX; i++) {
     char address[48];
     g_strlcpy(address, examination_node(&examination, i)->address, sizeof address);
     add_peers_of(&examination, address);
