--- a/bin/asterfall-emulate.c
+++ b/bin/asterfall-emulate.c
@@ -36,9 +36,9 @@
   /** 0: not given. */
   uint64_t against_seed;
   int day_count;
-  bool json, log, without_own_troubles;
+  bool json, log, without_day_faults;
   /** The faults to add, as given with --trouble; elements are of type const char *. */
-  GPtrArray *troubles;
+  GPtrArray *faults;
   /** 0: not given. */
   double rate_factor, duration_s;
 };
@@ -110,10 +110,10 @@
     options->against_policy = value;
     return 0;
   case 't':
-    g_ptr_array_add(options->troubles, value);
+    g_ptr_array_add(options->faults, value);
     return 0;
   case 'c':
-    options->without_own_troubles = true;
+    options->without_day_faults = true;
     return 0;
   case 'r':
     options->rate_factor = parse_number("--rate", value, rate_factor_min, rate_factor_max, state);
@@ -179,15 +179,15 @@
 /** Applies the command line to a day. Returns a code other than OK, with err set, on failure. */
 static enum error_code change_day(day *day, const struct options *options, const char *policy,
                                   error *err) {
-  if (options->without_own_troubles)
+  if (options->without_day_faults)
     day->fault_count = 0;
   if (options->duration_s > 0)
     set_duration(day, options->duration_s);
   if (options->rate_factor > 0)
     day->rate_factor *= options->rate_factor;
   enum error_code code = policy ? (enum error_code)day_set_eviction(day, policy, err) : OK;
-  for (guint i = 0; i < options->troubles->len && code == OK; i++)
-    code = day_add_fault(day, g_ptr_array_index(options->troubles, i), err);
+  for (guint i = 0; i < options->faults->len && code == OK; i++)
+    code = day_add_fault(day, g_ptr_array_index(options->faults, i), err);
   return code;
 }
 
@@ -383,13 +383,13 @@
 }
 
 int main(int argc, char **argv) {
-  struct options options = { .first_seed = 1, .troubles = g_ptr_array_new() };
+  struct options options = { .first_seed = 1, .faults = g_ptr_array_new() };
   struct argp parser = { .options = option_table, .parser = parse, .args_doc = "DAY", .doc = help };
   argp_err_exit_status = PROGRAM_EXIT_NOT_STARTED;
   argp_parse(&parser, argc, argv, 0, NULL, &options);
   if (!options.day_count)
     options.day_count = has_two_sides(&options) ? DAYS_DEFAULT_OF_COMPARISON : DAYS_DEFAULT;
   enum program_exit exit_code = run(&options);
-  g_ptr_array_free(options.troubles, TRUE);
+  g_ptr_array_free(options.faults, TRUE);
   return exit_code;
 }
--- a/bin/asterfall-loadgen.c
+++ b/bin/asterfall-loadgen.c
@@ -27,7 +27,7 @@
   double requests_per_s, request_count, duration_s, zipf_exponent;
   /** How many times a caller repeats a rejected request after the wait that Retry-After asks for.
    */
-  int retry_count;
+  int retries_max;
 };
 
 static const struct options defaults = { .ip = "127.0.0.1",
@@ -69,7 +69,7 @@
     options->attempt_log_file = value;
     return 0;
   case 't':
-    options->retry_count = atoi(value);
+    options->retries_max = atoi(value);
     return 0;
   case 'r':
     options->requests_per_s = atof(value);
@@ -128,7 +128,7 @@
   g_strfreev(routers);
   loadgen->plan.requests_per_s = options->requests_per_s;
   loadgen->plan.zipf_exponent = options->zipf_exponent;
-  loadgen->plan.attempts_max = options->retry_count;
+  loadgen->plan.attempts_max = options->retries_max;
 }
 
 /** The argument of the task that ends the run. */
