--- a/lib/cli/canary_command.c
+++ b/lib/cli/canary_command.c
@@ -66,7 +66,7 @@
 /** Queries one gateway, and prints its interim verdict if it is the judge. */
 static void survey_gateway(const struct command_context *context, const json *node,
                            struct canary_survey *survey) {
-  json *gateway = control_page(context, json_text(node, "addr", ""), "/v1/gateway");
+  json *gateway = control_fetch_page(context, json_text(node, "addr", ""), "/v1/gateway");
   const json *canary = json_get(gateway, "canary");
   const json *arms = json_get(canary, "sides");
   survey->gateway_count += gateway != NULL;
@@ -112,8 +112,8 @@
 }
 
 static enum exit_code print_status(const struct command_context *context) {
-  json *resource = control_page_from_any(context, "/v1/canary");
-  json *nodes = control_page_from_any(context, "/v1/nodes");
+  json *resource = control_fetch_page_from_any(context, "/v1/canary");
+  json *nodes = control_fetch_page_from_any(context, "/v1/nodes");
   const json *canary = json_get(resource, "value");
   enum exit_code exit_code = EXIT_CODE_OK;
   if (!resource || !nodes) {
--- a/lib/cli/control_client.c
+++ b/lib/cli/control_client.c
@@ -93,7 +93,7 @@
   }
 }
 
-enum exit_code control_no_answer(const struct command_context *context) {
+enum exit_code control_report_no_answer(const struct command_context *context) {
   asterctl_error("no process at %s answers", context->options.addresses);
   return EXIT_CODE_NO_ANSWER;
 }
@@ -101,7 +101,7 @@
 enum exit_code control_print_response(const struct command_context *context, int status,
                                       const GString *body) {
   if (status == HTTP_STATUS_NO_ANSWER)
-    return control_no_answer(context);
+    return control_report_no_answer(context);
   if (body->len) {
     FILE *stream = status == HTTP_STATUS_OK ? stdout : stderr;
     bool ends_with_line_feed = body->str[body->len - 1] == '\n';
@@ -113,7 +113,8 @@
   return control_exit_code(status);
 }
 
-json *control_page(const struct command_context *context, const char *address, const char *path) {
+json *control_fetch_page(const struct command_context *context, const char *address,
+                         const char *path) {
   GString *body = g_string_new(NULL);
   error err = { 0 };
   int status = http_call_fetch(context->world, address, "GET", path, NULL, string_view_of(""), body,
@@ -123,11 +124,11 @@
   return page;
 }
 
-json *control_page_from_any(const struct command_context *context, const char *path) {
+json *control_fetch_page_from_any(const struct command_context *context, const char *path) {
   char **addresses = g_strsplit(context->options.addresses, ",", -1);
   json *page = NULL;
   for (char **address = addresses; *address && !page; address++)
-    page = control_page(context, *address, path);
+    page = control_fetch_page(context, *address, path);
   g_strfreev(addresses);
   return page;
 }
--- a/lib/cli/control_client.h
+++ b/lib/cli/control_client.h
@@ -56,14 +56,15 @@
 enum exit_code control_print_response(const struct command_context *context, int status,
                                       const GString *body);
 /** Prints that no address answers. Returns EXIT_CODE_NO_ANSWER. */
-enum exit_code control_no_answer(const struct command_context *context);
+enum exit_code control_report_no_answer(const struct command_context *context);
 
 /** Fetches a page of one process as JSON, in one attempt. The caller frees it; NULL when that
  * fails.
  */
-json *control_page(const struct command_context *context, const char *address, const char *path);
+json *control_fetch_page(const struct command_context *context, const char *address,
+                         const char *path);
 /** Fetches a page from the first address of the command line that returns it. */
-json *control_page_from_any(const struct command_context *context, const char *path);
+json *control_fetch_page_from_any(const struct command_context *context, const char *path);
 
 /** True when an entry of /v1/nodes is a node that membership has declared dead or that has left. */
 bool node_is_gone(const json *node);
--- a/lib/cli/gateways_command.c
+++ b/lib/cli/gateways_command.c
@@ -23,7 +23,7 @@
 
 /** Prints the row of a router. Returns false when it returns no gateway page. */
 static bool print_router(const struct command_context *context, const json *node) {
-  json *gateway = control_page(context, json_text(node, "addr", ""), "/v1/gateway");
+  json *gateway = control_fetch_page(context, json_text(node, "addr", ""), "/v1/gateway");
   bool answered = gateway != NULL;
   if (answered)
     print_gateway(node, gateway);
@@ -34,9 +34,9 @@
 }
 
 enum exit_code gateways_command_run(const struct command_context *context) {
-  json *nodes = control_page_from_any(context, "/v1/nodes");
+  json *nodes = control_fetch_page_from_any(context, "/v1/nodes");
   if (!nodes)
-    return control_no_answer(context);
+    return control_report_no_answer(context);
   printf("%-12s %-9s %9s %9s %9s %9s %8s %8s %6s  %s\n", "GATEWAY", "READY", "REVISION", "REQUESTS",
          "SERVED", "REFUSED", "RETRIES", "ENGINES", "OPEN", "ADDRESS");
   int answered = 0;
--- a/lib/cli/record_command.c
+++ b/lib/cli/record_command.c
@@ -47,9 +47,9 @@
   struct recording recording = { g_array_new(FALSE, TRUE, sizeof(struct routed_request)), NULL };
   char **addresses = g_strsplit(context->options.addresses, ",", -1);
   for (char **address = addresses; *address; address++) {
-    json *journal = control_page(context, *address, "/v1/journal");
+    json *journal = control_fetch_page(context, *address, "/v1/journal");
     if (!recording.catalogue)
-      recording.catalogue = control_page(context, *address, "/v1/catalogue");
+      recording.catalogue = control_fetch_page(context, *address, "/v1/catalogue");
     add_routed(recording.requests, journal);
     json_free(journal);
   }
--- a/lib/cli/resource_wait.c
+++ b/lib/cli/resource_wait.c
@@ -23,7 +23,7 @@
 /** True when a node has this version or a later one in force. */
 static bool node_has_version(const struct command_context *context, const json *node,
                              uint64_t version) {
-  json *status = control_page(context, json_text(node, "addr", ""), "/v1/status");
+  json *status = control_fetch_page(context, json_text(node, "addr", ""), "/v1/status");
   bool has_version = status && json_number(status, "version", 0) >= (double)version;
   json_free(status);
   return has_version;
@@ -32,7 +32,7 @@
 /** Polls every live node once. */
 static void poll_nodes(const struct command_context *context, uint64_t version,
                        struct in_force_poll *poll) {
-  json *nodes = control_page_from_any(context, "/v1/nodes");
+  json *nodes = control_fetch_page_from_any(context, "/v1/nodes");
   poll->has_nodes = nodes != NULL;
   for (size_t i = 0; i < json_count(nodes); i++) {
     const json *node = json_at(nodes, i);
--- a/lib/cli/status_command.c
+++ b/lib/cli/status_command.c
@@ -26,7 +26,7 @@
 
 static void print_node(const struct command_context *context, const json *node) {
   const char *address = json_text(node, "addr", "");
-  json *status = node_is_gone(node) ? NULL : control_page(context, address, "/v1/status");
+  json *status = node_is_gone(node) ? NULL : control_fetch_page(context, address, "/v1/status");
   char version[VERSION_TEXT_SIZE] = "-";
   if (status)
     snprintf(version, sizeof version, "%.0f", json_number(status, "version", 0));
@@ -37,11 +37,11 @@
 }
 
 enum exit_code status_command_run(const struct command_context *context) {
-  json *view = control_page_from_any(context, "/v1/view");
-  json *nodes = control_page_from_any(context, "/v1/nodes");
+  json *view = control_fetch_page_from_any(context, "/v1/view");
+  json *nodes = control_fetch_page_from_any(context, "/v1/nodes");
   if (!nodes) {
     json_free(view);
-    return control_no_answer(context);
+    return control_report_no_answer(context);
   }
   if (view)
     print_view(view);
