--- a/bin/asterfall-loadgen.c
+++ b/bin/asterfall-loadgen.c
@@ -231,7 +231,7 @@
   config *config = make_config(catalogue, options.policy_file, &err);
   g_string_free(catalogue, TRUE);
   if (!config) {
-    program_report(program_name, &err);
+    program_report_error(program_name, &err);
     return PROGRAM_EXIT_NOT_STARTED;
   }
   enum program_exit exit_code = generate_load(&options, config);
--- a/bin/asterfall-platform-sim.c
+++ b/bin/asterfall-platform-sim.c
@@ -68,7 +68,7 @@
   json *engines = json_parse(string_view_of_gstring(text), &err);
   g_string_free(text, TRUE);
   if (!engines) {
-    program_report(program_name, &err);
+    program_report_error(program_name, &err);
     return PROGRAM_EXIT_NOT_STARTED;
   }
   enum program_exit exit_code = serve(&options, engines);
--- a/lib/cli/program.c
+++ b/lib/cli/program.c
@@ -13,7 +13,7 @@
   va_end(arguments);
 }
 
-void program_report(const char *program, const error *err) {
+void program_report_error(const char *program, const error *err) {
   program_error(program, "%s (code %d)", err->text, err->code);
 }
 
@@ -31,7 +31,7 @@
   error err = { 0 };
   world *world = real_world_new(settings, &err);
   if (!world)
-    program_report(program, &err);
+    program_report_error(program, &err);
   return world;
 }
 
--- a/lib/cli/program.h
+++ b/lib/cli/program.h
@@ -18,7 +18,7 @@
 void program_error(const char *program, const char *format, ...)
     __attribute__((format(printf, 2, 3)));
 /** Prints an error on standard error as "PROGRAM: TEXT (code N)". */
-void program_report(const char *program, const error *err);
+void program_report_error(const char *program, const error *err);
 
 /** Reads a file. The caller frees the text with g_string_free; NULL when it can't be read. */
 GString *program_read_file(const char *path);
--- a/lib/cli/resource_write.c
+++ b/lib/cli/resource_write.c
@@ -5,7 +5,7 @@
 #include <stdio.h>
 
 /** DRAWN_KEY_SIZE has room for "asterctl-" and 16 hexadecimal digits. */
-enum { DRAWN_KEY_SIZE = 40, INPUT_CHUNK_SIZE = 4096 };
+enum { RANDOM_KEY_SIZE = 40, INPUT_CHUNK_SIZE = 4096 };
 
 bool resource_name_is_valid(const char *name) {
   for (int i = 0; i < RESOURCE_COUNT; i++)
@@ -17,14 +17,14 @@
 /** Sets the header fields of a write. Free them with http_headers_free. */
 static void set_write_headers(const struct command_context *context, http_headers *headers,
                               const char *if_version) {
-  char drawn_key[DRAWN_KEY_SIZE];
+  char random_key[RANDOM_KEY_SIZE];
   uint64_t number = context->world->random(context->world);
-  snprintf(drawn_key, sizeof drawn_key, "asterctl-%016" PRIx64, number);
+  snprintf(random_key, sizeof random_key, "asterctl-%016" PRIx64, number);
   const char *given_key = context->options.idempotency_key;
   http_headers_set(headers, HEADER_CONTENT_TYPE, "application/json");
   if (if_version)
     http_headers_set(headers, HEADER_IF_MATCH, if_version);
-  http_headers_set(headers, HEADER_IDEMPOTENCY_KEY, given_key ? given_key : drawn_key);
+  http_headers_set(headers, HEADER_IDEMPOTENCY_KEY, given_key ? given_key : random_key);
 }
 
 /** Waits until the write that a response acknowledges is in force. */
--- a/lib/cli/trial_command.c
+++ b/lib/cli/trial_command.c
@@ -20,7 +20,7 @@
 static const char expression_prefix[] = "expr:";
 
 /** Where the traces come from. */
-enum trace_source { TRACE_DRAWN, TRACE_FROM_FILE, TRACE_REFERENCE_EXAMPLE };
+enum trace_source { TRACE_GENERATED, TRACE_FROM_FILE, TRACE_REFERENCE_EXAMPLE };
 
 /** The measures taken of each policy on each trace. */
 enum measure {
@@ -48,14 +48,14 @@
 static void trial_init(struct trial *trial, const struct asterctl_options *options) {
   const char *policies = options->policies;
   *trial = (struct trial){ .options = options };
-  trial->source = TRACE_DRAWN;
+  trial->source = TRACE_GENERATED;
   if (!strcmp(asterctl_options_word(options, 1), "table"))
     trial->source = TRACE_REFERENCE_EXAMPLE;
   else if (options->file)
     trial->source = TRACE_FROM_FILE;
   trial->policies = g_strsplit(policies, strchr(policies, ';') ? ";" : ",", -1);
   trial->policy_count = (int)g_strv_length(trial->policies);
-  trial->trace_count = trial->source == TRACE_DRAWN ? options->trace_count : 1;
+  trial->trace_count = trial->source == TRACE_GENERATED ? options->trace_count : 1;
 }
 
 /** Allocates the results; trace_count must be valid. */
