--- a/lib/cli/resource_write.c
+++ b/lib/cli/resource_write.c
@@ -4,7 +4,7 @@
 #include "program.h"
 #include <stdio.h>
 
-/** DRAWN_KEY_SIZE has room for "asterctl-" and 16 hexadecimal digits. */
+/** RANDOM_KEY_SIZE has room for "asterctl-" and 16 hexadecimal digits. */
 enum { RANDOM_KEY_SIZE = 40, INPUT_CHUNK_SIZE = 4096 };
 
 bool resource_name_is_valid(const char *name) {
--- a/tests/doctor/doctor.c
+++ b/tests/doctor/doctor.c
@@ -1,11 +1,12 @@
-/** Tests of lib/doctor/doctor.c: each fault of a fleet gets its diagnosis, and a fleet without one
- * gets none. Fleet: three controllers, five routers, four engines.
+/** Tests of lib/doctor in a fleet of routers: each injected fault is reported with its code, and a
+ * healthy fleet has no findings. The fleet has three controllers, five routers and four engines.
  */
 #include "doctor.h"
 #include "scenario.h"
 #include "tests.h"
 
-/* time in ms until peers declare a lost process gone, or a configuration was synced everywhere */
+/* Time in ms after which peers have declared a killed process gone, or a configuration has reached
+ * all nodes. */
 enum { NOTICED_MS = 5000 };
 
 static bool put_empty_evacuation(fleet *fleet) {
@@ -20,9 +21,9 @@
 static bool diagnose_lost_controller(fleet *fleet) {
   host_kill(fleet->controller[2]);
   sim_run(fleet->sim, time_from_ms(NOTICED_MS));
-  scenario_expect_diagnosis(fleet, D_CHAIN, "a lost controller");
-  scenario_expect_diagnosis(fleet, D_NO_ANSWER, "a lost controller");
-  scenario_expect_diagnosis(fleet, D_SEED_NO_ANSWER, "a lost seed");
+  scenario_expect_diagnosis(fleet, D_CHAIN, "a killed controller");
+  scenario_expect_diagnosis(fleet, D_NO_ANSWER, "a killed controller");
+  scenario_expect_diagnosis(fleet, D_SEED_NO_ANSWER, "a killed seed");
   host_start(fleet->controller[2]);
   return scenario_wait_for_chain(fleet, 3, 15000);
 }
@@ -33,12 +34,13 @@
   for (int i = 0; i < 3; i++)
     sim_set_partition_both_ways(fleet->sim, router, fleet->controller[i]->self.text, true);
   sim_run(fleet->sim, time_from_ms(NOTICED_MS));
-  scenario_expect_diagnosis(fleet, 0,
-                            "a router cut off from the controllers alone, which others confirm");
+  scenario_expect_diagnosis(
+      fleet, 0,
+      "a router partitioned from the controllers only, whose peers confirm its configuration");
   for (int i = 1; i < fleet->routers; i++)
     sim_set_partition_both_ways(fleet->sim, router, fleet->router[i]->self.text, true);
   sim_run(fleet->sim, time_from_ms(NOTICED_MS));
-  scenario_expect_diagnosis(fleet, D_CONFIG_STALE, "a router cut off");
+  scenario_expect_diagnosis(fleet, D_CONFIG_STALE, "an isolated router");
   sim_heal_partitions(fleet->sim);
   sim_run(fleet->sim, time_from_ms(6000));
 }
@@ -48,7 +50,7 @@
     sim_set_partition_both_ways(fleet->sim, fleet->controller[0]->self.text,
                                 fleet->controller[i]->self.text, true);
   sim_run(fleet->sim, time_from_ms(NOTICED_MS));
-  scenario_expect_diagnosis(fleet, D_VIEWS_DIFFER, "controllers cut in two");
+  scenario_expect_diagnosis(fleet, D_VIEWS_DIFFER, "partitioned controllers");
   sim_heal_partitions(fleet->sim);
   return scenario_wait_for_chain(fleet, 3, 15000);
 }
@@ -57,7 +59,7 @@
   sim_run(fleet->sim, time_from_ms(8000));
   host *holder = fleet_find_lease_holder(fleet, "engine:engine-1");
   host_kill(holder);
-  scenario_expect_diagnosis(fleet, D_NO_SINGLETON_HOLDER, "a lost holder");
+  scenario_expect_diagnosis(fleet, D_NO_SINGLETON_HOLDER, "a killed lease holder");
   host_start(holder);
   sim_run(fleet->sim, time_from_ms(12000));
 }
@@ -77,14 +79,14 @@
 static void diagnose_lost_platform(fleet *fleet) {
   host_kill(fleet->platform);
   sim_run(fleet->sim, time_from_ms(8000));
-  scenario_expect_diagnosis(fleet, D_ENGINE_LIST, "no platform");
+  scenario_expect_diagnosis(fleet, D_ENGINE_LIST, "a killed platform");
   host_start(fleet->platform);
   sim_run(fleet->sim, time_from_ms(3000));
 }
 
 static bool diagnose_slow_links(fleet *fleet) {
   fleet->sim->delay_ms = 300;
-  scenario_expect_diagnosis(fleet, D_SLOW_RESPONSE, "slow answers");
+  scenario_expect_diagnosis(fleet, D_SLOW_RESPONSE, "slow links");
   fleet->sim->delay_ms = 1;
   sim_run(fleet->sim, time_from_ms(8000));
   return scenario_wait_for_chain(fleet, 3, 15000);
@@ -96,12 +98,13 @@
   g_strlcpy(twin->settings.address, twin->addr, sizeof twin->settings.address);
   host_start(twin);
   sim_run(fleet->sim, time_from_ms(12000));
-  scenario_expect_diagnosis(fleet, D_DUPLICATE_NAME, "two of one name");
+  scenario_expect_diagnosis(fleet, D_DUPLICATE_NAME, "two processes with one name");
   host_kill(twin);
   sim_run(fleet->sim, time_from_ms(9000));
 }
 
-/* routers believe that an engine unloads its models, and its reports start again from the first */
+/* The routers believe that an engine unloads its models, and they ignore its reports because their
+ * sequence numbers start again at 0. */
 static void diagnose_wrong_residents(fleet *fleet) {
   engine_sim *reporter = fleet->engine[0]->engine;
   reporter->faults.stale_reports = true;
@@ -114,7 +117,8 @@
   }
   reporter->faults.stale_reports = false;
   reporter->report_sequence = 0;
-  scenario_expect_diagnosis(fleet, D_RESIDENT_DIFFERS, "an engine whose reports went back");
+  scenario_expect_diagnosis(fleet, D_RESIDENT_DIFFERS,
+                            "an engine whose reports went back in sequence");
   host_kill(fleet->engine[0]);
   sim_run(fleet->sim, time_from_ms(500));
   host_start(fleet->engine[0]);
@@ -124,7 +128,7 @@
 static void diagnose_draining_router(fleet *fleet) {
   router_drain(fleet->router[1]->router);
   sim_run(fleet->sim, time_from_ms(1000));
-  scenario_expect_diagnosis(fleet, D_DRAINING, "a router that drains");
+  scenario_expect_diagnosis(fleet, D_DRAINING, "a draining router");
 }
 
 static void diagnose_model_that_fits_nowhere(fleet *fleet) {
@@ -133,12 +137,12 @@
       "{\"models\":[{\"id\":\"m0\",\"weightsMb\":100},{\"id\":\"huge\",\"weightsMb\":900000}],\"adapters\":[]}",
       NULL, NULL, time_from_ms(5000));
   operator_call_free(call);
-  scenario_expect_diagnosis(fleet, D_FITS_NO_ENGINE, "a model that fits nowhere");
+  scenario_expect_diagnosis(fleet, D_FITS_NO_ENGINE, "a model larger than every engine");
 }
 
 static void diagnose_refused_messages(fleet *fleet) {
   fleet->router[2]->router->node.rpc.refused_wire_versions = 3;
-  scenario_expect_diagnosis(fleet, D_WIRE_VERSION, "messages of another version");
+  scenario_expect_diagnosis(fleet, D_WIRE_VERSION, "refused messages of another wire version");
 }
 
 static void diagnose_starved_loads(fleet *fleet) {
@@ -147,7 +151,8 @@
     return;
   router *router = holder->router;
   router->permits.refused_recently = router->permits.granted_recently + 100;
-  scenario_expect_diagnosis(fleet, D_LOAD_RATE_LIMIT, "a load rate limit that refuses most");
+  scenario_expect_diagnosis(fleet, D_LOAD_RATE_LIMIT,
+                            "a load rate limiter that refuses most permits");
 }
 
 static bool the_doctor_diagnoses_each_fault(fleet *fleet) {
@@ -155,7 +160,7 @@
     return false;
   fleet_run_traffic(fleet, 5, time_from_ms(8000));
   fleet_finish_traffic(fleet);
-  scenario_expect_diagnosis(fleet, 0, "a sound fleet");
+  scenario_expect_diagnosis(fleet, 0, "a healthy fleet");
   if (!diagnose_lost_controller(fleet))
     return false;
   diagnose_partitioned_router(fleet);
--- a/tests/doctor/operators.c
+++ b/tests/doctor/operators.c
@@ -1,5 +1,5 @@
-/** Tests of the operators' API in a fleet of gateways, and of the doctor's findings about gateways.
- */
+/** Tests of the operators' API in a fleet of gateways, of the doctor's findings about
+ * gateways, and of the HTTP status of each error code. */
 #include "api_error.h"
 #include "doctor.h"
 #include "deployment.h"
@@ -17,8 +17,8 @@
   return true;
 }
 
-/* Calls the operators' API of any controller. Returns the status, and checks the error code of the
- * response unless `code` is 0. */
+/* Calls the operators' API of a random controller. Returns the HTTP status, and checks the error
+ * code of the response unless `code` is 0. */
 static int api(deployment *deployment, const char *verb, const char *path, const char *text,
                int code) {
   operator_call *call = fleet_call(
@@ -30,8 +30,8 @@
   char want[24];
   snprintf(want, sizeof want, "\"code\":%d", code);
   if (code && !strstr(call->body->str, want))
-    fleet_add_violation(deployment->fleet, "%s %s got %d %s, not code %d", verb, path, st,
-                        call->body->str, code);
+    fleet_add_violation(deployment->fleet, "%s %s: response %d %s does not have code %d", verb,
+                        path, st, call->body->str, code);
   operator_call_free(call);
   return st;
 }
@@ -44,30 +44,31 @@
        *old = deployment_config(deployment, 2, "ledger"),
        *bad = deployment_config(deployment, 9, "nobody");
   if (api(deployment, "PUT", "/v1/routing", next, 0) != 200)
-    fleet_add_violation(fleet, "a routing by the own API was not taken");
+    fleet_add_violation(fleet, "a valid routing was rejected");
   deployment->version = 3;
   if (!sim_run_until(deployment->sim, is_revision, deployment, time_from_ms(APPLY_MS)))
     fleet_add_violation(fleet, "the routing is not in force within %d ms", APPLY_MS);
   /* neither an older version nor an invalid one is accepted */
   if (api(deployment, "PUT", "/v1/routing", old, E_STALE_VERSION) != 400)
-    fleet_add_violation(fleet, "an older version was taken");
+    fleet_add_violation(fleet, "a routing with an older version was accepted");
   if (api(deployment, "PUT", "/v1/routing", bad, E_UNKNOWN_SERVICE) != 400)
-    fleet_add_violation(fleet, "a route to nobody was taken");
+    fleet_add_violation(fleet, "a route to an unknown service was accepted");
   if (api(deployment, "PATCH", "/v1/routing", "{\"version\":4,\"set\":5}", E_ROUTING_PATCH) != 400)
-    fleet_add_violation(fleet, "a change that is none was taken");
+    fleet_add_violation(fleet, "a malformed patch was accepted");
   if (api(deployment, "PATCH", "/v1/routing", "{\"version\":4,\"drop\":{\"routes\":[\"r-book\"]}}",
           0) != 200)
-    fleet_add_violation(fleet, "a change of the routing was not taken");
+    fleet_add_violation(fleet, "a valid patch of the routing was rejected");
   deployment->version = 4;
   if (!sim_run_until(deployment->sim, is_revision, deployment, time_from_ms(APPLY_MS)))
-    fleet_add_violation(fleet, "the change is not in force within %d ms", APPLY_MS);
+    fleet_add_violation(fleet, "the patched routing is not in force within %d ms", APPLY_MS);
   operator_call *call = fleet_call(fleet, fleet->controller[0], "GET", "/v1/routing", NULL, NULL,
                                    NULL, time_from_ms(9000));
   if (!strstr(call->body->str, "\"r-chat\"") || strstr(call->body->str, "\"r-book\""))
-    fleet_add_violation(fleet, "the routing is read as %.100s", call->body->str);
+    fleet_add_violation(fleet, "GET returns another routing than the patched one: %.100s",
+                        call->body->str);
   operator_call_free(call);
   if (api(deployment, "PUT", "/v1/policy", "{\"eviction\":\"lru\"}", 0) != 200)
-    fleet_add_violation(fleet, "a policy is not taken from a fleet of gateways");
+    fleet_add_violation(fleet, "a policy was rejected in a fleet of gateways");
   g_free(next);
   g_free(old);
   g_free(bad);
@@ -90,7 +91,8 @@
       models += json_count(json_get(json_at(json, k), "models"));
     }
     if (call->status != 200 || ready != 5 || !models)
-      fleet_add_violation(fleet, "the registry at %s has %zu ready engines with %zu models: %.200s",
+      fleet_add_violation(fleet,
+                          "the registry page of %s has %zu ready engines with %zu models: %.200s",
                           fleet->controller[i]->self.text, ready, models, call->body->str);
     json_free(json);
     operator_call_free(call);
@@ -100,7 +102,7 @@
   return ok;
 }
 
-/* The doctor's findings without a configuration, and with the first one. */
+/* Findings before and after the first configuration. */
 static void doctor_at_start(deployment *deployment) {
   fleet *fleet = deployment->fleet;
   list_for_each (h, &deployment->sim->hosts, host, link)
@@ -110,13 +112,13 @@
   scenario_expect_diagnosis(fleet, D_NOT_READY, "no configuration");
   char *text = deployment_config(deployment, 1, NULL);
   if (!deployment_put_config(deployment, 1, 0, text, true)->acked_at.us)
-    fleet_add_violation(fleet, "the first configuration was not taken");
+    fleet_add_violation(fleet, "the first configuration was rejected");
   g_free(text);
   sim_run(deployment->sim, time_from_ms(8000));
   scenario_expect_diagnosis(fleet, 0, "a healthy fleet of gateways");
 }
 
-/* The doctor's findings about engines: a service without any, and one that does not respond. */
+/* Findings about engines: a service without engines, and an engine that does not respond. */
 static void doctor_at_engine_faults(deployment *deployment) {
   fleet *fleet = deployment->fleet;
   for (size_t i = 4; i < 6; i++)
@@ -126,15 +128,15 @@
   for (size_t i = 4; i < 6; i++)
     host_start(deployment->engine_processes[i]->host);
   sim_run(deployment->sim, time_from_ms(5000));
-  scenario_expect_diagnosis(fleet, 0, "engines that are back");
+  scenario_expect_diagnosis(fleet, 0, "restarted engines");
   deployment_start_traffic(deployment, 2);
   deployment->engine_processes[5]->plan.faults.unresponsive = true;
   sim_run(deployment->sim, time_from_ms(5000));
-  scenario_expect_diagnosis(fleet, D_ENGINE_EJECTED, "an engine without responses");
+  scenario_expect_diagnosis(fleet, D_ENGINE_EJECTED, "an unresponsive engine");
   deployment->engine_processes[5]->plan.faults.unresponsive = false;
 }
 
-/* The doctor's findings when all first attempts of requests are cut off. */
+/* Findings when responses are truncated until the retry budget is used up. */
 static void doctor_at_cut_responses(deployment *deployment) {
   for (int t = 0; t < 15; t++) {
     for (size_t i = 0; i < 6; i++) {
@@ -144,25 +146,25 @@
     deployment->client->rate_factor = 6;
     sim_run(deployment->sim, time_from_ms(1000));
   }
-  scenario_expect_diagnosis(deployment->fleet, D_RETRY_BUDGET, "responses that are cut off");
+  scenario_expect_diagnosis(deployment->fleet, D_RETRY_BUDGET, "truncated responses");
   for (size_t i = 0; i < 6; i++)
     deployment->engine_processes[i]->plan.faults.truncate_responses = 0;
   deployment->client->rate_factor = 0.5;
   sim_run(deployment->sim, time_from_ms(25000));
 }
 
-/* The doctor's findings about a gateway that drains, looked at before it ends. */
+/* Findings about a draining gateway, checked before its process ends. */
 static void doctor_at_gateway_drain(deployment *deployment) {
   fleet *fleet = deployment->fleet;
   deployment_terminate_gateway(deployment, deployment->gateway_processes[0]);
   sim_run(deployment->sim, time_from_ms(200));
-  scenario_expect_diagnosis(fleet, D_NOT_READY, "a gateway that drains");
+  scenario_expect_diagnosis(fleet, D_NOT_READY, "a draining gateway");
   sim_run(deployment->sim, time_from_ms(GRACE_S * 1000));
   if (!fleet->router[0]->alive)
     host_start(fleet->router[0]);
 }
 
-/* The doctor's findings when all orders to load models get lost. */
+/* Findings when all orders to load models are lost. */
 static void doctor_at_lost_load_orders(deployment *deployment) {
   fleet *fleet = deployment->fleet;
   for (size_t i = 0; i < 4; i++)
@@ -177,23 +179,23 @@
       fails |= fleet->router[i]->alive &&
                deployment->gateway_processes[i]->gateway->consecutive_load_failures >= 3;
   }
-  scenario_expect_diagnosis(fleet, D_LOAD_FAILURES, "loads that fail");
+  scenario_expect_diagnosis(fleet, D_LOAD_FAILURES, "failing loads");
   for (size_t i = 0; i < 4; i++)
     deployment->engine_processes[i]->plan.faults.drop_orders = 0;
 }
 
-/* The doctor's findings when the load rate limiter has died, and no other node is it yet. */
+/* Findings while the load rate limiter is dead and no other node has taken over its lease. */
 static void doctor_at_lost_rate_limiter(deployment *deployment) {
   fleet *fleet = deployment->fleet;
   sim_run(deployment->sim, time_from_ms(6000));
   deployment_finish_traffic(deployment);
   host *holder = fleet_find_lease_holder(fleet, "pacer");
   if (!holder) {
-    fleet_add_violation(fleet, "no node is the load rate limiter");
+    fleet_add_violation(fleet, "no node holds the lease of the load rate limiter");
     return;
   }
   host_kill(holder);
-  scenario_expect_diagnosis(fleet, D_NO_LOAD_RATE_LIMITER, "a load rate limiter that died");
+  scenario_expect_diagnosis(fleet, D_NO_LOAD_RATE_LIMITER, "a killed load rate limiter");
 }
 
 static bool the_doctor_knows_gateways(fleet *fleet) {
@@ -209,7 +211,7 @@
   return ok;
 }
 
-/* Every code of base.h: its HTTP status at the operators' API and at the control listener. */
+/* The HTTP status of every code of base.h, at the operators' API and at the control listener. */
 static bool error_codes_have_http_statuses(fleet *fleet) {
   static const struct {
     int code, operators, control;
