--- a/tests/doctor/doctor.c
+++ b/tests/doctor/doctor.c
@@ -93,13 +93,13 @@
 }
 
 static void diagnose_duplicate_name(fleet *fleet) {
-  host *twin = sim_add_host(fleet->sim, HOST_ROUTER, "router-1", "mid", "127.0.2.99:7000");
-  twin->settings = fleet->router[0]->settings;
-  g_strlcpy(twin->settings.address, twin->addr, sizeof twin->settings.address);
-  host_start(twin);
+  host *duplicate = sim_add_host(fleet->sim, HOST_ROUTER, "router-1", "mid", "127.0.2.99:7000");
+  duplicate->settings = fleet->router[0]->settings;
+  g_strlcpy(duplicate->settings.address, duplicate->addr, sizeof duplicate->settings.address);
+  host_start(duplicate);
   sim_run(fleet->sim, time_from_ms(12000));
   scenario_expect_diagnosis(fleet, D_DUPLICATE_NAME, "two processes with one name");
-  host_kill(twin);
+  host_kill(duplicate);
   sim_run(fleet->sim, time_from_ms(9000));
 }
 
--- a/tests/doctor/operators.c
+++ b/tests/doctor/operators.c
@@ -7,7 +7,7 @@
 #include "tests.h"
 #include <stdio.h>
 
-static bool is_revision(sim *sim, void *p) {
+static bool is_revision_in_force(sim *sim, void *p) {
   (void)sim;
   deployment *deployment = p;
   for (int i = 0; i < deployment->fleet->routers; i++)
@@ -19,47 +19,48 @@
 
 /* Calls the operators' API of a random controller. Returns the HTTP status, and checks the error
  * code of the response unless `code` is 0. */
-static int api(deployment *deployment, const char *verb, const char *path, const char *text,
-               int code) {
+static int call_operators_api(deployment *deployment, const char *verb, const char *path,
+                              const char *text, int code) {
   operator_call *call = fleet_call(
       deployment->fleet,
       deployment->fleet
           ->controller[sim_random(deployment->sim, (uint64_t)deployment->fleet->controllers)],
       verb, path, text, NULL, NULL, time_from_ms(9000));
-  int st = call->status;
-  char want[24];
-  snprintf(want, sizeof want, "\"code\":%d", code);
-  if (code && !strstr(call->body->str, want))
+  int status = call->status;
+  char code_text[24];
+  snprintf(code_text, sizeof code_text, "\"code\":%d", code);
+  if (code && !strstr(call->body->str, code_text))
     fleet_add_violation(deployment->fleet, "%s %s: response %d %s does not have code %d", verb,
-                        path, st, call->body->str, code);
+                        path, status, call->body->str, code);
   operator_call_free(call);
-  return st;
+  return status;
 }
 
-static bool operators_write_routing_by_the_own_api(fleet *fleet) {
+static bool operators_write_the_routing(fleet *fleet) {
   deployment *deployment = deployment_new(fleet, 3, 2);
   if (!deployment_bring_up(deployment))
     return deployment_finish(deployment, 0);
   char *next = deployment_config(deployment, 3, "ledger"),
        *old = deployment_config(deployment, 2, "ledger"),
        *bad = deployment_config(deployment, 9, "nobody");
-  if (api(deployment, "PUT", "/v1/routing", next, 0) != 200)
+  if (call_operators_api(deployment, "PUT", "/v1/routing", next, 0) != 200)
     fleet_add_violation(fleet, "a valid routing was rejected");
   deployment->version = 3;
-  if (!sim_run_until(deployment->sim, is_revision, deployment, time_from_ms(APPLY_MS)))
+  if (!sim_run_until(deployment->sim, is_revision_in_force, deployment, time_from_ms(APPLY_MS)))
     fleet_add_violation(fleet, "the routing is not in force within %d ms", APPLY_MS);
   /* neither an older version nor an invalid one is accepted */
-  if (api(deployment, "PUT", "/v1/routing", old, E_STALE_VERSION) != 400)
+  if (call_operators_api(deployment, "PUT", "/v1/routing", old, E_STALE_VERSION) != 400)
     fleet_add_violation(fleet, "a routing with an older version was accepted");
-  if (api(deployment, "PUT", "/v1/routing", bad, E_UNKNOWN_SERVICE) != 400)
+  if (call_operators_api(deployment, "PUT", "/v1/routing", bad, E_UNKNOWN_SERVICE) != 400)
     fleet_add_violation(fleet, "a route to an unknown service was accepted");
-  if (api(deployment, "PATCH", "/v1/routing", "{\"version\":4,\"set\":5}", E_ROUTING_PATCH) != 400)
+  if (call_operators_api(deployment, "PATCH", "/v1/routing", "{\"version\":4,\"set\":5}",
+                         E_ROUTING_PATCH) != 400)
     fleet_add_violation(fleet, "a malformed patch was accepted");
-  if (api(deployment, "PATCH", "/v1/routing", "{\"version\":4,\"drop\":{\"routes\":[\"r-book\"]}}",
-          0) != 200)
+  if (call_operators_api(deployment, "PATCH", "/v1/routing",
+                         "{\"version\":4,\"drop\":{\"routes\":[\"r-book\"]}}", 0) != 200)
     fleet_add_violation(fleet, "a valid patch of the routing was rejected");
   deployment->version = 4;
-  if (!sim_run_until(deployment->sim, is_revision, deployment, time_from_ms(APPLY_MS)))
+  if (!sim_run_until(deployment->sim, is_revision_in_force, deployment, time_from_ms(APPLY_MS)))
     fleet_add_violation(fleet, "the patched routing is not in force within %d ms", APPLY_MS);
   operator_call *call = fleet_call(fleet, fleet->controller[0], "GET", "/v1/routing", NULL, NULL,
                                    NULL, time_from_ms(9000));
@@ -67,7 +68,7 @@
     fleet_add_violation(fleet, "GET returns another routing than the patched one: %.100s",
                         call->body->str);
   operator_call_free(call);
-  if (api(deployment, "PUT", "/v1/policy", "{\"eviction\":\"lru\"}", 0) != 200)
+  if (call_operators_api(deployment, "PUT", "/v1/policy", "{\"eviction\":\"lru\"}", 0) != 200)
     fleet_add_violation(fleet, "a policy was rejected in a fleet of gateways");
   g_free(next);
   g_free(old);
@@ -77,7 +78,7 @@
   return ok;
 }
 
-static bool the_registry_is_a_page(fleet *fleet) {
+static bool the_registry_page_lists_engines(fleet *fleet) {
   deployment *deployment = deployment_new(fleet, 3, 2);
   if (!deployment_bring_up(deployment))
     return deployment_finish(deployment, 0);
@@ -198,7 +199,7 @@
   scenario_expect_diagnosis(fleet, D_NO_LOAD_RATE_LIMITER, "a killed load rate limiter");
 }
 
-static bool the_doctor_knows_gateways(fleet *fleet) {
+static bool the_doctor_diagnoses_gateway_faults(fleet *fleet) {
   deployment *deployment = deployment_new(fleet, 4, 2);
   doctor_at_start(deployment);
   doctor_at_engine_faults(deployment);
@@ -300,9 +301,9 @@
 }
 
 const test_case operator_tests[] = {
-  { "operators_write_routing_by_the_own_api", operators_write_routing_by_the_own_api, 4, 0, 50 },
-  { "the_registry_is_a_page", the_registry_is_a_page, 3, 0, 34 },
-  { "the_doctor_knows_gateways", the_doctor_knows_gateways, 4, 0, 50 },
+  { "operators_write_the_routing", operators_write_the_routing, 4, 0, 50 },
+  { "the_registry_page_lists_engines", the_registry_page_lists_engines, 3, 0, 34 },
+  { "the_doctor_diagnoses_gateway_faults", the_doctor_diagnoses_gateway_faults, 4, 0, 50 },
   { "error_codes_have_http_statuses", error_codes_have_http_statuses, 1, 0, 1 },
   { NULL, NULL, 0, 0, 0 }
 };
