--- a/bench/growth.c
+++ b/bench/growth.c
@@ -1,5 +1,5 @@
-/* How messages and bytes between our processes grow with nodes, models and configuration; in
- * virtual time. */
+/* Measures, in virtual time, how the messages and bytes between processes grow with the number of
+ * nodes and models and with the size of the configuration. */
 #include "fleet.h"
 #include <stdio.h>
 
--- a/bench/load.c
+++ b/bench/load.c
@@ -1,5 +1,5 @@
-/* What callers get when all come at once: early refusal with a time to come back, against long
- * lines. Virtual time. */
+/* Compares, in virtual time, what callers get under overload: early refusal with a Retry-After,
+ * against long queues. usage: load [SEEDS] */
 #include "fleet.h"
 #include <stdio.h>
 #include <stdlib.h>
@@ -14,7 +14,8 @@
   return x < y ? -1 : x > y;
 }
 
-/* the worst-served router's share of answers over the best's, by the callers' record */
+/* The smallest share of answered requests of a router divided by the largest, from the callers'
+ * records. */
 static double evenness(const int *router, const bool *done, int n, int routers) {
   double low = 1, high = 0;
   for (int v = 0; v < routers; v++) {
@@ -32,7 +33,8 @@
   return high > 0 ? low / high : 1;
 }
 
-/* how often chance alone is as uneven: the same answers dealt anew to the same routers */
+/* A permutation test: the share of 400 random reassignments of the outcomes to the same routers
+ * that are at least as uneven as the measured one, which is stored in `is`. */
 static double by_chance(fleet *fleet, guint from, double *is) {
   loadgen *loadgen = fleet->callers->loadgen;
   int n = (int)(loadgen->requests->len - from), *router = g_new0(int, n), worse = 0;
@@ -118,7 +120,8 @@
       g_array_append_val(first, ms);
     }
   }
-  /* of those sent away: the share that is told to come back in the same, busiest second */
+  /* Of the requests refused with a Retry-After, the share that is to retry in the same, busiest
+   * second. */
   double at[120] = { 0 };
   for (guint i = from; i < loadgen->requests->len; i++) {
     loadgen_request *request = loadgen->requests->pdata[i];
@@ -175,13 +178,13 @@
         total[l] = r.done[0] + r.done[1] + r.done[2];
         printf(
             "%-18s %-13s %5d %4.0f/%-4.0f %4.0f/%-4.0f %4.0f/%-4.0f %9.0f %9.0f %8.2f %7.0f %7.0f %8.3f %6.0f %6.3f %5.0f %6.2f %6.2f\n",
-            cases[k].what, l ? "long lines" : "early refusal", s, r.done[0], r.asked[0], r.done[1],
+            cases[k].what, l ? "long queues" : "early refusal", s, r.done[0], r.asked[0], r.done[1],
             r.asked[1], r.done[2], r.asked[2], r.wait, r.refused, r.tries, r.loads, r.wasted,
             r.attempts > 0 ? r.seconds / r.attempts : 0, r.sent, r.peak, r.busy, r.even, r.chance);
       }
       gain += total[1] > 0 ? total[0] / total[1] / n : 0;
     }
-    printf("%-18s answers, early refusal over long lines, mean of the paired ratios: %.3f\n",
+    printf("%-18s answers, early refusal over long queues, mean of the paired ratios: %.3f\n",
            cases[k].what, gain);
   }
   return 0;
--- a/bench/policies.c
+++ b/bench/policies.c
@@ -1,6 +1,7 @@
-/* One run of a policy over a whole fleet at a shipped deployment's size: real routers, holders,
-   pacer, adapters and races, in virtual time, with the same callers for the same seed. Counted from
-   engines' and callers' records. usage: policies DEPLOYMENT POLICY SEED RATE */
+/* Runs one eviction policy in virtual time over a whole fleet of the size of a shipped deployment,
+ * with real routers, lease holders, load rate limiter, adapters and races. The same seed gives the
+ * same callers. The results are counted from the records of engines and callers. usage: policies
+ * DEPLOYMENT POLICY SEED RATE */
 #include "fleet.h"
 #include <stdio.h>
 #include <stdlib.h>
@@ -9,8 +10,8 @@
   return 300 + (double)(weights_mb ? weights_mb : 200) * 1000 / host->faults.load_mb_per_s;
 }
 
-/* loads that brought back what went less than ten of its load times before, or that went before
- * they served anybody */
+/* Counts the accepted loads and the wasted ones: loads of what was unloaded less than ten load
+ * times before, and loads that were unloaded again before they served a request. */
 static void count(fleet *fleet, time_us from, int *loads, int *wasted) {
   for (int i = 0; i < fleet->engines; i++) {
     host *host = fleet->engine[i];
@@ -57,7 +58,7 @@
   fleet *fleet = fleet_new(seed, lanka ? 8 : 7, 9);
   fleet->callers->random_state = seed * 7919 + 1;
   if (!fleet_load_deployment(fleet, argv[1]) || !fleet_bring_up(fleet)) {
-    fprintf(stderr, "%s did not come up: %s", argv[1], fleet->violations->str);
+    fprintf(stderr, "%s did not start: %s", argv[1], fleet->violations->str);
     return 1;
   }
   char *text = g_str_has_prefix(argv[2], "expr:")
--- a/bench/scale.c
+++ b/bench/scale.c
@@ -1,7 +1,17 @@
-/* What the control of a fleet costs by its size: real sockets on loopback addresses, core machines
- * as processes of their own, hollow gateways (whole ones that forward no traffic) as threads of a
- * few processes, and engines that only beat. usage: scale [--nodes 10,30] [--engines 90] [--models
- * 14] [--secs 10] [--net 77] [--out FILE.tsv] [--svg FILE.svg], or scale --records */
+/* Measures the cost of the control plane by the size of the fleet. It uses real sockets on loopback
+ * addresses, controllers in processes of their own, complete gateways that forward no traffic as
+ * threads of a few processes, and engines that only send heartbeats.
+ *
+ * The processes report to the main one through a pipe, one line per report:
+ * - S: a sample of one node at the start of a phase: CPU time in us, voluntary context switches,
+ *   messages and bytes
+ * - K: messages and bytes of one node by the kind of message
+ * - T: bytes and segments that TCP carried for a process, and its open descriptors
+ * - C: a configuration is in force at a gateway
+ * - L: a gateway has learned that an engine leaves
+ *
+ * usage: scale [--nodes 10,30] [--engines 90] [--models 14] [--secs 10] [--net 77] [--out FILE.tsv]
+ *              [--svg FILE.svg], or scale --records */
 #define _GNU_SOURCE
 #include "gateway.h"
 #include "controller.h"
@@ -90,7 +100,8 @@
     _exit(3);
 }
 
-/* the number of the body's field, found without reading the message */
+/* Returns the field number of an envelope's body, found by its tag without unpacking the message.
+ */
 static int kind_of(string_view m) {
   const uint8_t *p = (const uint8_t *)m.data, *end = p + m.length;
   while (p < end) {
@@ -159,7 +170,7 @@
            role, me->index, cpu, u.ru_nvcsw, t.out_n, t.out_b, t.in_n, t.in_b);
 }
 
-/* bytes and segments that TCP carried for this process */
+/* Reports the bytes and segments that TCP carried for this process, and its open descriptors. */
 static void sockets(int phase, const char *role, int count) {
   uint64_t out = 0, in = 0, segs = 0;
   int fds = 0;
@@ -372,7 +383,7 @@
   return fd;
 }
 
-/* one process beats for all engines, each on a channel of its own */
+/* One process sends the heartbeats of all engines, with one connection per engine. */
 static void engines_process(void) {
   typedef struct {
     int fd;
@@ -436,7 +447,8 @@
   }
 }
 
-/* the operator */
+/* Sends one request to a control listener, as an operator does. Returns the HTTP status, or 0
+ * without a response. On a redirect (307), stores the host of the head of the chain in `lead`. */
 static int request_once(const char *ip, const char *verb, const char *path, const char *more,
                         const char *body, char *lead, size_t n) {
   int fd = dial_open(ip, CONTROL);
@@ -497,7 +509,7 @@
   return st == 200 ? sent : 0;
 }
 
-/* what the processes told */
+/* What the processes have reported. */
 typedef struct point {
   char role[8];
   int64_t cpu, wakes;
@@ -687,7 +699,7 @@
       hear(h, now_us() + 500000);
   }
   if (!version)
-    fprintf(stderr, "scale: the first configuration was not taken\n");
+    fprintf(stderr, "scale: the first configuration was not accepted\n");
   hear(h, at[1] - 100000);
   for (int i = 0; i < n; i++) {
     if (proc[i].role < 0)
@@ -806,10 +818,11 @@
   fclose(f);
 }
 
-/* points of processor time by size, both axes by powers of ten */
+/* The position of a value on a logarithmic axis. */
 static double along(double v, double low, double high, double from, double to) {
   return from + (log10(MAX(v, low)) - log10(low)) / (log10(high) - log10(low)) * (to - from);
 }
+/* Plots the CPU use of nodes and controllers by the number of nodes, on logarithmic axes. */
 static void plot(const char *path, const result *r, int n) {
   FILE *f = fopen(path, "w");
   if (!f) {
@@ -850,7 +863,8 @@
   fclose(f);
 }
 
-/* bytes on the wire of what the messages are made of, with names as long as a large fleet has */
+/* Prints the encoded sizes of the records that messages consist of, with names as long as those in
+ * a large fleet. */
 static void records(void) {
   char *adapters[] = { "adapter-0417", "adapter-1193" };
   Wire__NodeInfo n = WIRE__NODE_INFO__INIT;
