--- a/bench/scale.c
+++ b/bench/scale.c
@@ -35,50 +35,50 @@
 
 enum {
   CONTROLLERS = 3,
-  ALONE = 2,
-  THREADS = 10,
+  SOLO_GATEWAYS = 2,
+  GATEWAYS_PER_PROCESS = 10,
   PHASES = 3,
-  LEAVES = 5,
-  NODES_MOST = 1000,
-  PROCS_MOST = 140,
-  PORT = 7661,
-  CONTROL = 8146,
-  FRONT = 8144,
-  READY = 8140,
+  LEAVING_ENGINES = 5,
+  NODES_MAX = 1000,
+  PROCESSES_MAX = 140,
+  PEER_PORT = 7661,
+  CONTROL_PORT = 8146,
+  FRONT_PORT = 8144,
+  READY_PORT = 8140,
   HEARTBEAT_INTERVAL_MS = 1200,
   CHURN_PER_S = 5,
   CHANGES_PER_S = 1,
-  FILES_LOW = 4100,
-  KINDS = 64,
-  CHANGES_MOST = 64
+  SOLO_OPEN_FILES = 4100,
+  MESSAGE_KINDS = 64,
+  CHANGES_MAX = 64
 };
 static const char *const phase_name[PHASES] = { "quiet", "changes", "churn" };
 
-typedef struct sums {
-  uint64_t out_n, out_b, in_n, in_b;
-} sums;
-typedef struct hollow {
-  int index, alone;
+typedef struct message_counts {
+  uint64_t messages_out, bytes_out, messages_in, bytes_in;
+} message_counts;
+typedef struct bench_node {
+  int index, is_solo;
   char name[40], ip[24];
   world *world;
   router *router;
   gateway *gateway;
   controller *controller;
-  sums kind[KINDS];
-  void (*on_post)(void *ctx, string_view msg);
+  message_counts traffic_by_kind[MESSAGE_KINDS];
+  void (*receive_message)(void *ctx, string_view msg);
   void (*on_installed)(void *gateway);
   void (*on_engines)(void *gateway, const Wire__ConfigPollResponse *b);
-  peer_rpc_handler engines_hand;
+  peer_rpc_handler handle_engine_update;
   void *engines_ctx;
   uint64_t version;
-  bool left[LEAVES];
-} hollow;
+  bool leave_reported[LEAVING_ENGINES];
+} bench_node;
 
-static _Thread_local hollow *me;
-static int pipe_fd[2], nodes = 10, engines = 90, models = 14, secs = 10, net = 77;
-static int64_t at[PHASES + 1];
-static char dir[64];
-static pthread_mutex_t born = PTHREAD_MUTEX_INITIALIZER;
+static _Thread_local bench_node *current_node;
+static int report_pipe[2], nodes = 10, engines = 90, models = 14, phase_s = 10, loopback_net = 77;
+static int64_t phase_starts_us[PHASES + 1];
+static char data_root[64];
+static pthread_mutex_t startup_lock = PTHREAD_MUTEX_INITIALIZER;
 
 static int64_t now_us(void) {
   struct timespec t;
@@ -90,19 +90,19 @@
     usleep((useconds_t)MIN(us - now_us() + 50, 200000));
 }
 
-__attribute__((format(printf, 1, 2))) static void announce(const char *form, ...) {
+__attribute__((format(printf, 1, 2))) static void report_line(const char *form, ...) {
   char line[512];
   va_list l;
   va_start(l, form);
   int n = vsnprintf(line, sizeof line, form, l);
   va_end(l);
-  if (write(pipe_fd[1], line, (size_t)n) != n)
+  if (write(report_pipe[1], line, (size_t)n) != n)
     _exit(3);
 }
 
 /* Returns the field number of an envelope's body, found by its tag without unpacking the message.
  */
-static int kind_of(string_view m) {
+static int message_kind(string_view m) {
   const uint8_t *p = (const uint8_t *)m.data, *end = p + m.length;
   while (p < end) {
     uint64_t tag = 0, n = 0;
@@ -113,7 +113,7 @@
         break;
     }
     if (tag >> 3 >= 10)
-      return (int)MIN(tag >> 3, KINDS - 1);
+      return (int)MIN(tag >> 3, MESSAGE_KINDS - 1);
     if ((tag & 7) == 0) {
       while (p < end && *p++ & 128)
         ;
@@ -133,45 +133,47 @@
   return 0;
 }
 
-static void (*real_post)(world *world, const char *addr, string_view msg);
-static void post(world *world, const char *addr, string_view msg) {
-  sums *k = &me->kind[kind_of(msg)];
-  k->out_n++;
-  k->out_b += msg.length;
-  real_post(world, addr, msg);
+static void (*real_post_message)(world *world, const char *addr, string_view msg);
+static void count_and_post(world *world, const char *addr, string_view msg) {
+  message_counts *k = &current_node->traffic_by_kind[message_kind(msg)];
+  k->messages_out++;
+  k->bytes_out += msg.length;
+  real_post_message(world, addr, msg);
 }
-static void on_post(void *ctx, string_view msg) {
-  sums *k = &me->kind[kind_of(msg)];
-  k->in_n++;
-  k->in_b += msg.length;
-  me->on_post(ctx, msg);
+static void count_and_receive(void *ctx, string_view msg) {
+  message_counts *k = &current_node->traffic_by_kind[message_kind(msg)];
+  k->messages_in++;
+  k->bytes_in += msg.length;
+  current_node->receive_message(ctx, msg);
 }
 
-static void sample(int phase, const char *role) {
+static void report_sample(int phase, const char *role) {
   struct rusage u;
-  if (me->controller)
+  if (current_node->controller)
     getrusage(RUSAGE_SELF, &u);
   else
     getrusage(RUSAGE_THREAD, &u);
   int64_t cpu = (int64_t)(u.ru_utime.tv_sec + u.ru_stime.tv_sec) * 1000000 + u.ru_utime.tv_usec +
                 u.ru_stime.tv_usec;
-  sums t = { 0 };
-  for (int k = 0; k < KINDS; k++) {
-    const sums *x = &me->kind[k];
-    t.out_n += x->out_n;
-    t.out_b += x->out_b;
-    t.in_n += x->in_n;
-    t.in_b += x->in_b;
-    if (x->out_n + x->in_n && (me->controller || me->alone))
-      announce("K %d %s %d %d %" PRIu64 " %" PRIu64 " %" PRIu64 " %" PRIu64 "\n", phase, role,
-               me->index, k, x->out_n, x->out_b, x->in_n, x->in_b);
+  message_counts t = { 0 };
+  for (int k = 0; k < MESSAGE_KINDS; k++) {
+    const message_counts *x = &current_node->traffic_by_kind[k];
+    t.messages_out += x->messages_out;
+    t.bytes_out += x->bytes_out;
+    t.messages_in += x->messages_in;
+    t.bytes_in += x->bytes_in;
+    if (x->messages_out + x->messages_in && (current_node->controller || current_node->is_solo))
+      report_line("K %d %s %d %d %" PRIu64 " %" PRIu64 " %" PRIu64 " %" PRIu64 "\n", phase, role,
+                  current_node->index, k, x->messages_out, x->bytes_out, x->messages_in,
+                  x->bytes_in);
   }
-  announce("S %d %s %d %" PRId64 " %ld %" PRIu64 " %" PRIu64 " %" PRIu64 " %" PRIu64 "\n", phase,
-           role, me->index, cpu, u.ru_nvcsw, t.out_n, t.out_b, t.in_n, t.in_b);
+  report_line("S %d %s %d %" PRId64 " %ld %" PRIu64 " %" PRIu64 " %" PRIu64 " %" PRIu64 "\n", phase,
+              role, current_node->index, cpu, u.ru_nvcsw, t.messages_out, t.bytes_out,
+              t.messages_in, t.bytes_in);
 }
 
 /* Reports the bytes and segments that TCP carried for this process, and its open descriptors. */
-static void sockets(int phase, const char *role, int count) {
+static void report_sockets(int phase, const char *role, int count) {
   uint64_t out = 0, in = 0, segs = 0;
   int fds = 0;
   for (int fd = 3; fd < 20000; fd++) {
@@ -186,67 +188,70 @@
     in += t.tcpi_bytes_received;
     segs += t.tcpi_segs_out;
   }
-  announce("T %d %s %d %" PRIu64 " %" PRIu64 " %" PRIu64 " %d\n", phase, role, count, out, in, segs,
-           fds);
+  report_line("T %d %s %d %" PRIu64 " %" PRIu64 " %" PRIu64 " %d\n", phase, role, count, out, in,
+              segs, fds);
 }
 
-static void sample_run(void *p) {
+static void report_samples(void *p) {
   const char *role = p;
   for (int k = 0; k <= PHASES; k++) {
-    int64_t wait = at[k] - now_us();
-    if (wait > 0 && !world_sleep(me->world, (time_us){ wait }))
+    int64_t wait = phase_starts_us[k] - now_us();
+    if (wait > 0 && !world_sleep(current_node->world, (time_us){ wait }))
       return;
-    sample(k, role);
-    if (me->controller)
-      sockets(k, role, 1);
+    report_sample(k, role);
+    if (current_node->controller)
+      report_sockets(k, role, 1);
   }
 }
 
-static void record_unfinished(void) {
-  for (int i = 0; i < LEAVES; i++) {
+static void report_leaving_engines(void) {
+  for (int i = 0; i < LEAVING_ENGINES; i++) {
     char name[16];
     snprintf(name, sizeof name, "e%d", i);
-    gateway_engine *x = me->left[i] ? NULL : gateway_engine_find(me->gateway, name);
+    gateway_engine *x =
+        current_node->leave_reported[i] ? NULL : gateway_engine_find(current_node->gateway, name);
     if (!x || !(x->draining || x->gone))
       continue;
-    me->left[i] = true;
-    announce("L %d %" PRId64 "\n", i, now_us());
+    current_node->leave_reported[i] = true;
+    report_line("L %d %" PRId64 "\n", i, now_us());
   }
 }
 
-static void installed(void *gateway) {
-  me->on_installed(gateway);
-  const char *text = strstr(me->router->sync.resources[RESOURCE_ROUTING]->str, "\"version\":");
+static void report_configuration(void *gateway) {
+  current_node->on_installed(gateway);
+  const char *text =
+      strstr(current_node->router->sync.resources[RESOURCE_ROUTING]->str, "\"version\":");
   uint64_t version = text ? strtoull(text + 10, NULL, 10) : 0;
-  if (!version || version == me->version)
+  if (!version || version == current_node->version)
     return;
-  me->version = version;
-  announce("C %" PRIu64 " %" PRId64 "\n", me->version, now_us());
+  current_node->version = version;
+  report_line("C %" PRIu64 " %" PRId64 "\n", current_node->version, now_us());
 }
-static void on_config_poll_response(void *gateway, const Wire__ConfigPollResponse *b) {
-  me->on_engines(gateway, b);
-  record_unfinished();
+static void on_engines_received(void *gateway, const Wire__ConfigPollResponse *b) {
+  current_node->on_engines(gateway, b);
+  report_leaving_engines();
 }
-static enum error_code on_broadcast(void *ctx, Wire__Envelope *in, reply *reply, error *err) {
-  int r = me->engines_hand(ctx, in, reply, err);
-  record_unfinished();
+static enum error_code on_engine_update(void *ctx, Wire__Envelope *in, reply *reply, error *err) {
+  int r = current_node->handle_engine_update(ctx, in, reply, err);
+  report_leaving_engines();
   return r;
 }
 
 static void controller_ip(int i, char *to, size_t n) {
-  snprintf(to, n, "127.%d.0.%d", net, i + 1);
+  snprintf(to, n, "127.%d.0.%d", loopback_net, i + 1);
 }
 
-static void bench_settings(settings *settings, enum role role, const hollow *h, int zone) {
+static void bench_settings(settings *settings, enum role role, const bench_node *h, int zone) {
   memset(settings, 0, sizeof *settings);
   settings->role = role;
   settings->self = id_of_text(h->name);
   snprintf(settings->zone.text, sizeof settings->zone.text, "zone-%d", zone);
-  snprintf(settings->address, sizeof settings->address, "%s:%d", h->ip, PORT);
+  snprintf(settings->address, sizeof settings->address, "%s:%d", h->ip, PEER_PORT);
   for (int i = 0; i < CONTROLLERS; i++) {
     char ip[24];
     controller_ip(i, ip, sizeof ip);
-    snprintf(settings->seed_addresses[i], sizeof settings->seed_addresses[i], "%s:%d", ip, PORT);
+    snprintf(settings->seed_addresses[i], sizeof settings->seed_addresses[i], "%s:%d", ip,
+             PEER_PORT);
     if (role == ROLE_CONTROLLER)
       g_strlcpy(settings->founder_addresses[i], settings->seed_addresses[i],
                 sizeof settings->founder_addresses[i]);
@@ -259,13 +264,13 @@
   settings->relaxed = settings->is_gateway = true;
 }
 
-static void quiet(world *world, const char *line) {
+static void discard_log(world *world, const char *line) {
   (void)world;
   (void)line;
 }
 
-static world *world_of(hollow *h, const char *data) {
-  real_settings x = { .port = PORT, .body_max_bytes = 1 << 20 };
+static world *make_world(bench_node *h, const char *data) {
+  real_settings x = { .port = PEER_PORT, .body_max_bytes = 1 << 20 };
   error err = { 0 };
   g_strlcpy(x.ip, h->ip, sizeof x.ip);
   if (data)
@@ -275,23 +280,23 @@
     fprintf(stderr, "scale: %s\n", err.text);
     _exit(2);
   }
-  world->write_log = quiet;
-  real_post = world->post_message;
-  world->post_message = post;
+  world->write_log = discard_log;
+  real_post_message = world->post_message;
+  world->post_message = count_and_post;
   return world;
 }
 
-static void *run_router(void *p) {
-  hollow *h = me = p;
+static void *run_gateway(void *p) {
+  bench_node *h = current_node = p;
   co_thread_init();
   settings v;
   error err = { 0 };
-  pthread_mutex_lock(&born);
-  h->world = world_of(h, NULL);
+  pthread_mutex_lock(&startup_lock);
+  h->world = make_world(h, NULL);
   bench_settings(&v, ROLE_ROUTER, h, 1 + h->index % 15);
   h->router = router_new(h->world, &v);
-  gateway_settings x = { .front_port = FRONT,
-                         .ready_port = READY,
+  gateway_settings x = { .front_port = FRONT_PORT,
+                         .ready_port = READY_PORT,
                          .dialect = &dialect_native,
                          .heartbeat_ms = HEARTBEAT_INTERVAL_MS,
                          .load_window_s = 5,
@@ -303,16 +308,16 @@
     fprintf(stderr, "scale: %s\n", err.text);
     _exit(2);
   }
-  pthread_mutex_unlock(&born);
-  h->on_post = h->world->on_message;
-  h->world->on_message = on_post;
+  pthread_mutex_unlock(&startup_lock);
+  h->receive_message = h->world->on_message;
+  h->world->on_message = count_and_receive;
   h->on_installed = h->router->on_installed;
-  h->router->on_installed = installed;
+  h->router->on_installed = report_configuration;
   h->on_engines = h->router->on_engines_changed;
-  h->router->on_engines_changed = on_config_poll_response;
-  h->engines_hand = h->router->node.rpc.handlers[WIRE__ENVELOPE__BODY_ENGINE_UPDATE].fn;
-  h->router->node.rpc.handlers[WIRE__ENVELOPE__BODY_ENGINE_UPDATE].fn = on_broadcast;
-  task_start(&h->world->tasks, "sample", sample_run, h->alone ? "alone" : "node");
+  h->router->on_engines_changed = on_engines_received;
+  h->handle_engine_update = h->router->node.rpc.handlers[WIRE__ENVELOPE__BODY_ENGINE_UPDATE].fn;
+  h->router->node.rpc.handlers[WIRE__ENVELOPE__BODY_ENGINE_UPDATE].fn = on_engine_update;
+  task_start(&h->world->tasks, "sample", report_samples, h->is_solo ? "alone" : "node");
   real_world_run(h->world, NULL, NULL);
   return NULL;
 }
@@ -324,27 +329,27 @@
   setrlimit(RLIMIT_NOFILE, &r);
 }
 
-static void routers_process(int from, int count, bool alone) {
-  hollow *h = g_new0(hollow, (gsize)count);
-  set_open_files_limit(alone ? FILES_LOW : 20000);
+static void gateways_process(int from, int count, bool alone) {
+  bench_node *h = g_new0(bench_node, (gsize)count);
+  set_open_files_limit(alone ? SOLO_OPEN_FILES : 20000);
   for (int i = 0; i < count; i++) {
     h[i].index = from + i;
-    h[i].alone = alone;
+    h[i].is_solo = alone;
     snprintf(h[i].name, sizeof h[i].name, "node-%d", from + i);
-    snprintf(h[i].ip, sizeof h[i].ip, "127.%d.%d.%d", net + 1, (from + i) / 200,
+    snprintf(h[i].ip, sizeof h[i].ip, "127.%d.%d.%d", loopback_net + 1, (from + i) / 200,
              1 + (from + i) % 200);
     pthread_t t;
-    pthread_create(&t, NULL, run_router, &h[i]);
+    pthread_create(&t, NULL, run_gateway, &h[i]);
   }
   for (int k = 0; k <= PHASES; k++) {
-    sleep_until(at[k]);
-    sockets(k, alone ? "alone" : "node", count);
+    sleep_until(phase_starts_us[k]);
+    report_sockets(k, alone ? "alone" : "node", count);
   }
   pause();
 }
 
 static void controller_process(int i) {
-  hollow *h = me = g_new0(hollow, 1);
+  bench_node *h = current_node = g_new0(bench_node, 1);
   char data[128];
   error err = { 0 };
   settings v;
@@ -352,24 +357,24 @@
   h->index = i;
   snprintf(h->name, sizeof h->name, "core-%d", i);
   controller_ip(i, h->ip, sizeof h->ip);
-  snprintf(data, sizeof data, "%s/%d", dir, i);
+  snprintf(data, sizeof data, "%s/%d", data_root, i);
   g_mkdir_with_parents(data, 0700);
-  h->world = world_of(h, data);
+  h->world = make_world(h, data);
   bench_settings(&v, ROLE_CONTROLLER, h, 1 + i * 5);
   g_strlcpy(v.data_dir, data, sizeof v.data_dir);
   h->controller = controller_new(h->world, &v);
-  h->on_post = h->world->on_message;
-  h->world->on_message = on_post;
-  if (controller_open_control_listener(h->controller, h->ip, CONTROL, NULL, &err)) {
+  h->receive_message = h->world->on_message;
+  h->world->on_message = count_and_receive;
+  if (controller_open_control_listener(h->controller, h->ip, CONTROL_PORT, NULL, &err)) {
     fprintf(stderr, "scale: %s\n", err.text);
     _exit(2);
   }
-  task_start(&h->world->tasks, "sample", sample_run, "core");
+  task_start(&h->world->tasks, "sample", report_samples, "core");
   real_world_run(h->world, NULL, NULL);
   _exit(0);
 }
 
-static int dial_open(const char *ip, int port) {
+static int connect_to(const char *ip, int port) {
   int fd = socket(AF_INET, SOCK_STREAM, 0);
   struct sockaddr_in a = { .sin_family = AF_INET, .sin_port = htons((uint16_t)port) };
   struct timeval t = { 5, 0 };
@@ -390,23 +395,24 @@
     uint64_t count;
     int64_t due;
     int model;
-  } beater;
-  beater *all = g_new0(beater, (gsize)engines);
+  } simulated_engine;
+  simulated_engine *all = g_new0(simulated_engine, (gsize)engines);
   set_open_files_limit(20000);
   int64_t begin = now_us() + 1500000, churned = 0;
   for (int i = 0; i < engines; i++)
-    all[i] =
-        (beater){ -1, 0, begin + (int64_t)HEARTBEAT_INTERVAL_MS * 1000 * i / engines, i % models };
+    all[i] = (simulated_engine){ -1, 0, begin + (int64_t)HEARTBEAT_INTERVAL_MS * 1000 * i / engines,
+                                 i % models };
   uint64_t failed = 0;
   for (;;) {
     int64_t now = now_us(), next = now + 20000;
-    if (now >= at[2] && now < at[3] && now - churned >= 1000000 / CHURN_PER_S) {
+    if (now >= phase_starts_us[2] && now < phase_starts_us[3] &&
+        now - churned >= 1000000 / CHURN_PER_S) {
       churned = now;
-      beater *b = &all[LEAVES + rand() % MAX(1, engines - LEAVES)];
+      simulated_engine *b = &all[LEAVING_ENGINES + rand() % MAX(1, engines - LEAVING_ENGINES)];
       b->model = (b->model + 1) % models;
     }
     for (int i = 0; i < engines; i++) {
-      beater *b = &all[i];
+      simulated_engine *b = &all[i];
       if (b->due <= now) {
         char got[4096], body[512], text[1024];
         char ip[24];
@@ -420,14 +426,14 @@
             failed++;
           }
         }
-        if (b->fd < 0 && (b->fd = dial_open(ip, CONTROL)) < 0)
+        if (b->fd < 0 && (b->fd = connect_to(ip, CONTROL_PORT)) < 0)
           continue;
         int n = snprintf(
             body, sizeof body,
             "{\"service\":\"llm\",\"address\":\"127.%d.%d.%d:9\",\"zone\":\"zone-%d\",\"version\":\"v1\",\"slots\":16,\"count\":%" PRIu64
             ",\"state\":\"ready\",\"coldMs\":0,"
             "\"models\":[{\"name\":\"m%d\",\"adapters\":[]},{\"name\":\"m%d\",\"adapters\":[\"a1\",\"a2\"]}]}",
-            net + 2, i / 200, 1 + i % 200, 1 + i % 15, ++b->count, b->model,
+            loopback_net + 2, i / 200, 1 + i % 200, 1 + i % 15, ++b->count, b->model,
             (b->model + 7) % models);
         n = snprintf(
             text, sizeof text,
@@ -451,7 +457,7 @@
  * without a response. On a redirect (307), stores the host of the head of the chain in `lead`. */
 static int request_once(const char *ip, const char *verb, const char *path, const char *more,
                         const char *body, char *lead, size_t n) {
-  int fd = dial_open(ip, CONTROL);
+  int fd = connect_to(ip, CONTROL_PORT);
   if (fd < 0)
     return 0;
   GString *t = g_string_new(NULL);
@@ -478,7 +484,7 @@
   return status;
 }
 
-static char *config_text(uint64_t version) {
+static char *make_config_text(uint64_t version) {
   GString *b = g_string_new(NULL);
   g_string_printf(
       b,
@@ -499,7 +505,7 @@
 
 static char head_ip[24];
 static int64_t put_config(uint64_t version) {
-  char more[80], *text = config_text(version);
+  char more[80], *text = make_config_text(version);
   snprintf(more, sizeof more, "Asterfall-Base-Version: %" PRIu64 "\r\n", version - 1);
   int64_t sent = now_us();
   int st = request_once(head_ip, "PUT", "/v1/routing", more, text, head_ip, sizeof head_ip);
@@ -510,18 +516,20 @@
 }
 
 /* What the processes have reported. */
-typedef struct point {
+typedef struct node_sample {
   char role[8];
-  int64_t cpu, wakes;
-  sums sums;
-} point;
-typedef struct result {
-  int nodes, engines, models, in_force, left_known, processes, changes;
-  double cpu[PHASES][3], cpu_most[PHASES][3], wakes[PHASES][3], out_n[PHASES][3], out_b[PHASES][3],
-      in_n[PHASES][3], in_b[PHASES][3], tcp_out[PHASES][3], tcp_in[PHASES][3], segs[PHASES][3];
-  double rss_mb[3], fds[3], change_p50, change_most, leave_p50, leave_most;
-} result;
-enum { R_NODE, R_ALONE, R_CORE, ROLES };
+  int64_t cpu_us, context_switches;
+  message_counts counts;
+} node_sample;
+typedef struct size_result {
+  int nodes, engines, models, changes_everywhere, leaves_everywhere, processes, changes;
+  double cpu_pct[PHASES][3], cpu_pct_max[PHASES][3], wakes_per_s[PHASES][3],
+      messages_out_per_s[PHASES][3], bytes_out_per_s[PHASES][3], messages_in_per_s[PHASES][3],
+      bytes_in_per_s[PHASES][3], tcp_bytes_out_per_s[PHASES][3], tcp_bytes_in_per_s[PHASES][3],
+      segments_per_s[PHASES][3];
+  double rss_mb[3], fds[3], change_p50_ms, change_max_ms, leave_p50_ms, leave_max_ms;
+} size_result;
+enum { R_NODE, R_SOLO, R_CORE, ROLES };
 static const char *const role_name[ROLES] = { "node", "alone", "core" };
 static int role_of(const char *s) {
   for (int i = 0; i < ROLES; i++)
@@ -535,37 +543,38 @@
   return x < y ? -1 : x > y;
 }
 
-typedef struct heard {
-  GString *rest;
-  point *p[PHASES + 1];
-  sums kind[PHASES + 1][ROLES][KINDS];
+typedef struct collected_reports {
+  GString *unparsed;
+  node_sample *samples[PHASES + 1];
+  message_counts counts_by_kind[PHASES + 1][ROLES][MESSAGE_KINDS];
   uint64_t tcp[PHASES + 1][ROLES][4];
   int tcp_count[PHASES + 1][ROLES];
-  GArray *change_at[CHANGES_MOST], *leave_at[LEAVES];
-} heard;
+  GArray *change_at[CHANGES_MAX], *leave_at[LEAVING_ENGINES];
+} collected_reports;
 
-static void line_in(heard *h, const char *l) {
+static void parse_report(collected_reports *h, const char *l) {
   char role[8];
   int k, i, kind;
-  sums s;
+  message_counts s;
   int64_t cpu, us;
   long wakes;
   unsigned long long a, b, c;
   uint64_t version;
   if (sscanf(l, "S %d %7s %d %" SCNd64 " %ld %" SCNu64 " %" SCNu64 " %" SCNu64 " %" SCNu64, &k,
-             role, &i, &cpu, &wakes, &s.out_n, &s.out_b, &s.in_n, &s.in_b) == 9) {
-    point *p = &h->p[k][role_of(role) == R_CORE ? NODES_MOST + i : i];
+             role, &i, &cpu, &wakes, &s.messages_out, &s.bytes_out, &s.messages_in,
+             &s.bytes_in) == 9) {
+    node_sample *p = &h->samples[k][role_of(role) == R_CORE ? NODES_MAX + i : i];
     g_strlcpy(p->role, role, sizeof p->role);
-    p->cpu = cpu;
-    p->wakes = wakes;
-    p->sums = s;
+    p->cpu_us = cpu;
+    p->context_switches = wakes;
+    p->counts = s;
   } else if (sscanf(l, "K %d %7s %d %d %" SCNu64 " %" SCNu64 " %" SCNu64 " %" SCNu64, &k, role, &i,
-                    &kind, &s.out_n, &s.out_b, &s.in_n, &s.in_b) == 8) {
-    sums *t = &h->kind[k][role_of(role)][kind];
-    t->out_n += s.out_n;
-    t->out_b += s.out_b;
-    t->in_n += s.in_n;
-    t->in_b += s.in_b;
+                    &kind, &s.messages_out, &s.bytes_out, &s.messages_in, &s.bytes_in) == 8) {
+    message_counts *t = &h->counts_by_kind[k][role_of(role)][kind];
+    t->messages_out += s.messages_out;
+    t->bytes_out += s.bytes_out;
+    t->messages_in += s.messages_in;
+    t->bytes_in += s.bytes_in;
   } else if (sscanf(l, "T %d %7s %d %llu %llu %llu %d", &k, role, &i, &a, &b, &c, &kind) == 7) {
     uint64_t *t = h->tcp[k][role_of(role)];
     t[0] += a;
@@ -574,30 +583,30 @@
     t[3] += (uint64_t)kind;
     h->tcp_count[k][role_of(role)] += i;
   } else if (sscanf(l, "C %" SCNu64 " %" SCNd64, &version, &us) == 2) {
-    if (version < CHANGES_MOST)
+    if (version < CHANGES_MAX)
       g_array_append_val(h->change_at[version], us);
   } else if (sscanf(l, "L %d %" SCNd64, &i, &us) == 2)
     g_array_append_val(h->leave_at[i], us);
 }
 
-static void hear(heard *h, int64_t till) {
+static void collect_reports(collected_reports *h, int64_t till) {
   do {
-    struct pollfd p = { pipe_fd[0], POLLIN, 0 };
+    struct pollfd p = { report_pipe[0], POLLIN, 0 };
     int64_t left = (till - now_us()) / 1000;
     if (poll(&p, 1, (int)CLAMP(left, 0, 200)) <= 0)
       continue;
     char buf[65536];
-    ssize_t n = read(pipe_fd[0], buf, sizeof buf);
+    ssize_t n = read(report_pipe[0], buf, sizeof buf);
     if (n <= 0)
       return;
-    g_string_append_len(h->rest, buf, n);
-    char *from = h->rest->str, *nl;
+    g_string_append_len(h->unparsed, buf, n);
+    char *from = h->unparsed->str, *nl;
     while ((nl = strchr(from, '\n'))) {
       *nl = 0;
-      line_in(h, from);
+      parse_report(h, from);
       from = nl + 1;
     }
-    g_string_erase(h->rest, 0, from - h->rest->str);
+    g_string_erase(h->unparsed, 0, from - h->unparsed->str);
   } while (now_us() < till);
 }
 
@@ -613,7 +622,7 @@
   return (double)res * (double)sysconf(_SC_PAGESIZE) / 1048576;
 }
 
-static int fds_of(pid_t pid) {
+static int count_descriptors(pid_t pid) {
   char path[64];
   snprintf(path, sizeof path, "/proc/%d/fd", (int)pid);
   GDir *d = g_dir_open(path, 0, NULL);
@@ -625,8 +634,8 @@
   return n;
 }
 
-static void spread(GArray **of, const int64_t *from, int n, int want, double *p50, double *most,
-                   int *whole) {
+static void summarize_delays(GArray **of, const int64_t *from, int n, int want, double *p50,
+                             double *most, int *whole) {
   GArray *ms = g_array_new(FALSE, FALSE, sizeof(double));
   *whole = 0;
   *most = 0;
@@ -645,34 +654,34 @@
   g_array_free(ms, TRUE);
 }
 
-static result play(void) {
-  result r = { .nodes = nodes, .engines = engines, .models = models };
-  heard *h = g_new0(heard, 1);
-  h->rest = g_string_new(NULL);
+static size_result measure_size(void) {
+  size_result r = { .nodes = nodes, .engines = engines, .models = models };
+  collected_reports *h = g_new0(collected_reports, 1);
+  h->unparsed = g_string_new(NULL);
   for (int k = 0; k <= PHASES; k++)
-    h->p[k] = g_new0(point, NODES_MOST + CONTROLLERS);
-  for (int i = 0; i < CHANGES_MOST; i++)
+    h->samples[k] = g_new0(node_sample, NODES_MAX + CONTROLLERS);
+  for (int i = 0; i < CHANGES_MAX; i++)
     h->change_at[i] = g_array_new(FALSE, FALSE, sizeof(int64_t));
-  for (int i = 0; i < LEAVES; i++)
+  for (int i = 0; i < LEAVING_ENGINES; i++)
     h->leave_at[i] = g_array_new(FALSE, FALSE, sizeof(int64_t));
-  if (pipe(pipe_fd))
+  if (pipe(report_pipe))
     abort();
-  snprintf(dir, sizeof dir, "/tmp/scale-XXXXXX");
-  if (!mkdtemp(dir))
+  snprintf(data_root, sizeof data_root, "/tmp/scale-XXXXXX");
+  if (!mkdtemp(data_root))
     abort();
   int64_t settle = (int64_t)(12 + nodes / 15) * 1000000, start = now_us();
   for (int k = 0; k <= PHASES; k++)
-    at[k] = start + settle + (int64_t)secs * 1000000 * k;
+    phase_starts_us[k] = start + settle + (int64_t)phase_s * 1000000 * k;
   struct {
     pid_t pid;
     int role, count;
-  } proc[PROCS_MOST];
+  } proc[PROCESSES_MAX];
   int n = 0;
 #define FORK(ROLE, COUNT, WORK)                                                                    \
   do {                                                                                             \
     pid_t p = fork();                                                                              \
     if (!p) {                                                                                      \
-      close(pipe_fd[0]);                                                                           \
+      close(report_pipe[0]);                                                                       \
       WORK;                                                                                        \
       _exit(0);                                                                                    \
     }                                                                                              \
@@ -683,119 +692,126 @@
   for (int i = 0; i < CONTROLLERS; i++)
     FORK(R_CORE, 1, controller_process(i));
   usleep(300000);
-  for (int i = 0; i < ALONE; i++)
-    FORK(R_ALONE, 1, routers_process(i, 1, true));
-  for (int i = ALONE; i < nodes; i += THREADS)
-    FORK(R_NODE, MIN(THREADS, nodes - i), routers_process(i, MIN(THREADS, nodes - i), false));
+  for (int i = 0; i < SOLO_GATEWAYS; i++)
+    FORK(R_SOLO, 1, gateways_process(i, 1, true));
+  for (int i = SOLO_GATEWAYS; i < nodes; i += GATEWAYS_PER_PROCESS)
+    FORK(R_NODE, MIN(GATEWAYS_PER_PROCESS, nodes - i),
+         gateways_process(i, MIN(GATEWAYS_PER_PROCESS, nodes - i), false));
   FORK(-1, 0, engines_process());
   r.processes = n + 1;
-  int64_t sent[CHANGES_MOST] = { 0 }, left[LEAVES] = { 0 };
+  int64_t sent[CHANGES_MAX] = { 0 }, left[LEAVING_ENGINES] = { 0 };
   uint64_t version = 0;
-  hear(h, start + 3000000);
-  while (!version && now_us() < at[0] - 4000000) {
+  collect_reports(h, start + 3000000);
+  while (!version && now_us() < phase_starts_us[0] - 4000000) {
     if (put_config(1))
       version = 1;
     else
-      hear(h, now_us() + 500000);
+      collect_reports(h, now_us() + 500000);
   }
   if (!version)
     fprintf(stderr, "scale: the first configuration was not accepted\n");
-  hear(h, at[1] - 100000);
+  collect_reports(h, phase_starts_us[1] - 100000);
   for (int i = 0; i < n; i++) {
     if (proc[i].role < 0)
       continue;
     double mb = rss_mb(proc[i].pid);
     r.rss_mb[proc[i].role] = MAX(r.rss_mb[proc[i].role], mb / proc[i].count);
-    r.fds[proc[i].role] = MAX(r.fds[proc[i].role], (double)fds_of(proc[i].pid) / proc[i].count);
+    r.fds[proc[i].role] =
+        MAX(r.fds[proc[i].role], (double)count_descriptors(proc[i].pid) / proc[i].count);
   }
-  for (int64_t next = at[1] + 500000; version && next < at[2] - 1000000;
+  for (int64_t next = phase_starts_us[1] + 500000; version && next < phase_starts_us[2] - 1000000;
        next += 1000000 / CHANGES_PER_S) {
-    hear(h, next);
-    if (version + 1 < CHANGES_MOST && (sent[version + 1] = put_config(version + 1))) {
+    collect_reports(h, next);
+    if (version + 1 < CHANGES_MAX && (sent[version + 1] = put_config(version + 1))) {
       version++;
       r.changes++;
     }
   }
-  hear(h, at[3] + 500000);
-  for (int i = 0; i < LEAVES; i++) {
+  collect_reports(h, phase_starts_us[3] + 500000);
+  for (int i = 0; i < LEAVING_ENGINES; i++) {
     char path[64], ip[48];
     snprintf(path, sizeof path, "/v1/engines/e%d/leave", i);
     controller_ip(i % CONTROLLERS, ip, sizeof ip);
     left[i] = now_us();
     if (request_once(ip, "POST", path, "", "{}", NULL, 0) != 200)
       left[i] = 0;
-    hear(h, now_us() + 800000);
+    collect_reports(h, now_us() + 800000);
   }
-  hear(h, now_us() + 1500000);
+  collect_reports(h, now_us() + 1500000);
   for (int i = 0; i < n; i++)
     kill(proc[i].pid, SIGKILL);
   for (int i = 0; i < n; i++)
     waitpid(proc[i].pid, NULL, 0);
-  close(pipe_fd[0]);
-  close(pipe_fd[1]);
-  char *rm[] = { "/bin/rm", "-rf", dir, NULL };
+  close(report_pipe[0]);
+  close(report_pipe[1]);
+  char *rm[] = { "/bin/rm", "-rf", data_root, NULL };
   g_spawn_sync(NULL, rm, NULL, 0, NULL, NULL, NULL, NULL, NULL, NULL);
 
-  spread(h->change_at + 2, sent + 2, CHANGES_MOST - 2, nodes, &r.change_p50, &r.change_most,
-         &r.in_force);
-  spread(h->leave_at, left, LEAVES, nodes, &r.leave_p50, &r.leave_most, &r.left_known);
+  summarize_delays(h->change_at + 2, sent + 2, CHANGES_MAX - 2, nodes, &r.change_p50_ms,
+                   &r.change_max_ms, &r.changes_everywhere);
+  summarize_delays(h->leave_at, left, LEAVING_ENGINES, nodes, &r.leave_p50_ms, &r.leave_max_ms,
+                   &r.leaves_everywhere);
   for (int k = 0; k < PHASES; k++) {
     int count[ROLES] = { 0 };
-    double s = secs;
-    for (int i = 0; i < NODES_MOST + CONTROLLERS; i++) {
-      const point *a = &h->p[k][i], *b = &h->p[k + 1][i];
+    double s = phase_s;
+    for (int i = 0; i < NODES_MAX + CONTROLLERS; i++) {
+      const node_sample *a = &h->samples[k][i], *b = &h->samples[k + 1][i];
       if (!a->role[0] || !b->role[0])
         continue;
       int o = role_of(a->role);
-      double cpu = (double)(b->cpu - a->cpu) / s / 1e4;
+      double cpu = (double)(b->cpu_us - a->cpu_us) / s / 1e4;
       count[o]++;
-      r.cpu[k][o] += cpu;
-      r.cpu_most[k][o] = MAX(r.cpu_most[k][o], cpu);
-      r.wakes[k][o] += (double)(b->wakes - a->wakes) / s;
-      r.out_n[k][o] += (double)(b->sums.out_n - a->sums.out_n) / s;
-      r.out_b[k][o] += (double)(b->sums.out_b - a->sums.out_b) / s;
-      r.in_n[k][o] += (double)(b->sums.in_n - a->sums.in_n) / s;
-      r.in_b[k][o] += (double)(b->sums.in_b - a->sums.in_b) / s;
+      r.cpu_pct[k][o] += cpu;
+      r.cpu_pct_max[k][o] = MAX(r.cpu_pct_max[k][o], cpu);
+      r.wakes_per_s[k][o] += (double)(b->context_switches - a->context_switches) / s;
+      r.messages_out_per_s[k][o] += (double)(b->counts.messages_out - a->counts.messages_out) / s;
+      r.bytes_out_per_s[k][o] += (double)(b->counts.bytes_out - a->counts.bytes_out) / s;
+      r.messages_in_per_s[k][o] += (double)(b->counts.messages_in - a->counts.messages_in) / s;
+      r.bytes_in_per_s[k][o] += (double)(b->counts.bytes_in - a->counts.bytes_in) / s;
     }
     for (int o = 0; o < ROLES; o++) {
       double c = MAX(1, count[o]), t = MAX(1, h->tcp_count[k][o]);
-      r.cpu[k][o] /= c;
-      r.wakes[k][o] /= c;
-      r.out_n[k][o] /= c;
-      r.out_b[k][o] /= c;
-      r.in_n[k][o] /= c;
-      r.in_b[k][o] /= c;
-      r.tcp_out[k][o] = (double)(int64_t)(h->tcp[k + 1][o][0] - h->tcp[k][o][0]) / s / t;
-      r.tcp_in[k][o] = (double)(int64_t)(h->tcp[k + 1][o][1] - h->tcp[k][o][1]) / s / t;
-      r.segs[k][o] = (double)(int64_t)(h->tcp[k + 1][o][2] - h->tcp[k][o][2]) / s / t;
+      r.cpu_pct[k][o] /= c;
+      r.wakes_per_s[k][o] /= c;
+      r.messages_out_per_s[k][o] /= c;
+      r.bytes_out_per_s[k][o] /= c;
+      r.messages_in_per_s[k][o] /= c;
+      r.bytes_in_per_s[k][o] /= c;
+      r.tcp_bytes_out_per_s[k][o] =
+          (double)(int64_t)(h->tcp[k + 1][o][0] - h->tcp[k][o][0]) / s / t;
+      r.tcp_bytes_in_per_s[k][o] = (double)(int64_t)(h->tcp[k + 1][o][1] - h->tcp[k][o][1]) / s / t;
+      r.segments_per_s[k][o] = (double)(int64_t)(h->tcp[k + 1][o][2] - h->tcp[k][o][2]) / s / t;
       printf(
           "%d nodes, %d engines, %-7s %-5s: %d of them, cpu %.2f%% (most %.2f%%), wakes %.0f/s, out %.1f msg/s %.0f B/s, in %.1f msg/s %.0f B/s, TCP out %.0f in %.0f B/s, %.0f segments/s\n",
-          nodes, engines, phase_name[k], role_name[o], count[o], r.cpu[k][o], r.cpu_most[k][o],
-          r.wakes[k][o], r.out_n[k][o], r.out_b[k][o], r.in_n[k][o], r.in_b[k][o], r.tcp_out[k][o],
-          r.tcp_in[k][o], r.segs[k][o]);
-      for (int q = 0; q < KINDS && o; q++) {
-        const sums *a = &h->kind[k][o][q], *b = &h->kind[k + 1][o][q];
-        if (b->out_n + b->in_n == a->out_n + a->in_n)
+          nodes, engines, phase_name[k], role_name[o], count[o], r.cpu_pct[k][o],
+          r.cpu_pct_max[k][o], r.wakes_per_s[k][o], r.messages_out_per_s[k][o],
+          r.bytes_out_per_s[k][o], r.messages_in_per_s[k][o], r.bytes_in_per_s[k][o],
+          r.tcp_bytes_out_per_s[k][o], r.tcp_bytes_in_per_s[k][o], r.segments_per_s[k][o]);
+      for (int q = 0; q < MESSAGE_KINDS && o; q++) {
+        const message_counts *a = &h->counts_by_kind[k][o][q], *b = &h->counts_by_kind[k + 1][o][q];
+        if (b->messages_out + b->messages_in == a->messages_out + a->messages_in)
           continue;
         const ProtobufCFieldDescriptor *f =
             protobuf_c_message_descriptor_get_field(&wire__envelope__descriptor, (unsigned)q);
         double w = s * c;
         printf("    %-10s out %.1f msg/s %.0f B/s, in %.1f msg/s %.0f B/s\n", f ? f->name : "none",
-               (double)(b->out_n - a->out_n) / w, (double)(b->out_b - a->out_b) / w,
-               (double)(b->in_n - a->in_n) / w, (double)(b->in_b - a->in_b) / w);
+               (double)(b->messages_out - a->messages_out) / w,
+               (double)(b->bytes_out - a->bytes_out) / w,
+               (double)(b->messages_in - a->messages_in) / w,
+               (double)(b->bytes_in - a->bytes_in) / w);
       }
     }
   }
   printf(
       "%d nodes, %d engines: memory node %.1f (in a process of its own %.1f), core %.1f MB; descriptors node %.0f, core %.0f; change in force p50 %.0f, most %.0f ms (%d of %d everywhere); leave known p50 %.0f, most %.0f ms (%d of %d everywhere); %d processes\n",
-      nodes, engines, r.rss_mb[R_NODE], r.rss_mb[R_ALONE], r.rss_mb[R_CORE], r.fds[R_ALONE],
-      r.fds[R_CORE], r.change_p50, r.change_most, r.in_force, r.changes, r.leave_p50, r.leave_most,
-      r.left_known, LEAVES, r.processes);
+      nodes, engines, r.rss_mb[R_NODE], r.rss_mb[R_SOLO], r.rss_mb[R_CORE], r.fds[R_SOLO],
+      r.fds[R_CORE], r.change_p50_ms, r.change_max_ms, r.changes_everywhere, r.changes,
+      r.leave_p50_ms, r.leave_max_ms, r.leaves_everywhere, LEAVING_ENGINES, r.processes);
   fflush(stdout);
   return r;
 }
 
-static void table(const char *path, const result *r, int n) {
+static void write_table(const char *path, const size_result *r, int n) {
   FILE *f = fopen(path, "w");
   if (!f) {
     perror(path);
@@ -810,20 +826,21 @@
         fprintf(
             f,
             "%d\t%d\t%d\t%s\t%s\t%.3f\t%.3f\t%.1f\t%.1f\t%.0f\t%.1f\t%.0f\t%.0f\t%.0f\t%.1f\t%.1f\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\n",
-            r[i].nodes, r[i].engines, r[i].models, phase_name[k], role_name[o], r[i].cpu[k][o],
-            r[i].cpu_most[k][o], r[i].wakes[k][o], r[i].out_n[k][o], r[i].out_b[k][o],
-            r[i].in_n[k][o], r[i].in_b[k][o], r[i].tcp_out[k][o], r[i].tcp_in[k][o],
-            r[i].segs[k][o], r[i].rss_mb[o], r[i].fds[o], r[i].change_p50, r[i].change_most,
-            r[i].leave_p50, r[i].leave_most);
+            r[i].nodes, r[i].engines, r[i].models, phase_name[k], role_name[o], r[i].cpu_pct[k][o],
+            r[i].cpu_pct_max[k][o], r[i].wakes_per_s[k][o], r[i].messages_out_per_s[k][o],
+            r[i].bytes_out_per_s[k][o], r[i].messages_in_per_s[k][o], r[i].bytes_in_per_s[k][o],
+            r[i].tcp_bytes_out_per_s[k][o], r[i].tcp_bytes_in_per_s[k][o],
+            r[i].segments_per_s[k][o], r[i].rss_mb[o], r[i].fds[o], r[i].change_p50_ms,
+            r[i].change_max_ms, r[i].leave_p50_ms, r[i].leave_max_ms);
   fclose(f);
 }
 
 /* The position of a value on a logarithmic axis. */
-static double along(double v, double low, double high, double from, double to) {
+static double log_position(double v, double low, double high, double from, double to) {
   return from + (log10(MAX(v, low)) - log10(low)) / (log10(high) - log10(low)) * (to - from);
 }
 /* Plots the CPU use of nodes and controllers by the number of nodes, on logarithmic axes. */
-static void plot(const char *path, const result *r, int n) {
+static void write_svg(const char *path, const size_result *r, int n) {
   FILE *f = fopen(path, "w");
   if (!f) {
     perror(path);
@@ -836,28 +853,32 @@
     fprintf(
         f,
         "<line x1=\"%.0f\" y1=\"30\" x2=\"%.0f\" y2=\"350\" stroke=\"#ddd\"/><text x=\"%.0f\" y=\"368\" text-anchor=\"middle\">%.0f nodes</text>\n",
-        along(x, 10, 1000, 60, 600), along(x, 10, 1000, 60, 600), along(x, 10, 1000, 60, 600), x);
+        log_position(x, 10, 1000, 60, 600), log_position(x, 10, 1000, 60, 600),
+        log_position(x, 10, 1000, 60, 600), x);
   for (double y = 0.1; y <= 100; y *= 10)
     fprintf(
         f,
         "<line x1=\"60\" y1=\"%.0f\" x2=\"600\" y2=\"%.0f\" stroke=\"#ddd\"/><text x=\"54\" y=\"%.0f\" text-anchor=\"end\">%g%%</text>\n",
-        along(y, 0.1, 100, 350, 30), along(y, 0.1, 100, 350, 30), along(y, 0.1, 100, 354, 34), y);
+        log_position(y, 0.1, 100, 350, 30), log_position(y, 0.1, 100, 350, 30),
+        log_position(y, 0.1, 100, 354, 34), y);
   fprintf(
       f,
       "<line x1=\"60\" y1=\"%.0f\" x2=\"600\" y2=\"%.0f\" stroke=\"red\" stroke-dasharray=\"4\"/><text x=\"604\" y=\"%.0f\" fill=\"red\">1.2%%</text>\n",
-      along(1.2, 0.1, 100, 350, 30), along(1.2, 0.1, 100, 350, 30), along(1.2, 0.1, 100, 354, 34));
+      log_position(1.2, 0.1, 100, 350, 30), log_position(1.2, 0.1, 100, 350, 30),
+      log_position(1.2, 0.1, 100, 354, 34));
   fprintf(
       f,
       "<text x=\"60\" y=\"20\">Share of a core, quiet: nodes (black) and core machines (blue)</text>\n");
   for (int i = 0; i < n; i++)
     for (int o = 0; o < ROLES; o++) {
-      if (o == R_ALONE || r[i].cpu[0][o] <= 0)
+      if (o == R_SOLO || r[i].cpu_pct[0][o] <= 0)
         continue;
       fprintf(
           f,
           "<circle cx=\"%.1f\" cy=\"%.1f\" r=\"4\" fill=\"%s\"><title>%d nodes, %d engines: %.2f%%</title></circle>\n",
-          along(r[i].nodes, 10, 1000, 60, 600), along(r[i].cpu[0][o], 0.1, 100, 350, 30),
-          o == R_CORE ? "#26c" : "black", r[i].nodes, r[i].engines, r[i].cpu[0][o]);
+          log_position(r[i].nodes, 10, 1000, 60, 600),
+          log_position(r[i].cpu_pct[0][o], 0.1, 100, 350, 30), o == R_CORE ? "#26c" : "black",
+          r[i].nodes, r[i].engines, r[i].cpu_pct[0][o]);
     }
   fprintf(f, "</svg>\n");
   fclose(f);
@@ -865,7 +886,7 @@
 
 /* Prints the encoded sizes of the records that messages consist of, with names as long as those in
  * a large fleet. */
-static void records(void) {
+static void print_record_sizes(void) {
   char *adapters[] = { "adapter-0417", "adapter-1193" };
   Wire__NodeInfo n = WIRE__NODE_INFO__INIT;
   n.id = "node-r2-z07-0412";
@@ -927,7 +948,7 @@
       wire__singleton_claim__get_packed_size(&h) + 2);
   for (int k = 14; k <= 260; k += 246) {
     models = k;
-    char *text = config_text(1);
+    char *text = make_config_text(1);
     printf("configuration of one service with %d models: %zu bytes\n", k, strlen(text));
     g_free(text);
   }
@@ -935,7 +956,7 @@
 
 int main(int argc, char **argv) {
   if (argc == 2 && !strcmp(argv[1], "--records")) {
-    records();
+    print_record_sizes();
     return 0;
   }
   const char *sizes = "10", *many = "90", *out = NULL, *svg = NULL;
@@ -947,9 +968,9 @@
     else if (!strcmp(argv[i], "--models"))
       models = MAX(1, atoi(argv[i + 1]));
     else if (!strcmp(argv[i], "--secs"))
-      secs = MAX(3, atoi(argv[i + 1]));
+      phase_s = MAX(3, atoi(argv[i + 1]));
     else if (!strcmp(argv[i], "--net"))
-      net = CLAMP(atoi(argv[i + 1]), 1, 250);
+      loopback_net = CLAMP(atoi(argv[i + 1]), 1, 250);
     else if (!strcmp(argv[i], "--out"))
       out = argv[i + 1];
     else if (!strcmp(argv[i], "--svg"))
@@ -964,18 +985,18 @@
   signal(SIGPIPE, SIG_IGN);
   controller_ip(0, head_ip, sizeof head_ip);
   char **n = g_strsplit(sizes, ",", 32), **m = g_strsplit(many, ",", 32);
-  result all[32 * 32];
+  size_result all[32 * 32];
   int count = 0;
   for (char **x = n; *x; x++)
     for (char **y = m; *y; y++) {
-      nodes = CLAMP(atoi(*x), ALONE, NODES_MOST - 1);
-      engines = CLAMP(atoi(*y), LEAVES + 1, 6000);
-      all[count++] = play();
+      nodes = CLAMP(atoi(*x), SOLO_GATEWAYS, NODES_MAX - 1);
+      engines = CLAMP(atoi(*y), LEAVING_ENGINES + 1, 6000);
+      all[count++] = measure_size();
     }
   if (out)
-    table(out, all, count);
+    write_table(out, all, count);
   if (svg)
-    plot(svg, all, count);
+    write_svg(svg, all, count);
   g_strfreev(n);
   g_strfreev(m);
   return 0;
