--- a/bench/growth.c
+++ b/bench/growth.c
@@ -13,30 +13,30 @@
     return;
   }
   sim_run(fleet->sim, time_from_ms(5000));
-  uint64_t posts = fleet->sim->messages_sent, bytes = fleet->sim->bytes_sent;
+  uint64_t messages = fleet->sim->messages_sent, bytes = fleet->sim->bytes_sent;
   sim_run(fleet->sim, time_from_ms(20000));
   int nodes = routers + fleet->controllers;
   printf("%5d %7d %6d  idle %7.1f messages/s/node %8.0f B/s/node", routers, engines, models,
-         (double)(fleet->sim->messages_sent - posts) / 20 / nodes,
+         (double)(fleet->sim->messages_sent - messages) / 20 / nodes,
          (double)(fleet->sim->bytes_sent - bytes) / 20 / nodes);
-  uint64_t news = 0;
+  uint64_t sync_bytes = 0;
   for (int i = 0; i < routers; i++)
-    news -= fleet->router[i]->router->sync.sync_bytes;
+    sync_bytes -= fleet->router[i]->router->sync.sync_bytes;
   fleet_put(fleet, "evacuation", "{\"areas\":[{\"area\":\"north\",\"share\":0.01}]}");
   sim_run(fleet->sim, time_from_ms(3000));
   for (int i = 0; i < routers; i++)
-    news += fleet->router[i]->router->sync.sync_bytes;
-  printf("  a small change costs %7.0f B a router", (double)news / routers);
-  news = 0;
+    sync_bytes += fleet->router[i]->router->sync.sync_bytes;
+  printf("  a small change costs %7.0f B a router", (double)sync_bytes / routers);
+  sync_bytes = 0;
   for (int i = 0; i < routers; i++)
-    news -= fleet->router[i]->router->sync.sync_bytes;
-  char *cat = fleet_catalogue_json(models, models, NULL);
-  fleet_put(fleet, "catalogue", cat);
-  g_free(cat);
+    sync_bytes -= fleet->router[i]->router->sync.sync_bytes;
+  char *catalogue = fleet_catalogue_json(models, models, NULL);
+  fleet_put(fleet, "catalogue", catalogue);
+  g_free(catalogue);
   sim_run(fleet->sim, time_from_ms(3000));
   for (int i = 0; i < routers; i++)
-    news += fleet->router[i]->router->sync.sync_bytes;
-  printf(", the catalogue %8.0f B\n", (double)news / routers);
+    sync_bytes += fleet->router[i]->router->sync.sync_bytes;
+  printf(", the catalogue %8.0f B\n", (double)sync_bytes / routers);
   fleet_free(fleet);
 }
 
--- a/bench/load.c
+++ b/bench/load.c
@@ -5,11 +5,11 @@
 #include <stdlib.h>
 
 typedef struct {
-  double done[3], asked[3], refused, seconds, attempts, loads, wasted, wait, tries, sent, peak,
-      busy, even, chance;
-} sum;
+  double done[3], asked[3], refused, retries, attempts, loads, wasted, wait_median_ms,
+      attempts_per_request, retry_after_count, peak_share, busy_unloads, evenness, chance_share;
+} load_result;
 
-static int cmp(const void *a, const void *b) {
+static int compare_doubles(const void *a, const void *b) {
   double x = *(const double *)a, y = *(const double *)b;
   return x < y ? -1 : x > y;
 }
@@ -35,7 +35,7 @@
 
 /* A permutation test: the share of 400 random reassignments of the outcomes to the same routers
  * that are at least as uneven as the measured one, which is stored in `is`. */
-static double by_chance(fleet *fleet, guint from, double *is) {
+static double chance_of_unevenness(fleet *fleet, guint from, double *measured) {
   loadgen *loadgen = fleet->callers->loadgen;
   int n = (int)(loadgen->requests->len - from), *router = g_new0(int, n), worse = 0;
   bool *done = g_new0(bool, n);
@@ -52,7 +52,7 @@
       if (!strcmp(fleet->router[v]->addr, attempt->router))
         router[i] = v;
   }
-  *is = evenness(router, done, n, fleet->routers);
+  *measured = evenness(router, done, n, fleet->routers);
   for (int r = 0; r < 400; r++) {
     for (int i = n - 1; i > 0; i--) {
       int j = (int)sim_random(fleet->sim, i + 1);
@@ -60,7 +60,7 @@
       done[i] = done[j];
       done[j] = x;
     }
-    worse += evenness(router, done, n, fleet->routers) <= *is;
+    worse += evenness(router, done, n, fleet->routers) <= *measured;
   }
   g_hash_table_destroy(at);
   g_free(router);
@@ -68,18 +68,18 @@
   return worse / 400.0;
 }
 
-static sum run_load(uint64_t seed, bool lines, double per_s, double zipf, int tokens, int models,
-                    int fault) {
+static load_result run_load(uint64_t seed, bool long_queues, double per_s, double zipf, int tokens,
+                            int models, int fault) {
   fleet *fleet = fleet_new(seed, 7, 9);
   fleet->models = models;
   fleet->adapters = 30;
   fleet->loads_per_s = 2;
-  sum r = { 0 };
+  load_result r = { 0 };
   if (!fleet_bring_up(fleet)) {
     fleet_free(fleet);
     return r;
   }
-  if (lines)
+  if (long_queues)
     fleet_put(
         fleet, "policy",
         "{\"loadsPerS\":2,\"startLoadMs\":1500,\"lineMost\":100000,\"kinds\":[{\"id\":\"live\",\"weight\":4,\"deadlineMs\":600000,\"share\":0.6},{\"id\":\"short\",\"weight\":4,\"deadlineMs\":600000,\"share\":0.25},{\"id\":\"deferred\",\"weight\":8,\"deadlineMs\":600000,\"share\":0.15}]}");
@@ -114,7 +114,7 @@
     r.asked[at]++;
     r.done[at] += request->outcome == OUTCOME_DONE;
     r.refused += request->outcome == OUTCOME_NOT_RUN;
-    r.tries += request->attempt_count;
+    r.attempts_per_request += request->attempt_count;
     if (request->outcome == OUTCOME_DONE) {
       double ms = (double)time_sub(request->first_event_at, request->started_at).us / 1000;
       g_array_append_val(first, ms);
@@ -132,25 +132,25 @@
                     : -1;
     if (n >= 0 && n < 120) {
       at[n]++;
-      r.sent++;
-      r.peak = MAX(r.peak, at[n]);
+      r.retry_after_count++;
+      r.peak_share = MAX(r.peak_share, at[n]);
     }
   }
-  if (r.sent > 0)
-    r.peak /= r.sent;
-  r.tries /= (double)(loadgen->requests->len - from);
-  qsort(first->data, first->len, sizeof(double), cmp);
-  r.wait = first->len ? g_array_index(first, double, first->len / 2) : 0;
+  if (r.retry_after_count > 0)
+    r.peak_share /= r.retry_after_count;
+  r.attempts_per_request /= (double)(loadgen->requests->len - from);
+  qsort(first->data, first->len, sizeof(double), compare_doubles);
+  r.wait_median_ms = first->len ? g_array_index(first, double, first->len / 2) : 0;
   g_array_free(first, TRUE);
   for (int i = 0; i < fleet->routers; i++) {
     router *router = fleet->router[i]->router;
-    r.seconds += (double)router->requests.retry_count;
+    r.retries += (double)router->requests.retry_count;
     r.attempts += (double)router->requests.attempt_count;
     r.loads += (double)router->loading.load_count;
     r.wasted += (double)router->loading.wasted_loads;
-    r.busy += (double)router->loading.busy_unloads;
+    r.busy_unloads += (double)router->loading.busy_unloads;
   }
-  r.chance = by_chance(fleet, from, &r.even);
+  r.chance_share = chance_of_unevenness(fleet, from, &r.evenness);
   fleet_free(fleet);
   return r;
 }
@@ -173,14 +173,15 @@
     for (int s = 1; s <= n; s++) {
       double total[2] = { 0 };
       for (int l = 0; l < 2; l++) {
-        sum r = run_load(s, l, cases[k].per_s, cases[k].zipf, cases[k].tokens, cases[k].models,
-                         cases[k].fault);
+        load_result r = run_load(s, l, cases[k].per_s, cases[k].zipf, cases[k].tokens,
+                                 cases[k].models, cases[k].fault);
         total[l] = r.done[0] + r.done[1] + r.done[2];
         printf(
             "%-18s %-13s %5d %4.0f/%-4.0f %4.0f/%-4.0f %4.0f/%-4.0f %9.0f %9.0f %8.2f %7.0f %7.0f %8.3f %6.0f %6.3f %5.0f %6.2f %6.2f\n",
             cases[k].what, l ? "long queues" : "early refusal", s, r.done[0], r.asked[0], r.done[1],
-            r.asked[1], r.done[2], r.asked[2], r.wait, r.refused, r.tries, r.loads, r.wasted,
-            r.attempts > 0 ? r.seconds / r.attempts : 0, r.sent, r.peak, r.busy, r.even, r.chance);
+            r.asked[1], r.done[2], r.asked[2], r.wait_median_ms, r.refused, r.attempts_per_request,
+            r.loads, r.wasted, r.attempts > 0 ? r.retries / r.attempts : 0, r.retry_after_count,
+            r.peak_share, r.busy_unloads, r.evenness, r.chance_share);
       }
       gain += total[1] > 0 ? total[0] / total[1] / n : 0;
     }
--- a/bench/policies.c
+++ b/bench/policies.c
@@ -12,38 +12,41 @@
 
 /* Counts the accepted loads and the wasted ones: loads of what was unloaded less than ten load
  * times before, and loads that were unloaded again before they served a request. */
-static void count(fleet *fleet, time_us from, int *loads, int *wasted) {
+static void count_loads(fleet *fleet, time_us from, int *loads, int *wasted) {
   for (int i = 0; i < fleet->engines; i++) {
     host *host = fleet->engine[i];
-    GArray *o = host->engine->orders;
-    for (guint k = 0; k < o->len; k++) {
-      engine_sim_order *x = &g_array_index(o, engine_sim_order, k);
-      if (x->kind != 'l' || !x->accepted || x->received_at.us < from.us)
+    GArray *orders = host->engine->orders;
+    for (guint k = 0; k < orders->len; k++) {
+      engine_sim_order *load = &g_array_index(orders, engine_sim_order, k);
+      if (load->kind != 'l' || !load->accepted || load->received_at.us < from.us)
         continue;
       (*loads)++;
-      engine_sim_order *was = NULL, *next = NULL;
-      for (guint j = 0; j < o->len; j++) {
-        engine_sim_order *y = &g_array_index(o, engine_sim_order, j);
-        if (y->kind != 'u' || !y->accepted || !id_equal(y->model, x->model) ||
-            !id_equal(y->adapter, x->adapter))
+      engine_sim_order *last_unload = NULL, *next_unload = NULL;
+      for (guint j = 0; j < orders->len; j++) {
+        engine_sim_order *unload = &g_array_index(orders, engine_sim_order, j);
+        if (unload->kind != 'u' || !unload->accepted || !id_equal(unload->model, load->model) ||
+            !id_equal(unload->adapter, load->adapter))
           continue;
         if (j < k)
-          was = y;
-        else if (!next)
-          next = y;
+          last_unload = unload;
+        else if (!next_unload)
+          next_unload = unload;
       }
-      const catalogue_model *m = config_model(fleet->router[0]->router->config, x->model.text);
-      bool soon =
-          was && time_sub(x->received_at, was->received_at).us <
-                     10000 * load_ms(host, id_is_empty(x->adapter) && m ? m->weights_mb : 0);
+      const catalogue_model *model =
+          config_model(fleet->router[0]->router->config, load->model.text);
+      bool reloaded_soon =
+          last_unload &&
+          time_sub(load->received_at, last_unload->received_at).us <
+              10000 * load_ms(host, id_is_empty(load->adapter) && model ? model->weights_mb : 0);
       int served = 0;
-      for (guint j = 0; next && j < host->engine->streams->len; j++) {
-        engine_sim_stream *y = &g_array_index(host->engine->streams, engine_sim_stream, j);
-        served += id_equal(y->model, x->model) &&
-                  (id_is_empty(x->adapter) || id_equal(y->adapter, x->adapter)) &&
-                  y->started_at.us >= x->received_at.us && y->started_at.us <= next->received_at.us;
+      for (guint j = 0; next_unload && j < host->engine->streams->len; j++) {
+        engine_sim_stream *stream = &g_array_index(host->engine->streams, engine_sim_stream, j);
+        served += id_equal(stream->model, load->model) &&
+                  (id_is_empty(load->adapter) || id_equal(stream->adapter, load->adapter)) &&
+                  stream->started_at.us >= load->received_at.us &&
+                  stream->started_at.us <= next_unload->received_at.us;
       }
-      *wasted += soon || (next && !served);
+      *wasted += reloaded_soon || (next_unload && !served);
     }
   }
 }
@@ -81,36 +84,36 @@
   time_us from = fleet->sim->now;
   sim_run(fleet->sim, time_from_ms(300000));
   loadgen->stop = true;
-  time_us till = fleet->sim->now;
+  time_us until = fleet->sim->now;
   fleet_finish_traffic(fleet);
-  int loads = 0, wasted = 0, asked[3] = { 0 }, done[3] = { 0 }, n = 0;
-  count(fleet, from, &loads, &wasted);
-  double wait = 0;
+  int loads = 0, wasted = 0, asked[3] = { 0 }, done[3] = { 0 }, answered = 0;
+  count_loads(fleet, from, &loads, &wasted);
+  double wait_ms = 0;
   for (guint i = 0; i < loadgen->requests->len; i++) {
     loadgen_request *request = loadgen->requests->pdata[i];
-    if (request->started_at.us < from.us || request->started_at.us >= till.us)
+    if (request->started_at.us < from.us || request->started_at.us >= until.us)
       continue;
-    int at = !strcmp(request->kind.text, loadgen->plan.kinds[0])   ? 0
-             : !strcmp(request->kind.text, loadgen->plan.kinds[1]) ? 1
-                                                                   : 2;
-    asked[at]++;
-    done[at] += request->outcome == OUTCOME_DONE;
+    int kind = !strcmp(request->kind.text, loadgen->plan.kinds[0])   ? 0
+               : !strcmp(request->kind.text, loadgen->plan.kinds[1]) ? 1
+                                                                     : 2;
+    asked[kind]++;
+    done[kind] += request->outcome == OUTCOME_DONE;
     if (request->outcome == OUTCOME_DONE) {
-      wait += (double)time_sub(request->first_event_at, request->started_at).us / 1000;
-      n++;
+      wait_ms += (double)time_sub(request->first_event_at, request->started_at).us / 1000;
+      answered++;
     }
   }
   int all = asked[0] + asked[1] + asked[2];
-  uint64_t busy = 0, gone = 0;
+  uint64_t busy_unloads = 0, unloads = 0;
   for (int i = 0; i < fleet->routers; i++) {
-    busy += fleet->router[i]->router->loading.busy_unloads;
-    gone += fleet->router[i]->router->loading.unload_count;
+    busy_unloads += fleet->router[i]->router->loading.busy_unloads;
+    unloads += fleet->router[i]->router->loading.unload_count;
   }
   printf("%s %s %s loads %d wasted %d wait %.0f answered %.4f kinds %.4f %.4f %.4f busy %.4f\n",
-         argv[1], argv[2], argv[3], loads, wasted, n ? wait / n : 0,
+         argv[1], argv[2], argv[3], loads, wasted, answered ? wait_ms / answered : 0,
          (double)(done[0] + done[1] + done[2]) / all, (double)done[0] / asked[0],
          (double)done[1] / asked[1], (double)done[2] / asked[2],
-         gone ? (double)busy / (double)gone : 0);
+         unloads ? (double)busy_unloads / (double)unloads : 0);
   for (guint i = 0; g_getenv("SIM_NOTES") && i < loadgen->attempts->len; i++) {
     loadgen_attempt *attempt = &g_array_index(loadgen->attempts, loadgen_attempt, i);
     if (attempt->outcome != OUTCOME_DONE && attempt->started_at.us >= from.us)
