--- a/bench/load.c
+++ b/bench/load.c
@@ -34,7 +34,7 @@
 }
 
 /* A permutation test: the share of 400 random reassignments of the outcomes to the same routers
- * that are at least as uneven as the measured one, which is stored in `is`. */
+ * that are at least as uneven as the measured one, which is stored in `measured`. */
 static double chance_of_unevenness(fleet *fleet, guint from, double *measured) {
   loadgen *loadgen = fleet->callers->loadgen;
   int n = (int)(loadgen->requests->len - from), *router = g_new0(int, n), worse = 0;
