--- a/lib/doctor/check_engines.c
+++ b/lib/doctor/check_engines.c
@@ -1,23 +1,25 @@
-/** Engines of the platform's list, as one router sees them: lease holders, reports, residents; and
- * the catalogue against the largest engine. Gateways' engines are in check_gateways.c. */
+/** Checks the engines of the platform's list as one router sees them: lease holders, reports and
+ * resident models; and whether the largest engine has room for each entry of the catalogue. The
+ * engines of gateways are checked in check_gateways.c. */
 #include "examination.h"
 
 enum {
-  OLD_REPORT_MS = 3000,
-  /** Residents move: a difference counts when it is there at each of so many looks. */
-  RESIDENT_LOOKS = 3,
-  RESIDENT_LOOK_MS = 700
+  ENGINE_REPORT_AGE_MAX_MS = 3000,
+  /** Resident models change all the time, so a difference counts only when it is seen at each of
+   * this many checks in a row. */
+  RESIDENT_CHECKS = 3,
+  RESIDENT_CHECK_INTERVAL_MS = 700
 };
 
-static bool same_member(const json *a, const json *b, const char *key) {
+static bool has_same_text(const json *a, const json *b, const char *key) {
   return !strcmp(json_text(a, key, ""), json_text(b, key, ""));
 }
 
 static bool contains_resident(const json *residents, const json *resident) {
   for (size_t i = 0; i < json_count(residents); i++) {
     const json *other = json_at(residents, i);
-    if (same_member(resident, other, "model") && same_member(resident, other, "adapter") &&
-        same_member(resident, other, "state"))
+    if (has_same_text(resident, other, "model") && has_same_text(resident, other, "adapter") &&
+        has_same_text(resident, other, "state"))
       return true;
   }
   return false;
@@ -32,7 +34,8 @@
   return true;
 }
 
-/* true as well when one of the two gives no page, or the router does not know the engine */
+/* Compares the resident models of an engine's own page with those on the router's page. Also true
+ * when one of the pages can't be fetched. */
 static bool residents_agree(const examination *examination, const char *router, const char *engine,
                             const char *address) {
   json *own = examination_fetch(examination, address, "/v1/state", NULL),
@@ -48,13 +51,13 @@
   return agree;
 }
 
-/* an engine's own report against what one router believes */
+/* True when an engine's own report differs from what the router believes at every check. */
 static bool residents_differ(const examination *examination, const char *router, const char *engine,
                              const char *address) {
-  for (int look = 0; look < RESIDENT_LOOKS; look++) {
+  for (int check = 0; check < RESIDENT_CHECKS; check++) {
     if (residents_agree(examination, router, engine, address))
       return false;
-    if (!world_sleep(examination->world, time_from_ms(RESIDENT_LOOK_MS)))
+    if (!world_sleep(examination->world, time_from_ms(RESIDENT_CHECK_INTERVAL_MS)))
       return false;
   }
   return true;
@@ -68,7 +71,7 @@
     examination_add(examination, D_NO_SINGLETON_HOLDER, "the lease on %s is held by %s", name,
                     holder[0] ? holder : "nobody");
   double report_ms = json_number(engine, "heardMs", -1);
-  if (report_ms < 0 || report_ms > OLD_REPORT_MS)
+  if (report_ms < 0 || report_ms > ENGINE_REPORT_AGE_MAX_MS)
     examination_add(examination, D_NO_ANSWER, "%s at %s gives no report", name, address);
   else if (json_bool(engine, "odd", false))
     examination_add(examination, D_RESIDENT_DIFFERS, "the report of %s is malformed", name);
@@ -98,7 +101,8 @@
   }
 }
 
-/* a router with engines of a platform's list that is to stay, or NULL */
+/* The first router that is live, not draining and not a gateway, so that it has the platform's list
+ * of engines; or NULL. */
 static const examined_node *choose_router(const examination *examination) {
   for (guint i = 0; i < examination->nodes->len; i++) {
     const examined_node *node = examination_node(examination, i);
@@ -108,7 +112,7 @@
   return NULL;
 }
 
-/* the catalogue of the first controller that gives it, or NULL */
+/* The catalogue from the first controller that returns it, or NULL. */
 static json *fetch_catalogue(const examination *examination) {
   json *catalogue = NULL;
   for (guint i = 0; i < examination->nodes->len && !catalogue; i++) {
