--- a/lib/membership/failure_detector.c
+++ b/lib/membership/failure_detector.c
@@ -4,19 +4,19 @@
 
 enum {
   HEARTBEAT_INTERVAL_MS = 350,
-  /* four heartbeats */
+  /* four heartbeat intervals */
   SUSPICION_TIMEOUT_MS = 1400,
-  /* the same for a late peer, however late it is */
+  /* upper limit of the suspicion timeout after lateness is added */
   SUSPICION_TIMEOUT_MAX_MS = 2800,
-  /* a watcher repeats its suspicion every HEARTBEAT_INTERVAL_MS while it has reason to */
+  /* a watcher repeats its suspicion every HEARTBEAT_INTERVAL_MS while the peer stays silent */
   SUSPICION_LIFETIME_MS = 1600,
-  /* different watchers whose suspicions make a peer gone */
+  /* number of watchers that must suspect a peer before it is declared gone */
   SUSPICION_QUORUM = 2,
-  /* a peer that was heard directly within this time is not gone, whoever suspects it */
+  /* a peer that was heard directly within this time is never declared gone */
   DIRECT_CONTACT_MS = SUSPICION_TIMEOUT_MS / 2,
-  /* a watcher whose timer comes this long after the last time was paused */
+  /* a watcher whose timer fires this long after its previous run was itself paused */
   WATCHER_PAUSE_MS = SUSPICION_TIMEOUT_MS / 2,
-  /* who is later than this was paused, not overloaded */
+  /* a larger lateness means that the process was paused, not overloaded */
   LATENESS_MAX_MS = 700
 };
 
@@ -44,7 +44,7 @@
   }
 }
 
-/* The envelope has already counted as a sign of life (peer_table_merge). */
+/* Reads only the lateness: peer_table_merge has already recorded when the peer was last heard. */
 static enum error_code on_heartbeat(void *context, Wire__Envelope *message, reply *reply,
                                     error *err) {
   (void)reply;
@@ -59,7 +59,8 @@
   return !id_is_empty(suspicion->by) && !is_past(now, suspicion->at, SUSPICION_LIFETIME_MS);
 }
 
-/* the watcher's entry, or else the first that is free or has expired; NULL if there is none */
+/* Returns the watcher's entry, or else the first one that is free or expired; NULL if there is
+ * none. */
 static suspicion *find_suspicion(peer_node *peer, id watcher, time_us now) {
   suspicion *unused = NULL;
   for (size_t i = 0; i < SUSPICIONS_MAX; i++) {
@@ -138,7 +139,7 @@
   *lateness_ms = MAX(MAX(late_ms, 0), *lateness_ms * 3 / 4);
 }
 
-/* the silence after which a peer is suspected */
+/* Returns how long a peer may be silent before it is suspected. */
 static int64_t suspicion_timeout_ms(const node *node, const peer_node *peer) {
   int64_t lateness_ms = node->failure_detector.lateness_ms + peer->lateness_ms;
   return MIN(SUSPICION_TIMEOUT_MS + lateness_ms, SUSPICION_TIMEOUT_MAX_MS);
--- a/lib/membership/failure_detector.h
+++ b/lib/membership/failure_detector.h
@@ -3,57 +3,58 @@
 /**
  * The failure detector: decides which peers are gone.
  *
- * Heartbeats. Every 350 ms (and up to a fifth more, at random) a process sends a heartbeat to its
- * three watchers, the processes that stand next on the heartbeat ring (heartbeat_ring.h). Any other
- * message of the process counts as a sign of life, too.
+ * Heartbeats. Every 350 ms, plus a random jitter of up to a fifth, a process sends a heartbeat to
+ * its three watchers, the next processes on the heartbeat ring (heartbeat_ring.h). Any other
+ * message from the process also counts as a sign of life.
  *
  * Suspicion. A watcher that has heard nothing from a process for 1.4 s (four heartbeats) sends a
- * suspicion to all live peers, and does so again every 350 ms while the silence lasts. A suspicion
- * is forgotten after 1.6 s. When a node has suspicions of two different watchers at the same time,
- * and has itself heard nothing from the process for 0.7 s, it declares the process gone. Each node
- * decides for itself; there is no agreement. Two suspicions are asked for since one watcher may be
- * cut off from a healthy process, and the 0.7 s protect a process that some watchers can't hear but
- * this node can. A process that receives a suspicion of itself sends a heartbeat to all live peers
- * at once. So a dead process is gone everywhere within about two seconds.
+ * suspicion to all live peers, and repeats it every 350 ms while the silence lasts. A suspicion
+ * expires after 1.6 s. A node declares a process gone when it holds suspicions from two different
+ * watchers at the same time and has itself heard nothing from the process for 0.7 s. Each node
+ * decides for itself, without agreement. Two suspicions are required because a single watcher may
+ * be partitioned from a healthy process. The 0.7 s protect a process that this node can hear but
+ * some watchers can't. A process that receives a suspicion of itself immediately sends a heartbeat
+ * to all live peers. A dead process is therefore declared gone everywhere within about two seconds.
  *
- * Pauses. A watcher that was itself stopped (a frozen process, a suspended machine) has missed
- * heartbeats through its own fault: when its own timer comes more than 0.7 s after the last one,
- * it starts all its watches anew.
+ * Pauses. A watcher that was itself paused (a frozen process, a suspended machine) has missed
+ * heartbeats that peers did send. When its own timer fires more than 0.7 s after the previous time,
+ * it restarts the silence timers of all peers that it watches.
  *
- * Lateness. Under overload heartbeats are sent late, and those that have come wait to be read. Each
- * process measures how late its own timer runs (its latest value, or three quarters of the one
- * before, whichever is larger) and says so in its heartbeats. The watcher adds the peer's lateness
- * and its own to the 1.4 s, but never waits for more than 2.8 s. Lateness above 0.7 s is a pause
- * and counts as none, since it says nothing about the time after it. Heartbeats are sent and
- * watched by urgent tasks (task.h), which run before others.
+ * Lateness. Under overload, heartbeats are sent late, and received ones wait to be read. Each
+ * process measures how late its own timer fires (the larger of the latest value and three quarters
+ * of the previous result) and reports it in its heartbeats. The watcher adds the peer's lateness
+ * and its own to the 1.4 s, up to a total of 2.8 s. A lateness above 0.7 s is a pause and counts as
+ * zero, because it predicts nothing about the time that follows. Urgent tasks (task.h), which run
+ * before all others, send and check heartbeats.
  */
 #include "base.h"
 
 typedef struct node node;
 
-/** Suspicions of one peer that a node keeps: more than a process has watchers, since the ring, and
- * with it the watchers, may change. */
+/** Maximum number of suspicions that a node keeps per peer. It exceeds HEARTBEAT_WATCHERS because
+ * the watchers change with the ring. */
 enum { SUSPICIONS_MAX = 6 };
 /** One watcher's suspicion of a peer. */
 typedef struct suspicion {
-  /** The watcher; empty: this entry is free. */
+  /** The watcher; empty if this entry is free. */
   id by;
   time_us at;
 } suspicion;
 
-/** The state of one node's failure detector; written by failure_detector.c only. What it knows of
- * each peer stands in struct peer_node. */
+/** The state of one node's failure detector; written by failure_detector.c only. Its state per peer
+ * is in struct peer_node. */
 typedef struct failure_detector {
+  /** Number of the last heartbeat that was sent. */
   uint64_t last_sequence;
-  /** How late tasks of this process have run lately, in ms. */
+  /** How late the tasks of this process have recently run, in ms. */
   int64_t lateness_ms;
 } failure_detector;
 
-/** Registers the handlers of its messages. */
+/** Registers the handlers of heartbeats and suspicions. */
 void failure_detector_init(node *node);
-/** Starts the tasks that send and watch heartbeats. */
+/** Starts the tasks that send heartbeats and check those of peers. */
 void failure_detector_start(node *node);
-/** Sends a heartbeat to all live peers, so that they learn at once what the envelope says of this
- * process. */
+/** Sends a heartbeat to all live peers, so that they immediately learn the state of this process
+ * that its envelope carries. */
 void failure_detector_announce_self(node *node);
 #endif
--- a/lib/membership/gossip.c
+++ b/lib/membership/gossip.c
@@ -4,13 +4,13 @@
 
 enum {
   GOSSIP_INTERVAL_MS = 1000,
-  /* the first rounds come faster, so that a process that starts is soon known */
+  /* the first rounds run faster, so that peers soon discover a process that has just started */
   START_INTERVAL_MS = 300,
   START_ROUNDS = 10,
-  /* seeds are asked in every tenth round, and in each while fewer peers than this are known */
+  /* seeds are contacted in every tenth round, and in every round with fewer candidates than this */
   ROUNDS_PER_SEEDS = 10,
   FEW_PEERS = 3,
-  /* a gone peer is a candidate in one round out of this many */
+  /* a gone peer is a candidate in one out of this many rounds on average */
   ROUNDS_PER_GONE_PEER = 8
 };
 
@@ -18,7 +18,8 @@
   return hash_bytes(&nonce, sizeof nonce, hash_two_names(self.text, address) + draining);
 }
 
-/* The same wherever the same live processes are known. The order of entries makes no difference. */
+/* Two processes that know the same live processes compute the same checksum, whatever the order of
+ * their entries. */
 static uint64_t table_checksum(node *node) {
   uint64_t checksum =
       entry_checksum(node->settings.self, node->nonce, node->settings.address, node->draining);
@@ -28,7 +29,7 @@
   return checksum;
 }
 
-/* This process itself is not listed: the envelope has it. */
+/* Sends the full table. It leaves out this process, which the envelope describes. */
 static void send_table(node *node, const char *address, bool want_response) {
   GPtrArray *entries = g_ptr_array_new_with_free_func(g_free);
   list_for_each (peer, &node->peers, peer_node, link) {
@@ -81,7 +82,7 @@
   return OK;
 }
 
-/* returns the number of candidates, from which the one to gossip with was drawn */
+/* Returns the number of candidates from which the peer was chosen. */
 static guint gossip_with_random_peer(node *node) {
   GPtrArray *candidates = g_ptr_array_new();
   list_for_each (peer, &node->peers, peer_node, link)
--- a/lib/membership/heartbeat_ring.c
+++ b/lib/membership/heartbeat_ring.c
@@ -2,7 +2,8 @@
 #include "heartbeat_ring.h"
 #include "node.h"
 
-/* the seed of the positions' hashes; the same in all processes of a fleet */
+/* hashed together with the name of a process to get its position; the same in all processes of a
+ * fleet */
 #define RING_HASH_KEY "ring"
 
 void heartbeat_ring_init(heartbeat_ring *ring) {
@@ -58,7 +59,8 @@
   g_array_sort(ring->positions, compare_positions);
 }
 
-/* the index of the first position whose hash is not lower; the ring's length if there is none */
+/* Returns the index of the first position whose hash is not lower than `hash`; the ring's length if
+ * there is none. */
 static guint find_first_from(const heartbeat_ring *ring, uint64_t hash) {
   guint low = 0, high = ring->positions->len;
   while (low < high) {
@@ -82,7 +84,7 @@
   return true;
 }
 
-/* one pass around the ring; returns the number of watchers after it */
+/* Makes one pass around the ring from `start`. Returns the number of watchers after it. */
 static int add_watchers(const heartbeat_ring *ring, guint start, id who, ring_position *watchers,
                         int count, int max, bool one_per_zone) {
   guint length = ring->positions->len;
--- a/lib/membership/node.c
+++ b/lib/membership/node.c
@@ -1,10 +1,10 @@
-/** The parts of a node put together: see node.h. */
+/** The membership state of a process: see node.h. */
 #include "node.h"
 #include "gossip.h"
 
 enum {
   FIRST_INCARNATION = 1,
-  /* status pages report a process of the same name that was heard of within this time */
+  /* how long status pages report another process with the same name after it was last heard of */
   DUPLICATE_REPORTED_MS = 15000
 };
 
@@ -15,7 +15,7 @@
   node->log = (logger){ world, settings->self, settings->debug_log, settings->json_log };
   node->started_at = world_now(world);
   node->incarnation = FIRST_INCARNATION;
-  /* never 0, which is what a message without a nonce has */
+  /* The nonce is never 0, because 0 in a message means that no nonce is set. */
   node->nonce = world->random(world) | 1;
   list_init(&node->peers);
   condition_init(&node->membership_changed);
--- a/lib/membership/peer_channels.c
+++ b/lib/membership/peer_channels.c
@@ -7,18 +7,18 @@
 #include <sys/socket.h>
 
 enum {
-  /* a peer that sends a larger message is cut off */
+  /* the connection of a peer that sends a larger message is closed */
   MESSAGE_MAX_BYTES = 8 << 20,
-  /* messages beyond this are dropped until the channel has taken some */
+  /* a message that would make the queue larger than this is dropped */
   QUEUE_MAX_BYTES = 16 << 20,
-  /* How long libwebsockets may take for the TCP connection, in s, and the channel to be open
-   * altogether. The first is short: with it the first packet is sent again. */
+  /* Timeouts for the TCP connection and for opening the channel as a whole. The first is short,
+   * because the next attempt sends the first TCP packet again. */
   CONNECT_TIMEOUT_S = 1,
   OPEN_TIMEOUT_MS = 2500,
-  /* pause after an attempt to open a channel */
+  /* minimum time between two attempts to open a channel */
   REOPEN_INTERVAL_MS = 100,
-  /* TCP keepalive of channels that come in: silence before the first probe, time between probes,
-   * and probes that may stay unanswered */
+  /* TCP keepalive of inbound channels: idle time before the first probe, time between probes, and
+   * number of unanswered probes after which the connection is closed */
   KEEPALIVE_IDLE_S = 20,
   KEEPALIVE_INTERVAL_S = 5,
   KEEPALIVE_PROBES = 3
@@ -27,19 +27,19 @@
 typedef struct message {
   list_node link;
   size_t length;
-  /* length bytes, behind LWS_PRE bytes that the library writes its framing to */
+  /* the message, after LWS_PRE bytes that the library reserves for its framing */
   unsigned char *bytes;
 } message;
 
-/** A channel from this process to a peer. It is kept when its connection is lost. */
+/** A channel from this process to a peer. It outlives its connections. */
 typedef struct outbound {
-  /** Not attached while there is no connection, open or being opened. */
+  /** Attached while a connection is open or being opened. */
   connection_owner owner;
   char address[48];
-  /** Messages that were not written yet (message), and their size. */
+  /** Messages that are not yet written (struct message), and their total size. */
   list_node queue;
   size_t queued_bytes;
-  /** When the last attempt to open it began. */
+  /** When the last attempt to open the channel started. */
   time_us attempted_at;
   bool open;
 } outbound;
@@ -47,7 +47,7 @@
 /** A channel from a peer to this process. */
 typedef struct inbound {
   connection_owner owner;
-  /** What has come of a message so far. */
+  /** The fragments of the current message received so far. */
   GString *received;
 } inbound;
 
@@ -56,7 +56,8 @@
   struct lws_context *context;
   struct lws_vhost *vhost;
   char own_ip[48];
-  /** Address -> outbound. Those of peers that are gone for good stay; they are few. */
+  /** Address -> outbound. Entries of peers that are permanently gone are kept, since they are few.
+   */
   GHashTable *outbound;
 };
 
@@ -109,8 +110,8 @@
   return peer;
 }
 
-/* The library has no useful timeout for the websocket handshake, and the other side may lose power
- * in its middle. */
+/* Closes a connection whose opening has taken too long. libwebsockets has no useful timeout for the
+ * websocket handshake, and the other side may lose power during it. */
 static void drop_stuck_opening(outbound *peer, time_us now) {
   if (!peer->owner.wsi || peer->open ||
       !time_reached(now, time_add(peer->attempted_at, time_from_ms(OPEN_TIMEOUT_MS))))
@@ -121,7 +122,7 @@
   outbound_drop_messages(peer);
 }
 
-/* True when there is a connection, open or being opened. */
+/* Starts to open a connection if there is none. Returns true if one is open or being opened. */
 static bool outbound_open(peer_channels *channels, outbound *peer) {
   time_us now = world_now(channels->world);
   drop_stuck_opening(peer, now);
@@ -156,16 +157,17 @@
     lws_callback_on_writable(connection_owner_wsi(&peer->owner));
 }
 
-/* TCP doubles its retransmission timeout, so a connection that outlived a cut may stay silent for
- * as long again after it. The kernel is told to close a connection whose bytes are not acknowledged
- * for some time; the next message opens a new one. */
+/* Makes the kernel close a connection whose bytes stay unacknowledged for PEER_CHANNEL_TIMEOUT_MS;
+ * the next message opens a new one. TCP doubles its retransmission timeout on each attempt, so a
+ * connection that survives a network partition could otherwise stay silent for as long again after
+ * the partition has ended. */
 static void give_up_silent_channel(struct lws *wsi) {
   unsigned silence_ms = PEER_CHANNEL_TIMEOUT_MS;
   setsockopt(lws_get_socket_fd(wsi), IPPROTO_TCP, TCP_USER_TIMEOUT, &silence_ms, sizeof silence_ms);
 }
 
-/* The receiving end of such a connection has nothing to send, so only keepalive probes show that
- * the sender is gone. */
+/* Enables TCP keepalive. The receiving end of a channel sends nothing, so only keepalive probes
+ * detect that the sender is gone. */
 static void close_when_abandoned(struct lws *wsi) {
   int fd = lws_get_socket_fd(wsi);
   int enabled = 1, idle_s = KEEPALIVE_IDLE_S, interval_s = KEEPALIVE_INTERVAL_S;
@@ -176,7 +178,7 @@
   setsockopt(fd, IPPROTO_TCP, TCP_KEEPCNT, &probes, sizeof probes);
 }
 
-/* writes one message, since the library allows one write a callback */
+/* Writes one message, since the library allows one write per callback. */
 static int outbound_write(outbound *peer, struct lws *wsi) {
   if (list_is_empty(&peer->queue))
     return CONNECTION_KEEP;
@@ -207,7 +209,7 @@
   close_when_abandoned(wsi);
 }
 
-/* takes a fragment, and delivers the message with its last one */
+/* Appends a fragment to the current message, and delivers the message when it is complete. */
 static int inbound_read(peer_channels *channels, inbound *peer, struct lws *wsi, const char *bytes,
                         size_t length) {
   world *world = channels->world;
--- a/lib/membership/peer_rpc.c
+++ b/lib/membership/peer_rpc.c
@@ -3,9 +3,9 @@
 #include "node.h"
 
 enum {
-  /* tasks that handle messages at the same time; each has a stack of its own */
+  /* maximum number of concurrent handler tasks; each has its own stack */
   RUNNING_HANDLERS_MAX = 600,
-  /* one log line for so many messages of a refused wire version */
+  /* one log line is written per this many messages of a refused wire version */
   REFUSALS_PER_LOG_LINE = 100
 };
 
@@ -15,7 +15,7 @@
   Wire__Envelope *response;
 } pending_call;
 
-/* a message that a task of its own handles */
+/* a message and the node that handles it in a separate task */
 typedef struct handler_run {
   node *node;
   Wire__Envelope *message;
@@ -129,7 +129,7 @@
   send_envelope(node, request->from->address, response);
 }
 
-/* does nothing for a notification */
+/* Sends an error response to a call; does nothing for a notification. */
 static void send_error(node *node, const Wire__Envelope *request, enum error_code code,
                        const char *text) {
   if (!request->call || request->response)
@@ -173,7 +173,7 @@
   task_start(&node->world->tasks, "handle message", handle_message_run, run);
 }
 
-/* takes the response over */
+/* Gives the response to the call that waits for it. Takes ownership of the response. */
 static void deliver_response(node *node, Wire__Envelope *response) {
   uint64_t number = response->call;
   pending_call *call = g_hash_table_lookup(node->rpc.pending_calls, &number);
@@ -205,7 +205,7 @@
   node *node = context;
   Wire__Envelope *message = wire__envelope__unpack(NULL, bytes.length, (const uint8_t *)bytes.data);
   if (!message || !sender_is_valid(message)) {
-    log_info(&node->log, "wire", "Refused %zu bytes that are no message of a process (code %d).",
+    log_info(&node->log, "wire", "Refused %zu bytes that are not a valid message (code %d).",
              bytes.length, E_WIRE_MESSAGE);
     peer_rpc_message_free(message);
     return;
--- a/lib/membership/peer_table.c
+++ b/lib/membership/peer_table.c
@@ -4,10 +4,11 @@
 
 enum {
   GONE_PEER_RETENTION_MS = 600000,
-  /* A process hears of its former run within its first seconds. Who hears later that its name is in
-   * use has a namesake. */
+  /* A process hears of its previous run within its first seconds. If it hears later that its name
+   * is in use, another process has the same name. */
   FORMER_RUN_PERIOD_MS = 8000,
-  /* a restarted peer sends several messages before it has read the answer to the first */
+  /* minimum time between two corrections to a peer; a restarted peer sends several messages before
+   * it has read the response to the first */
   KNOWN_INCARNATION_INTERVAL_MS = 200
 };
 
@@ -119,7 +120,7 @@
   info->role = peer->role;
 }
 
-/* a table with one entry, the receiver's own */
+/* Sends a table with one entry, the receiver's own. */
 static void send_known_incarnation(node *node, const peer_node *peer, const char *address) {
   Wire__NodeInfo info, *entries = &info;
   peer_table_fill_info(peer, &info);
@@ -130,8 +131,8 @@
   peer_rpc_send(node, address, &message);
 }
 
-/* A restarted peer may be known here under its former run, gone or not. It is sent the incarnation
- * of that run and takes a higher one. */
+/* Sends a restarted peer the incarnation of its previous run if this node still knows that run,
+ * whether gone or not; the peer then takes a higher incarnation. */
 static void correct_incarnation(node *node, peer_node *peer, const Wire__NodeInfo *info) {
   time_us now = world_now(node->world);
   if (info->nonce == peer->nonce || info->incarnation > peer->incarnation)
@@ -142,7 +143,7 @@
   send_known_incarnation(node, peer, info->address);
 }
 
-/* what others say of this process's own name */
+/* Merges what other processes report under this process's own name. */
 static void merge_self(node *node, const Wire__NodeInfo *info) {
   if (info->nonce == node->nonce || info->incarnation < node->incarnation)
     return;
@@ -152,7 +153,7 @@
     return;
   if (!node->duplicate_seen_at.us)
     log_info(&node->log, "member",
-             "Another process at %s uses this name, too; took incarnation %" PRIu64 " (code %d).",
+             "Another process at %s uses the same name; took incarnation %" PRIu64 " (code %d).",
              info->address, node->incarnation, E_NAME);
   node->duplicate_seen_at = now;
 }
@@ -165,20 +166,20 @@
   return peer;
 }
 
-/* An entry of the same run, or of a later one, is taken. So is a gone peer's own message under the
- * incarnation that is known: with another nonce that is a namesake's or a restarted peer's, and the
- * peer is better live than gone. */
+/* Accepts an entry of the same run or of a later one. Also accepts a direct message of a gone peer
+ * under the known incarnation: with another nonce it comes from a restarted peer or from another
+ * process with the same name, and treating the peer as live is better than leaving it gone. */
 static bool info_is_accepted(const peer_node *peer, const Wire__NodeInfo *info, bool direct) {
   if (info->incarnation != peer->incarnation)
     return info->incarnation > peer->incarnation;
   return info->nonce == peer->nonce || (direct && peer->gone);
 }
 
-/* a run of the peer that was not known begins */
+/* Resets the entry of a peer for a run that was not known before. */
 static void begin_run(node *node, peer_node *peer, const Wire__NodeInfo *info) {
   time_us now = world_now(node->world);
-  log_info(&node->log, "member", "Met %s (%s) at %s in %s, incarnation %" PRIu64 ".", info->id,
-           role_name(info->role), info->address, info->zone, info->incarnation);
+  log_info(&node->log, "member", "Discovered %s (%s) at %s in %s, incarnation %" PRIu64 ".",
+           info->id, role_name(info->role), info->address, info->zone, info->incarnation);
   memset(peer->suspicions, 0, sizeof peer->suspicions);
   peer->gone = false;
   peer->last_heard_at = now;
@@ -188,7 +189,7 @@
 static void revive(node *node, peer_node *peer) {
   peer->gone = false;
   memset(peer->suspicions, 0, sizeof peer->suspicions);
-  log_info(&node->log, "member", "%s is back.", peer->self.text);
+  log_info(&node->log, "member", "%s is live again.", peer->self.text);
 }
 
 void peer_table_merge(node *node, const Wire__NodeInfo *info, bool direct) {
@@ -218,7 +219,7 @@
   peer->role = info->role;
   peer->zone = id_of_text(info->zone);
   g_strlcpy(peer->address, info->address, sizeof peer->address);
-  /* gossip may be older than what the peer said itself */
+  /* gossip may be older than what the peer reported itself */
   if (direct || is_new_run)
     peer->draining = info->draining;
   changed |= was_draining != peer->draining;
--- a/lib/membership/peer_table.h
+++ b/lib/membership/peer_table.h
@@ -3,22 +3,23 @@
 /**
  * The peer table: what this process knows of each other process of the fleet.
  *
- * Entries come from two sources. A message that the peer sent itself bears its NodeInfo ("direct"
- * knowledge); gossip bears what others know of it. The table is merged by incarnation:
+ * Entries come from two sources. Each message of a peer carries the peer's own NodeInfo ("direct"
+ * information); gossip carries what other processes know of it. Entries are merged by incarnation.
  *
- * Incarnations tell the runs of a process apart without clocks and without a disk. A process starts
- * with incarnation 1 and a random nonce. When it hears of its own name under another nonce and an
- * incarnation that is not lower, it takes the next one; that is either its own former run, or, if
- * it goes on for longer than a start takes, another process that was given the same name by
- * mistake. A receiver takes over an entry with a higher incarnation, or with the same one and the
- * same nonce, and ignores others. A receiver that hears a restarted peer directly under an
- * incarnation that is not higher than the one it knows sends it that one, because a peer that is
- * declared gone is in nobody's gossip, and would never learn of its former run otherwise.
+ * Incarnations distinguish the runs of a process without clocks or a disk. A process starts with
+ * incarnation 1 and a random nonce. When it hears of its own name with another nonce and an
+ * incarnation that is not lower, it takes the next higher incarnation. The other entry belongs to
+ * its own previous run or, if this still happens after the startup phase, to another process that
+ * was given the same name by mistake. A receiver accepts an entry with a higher incarnation, or
+ * with the same incarnation and the same nonce, and ignores others. When a restarted peer contacts
+ * a receiver directly under an incarnation that is not higher than the known one, the receiver
+ * sends it the known one. Otherwise a peer that was declared gone would never learn of its previous
+ * run, because gossip does not contain gone peers.
  *
- * A peer is live, draining (it has announced its end) or gone (the failure detector has declared it
- * dead). A gone peer is live again as soon as it is heard directly. Ten minutes after it was
- * declared dead it is forgotten; until then gossip tries it now and then, so that two halves of a
- * fleet that was cut in two find each other again.
+ * A peer is live, draining (it has announced its shutdown) or gone (the failure detector has
+ * declared it dead). A gone peer is live again as soon as it is heard directly. It is removed ten
+ * minutes after it was declared dead. Until then gossip contacts it from time to time, so that two
+ * parts of a fleet find each other again after a network partition.
  */
 #include "failure_detector.h"
 #include "settings.h"
@@ -26,66 +27,67 @@
 
 typedef struct node node;
 
-/** Another process of the fleet. Owned by the peer table of one node. Pointers are valid until the
- * running task suspends itself: an entry may be forgotten in between. */
+/** Another process of the fleet, owned by the peer table of one node. A pointer is valid until the
+ * running task suspends itself, since the entry may be removed meanwhile. */
 typedef struct peer_node {
   list_node link;
 
-  /** As the peer says of itself; written by peer_table.c. */
+  /** As reported by the peer; written by peer_table.c. */
   id self, zone;
   uint64_t incarnation, nonce;
   char address[ADDRESS_BYTES];
   enum role role;
-  /** It has announced that it will end; it does not take singletons. */
+  /** draining: the peer has announced its shutdown. idle: it can't take singletons. */
   bool draining, idle;
-  /** When this entry was made, when a message of the peer itself came last (or the entry began a
-   * new incarnation), and when the peer was last sent the incarnation that is known here. */
+  /** When this entry was created; when the peer itself last sent a message (or a new run of it
+   * became known); when this node last sent the peer the incarnation that it knows. */
   time_us first_seen_at, last_heard_at, notified_at;
 
-  /** Declared dead, and since when; written by failure_detector.c, and reset by peer_table.c when
-   * the peer is heard again. */
+  /** Whether and when the peer was declared dead. Set by failure_detector.c, and reset by
+   * peer_table.c when the peer is heard again. */
   bool gone;
   time_us gone_at;
-  /** When this node began to watch the peer's heartbeats; 0: it does not. */
+  /** When this node started to watch the peer's heartbeats; 0 if it does not. */
   time_us watched_since;
-  /** Who suspects the peer. */
+  /** Suspicions of the peer by its watchers. */
   suspicion suspicions[SUSPICIONS_MAX];
-  /** How late the peer's tasks run, as its latest heartbeat says. */
+  /** How late the peer's tasks run, according to its latest heartbeat. */
   int64_t lateness_ms;
 
-  /** What other routers have said in config sync; written by lib/router/router_sync.c only. When it
-   * last confirmed the configuration, when it last said that its list of engines is outdated, how
-   * many routers it knows, and whether a poll of it is in flight. */
+  /** Results of config sync with other routers; written by lib/router/router_sync.c only. When the
+   * peer last confirmed the configuration, when it last reported that its engine list is outdated,
+   * how many routers it knows, and whether a poll of it is in flight. */
   time_us confirmed_at, list_outdated_at;
   unsigned known_routers;
   bool poll_pending;
 } peer_node;
 
-/** The peer with a name; NULL if it is not known. */
+/** Returns the peer with the given name; NULL if it is not known. */
 peer_node *peer_table_find(node *node, id who);
-/** True unless the peer was declared dead. A draining peer is live. */
+/** Returns true unless the peer was declared dead. A draining peer is live. */
 bool peer_is_live(const peer_node *peer);
-/** The state of a peer as status pages give it: "live", "leaving" or "gone". */
+/** Returns the state of a peer as shown on status pages: "live", "leaving" or "gone". */
 const char *peer_state_name(const peer_node *peer);
-/** A random live peer of a role, but the one at the address `last` if it is among them (NULL or "":
- * no preference). If none is live, the same among those that are gone. NULL if none is known. */
+/** Returns a random live peer of a role, or the one with the address `last` if it is among them
+ * (NULL or "" for no preference). If none is live, chooses among the gone ones in the same way.
+ * NULL if none is known. */
 peer_node *peer_table_pick(node *node, enum role role, const char *last);
-/** The number of peers of a role that have not announced their end, gone ones included; this
- * process counts if it has the role. */
+/** Returns the number of peers of a role that have not announced their shutdown, including gone
+ * ones. This process counts if it has the role. */
 int peer_table_count(node *node, enum role role);
-/** The process of a role that comes first by rendezvous hashing of `key`, among those that are
- * neither gone nor draining; this process takes part if it has the role. exclude is left out (an
- * empty id: nobody). False, with the results untouched, if there is none. */
+/** Selects a process of a role by rendezvous hashing of `key` among those that are neither gone nor
+ * draining. This process takes part if it has the role. `exclude` is left out; an empty id excludes
+ * none. Returns false and leaves *who and address unchanged if there is no candidate. */
 bool peer_table_rendezvous(node *node, enum role role, const char *key, id exclude, id *who,
                            char address[ADDRESS_BYTES]);
 /** Appends the table, this process first, as a JSON array. */
 void peer_table_append_json(node *node, GString *to);
 
-/** Takes over what a message says of a process, if it is newer than what is known. direct: the
- * process says it of itself. The fields of info must be valid. */
+/** Updates the table with the information about a process from a message, if it is newer. direct
+ * means that the process sent it about itself. The fields of info must be valid. */
 void peer_table_merge(node *node, const Wire__NodeInfo *info, bool direct);
-/** Fills a NodeInfo with what is known of a peer, all but draining and idle. It borrows the peer's
- * texts. */
+/** Fills a NodeInfo with what is known of a peer, except draining and idle. It borrows the peer's
+ * strings. */
 void peer_table_fill_info(const peer_node *peer, Wire__NodeInfo *info);
 /** Removes peers that have been gone for ten minutes. */
 void peer_table_forget_gone(node *node);
