--- a/lib/membership/peer_channels.c
+++ b/lib/membership/peer_channels.c
@@ -161,14 +161,14 @@
  * the next message opens a new one. TCP doubles its retransmission timeout on each attempt, so a
  * connection that survives a network partition could otherwise stay silent for as long again after
  * the partition has ended. */
-static void give_up_silent_channel(struct lws *wsi) {
-  unsigned silence_ms = PEER_CHANNEL_TIMEOUT_MS;
-  setsockopt(lws_get_socket_fd(wsi), IPPROTO_TCP, TCP_USER_TIMEOUT, &silence_ms, sizeof silence_ms);
+static void set_acknowledge_timeout(struct lws *wsi) {
+  unsigned timeout_ms = PEER_CHANNEL_TIMEOUT_MS;
+  setsockopt(lws_get_socket_fd(wsi), IPPROTO_TCP, TCP_USER_TIMEOUT, &timeout_ms, sizeof timeout_ms);
 }
 
 /* Enables TCP keepalive. The receiving end of a channel sends nothing, so only keepalive probes
  * detect that the sender is gone. */
-static void close_when_abandoned(struct lws *wsi) {
+static void enable_keepalive(struct lws *wsi) {
   int fd = lws_get_socket_fd(wsi);
   int enabled = 1, idle_s = KEEPALIVE_IDLE_S, interval_s = KEEPALIVE_INTERVAL_S;
   int probes = KEEPALIVE_PROBES;
@@ -206,7 +206,7 @@
   peer->owner.on_destroyed = inbound_destroyed;
   peer->received = g_string_new(NULL);
   connection_owner_attach(&peer->owner, wsi);
-  close_when_abandoned(wsi);
+  enable_keepalive(wsi);
 }
 
 /* Appends a fragment to the current message, and delivers the message when it is complete. */
@@ -232,7 +232,7 @@
     if (!owner)
       return CONNECTION_CLOSE;
     ((outbound *)owner)->open = true;
-    give_up_silent_channel(wsi);
+    set_acknowledge_timeout(wsi);
     lws_callback_on_writable(wsi);
     return CONNECTION_KEEP;
   case LWS_CALLBACK_CLIENT_WRITEABLE:
