--- a/lib/membership/peer_channels.c
+++ b/lib/membership/peer_channels.c
@@ -97,7 +97,7 @@
   g_free(channels);
 }
 
-static outbound *outbound_of(peer_channels *channels, const char *address) {
+static outbound *find_or_add_outbound(peer_channels *channels, const char *address) {
   outbound *peer = g_hash_table_lookup(channels->outbound, address);
   if (peer)
     return peer;
@@ -112,7 +112,7 @@
 
 /* Closes a connection whose opening has taken too long. libwebsockets has no useful timeout for the
  * websocket handshake, and the other side may lose power during it. */
-static void drop_stuck_opening(outbound *peer, time_us now) {
+static void close_stalled_opening(outbound *peer, time_us now) {
   if (!peer->owner.wsi || peer->open ||
       !time_reached(now, time_add(peer->attempted_at, time_from_ms(OPEN_TIMEOUT_MS))))
     return;
@@ -125,7 +125,7 @@
 /* Starts to open a connection if there is none. Returns true if one is open or being opened. */
 static bool outbound_open(peer_channels *channels, outbound *peer) {
   time_us now = world_now(channels->world);
-  drop_stuck_opening(peer, now);
+  close_stalled_opening(peer, now);
   if (peer->owner.wsi)
     return true;
   if (!time_reached(now, time_add(peer->attempted_at, time_from_ms(REOPEN_INTERVAL_MS))))
@@ -144,7 +144,7 @@
 void peer_channels_post(peer_channels *channels, const char *address, string_view bytes) {
   if (channels->world->tasks.stopped)
     return;
-  outbound *peer = outbound_of(channels, address);
+  outbound *peer = find_or_add_outbound(channels, address);
   if (peer->queued_bytes + bytes.length > QUEUE_MAX_BYTES || !outbound_open(channels, peer))
     return;
   message *next = g_new0(message, 1);
