--- a/lib/membership/peer_table.c
+++ b/lib/membership/peer_table.c
@@ -9,7 +9,7 @@
   FORMER_RUN_PERIOD_MS = 8000,
   /* minimum time between two corrections to a peer; a restarted peer sends several messages before
    * it has read the response to the first */
-  KNOWN_INCARNATION_INTERVAL_MS = 200
+  INCARNATION_RESEND_INTERVAL_MS = 200
 };
 
 peer_node *peer_table_find(node *node, id who) {
@@ -137,9 +137,10 @@
   time_us now = world_now(node->world);
   if (info->nonce == peer->nonce || info->incarnation > peer->incarnation)
     return;
-  if (!time_reached(now, time_add(peer->notified_at, time_from_ms(KNOWN_INCARNATION_INTERVAL_MS))))
+  if (!time_reached(
+          now, time_add(peer->incarnation_sent_at, time_from_ms(INCARNATION_RESEND_INTERVAL_MS))))
     return;
-  peer->notified_at = now;
+  peer->incarnation_sent_at = now;
   send_known_incarnation(node, peer, info->address);
 }
 
--- a/lib/membership/peer_table.h
+++ b/lib/membership/peer_table.h
@@ -41,7 +41,7 @@
   bool draining, idle;
   /** When this entry was created; when the peer itself last sent a message (or a new run of it
    * became known); when this node last sent the peer the incarnation that it knows. */
-  time_us first_seen_at, last_heard_at, notified_at;
+  time_us first_seen_at, last_heard_at, incarnation_sent_at;
 
   /** Whether and when the peer was declared dead. Set by failure_detector.c, and reset by
    * peer_table.c when the peer is heard again. */
