--- a/lib/membership/gossip.c
+++ b/lib/membership/gossip.c
@@ -7,9 +7,10 @@
   /* the first rounds run faster, so that peers soon discover a process that has just started */
   START_INTERVAL_MS = 300,
   START_ROUNDS = 10,
-  /* seeds are contacted in every tenth round, and in every round with fewer candidates than this */
-  ROUNDS_PER_SEEDS = 10,
-  FEW_PEERS = 3,
+  /* Seeds are contacted in every tenth round, and in every round with fewer than CANDIDATES_MIN
+   * peers to choose from. */
+  ROUNDS_PER_SEED_CONTACT = 10,
+  CANDIDATES_MIN = 3,
   /* a gone peer is a candidate in one out of this many rounds on average */
   ROUNDS_PER_GONE_PEER = 8
 };
@@ -109,7 +110,7 @@
   node *node = context;
   for (int round = 0;; round++) {
     guint candidates = gossip_with_random_peer(node);
-    if (candidates < FEW_PEERS || round % ROUNDS_PER_SEEDS == 0)
+    if (candidates < CANDIDATES_MIN || round % ROUNDS_PER_SEED_CONTACT == 0)
       gossip_with_seeds(node);
     int64_t interval_ms = round < START_ROUNDS ? START_INTERVAL_MS : GOSSIP_INTERVAL_MS;
     if (!world_sleep_with_jitter(node->world, time_from_ms(interval_ms)))
