--- a/lib/membership/failure_detector.c
+++ b/lib/membership/failure_detector.c
@@ -20,7 +20,7 @@
   LATENESS_MAX_MS = 700
 };
 
-static bool is_past(time_us now, time_us since, int64_t span_ms) {
+static bool has_elapsed(time_us now, time_us since, int64_t span_ms) {
   return time_reached(now, time_add(since, time_from_ms(span_ms)));
 }
 
@@ -56,7 +56,7 @@
 }
 
 static bool suspicion_is_valid(const suspicion *suspicion, time_us now) {
-  return !id_is_empty(suspicion->by) && !is_past(now, suspicion->at, SUSPICION_LIFETIME_MS);
+  return !id_is_empty(suspicion->by) && !has_elapsed(now, suspicion->at, SUSPICION_LIFETIME_MS);
 }
 
 /* Returns the watcher's entry, or else the first one that is free or expired; NULL if there is
@@ -99,7 +99,7 @@
   entry->at = now;
   int suspicions = count_valid_suspicions(peer, now);
   if (suspicions >= SUSPICION_QUORUM && !peer->gone &&
-      is_past(now, peer->last_heard_at, DIRECT_CONTACT_MS))
+      has_elapsed(now, peer->last_heard_at, DIRECT_CONTACT_MS))
     declare_gone(node, peer, suspicions, now);
 }
 
@@ -173,7 +173,7 @@
   time_us silent_since = time_reached(peer->last_heard_at, peer->watched_since)
                              ? peer->last_heard_at
                              : peer->watched_since;
-  if (!is_past(now, silent_since, suspicion_timeout_ms(node, peer)))
+  if (!has_elapsed(now, silent_since, suspicion_timeout_ms(node, peer)))
     return;
   broadcast_suspicion(node, peer);
   add_suspicion(node, peer, node->settings.self);
@@ -184,7 +184,7 @@
   time_us last = world_now(node->world);
   while (world_sleep(node->world, time_from_ms(HEARTBEAT_INTERVAL_MS))) {
     time_us now = world_now(node->world);
-    bool was_paused = is_past(now, last, WATCHER_PAUSE_MS);
+    bool was_paused = has_elapsed(now, last, WATCHER_PAUSE_MS);
     update_lateness(node, last, now);
     last = now;
     peer_table_forget_gone(node);
--- a/lib/membership/peer_table.c
+++ b/lib/membership/peer_table.c
@@ -6,7 +6,7 @@
   GONE_PEER_RETENTION_MS = 600000,
   /* A process hears of its previous run within its first seconds. If it hears later that its name
    * is in use, another process has the same name. */
-  FORMER_RUN_PERIOD_MS = 8000,
+  PREVIOUS_RUN_PERIOD_MS = 8000,
   /* minimum time between two corrections to a peer; a restarted peer sends several messages before
    * it has read the response to the first */
   INCARNATION_RESEND_INTERVAL_MS = 200
@@ -150,7 +150,7 @@
     return;
   time_us now = world_now(node->world);
   node->incarnation = info->incarnation + 1;
-  if (!time_reached(now, time_add(node->started_at, time_from_ms(FORMER_RUN_PERIOD_MS))))
+  if (!time_reached(now, time_add(node->started_at, time_from_ms(PREVIOUS_RUN_PERIOD_MS))))
     return;
   if (!node->duplicate_seen_at.us)
     log_info(&node->log, "member",
