--- a/lib/runtime/address.c
+++ b/lib/runtime/address.c
@@ -1,4 +1,4 @@
-/** Addresses as text: see address.h. */
+/** Parsing of addresses: see address.h. */
 #include "address.h"
 #include <stdlib.h>
 #include <string.h>
--- a/lib/runtime/args.c
+++ b/lib/runtime/args.c
@@ -1,5 +1,5 @@
-/** The command line of the daemons: see args.h. Flags become the text of a settings file, so that
- * settings_parse checks both in the same way. */
+/** The command line of the daemons: see args.h. Flags are converted to the JSON of a settings file,
+ * so that settings_parse checks both in the same way. */
 #include "args.h"
 #include "json.h"
 #include <argp.h>
@@ -12,9 +12,9 @@
   settings *settings;
   enum role role;
   bool check_only;
-  /** The settings that flags have set, as a JSON object that is not closed yet. */
+  /** The settings given by flags, as a JSON object that is not yet closed. */
   GString *flags;
-  /** The settings file; NULL: none. */
+  /** The settings file; NULL if none is given. */
   const char *file;
 } arguments;
 
@@ -44,7 +44,7 @@
   json_append_quoted(arguments->flags, string_view_of(value));
 }
 
-/* a list whose items are separated by commas */
+/* Sets a key to a list, from values separated by commas. */
 static void set_list(arguments *arguments, const char *key, const char *values) {
   append_key(arguments, key);
   char **items = g_strsplit(values, ",", -1);
@@ -102,7 +102,7 @@
   }
 }
 
-/* The flags after those of the file, so that they win. */
+/* Applies the flags after the file, so that they override it. */
 static enum error_code read_settings(const arguments *arguments, error *err) {
   enum error_code code = OK;
   if (arguments->file)
--- a/lib/runtime/args.h
+++ b/lib/runtime/args.h
@@ -4,9 +4,9 @@
 #include "address.h"
 #include "settings.h"
 
-/** Reads the settings of a daemon from its settings file, if one is named, and its flags, which go
- * over the file's, and checks them. description is shown by --help. True if they were only to be
- * checked (--check), which is reported. Ends the program with status 2 on bad settings. */
+/** Reads the settings of a daemon from its settings file, if one is given, and from its flags,
+ * which override the file, and validates them. --help shows description. With --check, reports that
+ * the settings are valid and returns true. Exits with status 2 on invalid settings. */
 bool args_settings(int argc, char **argv, enum role role, const char *description,
                    settings *settings);
 #endif
--- a/lib/runtime/base.c
+++ b/lib/runtime/base.c
@@ -1,4 +1,4 @@
-/** What all code uses: see base.h. */
+/** Basic types and helpers: see base.h. */
 #include "base.h"
 #include <stdarg.h>
 #include <stdio.h>
@@ -25,7 +25,7 @@
   return true;
 }
 
-/* FNV-1a, and the finalizer of MurmurHash3 since FNV mixes the last bytes badly */
+/* FNV-1a, followed by the finalizer of MurmurHash3, because FNV mixes the last bytes badly. */
 uint64_t hash_bytes(const void *p, size_t n, uint64_t seed) {
   const unsigned char *bytes = p;
   uint64_t hash = 0xcbf29ce484222325ull ^ seed;
--- a/lib/runtime/base.h
+++ b/lib/runtime/base.h
@@ -1,7 +1,8 @@
 #ifndef RUNTIME_BASE_H
 #define RUNTIME_BASE_H
 /**
- * What all code uses: error codes, names, times, views of bytes, hashes, and intrusive lists.
+ * Basic types and helpers for all code: error codes, names, times, string views, hashes, and
+ * intrusive lists.
  */
 #include <glib.h>
 #include <inttypes.h>
@@ -10,25 +11,24 @@
 #include <stdint.h>
 #include <string.h>
 
-/** Bytes with their length. It borrows them. */
+/** A borrowed sequence of bytes and its length. */
 typedef struct {
   const char *data;
   size_t length;
 } string_view;
-/** An instant of the monotonic clock, or a span, in microseconds. Wall-clock time never has this
- * type.
- */
+/** A point in time of the monotonic clock, or a duration, in microseconds. Wall-clock time never
+ * has this type. */
 typedef struct {
   int64_t us;
 } time_us;
-/** Name of a process, engine, model, adapter, zone or singleton: at most 47 bytes, and zeros behind
- * its end. */
+/** Name of a process, engine, model, adapter, zone or singleton: at most 47 bytes, followed by
+ * zeros. */
 typedef struct {
   char text[48];
 } id;
 
-/** Result codes. They go over the wire and into logs, so a number never changes; docs/codes.md
- * explains each. */
+/** Error codes. They are sent to other processes and logged, so their numbers never change;
+ * docs/codes.md explains each. */
 enum error_code {
   OK = 0,
   /* tasks and connections */
@@ -37,7 +37,7 @@
   E_PEER_GONE = 102,
   E_CONNECTION_LOST_AFTER_SEND = 103,
   E_NOT_CONNECTED = 104,
-  /* settings and start */
+  /* settings and startup */
   E_SETTINGS_FILE = 200,
   E_SETTINGS_KEY = 201,
   E_SETTINGS_ADDRESS = 202,
@@ -110,34 +110,34 @@
   E_MODEL_IN_USE = 614,
 };
 
-/** An error for the caller: a code and a short text for people. */
+/** An error that is returned to the caller: a code and a short human-readable text. */
 typedef struct {
   enum error_code code;
   char text[200];
 } error;
 
-/** Sets *err, unless err is NULL, to a code and a formatted text. Returns the code. */
+/** Sets *err to a code and a formatted text, unless err is NULL. Returns the code. */
 enum error_code error_set(error *err, enum error_code code, const char *format, ...)
     __attribute__((format(printf, 3, 4)));
 
-/** A view of a C string; an empty one for NULL. */
+/** Returns a view of a C string; an empty one for NULL. */
 static inline string_view string_view_of(const char *s) {
   return (string_view){ s ? s : "", s ? strlen(s) : 0 };
 }
-/** A view of a GString, until that changes. */
+/** Returns a view of a GString, valid until the GString changes. */
 static inline string_view string_view_of_gstring(const GString *g) {
   return (string_view){ g->str, g->len };
 }
-/** True if two views hold the same bytes. */
+/** Returns true if two views hold the same bytes. */
 static inline bool string_view_equal(string_view a, string_view b) {
   return a.length == b.length && (!a.length || !memcmp(a.data, b.data, a.length));
 }
-/** True if a begins with b. */
+/** Returns true if a starts with b. */
 static inline bool string_view_starts_with(string_view a, string_view b) {
   return a.length >= b.length && !memcmp(a.data, b.data, b.length);
 }
-/** An id with a text; one that is too long is cut, so it should be checked with id_is_valid first.
- */
+/** Returns an id with the given text. A text that is too long is truncated, so check it with
+ * id_is_valid first. */
 static inline id id_of(string_view s) {
   id d = { "" };
   size_t n = s.length < sizeof d.text ? s.length : sizeof d.text - 1;
@@ -145,23 +145,23 @@
     memcpy(d.text, s.data, n);
   return d;
 }
-/** The same for a C string. */
+/** Like id_of, for a C string. */
 static inline id id_of_text(const char *s) {
   return id_of(string_view_of(s));
 }
-/** True for 1 to 47 letters, digits and '-', '_', '.', ':'. */
+/** Returns true for a string of 1 to 47 letters, digits and '-', '_', '.', ':'. */
 bool id_is_valid(string_view s);
 
-/** True if two ids are the same. */
+/** Returns true if two ids are equal. */
 static inline bool id_equal(id a, id b) {
-  /* Names are compared by the thousand. The first eight bytes decide nearly always, since an id is
-   * zero behind its end. */
+  /* Ids are compared very often. The first eight bytes nearly always decide, and can be compared as
+   * one integer because an id is padded with zeros. */
   uint64_t x, y;
   memcpy(&x, a.text, 8);
   memcpy(&y, b.text, 8);
   return x == y && (!a.text[7] || !strcmp(a.text + 8, b.text + 8));
 }
-/** True for the empty id. */
+/** Returns true for the empty id. */
 static inline bool id_is_empty(id a) {
   return !a.text[0];
 }
@@ -175,53 +175,53 @@
 static inline time_us time_sub(time_us a, time_us b) {
   return (time_us){ a.us - b.us };
 }
-/** True if `now` is `deadline` or later. */
+/** Returns true if `now` is `deadline` or later. */
 static inline bool time_reached(time_us now, time_us deadline) {
   return now.us >= deadline.us;
 }
-/** The earlier of two instants, or the shorter of two spans. */
+/** Returns the earlier of two points in time, or the shorter of two durations. */
 static inline time_us time_min(time_us a, time_us b) {
   return a.us < b.us ? a : b;
 }
-/** An instant that never comes; spans may still be added to it. */
+/** Returns a point in time that is never reached; adding durations to it does not overflow. */
 static inline time_us time_never(void) {
   return (time_us){ INT64_MAX / 4 };
 }
 
-/** A well-mixed hash of bytes, the same on every machine. It is part of the protocol: all processes
- * of a fleet must compute the same. */
+/** Returns a well-mixed hash of bytes. It is part of the protocol: all processes of a fleet must
+ * compute the same hash, on every machine. */
 uint64_t hash_bytes(const void *p, size_t n, uint64_t seed);
-/** The hash of two names, for rendezvous hashing and positions on the heartbeat ring. */
+/** Returns the hash of two names, for rendezvous hashing and positions on the heartbeat ring. */
 uint64_t hash_two_names(const char *a, const char *b);
 
-/** An intrusive, circular list with a head: the head and each item's link are nodes. A node that is
- * in no list, once it was initialized, links to itself, so it may be removed again. */
+/** An intrusive, circular list. The head and each item's link are nodes. An initialized node that
+ * is in no list links to itself, so removing it again is safe. */
 typedef struct list_node {
   struct list_node *next, *prev;
 } list_node;
-/** Makes an empty list, or an item that is in none. */
+/** Initializes the head of an empty list, or the link of an item that is in no list. */
 static inline void list_init(list_node *node) {
   node->next = node->prev = node;
 }
 static inline bool list_is_empty(const list_node *head) {
   return head->next == head;
 }
-/** Inserts an item before a node: at the end, if that is the head. */
+/** Inserts an item before a node; if the node is the head, this is the end of the list. */
 static inline void list_append(list_node *before, list_node *item) {
   item->prev = before->prev;
   item->next = before;
   before->prev->next = item;
   before->prev = item;
 }
-/** Removes an item from the list that it is in, if any. */
+/** Removes an item from its list, if it is in one. */
 static inline void list_remove(list_node *item) {
   item->prev->next = item->next;
   item->next->prev = item->prev;
   item->next = item->prev = item;
 }
-/** The struct that embeds a node. */
+/** Returns the struct that embeds a node. */
 #define list_item(n, type, field) ((type *)((char *)(n)-offsetof(type, field)))
-/** Iterates over the items of a list; the present item may be removed and freed. */
+/** Iterates over the items of a list; the current item may be removed and freed. */
 #define list_for_each(it, h, type, field)                                                          \
   for (type *it = list_item((h)->next, type, field),                                               \
             *it##_n = list_item(it->field.next, type, field);                                      \
--- a/lib/runtime/connection_owner.c
+++ b/lib/runtime/connection_owner.c
@@ -1,4 +1,4 @@
-/** Ownership of libwebsockets' connections: see connection_owner.h. */
+/** Ownership of libwebsockets connections: see connection_owner.h. */
 #include "connection_owner.h"
 #include <libwebsockets.h>
 
--- a/lib/runtime/dial.c
+++ b/lib/runtime/dial.c
@@ -1,4 +1,4 @@
-/** Opening connections to others: see dial.h. */
+/** Opening outbound connections: see dial.h. */
 #include "dial.h"
 #include "address.h"
 #include <libwebsockets.h>
@@ -23,10 +23,10 @@
     .local_protocol_name = target->protocol,
     .protocol = target->method ? NULL : target->protocol,
     .iface = target->own_ip[0] ? target->own_ip : NULL,
-    /* The library may fail and destroy the connection before it returns, and return it all the
-     * same. */
+    /* The library may fail and destroy the connection before it returns, and still return the
+     * pointer. */
     .opaque_user_data = owner,
-    /* a redirect would be a second attempt that nobody counted */
+    /* following a redirect would be a second attempt that is not counted */
     .ssl_connection = LCCSCF_HTTP_NO_FOLLOW_REDIRECT,
   };
   owner->opening = true;
--- a/lib/runtime/fault.c
+++ b/lib/runtime/fault.c
@@ -1,5 +1,5 @@
-/** Crash reports: see fault.h. Only functions that are safe in a signal handler are called from the
- * handler. */
+/** Crash reports: see fault.h. The handler calls only functions that are safe in a signal handler.
+ */
 #define _GNU_SOURCE
 #include "fault.h"
 #include <execinfo.h>
@@ -13,7 +13,7 @@
 
 static const int fatal_signals[] = { SIGSEGV, SIGBUS, SIGILL, SIGFPE, SIGABRT };
 
-/* A fault may be an overflow of the stack that was in use, so the handler has one of its own. */
+/* The handler runs on its own stack, because the fault may be a stack overflow. */
 static char handler_stack[HANDLER_STACK_BYTES];
 
 static const char *signal_name(int number) {
@@ -64,7 +64,7 @@
 
 static void on_fatal_signal(int number, siginfo_t *info, void *context) {
   (void)context;
-  /* a second fault, inside this handler, ends the process at once */
+  /* a second fault inside this handler ends the process immediately */
   signal(number, SIG_DFL);
   write_report(number, info);
   raise(number);
--- a/lib/runtime/http_call.c
+++ b/lib/runtime/http_call.c
@@ -1,10 +1,11 @@
-/** HTTP requests that this process sends: see http_call.h. */
+/** Outbound HTTP requests: see http_call.h. */
 #include "http_call.h"
 #include "world.h"
 
-/* The body of a pooled call is bounded by its reader, who is not let run ahead of: see lib/http. */
+/* The body of a pooled call needs no limit: lib/http stops reading from the connection while its
+ * reader is behind. */
 static const size_t RESPONSE_UNBOUNDED = SIZE_MAX / 2;
-/* bound on the body of a call that is read at once */
+/* maximum size of a response body that http_call_fetch reads */
 enum { FETCH_MAX_BYTES = 8 << 20 };
 
 static http_call *new_call(world *world, const char *address, const char *method, const char *path,
--- a/lib/runtime/http_headers.c
+++ b/lib/runtime/http_headers.c
@@ -1,4 +1,4 @@
-/** Header fields by number: see http_headers.h. */
+/** Known header fields: see http_headers.h. */
 #include "http_headers.h"
 
 const char *const http_header_names[HEADER_COUNT] = {
@@ -8,7 +8,7 @@
 };
 
 void http_headers_set(http_headers *headers, enum http_header which, const char *value) {
-  /* copied first: value may be the field's present one */
+  /* copied before the old value is freed, because value may be the old value itself */
   char *copy = value ? g_strdup(value) : NULL;
   g_free(headers->values[which]);
   headers->values[which] = copy;
--- a/lib/runtime/http_headers.h
+++ b/lib/runtime/http_headers.h
@@ -1,8 +1,8 @@
 #ifndef RUNTIME_HTTP_HEADERS_H
 #define RUNTIME_HTTP_HEADERS_H
 /**
- * The header fields that asterfall itself reads and writes, by number instead of by name. Requests
- * that are passed on carry all their fields as text as well: see fields.h.
+ * The header fields that asterfall itself reads and writes, indexed by number instead of name.
+ * Forwarded requests also carry all their fields as text: see fields.h.
  */
 #include "base.h"
 
@@ -18,12 +18,11 @@
   HEADER_HOP,
   HEADER_COUNT
 };
-/** Values of fields, owned by the struct; NULL where a field is absent. A zeroed struct is empty.
- */
+/** Values of fields, owned by the struct; NULL if a field is absent. A zeroed struct is empty. */
 typedef struct {
   char *values[HEADER_COUNT];
 } http_headers;
-/** The names of the fields, in lower case, as they go over the wire. */
+/** The names of the fields as sent on the wire, in lower case. */
 extern const char *const http_header_names[HEADER_COUNT];
 
 /** Sets a field to a copy of a value; NULL removes it. */
--- a/lib/runtime/http_request.c
+++ b/lib/runtime/http_request.c
@@ -1,10 +1,10 @@
-/** HTTP requests that come in: see http_request.h. */
+/** Inbound HTTP requests: see http_request.h. */
 #include "http_request.h"
 #include "json.h"
 #include "world.h"
 
-/* A writer waits while more than this has not been sent, so that a slow caller doesn't make the
- * process hold a long stream in memory. */
+/* A writer waits while more than this is unsent, so that the process does not buffer a long stream
+ * for a slow client. */
 enum { PENDING_OUTPUT_MAX_BYTES = 256 * 1024 };
 
 void http_request_begin(http_request *request, int status, const char *type) {
--- a/lib/runtime/log.c
+++ b/lib/runtime/log.c
@@ -5,14 +5,14 @@
 #include <stdio.h>
 
 enum { LINE_BYTES = 700, TIMESTAMP_BYTES = 48 };
-/* what stands before the number of an error in a sentence */
+/* precedes the error code in a log message */
 #define CODE_PREFIX "(code "
 
 static const char *timestamp(logger *logger, char buffer[TIMESTAMP_BYTES]) {
   return logger->world->timestamp(logger->world, buffer, TIMESTAMP_BYTES);
 }
 
-/* the digits of the last code in a sentence; an empty view if it bears none */
+/* Returns the digits of the last error code in a message; an empty view if there is none. */
 static string_view find_code(const char *text) {
   const char *prefix = g_strrstr(text, CODE_PREFIX);
   if (!prefix)
--- a/lib/runtime/lws_fields.c
+++ b/lib/runtime/lws_fields.c
@@ -1,4 +1,4 @@
-/** Header fields of libwebsockets' connections: see lws_fields.h. */
+/** Header fields of libwebsockets connections: see lws_fields.h. */
 #include "lws_fields.h"
 #include <stdio.h>
 
@@ -11,7 +11,7 @@
   return value;
 }
 
-/* the library's form of a name: with a colon behind it */
+/* Writes the name of a field as the library expects it, followed by a colon. */
 static void library_name(enum http_header which, char name[LWS_FIELD_NAME_BYTES]) {
   snprintf(name, LWS_FIELD_NAME_BYTES, "%s:", http_header_names[which]);
 }
--- a/lib/runtime/real_disk.c
+++ b/lib/runtime/real_disk.c
@@ -8,13 +8,13 @@
 #include <sys/stat.h>
 #include <unistd.h>
 
-/* more than the write-ahead log has */
+/* exceeds the number of files of the write-ahead log */
 enum { FILES_MAX = 32 };
 enum { NO_FILE = -1 };
 
 enum job_kind { JOB_READ, JOB_WRITE, JOB_SYNC };
 
-/* A job belongs to the task that waits for it; an abandoned one to real_disk_complete_jobs. */
+/* The task that waits for a job owns it. real_disk_complete_jobs frees an abandoned job. */
 typedef struct job {
   /* in one of the disk's two queues */
   list_node link;
@@ -24,7 +24,7 @@
   char *buffer;
   /* written by the worker */
   enum error_code result;
-  /* written by the event loop's thread */
+  /* written by the event loop thread */
   bool done, abandoned;
   condition finished;
 } job;
@@ -35,14 +35,14 @@
   char *data_dir;
   int fds[FILES_MAX];
   pthread_t worker;
-  /* guards what follows */
+  /* protects the members below */
   pthread_mutex_t lock;
   pthread_cond_t job_added;
   list_node waiting_jobs, done_jobs;
   bool stopping;
 };
 
-/* reads or writes all of the job's bytes */
+/* Reads or writes all bytes of the job. */
 static enum error_code transfer(const job *job) {
   size_t done = 0;
   while (done < job->size) {
@@ -94,7 +94,7 @@
   g_free(job);
 }
 
-/* NULL if there is none */
+/* Removes and returns the first finished job; NULL if there is none. */
 static job *take_done_job(real_disk *disk) {
   job *first = NULL;
   pthread_mutex_lock(&disk->lock);
@@ -136,7 +136,7 @@
   return added;
 }
 
-/* from is NULL unless something is written, and to unless something is read */
+/* Adds a job and waits for it. `from` is set for writes only, `to` for reads only. */
 static enum error_code run_job(real_disk *disk, enum job_kind kind, unsigned file, size_t offset,
                                void *to, const void *from, size_t size, error *err) {
   if (file >= FILES_MAX || disk->fds[file] == NO_FILE)
@@ -170,7 +170,7 @@
   return run_job(disk, JOB_SYNC, file, 0, NULL, NULL, 0, err);
 }
 
-/* 0 or an errno */
+/* Allocates the file if it is shorter than size. Returns 0 or an errno. */
 static int allocate_if_short(int fd, size_t size) {
   struct stat status;
   if (!fstat(fd, &status) && (size_t)status.st_size >= size)
@@ -178,7 +178,7 @@
   return posix_fallocate(fd, 0, (off_t)size);
 }
 
-/* The folder is synced as well, or a new file's name could be lost. */
+/* Syncs the directory as well as the file; otherwise the name of a new file could be lost. */
 static bool sync_file_and_folder(int fd, const char *folder) {
   int folder_fd = open(folder, O_RDONLY | O_DIRECTORY | O_CLOEXEC);
   bool synced = !fsync(fd) && folder_fd >= 0 && !fsync(folder_fd);
@@ -202,8 +202,8 @@
     return error_set(err, error_number == ENOSPC ? E_DISK_FULL : E_DISK, "%s: %s", path,
                      strerror(error_number));
   }
-  /* Even a file that was there: the process that made it may have ended before it was synced, or
-   * its sync may have failed. */
+  /* An existing file is synced too: the process that created it may have ended before the sync, or
+   * the sync may have failed. */
   if (!sync_file_and_folder(fd, disk->data_dir)) {
     error_set(err, E_DISK_SYNC, "%s: %s", path, strerror(errno));
     close(fd);
@@ -225,7 +225,7 @@
   pthread_mutex_init(&disk->lock, NULL);
   pthread_cond_init(&disk->job_added, NULL);
   if (pthread_create(&disk->worker, NULL, worker_run, disk))
-    g_error("no thread for the disk could be started");
+    g_error("can't start the disk worker thread");
   return disk;
 }
 
--- a/lib/runtime/real_http_client.c
+++ b/lib/runtime/real_http_client.c
@@ -1,4 +1,4 @@
-/** HTTP calls on connections of their own: see real_http_client.h. */
+/** HTTP calls that are not pooled: see real_http_client.h. */
 #include "real_http_client.h"
 #include "connection_owner.h"
 #include "dial.h"
@@ -8,10 +8,10 @@
 #include <sys/socket.h>
 
 enum {
-  /* a body is written in pieces of this size */
+  /* maximum size of one write of a body */
   PIECE_BYTES = 16 * 1024,
-  /* The library can't be made to stop reading for a slow reader, so a call is given up if more than
-   * this is unread beyond its bound. */
+  /* The library can't pause reading for a slow reader, so a call is aborted if its unread body
+   * exceeds its limit by more than this. */
   UNREAD_SLACK_BYTES = 1 << 20
 };
 
@@ -21,13 +21,13 @@
 typedef struct outgoing_call {
   connection_owner owner;
   http_call *call;
-  /** As the head announced. */
+  /** As announced in the response head. */
   uint64_t content_length;
-  /** Bytes of the response are being read at this moment. */
+  /** Bytes of the response are currently being read. */
   bool reading;
 } outgoing_call;
 
-/* The connection is gone; what has come until then is all that will. */
+/* Ends the call: no more bytes will be received. */
 static void connection_destroyed(connection_owner *owner) {
   outgoing_call *outgoing = (outgoing_call *)owner;
   http_call *call = outgoing->call;
@@ -133,14 +133,14 @@
   condition_broadcast(&call->progressed);
 }
 
-/* At the end of the bytes the library's reader calls the response complete, whether the last chunk
- * has come or not. So it is noted whether the socket has any. */
+/* When the connection ends, the library reports the response as complete even if the last chunk is
+ * missing. So this records whether the socket still had bytes to read. */
 static int read_response(outgoing_call *outgoing, struct lws *wsi) {
   char buffer[LWS_PRE + REAL_HTTP_CLIENT_READ_BYTES], *at = buffer + LWS_PRE, next_byte;
   int length = REAL_HTTP_CLIENT_READ_BYTES;
   outgoing->reading = recv(lws_get_socket_fd(wsi), &next_byte, 1, MSG_PEEK | MSG_DONTWAIT) != 0;
   int result = lws_http_client_read(wsi, &at, &length);
-  /* the call may have been cancelled meanwhile, and outgoing freed */
+  /* the call may have been cancelled during the read, and outgoing freed */
   if (connection_owner_of(wsi) == &outgoing->owner)
     outgoing->reading = false;
   return result < 0 ? CONNECTION_CLOSE : CONNECTION_KEEP;
--- a/lib/runtime/real_http_server.c
+++ b/lib/runtime/real_http_server.c
@@ -6,11 +6,12 @@
 #include <stdlib.h>
 
 enum {
-  /* the head, or so much of a response, is written at once */
+  /* maximum size of the head and of one write of a body */
   PIECE_BYTES = 16 * 1024,
-  /* what framing adds to a piece: its length in hexadecimal, line ends, and the last chunk */
+  /* maximum size of the framing of a piece: its length in hexadecimal, line ends, and the last
+   * chunk */
   CHUNK_FRAMING_BYTES = 64,
-  /* a body may pause for no longer */
+  /* maximum time between two parts of a request body */
   BODY_TIMEOUT_S = 10
 };
 enum write_result { WRITE_FAILED = -1, WRITE_UNFINISHED = 0, WRITE_FINISHED = 1 };
@@ -20,10 +21,10 @@
   connection_owner owner;
   world *world;
   http_request *request;
-  /** The task was started; it is over, or none will be started. */
+  /** task_started: the task was started. task_over: it has ended, or none will be started. */
   bool task_started, task_over;
   bool head_sent;
-  /** The response is sent with its length, not in chunks. */
+  /** The response is sent with Content-Length, not in chunks. */
   bool has_length;
 } exchange;
 
@@ -48,7 +49,7 @@
   task_start(&exchange->world->tasks, "serve", serve_run, exchange);
 }
 
-/* The exchange has no connection any more. */
+/* Detaches the exchange from its connection, and frees it if its task is over. */
 static void abandon(exchange *exchange) {
   if (!exchange->task_started)
     exchange->task_over = true;
@@ -63,7 +64,8 @@
   abandon((exchange *)owner);
 }
 
-/* The library frees what user points to together with the request, so it is cleared first. */
+/* Abandons the connection's current exchange. *user is cleared first, because the library frees the
+ * memory that user points to together with the request. */
 static void abandon_current(exchange **user) {
   exchange *current = *user;
   *user = NULL;
@@ -84,7 +86,7 @@
                 { WSI_TOKEN_PUT_URI, "PUT" },       { WSI_TOKEN_PATCH_URI, "PATCH" },
                 { WSI_TOKEN_DELETE_URI, "DELETE" }, { WSI_TOKEN_HEAD_URI, "HEAD" } };
 
-/* the library keeps the path under its method */
+/* The library stores the path in a header token that depends on the method. */
 static void read_method_and_path(struct lws *wsi, http_request *request) {
   for (size_t i = 0; i < G_N_ELEMENTS(methods); i++) {
     request->path = lws_field_dup(wsi, methods[i].token);
@@ -140,13 +142,14 @@
   return created;
 }
 
-/* responds without a task */
+/* Responds without starting a task. */
 static void refuse(exchange *exchange, int status, const char *body) {
   exchange->task_over = true;
   http_request_respond(exchange->request, status, "application/json", string_view_of(body));
 }
 
-/* Bodies without a length are refused: the library does not say where a chunked one ends. */
+/* Handles a request head. Chunked bodies are refused, because the library does not report where
+ * they end. */
 static void on_head(world *world, struct lws *wsi, exchange **user) {
   exchange *exchange = new_exchange(world, wsi);
   http_request *request = exchange->request;
@@ -215,8 +218,8 @@
   return WRITE_UNFINISHED;
 }
 
-/* Takes up to a piece of the output into `at`, framed as a chunk where needed, with the last chunk
- * if it is the last piece. Returns the number of bytes. */
+/* Moves length bytes of the output to `at`. If the response is chunked, frames them as a chunk and
+ * adds the last chunk after the last piece. Returns the number of bytes written to `at`. */
 static size_t take_piece(exchange *exchange, size_t length, bool is_last, unsigned char *at) {
   GString *output = exchange->request->pending_output;
   unsigned char *start = at;
@@ -233,7 +236,7 @@
   return (size_t)(at - start);
 }
 
-/* writes once, since the library allows one write a callback */
+/* Writes at most once, since the library allows one write per callback. */
 static enum write_result write_piece(exchange *exchange) {
   http_request *request = exchange->request;
   struct lws *wsi = exchange->owner.wsi;
@@ -273,7 +276,7 @@
   default:
     break;
   }
-  /* the rest of a body that is too large is not read */
+  /* the rest of a too large request body is not read */
   bool close = (*user)->request->too_large;
   abandon_current(user);
   return close || lws_http_transaction_completed(wsi) ? CONNECTION_CLOSE : CONNECTION_KEEP;
@@ -284,7 +287,7 @@
   exchange **current = user;
   switch (reason) {
   case LWS_CALLBACK_WSI_DESTROY:
-    /* for connections of all protocols: it goes to the first one of the vhost */
+    /* called for connections of all protocols, because this is the vhost's first protocol */
     connection_owner_destroyed(wsi);
     return CONNECTION_KEEP;
   case LWS_CALLBACK_HTTP:
--- a/lib/runtime/real_http_server.h
+++ b/lib/runtime/real_http_server.h
@@ -1,24 +1,25 @@
 #ifndef RUNTIME_REAL_HTTP_SERVER_H
 #define RUNTIME_REAL_HTTP_SERVER_H
 /**
- * HTTP requests to the process's own port, in the real world: libwebsockets reads and frames them.
+ * HTTP requests to the process's own port, in the real world, based on libwebsockets.
  *
- * The library calls back for the head, each piece of the body, its end, and when the connection can
- * be written to. A complete request starts a task that runs world.serve. The task writes into the
- * request's pending_output, which is sent piece by piece as the connection takes it. A response
- * that is complete when its head is written is sent with its length, others in chunks.
+ * The library calls back for the head, each part of the body, the end of the body, and when the
+ * connection is writable. A complete request starts a task that runs world.serve. The task writes
+ * to the request's pending_output, which is sent in pieces while the connection is writable. A
+ * response that is complete when its head is written is sent with Content-Length, others in chunks.
  *
- * Two sides share an exchange and end in either order: the connection, which the library may
- * destroy at any time, and the task. Whoever ends last frees it.
+ * The task and the connection, which the library may destroy at any time, share an exchange and end
+ * in either order. The one that ends last frees it.
  */
 #include "world.h"
 #include <libwebsockets.h>
 
-/** The library's callback for protocol "http", the first of the vhost. The context's user pointer
- * is the world. The library keeps a pointer for each request (REAL_HTTP_SERVER_USER_BYTES). */
+/** The libwebsockets callback for the protocol "http", the first of the vhost. The context's user
+ * pointer is the world. The library stores one pointer per request (REAL_HTTP_SERVER_USER_BYTES).
+ */
 int real_http_server_callback(struct lws *wsi, enum lws_callback_reasons reason, void *user,
                               void *in, size_t length);
 enum { REAL_HTTP_SERVER_USER_BYTES = sizeof(void *) };
-/** Has what a request's response has come to sent (world.request_flush). */
+/** Requests that the pending output of a request be sent (world.request_flush). */
 void real_http_server_flush(http_request *request);
 #endif
--- a/lib/runtime/real_world.c
+++ b/lib/runtime/real_world.c
@@ -17,14 +17,14 @@
 
 enum {
   DEFAULT_BODY_MAX_BYTES = 1 << 20,
-  /* bounds on a request's head, and on the heads that are read at the same time */
+  /* maximum size of a request head, and maximum number of heads being read at the same time */
   HEAD_MAX_BYTES = 16384,
   HEADS_MAX = 512,
-  /* The library drops connections that take so long over a head. How long a response may take is
-   * each task's own affair. */
+  /* The library closes connections that take longer than this to send a head. The tasks themselves
+   * limit the time for responses. */
   LIBRARY_TIMEOUT_S = 600,
   KEEPALIVE_TIMEOUT_S = 30,
-  /* the loop waits for events no longer than this, whatever the deadlines */
+  /* maximum time that the loop waits for events, independent of deadlines */
   WAIT_MAX_MS = 500,
   /* the library polls in whole milliseconds, rounded down */
   POLL_UNIT_US = 1000,
@@ -32,7 +32,7 @@
 };
 
 typedef struct real_world {
-  /** First, so that a pointer to it is one to the whole. */
+  /** First member, so that a pointer to it can be cast to real_world. */
   world world;
   real_settings settings;
   struct lws_context *context;
@@ -40,7 +40,7 @@
   http_engine *http;
   peer_channels *peers;
   real_disk *disk;
-  /** Ends the wait for events at the next deadline. */
+  /** Timer that ends the wait for events at the next deadline. */
   lws_sorted_usec_list_t wakeup;
   bool stopping;
 } real_world;
@@ -52,11 +52,11 @@
 /* ---- signals ---- */
 
 static volatile sig_atomic_t termination_requested;
-/* the context whose wait a signal ends */
+/* the context whose wait for events a signal interrupts */
 static struct lws_context *volatile interruptible_context;
 
-/* The wait has to be ended as well: a signal that comes just before it would else be seen only when
- * it is over. */
+/* Sets the flag and interrupts the wait for events. Without the interruption, a signal that arrives
+ * just before the wait would be noticed only after it. */
 static void on_termination_signal(int number) {
   (void)number;
   termination_requested = 1;
@@ -72,7 +72,7 @@
   signal(SIGPIPE, SIG_IGN);
 }
 
-/* ---- clock, chance, log ---- */
+/* ---- clock, random numbers, log ---- */
 
 static time_us boot_time(void *context) {
   (void)context;
@@ -199,7 +199,8 @@
   return sock_event(wsi, (int)reason, in, length);
 }
 
-/* The server's is first: the vhost's first protocol gets LWS_CALLBACK_WSI_DESTROY for all. */
+/* The server's protocol must be first: the vhost's first protocol gets LWS_CALLBACK_WSI_DESTROY for
+ * the connections of all protocols. */
 static const struct lws_protocols protocols[] = {
   { .name = "http",
     .callback = real_http_server_callback,
@@ -250,7 +251,7 @@
   return lws_create_vhost(real->context, &info);
 }
 
-/* ---- the loop ---- */
+/* ---- event loop ---- */
 
 world *real_world_new(const real_settings *settings, error *err) {
   fault_reports_install();
@@ -278,8 +279,8 @@
   return world;
 }
 
-/* Runs tasks, and what they made the HTTP engine do, until none is ready. Returns the deadline of
- * the next sleeping task. */
+/* Runs tasks, and the HTTP engine's work that results from them, until no task is ready. Returns
+ * the deadline of the next sleeping task. */
 static time_us run_ready_tasks(real_world *real) {
   time_us deadline;
   real_disk_complete_jobs(real->disk);
@@ -289,20 +290,20 @@
   return deadline;
 }
 
-/* The timer fires inside lws_service, which would go on to wait for something else. */
+/* Interrupts lws_service, which calls this timer callback and would otherwise wait again. */
 static void on_wakeup(lws_sorted_usec_list_t *wakeup) {
   real_world *real = (real_world *)((char *)wakeup - offsetof(real_world, wakeup));
   lws_cancel_service(real->context);
 }
 
-/* Waits for events until a deadline, and handles them. False if the library has failed. */
+/* Waits for events until a deadline, and handles them. Returns false if the library has failed. */
 static bool wait_for_events(real_world *real, time_us deadline) {
   time_us wait = time_sub(deadline, world_now(&real->world)), max_wait = time_from_ms(WAIT_MAX_MS);
   if (wait.us > max_wait.us)
     wait = max_wait;
   if (wait.us <= 0)
     return lws_service(real->context, -1) >= 0;
-  /* a wait that was rounded down would end too early, and be followed by many empty turns */
+  /* a wait that is rounded down would end too early, and many empty loop iterations would follow */
   int64_t rounded_us = (wait.us + POLL_UNIT_US - 1) / POLL_UNIT_US * POLL_UNIT_US;
   lws_sul_schedule(real->context, 0, &real->wakeup, on_wakeup, rounded_us + POLL_ROUNDING_US);
   return lws_service(real->context, 0) >= 0;
@@ -333,8 +334,8 @@
   real_of(world)->stopping = true;
 }
 
-/* Tasks are stopped twice: the destruction of connections wakes those that waited for one, and they
- * may still use what is freed after them. */
+/* Tasks are stopped twice, because destroying the connections wakes the tasks that wait for them;
+ * these may still use what is freed afterwards. */
 void real_world_free(world *world) {
   real_world *real = real_of(world);
   interruptible_context = NULL;
--- a/lib/runtime/real_world.h
+++ b/lib/runtime/real_world.h
@@ -1,13 +1,14 @@
 #ifndef RUNTIME_REAL_WORLD_H
 #define RUNTIME_REAL_WORLD_H
 /**
- * The real world: struct world over libwebsockets, files and the kernel's clocks.
+ * The real world: the implementation of struct world with libwebsockets, files and the kernel's
+ * clocks.
  *
- * One thread runs everything: the event loop alternates between the tasks that are ready and the
- * events of the sockets. It waits for sockets until the next task's or timer's deadline. Only the
- * disk has a second thread (real_disk.h). The parts:
+ * One thread runs everything: the event loop alternates between ready tasks and socket events. It
+ * waits for socket events until the deadline of the next task or timer. Only the disk uses a second
+ * thread (real_disk.h). The parts:
  *
- *   real_world.c        the loop, clock, random numbers, log, signals
+ *   real_world.c        event loop, clock, random numbers, log, signals
  *   real_http_server.c  requests to the process's own port
  *   real_http_client.c  calls that are not pooled
  *   real_disk.c         files
@@ -16,26 +17,27 @@
  */
 #include "world.h"
 
-/** What the real world has to know of its process; copied. */
+/** The settings of a real world; copied. */
 typedef struct {
-  /** Where the process's own port listens; port 0: it has none. Connections to others are opened
-   * from ip; empty: from any. */
+  /** Where the process's own port listens; port 0 means that it has none. Outbound connections are
+   * opened from ip; empty for any address. */
   char ip[48];
   int port;
-  /** The folder of the disk's files. */
+  /** The directory of the disk's files. */
   char data_dir[512];
-  /** Bound on the body of a request to the own port; 0: 1 MiB. */
+  /** Maximum size of the body of a request to the own port; 0 means 1 MiB. */
   size_t body_max_bytes;
 } real_settings;
 
-/** Makes a world, listening but not running. NULL with err set if it can't listen. Installs the
- * handlers of fatal signals (fault.h). */
+/** Creates a world that listens but does not run yet. Returns NULL with err set if it can't listen.
+ * Installs the handlers of fatal signals (fault.h). */
 world *real_world_new(const real_settings *settings, error *err);
-/** Runs the loop until real_world_stop. A SIGTERM or SIGINT calls on_term, or stops the loop if
- * that is NULL. */
+/** Runs the event loop until real_world_stop is called. SIGTERM and SIGINT call on_term, or stop
+ * the loop if on_term is NULL. */
 void real_world_run(world *world, void (*on_term)(void *context), void *context);
-/** Makes real_world_run return after the present turn; from tasks or callbacks of the loop. */
+/** Makes real_world_run return after the current iteration. Called from tasks or callbacks of the
+ * loop. */
 void real_world_stop(world *world);
-/** Ends every task and frees the world. */
+/** Ends all tasks and frees the world. */
 void real_world_free(world *world);
 #endif
--- a/lib/runtime/sock.c
+++ b/lib/runtime/sock.c
@@ -9,7 +9,7 @@
 
 bool sock_watch(sock *sock, struct lws_vhost *vhost, bool listening) {
   lws_sock_file_fd_type descriptor = { .sockfd = sock->fd };
-  /* a listening socket must not be read, which a plain file's events leave to us */
+  /* The library must not read a listening socket. For a raw file it only reports events. */
   lws_adoption_type type = listening ? LWS_ADOPT_RAW_FILE_DESC : LWS_ADOPT_SOCKET;
   struct lws *wsi = lws_adopt_descriptor_vhost(vhost, type, descriptor, SOCK_PROTOCOL, NULL);
   if (!wsi)
@@ -44,7 +44,7 @@
     return target->on_writable(target);
   case LWS_CALLBACK_RAW_CLOSE:
   case LWS_CALLBACK_RAW_CLOSE_FILE:
-    /* the descriptor is about to be closed: nothing may use it any more */
+    /* the descriptor is about to be closed and must no longer be used */
     connection_owner_detach(&target->owner);
     target->on_closed(target);
     return 0;
--- a/lib/runtime/task.c
+++ b/lib/runtime/task.c
@@ -1,18 +1,18 @@
 /**
- * Tasks on coroutines of libpcl: see task.h.
+ * Tasks based on libpcl coroutines: see task.h.
  *
- * Each task has a stack of 128 KiB, of which only pages that were touched cost memory, above a
- * guard page, so that an overflow faults instead of overwriting other memory. The coroutine and
- * stack of a task that has ended are kept for the next one, since most tasks are short: a
- * coroutine's body is a loop that runs one task after the other.
+ * Each task has a stack of 128 KiB, of which only the pages in use consume memory. A guard page
+ * below the stack makes an overflow fault instead of overwriting other memory. Because most tasks
+ * are short, the coroutine and stack of an ended task are kept for reuse: the body of a coroutine
+ * is a loop that runs one task after another.
  *
- * libpcl switches with swapcontext. The C library's asks the kernel for the signal mask each time,
- * which would be most of the cost of a switch. On x86-64 a swapcontext of our own, which the linker
- * finds first, saves and loads the registers only. It is enough because all tasks have the same
- * signal mask and floating-point modes.
+ * libpcl switches with swapcontext. The C library's version makes a system call for the signal mask
+ * on each switch, which would dominate its cost. On x86-64, a custom swapcontext, which the linker
+ * finds first, saves and restores only the registers. This is sufficient because all tasks have the
+ * same signal mask and floating-point modes.
  *
- * The address sanitizer has to be told of each switch of stacks, before and after it; it keeps the
- * C library's swapcontext, since it intercepts that one.
+ * The address sanitizer must be notified before and after each stack switch. With it, the C
+ * library's swapcontext is used, because the sanitizer intercepts that function.
  */
 #define _GNU_SOURCE
 #include "task.h"
@@ -30,18 +30,19 @@
 enum {
   STACK_BYTES = 128 * 1024,
   GUARD_BYTES = 4096,
-  /* ended tasks that are kept for reuse */
+  /* maximum number of ended tasks that are kept for reuse */
   IDLE_TASKS_MAX = 64,
-  /* tasks that run before deadlines are looked at again */
+  /* number of tasks that run before deadlines are checked again */
   TASKS_PER_DEADLINE_CHECK = 16
 };
 
 struct task {
-  /** In scheduler.all, or in idle_tasks; in scheduler.ready; in condition.waiters. */
+  /** all: link in scheduler.all or idle_tasks. ready: in scheduler.ready. waiting: in
+   * condition.waiters. */
   list_node all, ready, waiting;
   scheduler *scheduler;
   coroutine_t coroutine;
-  /** Its entry of scheduler.sleepers; NULL while it doesn't wait. */
+  /** The task's entry in scheduler.sleepers; NULL while it does not wait. */
   GSequenceIter *sleeper;
   time_us deadline;
   /** Why the last wait ended. */
@@ -58,16 +59,17 @@
   bool done, urgent;
 };
 
-/* Ended tasks of this thread, the latest last. The list is made with its first entry. */
+/* Ended tasks of this thread, the most recent last. The list is initialized when the first task is
+ * added. */
 static _Thread_local list_node idle_tasks;
 static _Thread_local int idle_task_count;
 
 #if defined(__x86_64__) && !ASAN_ON
 #include <ucontext.h>
 #define GREG(r) offsetof(ucontext_t, uc_mcontext.gregs[r])
-/* Saves the registers that a callee must preserve, the return address and the stack pointer of the
- * caller into *from, and loads them from *to, with those that pass arguments: makecontext puts the
- * arguments of a coroutine's first call there. Returns 0 in the context that it loads. */
+/* Saves the callee-saved registers, the return address and the caller's stack pointer to *from, and
+ * restores them from *to. Also loads the argument registers from *to, where makecontext stores the
+ * arguments of a coroutine's first call. Returns 0 in the restored context. */
 __attribute__((naked)) int swapcontext(ucontext_t *restrict from, const ucontext_t *restrict to) {
   (void)from;
   (void)to;
@@ -88,7 +90,7 @@
 static void switch_to_scheduler(task *task) {
 #if ASAN_ON
   void *fake_stack = NULL;
-  /* a task that has ended doesn't need its fake stack any more */
+  /* an ended task no longer needs its fake stack */
   __sanitizer_start_switch_fiber(task->done ? NULL : &fake_stack, task->scheduler_stack,
                                  task->scheduler_stack_bytes);
   co_resume();
@@ -143,8 +145,8 @@
                       MAP_PRIVATE | MAP_ANONYMOUS | MAP_NORESERVE | MAP_STACK, -1, 0);
   if (memory == MAP_FAILED)
     abort();
-  /* fails at the kernel's limit on mappings (tens of thousands of tasks); such a task goes without
-   * a guard page */
+  /* This fails at the kernel's limit on mappings (tens of thousands of tasks); then the task has no
+   * guard page. */
   (void)mprotect(memory, GUARD_BYTES, PROT_NONE);
   task *created = g_new0(task, 1);
   created->stack = memory + GUARD_BYTES;
@@ -163,7 +165,7 @@
   g_free(task);
 }
 
-/* an idle one, or a new one */
+/* Returns the idle task that ended last, or a new task. */
 static task *take_task(void) {
   if (!idle_task_count)
     return task_new();
@@ -173,7 +175,7 @@
   return latest;
 }
 
-/* keeps a task that has ended, or frees it */
+/* Keeps an ended task for reuse, or frees it. */
 static void release_task(task *task) {
   list_remove(&task->all);
   task->scheduler->count--;
@@ -187,8 +189,8 @@
   list_append(&idle_tasks, &task->all);
 }
 
-/* list_append inserts before the node that it is given: before the list's head is at the end of the
- * queue, before the first entry is in front. */
+/* Queues a task, an urgent one at the front. list_append inserts before the given node: before the
+ * head is the end of the queue, before the first entry is its front. */
 static void make_ready(task *task) {
   list_node *ready = &task->scheduler->ready;
   list_append(task->urgent ? ready->next : ready, &task->ready);
@@ -229,7 +231,7 @@
   make_ready(task);
 }
 
-/* NULL if no task waits */
+/* Returns the waiting task with the earliest deadline; NULL if none waits. */
 static task *next_sleeper(const scheduler *scheduler) {
   GSequenceIter *first = g_sequence_get_begin_iter(scheduler->sleepers);
   return g_sequence_iter_is_end(first) ? NULL : g_sequence_get(first);
@@ -260,7 +262,7 @@
     wake_sleepers(scheduler);
     if (list_is_empty(&scheduler->ready))
       break;
-    /* deadlines are looked at now and then, so that urgent tasks don't wait for a long queue */
+    /* deadlines are checked regularly, so that urgent tasks do not wait behind a long queue */
     for (int i = 0; i < TASKS_PER_DEADLINE_CHECK && !list_is_empty(&scheduler->ready); i++)
       run_first(scheduler);
   }
@@ -283,7 +285,7 @@
   scheduler->sleepers = NULL;
 }
 
-/* makes the running task wait; condition is NULL for a deadline alone */
+/* Makes the running task wait; condition is NULL to wait for the deadline only. */
 static enum wake suspend(scheduler *scheduler, condition *condition, time_us deadline) {
   task *task = scheduler->current;
   if (scheduler->stopped)
--- a/lib/runtime/world.c
+++ b/lib/runtime/world.c
@@ -1,7 +1,7 @@
 /** Helpers over struct world: see world.h. */
 #include "world.h"
 
-/* a sleep with jitter takes up to a fifth longer */
+/* jitter lengthens a sleep by up to a fifth */
 enum { JITTER_FRACTION = 5 };
 
 uint64_t world_random(world *world, uint64_t n) {
