--- a/lib/runtime/real_disk.c
+++ b/lib/runtime/real_disk.c
@@ -62,7 +62,7 @@
   return OK;
 }
 
-static enum error_code do_job(const job *job) {
+static enum error_code execute_job(const job *job) {
   if (job->kind == JOB_SYNC)
     return fdatasync(job->fd) ? E_DISK_SYNC : OK;
   return transfer(job);
@@ -79,7 +79,7 @@
     job *next = list_item(disk->waiting_jobs.next, job, link);
     list_remove(&next->link);
     pthread_mutex_unlock(&disk->lock);
-    enum error_code result = do_job(next);
+    enum error_code result = execute_job(next);
     pthread_mutex_lock(&disk->lock);
     next->result = result;
     list_append(&disk->done_jobs, &next->link);
@@ -137,8 +137,9 @@
 }
 
 /* Adds a job and waits for it. `from` is set for writes only, `to` for reads only. */
-static enum error_code run_job(real_disk *disk, enum job_kind kind, unsigned file, size_t offset,
-                               void *to, const void *from, size_t size, error *err) {
+static enum error_code run_job_and_wait(real_disk *disk, enum job_kind kind, unsigned file,
+                                        size_t offset, void *to, const void *from, size_t size,
+                                        error *err) {
   if (file >= FILES_MAX || disk->fds[file] == NO_FILE)
     return error_set(err, E_DISK, "file %u is not open", file);
   job *job = add_job(disk, kind, disk->fds[file], offset, from, size);
@@ -158,16 +159,16 @@
 
 enum error_code real_disk_read(real_disk *disk, unsigned file, size_t offset, void *to, size_t size,
                                error *err) {
-  return run_job(disk, JOB_READ, file, offset, to, NULL, size, err);
+  return run_job_and_wait(disk, JOB_READ, file, offset, to, NULL, size, err);
 }
 
 enum error_code real_disk_write(real_disk *disk, unsigned file, size_t offset, const void *from,
                                 size_t size, error *err) {
-  return run_job(disk, JOB_WRITE, file, offset, NULL, from, size, err);
+  return run_job_and_wait(disk, JOB_WRITE, file, offset, NULL, from, size, err);
 }
 
 enum error_code real_disk_sync(real_disk *disk, unsigned file, error *err) {
-  return run_job(disk, JOB_SYNC, file, 0, NULL, NULL, 0, err);
+  return run_job_and_wait(disk, JOB_SYNC, file, 0, NULL, NULL, 0, err);
 }
 
 /* Allocates the file if it is shorter than size. Returns 0 or an errno. */
