--- a/lib/runtime/real_disk.c
+++ b/lib/runtime/real_disk.c
@@ -180,12 +180,12 @@
 }
 
 /* Syncs the directory as well as the file; otherwise the name of a new file could be lost. */
-static bool sync_file_and_folder(int fd, const char *folder) {
-  int folder_fd = open(folder, O_RDONLY | O_DIRECTORY | O_CLOEXEC);
-  bool synced = !fsync(fd) && folder_fd >= 0 && !fsync(folder_fd);
+static bool sync_file_and_directory(int fd, const char *directory) {
+  int directory_fd = open(directory, O_RDONLY | O_DIRECTORY | O_CLOEXEC);
+  bool synced = !fsync(fd) && directory_fd >= 0 && !fsync(directory_fd);
   int error_number = errno;
-  if (folder_fd >= 0)
-    close(folder_fd);
+  if (directory_fd >= 0)
+    close(directory_fd);
   errno = error_number;
   return synced;
 }
@@ -205,7 +205,7 @@
   }
   /* An existing file is synced too: the process that created it may have ended before the sync, or
    * the sync may have failed. */
-  if (!sync_file_and_folder(fd, disk->data_dir)) {
+  if (!sync_file_and_directory(fd, disk->data_dir)) {
     error_set(err, E_DISK_SYNC, "%s: %s", path, strerror(errno));
     close(fd);
     return E_DISK_SYNC;
