--- a/lib/runtime/lws_fields.c
+++ b/lib/runtime/lws_fields.c
@@ -12,13 +12,13 @@
 }
 
 /* Writes the name of a field as the library expects it, followed by a colon. */
-static void library_name(enum http_header which, char name[LWS_FIELD_NAME_BYTES]) {
+static void lws_field_name(enum http_header which, char name[LWS_FIELD_NAME_BYTES]) {
   snprintf(name, LWS_FIELD_NAME_BYTES, "%s:", http_header_names[which]);
 }
 
 char *lws_custom_field_dup(struct lws *wsi, enum http_header which) {
   char name[LWS_FIELD_NAME_BYTES];
-  library_name(which, name);
+  lws_field_name(which, name);
   int name_length = (int)strlen(name);
   int length = lws_hdr_custom_length(wsi, name, name_length);
   if (length <= 0)
@@ -35,7 +35,7 @@
     if (!value)
       continue;
     char name[LWS_FIELD_NAME_BYTES];
-    library_name(i, name);
+    lws_field_name(i, name);
     if (lws_add_http_header_by_name(wsi, (unsigned char *)name, (const unsigned char *)value,
                                     (int)strlen(value), at, end))
       return false;
