--- a/lib/runtime/real_world.c
+++ b/lib/runtime/real_world.c
@@ -45,7 +45,7 @@
   bool stopping;
 } real_world;
 
-static real_world *real_of(world *world) {
+static real_world *real_world_of(world *world) {
   return (real_world *)world;
 }
 
@@ -74,7 +74,7 @@
 
 /* ---- clock, random numbers, log ---- */
 
-static time_us boot_time(void *context) {
+static time_us read_boot_clock(void *context) {
   (void)context;
   struct timespec now;
   clock_gettime(CLOCK_BOOTTIME, &now);
@@ -108,18 +108,18 @@
 /* ---- the functions of struct world that other modules implement ---- */
 
 static void post_message(world *world, const char *address, string_view message) {
-  peer_channels_post(real_of(world)->peers, address, message);
+  peer_channels_post(real_world_of(world)->peers, address, message);
 }
 
 static void request_flush(http_request *request) {
   if (request->listener)
-    http_engine_flush_request(real_of(request->world)->http, request);
+    http_engine_flush_request(real_world_of(request->world)->http, request);
   else
     real_http_server_flush(request);
 }
 
 static void call_start(http_call *call) {
-  real_world *real = real_of(call->world);
+  real_world *real = real_world_of(call->world);
   if (call->pooled)
     http_engine_start_call(real->http, call);
   else
@@ -128,43 +128,43 @@
 
 static void call_cancel(http_call *call) {
   if (call->pooled)
-    http_engine_cancel_call(real_of(call->world)->http, call);
+    http_engine_cancel_call(real_world_of(call->world)->http, call);
   else
     real_http_client_cancel(call);
 }
 
 static enum error_code listener_open(world *world, http_listener *listener, error *err) {
-  return http_engine_listener_open(real_of(world)->http, listener, err);
+  return http_engine_listener_open(real_world_of(world)->http, listener, err);
 }
 
 static void listener_stop_accepting(world *world, http_listener *listener) {
-  http_engine_listener_stop_accepting(real_of(world)->http, listener);
+  http_engine_listener_stop_accepting(real_world_of(world)->http, listener);
 }
 
 static void listener_close_idle(world *world, http_listener *listener) {
-  http_engine_listener_close_idle(real_of(world)->http, listener);
+  http_engine_listener_close_idle(real_world_of(world)->http, listener);
 }
 
 static void pool_close_idle(world *world, const char *address) {
-  http_engine_pool_close_idle(real_of(world)->http, address);
+  http_engine_pool_close_idle(real_world_of(world)->http, address);
 }
 
 static enum error_code disk_open(world *world, unsigned file, size_t size, error *err) {
-  return real_disk_open_file(real_of(world)->disk, file, size, err);
+  return real_disk_open_file(real_world_of(world)->disk, file, size, err);
 }
 
 static enum error_code disk_read(world *world, unsigned file, size_t offset, void *to, size_t size,
                                  error *err) {
-  return real_disk_read(real_of(world)->disk, file, offset, to, size, err);
+  return real_disk_read(real_world_of(world)->disk, file, offset, to, size, err);
 }
 
 static enum error_code disk_write(world *world, unsigned file, size_t offset, const void *from,
                                   size_t size, error *err) {
-  return real_disk_write(real_of(world)->disk, file, offset, from, size, err);
+  return real_disk_write(real_world_of(world)->disk, file, offset, from, size, err);
 }
 
 static enum error_code disk_sync(world *world, unsigned file, error *err) {
-  return real_disk_sync(real_of(world)->disk, file, err);
+  return real_disk_sync(real_world_of(world)->disk, file, err);
 }
 
 static void set_functions(world *world) {
@@ -258,7 +258,7 @@
   real_world *real = g_new0(real_world, 1);
   world *world = &real->world;
   real->settings = *settings;
-  scheduler_init(&world->tasks, boot_time, real);
+  scheduler_init(&world->tasks, read_boot_clock, real);
   set_functions(world);
   world->body_max_bytes =
       settings->body_max_bytes ? settings->body_max_bytes : DEFAULT_BODY_MAX_BYTES;
@@ -310,7 +310,7 @@
 }
 
 void real_world_run(world *world, void (*on_term)(void *context), void *context) {
-  real_world *real = real_of(world);
+  real_world *real = real_world_of(world);
   install_signal_handlers(real->context);
   while (!real->stopping) {
     time_us task_deadline = run_ready_tasks(real);
@@ -331,13 +331,13 @@
 }
 
 void real_world_stop(world *world) {
-  real_of(world)->stopping = true;
+  real_world_of(world)->stopping = true;
 }
 
 /* Tasks are stopped twice, because destroying the connections wakes the tasks that wait for them;
  * these may still use what is freed afterwards. */
 void real_world_free(world *world) {
-  real_world *real = real_of(world);
+  real_world *real = real_world_of(world);
   interruptible_context = NULL;
   scheduler_stop(&world->tasks);
   lws_sul_schedule(real->context, 0, &real->wakeup, NULL, LWS_SET_TIMER_USEC_CANCEL);
