--- a/lib/runtime/real_http_client.c
+++ b/lib/runtime/real_http_client.c
@@ -146,7 +146,7 @@
   return result < 0 ? CONNECTION_CLOSE : CONNECTION_KEEP;
 }
 
-static int take_body(http_call *call, const char *bytes, size_t length) {
+static int append_response_body(http_call *call, const char *bytes, size_t length) {
   g_string_append_len(call->response_body, bytes, (gssize)length);
   call->received_bytes += length;
   if (call->response_body->len > call->response_max_bytes + UNREAD_SLACK_BYTES)
@@ -183,7 +183,7 @@
   case LWS_CALLBACK_RECEIVE_CLIENT_HTTP:
     return call ? read_response(outgoing, wsi) : CONNECTION_CLOSE;
   case LWS_CALLBACK_RECEIVE_CLIENT_HTTP_READ:
-    return call ? take_body(call, in, length) : CONNECTION_CLOSE;
+    return call ? append_response_body(call, in, length) : CONNECTION_CLOSE;
   case LWS_CALLBACK_COMPLETED_CLIENT_HTTP:
     if (call)
       on_response_end(outgoing);
