--- a/lib/runtime/real_http_server.c
+++ b/lib/runtime/real_http_server.c
@@ -50,7 +50,7 @@
 }
 
 /* Detaches the exchange from its connection, and frees it if its task is over. */
-static void abandon(exchange *exchange) {
+static void detach_exchange(exchange *exchange) {
   if (!exchange->task_started)
     exchange->task_over = true;
   connection_owner_detach(&exchange->owner);
@@ -61,16 +61,16 @@
 }
 
 static void connection_destroyed(connection_owner *owner) {
-  abandon((exchange *)owner);
+  detach_exchange((exchange *)owner);
 }
 
-/* Abandons the connection's current exchange. *user is cleared first, because the library frees the
+/* Detaches the connection's current exchange. *user is cleared first, because the library frees the
  * memory that user points to together with the request. */
-static void abandon_current(exchange **user) {
+static void detach_current_exchange(exchange **user) {
   exchange *current = *user;
   *user = NULL;
   if (current)
-    abandon(current);
+    detach_exchange(current);
 }
 
 void real_http_server_flush(http_request *request) {
@@ -278,7 +278,7 @@
   }
   /* the rest of a too large request body is not read */
   bool close = (*user)->request->too_large;
-  abandon_current(user);
+  detach_current_exchange(user);
   return close || lws_http_transaction_completed(wsi) ? CONNECTION_CLOSE : CONNECTION_KEEP;
 }
 
@@ -291,7 +291,7 @@
     connection_owner_destroyed(wsi);
     return CONNECTION_KEEP;
   case LWS_CALLBACK_HTTP:
-    abandon_current(current);
+    detach_current_exchange(current);
     on_head(lws_context_user(lws_get_context(wsi)), wsi, current);
     return CONNECTION_KEEP;
   case LWS_CALLBACK_HTTP_BODY:
@@ -304,7 +304,7 @@
     return *current ? on_writable(current, wsi) : CONNECTION_KEEP;
   case LWS_CALLBACK_CLOSED_HTTP:
     if (current)
-      abandon_current(current);
+      detach_current_exchange(current);
     return CONNECTION_KEEP;
   default:
     return lws_callback_http_dummy(wsi, reason, user, in, length);
