--- a/lib/runtime/real_http_server.c
+++ b/lib/runtime/real_http_server.c
@@ -142,8 +142,7 @@
   return created;
 }
 
-/* Responds without starting a task. */
-static void refuse(exchange *exchange, int status, const char *body) {
+static void respond_without_task(exchange *exchange, int status, const char *body) {
   exchange->task_over = true;
   http_request_respond(exchange->request, status, "application/json", string_view_of(body));
 }
@@ -162,9 +161,10 @@
   request->too_large = length > world->body_max_bytes;
   lws_set_timeout(wsi, NO_PENDING_TIMEOUT, 0);
   if (has_transfer_encoding(wsi) && !length)
-    refuse(exchange, 411, "{\"code\":302,\"error\":\"a length is needed, not chunks\"}");
+    respond_without_task(exchange, 411,
+                         "{\"code\":302,\"error\":\"a length is needed, not chunks\"}");
   else if (request->too_large || world->tasks.stopped)
-    refuse(exchange, 413, "{\"code\":301,\"error\":\"body too large\"}");
+    respond_without_task(exchange, 413, "{\"code\":301,\"error\":\"body too large\"}");
   else if (!length)
     start_serving(exchange);
   else
