--- a/lib/runtime/task.c
+++ b/lib/runtime/task.c
@@ -196,8 +196,8 @@
   list_append(task->urgent ? ready->next : ready, &task->ready);
 }
 
-static void start(scheduler *scheduler, const char *name, void (*run)(void *argument),
-                  void *argument, bool urgent) {
+static void start_task(scheduler *scheduler, const char *name, void (*run)(void *argument),
+                       void *argument, bool urgent) {
   task *started = take_task();
   started->scheduler = scheduler;
   started->name = name;
@@ -213,15 +213,15 @@
 
 void task_start(scheduler *scheduler, const char *name, void (*run)(void *argument),
                 void *argument) {
-  start(scheduler, name, run, argument, false);
+  start_task(scheduler, name, run, argument, false);
 }
 
 void task_start_urgent(scheduler *scheduler, const char *name, void (*run)(void *argument),
                        void *argument) {
-  start(scheduler, name, run, argument, true);
+  start_task(scheduler, name, run, argument, true);
 }
 
-static void wake_up(task *task, enum wake wake) {
+static void wake_task(task *task, enum wake wake) {
   task->wake = wake;
   if (task->sleeper) {
     g_sequence_remove(task->sleeper);
@@ -243,7 +243,7 @@
   while ((sleeper = next_sleeper(scheduler))) {
     if (!scheduler->stopped && !time_reached(now, sleeper->deadline))
       break;
-    wake_up(sleeper, scheduler->stopped ? WAKE_STOPPED : WAKE_TIMEOUT);
+    wake_task(sleeper, scheduler->stopped ? WAKE_STOPPED : WAKE_TIMEOUT);
   }
 }
 
@@ -286,7 +286,8 @@
 }
 
 /* Makes the running task wait; condition is NULL to wait for the deadline only. */
-static enum wake suspend(scheduler *scheduler, condition *condition, time_us deadline) {
+static enum wake suspend_current_task(scheduler *scheduler, condition *condition,
+                                      time_us deadline) {
   task *task = scheduler->current;
   if (scheduler->stopped)
     return WAKE_STOPPED;
@@ -299,7 +300,8 @@
 }
 
 enum wake task_sleep(scheduler *scheduler, time_us span) {
-  return suspend(scheduler, NULL, time_add(scheduler->now(scheduler->now_context), span));
+  return suspend_current_task(scheduler, NULL,
+                              time_add(scheduler->now(scheduler->now_context), span));
 }
 
 void condition_init(condition *condition) {
@@ -307,10 +309,10 @@
 }
 
 enum wake condition_wait(scheduler *scheduler, condition *condition, time_us deadline) {
-  return suspend(scheduler, condition, deadline);
+  return suspend_current_task(scheduler, condition, deadline);
 }
 
 void condition_broadcast(condition *condition) {
   while (!list_is_empty(&condition->waiters))
-    wake_up(list_item(condition->waiters.next, task, waiting), WAKE_SIGNALLED);
+    wake_task(list_item(condition->waiters.next, task, waiting), WAKE_SIGNALLED);
 }
