--- a/lib/membership/failure_detector.c
+++ b/lib/membership/failure_detector.c
@@ -187,7 +187,7 @@
     bool was_paused = has_elapsed(now, last, WATCHER_PAUSE_MS);
     update_lateness(node, last, now);
     last = now;
-    peer_table_forget_gone(node);
+    peer_table_remove_gone(node);
     list_for_each (peer, &node->peers, peer_node, link) {
       if (was_paused)
         peer->watched_since = now;
--- a/lib/membership/peer_table.c
+++ b/lib/membership/peer_table.c
@@ -177,7 +177,7 @@
 }
 
 /* Resets the entry of a peer for a run that was not known before. */
-static void begin_run(node *node, peer_node *peer, const Wire__NodeInfo *info) {
+static void reset_for_new_run(node *node, peer_node *peer, const Wire__NodeInfo *info) {
   time_us now = world_now(node->world);
   log_info(&node->log, "member", "Discovered %s (%s) at %s in %s, incarnation %" PRIu64 ".",
            info->id, role_name(info->role), info->address, info->zone, info->incarnation);
@@ -187,7 +187,7 @@
   peer->watched_since = now;
 }
 
-static void revive(node *node, peer_node *peer) {
+static void mark_live(node *node, peer_node *peer) {
   peer->gone = false;
   memset(peer->suspicions, 0, sizeof peer->suspicions);
   log_info(&node->log, "member", "%s is live again.", peer->self.text);
@@ -214,7 +214,7 @@
       strcmp(peer->zone.text, info->zone))
     heartbeat_ring_invalidate(&node->ring);
   if (is_new_run)
-    begin_run(node, peer, info);
+    reset_for_new_run(node, peer, info);
   peer->incarnation = info->incarnation;
   peer->nonce = info->nonce;
   peer->role = info->role;
@@ -229,7 +229,7 @@
     peer->idle = info->idle;
     peer->last_heard_at = world_now(node->world);
     if (peer->gone)
-      revive(node, peer);
+      mark_live(node, peer);
   }
   if (changed)
     condition_broadcast(&node->membership_changed);
@@ -240,7 +240,7 @@
   g_free(peer);
 }
 
-void peer_table_forget_gone(node *node) {
+void peer_table_remove_gone(node *node) {
   time_us now = world_now(node->world);
   list_for_each (peer, &node->peers, peer_node, link)
     if (peer->gone &&
--- a/lib/membership/peer_table.h
+++ b/lib/membership/peer_table.h
@@ -90,7 +90,7 @@
  * strings. */
 void peer_table_fill_info(const peer_node *peer, Wire__NodeInfo *info);
 /** Removes peers that have been gone for ten minutes. */
-void peer_table_forget_gone(node *node);
+void peer_table_remove_gone(node *node);
 /** Frees all entries. */
 void peer_table_free(node *node);
 #endif
