--- a/tests/membership/failure_detector.c
+++ b/tests/membership/failure_detector.c
@@ -1,4 +1,4 @@
-/** Membership: the ring of heartbeats, and when a silent peer counts as gone. */
+/** Tests of the heartbeat ring, and of when a silent peer is declared gone. */
 #include "tests.h"
 #include <stdlib.h>
 
@@ -14,8 +14,8 @@
   return x->hash < y->hash ? -1 : x->hash > y->hash;
 }
 
-/* the rule in its plainest form: clockwise from the name, first those of zones that are not among
- * the chosen yet, then the others */
+/* A direct implementation of the rule for watchers: in ring order after `who`, first processes
+ * whose zone is not yet represented, then the others. */
 static int expected_watchers(node *node, id who, ring_position out[HEARTBEAT_WATCHERS]) {
   ring_position all[200];
   int n = 0, chosen = 0;
@@ -71,7 +71,8 @@
   return (time_us){ 1000 };
 }
 
-/* urgent tasks run before all others that are ready, in the order in which they were woken */
+/* An urgent task runs before the other ready tasks, which run in the order in which they were
+ * started. */
 static bool urgent_tasks_run_first(fleet *fleet) {
   scheduler scheduler;
   scheduler_init(&scheduler, constant_time, NULL);
@@ -89,8 +90,8 @@
   return true;
 }
 
-/* given processes that start, end, are cut off and are heard again, each one names the watchers
- * that the rule names, at any moment */
+/* While processes start, end, are partitioned and come back, each process computes at any time the
+ * watchers that the rule requires. */
 static bool watchers_follow_the_ring(fleet *fleet) {
   if (!fleet_bring_up(fleet))
     return false;
@@ -133,7 +134,7 @@
   return !fleet->violations->len;
 }
 
-/* given a fleet without changes, the ring of heartbeats is built once, not again and again */
+/* The heartbeat ring is not rebuilt while the fleet does not change. */
 static bool a_quiet_ring_is_made_once(fleet *fleet) {
   if (!fleet_bring_up(fleet))
     return false;
@@ -147,13 +148,13 @@
     if (node_of(h))
       builds_after += node_of(h)->ring.build_count;
   if (builds_after != builds_before)
-    fleet_add_violation(fleet, "the ring was built %" PRIu64 " times in ten quiet seconds",
+    fleet_add_violation(fleet, "the ring was built %" PRIu64 " times in 10 s without changes",
                         builds_after - builds_before);
   return !fleet->violations->len;
 }
 
-/* sets how late the tasks of a process run, as all others know it, and returns how many of them
- * have declared it gone */
+/* Sets the lateness of a process in the peer tables of all others, and returns how many of them
+ * have declared it gone. */
 static int set_lateness_and_count_gone(fleet *fleet, host *subject, int64_t late_ms) {
   int gone = 0;
   for (int i = 0; i < fleet->routers + fleet->controllers; i++) {
@@ -167,7 +168,7 @@
   return gone;
 }
 
-/* how many of the others have declared a process gone after it was silent for a time */
+/* Silences a process for a time, and returns how many others have declared it gone by then. */
 static int gone_after_silence(fleet *fleet, host *silent, int64_t late_ms, int64_t silent_ms) {
   enum { IN_FLIGHT_MS = 200, BACK_MS = 5000 };
   host_freeze(silent);
@@ -180,7 +181,7 @@
   return gone;
 }
 
-/* a peer that has reported how late its tasks run gets that much longer, up to a bound */
+/* A peer that reports lateness may be silent for that much longer, up to a limit. */
 static bool late_machines_are_given_time(fleet *fleet) {
   enum { SHORT_MS = 2000, LONG_MS = 4500, LATE_MS = 1300, VERY_LATE_MS = 60000 };
   if (!fleet_bring_up(fleet))
@@ -188,12 +189,12 @@
   sim_run(fleet->sim, time_from_ms(5000));
   host *silent = fleet->router[0];
   if (!gone_after_silence(fleet, silent, 0, SHORT_MS))
-    fleet_add_violation(fleet, "a silence of %d ms is not noticed", SHORT_MS);
+    fleet_add_violation(fleet, "a silence of %d ms is not detected", SHORT_MS);
   int gone = gone_after_silence(fleet, silent, LATE_MS, SHORT_MS);
   if (gone)
-    fleet_add_violation(fleet, "%d peers have declared one gone that is late", gone);
+    fleet_add_violation(fleet, "%d processes have declared a late peer gone", gone);
   if (!gone_after_silence(fleet, silent, VERY_LATE_MS, LONG_MS))
-    fleet_add_violation(fleet, "a silence of %d ms of a late peer is not noticed", LONG_MS);
+    fleet_add_violation(fleet, "a silence of %d ms of a late peer is not detected", LONG_MS);
   return true;
 }
 
--- a/tests/membership/node.c
+++ b/tests/membership/node.c
@@ -13,7 +13,7 @@
   for (int i = 0; i < 3; i++) {
     host *old = fleet->controller[i];
     host *host = scenario_create_controller(fleet, i + 4, old, old->area.text);
-    /* the seeds of a new process are live peers; the settings of the others stay as they are */
+    /* the seeds of a new process are live peers; the settings of the others do not change */
     for (int k = 0; k < 3; k++)
       g_strlcpy(host->settings.seed_addresses[k], fleet->controller[i + k]->addr,
                 sizeof host->settings.seed_addresses[k]);
@@ -26,17 +26,17 @@
     if (!scenario_wait_for_chain(fleet, 3, 15000))
       return false;
   }
-  /* no process listens at any seed; the others still know one another, and one that restarts is
-   * found by them */
+  /* No process listens at any seed. The others still know each other, and they find a process that
+   * restarts. */
   host_kill(fleet->router[0]);
   sim_run(fleet->sim, time_from_ms(200));
   host_start(fleet->router[0]);
   sim_run(fleet->sim, time_from_ms(5000));
   if (!config_sync_is_recent(fleet->router[0]->router))
-    fleet_add_violation(fleet, "a router whose seeds are all gone does not come back");
+    fleet_add_violation(fleet, "a restarted router whose seeds are all gone does not rejoin");
   char *evacuation = scenario_evacuation_json(2);
   if (!fleet_put(fleet, "evacuation", evacuation))
-    fleet_add_violation(fleet, "no write after all seeds went");
+    fleet_add_violation(fleet, "no write succeeds after all seeds were replaced");
   g_free(evacuation);
   scenario_check_acknowledged_writes(fleet);
   return true;
@@ -55,7 +55,7 @@
     for (size_t k = 0; k < n; k++)
       buf[k] = (char)sim_random(fleet->sim, 256);
     host->world.on_message(host->world.on_message_context, (string_view){ buf, n });
-    /* a message that can be unpacked, from a peer that does not exist */
+    /* a well-formed message from a peer that does not exist */
     Wire__NodeInfo self = WIRE__NODE_INFO__INIT;
     self.id = "stranger";
     self.address = "127.0.9.9:1";
@@ -81,7 +81,7 @@
     sim_run(fleet->sim, time_from_ms(20));
   }
   if (!fleet_put(fleet, "evacuation", "{\"areas\":[]}"))
-    fleet_add_violation(fleet, "no write after the garbage");
+    fleet_add_violation(fleet, "no write succeeds after the invalid messages");
   fleet_finish_traffic(fleet);
   return loadgen_count(fleet->callers->loadgen, OUTCOME_DONE) > 0;
 }
@@ -94,7 +94,7 @@
     return false;
   fleet_start_sampling(fleet);
   scenario_start_traffic(fleet, 5);
-  /* one process after the other is upgraded to version 2, and two are downgraded */
+  /* each process in turn is upgraded to version 2; then the first two are downgraded */
   host *all[16];
   int n = 0;
   for (int i = 0; i < 3; i++)
@@ -119,13 +119,14 @@
   }
   char *evacuation = scenario_evacuation_json(0);
   if (!fleet_put(fleet, "evacuation", evacuation))
-    fleet_add_violation(fleet, "no write over two wire versions");
+    fleet_add_violation(fleet, "no write succeeds with two wire versions");
   g_free(evacuation);
   sim_run(fleet->sim, time_from_ms(3000));
   for (int i = 0; i < fleet->routers; i++)
     if (!config_sync_is_recent(fleet->router[i]->router) ||
         fleet->router[i]->router->node.rpc.refused_wire_versions)
-      fleet_add_violation(fleet, "%s is left behind", fleet->router[i]->self.text);
+      fleet_add_violation(fleet, "%s has no recent configuration, or has refused wire versions",
+                          fleet->router[i]->self.text);
   scenario_check_acknowledged_writes(fleet);
   fleet_finish_traffic(fleet);
   return loadgen_count(fleet->callers->loadgen, OUTCOME_DONE) >
--- a/tests/membership/peer_channel_sockets.c
+++ b/tests/membership/peer_channel_sockets.c
@@ -11,15 +11,15 @@
 
 enum { DESCRIPTORS_MAX = 1024, ACKNOWLEDGE_TIMEOUT_MAX_MS = 2000 };
 
-/* a channel from this process to itself, and what of its sockets was found */
+/* a channel from this process to itself, and the number of its sockets that were found */
 typedef struct link_probe {
   world *world;
   char address[48];
   int port, links, unguarded;
 } link_probe;
 
-/* counts the sockets of this process that are one end of a link to the port, and those without a
- * timeout for bytes that were sent and not acknowledged */
+/* Counts the sockets of this process that are connected to the port, and those of them that have no
+ * timeout for unacknowledged bytes, or one that is too long. */
 static void probe_links(link_probe *probe) {
   for (int fd = 0; fd < DESCRIPTORS_MAX; fd++) {
     struct sockaddr_in peer;
@@ -56,8 +56,8 @@
   return port;
 }
 
-/* the kernel closes a link soon after its bytes go unacknowledged, so that after a long partition a
- * new one is opened instead of a wait for the retransmission timeout of the old one */
+/* The kernel must close a channel soon after its bytes stay unacknowledged. Otherwise, after a long
+ * partition, the channel would stay silent until TCP's retransmission timeout. */
 static bool links_end_when_nothing_is_acknowledged(fleet *fleet) {
   link_probe probe = { .port = free_port() };
   real_settings settings = { .ip = "127.0.0.1", .port = probe.port };
@@ -72,9 +72,9 @@
   real_world_run(probe.world, NULL, NULL);
   real_world_free(probe.world);
   if (!probe.links)
-    fleet_add_violation(fleet, "no link was opened");
+    fleet_add_violation(fleet, "no channel was opened");
   if (probe.unguarded)
-    fleet_add_violation(fleet, "%d of %d links wait for ever for an acknowledgement",
+    fleet_add_violation(fleet, "%d of %d channels have no or a too long acknowledge timeout",
                         probe.unguarded, probe.links);
   return fleet_check_all(fleet);
 }
--- a/tests/membership/peer_channels.c
+++ b/tests/membership/peer_channels.c
@@ -1,6 +1,6 @@
-/** Channels between processes (lib/membership/peer_channels.h) over real sockets: one whose other
- * side stops taking bytes is closed after PEER_CHANNEL_TIMEOUT_MS, and the next message opens
- * another. */
+/** Tests of channels between processes (lib/membership/peer_channels.h) over real sockets: a
+ * channel whose other side stops reading is closed after PEER_CHANNEL_TIMEOUT_MS, and the next
+ * message opens a new connection. */
 #include "real_world.h"
 #include "tests.h"
 #include <arpa/inet.h>
@@ -14,11 +14,11 @@
 enum {
   MESSAGE_BYTES = 200000,
   POST_INTERVAL_MS = 100,
-  /* the timeout, and some time for a busy machine */
+  /* the timeout plus a margin for a busy machine */
   REOPEN_TIMEOUT_MS = PEER_CHANNEL_TIMEOUT_MS + 4000
 };
 
-/** A process that answers the opening of a websocket and then reads nothing. */
+/** A server that completes the websocket handshake and then reads nothing. */
 typedef struct deaf_peer {
   int listener;
   char address[48];
@@ -118,7 +118,7 @@
   error err = { 0 };
   real_settings settings = { .ip = "127.0.0.1", .data_dir = "/tmp" };
   if (!deaf_start(&deaf)) {
-    fleet_add_violation(fleet, "no listener could be had");
+    fleet_add_violation(fleet, "the listener could not be started");
     return false;
   }
   world *world = real_world_new(&settings, &err);
@@ -130,7 +130,7 @@
   }
   deaf_stop(&deaf);
   if (!world || deaf.opened < 2)
-    fleet_add_violation(fleet, "a peer that takes no bytes was opened %d times within %d ms",
+    fleet_add_violation(fleet, "a peer that reads nothing got %d connections within %d ms",
                         deaf.opened, REOPEN_TIMEOUT_MS);
   return !fleet->violations->len;
 }
--- a/tests/runtime/log.c
+++ b/tests/runtime/log.c
@@ -1,9 +1,9 @@
-/** The log (lib/runtime/log.h): plain lines and lines of JSON. */
+/** Tests of the log (lib/runtime/log.h): plain lines and JSON lines. */
 #include "json.h"
 #include "log.h"
 #include "tests.h"
 
-/* the line that was written last */
+/* the last line that was written */
 static char *last_line;
 static void keep_line(world *world, const char *line) {
   (void)world;
@@ -11,8 +11,8 @@
   last_line = g_strdup(line);
 }
 
-/* In both forms a sentence with quotes, line ends and a code becomes one line, and the one of JSON
- * can be parsed. */
+/* In both formats a message with quotes, newlines and an error code becomes one line, and the JSON
+ * line can be parsed. */
 static bool logs_have_two_forms(fleet *fleet) {
   host *host = fleet->operator;
   host_start(host);
--- a/tests/runtime/real.c
+++ b/tests/runtime/real.c
@@ -1,5 +1,5 @@
-/** The files of the disk in the real world: whatever became of the process that made a file, the
- * file and its name are synced before anything is written to it. */
+/** Tests of the files of the real world's disk: a file and its directory are synced before anything
+ * is written to the file, even if the process that created the file ended before its sync. */
 #include "real_world.h"
 #include "tests.h"
 #include <glib/gstdio.h>
@@ -10,11 +10,11 @@
 
 enum { RING_FILE = 64 << 10 };
 
-/* what was synced since the last call of open_ring_file, and whether the next sync fails */
+/* number of syncs since the last call of open_ring_file, and whether the next sync fails */
 static int files_synced, folders_synced;
 static bool next_sync_fails;
 
-/* replaces that of the C library in this program */
+/* replaces the C library's fsync in this program */
 int fsync(int fd) {
   struct stat st;
   if (next_sync_fails) {
@@ -49,13 +49,14 @@
   if (open_ring_file(world) != E_DISK_SYNC)
     fleet_add_violation(fleet, "a failed sync was not reported");
   if (open_ring_file(world) || !files_synced || !folders_synced)
-    fleet_add_violation(fleet, "after a failed sync, %d files and %d folders were synced",
+    fleet_add_violation(fleet, "after a failed sync, %d files and %d directories were synced",
                         files_synced, folders_synced);
   real_world_free(world);
-  /* the process that made it was killed before it could sync: the next one can't know */
+  /* a later process can't know whether the process that created the file was killed before its
+   * sync */
   world = real_world_new(&v, &err);
   if (!world || open_ring_file(world) || !files_synced || !folders_synced)
-    fleet_add_violation(fleet, "a later process synced %d files and %d folders", files_synced,
+    fleet_add_violation(fleet, "a later process synced %d files and %d directories", files_synced,
                         folders_synced);
   if (world)
     real_world_free(world);
