--- a/tests/membership/failure_detector.c
+++ b/tests/membership/failure_detector.c
@@ -135,7 +135,7 @@
 }
 
 /* The heartbeat ring is not rebuilt while the fleet does not change. */
-static bool a_quiet_ring_is_made_once(fleet *fleet) {
+static bool ring_is_not_rebuilt_without_changes(fleet *fleet) {
   if (!fleet_bring_up(fleet))
     return false;
   sim_run(fleet->sim, time_from_ms(10000));
@@ -182,7 +182,7 @@
 }
 
 /* A peer that reports lateness may be silent for that much longer, up to a limit. */
-static bool late_machines_are_given_time(fleet *fleet) {
+static bool late_peers_get_a_longer_timeout(fleet *fleet) {
   enum { SHORT_MS = 2000, LONG_MS = 4500, LATE_MS = 1300, VERY_LATE_MS = 60000 };
   if (!fleet_bring_up(fleet))
     return false;
@@ -199,9 +199,9 @@
 }
 
 const test_case failure_detector_tests[] = {
-  { "late_machines_are_given_time", late_machines_are_given_time, 6, 2, 34 },
+  { "late_peers_get_a_longer_timeout", late_peers_get_a_longer_timeout, 6, 2, 34 },
   { "urgent_tasks_run_first", urgent_tasks_run_first, 1, 1, 20 },
   { "watchers_follow_the_ring", watchers_follow_the_ring, 9, 2, 34 },
-  { "a_quiet_ring_is_made_once", a_quiet_ring_is_made_once, 9, 2, 10 },
+  { "ring_is_not_rebuilt_without_changes", ring_is_not_rebuilt_without_changes, 9, 2, 10 },
   { NULL, NULL, 0, 0, 0 }
 };
--- a/tests/membership/peer_channel_sockets.c
+++ b/tests/membership/peer_channel_sockets.c
@@ -58,7 +58,7 @@
 
 /* The kernel must close a channel soon after its bytes stay unacknowledged. Otherwise, after a long
  * partition, the channel would stay silent until TCP's retransmission timeout. */
-static bool links_end_when_nothing_is_acknowledged(fleet *fleet) {
+static bool channels_have_an_acknowledge_timeout(fleet *fleet) {
   link_probe probe = { .port = free_port() };
   real_settings settings = { .ip = "127.0.0.1", .port = probe.port };
   error err = { 0 };
@@ -79,6 +79,6 @@
   return fleet_check_all(fleet);
 }
 
-const test_case peer_channel_socket_tests[] = { { "links_end_when_nothing_is_acknowledged",
-                                                  links_end_when_nothing_is_acknowledged, 1, 1, 5 },
+const test_case peer_channel_socket_tests[] = { { "channels_have_an_acknowledge_timeout",
+                                                  channels_have_an_acknowledge_timeout, 1, 1, 5 },
                                                 { NULL, NULL, 0, 0, 0 } };
--- a/tests/membership/peer_channels.c
+++ b/tests/membership/peer_channels.c
@@ -113,7 +113,7 @@
   real_world_stop(sender->world);
 }
 
-static bool a_silent_channel_is_opened_anew(fleet *fleet) {
+static bool silent_channel_is_reopened(fleet *fleet) {
   deaf_peer deaf;
   error err = { 0 };
   real_settings settings = { .ip = "127.0.0.1", .data_dir = "/tmp" };
@@ -135,6 +135,6 @@
   return !fleet->violations->len;
 }
 
-const test_case peer_channel_tests[] = { { "a_silent_channel_is_opened_anew",
-                                           a_silent_channel_is_opened_anew, 1, 0, 1 },
-                                         { NULL, NULL, 0, 0, 0 } };
+const test_case peer_channel_tests[] = {
+  { "silent_channel_is_reopened", silent_channel_is_reopened, 1, 0, 1 }, { NULL, NULL, 0, 0, 0 }
+};
--- a/tests/runtime/log.c
+++ b/tests/runtime/log.c
@@ -13,7 +13,7 @@
 
 /* In both formats a message with quotes, newlines and an error code becomes one line, and the JSON
  * line can be parsed. */
-static bool logs_have_two_forms(fleet *fleet) {
+static bool log_lines_are_plain_or_json(fleet *fleet) {
   host *host = fleet->operator;
   host_start(host);
   world *world = &host->world;
@@ -47,5 +47,6 @@
   return true;
 }
 
-const test_case log_tests[] = { { "logs_have_two_forms", logs_have_two_forms, 1, 1, 10 },
-                                { NULL, NULL, 0, 0, 0 } };
+const test_case log_tests[] = {
+  { "log_lines_are_plain_or_json", log_lines_are_plain_or_json, 1, 1, 10 }, { NULL, NULL, 0, 0, 0 }
+};
--- a/tests/runtime/real.c
+++ b/tests/runtime/real.c
@@ -35,7 +35,7 @@
   return world->disk_open(world, 0, RING_FILE, &err);
 }
 
-static bool a_ring_file_is_synced_whoever_made_it(fleet *fleet) {
+static bool ring_file_is_synced_on_every_open(fleet *fleet) {
   real_settings v = { .body_max_bytes = 0 };
   char *dir = g_dir_make_tmp("ring-XXXXXX", NULL);
   g_strlcpy(v.data_dir, dir, sizeof v.data_dir);
@@ -68,6 +68,6 @@
   return true;
 }
 
-const test_case real_disk_tests[] = { { "a_ring_file_is_synced_whoever_made_it",
-                                        a_ring_file_is_synced_whoever_made_it, 1, 1, 17 },
+const test_case real_disk_tests[] = { { "ring_file_is_synced_on_every_open",
+                                        ring_file_is_synced_on_every_open, 1, 1, 17 },
                                       { NULL, NULL, 0, 0, 0 } };
