--- a/tests/membership/peer_channel_sockets.c
+++ b/tests/membership/peer_channel_sockets.c
@@ -12,15 +12,15 @@
 enum { DESCRIPTORS_MAX = 1024, ACKNOWLEDGE_TIMEOUT_MAX_MS = 2000 };
 
 /* a channel from this process to itself, and the number of its sockets that were found */
-typedef struct link_probe {
+typedef struct channel_probe {
   world *world;
   char address[48];
-  int port, links, unguarded;
+  int port, links, without_timeout;
 } link_probe;
 
 /* Counts the sockets of this process that are connected to the port, and those of them that have no
  * timeout for unacknowledged bytes, or one that is too long. */
-static void probe_links(link_probe *probe) {
+static void probe_channels(link_probe *probe) {
   for (int fd = 0; fd < DESCRIPTORS_MAX; fd++) {
     struct sockaddr_in peer;
     socklen_t size = sizeof peer;
@@ -31,15 +31,15 @@
     size = sizeof silence_ms;
     getsockopt(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &silence_ms, &size);
     probe->links++;
-    probe->unguarded += !silence_ms || silence_ms > ACKNOWLEDGE_TIMEOUT_MAX_MS;
+    probe->without_timeout += !silence_ms || silence_ms > ACKNOWLEDGE_TIMEOUT_MAX_MS;
   }
 }
 
-static void post_and_probe(void *context) {
+static void send_and_probe(void *context) {
   link_probe *probe = context;
   probe->world->post_message(probe->world, probe->address, string_view_of("hello"));
   world_sleep(probe->world, time_from_ms(300));
-  probe_links(probe);
+  probe_channels(probe);
   real_world_stop(probe->world);
 }
 
@@ -68,14 +68,14 @@
     return fleet_check_all(fleet);
   }
   snprintf(probe.address, sizeof probe.address, "127.0.0.1:%d", probe.port);
-  task_start(&probe.world->tasks, "probe", post_and_probe, &probe);
+  task_start(&probe.world->tasks, "probe", send_and_probe, &probe);
   real_world_run(probe.world, NULL, NULL);
   real_world_free(probe.world);
   if (!probe.links)
     fleet_add_violation(fleet, "no channel was opened");
-  if (probe.unguarded)
+  if (probe.without_timeout)
     fleet_add_violation(fleet, "%d of %d channels have no or a too long acknowledge timeout",
-                        probe.unguarded, probe.links);
+                        probe.without_timeout, probe.links);
   return fleet_check_all(fleet);
 }
 
