--- a/tests/membership/peer_channel_sockets.c
+++ b/tests/membership/peer_channel_sockets.c
@@ -15,12 +15,12 @@
 typedef struct channel_probe {
   world *world;
   char address[48];
-  int port, links, without_timeout;
-} link_probe;
+  int port, channels, without_timeout;
+} channel_probe;
 
 /* Counts the sockets of this process that are connected to the port, and those of them that have no
  * timeout for unacknowledged bytes, or one that is too long. */
-static void probe_channels(link_probe *probe) {
+static void probe_channels(channel_probe *probe) {
   for (int fd = 0; fd < DESCRIPTORS_MAX; fd++) {
     struct sockaddr_in peer;
     socklen_t size = sizeof peer;
@@ -30,13 +30,13 @@
     unsigned silence_ms = 0;
     size = sizeof silence_ms;
     getsockopt(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &silence_ms, &size);
-    probe->links++;
+    probe->channels++;
     probe->without_timeout += !silence_ms || silence_ms > ACKNOWLEDGE_TIMEOUT_MAX_MS;
   }
 }
 
 static void send_and_probe(void *context) {
-  link_probe *probe = context;
+  channel_probe *probe = context;
   probe->world->post_message(probe->world, probe->address, string_view_of("hello"));
   world_sleep(probe->world, time_from_ms(300));
   probe_channels(probe);
@@ -59,7 +59,7 @@
 /* The kernel must close a channel soon after its bytes stay unacknowledged. Otherwise, after a long
  * partition, the channel would stay silent until TCP's retransmission timeout. */
 static bool channels_have_an_acknowledge_timeout(fleet *fleet) {
-  link_probe probe = { .port = free_port() };
+  channel_probe probe = { .port = free_port() };
   real_settings settings = { .ip = "127.0.0.1", .port = probe.port };
   error err = { 0 };
   probe.world = real_world_new(&settings, &err);
@@ -71,11 +71,11 @@
   task_start(&probe.world->tasks, "probe", send_and_probe, &probe);
   real_world_run(probe.world, NULL, NULL);
   real_world_free(probe.world);
-  if (!probe.links)
+  if (!probe.channels)
     fleet_add_violation(fleet, "no channel was opened");
   if (probe.without_timeout)
     fleet_add_violation(fleet, "%d of %d channels have no or a too long acknowledge timeout",
-                        probe.without_timeout, probe.links);
+                        probe.without_timeout, probe.channels);
   return fleet_check_all(fleet);
 }
 
