--- a/tests/membership/peer_channels.c
+++ b/tests/membership/peer_channels.c
@@ -19,15 +19,15 @@
 };
 
 /** A server that completes the websocket handshake and then reads nothing. */
-typedef struct deaf_peer {
+typedef struct unresponsive_peer {
   int listener;
   char address[48];
   pthread_t thread;
-  int opened, fds[8];
+  int connection_count, fds[8];
   volatile bool stop;
-} deaf_peer;
+} unresponsive_peer;
 
-static void answer_opening(int fd) {
+static void answer_handshake(int fd) {
   static const char magic[] = "258EAFA5-E914-47DA-95CA-C5AB0DC85B11";
   char head[4096] = "", key[128] = "";
   size_t n = 0;
@@ -58,22 +58,22 @@
   g_free(accept_key);
 }
 
-static void *deaf_run(void *context) {
-  deaf_peer *peer = context;
+static void *unresponsive_peer_run(void *context) {
+  unresponsive_peer *peer = context;
   while (!peer->stop) {
     struct pollfd ready = { .fd = peer->listener, .events = POLLIN };
-    if (poll(&ready, 1, 50) <= 0 || peer->opened >= (int)G_N_ELEMENTS(peer->fds))
+    if (poll(&ready, 1, 50) <= 0 || peer->connection_count >= (int)G_N_ELEMENTS(peer->fds))
       continue;
     int fd = accept(peer->listener, NULL, NULL);
     if (fd < 0)
       continue;
-    answer_opening(fd);
-    peer->fds[peer->opened++] = fd;
+    answer_handshake(fd);
+    peer->fds[peer->connection_count++] = fd;
   }
   return NULL;
 }
 
-static bool deaf_start(deaf_peer *peer) {
+static bool unresponsive_peer_start(unresponsive_peer *peer) {
   struct sockaddr_in sockaddr = { .sin_family = AF_INET,
                                   .sin_addr.s_addr = htonl(INADDR_LOOPBACK) };
   socklen_t size = sizeof sockaddr;
@@ -83,27 +83,27 @@
       listen(peer->listener, 8) || getsockname(peer->listener, (struct sockaddr *)&sockaddr, &size))
     return false;
   snprintf(peer->address, sizeof peer->address, "127.0.0.1:%d", ntohs(sockaddr.sin_port));
-  return !pthread_create(&peer->thread, NULL, deaf_run, peer);
+  return !pthread_create(&peer->thread, NULL, unresponsive_peer_run, peer);
 }
 
-static void deaf_stop(deaf_peer *peer) {
+static void unresponsive_peer_stop(unresponsive_peer *peer) {
   peer->stop = true;
   pthread_join(peer->thread, NULL);
-  for (int i = 0; i < peer->opened; i++)
+  for (int i = 0; i < peer->connection_count; i++)
     close(peer->fds[i]);
   close(peer->listener);
 }
 
 typedef struct sender {
   world *world;
-  deaf_peer *peer;
+  unresponsive_peer *peer;
 } sender;
 
 static void send_run(void *context) {
   sender *sender = context;
   time_us deadline = time_add(world_now(sender->world), time_from_ms(REOPEN_TIMEOUT_MS));
   char *text = g_malloc0(MESSAGE_BYTES);
-  while (sender->peer->opened < 2 && !time_reached(world_now(sender->world), deadline)) {
+  while (sender->peer->connection_count < 2 && !time_reached(world_now(sender->world), deadline)) {
     sender->world->post_message(sender->world, sender->peer->address,
                                 (string_view){ text, MESSAGE_BYTES });
     if (!world_sleep(sender->world, time_from_ms(POST_INTERVAL_MS)))
@@ -114,24 +114,24 @@
 }
 
 static bool silent_channel_is_reopened(fleet *fleet) {
-  deaf_peer deaf;
+  unresponsive_peer unresponsive;
   error err = { 0 };
   real_settings settings = { .ip = "127.0.0.1", .data_dir = "/tmp" };
-  if (!deaf_start(&deaf)) {
+  if (!unresponsive_peer_start(&unresponsive)) {
     fleet_add_violation(fleet, "the listener could not be started");
     return false;
   }
   world *world = real_world_new(&settings, &err);
   if (world) {
-    sender sender = { world, &deaf };
+    sender sender = { world, &unresponsive };
     task_start(&world->tasks, "send", send_run, &sender);
     real_world_run(world, NULL, NULL);
     real_world_free(world);
   }
-  deaf_stop(&deaf);
-  if (!world || deaf.opened < 2)
+  unresponsive_peer_stop(&unresponsive);
+  if (!world || unresponsive.connection_count < 2)
     fleet_add_violation(fleet, "a peer that reads nothing got %d connections within %d ms",
-                        deaf.opened, REOPEN_TIMEOUT_MS);
+                        unresponsive.connection_count, REOPEN_TIMEOUT_MS);
   return !fleet->violations->len;
 }
 
