--- a/tests/membership/failure_detector.c
+++ b/tests/membership/failure_detector.c
@@ -16,7 +16,7 @@
 
 /* A direct implementation of the rule for watchers: in ring order after `who`, first processes
  * whose zone is not yet represented, then the others. */
-static int expected_watchers(node *node, id who, ring_position out[HEARTBEAT_WATCHERS]) {
+static int expected_watchers(node *node, id who, ring_position watchers[HEARTBEAT_WATCHERS]) {
   ring_position all[200];
   int n = 0, chosen = 0;
   uint64_t from = hash_two_names("ring", who.text);
@@ -37,10 +37,10 @@
     for (int i = 0; i < n && chosen < HEARTBEAT_WATCHERS; i++) {
       bool skip = false;
       for (int k = 0; k < chosen; k++)
-        skip |=
-            id_equal(out[k].self, all[i].self) || (!round && id_equal(out[k].zone, all[i].zone));
+        skip |= id_equal(watchers[k].self, all[i].self) ||
+                (!round && id_equal(watchers[k].zone, all[i].zone));
       if (!skip)
-        out[chosen++] = all[i];
+        watchers[chosen++] = all[i];
     }
   return chosen;
 }
@@ -96,29 +96,29 @@
   if (!fleet_bring_up(fleet))
     return false;
   for (int i = 0; i < 60; i++) {
-    host *h = fleet->router[sim_random(fleet->sim, (uint64_t)fleet->routers)],
-         *o = fleet->router[sim_random(fleet->sim, (uint64_t)fleet->routers)];
+    host *subject = fleet->router[sim_random(fleet->sim, (uint64_t)fleet->routers)],
+         *other = fleet->router[sim_random(fleet->sim, (uint64_t)fleet->routers)];
     switch (sim_random(fleet->sim, 5)) {
     case 0:
-      if (h->alive)
-        host_kill(h);
+      if (subject->alive)
+        host_kill(subject);
       break;
     case 1:
-      if (!h->alive)
-        host_start(h);
+      if (!subject->alive)
+        host_start(subject);
       break;
     case 2:
-      if (h != o)
-        sim_set_partition_both_ways(fleet->sim, h->self.text, o->self.text, true);
+      if (subject != other)
+        sim_set_partition_both_ways(fleet->sim, subject->self.text, other->self.text, true);
       break;
     case 3:
       sim_heal_partitions(fleet->sim);
       break;
     default:
-      if (h->alive && !h->frozen)
-        host_freeze(h);
-      else if (h->frozen)
-        host_unfreeze(h);
+      if (subject->alive && !subject->frozen)
+        host_freeze(subject);
+      else if (subject->frozen)
+        host_unfreeze(subject);
     }
     sim_run(fleet->sim, time_from_ms(50 + (int64_t)sim_random(fleet->sim, 1500)));
     list_for_each (x, &fleet->sim->hosts, host, link) {
--- a/tests/membership/node.c
+++ b/tests/membership/node.c
@@ -50,11 +50,11 @@
   for (int i = 0; i < 300; i++) {
     host *host = sim_random(fleet->sim, 2) ? fleet->controller[sim_random(fleet->sim, 3)]
                                            : fleet->router[sim_random(fleet->sim, fleet->routers)];
-    char buf[300];
-    size_t n = 1 + sim_random(fleet->sim, sizeof buf - 1);
-    for (size_t k = 0; k < n; k++)
-      buf[k] = (char)sim_random(fleet->sim, 256);
-    host->world.on_message(host->world.on_message_context, (string_view){ buf, n });
+    char garbage[300];
+    size_t length = 1 + sim_random(fleet->sim, sizeof garbage - 1);
+    for (size_t k = 0; k < length; k++)
+      garbage[k] = (char)sim_random(fleet->sim, 256);
+    host->world.on_message(host->world.on_message_context, (string_view){ garbage, length });
     /* a well-formed message from a peer that does not exist */
     Wire__NodeInfo self = WIRE__NODE_INFO__INIT;
     self.id = "stranger";
@@ -62,22 +62,23 @@
     self.zone = "north";
     self.nonce = 7;
     self.role = ROLE_CONTROLLER;
-    Wire__ReplicateRequest p = WIRE__REPLICATE_REQUEST__INIT;
-    Wire__PrepareRequest q = WIRE__PREPARE_REQUEST__INIT;
-    Wire__SingletonLeaseRequest d = WIRE__SINGLETON_LEASE_REQUEST__INIT;
-    Wire__ViewAnnouncement t = WIRE__VIEW_ANNOUNCEMENT__INIT;
-    Wire__Envelope m =
-        sim_random(fleet->sim, 2)   ? wire_envelope(WIRE__ENVELOPE__BODY_REPLICATE_REQUEST, &p)
-        : sim_random(fleet->sim, 2) ? wire_envelope(WIRE__ENVELOPE__BODY_PREPARE_REQUEST, &q)
+    Wire__ReplicateRequest replicate = WIRE__REPLICATE_REQUEST__INIT;
+    Wire__PrepareRequest prepare = WIRE__PREPARE_REQUEST__INIT;
+    Wire__SingletonLeaseRequest lease = WIRE__SINGLETON_LEASE_REQUEST__INIT;
+    Wire__ViewAnnouncement announcement = WIRE__VIEW_ANNOUNCEMENT__INIT;
+    Wire__Envelope message =
+        sim_random(fleet->sim, 2)
+            ? wire_envelope(WIRE__ENVELOPE__BODY_REPLICATE_REQUEST, &replicate)
+        : sim_random(fleet->sim, 2) ? wire_envelope(WIRE__ENVELOPE__BODY_PREPARE_REQUEST, &prepare)
         : sim_random(fleet->sim, 2)
-            ? wire_envelope(WIRE__ENVELOPE__BODY_SINGLETON_LEASE_REQUEST, &d)
-            : wire_envelope(WIRE__ENVELOPE__BODY_VIEW_ANNOUNCEMENT, &t);
-    m.version = sim_random(fleet->sim, 4);
-    m.from = &self;
-    m.call = 9;
-    uint8_t out[200];
-    size_t k = wire__envelope__pack(&m, out);
-    host->world.on_message(host->world.on_message_context, (string_view){ (char *)out, k });
+            ? wire_envelope(WIRE__ENVELOPE__BODY_SINGLETON_LEASE_REQUEST, &lease)
+            : wire_envelope(WIRE__ENVELOPE__BODY_VIEW_ANNOUNCEMENT, &announcement);
+    message.version = sim_random(fleet->sim, 4);
+    message.from = &self;
+    message.call = 9;
+    uint8_t packed[200];
+    size_t size = wire__envelope__pack(&message, packed);
+    host->world.on_message(host->world.on_message_context, (string_view){ (char *)packed, size });
     sim_run(fleet->sim, time_from_ms(20));
   }
   if (!fleet_put(fleet, "evacuation", "{\"areas\":[]}"))
--- a/tests/runtime/real.c
+++ b/tests/runtime/real.c
@@ -8,10 +8,10 @@
 #include <sys/syscall.h>
 #include <unistd.h>
 
-enum { RING_FILE = 64 << 10 };
+enum { RING_FILE_BYTES = 64 << 10 };
 
 /* number of syncs since the last call of open_ring_file, and whether the next sync fails */
-static int files_synced, folders_synced;
+static int files_synced, directories_synced;
 static bool next_sync_fails;
 
 /* replaces the C library's fsync in this program */
@@ -24,23 +24,23 @@
   }
   if (!fstat(fd, &st)) {
     files_synced += S_ISREG(st.st_mode);
-    folders_synced += S_ISDIR(st.st_mode);
+    directories_synced += S_ISDIR(st.st_mode);
   }
   return (int)syscall(SYS_fsync, fd);
 }
 
 static int open_ring_file(world *world) {
   error err = { 0 };
-  files_synced = folders_synced = 0;
-  return world->disk_open(world, 0, RING_FILE, &err);
+  files_synced = directories_synced = 0;
+  return world->disk_open(world, 0, RING_FILE_BYTES, &err);
 }
 
 static bool ring_file_is_synced_on_every_open(fleet *fleet) {
-  real_settings v = { .body_max_bytes = 0 };
+  real_settings settings = { .body_max_bytes = 0 };
   char *dir = g_dir_make_tmp("ring-XXXXXX", NULL);
-  g_strlcpy(v.data_dir, dir, sizeof v.data_dir);
+  g_strlcpy(settings.data_dir, dir, sizeof settings.data_dir);
   error err = { 0 };
-  world *world = real_world_new(&v, &err);
+  world *world = real_world_new(&settings, &err);
   if (!world) {
     fleet_add_violation(fleet, "no world: %s", err.text);
     return false;
@@ -48,16 +48,16 @@
   next_sync_fails = true;
   if (open_ring_file(world) != E_DISK_SYNC)
     fleet_add_violation(fleet, "a failed sync was not reported");
-  if (open_ring_file(world) || !files_synced || !folders_synced)
+  if (open_ring_file(world) || !files_synced || !directories_synced)
     fleet_add_violation(fleet, "after a failed sync, %d files and %d directories were synced",
-                        files_synced, folders_synced);
+                        files_synced, directories_synced);
   real_world_free(world);
   /* a later process can't know whether the process that created the file was killed before its
    * sync */
-  world = real_world_new(&v, &err);
-  if (!world || open_ring_file(world) || !files_synced || !folders_synced)
+  world = real_world_new(&settings, &err);
+  if (!world || open_ring_file(world) || !files_synced || !directories_synced)
     fleet_add_violation(fleet, "a later process synced %d files and %d directories", files_synced,
-                        folders_synced);
+                        directories_synced);
   if (world)
     real_world_free(world);
   char *path = g_strdup_printf("%s/ring-00", dir);
