--- a/lib/membership/peer_table.c
+++ b/lib/membership/peer_table.c
@@ -4,11 +4,12 @@
 
 enum {
   GONE_PEER_RETENTION_MS = 600000,
-  /* A process hears of its former run within its first seconds. Who hears later that its name is in
-   * use has a namesake. */
-  FORMER_RUN_PERIOD_MS = 8000,
-  /* a restarted peer sends several messages before it has read the answer to the first */
-  KNOWN_INCARNATION_INTERVAL_MS = 200
+  /* A process hears of its previous run within its first seconds. If it hears later that its name
+   * is in use, another process has the same name. */
+  PREVIOUS_RUN_PERIOD_MS = 8000,
+  /* minimum time between two corrections to a peer; a restarted peer sends several messages before
+   * it has read the response to the first */
+  INCARNATION_RESEND_INTERVAL_MS = 200
 };
 
 peer_node *peer_table_find(node *node, id who) {
@@ -119,7 +120,7 @@
   info->role = peer->role;
 }
 
-/* a table with one entry, the receiver's own */
+/* Sends a table with one entry, the receiver's own. */
 static void send_known_incarnation(node *node, const peer_node *peer, const char *address) {
   Wire__NodeInfo info, *entries = &info;
   peer_table_fill_info(peer, &info);
@@ -130,29 +131,30 @@
   peer_rpc_send(node, address, &message);
 }
 
-/* A restarted peer may be known here under its former run, gone or not. It is sent the incarnation
- * of that run and takes a higher one. */
+/* Sends a restarted peer the incarnation of its previous run if this node still knows that run,
+ * whether gone or not; the peer then takes a higher incarnation. */
 static void correct_incarnation(node *node, peer_node *peer, const Wire__NodeInfo *info) {
   time_us now = world_now(node->world);
   if (info->nonce == peer->nonce || info->incarnation > peer->incarnation)
     return;
-  if (!time_reached(now, time_add(peer->notified_at, time_from_ms(KNOWN_INCARNATION_INTERVAL_MS))))
+  if (!time_reached(
+          now, time_add(peer->incarnation_sent_at, time_from_ms(INCARNATION_RESEND_INTERVAL_MS))))
     return;
-  peer->notified_at = now;
+  peer->incarnation_sent_at = now;
   send_known_incarnation(node, peer, info->address);
 }
 
-/* what others say of this process's own name */
+/* Merges what other processes report under this process's own name. */
 static void merge_self(node *node, const Wire__NodeInfo *info) {
   if (info->nonce == node->nonce || info->incarnation < node->incarnation)
     return;
   time_us now = world_now(node->world);
   node->incarnation = info->incarnation + 1;
-  if (!time_reached(now, time_add(node->started_at, time_from_ms(FORMER_RUN_PERIOD_MS))))
+  if (!time_reached(now, time_add(node->started_at, time_from_ms(PREVIOUS_RUN_PERIOD_MS))))
     return;
   if (!node->duplicate_seen_at.us)
     log_info(&node->log, "member",
-             "Another process at %s uses this name, too; took incarnation %" PRIu64 " (code %d).",
+             "Another process at %s uses the same name; took incarnation %" PRIu64 " (code %d).",
              info->address, node->incarnation, E_NAME);
   node->duplicate_seen_at = now;
 }
@@ -165,30 +167,30 @@
   return peer;
 }
 
-/* An entry of the same run, or of a later one, is taken. So is a gone peer's own message under the
- * incarnation that is known: with another nonce that is a namesake's or a restarted peer's, and the
- * peer is better live than gone. */
+/* Accepts an entry of the same run or of a later one. Also accepts a direct message of a gone peer
+ * under the known incarnation: with another nonce it comes from a restarted peer or from another
+ * process with the same name, and treating the peer as live is better than leaving it gone. */
 static bool info_is_accepted(const peer_node *peer, const Wire__NodeInfo *info, bool direct) {
   if (info->incarnation != peer->incarnation)
     return info->incarnation > peer->incarnation;
   return info->nonce == peer->nonce || (direct && peer->gone);
 }
 
-/* a run of the peer that was not known begins */
-static void begin_run(node *node, peer_node *peer, const Wire__NodeInfo *info) {
+/* Resets the entry of a peer for a run that was not known before. */
+static void reset_for_new_run(node *node, peer_node *peer, const Wire__NodeInfo *info) {
   time_us now = world_now(node->world);
-  log_info(&node->log, "member", "Met %s (%s) at %s in %s, incarnation %" PRIu64 ".", info->id,
-           role_name(info->role), info->address, info->zone, info->incarnation);
+  log_info(&node->log, "member", "Discovered %s (%s) at %s in %s, incarnation %" PRIu64 ".",
+           info->id, role_name(info->role), info->address, info->zone, info->incarnation);
   memset(peer->suspicions, 0, sizeof peer->suspicions);
   peer->gone = false;
   peer->last_heard_at = now;
   peer->watched_since = now;
 }
 
-static void revive(node *node, peer_node *peer) {
+static void mark_live(node *node, peer_node *peer) {
   peer->gone = false;
   memset(peer->suspicions, 0, sizeof peer->suspicions);
-  log_info(&node->log, "member", "%s is back.", peer->self.text);
+  log_info(&node->log, "member", "%s is live again.", peer->self.text);
 }
 
 void peer_table_merge(node *node, const Wire__NodeInfo *info, bool direct) {
@@ -212,13 +214,13 @@
       strcmp(peer->zone.text, info->zone))
     heartbeat_ring_invalidate(&node->ring);
   if (is_new_run)
-    begin_run(node, peer, info);
+    reset_for_new_run(node, peer, info);
   peer->incarnation = info->incarnation;
   peer->nonce = info->nonce;
   peer->role = info->role;
   peer->zone = id_of_text(info->zone);
   g_strlcpy(peer->address, info->address, sizeof peer->address);
-  /* gossip may be older than what the peer said itself */
+  /* gossip may be older than what the peer reported itself */
   if (direct || is_new_run)
     peer->draining = info->draining;
   changed |= was_draining != peer->draining;
@@ -227,7 +229,7 @@
     peer->idle = info->idle;
     peer->last_heard_at = world_now(node->world);
     if (peer->gone)
-      revive(node, peer);
+      mark_live(node, peer);
   }
   if (changed)
     condition_broadcast(&node->membership_changed);
@@ -238,7 +240,7 @@
   g_free(peer);
 }
 
-void peer_table_forget_gone(node *node) {
+void peer_table_remove_gone(node *node) {
   time_us now = world_now(node->world);
   list_for_each (peer, &node->peers, peer_node, link)
     if (peer->gone &&
--- a/lib/runtime/real_world.c
+++ b/lib/runtime/real_world.c
@@ -17,14 +17,14 @@
 
 enum {
   DEFAULT_BODY_MAX_BYTES = 1 << 20,
-  /* bounds on a request's head, and on the heads that are read at the same time */
+  /* maximum size of a request head, and maximum number of heads being read at the same time */
   HEAD_MAX_BYTES = 16384,
   HEADS_MAX = 512,
-  /* The library drops connections that take so long over a head. How long a response may take is
-   * each task's own affair. */
+  /* The library closes connections that take longer than this to send a head. The tasks themselves
+   * limit the time for responses. */
   LIBRARY_TIMEOUT_S = 600,
   KEEPALIVE_TIMEOUT_S = 30,
-  /* the loop waits for events no longer than this, whatever the deadlines */
+  /* maximum time that the loop waits for events, independent of deadlines */
   WAIT_MAX_MS = 500,
   /* the library polls in whole milliseconds, rounded down */
   POLL_UNIT_US = 1000,
@@ -32,7 +32,7 @@
 };
 
 typedef struct real_world {
-  /** First, so that a pointer to it is one to the whole. */
+  /** First member, so that a pointer to it can be cast to real_world. */
   world world;
   real_settings settings;
   struct lws_context *context;
@@ -40,23 +40,23 @@
   http_engine *http;
   peer_channels *peers;
   real_disk *disk;
-  /** Ends the wait for events at the next deadline. */
+  /** Timer that ends the wait for events at the next deadline. */
   lws_sorted_usec_list_t wakeup;
   bool stopping;
 } real_world;
 
-static real_world *real_of(world *world) {
+static real_world *real_world_of(world *world) {
   return (real_world *)world;
 }
 
 /* ---- signals ---- */
 
 static volatile sig_atomic_t termination_requested;
-/* the context whose wait a signal ends */
+/* the context whose wait for events a signal interrupts */
 static struct lws_context *volatile interruptible_context;
 
-/* The wait has to be ended as well: a signal that comes just before it would else be seen only when
- * it is over. */
+/* Sets the flag and interrupts the wait for events. Without the interruption, a signal that arrives
+ * just before the wait would be noticed only after it. */
 static void on_termination_signal(int number) {
   (void)number;
   termination_requested = 1;
@@ -72,9 +72,9 @@
   signal(SIGPIPE, SIG_IGN);
 }
 
-/* ---- clock, chance, log ---- */
+/* ---- clock, random numbers, log ---- */
 
-static time_us boot_time(void *context) {
+static time_us read_boot_clock(void *context) {
   (void)context;
   struct timespec now;
   clock_gettime(CLOCK_BOOTTIME, &now);
@@ -108,18 +108,18 @@
 /* ---- the functions of struct world that other modules implement ---- */
 
 static void post_message(world *world, const char *address, string_view message) {
-  peer_channels_post(real_of(world)->peers, address, message);
+  peer_channels_post(real_world_of(world)->peers, address, message);
 }
 
 static void request_flush(http_request *request) {
   if (request->listener)
-    http_engine_flush_request(real_of(request->world)->http, request);
+    http_engine_flush_request(real_world_of(request->world)->http, request);
   else
     real_http_server_flush(request);
 }
 
 static void call_start(http_call *call) {
-  real_world *real = real_of(call->world);
+  real_world *real = real_world_of(call->world);
   if (call->pooled)
     http_engine_start_call(real->http, call);
   else
@@ -128,43 +128,43 @@
 
 static void call_cancel(http_call *call) {
   if (call->pooled)
-    http_engine_cancel_call(real_of(call->world)->http, call);
+    http_engine_cancel_call(real_world_of(call->world)->http, call);
   else
     real_http_client_cancel(call);
 }
 
 static enum error_code listener_open(world *world, http_listener *listener, error *err) {
-  return http_engine_listener_open(real_of(world)->http, listener, err);
+  return http_engine_listener_open(real_world_of(world)->http, listener, err);
 }
 
 static void listener_stop_accepting(world *world, http_listener *listener) {
-  http_engine_listener_stop_accepting(real_of(world)->http, listener);
+  http_engine_listener_stop_accepting(real_world_of(world)->http, listener);
 }
 
 static void listener_close_idle(world *world, http_listener *listener) {
-  http_engine_listener_close_idle(real_of(world)->http, listener);
+  http_engine_listener_close_idle(real_world_of(world)->http, listener);
 }
 
 static void pool_close_idle(world *world, const char *address) {
-  http_engine_pool_close_idle(real_of(world)->http, address);
+  http_engine_pool_close_idle(real_world_of(world)->http, address);
 }
 
 static enum error_code disk_open(world *world, unsigned file, size_t size, error *err) {
-  return real_disk_open_file(real_of(world)->disk, file, size, err);
+  return real_disk_open_file(real_world_of(world)->disk, file, size, err);
 }
 
 static enum error_code disk_read(world *world, unsigned file, size_t offset, void *to, size_t size,
                                  error *err) {
-  return real_disk_read(real_of(world)->disk, file, offset, to, size, err);
+  return real_disk_read(real_world_of(world)->disk, file, offset, to, size, err);
 }
 
 static enum error_code disk_write(world *world, unsigned file, size_t offset, const void *from,
                                   size_t size, error *err) {
-  return real_disk_write(real_of(world)->disk, file, offset, from, size, err);
+  return real_disk_write(real_world_of(world)->disk, file, offset, from, size, err);
 }
 
 static enum error_code disk_sync(world *world, unsigned file, error *err) {
-  return real_disk_sync(real_of(world)->disk, file, err);
+  return real_disk_sync(real_world_of(world)->disk, file, err);
 }
 
 static void set_functions(world *world) {
@@ -199,7 +199,8 @@
   return sock_event(wsi, (int)reason, in, length);
 }
 
-/* The server's is first: the vhost's first protocol gets LWS_CALLBACK_WSI_DESTROY for all. */
+/* The server's protocol must be first: the vhost's first protocol gets LWS_CALLBACK_WSI_DESTROY for
+ * the connections of all protocols. */
 static const struct lws_protocols protocols[] = {
   { .name = "http",
     .callback = real_http_server_callback,
@@ -250,14 +251,14 @@
   return lws_create_vhost(real->context, &info);
 }
 
-/* ---- the loop ---- */
+/* ---- event loop ---- */
 
 world *real_world_new(const real_settings *settings, error *err) {
   fault_reports_install();
   real_world *real = g_new0(real_world, 1);
   world *world = &real->world;
   real->settings = *settings;
-  scheduler_init(&world->tasks, boot_time, real);
+  scheduler_init(&world->tasks, read_boot_clock, real);
   set_functions(world);
   world->body_max_bytes =
       settings->body_max_bytes ? settings->body_max_bytes : DEFAULT_BODY_MAX_BYTES;
@@ -278,8 +279,8 @@
   return world;
 }
 
-/* Runs tasks, and what they made the HTTP engine do, until none is ready. Returns the deadline of
- * the next sleeping task. */
+/* Runs tasks, and the HTTP engine's work that results from them, until no task is ready. Returns
+ * the deadline of the next sleeping task. */
 static time_us run_ready_tasks(real_world *real) {
   time_us deadline;
   real_disk_complete_jobs(real->disk);
@@ -289,27 +290,27 @@
   return deadline;
 }
 
-/* The timer fires inside lws_service, which would go on to wait for something else. */
+/* Interrupts lws_service, which calls this timer callback and would otherwise wait again. */
 static void on_wakeup(lws_sorted_usec_list_t *wakeup) {
   real_world *real = (real_world *)((char *)wakeup - offsetof(real_world, wakeup));
   lws_cancel_service(real->context);
 }
 
-/* Waits for events until a deadline, and handles them. False if the library has failed. */
+/* Waits for events until a deadline, and handles them. Returns false if the library has failed. */
 static bool wait_for_events(real_world *real, time_us deadline) {
   time_us wait = time_sub(deadline, world_now(&real->world)), max_wait = time_from_ms(WAIT_MAX_MS);
   if (wait.us > max_wait.us)
     wait = max_wait;
   if (wait.us <= 0)
     return lws_service(real->context, -1) >= 0;
-  /* a wait that was rounded down would end too early, and be followed by many empty turns */
+  /* a wait that is rounded down would end too early, and many empty loop iterations would follow */
   int64_t rounded_us = (wait.us + POLL_UNIT_US - 1) / POLL_UNIT_US * POLL_UNIT_US;
   lws_sul_schedule(real->context, 0, &real->wakeup, on_wakeup, rounded_us + POLL_ROUNDING_US);
   return lws_service(real->context, 0) >= 0;
 }
 
 void real_world_run(world *world, void (*on_term)(void *context), void *context) {
-  real_world *real = real_of(world);
+  real_world *real = real_world_of(world);
   install_signal_handlers(real->context);
   while (!real->stopping) {
     time_us task_deadline = run_ready_tasks(real);
@@ -330,13 +331,13 @@
 }
 
 void real_world_stop(world *world) {
-  real_of(world)->stopping = true;
+  real_world_of(world)->stopping = true;
 }
 
-/* Tasks are stopped twice: the destruction of connections wakes those that waited for one, and they
- * may still use what is freed after them. */
+/* Tasks are stopped twice, because destroying the connections wakes the tasks that wait for them;
+ * these may still use what is freed afterwards. */
 void real_world_free(world *world) {
-  real_world *real = real_of(world);
+  real_world *real = real_world_of(world);
   interruptible_context = NULL;
   scheduler_stop(&world->tasks);
   lws_sul_schedule(real->context, 0, &real->wakeup, NULL, LWS_SET_TIMER_USEC_CANCEL);
--- a/tests/membership/peer_channel_sockets.c
+++ b/tests/membership/peer_channel_sockets.c
@@ -11,16 +11,16 @@
 
 enum { DESCRIPTORS_MAX = 1024, ACKNOWLEDGE_TIMEOUT_MAX_MS = 2000 };
 
-/* a channel from this process to itself, and what of its sockets was found */
-typedef struct link_probe {
+/* a channel from this process to itself, and the number of its sockets that were found */
+typedef struct channel_probe {
   world *world;
   char address[48];
-  int port, links, unguarded;
-} link_probe;
+  int port, channels, without_timeout;
+} channel_probe;
 
-/* counts the sockets of this process that are one end of a link to the port, and those without a
- * timeout for bytes that were sent and not acknowledged */
-static void probe_links(link_probe *probe) {
+/* Counts the sockets of this process that are connected to the port, and those of them that have no
+ * timeout for unacknowledged bytes, or one that is too long. */
+static void probe_channels(channel_probe *probe) {
   for (int fd = 0; fd < DESCRIPTORS_MAX; fd++) {
     struct sockaddr_in peer;
     socklen_t size = sizeof peer;
@@ -30,16 +30,16 @@
     unsigned silence_ms = 0;
     size = sizeof silence_ms;
     getsockopt(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &silence_ms, &size);
-    probe->links++;
-    probe->unguarded += !silence_ms || silence_ms > ACKNOWLEDGE_TIMEOUT_MAX_MS;
+    probe->channels++;
+    probe->without_timeout += !silence_ms || silence_ms > ACKNOWLEDGE_TIMEOUT_MAX_MS;
   }
 }
 
-static void post_and_probe(void *context) {
-  link_probe *probe = context;
+static void send_and_probe(void *context) {
+  channel_probe *probe = context;
   probe->world->post_message(probe->world, probe->address, string_view_of("hello"));
   world_sleep(probe->world, time_from_ms(300));
-  probe_links(probe);
+  probe_channels(probe);
   real_world_stop(probe->world);
 }
 
@@ -56,10 +56,10 @@
   return port;
 }
 
-/* the kernel closes a link soon after its bytes go unacknowledged, so that after a long partition a
- * new one is opened instead of a wait for the retransmission timeout of the old one */
-static bool links_end_when_nothing_is_acknowledged(fleet *fleet) {
-  link_probe probe = { .port = free_port() };
+/* The kernel must close a channel soon after its bytes stay unacknowledged. Otherwise, after a long
+ * partition, the channel would stay silent until TCP's retransmission timeout. */
+static bool channels_have_an_acknowledge_timeout(fleet *fleet) {
+  channel_probe probe = { .port = free_port() };
   real_settings settings = { .ip = "127.0.0.1", .port = probe.port };
   error err = { 0 };
   probe.world = real_world_new(&settings, &err);
@@ -68,17 +68,17 @@
     return fleet_check_all(fleet);
   }
   snprintf(probe.address, sizeof probe.address, "127.0.0.1:%d", probe.port);
-  task_start(&probe.world->tasks, "probe", post_and_probe, &probe);
+  task_start(&probe.world->tasks, "probe", send_and_probe, &probe);
   real_world_run(probe.world, NULL, NULL);
   real_world_free(probe.world);
-  if (!probe.links)
-    fleet_add_violation(fleet, "no link was opened");
-  if (probe.unguarded)
-    fleet_add_violation(fleet, "%d of %d links wait for ever for an acknowledgement",
-                        probe.unguarded, probe.links);
+  if (!probe.channels)
+    fleet_add_violation(fleet, "no channel was opened");
+  if (probe.without_timeout)
+    fleet_add_violation(fleet, "%d of %d channels have no or a too long acknowledge timeout",
+                        probe.without_timeout, probe.channels);
   return fleet_check_all(fleet);
 }
 
-const test_case peer_channel_socket_tests[] = { { "links_end_when_nothing_is_acknowledged",
-                                                  links_end_when_nothing_is_acknowledged, 1, 1, 5 },
+const test_case peer_channel_socket_tests[] = { { "channels_have_an_acknowledge_timeout",
+                                                  channels_have_an_acknowledge_timeout, 1, 1, 5 },
                                                 { NULL, NULL, 0, 0, 0 } };
--- a/tests/runtime/log.c
+++ b/tests/runtime/log.c
@@ -1,9 +1,9 @@
-/** The log (lib/runtime/log.h): plain lines and lines of JSON. */
+/** Tests of the log (lib/runtime/log.h): plain lines and JSON lines. */
 #include "json.h"
 #include "log.h"
 #include "tests.h"
 
-/* the line that was written last */
+/* the last line that was written */
 static char *last_line;
 static void keep_line(world *world, const char *line) {
   (void)world;
@@ -11,9 +11,9 @@
   last_line = g_strdup(line);
 }
 
-/* In both forms a sentence with quotes, line ends and a code becomes one line, and the one of JSON
- * can be parsed. */
-static bool logs_have_two_forms(fleet *fleet) {
+/* In both formats a message with quotes, newlines and an error code becomes one line, and the JSON
+ * line can be parsed. */
+static bool log_lines_are_plain_or_json(fleet *fleet) {
   host *host = fleet->operator;
   host_start(host);
   world *world = &host->world;
@@ -47,5 +47,6 @@
   return true;
 }
 
-const test_case log_tests[] = { { "logs_have_two_forms", logs_have_two_forms, 1, 1, 10 },
-                                { NULL, NULL, 0, 0, 0 } };
+const test_case log_tests[] = {
+  { "log_lines_are_plain_or_json", log_lines_are_plain_or_json, 1, 1, 10 }, { NULL, NULL, 0, 0, 0 }
+};
--- a/tests/runtime/real.c
+++ b/tests/runtime/real.c
@@ -1,5 +1,5 @@
-/** The files of the disk in the real world: whatever became of the process that made a file, the
- * file and its name are synced before anything is written to it. */
+/** Tests of the files of the real world's disk: a file and its directory are synced before anything
+ * is written to the file, even if the process that created the file ended before its sync. */
 #include "real_world.h"
 #include "tests.h"
 #include <glib/gstdio.h>
@@ -8,13 +8,13 @@
 #include <sys/syscall.h>
 #include <unistd.h>
 
-enum { RING_FILE = 64 << 10 };
+enum { RING_FILE_BYTES = 64 << 10 };
 
-/* what was synced since the last call of open_ring_file, and whether the next sync fails */
-static int files_synced, folders_synced;
+/* number of syncs since the last call of open_ring_file, and whether the next sync fails */
+static int files_synced, directories_synced;
 static bool next_sync_fails;
 
-/* replaces that of the C library in this program */
+/* replaces the C library's fsync in this program */
 int fsync(int fd) {
   struct stat st;
   if (next_sync_fails) {
@@ -24,23 +24,23 @@
   }
   if (!fstat(fd, &st)) {
     files_synced += S_ISREG(st.st_mode);
-    folders_synced += S_ISDIR(st.st_mode);
+    directories_synced += S_ISDIR(st.st_mode);
   }
   return (int)syscall(SYS_fsync, fd);
 }
 
 static int open_ring_file(world *world) {
   error err = { 0 };
-  files_synced = folders_synced = 0;
-  return world->disk_open(world, 0, RING_FILE, &err);
+  files_synced = directories_synced = 0;
+  return world->disk_open(world, 0, RING_FILE_BYTES, &err);
 }
 
-static bool a_ring_file_is_synced_whoever_made_it(fleet *fleet) {
-  real_settings v = { .body_max_bytes = 0 };
+static bool ring_file_is_synced_on_every_open(fleet *fleet) {
+  real_settings settings = { .body_max_bytes = 0 };
   char *dir = g_dir_make_tmp("ring-XXXXXX", NULL);
-  g_strlcpy(v.data_dir, dir, sizeof v.data_dir);
+  g_strlcpy(settings.data_dir, dir, sizeof settings.data_dir);
   error err = { 0 };
-  world *world = real_world_new(&v, &err);
+  world *world = real_world_new(&settings, &err);
   if (!world) {
     fleet_add_violation(fleet, "no world: %s", err.text);
     return false;
@@ -48,15 +48,16 @@
   next_sync_fails = true;
   if (open_ring_file(world) != E_DISK_SYNC)
     fleet_add_violation(fleet, "a failed sync was not reported");
-  if (open_ring_file(world) || !files_synced || !folders_synced)
-    fleet_add_violation(fleet, "after a failed sync, %d files and %d folders were synced",
-                        files_synced, folders_synced);
+  if (open_ring_file(world) || !files_synced || !directories_synced)
+    fleet_add_violation(fleet, "after a failed sync, %d files and %d directories were synced",
+                        files_synced, directories_synced);
   real_world_free(world);
-  /* the process that made it was killed before it could sync: the next one can't know */
-  world = real_world_new(&v, &err);
-  if (!world || open_ring_file(world) || !files_synced || !folders_synced)
-    fleet_add_violation(fleet, "a later process synced %d files and %d folders", files_synced,
-                        folders_synced);
+  /* a later process can't know whether the process that created the file was killed before its
+   * sync */
+  world = real_world_new(&settings, &err);
+  if (!world || open_ring_file(world) || !files_synced || !directories_synced)
+    fleet_add_violation(fleet, "a later process synced %d files and %d directories", files_synced,
+                        directories_synced);
   if (world)
     real_world_free(world);
   char *path = g_strdup_printf("%s/ring-00", dir);
@@ -67,6 +68,6 @@
   return true;
 }
 
-const test_case real_disk_tests[] = { { "a_ring_file_is_synced_whoever_made_it",
-                                        a_ring_file_is_synced_whoever_made_it, 1, 1, 17 },
+const test_case real_disk_tests[] = { { "ring_file_is_synced_on_every_open",
+                                        ring_file_is_synced_on_every_open, 1, 1, 17 },
                                       { NULL, NULL, 0, 0, 0 } };
