--- a/emulator/peer_channel.c
+++ b/emulator/peer_channel.c
@@ -3,7 +3,7 @@
 enum {
   FIRST_RETRY_MS = 200,
   OPEN_RETRY_US = 1000000,
-  /* messages that fit into the window before an acknowledgement is due */
+  /* number of messages that may be sent without an acknowledgement */
   WINDOW = 10,
   QUEUED_MESSAGES_MAX = 2000
 };
@@ -39,7 +39,7 @@
   c->closed = true;
 }
 
-/* the first try to send again after the path is back */
+/* returns the time of the first retransmission after the path has healed */
 static time_us next_retry(time_us silent, time_us healed) {
   time_us at = silent;
   for (int64_t ms = FIRST_RETRY_MS; at.us < healed.us; ms *= 2)
--- a/emulator/peer_channel.h
+++ b/emulator/peer_channel.h
@@ -2,14 +2,15 @@
 #define EMULATOR_PEER_CHANNEL_H
 #include "base.h"
 
-/** One direction between two processes of ours as TCP would carry it, when a path is cut: what is
- * sent is held, and after the cut it waits for the next try to send again, each of which comes
- * twice as late as the one before. A channel that gives up holds nothing for longer than its bound,
- * and is opened anew within a second after the path is back. */
+/** One direction between two of our processes, modelled on a TCP connection in a network partition.
+ * While the path is cut, messages are queued. After it has healed, they are sent at the next
+ * retransmission; the interval between retransmissions doubles each time. A channel that gets no
+ * acknowledgement within its timeout closes and drops its queue; it is reopened within a second
+ * after the path has healed and the timeout has passed. */
 typedef struct peer_channel {
-  /** When the first byte went unacknowledged, or 0; when the channel carries again, or 0. */
+  /** When the first unacknowledged message was sent, or 0; when the channel sends again, or 0. */
   time_us first_unacked_at, resumes_at;
-  /** Messages that went out while only the acknowledgements were lost. */
+  /** Number of messages that were delivered while only the acknowledgements were lost. */
   unsigned unacked_sent;
   bool closed;
   uint64_t incarnation;
@@ -20,12 +21,14 @@
 
 peer_channel *peer_channel_new(void);
 void peer_channel_free(void *p);
-/** What becomes of a message that is sent now; there and back say whether that way is cut, healed
- * when a path was last mended; give_up_ms 0: never; draw is a number below a million. */
+/** Decides whether a message is sent now or has to wait. there and back: whether the forward and
+ * the backward direction are cut; healed: when a partition last healed; give_up_ms: the timeout, 0
+ * for none; draw: a random number below a million, from which the delay of reopening is taken. */
 enum peer_fate peer_channel_send(peer_channel *c, time_us now, bool there, bool back,
                                  time_us healed, int64_t give_up_ms, uint64_t draw);
-/** True when a message must be kept until the channel resumes; else it is lost. */
+/** Returns whether a message that was not sent is queued until the channel resumes; otherwise it is
+ * lost. */
 bool peer_channel_can_queue(const peer_channel *c);
-/** Starts anew, with nothing held. */
+/** Resets the channel to a new, open one with an empty queue. */
 void peer_channel_reset(peer_channel *c);
 #endif
--- a/emulator/sim.c
+++ b/emulator/sim.c
@@ -10,9 +10,9 @@
 enum {
   /** Virtual time between two calls of on_sample. */
   SAMPLE_INTERVAL_MS = 50,
-  /** Virtual time between two evaluations of the test of sim_run_until. */
+  /** Virtual time between two evaluations of the condition of sim_run_until. */
   TEST_INTERVAL_MS = 20,
-  /** The clock starts at a random instant of the second after this one. */
+  /** The clock starts at START_MS plus a random part of START_JITTER_MS. */
   START_MS = 1000000,
   START_JITTER_MS = 1000,
   /** Delay and jitter of messages unless the caller sets others. */
@@ -20,7 +20,7 @@
   DEFAULT_JITTER_MS = 2
 };
 
-/** Increment of splitmix64; spreads neighbouring seeds. */
+/** The increment of splitmix64; multiplying by it gives neighbouring seeds distant states. */
 static const uint64_t SEED_FACTOR = 0x9e3779b97f4a7c15ull;
 
 uint64_t sim_random(sim *sim, uint64_t n) {
@@ -90,7 +90,7 @@
   return a.us < b.us ? a : b;
 }
 
-/* when something happens next, at the latest at end */
+/* returns when the next event, wake-up or sample is due, at the latest end */
 static time_us next_instant(sim *sim, const sim_event *first, time_us end) {
   time_us next = first ? earlier(first->at, end) : end;
   list_for_each (h, &sim->hosts, host, link) {
@@ -103,7 +103,7 @@
   return sim->on_sample ? earlier(sim->next_sample_at, next) : next;
 }
 
-/* what arrived while a host was frozen */
+/* runs the events that arrived while their host was frozen */
 static void run_inboxes(sim *sim) {
   list_for_each (h, &sim->hosts, host, link)
     while (runs(h) && !list_is_empty(&h->inbox)) {
@@ -128,7 +128,7 @@
   sim->on_sample(sim, sim->on_sample_context);
 }
 
-/* one step of virtual time; false when the end is reached */
+/* runs one step of virtual time; returns false when the end is reached */
 static bool step(sim *sim, time_us end) {
   wake_hosts(sim);
   GSequenceIter *position;
--- a/emulator/sim_channel.c
+++ b/emulator/sim_channel.c
@@ -1,10 +1,11 @@
 /** @file
- * Channels are counted by references: one for each open side, one for each exchange, and one for
- * each scheduled run of a packet queue or an idle timer. */
+ * Channels are reference-counted: one reference for each open side, one for each exchange, and one
+ * for each scheduled run of a packet queue or an idle timer. */
 #include "sim_channel.h"
 
 enum {
-  /** How often a queue looks whether a cut was healed, or a process thawed. */
+  /** Interval at which a queue checks whether a partition has healed, or its receiver is no longer
+   * frozen. */
   CUT_RETRY_MS = 20,
   FROZEN_RETRY_MS = 5
 };
@@ -136,7 +137,7 @@
     packet_free(packet);
 }
 
-/* the end of a channel at which a queue's packets arrive, or start */
+/* the hosts at which a queue's packets arrive, and from which they are sent */
 static host *receiver_of(const packet_queue *queue) {
   const channel *channel = queue->channel;
   return queue == &channel->to_server ? channel->server : channel->client;
@@ -163,7 +164,7 @@
 
 void packet_queue_send(packet_queue *queue, packet_content content) {
   sim *sim = queue->channel->sim;
-  /* what a cut holds up is lost when its sender resets the channel */
+  /* packets that a partition holds up are lost when their sender resets the channel */
   if (content.kind == PACKET_RESET && is_cut(queue))
     packet_queue_clear(queue);
   packet *p = g_new0(packet, 1);
@@ -181,7 +182,7 @@
   schedule_queue(queue, p->deliver_at);
 }
 
-/* a later process, or a host without one, knows nothing of this channel */
+/* a restarted process, or a host without a process, does not know this channel */
 static void answer_with_reset(packet_queue *queue) {
   channel *channel = queue->channel;
   if (queue == &channel->to_server)
@@ -213,7 +214,8 @@
     answer_with_reset(queue);
 }
 
-/* when a queue's first packet can arrive, or be tried again; now: at once */
+/* returns when a queue's first packet can be delivered or tried again; the present time when it can
+ * be delivered at once */
 static time_us next_delivery(const packet_queue *queue) {
   time_us now = queue->channel->sim->now;
   const packet *first = list_item(queue->packets.next, packet, link);
--- a/emulator/sim_channel.h
+++ b/emulator/sim_channel.h
@@ -3,9 +3,10 @@
 #include "sim.h"
 
 /** @file
- * Persistent HTTP connections of the simulated fleet: a channel joins one process of a client's
- * host and one of a server's, and carries one exchange at a time. Packets arrive in order. What a
- * cut or a frozen process holds up arrives later; a process that has ended answers with a reset. */
+ * Persistent HTTP connections of the simulated fleet. A channel connects a process of a client's
+ * host with a process of a server's host and carries one exchange at a time. Packets arrive in
+ * order. A partition or a frozen receiver delays them; when the receiving process has ended, they
+ * are answered with a reset. */
 
 typedef struct channel channel;
 typedef struct exchange exchange;
@@ -16,31 +17,31 @@
   PACKET_DATA,
   /** The end of a response. */
   PACKET_END,
-  /** The sender closes the channel, orderly or not. */
+  /** The sender closes the channel: after the data that it has sent, or by a reset. */
   PACKET_CLOSE,
   PACKET_RESET,
-  /** A response that no request asked for. */
+  /** A response that belongs to no request. */
   PACKET_STRAY
 };
 
-/** What a packet carries; the rest of its fields is zero. */
+/** The content of a packet; fields that its kind does not use are zero. */
 typedef struct packet_content {
   enum packet_kind kind;
-  /** Of a request and of the parts of its response. */
+  /** For a request and the parts of its response. */
   exchange *exchange;
-  /** Bytes of a body; the packet has a copy. */
+  /** Bytes of a body; packet_queue_send copies them. */
   string_view text;
-  /** Of a head or a stray response; the packet owns them. */
+  /** For a head or a stray response; the packet owns them. */
   fields *fields;
-  /** Of a head or a stray response; 0: bytes that are no response. */
+  /** For a head or a stray response; 0: the bytes are not an HTTP response. */
   int status;
-  /** Of a head: the server will close the channel. */
+  /** For a head: the server will close the channel after this response. */
   bool closes_connection;
-  /** Of an end: the response is complete. */
+  /** For an end: the response is complete. */
   bool complete;
 } packet_content;
 
-/** A packet on its way. */
+/** A packet in transit. */
 typedef struct packet {
   list_node link;
   time_us deliver_at;
@@ -58,17 +59,18 @@
 } packet_queue;
 
 struct channel {
-  /** In the simulation, and in the client's pool while idle. */
+  /** Nodes in the simulation's list and, while idle, in the client's pool. */
   list_node link, idle;
   sim *sim;
-  /** The server is NULL until the channel is established, or refused. */
+  /** The server is NULL until an attempt to connect has found one. */
   host *client, *server;
   uint64_t client_incarnation, server_incarnation;
-  /** What the client connected to. */
+  /** The address that the client connects to. */
   char addr[48];
-  /** NULL for the server's own API, and once its process has ended. */
+  /** NULL for the API that a process serves without a listener, and once the server's process has
+   * ended. */
   http_listener *listener;
-  /** Whether each side has not closed it yet; an open side holds a reference. */
+  /** Whether each side still has it open; an open side holds a reference. */
   bool client_open, server_open;
   bool established, idle_timer_set;
   /** Since when it is idle, at each side. */
@@ -87,9 +89,9 @@
 struct exchange {
   list_node link;
   channel *channel;
-  /** NULL once the client has let go of it. */
+  /** NULL once the client has released it. */
   http_call *call;
-  /** NULL before it is received, and once it was served. */
+  /** NULL before the server has received it, and once it was served. */
   http_request *request;
   char *method, *target;
   fields *request_fields;
@@ -97,39 +99,41 @@
   int references;
   /** At the server. */
   bool head_sent, end_sent, counted_pending;
-  /** At the client: no more of the response is awaited, or none of this one. */
+  /** At the client: no more of the response is awaited; and the response at hand belongs to another
+   * call and is skipped. */
   bool finished, skips_response;
 };
 
-/** A new channel of a client, open at its side only, with one reference. */
+/** Creates a channel that is open at the client's side only, with one reference. */
 channel *channel_new(host *client, const char *addr);
 void channel_ref(channel *channel);
 void channel_unref(channel *channel);
-/** Frees a channel whatever references it has. */
+/** Frees a channel regardless of its references. */
 void channel_free(channel *channel);
-/** A new exchange for a call, with one reference, which is the call's. */
+/** Creates an exchange for a call, with one reference, which the call holds. */
 exchange *exchange_new(channel *channel, http_call *call);
 /** Takes a reference; exchange may be NULL. */
 exchange *exchange_ref(exchange *exchange);
 void exchange_unref(exchange *exchange);
-/** Frees an exchange whatever references it has, and gives back none of its own. */
+/** Frees an exchange regardless of its references, without releasing its own reference to the
+ * channel. */
 void exchange_free(exchange *exchange);
 
-/** Sends a packet. */
+/** Sends a packet, which arrives after a random delay and after all earlier ones. */
 void packet_queue_send(packet_queue *queue, packet_content content);
-/** Drops all packets that are under way. */
+/** Drops all packets in transit. */
 void packet_queue_clear(packet_queue *queue);
 /** Whether the process of a host with this incarnation is alive. */
 bool channel_is_incarnation_alive(const host *host, uint64_t incarnation);
-/** Sets the known headers that are among some fields. */
+/** Sets the known headers from the fields that have their names. */
 void channel_parse_known_headers(http_headers *headers, const fields *fields);
 /** Appends known headers to fields. */
 void channel_append_known_headers(fields *fields, const http_headers *headers);
 
-/** One side closes the channel, without telling the other. */
+/** Closes the channel at one side, without telling the other. */
 void channel_close_client_side(channel *channel);
 void channel_close_server_side(channel *channel);
-/** A packet arrives at one side. */
+/** Handles a packet that arrives at one side. */
 void channel_deliver_to_client(channel *channel, const packet *packet);
 void channel_deliver_to_server(channel *channel, const packet *packet);
 #endif
--- a/emulator/sim_connections_client.c
+++ b/emulator/sim_connections_client.c
@@ -1,11 +1,11 @@
 /** @file
- * The client's side of channels: calls, the pool of idle channels and what arrives of responses. */
+ * The client's side of channels: calls, responses that arrive, and the pool of idle channels. */
 #include "sim_channel.h"
 #include "sim_connections.h"
 
 enum {
-  /** How often a client tries to connect to a host that does not answer, and how often a frozen
-   * client looks whether it is connected. */
+  /** Interval of attempts to connect to a host that does not answer, and of checks whether a frozen
+   * client runs again. */
   CONNECT_RETRY_MS = 1000,
   FROZEN_RETRY_MS = 5
 };
@@ -21,7 +21,7 @@
   condition_broadcast(&exchange->call->progressed);
 }
 
-/* whether a response carries the field by which a call recognizes its own */
+/* whether a response has the field value by which a call recognizes its own response */
 static bool belongs_to_call(const http_call *call, const fields *fields) {
   string_view value;
   if (!call->match_name)
@@ -97,7 +97,8 @@
 static void receive_stray(channel *channel, const packet *packet) {
   exchange *awaited = channel->awaited_exchange;
   http_call *call = awaited ? awaited->call : NULL;
-  /* bytes that no call waits for end the channel */
+  /* the channel is closed when no call waits for a response, when the head of one has arrived
+   * already, and when the bytes are not a response */
   if (!call || call->status || !packet->content.status) {
     break_and_close(channel, awaited);
     if (channel->server_open)
@@ -145,7 +146,8 @@
 
 /* connecting */
 
-/* the host of a listener, of an address, or at least of its IP; NULL when there is none */
+/* returns the host of the listener at an address, else the host with that address, else one with
+ * the same IP; NULL when there is none */
 static host *find_server(sim *sim, const char *addr) {
   host *of_listener = connections_listener_host(sim, addr), *of_ip = NULL;
   if (of_listener)
@@ -172,7 +174,7 @@
                     (packet_content){ .kind = PACKET_REQUEST, .exchange = exchange });
 }
 
-/* whether nothing answers an attempt to connect, not even by a refusal */
+/* whether an attempt to connect is neither accepted nor refused */
 static bool is_server_silent(const channel *channel) {
   host *client = channel->client, *server = channel->server;
   sim *sim = channel->sim;
@@ -180,7 +182,8 @@
          sim_is_partitioned(sim, server, client) || (!server->alive && server->powered_off);
 }
 
-/* a channel is established, or refused; runs again while nothing answers */
+/* establishes a channel, or breaks its call when it is refused; runs again later while the server
+ * does not answer or the client is frozen */
 static void complete_connect(void *argument) {
   exchange *exchange = argument;
   channel *channel = exchange->channel;
@@ -210,7 +213,8 @@
 
 /* calls */
 
-/* gives a plain call to a listener full fields, and a channel of its own */
+/* builds the request fields of a call to a listener that has only known headers, and requests a new
+ * channel for it */
 static void add_request_fields(http_call *call) {
   call->request_fields = g_string_new(NULL);
   call->response_fields = g_string_new(NULL);
@@ -225,8 +229,8 @@
          time_reached(channel->sim->now, time_add(channel->client_idle_at, span));
 }
 
-/* takes the idle channel to a call's address that was used last out of the pool, or returns NULL;
- * closes those that were idle for too long */
+/* removes the most recently used idle channel to a call's address from the pool and returns it, or
+ * NULL; closes channels that were idle for too long */
 static channel *take_from_pool(host *client, const http_call *call) {
   channel *found = NULL;
   list_for_each (idle_channel, &client->pooled_connections, channel, idle) {
--- a/emulator/sim_connections_server.c
+++ b/emulator/sim_connections_server.c
@@ -1,11 +1,11 @@
 /** @file
- * The server's side of channels: listeners, requests that arrive, and the responses to them. */
+ * The server's side of channels: listeners, requests that arrive, and their responses. */
 #include "sim_channel.h"
 #include "sim_connections.h"
 #include "sim_http.h"
 #include <stdio.h>
 
-/* an address at which requests are, or were, accepted; it stays known after its process ended, so
+/* an address at which requests are, or were, accepted; it is kept after its process has ended, so
  * that calls to it are refused */
 typedef struct listener_address {
   list_node link;
@@ -154,7 +154,7 @@
   channel_close_server_side(exchange->channel);
 }
 
-/* the status with which a listener rejects a request that is too large, or 0 */
+/* returns the status with which a listener rejects a request that is too large, or 0 */
 static int rejection_status(const http_listener *listener, const exchange *exchange) {
   if (!listener)
     return 0;
@@ -238,7 +238,8 @@
 
 /* responses */
 
-/* closes a channel that has been idle for too long; runs again while it has not */
+/* closes a channel that has been idle for too long; runs again at its timeout if it has been used
+ * meanwhile */
 static void close_when_idle(void *argument) {
   channel *channel = argument;
   sim *sim = channel->sim;
@@ -271,7 +272,7 @@
                channel);
 }
 
-/* the fields of a response, with those that frame its body */
+/* returns the fields of a response, including those that frame its body */
 static fields *list_response_fields(const http_request *request) {
   fields *fields = g_string_new_len(request->response_fields->str, request->response_fields->len);
   channel_append_known_headers(fields, &request->known_response_fields);
@@ -308,7 +309,7 @@
   condition_broadcast(&request->drained);
 }
 
-/* a request ends without a response */
+/* resets the channel of a request that ends without a response */
 static void reset_unanswered(exchange *exchange) {
   channel *channel = exchange->channel;
   exchange->end_sent = true;
@@ -355,7 +356,7 @@
   }
   if (!exchange->head_sent)
     send_head(exchange);
-  /* a client that reads slowly takes nothing from its channel until the end */
+  /* a client that reads slowly reads nothing until the response has ended */
   bool reads = !channel->client->reads_slowly || request->response_ended;
   if (request->pending_output->len && reads)
     send_data(exchange);
@@ -375,7 +376,7 @@
                                       .status = status });
 }
 
-/* ends of processes and of the simulation */
+/* end of a process and of the simulation */
 
 void connections_reset_served(host *host) {
   list_for_each (address, &host->sim->listeners, listener_address, link)
--- a/emulator/sim_disk.c
+++ b/emulator/sim_disk.c
@@ -1,16 +1,16 @@
 /** @file
  * Each file has two copies, the cache and the durable data. A write changes the cache and is
- * noted; a sync applies the noted writes of its file to the durable data. A loss of power decides
- * at random what becomes of the noted writes and then sets the cache to the durable data. */
+ * recorded as unsynced; a sync applies the unsynced writes of its file to the durable data. A power
+ * loss applies a random part of the unsynced writes and then sets the cache to the durable data. */
 #include "sim.h"
 #include <stdlib.h>
 
 enum {
-  /** What a disk writes as a unit, in bytes. */
+  /** The size that a disk writes atomically. */
   SECTOR_BYTES = 512,
-  /** A write that is cut short ends at a multiple of this, in bytes. */
+  /** A write of which only the beginning is kept is cut at a multiple of this size. */
   CUT_UNIT_BYTES = 64,
-  /** An operation takes this, and up to the second value more at random. */
+  /** An operation takes OPERATION_US plus a random part of OPERATION_JITTER_US. */
   OPERATION_US = 200,
   OPERATION_JITTER_US = 1500
 };
@@ -32,7 +32,7 @@
          (int64_t)sim_random(host->sim, OPERATION_JITTER_US);
 }
 
-/* the time that one operation takes */
+/* waits for the time that one operation takes */
 static enum error_code wait_for_operation(host *host, error *err) {
   sim_disk *disk = host->disk;
   time_us started_at = host->sim->now;
@@ -117,7 +117,7 @@
   host->world.disk_sync = disk_sync;
 }
 
-/* keeps or loses each sector of a write independently */
+/* keeps or drops each sector of a write independently */
 static void keep_random_sectors(sim *sim, sim_disk *disk, const unsynced_write *write) {
   char *to = disk->durable_data[write->file] + write->offset;
   for (size_t at = 0; at < write->length; at += SECTOR_BYTES)
@@ -125,7 +125,7 @@
       memcpy(to + at, write->data + at, MIN((size_t)SECTOR_BYTES, write->length - at));
 }
 
-/* how much of a write is kept: all, nothing or a part from its beginning */
+/* draws how many bytes of a write are kept: all, none or a part from its beginning */
 static size_t draw_kept_length(sim *sim, size_t length) {
   if (sim_random(sim, 3) == 0)
     return length;
--- a/emulator/sim_disk.h
+++ b/emulator/sim_disk.h
@@ -3,15 +3,15 @@
 #include "base.h"
 
 /** @file
- * The simulated disk of a host. It outlives the processes of the host; a loss of power loses, tears
- * or keeps each write that was not synced. */
+ * The simulated disk of a host. It outlives the processes of the host; a power loss drops, tears or
+ * keeps each write that was not synced. */
 
 enum { SIM_DISK_FILES_MAX = 8 };
 
 typedef struct sim sim;
 typedef struct host host;
 
-/** A write that no sync has made durable yet. */
+/** A write that has not been made durable by a sync yet. */
 typedef struct {
   unsigned file;
   size_t offset, length;
@@ -19,30 +19,31 @@
 } unsynced_write;
 
 typedef struct sim_disk {
-  /** What a process reads, and what survives a loss of power; NULL for files that do not exist. */
+  /** The data that a process reads, and the data that survives a power loss; NULL for files that do
+   * not exist. */
   char *cached_data[SIM_DISK_FILES_MAX], *durable_data[SIM_DISK_FILES_MAX];
-  /** Bytes of each file. */
+  /** Size of each file, in bytes. */
   size_t size;
-  /** Of unsynced_write, in the order in which they were written. */
+  /** Array of unsynced_write, in the order in which they were written. */
   GArray *unsynced_writes;
-  /** Fault: what each operation takes longer than usual. */
+  /** Fault: extra time that each operation takes. */
   int64_t sync_delay_ms;
   /** Fault: no operation ends before this instant. */
   time_us stalled_until;
   /** Faults: writes, or all operations, end with an error. */
   bool full, fails;
-  /** Fault: a loss of power keeps or loses each file whose creation was not synced, and each sector
-   * of a write that was not synced, independently. */
+  /** Fault: a power loss keeps or drops each file whose creation was not synced, and each sector of
+   * a write that was not synced, independently. */
   bool tears_writes, creation_synced[SIM_DISK_FILES_MAX];
 } sim_disk;
 
-/** An empty disk; freed by sim_disk_free. */
+/** Creates an empty disk; free it with sim_disk_free. */
 sim_disk *sim_disk_new(void);
 void sim_disk_free(sim_disk *disk);
-/** Makes the disk of a host the one that its process uses. */
+/** Connects the process of a host to the host's disk. */
 void sim_disk_attach(host *host);
-/** Power is lost: what was not synced is lost, torn or kept at random. */
+/** Simulates a power loss: each unsynced write is dropped, torn or kept at random. */
 void sim_disk_lose_unsynced(sim *sim, sim_disk *disk);
-/** Gives a host an empty disk. */
+/** Empties the disk of a host. */
 void host_wipe_disk(host *host);
 #endif
--- a/emulator/sim_events.c
+++ b/emulator/sim_events.c
@@ -3,7 +3,7 @@
  * total, so a run depends on nothing but its seed. */
 #include "sim.h"
 
-/* a function that sim_schedule was given */
+/* an event that calls a function; made by sim_schedule */
 typedef struct callback_event {
   sim_event event;
   void (*function)(void *);
--- a/emulator/sim_events.h
+++ b/emulator/sim_events.h
@@ -11,14 +11,14 @@
 typedef struct host host;
 typedef struct sim_event sim_event;
 
-/** What can be done with one kind of event. */
+/** The operations of one kind of event. */
 typedef struct sim_event_type {
-  /** The event happens. */
+  /** Carries out the event. */
   void (*run)(sim_event *event);
-  /** Frees the event with what it owns, after it ran or instead of it. */
+  /** Frees the event and what it owns, whether it has run or not. */
   void (*release)(sim_event *event);
-  /** An event that waits in the inbox of a frozen host runs when that host ends; otherwise it is
-   * dropped. */
+  /** Whether an event that is still in the inbox of a frozen host runs when that host's process
+   * ends; otherwise it is dropped. */
   bool runs_at_host_end;
 } sim_event_type;
 
@@ -34,7 +34,7 @@
 };
 
 typedef struct sim_event_queue {
-  /** Of sim_event, in the order in which they happen. */
+  /** Sequence of sim_event, in the order in which they happen. */
   GSequence *pending;
   uint64_t last_sequence;
 } sim_event_queue;
@@ -47,12 +47,12 @@
                          time_us at, host *host);
 /** The next event, which stays in the queue, or NULL. */
 sim_event *sim_events_first(const sim_event_queue *queue, GSequenceIter **position);
-/** Takes an event, at a position that sim_events_first gave, out of the queue. */
+/** Removes the event at a position that sim_events_first returned. */
 void sim_events_remove(GSequenceIter *position);
-/** Runs an event that is in no queue and frees it. */
+/** Runs and frees an event that was removed from the queue. */
 void sim_event_run(sim_event *event);
 
-/** Runs a function at an instant, independently of all hosts. Functions that are still scheduled
- * when the simulation is freed are not run. */
+/** Schedules a function to run at an instant, independently of all hosts. Functions that are still
+ * scheduled when the simulation is freed do not run. */
 void sim_schedule(sim *sim, time_us at, void (*function)(void *), void *argument);
 #endif
--- a/emulator/sim_host.c
+++ b/emulator/sim_host.c
@@ -1,7 +1,7 @@
 /** @file
- * A start makes a new world for the process and gives it the simulated network, disk, clock and
- * random numbers. An end resets the connections, stops all tasks and runs what waited in the inbox
- * of a frozen process, so that callers see the resets. */
+ * Starting a process creates a new world for it, with the simulated network, disk, clock and random
+ * numbers. Ending it resets its connections, stops all its tasks and runs the events in its inbox,
+ * so that the callers of a frozen process see the resets. */
 #include "sim_connections.h"
 #include "sim_http.h"
 #include "sim_messages.h"
@@ -9,7 +9,7 @@
 #include <stdio.h>
 #include <stdlib.h>
 
-/** Limit of bodies in our own API, in bytes. */
+/** Size limit of bodies in the API of our processes. */
 enum { BODY_MAX_BYTES = 1 << 20 };
 
 static time_us host_now(void *argument) {
@@ -89,7 +89,7 @@
   host->engine->faults = host->faults;
 }
 
-/* a platform keeps its engines and changes over a restart */
+/* a restarted platform keeps its list of engines and the record of its changes */
 static void start_platform(host *host) {
   platform_sim *previous = host->platform;
   host->platform = platform_sim_new(&host->world);
--- a/emulator/sim_host.h
+++ b/emulator/sim_host.h
@@ -6,7 +6,7 @@
 #include "simulators.h"
 
 /** @file
- * Hosts of the simulated fleet: each has a disk and runs one process, or none. */
+ * Hosts of the simulated fleet. A host has a disk and runs at most one process. */
 
 typedef struct sim sim;
 
@@ -21,7 +21,8 @@
 
 /** A host and its process. */
 typedef struct host {
-  /** What the process runs on; must be the first member. Valid while alive. */
+  /** Clock, network, disk and scheduler of the process. Must be the first member, because a world
+   * is cast to its host. Valid while alive. */
   world world;
   sim *sim;
   list_node link;
@@ -29,67 +30,68 @@
   /** Address of the process, host:port. */
   char addr[48];
   enum host_role role;
-  /** Of the next process; set by whoever adds the host. */
+  /** Settings with which the next process starts; set by the code that adds the host. */
   settings settings;
   sim_disk *disk;
   /** Whether a process runs, and whether it is paused. */
   bool alive, frozen;
-  /** The latest process ended by a loss of power, so that nothing answers for it. */
+  /** Whether the latest process ended by a power loss. Nothing then refuses connections or resets
+   * them on its behalf. */
   bool powered_off;
-  /** Fault: its calls read nothing of a response before its end. */
+  /** Fault: calls from this host read no part of a response before the response is complete. */
   bool reads_slowly;
-  /** How much later than usual messages from peers are read here, in ms. */
+  /** Fault: extra delay before a message from a peer is read here, in ms. */
   int64_t read_delay_ms;
-  /** Counts the processes; that of the present or latest one. */
+  /** Number of the present or latest process; each start increments it. */
   uint64_t incarnation;
-  /** When a task of the process has to run next. */
+  /** When the next task of the process is due. */
   time_us next_wake_at;
-  /** Of sim_event: what happened while the process was frozen. */
+  /** List of sim_event: the events that arrived while the process was frozen. */
   list_node inbox;
-  /** Difference of the wall clock, as the log shows it, from the simulation's time. */
+  /** Offset of the host's wall clock, which the log shows, from the simulation's clock. */
   int64_t wall_clock_offset_us;
-  /** The process by role; the first two are NULL while none is alive. */
+  /** The process, by role; controller and router are NULL while none is alive. */
   controller *controller;
   router *router;
   engine_sim *engine;
   platform_sim *platform;
   loadgen *loadgen;
-  /** Of engine_sim: processes of an engine that have ended, kept for the checks. */
+  /** Array of engine_sim: the ended processes of an engine, kept for the checks. */
   GPtrArray *past_engines;
-  /** Of an engine: its memory for weights, its slots and the faults of its next process. */
+  /** For engines: memory for weights in MB, adapter slots, and the faults of the next process. */
   uint64_t weights_mb;
   unsigned slots;
   engine_faults faults;
-  /** The latest configuration that the checks saw here; 0 after a start. */
+  /** Version of the latest configuration that the checks saw here; 0 after a start. */
   uint64_t config_version_seen;
-  /** Random state of its own, so that its draws do not depend on other hosts; 0: the simulation's.
-   */
+  /** A random state for this host alone, so that its draws do not depend on other hosts; 0: the
+   * host draws from the simulation's. */
   uint64_t random_state;
-  /** Until when what this host sent to its peers keeps its link busy. */
+  /** When the link will have transmitted all messages that this host has sent to its peers. */
   time_us link_busy_until;
-  /** Called at the end of a start, in the middle of an end once no task is left, and when the host
-   * is freed. */
+  /** Hooks: on_start runs at the end of a start, on_stop while the process ends, after its tasks
+   * have ended, and on_dispose when the host is freed. */
   void (*on_start)(struct host *host), (*on_stop)(struct host *host),
       (*on_dispose)(struct host *host);
   void *context;
-  /** Idle connections that this process keeps. */
+  /** List of channel (sim_channel.h): the idle connections that this process keeps open. */
   list_node pooled_connections;
 } host;
 
-/** Adds a host without a process; the simulation owns it. */
+/** Adds a host that has no process yet; the simulation owns it. */
 host *sim_add_host(sim *sim, enum host_role role, const char *self, const char *area,
                    const char *addr);
-/** The host of a name, or of an address, or NULL. */
+/** Finds a host by its name or by its address; NULL when there is none. */
 host *sim_find_host(sim *sim, const char *self);
 host *sim_find_host_by_address(sim *sim, const char *addr);
 /** Starts a process on a host that has none. */
 void host_start(host *host);
-/** Ends the process at once, if there is one; the disk's cache stays. */
+/** Ends the process at once, if there is one; unsynced writes stay in the disk's cache. */
 void host_kill(host *host);
-/** Takes the power away: unsynced writes are lost, torn or kept at random, and no peer sees a
- * connection being reset. */
+/** Simulates a power loss: unsynced writes are lost, torn or kept at random, and connections are
+ * not reset, so peers only see silence. */
 void host_power_off(host *host);
-/** Pauses the process; what arrives waits in the inbox. */
+/** Pauses the process; events that arrive for it wait in the inbox. */
 void host_freeze(host *host);
 void host_unfreeze(host *host);
 /** Frees a host whose process has ended. */
--- a/emulator/sim_http.c
+++ b/emulator/sim_http.c
@@ -1,9 +1,9 @@
 /** @file
- * An exchange is shared by its caller, its server and the events that are under way, and freed with
- * the last of these references. The request arrives after the three random delays of a TCP
- * handshake and a request; the response arrives as a head, parts of the body and an end, in order.
- * A cut loses what is sent into it; the caller sees the broken connection at the first part that is
- * sent after the cut. */
+ * An exchange is shared by its caller, its server and its scheduled events, and freed with the last
+ * of these references. The request arrives after the three random delays of a TCP handshake and a
+ * request; the response arrives as a head, parts of the body and an end, in order. A partition
+ * loses the parts that are sent during it; the caller sees the broken connection at the first part
+ * that is sent afterwards. */
 #include "sim_http.h"
 #include "sim_connections.h"
 #include <stdio.h>
@@ -14,13 +14,13 @@
   sim *sim;
   host *caller, *server;
   uint64_t caller_incarnation, server_incarnation;
-  /* NULL once the caller has let go of it */
+  /* NULL once the caller has released it */
   http_call *call;
   /* NULL before the server's process has received it, and once it has handled it */
   http_request *request;
   int references;
   bool head_sent, finished;
-  /* a part of the response was lost in a cut; the caller was sent a reset for it */
+  /* a part of the response was lost in a partition; the caller was sent a reset for it */
   bool bytes_lost, loss_reported;
   time_us last_delivery_at;
   list_node link;
@@ -36,8 +36,8 @@
   const http_headers *headers;
 } response_part;
 
-/* an event of an exchange, with a reference to it; what follows exchange is for parts of the
- * response only */
+/* an event of an exchange, to which it holds a reference; the fields after exchange are for parts
+ * of the response only */
 typedef struct exchange_event {
   sim_event event;
   http_exchange *exchange;
@@ -85,7 +85,7 @@
   return exchange->server->alive && exchange->server->incarnation == exchange->server_incarnation;
 }
 
-/* the response on its way to the caller */
+/* the response */
 
 static void deliver_response_part(sim_event *event) {
   exchange_event *part = (exchange_event *)event;
@@ -130,7 +130,8 @@
     http_headers_copy(&event->headers, part.headers);
 }
 
-/* A connection never skips bytes: once some were lost, it is broken when the path is back. */
+/* A connection never skips bytes: once a part was lost, the next part that can be delivered is
+ * replaced by a reset. */
 static void send_response_part(http_exchange *exchange, response_part part) {
   if (sim_is_partitioned(exchange->sim, exchange->server, exchange->caller)) {
     exchange->bytes_lost = true;
@@ -188,7 +189,7 @@
     return;
   if (!exchange->head_sent)
     send_head(exchange);
-  /* a caller that reads slowly takes nothing from its connection until the end */
+  /* a caller that reads slowly reads nothing until the response has ended */
   bool reads = !exchange->caller->reads_slowly || request->response_ended;
   if (request->pending_output->len && reads)
     send_body(exchange);
@@ -280,7 +281,7 @@
     return;
   }
   if (!server->alive) {
-    /* a host without power does not even refuse */
+    /* a host without power does not refuse connections: the call stays open until its timeout */
     if (!server->powered_off)
       break_call(exchange);
     return;
--- a/emulator/sim_http.h
+++ b/emulator/sim_http.h
@@ -3,14 +3,15 @@
 #include "world.h"
 
 /** @file
- * HTTP of our own API between the processes of the simulated fleet. Each exchange has a connection
- * of its own. Calls to listeners, and calls with full request fields, go over sim_connections. */
+ * HTTP calls to the API that the processes of the simulated fleet serve without a listener. Each
+ * exchange has a connection of its own. Calls to listeners, and calls with full request fields, go
+ * over sim_connections. */
 
 typedef struct host host;
 
-/** Makes the simulated network the one by which the process of a host sends and answers calls. */
+/** Connects the process of a host to the simulated network for sending and answering calls. */
 void sim_http_attach(host *host);
-/** The process of a host ends: whoever waits for its response sees a reset. */
+/** Resets the calls that wait for a response of a host; called when its process ends. */
 void sim_http_reset_pending_calls(host *host);
 /** Sets path and query of a request from its target. */
 void sim_http_set_path(http_request *request, const char *target);
--- a/emulator/sim_messages.c
+++ b/emulator/sim_messages.c
@@ -1,18 +1,18 @@
 /** @file
  * A message arrives after the time that the sender's link needs for it plus a random delay, and
- * never before an earlier one of the same direction. With tcp_channels, a message that is sent into
- * a cut is queued until the channel resumes; otherwise it is lost. */
+ * never before an earlier one of the same direction. With tcp_channels, a message that is sent
+ * during a partition is queued until the channel resumes; otherwise it is lost. */
 #include "sim.h"
 #include "peer_channel.h"
 #include <stdio.h>
 
 enum {
-  /** Number of equally likely values from which a chance is drawn. */
+  /** Number of equally likely values from which a random event is drawn. */
   CHANCE_VALUES = 1000000,
   US_PER_S = 1000000
 };
 
-/* a message that arrives */
+/* the arrival of a message */
 typedef struct message_event {
   sim_event event;
   GString *text;
@@ -57,7 +57,7 @@
 
 static const sim_event_type message_type = { deliver_message, release_message, false };
 
-/* when the link of a host has taken a message, after all that it took before */
+/* returns when the link of a host has transmitted a message, after all earlier ones */
 static time_us reserve_link(host *from, const host *to, size_t bytes) {
   sim *sim = from->sim;
   if (!sim->bytes_per_s || from == to)
@@ -68,7 +68,7 @@
   return from->link_busy_until;
 }
 
-/* when the latest message of a direction arrives; the caller may change it */
+/* returns when the latest message of a direction arrives; the caller may change the value */
 static time_us *last_arrival(host *from, host *to) {
   GHashTable *last_arrivals = from->sim->messages.last_arrivals;
   char key[SIM_DIRECTION_KEY_SIZE];
@@ -94,7 +94,8 @@
   sim_events_schedule(&sim->events, &message->event, &message_type, at, to);
 }
 
-/* the direction's channel, started anew when the sender's process was */
+/* finds or creates the channel of a direction; it is reset when the sender's process was restarted
+ */
 static peer_direction *find_direction(host *from, host *to) {
   GHashTable *directions = from->sim->messages.directions;
   char key[SIM_DIRECTION_KEY_SIZE];
@@ -134,7 +135,7 @@
     flush_queued_messages(direction);
 }
 
-/* true when a message goes out now; otherwise the channel has queued or lost it */
+/* returns true when a message is to be sent now; otherwise the channel has queued or lost it */
 static bool send_on_channel(host *from, host *to, string_view text) {
   sim *sim = from->sim;
   peer_direction *direction = find_direction(from, to);
--- a/emulator/sim_partitions.c
+++ b/emulator/sim_partitions.c
@@ -1,6 +1,6 @@
 /** @file
- * Partitions are kept as text keys, because a cut may name all hosts by "*", hosts that are added
- * later included. */
+ * Partitions are stored as text keys, because "*" stands for all hosts, including those that are
+ * added later. */
 #include "sim.h"
 #include <stdio.h>
 
--- a/emulator/sim_partitions.h
+++ b/emulator/sim_partitions.h
@@ -3,8 +3,8 @@
 #include "base.h"
 
 /** @file
- * Network partitions of a simulation: a set of directions, from one host to another, that carry
- * nothing. */
+ * Network partitions of a simulation: the set of directions, from one host to another, in which
+ * nothing is delivered. */
 
 typedef struct sim sim;
 typedef struct host host;
@@ -18,7 +18,7 @@
 
 void sim_partitions_init(sim_partitions *partitions);
 void sim_partitions_free(sim_partitions *partitions);
-/** True when the direction from a to b is cut; never from a host to itself. */
+/** Returns whether the direction from a to b is cut; never true from a host to itself. */
 bool sim_is_partitioned(sim *sim, host *a, host *b);
 /** Cuts or heals one direction between two hosts; NULL stands for every host. */
 void sim_set_partition(sim *sim, const char *from, const char *to, bool cut);
--- a/emulator/simulators.h
+++ b/emulator/simulators.h
@@ -2,7 +2,7 @@
 #define EMULATOR_SIMULATORS_H
 /**
  * The simulators around a fleet: engines (engine_sim.h), the load generator (loadgen.h) and the
- * platform, which lists engines and marks those that leave.
+ * platform, which serves the list of engines and marks those that drain.
  */
 #include "engine_sim.h"
 #include "loadgen.h"
@@ -15,7 +15,7 @@
   bool draining, off_list;
   time_us since;
 } platform_sim_engine;
-/** A change of the list, as the platform recorded it. */
+/** The platform's record of one change to an engine on its list. */
 typedef struct platform_sim_change {
   time_us changed_at;
   id engine;
@@ -28,10 +28,10 @@
 } platform_sim;
 platform_sim *platform_sim_new(world *world);
 void platform_sim_free(platform_sim *platform);
-/** Replaces the list by one in JSON; false when it is none. */
+/** Replaces the engines by the list in a JSON object; false when it has none. */
 bool platform_sim_replace_engines(platform_sim *platform, const json *json);
 platform_sim_engine *platform_sim_find(platform_sim *platform, id who);
-/** Marks an engine as leaving, or not, and takes it off the list, or puts it on; the record keeps
- * every change. */
+/** Sets whether an engine drains, and whether it is left out of the list; each call is recorded in
+ * changes. */
 void platform_sim_set_engine_state(platform_sim *platform, id who, bool leaving, bool out);
 #endif
