--- a/emulator/day.c
+++ b/emulator/day.c
@@ -1,4 +1,4 @@
-/** A day's data: names of its enums, look-up, and its end. */
+/** The data of an emulated day: names of its enum values, look-up and cleanup. */
 #include "day.h"
 
 const char *const day_fault_names[DAY_FAULT_KIND_COUNT] = {
--- a/emulator/day_config.c
+++ b/emulator/day_config.c
@@ -1,10 +1,10 @@
 /**
- * What a day puts into its deployment. Engines start with the models that are requested most, dealt
- * out one engine after the other, so that a day doesn't begin with a rush of loads.
+ * Sets up a day's deployment. The most requested models are loaded on the engines, one engine after
+ * the other, before the day begins, so that it does not begin with a burst of loads.
  */
 #include "day_config.h"
 
-/* what all engines of a day have in common */
+/* values that all engines of a day share */
 enum {
   ENGINE_PORT = 9000,
   ENGINE_CONNECTIONS_MAX = 200,
@@ -20,7 +20,7 @@
   return value ? "true" : "false";
 }
 
-/* a client's kind with a list of models of its own, whose names stay the day's */
+/* returns the client's copy of a kind, with a list of models of its own; the day owns the names */
 static client_sim_kind client_kind(const day_kind *kind) {
   client_sim_kind client = kind->kind;
   if (kind->models->len)
@@ -108,7 +108,7 @@
   return g_string_free(text, FALSE);
 }
 
-/* adds the index-th model of each kind of a service; false when no kind has as many */
+/* adds the model at an index of each kind of a service; returns false when no kind has one */
 static bool add_models_at(const day *day, const day_service *service, guint index,
                           GPtrArray *models) {
   bool found = false;
@@ -124,7 +124,8 @@
   return found;
 }
 
-/* models in the order of what the kinds request, the most requested first: engine_model_spec * */
+/* returns the models that the kinds of a service request, as engine_model_spec *, the most
+ * requested first */
 static GPtrArray *models_by_demand(const day *day, const day_service *service) {
   GPtrArray *models = g_ptr_array_new();
   guint index = 0;
@@ -133,8 +134,8 @@
   return models;
 }
 
-/* the names of the models that fit an engine, from *next on; *next moves to the first that doesn't
- */
+/* returns the names of the models that fit into the memory of an engine, starting at *next; sets
+ * *next to the first that does not fit */
 static GPtrArray *deal_models(const GPtrArray *models, double left_mb, guint *next) {
   GPtrArray *dealt = g_ptr_array_new();
   for (guint i = 0; i < models->len; i++) {
--- a/emulator/day_config.h
+++ b/emulator/day_config.h
@@ -1,15 +1,16 @@
 #ifndef EMULATOR_DAY_CONFIG_H
 #define EMULATOR_DAY_CONFIG_H
-/** What a day puts into its deployment: configuration, clients' kinds of requests, and engines. */
+/** Sets up a day's deployment: its configuration, the clients' kinds of requests and the engines.
+ */
 #include "day_run.h"
 
-/** Appends a kind's route as JSON, with a number of attempts of its own. */
+/** Appends the route of a kind as JSON, with the given number of attempts. */
 void day_config_append_route(const day_kind *kind, unsigned attempts, GString *to);
 /** Returns the routing configuration of a version as JSON; the caller frees it. deployment->ctx is
  * the day_run (the type of deployment.write_config). */
 char *day_config_text(deployment *deployment, uint64_t version);
 /** Adds the day's kinds of requests to the client (the type of deployment.add_client_kinds). */
 void day_config_add_client_kinds(deployment *deployment);
-/** Adds the engines of all services, zone by zone in turn. */
+/** Adds the engines of all services; zones are assigned in turn. */
 void day_config_add_engines(day_run *run);
 #endif
--- a/emulator/day_faults.c
+++ b/emulator/day_faults.c
@@ -1,4 +1,4 @@
-/** A day's faults, kept in the order of their times; faults of one time in the order of reading. */
+/** A day's faults, sorted by time; faults at the same time stay in the order of reading. */
 #include "day_faults.h"
 #include <math.h>
 #include <stdlib.h>
@@ -6,7 +6,7 @@
 enum { FAULT_NAME_MAX = 32, DURATION_MAX_S = 600, TARGET_NUMBER_MAX = 100 };
 static const double FACTOR_MIN = 0.01, FACTOR_MAX = 100, FACTOR_DEFAULT = 5;
 
-/* durations of faults that name none; for kills, the time until the host is started again */
+/* durations of faults that specify none; for a kill, the time until the host is started again */
 static const double default_duration_s[DAY_FAULT_KIND_COUNT] = {
   [DAY_ENGINE_CRASH] = 3,
   [DAY_ENGINE_POWER_OFF] = 10,
@@ -21,7 +21,7 @@
   [DAY_BURST] = 6,
 };
 
-/* false when there is no fault of that name */
+/* returns false when no kind of fault has the name */
 static bool parse_kind(const char *name, enum day_fault_kind *kind) {
   for (int i = 0; i < DAY_FAULT_KIND_COUNT; i++) {
     if (strcmp(day_fault_names[i], name))
@@ -53,7 +53,7 @@
     return;
   const char *name = day_json_text(at, value, "what", FAULT_NAME_MAX);
   if (!parse_kind(name, &fault.kind))
-    day_json_report(at, E_NAME, "what", "there is no such trouble");
+    day_json_report(at, E_NAME, "what", "unknown trouble");
   fault.at_s = day_json_number(at, value, "atS", 0, day->seconds, NAN);
   fault.duration_s = day_json_number(at, value, "forS", 0, DURATION_MAX_S, 0);
   fault.factor = day_json_number(at, value, "factor", FACTOR_MIN, FACTOR_MAX, FACTOR_DEFAULT);
@@ -73,7 +73,7 @@
 /* parses AT[:FOR] */
 static enum error_code parse_times(const day_json_location *at, const char *text, const day *day,
                                    day_fault *fault) {
-  static const char WHY[] = "a number of seconds is needed";
+  static const char WHY[] = "must be a number of seconds";
   char *end;
   fault->at_s = g_ascii_strtod(text, &end);
   if (end == text)
@@ -84,7 +84,7 @@
     return day_json_report(at, E_TYPE, "", WHY);
   if (!(fault->at_s >= 0 && fault->at_s <= day->seconds && fault->duration_s >= 0 &&
         fault->duration_s <= DURATION_MAX_S))
-    return day_json_report(at, E_RANGE, "", "not within the day");
+    return day_json_report(at, E_RANGE, "", "must lie within the day");
   return OK;
 }
 
@@ -93,10 +93,10 @@
                                    day_fault *fault) {
   char *separator = text ? strchr(text, '@') : NULL;
   if (!separator)
-    return day_json_report(at, E_FIELD, "", "WHAT@SECONDS is needed");
+    return day_json_report(at, E_FIELD, "", "must have the form WHAT@SECONDS");
   *separator = 0;
   if (!parse_kind(text, &fault->kind))
-    return day_json_report(at, E_NAME, text, "there is no such trouble");
+    return day_json_report(at, E_NAME, text, "unknown trouble");
   return parse_times(at, separator + 1, day, fault);
 }
 
@@ -109,7 +109,7 @@
   else if (g_str_has_prefix(text, WHICH))
     fault->target_number = (unsigned)strtoul(text + strlen(WHICH), NULL, 10);
   else
-    return day_json_report(at, E_FIELD, text, "unknown");
+    return day_json_report(at, E_FIELD, text, "unknown option");
   if (!(fault->factor >= FACTOR_MIN && fault->factor <= FACTOR_MAX &&
         fault->target_number <= TARGET_NUMBER_MAX))
     return day_json_report(at, E_RANGE, text, "out of range");
--- a/emulator/day_figures.c
+++ b/emulator/day_figures.c
@@ -1,4 +1,4 @@
-/** Figures of a result, and paired comparison. */
+/** Figures of a result, and the confidence interval of paired differences. */
 #include "day_figures.h"
 #include <math.h>
 
@@ -7,7 +7,8 @@
   [DAY_LOADS] = "loads",   [DAY_RETRIES] = "secondAttempts",
 };
 
-/* 0.975 quantiles of Student's t by degrees of freedom, and of the normal distribution beyond */
+/* 0.975 quantiles of Student's t distribution by degrees of freedom; beyond the table, that of the
+ * normal distribution */
 static const double t_quantiles[] = { 0,     12.706, 4.303, 3.182, 2.776, 2.571, 2.447, 2.365,
                                       2.306, 2.262,  2.228, 2.201, 2.179, 2.160, 2.145, 2.131,
                                       2.120, 2.110,  2.101, 2.093, 2.086, 2.080, 2.074, 2.069,
--- a/emulator/day_inject.c
+++ b/emulator/day_inject.c
@@ -1,21 +1,21 @@
 /**
- * Injection of a day's faults. Beginning a fault may schedule its end; a fault whose target is down
- * already does nothing and has no end.
+ * Injection of a day's faults. Beginning a fault can schedule its end. A fault whose target is down
+ * already has no effect and no end.
  */
 #include "day_inject.h"
 #include "day_config.h"
 #include <math.h>
 
 enum { CHANGE_POLL_MS = 50, CHANGE_POLLS_MAX = 600 };
-/* share of runs that a degraded engine fails */
+/* probability that a run fails at a degraded engine */
 static const double DEGRADED_FAILURES = 0.5;
 
-/* an event of the schedule: a fault begins or ends */
+/* an event of the schedule: the beginning or end of a fault */
 typedef struct scheduled_event {
   double at_s;
   const day_fault *fault;
   bool is_end;
-  /* for ends: what the fault has hit, if anything */
+  /* for ends: the target of the fault, if it has one */
   host *host;
   deployment_process *process;
 } scheduled_event;
@@ -32,7 +32,8 @@
   return (int64_t)(fault->duration_s * 1000);
 }
 
-/* the index of the target among count hosts of its sort; drawn when the fault names none */
+/* returns the index of the target among count hosts of its role; random when the fault names none
+ */
 static size_t choose_index(const day_run *run, const day_fault *fault, size_t count) {
   if (fault->target_number)
     return (fault->target_number - 1) % count;
@@ -46,14 +47,14 @@
   event->host = event->process->host;
 }
 
-/* false when the gateway is down or frozen already */
+/* returns false when the gateway is down or frozen already */
 static bool choose_gateway(const day_run *run, scheduled_event *event) {
   const fleet *fleet = run->fleet;
   event->host = fleet->router[choose_index(run, event->fault, (size_t)fleet->routers)];
   return event->host->alive && !event->host->frozen;
 }
 
-/* false when the controller is down already */
+/* returns false when the controller is down already */
 static bool choose_controller(const day_run *run, scheduled_event *event) {
   const fleet *fleet = run->fleet;
   event->host = fleet->controller[choose_index(run, event->fault, (size_t)fleet->controllers)];
@@ -154,7 +155,7 @@
   return true;
 }
 
-/* waits for the operator's change to end, and takes over its version if it was acknowledged */
+/* waits until the operator's change has ended, and adopts its version if it was acknowledged */
 static void wait_for_change(day_run *run, const operator_sim_change *change) {
   for (int i = 0; i < CHANGE_POLLS_MAX && !change->done; i++)
     sim_run(run->fleet->sim, time_from_ms(CHANGE_POLL_MS));
@@ -162,7 +163,7 @@
     run->config_version = change->version;
 }
 
-/* sends a patch of one route; number distinguishes patches that race for one base version */
+/* sends a patch of one route; number distinguishes concurrent patches of the same base version */
 static operator_sim_change *send_patch(day_run *run, uint64_t base, uint64_t number) {
   const day *day = run->day;
   const day_kind *kind = &day->kinds[(base + number) % day->kind_count];
@@ -183,7 +184,7 @@
   return false;
 }
 
-/* two changes on one base version: at most one may be accepted */
+/* sends two concurrent changes of the same base version, of which at most one may be accepted */
 static bool begin_config_race(day_run *run, scheduled_event *end) {
   (void)end;
   uint64_t base = run->config_version;
@@ -194,7 +195,7 @@
   return false;
 }
 
-/* a configuration whose route names a service that doesn't exist */
+/* sends a configuration whose route names a service that doesn't exist */
 static bool begin_config_invalid(day_run *run, scheduled_event *end) {
   (void)end;
   uint64_t base = run->config_version;
@@ -226,7 +227,7 @@
   }
 }
 
-/* the models requested least become those requested most */
+/* makes the least requested models the most requested ones */
 static bool begin_model_shift(day_run *run, scheduled_event *end) {
   (void)end;
   const GPtrArray *kinds = run->deployment->client->kinds;
@@ -244,8 +245,8 @@
     host_start(end->host);
 }
 
-/* how a kind of fault begins and ends. begin fills in the target and returns whether the fault has
- * an end */
+/* the functions that begin and end a kind of fault. begin sets the target in the event of the end
+ * and returns whether that event is to be scheduled */
 typedef struct fault_actions {
   bool (*begin)(day_run *run, scheduled_event *end);
   void (*end)(day_run *run, const scheduled_event *end);
--- a/emulator/day_json.c
+++ b/emulator/day_json.c
@@ -31,7 +31,7 @@
 enum error_code day_json_check_keys(const day_json_location *at, const json *value,
                                     const char *const *keys) {
   if (!value || value->kind != JSON_OBJECT)
-    return day_json_report(at, E_TYPE, "", "an object is needed");
+    return day_json_report(at, E_TYPE, "", "must be an object");
   for (size_t i = 0; i < json_count(value); i++)
     if (!is_listed(keys, json_key(value, i)))
       return day_json_report(at, E_FIELD, json_key(value, i), "unknown field");
@@ -48,12 +48,12 @@
     return min;
   }
   if (field->kind != JSON_NUMBER) {
-    day_json_report(at, E_TYPE, key, "a number is needed");
+    day_json_report(at, E_TYPE, key, "must be a number");
     return min;
   }
   if (!(field->number >= min && field->number <= max)) {
     char why[80];
-    snprintf(why, sizeof why, "not from %g to %g", min, max);
+    snprintf(why, sizeof why, "must be from %g to %g", min, max);
     day_json_report(at, E_RANGE, key, why);
     return min;
   }
@@ -71,7 +71,7 @@
     return false;
   if (field->kind == JSON_BOOL)
     return field->boolean;
-  day_json_report(at, E_TYPE, key, "true or false is needed");
+  day_json_report(at, E_TYPE, key, "must be true or false");
   return false;
 }
 
@@ -83,11 +83,11 @@
     return "";
   }
   if (field->kind != JSON_STRING) {
-    day_json_report(at, E_TYPE, key, "a text is needed");
+    day_json_report(at, E_TYPE, key, "must be a string");
     return "";
   }
   if (!field->text->len || field->text->len >= size) {
-    day_json_report(at, E_RANGE, key, "too long, or empty");
+    day_json_report(at, E_RANGE, key, "must not be empty or too long");
     return "";
   }
   return field->text->str;
@@ -109,11 +109,11 @@
     return NULL;
   }
   if (field->kind != JSON_ARRAY) {
-    day_json_report(at, E_TYPE, key, "a list is needed");
+    day_json_report(at, E_TYPE, key, "must be a list");
     return NULL;
   }
   if (json_count(field) < min || json_count(field) > max) {
-    day_json_report(at, E_RANGE, key, "too many, or too few");
+    day_json_report(at, E_RANGE, key, "has too many or too few items");
     return NULL;
   }
   return field;
--- a/emulator/day_play.c
+++ b/emulator/day_play.c
@@ -1,6 +1,6 @@
 /**
- * Playing a day: set up a fleet and its deployment, bring it up, run the traffic while faults begin
- * and end, let it settle, then check all rules and count the result.
+ * Plays a day: sets up a fleet and its deployment, brings it up, runs the traffic while faults
+ * begin and end, lets the fleet settle, then checks all rules and computes the result.
  */
 #include "gateway_check.h"
 #include "day_play.h"
@@ -18,7 +18,7 @@
   POLICY_TIMEOUT_MS = 26000,
 };
 
-/* clients draw from a random state that depends on the seed alone: the same requests come whatever
+/* the clients' random state depends on the seed alone, so that they send the same requests whatever
  * the fleet does */
 enum { CLIENT_SEED_FACTOR = 7919 };
 
@@ -32,13 +32,13 @@
   return (time_us){ (int64_t)(seconds * 1e6) };
 }
 
-/* one attempt to put the policy resource; a violation is added if report is set and it fails */
+/* makes one attempt to put the policy resource; if it fails and report is set, adds a violation */
 static bool put_policy_once(fleet *fleet, host *controller, const char *policy, bool report) {
   operator_call *call = fleet_call(fleet, controller, "PUT", "/v1/policy", policy, NULL,
                                    "day-policy", time_from_ms(POLICY_TIMEOUT_MS));
   bool accepted = call->status == 200;
   if (!accepted && report)
-    fleet_add_violation(fleet, "the policy was not taken: %d %s", call->status, call->body->str);
+    fleet_add_violation(fleet, "the policy was not accepted: %d %s", call->status, call->body->str);
   operator_call_free(call);
   return accepted;
 }
@@ -105,8 +105,8 @@
     sim_run(sim, time_sub(at, sim->now));
 }
 
-/* runs the traffic and all faults. New requests stop at the day's end; faults that began before
- * still end after it */
+/* runs the traffic and all faults. New requests stop at the end of the day; faults that have begun
+ * by then still end after it */
 static void run_traffic(day_run *run, time_us from) {
   deployment *deployment = run->deployment;
   sim *sim = run->fleet->sim;
@@ -133,7 +133,7 @@
   operator_sim_read(operator);
   sim_run(run->fleet->sim, time_from_ms(SETTLE_MS));
   if (!operator->read_at.us)
-    fleet_add_violation(run->fleet, "CONFIG nothing could be read back");
+    fleet_add_violation(run->fleet, "CONFIG the configuration could not be read back");
   gateway_check_all(run->deployment);
 }
 
--- a/emulator/day_plot.c
+++ b/emulator/day_plot.c
@@ -1,9 +1,9 @@
-/** Plot of a day: a line of requests sent, one of requests served for each result, and the faults
- * as shaded spans. */
+/** Plot of a day: a line for the requests sent, a line for the requests served of each result, and
+ * the faults as shaded spans. */
 #include "day_plot.h"
 #include <stdio.h>
 
-/* sizes in pixels, and how many labels the axes have */
+/* sizes in pixels, and the numbers of labels of the axes */
 enum { PLOT_WIDTH = 800, PLOT_HEIGHT = 300, LEFT = 50, TOP = 40, BOTTOM = 40, RIGHT = 30 };
 enum { Y_LABELS = 4, X_LABELS = 8 };
 
--- a/emulator/day_policy.c
+++ b/emulator/day_policy.c
@@ -1,4 +1,4 @@
-/** The policy resource of a day: checked by the compiler that controllers use. */
+/** The policy resource of a day. It is checked by the compiler that controllers use. */
 #include "day_policy.h"
 
 static const char EXPRESSION_PREFIX[] = "expr:";
@@ -12,7 +12,7 @@
   return OK;
 }
 
-/* a merge patch for the policy resource */
+/* returns a merge patch that sets the eviction policy in the policy resource */
 static json *eviction_patch(const char *eviction, error *err) {
   GString *text = g_string_new(NULL);
   if (g_str_has_prefix(eviction, EXPRESSION_PREFIX)) {
--- a/emulator/day_read.c
+++ b/emulator/day_read.c
@@ -1,12 +1,13 @@
-/** Reading a day's file: its head, and the sections in the order in which they refer to each other.
- */
+/** Reads a day's file: its head, then the sections, each after those that it refers to. */
 #include "day_faults.h"
 #include "day_policy.h"
 #include "day_read.h"
 #include "day_result.h"
 #include <math.h>
 
-/* the steps of a result must last for the day and for the faults that end after it */
+/* the steps of a result must cover the day and the faults that end after it: 200 s are left for
+ * them
+ */
 enum { SECONDS_MAX = DAY_STEPS_MAX * DAY_STEP_MS / 1000 - 200 };
 enum { CONTROLLERS_MIN = 3, CONTROLLERS_MAX = 5, GATEWAYS_MAX = 60 };
 
--- a/emulator/day_read_kinds.c
+++ b/emulator/day_read_kinds.c
@@ -1,4 +1,5 @@
-/** Reading a day's kinds of requests: each is a route, a rate of requests, and their shape. */
+/** Reads a day's kinds of requests: the route of each, its request rate and limits, and the shape
+ * of its requests. */
 #include "day_read.h"
 #include <math.h>
 #include <stdlib.h>
@@ -14,7 +15,8 @@
   return number >= 1 && !*end && number <= model->adapters;
 }
 
-/* whether a service has a "model" or "model/adapter" */
+/* whether a service has the model, and the adapter if there is one, of "model" or "model/adapter"
+ */
 static bool has_model(const day_service *service, const char *name) {
   const engine_model_spec *model = day_service_find_model(service, name);
   const char *slash = strchr(name, '/');
@@ -29,7 +31,7 @@
     kind->mode = (enum client_sim_mode)mode;
     return;
   }
-  day_json_report(at, E_ROUTE_MODE, "mode", "not once, safe or stream");
+  day_json_report(at, E_ROUTE_MODE, "mode", "must be once, safe or stream");
 }
 
 static void read_route(const day_json_location *at, const json *value, const day *day,
@@ -41,7 +43,7 @@
   g_strlcpy(client->path, day_json_text(at, value, "prefix", sizeof client->path),
             sizeof client->path);
   if (!day_json_failed(at) && (client->path[0] != '/' || !g_str_has_suffix(client->path, "/")))
-    day_json_report(at, E_ROUTE_PREFIX, "prefix", "it begins and ends with a slash");
+    day_json_report(at, E_ROUTE_PREFIX, "prefix", "must begin and end with a slash");
   kind->service = day_json_name(at, value, "service");
   if (!day_find_service(day, kind->service))
     day_json_report(at, E_UNKNOWN_SERVICE, "service", "there is no such service");
@@ -72,7 +74,7 @@
   client->zipf_exponent = day_json_number(at, value, "zipf", 0, 4, 1);
 }
 
-/* the models that a kind names, else all of its service */
+/* reads the models that a kind names; without a list, takes all models of its service */
 static void read_kind_models(const day_json_location *at, const json *value,
                              const day_service *service, day_kind *kind) {
   const json *list = day_json_list(at, value, "models", 0, KIND_MODELS_MAX);
@@ -80,7 +82,7 @@
   for (size_t i = 0; i < json_count(list) && !day_json_failed(at); i++) {
     const json *name = json_at(list, i);
     if (name->kind != JSON_STRING)
-      day_json_report(at, E_TYPE, "models", "names are needed");
+      day_json_report(at, E_TYPE, "models", "must be a list of names");
     else if (service && !has_model(service, name->text->str))
       day_json_report(at, E_UNKNOWN_MODEL, "models", "the service has no such model or adapter");
     else
@@ -93,9 +95,9 @@
 static void check_unique(const day_json_location *at, const day *day, const day_kind *kind) {
   for (const day_kind *other = day->kinds; other < kind; other++) {
     if (!strcmp(other->kind.name, kind->kind.name))
-      day_json_report(at, E_DUPLICATE_NAME, "name", "stands twice");
+      day_json_report(at, E_DUPLICATE_NAME, "name", "is not unique");
     if (!strcmp(other->kind.host, kind->kind.host) && !strcmp(other->kind.path, kind->kind.path))
-      day_json_report(at, E_DUPLICATE_ROUTE, "prefix", "two kinds have one host and prefix");
+      day_json_report(at, E_DUPLICATE_ROUTE, "prefix", "another kind has the same host and prefix");
   }
 }
 
@@ -116,7 +118,7 @@
   read_kind_models(at, value, service, kind);
   bool needs_tokens = service && service->model_count && kind->kind.mode == CLIENT_SIM_STREAM;
   if (needs_tokens && !kind->kind.tokens_out)
-    day_json_report(at, E_FIELD, "tokensOut", "a stream of a model needs it");
+    day_json_report(at, E_FIELD, "tokensOut", "is required for streams of a service with models");
   check_unique(at, day, kind);
 }
 
--- a/emulator/day_read_services.c
+++ b/emulator/day_read_services.c
@@ -1,13 +1,14 @@
-/** Reading a day's services and the models that their engines can load. */
+/** Reads a day's services and the models that their engines can load. */
 #include "day_read.h"
 #include <math.h>
 
-static const char DUPLICATE[] = "stands twice";
+static const char DUPLICATE[] = "is not unique";
 
 static void check_model(const day_json_location *at, const day_service *service,
                         const engine_model_spec *model) {
   if (model->weights_mb > service->weights_mb)
-    day_json_report(at, E_NO_ENGINE_FITS, "weightsMb", "fits no engine of this service");
+    day_json_report(at, E_NO_ENGINE_FITS, "weightsMb",
+                    "exceeds the memory of this service's engines");
   for (size_t i = 0; i < service->model_count; i++)
     if (id_equal(service->models[i].name, model->name))
       day_json_report(at, E_NAME, "name", DUPLICATE);
--- a/emulator/day_report.c
+++ b/emulator/day_report.c
@@ -1,4 +1,5 @@
-/** Reports of a played day: a table for people, and JSON for tools. Both have the same counts. */
+/** Reports of a played day: a text table for people and JSON for tools, both with the same counts.
+ */
 #include "day_report.h"
 #include "day_figures.h"
 
@@ -25,8 +26,8 @@
   return false;
 }
 
-/* the step with the smallest share served that isn't listed yet; step_count when all that are left
- * were served in full */
+/* returns the step with the smallest served share that is not listed yet; step_count when all
+ * remaining steps were served in full */
 static size_t find_worst_step(const day_result *result, const size_t *listed, size_t count) {
   size_t worst = result->step_count;
   double min_share = 1;
--- a/emulator/day_result.c
+++ b/emulator/day_result.c
@@ -1,7 +1,7 @@
-/** Counting a day's result from the records of clients and engines. */
+/** Computes a day's result from the records of clients and engines. */
 #include "day_result.h"
 
-/* values of client_sim_attempt.outcome; any other means that the response broke off */
+/* values of client_sim_attempt.outcome; any other means that the response ended early */
 enum { ATTEMPT_OPEN = 'o', ATTEMPT_OTHER_STATUS = 's', ATTEMPT_TIMEOUT = 'l' };
 
 static void count_unserved(day_totals *totals, const client_sim_request *request,
@@ -54,7 +54,7 @@
               sizeof result->zone_totals[i].name);
 }
 
-/* the last attempt of each request: client_sim_request * -> client_sim_attempt * */
+/* maps each client_sim_request * to its last client_sim_attempt * */
 static GHashTable *last_attempts(const client_sim *client) {
   GHashTable *last = g_hash_table_new(NULL, NULL);
   for (guint i = 0; i < client->attempts->len; i++) {
--- a/emulator/deployment.c
+++ b/emulator/deployment.c
@@ -1,5 +1,5 @@
 /** @file
- * A deployment over a fleet: its usual engines and models, its start and its end. */
+ * A deployment over a fleet: its default engines and models, its start and its end. */
 #include "deployment.h"
 #include "deployment_process.h"
 #include "deployment_report.h"
@@ -8,10 +8,10 @@
 
 enum {
   MODELS = 14,
-  /** Models that several engines start with, and how many an engine starts with at most. */
+  /** Number of models that several engines start with; most models that an engine starts with. */
   BUSIEST_MODELS = 2,
   INITIAL_MODELS_MAX = 3,
-  /** Bounds of the steps of a start, and of a put of a configuration. */
+  /** Time limits of the steps of a start, and of a put of a configuration. */
   START_MS = 2500,
   READY_MS = 10000,
   SETTLE_MS = 2000,
@@ -35,8 +35,8 @@
   return new;
 }
 
-/* the models that each engine starts with: the two busiest on half of the engines each, the others
- * on one each */
+/* returns the models that an engine starts with: each of the two most requested models is on half
+ * of the engines, each other model on one */
 static GPtrArray *initial_models_of(size_t engine, size_t engine_count) {
   static const char *const names[] = { "m0", "m1", "m2", "m3", "m4", "m5", "m6", "m7", "m8" };
   GPtrArray *models = g_ptr_array_new();
@@ -61,7 +61,7 @@
   }
 }
 
-/* what engines with models and plain ones have in common */
+/* the part of the plan that engines with models and plain ones have in common */
 static registering_engine_plan plan_engine(deployment *deployment, const char *service) {
   return (registering_engine_plan){ .service = id_of_text(service),
                                     .version = id_of_text("v1"),
@@ -102,7 +102,7 @@
     deployment_add_engine(deployment, fleet->area[i % FLEET_ZONES], plan_model_engine(deployment),
                           initial_models_of(i, model_engines));
   for (size_t i = 0; i < plain_engines; i++) {
-    /* the last of three or more has a service of its own */
+    /* with three or more plain engines, the last serves a separate service */
     bool spare = i == plain_engines - 1 && plain_engines > 2;
     deployment_add_engine(deployment, fleet->area[(model_engines + i) % FLEET_ZONES],
                           plan_engine(deployment, spare ? "spare" : "ledger"), NULL);
--- a/emulator/deployment.h
+++ b/emulator/deployment.h
@@ -11,45 +11,45 @@
 enum {
   DEPLOYMENT_ENGINES = 64,
   DEPLOYMENT_MODELS = 16,
-  /** Until no gateway sends to an engine whose draining was acknowledged. */
+  /** Time after which no gateway sends requests to an engine whose draining was acknowledged. */
   DRAIN_MS = 2000,
-  /** From SIGTERM to SIGKILL. */
+  /** Grace period between SIGTERM and SIGKILL. */
   GRACE_S = 8,
-  /** Length of a singleton lease in the deployment's settings. */
+  /** Duration of a singleton lease in the deployment's settings. */
   DEPLOYMENT_LEASE_MS = 3000
 };
 
 typedef struct deployment deployment;
 
-/** One process of ours, or of an engine; its host owns it. */
+/** The controller, gateway or engine of a host; the host owns it. */
 typedef struct deployment_process {
   deployment *deployment;
   host *host;
-  /** The present process by kind, NULL while none is alive. */
+  /** The running process of a gateway or an engine; NULL while none is alive. */
   gateway *gateway;
   registering_engine_sim *engine;
-  /** Of an engine. */
+  /** For engines. */
   registering_engine_plan plan;
-  /** What its first process starts with, or NULL. */
+  /** Models that the first process of an engine starts with, or NULL. */
   GPtrArray *initial_models;
 } deployment_process;
 
-/** A fault as the test made it. */
+/** A fault that the test injected. */
 typedef struct injected_fault {
-  /** NULL: of the control plane. */
+  /** NULL: a fault of the control plane. */
   host *host;
   time_us from_at, until;
-  /** 't': planned stop by SIGTERM; 'e': fault of an engine; others as the test likes. */
+  /** 't': planned stop by SIGTERM; 'e': fault of an engine; the test may use other letters. */
   char kind;
 } injected_fault;
 
-/** Gateways over a fleet: controllers with control listeners, gateways, engines that register,
- * clients with a balancer, and an operator. */
+/** A deployment over the hosts of a fleet: controllers with control listeners, gateways, engines
+ * that register, clients with a load balancer, and an operator. */
 struct deployment {
   fleet *fleet;
-  /** The fleet's. */
+  /** The fleet's simulation. */
   sim *sim;
-  /** What all engines recorded. */
+  /** The records of all engines. */
   engine_record_log *log;
   weight_store_sim store;
   engine_model_spec models[DEPLOYMENT_MODELS];
@@ -57,65 +57,68 @@
   deployment_process *engine_processes[DEPLOYMENT_ENGINES + 4], *gateway_processes[64],
       *controller_processes[8];
   host *client_host, *operator_host;
-  /** Made when their hosts first start. */
+  /** Created when their hosts start for the first time. */
   balancer_sim *balancer;
   client_sim *client;
   operator_sim *operator;
-  /** Of injected_fault. */
+  /** Array of injected_fault. */
   GArray *injected_faults;
   GPtrArray *scheduled_kills;
-  /** The usual request kinds; NULL when add_client_kinds is set. */
+  /** The default request kinds; NULL when add_client_kinds is set. */
   client_sim_kind *chat, *note, *status, *book;
-  /** The limit on loads in the configuration. */
+  /** The load rate limit in the configuration. */
   double loads_per_s;
   /** The latest version of the configuration. */
   uint64_t version;
-  /** JSON of routes beside the usual ones, each after a comma. */
+  /** JSON of additional routes, each preceded by a comma. */
   GString *extra_routes;
-  /** Set by whoever brings a fleet of its own, before the start: adds the clients' request kinds,
-   * and writes the first configuration. */
+  /** Replace the default request kinds and the default first configuration, if set before the
+   * start. write_config returns a text that is freed by the deployment. */
   void (*add_client_kinds)(deployment *deployment);
   char *(*write_config)(deployment *deployment, uint64_t version);
   void *ctx;
 };
 
-/** Controllers with control listeners, and gateways, on the hosts of a fleet; engines and then
- * clients have to be added. Freed by deployment_free or deployment_finish. */
+/** Creates a deployment of controllers with control listeners, and gateways, on the hosts of a
+ * fleet; engines and then clients have to be added. Free it with deployment_free or
+ * deployment_finish. */
 deployment *deployment_new_empty(fleet *fleet);
-/** The same with the usual engines, and clients. */
+/** Creates a deployment with clients and the default engines: some with models, and plain ones,
+ * which serve requests without a model. */
 deployment *deployment_new(fleet *fleet, size_t model_engines, size_t plain_engines);
-/** Adds an engine by a plan, with a host and a disk of its own; initial_models, which it takes
- * over, names what it has loaded from the start, or is NULL. */
+/** Adds an engine by a plan, with a host and a disk of its own. initial_models names the models
+ * that it has loaded from the start, or is NULL; the deployment takes ownership of it. */
 deployment_process *deployment_add_engine(deployment *deployment, id area,
                                           registering_engine_plan plan, GPtrArray *initial_models);
-/** Adds the clients with their balancer, and the operator. */
+/** Adds the clients with their load balancer, and the operator. */
 void deployment_add_clients(deployment *deployment);
-/** Starts all, puts the first configuration in force, and waits until the gateways are ready;
- * false, with a violation, when that fails. */
+/** Starts all processes, puts the first configuration and waits until the gateways are ready.
+ * Returns false and records a violation when that fails. */
 bool deployment_bring_up(deployment *deployment);
 /** Ends all processes and frees the deployment, but not its fleet. */
 void deployment_free(deployment *deployment);
-/** The usual configuration; its route for status goes to a service, or with NULL to the usual one.
- * The caller frees it. */
+/** Returns the default configuration as JSON; the caller frees it. Its route for status leads to
+ * status_service, or to "ledger" if that is NULL. */
 char *deployment_config(deployment *deployment, uint64_t version, const char *status_service);
-/** Sends a configuration and waits for its answer; the operator owns what is returned. */
+/** Sends a configuration and waits for the answer; the operator owns the returned record. */
 operator_sim_change *deployment_put_config(deployment *deployment, uint64_t version, uint64_t base,
                                            const char *text, bool valid);
-/** True when the balancer sends to every gateway that is alive. */
+/** Returns whether a gateway is alive and the load balancer sends requests to every live one. */
 bool deployment_is_ready(deployment *deployment);
-/** Sends requests for a span, at so many times their usual rate, and waits for all responses. */
+/** Sends requests for a span, at rate times the rate of their kinds, and waits for all responses.
+ */
 void deployment_run_traffic(deployment *deployment, double rate, int64_t ms);
 void deployment_start_traffic(deployment *deployment, double rate);
 void deployment_finish_traffic(deployment *deployment);
-/** Stops a gateway as the platform does: SIGTERM, and SIGKILL after the grace. */
+/** Stops a gateway as the platform does: SIGTERM, then SIGKILL after the grace period. */
 void deployment_terminate_gateway(deployment *deployment, deployment_process *process);
 /** Records a fault of a host, or of the control plane with host NULL, from now for a span. */
 void deployment_record_fault(deployment *deployment, host *host, char kind, int64_t ms);
-/** Share of the requests that were served, of those sent in [from, until); kind NULL: of all kinds.
- * 1 when there are none. */
+/** Returns the share of requests sent in [from, until) that were served, for one kind or, with kind
+ * NULL, for all; 1 when there are none. */
 double deployment_served_ratio(deployment *deployment, const client_sim_kind *kind, time_us from,
                                time_us until);
-/** Ends a test: checks the rules and the share of requests that were served, frees the deployment,
- * and returns whether there is no violation. */
+/** Ends a test: checks the rules and that at least min_served of the requests were served, frees
+ * the deployment, and returns whether there is no violation. */
 bool deployment_finish(deployment *deployment, double min_served);
 #endif
--- a/emulator/deployment_clients.c
+++ b/emulator/deployment_clients.c
@@ -1,13 +1,13 @@
 /** @file
- * The callers of a deployment with their balancer, the operator, and the traffic of a test. */
+ * The clients of a deployment with their load balancer, the operator, and the traffic of a test. */
 #include "deployment_process.h"
 #include "sim_connections.h"
 #include <stdio.h>
 
-/** Time in which all clients are answered once traffic has ended. */
+/** Time limit of the last responses once no more requests are sent. */
 enum { LAST_ANSWER_MS = 60000 };
 
-/* the busiest first */
+/* the most requested models and adapters first */
 static const char *const kind_models[] = { "m0", "m1",    "m0/a1", "m2",  "m1/a2", "m3",
                                            "m4", "m5/a1", "m5",    "m6",  "m7",    "m8",
                                            "m9", "m10",   "m11",   "m12", "m13" };
@@ -104,7 +104,7 @@
   deployment->client->area_count = (unsigned)zones;
 }
 
-/* callers outlive a restart of their host */
+/* clients are created once: they survive a restart of their host */
 static void start_clients(host *host) {
   deployment *deployment = host->context;
   if (deployment->balancer)
--- a/emulator/deployment_config.c
+++ b/emulator/deployment_config.c
@@ -1,6 +1,6 @@
 /** @file
- * The usual configuration of a deployment: four routes, the service of the model engines, and two
- * plain ones. */
+ * The default configuration of a deployment: four routes, the service of the engines with models,
+ * and two services of plain engines. */
 #include "deployment.h"
 
 char *deployment_config(deployment *deployment, uint64_t version, const char *status_service) {
--- a/emulator/deployment_process.c
+++ b/emulator/deployment_process.c
@@ -1,12 +1,12 @@
 /** @file
- * The processes of a deployment: what their hosts start and stop, and planned stops. */
+ * The processes of a deployment: the start and stop hooks of their hosts, and planned stops. */
 #include "deployment_process.h"
 #include "gateway_check.h"
 #include <stdio.h>
 
 enum {
   HEARTBEAT_MS = 1200,
-  /** A planned stop counts as a fault for so long after the grace. */
+  /** A planned stop counts as a fault until this long after the grace period. */
   KILL_SLACK_MS = 1000
 };
 
@@ -17,7 +17,7 @@
     *colon = 0;
 }
 
-/* a process that is to be ended, unless it has ended by then */
+/* a scheduled kill of a process; it does nothing if the process has ended by then */
 typedef struct scheduled_kill {
   host *host;
   uint64_t incarnation;
@@ -29,8 +29,8 @@
     host_kill(kill->host);
 }
 
-/* ends the present process of a host after a span; the record is kept until the deployment is
- * freed, since what is scheduled when a simulation ends is not run */
+/* ends the present process of a host after a span. The deployment frees the record, not the
+ * callback, because callbacks that are still scheduled when a simulation ends do not run */
 static void schedule_kill(deployment *deployment, host *host, time_us span) {
   scheduled_kill *kill = g_new(scheduled_kill, 1);
   *kill = (scheduled_kill){ host, host->incarnation };
@@ -55,7 +55,7 @@
   process->engine->stop = engine_stop;
   process->engine->send_stray_response = sim_send_stray_response;
   process->engine->context = process;
-  /* a later process starts without models */
+  /* a restarted engine has no models loaded */
   process->plan.initial_models = NULL;
 }
 
--- a/emulator/deployment_report.c
+++ b/emulator/deployment_report.c
@@ -1,5 +1,5 @@
 /** @file
- * Counts of what clients and engines recorded, for debugging. */
+ * Counts of the records of clients and engines, for debugging. */
 #include "deployment_report.h"
 #include "status.h"
 #include <stdio.h>
--- a/emulator/fleet.c
+++ b/emulator/fleet.c
@@ -1,21 +1,21 @@
 /** @file
- * A fleet with 20 models and 12 adapters: controllers, routers and engines are spread over three
- * zones in turn. */
+ * A fleet with 20 models and 12 adapters. Controllers, routers and engines are assigned to the
+ * three zones in turn. */
 #include "fleet.h"
 #include <stdio.h>
 
 enum {
   MODELS = 20,
   ADAPTERS = 12,
-  /** Adapters are for the first models only. */
+  /** Number of models that have adapters: the first ones. */
   ADAPTED_MODELS = 8,
-  /** Engines differ in memory and slots, by three sizes. */
+  /** Number of engine sizes, which differ in memory and adapter slots. */
   ENGINE_SIZES = 3,
   WEIGHTS_MIN_MB = 16000,
   WEIGHTS_STEP_MB = 4000,
   SLOTS_MIN = 3,
   LOG_FILE_BYTES = 512 << 10,
-  /** Bounds of the steps of a start, and of the last answers to callers. */
+  /** Time limits of the steps of a start, and of the last answers to callers. */
   START_MS = 3000,
   HEALTHY_MS = 10000,
   LEASES_MS = 15000,
@@ -41,7 +41,7 @@
   return g_string_free(text, FALSE);
 }
 
-/* adds host number i of a role, in the zone of its turn */
+/* adds host number i of a role; zones are assigned in turn */
 static host *add_host(fleet *fleet, enum host_role role, const char *prefix, int subnet, int i,
                       int port) {
   char name[32], addr[48];
@@ -61,7 +61,7 @@
   return engine;
 }
 
-/* the order decides in which order hosts run */
+/* hosts run in the order in which they are added */
 static void add_hosts(fleet *fleet) {
   sim *sim = fleet->sim;
   fleet->platform = sim_add_host(sim, HOST_PLATFORM, "platform", "mid", "127.0.0.9:7100");
@@ -150,7 +150,7 @@
         !replica_is_acting_head(&host->controller->replica))
       continue;
     if (found)
-      fleet_add_violation(fleet, "two heads act at once: %s and %s", found->self.text,
+      fleet_add_violation(fleet, "two controllers act as head: %s and %s", found->self.text,
                           host->self.text);
     found = host;
   }
@@ -165,7 +165,7 @@
         !replica_is_acting_tail(&host->controller->replica))
       continue;
     if (found)
-      fleet_add_violation(fleet, "two tails act at once: %s and %s", found->self.text,
+      fleet_add_violation(fleet, "two controllers act as tail: %s and %s", found->self.text,
                           host->self.text);
     found = host;
   }
@@ -179,8 +179,8 @@
     if (!is_running(host) || !singleton_lease_epoch(host->router, singleton))
       continue;
     if (found)
-      fleet_add_violation(fleet, "two hold %s at once: %s and %s", singleton, found->self.text,
-                          host->self.text);
+      fleet_add_violation(fleet, "the lease on %s is held by both %s and %s", singleton,
+                          found->self.text, host->self.text);
     found = host;
   }
   return found;
--- a/emulator/fleet.h
+++ b/emulator/fleet.h
@@ -5,48 +5,50 @@
 #include "sim.h"
 
 /** @file
- * A simulated fleet of the usual shape: controllers and routers over three zones, engines, a
- * platform, callers, an operator and a prober. */
+ * A simulated fleet: controllers, routers and engines over three zones, and hosts for the platform,
+ * the callers, the operator and the prober. */
 
 enum {
   FLEET_ENGINES_MAX = 100,
   FLEET_ZONES = 3,
-  /** A singleton lease does not change hands sooner than this after the change before. */
+  /** Minimum time between two changes of the holder of a singleton lease. */
   LEASE_CHANGE_MIN_MS = 2900
 };
 
-/** Which node was seen as the holder of a lease, and since when. */
+/** The node that sampling saw as the holder of a lease, and since when. */
 typedef struct sampled_lease_holder {
   id holder;
   time_us since;
 } sampled_lease_holder;
 
-/** What one request to one router showed of the policy in force there: the status that the rule of
- * its policy marker gives. */
+/** The answer of one router to one request of the prober. Its status shows which policy is in force
+ * there: each policy marker is a rule that refuses the request with a status of its own. */
 typedef struct policy_probe {
   time_us sent_at, received_at;
   int router, status, code;
-  /** Of the router's process. */
+  /** Incarnation of the router's process. */
   uint64_t incarnation;
 } policy_probe;
 
 typedef struct fleet {
   sim *sim;
-  /** How many there are; of models and adapters beside those of a loaded deployment. */
+  /** Number of hosts of each role, and of generated models and adapters; the latter two are 0 when
+   * a deployment was loaded. */
   int controllers, routers, engines, models, adapters;
   host *controller[32], *router[100], *engine[FLEET_ENGINES_MAX], *platform, *callers, *operator;
-  /** As in the policy. */
+  /** Values of the policy: loadsPerS, slowStartS and streamsMost. */
   double loads_per_s, slow_start_s, streams_per_engine;
   uint64_t seed;
-  /** One violation a line; empty when nothing is wrong. */
+  /** The violations of rules, one a line; empty when there is none. */
   GString *violations;
-  /** Of write_ack, and of policy_probe. */
+  /** Arrays of write_ack and policy_probe. */
   GArray *write_acks, *probes;
-  /** Of operator_write. */
+  /** Array of operator_write. */
   GPtrArray *writes;
   host *prober;
-  /** How many policy markers were written. */
+  /** Number of policy markers that were written. */
   int marker_count;
+  /** The zones; the kinds of requests of a loaded deployment's policy. */
   id area[FLEET_ZONES], kind[3];
   /** The policy's rules, as the elements of a JSON array. */
   char *rules;
@@ -54,31 +56,34 @@
   char *catalogue, *policy;
   /** Whether policy probes are sent. */
   bool probing;
-  /** By sampling: of each engine, and of the singleton "pacer" after the last engine. */
+  /** The lease holders that sampling saw: one for each engine, then the one of the singleton
+   * "pacer". */
   sampled_lease_holder lease_holders[FLEET_ENGINES_MAX + 1];
 } fleet;
 
-/** A fleet whose processes are not started; freed by fleet_free. */
+/** Creates a fleet whose processes are not started yet; free it with fleet_free. */
 fleet *fleet_new(uint64_t seed, int routers, int engines);
-/** Gives a new fleet the hosts, zones, catalogue and policy of a shipped deployment; its sizes have
- * to be the same, else false. */
+/** Gives a new fleet the zones, engines, catalogue and policy of a shipped deployment. Returns
+ * false when a file is missing or invalid, or the deployment has other numbers of routers and
+ * engines. */
 bool fleet_load_deployment(fleet *fleet, const char *folder);
 void fleet_free(fleet *fleet);
 /** Starts everything, bootstraps the control plane and puts the configuration in force. */
 bool fleet_bring_up(fleet *fleet);
-/** Sends requests at a rate for a span. */
+/** Sends requests at a rate for a span, without waiting for the last responses. */
 void fleet_run_traffic(fleet *fleet, double requests_per_s, time_us span);
-/** Sends no more requests, and runs until all are answered. */
+/** Stops sending requests and runs until all are answered. */
 void fleet_finish_traffic(fleet *fleet);
-/** True when a chain acts and every live router has a recent configuration; context is the fleet,
- * so that it can be given to sim_run_until. */
+/** Returns whether the chain has an acting head and tail and every running router has a recent
+ * configuration. context is the fleet: the function is a condition for sim_run_until. */
 bool fleet_is_healthy(sim *sim, void *context);
-/** The host that acts as head or tail, or NULL; two are a violation. */
+/** Returns the host that acts as head or tail, or NULL; records a violation when there are two. */
 host *fleet_find_head(fleet *fleet);
 host *fleet_find_tail(fleet *fleet);
-/** The router that holds the lease on a singleton, or NULL; two are a violation. */
+/** Returns the router that holds the lease on a singleton, or NULL; records a violation when there
+ * are two. */
 host *fleet_find_lease_holder(fleet *fleet, const char *singleton);
-/** A catalogue for the fleet, with extra text before its last brace unless NULL; the caller frees
- * it. */
+/** Returns a catalogue as JSON, with extra text before its last brace unless extra is NULL; the
+ * caller frees it. */
 char *fleet_catalogue_json(int models, int adapters, const char *extra);
 #endif
--- a/emulator/fleet_files.c
+++ b/emulator/fleet_files.c
@@ -1,13 +1,13 @@
 /** @file
- * A fleet by the files of a shipped deployment: "fleet" with a line for each process, and
+ * Loads a fleet from the files of a shipped deployment: "fleet" with one line for each process,
  * catalogue.json and policy.json. */
 #include "fleet.h"
 #include <stdio.h>
 
-/** Where the model of the policy markers is put into the catalogue. */
+/** The text of the catalogue after which the model of the policy markers is inserted. */
 static const char MODELS_KEY[] = "\"models\": [";
 
-/* reads a file into a text that the caller frees; NULL when it can't be read */
+/* reads a file into a text, which the caller frees; sets it to NULL when the file can't be read */
 static void read_file(const char *folder, const char *name, char **text) {
   char *path = g_strdup_printf("%s/%s", folder, name);
   *text = NULL;
@@ -15,13 +15,13 @@
   g_free(path);
 }
 
-/* how many processes of each role the lines named */
+/* number of processes of each role in the file */
 typedef struct process_counts {
   int controllers, routers, engines;
 } process_counts;
 
-/* applies one line to the host that it names: role, name, zone, address, and for engines type,
- * memory and slots */
+/* applies one line to the host that it names. Columns: role, name, zone, address, and for engines
+ * type, memory and adapter slots */
 static void load_process(fleet *fleet, const char *line, process_counts *counts) {
   char role[20], name[48], zone[48], addr[48], type[32];
   unsigned long weights_mb = 0;
@@ -43,7 +43,7 @@
   g_strlcpy(host->settings.platform_address, type, sizeof host->settings.platform_address);
 }
 
-/* true when the lines name as many routers and engines as the fleet has */
+/* returns whether the file has as many routers and engines as the fleet */
 static bool load_processes(fleet *fleet, const char *text) {
   process_counts counts = { 0 };
   char **lines = g_strsplit(text, "\n", -1);
@@ -80,7 +80,7 @@
   }
 }
 
-/* callers of the catalogue's models and the policy's request kinds */
+/* makes the callers request the catalogue's models with the policy's request kinds */
 static void load_callers(fleet *fleet, const json *catalogue, const json *policy) {
   const json *kinds = json_get(policy, "kinds");
   host *callers = fleet->callers;
@@ -94,7 +94,8 @@
   }
 }
 
-/* the catalogue with one more model, for the policy markers; NULL when it has no models */
+/* returns the catalogue with an additional model for the policy markers; NULL when it has no models
+ */
 static char *add_marker_model(const char *catalogue) {
   const char *models = catalogue ? strstr(catalogue, MODELS_KEY) : NULL;
   if (!models)
@@ -113,7 +114,7 @@
   json *policy = json_parse(string_view_of(policy_text ? policy_text : ""), NULL);
   bool fits = load_processes(fleet, processes ? processes : "") && catalogue && policy;
   if (!fits)
-    fleet_add_violation(fleet, "%s does not fit this fleet", folder);
+    fleet_add_violation(fleet, "%s is not a deployment of the size of this fleet", folder);
   load_policy(fleet, policy);
   load_callers(fleet, catalogue, policy);
   fleet->catalogue = add_marker_model(catalogue_text);
--- a/emulator/fleet_operator.c
+++ b/emulator/fleet_operator.c
@@ -5,18 +5,18 @@
 #include <stdio.h>
 
 enum {
-  /** Timeout of a call, and how long a put waits for one. */
+  /** Timeout of a call, and of the wait for each attempt of a put. */
   CALL_TIMEOUT_MS = 25000,
   PUT_TIMEOUT_MS = 26000,
   PUT_ATTEMPTS = 30,
-  /** Until the next attempt, when the controller was down, or did not accept. */
+  /** Delay before the next attempt when the controller was down, or did not accept the put. */
   CONTROLLER_DOWN_RETRY_MS = 50,
   PUT_RETRY_MS = 300
 };
 
 static const char API_PREFIX[] = "/v1/";
 
-/* the number of the resource at a path, or -1 */
+/* returns the number of the resource at a path, or -1 */
 static int resource_of_path(const char *path) {
   if (!g_str_has_prefix(path, API_PREFIX))
     return -1;
@@ -119,7 +119,7 @@
   return call;
 }
 
-/* one attempt of a put; returns the status and sets the version */
+/* makes one attempt of a put; returns the status and sets the version */
 static int put_once(fleet *fleet, host *controller, const char *path, const char *text,
                     const char *key, uint64_t *version) {
   operator_call *call =
@@ -127,7 +127,7 @@
   int status = call->status;
   *version = call->version;
   if (status == 400)
-    fprintf(stderr, "refused: %s\n", call->body->str);
+    fprintf(stderr, "the controller rejected the put: %s\n", call->body->str);
   operator_call_free(call);
   return status;
 }
--- a/emulator/fleet_operator.h
+++ b/emulator/fleet_operator.h
@@ -7,23 +7,23 @@
 
 typedef struct fleet fleet;
 
-/** The operator's record of one write; owned by the fleet. */
+/** The operator's record of one write; the fleet owns it. */
 typedef struct operator_write {
   /** answered_at is 0 while there is no answer. */
   time_us sent_at, answered_at;
   /** HTTP status; 0 while there is no answer, and -code for an error of the call. */
   int status;
-  /** Number of the resource, or -1 for other paths. */
+  /** enum resource_kind, or -1 when the path is not that of a resource. */
   int resource;
-  /** Of a policy marker: the status by which its rule refuses; else 0. */
+  /** For a policy marker: the status with which its rule refuses requests; else 0. */
   int marker_status;
-  /** The version that the answer names. */
+  /** The version in the answer. */
   uint64_t version;
   bool patch;
   char *text, idempotency_key[40];
 } operator_write;
 
-/** One call of the operator, and its answer; freed by operator_call_free. */
+/** One call of the operator and its answer; free it with operator_call_free. */
 typedef struct operator_call {
   /** As in operator_write. */
   int status;
@@ -32,17 +32,17 @@
   time_us answered_at;
   uint64_t version;
   char *method, *path, *text, *if_match, *idempotency_key;
-  /** Whom it is sent to, and the operator's host. */
+  /** Address of the host that is called, and the operator's own host. */
   char addr[48];
   host *host;
   fleet *fleet;
   /** NULL for reads. */
   operator_write *write;
-  /** Set by whoever does not wait: the call frees itself when it is answered. */
+  /** Set by callers that do not wait: the call frees itself when it is answered. */
   bool self_freeing;
 } operator_call;
 
-/** A write that was acknowledged. */
+/** The acknowledgement of a write. */
 typedef struct {
   uint64_t version;
   int resource;
@@ -53,10 +53,10 @@
  * be NULL. */
 operator_call *fleet_send(fleet *fleet, host *to, const char *method, const char *path,
                           const char *text, const char *match, const char *key);
-/** The same, and runs until it is answered, or for a span. */
+/** Like fleet_send, and runs the simulation until the call is answered or a span has passed. */
 operator_call *fleet_call(fleet *fleet, host *to, const char *method, const char *path,
                           const char *text, const char *match, const char *key, time_us span);
 void operator_call_free(operator_call *call);
-/** Puts a resource through any controller that answers; returns the version, or 0. */
+/** Puts a resource through any controller that answers; returns its version, or 0 on failure. */
 uint64_t fleet_put(fleet *fleet, const char *resource, const char *text);
 #endif
--- a/emulator/fleet_sampling.c
+++ b/emulator/fleet_sampling.c
@@ -1,7 +1,7 @@
 /** @file
- * Samples of what the daemons themselves hold, beside the records: the configuration of each router
- * never goes back, no two nodes act as head, tail or lease holder at once, and a lease does not
- * change hands sooner than its length allows. */
+ * Checks that sample the state of the daemons themselves, in addition to the records: the version
+ * of a router's configuration never decreases, no two nodes act as head, tail or lease holder at
+ * once, and a lease does not change its holder sooner than its duration allows. */
 #include "fleet.h"
 
 static void sample_config(fleet *fleet, host *host) {
@@ -9,8 +9,8 @@
     return;
   uint64_t version = host->router->sync.config_version;
   if (version < host->config_version_seen)
-    fleet_add_violation(fleet, "R4 %s slipped back from %" PRIu64 " to %" PRIu64, host->self.text,
-                        host->config_version_seen, version);
+    fleet_add_violation(fleet, "R4 %s went back from version %" PRIu64 " to %" PRIu64,
+                        host->self.text, host->config_version_seen, version);
   host->config_version_seen = version;
 }
 
@@ -22,7 +22,7 @@
     return;
   time_us held_for = time_sub(now, sampled->since);
   if (!id_is_empty(sampled->holder) && held_for.us < LEASE_CHANGE_MIN_MS * 1000)
-    fleet_add_violation(fleet, "R8 %s went from %s to %s after %.2f s", singleton,
+    fleet_add_violation(fleet, "R8 the lease on %s went from %s to %s after %.2f s", singleton,
                         sampled->holder.text, host->self.text, (double)held_for.us / 1e6);
   *sampled = (sampled_lease_holder){ host->self, now };
 }
--- a/emulator/operator_sim.c
+++ b/emulator/operator_sim.c
@@ -27,7 +27,8 @@
   g_free(operator);
 }
 
-/* one call, which may be led on twice; 0 when there was no answer in time */
+/* makes one call, following at most two redirects; returns the status, or 0 when there was no
+ * answer in time */
 static int request_one(operator_sim *operator, const char * addr, const dialect_path *how,
                        const operator_sim_change *change, GString *got, int64_t ms) {
   char to[64];
--- a/tests/emulator/check.c
+++ b/tests/emulator/check.c
@@ -1,28 +1,28 @@
-/** Tests of the checkers in emulator/fleet_check*.c: a checker that cannot fail proves nothing, so
- * each is shown a violation that was put into the records of a finished run. Fleet: four routers,
- * five engines.
+/** Tests of the checkers in emulator/fleet_check*.c. Guards against a checker that never reports
+ * anything: a violation of each rule is put into the records of a finished run, and its checker has
+ * to report it. Fleet: four routers, five engines.
  */
 #include "recovery.h"
 #include "scenario.h"
 #include "tests.h"
 #include <stdio.h>
 
-/* a finished run, and what of its records the violations are put into */
+/* a finished run, and the records into which the violations are put */
 typedef struct finished_run {
   fleet *fleet;
   /* an engine of the fleet, and one that ran streams */
   engine_sim *engine;
   host *busy_engine;
-  /* a request that was answered and can not be resumed, and its last attempt */
+  /* a request that was answered and cannot be resumed, and its last attempt */
   loadgen_request *request;
   loadgen_attempt *attempt;
 } finished_run;
 
-/* whether the checker of a rule has noted a violation; forgets what was noted */
+/* whether the checker of a rule has recorded a violation; clears the recorded violations */
 static bool was_seen(fleet *fleet, const char *rule) {
   bool seen = strstr(fleet->violations->str, rule) != NULL;
   if (!seen)
-    fprintf(stderr, "  the checker of %s saw nothing\n", rule);
+    fprintf(stderr, "  the checker of %s reported no violation\n", rule);
   g_string_truncate(fleet->violations, 0);
   return seen;
 }
@@ -57,7 +57,7 @@
   return fleet->engine[busy];
 }
 
-/* R1: a request that can not be resumed runs twice */
+/* R1: a request that cannot be resumed runs twice */
 static bool sees_second_run(finished_run *run) {
   engine_sim_stream second = { .outcome = 'd' };
   g_strlcpy(second.tag, run->request->tag, sizeof second.tag);
@@ -75,7 +75,7 @@
   return was_seen(run->fleet, "R2");
 }
 
-/* R3: a caller got another one's answer */
+/* R3: a caller got the answer to another caller's request */
 static bool sees_wrong_answer(finished_run *run) {
   run->request->outcome = OUTCOME_WRONG;
   fleet_check_runs(run->fleet);
@@ -83,7 +83,7 @@
   return was_seen(run->fleet, "R3");
 }
 
-/* R4: a marker was acknowledged long ago, and a router answers by an older policy */
+/* R4: a policy marker was acknowledged long ago, and a router still answers by an older policy */
 static bool sees_old_policy(finished_run *run) {
   fleet *fleet = run->fleet;
   operator_write *marker = g_new0(operator_write, 1);
@@ -147,7 +147,7 @@
   return was_seen(run->fleet, "R8");
 }
 
-/* R9: an order went past the capacity of an engine */
+/* R9: an order exceeded the capacity of an engine */
 static bool sees_overrun_capacity(finished_run *run) {
   run->engine->over_capacity_orders = 1;
   fleet_check_capacity(run->fleet);
@@ -155,7 +155,7 @@
   return was_seen(run->fleet, "R9");
 }
 
-/* R10: nine loads at one instant */
+/* R10: nine loads were ordered at one instant */
 static bool sees_loads_above_rate(finished_run *run) {
   GArray *orders = run->engine->orders;
   guint before = orders->len;
@@ -167,7 +167,7 @@
   return was_seen(run->fleet, "R10");
 }
 
-/* R11: a hundred retries of one request */
+/* R11: one request was retried a hundred times */
 static bool sees_many_retries(finished_run *run) {
   GArray *refusals = run->engine->refusals;
   guint before = refusals->len;
@@ -180,8 +180,8 @@
   return was_seen(run->fleet, "R11");
 }
 
-/* R12: nobody is served from 12 s after a loss; the last one, since it leaves the records changed
- */
+/* R12: no request is served from 12 s after a loss on; runs last, because it leaves the records
+ * changed */
 static bool sees_slow_recovery(finished_run *run) {
   fleet *fleet = run->fleet;
   time_us loss_at = time_sub(fleet->sim->now, time_from_ms(19000));
@@ -229,7 +229,7 @@
   for (size_t i = 0; i < G_N_ELEMENTS(seeded); i++)
     seen += seeded[i](&run);
   if (seen != RULES)
-    fleet_add_violation(fleet, "only %d of %d checkers saw what was seeded", seen, RULES);
+    fleet_add_violation(fleet, "only %d of %d checkers reported the violation", seen, RULES);
   return seen == RULES;
 }
 
--- a/tests/emulator/day.c
+++ b/tests/emulator/day.c
@@ -1,6 +1,6 @@
 /**
- * Tests of the day modules of emulator/: emulated days of a full deployment are read or refused,
- * and report what happened in them. Each day brings its own deployment.
+ * Tests of the day modules of emulator/: files of emulated days are accepted or rejected, and a
+ * played day reports what happened in it. Each day creates its own deployment.
  */
 #include "day_faults.h"
 #include "day_figures.h"
@@ -21,7 +21,7 @@
     "\"kinds\":[{\"name\":\"k\",\"host\":\"h.example\",\"prefix\":\"/k/\",\"service\":\"s\",\"mode\":\"stream\",\"perS\":3,\"timeoutMs\":8000,\"targetMs\":1500,\"tokensIn\":100,\"tokensOut\":20,\"models\":[\"m/a1\",\"n\",\"o\"]},"
     "{\"name\":\"l\",\"host\":\"h.example\",\"prefix\":\"/l/\",\"service\":\"p\",\"mode\":\"once\",\"perS\":2,\"timeoutMs\":3000,\"targetMs\":500}]";
 
-/* each change of a valid day makes it invalid */
+/* each replacement makes a valid day invalid; the reader must return the expected error code */
 static void check_invalid_days(fleet *fleet, const char *good) {
   static const struct {
     const char *find, *put;
@@ -56,7 +56,7 @@
     error err = { 0 };
     day *taken = day_read(string_view_of(text), &err);
     if (taken || err.code != bad[i].code || !err.text[0])
-      fleet_add_violation(fleet, "%s instead of %s gets code %d (%s), not %d", bad[i].put,
+      fleet_add_violation(fleet, "%s instead of %s returns code %d (%s), not %d", bad[i].put,
                           bad[i].find, err.code, err.text, bad[i].code);
     day_free(taken);
     g_strfreev(part);
@@ -64,7 +64,7 @@
   }
 }
 
-/* faults that are added to a day by a flag on the command line */
+/* faults that are added to a day by command-line flags */
 static void check_fault_flags(fleet *fleet, day *day) {
   static const struct {
     const char *flag;
@@ -82,10 +82,10 @@
   for (size_t i = 0; i < G_N_ELEMENTS(flags); i++) {
     error err = { 0 };
     if (day_add_fault(day, flags[i].flag, &err) != flags[i].code)
-      fleet_add_violation(fleet, "the trouble %s gets code %d", flags[i].flag, err.code);
+      fleet_add_violation(fleet, "the fault %s returns code %d", flags[i].flag, err.code);
   }
   if (day->fault_count != 3 || day->faults[0].at_s != 2.5)
-    fleet_add_violation(fleet, "%zu troubles stand, the first at %g s", day->fault_count,
+    fleet_add_violation(fleet, "the day has %zu faults, the first at %g s", day->fault_count,
                         day->faults[0].at_s);
 }
 
@@ -93,7 +93,7 @@
   error err = { 0 };
   if (day_set_eviction(day, "best", &err) != E_NAME || day_set_eviction(day, "lru", &err) ||
       day_set_eviction(day, "expr:rate / size", &err) || !strstr(day->policy, "rate / size"))
-    fleet_add_violation(fleet, "policies of a day: %s", day->policy);
+    fleet_add_violation(fleet, "the eviction policy was not set or checked: %s", day->policy);
 }
 
 static bool bad_days_are_refused(fleet *fleet) {
@@ -105,7 +105,7 @@
     check_fault_flags(fleet, day);
     check_policies(fleet, day);
   } else {
-    fleet_add_violation(fleet, "a good day is refused: %s (%d)", err.text, err.code);
+    fleet_add_violation(fleet, "a valid day is rejected: %s (%d)", err.text, err.code);
   }
   bool valid = day != NULL;
   day_free(day);
@@ -119,12 +119,12 @@
     gchar *text = NULL;
     error err = { 0 };
     if (!g_file_get_contents(files[i], &text, NULL, NULL)) {
-      fleet_add_violation(fleet, "%s is not there", files[i]);
+      fleet_add_violation(fleet, "%s can't be read", files[i]);
       continue;
     }
     day *day = day_read(string_view_of(text), &err);
     if (!day)
-      fleet_add_violation(fleet, "%s is refused: %s (%d)", files[i], err.text, err.code);
+      fleet_add_violation(fleet, "%s is rejected: %s (%d)", files[i], err.text, err.code);
     day_free(day);
     g_free(text);
   }
@@ -140,14 +140,14 @@
   day *day = day_read(string_view_of(text), &err);
   g_free(text);
   if (!day) {
-    fleet_add_violation(fleet, "the day is refused: %s", err.text);
+    fleet_add_violation(fleet, "the day is rejected: %s", err.text);
     return false;
   }
   day_result *a = g_new0(day_result, 1), *b = g_new0(day_result, 1);
   if (!day_play(day, fleet->seed, false, a) || !day_play(day, fleet->seed, false, b))
     fleet_add_violation(fleet, "the day was not played: %s", a->violations);
   if (a->violations[0])
-    fleet_add_violation(fleet, "rules broke: %s", a->violations);
+    fleet_add_violation(fleet, "rules were violated: %s", a->violations);
   /* all requests are accounted for: in total, by kind, by zone and by time */
   const day_totals *s = &a->total;
   uint64_t kinds = 0, areas = 0, steps = 0;
@@ -168,9 +168,9 @@
   if (!a->messages || !a->bytes || a->attempts < s->served ||
       a->step_counts[2].sent <= a->step_counts[0].sent)
     fleet_add_violation(fleet, "messages %" PRIu64 ", attempts %" PRIu64, a->messages, a->attempts);
-  /* the same seed gives the same day */
+  /* the same seed gives the same result */
   if (memcmp(&a->total, &b->total, sizeof a->total) || a->messages != b->messages)
-    fleet_add_violation(fleet, "the same seed gave another day");
+    fleet_add_violation(fleet, "the same seed gave another result");
   GString *t = g_string_new(NULL);
   day_report_json(day, a, t);
   json *json = json_parse(string_view_of_gstring(t), &err);
@@ -199,7 +199,7 @@
     fleet_add_violation(fleet, "mean %g, half %g", mean, half);
   day_paired_interval(x, 1, &mean, &half);
   if (mean != 1 || half >= 0)
-    fleet_add_violation(fleet, "one alone has an interval of %g", half);
+    fleet_add_violation(fleet, "a single difference has an interval of %g", half);
   return true;
 }
 
