--- a/emulator/peer_channel.h
+++ b/emulator/peer_channel.h
@@ -13,22 +13,24 @@
   /** Number of messages that were delivered while only the acknowledgements were lost. */
   unsigned unacked_sent;
   bool closed;
+  /** Incarnation of the sending process. */
   uint64_t incarnation;
   GQueue queued_messages;
 } peer_channel;
 
-enum peer_fate { PEER_SENT, PEER_QUEUED };
+enum peer_send_result { PEER_SENT, PEER_QUEUED };
 
 peer_channel *peer_channel_new(void);
 void peer_channel_free(void *p);
-/** Decides whether a message is sent now or has to wait. there and back: whether the forward and
- * the backward direction are cut; healed: when a partition last healed; give_up_ms: the timeout, 0
- * for none; draw: a random number below a million, from which the delay of reopening is taken. */
-enum peer_fate peer_channel_send(peer_channel *c, time_us now, bool there, bool back,
-                                 time_us healed, int64_t give_up_ms, uint64_t draw);
+/** Decides whether a message is sent now or has to wait. forward_cut and backward_cut: whether that
+ * direction is cut; healed_at: when a partition last healed; timeout_ms: 0 for none; random: a
+ * random number below a million, which gives the delay of reopening in microseconds. */
+enum peer_send_result peer_channel_send(peer_channel *channel, time_us now, bool forward_cut,
+                                        bool backward_cut, time_us healed_at, int64_t timeout_ms,
+                                        uint64_t random);
 /** Returns whether a message that was not sent is queued until the channel resumes; otherwise it is
  * lost. */
-bool peer_channel_can_queue(const peer_channel *c);
+bool peer_channel_can_queue(const peer_channel *channel);
 /** Resets the channel to a new, open one with an empty queue. */
-void peer_channel_reset(peer_channel *c);
+void peer_channel_reset(peer_channel *channel);
 #endif
--- a/emulator/sim_messages.c
+++ b/emulator/sim_messages.c
@@ -142,18 +142,18 @@
   peer_channel *channel = direction->channel;
   bool forward_cut = sim_is_partitioned(sim, from, to);
   bool backward_cut = sim_is_partitioned(sim, to, from);
-  enum peer_fate fate =
+  enum peer_send_result result =
       peer_channel_send(channel, sim->now, forward_cut, backward_cut, sim->partitions.healed_at,
                         sim->peer_timeout_ms, sim_random(sim, CHANCE_VALUES));
-  if (fate == PEER_QUEUED && peer_channel_can_queue(channel))
+  if (result == PEER_QUEUED && peer_channel_can_queue(channel))
     g_queue_push_tail(&channel->queued_messages, g_string_new_len(text.data, text.length));
   if (channel->resumes_at.us && !direction->resume_scheduled) {
     direction->resume_scheduled = true;
     sim_schedule(sim, channel->resumes_at, resume_channel, direction);
   }
-  if (fate == PEER_SENT && channel->resumes_at.us)
+  if (result == PEER_SENT && channel->resumes_at.us)
     flush_queued_messages(direction);
-  return fate == PEER_SENT;
+  return result == PEER_SENT;
 }
 
 static bool draw_loss(sim *sim) {
