--- a/emulator/platform_sim.c
+++ b/emulator/platform_sim.c
@@ -1,82 +1,86 @@
+/** @file
+ * The simulated platform. A GET lists the engines; other requests replace the list (/v1/engines) or
+ * set whether an engine drains (/v1/leave). */
 #include "simulators.h"
 
 bool platform_sim_replace_engines(platform_sim *platform, const json *value) {
-  const json *l = json_get(value, "engines");
-  if (!l || l->kind != JSON_ARRAY)
+  const json *list = json_get(value, "engines");
+  if (!list || list->kind != JSON_ARRAY)
     return false;
   g_array_set_size(platform->engines, 0);
-  for (size_t i = 0; i < json_count(l); i++) {
-    const json *x = json_at(l, i);
-    platform_sim_engine e = { 0 };
-    e.self = id_of_text(json_text(x, "id", ""));
-    e.type = id_of_text(json_text(x, "type", "any"));
-    e.area = id_of_text(json_text(x, "area", "none"));
-    g_strlcpy(e.addr, json_text(x, "addr", ""), sizeof e.addr);
-    e.weights_mb = json_number(x, "weightsMb", 0);
-    e.adapter_slots = json_number(x, "adapterSlots", 0);
-    e.draining = json_bool(x, "leaving", false);
-    g_array_append_val(platform->engines, e);
+  for (size_t i = 0; i < json_count(list); i++) {
+    const json *entry = json_at(list, i);
+    platform_sim_engine engine = { 0 };
+    engine.self = id_of_text(json_text(entry, "id", ""));
+    engine.type = id_of_text(json_text(entry, "type", "any"));
+    engine.area = id_of_text(json_text(entry, "area", "none"));
+    g_strlcpy(engine.addr, json_text(entry, "addr", ""), sizeof engine.addr);
+    engine.weights_mb = json_number(entry, "weightsMb", 0);
+    engine.adapter_slots = json_number(entry, "adapterSlots", 0);
+    engine.draining = json_bool(entry, "leaving", false);
+    g_array_append_val(platform->engines, engine);
   }
   return true;
 }
 
-platform_sim_engine *platform_sim_find(platform_sim *platform, id who) {
+platform_sim_engine *platform_sim_find(platform_sim *platform, id name) {
   for (guint i = 0; i < platform->engines->len; i++)
-    if (id_equal(g_array_index(platform->engines, platform_sim_engine, i).self, who))
+    if (id_equal(g_array_index(platform->engines, platform_sim_engine, i).self, name))
       return &g_array_index(platform->engines, platform_sim_engine, i);
   return NULL;
 }
 
-void platform_sim_set_engine_state(platform_sim *platform, id who, bool leaving, bool out) {
-  platform_sim_engine *e = platform_sim_find(platform, who);
-  if (!e)
+void platform_sim_set_engine_state(platform_sim *platform, id name, bool draining, bool unlisted) {
+  platform_sim_engine *engine = platform_sim_find(platform, name);
+  if (!engine)
     return;
-  e->draining = leaving;
-  e->off_list = out;
-  e->since = world_now(platform->world);
-  platform_sim_change m = { e->since, who, leaving, out };
-  g_array_append_val(platform->changes, m);
+  engine->draining = draining;
+  engine->unlisted = unlisted;
+  engine->state_changed_at = world_now(platform->world);
+  platform_sim_change change = { engine->state_changed_at, name, draining, unlisted };
+  g_array_append_val(platform->changes, change);
 }
 
-static void list(platform_sim *platform, http_request *request) {
-  GString *b = g_string_new("{\"engines\":[");
+static void respond_with_engines(platform_sim *platform, http_request *request) {
+  GString *body = g_string_new("{\"engines\":[");
   bool first = true;
   platform->list_requests++;
   for (guint i = 0; i < platform->engines->len; i++) {
-    platform_sim_engine *e = &g_array_index(platform->engines, platform_sim_engine, i);
-    if (e->off_list)
+    platform_sim_engine *engine = &g_array_index(platform->engines, platform_sim_engine, i);
+    if (engine->unlisted)
       continue;
     json_appendf(
-        b,
+        body,
         "%s{\"id\":\"%s\",\"addr\":\"%s\",\"type\":\"%s\",\"area\":\"%s\",\"weightsMb\":%" PRIu64
         ",\"adapterSlots\":%u,\"leaving\":%s}",
-        first ? "" : ",", e->self.text, e->addr, e->type.text, e->area.text, e->weights_mb,
-        e->adapter_slots, e->draining ? "true" : "false");
+        first ? "" : ",", engine->self.text, engine->addr, engine->type.text, engine->area.text,
+        engine->weights_mb, engine->adapter_slots, engine->draining ? "true" : "false");
     first = false;
   }
-  g_string_append(b, "]}\n");
-  http_request_respond(request, 200, "application/json", string_view_of_gstring(b));
-  g_string_free(b, TRUE);
+  g_string_append(body, "]}\n");
+  http_request_respond(request, 200, "application/json", string_view_of_gstring(body));
+  g_string_free(body, TRUE);
 }
 
-static void serve(void *ctx, http_request *request) {
-  platform_sim *platform = ctx;
+static void serve(void *context, http_request *request) {
+  platform_sim *platform = context;
   bool ok = false;
   if (strcmp(request->path, "/v1/engines") && strcmp(request->path, "/v1/leave")) {
     http_request_respond(request, 404, "application/json", string_view_of("{}"));
     return;
   }
   if (!strcmp(request->method, "GET")) {
-    list(platform, request);
+    respond_with_engines(platform, request);
     return;
   }
   json *json = json_parse(string_view_of_gstring(request->body), NULL);
   if (!strcmp(request->path, "/v1/leave")) {
-    platform_sim_engine *e = platform_sim_find(platform, id_of_text(json_text(json, "id", "")));
-    if (e)
-      platform_sim_set_engine_state(platform, e->self, json_bool(json, "leaving", true),
-                                    e->off_list);
-    ok = e != NULL;
+    platform_sim_engine *engine =
+        platform_sim_find(platform, id_of_text(json_text(json, "id", "")));
+    if (engine)
+      platform_sim_set_engine_state(platform, engine->self, json_bool(json, "leaving", true),
+                                    engine->unlisted);
+    ok = engine != NULL;
   } else
     ok = json && platform_sim_replace_engines(platform, json);
   json_free(json);
--- a/emulator/simulators.h
+++ b/emulator/simulators.h
@@ -12,14 +12,14 @@
   char addr[48];
   uint64_t weights_mb;
   unsigned adapter_slots;
-  bool draining, off_list;
-  time_us since;
+  bool draining, unlisted;
+  time_us state_changed_at;
 } platform_sim_engine;
 /** The platform's record of one change to an engine on its list. */
 typedef struct platform_sim_change {
   time_us changed_at;
   id engine;
-  bool draining, off_list;
+  bool draining, unlisted;
 } platform_sim_change;
 typedef struct platform_sim {
   world *world;
@@ -30,8 +30,8 @@
 void platform_sim_free(platform_sim *platform);
 /** Replaces the engines by the list in a JSON object; false when it has none. */
 bool platform_sim_replace_engines(platform_sim *platform, const json *json);
-platform_sim_engine *platform_sim_find(platform_sim *platform, id who);
+platform_sim_engine *platform_sim_find(platform_sim *platform, id name);
 /** Sets whether an engine drains, and whether it is left out of the list; each call is recorded in
  * changes. */
-void platform_sim_set_engine_state(platform_sim *platform, id who, bool leaving, bool out);
+void platform_sim_set_engine_state(platform_sim *platform, id name, bool draining, bool unlisted);
 #endif
