--- a/emulator/sim_disk.c
+++ b/emulator/sim_disk.c
@@ -9,7 +9,7 @@
   /** The size that a disk writes atomically. */
   SECTOR_BYTES = 512,
   /** A write of which only the beginning is kept is cut at a multiple of this size. */
-  CUT_UNIT_BYTES = 64,
+  TORN_WRITE_UNIT_BYTES = 64,
   /** An operation takes OPERATION_US plus a random part of OPERATION_JITTER_US. */
   OPERATION_US = 200,
   OPERATION_JITTER_US = 1500
@@ -131,7 +131,7 @@
     return length;
   if (sim_random(sim, 2))
     return 0;
-  return MIN(length, sim_random(sim, length / CUT_UNIT_BYTES + 1) * CUT_UNIT_BYTES);
+  return MIN(length, sim_random(sim, length / TORN_WRITE_UNIT_BYTES + 1) * TORN_WRITE_UNIT_BYTES);
 }
 
 static void lose_unsynced_write(sim *sim, sim_disk *disk, const unsynced_write *write) {
@@ -167,18 +167,18 @@
   }
 }
 
-static void clear(sim_disk *disk) {
+static void erase_disk(sim_disk *disk) {
   drop_unsynced_writes(disk);
   for (int i = 0; i < SIM_DISK_FILES_MAX; i++)
     remove_file(disk, i);
 }
 
 void sim_disk_free(sim_disk *disk) {
-  clear(disk);
+  erase_disk(disk);
   g_array_free(disk->unsynced_writes, TRUE);
   g_free(disk);
 }
 
 void host_wipe_disk(host *host) {
-  clear(host->disk);
+  erase_disk(host->disk);
 }
