--- a/emulator/sim.c
+++ b/emulator/sim.c
@@ -73,13 +73,13 @@
   g_free(sim);
 }
 
-static bool runs(const host *host) {
+static bool is_runnable(const host *host) {
   return host->alive && !host->frozen;
 }
 
 static void wake_hosts(sim *sim) {
   list_for_each (h, &sim->hosts, host, link) {
-    if (!runs(h))
+    if (!is_runnable(h))
       continue;
     if (!list_is_empty(&h->world.tasks.ready) || h->next_wake_at.us <= sim->now.us)
       h->next_wake_at = scheduler_run(&h->world.tasks);
@@ -94,7 +94,7 @@
 static time_us next_instant(sim *sim, const sim_event *first, time_us end) {
   time_us next = first ? earlier(first->at, end) : end;
   list_for_each (h, &sim->hosts, host, link) {
-    if (!runs(h))
+    if (!is_runnable(h))
       continue;
     if (!list_is_empty(&h->inbox))
       next = sim->now;
@@ -106,7 +106,7 @@
 /* runs the events that arrived while their host was frozen */
 static void run_inboxes(sim *sim) {
   list_for_each (h, &sim->hosts, host, link)
-    while (runs(h) && !list_is_empty(&h->inbox)) {
+    while (is_runnable(h) && !list_is_empty(&h->inbox)) {
       sim_event *event = list_item(h->inbox.next, sim_event, inbox_link);
       list_remove(&event->inbox_link);
       sim_event_run(event);
