--- a/emulator/fleet.c
+++ b/emulator/fleet.c
@@ -53,7 +53,7 @@
 static host *add_engine(fleet *fleet, int i) {
   host *engine = add_host(fleet, HOST_ENGINE, "engine", 3, i, 7200);
   engine->weights_mb = WEIGHTS_MIN_MB + WEIGHTS_STEP_MB * (i % ENGINE_SIZES);
-  engine->slots = SLOTS_MIN + i % ENGINE_SIZES;
+  engine->adapter_slots = SLOTS_MIN + i % ENGINE_SIZES;
   engine->faults.load_mb_per_s = 8000;
   engine->faults.token_ms = 20;
   g_strlcpy(engine->settings.platform_address, i % 2 ? "t4" : "l4",
@@ -220,7 +220,7 @@
                                    .type = id_of_text(host->settings.platform_address),
                                    .area = host->area,
                                    .weights_mb = host->weights_mb,
-                                   .adapter_slots = host->slots };
+                                   .adapter_slots = host->adapter_slots };
     g_strlcpy(engine.addr, host->addr, sizeof engine.addr);
     g_array_append_val(fleet->platform->platform->engines, engine);
   }
--- a/emulator/fleet_files.c
+++ b/emulator/fleet_files.c
@@ -39,7 +39,7 @@
     return;
   counts->engines++;
   host->weights_mb = weights_mb;
-  host->slots = slots;
+  host->adapter_slots = slots;
   g_strlcpy(host->settings.platform_address, type, sizeof host->settings.platform_address);
 }
 
--- a/emulator/sim_host.c
+++ b/emulator/sim_host.c
@@ -85,7 +85,7 @@
     g_ptr_array_add(host->past_engines, host->engine);
   host->engine =
       engine_sim_new(&host->world, host->self, id_of_text(host->settings.platform_address),
-                     host->area, host->weights_mb, host->slots);
+                     host->area, host->weights_mb, host->adapter_slots);
   host->engine->faults = host->faults;
 }
 
--- a/emulator/sim_host.h
+++ b/emulator/sim_host.h
@@ -60,7 +60,7 @@
   GPtrArray *past_engines;
   /** For engines: memory for weights in MB, adapter slots, and the faults of the next process. */
   uint64_t weights_mb;
-  unsigned slots;
+  unsigned adapter_slots;
   engine_faults faults;
   /** Version of the latest configuration that the checks saw here; 0 after a start. */
   uint64_t config_version_seen;
