--- a/tests/emulator/check.c
+++ b/tests/emulator/check.c
@@ -19,12 +19,12 @@
 } finished_run;
 
 /* whether the checker of a rule has recorded a violation; clears the recorded violations */
-static bool was_seen(fleet *fleet, const char *rule) {
-  bool seen = strstr(fleet->violations->str, rule) != NULL;
-  if (!seen)
+static bool violation_reported(fleet *fleet, const char *rule) {
+  bool detected = strstr(fleet->violations->str, rule) != NULL;
+  if (!detected)
     fprintf(stderr, "  the checker of %s reported no violation\n", rule);
   g_string_truncate(fleet->violations, 0);
-  return seen;
+  return detected;
 }
 
 static loadgen_request *answered_request(const fleet *fleet) {
@@ -58,33 +58,33 @@
 }
 
 /* R1: a request that cannot be resumed runs twice */
-static bool sees_second_run(finished_run *run) {
+static bool detects_second_run(finished_run *run) {
   engine_sim_stream second = { .outcome = 'd' };
   g_strlcpy(second.tag, run->request->tag, sizeof second.tag);
   g_array_append_val(run->engine->streams, second);
   fleet_check_runs(run->fleet);
   g_array_set_size(run->engine->streams, run->engine->streams->len - 1);
-  return was_seen(run->fleet, "R1");
+  return violation_reported(run->fleet, "R1");
 }
 
 /* R2: an attempt that ran is reported as not run */
-static bool sees_false_refusal(finished_run *run) {
+static bool detects_false_refusal(finished_run *run) {
   run->attempt->outcome = OUTCOME_NOT_RUN;
   fleet_check_runs(run->fleet);
   run->attempt->outcome = OUTCOME_DONE;
-  return was_seen(run->fleet, "R2");
+  return violation_reported(run->fleet, "R2");
 }
 
 /* R3: a caller got the answer to another caller's request */
-static bool sees_wrong_answer(finished_run *run) {
+static bool detects_wrong_answer(finished_run *run) {
   run->request->outcome = OUTCOME_WRONG;
   fleet_check_runs(run->fleet);
   run->request->outcome = OUTCOME_DONE;
-  return was_seen(run->fleet, "R3");
+  return violation_reported(run->fleet, "R3");
 }
 
 /* R4: a policy marker was acknowledged long ago, and a router still answers by an older policy */
-static bool sees_old_policy(finished_run *run) {
+static bool detects_old_policy(finished_run *run) {
   fleet *fleet = run->fleet;
   operator_write *marker = g_new0(operator_write, 1);
   *marker =
@@ -96,31 +96,31 @@
   g_array_append_val(fleet->probes, answer);
   fleet_check_policy_markers(fleet);
   marker->marker_status = 0;
-  return was_seen(fleet, "R4");
+  return violation_reported(fleet, "R4");
 }
 
 /* R5: a write was acknowledged that no replica has */
-static bool sees_lost_write(finished_run *run) {
+static bool detects_lost_write(finished_run *run) {
   fleet *fleet = run->fleet;
   write_ack lost = { 1000000, RESOURCE_POLICY, fleet->sim->now };
   g_array_append_val(fleet->write_acks, lost);
   scenario_check_acknowledged_writes(fleet);
   g_array_set_size(fleet->write_acks, fleet->write_acks->len - 1);
-  return was_seen(fleet, "R5");
+  return violation_reported(fleet, "R5");
 }
 
 /* R6: an engine with streams was draining from the start */
-static bool sees_work_on_draining_engine(finished_run *run) {
+static bool detects_work_on_draining_engine(finished_run *run) {
   fleet *fleet = run->fleet;
   platform_sim_change draining = { { 0 }, run->busy_engine->self, true, false };
   g_array_append_val(fleet->platform->platform->changes, draining);
   fleet_check_draining(fleet);
   g_array_set_size(fleet->platform->platform->changes, 0);
-  return was_seen(fleet, "R6");
+  return violation_reported(fleet, "R6");
 }
 
 /* R7: the zone of an engine with streams was evacuated from the start */
-static bool sees_work_in_evacuated_zone(finished_run *run) {
+static bool detects_work_in_evacuated_zone(finished_run *run) {
   fleet *fleet = run->fleet;
   operator_write *evacuation = g_new0(operator_write, 1);
   *evacuation = (operator_write){ .answered_at = { 1 },
@@ -132,11 +132,11 @@
   g_ptr_array_add(fleet->writes, evacuation);
   fleet_check_evacuated(fleet);
   evacuation->resource = -1;
-  return was_seen(fleet, "R7");
+  return violation_reported(fleet, "R7");
 }
 
 /* R8: an order of a process that holds no lease on the engine */
-static bool sees_foreign_order(finished_run *run) {
+static bool detects_foreign_order(finished_run *run) {
   GArray *orders = run->busy_engine->engine->orders;
   engine_sim_order foreign = {
     .received_at = run->fleet->sim->now, .kind = 'u', .holder = id_of_text("nobody"), .epoch = 0
@@ -144,19 +144,19 @@
   g_array_append_val(orders, foreign);
   fleet_check_lease_succession(run->fleet);
   g_array_set_size(orders, orders->len - 1);
-  return was_seen(run->fleet, "R8");
+  return violation_reported(run->fleet, "R8");
 }
 
 /* R9: an order exceeded the capacity of an engine */
-static bool sees_overrun_capacity(finished_run *run) {
+static bool detects_overrun_capacity(finished_run *run) {
   run->engine->over_capacity_orders = 1;
   fleet_check_capacity(run->fleet);
   run->engine->over_capacity_orders = 0;
-  return was_seen(run->fleet, "R9");
+  return violation_reported(run->fleet, "R9");
 }
 
 /* R10: nine loads were ordered at one instant */
-static bool sees_loads_above_rate(finished_run *run) {
+static bool detects_loads_above_rate(finished_run *run) {
   GArray *orders = run->engine->orders;
   guint before = orders->len;
   engine_sim_order load = { .received_at = run->fleet->sim->now, .kind = 'l' };
@@ -164,11 +164,11 @@
     g_array_append_val(orders, load);
   fleet_check_load_rate(run->fleet);
   g_array_set_size(orders, before);
-  return was_seen(run->fleet, "R10");
+  return violation_reported(run->fleet, "R10");
 }
 
 /* R11: one request was retried a hundred times */
-static bool sees_many_retries(finished_run *run) {
+static bool detects_many_retries(finished_run *run) {
   GArray *refusals = run->engine->refusals;
   guint before = refusals->len;
   engine_sim_refusal refusal = { .refused_at = run->fleet->sim->now };
@@ -177,12 +177,12 @@
     g_array_append_val(refusals, refusal);
   fleet_check_retries(run->fleet);
   g_array_set_size(refusals, before);
-  return was_seen(run->fleet, "R11");
+  return violation_reported(run->fleet, "R11");
 }
 
 /* R12: no request is served from 12 s after a loss on; runs last, because it leaves the records
  * changed */
-static bool sees_slow_recovery(finished_run *run) {
+static bool detects_slow_recovery(finished_run *run) {
   fleet *fleet = run->fleet;
   time_us loss_at = time_sub(fleet->sim->now, time_from_ms(19000));
   time_us recovered_at = time_add(loss_at, time_from_ms(RECOVERY_LIMIT_MS));
@@ -193,26 +193,26 @@
       request->outcome = OUTCOME_NOT_RUN;
   }
   fleet_check_recovery(fleet, loss_at, fleet->sim->now);
-  return was_seen(fleet, "R12");
-}
-
-static bool checkers_can_fail(fleet *fleet) {
-  static bool (*const seeded[])(finished_run * run) = {
-    sees_second_run,
-    sees_false_refusal,
-    sees_wrong_answer,
-    sees_old_policy,
-    sees_lost_write,
-    sees_work_on_draining_engine,
-    sees_work_in_evacuated_zone,
-    sees_foreign_order,
-    sees_overrun_capacity,
-    sees_loads_above_rate,
-    sees_many_retries,
-    sees_slow_recovery,
+  return violation_reported(fleet, "R12");
+}
+
+static bool fleet_checkers_can_fail(fleet *fleet) {
+  static bool (*const checks[])(finished_run * run) = {
+    detects_second_run,
+    detects_false_refusal,
+    detects_wrong_answer,
+    detects_old_policy,
+    detects_lost_write,
+    detects_work_on_draining_engine,
+    detects_work_in_evacuated_zone,
+    detects_foreign_order,
+    detects_overrun_capacity,
+    detects_loads_above_rate,
+    detects_many_retries,
+    detects_slow_recovery,
   };
   enum { RULES = 12 };
-  _Static_assert(G_N_ELEMENTS(seeded) == RULES, "one violation for each rule");
+  _Static_assert(G_N_ELEMENTS(checks) == RULES, "one violation for each rule");
   if (!fleet_bring_up(fleet))
     return false;
   fleet_start_sampling(fleet);
@@ -225,13 +225,13 @@
                        .busy_engine = engine_with_streams(fleet),
                        .request = answered_request(fleet) };
   run.attempt = last_attempt(fleet, run.request);
-  int seen = 0;
-  for (size_t i = 0; i < G_N_ELEMENTS(seeded); i++)
-    seen += seeded[i](&run);
-  if (seen != RULES)
-    fleet_add_violation(fleet, "only %d of %d checkers reported the violation", seen, RULES);
-  return seen == RULES;
+  int detected = 0;
+  for (size_t i = 0; i < G_N_ELEMENTS(checks); i++)
+    detected += checks[i](&run);
+  if (detected != RULES)
+    fleet_add_violation(fleet, "only %d of %d checkers reported the violation", detected, RULES);
+  return detected == RULES;
 }
 
-const test_case check_tests[] = { { "checkers_can_fail", checkers_can_fail, 4, 5, 20 },
+const test_case check_tests[] = { { "fleet_checkers_can_fail", fleet_checkers_can_fail, 4, 5, 20 },
                                   { NULL, NULL, 0, 0, 0 } };
--- a/tests/emulator/day.c
+++ b/tests/emulator/day.c
@@ -96,7 +96,7 @@
     fleet_add_violation(fleet, "the eviction policy was not set or checked: %s", day->policy);
 }
 
-static bool bad_days_are_refused(fleet *fleet) {
+static bool invalid_days_are_rejected(fleet *fleet) {
   char *good = g_strconcat(HEAD, SERVICES, KINDS, "}", NULL);
   error err = { 0 };
   day *day = day_read(string_view_of(good), &err);
@@ -113,7 +113,7 @@
   return valid;
 }
 
-static bool shipped_days_are_read(fleet *fleet) {
+static bool shipped_days_are_valid(fleet *fleet) {
   static const char *const files[] = { "examples/lanka/day.json", "examples/selam/day.json" };
   for (int i = 0; i < 2; i++) {
     gchar *text = NULL;
@@ -131,7 +131,7 @@
   return true;
 }
 
-static bool a_day_says_what_happened(fleet *fleet) {
+static bool day_result_accounts_for_every_request(fleet *fleet) {
   char *text = g_strconcat(
       HEAD, SERVICES, KINDS,
       ",\"troubles\":[{\"what\":\"burst\",\"atS\":4,\"forS\":3,\"factor\":4},{\"what\":\"gateway-kill\",\"atS\":2},{\"what\":\"config-change\",\"atS\":6},{\"what\":\"engine-crash\",\"atS\":8}]}",
@@ -143,55 +143,59 @@
     fleet_add_violation(fleet, "the day is rejected: %s", err.text);
     return false;
   }
-  day_result *a = g_new0(day_result, 1), *b = g_new0(day_result, 1);
-  if (!day_play(day, fleet->seed, false, a) || !day_play(day, fleet->seed, false, b))
-    fleet_add_violation(fleet, "the day was not played: %s", a->violations);
-  if (a->violations[0])
-    fleet_add_violation(fleet, "rules were violated: %s", a->violations);
+  day_result *first = g_new0(day_result, 1), *second = g_new0(day_result, 1);
+  if (!day_play(day, fleet->seed, false, first) || !day_play(day, fleet->seed, false, second))
+    fleet_add_violation(fleet, "the day was not played: %s", first->violations);
+  if (first->violations[0])
+    fleet_add_violation(fleet, "rules were violated: %s", first->violations);
   /* all requests are accounted for: in total, by kind, by zone and by time */
-  const day_totals *s = &a->total;
-  uint64_t kinds = 0, areas = 0, steps = 0;
-  for (size_t i = 0; i < a->kind_count; i++)
-    kinds += a->kind_totals[i].sent;
-  for (int i = 0; i < a->zone_count; i++)
-    areas += a->zone_totals[i].sent;
-  for (size_t i = 0; i < a->step_count; i++)
-    steps += a->step_counts[i].sent;
-  if (s->sent < 60 || s->sent != kinds || s->sent != areas || s->sent != steps ||
-      s->sent != s->served + s->refused + s->timed_out + s->broken + s->unanswered ||
-      s->served != s->in_target + s->late)
+  const day_totals *total = &first->total;
+  uint64_t sent_by_kind = 0, sent_by_zone = 0, sent_by_step = 0;
+  for (size_t i = 0; i < first->kind_count; i++)
+    sent_by_kind += first->kind_totals[i].sent;
+  for (int i = 0; i < first->zone_count; i++)
+    sent_by_zone += first->zone_totals[i].sent;
+  for (size_t i = 0; i < first->step_count; i++)
+    sent_by_step += first->step_counts[i].sent;
+  if (total->sent < 60 || total->sent != sent_by_kind || total->sent != sent_by_zone ||
+      total->sent != sent_by_step ||
+      total->sent !=
+          total->served + total->refused + total->timed_out + total->broken + total->unanswered ||
+      total->served != total->in_target + total->late)
     fleet_add_violation(
         fleet, "%" PRIu64 " sent, by kind %" PRIu64 ", by zone %" PRIu64 ", by time %" PRIu64,
-        s->sent, kinds, areas, steps);
-  if (s->served * 10 < s->sent * 9)
-    fleet_add_violation(fleet, "%" PRIu64 " of %" PRIu64 " served", s->served, s->sent);
-  if (!a->messages || !a->bytes || a->attempts < s->served ||
-      a->step_counts[2].sent <= a->step_counts[0].sent)
-    fleet_add_violation(fleet, "messages %" PRIu64 ", attempts %" PRIu64, a->messages, a->attempts);
+        total->sent, sent_by_kind, sent_by_zone, sent_by_step);
+  if (total->served * 10 < total->sent * 9)
+    fleet_add_violation(fleet, "%" PRIu64 " of %" PRIu64 " served", total->served, total->sent);
+  if (!first->messages || !first->bytes || first->attempts < total->served ||
+      first->step_counts[2].sent <= first->step_counts[0].sent)
+    fleet_add_violation(fleet, "messages %" PRIu64 ", attempts %" PRIu64, first->messages,
+                        first->attempts);
   /* the same seed gives the same result */
-  if (memcmp(&a->total, &b->total, sizeof a->total) || a->messages != b->messages)
+  if (memcmp(&first->total, &second->total, sizeof first->total) ||
+      first->messages != second->messages)
     fleet_add_violation(fleet, "the same seed gave another result");
-  GString *t = g_string_new(NULL);
-  day_report_json(day, a, t);
-  json *json = json_parse(string_view_of_gstring(t), &err);
-  if (!json || json_number(json_get(json, "all"), "sent", 0) != (double)s->sent ||
+  GString *report = g_string_new(NULL);
+  day_report_json(day, first, report);
+  json *json = json_parse(string_view_of_gstring(report), &err);
+  if (!json || json_number(json_get(json, "all"), "sent", 0) != (double)total->sent ||
       !json_bool(json, "rulesKept", false))
-    fleet_add_violation(fleet, "the JSON is %.200s", t->str);
+    fleet_add_violation(fleet, "the JSON is %.200s", report->str);
   json_free(json);
-  g_string_truncate(t, 0);
-  day_report_plot(day, a, "a", b, "b", t);
-  if (!g_str_has_prefix(t->str, "<svg") || !g_str_has_suffix(t->str, "</svg>\n"))
-    fleet_add_violation(fleet, "the plot is %.200s", t->str);
-  g_string_free(t, TRUE);
-  day_result_clear(a);
-  day_result_clear(b);
-  g_free(a);
-  g_free(b);
+  g_string_truncate(report, 0);
+  day_report_plot(day, first, "a", second, "b", report);
+  if (!g_str_has_prefix(report->str, "<svg") || !g_str_has_suffix(report->str, "</svg>\n"))
+    fleet_add_violation(fleet, "the plot is %.200s", report->str);
+  g_string_free(report, TRUE);
+  day_result_clear(first);
+  day_result_clear(second);
+  g_free(first);
+  g_free(second);
   day_free(day);
   return true;
 }
 
-static bool differences_have_intervals(fleet *fleet) {
+static bool paired_differences_have_confidence_intervals(fleet *fleet) {
   double mean, half, x[] = { 1, 2, 3, 4 };
   day_paired_interval(x, 4, &mean, &half);
   /* 3.182 * 1.29099 / 2 */
@@ -203,9 +207,11 @@
   return true;
 }
 
-const test_case day_tests[] = { { "bad_days_are_refused", bad_days_are_refused, 1, 1, 17 },
-                                { "shipped_days_are_read", shipped_days_are_read, 1, 1, 17 },
-                                { "a_day_says_what_happened", a_day_says_what_happened, 1, 1, 100 },
-                                { "differences_have_intervals", differences_have_intervals, 1, 1,
-                                  17 },
-                                { NULL, NULL, 0, 0, 0 } };
+const test_case day_tests[] = {
+  { "invalid_days_are_rejected", invalid_days_are_rejected, 1, 1, 17 },
+  { "shipped_days_are_valid", shipped_days_are_valid, 1, 1, 17 },
+  { "day_result_accounts_for_every_request", day_result_accounts_for_every_request, 1, 1, 100 },
+  { "paired_differences_have_confidence_intervals", paired_differences_have_confidence_intervals, 1,
+    1, 17 },
+  { NULL, NULL, 0, 0, 0 }
+};
