--- a/emulator/day_config.c
+++ b/emulator/day_config.c
@@ -136,8 +136,8 @@
 
 /* returns the names of the models that fit into the memory of an engine, starting at *next; sets
  * *next to the first that does not fit */
-static GPtrArray *deal_models(const GPtrArray *models, double left_mb, guint *next) {
-  GPtrArray *dealt = g_ptr_array_new();
+static GPtrArray *take_models_that_fit(const GPtrArray *models, double left_mb, guint *next) {
+  GPtrArray *models_on_engine = g_ptr_array_new();
   for (guint i = 0; i < models->len; i++) {
     guint index = (*next + i) % models->len;
     const engine_model_spec *model = models->pdata[index];
@@ -146,9 +146,9 @@
       break;
     }
     left_mb -= model->weights_mb;
-    g_ptr_array_add(dealt, (char *)model->name.text);
+    g_ptr_array_add(models_on_engine, (char *)model->name.text);
   }
-  return dealt;
+  return models_on_engine;
 }
 
 static registering_engine_plan engine_plan(deployment *deployment, const day_service *service) {
@@ -187,7 +187,7 @@
     size_t engine_count = deployment->model_engine_count + deployment->plain_engine_count;
     id zone = day->zones[engine_count % (size_t)day->zone_count];
     GPtrArray *initial =
-        service->model_count ? deal_models(models, service->weights_mb, &next) : NULL;
+        service->model_count ? take_models_that_fit(models, service->weights_mb, &next) : NULL;
     deployment_add_engine(deployment, zone, engine_plan(deployment, service), initial);
   }
   if (service->model_count)
--- a/emulator/day_inject.c
+++ b/emulator/day_inject.c
@@ -61,97 +61,97 @@
   return event->host->alive;
 }
 
-static bool begin_engine_crash(day_run *run, scheduled_event *end) {
-  choose_engine(run, end);
-  if (!end->host->alive)
+static bool begin_engine_crash(day_run *run, scheduled_event *end_event) {
+  choose_engine(run, end_event);
+  if (!end_event->host->alive)
     return false;
-  deployment_record_fault(run->deployment, end->host, 'e', duration_ms(end->fault));
-  host_kill(end->host);
+  deployment_record_fault(run->deployment, end_event->host, 'e', duration_ms(end_event->fault));
+  host_kill(end_event->host);
   return true;
 }
 
-static bool begin_engine_power_off(day_run *run, scheduled_event *end) {
-  choose_engine(run, end);
-  if (!end->host->alive)
+static bool begin_engine_power_off(day_run *run, scheduled_event *end_event) {
+  choose_engine(run, end_event);
+  if (!end_event->host->alive)
     return false;
-  deployment_record_fault(run->deployment, end->host, 'e', duration_ms(end->fault));
-  host_power_off(end->host);
+  deployment_record_fault(run->deployment, end_event->host, 'e', duration_ms(end_event->fault));
+  host_power_off(end_event->host);
   return true;
 }
 
-static bool begin_engine_degraded(day_run *run, scheduled_event *end) {
-  choose_engine(run, end);
-  end->process->plan.faults.intermittent_failures = DEGRADED_FAILURES;
+static bool begin_engine_degraded(day_run *run, scheduled_event *end_event) {
+  choose_engine(run, end_event);
+  end_event->process->plan.faults.intermittent_failures = DEGRADED_FAILURES;
   return true;
 }
 
-static void end_engine_degraded(day_run *run, const scheduled_event *end) {
+static void end_engine_degraded(day_run *run, const scheduled_event *end_event) {
   (void)run;
-  end->process->plan.faults.intermittent_failures = 0;
+  end_event->process->plan.faults.intermittent_failures = 0;
 }
 
-static bool begin_engine_drain(day_run *run, scheduled_event *end) {
-  choose_engine(run, end);
-  if (!end->host->alive)
+static bool begin_engine_drain(day_run *run, scheduled_event *end_event) {
+  choose_engine(run, end_event);
+  if (!end_event->host->alive)
     return false;
-  if (end->process->engine)
-    registering_engine_sim_drain(end->process->engine, 0);
+  if (end_event->process->engine)
+    registering_engine_sim_drain(end_event->process->engine, 0);
   return true;
 }
 
-static bool begin_gateway_kill(day_run *run, scheduled_event *end) {
-  if (!choose_gateway(run, end))
+static bool begin_gateway_kill(day_run *run, scheduled_event *end_event) {
+  if (!choose_gateway(run, end_event))
     return false;
-  deployment_record_fault(run->deployment, end->host, 'k', duration_ms(end->fault));
-  host_kill(end->host);
+  deployment_record_fault(run->deployment, end_event->host, 'k', duration_ms(end_event->fault));
+  host_kill(end_event->host);
   return true;
 }
 
-static bool begin_gateway_drain(day_run *run, scheduled_event *end) {
-  if (!choose_gateway(run, end))
+static bool begin_gateway_drain(day_run *run, scheduled_event *end_event) {
+  if (!choose_gateway(run, end_event))
     return false;
-  deployment_terminate_gateway(run->deployment, end->host->context);
+  deployment_terminate_gateway(run->deployment, end_event->host->context);
   return true;
 }
 
-static bool begin_gateway_freeze(day_run *run, scheduled_event *end) {
-  if (!choose_gateway(run, end))
+static bool begin_gateway_freeze(day_run *run, scheduled_event *end_event) {
+  if (!choose_gateway(run, end_event))
     return false;
-  deployment_record_fault(run->deployment, end->host, 'f', duration_ms(end->fault));
-  host_freeze(end->host);
+  deployment_record_fault(run->deployment, end_event->host, 'f', duration_ms(end_event->fault));
+  host_freeze(end_event->host);
   return true;
 }
 
-static void end_gateway_freeze(day_run *run, const scheduled_event *end) {
+static void end_gateway_freeze(day_run *run, const scheduled_event *end_event) {
   (void)run;
-  if (end->host->alive && end->host->frozen)
-    host_unfreeze(end->host);
+  if (end_event->host->alive && end_event->host->frozen)
+    host_unfreeze(end_event->host);
 }
 
-static bool begin_controller_kill(day_run *run, scheduled_event *end) {
-  if (!choose_controller(run, end))
+static bool begin_controller_kill(day_run *run, scheduled_event *end_event) {
+  if (!choose_controller(run, end_event))
     return false;
-  deployment_record_fault(run->deployment, NULL, 'k', duration_ms(end->fault));
-  host_kill(end->host);
+  deployment_record_fault(run->deployment, NULL, 'k', duration_ms(end_event->fault));
+  host_kill(end_event->host);
   return true;
 }
 
-static bool begin_controller_partition(day_run *run, scheduled_event *end) {
-  if (!choose_controller(run, end))
+static bool begin_controller_partition(day_run *run, scheduled_event *end_event) {
+  if (!choose_controller(run, end_event))
     return false;
-  deployment_record_fault(run->deployment, NULL, 'k', duration_ms(end->fault));
-  sim_set_partition_both_ways(run->fleet->sim, end->host->self.text, NULL, true);
+  deployment_record_fault(run->deployment, NULL, 'k', duration_ms(end_event->fault));
+  sim_set_partition_both_ways(run->fleet->sim, end_event->host->self.text, NULL, true);
   return true;
 }
 
-static void end_controller_partition(day_run *run, const scheduled_event *end) {
-  sim_set_partition_both_ways(run->fleet->sim, end->host->self.text, NULL, false);
+static void end_controller_partition(day_run *run, const scheduled_event *end_event) {
+  sim_set_partition_both_ways(run->fleet->sim, end_event->host->self.text, NULL, false);
 }
 
-static bool begin_controller_wipe(day_run *run, scheduled_event *end) {
-  if (!begin_controller_kill(run, end))
+static bool begin_controller_wipe(day_run *run, scheduled_event *end_event) {
+  if (!begin_controller_kill(run, end_event))
     return false;
-  host_wipe_disk(end->host);
+  host_wipe_disk(end_event->host);
   return true;
 }
 
@@ -178,15 +178,15 @@
   return change;
 }
 
-static bool begin_config_change(day_run *run, scheduled_event *end) {
-  (void)end;
+static bool begin_config_change(day_run *run, scheduled_event *end_event) {
+  (void)end_event;
   wait_for_change(run, send_patch(run, run->config_version, 0));
   return false;
 }
 
 /* sends two concurrent changes of the same base version, of which at most one may be accepted */
-static bool begin_config_race(day_run *run, scheduled_event *end) {
-  (void)end;
+static bool begin_config_race(day_run *run, scheduled_event *end_event) {
+  (void)end_event;
   uint64_t base = run->config_version;
   const operator_sim_change *first = send_patch(run, base, 0);
   const operator_sim_change *second = send_patch(run, base, 1);
@@ -196,8 +196,8 @@
 }
 
 /* sends a configuration whose route names a service that doesn't exist */
-static bool begin_config_invalid(day_run *run, scheduled_event *end) {
-  (void)end;
+static bool begin_config_invalid(day_run *run, scheduled_event *end_event) {
+  (void)end_event;
   uint64_t base = run->config_version;
   char *text = g_strdup_printf(
       "{\"version\":%" PRIu64
@@ -209,13 +209,13 @@
   return false;
 }
 
-static bool begin_burst(day_run *run, scheduled_event *end) {
-  run->deployment->client->rate_factor *= end->fault->factor;
+static bool begin_burst(day_run *run, scheduled_event *end_event) {
+  run->deployment->client->rate_factor *= end_event->fault->factor;
   return true;
 }
 
-static void end_burst(day_run *run, const scheduled_event *end) {
-  run->deployment->client->rate_factor /= end->fault->factor;
+static void end_burst(day_run *run, const scheduled_event *end_event) {
+  run->deployment->client->rate_factor /= end_event->fault->factor;
 }
 
 static void reverse(GPtrArray *items) {
@@ -228,8 +228,8 @@
 }
 
 /* makes the least requested models the most requested ones */
-static bool begin_model_shift(day_run *run, scheduled_event *end) {
-  (void)end;
+static bool begin_model_shift(day_run *run, scheduled_event *end_event) {
+  (void)end_event;
   const GPtrArray *kinds = run->deployment->client->kinds;
   for (guint i = 0; i < kinds->len; i++) {
     const client_sim_kind *kind = kinds->pdata[i];
@@ -239,17 +239,17 @@
   return false;
 }
 
-static void restart_host(day_run *run, const scheduled_event *end) {
+static void restart_host(day_run *run, const scheduled_event *end_event) {
   (void)run;
-  if (!end->host->alive)
-    host_start(end->host);
+  if (!end_event->host->alive)
+    host_start(end_event->host);
 }
 
-/* the functions that begin and end a kind of fault. begin sets the target in the event of the end
- * and returns whether that event is to be scheduled */
+/* the functions that begin and end a kind of fault. begin sets the target in end_event, the event
+ * that ends the fault, and returns whether that event is to be scheduled */
 typedef struct fault_actions {
-  bool (*begin)(day_run *run, scheduled_event *end);
-  void (*end)(day_run *run, const scheduled_event *end);
+  bool (*begin)(day_run *run, scheduled_event *end_event);
+  void (*end)(day_run *run, const scheduled_event *end_event);
 } fault_actions;
 
 static const fault_actions actions[DAY_FAULT_KIND_COUNT] = {
@@ -298,7 +298,9 @@
     actions[fault->kind].end(run, &event);
     return;
   }
-  scheduled_event end = { .at_s = fault->at_s + fault->duration_s, .fault = fault, .is_end = true };
-  if (actions[fault->kind].begin(run, &end))
-    schedule(run, end);
+  scheduled_event end_event = { .at_s = fault->at_s + fault->duration_s,
+                                .fault = fault,
+                                .is_end = true };
+  if (actions[fault->kind].begin(run, &end_event))
+    schedule(run, end_event);
 }
