--- a/emulator/day_config.c
+++ b/emulator/day_config.c
@@ -31,7 +31,7 @@
 }
 
 void day_config_add_client_kinds(deployment *deployment) {
-  const day_run *run = deployment->ctx;
+  const day_run *run = deployment->context;
   const day *day = run->day;
   deployment->client->area_count = (unsigned)MIN(day->zone_count, day->gateways);
   for (size_t i = 0; i < day->kind_count; i++)
@@ -87,7 +87,7 @@
 }
 
 char *day_config_text(deployment *deployment, uint64_t version) {
-  const day_run *run = deployment->ctx;
+  const day_run *run = deployment->context;
   const day *day = run->day;
   GString *text = g_string_new(NULL);
   json_appendf(text, "{\"version\":%" PRIu64 ",\"routes\":[", version);
--- a/emulator/day_config.h
+++ b/emulator/day_config.h
@@ -6,8 +6,8 @@
 
 /** Appends the route of a kind as JSON, with the given number of attempts. */
 void day_config_append_route(const day_kind *kind, unsigned attempts, GString *to);
-/** Returns the routing configuration of a version as JSON; the caller frees it. deployment->ctx is
- * the day_run (the type of deployment.write_config). */
+/** Returns the routing configuration of a version as JSON; the caller frees it. deployment->context
+ * is the day_run (the type of deployment.write_config). */
 char *day_config_text(deployment *deployment, uint64_t version);
 /** Adds the day's kinds of requests to the client (the type of deployment.add_client_kinds). */
 void day_config_add_client_kinds(deployment *deployment);
--- a/emulator/day_play.c
+++ b/emulator/day_play.c
@@ -92,7 +92,7 @@
 static void add_deployment(day_run *run, uint64_t seed) {
   deployment *deployment = deployment_new_empty(run->fleet);
   run->deployment = deployment;
-  deployment->ctx = run;
+  deployment->context = run;
   deployment->add_client_kinds = day_config_add_client_kinds;
   deployment->write_config = day_config_text;
   day_config_add_engines(run);
--- a/emulator/deployment.h
+++ b/emulator/deployment.h
@@ -76,7 +76,8 @@
    * start. write_config returns a text that is freed by the deployment. */
   void (*add_client_kinds)(deployment *deployment);
   char *(*write_config)(deployment *deployment, uint64_t version);
-  void *ctx;
+  /** For these functions. */
+  void *context;
 };
 
 /** Creates a deployment of controllers with control listeners, and gateways, on the hosts of a
--- a/emulator/fleet.h
+++ b/emulator/fleet.h
@@ -48,8 +48,8 @@
   host *prober;
   /** Number of policy markers that were written. */
   int marker_count;
-  /** The zones; the kinds of requests of a loaded deployment's policy. */
-  id area[FLEET_ZONES], kind[3];
+  /** The zones; the first kinds of requests in the policy of a loaded deployment. */
+  id area[FLEET_ZONES], request_kinds[3];
   /** The policy's rules, as the elements of a JSON array. */
   char *rules;
   /** The catalogue and policy of a loaded deployment, or NULL. */
--- a/emulator/fleet_files.c
+++ b/emulator/fleet_files.c
@@ -87,9 +87,9 @@
   callers->loadgen = loadgen_new(&callers->world, callers->self);
   fleet->models = fleet->adapters = 0;
   add_targets(callers->loadgen, catalogue);
-  for (size_t i = 0; i < G_N_ELEMENTS(fleet->kind) && i < json_count(kinds); i++) {
-    char *kind = fleet->kind[i].text;
-    g_strlcpy(kind, json_text(json_at(kinds, i), "id", ""), sizeof fleet->kind[i].text);
+  for (size_t i = 0; i < G_N_ELEMENTS(fleet->request_kinds) && i < json_count(kinds); i++) {
+    char *kind = fleet->request_kinds[i].text;
+    g_strlcpy(kind, json_text(json_at(kinds, i), "id", ""), sizeof fleet->request_kinds[i].text);
     callers->loadgen->plan.kinds[i] = kind;
   }
 }
--- a/emulator/sim_host.h
+++ b/emulator/sim_host.h
@@ -30,7 +30,8 @@
   /** Address of the process, host:port. */
   char addr[48];
   enum host_role role;
-  /** Settings with which the next process starts; set by the code that adds the host. */
+  /** Settings with which the next process starts; set by the code that adds the host. For an
+   * engine, platform_address holds its type. */
   settings settings;
   sim_disk *disk;
   /** Whether a process runs, and whether it is paused. */
