--- a/emulator/day_config.h
+++ b/emulator/day_config.h
@@ -1,7 +1,6 @@
 #ifndef EMULATOR_DAY_CONFIG_H
 #define EMULATOR_DAY_CONFIG_H
-/** Sets up a day's deployment: its configuration, the clients' kinds of requests and the engines.
- */
+/** Sets up a day's deployment: configuration, the clients' kinds of requests, and engines. */
 #include "day_run.h"
 
 /** Appends the route of a kind as JSON, with the given number of attempts. */
--- a/emulator/day_inject.c
+++ b/emulator/day_inject.c
@@ -32,8 +32,7 @@
   return (int64_t)(fault->duration_s * 1000);
 }
 
-/* returns the index of the target among count hosts of its role; random when the fault names none
- */
+/* returns the index of the target among count hosts of its role; random if the fault names none */
 static size_t choose_index(const day_run *run, const day_fault *fault, size_t count) {
   if (fault->target_number)
     return (fault->target_number - 1) % count;
--- a/emulator/day_json.h
+++ b/emulator/day_json.h
@@ -20,12 +20,10 @@
 /** Reports an error in a field, or with key "" in the location itself; returns the code. */
 enum error_code day_json_report(const day_json_location *at, enum error_code code, const char *key,
                                 const char *why);
-/** Reports an error unless the value is an object and all its keys are in a NULL-terminated list.
- */
+/** Reports an error unless the value is an object with keys of a NULL-terminated list only. */
 enum error_code day_json_check_keys(const day_json_location *at, const json *value,
                                     const char *const *keys);
-/** Reads a number from min to max. The field is required if fallback is NAN. Returns min on errors.
- */
+/** Reads a number from min to max, or min on errors. The field is required if fallback is NAN. */
 double day_json_number(const day_json_location *at, const json *value, const char *key, double min,
                        double max, double fallback);
 /** Reads an optional number from 0 to max and truncates it to a whole number. */
--- a/emulator/day_read.c
+++ b/emulator/day_read.c
@@ -5,9 +5,7 @@
 #include "day_result.h"
 #include <math.h>
 
-/* the steps of a result must cover the day and the faults that end after it: 200 s are left for
- * them
- */
+/* the steps of a result must cover the day and 200 s after it, in which its last faults end */
 enum { SECONDS_MAX = DAY_STEPS_MAX * DAY_STEP_MS / 1000 - 200 };
 enum { CONTROLLERS_MIN = 3, CONTROLLERS_MAX = 5, GATEWAYS_MAX = 60 };
 
--- a/emulator/day_read_kinds.c
+++ b/emulator/day_read_kinds.c
@@ -15,7 +15,7 @@
   return number >= 1 && !*end && number <= model->adapters;
 }
 
-/* whether a service has the model, and the adapter if there is one, of "model" or "model/adapter"
+/* whether a service has the model, and the adapter if one is given, of "model" or "model/adapter"
  */
 static bool has_model(const day_service *service, const char *name) {
   const engine_model_spec *model = day_service_find_model(service, name);
--- a/emulator/day_report.c
+++ b/emulator/day_report.c
@@ -1,5 +1,4 @@
-/** Reports of a played day: a text table for people and JSON for tools, both with the same counts.
- */
+/** Reports of a played day: text for people and JSON for tools, both with the same counts. */
 #include "day_report.h"
 #include "day_figures.h"
 
--- a/emulator/deployment.h
+++ b/emulator/deployment.h
@@ -106,8 +106,7 @@
                                            const char *text, bool valid);
 /** Returns whether a gateway is alive and the load balancer sends requests to every live one. */
 bool deployment_is_ready(deployment *deployment);
-/** Sends requests for a span, at rate times the rate of their kinds, and waits for all responses.
- */
+/** Sends requests for a span, at rate times their kinds' rates, and waits for all responses. */
 void deployment_run_traffic(deployment *deployment, double rate, int64_t ms);
 void deployment_start_traffic(deployment *deployment, double rate);
 void deployment_finish_traffic(deployment *deployment);
--- a/emulator/fleet_files.c
+++ b/emulator/fleet_files.c
@@ -94,8 +94,7 @@
   }
 }
 
-/* returns the catalogue with an additional model for the policy markers; NULL when it has no models
- */
+/* returns the catalogue with an extra model for the policy markers, or NULL if it has no models */
 static char *add_marker_model(const char *catalogue) {
   const char *models = catalogue ? strstr(catalogue, MODELS_KEY) : NULL;
   if (!models)
--- a/emulator/sim_connections.h
+++ b/emulator/sim_connections.h
@@ -33,11 +33,9 @@
 /** Resets a channel that was just accepted if its listener has more connections than its limit. */
 void connections_enforce_limit(channel *channel);
 
-/** Resets the connections that a host serves; called when its process ends, before its tasks end.
- */
+/** Resets the connections that a host serves; called when its process ends, before its tasks. */
 void connections_reset_served(host *host);
-/** Closes the idle connections of a host; called when its process ends, after its tasks have ended.
- */
+/** Closes the idle connections of a host; called when its process ends, after its tasks. */
 void connections_drop_pool(host *host);
 /** Frees all connections of a simulation in which no process is alive. */
 void connections_free(sim *sim);
--- a/emulator/sim_messages.c
+++ b/emulator/sim_messages.c
@@ -94,8 +94,7 @@
   sim_events_schedule(&sim->events, &message->event, &message_type, at, to);
 }
 
-/* finds or creates the channel of a direction; it is reset when the sender's process was restarted
- */
+/* finds or creates the channel of a direction; resets it if the sender's process was restarted */
 static peer_direction *find_direction(host *from, host *to) {
   GHashTable *directions = from->sim->messages.directions;
   char key[SIM_DIRECTION_KEY_SIZE];
