--- a/emulator/deployment_clients.c
+++ b/emulator/deployment_clients.c
@@ -8,56 +8,56 @@
 enum { LAST_ANSWER_MS = 60000 };
 
 /* the most requested models and adapters first */
-static const char *const kind_models[] = { "m0", "m1",    "m0/a1", "m2",  "m1/a2", "m3",
-                                           "m4", "m5/a1", "m5",    "m6",  "m7",    "m8",
-                                           "m9", "m10",   "m11",   "m12", "m13" };
+static const char *const requested_models[] = { "m0", "m1",    "m0/a1", "m2",  "m1/a2", "m3",
+                                                "m4", "m5/a1", "m5",    "m6",  "m7",    "m8",
+                                                "m9", "m10",   "m11",   "m12", "m13" };
 
-static GPtrArray *first_models(size_t n) {
+static GPtrArray *most_requested_models(size_t n) {
   GPtrArray *models = g_ptr_array_new();
-  for (size_t i = 0; i < MIN(n, G_N_ELEMENTS(kind_models)); i++)
-    g_ptr_array_add(models, (char *)kind_models[i]);
+  for (size_t i = 0; i < MIN(n, G_N_ELEMENTS(requested_models)); i++)
+    g_ptr_array_add(models, (char *)requested_models[i]);
   return models;
 }
 
 static void add_chat_kind(deployment *deployment) {
-  deployment->chat =
-      client_sim_add_kind(deployment->client, (client_sim_kind){ .name = "chat",
-                                                                 .host = "front.example",
-                                                                 .path = "/chat/v1/",
-                                                                 .mode = CLIENT_SIM_STREAM,
-                                                                 .requests_per_s = 6,
-                                                                 .tokens_in = 900,
-                                                                 .tokens_shared = 400,
-                                                                 .zipf_exponent = 1.1,
-                                                                 .tokens_out = 24,
-                                                                 .event_tokens = 2,
-                                                                 .retries_max = 1,
-                                                                 .priority = 0,
-                                                                 .deadline_ms = 5000,
-                                                                 .target_ms = 1000,
-                                                                 .gap_target_ms = 400,
-                                                                 .models = first_models(9) });
+  deployment->chat = client_sim_add_kind(deployment->client,
+                                         (client_sim_kind){ .name = "chat",
+                                                            .host = "front.example",
+                                                            .path = "/chat/v1/",
+                                                            .mode = CLIENT_SIM_STREAM,
+                                                            .requests_per_s = 6,
+                                                            .tokens_in = 900,
+                                                            .tokens_shared = 400,
+                                                            .zipf_exponent = 1.1,
+                                                            .tokens_out = 24,
+                                                            .event_tokens = 2,
+                                                            .retries_max = 1,
+                                                            .priority = 0,
+                                                            .deadline_ms = 5000,
+                                                            .target_ms = 1000,
+                                                            .gap_target_ms = 400,
+                                                            .models = most_requested_models(9) });
 }
 
 static void add_note_kind(deployment *deployment) {
-  deployment->note =
-      client_sim_add_kind(deployment->client, (client_sim_kind){ .name = "note",
-                                                                 .host = "front.example",
-                                                                 .path = "/note/",
-                                                                 .mode = CLIENT_SIM_STREAM,
-                                                                 .resumable = true,
-                                                                 .requests_per_s = 2,
-                                                                 .tokens_in = 500,
-                                                                 .tokens_shared = 300,
-                                                                 .zipf_exponent = 1.1,
-                                                                 .tokens_out = 160,
-                                                                 .event_tokens = 2,
-                                                                 .retries_max = 1,
-                                                                 .priority = 1,
-                                                                 .deadline_ms = 20000,
-                                                                 .target_ms = 1500,
-                                                                 .gap_target_ms = 400,
-                                                                 .models = first_models(6) });
+  deployment->note = client_sim_add_kind(deployment->client,
+                                         (client_sim_kind){ .name = "note",
+                                                            .host = "front.example",
+                                                            .path = "/note/",
+                                                            .mode = CLIENT_SIM_STREAM,
+                                                            .resumable = true,
+                                                            .requests_per_s = 2,
+                                                            .tokens_in = 500,
+                                                            .tokens_shared = 300,
+                                                            .zipf_exponent = 1.1,
+                                                            .tokens_out = 160,
+                                                            .event_tokens = 2,
+                                                            .retries_max = 1,
+                                                            .priority = 1,
+                                                            .deadline_ms = 20000,
+                                                            .target_ms = 1500,
+                                                            .gap_target_ms = 400,
+                                                            .models = most_requested_models(6) });
 }
 
 static void add_status_kind(deployment *deployment) {
