--- a/emulator/sim.h
+++ b/emulator/sim.h
@@ -21,7 +21,7 @@
   sim_event_queue events;
   /** List of host, in the order in which they were added. */
   list_node hosts;
-  /** List of http_exchange; maintained by sim_http.c. */
+  /** List of sim_http_exchange; maintained by sim_http.c. */
   list_node http_exchanges;
   /** Lists of listener_address (sim_connections_server.c), channel and exchange (sim_channel.h). */
   list_node listeners, channels, exchanges;
--- a/emulator/sim_http.c
+++ b/emulator/sim_http.c
@@ -10,7 +10,7 @@
 #include <stdlib.h>
 
 /* one HTTP exchange between two hosts */
-typedef struct http_exchange {
+typedef struct sim_http_exchange {
   sim *sim;
   host *caller, *server;
   uint64_t caller_incarnation, server_incarnation;
@@ -24,7 +24,7 @@
   bool bytes_lost, loss_reported;
   time_us last_delivery_at;
   list_node link;
-} http_exchange;
+} sim_http_exchange;
 
 enum response_part_kind { RESPONSE_HEAD, RESPONSE_BODY, RESPONSE_END, RESPONSE_RESET };
 
@@ -40,14 +40,14 @@
  * of the response only */
 typedef struct exchange_event {
   sim_event event;
-  http_exchange *exchange;
+  sim_http_exchange *exchange;
   enum response_part_kind kind;
   int status;
   GString *body;
   http_headers headers;
 } exchange_event;
 
-static void exchange_unref(http_exchange *exchange) {
+static void sim_http_exchange_unref(sim_http_exchange *exchange) {
   if (--exchange->references)
     return;
   list_remove(&exchange->link);
@@ -56,14 +56,14 @@
 
 static void release_exchange_event(sim_event *event) {
   exchange_event *part = (exchange_event *)event;
-  exchange_unref(part->exchange);
+  sim_http_exchange_unref(part->exchange);
   if (part->body)
     g_string_free(part->body, TRUE);
   http_headers_free(&part->headers);
   g_free(part);
 }
 
-static exchange_event *schedule_event(http_exchange *exchange, const sim_event_type *type,
+static exchange_event *schedule_event(sim_http_exchange *exchange, const sim_event_type *type,
                                       time_us at, host *host) {
   exchange_event *event = g_new0(exchange_event, 1);
   event->exchange = exchange;
@@ -76,12 +76,12 @@
   return time_add(sim->now, sim_draw_message_delay(sim));
 }
 
-static bool caller_waits(const http_exchange *exchange) {
+static bool caller_waits(const sim_http_exchange *exchange) {
   return exchange->call && exchange->caller->alive &&
          exchange->caller->incarnation == exchange->caller_incarnation;
 }
 
-static bool server_lives(const http_exchange *exchange) {
+static bool server_lives(const sim_http_exchange *exchange) {
   return exchange->server->alive && exchange->server->incarnation == exchange->server_incarnation;
 }
 
@@ -89,7 +89,7 @@
 
 static void deliver_response_part(sim_event *event) {
   exchange_event *part = (exchange_event *)event;
-  http_exchange *exchange = part->exchange;
+  sim_http_exchange *exchange = part->exchange;
   if (!caller_waits(exchange))
     return;
   http_call *call = exchange->call;
@@ -116,7 +116,7 @@
 static const sim_event_type response_part_type = { deliver_response_part, release_exchange_event,
                                                    true };
 
-static void schedule_response_part(http_exchange *exchange, response_part part) {
+static void schedule_response_part(sim_http_exchange *exchange, response_part part) {
   time_us at = after_message_delay(exchange->sim);
   if (at.us <= exchange->last_delivery_at.us)
     at.us = exchange->last_delivery_at.us + 1;
@@ -132,7 +132,7 @@
 
 /* A connection never skips bytes: once a part was lost, the next part that can be delivered is
  * replaced by a reset. */
-static void send_response_part(http_exchange *exchange, response_part part) {
+static void send_response_part(sim_http_exchange *exchange, response_part part) {
   if (sim_is_partitioned(exchange->sim, exchange->server, exchange->caller)) {
     exchange->bytes_lost = true;
     return;
@@ -147,11 +147,11 @@
   schedule_response_part(exchange, (response_part){ .kind = RESPONSE_RESET });
 }
 
-static void send_reset(http_exchange *exchange) {
+static void send_reset(sim_http_exchange *exchange) {
   send_response_part(exchange, (response_part){ .kind = RESPONSE_RESET });
 }
 
-static void send_head(http_exchange *exchange) {
+static void send_head(sim_http_exchange *exchange) {
   http_request *request = exchange->request;
   exchange->head_sent = true;
   send_response_part(exchange, (response_part){ .kind = RESPONSE_HEAD,
@@ -159,7 +159,7 @@
                                                 .headers = &request->known_response_fields });
 }
 
-static void send_body(http_exchange *exchange) {
+static void send_body(sim_http_exchange *exchange) {
   http_request *request = exchange->request;
   send_response_part(exchange,
                      (response_part){ .kind = RESPONSE_BODY, .body = request->pending_output });
@@ -167,7 +167,7 @@
   condition_broadcast(&request->drained);
 }
 
-static void send_end(http_exchange *exchange, enum response_part_kind kind) {
+static void send_end(sim_http_exchange *exchange, enum response_part_kind kind) {
   exchange->finished = true;
   send_response_part(exchange, (response_part){ .kind = kind });
 }
@@ -177,7 +177,7 @@
     connections_flush_response(request);
     return;
   }
-  http_exchange *exchange = request->impl;
+  sim_http_exchange *exchange = request->impl;
   if (!exchange || exchange->server->world.tasks.stopped)
     return;
   if (!request->response_started) {
@@ -200,7 +200,7 @@
 /* the request at the server */
 
 static void serve_task(void *argument) {
-  http_exchange *exchange = argument;
+  sim_http_exchange *exchange = argument;
   http_request *request = exchange->request;
   world *world = &exchange->server->world;
   world->serve(world->serve_context, request);
@@ -208,7 +208,7 @@
     http_request_end(request, false);
   exchange->request = NULL;
   http_request_free(request);
-  exchange_unref(exchange);
+  sim_http_exchange_unref(exchange);
 }
 
 void sim_http_set_path(http_request *request, const char *target) {
@@ -218,7 +218,7 @@
   g_strfreev(parts);
 }
 
-static http_request *request_new(http_exchange *exchange) {
+static http_request *request_new(sim_http_exchange *exchange) {
   http_call *call = exchange->call;
   http_request *request = g_new0(http_request, 1);
   request->world = &exchange->server->world;
@@ -234,7 +234,7 @@
 }
 
 static void deliver_request(sim_event *event) {
-  http_exchange *exchange = ((exchange_event *)event)->exchange;
+  sim_http_exchange *exchange = ((exchange_event *)event)->exchange;
   host *server = exchange->server;
   if (server_lives(exchange) && exchange->call && server->world.serve) {
     exchange->request = request_new(exchange);
@@ -247,7 +247,7 @@
 static const sim_event_type request_type = { deliver_request, release_exchange_event, true };
 
 static void deliver_client_gone(sim_event *event) {
-  http_exchange *exchange = ((exchange_event *)event)->exchange;
+  sim_http_exchange *exchange = ((exchange_event *)event)->exchange;
   if (!exchange->request || !server_lives(exchange))
     return;
   exchange->request->client_gone = true;
@@ -259,19 +259,19 @@
 
 /* the caller */
 
-static void break_call(http_exchange *exchange) {
+static void break_call(sim_http_exchange *exchange) {
   exchange->call->broken = true;
   condition_broadcast(&exchange->call->progressed);
 }
 
-static void send_request(http_exchange *exchange) {
+static void send_request(sim_http_exchange *exchange) {
   exchange->server_incarnation = exchange->server->incarnation;
   exchange->call->sent = true;
   schedule_event(exchange, &request_type, after_message_delay(exchange->sim), exchange->server);
 }
 
 static void complete_connect(sim_event *event) {
-  http_exchange *exchange = ((exchange_event *)event)->exchange;
+  sim_http_exchange *exchange = ((exchange_event *)event)->exchange;
   sim *sim = exchange->sim;
   host *caller = exchange->caller, *server = exchange->server;
   if (!caller_waits(exchange))
@@ -292,8 +292,8 @@
 
 static const sim_event_type connect_type = { complete_connect, release_exchange_event, true };
 
-static http_exchange *exchange_new(http_call *call, host *caller, host *server) {
-  http_exchange *exchange = g_new0(http_exchange, 1);
+static sim_http_exchange *sim_http_exchange_new(http_call *call, host *caller, host *server) {
+  sim_http_exchange *exchange = g_new0(sim_http_exchange, 1);
   exchange->sim = caller->sim;
   exchange->caller = caller;
   exchange->server = server;
@@ -318,7 +318,7 @@
     call->broken = true;
     return;
   }
-  http_exchange *exchange = exchange_new(call, caller, server);
+  sim_http_exchange *exchange = sim_http_exchange_new(call, caller, server);
   time_us handshake = time_add(sim_draw_message_delay(sim), sim_draw_message_delay(sim));
   schedule_event(exchange, &connect_type, time_add(sim->now, handshake), caller);
 }
@@ -328,7 +328,7 @@
     connections_cancel_call(call);
     return;
   }
-  http_exchange *exchange = call->impl;
+  sim_http_exchange *exchange = call->impl;
   if (!exchange)
     return;
   sim *sim = exchange->sim;
@@ -337,7 +337,7 @@
   bool cut = sim_is_partitioned(sim, exchange->caller, exchange->server);
   if (!cut && !exchange->caller->powered_off)
     schedule_event(exchange, &client_gone_type, after_message_delay(sim), exchange->server);
-  exchange_unref(exchange);
+  sim_http_exchange_unref(exchange);
 }
 
 void sim_http_attach(host *host) {
@@ -347,7 +347,7 @@
 }
 
 void sim_http_reset_pending_calls(host *host) {
-  list_for_each (exchange, &host->sim->http_exchanges, http_exchange, link)
+  list_for_each (exchange, &host->sim->http_exchanges, sim_http_exchange, link)
     if (exchange->server == host && exchange->server_incarnation == host->incarnation &&
         exchange->call && exchange->call->sent && !exchange->finished)
       send_end(exchange, RESPONSE_RESET);
