--- a/emulator/day_faults.c
+++ b/emulator/day_faults.c
@@ -109,7 +109,7 @@
   else if (g_str_has_prefix(text, WHICH))
     fault->target_number = (unsigned)strtoul(text + strlen(WHICH), NULL, 10);
   else
-    return day_json_report(at, E_FIELD, text, "unknown option");
+    return day_json_report(at, E_FIELD, text, "unknown");
   if (!(fault->factor >= FACTOR_MIN && fault->factor <= FACTOR_MAX &&
         fault->target_number <= TARGET_NUMBER_MAX))
     return day_json_report(at, E_RANGE, text, "out of range");
