--- a/emulator/day_inject.c
+++ b/emulator/day_inject.c
@@ -1,6 +1,6 @@
 /**
  * Injection of a day's faults. Beginning a fault can schedule its end. A fault whose target is down
- * already has no effect and no end.
+ * already has no effect and no end, except engine-grey, which changes the plan of the engine.
  */
 #include "day_inject.h"
 #include "day_config.h"
--- a/emulator/sim_disk.c
+++ b/emulator/sim_disk.c
@@ -10,7 +10,7 @@
   SECTOR_BYTES = 512,
   /** A write of which only the beginning is kept is cut at a multiple of this size. */
   TORN_WRITE_UNIT_BYTES = 64,
-  /** An operation takes OPERATION_US plus a random part of OPERATION_JITTER_US. */
+  /** An operation except a read takes OPERATION_US plus a random part of OPERATION_JITTER_US. */
   OPERATION_US = 200,
   OPERATION_JITTER_US = 1500
 };
--- a/emulator/sim_disk.h
+++ b/emulator/sim_disk.h
@@ -26,11 +26,11 @@
   size_t size;
   /** Array of unsynced_write, in the order in which they were written. */
   GArray *unsynced_writes;
-  /** Fault: extra time that each operation takes. */
+  /** Fault: extra time that each operation except a read takes. */
   int64_t sync_delay_ms;
-  /** Fault: no operation ends before this instant. */
+  /** Fault: no operation except a read ends before this instant. */
   time_us stalled_until;
-  /** Faults: writes, or all operations, end with an error. */
+  /** Faults: writes, or all operations except reads, end with an error. */
   bool full, fails;
   /** Fault: a power loss keeps or drops each file whose creation was not synced, and each sector of
    * a write that was not synced, independently. */
