--- a/emulator/day_config.c
+++ b/emulator/day_config.c
@@ -1,10 +1,10 @@
 /**
- * What a day puts into its deployment. Engines start with the models that are requested most, dealt
- * out one engine after the other, so that a day doesn't begin with a rush of loads.
+ * Sets up a day's deployment. The most requested models are loaded on the engines, one engine after
+ * the other, before the day begins, so that it does not begin with a burst of loads.
  */
 #include "day_config.h"
 
-/* what all engines of a day have in common */
+/* values that all engines of a day share */
 enum {
   ENGINE_PORT = 9000,
   ENGINE_CONNECTIONS_MAX = 200,
@@ -20,7 +20,7 @@
   return value ? "true" : "false";
 }
 
-/* a client's kind with a list of models of its own, whose names stay the day's */
+/* returns the client's copy of a kind, with a list of models of its own; the day owns the names */
 static client_sim_kind client_kind(const day_kind *kind) {
   client_sim_kind client = kind->kind;
   if (kind->models->len)
@@ -31,7 +31,7 @@
 }
 
 void day_config_add_client_kinds(deployment *deployment) {
-  const day_run *run = deployment->ctx;
+  const day_run *run = deployment->context;
   const day *day = run->day;
   deployment->client->area_count = (unsigned)MIN(day->zone_count, day->gateways);
   for (size_t i = 0; i < day->kind_count; i++)
@@ -87,7 +87,7 @@
 }
 
 char *day_config_text(deployment *deployment, uint64_t version) {
-  const day_run *run = deployment->ctx;
+  const day_run *run = deployment->context;
   const day *day = run->day;
   GString *text = g_string_new(NULL);
   json_appendf(text, "{\"version\":%" PRIu64 ",\"routes\":[", version);
@@ -108,7 +108,7 @@
   return g_string_free(text, FALSE);
 }
 
-/* adds the index-th model of each kind of a service; false when no kind has as many */
+/* adds the model at an index of each kind of a service; returns false when no kind has one */
 static bool add_models_at(const day *day, const day_service *service, guint index,
                           GPtrArray *models) {
   bool found = false;
@@ -124,7 +124,8 @@
   return found;
 }
 
-/* models in the order of what the kinds request, the most requested first: engine_model_spec * */
+/* returns the models that the kinds of a service request, as engine_model_spec *, the most
+ * requested first */
 static GPtrArray *models_by_demand(const day *day, const day_service *service) {
   GPtrArray *models = g_ptr_array_new();
   guint index = 0;
@@ -133,10 +134,10 @@
   return models;
 }
 
-/* the names of the models that fit an engine, from *next on; *next moves to the first that doesn't
- */
-static GPtrArray *deal_models(const GPtrArray *models, double left_mb, guint *next) {
-  GPtrArray *dealt = g_ptr_array_new();
+/* returns the names of the models that fit into the memory of an engine, starting at *next; sets
+ * *next to the first that does not fit */
+static GPtrArray *take_models_that_fit(const GPtrArray *models, double left_mb, guint *next) {
+  GPtrArray *models_on_engine = g_ptr_array_new();
   for (guint i = 0; i < models->len; i++) {
     guint index = (*next + i) % models->len;
     const engine_model_spec *model = models->pdata[index];
@@ -145,9 +146,9 @@
       break;
     }
     left_mb -= model->weights_mb;
-    g_ptr_array_add(dealt, (char *)model->name.text);
+    g_ptr_array_add(models_on_engine, (char *)model->name.text);
   }
-  return dealt;
+  return models_on_engine;
 }
 
 static registering_engine_plan engine_plan(deployment *deployment, const day_service *service) {
@@ -186,7 +187,7 @@
     size_t engine_count = deployment->model_engine_count + deployment->plain_engine_count;
     id zone = day->zones[engine_count % (size_t)day->zone_count];
     GPtrArray *initial =
-        service->model_count ? deal_models(models, service->weights_mb, &next) : NULL;
+        service->model_count ? take_models_that_fit(models, service->weights_mb, &next) : NULL;
     deployment_add_engine(deployment, zone, engine_plan(deployment, service), initial);
   }
   if (service->model_count)
--- a/emulator/day_inject.c
+++ b/emulator/day_inject.c
@@ -1,21 +1,21 @@
 /**
- * Injection of a day's faults. Beginning a fault may schedule its end; a fault whose target is down
- * already does nothing and has no end.
+ * Injection of a day's faults. Beginning a fault can schedule its end. A fault whose target is down
+ * already has no effect and no end, except engine-grey, which changes the plan of the engine.
  */
 #include "day_inject.h"
 #include "day_config.h"
 #include <math.h>
 
 enum { CHANGE_POLL_MS = 50, CHANGE_POLLS_MAX = 600 };
-/* share of runs that a degraded engine fails */
+/* probability that a run fails at a degraded engine */
 static const double DEGRADED_FAILURES = 0.5;
 
-/* an event of the schedule: a fault begins or ends */
+/* an event of the schedule: the beginning or end of a fault */
 typedef struct scheduled_event {
   double at_s;
   const day_fault *fault;
   bool is_end;
-  /* for ends: what the fault has hit, if anything */
+  /* for ends: the target of the fault, if it has one */
   host *host;
   deployment_process *process;
 } scheduled_event;
@@ -32,7 +32,7 @@
   return (int64_t)(fault->duration_s * 1000);
 }
 
-/* the index of the target among count hosts of its sort; drawn when the fault names none */
+/* returns the index of the target among count hosts of its role; random if the fault names none */
 static size_t choose_index(const day_run *run, const day_fault *fault, size_t count) {
   if (fault->target_number)
     return (fault->target_number - 1) % count;
@@ -46,115 +46,115 @@
   event->host = event->process->host;
 }
 
-/* false when the gateway is down or frozen already */
+/* returns false when the gateway is down or frozen already */
 static bool choose_gateway(const day_run *run, scheduled_event *event) {
   const fleet *fleet = run->fleet;
   event->host = fleet->router[choose_index(run, event->fault, (size_t)fleet->routers)];
   return event->host->alive && !event->host->frozen;
 }
 
-/* false when the controller is down already */
+/* returns false when the controller is down already */
 static bool choose_controller(const day_run *run, scheduled_event *event) {
   const fleet *fleet = run->fleet;
   event->host = fleet->controller[choose_index(run, event->fault, (size_t)fleet->controllers)];
   return event->host->alive;
 }
 
-static bool begin_engine_crash(day_run *run, scheduled_event *end) {
-  choose_engine(run, end);
-  if (!end->host->alive)
+static bool begin_engine_crash(day_run *run, scheduled_event *end_event) {
+  choose_engine(run, end_event);
+  if (!end_event->host->alive)
     return false;
-  deployment_record_fault(run->deployment, end->host, 'e', duration_ms(end->fault));
-  host_kill(end->host);
+  deployment_record_fault(run->deployment, end_event->host, 'e', duration_ms(end_event->fault));
+  host_kill(end_event->host);
   return true;
 }
 
-static bool begin_engine_power_off(day_run *run, scheduled_event *end) {
-  choose_engine(run, end);
-  if (!end->host->alive)
+static bool begin_engine_power_off(day_run *run, scheduled_event *end_event) {
+  choose_engine(run, end_event);
+  if (!end_event->host->alive)
     return false;
-  deployment_record_fault(run->deployment, end->host, 'e', duration_ms(end->fault));
-  host_power_off(end->host);
+  deployment_record_fault(run->deployment, end_event->host, 'e', duration_ms(end_event->fault));
+  host_power_off(end_event->host);
   return true;
 }
 
-static bool begin_engine_degraded(day_run *run, scheduled_event *end) {
-  choose_engine(run, end);
-  end->process->plan.faults.intermittent_failures = DEGRADED_FAILURES;
+static bool begin_engine_degraded(day_run *run, scheduled_event *end_event) {
+  choose_engine(run, end_event);
+  end_event->process->plan.faults.intermittent_failures = DEGRADED_FAILURES;
   return true;
 }
 
-static void end_engine_degraded(day_run *run, const scheduled_event *end) {
+static void end_engine_degraded(day_run *run, const scheduled_event *end_event) {
   (void)run;
-  end->process->plan.faults.intermittent_failures = 0;
+  end_event->process->plan.faults.intermittent_failures = 0;
 }
 
-static bool begin_engine_drain(day_run *run, scheduled_event *end) {
-  choose_engine(run, end);
-  if (!end->host->alive)
+static bool begin_engine_drain(day_run *run, scheduled_event *end_event) {
+  choose_engine(run, end_event);
+  if (!end_event->host->alive)
     return false;
-  if (end->process->engine)
-    registering_engine_sim_drain(end->process->engine, 0);
+  if (end_event->process->engine)
+    registering_engine_sim_drain(end_event->process->engine, 0);
   return true;
 }
 
-static bool begin_gateway_kill(day_run *run, scheduled_event *end) {
-  if (!choose_gateway(run, end))
+static bool begin_gateway_kill(day_run *run, scheduled_event *end_event) {
+  if (!choose_gateway(run, end_event))
     return false;
-  deployment_record_fault(run->deployment, end->host, 'k', duration_ms(end->fault));
-  host_kill(end->host);
+  deployment_record_fault(run->deployment, end_event->host, 'k', duration_ms(end_event->fault));
+  host_kill(end_event->host);
   return true;
 }
 
-static bool begin_gateway_drain(day_run *run, scheduled_event *end) {
-  if (!choose_gateway(run, end))
+static bool begin_gateway_drain(day_run *run, scheduled_event *end_event) {
+  if (!choose_gateway(run, end_event))
     return false;
-  deployment_terminate_gateway(run->deployment, end->host->context);
+  deployment_terminate_gateway(run->deployment, end_event->host->context);
   return true;
 }
 
-static bool begin_gateway_freeze(day_run *run, scheduled_event *end) {
-  if (!choose_gateway(run, end))
+static bool begin_gateway_freeze(day_run *run, scheduled_event *end_event) {
+  if (!choose_gateway(run, end_event))
     return false;
-  deployment_record_fault(run->deployment, end->host, 'f', duration_ms(end->fault));
-  host_freeze(end->host);
+  deployment_record_fault(run->deployment, end_event->host, 'f', duration_ms(end_event->fault));
+  host_freeze(end_event->host);
   return true;
 }
 
-static void end_gateway_freeze(day_run *run, const scheduled_event *end) {
+static void end_gateway_freeze(day_run *run, const scheduled_event *end_event) {
   (void)run;
-  if (end->host->alive && end->host->frozen)
-    host_unfreeze(end->host);
+  if (end_event->host->alive && end_event->host->frozen)
+    host_unfreeze(end_event->host);
 }
 
-static bool begin_controller_kill(day_run *run, scheduled_event *end) {
-  if (!choose_controller(run, end))
+static bool begin_controller_kill(day_run *run, scheduled_event *end_event) {
+  if (!choose_controller(run, end_event))
     return false;
-  deployment_record_fault(run->deployment, NULL, 'k', duration_ms(end->fault));
-  host_kill(end->host);
+  deployment_record_fault(run->deployment, NULL, 'k', duration_ms(end_event->fault));
+  host_kill(end_event->host);
   return true;
 }
 
-static bool begin_controller_partition(day_run *run, scheduled_event *end) {
-  if (!choose_controller(run, end))
+static bool begin_controller_partition(day_run *run, scheduled_event *end_event) {
+  if (!choose_controller(run, end_event))
     return false;
-  deployment_record_fault(run->deployment, NULL, 'k', duration_ms(end->fault));
-  sim_set_partition_both_ways(run->fleet->sim, end->host->self.text, NULL, true);
+  deployment_record_fault(run->deployment, NULL, 'k', duration_ms(end_event->fault));
+  sim_set_partition_both_ways(run->fleet->sim, end_event->host->self.text, NULL, true);
   return true;
 }
 
-static void end_controller_partition(day_run *run, const scheduled_event *end) {
-  sim_set_partition_both_ways(run->fleet->sim, end->host->self.text, NULL, false);
+static void end_controller_partition(day_run *run, const scheduled_event *end_event) {
+  sim_set_partition_both_ways(run->fleet->sim, end_event->host->self.text, NULL, false);
 }
 
-static bool begin_controller_wipe(day_run *run, scheduled_event *end) {
-  if (!begin_controller_kill(run, end))
+static bool begin_controller_wipe(day_run *run, scheduled_event *end_event) {
+  if (!begin_controller_kill(run, end_event))
     return false;
-  host_wipe_disk(end->host);
+  host_wipe_disk(end_event->host);
   return true;
 }
 
-/* waits for the operator's change to end, and takes over its version if it was acknowledged */
+/* waits until the operator's change has ended, and adopts its version if it was acknowledged */
 static void wait_for_change(day_run *run, const operator_sim_change *change) {
   for (int i = 0; i < CHANGE_POLLS_MAX && !change->done; i++)
     sim_run(run->fleet->sim, time_from_ms(CHANGE_POLL_MS));
@@ -162,7 +162,7 @@
     run->config_version = change->version;
 }
 
-/* sends a patch of one route; number distinguishes patches that race for one base version */
+/* sends a patch of one route; number distinguishes concurrent patches of the same base version */
 static operator_sim_change *send_patch(day_run *run, uint64_t base, uint64_t number) {
   const day *day = run->day;
   const day_kind *kind = &day->kinds[(base + number) % day->kind_count];
@@ -177,15 +177,15 @@
   return change;
 }
 
-static bool begin_config_change(day_run *run, scheduled_event *end) {
-  (void)end;
+static bool begin_config_change(day_run *run, scheduled_event *end_event) {
+  (void)end_event;
   wait_for_change(run, send_patch(run, run->config_version, 0));
   return false;
 }
 
-/* two changes on one base version: at most one may be accepted */
-static bool begin_config_race(day_run *run, scheduled_event *end) {
-  (void)end;
+/* sends two concurrent changes of the same base version, of which at most one may be accepted */
+static bool begin_config_race(day_run *run, scheduled_event *end_event) {
+  (void)end_event;
   uint64_t base = run->config_version;
   const operator_sim_change *first = send_patch(run, base, 0);
   const operator_sim_change *second = send_patch(run, base, 1);
@@ -194,9 +194,9 @@
   return false;
 }
 
-/* a configuration whose route names a service that doesn't exist */
-static bool begin_config_invalid(day_run *run, scheduled_event *end) {
-  (void)end;
+/* sends a configuration whose route names a service that doesn't exist */
+static bool begin_config_invalid(day_run *run, scheduled_event *end_event) {
+  (void)end_event;
   uint64_t base = run->config_version;
   char *text = g_strdup_printf(
       "{\"version\":%" PRIu64
@@ -208,13 +208,13 @@
   return false;
 }
 
-static bool begin_burst(day_run *run, scheduled_event *end) {
-  run->deployment->client->rate_factor *= end->fault->factor;
+static bool begin_burst(day_run *run, scheduled_event *end_event) {
+  run->deployment->client->rate_factor *= end_event->fault->factor;
   return true;
 }
 
-static void end_burst(day_run *run, const scheduled_event *end) {
-  run->deployment->client->rate_factor /= end->fault->factor;
+static void end_burst(day_run *run, const scheduled_event *end_event) {
+  run->deployment->client->rate_factor /= end_event->fault->factor;
 }
 
 static void reverse(GPtrArray *items) {
@@ -226,9 +226,9 @@
   }
 }
 
-/* the models requested least become those requested most */
-static bool begin_model_shift(day_run *run, scheduled_event *end) {
-  (void)end;
+/* makes the least requested models the most requested ones */
+static bool begin_model_shift(day_run *run, scheduled_event *end_event) {
+  (void)end_event;
   const GPtrArray *kinds = run->deployment->client->kinds;
   for (guint i = 0; i < kinds->len; i++) {
     const client_sim_kind *kind = kinds->pdata[i];
@@ -238,17 +238,17 @@
   return false;
 }
 
-static void restart_host(day_run *run, const scheduled_event *end) {
+static void restart_host(day_run *run, const scheduled_event *end_event) {
   (void)run;
-  if (!end->host->alive)
-    host_start(end->host);
+  if (!end_event->host->alive)
+    host_start(end_event->host);
 }
 
-/* how a kind of fault begins and ends. begin fills in the target and returns whether the fault has
- * an end */
+/* the functions that begin and end a kind of fault. begin sets the target in end_event, the event
+ * that ends the fault, and returns whether that event is to be scheduled */
 typedef struct fault_actions {
-  bool (*begin)(day_run *run, scheduled_event *end);
-  void (*end)(day_run *run, const scheduled_event *end);
+  bool (*begin)(day_run *run, scheduled_event *end_event);
+  void (*end)(day_run *run, const scheduled_event *end_event);
 } fault_actions;
 
 static const fault_actions actions[DAY_FAULT_KIND_COUNT] = {
@@ -297,7 +297,9 @@
     actions[fault->kind].end(run, &event);
     return;
   }
-  scheduled_event end = { .at_s = fault->at_s + fault->duration_s, .fault = fault, .is_end = true };
-  if (actions[fault->kind].begin(run, &end))
-    schedule(run, end);
+  scheduled_event end_event = { .at_s = fault->at_s + fault->duration_s,
+                                .fault = fault,
+                                .is_end = true };
+  if (actions[fault->kind].begin(run, &end_event))
+    schedule(run, end_event);
 }
