--- a/lib/configuration/canary.c
+++ b/lib/configuration/canary.c
@@ -1,5 +1,5 @@
-/** The resource "canary": the plan of a trial, what a new value must keep to, and who takes part.
- */
+/** The resource "canary": compiles the plan of a trial, checks changes to it, and tells which
+ * sessions and requests take part. */
 #include "canary.h"
 #include "value_reader.h"
 #include <math.h>
@@ -45,7 +45,7 @@
   return OK;
 }
 
-/* a list of 1 to max items, or none */
+/* Reads an optional list of 1 to max items; *to is NULL if it is absent. */
 static enum error_code read_list(value_reader *reader, const json *value, const char *key,
                                  size_t max, const json **to) {
   *to = json_get(value, key);
@@ -89,7 +89,7 @@
   return OK;
 }
 
-/* what ends the trial */
+/* Reads the conditions that end the trial. */
 static enum error_code compile_guard(canary_plan *plan, value_reader *reader, const json *value) {
   static const char *const known[] = { "urgent", "lateHarm", "least", "margin",
                                        "error",  "mostS",    NULL };
@@ -155,7 +155,7 @@
   return OK;
 }
 
-/* true when two values are written alike; an absent one is written as nothing */
+/* Compares two values by their JSON text; the text of an absent value is empty. */
 static bool json_equal(const json *a, const json *b) {
   GString *text_a = g_string_new(NULL), *text_b = g_string_new(NULL);
   if (a)
@@ -168,7 +168,7 @@
   return equal;
 }
 
-/* a running trial may only be ended, and its end changes nothing else */
+/* Checks the successor of a running trial: it must end the trial, and change no other field. */
 static enum error_code check_end(const json *was, const json *next, const canary_plan *running,
                                  enum canary_state state, error *err) {
   static const char *const immutable[] = { "name",   "salt",       "share", "candidate",
@@ -184,7 +184,7 @@
   return OK;
 }
 
-/* after a trial has ended another may begin, under a name of its own */
+/* Checks the successor of an ended trial: a new trial may start, but only under another name. */
 static enum error_code check_after_end(const json *was, const json *next, const canary_plan *ended,
                                        const canary_plan *plan, error *err) {
   if (plan->state == CANARY_RUNNING && id_equal(ended->name, plan->name))
@@ -213,7 +213,7 @@
   return check_after_end(was, next, &current, &plan, err);
 }
 
-/* The draw depends on the trial, so that sessions of one trial are not those of the next. */
+/* The hash is seeded with the trial's name and salt, so that each trial selects other sessions. */
 bool canary_session_is_candidate(const canary_plan *plan, uint64_t session) {
   uint64_t seed = hash_two_names(plan->name.text, "canary") + plan->salt;
   uint64_t hash = hash_bytes(&session, sizeof session, seed);
--- a/lib/configuration/canary.h
+++ b/lib/configuration/canary.h
@@ -1,11 +1,12 @@
 #ifndef CONFIGURATION_CANARY_H
 #define CONFIGURATION_CANARY_H
-/** A guarded trial of a selection policy (docs/trial.md): the resource "canary" (canary.c), and the
- * test that ends a trial (canary_evaluation.c). Gateways count, one of them judges; see
- * lib/gateway/canary.c. */
+/** Canary trials of an engine selection policy (docs/trial.md): the resource "canary" (canary.c),
+ * and the statistical test that ends a trial (canary_evaluation.c). Every gateway counts outcomes
+ * (lib/gateway/canary_trial.c), and one of them evaluates the totals
+ * (lib/gateway/canary_judging.c). */
 #include "json.h"
 
-/** How a gateway weighs engines for a request, and how long it lets one wait. */
+/** How a gateway scores engines for a request, and how long it lets the request wait. */
 typedef struct select_policy {
   /** Weight of the time that an engine is estimated to take. */
   double load_weight;
@@ -13,19 +14,18 @@
   double affinity_weight;
   /** Weight of being in another zone. */
   double zone_weight;
-  /** As a factor of the latency target: a slower estimate asks for one more replica of the model.
-   */
+  /** Factor of the latency target. A slower estimate requests one more replica of the model. */
   double scale_out_threshold;
-  /** As a factor of the latency target: behind others, an engine with a slower estimate is not
-   * chosen. */
+  /** Factor of the latency target. An engine with a slower estimate is not chosen if other requests
+   * are ahead of this one there. */
   double reject_threshold;
-  /** In percent of the time left: the longest wait for an engine. */
+  /** The longest wait for an engine, in percent of the time left. */
   int64_t wait_percent;
 } select_policy;
-/** The policy in force where no trial is. */
+/** The policy in force when no trial is running. */
 extern const select_policy select_policy_default;
 
-/** Priorities from CANARY_PRIORITIES - 1 up count as that one. */
+/** Priorities above CANARY_PRIORITIES - 1 count as CANARY_PRIORITIES - 1. */
 enum { CANARY_ROUTES_MAX = 16, CANARY_PRIORITIES = 8 };
 enum canary_state { CANARY_NONE, CANARY_RUNNING, CANARY_ENDED };
 /** A trial as declared. */
@@ -33,39 +33,41 @@
   id name;
   enum canary_state state;
   uint64_t salt;
-  /** The share of the sessions that the candidate gets, from 0 to 0.5. */
+  /** Share of the sessions that are assigned to the candidate, from 0 to 0.5. */
   double traffic_share;
   select_policy candidate;
-  /** The routes that take part; none: all. */
+  /** The routes that take part; empty: all. */
   id routes[CANARY_ROUTES_MAX];
   int route_count;
   /** A bit for each priority that takes part. */
   unsigned priority_mask;
   /** Requests up to this priority are urgent. */
   unsigned urgent_priority_max;
-  /** What a late answer counts, where a rejected or failed one counts 1. */
+  /** Harm of a late response. A rejected or failed request counts as 1. */
   double late_penalty;
-  /** How much more harm the candidate may do, and the chance of a false alarm. */
+  /** How far the candidate's mean harm may exceed the control's, and the probability of a false
+   * alarm. */
   double margin, error_probability;
-  /** Requests that each arm must have had before a verdict; the longest trial; how long a gateway
-   * runs before it can tell its sessions. */
+  /** Requests that each arm needs before a verdict; the longest duration of a trial; how long a
+   * gateway must have run before it knows its sessions. */
   int64_t min_requests, max_duration_ms, warm_up_ms;
 } canary_plan;
 
-/** Compiles the resource; a blank one is CANARY_NONE. A code other than OK with err set when it is
- * bad. err may be NULL. */
+/** Compiles the resource; an empty or absent one gives CANARY_NONE. Returns OK, or another code
+ * with err set if it is invalid. err may be NULL. */
 enum error_code canary_compile(canary_plan *plan, const json *value, error *err);
-/** What a new value must keep to beside its own validity: one trial runs at a time, is changed by
- * its end only, and none begins a second time under its name. err may be NULL. */
+/** Checks that a new value is valid and may replace the current one: only one trial runs at a time,
+ * the only change to a running trial is its end, and no trial starts again under the same name. err
+ * may be NULL. */
 enum error_code canary_check_successor(const json *was, const json *next, error *err);
-/** True for a session that the trial's draw gives to the candidate, the same at every node. */
+/** True if the trial assigns the session to the candidate. All nodes agree on the result. */
 bool canary_session_is_candidate(const canary_plan *plan, uint64_t session);
-/** True when a route and priority take part. */
+/** True if requests of the route and priority take part in the trial. */
 bool canary_includes(const canary_plan *plan, id route, unsigned priority);
 
 enum { CANARY_BUCKETS = 12 };
-/** What one arm did to requests of one priority: counts, and a histogram of the time to the first
- * event (see canary_bucket). */
+/** Outcomes of the requests of one arm and one priority: counts, and a histogram of the time to the
+ * first event (see canary_bucket). */
 typedef struct canary_cell {
   uint64_t within_target, late, rejected, failed, first_event_buckets[CANARY_BUCKETS];
 } canary_cell;
@@ -74,27 +76,29 @@
 typedef struct canary_totals {
   canary_cell cells[CANARY_ARMS][CANARY_PRIORITIES];
 } canary_totals;
-/** All requests of a cell. */
+/** The number of requests of a cell. */
 uint64_t canary_cell_requests(const canary_cell *cell);
 /** The bucket of a time to the first event: below 25 ms, 50 ms, 100 ms, and so on, doubling. */
 int canary_bucket(double ms);
-/** The bound below (or above) which the mean of n numbers from 0 to 1 with a sum lies, at every n
- * at once, but for a chance of error. */
+/** A confidence bound on the mean of n numbers from 0 to 1, given their sum: the upper bound if
+ * above is true, else the lower one. It holds for every n at once, except with probability error.
+ */
 double canary_bound(double sum, double n, double error, bool above);
-/** The evidence, as a log, that the candidate's mean harm lies above the control's by more than a
- * margin, from sums and counts. By chance alone it comes to -log(error) at any time at all with no
- * more than that error. */
+/** The log of the evidence that the candidate's mean harm exceeds the control's by more than a
+ * margin, from the sum and the count of each arm. If it does not, the probability that the evidence
+ * ever reaches -log(error), at any time, is at most error. */
 double canary_evidence(double control, double control_count, double candidate,
                        double candidate_count, double margin);
-/** What the totals of a class of requests show. */
+/** Comparison of the arms for one class of requests. */
 typedef struct canary_comparison {
   double requests[CANARY_ARMS], mean_harm[CANARY_ARMS];
-  /** A lower bound of the candidate's harm, and an upper one of the control's. */
+  /** Confidence bounds on the mean harm of each arm. */
   double candidate_harm_lower_bound, control_harm_upper_bound;
-  /** The candidate does more harm by more than the margin. */
+  /** It is proven that the candidate's mean harm exceeds the control's by more than the margin. */
   bool proven;
 } canary_comparison;
-/** What the totals show, for urgent requests and the rest; harm is proven when it is for either. */
+/** The result of an evaluation, for urgent requests and for all others. Harm is proven if it is
+ * proven for either class. */
 typedef struct canary_verdict {
   canary_comparison urgent, rest;
   bool has_enough_requests, harm_proven;
--- a/lib/configuration/canary_evaluation.c
+++ b/lib/configuration/canary_evaluation.c
@@ -1,15 +1,15 @@
-/** The evaluation of a trial: whether the candidate harms more than the policy in force, by a test
- * that may be looked at at any time.
+/** Evaluates a canary trial: whether the candidate does more harm than the policy in force, by a
+ * sequential test that may be evaluated at any time.
  *
- * The evidence against a mean is the likelihood ratio of a Beta(1/2, 1/2) mixture over means, which
- * exceeds 1/error at any time at all with a chance of no more than error (Ville's inequality), so
- * that looking again and again raises no false alarm. docs/trial.md has the argument. */
+ * The evidence against a mean is the likelihood ratio of a Beta(1/2, 1/2) mixture over means. The
+ * probability that it ever exceeds 1/error is at most error (Ville's inequality), so repeated
+ * evaluation causes no additional false alarms. docs/trial.md has the argument. */
 #include "canary.h"
 #include <math.h>
 
-/** Of the error that is allowed, the share that is spent on urgent work. */
+/** Share of the allowed error probability that is spent on urgent requests. */
 static const double urgent_error_share = 0.75;
-/** The bound of the first bucket of times to the first event; each further one doubles it. */
+/** Upper bound of the first bucket of times to the first event; it doubles with each bucket. */
 static const double first_bucket_ms = 25;
 /** Steps of the searches below: enough for the precision of a double. */
 enum { BISECTION_STEPS = 60, TERNARY_STEPS = 80 };
@@ -25,7 +25,7 @@
   return bucket;
 }
 
-/* the log of the mixture over Beta(1/2, 1/2) against one mean */
+/* The log likelihood ratio of the Beta(1/2, 1/2) mixture against one mean. */
 static double log_evidence(double sum, double n, double mean) {
   double mix = lgamma(sum + 0.5) + lgamma(n - sum + 0.5) - lgamma(n + 1) - log(M_PI);
   return mix - (sum > 0 ? sum * log(mean) : 0) - (n > sum ? (n - sum) * log1p(-mean) : 0);
@@ -48,8 +48,8 @@
   return out;
 }
 
-/* the least evidence against any pair of means in which the candidate's is above the other's by no
- * more than a margin */
+/* Finds the smallest evidence against any pair of means in which the candidate's exceeds the
+ * control's by no more than the margin. */
 double canary_evidence(double control, double control_count, double candidate,
                        double candidate_count, double margin) {
   if (control_count <= 0 || candidate_count <= 0 ||
@@ -71,8 +71,8 @@
          log_evidence(candidate, candidate_count, a + margin);
 }
 
-/* the harm that an arm did to requests of the class (urgent or not): one for each that was rejected
- * or failed, and the plan's penalty for each late one */
+/* Sums the harm of an arm over its requests of a class (urgent or not): 1 for each rejected or
+ * failed request, and the plan's penalty for each late one. */
 static double sum_harm(const canary_plan *plan, const canary_cell cells[CANARY_PRIORITIES],
                        bool urgent, double *requests) {
   double sum = 0;
--- a/lib/configuration/catalogue.c
+++ b/lib/configuration/catalogue.c
@@ -2,7 +2,7 @@
 #include "config_sections.h"
 #include <math.h>
 
-/** Bounds of what a catalogue may declare. */
+/** Upper bounds on what a catalogue may declare. */
 enum { MODELS_MAX = 20000, ADAPTERS_MAX = 40000, ZONES_MAX = 1000, ADAPTER_SLOTS_MAX = 1000 };
 /** In megabytes: a thousand terabytes. */
 static const double weights_mb_max = 1e9;
--- a/lib/configuration/config.c
+++ b/lib/configuration/config.c
@@ -1,4 +1,5 @@
-/** What operators have declared, compiled; see config_sections.h for the single resources. */
+/** Compiles the resources that operators declare into a config. The compilers of the single
+ * resources are in config_sections.h. */
 #include "config.h"
 #include "config_sections.h"
 
@@ -46,7 +47,7 @@
   g_free(config);
 }
 
-/* the tables hold an index plus 1, since 0 is what a missing name gives */
+/* The tables hold index + 1, since a lookup of a missing name returns 0. */
 const catalogue_model *config_model(const config *config, const char *name) {
   guint index = GPOINTER_TO_UINT(g_hash_table_lookup(config->models_by_name, name));
   return index ? &g_array_index(config->models, catalogue_model, index - 1) : NULL;
--- a/lib/configuration/config.h
+++ b/lib/configuration/config.h
@@ -1,8 +1,8 @@
 #ifndef CONFIGURATION_CONFIG_H
 #define CONFIGURATION_CONFIG_H
-/** What operators have declared, compiled for lookups: catalogue, policy, evacuation and trial. A
- * config never changes after it was compiled; whoever holds a newer version compiles a new one. The
- * resource "routing" is compiled by routing.h. */
+/** The configuration that operators declare (catalogue, policy, evacuation and canary), compiled
+ * for lookups. A config is immutable: a newer version is compiled into a new config. The resource
+ * "routing" is compiled by routing.h. */
 #include "canary.h"
 #include "formula.h"
 #include "json.h"
@@ -17,7 +17,7 @@
   RESOURCE_CANARY,
   RESOURCE_COUNT
 };
-/** Their names in paths, in records and in messages. */
+/** The names of the resources in paths, records and messages. */
 extern const char *const resource_names[RESOURCE_COUNT];
 enum {
   /** The largest resource, in bytes of JSON. */
@@ -26,7 +26,7 @@
   RULE_STEPS_MAX = 12,
   RULES_MAX = 64,
   CUSTOM_FORMULAS_MAX = 8,
-  /** Room for a name or pattern of a rule, with its end. */
+  /** Buffer size for a name or pattern of a rule, including the final NUL. */
   RULE_PATTERN_SIZE = 48
 };
 
@@ -34,23 +34,23 @@
 typedef struct {
   id self;
   uint64_t weights_mb;
-  /** The load time to reckon with before one was measured; 0: that of the policy. */
+  /** Load time to assume until one has been measured; 0: the policy's default. */
   double default_load_ms;
 } catalogue_model;
-/** An adapter, which needs its base model. */
+/** An adapter of a base model. */
 typedef struct {
   id self, model;
   uint64_t weights_mb;
-  /** Adapter slots of an engine that it takes. */
+  /** Number of an engine's adapter slots that it occupies. */
   unsigned slots;
 } catalogue_adapter;
 /** A kind of request. */
 typedef struct {
   id self;
-  /** Priority weight: waiting requests of a higher one go first. */
+  /** Priority weight: waiting requests with a higher weight go first. */
   unsigned weight;
   int64_t deadline_ms;
-  /** Its share of the queue, from 0 to 1, which the others can't take. */
+  /** Share of the queue, from 0 to 1, that is reserved for this kind. */
   double quota_share;
 } request_kind;
 /** What a step of a rule does. */
@@ -67,8 +67,8 @@
   /** STEP_WAIT_FOR_ENGINE: the longest wait in ms, 0 for the deadline; STEP_REJECT: the status. */
   int64_t argument;
 } rule_step;
-/** A rule: the patterns that a request must fit (with * and ?), and the steps that it goes
- * through. */
+/** A rule: patterns (with the wildcards * and ?) that a request must match, and the steps that
+ * process it. */
 typedef struct {
   char kind[RULE_PATTERN_SIZE], model[RULE_PATTERN_SIZE], adapter[RULE_PATTERN_SIZE];
   rule_step steps[RULE_STEPS_MAX];
@@ -80,20 +80,20 @@
   double engine_share;
 } zone_evacuation;
 
-/** All that operators have declared, compiled. It owns its tables; config_free frees them. */
+/** A compiled configuration. It owns its tables; config_free frees them. */
 typedef struct config {
-  /** Of catalogue_model, catalogue_adapter, id and zone_evacuation. */
+  /** Arrays of catalogue_model, catalogue_adapter, id and zone_evacuation. */
   GArray *models, *adapters, *zones, *evacuations;
-  /** From a name to an index plus 1; see config_model and config_adapter. */
+  /** Map a name to index + 1; see config_model and config_adapter. */
   GHashTable *models_by_name, *adapters_by_name;
-  /** A built-in eviction policy, or one of custom_formulas. */
+  /** Name of a built-in eviction policy, or of one of custom_formulas. */
   char eviction_policy[48];
   formula custom_formulas[CUSTOM_FORMULAS_MAX];
   int custom_formula_count;
-  /** loads_per_s over the whole fleet; retry_ratio: retries for each request; smoothing_factor:
-   * weight of the newest load time in the smoothed one. */
+  /** loads_per_s: model loads per second of the whole fleet; retry_ratio: retries per request;
+   * smoothing_factor: weight of the newest load time in the moving average. */
   double loads_per_s, default_load_ms, retry_ratio, smoothing_factor;
-  /** queue_max: waiting requests of a router; streams_max: streams of an engine. */
+  /** queue_max: most waiting requests of a router; streams_max: most streams of an engine. */
   int64_t rate_window_s, slow_start_s, queue_max, streams_max;
   request_kind kinds[REQUEST_KINDS_MAX];
   int kind_count;
@@ -102,25 +102,25 @@
   canary_plan canary;
 } config;
 
-/** Compiles the resources (routing is not looked at), each NULL for its default; NULL with err
- * (path and reason) when one is bad. Free with config_free. */
+/** Compiles the resources, each NULL for its default; routing is ignored. Returns NULL with err set
+ * (path and reason) if one is invalid. err may be NULL. Free with config_free. */
 config *config_compile(const json *resources[RESOURCE_COUNT], error *err);
 /** Frees it; NULL is fine. */
 void config_free(config *config);
-/** The model of a name, or NULL. */
+/** Finds a model by name; NULL if there is none. */
 const catalogue_model *config_model(const config *config, const char *name);
-/** The adapter of a name, or NULL. */
+/** Finds an adapter by name; NULL if there is none. */
 const catalogue_adapter *config_adapter(const config *config, const char *name);
-/** The operators' own expression of a name, or NULL for a built-in policy. */
+/** Finds an operator-defined expression by name; NULL for a built-in policy. */
 const formula *config_formula(const config *config, const char *name);
-/** The kind of a name, or NULL. */
+/** Finds a kind of request by name; NULL if there is none. */
 const request_kind *config_kind(const config *config, const char *name);
-/** The first rule that fits a request, or NULL. */
+/** Finds the first rule that matches a request; NULL if there is none. */
 const policy_rule *config_rule(const config *config, const char *kind, const char *model,
                                const char *adapter);
-/** True when an engine belongs to the share of a zone that is evacuated; its name and zone alone
+/** True if an engine belongs to the share of its zone that is evacuated. Only its name and zone
  * decide, so all routers agree. */
 bool config_is_engine_evacuated(const config *config, id engine, id zone);
-/** True when all engines of a zone are evacuated. */
+/** True if all engines of a zone are evacuated. */
 bool config_is_zone_evacuated(const config *config, id zone);
 #endif
--- a/lib/configuration/delta.c
+++ b/lib/configuration/delta.c
@@ -1,15 +1,15 @@
-/** Deltas between two texts of a configuration.
+/** Deltas between two versions of a configuration's text.
  *
- * A text is cut into chunks, which end where an item of a JSON list does ("},{"). Chunks of the new
- * text that also stand in the old one are found by a hash and sent as runs of indexes; the others
- * are sent as text. Configurations are long lists of which a change touches a few items, so a delta
- * is short, and cutting needs no parsing. */
+ * A text is split into chunks at the boundaries between items of JSON lists ("},{"), which needs no
+ * parsing. Chunks of the new text that also occur in the old one are found by a hash and encoded as
+ * runs of indexes; the others are encoded as text. A delta is short, since configurations are long
+ * lists and a change affects only a few items. */
 #include "delta.h"
 #include "wire.pb-c.h"
 
 /** Seeds of the two hashes, which must be the same in all processes. */
 enum { CHUNK_HASH_SEED = 1, TEXT_HASH_SEED = 2 };
-/** A delta must be smaller than the text by this factor, or it is not worth its work. */
+/** A delta must be smaller than the text by more than this factor to be worth its cost. */
 enum { SAVING_FACTOR_MIN = 2 };
 
 /** A part of a text, in bytes. */
@@ -24,7 +24,7 @@
          text.data[index + 1] == '{';
 }
 
-/* cuts a text into chunks; free with g_array_free */
+/* Splits a text into chunks. Free with g_array_free. */
 static GArray *cut_into_chunks(string_view text) {
   GArray *chunks = g_array_new(FALSE, FALSE, sizeof(text_chunk));
   size_t start = 0;
@@ -46,7 +46,7 @@
   return hash_bytes(text.data + chunk.offset, chunk.length, CHUNK_HASH_SEED);
 }
 
-/* a table from the hashes of chunks to the index plus 1 of the first one */
+/* Maps the hash of each chunk to index + 1 of the first chunk that has it. */
 static GHashTable *index_chunks(string_view text, const GArray *chunks) {
   GHashTable *index = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, NULL);
   for (guint i = 0; i < chunks->len; i++) {
@@ -57,12 +57,12 @@
   return index;
 }
 
-/** A delta in the making. */
+/** State of delta_encode. */
 typedef struct encoder {
   string_view old, new;
   GArray *old_chunks;
   GHashTable *old_index;
-  /** Of Wire__TextDeltaChunk: runs of old chunks, and new text. */
+  /** Array of Wire__TextDeltaChunk: runs of old chunks, and new text. */
   GArray *runs;
 } encoder;
 
@@ -72,7 +72,7 @@
       encoder->runs->len
           ? &g_array_index(encoder->runs, Wire__TextDeltaChunk, encoder->runs->len - 1)
           : NULL;
-  /* a chunk that stands more than once is best taken behind the one before it */
+  /* Of a chunk that occurs several times, the occurrence that extends the last run is best. */
   if (last && last->count && last->first + last->count < encoder->old_chunks->len &&
       chunk_equal(encoder->old,
                   g_array_index(encoder->old_chunks, text_chunk, last->first + last->count),
@@ -100,7 +100,7 @@
   g_array_append_val(encoder->runs, run);
 }
 
-/* packs the runs into a message; false when that saves too little */
+/* Packs the runs into a message; false if that saves too little. */
 static bool pack_runs(const encoder *encoder, GString *to) {
   Wire__TextDelta delta = WIRE__TEXT_DELTA__INIT;
   Wire__TextDeltaChunk **runs = g_new(Wire__TextDeltaChunk *, encoder->runs->len + 1);
@@ -134,7 +134,7 @@
   return saves;
 }
 
-/* appends a run of old chunks and new text; false when the old text has no such chunks */
+/* Appends the old chunks and the new text of a run; false if the old text lacks these chunks. */
 static bool append_run(string_view old, const GArray *old_chunks, const Wire__TextDeltaChunk *run,
                        GString *to) {
   if (run->count > old_chunks->len || run->first > old_chunks->len - run->count)
--- a/lib/configuration/delta.h
+++ b/lib/configuration/delta.h
@@ -1,12 +1,12 @@
 #ifndef CONFIGURATION_DELTA_H
 #define CONFIGURATION_DELTA_H
-/** Deltas between two texts of a configuration, as packed TextDelta messages. */
+/** Deltas between two versions of a configuration's text, as packed TextDelta messages. */
 #include "base.h"
 
-/** Writes what makes the new text out of the old one, which the receiver holds. False, with `to`
- * unchanged, when that saves less than half of the text. */
+/** Writes a delta from the old text, which the receiver holds, to the new one. False, with `to`
+ * unchanged, if that does not save more than half of the text. */
 bool delta_encode(string_view old, string_view new, GString *to);
-/** Writes the new text; false when the delta can't be read or doesn't fit the old text (`to` then
- * holds nothing of use). */
+/** Applies a delta to the old text and writes the new one. False if the delta is malformed or
+ * belongs to another text; the content of `to` is then undefined. */
 bool delta_apply(string_view old, string_view packed, GString *to);
 #endif
--- a/lib/configuration/dialect.c
+++ b/lib/configuration/dialect.c
@@ -1,13 +1,13 @@
 /** Dialects: the names that another platform gives to our header fields, calls, JSON keys and
  * values.
  *
- * JSON is translated in place at the edge: dialect_translate_in makes ours of what came, and
- * dialect_translate_out the way back, such that out(in(x)) is x. A key or value of ours that
- * another platform does not know must therefore survive the way in: it gets a mark in front, which
- * the way out takes away. */
+ * JSON is translated in place where it enters and leaves the process: dialect_translate_in gives
+ * native names, and dialect_translate_out reverses it, so that out(in(x)) is x. A native key or
+ * value that arrives although the dialect has another name for it must therefore be kept apart: in
+ * prefixes it with an escape character, which out removes. */
 #include "dialect.h"
 
-/** In front of a key or value that came in our own words though the dialect has another one. */
+/** Escapes a key or value that arrived under its native name although the dialect has another. */
 #define MARK '~'
 
 const dialect dialect_native = {
@@ -37,7 +37,7 @@
              [DC_REPORT] = { "GET", "/v1/report" } },
 };
 
-/** The tables of one dialect as hashes: keys both ways, and values by our key (a GPtrArray of
+/** Hash tables of one dialect: keys in both directions, and values by native key (a GPtrArray of
  * dialect_value). */
 typedef struct translation {
   GHashTable *own_to_theirs, *theirs_to_own, *values_by_key;
@@ -48,7 +48,7 @@
   t->own_to_theirs = g_hash_table_new(g_str_hash, g_str_equal);
   t->theirs_to_own = g_hash_table_new(g_str_hash, g_str_equal);
   t->values_by_key = g_hash_table_new(g_str_hash, g_str_equal);
-  /* from the last: of keys that stand twice the first one counts */
+  /* From the last to the first, so that the first of two entries with the same key wins. */
   for (size_t i = dialect->key_count; i-- > 0;) {
     const dialect_pair *pair = &dialect->keys[i];
     g_hash_table_insert(t->own_to_theirs, (char *)pair->own, (char *)pair->theirs);
@@ -66,7 +66,8 @@
   return t;
 }
 
-/* the hashes of a dialect, made when it is first used; dialects are constants, so they stay */
+/* Returns the hash tables of a dialect. They are built at its first use and never freed, since
+ * dialects are constants. */
 static const translation *translation_of(const dialect *dialect) {
   static GHashTable *all;
   if (!all)
@@ -107,7 +108,7 @@
   }
 }
 
-/* our name of a key that came, or NULL when it stays; free with g_free */
+/* The native name of a received key, or NULL if it stays as it is. Free with g_free. */
 static char *key_in(const translation *t, const char *key) {
   if (key[0] == MARK)
     return g_strdup_printf("%c%s", MARK, key);
@@ -117,7 +118,7 @@
   return g_hash_table_contains(t->own_to_theirs, key) ? g_strdup_printf("%c%s", MARK, key) : NULL;
 }
 
-/* their name of a key of ours, or NULL when it stays; free with g_free */
+/* The platform's name of a native key, or NULL if it stays as it is. Free with g_free. */
 static char *key_out(const translation *t, const char *key) {
   if (key[0] == MARK)
     return g_strdup(key + 1);
--- a/lib/configuration/dialect.h
+++ b/lib/configuration/dialect.h
@@ -1,6 +1,7 @@
 #ifndef CONFIGURATION_DIALECT_H
 #define CONFIGURATION_DIALECT_H
-/** Names of our interfaces as another platform speaks them (dialect.c). Meaning stays ours. */
+/** Dialects: the names that another platform uses for our interfaces. A dialect changes names only,
+ * never meaning. */
 #include "json.h"
 
 /** Header fields that the data plane reads or writes; a dialect may lack the last two. */
@@ -23,7 +24,7 @@
   DF_POLICY,
   DF_COUNT
 };
-/** Calls that others make to us, or that we make to engines; an id stands for {}. */
+/** Calls that others make to us, or that we make to engines. {} in a path stands for an id. */
 enum dialect_call {
   DC_READY,
   DC_HEARTBEAT,
@@ -39,17 +40,17 @@
 typedef struct dialect_path {
   const char *method, *path;
 } dialect_path;
-/** A JSON key: ours, and theirs. */
+/** A JSON key: our name, and the other platform's. */
 typedef struct dialect_pair {
   const char *own, *theirs;
 } dialect_pair;
-/** A text that is the value of one of our keys: ours, and theirs. */
+/** A string value of one of our keys: our word, and the other platform's. */
 typedef struct dialect_value {
   const char *key, *own, *theirs;
 } dialect_value;
 
-/** How an interface of ours is spoken: names only, no meaning. All JSON is read and written in our
- * own words, and passes dialect_translate_in and dialect_translate_out at the edge. */
+/** The names that one platform uses. All code reads and writes JSON with native names; the
+ * interfaces translate it with dialect_translate_in and dialect_translate_out. */
 typedef struct dialect {
   const char *header_names[DF_COUNT];
   dialect_path calls[DC_COUNT];
@@ -59,15 +60,16 @@
   size_t value_count;
 } dialect;
 
-/** Our own names: nothing is translated. */
+/** The native names: nothing is translated. */
 extern const dialect dialect_native;
-/** Renames keys and values from theirs to ours, in place. A key that is unknown to them but one of
- * ours gets a mark, so that dialect_translate_out brings back just what came. NULL is fine. */
+/** Renames keys and values from the platform's names to native ones, in place. A native name that
+ * arrives although the dialect has another name for it is escaped, so that dialect_translate_out
+ * restores exactly the original. value may be NULL. */
 void dialect_translate_in(const dialect *dialect, json *value);
-/** The way back. NULL is fine. */
+/** The reverse of dialect_translate_in. value may be NULL. */
 void dialect_translate_out(const dialect *dialect, json *value);
-/** True when a request fits a call (its query doesn't count); the id in its path, if any, goes to
- * who, which may be NULL. */
+/** True if a request's method and path, without its query, match a call. The id in the path, if
+ * any, is stored in who, which may be NULL. */
 bool dialect_matches_call(const dialect *dialect, enum dialect_call call, const char *method,
                           const char *path, id *who);
 #endif
--- a/lib/configuration/evacuation.c
+++ b/lib/configuration/evacuation.c
@@ -38,8 +38,8 @@
   return OK;
 }
 
-/* A hash of its name decides whether an engine belongs to the share, so that all routers agree
- * without a message, and an engine stays in or out while the share does. */
+/* A hash of the engine's name decides whether it belongs to the share. So all routers agree without
+ * communication, and the result changes only when the share does. */
 static bool is_in_share(id engine, double share) {
   uint64_t hash = hash_two_names("empty", engine.text);
   double fraction = (double)(hash >> 11) / (double)(1ull << 53);
--- a/lib/configuration/formula.c
+++ b/lib/configuration/formula.c
@@ -1,5 +1,5 @@
-/** Expressions of operators for the utility of keeping a model: a recursive-descent compiler to
- * one-byte codes, and a stack machine that runs them. Bounded in size, depth and time, since an
+/** Operators' expressions for the utility of keeping a model: a recursive-descent compiler to
+ * one-byte opcodes, and a stack machine that runs them. Size, depth and time are bounded, since an
  * expression runs for every candidate of every eviction. */
 #include "formula.h"
 #include <math.h>
@@ -70,7 +70,7 @@
   emit_code(compiler, OP_CONSTANT, formula->constant_count++, 1);
 }
 
-/* the two arguments of min or max, in parentheses */
+/* Compiles the two arguments of min or max, in parentheses. */
 static void compile_call(compiler *compiler, enum opcode function) {
   if (!accept_token(compiler, '(')) {
     set_failure(compiler, E_FIELD, "min and max take (a,b)");
@@ -108,7 +108,7 @@
     compile_variable(compiler, name);
 }
 
-/* a number, a name, a call, a negation, or a sum in parentheses */
+/* Compiles a number, a name, a call, a negation, or a sum in parentheses. */
 static void compile_atom(compiler *compiler) {
   if (compiler->code)
     return;
@@ -161,7 +161,7 @@
   }
 }
 
-/* a scanner of numbers, names and single characters; free with g_scanner_destroy */
+/* Creates a scanner for numbers, names and single characters. Free with g_scanner_destroy. */
 static GScanner *scanner_new(const char *text, size_t length) {
   GScanner *scanner = g_scanner_new(NULL);
   GScannerConfig *config = scanner->config;
--- a/lib/configuration/formula.h
+++ b/lib/configuration/formula.h
@@ -1,12 +1,13 @@
 #ifndef CONFIGURATION_FORMULA_H
 #define CONFIGURATION_FORMULA_H
-/** Expressions that operators write for an eviction policy of their own (docs/paper.md). */
+/** Expressions by which operators define their own eviction policies (docs/paper.md). */
 #include "base.h"
 
 /** The names that an expression may use, in the order of their values. */
 enum formula_variable { F_PENALTY, F_RATE, F_SIZE, F_MB, F_SLOTS, F_IDLE, F_VARIABLES };
 enum { FORMULA_CODE_MAX = 160, FORMULA_CONSTANTS_MAX = 32, FORMULA_TEXT_MAX = 400 };
-/** The utility of keeping a model, compiled: a bounded run of one-byte codes over a small stack. */
+/** A compiled expression for the utility of keeping a model: a bounded sequence of one-byte opcodes
+ * for a small stack machine. */
 typedef struct formula {
   id self;
   unsigned char code[FORMULA_CODE_MAX];
@@ -15,9 +16,9 @@
 } formula;
 
 /** Compiles an expression of numbers, names, + - * / ( ) min(a,b) and max(a,b). On an error the
- * formula is of no use, and err (not NULL) tells near which byte. */
+ * formula must not be used, and err (not NULL) gives the approximate byte position. */
 enum error_code formula_compile(formula *formula, const char *text, error *err);
-/** Runs it. What is not a finite number, as after a division by zero, counts as 0: such a thing
- * goes first. */
+/** Evaluates it. A result that is not finite, for example after a division by zero, counts as 0, so
+ * that the model is evicted first. */
 double formula_evaluate(const formula *formula, const double values[F_VARIABLES]);
 #endif
--- a/lib/configuration/json.c
+++ b/lib/configuration/json.c
@@ -1,25 +1,25 @@
-/** JSON values: parsing by yajl's callbacks, look-up, merging and writing. */
+/** JSON values: parsing with yajl's callbacks, lookup, merging and writing. */
 #include "json.h"
 #include <math.h>
 #include <stdarg.h>
 #include <yajl/yajl_gen.h>
 #include <yajl/yajl_parse.h>
 
-/** Bounds on what others send: a parser's recursion and a linear search for a key rest on them. */
+/** Bounds on received JSON: they limit recursion, and the cost of the linear search for a key. */
 enum { DEPTH_MAX = 24, KEYS_MAX = 256 };
-/** Numbers of digits that a number may have, with the end of its text. */
+/** Buffer size for the text of a number, including the final NUL. */
 enum { NUMBER_TEXT_SIZE = 64 };
-/** 2^53: whole numbers below it are exact as double. */
+/** 2^53: integers below it are exact as a double. */
 static const double exact_integer_max = 9007199254740992.0;
 
-/** A parse in hand: the value so far, the open arrays and objects, and for each the last key. */
+/** State of a parse: the value so far, the open arrays and objects, and the last key of each. */
 typedef struct parser {
   json *top;
   json *open[DEPTH_MAX];
   GString *keys[DEPTH_MAX];
   int depth;
   error *err;
-  /** The first error, or OK; yajl's own errors come after it. */
+  /** The first error that a callback found, or OK. It takes precedence over yajl's own error. */
   enum error_code code;
 } parser;
 
@@ -45,7 +45,7 @@
   g_free(json);
 }
 
-/* adds a key to the innermost object, before its value; false with the error set */
+/* Adds a key to the innermost object, before its value. False with the error set if it can't. */
 static bool add_key(parser *parser, json *object, const char *key) {
   if (object->keys->len == KEYS_MAX) {
     parser->code = error_set(parser->err, E_TOO_LARGE, "an object of over %d keys", KEYS_MAX);
@@ -59,10 +59,10 @@
   return true;
 }
 
-/* what yajl's callbacks return: go on, or stop with the parser's error */
+/* Return values of yajl's callbacks: continue, or cancel the parse. */
 enum { GO_ON = 1, STOP = 0 };
 
-/* puts a value where the text stands, and opens it if it is an array or object */
+/* Adds a value at the current position of the parse, and opens it if it is an array or object. */
 static int add_value(parser *parser, json *value) {
   if (!parser->depth) {
     if (parser->top) {
@@ -114,7 +114,7 @@
   }
   json *json = json_new(JSON_NUMBER);
   json->number = v;
-  /* a whole number that a double can't hold keeps its digits */
+  /* an integer that a double can't hold exactly keeps its digits */
   if (fabs(v) >= exact_integer_max && !memchr(p, '.', n) && !memchr(p, 'e', n) &&
       !memchr(p, 'E', n))
     json->text = g_string_new(buf);
@@ -252,7 +252,7 @@
       yajl_gen_integer(g, (long long)json->number);
       break;
     }
-    /* the short form, unless it would not read back the same */
+    /* 15 digits, unless they would not parse back to the same number */
     g_ascii_formatd(buf, sizeof buf, "%.15g", json->number);
     if (g_ascii_strtod(buf, NULL) != json->number)
       g_ascii_dtostr(buf, sizeof buf, json->number);
--- a/lib/configuration/policy.c
+++ b/lib/configuration/policy.c
@@ -1,11 +1,12 @@
-/** The resource "policy": eviction, numbers of the data plane, kinds of requests, and rules. */
+/** The resource "policy": eviction, numeric parameters of the data plane, kinds of requests, and
+ * rules. */
 #include "config_sections.h"
 #include <math.h>
 
 /** The built-in eviction policies; see lib/router/eviction_policy.h. */
 static const char *const eviction_policies[] = { "cremebrulee", "popularity", "lru", "random" };
 
-/** How far the quota shares may add up to more than 1, since they are rounded. */
+/** How far the sum of the quota shares may exceed 1, since shares are rounded. */
 static const double share_rounding = 0.0001;
 /** In milliseconds: an hour. */
 static const double span_ms_max = 3.6e6;
@@ -97,7 +98,7 @@
   return OK;
 }
 
-/* the numbers; an absent one keeps its default */
+/* Reads the numeric fields; an absent one keeps its default. */
 static enum error_code read_numbers(config *config, value_reader *reader, const json *value) {
   if (value_reader_number(reader, value, "loadsPerS", 0.01, 1000, config->loads_per_s, false,
                           &config->loads_per_s) ||
@@ -138,7 +139,7 @@
   return OK;
 }
 
-/* the kinds of requests; declared ones replace the defaults */
+/* Compiles the kinds of requests; declared ones replace the defaults. */
 static enum error_code compile_kinds(config *config, value_reader *reader, const json *value) {
   const json *kinds;
   if (value_reader_list(reader, value, "kinds", REQUEST_KINDS_MAX, &kinds))
@@ -160,7 +161,7 @@
   return OK;
 }
 
-/* the rules; declared ones replace the default */
+/* Compiles the rules; declared ones replace the default. */
 static enum error_code compile_rules(config *config, value_reader *reader, const json *value) {
   const json *rules;
   if (value_reader_list(reader, value, "rules", RULES_MAX, &rules))
--- a/lib/configuration/policy_rule.c
+++ b/lib/configuration/policy_rule.c
@@ -1,7 +1,7 @@
-/** A rule of a policy: which requests it fits, and the steps that they go through. */
+/** Rules of a policy: which requests a rule matches, and the steps that process them. */
 #include "config_sections.h"
 
-/** The steps by the names that operators give them, in the order of enum step_kind. */
+/** The names of the steps in the resource, in the order of enum step_kind. */
 static const char *const step_names[] = { "enrol", "select", "hold", "proxy", "answer", "refuse" };
 
 enum { REJECT_STATUS_DEFAULT = 403, REJECT_STATUS_MIN = 400, REJECT_STATUS_MAX = 599 };
@@ -23,7 +23,7 @@
   return OK;
 }
 
-/* what a rule fits; a name without wildcards must be declared */
+/* Reads the patterns of a rule; a name without wildcards must be declared. */
 static enum error_code compile_condition(config *config, value_reader *reader, policy_rule *rule,
                                          const json *when) {
   static const char *const known[] = { "kind", "model", "adapter", NULL };
@@ -41,7 +41,7 @@
   return OK;
 }
 
-/* the step of a name, or -1 */
+/* The kind of step that a value names, or -1. */
 static int step_of(const json *value) {
   const char *name = value->kind == JSON_STRING ? value->text->str : json_text(value, "op", "");
   for (size_t i = 0; i < G_N_ELEMENTS(step_names); i++)
@@ -50,7 +50,7 @@
   return -1;
 }
 
-/* the number that a step bears: how long to wait, or the status of a rejection */
+/* Reads the argument of a step: how long to wait, or the status of a rejection. */
 static enum error_code read_argument(value_reader *reader, const json *value, int kind,
                                      int64_t *argument) {
   static const char *const known[] = { "op", "ms", "status", NULL };
--- a/lib/configuration/routing.c
+++ b/lib/configuration/routing.c
@@ -1,8 +1,8 @@
-/** The compiled routing configuration: its lifetime, and the lookups that requests need. */
+/** The compiled routing configuration: its lifetime, and the lookups for requests. */
 #include "routing.h"
 #include "routing_internal.h"
 
-/* routes are found by host and prefix */
+/* Routes are hashed and compared by host and prefix. */
 static guint route_hash(gconstpointer p) {
   const route *route = p;
   return (guint)hash_bytes(route->prefix, route->prefix_length, g_str_hash(route->host));
@@ -51,7 +51,7 @@
     routing_free(routing);
 }
 
-/* writes the host without its port in lower case; false when it is empty or too long */
+/* Writes the host in lower case and without its port; false if it is empty or too long. */
 static bool normalize_host(string_view host, char *to, size_t size) {
   size_t length = host.length;
   while (length && g_ascii_isdigit(host.data[length - 1]))
@@ -75,7 +75,7 @@
   const char *query = memchr(path.data, '?', path.length);
   size_t length = query ? (size_t)(query - path.data) : path.length;
   route wanted = { .host = name, .prefix = (char *)path.data };
-  /* prefixes end with a slash: from the longest one that the path has */
+  /* all prefixes end with a slash; the longest is tried first */
   for (size_t i = MIN(length, routing->prefix_length_max); i > 0; i--) {
     if (path.data[i - 1] != '/')
       continue;
--- a/lib/configuration/routing.h
+++ b/lib/configuration/routing.h
@@ -2,29 +2,29 @@
 #define CONFIGURATION_ROUTING_H
 #include "json.h"
 
-/** The resource "routing": which requests go to which services, and what the engines of a service
- * are like. Its form, in our own words (an adapter may rename them, see dialect.h):
+/** The resource "routing": which requests go to which services, and the properties of a service's
+ * engines. Its schema, with native names (a dialect may rename them, see dialect.h):
  *  {"version":7,
  *   "routes":[{"name","host","prefix","mode":"once"|"safe"|"stream","timeoutMs","targetMs","priority","service"
  * or "split":[{"service","weight"}],"attempts","affinity":bool,"resumable":bool,"gapTargetMs"}],
  *   "services":[{"name","health","connectionsMost","protocol","tls","engine":{"slots","kvTokens","kvTokenBytes","stride",
  *                "models":[{"name","weightsMb","loadS","adapters","adapterMb"}],"weightsMb","adapterSlots","loadsPerS"}}],
  *   "limits":{"headerBytes","bodyBytes","headerMs","idleMs"}}
- * Fields that are not known here are kept and given back. */
+ * Unknown fields are preserved. */
 
 /** Whether a request may run more than once: at most once; any number of times (idempotent); as a
- * stream of events, which may not be run again once it has begun. */
+ * stream of events, which must not run again once it has begun. */
 enum route_mode { ROUTE_MODE_ONCE, ROUTE_MODE_SAFE, ROUTE_MODE_STREAM };
 
-/** A model that a service's engines may hold. load_ms is what the operator says; history knows
- * better. */
+/** A model that a service's engines may hold. load_ms is the operator's estimate; measured load
+ * times take precedence over it. */
 typedef struct service_model_spec {
   id name;
   double weights_mb, load_ms, adapter_mb;
   unsigned adapters;
 } service_model_spec;
-/** A service. engine_slots is 0 when the configuration says nothing of its engines; models is empty
- * for a plain one. */
+/** A service. engine_slots is 0 if the configuration does not describe its engines; models is empty
+ * for a service without models. */
 typedef struct service {
   id name;
   char health_path[128];
@@ -34,12 +34,12 @@
   size_t model_count;
   GHashTable *models_by_name;
 } service;
-/** One of the services of a route; weight 0 gets no requests. */
+/** One of the services of a route; one with weight 0 gets no requests. */
 typedef struct route_leg {
   const service *service;
   double weight;
 } route_leg;
-/** A route. priority: 0 is the most urgent. timeout and target in ms; gap 0 when there is none. */
+/** A route. priority 0 is the most urgent; gap_target_ms is 0 if there is none. */
 typedef struct route {
   id name;
   char *host, *prefix;
@@ -52,13 +52,13 @@
   size_t leg_count;
   double weight_sum;
 } route;
-/** What callers may send. */
+/** Limits on callers' requests and connections. */
 typedef struct request_limits {
   size_t header_max_bytes, body_max_bytes;
   int64_t header_timeout_ms, idle_timeout_ms;
 } request_limits;
-/** A compiled configuration. It never changes; it is shared by counting references, since requests
- * under way go on with the one that they began with. */
+/** A compiled configuration. It is immutable and reference-counted, since a request in flight keeps
+ * the version with which it started. */
 typedef struct routing {
   uint64_t revision;
   route *routes;
@@ -71,28 +71,27 @@
   int reference_count;
 } routing;
 
-/** Compiles a full configuration; NULL with err (path and reason) when it is invalid: incomplete,
- * an unknown service, two routes with one host and prefix, weights that add up to 0, a timeout of
- * 0, a name that stands twice. */
+/** Compiles a full configuration. NULL with err set (path and reason) if it is invalid: incomplete,
+ * an unknown service, two routes with the same host and prefix, weights that add up to 0, a timeout
+ * of 0, or a duplicate name. */
 routing *routing_compile(const json *value, error *err);
-/** Takes one more reference; NULL is fine. */
+/** Takes a reference; NULL is fine. */
 routing *routing_ref(routing *routing);
-/** Gives a reference back; the last one frees it. NULL is fine. */
+/** Drops a reference; the last one frees the configuration. NULL is fine. */
 void routing_unref(routing *routing);
-/** The route of a host (its port, and case, don't count) and path: the longest prefix; NULL when
- * there is none. */
+/** Finds the route of a host (port and case are ignored) with the longest prefix of the path; NULL
+ * if there is none. */
 const route *routing_find_route(const routing *routing, string_view host, string_view path);
-/** The service of a name, or NULL. */
+/** Finds a service by name; NULL if there is none. */
 const service *routing_find_service(const routing *routing, const char *name);
-/** The model of a name that a service's engines may hold, or NULL. */
+/** Finds a model of a service by name; NULL if there is none. */
 const service_model_spec *service_find_model(const service *service, const char *name);
-/** The leg that a route gives a request: draw is a number from 0 to 1. */
+/** Picks a service of a route by weight; draw is a random number from 0 to 1. */
 const service *route_pick_service(const route *route, double draw);
 /** Applies {"version","set":{"routes":[],"services":[]},"drop":{"routes":[names],"services":[]}} to
- * a full configuration; also "limits" in set. NULL with err set when the change is no such thing.
- * The result is the caller's; base and patch stay as they are. */
+ * a full configuration; set may also hold "limits". NULL with err set if the patch is malformed.
+ * The caller owns the result; base and patch are not changed. */
 json *routing_patch(const json *base, const json *patch, error *err);
-/** What a new configuration must keep to beside its own validity: its revision lies above the
- * current one. */
+/** Checks that a new configuration may replace the current one: its revision must be higher. */
 enum error_code routing_check_successor(const json *next, uint64_t current, error *err);
 #endif
--- a/lib/configuration/routing_compile.c
+++ b/lib/configuration/routing_compile.c
@@ -1,29 +1,29 @@
-/** Compiles the resource "routing" (its form stands in routing.h): checks all of it, and builds the
- * tables that requests are routed by. Services come first, since routes refer to them. */
+/** Compiles the resource "routing" (its schema is in routing.h): checks all of it, and builds the
+ * tables by which requests are routed. Services come first, since routes refer to them. */
 #include "routing.h"
 #include "routing_internal.h"
 #include <math.h>
 
-/** What callers may send where the configuration doesn't say; see request_limits. */
+/** Defaults of request_limits. */
 enum {
   HEADER_BYTES_DEFAULT = 16384,
   BODY_BYTES_DEFAULT = 4 << 20,
   HEADER_TIMEOUT_DEFAULT_MS = 3000,
   IDLE_TIMEOUT_DEFAULT_MS = 15000,
 };
-/** Bounds that only keep numbers within their types. */
+/** Bounds that only keep numbers within the range of their types. */
 static const double count_max = 1e6, weights_mb_max = 1e9, kv_max = 1e15, span_ms_max = 1e12,
                     weight_max = 1e15, version_max = 9e18;
 
-/** A number of an object: the key, the largest value (the least is 0), what an absent one counts
- * as, and where it goes. */
+/** A numeric field of an object: its key, its largest value (the smallest is 0), the value of an
+ * absent one, and the destination. */
 typedef struct number_field {
   const char *key;
   double max, fallback;
   double *to;
 } number_field;
 
-/* an absent number takes the fallback; false when it is no number or out of its bounds */
+/* Reads a number; an absent one takes the fallback. False if it is not a number or out of range. */
 static bool read_number(const json *object, const char *key, double max, double fallback,
                         double *to) {
   const json *value = json_get(object, key);
@@ -45,7 +45,7 @@
   return OK;
 }
 
-/* reads the name of the item at an index of a list, and enters the item into a table by its name */
+/* Reads the name of the item at an index of a list, and adds the item to a table by its name. */
 static enum error_code read_name(const json *object, const char *list, size_t index, id *to,
                                  GHashTable *by_name, void *item, error *err) {
   const char *name = json_text(object, "name", NULL);
@@ -95,7 +95,7 @@
   return code;
 }
 
-/* what the engines of a service are like; nothing is known of them when it is absent */
+/* Reads the properties of a service's engines; they are unknown if it is absent. */
 static enum error_code compile_engine_spec(service *service, const json *value, error *err) {
   char where[80];
   g_snprintf(where, sizeof where, "%s.engine", service->name.text);
@@ -169,7 +169,7 @@
                                            route->name.text);
 }
 
-/* the services of a route: one, or several with weights */
+/* Reads the services of a route: one, or several with weights. */
 static enum error_code compile_legs(const routing *routing, route *route, const json *value,
                                     error *err) {
   const json *split = json_get(value, "split"), *one = json_get(value, "service");
@@ -189,7 +189,7 @@
   return compile_split(routing, route, split, err);
 }
 
-/* host and prefix, which no other route may have together */
+/* Reads host and prefix, a combination that no other route may have. */
 static enum error_code compile_match(routing *routing, route *route, const json *value,
                                      error *err) {
   const char *host = json_text(value, "host", ""), *prefix = json_text(value, "prefix", "");
@@ -259,7 +259,7 @@
   return compile_legs(routing, route, value, err);
 }
 
-/* a limit of 0, and what lies below 1, counts as absent */
+/* Reads a limit; one below 1 counts as absent. */
 static enum error_code read_limit(const json *object, const char *key, double fallback, double *to,
                                   error *err) {
   if (!read_number(object, key, span_ms_max, fallback, to))
@@ -290,7 +290,7 @@
   if (!version || version->kind != JSON_NUMBER || version->number < 0 ||
       version->number > version_max || version->number != floor(version->number))
     return error_set(err, E_ROUTING_VERSION, "version: missing, or not a whole number");
-  /* the text, where there is one, is exact beyond 2^53 */
+  /* a number of 2^53 or more has its digits as text, since the double is not exact */
   *to = version->text ? g_ascii_strtoull(version->text->str, NULL, 10) : (uint64_t)version->number;
   return OK;
 }
--- a/lib/configuration/routing_patch.c
+++ b/lib/configuration/routing_patch.c
@@ -1,9 +1,9 @@
-/** Patches of the routing configuration: items are set or dropped by their names, as JSON, before
- * the result is compiled. Fields that are not known here are kept. */
+/** Patches of the routing configuration: items are set or dropped by name. This works on the JSON,
+ * before the result is compiled, so unknown fields are preserved. */
 #include "routing.h"
 #include "routing_internal.h"
 
-/* the index of a key of an object, or -1 */
+/* The index of a key of an object, or -1. */
 static int index_of_key(const json *object, const char *key) {
   for (size_t i = 0; i < json_count(object); i++)
     if (!strcmp(json_key(object, i), key))
@@ -11,7 +11,7 @@
   return -1;
 }
 
-/* sets a key of an object, which takes the value over */
+/* Sets a key of an object, which takes ownership of the value. */
 static void set_key(json *object, const char *key, json *value) {
   int index = index_of_key(object, key);
   if (index < 0) {
@@ -23,7 +23,7 @@
   object->children->pdata[index] = value;
 }
 
-/* the list under a key, or NULL */
+/* The list under a key, or NULL. */
 static json *list_of_key(json *object, const char *key) {
   int index = index_of_key(object, key);
   json *list = index < 0 ? NULL : object->children->pdata[index];
@@ -37,7 +37,7 @@
   return true;
 }
 
-/* a table from the names of a list's items to their index plus 1; the names stay the list's */
+/* Maps the names of a list's items to index + 1. The names are borrowed from the list. */
 static GHashTable *positions_by_name(const json *list) {
   GHashTable *positions = g_hash_table_new(g_str_hash, g_str_equal);
   for (size_t i = 0; i < json_count(list); i++) {
@@ -48,8 +48,7 @@
   return positions;
 }
 
-/* collects the names that are to be dropped; an item stands by itself or as an object with a name
- */
+/* Collects the names to drop. Each entry is a name, or an object with a name. */
 static enum error_code collect_names(GHashTable *dropped, const char *key, const json *names,
                                      error *err) {
   for (size_t i = 0; i < json_count(names); i++) {
@@ -77,7 +76,7 @@
   list->children = kept;
 }
 
-/* drops items of the list under a key by their names; what isn't there is no error */
+/* Drops items of the list under a key by their names; a missing item is no error. */
 static enum error_code apply_drop(json *top, const char *key, const json *names, error *err) {
   if (names->kind != JSON_ARRAY)
     return error_set(err, E_ROUTING_PATCH, "drop.%.40s: not a list", key);
@@ -90,7 +89,7 @@
   return code;
 }
 
-/* replaces items of a list by those of the same name, and appends the others */
+/* Replaces items of a list by those with the same name, and appends the others. */
 static void merge_named(json *list, const json *items) {
   GHashTable *positions = positions_by_name(list);
   for (size_t i = 0; i < json_count(items); i++) {
@@ -98,7 +97,7 @@
     const char *name = json_text(item, "name", "");
     size_t position = GPOINTER_TO_SIZE(g_hash_table_lookup(positions, name));
     if (position) {
-      /* the key must not be the name of the item that is freed */
+      /* the table's key is the name of the item that is freed, so it is replaced too */
       g_hash_table_replace(positions, (char *)name, GSIZE_TO_POINTER(position));
       json_free(list->children->pdata[position - 1]);
       list->children->pdata[position - 1] = item;
@@ -110,8 +109,8 @@
   g_hash_table_destroy(positions);
 }
 
-/* sets a key: routes, services and other lists of named items are merged by name, all else is
- * replaced */
+/* Sets a key: routes, services and other lists of named items are merged by name, everything else
+ * is replaced. */
 static enum error_code apply_set(json *top, const char *key, const json *value, error *err) {
   bool is_item_list = !strcmp(key, "routes") || !strcmp(key, "services");
   bool has_named_items = value->kind == JSON_ARRAY && all_have_names(value);
@@ -125,7 +124,7 @@
   return OK;
 }
 
-/* an object under a key of a patch, NULL when it is absent */
+/* Reads the object under a key of a patch; NULL if it is absent. */
 static enum error_code read_part(const json *patch, const char *key, const json **part,
                                  error *err) {
   *part = json_get(patch, key);
--- a/lib/configuration/settings.c
+++ b/lib/configuration/settings.c
@@ -1,4 +1,4 @@
-/** The settings of one process: read from a file or text of JSON, and checked as a whole. */
+/** The settings of one process: read from a JSON file or text, and checked as a whole. */
 #include "settings.h"
 #include "json.h"
 #include <arpa/inet.h>
@@ -9,11 +9,11 @@
   PORT_MAX = 65535,
   SEEDS = 3,
   FOUNDERS = 3,
-  /** Members, write replicas and zones that may be asked for. */
+  /** The largest number of members, write replicas and write zones that settings may ask for. */
   COUNT_MAX = 5,
   LOG_FILE_MIN_MB = 4,
   LOG_FILE_MAX_MB = 1024,
-  /** Members where none are asked for. */
+  /** The number of members if the settings have none. */
   CHAIN_MEMBERS_DEFAULT = 3
 };
 
@@ -49,12 +49,12 @@
 static enum error_code read_count(int *to, const json *value, const char *key, error *err) {
   if (value->kind != JSON_NUMBER || value->number < 1 || value->number > COUNT_MAX ||
       value->number != (int)value->number)
-    return error_set(err, E_SETTINGS_KEY, "%s: 1 to %d", key, COUNT_MAX);
+    return error_set(err, E_SETTINGS_KEY, "%s: not a whole number from 1 to %d", key, COUNT_MAX);
   *to = (int)value->number;
   return OK;
 }
 
-/* One function a setting. They have the signature of setting.read. */
+/* One function for each setting, with the signature of setting.read. */
 
 static enum error_code read_self(settings *settings, const json *value, const char *key,
                                  error *err) {
@@ -126,7 +126,7 @@
                                      error *err) {
   if (value->kind != JSON_STRING || !value->text->len ||
       value->text->len >= sizeof settings->data_dir)
-    return error_set(err, E_SETTINGS_DATA, "%s: not a folder", key);
+    return error_set(err, E_SETTINGS_DATA, "%s: not a path", key);
   g_strlcpy(settings->data_dir, value->text->str, sizeof settings->data_dir);
   return OK;
 }
@@ -135,7 +135,8 @@
                                           error *err) {
   if (value->kind != JSON_NUMBER || value->number < LOG_FILE_MIN_MB ||
       value->number > LOG_FILE_MAX_MB)
-    return error_set(err, E_SETTINGS_KEY, "%s: %d to %d", key, LOG_FILE_MIN_MB, LOG_FILE_MAX_MB);
+    return error_set(err, E_SETTINGS_KEY, "%s: not a number from %d to %d", key, LOG_FILE_MIN_MB,
+                     LOG_FILE_MAX_MB);
   settings->log_file_bytes = (size_t)value->number << 20;
   return OK;
 }
@@ -144,7 +145,7 @@
                                          error *err) {
   if (value->kind != JSON_NUMBER || value->number < WIRE_VERSION_MIN ||
       value->number > WIRE_VERSION_CURRENT)
-    return error_set(err, E_SETTINGS_KEY, "%s: %d to %d", key, WIRE_VERSION_MIN,
+    return error_set(err, E_SETTINGS_KEY, "%s: not a number from %d to %d", key, WIRE_VERSION_MIN,
                      WIRE_VERSION_CURRENT);
   settings->wire_version = (unsigned)value->number;
   return OK;
@@ -166,7 +167,7 @@
   return OK;
 }
 
-/** A setting: its key, whose it is, and the function that reads it. */
+/** A setting: its key, the roles that have it, and the function that reads it. */
 typedef struct setting {
   const char *key;
   /** Bits of enum role. */
@@ -198,7 +199,7 @@
   { "jsonLog", OF_ALL, read_json_log },
 };
 
-/* the setting of a key that a process of the role has, or NULL */
+/* Finds the setting of a key that processes of the role have; NULL if there is none. */
 static const setting *find_setting(const char *key, enum role role) {
   for (size_t i = 0; i < G_N_ELEMENTS(all_settings); i++)
     if (!strcmp(all_settings[i].key, key) && all_settings[i].roles & 1u << role)
@@ -234,14 +235,14 @@
     if (setting)
       code = setting->read(settings, json_at(value, i), key, err);
     else
-      code = error_set(err, E_SETTINGS_KEY, "%s: this daemon knows no such setting", key);
+      code = error_set(err, E_SETTINGS_KEY, "%s: unknown setting for this daemon", key);
   }
   json_free(value);
   return code;
 }
 
 void settings_set_fault_tolerance(settings *settings, int machines, int zones) {
-  /* how many machines a zone holds is not known, so all controllers vote where one may be lost */
+  /* How many machines a zone holds is not known, so all controllers vote if a zone may be lost. */
   settings->chain_members =
       zones > 0 ? REPLICAS_MAX : CLAMP(2 * machines + 1, REPLICAS_MIN, REPLICAS_MAX);
   settings->write_replicas = MAX(machines, zones) + 1;
@@ -249,7 +250,7 @@
 }
 
 static enum error_code check_seeds(const settings *settings, error *err) {
-  /* a fleet with one or two controllers has no three seeds */
+  /* a fleet of one or two controllers does not have three seeds */
   bool may_lack_seeds = settings->founder_count || settings->is_gateway || settings->relaxed;
   int needed = may_lack_seeds ? 1 : SEEDS;
   for (int i = 0; i < SEEDS; i++) {
@@ -261,7 +262,7 @@
     }
     for (int k = 0; k < i; k++)
       if (!strcmp(seed, settings->seed_addresses[k]))
-        return error_set(err, E_SETTINGS_SEEDS, "seeds: %s stands twice", seed);
+        return error_set(err, E_SETTINGS_SEEDS, "seeds: %s is listed twice", seed);
   }
   return OK;
 }
@@ -271,7 +272,7 @@
     for (int k = 0; k < i; k++)
       if (!id_is_empty(settings->founders[i]) &&
           id_equal(settings->founders[i], settings->founders[k]))
-        return error_set(err, E_SETTINGS_SEEDS, "founders: %s stands twice",
+        return error_set(err, E_SETTINGS_SEEDS, "founders: %s is listed twice",
                          settings->founders[i].text);
   return OK;
 }
@@ -280,7 +281,7 @@
   int members = settings->chain_members ? settings->chain_members : CHAIN_MEMBERS_DEFAULT;
   if (settings->write_replicas > members || settings->write_zones > settings->write_replicas)
     return error_set(err, E_SETTINGS_KEY,
-                     "copies: at most as many as members, and copyAreas at most as many as copies");
+                     "copies must not exceed members, and copyAreas must not exceed copies");
   if (!settings->data_dir[0] || access(settings->data_dir, W_OK | X_OK))
     return error_set(err, E_SETTINGS_DATA, "data: %s can't be written",
                      settings->data_dir[0] ? settings->data_dir : "missing");
--- a/lib/configuration/value_reader.c
+++ b/lib/configuration/value_reader.c
@@ -1,4 +1,4 @@
-/** Checked reading of JSON that operators declare. */
+/** Validated reading of JSON that operators declare. */
 #include "value_reader.h"
 #include <math.h>
 #include <stdarg.h>
--- a/lib/configuration/value_reader.h
+++ b/lib/configuration/value_reader.h
@@ -1,29 +1,30 @@
 #ifndef CONFIGURATION_VALUE_READER_H
 #define CONFIGURATION_VALUE_READER_H
-/** Checked reading of JSON that operators declare: each function reads one field of an object, and
- * on a bad value sets an error that names the field by its path ("policy.kinds[2].weight").
+/** Validated reading of JSON that operators declare: each function reads one field of an object,
+ * and on an invalid value sets an error that names the field by its path
+ * ("policy.kinds[2].weight").
  *
- * All functions return OK or the code that they set; later fields need not be read then. */
+ * All functions return OK or the code that they set; the caller may stop at the first error. */
 #include "json.h"
 
-/** Where the reader is. The path names the object whose fields are read; the error belongs to the
+/** State of a reader. The path names the object whose fields are read; the error belongs to the
  * caller and is not NULL. */
 typedef struct value_reader {
   error *err;
   char path[120];
 } value_reader;
 
-/** Goes to another object: sets the path by printf. */
+/** Sets the path (a printf format) to the object that is read next. */
 void value_reader_enter(value_reader *reader, const char *form, ...)
     __attribute__((format(printf, 2, 3)));
-/** Sets the error for a field (an empty key: the object itself), and returns the code. */
+/** Sets the error for a field, or for the object itself if key is empty, and returns the code. */
 enum error_code value_reader_fail(value_reader *reader, enum error_code code, const char *key,
                                   const char *reason);
-/** Refuses what is not an object, and fields that are not known. key names the object below the
- * path; empty: the object at the path. known ends with NULL. */
+/** Rejects a value that is not an object, and unknown fields. key names the object below the path;
+ * empty: the object at the path. known ends with NULL. */
 enum error_code value_reader_check_fields(value_reader *reader, const json *object, const char *key,
                                           const char *const *known);
-/** The fallback of value_reader_number for a field that must be there. */
+/** As the fallback of value_reader_number: the field is required. */
 #define VALUE_REQUIRED NAN
 /** Reads a number from low to high; an absent one takes the fallback. */
 enum error_code value_reader_number(value_reader *reader, const json *object, const char *key,
@@ -32,10 +33,10 @@
 /** The same for whole numbers. */
 enum error_code value_reader_integer(value_reader *reader, const json *object, const char *key,
                                      double low, double high, double fallback, int64_t *to);
-/** Reads a name, which must be there. */
+/** Reads a required name. */
 enum error_code value_reader_name(value_reader *reader, const json *object, const char *key,
                                   id *to);
-/** Reads a list of at most max items; an absent one gives NULL, over which json_count is 0. */
+/** Reads a list of at most max items; an absent one gives NULL, for which json_count returns 0. */
 enum error_code value_reader_list(value_reader *reader, const json *object, const char *key,
                                   size_t max, const json **to);
 #endif
