--- a/lib/configuration/dialect.c
+++ b/lib/configuration/dialect.c
@@ -8,7 +8,7 @@
 #include "dialect.h"
 
 /** Escapes a key or value that arrived under its native name although the dialect has another. */
-#define MARK '~'
+#define ESCAPE_CHARACTER '~'
 
 const dialect dialect_native = {
   .header_names = { [DF_REQUEST_ID] = "Asterfall-Request",
@@ -40,19 +40,21 @@
 /** Hash tables of one dialect: keys in both directions, and values by native key (a GPtrArray of
  * dialect_value). */
 typedef struct translation {
-  GHashTable *own_to_theirs, *theirs_to_own, *values_by_key;
+  GHashTable *native_to_foreign, *foreign_to_native, *values_by_key;
 } translation;
 
 static translation *translation_new(const dialect *dialect) {
   translation *t = g_new(translation, 1);
-  t->own_to_theirs = g_hash_table_new(g_str_hash, g_str_equal);
-  t->theirs_to_own = g_hash_table_new(g_str_hash, g_str_equal);
+  t->native_to_foreign = g_hash_table_new(g_str_hash, g_str_equal);
+  t->foreign_to_native = g_hash_table_new(g_str_hash, g_str_equal);
   t->values_by_key = g_hash_table_new(g_str_hash, g_str_equal);
   /* From the last to the first, so that the first of two entries with the same key wins. */
   for (size_t i = dialect->key_count; i-- > 0;) {
     const dialect_pair *pair = &dialect->keys[i];
-    g_hash_table_insert(t->own_to_theirs, (char *)pair->own, (char *)pair->theirs);
-    g_hash_table_insert(t->theirs_to_own, (char *)pair->theirs, (char *)pair->own);
+    g_hash_table_insert(t->native_to_foreign, (char *)pair->native_name,
+                        (char *)pair->foreign_name);
+    g_hash_table_insert(t->foreign_to_native, (char *)pair->foreign_name,
+                        (char *)pair->native_name);
   }
   for (size_t i = 0; i < dialect->value_count; i++) {
     const dialect_value *value = &dialect->values[i];
@@ -80,75 +82,77 @@
   return t;
 }
 
-static void value_in(const GPtrArray *values, GString *text) {
-  bool needs_mark = text->str[0] == MARK;
+static void value_to_native(const GPtrArray *values, GString *text) {
+  bool needs_escape = text->str[0] == ESCAPE_CHARACTER;
   for (guint i = 0; i < values->len; i++) {
     const dialect_value *value = values->pdata[i];
-    if (!strcmp(value->theirs, text->str)) {
-      g_string_assign(text, value->own);
+    if (!strcmp(value->foreign_value, text->str)) {
+      g_string_assign(text, value->native_value);
       return;
     }
-    needs_mark |= !strcmp(value->own, text->str);
+    needs_escape |= !strcmp(value->native_value, text->str);
   }
-  if (needs_mark)
-    g_string_prepend_c(text, MARK);
+  if (needs_escape)
+    g_string_prepend_c(text, ESCAPE_CHARACTER);
 }
 
-static void value_out(const GPtrArray *values, GString *text) {
-  if (text->str[0] == MARK) {
+static void value_to_foreign(const GPtrArray *values, GString *text) {
+  if (text->str[0] == ESCAPE_CHARACTER) {
     g_string_erase(text, 0, 1);
     return;
   }
   for (guint i = 0; i < values->len; i++) {
     const dialect_value *value = values->pdata[i];
-    if (!strcmp(value->own, text->str)) {
-      g_string_assign(text, value->theirs);
+    if (!strcmp(value->native_value, text->str)) {
+      g_string_assign(text, value->foreign_value);
       return;
     }
   }
 }
 
 /* The native name of a received key, or NULL if it stays as it is. Free with g_free. */
-static char *key_in(const translation *t, const char *key) {
-  if (key[0] == MARK)
-    return g_strdup_printf("%c%s", MARK, key);
-  const char *own = g_hash_table_lookup(t->theirs_to_own, key);
-  if (own)
-    return g_strdup(own);
-  return g_hash_table_contains(t->own_to_theirs, key) ? g_strdup_printf("%c%s", MARK, key) : NULL;
+static char *key_to_native(const translation *t, const char *key) {
+  if (key[0] == ESCAPE_CHARACTER)
+    return g_strdup_printf("%c%s", ESCAPE_CHARACTER, key);
+  const char *native_name = g_hash_table_lookup(t->foreign_to_native, key);
+  if (native_name)
+    return g_strdup(native_name);
+  return g_hash_table_contains(t->native_to_foreign, key)
+             ? g_strdup_printf("%c%s", ESCAPE_CHARACTER, key)
+             : NULL;
 }
 
 /* The platform's name of a native key, or NULL if it stays as it is. Free with g_free. */
-static char *key_out(const translation *t, const char *key) {
-  if (key[0] == MARK)
+static char *key_to_foreign(const translation *t, const char *key) {
+  if (key[0] == ESCAPE_CHARACTER)
     return g_strdup(key + 1);
-  return g_strdup(g_hash_table_lookup(t->own_to_theirs, key));
+  return g_strdup(g_hash_table_lookup(t->native_to_foreign, key));
 }
 
-static void translate_member(const translation *t, json *object, size_t index, bool in) {
+static void translate_member(const translation *t, json *object, size_t index, bool to_native) {
   json *value = object->children->pdata[index];
   char *key = object->keys->pdata[index];
-  char *new_key = in ? key_in(t, key) : key_out(t, key);
-  const char *own_key = in && new_key ? new_key : key;
+  char *new_key = to_native ? key_to_native(t, key) : key_to_foreign(t, key);
+  const char *native_key = to_native && new_key ? new_key : key;
   const GPtrArray *values =
-      value->kind == JSON_STRING ? g_hash_table_lookup(t->values_by_key, own_key) : NULL;
-  if (values && in)
-    value_in(values, value->text);
+      value->kind == JSON_STRING ? g_hash_table_lookup(t->values_by_key, native_key) : NULL;
+  if (values && to_native)
+    value_to_native(values, value->text);
   else if (values)
-    value_out(values, value->text);
+    value_to_foreign(values, value->text);
   if (!new_key)
     return;
   object->keys->pdata[index] = new_key;
   g_free(key);
 }
 
-static void translate(const translation *t, json *value, bool in) {
+static void translate(const translation *t, json *value, bool to_native) {
   for (size_t i = 0; i < json_count(value); i++) {
     if (value->kind == JSON_OBJECT)
-      translate_member(t, value, i, in);
+      translate_member(t, value, i, to_native);
     json *child = value->children->pdata[i];
     if (child->kind >= JSON_ARRAY)
-      translate(t, child, in);
+      translate(t, child, to_native);
   }
 }
 
--- a/lib/configuration/dialect.h
+++ b/lib/configuration/dialect.h
@@ -42,11 +42,11 @@
 } dialect_path;
 /** A JSON key: our name, and the other platform's. */
 typedef struct dialect_pair {
-  const char *own, *theirs;
+  const char *native_name, *foreign_name;
 } dialect_pair;
 /** A string value of one of our keys: our word, and the other platform's. */
 typedef struct dialect_value {
-  const char *key, *own, *theirs;
+  const char *key, *native_value, *foreign_value;
 } dialect_value;
 
 /** The names that one platform uses. All code reads and writes JSON with native names; the
