--- a/lib/configuration/canary.c
+++ b/lib/configuration/canary.c
@@ -114,7 +114,8 @@
   return OK;
 }
 
-static enum error_code compile_head(canary_plan *plan, value_reader *reader, const json *value) {
+static enum error_code compile_trial_fields(canary_plan *plan, value_reader *reader,
+                                            const json *value) {
   const char *name = json_text(value, "name", "");
   if (!id_is_valid(string_view_of(name)))
     return value_reader_fail(reader, E_NAME, "name", "missing, or no name");
@@ -145,7 +146,8 @@
   set_defaults(plan);
   if (!value || (value->kind == JSON_OBJECT && !json_count(value)))
     return OK;
-  if (value_reader_check_fields(&reader, value, "", known) || compile_head(plan, &reader, value) ||
+  if (value_reader_check_fields(&reader, value, "", known) ||
+      compile_trial_fields(plan, &reader, value) ||
       compile_candidate(&plan->candidate, &reader, json_get(value, "candidate")) ||
       compile_routes(plan, &reader, value) || compile_priorities(plan, &reader, value) ||
       compile_guard(plan, &reader, json_get(value, "guard")))
@@ -169,15 +171,16 @@
 }
 
 /* Checks the successor of a running trial: it must end the trial, and change no other field. */
-static enum error_code check_end(const json *was, const json *next, const canary_plan *running,
-                                 enum canary_state state, error *err) {
+static enum error_code check_running_successor(const json *previous, const json *next,
+                                               const canary_plan *running, enum canary_state state,
+                                               error *err) {
   static const char *const immutable[] = { "name",   "salt",       "share", "candidate",
                                            "routes", "priorities", "guard", "warmS" };
   if (state != CANARY_ENDED)
     return error_set(err, E_CANARY_RUNNING, "canary: the trial %s is running; it has to end first",
                      running->name.text);
   for (size_t i = 0; i < G_N_ELEMENTS(immutable); i++)
-    if (!json_equal(json_get(was, immutable[i]), json_get(next, immutable[i])))
+    if (!json_equal(json_get(previous, immutable[i]), json_get(next, immutable[i])))
       return error_set(err, E_CANARY_IMMUTABLE,
                        "canary.%s: the end of a trial changes nothing but state and end",
                        immutable[i]);
@@ -185,32 +188,33 @@
 }
 
 /* Checks the successor of an ended trial: a new trial may start, but only under another name. */
-static enum error_code check_after_end(const json *was, const json *next, const canary_plan *ended,
-                                       const canary_plan *plan, error *err) {
+static enum error_code check_ended_successor(const json *previous, const json *next,
+                                             const canary_plan *ended, const canary_plan *plan,
+                                             error *err) {
   if (plan->state == CANARY_RUNNING && id_equal(ended->name, plan->name))
     return error_set(err, E_CANARY_NAME_REUSED,
                      "canary: a trial named %s has ended; a new one needs a name of its own",
                      ended->name.text);
-  if (plan->state == CANARY_ENDED && !json_equal(was, next))
+  if (plan->state == CANARY_ENDED && !json_equal(previous, next))
     return error_set(err, E_NO_CANARY, "canary: the trial %s has ended already", ended->name.text);
   return OK;
 }
 
-enum error_code canary_check_successor(const json *was, const json *next, error *err) {
+enum error_code canary_check_successor(const json *previous, const json *next, error *err) {
   canary_plan current, plan;
   error ignored = { 0 };
   if (!err)
     err = &ignored;
   if (canary_compile(&plan, next, err))
     return err->code;
-  bool none = canary_compile(&current, was, NULL) || current.state == CANARY_NONE;
+  bool none = canary_compile(&current, previous, NULL) || current.state == CANARY_NONE;
   if (none && plan.state == CANARY_ENDED)
     return error_set(err, E_NO_CANARY, "canary: no trial is there to end");
   if (none)
     return OK;
   if (current.state == CANARY_RUNNING)
-    return check_end(was, next, &current, plan.state, err);
-  return check_after_end(was, next, &current, &plan, err);
+    return check_running_successor(previous, next, &current, plan.state, err);
+  return check_ended_successor(previous, next, &current, &plan, err);
 }
 
 /* The hash is seeded with the trial's name and salt, so that each trial selects other sessions. */
--- a/lib/configuration/canary.h
+++ b/lib/configuration/canary.h
@@ -59,7 +59,7 @@
 /** Checks that a new value is valid and may replace the current one: only one trial runs at a time,
  * the only change to a running trial is its end, and no trial starts again under the same name. err
  * may be NULL. */
-enum error_code canary_check_successor(const json *was, const json *next, error *err);
+enum error_code canary_check_successor(const json *previous, const json *next, error *err);
 /** True if the trial assigns the session to the candidate. All nodes agree on the result. */
 bool canary_session_is_candidate(const canary_plan *plan, uint64_t session);
 /** True if requests of the route and priority take part in the trial. */
--- a/lib/configuration/canary_evaluation.c
+++ b/lib/configuration/canary_evaluation.c
@@ -27,25 +27,25 @@
 
 /* The log likelihood ratio of the Beta(1/2, 1/2) mixture against one mean. */
 static double log_evidence(double sum, double n, double mean) {
-  double mix = lgamma(sum + 0.5) + lgamma(n - sum + 0.5) - lgamma(n + 1) - log(M_PI);
-  return mix - (sum > 0 ? sum * log(mean) : 0) - (n > sum ? (n - sum) * log1p(-mean) : 0);
+  double mixture = lgamma(sum + 0.5) + lgamma(n - sum + 0.5) - lgamma(n + 1) - log(M_PI);
+  return mixture - (sum > 0 ? sum * log(mean) : 0) - (n > sum ? (n - sum) * log1p(-mean) : 0);
 }
 
 double canary_bound(double sum, double n, double error, bool above) {
   if (n <= 0)
     return above ? 1 : 0;
   sum = CLAMP(sum, 0, n);
-  double in = sum / n, out = above ? 1 : 0, limit = -log(error);
-  if (in == out)
-    return out;
+  double inside = sum / n, outside = above ? 1 : 0, limit = -log(error);
+  if (inside == outside)
+    return outside;
   for (int i = 0; i < BISECTION_STEPS; i++) {
-    double mid = (in + out) / 2;
+    double mid = (inside + outside) / 2;
     if (log_evidence(sum, n, mid) < limit)
-      in = mid;
+      inside = mid;
     else
-      out = mid;
+      outside = mid;
   }
-  return out;
+  return outside;
 }
 
 /* Finds the smallest evidence against any pair of means in which the candidate's exceeds the
