--- a/lib/configuration/json.c
+++ b/lib/configuration/json.c
@@ -14,7 +14,7 @@
 
 /** State of a parse: the value so far, the open arrays and objects, and the last key of each. */
 typedef struct parser {
-  json *top;
+  json *root;
   json *open[DEPTH_MAX];
   GString *keys[DEPTH_MAX];
   int depth;
@@ -60,34 +60,34 @@
 }
 
 /* Return values of yajl's callbacks: continue, or cancel the parse. */
-enum { GO_ON = 1, STOP = 0 };
+enum { PARSE_CONTINUE = 1, PARSE_CANCEL = 0 };
 
 /* Adds a value at the current position of the parse, and opens it if it is an array or object. */
 static int add_value(parser *parser, json *value) {
   if (!parser->depth) {
-    if (parser->top) {
+    if (parser->root) {
       json_free(value);
-      return STOP;
+      return PARSE_CANCEL;
     }
-    parser->top = value;
+    parser->root = value;
   } else {
     json *parent = parser->open[parser->depth - 1];
     if (parent->kind == JSON_OBJECT &&
         !add_key(parser, parent, parser->keys[parser->depth - 1]->str)) {
       json_free(value);
-      return STOP;
+      return PARSE_CANCEL;
     }
     g_ptr_array_add(parent->children, value);
   }
   if (value->kind < JSON_ARRAY)
-    return GO_ON;
+    return PARSE_CONTINUE;
   if (parser->depth == DEPTH_MAX) {
     parser->code = error_set(parser->err, E_JSON, "nested deeper than %d", DEPTH_MAX);
-    return STOP;
+    return PARSE_CANCEL;
   }
   parser->keys[parser->depth] = g_string_new(NULL);
   parser->open[parser->depth++] = value;
-  return GO_ON;
+  return PARSE_CONTINUE;
 }
 
 static int on_null(void *context) {
@@ -103,14 +103,14 @@
   parser *parser = context;
   if (n >= sizeof buf) {
     parser->code = error_set(parser->err, E_RANGE, "a number of over 63 digits");
-    return STOP;
+    return PARSE_CANCEL;
   }
   memcpy(buf, p, n);
   buf[n] = 0;
   double v = g_ascii_strtod(buf, NULL);
   if (!isfinite(v)) {
     parser->code = error_set(parser->err, E_RANGE, "the number %s is out of range", buf);
-    return STOP;
+    return PARSE_CANCEL;
   }
   json *json = json_new(JSON_NUMBER);
   json->number = v;
@@ -127,7 +127,7 @@
   if (memchr(p, 0, n)) {
     parser->code = error_set(parser->err, E_JSON, "a text holds a zero byte");
     json_free(json);
-    return STOP;
+    return PARSE_CANCEL;
   }
   return add_value(context, json);
 }
@@ -140,14 +140,14 @@
   g_string_append_len(parser->keys[parser->depth - 1], (const char *)p, n);
   if (memchr(p, 0, n)) {
     parser->code = error_set(parser->err, E_JSON, "a key holds a zero byte");
-    return STOP;
+    return PARSE_CANCEL;
   }
-  return GO_ON;
+  return PARSE_CONTINUE;
 }
 static int on_end(void *context) {
   parser *parser = context;
   g_string_free(parser->keys[--parser->depth], TRUE);
-  return GO_ON;
+  return PARSE_CONTINUE;
 }
 static int on_array(void *context) {
   return add_value(context, json_new(JSON_ARRAY));
@@ -173,13 +173,13 @@
   yajl_free(h);
   while (parser.depth)
     g_string_free(parser.keys[--parser.depth], TRUE);
-  if (!parser.code && !parser.top)
+  if (!parser.code && !parser.root)
     parser.code = error_set(err, E_JSON, "there is no value");
   if (parser.code) {
-    json_free(parser.top);
+    json_free(parser.root);
     return NULL;
   }
-  return parser.top;
+  return parser.root;
 }
 
 json *json_copy(const json *value) {
@@ -309,12 +309,12 @@
       }
       continue;
     }
-    json *was = NULL;
+    json *previous = NULL;
     if (at >= 0) {
-      was = g_ptr_array_steal_index(target->children, at);
+      previous = g_ptr_array_steal_index(target->children, at);
       g_ptr_array_remove_index(target->keys, at);
     }
-    g_ptr_array_add(target->children, json_merge(was, v));
+    g_ptr_array_add(target->children, json_merge(previous, v));
     g_ptr_array_add(target->keys, g_strdup(k));
   }
   return target;
@@ -324,17 +324,17 @@
   yajl_gen g = yajl_gen_alloc(NULL);
   const unsigned char *p;
   size_t n;
-  char *ok = g_utf8_make_valid(s.data, s.length);
-  yajl_gen_string(g, (const unsigned char *)ok, strlen(ok));
-  g_free(ok);
+  char *valid = g_utf8_make_valid(s.data, s.length);
+  yajl_gen_string(g, (const unsigned char *)valid, strlen(valid));
+  g_free(valid);
   if (yajl_gen_get_buf(g, &p, &n) == yajl_gen_status_ok)
     g_string_append_len(to, (const char *)p, n);
   yajl_gen_free(g);
 }
 
-void json_appendf(GString *to, const char *form, ...) {
+void json_appendf(GString *to, const char *format, ...) {
   va_list a;
-  va_start(a, form);
-  g_string_append_vprintf(to, form, a);
+  va_start(a, format);
+  g_string_append_vprintf(to, format, a);
   va_end(a);
 }
--- a/lib/configuration/json.h
+++ b/lib/configuration/json.h
@@ -56,5 +56,5 @@
 }
 /** Appends formatted text. Text from outside the process must be appended with json_append_quoted
  * instead, which escapes it. */
-void json_appendf(GString *to, const char *form, ...) __attribute__((format(printf, 2, 3)));
+void json_appendf(GString *to, const char *format, ...) __attribute__((format(printf, 2, 3)));
 #endif
--- a/lib/configuration/routing_patch.c
+++ b/lib/configuration/routing_patch.c
@@ -77,12 +77,12 @@
 }
 
 /* Drops items of the list under a key by their names; a missing item is no error. */
-static enum error_code apply_drop(json *top, const char *key, const json *names, error *err) {
+static enum error_code apply_drop(json *root, const char *key, const json *names, error *err) {
   if (names->kind != JSON_ARRAY)
     return error_set(err, E_ROUTING_PATCH, "drop.%.40s: not a list", key);
   GHashTable *dropped = g_hash_table_new(g_str_hash, g_str_equal);
   enum error_code code = collect_names(dropped, key, names, err);
-  json *list = list_of_key(top, key);
+  json *list = list_of_key(root, key);
   if (!code && list && g_hash_table_size(dropped))
     drop_named(list, dropped);
   g_hash_table_destroy(dropped);
@@ -111,16 +111,16 @@
 
 /* Sets a key: routes, services and other lists of named items are merged by name, everything else
  * is replaced. */
-static enum error_code apply_set(json *top, const char *key, const json *value, error *err) {
+static enum error_code apply_set(json *root, const char *key, const json *value, error *err) {
   bool is_item_list = !strcmp(key, "routes") || !strcmp(key, "services");
   bool has_named_items = value->kind == JSON_ARRAY && all_have_names(value);
   if (is_item_list && !has_named_items)
     return error_set(err, E_ROUTING_PATCH, "set.%s: not a list of named items", key);
-  json *list = list_of_key(top, key);
+  json *list = list_of_key(root, key);
   if (list && has_named_items)
     merge_named(list, value);
   else
-    set_key(top, key, json_copy(value));
+    set_key(root, key, json_copy(value));
   return OK;
 }
 
@@ -135,13 +135,13 @@
   return OK;
 }
 
-static enum error_code apply_parts(json *top, const json *drop, const json *set, error *err) {
+static enum error_code apply_parts(json *root, const json *drop, const json *set, error *err) {
   enum error_code code = OK;
   for (size_t i = 0; i < json_count(drop) && !code; i++)
-    code = apply_drop(top, json_key(drop, i), json_at(drop, i), err);
+    code = apply_drop(root, json_key(drop, i), json_at(drop, i), err);
   for (size_t i = 0; i < json_count(set) && !code; i++)
     if (strcmp(json_key(set, i), "version"))
-      code = apply_set(top, json_key(set, i), json_at(set, i), err);
+      code = apply_set(root, json_key(set, i), json_at(set, i), err);
   return code;
 }
 
@@ -159,10 +159,10 @@
   if (routing_read_version(patch, &version, err) || read_part(patch, "set", &set, err) ||
       read_part(patch, "drop", &drop, err))
     return NULL;
-  json *top = json_copy(base);
-  set_key(top, "version", json_copy(json_get(patch, "version")));
-  if (!apply_parts(top, drop, set, err))
-    return top;
-  json_free(top);
+  json *root = json_copy(base);
+  set_key(root, "version", json_copy(json_get(patch, "version")));
+  if (!apply_parts(root, drop, set, err))
+    return root;
+  json_free(root);
   return NULL;
 }
--- a/lib/configuration/value_reader.c
+++ b/lib/configuration/value_reader.c
@@ -4,10 +4,10 @@
 #include <stdarg.h>
 #include <stdio.h>
 
-void value_reader_enter(value_reader *reader, const char *form, ...) {
+void value_reader_enter(value_reader *reader, const char *format, ...) {
   va_list arguments;
-  va_start(arguments, form);
-  vsnprintf(reader->path, sizeof reader->path, form, arguments);
+  va_start(arguments, format);
+  vsnprintf(reader->path, sizeof reader->path, format, arguments);
   va_end(arguments);
 }
 
--- a/lib/configuration/value_reader.h
+++ b/lib/configuration/value_reader.h
@@ -15,7 +15,7 @@
 } value_reader;
 
 /** Sets the path (a printf format) to the object that is read next. */
-void value_reader_enter(value_reader *reader, const char *form, ...)
+void value_reader_enter(value_reader *reader, const char *format, ...)
     __attribute__((format(printf, 2, 3)));
 /** Sets the error for a field, or for the object itself if key is empty, and returns the code. */
 enum error_code value_reader_fail(value_reader *reader, enum error_code code, const char *key,
