--- a/lib/configuration/routing.c
+++ b/lib/configuration/routing.c
@@ -17,7 +17,7 @@
 routing *routing_new(void) {
   routing *routing = g_malloc0(sizeof *routing);
   routing->reference_count = 1;
-  routing->routes_by_name = g_hash_table_new(route_hash, route_equal);
+  routing->routes_by_host_and_prefix = g_hash_table_new(route_hash, route_equal);
   routing->services_by_name = g_hash_table_new(g_str_hash, g_str_equal);
   return routing;
 }
@@ -33,7 +33,7 @@
     if (routing->services[i].models_by_name)
       g_hash_table_destroy(routing->services[i].models_by_name);
   }
-  g_hash_table_destroy(routing->routes_by_name);
+  g_hash_table_destroy(routing->routes_by_host_and_prefix);
   g_hash_table_destroy(routing->services_by_name);
   g_free(routing->routes);
   g_free(routing->services);
@@ -80,7 +80,7 @@
     if (path.data[i - 1] != '/')
       continue;
     wanted.prefix_length = i;
-    const route *found = g_hash_table_lookup(routing->routes_by_name, &wanted);
+    const route *found = g_hash_table_lookup(routing->routes_by_host_and_prefix, &wanted);
     if (found)
       return found;
   }
--- a/lib/configuration/routing.h
+++ b/lib/configuration/routing.h
@@ -35,10 +35,10 @@
   GHashTable *models_by_name;
 } service;
 /** One of the services of a route; one with weight 0 gets no requests. */
-typedef struct route_leg {
+typedef struct weighted_service {
   const service *service;
   double weight;
-} route_leg;
+} weighted_service;
 /** A route. priority 0 is the most urgent; gap_target_ms is 0 if there is none. */
 typedef struct route {
   id name;
@@ -48,7 +48,7 @@
   int64_t timeout_ms, target_ms, gap_target_ms;
   unsigned priority, attempts;
   bool affinity, resumable;
-  route_leg *legs;
+  weighted_service *legs;
   size_t leg_count;
   double weight_sum;
 } route;
@@ -66,7 +66,7 @@
   service *services;
   size_t service_count;
   request_limits limits;
-  GHashTable *routes_by_name, *services_by_name;
+  GHashTable *routes_by_host_and_prefix, *services_by_name;
   size_t prefix_length_max;
   int reference_count;
 } routing;
--- a/lib/configuration/routing_compile.c
+++ b/lib/configuration/routing_compile.c
@@ -139,15 +139,16 @@
   return compile_engine_spec(service, json_get(value, "engine"), err);
 }
 
-static enum error_code add_leg(const routing *routing, route *route, const char *service_name,
-                               double weight, error *err) {
-  route_leg *leg = &route->legs[route->leg_count++];
-  leg->service = service_name ? g_hash_table_lookup(routing->services_by_name, service_name) : NULL;
-  leg->weight = weight;
+static enum error_code add_weighted_service(const routing *routing, route *route,
+                                            const char *service_name, double weight, error *err) {
+  weighted_service *entry = &route->legs[route->leg_count++];
+  entry->service =
+      service_name ? g_hash_table_lookup(routing->services_by_name, service_name) : NULL;
+  entry->weight = weight;
   route->weight_sum += weight;
-  return leg->service ? OK
-                      : error_set(err, E_UNKNOWN_SERVICE, "%s: there is no service %.60s",
-                                  route->name.text, service_name ? service_name : "named");
+  return entry->service ? OK
+                        : error_set(err, E_UNKNOWN_SERVICE, "%s: there is no service %.60s",
+                                    route->name.text, service_name ? service_name : "named");
 }
 
 static enum error_code compile_split(const routing *routing, route *route, const json *split,
@@ -161,7 +162,7 @@
     if (!read_number(value, "weight", weight_max, 1, &weight))
       return error_set(err, E_ROUTE_WEIGHT, "%s.split[%zu].weight: not a number from 0 up",
                        route->name.text, i);
-    if (add_leg(routing, route, json_text(value, "service", NULL), weight, err))
+    if (add_weighted_service(routing, route, json_text(value, "service", NULL), weight, err))
       return err->code;
   }
   return route->weight_sum > 0 ? OK
@@ -170,8 +171,8 @@
 }
 
 /* Reads the services of a route: one, or several with weights. */
-static enum error_code compile_legs(const routing *routing, route *route, const json *value,
-                                    error *err) {
+static enum error_code compile_weighted_services(const routing *routing, route *route,
+                                                 const json *value, error *err) {
   const json *split = json_get(value, "split"), *one = json_get(value, "service");
   if (split && split->kind == JSON_NULL)
     split = NULL;
@@ -179,9 +180,9 @@
     return error_set(err, E_ROUTING_STRUCTURE, "%s.split: not a list", route->name.text);
   if (one && one->kind != JSON_NULL && one->kind != JSON_STRING)
     return error_set(err, E_ROUTING_STRUCTURE, "%s.service: not a name", route->name.text);
-  route->legs = g_new0(route_leg, json_count(split) + 1);
+  route->legs = g_new0(weighted_service, json_count(split) + 1);
   if (!split)
-    return add_leg(routing, route, json_text(value, "service", NULL), 1, err);
+    return add_weighted_service(routing, route, json_text(value, "service", NULL), 1, err);
   if (one && one->kind == JSON_STRING &&
       !g_hash_table_contains(routing->services_by_name, one->text->str))
     return error_set(err, E_UNKNOWN_SERVICE, "%s: there is no service %.60s", route->name.text,
@@ -202,11 +203,11 @@
   route->host = g_ascii_strdown(host, -1);
   route->prefix = g_strdup(prefix);
   routing->prefix_length_max = MAX(routing->prefix_length_max, route->prefix_length);
-  const struct route *same = g_hash_table_lookup(routing->routes_by_name, route);
+  const struct route *same = g_hash_table_lookup(routing->routes_by_host_and_prefix, route);
   if (same)
     return error_set(err, E_DUPLICATE_ROUTE, "%s: has the host and prefix of %s", route->name.text,
                      same->name.text);
-  g_hash_table_add(routing->routes_by_name, route);
+  g_hash_table_add(routing->routes_by_host_and_prefix, route);
   return OK;
 }
 
@@ -256,7 +257,7 @@
     return err->code;
   route->affinity = json_bool(value, "affinity", false);
   route->resumable = json_bool(value, "resumable", false);
-  return compile_legs(routing, route, value, err);
+  return compile_weighted_services(routing, route, value, err);
 }
 
 /* Reads a limit; one below 1 counts as absent. */
