--- a/lib/configuration/delta.c
+++ b/lib/configuration/delta.c
@@ -25,7 +25,7 @@
 }
 
 /* Splits a text into chunks. Free with g_array_free. */
-static GArray *cut_into_chunks(string_view text) {
+static GArray *split_into_chunks(string_view text) {
   GArray *chunks = g_array_new(FALSE, FALSE, sizeof(text_chunk));
   size_t start = 0;
   for (size_t i = 0; i < text.length; i++) {
@@ -120,8 +120,8 @@
 }
 
 bool delta_encode(string_view old, string_view new, GString *to) {
-  GArray *new_chunks = cut_into_chunks(new);
-  encoder encoder = { .old = old, .new = new, .old_chunks = cut_into_chunks(old) };
+  GArray *new_chunks = split_into_chunks(new);
+  encoder encoder = { .old = old, .new = new, .old_chunks = split_into_chunks(old) };
   encoder.old_index = index_chunks(old, encoder.old_chunks);
   encoder.runs = g_array_new(FALSE, FALSE, sizeof(Wire__TextDeltaChunk));
   for (guint i = 0; i < new_chunks->len; i++)
@@ -152,7 +152,7 @@
       wire__text_delta__unpack(NULL, packed.length, (const uint8_t *)packed.data);
   if (!delta)
     return false;
-  GArray *old_chunks = cut_into_chunks(old);
+  GArray *old_chunks = split_into_chunks(old);
   bool ok = true;
   g_string_truncate(to, 0);
   for (size_t i = 0; i < delta->n_chunks && ok; i++)
--- a/lib/configuration/policy_rule.c
+++ b/lib/configuration/policy_rule.c
@@ -87,13 +87,13 @@
   return OK;
 }
 
-static bool has_needed_steps(const policy_rule *rule) {
-  static const unsigned needed =
+static bool has_required_steps(const policy_rule *rule) {
+  static const unsigned required =
       1u << STEP_ADMIT | 1u << STEP_SELECT_ENGINE | 1u << STEP_PROXY | 1u << STEP_RESPOND;
   unsigned present = 0;
   for (int i = 0; i < rule->step_count; i++)
     present |= 1u << rule->steps[i].kind;
-  return rule->steps[0].kind == STEP_REJECT || (present & needed) == needed;
+  return rule->steps[0].kind == STEP_REJECT || (present & required) == required;
 }
 
 enum error_code policy_rule_compile(config *config, value_reader *reader, const json *value) {
@@ -110,7 +110,7 @@
   for (size_t i = 0; i < json_count(then); i++)
     if (compile_step(reader, rule, json_at(then, i)))
       return reader->err->code;
-  if (!has_needed_steps(rule))
+  if (!has_required_steps(rule))
     return value_reader_fail(reader, E_FIELD, "then", "enrol, select, proxy and answer are needed");
   config->rule_count++;
   return OK;
