--- a/lib/http/fields.c
+++ b/lib/http/fields.c
@@ -26,7 +26,7 @@
   return names_are_equal(name, string_view_of(text));
 }
 
-/* the line that begins at a position, without its end; the position moves to the next line */
+/* Returns the line at a position, without its line end, and moves the position to the next line. */
 static string_view next_line(const fields *fields, size_t *position) {
   const char *start = fields->str + *position, *limit = fields->str + fields->len;
   const char *end = memchr(start, '\n', (size_t)(limit - start));
@@ -103,7 +103,7 @@
 }
 
 void fields_add_format(fields *fields, const char *name, const char *format, ...) {
-  /* values are short, and memory need not be allocated for them */
+  /* most values are short and need no allocation */
   char short_value[256], *long_value = NULL;
   va_list arguments;
   va_start(arguments, format);
@@ -118,7 +118,7 @@
   g_free(long_value);
 }
 
-/* the next item of a list that is separated by commas; false when there is none left */
+/* Takes the next item off a comma-separated list; false if there is none left. */
 static bool next_list_item(string_view *rest, string_view *item) {
   while (rest->length) {
     const char *comma = memchr(rest->data, ',', rest->length);
@@ -173,7 +173,7 @@
 void fields_forward(const fields *from, fields *to, const char *const *skip) {
   size_t position = 0;
   string_view name, value;
-  /* hardly any message names fields there, and then each need not be looked for */
+  /* Few messages name fields in Connection; for the others the search for each field is skipped. */
   bool names_any = connection_names(from, string_view_of(""));
   while (fields_next(from, &position, &name, &value)) {
     if (concerns_connection_only(name) || is_listed(name, skip) ||
--- a/lib/http/http_client.c
+++ b/lib/http/http_client.c
@@ -1,4 +1,4 @@
-/** Pooled calls of the HTTP engine: see http_client.h. */
+/** Client of the HTTP engine: see http_client.h. */
 #include "http_client.h"
 #include "address.h"
 #include "http_connection.h"
@@ -12,32 +12,32 @@
 #include <unistd.h>
 
 enum {
-  /* a connection is paused beyond so much unread body, and read again below half of it */
+  /* reading is paused above this amount of unread body, and resumed at half of it */
   UNREAD_MAX_BYTES = 256 * 1024,
-  /* a connection is given up so long before its other side is to close it */
+  /* an idle connection is closed this long before its peer is expected to close it */
   KEEP_ALIVE_MARGIN_MS = 500,
   KEEP_ALIVE_MAX_S = 86400
 };
 
-/** The connections to an address. Freed with the last of them. */
+/** The connections to an address. Freed with the last connection. */
 typedef struct connection_pool {
   char *address;
   struct sockaddr_in sockaddr;
-  /** client_connection, the latest last. */
+  /** Idle client_connections, the most recently used last. */
   list_node idle;
-  /** Open connections, and functions that use the pool at this moment. */
+  /** Open connections, and functions that are using the pool. */
   int references;
 } connection_pool;
 
 typedef struct client_connection {
   http_connection connection;
   connection_pool *pool;
-  /** In pool->idle; in http->paused_clients. */
+  /** List nodes for pool->idle and http->paused_clients. */
   list_node idle, paused;
   /** NULL while it is idle. */
   http_call *call;
   bool connected, request_sent;
-  /** While it is idle: since when, and when its other side may close it. */
+  /** While it is idle: since when, and when its peer may close it. */
   time_us idle_since, idle_deadline;
 
   /** The response that is being read; reset for each. */
@@ -47,9 +47,9 @@
   field_reader field_reader;
   size_t head_bytes;
   bool head_read;
-  /** An interim response (1xx); a response to another request. Both are followed by another. */
+  /** The response is an interim one (1xx), or belongs to another request. Another one follows. */
   bool is_interim, is_skipped;
-  /** The connection may be used again after it. */
+  /** The connection may be reused after this response. */
   bool keep_alive;
 } client_connection;
 
@@ -65,7 +65,7 @@
   return inet_pton(AF_INET, numeric, &sockaddr->sin_addr) == 1;
 }
 
-/* the pool of an address with a reference for the caller; NULL for a bad address */
+/* Finds or creates the pool of an address, and takes a reference; NULL for an invalid address. */
 static connection_pool *hold_pool(http_engine *http, const char *address) {
   connection_pool *pool = g_hash_table_lookup(http->pools, address);
   struct sockaddr_in sockaddr;
@@ -113,7 +113,7 @@
   return 0;
 }
 
-/* fields behind the body (trailers) are dropped */
+/* Trailers (fields after the body) are dropped. */
 static int on_field_name(http_parser *parser, const char *bytes, size_t length) {
   client_connection *client = parser->data;
   if (!client->head_read)
@@ -128,13 +128,13 @@
   return 0;
 }
 
-/* the value of the field that the call requires */
+/* Reads the value of the field that the call requires. */
 static bool get_match_value(const http_call *call, string_view *value) {
   return fields_get(call->response_fields, call->match_name, value);
 }
 
-/* True for a response to another request. One without the field may be a refusal that was sent
- * before the field was read; a success is not. */
+/* True if a response belongs to another request. A failure without the required field may be a
+ * rejection that was sent before the field was read; a success without it belongs to another. */
 static bool is_response_to_other(const http_call *call, int status) {
   string_view value;
   if (!call->match_name)
@@ -144,9 +144,9 @@
   return !string_view_equal(value, string_view_of(call->match_value));
 }
 
-/* On a connection that had served before, or that brought a response to another request, a failure
- * without the required field may be left over from an earlier request: it proves nothing, and least
- * of all that this request has not run. */
+/* A failure without the required field may be a late response to an earlier request if the
+ * connection is reused or has delivered a response to another request. It then says nothing about
+ * this request, and in particular does not prove that this request has not run. */
 static bool response_is_ambiguous(const http_call *call, int status) {
   string_view value;
   bool may_be_late = call->reused_connection || call->skipped_responses;
@@ -170,7 +170,7 @@
     return -1;
   bool is_head_request = !strcmp(call->method, "HEAD");
   client->is_skipped = is_response_to_other(call, status);
-  /* whether a late second response to HEAD has a body could not be known */
+  /* it could not be known whether a late second response to HEAD has a body */
   client->keep_alive =
       parser->http_minor >= 1 && http_should_keep_alive(parser) && !is_head_request;
   if (client->is_skipped)
@@ -235,7 +235,7 @@
       resume_reading(client);
 }
 
-/* until when the other side keeps the connection; never, if it doesn't say */
+/* Until when the peer keeps the connection open; time_never if it does not say. */
 static time_us keep_alive_deadline(const http_call *call, time_us now) {
   static const char key[] = "timeout=";
   const size_t key_length = sizeof key - 1;
@@ -251,7 +251,7 @@
   return time_never();
 }
 
-/* puts a connection whose call has ended into its pool */
+/* Returns a connection whose call has ended to its pool. */
 static int make_idle(client_connection *client, time_us keep_until) {
   world *world = client->connection.http->world;
   time_us now = world_now(world);
@@ -268,8 +268,8 @@
   return CONNECTION_KEEP;
 }
 
-/* The call has its full response. Bytes behind it belong to no request, so such a connection is not
- * kept, nor is one on which the request was not sent in full. */
+/* Ends a call that has its complete response. The connection is not reused if more bytes follow,
+ * since they belong to no request, or if the request was not sent in full. */
 static int end_call(client_connection *client, bool bytes_follow) {
   http_engine *http = client->connection.http;
   http_call *call = client->call;
@@ -284,7 +284,7 @@
 
 enum parse_result { PARSE_FAILED, PARSE_NEEDS_MORE, PARSE_MESSAGE_ENDED };
 
-/* parses bytes up to the end of a response; *used tells how many */
+/* Parses bytes up to the end of a response; *used is set to their number. */
 static enum parse_result parse(client_connection *client, const char *bytes, size_t length,
                                size_t *used) {
   bool had_head = client->head_read;
@@ -306,7 +306,7 @@
 static int on_read(http_connection *connection, const char *bytes, size_t length) {
   client_connection *client = (client_connection *)connection;
   http_call *call = client->call;
-  /* nothing may come unless something was asked */
+  /* no data is expected before a byte of a request was sent */
   if (!call || !call->sent)
     return CONNECTION_CLOSE;
   call->last_byte_at = world_now(connection->http->world);
@@ -391,7 +391,7 @@
   return CONNECTION_KEEP;
 }
 
-/* writes the request, or what is left of it */
+/* Writes the request, or the rest of it. */
 static int on_writable(http_connection *connection) {
   client_connection *client = (client_connection *)connection;
   http_call *call = client->call;
@@ -413,9 +413,9 @@
   return CONNECTION_KEEP;
 }
 
-/* ---- the life of a connection ---- */
+/* ---- lifetime of a connection ---- */
 
-/* an idle connection has been idle for long enough */
+/* Closes a connection that has been idle for too long. */
 static int on_timeout(http_connection *connection) {
   (void)connection;
   return CONNECTION_CLOSE;
@@ -441,7 +441,7 @@
   .is_reading_paused = is_reading_paused,
 };
 
-/* a connected socket, or one that is being connected; -1 if there is none */
+/* Opens a socket and begins to connect it. Returns -1 on failure. */
 static int open_socket(const struct sockaddr_in *sockaddr) {
   int enabled = 1, fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
   if (fd < 0)
@@ -476,7 +476,7 @@
   sock_request_writable(&client->connection.sock);
 }
 
-/* nothing has come on an idle connection, and it has not ended */
+/* True if an idle connection has received no data and was not closed. */
 static bool is_silent(const client_connection *client) {
   char byte;
   ssize_t result = recv(client->connection.sock.fd, &byte, 1, MSG_PEEK | MSG_DONTWAIT);
@@ -492,8 +492,8 @@
   return is_silent(client);
 }
 
-/* False, with the call as it was before but perhaps sent, if the connection turns out to be broken.
- */
+/* False if the connection turns out to be broken. The call is then unchanged, except that `sent`
+ * may be set. */
 static bool start_on_idle_connection(client_connection *client, http_call *call, time_us now) {
   http_connection_set_deadline(&client->connection, time_never());
   reset_parser(client);
@@ -510,7 +510,7 @@
   return false;
 }
 
-/* True if the call was started on an idle connection, or was broken by the attempt. */
+/* True if the call was started on an idle connection, or broke after a byte was sent. */
 static bool start_from_pool(http_engine *http, connection_pool *pool, http_call *call) {
   time_us now = world_now(http->world);
   while (!list_is_empty(&pool->idle)) {
--- a/lib/http/http_client.h
+++ b/lib/http/http_client.h
@@ -1,28 +1,28 @@
 #ifndef HTTP_HTTP_CLIENT_H
 #define HTTP_HTTP_CLIENT_H
 /**
- * Pooled calls of the HTTP engine.
+ * Client of the HTTP engine: calls over pooled connections.
  *
- * Connections to an address form a pool. A connection carries one call at a time; when a response
- * has ended and both sides keep the connection, it waits in the pool for the next call, which takes
- * the one that was used last. The pool exists as long as it has connections.
+ * Connections to an address form a pool. A connection carries one call at a time. When a response
+ * has ended and both sides keep the connection open, it returns to the pool; the next call takes
+ * the most recently used one. The pool exists as long as it has connections.
  *
- * Two things make reuse unsafe, and the client is careful with both, since the requests of a
- * gateway may be costly and must not run twice unnoticed:
+ * Two races make reuse unsafe. The client handles both, since the requests of a gateway may be
+ * expensive and must not run twice unnoticed:
  *
- * - The other side may close an idle connection at the moment at which a request is sent. Before a
- *   connection is reused it is looked at, and it isn't reused later than its other side promised to
- *   keep it (Keep-Alive: timeout). If it breaks all the same after a byte was sent, the call is
- *   broken with sent and reused_connection set; whether to retry is the caller's decision.
- * - A late response to an earlier request may be on its way. A call that requires a field
- *   (http_call_require_field) skips responses with another value. A failure that doesn't have the
- *   field may be the response to either request, so the connection is dropped.
+ * - The peer may close an idle connection while a request is being sent. A connection is therefore
+ *   checked before it is reused, and not reused after the time for which its peer promised to keep
+ *   it (Keep-Alive: timeout). If it still breaks after a byte was sent, the call is broken with
+ * sent and reused_connection set; the caller decides whether to retry.
+ * - A late response to an earlier request may still arrive. A call that requires a field
+ *   (http_call_require_field) skips responses in which the field has another value. A failure
+ *   response without the field may belong to either request, so the connection is closed.
  *
- * A reader that is slow makes its connection be paused, so that a response needs no more memory
- * than a bound.
+ * Reading from a connection is paused while its call's reader is slow, which bounds the memory for
+ * a response.
  */
 #include "http_engine.h"
 
-/** Lets paused connections whose readers have caught up be read again. */
+/** Resumes reading from paused connections whose readers have caught up. */
 void http_client_resume_reading(http_engine *http);
 #endif
--- a/lib/http/http_connection.c
+++ b/lib/http/http_connection.c
@@ -1,11 +1,12 @@
-/** What all sockets of the HTTP engine have in common: see http_connection.h. */
+/** The common part of all sockets of the HTTP engine: see http_connection.h. */
 #include "http_connection.h"
 #include "http_engine_state.h"
 #include <errno.h>
 #include <sys/socket.h>
 
 enum {
-  /* further reads after one that filled the library's buffer, before others get their turn */
+  /* further reads after one that filled the library's buffer, before other connections are served
+   */
   MORE_READS_MAX = 8,
   TIMER_GRANULARITY_US = 50000
 };
@@ -20,7 +21,7 @@
   g_free(connection);
 }
 
-/* libwebsockets reads once a turn; what is there beyond its buffer is read here */
+/* libwebsockets reads once per turn of the event loop; data beyond its buffer is read here. */
 static int on_read(sock *sock, const char *bytes, size_t length) {
   static _Thread_local char buffer[SOCK_READ_BYTES];
   http_connection *connection = (http_connection *)sock;
@@ -55,7 +56,7 @@
   return sock_watch(&connection->sock, http->vhost, listening);
 }
 
-/* the bytes of the parts behind those that were sent */
+/* Copies the bytes of the parts that were not sent. */
 static GString *copy_rest(const struct iovec *parts, int count, size_t total, size_t sent) {
   GString *rest = g_string_sized_new(total - sent + 1);
   for (int i = 0; i < count; i++) {
@@ -120,7 +121,7 @@
   return time_reached(at, time_never());
 }
 
-/* sees to it that the timer fires at the deadline or before */
+/* Ensures that the timer fires at the deadline or earlier. */
 static void arm_timer(http_connection *connection) {
   time_us deadline = connection->deadline;
   if (is_never(deadline) || (connection->timer && connection->timer_at.us <= deadline.us))
@@ -146,7 +147,7 @@
   http_connection_set_deadline(connection, deadline);
 }
 
-/* NULL if there is none */
+/* The connection whose timer fires next; NULL if there is none. */
 static http_connection *next_timer(const http_engine *http) {
   GSequenceIter *first = g_sequence_get_begin_iter(http->timers);
   return g_sequence_iter_is_end(first) ? NULL : g_sequence_get(first);
--- a/lib/http/http_engine.c
+++ b/lib/http/http_engine.c
@@ -6,7 +6,7 @@
 #include "http_server.h"
 #include <http_parser.h>
 
-/* http-parser's own bound on heads; far above those of this engine, which hold instead */
+/* http-parser's limit on the size of heads, far above those of this engine, which apply instead */
 enum { PARSER_HEAD_MAX_BYTES = 16 << 20 };
 enum { SCRATCH_BYTES = 1024 };
 
--- a/lib/http/http_exchange.c
+++ b/lib/http/http_exchange.c
@@ -57,7 +57,7 @@
   return 0;
 }
 
-/* fields behind the body (trailers) are dropped */
+/* Trailers (fields after the body) are dropped. */
 static int on_field_name(http_parser *parser, const char *bytes, size_t length) {
   http_exchange *exchange = parser->data;
   if (!exchange->head_read)
@@ -72,7 +72,7 @@
   return 0;
 }
 
-/* the name without its port, in lower case; the caller frees it */
+/* The host of an authority, in lower case and without the port; the caller frees it. */
 static char *host_of(string_view authority) {
   size_t length = authority.length;
   bool is_ipv6 = length && *authority.data == '[';
@@ -86,7 +86,7 @@
   return text.length == strlen(to) && !g_ascii_strncasecmp(text.data, to, text.length);
 }
 
-/* the first value of each field counts */
+/* Stores the value of a known field. If a field is repeated, the first value counts. */
 static void take_known_field(http_headers *known, string_view name, string_view value) {
   for (int i = 0; i < HEADER_COUNT; i++)
     if (!known->values[i] && equals_ignoring_case(name, http_header_names[i])) {
@@ -114,7 +114,7 @@
   return hosts == 1 || (!hosts && !is_http_1_1);
 }
 
-/* http-parser lets tabs and form feeds pass, at which others may split a line */
+/* http-parser accepts tabs and form feeds, at which other parsers may split the line. */
 static bool target_is_valid(const char *target) {
   for (const unsigned char *c = (const unsigned char *)target; *c; c++)
     if (*c <= ' ' || *c == 127 || *c == '#')
@@ -122,8 +122,8 @@
   return true;
 }
 
-/* Splits a target into host and path. A target with a scheme brings the host that counts; NULL if
- * it is neither a path nor has a scheme. */
+/* Returns the path of a target. If the target has a scheme, its host replaces that of the Host
+ * field. NULL if the target is neither a path nor has a scheme. */
 static const char *read_authority(http_request *request, const char *target) {
   if (*target == '/' || !strcmp(target, "*"))
     return target;
@@ -199,7 +199,7 @@
   .on_message_complete = http_framing_on_message_end,
 };
 
-/* how many of the bytes may be parsed at once: up to the bound on the head, while that is read */
+/* The number of bytes that may be parsed at once: while the head is read, up to its limit. */
 static size_t parsable_bytes(const http_exchange *exchange, size_t length) {
   size_t head_max = exchange->request.listener->header_max_bytes;
   if (!head_max)
--- a/lib/http/http_framing.c
+++ b/lib/http/http_framing.c
@@ -6,7 +6,7 @@
     if (bytes[i] == '\r')
       continue;
     if (bytes[i] == '\n') {
-      /* an empty line ends the head: nothing behind it is looked at */
+      /* an empty line ends the head: nothing after it is scanned */
       scan->folded = scan->at_line_start;
       scan->at_line_start = true;
       continue;
@@ -29,7 +29,7 @@
   return true;
 }
 
-/* http-parser counts content_length down within a chunk */
+/* http-parser counts content_length down to 0 within each chunk. */
 bool chunk_check_data(chunk_check *check, const http_parser *parser, const char *bytes,
                       size_t length) {
   if (!(parser->flags & F_CHUNKED))
--- a/lib/http/http_listener.c
+++ b/lib/http/http_listener.c
@@ -9,7 +9,7 @@
 #include <unistd.h>
 
 enum {
-  /* pause before accepting again when the process is out of descriptors */
+  /* pause before connections are accepted again after the process ran out of descriptors */
   ACCEPT_RETRY_MS = 50,
   LISTEN_BACKLOG = 4096
 };
@@ -34,7 +34,7 @@
     if (errno == EINTR || errno == ECONNABORTED)
       continue;
     if (errno != EAGAIN) {
-      /* no descriptors are left: the socket would be reported as readable again at once */
+      /* No descriptors are left. Reading stops for a while, since the socket stays readable. */
       sock_set_reading(&connection->sock, false);
       http_connection_set_timeout(connection, ACCEPT_RETRY_MS);
     }
@@ -76,7 +76,8 @@
   .is_reading_paused = is_listener_reading_paused,
 };
 
-/* a listening socket; -1 with err set. Port 0 is replaced by the one that the kernel chose. */
+/* Opens a listening socket; -1 with err set on failure. Port 0 is replaced by the port that the
+ * kernel chose. */
 static int open_listening_socket(const char *ip, int *port, error *err) {
   struct sockaddr_in sockaddr = { .sin_family = AF_INET, .sin_port = htons((uint16_t)*port) };
   if (inet_pton(AF_INET, ip, &sockaddr.sin_addr) != 1) {
--- a/lib/http/http_server.c
+++ b/lib/http/http_server.c
@@ -1,4 +1,4 @@
-/** Callers' connections of the HTTP engine: see http_server.h. */
+/** Server of the HTTP engine: see http_server.h. */
 #include "http_server.h"
 #include "http_connection.h"
 #include "http_engine_state.h"
@@ -9,32 +9,33 @@
 #include <sys/socket.h>
 
 enum {
-  /* a connection is not read while more pipelined bytes than this are kept */
+  /* reading is paused while more pipelined bytes than this are buffered */
   READ_AHEAD_MAX_BYTES = 16 * 1024,
-  /* a response is written in pieces of this size */
+  /* a response is written in pieces of at most this size */
   PIECE_BYTES = 64 * 1024,
   /* how long a connection that was shut down waits for the caller to close it */
   LINGER_MS = 1000,
   /* how long a caller may leave the rest of a finished response unread */
   UNREAD_RESPONSE_TIMEOUT_MS = 30000,
-  /* a body that goes on coming may take so many times the listener's header_timeout_ms */
+  /* a body that keeps arriving may take this many times the listener's header_timeout_ms */
   BODY_TIMEOUT_FACTOR = 10
 };
 
-/** A caller's connection. */
+/** A connection of a caller. */
 typedef struct server_connection {
   http_connection connection;
   http_listener *listener;
-  /** In http->servers; in http->unflushed_servers. */
+  /** List nodes for http->servers and http->unflushed_servers. */
   list_node all, unflushed;
   /** The request that is being read or served; NULL between requests. */
   http_exchange *exchange;
-  /** Bytes behind the present request; NULL: none. */
+  /** Bytes that follow the current request; NULL: none. */
   GString *read_ahead;
   struct sockaddr_in client_sockaddr;
   unsigned request_count;
   bool reading_paused;
-  /** No more requests are taken; and all has been written, and the sending side is shut down. */
+  /** closing: no more requests are accepted; lingering: everything has been written, and the
+   * sending side is shut down. */
   bool closing, lingering;
 } server_connection;
 
@@ -46,8 +47,8 @@
   server->exchange->server = server;
 }
 
-/* the connection is done with an exchange that is in progress, because it was answered or the
- * caller is gone */
+/* Detaches the connection from an exchange in progress, because its response was sent or the caller
+ * is gone. */
 static void leave_exchange(server_connection *server, bool client_gone) {
   http_exchange *exchange = server->exchange;
   http_request *request = &exchange->request;
@@ -90,7 +91,7 @@
   return CONNECTION_KEEP;
 }
 
-/* ---- ends of a connection ---- */
+/* ---- ending a connection ---- */
 
 static void pause_reading(server_connection *server) {
   if (server->reading_paused)
@@ -106,7 +107,7 @@
   sock_set_reading(&server->connection.sock, true);
 }
 
-/* Takes no more requests, and lingers once all has been written. */
+/* Accepts no more requests, and lingers once everything has been written. */
 static void finish(server_connection *server) {
   server->closing = true;
   if (server->connection.pending_output) {
@@ -137,7 +138,7 @@
   return &rejections[i];
 }
 
-/* Answers a request that was not read in full, and finishes the connection, since it is not known
+/* Rejects a request that was not read in full, and finishes the connection, since it is not known
  * where the next request begins. */
 static int reject_request(server_connection *server, int status) {
   if (server->exchange) {
@@ -185,8 +186,8 @@
                                                                  : CONNECTION_KEEP;
 }
 
-/* A head must have come in full within the listener's timeout. A body may take as long after each
- * of its pieces, up to a multiple in all. */
+/* The head must arrive in full within the listener's timeout. Each piece of the body restarts the
+ * timeout, up to a multiple of it in total. */
 static void set_request_deadline(server_connection *server) {
   const http_exchange *exchange = server->exchange;
   int64_t timeout_ms = server->listener->header_timeout_ms;
@@ -204,7 +205,7 @@
   http_connection_set_deadline(&server->connection, deadline);
 }
 
-/* all bytes were parsed, and the request needs more */
+/* Called when all bytes were parsed and the request is not complete. */
 static int wait_for_more(server_connection *server) {
   const http_exchange *exchange = server->exchange;
   if (!exchange)
@@ -268,8 +269,8 @@
   }
 }
 
-/* A response that is complete when its head is written has a length. Others come in chunks, or end
- * with the connection if the caller speaks HTTP/1.0. */
+/* A response that is complete when its head is written has a Content-Length. Others are chunked, or
+ * end with the connection if the caller speaks HTTP/1.0. */
 static void write_head(http_exchange *exchange, GString *head) {
   http_request *request = &exchange->request;
   const server_connection *server = exchange->server;
@@ -287,7 +288,7 @@
   if (request->response_fields)
     g_string_append_len(head, request->response_fields->str, (gssize)request->response_fields->len);
   size_t length = request->pending_output->len;
-  /* the length of a response to HEAD is sent if its body was made */
+  /* a response to HEAD has a Content-Length if its body was generated */
   if (!status_has_no_body && is_complete && (length || !exchange->has_no_body))
     g_string_append_printf(head, "Content-Length: %zu\r\n", length);
   else if (exchange->is_chunked)
@@ -299,14 +300,14 @@
   g_string_append(head, "\r\n");
 }
 
-/* what follows a piece of a body in chunks */
+/* What follows a piece of a chunked body. */
 static const char *chunk_tail(size_t length, bool is_last) {
   if (!is_last)
     return length ? "\r\n" : "";
   return length ? "\r\n0\r\n\r\n" : "0\r\n\r\n";
 }
 
-/* writes the head, if it wasn't sent, and a piece of the body */
+/* Writes the head, if it was not sent yet, and a piece of the body. */
 static int write_piece(server_connection *server) {
   http_connection *connection = &server->connection;
   http_exchange *exchange = server->exchange;
@@ -332,14 +333,15 @@
   g_string_erase(output, 0, (gssize)length);
   if (length)
     condition_broadcast(&request->drained);
-  /* a caller that reads nothing more of what is left must not keep the connection for ever */
+  /* a caller that stops reading the rest must not hold the connection forever */
   if (connection->pending_output && exchange->output_complete)
     http_connection_set_timeout(connection, UNREAD_RESPONSE_TIMEOUT_MS);
   return CONNECTION_KEEP;
 }
 
-/* The response in progress will never be complete. Where its end would be the connection's, that
- * must not look like a clean end, so the connection will be reset. The caller closes it. */
+/* Gives up a response that can't be completed. If the end of the connection marks the end of the
+ * response, the connection is set to be reset, so that the response does not look complete. The
+ * calling function closes the connection. */
 static void abort_response(server_connection *server) {
   const http_exchange *exchange = server->exchange;
   if (exchange->head_sent && !exchange->is_chunked) {
@@ -349,9 +351,10 @@
   server->listener->requests_aborted++;
 }
 
-/* The response has been sent; the next request, which may have come, is read. Whether the listener
- * drains is asked now, since it may have begun after the response's head was written. A request
- * that was read behind the response gets a response of its own. */
+/* Ends an exchange whose response has been sent, and reads the next request, which may have been
+ * received already. The drain state of the listener is checked here, since the drain may have begun
+ * after the response's head was written. A pipelined request that was already received is still
+ * answered. */
 static int end_exchange(server_connection *server) {
   bool close = server->exchange->close_after || (server->listener->draining && !server->read_ahead);
   leave_exchange(server, false);
@@ -372,7 +375,7 @@
 
 enum write_step { STEP_FAILED, STEP_DONE, STEP_NOTHING_TO_DO };
 
-/* one step of what is to be written; more may follow when it is done */
+/* Performs one step of writing. After STEP_DONE another one may follow. */
 static enum write_step write_step(server_connection *server) {
   if (http_connection_flush(&server->connection))
     return STEP_FAILED;
@@ -399,7 +402,7 @@
   return write_piece(server) ? STEP_FAILED : STEP_DONE;
 }
 
-/* writes what the task has made, as far as the socket takes it */
+/* Writes the output of the task, as far as the socket accepts it. */
 static int on_writable(http_connection *connection) {
   enum write_step step;
   do
@@ -424,7 +427,7 @@
   }
 }
 
-/* ---- the life of a connection ---- */
+/* ---- lifetime of a connection ---- */
 
 static int on_timeout(http_connection *connection) {
   server_connection *server = (server_connection *)connection;
--- a/lib/http/http_server.h
+++ b/lib/http/http_server.h
@@ -1,25 +1,24 @@
 #ifndef HTTP_HTTP_SERVER_H
 #define HTTP_HTTP_SERVER_H
 /**
- * Callers' connections of the HTTP engine.
+ * Server of the HTTP engine: the connections of callers.
  *
- * A connection reads one request at a time (an exchange). When the request has come in full, a task
- * serves it; what the caller sends meanwhile (pipelined requests) is kept, up to a bound beyond
- * which the connection is not read. The task writes into the request's pending_output and marks the
- * connection as unflushed; the engine writes it once a turn. When the response has been sent, the
- * next request is parsed. So responses are in the order of requests.
+ * A connection reads one request at a time (an exchange). When the request is complete, a task
+ * serves it. What the caller sends meanwhile (pipelined requests) is buffered, up to a limit above
+ * which reading is paused. The task writes into the request's pending_output and marks the
+ * connection as unflushed; the engine writes the output once per turn of the event loop. When the
+ * response has been sent, the next request is parsed, so responses are in the order of requests.
  *
- * Ends of a connection:
- * - After a response with "Connection: close", or of a caller that is refused (4xx by the engine
- *   itself), the sending side is shut down and the connection lingers, unread, until the caller has
- *   closed it: a socket that is closed with unread bytes resets the connection, which may destroy a
- *   response on its way.
- * - A streamed response that can't be completed must not look complete. One in chunks lacks its
+ * How a connection ends:
+ * - After a response with "Connection: close", or after the engine itself rejected a request (4xx),
+ *   the sending side is shut down, and the connection lingers until the caller has closed it; what
+ *   it still receives is discarded. Closing a socket with unread bytes would reset the connection,
+ *   which may destroy a response in transit.
+ * - A streamed response that can't be completed must not look complete. A chunked one lacks its
  * last chunk; one that ends with the connection (HTTP/1.0) is ended by a reset.
- * - When the listener drains, a connection ends after the response in progress.
+ * - While the listener drains, a connection ends after the response in progress.
  *
- * Two sides share an exchange and end in either order: the connection, and the task. Whoever ends
- * last frees it.
+ * The connection and the task share an exchange and end in either order. The last one frees it.
  */
 #include "http_engine.h"
 
