--- a/lib/http/fields.c
+++ b/lib/http/fields.c
@@ -158,7 +158,7 @@
   return false;
 }
 
-static bool concerns_connection_only(string_view name) {
+static bool is_hop_by_hop_field(string_view name) {
   static const char *const names[] = {
     "connection", "keep-alive",     "te", "trailer", "transfer-encoding",
     "upgrade",    "content-length", NULL
@@ -174,10 +174,10 @@
   size_t position = 0;
   string_view name, value;
   /* Few messages name fields in Connection; for the others the search for each field is skipped. */
-  bool names_any = connection_names(from, string_view_of(""));
+  bool names_any_field = connection_names(from, string_view_of(""));
   while (fields_next(from, &position, &name, &value)) {
-    if (concerns_connection_only(name) || is_listed(name, skip) ||
-        (names_any && connection_names(from, name)))
+    if (is_hop_by_hop_field(name) || is_listed(name, skip) ||
+        (names_any_field && connection_names(from, name)))
       continue;
     g_string_append_len(to, name.data, (gssize)name.length);
     g_string_append(to, ": ");
