--- a/lib/http/http_client.c
+++ b/lib/http/http_client.c
@@ -66,7 +66,7 @@
 }
 
 /* Finds or creates the pool of an address, and takes a reference; NULL for an invalid address. */
-static connection_pool *hold_pool(http_engine *http, const char *address) {
+static connection_pool *acquire_pool(http_engine *http, const char *address) {
   connection_pool *pool = g_hash_table_lookup(http->pools, address);
   struct sockaddr_in sockaddr;
   if (!pool) {
@@ -477,7 +477,7 @@
 }
 
 /* True if an idle connection has received no data and was not closed. */
-static bool is_silent(const client_connection *client) {
+static bool has_no_unread_data(const client_connection *client) {
   char byte;
   ssize_t result = recv(client->connection.sock.fd, &byte, 1, MSG_PEEK | MSG_DONTWAIT);
   return result < 0 && errno == EAGAIN;
@@ -489,7 +489,7 @@
     return false;
   if (timeout_ms > 0 && time_reached(now, time_add(client->idle_since, time_from_ms(timeout_ms))))
     return false;
-  return is_silent(client);
+  return has_no_unread_data(client);
 }
 
 /* False if the connection turns out to be broken. The call is then unchanged, except that `sent`
@@ -531,7 +531,7 @@
   connection_pool *pool = NULL;
   bool too_late = time_reached(world_now(http->world), call->send_deadline);
   if (!http->world->tasks.stopped && !too_late)
-    pool = hold_pool(http, call->address);
+    pool = acquire_pool(http, call->address);
   if (!pool) {
     call->broken = true;
     return;
--- a/lib/http/http_connection.c
+++ b/lib/http/http_connection.c
@@ -57,7 +57,7 @@
 }
 
 /* Copies the bytes of the parts that were not sent. */
-static GString *copy_rest(const struct iovec *parts, int count, size_t total, size_t sent) {
+static GString *copy_unsent_bytes(const struct iovec *parts, int count, size_t total, size_t sent) {
   GString *rest = g_string_sized_new(total - sent + 1);
   for (int i = 0; i < count; i++) {
     size_t skipped = MIN(sent, parts[i].iov_len);
@@ -82,7 +82,7 @@
   size_t sent = result < 0 ? 0 : (size_t)result;
   if (sent < total) {
     sock_request_writable(&connection->sock);
-    connection->pending_output = copy_rest(parts, count, total, sent);
+    connection->pending_output = copy_unsent_bytes(parts, count, total, sent);
     connection->pending_output_offset = 0;
   }
   return (ssize_t)sent;
--- a/lib/http/http_exchange.c
+++ b/lib/http/http_exchange.c
@@ -46,8 +46,8 @@
   return bound ? bound : request->world->body_max_bytes;
 }
 
-static int refuse(http_exchange *exchange, int status) {
-  exchange->fault_status = status;
+static int reject_with_status(http_exchange *exchange, int status) {
+  exchange->rejection_status = status;
   return -1;
 }
 
@@ -87,7 +87,7 @@
 }
 
 /* Stores the value of a known field. If a field is repeated, the first value counts. */
-static void take_known_field(http_headers *known, string_view name, string_view value) {
+static void store_known_field(http_headers *known, string_view name, string_view value) {
   for (int i = 0; i < HEADER_COUNT; i++)
     if (!known->values[i] && equals_ignoring_case(name, http_header_names[i])) {
       known->values[i] = g_strndup(value.data, value.length);
@@ -108,7 +108,7 @@
     } else if (equals_ignoring_case(name, "expect"))
       exchange->expects_continue = equals_ignoring_case(value, "100-continue");
     else
-      take_known_field(&request->known_fields, name, value);
+      store_known_field(&request->known_fields, name, value);
   }
   bool is_http_1_1 = parser->http_major == 1 && parser->http_minor >= 1;
   return hosts == 1 || (!hosts && !is_http_1_1);
@@ -167,13 +167,13 @@
   if (parser->http_major != 1 || parser->method == HTTP_CONNECT ||
       !field_names_are_valid(request->fields) || !read_fields(exchange, parser) ||
       !read_target(exchange))
-    return refuse(exchange, 400);
+    return reject_with_status(exchange, 400);
   if (!request->host)
     request->host = g_strdup("");
   request->close_connection = !http_should_keep_alive(parser);
   bool has_length = parser->content_length != UINT64_MAX;
   if (has_length && parser->content_length > body_max_bytes(&exchange->request))
-    return refuse(exchange, 413);
+    return reject_with_status(exchange, 413);
   if (parser->http_minor == 0)
     exchange->expects_continue = false;
   return 0;
@@ -183,9 +183,9 @@
   http_exchange *exchange = parser->data;
   GString *body = exchange->request.body;
   if (!chunk_check_data(&exchange->chunk, parser, bytes, length))
-    return refuse(exchange, 400);
+    return reject_with_status(exchange, 400);
   if (body->len + length > body_max_bytes(&exchange->request))
-    return refuse(exchange, 413);
+    return reject_with_status(exchange, 413);
   g_string_append_len(body, bytes, (gssize)length);
   return 0;
 }
@@ -222,8 +222,8 @@
   if (!had_head)
     exchange->head_bytes += *used;
   enum http_errno error_number = HTTP_PARSER_ERRNO(&exchange->parser);
-  if (exchange->fault_status)
-    return exchange->fault_status;
+  if (exchange->rejection_status)
+    return exchange->rejection_status;
   if (head_scan_finds_folding(&exchange->scan, bytes, *used) ||
       !chunk_check_line_end(&exchange->chunk, bytes + *used))
     return 400;
--- a/lib/http/http_exchange.h
+++ b/lib/http/http_exchange.h
@@ -31,7 +31,7 @@
   time_us first_byte_at;
   bool head_read, expects_continue;
   /** The status with which the request is rejected; 0: it is not rejected. */
-  int fault_status;
+  int rejection_status;
 
   /** Serving and writing: written by http_server.c. in_progress: the request was read in full and
    * passed to a task; served: that task has finished. */
--- a/lib/http/http_server.c
+++ b/lib/http/http_server.c
@@ -49,7 +49,7 @@
 
 /* Detaches the connection from an exchange in progress, because its response was sent or the caller
  * is gone. */
-static void leave_exchange(server_connection *server, bool client_gone) {
+static void detach_exchange(server_connection *server, bool client_gone) {
   http_exchange *exchange = server->exchange;
   http_request *request = &exchange->request;
   server->listener->pending_exchanges--;
@@ -108,7 +108,7 @@
 }
 
 /* Accepts no more requests, and lingers once everything has been written. */
-static void finish(server_connection *server) {
+static void begin_graceful_close(server_connection *server) {
   server->closing = true;
   if (server->connection.pending_output) {
     http_connection_set_timeout(&server->connection, UNREAD_RESPONSE_TIMEOUT_MS);
@@ -160,13 +160,13 @@
   struct iovec parts[2] = { { head, (size_t)head_length }, { body, (size_t)body_length } };
   if (http_connection_send(&server->connection, parts, 2) < 0)
     return CONNECTION_CLOSE;
-  finish(server);
+  begin_graceful_close(server);
   return CONNECTION_KEEP;
 }
 
 /* ---- reading ---- */
 
-static void keep_read_ahead(server_connection *server, const char *bytes, size_t length) {
+static void buffer_read_ahead(server_connection *server, const char *bytes, size_t length) {
   if (!length)
     return;
   if (!server->read_ahead)
@@ -228,13 +228,13 @@
       begin_exchange(server);
     size_t used;
     bool ended;
-    int fault_status = http_exchange_parse(server->exchange, bytes, length, &used, &ended);
-    if (fault_status)
-      return reject_request(server, fault_status);
+    int rejection_status = http_exchange_parse(server->exchange, bytes, length, &used, &ended);
+    if (rejection_status)
+      return reject_request(server, rejection_status);
     bytes += used;
     length -= used;
     if (ended) {
-      keep_read_ahead(server, bytes, length);
+      buffer_read_ahead(server, bytes, length);
       return start_serving(server);
     }
   }
@@ -246,7 +246,7 @@
   if (server->closing)
     return CONNECTION_KEEP;
   if (server->exchange && server->exchange->in_progress) {
-    keep_read_ahead(server, bytes, length);
+    buffer_read_ahead(server, bytes, length);
     return CONNECTION_KEEP;
   }
   return parse_requests(server, bytes, length);
@@ -357,9 +357,9 @@
  * answered. */
 static int end_exchange(server_connection *server) {
   bool close = server->exchange->close_after || (server->listener->draining && !server->read_ahead);
-  leave_exchange(server, false);
+  detach_exchange(server, false);
   if (close) {
-    finish(server);
+    begin_graceful_close(server);
     return CONNECTION_KEEP;
   }
   http_connection_set_timeout(&server->connection, server->listener->idle_timeout_ms);
@@ -382,7 +382,7 @@
   if (server->connection.pending_output)
     return STEP_NOTHING_TO_DO;
   if (server->closing && !server->lingering) {
-    finish(server);
+    begin_graceful_close(server);
     return STEP_NOTHING_TO_DO;
   }
   http_exchange *exchange = server->exchange;
@@ -443,7 +443,7 @@
   list_remove(&server->all);
   list_remove(&server->unflushed);
   if (server->exchange && server->exchange->in_progress)
-    leave_exchange(server, true);
+    detach_exchange(server, true);
   else if (server->exchange)
     http_exchange_free(server->exchange);
   if (server->read_ahead)
