--- a/tests/configuration/delta.c
+++ b/tests/configuration/delta.c
@@ -1,10 +1,10 @@
-/**
- * Deltas between texts of resources: small for small changes, and never applied to another text.
- */
+/** Tests of lib/configuration/delta.c: a delta is small for a small change, reproduces the new
+ * text, and is never applied to another base. */
 #include "delta.h"
 #include "tests.h"
 
-/* A routing with n routes from route number `from` on; the route `changed` has another weight. */
+/* Appends a routing configuration with n routes, numbered from `from`; the route `changed` has
+ * another weight. */
 static void append_routes(GString *to, int from, int n, int changed, int version) {
   json_appendf(to, "{\"version\":%d,\"routes\":[", version);
   for (int i = from; i < from + n; i++)
@@ -15,8 +15,7 @@
   g_string_append(to, "],\"services\":[{\"name\":\"a\"},{\"name\":\"b\"}]}");
 }
 
-/* A delta to a text that the other side has is small when few items changed, and applying
- * it gives the full text. */
+/* A delta is small when few items changed, and applying it gives the full new text. */
 static bool changes_come_as_deltas(fleet *fleet) {
   GString *base = g_string_new(NULL), *delta = g_string_new(NULL), *applied = g_string_new(NULL);
   append_routes(base, 0, 400, -1, 4);
@@ -28,22 +27,23 @@
     if (!made || delta->len * 4 > current->len + 60000 ||
         !delta_apply(string_view_of_gstring(base), string_view_of_gstring(delta), applied) ||
         !string_view_equal(string_view_of_gstring(applied), string_view_of_gstring(current)))
-      fleet_add_violation(fleet, "round %d: made %d, %zu of %zu bytes", k, made, delta->len,
+      fleet_add_violation(fleet, "round %d: encoded %d, %zu of %zu bytes", k, made, delta->len,
                           current->len);
-    /* A delta to another base, or with a flipped byte, is refused or has no effect on the result.
+    /* A delta for another base, or with a corrupted byte, is rejected or still gives the right
+     * text.
      */
     GString *other = g_string_new(NULL);
     append_routes(other, 0, 400, 7, 4);
     if (made &&
         delta_apply(string_view_of_gstring(other), string_view_of_gstring(delta), applied) &&
         !string_view_equal(string_view_of_gstring(applied), string_view_of_gstring(current)))
-      fleet_add_violation(fleet, "round %d: a delta to another text was taken", k);
+      fleet_add_violation(fleet, "round %d: a delta was applied to another base", k);
     for (int b = 0; made && b < 50; b++) {
       GString *bad = g_string_new_len(delta->str, (gssize)delta->len);
       bad->str[sim_random(fleet->sim, bad->len)] ^= (char)(1 + sim_random(fleet->sim, 255));
       if (delta_apply(string_view_of_gstring(base), string_view_of_gstring(bad), applied) &&
           !string_view_equal(string_view_of_gstring(applied), string_view_of_gstring(current)))
-        fleet_add_violation(fleet, "round %d: spoilt bytes were taken", k);
+        fleet_add_violation(fleet, "round %d: a corrupted delta was applied", k);
       g_string_free(bad, TRUE);
     }
     g_string_free(other, TRUE);
@@ -56,7 +56,7 @@
       delta->len > 700)
     fleet_add_violation(fleet, "one item of 400 changed: %zu bytes", delta->len);
   if (delta_encode(string_view_of("{}"), string_view_of_gstring(current), delta))
-    fleet_add_violation(fleet, "nothing in common, and yet a delta");
+    fleet_add_violation(fleet, "texts with nothing in common gave a delta");
   g_string_free(current, TRUE);
   g_string_free(base, TRUE);
   g_string_free(delta, TRUE);
--- a/tests/configuration/formula.c
+++ b/tests/configuration/formula.c
@@ -1,6 +1,5 @@
-/** Tests of lib/configuration/formula.c: expressions are compiled, evaluated, and serve as eviction
- * policies. Fleet: four routers and four engines.
- */
+/** Tests of lib/configuration/formula.c: expressions are compiled, evaluated, and used as eviction
+ * policies. Fleet: four routers and four engines. */
 #include "scenario.h"
 #include "tests.h"
 
@@ -47,26 +46,27 @@
   }
 }
 
-/* an expression is put into force as a policy; an invalid one, or the removal of one in use, is
- * refused */
+/* An expression is accepted as the eviction policy; an invalid one, and the removal of the one in
+ * use, are rejected. */
 static void put_expressions(fleet *fleet) {
   operator_call *call = fleet_call(
       fleet, fleet->controller[0], "PATCH", "/v1/policy",
       "{\"eviction\":\"mine\",\"utilities\":[{\"id\":\"mine\",\"worth\":\"penalty * rate / size\"}]}",
       NULL, NULL, time_from_ms(5000));
   if (call->status != 200)
-    fleet_add_violation(fleet, "an own policy got %d %s", call->status, call->body->str);
+    fleet_add_violation(fleet, "an expression as the eviction policy got %d %s", call->status,
+                        call->body->str);
   operator_call_free(call);
   call = fleet_call(fleet, fleet->controller[0], "PATCH", "/v1/policy",
                     "{\"utilities\":[{\"id\":\"mine\",\"worth\":\"speed\"}]}", NULL, NULL,
                     time_from_ms(5000));
   if (call->status != 400 || !strstr(call->body->str, "utilities[0].worth"))
-    fleet_add_violation(fleet, "a bad expression got %d %s", call->status, call->body->str);
+    fleet_add_violation(fleet, "an invalid expression got %d %s", call->status, call->body->str);
   operator_call_free(call);
   call = fleet_call(fleet, fleet->controller[0], "PATCH", "/v1/policy", "{\"utilities\":null}",
                     NULL, NULL, time_from_ms(5000));
   if (call->status != 400)
-    fleet_add_violation(fleet, "an expression in use was dropped: %d", call->status);
+    fleet_add_violation(fleet, "the removal of an expression in use got %d", call->status);
   operator_call_free(call);
 }
 
--- a/tests/configuration/routing.c
+++ b/tests/configuration/routing.c
@@ -1,13 +1,11 @@
-/**
- * Tests of lib/configuration/routing.c and dialect.c: routes are found, names are translated,
- * invalid routings are refused and changes are merged. No fleet is started.
- */
+/** Tests of lib/configuration/routing*.c, dialect.c and json.c: routes are found, names are
+ * translated, invalid configurations are rejected, and patches are merged. No fleet is started. */
 #include "dialect.h"
 #include "routing.h"
 #include "tests.h"
 #include <stdio.h>
 
-/* a dialect of nobody's */
+/* A dialect that exists only for these tests. */
 static const dialect_pair keys[] = { { "version", "issue" },  { "routes", "ways" },
                                      { "host", "seat" },      { "service", "shop" },
                                      { "services", "shops" }, { "weight", "part" },
@@ -54,30 +52,30 @@
   for (size_t i = 0; i < G_N_ELEMENTS(texts); i++) {
     json *json = read_or(fleet, texts[i][0]);
     dialect_translate_in(&odd, json);
-    written(fleet, json, texts[i][1], "the text in our words");
+    written(fleet, json, texts[i][1], "the text with native names");
     dialect_translate_out(&odd, json);
-    written(fleet, json, texts[i][0], "the text that went in and out");
+    written(fleet, json, texts[i][0], "the text translated in and out");
     dialect_translate_in(&dialect_native, json);
-    written(fleet, json, texts[i][0], "the text in the product's own dialect");
+    written(fleet, json, texts[i][0], "the text in the native dialect");
     json_free(json);
   }
   id who = { "" };
   if (!dialect_matches_call(&odd, DC_HEARTBEAT, "POST", "/e/i-7:x/b?q=/e/", &who) ||
       strcmp(who.text, "i-7:x"))
-    fleet_add_violation(fleet, "a call with a name is not known");
+    fleet_add_violation(fleet, "a call with an id in its path is not matched");
   if (!dialect_matches_call(&odd, DC_CONFIG_GET, "GET", "/c/read?x", NULL))
-    fleet_add_violation(fleet, "a call is not known");
+    fleet_add_violation(fleet, "a call without an id is not matched");
   static const char *const not [] = { "/e//b",   "/e/a/b/b", "/e/a b/b", "/e/a",
                                       "/e/a/bb", "/e/b",     "/x/a/b",   "" };
   for (size_t i = 0; i < G_N_ELEMENTS(not ); i++)
     if (dialect_matches_call(&odd, DC_HEARTBEAT, "POST", not [i], NULL))
-      fleet_add_violation(fleet, "%s is taken for a call", not [i]);
+      fleet_add_violation(fleet, "%s is matched as a call", not [i]);
   if (dialect_matches_call(&odd, DC_HEARTBEAT, "GET", "/e/a/b", NULL) ||
       dialect_matches_call(&odd, DC_ENGINE_ORDER, "POST", "/v1/order", NULL))
-    fleet_add_violation(fleet, "a call is taken for another");
+    fleet_add_violation(fleet, "a call is matched as another");
   if (!dialect_matches_call(&dialect_native, DC_LEAVE, "POST", "/v1/engines/a/leave", &who) ||
       strcmp(who.text, "a"))
-    fleet_add_violation(fleet, "a call of our own is not known");
+    fleet_add_violation(fleet, "a call of the native dialect is not matched");
   return true;
 }
 
@@ -97,7 +95,7 @@
     json_free(copy);
   }
   json *value = read_or(fleet, "[130000.0,1E3,16100.0000000000020]");
-  written(fleet, value, "[130000,1000,16100.000000000002]", "the list of forms");
+  written(fleet, value, "[130000,1000,16100.000000000002]", "the list of number formats");
   json_free(value);
   return true;
 }
@@ -117,7 +115,7 @@
                   const char *due) {
   const route *k = routing_find_route(routing, string_view_of(host), string_view_of(path));
   if (strcmp(k ? k->name.text : "", due))
-    fleet_add_violation(fleet, "%s%s leads to \"%s\", not \"%s\"", host, path,
+    fleet_add_violation(fleet, "%s%s is routed by \"%s\", not \"%s\"", host, path,
                         k ? k->name.text : "", due);
 }
 
@@ -132,7 +130,7 @@
       "}",
       &err);
   if (!t) {
-    fleet_add_violation(fleet, "refused: %s", err.text);
+    fleet_add_violation(fleet, "rejected: %s", err.text);
     return true;
   }
   leads(fleet, t, "one.example", "/x/", "a");
@@ -147,31 +145,32 @@
   const route *a = &t->routes[0], *b = &t->routes[1];
   if (t->revision != 9 || a->mode != ROUTE_MODE_ONCE || a->attempts != 1 || a->priority ||
       a->affinity || a->target_ms || a->gap_target_ms || a->timeout_ms != 5000)
-    fleet_add_violation(fleet, "the defaults of a route are others");
+    fleet_add_violation(fleet, "the defaults of a route are wrong");
   if (b->mode != ROUTE_MODE_STREAM || b->attempts != 3 || b->priority != 2 || !b->affinity ||
       b->gap_target_ms != 40 || b->timeout_ms != 1 || b->leg_count != 3)
-    fleet_add_violation(fleet, "a route is read wrongly");
+    fleet_add_violation(fleet, "the fields of a route are wrong");
   int to_t = 0;
   for (int i = 0; i < 1000; i++)
     to_t += !strcmp(route_pick_service(b, (double)sim_random(fleet->sim, 1000000) / 1e6)->name.text,
                     "t");
   if (to_t < 690 || to_t > 810)
-    fleet_add_violation(fleet, "%d of 1,000 went to three quarters", to_t);
+    fleet_add_violation(
+        fleet, "%d of 1,000 draws, not about 750, picked the service with 3/4 of the weight", to_t);
   if (strcmp(route_pick_service(b, 0)->name.text, "s") ||
       strcmp(route_pick_service(b, 1)->name.text, "t"))
-    fleet_add_violation(fleet, "the ends of the draw lead elsewhere");
+    fleet_add_violation(fleet, "draws of 0 and 1 pick the wrong services");
   const service *service = routing_find_service(t, "t");
   const service_model_spec *m = service_find_model(service, "m");
   if (!service || strcmp(service->health_path, "/h") || service->connections_max != 50 ||
       service->engine_slots != 64 || service->adapter_slots != 8 || service->loads_per_s != 2.1)
-    fleet_add_violation(fleet, "a service is read wrongly");
+    fleet_add_violation(fleet, "the fields of a service are wrong");
   if (!m || m->weights_mb != 16100.000000000002 || m->load_ms != 950 || m->adapters != 3)
-    fleet_add_violation(fleet, "a model is read wrongly");
+    fleet_add_violation(fleet, "the fields of a model are wrong");
   if (service_find_model(service, "n") || routing_find_service(t, "u") ||
       service_find_model(routing_find_service(t, "s"), "m"))
-    fleet_add_violation(fleet, "something is found that is not there");
+    fleet_add_violation(fleet, "a service or model that does not exist is found");
   if (t->limits.header_max_bytes != 16384 || t->limits.body_max_bytes != 4194304)
-    fleet_add_violation(fleet, "the limits are others");
+    fleet_add_violation(fleet, "the default limits are wrong");
   routing *u = routing_ref(t);
   routing_unref(t);
   leads(fleet, u, "two.example", "/anything", "c");
@@ -252,7 +251,8 @@
   if (routing_check_successor(json, 4, &err) ||
       routing_check_successor(json, 5, &err) != E_STALE_VERSION ||
       routing_check_successor(json, 6, &err) != E_STALE_VERSION)
-    fleet_add_violation(fleet, "the order of versions is not kept");
+    fleet_add_violation(fleet,
+                        "a version that is not higher is accepted, or a higher one rejected");
   json_free(json);
   return true;
 }
@@ -289,8 +289,8 @@
       fleet_add_violation(fleet, "code %d (%s), not %d, for %s", err.code, err.text, all[i].code,
                           all[i].patch);
     if (next && all[i].due)
-      written(fleet, next, all[i].due, "the changed routing");
-    written(fleet, value, base, "the routing that was changed");
+      written(fleet, next, all[i].due, "the patched configuration");
+    written(fleet, value, base, "the base of the patch");
     json_free(p);
     json_free(next);
   }
@@ -316,7 +316,7 @@
   routing *routing = routing_compile(json, &err);
   int64_t t3 = g_get_monotonic_time();
   if (!routing)
-    fleet_add_violation(fleet, "refused: %s", err.text);
+    fleet_add_violation(fleet, "rejected: %s", err.text);
   int found = 0;
   for (int i = 0; i < 1000 && routing; i++) {
     char host[40], path[40];
@@ -330,8 +330,8 @@
     fleet_add_violation(fleet, "%d of 1,000 routes are found", found);
   if (g_getenv("SIM_COUNT"))
     fprintf(stderr,
-            "  1,000 routes: read %" PRId64 " us, renamed %" PRId64 " us, compiled %" PRId64
-            " us, found %" PRId64 " us\n",
+            "  1,000 routes: parsed %" PRId64 " us, translated %" PRId64 " us, compiled %" PRId64
+            " us, looked up %" PRId64 " us\n",
             t1 - t0, t2 - t1, t3 - t2, t4 - t3);
   routing_unref(routing);
   json_free(json);
--- a/tests/configuration/settings.c
+++ b/tests/configuration/settings.c
@@ -1,5 +1,5 @@
-/** Tests of lib/configuration/settings.c: invalid settings are refused with their code. No fleet is
- * started. */
+/** Tests of lib/configuration/settings.c: invalid settings are rejected with the right error code,
+ * and the chain is sized for the requested fault tolerance. No fleet is started. */
 #include "scenario.h"
 #include "tests.h"
 
@@ -52,8 +52,8 @@
         replica_zones);
 }
 
-/* for how many machines and zones may be lost at once, the chain is large enough that a majority
- * and a replica of every write are left; it never asks for more zones than replicas */
+/* For each number of machines and zones that may be lost at once, the chain is large enough that a
+ * majority and a replica of every write remain. Never more zones than replicas are required. */
 static bool the_chain_fits_tolerated_losses(fleet *fleet) {
   check_fault_tolerance(fleet, 0, 0, 3, 1, 1);
   check_fault_tolerance(fleet, 1, 0, 3, 2, 1);
--- a/tests/http/fields.c
+++ b/tests/http/fields.c
@@ -1,4 +1,5 @@
-/** Header fields (lib/http/fields.h): lookups, numbers, iteration, adding, forwarding. */
+/** Tests of lib/http/fields.c: lookup, numbers, iteration, adding and forwarding of header fields.
+ */
 #include "fields.h"
 #include "tests.h"
 
@@ -27,7 +28,7 @@
       new_fields("Host: a.example:80\r\nX-Two:  one \t\r\nx-two: two\r\nX-None:\r\nX-T: short\r\n");
   string_view value;
   if (!fields_get(message, "HOST", &value))
-    fleet_add_violation(fleet, "a field isn't found whatever its case");
+    fleet_add_violation(fleet, "a field isn't found by a name in another case");
   else
     expect_text(fleet, value, "a.example:80", "a value with a colon");
   if (fields_get(message, "x-two", &value))
@@ -35,17 +36,17 @@
   if (!fields_get(message, "X-None", &value) || value.length)
     fleet_add_violation(fleet, "an empty field isn't empty");
   if (fields_get(message, "X-Tw", &value))
-    fleet_add_violation(fleet, "a part of a name is found");
+    fleet_add_violation(fleet, "a prefix of a name is found");
   if (fields_get(message, "X-Two-", &value))
     fleet_add_violation(fleet, "a longer name is found");
   if (fields_get(NULL, "a", &value))
-    fleet_add_violation(fleet, "no fields hold a field");
+    fleet_add_violation(fleet, "a field is found in NULL");
   char *copy = fields_dup(message, "x-t");
   if (g_strcmp0(copy, "short"))
     fleet_add_violation(fleet, "a copy is %s", copy);
   g_free(copy);
   if (fields_dup(message, "other"))
-    fleet_add_violation(fleet, "a field that is not there is copied");
+    fleet_add_violation(fleet, "an absent field is copied");
   g_string_free(message, TRUE);
   return fleet_check_all(fleet);
 }
@@ -64,7 +65,7 @@
   expect_number(fleet, "0x10", -1);
   fields *message = new_fields("");
   if (fields_get_number(message, "x", 42) != 42)
-    fleet_add_violation(fleet, "an absent number has no fallback");
+    fleet_add_violation(fleet, "an absent number does not give the fallback");
   g_string_free(message, TRUE);
   return fleet_check_all(fleet);
 }
@@ -77,9 +78,9 @@
   while (fields_next(message, &position, &name, &value))
     g_string_append_printf(all, "%.*s=%.*s;", (int)name.length, name.data, (int)value.length,
                            value.data);
-  expect_text(fleet, string_view_of_gstring(all), "A=1;B=2;C=;D=4;", "the walk");
+  expect_text(fleet, string_view_of_gstring(all), "A=1;B=2;C=;D=4;", "the iteration");
   if (fields_next(message, &position, &name, &value))
-    fleet_add_violation(fleet, "a walk goes on after its end");
+    fleet_add_violation(fleet, "an iteration continues after its end");
   g_string_free(all, TRUE);
   g_string_free(message, TRUE);
   return fleet_check_all(fleet);
@@ -97,7 +98,7 @@
   fields_add_format(message, "X-E", "%s", large->str);
   char *expected = g_strdup_printf(
       "X-A: one\r\nX-B: twoX-Evil: yes\r\nX-C: ab\r\nX-D: 7.x\r\nX-E: %s\r\n", large->str);
-  expect_text(fleet, string_view_of_gstring(message), expected, "what was added");
+  expect_text(fleet, string_view_of_gstring(message), expected, "the text of the added fields");
   g_free(expected);
   g_string_free(large, TRUE);
   g_string_free(message, TRUE);
