--- a/tests/http/fields.c
+++ b/tests/http/fields.c
@@ -3,7 +3,7 @@
 #include "fields.h"
 #include "tests.h"
 
-static fields *new_fields(const char *text) {
+static fields *fields_from_text(const char *text) {
   return g_string_new(text);
 }
 
@@ -14,7 +14,7 @@
 }
 
 static void expect_number(fleet *fleet, const char *text, int64_t expected) {
-  fields *message = new_fields("X-Num: ");
+  fields *message = fields_from_text("X-Num: ");
   g_string_append_printf(message, "%s\r\n", text);
   int64_t number = fields_get_number(message, "x-num", -1);
   if (number != expected)
@@ -24,8 +24,8 @@
 }
 
 static bool fields_are_found(fleet *fleet) {
-  fields *message =
-      new_fields("Host: a.example:80\r\nX-Two:  one \t\r\nx-two: two\r\nX-None:\r\nX-T: short\r\n");
+  fields *message = fields_from_text(
+      "Host: a.example:80\r\nX-Two:  one \t\r\nx-two: two\r\nX-None:\r\nX-T: short\r\n");
   string_view value;
   if (!fields_get(message, "HOST", &value))
     fleet_add_violation(fleet, "a field isn't found by a name in another case");
@@ -63,15 +63,15 @@
   expect_number(fleet, "3.5", -1);
   expect_number(fleet, "3 4", -1);
   expect_number(fleet, "0x10", -1);
-  fields *message = new_fields("");
+  fields *message = fields_from_text("");
   if (fields_get_number(message, "x", 42) != 42)
     fleet_add_violation(fleet, "an absent number does not give the fallback");
   g_string_free(message, TRUE);
   return fleet_check_all(fleet);
 }
 
-static bool fields_are_walked(fleet *fleet) {
-  fields *message = new_fields("A: 1\r\nno colon here\r\nB:2\nC:\r\n\r\nD: 4");
+static bool fields_are_iterated(fleet *fleet) {
+  fields *message = fields_from_text("A: 1\r\nno colon here\r\nB:2\nC:\r\n\r\nD: 4");
   GString *all = g_string_new(NULL);
   size_t position = 0;
   string_view name, value;
@@ -87,7 +87,7 @@
 }
 
 static bool fields_are_added(fleet *fleet) {
-  fields *message = new_fields("");
+  fields *message = fields_from_text("");
   fields_add(message, "X-A", string_view_of("one"));
   fields_add(message, "X-B", string_view_of("two\r\nX-Evil: yes"));
   fields_add(message, "X-\nC", (string_view){ "a\0b", 3 });
@@ -107,14 +107,14 @@
 
 static void expect_forwarded(fleet *fleet, const char *from, const char *const *skip,
                              const char *expected) {
-  fields *message = new_fields(from), *forwarded = new_fields("");
+  fields *message = fields_from_text(from), *forwarded = fields_from_text("");
   fields_forward(message, forwarded, skip);
   expect_text(fleet, string_view_of_gstring(forwarded), expected, from);
   g_string_free(message, TRUE);
   g_string_free(forwarded, TRUE);
 }
 
-static bool fields_go_on(fleet *fleet) {
+static bool fields_are_forwarded(fleet *fleet) {
   static const char *const skip[] = { "x-mine", "Via", NULL };
   expect_forwarded(fleet, "Host: a\r\nX-Mine: 1\r\nX-Mine-Not: 2\r\nvia: z\r\nAccept:  t/x \r\n",
                    skip, "Host: a\r\nX-Mine-Not: 2\r\nAccept: t/x\r\n");
@@ -136,7 +136,7 @@
 
 const test_case fields_tests[] = { { "fields_are_found", fields_are_found, 1, 1, 17 },
                                    { "fields_are_numbers", fields_are_numbers, 1, 1, 17 },
-                                   { "fields_are_walked", fields_are_walked, 1, 1, 17 },
+                                   { "fields_are_iterated", fields_are_iterated, 1, 1, 17 },
                                    { "fields_are_added", fields_are_added, 1, 1, 17 },
-                                   { "fields_go_on", fields_go_on, 1, 1, 17 },
+                                   { "fields_are_forwarded", fields_are_forwarded, 1, 1, 17 },
                                    { NULL, NULL, 0, 0, 0 } };
