--- a/tests/configuration/delta.c
+++ b/tests/configuration/delta.c
@@ -5,9 +5,9 @@
 
 /* Appends a routing configuration with n routes, numbered from `from`; the route `changed` has
  * another weight. */
-static void append_routes(GString *to, int from, int n, int changed, int version) {
+static void append_routes(GString *to, int from, int count, int changed, int version) {
   json_appendf(to, "{\"version\":%d,\"routes\":[", version);
-  for (int i = from; i < from + n; i++)
+  for (int i = from; i < from + count; i++)
     json_appendf(
         to,
         "%s{\"name\":\"r-%d\",\"split\":[{\"service\":\"a\",\"weight\":%d},{\"service\":\"b\",\"weight\":10}]}",
@@ -16,34 +16,36 @@
 }
 
 /* A delta is small when few items changed, and applying it gives the full new text. */
-static bool changes_come_as_deltas(fleet *fleet) {
+static bool deltas_reproduce_changes(fleet *fleet) {
   GString *base = g_string_new(NULL), *delta = g_string_new(NULL), *applied = g_string_new(NULL);
   append_routes(base, 0, 400, -1, 4);
-  for (int k = 0; k < 20; k++) {
+  for (int round = 0; round < 20; round++) {
     GString *current = g_string_new(NULL);
-    int from = (int)sim_random(fleet->sim, 40), n = 300 + (int)sim_random(fleet->sim, 150);
-    append_routes(current, from, n, from + (int)sim_random(fleet->sim, (uint64_t)n), 5 + k);
-    bool made = delta_encode(string_view_of_gstring(base), string_view_of_gstring(current), delta);
-    if (!made || delta->len * 4 > current->len + 60000 ||
+    int from = (int)sim_random(fleet->sim, 40), count = 300 + (int)sim_random(fleet->sim, 150);
+    append_routes(current, from, count, from + (int)sim_random(fleet->sim, (uint64_t)count),
+                  5 + round);
+    bool encoded =
+        delta_encode(string_view_of_gstring(base), string_view_of_gstring(current), delta);
+    if (!encoded || delta->len * 4 > current->len + 60000 ||
         !delta_apply(string_view_of_gstring(base), string_view_of_gstring(delta), applied) ||
         !string_view_equal(string_view_of_gstring(applied), string_view_of_gstring(current)))
-      fleet_add_violation(fleet, "round %d: encoded %d, %zu of %zu bytes", k, made, delta->len,
-                          current->len);
+      fleet_add_violation(fleet, "round %d: encoded %d, %zu of %zu bytes", round, encoded,
+                          delta->len, current->len);
     /* A delta for another base, or with a corrupted byte, is rejected or still gives the right
      * text.
      */
     GString *other = g_string_new(NULL);
     append_routes(other, 0, 400, 7, 4);
-    if (made &&
+    if (encoded &&
         delta_apply(string_view_of_gstring(other), string_view_of_gstring(delta), applied) &&
         !string_view_equal(string_view_of_gstring(applied), string_view_of_gstring(current)))
-      fleet_add_violation(fleet, "round %d: a delta was applied to another base", k);
-    for (int b = 0; made && b < 50; b++) {
+      fleet_add_violation(fleet, "round %d: a delta was applied to another base", round);
+    for (int attempt = 0; encoded && attempt < 50; attempt++) {
       GString *bad = g_string_new_len(delta->str, (gssize)delta->len);
       bad->str[sim_random(fleet->sim, bad->len)] ^= (char)(1 + sim_random(fleet->sim, 255));
       if (delta_apply(string_view_of_gstring(base), string_view_of_gstring(bad), applied) &&
           !string_view_equal(string_view_of_gstring(applied), string_view_of_gstring(current)))
-        fleet_add_violation(fleet, "round %d: a corrupted delta was applied", k);
+        fleet_add_violation(fleet, "round %d: a corrupted delta was applied", round);
       g_string_free(bad, TRUE);
     }
     g_string_free(other, TRUE);
@@ -64,5 +66,6 @@
   return true;
 }
 
-const test_case delta_tests[] = { { "changes_come_as_deltas", changes_come_as_deltas, 1, 1, 50 },
-                                  { NULL, NULL, 0, 0, 0 } };
+const test_case delta_tests[] = {
+  { "deltas_reproduce_changes", deltas_reproduce_changes, 1, 1, 50 }, { NULL, NULL, 0, 0, 0 }
+};
--- a/tests/configuration/routing.c
+++ b/tests/configuration/routing.c
@@ -6,22 +6,22 @@
 #include <stdio.h>
 
 /* A dialect that exists only for these tests. */
-static const dialect_pair keys[] = { { "version", "issue" },  { "routes", "ways" },
-                                     { "host", "seat" },      { "service", "shop" },
-                                     { "services", "shops" }, { "weight", "part" },
-                                     { "split", "parts" } };
-static const dialect_value words[] = { { "mode", "safe", "again" },
-                                       { "mode", "once", "single" },
-                                       { "state", "leaving", "ending" } };
-static const dialect odd = {
-  .keys = keys,
-  .key_count = G_N_ELEMENTS(keys),
-  .values = words,
-  .value_count = G_N_ELEMENTS(words),
+static const dialect_pair dialect_keys[] = { { "version", "issue" },  { "routes", "ways" },
+                                             { "host", "seat" },      { "service", "shop" },
+                                             { "services", "shops" }, { "weight", "part" },
+                                             { "split", "parts" } };
+static const dialect_value dialect_values[] = { { "mode", "safe", "again" },
+                                                { "mode", "once", "single" },
+                                                { "state", "leaving", "ending" } };
+static const dialect test_dialect = {
+  .keys = dialect_keys,
+  .key_count = G_N_ELEMENTS(dialect_keys),
+  .values = dialect_values,
+  .value_count = G_N_ELEMENTS(dialect_values),
   .calls = { [DC_HEARTBEAT] = { "POST", "/e/{}/b" }, [DC_CONFIG_GET] = { "GET", "/c/read" } }
 };
 
-static json *read_or(fleet *fleet, const char *text) {
+static json *parse_json_or_report(fleet *fleet, const char *text) {
   error err = { 0 };
   json *json = json_parse(string_view_of(text), &err);
   if (!json)
@@ -29,12 +29,12 @@
   return json;
 }
 
-static void written(fleet *fleet, const json *json, const char *due, const char *what) {
-  GString *b = g_string_new(NULL);
-  json_write(json, b);
-  if (strcmp(b->str, due))
-    fleet_add_violation(fleet, "%s is %s, not %s", what, b->str, due);
-  g_string_free(b, TRUE);
+static void expect_json(fleet *fleet, const json *json, const char *expected, const char *what) {
+  GString *text = g_string_new(NULL);
+  json_write(json, text);
+  if (strcmp(text->str, expected))
+    fleet_add_violation(fleet, "%s is %s, not %s", what, text->str, expected);
+  g_string_free(text, TRUE);
 }
 
 static bool names_are_translated_both_ways(fleet *fleet) {
@@ -50,28 +50,28 @@
     { "[{\"issue\":[{\"issue\":{}}]}]", "[{\"version\":[{\"version\":{}}]}]" }
   };
   for (size_t i = 0; i < G_N_ELEMENTS(texts); i++) {
-    json *json = read_or(fleet, texts[i][0]);
-    dialect_translate_in(&odd, json);
-    written(fleet, json, texts[i][1], "the text with native names");
-    dialect_translate_out(&odd, json);
-    written(fleet, json, texts[i][0], "the text translated in and out");
+    json *json = parse_json_or_report(fleet, texts[i][0]);
+    dialect_translate_in(&test_dialect, json);
+    expect_json(fleet, json, texts[i][1], "the text with native names");
+    dialect_translate_out(&test_dialect, json);
+    expect_json(fleet, json, texts[i][0], "the text translated in and out");
     dialect_translate_in(&dialect_native, json);
-    written(fleet, json, texts[i][0], "the text in the native dialect");
+    expect_json(fleet, json, texts[i][0], "the text in the native dialect");
     json_free(json);
   }
   id who = { "" };
-  if (!dialect_matches_call(&odd, DC_HEARTBEAT, "POST", "/e/i-7:x/b?q=/e/", &who) ||
+  if (!dialect_matches_call(&test_dialect, DC_HEARTBEAT, "POST", "/e/i-7:x/b?q=/e/", &who) ||
       strcmp(who.text, "i-7:x"))
     fleet_add_violation(fleet, "a call with an id in its path is not matched");
-  if (!dialect_matches_call(&odd, DC_CONFIG_GET, "GET", "/c/read?x", NULL))
+  if (!dialect_matches_call(&test_dialect, DC_CONFIG_GET, "GET", "/c/read?x", NULL))
     fleet_add_violation(fleet, "a call without an id is not matched");
-  static const char *const not [] = { "/e//b",   "/e/a/b/b", "/e/a b/b", "/e/a",
-                                      "/e/a/bb", "/e/b",     "/x/a/b",   "" };
-  for (size_t i = 0; i < G_N_ELEMENTS(not ); i++)
-    if (dialect_matches_call(&odd, DC_HEARTBEAT, "POST", not [i], NULL))
-      fleet_add_violation(fleet, "%s is matched as a call", not [i]);
-  if (dialect_matches_call(&odd, DC_HEARTBEAT, "GET", "/e/a/b", NULL) ||
-      dialect_matches_call(&odd, DC_ENGINE_ORDER, "POST", "/v1/order", NULL))
+  static const char *const others[] = { "/e//b",   "/e/a/b/b", "/e/a b/b", "/e/a",
+                                        "/e/a/bb", "/e/b",     "/x/a/b",   "" };
+  for (size_t i = 0; i < G_N_ELEMENTS(others); i++)
+    if (dialect_matches_call(&test_dialect, DC_HEARTBEAT, "POST", others[i], NULL))
+      fleet_add_violation(fleet, "%s is matched as a call", others[i]);
+  if (dialect_matches_call(&test_dialect, DC_HEARTBEAT, "GET", "/e/a/b", NULL) ||
+      dialect_matches_call(&test_dialect, DC_ENGINE_ORDER, "POST", "/v1/order", NULL))
     fleet_add_violation(fleet, "a call is matched as another");
   if (!dialect_matches_call(&dialect_native, DC_LEAVE, "POST", "/v1/engines/a/leave", &who) ||
       strcmp(who.text, "a"))
@@ -85,17 +85,17 @@
     "[9007199254740993,-18446744073709551617,123456789012345678901234567890]"
   };
   for (size_t i = 0; i < G_N_ELEMENTS(same); i++) {
-    json *value = read_or(fleet, same[i]), *copy = value ? json_copy(value) : NULL;
+    json *value = parse_json_or_report(fleet, same[i]), *copy = value ? json_copy(value) : NULL;
     if (!value)
       return true;
-    dialect_translate_in(&odd, value);
-    written(fleet, value, same[i], "the list of numbers");
-    written(fleet, copy, same[i], "its copy");
+    dialect_translate_in(&test_dialect, value);
+    expect_json(fleet, value, same[i], "the list of numbers");
+    expect_json(fleet, copy, same[i], "its copy");
     json_free(value);
     json_free(copy);
   }
-  json *value = read_or(fleet, "[130000.0,1E3,16100.0000000000020]");
-  written(fleet, value, "[130000,1000,16100.000000000002]", "the list of number formats");
+  json *value = parse_json_or_report(fleet, "[130000.0,1E3,16100.0000000000020]");
+  expect_json(fleet, value, "[130000,1000,16100.000000000002]", "the list of number formats");
   json_free(value);
   return true;
 }
@@ -104,24 +104,24 @@
   "\"services\":[{\"name\":\"s\"},{\"name\":\"t\",\"health\":\"/h\",\"connectionsMost\":50,\"odd\":1,\"engine\":{\"slots\":64,\"kvTokens\":1000,\"stride\":2," \
   "\"models\":[{\"name\":\"m\",\"weightsMb\":16100.000000000002,\"loadS\":0.95,\"adapters\":3,\"adapterMb\":14.0}],\"weightsMb\":83000.0,\"adapterSlots\":8,\"loadsPerS\":2.1}}]"
 
-static routing *made(const char *text, error *err) {
+static routing *compile_text(const char *text, error *err) {
   json *json = json_parse(string_view_of(text), err);
   routing *routing = json ? routing_compile(json, err) : NULL;
   json_free(json);
   return routing;
 }
 
-static void leads(fleet *fleet, const routing *routing, const char *host, const char *path,
-                  const char *due) {
-  const route *k = routing_find_route(routing, string_view_of(host), string_view_of(path));
-  if (strcmp(k ? k->name.text : "", due))
+static void expect_route(fleet *fleet, const routing *routing, const char *host, const char *path,
+                         const char *expected) {
+  const route *found = routing_find_route(routing, string_view_of(host), string_view_of(path));
+  if (strcmp(found ? found->name.text : "", expected))
     fleet_add_violation(fleet, "%s%s is routed by \"%s\", not \"%s\"", host, path,
-                        k ? k->name.text : "", due);
+                        found ? found->name.text : "", expected);
 }
 
 static bool routes_are_found(fleet *fleet) {
   error err = { 0 };
-  routing *t = made(
+  routing *compiled = compile_text(
       "{\"version\":9,\"extra\":[1],\"routes\":["
       "{\"name\":\"a\",\"host\":\"One.example\",\"prefix\":\"/x/\",\"timeoutMs\":5000,\"service\":\"s\"},"
       "{\"name\":\"b\",\"host\":\"one.example\",\"prefix\":\"/x/y/\",\"timeoutMs\":0.5,\"targetMs\":7,\"mode\":\"stream\",\"attempts\":3,\"priority\":2,\"affinity\":true,\"gapTargetMs\":40,"
@@ -129,59 +129,63 @@
       "{\"name\":\"c\",\"host\":\"two.example\",\"prefix\":\"/\",\"timeoutMs\":1,\"service\":\"t\",\"mode\":\"safe\"}]," SERVICES
       "}",
       &err);
-  if (!t) {
+  if (!compiled) {
     fleet_add_violation(fleet, "rejected: %s", err.text);
     return true;
   }
-  leads(fleet, t, "one.example", "/x/", "a");
-  leads(fleet, t, "ONE.example:8080", "/x/y", "a");
-  leads(fleet, t, "one.example", "/x/y/z?q=/x/", "b");
-  leads(fleet, t, "one.example", "/x", "");
-  leads(fleet, t, "one.example", "/xx/", "");
-  leads(fleet, t, "one.example", "/?/x/", "");
-  leads(fleet, t, "two.example", "/anything", "c");
-  leads(fleet, t, "three.example", "/x/", "");
-  leads(fleet, t, "", "/x/", "");
-  const route *a = &t->routes[0], *b = &t->routes[1];
-  if (t->revision != 9 || a->mode != ROUTE_MODE_ONCE || a->attempts != 1 || a->priority ||
-      a->affinity || a->target_ms || a->gap_target_ms || a->timeout_ms != 5000)
+  expect_route(fleet, compiled, "one.example", "/x/", "a");
+  expect_route(fleet, compiled, "ONE.example:8080", "/x/y", "a");
+  expect_route(fleet, compiled, "one.example", "/x/y/z?q=/x/", "b");
+  expect_route(fleet, compiled, "one.example", "/x", "");
+  expect_route(fleet, compiled, "one.example", "/xx/", "");
+  expect_route(fleet, compiled, "one.example", "/?/x/", "");
+  expect_route(fleet, compiled, "two.example", "/anything", "c");
+  expect_route(fleet, compiled, "three.example", "/x/", "");
+  expect_route(fleet, compiled, "", "/x/", "");
+  const route *first = &compiled->routes[0], *second = &compiled->routes[1];
+  if (compiled->revision != 9 || first->mode != ROUTE_MODE_ONCE || first->attempts != 1 ||
+      first->priority || first->affinity || first->target_ms || first->gap_target_ms ||
+      first->timeout_ms != 5000)
     fleet_add_violation(fleet, "the defaults of a route are wrong");
-  if (b->mode != ROUTE_MODE_STREAM || b->attempts != 3 || b->priority != 2 || !b->affinity ||
-      b->gap_target_ms != 40 || b->timeout_ms != 1 || b->leg_count != 3)
+  if (second->mode != ROUTE_MODE_STREAM || second->attempts != 3 || second->priority != 2 ||
+      !second->affinity || second->gap_target_ms != 40 || second->timeout_ms != 1 ||
+      second->leg_count != 3)
     fleet_add_violation(fleet, "the fields of a route are wrong");
-  int to_t = 0;
+  int picked = 0;
   for (int i = 0; i < 1000; i++)
-    to_t += !strcmp(route_pick_service(b, (double)sim_random(fleet->sim, 1000000) / 1e6)->name.text,
-                    "t");
-  if (to_t < 690 || to_t > 810)
+    picked += !strcmp(
+        route_pick_service(second, (double)sim_random(fleet->sim, 1000000) / 1e6)->name.text, "t");
+  if (picked < 690 || picked > 810)
     fleet_add_violation(
-        fleet, "%d of 1,000 draws, not about 750, picked the service with 3/4 of the weight", to_t);
-  if (strcmp(route_pick_service(b, 0)->name.text, "s") ||
-      strcmp(route_pick_service(b, 1)->name.text, "t"))
+        fleet, "%d of 1,000 draws, not about 750, picked the service with 3/4 of the weight",
+        picked);
+  if (strcmp(route_pick_service(second, 0)->name.text, "s") ||
+      strcmp(route_pick_service(second, 1)->name.text, "t"))
     fleet_add_violation(fleet, "draws of 0 and 1 pick the wrong services");
-  const service *service = routing_find_service(t, "t");
-  const service_model_spec *m = service_find_model(service, "m");
+  const service *service = routing_find_service(compiled, "t");
+  const service_model_spec *model = service_find_model(service, "m");
   if (!service || strcmp(service->health_path, "/h") || service->connections_max != 50 ||
       service->engine_slots != 64 || service->adapter_slots != 8 || service->loads_per_s != 2.1)
     fleet_add_violation(fleet, "the fields of a service are wrong");
-  if (!m || m->weights_mb != 16100.000000000002 || m->load_ms != 950 || m->adapters != 3)
+  if (!model || model->weights_mb != 16100.000000000002 || model->load_ms != 950 ||
+      model->adapters != 3)
     fleet_add_violation(fleet, "the fields of a model are wrong");
-  if (service_find_model(service, "n") || routing_find_service(t, "u") ||
-      service_find_model(routing_find_service(t, "s"), "m"))
+  if (service_find_model(service, "n") || routing_find_service(compiled, "u") ||
+      service_find_model(routing_find_service(compiled, "s"), "m"))
     fleet_add_violation(fleet, "a service or model that does not exist is found");
-  if (t->limits.header_max_bytes != 16384 || t->limits.body_max_bytes != 4194304)
+  if (compiled->limits.header_max_bytes != 16384 || compiled->limits.body_max_bytes != 4194304)
     fleet_add_violation(fleet, "the default limits are wrong");
-  routing *u = routing_ref(t);
-  routing_unref(t);
-  leads(fleet, u, "two.example", "/anything", "c");
-  routing_unref(u);
+  routing *shared = routing_ref(compiled);
+  routing_unref(compiled);
+  expect_route(fleet, shared, "two.example", "/anything", "c");
+  routing_unref(shared);
   return true;
 }
 
 #define ROUTE(more)                                                                                \
   "{\"version\":1,\"routes\":[{\"name\":\"a\",\"host\":\"h\",\"prefix\":\"/x/\"" more              \
   "}]," SERVICES "}"
-#define GOOD ",\"timeoutMs\":5,\"service\":\"s\""
+#define VALID_FIELDS ",\"timeoutMs\":5,\"service\":\"s\""
 #define ENGINE(more)                                                                               \
   "{\"version\":1,\"routes\":[],\"services\":[{\"name\":\"s\",\"engine\":{" more "}}]}"
 
@@ -189,8 +193,8 @@
   static const struct {
     enum error_code code;
     const char *text;
-  } bad[] = {
-    { OK, ROUTE(GOOD) },
+  } cases[] = {
+    { OK, ROUTE(VALID_FIELDS) },
     { OK, "{\"version\":1,\"routes\":[],\"services\":[],\"limits\":{\"bodyBytes\":5,\"more\":1}}" },
     { E_ROUTING_STRUCTURE, "[]" },
     { E_ROUTING_STRUCTURE, "7" },
@@ -209,8 +213,10 @@
       ROUTE(
           ",\"timeoutMs\":5,\"split\":[{\"service\":\"s\",\"weight\":1},{\"service\":\"u\",\"weight\":1}]") },
     { E_UNKNOWN_SERVICE, ROUTE(",\"timeoutMs\":5,\"split\":[{\"weight\":1}]") },
-    { E_DUPLICATE_ROUTE, ROUTE(GOOD "},{\"name\":\"b\",\"host\":\"H\",\"prefix\":\"/x/\"" GOOD) },
-    { E_DUPLICATE_NAME, ROUTE(GOOD "},{\"name\":\"a\",\"host\":\"h\",\"prefix\":\"/y/\"" GOOD) },
+    { E_DUPLICATE_ROUTE,
+      ROUTE(VALID_FIELDS "},{\"name\":\"b\",\"host\":\"H\",\"prefix\":\"/x/\"" VALID_FIELDS) },
+    { E_DUPLICATE_NAME,
+      ROUTE(VALID_FIELDS "},{\"name\":\"a\",\"host\":\"h\",\"prefix\":\"/y/\"" VALID_FIELDS) },
     { E_DUPLICATE_NAME,
       "{\"version\":1,\"routes\":[],\"services\":[{\"name\":\"s\"},{\"name\":\"s\"}]}" },
     { E_DUPLICATE_NAME, ENGINE("\"models\":[{\"name\":\"m\"},{\"name\":\"m\"}]") },
@@ -225,29 +231,29 @@
     { E_ROUTE_TIMEOUT, ROUTE(",\"timeoutMs\":-4,\"service\":\"s\"") },
     { E_ROUTE_TIMEOUT, ROUTE(",\"service\":\"s\"") },
     { E_ROUTE_PREFIX,
-      "{\"version\":1,\"routes\":[{\"name\":\"a\",\"host\":\"h\",\"prefix\":\"/x\"" GOOD
+      "{\"version\":1,\"routes\":[{\"name\":\"a\",\"host\":\"h\",\"prefix\":\"/x\"" VALID_FIELDS
       "}]," SERVICES "}" },
     { E_ROUTE_PREFIX,
-      "{\"version\":1,\"routes\":[{\"name\":\"a\",\"host\":\"h\",\"prefix\":\"x/\"" GOOD
+      "{\"version\":1,\"routes\":[{\"name\":\"a\",\"host\":\"h\",\"prefix\":\"x/\"" VALID_FIELDS
       "}]," SERVICES "}" },
-    { E_ROUTE_MODE, ROUTE(GOOD ",\"mode\":\"odd\"") },
-    { E_ROUTE_MODE, ROUTE(GOOD ",\"mode\":3") },
-    { E_SPEC_RANGE, ROUTE(GOOD ",\"attempts\":-1") },
+    { E_ROUTE_MODE, ROUTE(VALID_FIELDS ",\"mode\":\"odd\"") },
+    { E_ROUTE_MODE, ROUTE(VALID_FIELDS ",\"mode\":3") },
+    { E_SPEC_RANGE, ROUTE(VALID_FIELDS ",\"attempts\":-1") },
     { E_SPEC_RANGE, ENGINE("\"slots\":-1") },
     { E_SPEC_RANGE, ENGINE("\"weightsMb\":\"x\"") },
     { E_SPEC_RANGE, ENGINE("\"models\":[{\"name\":\"m\",\"weightsMb\":-5}]") },
     { E_LIMIT_RANGE, "{\"version\":1,\"routes\":[],\"services\":[],\"limits\":{\"idleMs\":-1}}" }
   };
-  for (size_t i = 0; i < G_N_ELEMENTS(bad); i++) {
+  for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
     error err = { 0 };
-    routing *routing = made(bad[i].text, &err);
-    if (err.code != bad[i].code || !routing != !!bad[i].code)
-      fleet_add_violation(fleet, "code %d (%s), not %d, for %s", err.code, err.text, bad[i].code,
-                          bad[i].text);
+    routing *routing = compile_text(cases[i].text, &err);
+    if (err.code != cases[i].code || !routing != !!cases[i].code)
+      fleet_add_violation(fleet, "code %d (%s), not %d, for %s", err.code, err.text, cases[i].code,
+                          cases[i].text);
     routing_unref(routing);
   }
   error err = { 0 };
-  json *json = read_or(fleet, "{\"version\":5}");
+  json *json = parse_json_or_report(fleet, "{\"version\":5}");
   if (routing_check_successor(json, 4, &err) ||
       routing_check_successor(json, 5, &err) != E_STALE_VERSION ||
       routing_check_successor(json, 6, &err) != E_STALE_VERSION)
@@ -257,13 +263,13 @@
   return true;
 }
 
-static bool changes_go_by_name(fleet *fleet) {
+static bool patches_apply_by_name(fleet *fleet) {
   static const char base[] =
       "{\"version\":7,\"odd\":{\"k\":1},\"routes\":[{\"name\":\"a\",\"x\":1},{\"name\":\"b\"},{\"name\":\"c\"}],\"services\":[{\"name\":\"s\"}],\"limits\":{\"idleMs\":1,\"bodyBytes\":2}}";
   static const struct {
     enum error_code code;
-    const char *patch, *due;
-  } all[] = {
+    const char *patch, *expected;
+  } cases[] = {
     { OK,
       "{\"version\":9,\"set\":{\"routes\":[{\"name\":\"d\"},{\"name\":\"a\",\"y\":2}]},\"drop\":{\"routes\":[\"b\",\"zz\"]}}",
       "{\"version\":9,\"odd\":{\"k\":1},\"routes\":[{\"name\":\"a\",\"y\":2},{\"name\":\"c\"},{\"name\":\"d\"}],\"services\":[{\"name\":\"s\"}],\"limits\":{\"idleMs\":1,\"bodyBytes\":2}}" },
@@ -281,17 +287,18 @@
     { E_ROUTING_PATCH, "{\"version\":8,\"set\":{\"routes\":[{\"x\":1}]}}", NULL },
     { E_ROUTING_PATCH, "{\"version\":8,\"drop\":{\"routes\":[5]}}", NULL }
   };
-  json *value = read_or(fleet, base);
-  for (size_t i = 0; i < G_N_ELEMENTS(all); i++) {
+  json *value = parse_json_or_report(fleet, base);
+  for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
     error err = { 0 };
-    json *p = read_or(fleet, all[i].patch), *next = routing_patch(value, p, &err);
-    if (err.code != all[i].code || !next != !!all[i].code)
-      fleet_add_violation(fleet, "code %d (%s), not %d, for %s", err.code, err.text, all[i].code,
-                          all[i].patch);
-    if (next && all[i].due)
-      written(fleet, next, all[i].due, "the patched configuration");
-    written(fleet, value, base, "the base of the patch");
-    json_free(p);
+    json *patch = parse_json_or_report(fleet, cases[i].patch),
+         *next = routing_patch(value, patch, &err);
+    if (err.code != cases[i].code || !next != !!cases[i].code)
+      fleet_add_violation(fleet, "code %d (%s), not %d, for %s", err.code, err.text, cases[i].code,
+                          cases[i].patch);
+    if (next && cases[i].expected)
+      expect_json(fleet, next, cases[i].expected, "the patched configuration");
+    expect_json(fleet, value, base, "the base of the patch");
+    json_free(patch);
     json_free(next);
   }
   json_free(value);
@@ -299,22 +306,22 @@
 }
 
 static bool a_thousand_routes_are_fast(fleet *fleet) {
-  GString *b = g_string_new("{\"issue\":3,\"ways\":[");
+  GString *text = g_string_new("{\"issue\":3,\"ways\":[");
   for (int i = 0; i < 1000; i++)
     json_appendf(
-        b,
+        text,
         "%s{\"name\":\"r-%d\",\"seat\":\"ficu%d.example\",\"prefix\":\"/p%d/\",\"mode\":\"stream\",\"timeoutMs\":5000,\"targetMs\":1000,\"priority\":1,"
         "\"parts\":[{\"shop\":\"s\",\"part\":90},{\"shop\":\"t\",\"part\":10}],\"attempts\":1,\"affinity\":true,\"resumable\":false,\"gapTargetMs\":400}",
         i ? "," : "", i, i % 7, i);
-  g_string_append(b, "],\"shops\":[{\"name\":\"s\"},{\"name\":\"t\"}]}");
+  g_string_append(text, "],\"shops\":[{\"name\":\"s\"},{\"name\":\"t\"}]}");
   error err = { 0 };
-  int64_t t0 = g_get_monotonic_time();
-  json *json = json_parse(string_view_of_gstring(b), &err);
-  int64_t t1 = g_get_monotonic_time();
-  dialect_translate_in(&odd, json);
-  int64_t t2 = g_get_monotonic_time();
+  int64_t started_at = g_get_monotonic_time();
+  json *json = json_parse(string_view_of_gstring(text), &err);
+  int64_t parsed_at = g_get_monotonic_time();
+  dialect_translate_in(&test_dialect, json);
+  int64_t translated_at = g_get_monotonic_time();
   routing *routing = routing_compile(json, &err);
-  int64_t t3 = g_get_monotonic_time();
+  int64_t compiled_at = g_get_monotonic_time();
   if (!routing)
     fleet_add_violation(fleet, "rejected: %s", err.text);
   int found = 0;
@@ -322,20 +329,22 @@
     char host[40], path[40];
     g_snprintf(host, sizeof host, "ficu%d.example:80", i % 7);
     g_snprintf(path, sizeof path, "/p%d/2f", i);
-    const route *k = routing_find_route(routing, string_view_of(host), string_view_of(path));
-    found += k && k == &routing->routes[i];
+    const route *route_found =
+        routing_find_route(routing, string_view_of(host), string_view_of(path));
+    found += route_found && route_found == &routing->routes[i];
   }
-  int64_t t4 = g_get_monotonic_time();
+  int64_t looked_up_at = g_get_monotonic_time();
   if (found != 1000)
     fleet_add_violation(fleet, "%d of 1,000 routes are found", found);
   if (g_getenv("SIM_COUNT"))
     fprintf(stderr,
             "  1,000 routes: parsed %" PRId64 " us, translated %" PRId64 " us, compiled %" PRId64
             " us, looked up %" PRId64 " us\n",
-            t1 - t0, t2 - t1, t3 - t2, t4 - t3);
+            parsed_at - started_at, translated_at - parsed_at, compiled_at - translated_at,
+            looked_up_at - compiled_at);
   routing_unref(routing);
   json_free(json);
-  g_string_free(b, TRUE);
+  g_string_free(text, TRUE);
   return true;
 }
 
@@ -344,7 +353,7 @@
   { "numbers_keep_their_values", numbers_keep_their_values, 1, 1, 10 },
   { "routes_are_found", routes_are_found, 1, 1, 10 },
   { "invalid_routings_are_refused", invalid_routings_are_refused, 1, 1, 10 },
-  { "changes_go_by_name", changes_go_by_name, 1, 1, 10 },
+  { "patches_apply_by_name", patches_apply_by_name, 1, 1, 10 },
   { "a_thousand_routes_are_fast", a_thousand_routes_are_fast, 1, 1, 10 },
   { NULL, NULL, 0, 0, 0 }
 };
--- a/tests/configuration/settings.c
+++ b/tests/configuration/settings.c
@@ -5,10 +5,10 @@
 
 static bool bad_settings_are_refused(fleet *fleet) {
   static const struct {
-    enum role r;
+    enum role role;
     const char *text;
     int code;
-  } bad[] = {
+  } cases[] = {
     { ROLE_ROUTER, "{\"id\":\"v\",\"colour\":1}", E_SETTINGS_KEY },
     { ROLE_ROUTER, "{\"id\":\"\"}", E_SETTINGS_ID },
     { ROLE_ROUTER, "{\"id\":\"v\",\"listen\":\"here:1\"}", E_SETTINGS_ADDRESS },
@@ -29,27 +29,28 @@
       "{\"id\":\"m\",\"area\":\"n\",\"listen\":\"127.0.0.1:1\",\"seeds\":[\"127.0.0.1:1\",\"127.0.0.1:2\",\"127.0.0.1:3\"]}",
       E_SETTINGS_ADDRESS }
   };
-  for (size_t i = 0; i < G_N_ELEMENTS(bad); i++) {
-    settings v = { 0 };
+  for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
+    settings parsed = { 0 };
     error err = { 0 };
-    int r = settings_parse(&v, bad[i].r, string_view_of(bad[i].text), "test", &err);
-    if (!r)
-      r = settings_check(&v, &err);
-    if (r != bad[i].code)
-      fleet_add_violation(fleet, "%s got %d %s", bad[i].text, r, err.text);
+    int code = settings_parse(&parsed, cases[i].role, string_view_of(cases[i].text), "test", &err);
+    if (!code)
+      code = settings_check(&parsed, &err);
+    if (code != cases[i].code)
+      fleet_add_violation(fleet, "%s got %d %s", cases[i].text, code, err.text);
   }
   return true;
 }
 
 static void check_fault_tolerance(fleet *fleet, int machines, int zones, int members, int replicas,
                                   int replica_zones) {
-  settings v = { 0 };
-  settings_set_fault_tolerance(&v, machines, zones);
-  if (v.chain_members != members || v.write_replicas != replicas || v.write_zones != replica_zones)
+  settings sized = { 0 };
+  settings_set_fault_tolerance(&sized, machines, zones);
+  if (sized.chain_members != members || sized.write_replicas != replicas ||
+      sized.write_zones != replica_zones)
     fleet_add_violation(
         fleet, "%d machines and %d zones: %d members, %d replicas in %d zones, not %d, %d in %d",
-        machines, zones, v.chain_members, v.write_replicas, v.write_zones, members, replicas,
-        replica_zones);
+        machines, zones, sized.chain_members, sized.write_replicas, sized.write_zones, members,
+        replicas, replica_zones);
 }
 
 /* For each number of machines and zones that may be lost at once, the chain is large enough that a
