--- a/tests/compatibility/messages.c
+++ b/tests/compatibility/messages.c
@@ -1,11 +1,11 @@
-/** Compatibility of messages: what processes of earlier versions send and store is read by this
- * one, and the other way round.
+/** Compatibility of messages: this version reads what processes of earlier versions send and store,
+ * and they read what this one sends and stores.
  *
  * The golden files in tests/compatibility/ were written by an earlier version. They hold field
- * numbers, types and bytes, never names of messages or fields, which may change. Everything here
- * goes through the descriptors of protobuf-c for the same reason. After a field was added on
- * purpose, WRITE_GOLDEN=1 build/bin/tests NAME 1 writes a file anew; lines of it that change or go
- * away mean that old and new processes don't understand each other. */
+ * numbers, types and bytes, but no names of messages and fields, since names may change. For the
+ * same reason the tests use only the descriptors of protobuf-c. After an intended addition of a
+ * field, WRITE_GOLDEN=1 build/bin/tests NAME 1 rewrites a file. Lines that change or disappear mean
+ * that old and new processes don't understand each other. */
 #include "tests.h"
 #include "wire.pb-c.h"
 #include <stdio.h>
@@ -32,7 +32,7 @@
 static ProtobufCMessage *filled_message(const ProtobufCMessageDescriptor *descriptor, unsigned body,
                                         uint64_t seed);
 
-/* a value that differs for each field of each message and each item of a repeated field */
+/* A value that differs for each field of each message, and for each item of a repeated field. */
 static uint64_t field_seed(uint64_t seed, const ProtobufCFieldDescriptor *field, size_t item) {
   uint64_t parts[] = { seed, field->id, item };
   return hash_bytes(parts, sizeof parts, 0);
@@ -51,7 +51,7 @@
   return text;
 }
 
-/* writes one value of a field's type to its place in the struct of the message */
+/* Writes a value of a field's type to the field's place in the struct of the message. */
 static void fill_value(void *to, const ProtobufCFieldDescriptor *field, uint64_t value) {
   switch (field->type) {
   case PROTOBUF_C_TYPE_BOOL:
@@ -119,7 +119,7 @@
   return field->flags & PROTOBUF_C_FIELD_FLAG_ONEOF;
 }
 
-/* a message with every field set; of the alternatives of a oneof only the one numbered body */
+/* Creates a message with every field set; of the alternatives of a oneof only number `body`. */
 static ProtobufCMessage *filled_message(const ProtobufCMessageDescriptor *descriptor, unsigned body,
                                         uint64_t seed) {
   ProtobufCMessage *message = calloc(1, descriptor->sizeof_message);
@@ -144,7 +144,7 @@
   return bytes;
 }
 
-/* one line of the file of bytes: label, number of the body (0: none), bytes */
+/* Appends one line of the file of bytes: label, field number of the body (0: none), bytes. */
 static void append_message_line(GString *to, const root_message *root, unsigned body) {
   ProtobufCMessage *message = filled_message(root->descriptor, body, body);
   GByteArray *bytes = packed_bytes(message);
@@ -189,7 +189,8 @@
   }
 }
 
-/* a line for each field that is reached from a message: the path of field numbers, type, label */
+/* Appends a line for each field that can be reached from a message: the path of field numbers, the
+ * type, and the label. */
 static void append_field_lines(GString *to, const char *path,
                                const ProtobufCMessageDescriptor *descriptor) {
   for (unsigned i = 0; i < descriptor->n_fields; i++) {
@@ -217,7 +218,7 @@
   fleet_add_violation(fleet, "%s: %s: %.120s", file, what, line);
 }
 
-/* reports each line of one text that the other lacks */
+/* Reports each line of `lines` that `others` lacks. */
 static void report_missing_lines(fleet *fleet, const char *file, const char *lines,
                                  const char *others, const char *what) {
   GHashTable *known = g_hash_table_new(g_str_hash, g_str_equal);
@@ -236,21 +237,21 @@
 static char *read_golden_file(fleet *fleet, const char *file) {
   char *text = NULL;
   if (!g_file_get_contents(file, &text, NULL, NULL))
-    fleet_add_violation(fleet, "%s can't be read; tests run in the top folder", file);
+    fleet_add_violation(fleet, "%s can't be read; run the tests in the repository's root", file);
   return text;
 }
 
-/* compares a text with its golden file, or writes the file when asked to */
+/* Compares a text with its golden file. With WRITE_GOLDEN it writes the file first. */
 static void compare_with_golden_file(fleet *fleet, const char *file, const GString *now) {
   if (g_getenv("WRITE_GOLDEN"))
     g_file_set_contents(file, now->str, (gssize)now->len, NULL);
   char *golden = read_golden_file(fleet, file);
   if (golden) {
-    report_missing_lines(fleet, file, golden, now->str, "is no longer so");
-    report_missing_lines(fleet, file, now->str, golden, "is new or was changed");
+    report_missing_lines(fleet, file, golden, now->str, "missing in this version");
+    report_missing_lines(fleet, file, now->str, golden, "new or changed in this version");
   }
   if (golden && strcmp(golden, now->str))
-    fleet_add_violation(fleet, "%s differs from what this version says", file);
+    fleet_add_violation(fleet, "%s differs from the output of this version", file);
   g_free(golden);
 }
 
@@ -286,7 +287,8 @@
   return bytes;
 }
 
-/* the messages that a field of a message holds: none, one, or those of a repeated field */
+/* Finds the messages that a field holds (none, one, or several in a repeated field), and returns
+ * their number. */
 static size_t messages_of_field(const ProtobufCMessage *message,
                                 const ProtobufCFieldDescriptor *field,
                                 ProtobufCMessage *const **items) {
@@ -303,7 +305,7 @@
   return **items ? 1 : 0;
 }
 
-/* true when every field that came, also those of nested messages, is one that this version knows */
+/* True if this version knows every field that was received, also those of nested messages. */
 static bool has_only_known_fields(const ProtobufCMessage *message) {
   if (message->n_unknown_fields)
     return false;
@@ -317,7 +319,7 @@
   return true;
 }
 
-/* the same bytes come out when a message is read and packed again, and nothing in it is unknown */
+/* True if a message has no unknown fields and gives the same bytes when it is packed again. */
 static bool is_read_completely(const ProtobufCMessageDescriptor *descriptor,
                                const GByteArray *bytes) {
   ProtobufCMessage *message = protobuf_c_message_unpack(descriptor, NULL, bytes->len, bytes->data);
--- a/tests/compatibility/outward.c
+++ b/tests/compatibility/outward.c
@@ -1,11 +1,11 @@
 /** Compatibility of what operators and their tools see: the keys of the status pages, the names and
  * labels of the metrics, and the answers to bad requests.
  *
- * Each test polls the pages of an emulated fleet at work, and compares the set of lines that came
- * with a golden file in tests/compatibility/. A line is the role, the page and a key path (with []
- * for the items of a list) or a metric with its labels; values are left out. Pages are polled often
- * enough that the set doesn't depend on the seed. WRITE_GOLDEN=1 build/bin/tests NAME 1 writes a
- * file anew. Help texts and tables of codes are compared by scripts/outward-check. */
+ * Each test polls the pages of an emulated fleet under load, and compares the set of lines with a
+ * golden file in tests/compatibility/. A line consists of the role, the page, and a key path (with
+ * [] for the items of a list) or a metric with its labels; values are left out. Pages are polled
+ * often enough that the set does not depend on the seed. WRITE_GOLDEN=1 build/bin/tests NAME 1
+ * rewrites a file. Help texts and tables of codes are compared by scripts/outward-check. */
 #include "deployment.h"
 #include "tests.h"
 #include <stdio.h>
@@ -26,13 +26,14 @@
 static const char *const gateway_pages[] = { "/v1/status", "/v1/gateway", "/v1/nodes", "/metrics",
                                              NULL };
 
-/** The lines that were seen, each once, in order. */
+/** The set of lines that were seen, sorted. */
 typedef struct outward_lines {
   fleet *fleet;
   GTree *lines;
 } outward_lines;
 
-/** One request that is answered with an error, or with no value to look at. */
+/** A request whose whole response is compared. text is its body, match its If-Match field, and key
+ * its idempotency key; each may be NULL. */
 typedef struct outward_request {
   const char *verb, *path, *text, *match, *key;
 } outward_request;
@@ -71,7 +72,7 @@
   }
 }
 
-/* a metric's line without its value and without those of its labels */
+/* Adds a metric's line without its value and without the values of its labels. */
 static void add_metric(outward_lines *to, const char *prefix, const char *line) {
   GString *metric = g_string_new(NULL);
   bool in_value = false;
@@ -113,7 +114,7 @@
       add_page(to, role, hosts[i], *page);
 }
 
-/* the number that a node gives to a request differs from run to run */
+/* Replaces the request numbers that nodes assign, since they differ from run to run. */
 static char *without_request_number(const char *answer) {
   GRegex *number = g_regex_new("\\.[0-9a-f]+\\.[0-9]+\"", 0, 0, NULL);
   char *text = g_regex_replace_literal(number, answer, -1, 0, ".N\"", 0, NULL);
@@ -121,7 +122,7 @@
   return text;
 }
 
-/* what a request is answered with, word for word */
+/* Adds the response to a request, word for word. */
 static void add_answer(outward_lines *to, const char *role, host *host,
                        const outward_request *request) {
   operator_call *call = fleet_call(to->fleet, host, request->verb, request->path, request->text,
@@ -152,7 +153,9 @@
   g_strfreev(lines);
 }
 
-/* compares with the golden file, or writes it when asked to; frees the lines */
+/* Compares the lines with a golden file, and frees them. With WRITE_GOLDEN it writes the file
+ * first.
+ */
 static void compare_lines_with_file(outward_lines *lines, const char *file) {
   GString *now = g_string_new(NULL);
   char *golden = NULL;
@@ -160,7 +163,8 @@
   if (g_getenv("WRITE_GOLDEN"))
     g_file_set_contents(file, now->str, (gssize)now->len, NULL);
   if (!g_file_get_contents(file, &golden, NULL, NULL))
-    fleet_add_violation(lines->fleet, "%s can't be read; tests run in the top folder", file);
+    fleet_add_violation(lines->fleet, "%s can't be read; run the tests in the repository's root",
+                        file);
   else
     report_difference(lines->fleet, file, golden, now->str);
   g_free(golden);
@@ -220,14 +224,14 @@
   return true;
 }
 
-/* puts a policy on trial, so that pages tell of it too */
+/* Starts a canary trial, so that the pages show it too. */
 static void start_canary(fleet *fleet) {
   static const char text[] = "{\"name\":\"outward\",\"share\":0.5,\"candidate\":{\"affinity\":0.9},"
                              "\"warmS\":1,\"guard\":{\"least\":1000,\"mostS\":600}}";
   operator_call *call = fleet_call(fleet, fleet->controller[0], "PUT", "/v1/canary", text, NULL,
                                    NULL, time_from_ms(CALL_MS));
   if (call->status != 200)
-    fleet_add_violation(fleet, "a canary is refused: %s", call->body->str);
+    fleet_add_violation(fleet, "the canary is rejected: %s", call->body->str);
   operator_call_free(call);
 }
 
--- a/tests/compatibility/stored_data.c
+++ b/tests/compatibility/stored_data.c
@@ -1,8 +1,7 @@
-/** Compatibility of data folders: what controllers of an earlier version stored is taken up by this
- * one. tests/compatibility/controllers/ holds the data folders of three real processes that were
- * killed, and what they had answered before; README.md beside it says how they were made. What is
- * compared is read over HTTP, as operators would, except the acceptor's state, which has no page.
- */
+/** Compatibility of data folders: controllers of this version recover what an earlier version
+ * stored. tests/compatibility/controllers/ holds the data folders of three real processes that were
+ * killed, and their responses before that; README.md beside it describes how they were made. State
+ * is read over HTTP, as operators would, except the acceptor's state, which has no page. */
 #include "tests.h"
 #include <stdio.h>
 #include <stdlib.h>
@@ -11,7 +10,7 @@
 
 enum { RING_FILES = 4, STORED_CONTROLLERS = 3, CALL_MS = 10000, START_MS = 8000 };
 
-/** What a data folder has to hold. */
+/** What a data folder holds. */
 typedef struct stored_controller {
   const char *area, *addr, *disk;
   double last;
@@ -31,7 +30,8 @@
 static const double stored_key_version = 9;
 static const char stored_patch[] = "{\"loadsPerS\":3.5}\n";
 
-/* puts a stored ring file on the disk of a host; what isn't stored is zero */
+/* Copies a stored ring file to the disk of a host. Files and trailing bytes that are
+ * not stored are zero. */
 static void load_ring_file(sim_disk *disk, unsigned file, const char *path) {
   char *bytes = NULL;
   gsize length = 0;
@@ -55,7 +55,7 @@
   }
 }
 
-/* a controller of the emulated fleet becomes the one whose folder is stored */
+/* Gives a controller of the emulated fleet the settings and the data folder of a stored one. */
 static void prepare_controller(host *host, const stored_controller *from) {
   host->area = host->settings.zone = id_of_text(from->area);
   g_strlcpy(host->addr, from->addr, sizeof host->addr);
@@ -120,12 +120,12 @@
 
 static void expect_acceptor_state(fleet *fleet, const host *host, const stored_controller *from) {
   const acceptor_state *acceptor = &host->controller->replica.acceptor;
-  expect_number(fleet, "the vote's epoch", (double)acceptor->epoch, (double)from->vote_epoch);
+  expect_number(fleet, "the acceptor's epoch", (double)acceptor->epoch, (double)from->vote_epoch);
   expect_number(fleet, "the promised round", (double)acceptor->promised.round,
                 (double)from->vote_round);
   expect_text(fleet, "the promised proposer", acceptor->promised.proposer.text,
               from->vote_proposer);
-  expect_number(fleet, "an accepted view", acceptor->has_accepted, from->vote_has_view);
+  expect_number(fleet, "whether a view is accepted", acceptor->has_accepted, from->vote_has_view);
 }
 
 static void expect_view(fleet *fleet, host *host) {
@@ -138,16 +138,16 @@
 
 static void expect_status(fleet *fleet, host *host, const stored_controller *from) {
   json *status = read_page(fleet, host, "status");
-  expect_text(fleet, "the disk's number", json_text(json_get(status, "disk"), "id", ""),
-              from->disk);
+  expect_text(fleet, "the disk's id", json_text(json_get(status, "disk"), "id", ""), from->disk);
   expect_number(fleet, "the view's epoch", json_number(status, "epoch", 0), stored_epoch);
-  expect_number(fleet, "the last record", json_number(status, "last", 0), from->last);
+  expect_number(fleet, "the sequence number of the last record", json_number(status, "last", 0),
+                from->last);
   if (!json_bool(status, "whole", false))
     fleet_add_violation(fleet, "the stored replica no longer counts as complete");
   json_free(status);
 }
 
-/* each by itself: what it knows can only come from its disk */
+/* Each controller starts alone, so its state can only come from its disk. */
 static bool one_stored_folder_is_taken_up(fleet *fleet) {
   prepare_controllers(fleet);
   host_start(fleet->operator);
@@ -174,7 +174,7 @@
   g_free(expected);
 }
 
-/* whether a singleton lease that was stored is on the page */
+/* True if the page has the stored singleton lease. */
 static bool has_singleton_lease(const json *page, const json *singleton_lease) {
   for (size_t i = 0; i < json_count(page); i++) {
     const json *candidate = json_at(page, i);
@@ -201,7 +201,7 @@
   g_free(text);
 }
 
-/* a write that comes again under its stored key is known, and isn't applied twice */
+/* A write that is repeated with its stored idempotency key is recognized and not applied again. */
 static void expect_stored_key(fleet *fleet) {
   operator_call *call = fleet_call(fleet, fleet_find_head(fleet), "PATCH", "/v1/policy",
                                    stored_patch, NULL, stored_key, time_from_ms(CALL_MS));
@@ -210,7 +210,7 @@
   expect_number(fleet, "the version of a repeated write", json_number(answer, "version", 0),
                 stored_key_version);
   if (!json_bool(answer, "repeated", false))
-    fleet_add_violation(fleet, "a write under a stored key was applied again");
+    fleet_add_violation(fleet, "a write with a stored idempotency key was applied again");
   json_free(answer);
   operator_call_free(call);
 }
@@ -228,7 +228,7 @@
   expect_singleton_leases(fleet);
   expect_stored_key(fleet);
   if (fleet_put(fleet, "evacuation", "{\"areas\":[]}") <= stored[0].last)
-    fleet_add_violation(fleet, "no new write after the stored ones");
+    fleet_add_violation(fleet, "no new write was accepted after the stored ones");
   return true;
 }
 
