--- a/tests/compatibility/outward.c
+++ b/tests/compatibility/outward.c
@@ -10,7 +10,7 @@
 #include "tests.h"
 #include <stdio.h>
 
-enum { POLLS = 30, POLL_EACH_MS = 700, CALL_MS = 5000 };
+enum { POLLS = 30, PAGES_POLL_INTERVAL_MS = 700, CALL_MS = 5000 };
 
 static const char FLEET_FILE[] = "tests/compatibility/outward-fleet.txt";
 static const char GATEWAYS_FILE[] = "tests/compatibility/outward-gateways.txt";
@@ -35,7 +35,7 @@
 /** A request whose whole response is compared. text is its body, match its If-Match field, and key
  * its idempotency key; each may be NULL. */
 typedef struct outward_request {
-  const char *verb, *path, *text, *match, *key;
+  const char *method, *path, *text, *match, *key;
 } outward_request;
 
 static int compare_lines(const void *a, const void *b, void *data) {
@@ -43,12 +43,12 @@
   return strcmp(a, b);
 }
 
-static void add_line(outward_lines *to, const char *form, ...)
+static void add_line(outward_lines *to, const char *format, ...)
     __attribute__((format(printf, 2, 3)));
-static void add_line(outward_lines *to, const char *form, ...) {
+static void add_line(outward_lines *to, const char *format, ...) {
   va_list list;
-  va_start(list, form);
-  char *line = g_strdup_vprintf(form, list);
+  va_start(list, format);
+  char *line = g_strdup_vprintf(format, list);
   va_end(list);
   g_tree_insert(to->lines, line, line);
 }
@@ -125,10 +125,10 @@
 /* Adds the response to a request, word for word. */
 static void add_answer(outward_lines *to, const char *role, host *host,
                        const outward_request *request) {
-  operator_call *call = fleet_call(to->fleet, host, request->verb, request->path, request->text,
+  operator_call *call = fleet_call(to->fleet, host, request->method, request->path, request->text,
                                    request->match, request->key, time_from_ms(CALL_MS));
   char *answer = without_request_number(g_strchomp(call->body->str));
-  add_line(to, "%s %s %s %s gives %d %s", role, request->verb, request->path,
+  add_line(to, "%s %s %s %s gives %d %s", role, request->method, request->path,
            request->text ? request->text : "-", call->status, answer);
   g_free(answer);
   operator_call_free(call);
@@ -213,7 +213,7 @@
   outward_lines lines = lines_of(fleet);
   scenario_start_traffic(fleet, 12);
   for (int i = 0; i < POLLS; i++) {
-    sim_run(fleet->sim, time_from_ms(POLL_EACH_MS));
+    sim_run(fleet->sim, time_from_ms(PAGES_POLL_INTERVAL_MS));
     add_pages(&lines, "controller", fleet->controller, fleet->controllers, controller_pages);
     add_pages(&lines, "router", fleet->router, fleet->routers, router_pages);
   }
@@ -244,7 +244,7 @@
   deployment_start_traffic(deployment, 20);
   start_canary(fleet);
   for (int i = 0; i < POLLS; i++) {
-    sim_run(fleet->sim, time_from_ms(POLL_EACH_MS));
+    sim_run(fleet->sim, time_from_ms(PAGES_POLL_INTERVAL_MS));
     add_pages(&lines, "controller", fleet->controller, fleet->controllers, controller_pages);
     add_pages(&lines, "gateway", fleet->router, fleet->routers, gateway_pages);
   }
--- a/tests/compatibility/stored_data.c
+++ b/tests/compatibility/stored_data.c
@@ -14,9 +14,9 @@
 typedef struct stored_controller {
   const char *area, *addr, *disk;
   double last;
-  uint64_t vote_epoch, vote_round;
-  const char *vote_proposer;
-  bool vote_has_view;
+  uint64_t acceptor_epoch, acceptor_round;
+  const char *acceptor_proposer;
+  bool acceptor_has_view;
 } stored_controller;
 
 static const stored_controller stored[STORED_CONTROLLERS] = {
@@ -30,8 +30,8 @@
 static const double stored_key_version = 9;
 static const char stored_patch[] = "{\"loadsPerS\":3.5}\n";
 
-/* Copies a stored ring file to the disk of a host. Files and trailing bytes that are
- * not stored are zero. */
+/* Copies a stored ring file to the disk of a host. Files and trailing bytes that are not stored are
+ * zero. */
 static void load_ring_file(sim_disk *disk, unsigned file, const char *path) {
   char *bytes = NULL;
   gsize length = 0;
@@ -120,12 +120,14 @@
 
 static void expect_acceptor_state(fleet *fleet, const host *host, const stored_controller *from) {
   const acceptor_state *acceptor = &host->controller->replica.acceptor;
-  expect_number(fleet, "the acceptor's epoch", (double)acceptor->epoch, (double)from->vote_epoch);
+  expect_number(fleet, "the acceptor's epoch", (double)acceptor->epoch,
+                (double)from->acceptor_epoch);
   expect_number(fleet, "the promised round", (double)acceptor->promised.round,
-                (double)from->vote_round);
+                (double)from->acceptor_round);
   expect_text(fleet, "the promised proposer", acceptor->promised.proposer.text,
-              from->vote_proposer);
-  expect_number(fleet, "whether a view is accepted", acceptor->has_accepted, from->vote_has_view);
+              from->acceptor_proposer);
+  expect_number(fleet, "whether a view is accepted", acceptor->has_accepted,
+                from->acceptor_has_view);
 }
 
 static void expect_view(fleet *fleet, host *host) {
@@ -148,7 +150,7 @@
 }
 
 /* Each controller starts alone, so its state can only come from its disk. */
-static bool one_stored_folder_is_taken_up(fleet *fleet) {
+static bool each_stored_folder_is_recovered(fleet *fleet) {
   prepare_controllers(fleet);
   host_start(fleet->operator);
   for (int i = 0; i < STORED_CONTROLLERS; i++) {
@@ -215,7 +217,7 @@
   operator_call_free(call);
 }
 
-static bool stored_folders_make_a_fleet(fleet *fleet) {
+static bool stored_folders_form_a_fleet(fleet *fleet) {
   prepare_controllers(fleet);
   host_start(fleet->operator);
   for (int i = 0; i < STORED_CONTROLLERS; i++)
@@ -233,7 +235,7 @@
 }
 
 const test_case stored_data_tests[] = {
-  { "one_stored_folder_is_taken_up", one_stored_folder_is_taken_up, 1, 1, 34 },
-  { "stored_folders_make_a_fleet", stored_folders_make_a_fleet, 1, 1, 34 },
+  { "each_stored_folder_is_recovered", each_stored_folder_is_recovered, 1, 1, 34 },
+  { "stored_folders_form_a_fleet", stored_folders_form_a_fleet, 1, 1, 34 },
   { NULL, NULL, 0, 0, 0 }
 };
