--- a/lib/configuration/json.c
+++ b/lib/configuration/json.c
@@ -60,14 +60,14 @@
 }
 
 /* Return values of yajl's callbacks: continue, or cancel the parse. */
-enum { PARSE_CONTINUE = 1, PARSE_CANCEL = 0 };
+enum { CALLBACK_CONTINUE = 1, CALLBACK_CANCEL = 0 };
 
 /* Adds a value at the current position of the parse, and opens it if it is an array or object. */
 static int add_value(parser *parser, json *value) {
   if (!parser->depth) {
     if (parser->root) {
       json_free(value);
-      return PARSE_CANCEL;
+      return CALLBACK_CANCEL;
     }
     parser->root = value;
   } else {
@@ -75,19 +75,19 @@
     if (parent->kind == JSON_OBJECT &&
         !add_key(parser, parent, parser->keys[parser->depth - 1]->str)) {
       json_free(value);
-      return PARSE_CANCEL;
+      return CALLBACK_CANCEL;
     }
     g_ptr_array_add(parent->children, value);
   }
   if (value->kind < JSON_ARRAY)
-    return PARSE_CONTINUE;
+    return CALLBACK_CONTINUE;
   if (parser->depth == DEPTH_MAX) {
     parser->code = error_set(parser->err, E_JSON, "nested deeper than %d", DEPTH_MAX);
-    return PARSE_CANCEL;
+    return CALLBACK_CANCEL;
   }
   parser->keys[parser->depth] = g_string_new(NULL);
   parser->open[parser->depth++] = value;
-  return PARSE_CONTINUE;
+  return CALLBACK_CONTINUE;
 }
 
 static int on_null(void *context) {
@@ -103,14 +103,14 @@
   parser *parser = context;
   if (n >= sizeof buf) {
     parser->code = error_set(parser->err, E_RANGE, "a number of over 63 digits");
-    return PARSE_CANCEL;
+    return CALLBACK_CANCEL;
   }
   memcpy(buf, p, n);
   buf[n] = 0;
   double v = g_ascii_strtod(buf, NULL);
   if (!isfinite(v)) {
     parser->code = error_set(parser->err, E_RANGE, "the number %s is out of range", buf);
-    return PARSE_CANCEL;
+    return CALLBACK_CANCEL;
   }
   json *json = json_new(JSON_NUMBER);
   json->number = v;
@@ -127,7 +127,7 @@
   if (memchr(p, 0, n)) {
     parser->code = error_set(parser->err, E_JSON, "a text holds a zero byte");
     json_free(json);
-    return PARSE_CANCEL;
+    return CALLBACK_CANCEL;
   }
   return add_value(context, json);
 }
@@ -140,14 +140,14 @@
   g_string_append_len(parser->keys[parser->depth - 1], (const char *)p, n);
   if (memchr(p, 0, n)) {
     parser->code = error_set(parser->err, E_JSON, "a key holds a zero byte");
-    return PARSE_CANCEL;
+    return CALLBACK_CANCEL;
   }
-  return PARSE_CONTINUE;
+  return CALLBACK_CONTINUE;
 }
 static int on_end(void *context) {
   parser *parser = context;
   g_string_free(parser->keys[--parser->depth], TRUE);
-  return PARSE_CONTINUE;
+  return CALLBACK_CONTINUE;
 }
 static int on_array(void *context) {
   return add_value(context, json_new(JSON_ARRAY));
