--- a/lib/http/http_exchange.c
+++ b/lib/http/http_exchange.c
@@ -124,7 +124,7 @@
 
 /* Returns the path of a target. If the target has a scheme, its host replaces that of the Host
  * field. NULL if the target is neither a path nor has a scheme. */
-static const char *read_authority(http_request *request, const char *target) {
+static const char *split_target(http_request *request, const char *target) {
   if (*target == '/' || !strcmp(target, "*"))
     return target;
   const char *host = strstr(target, "://");
@@ -150,7 +150,7 @@
   exchange->url = NULL;
   const char *path = NULL;
   if (target_is_valid(url))
-    path = read_authority(&exchange->request, url);
+    path = split_target(&exchange->request, url);
   if (path)
     set_target(&exchange->request, path);
   g_free(url);
--- a/lib/http/http_server.c
+++ b/lib/http/http_server.c
@@ -373,33 +373,33 @@
   return result;
 }
 
-enum write_step { STEP_FAILED, STEP_DONE, STEP_NOTHING_TO_DO };
+enum write_step { WRITE_STEP_FAILED, WRITE_STEP_DONE, WRITE_STEP_NOTHING_TO_DO };
 
-/* Performs one step of writing. After STEP_DONE another one may follow. */
+/* Performs one step of writing. After WRITE_STEP_DONE another one may follow. */
 static enum write_step write_step(server_connection *server) {
   if (http_connection_flush(&server->connection))
-    return STEP_FAILED;
+    return WRITE_STEP_FAILED;
   if (server->connection.pending_output)
-    return STEP_NOTHING_TO_DO;
+    return WRITE_STEP_NOTHING_TO_DO;
   if (server->closing && !server->lingering) {
     begin_graceful_close(server);
-    return STEP_NOTHING_TO_DO;
+    return WRITE_STEP_NOTHING_TO_DO;
   }
   http_exchange *exchange = server->exchange;
   if (!exchange || !exchange->in_progress)
-    return STEP_NOTHING_TO_DO;
+    return WRITE_STEP_NOTHING_TO_DO;
   if (exchange->output_complete)
-    return end_exchange(server) ? STEP_FAILED : STEP_DONE;
+    return end_exchange(server) ? WRITE_STEP_FAILED : WRITE_STEP_DONE;
   http_request *request = &exchange->request;
   bool is_broken = request->response_ended && !request->ended_cleanly;
   bool all_written = exchange->head_sent && !request->pending_output->len;
   if (is_broken && (!exchange->head_sent || all_written)) {
     abort_response(server);
-    return STEP_FAILED;
+    return WRITE_STEP_FAILED;
   }
   if (!request->response_started || (all_written && !request->response_ended))
-    return STEP_NOTHING_TO_DO;
-  return write_piece(server) ? STEP_FAILED : STEP_DONE;
+    return WRITE_STEP_NOTHING_TO_DO;
+  return write_piece(server) ? WRITE_STEP_FAILED : WRITE_STEP_DONE;
 }
 
 /* Writes the output of the task, as far as the socket accepts it. */
@@ -407,8 +407,8 @@
   enum write_step step;
   do
     step = write_step((server_connection *)connection);
-  while (step == STEP_DONE);
-  return step == STEP_FAILED ? CONNECTION_CLOSE : CONNECTION_KEEP;
+  while (step == WRITE_STEP_DONE);
+  return step == WRITE_STEP_FAILED ? CONNECTION_CLOSE : CONNECTION_KEEP;
 }
 
 void http_engine_flush_request(http_engine *http, http_request *request) {
