--- a/lib/configuration/canary.h
+++ b/lib/configuration/canary.h
@@ -12,7 +12,7 @@
   double load_weight;
   /** Weight of the blocks of the prompt that would have to be prefilled again. */
   double affinity_weight;
-  /** Weight of being in another zone. */
+  /** Weight of an engine's being in another zone. */
   double zone_weight;
   /** Factor of the latency target. A slower estimate requests one more replica of the model. */
   double scale_out_threshold;
--- a/lib/configuration/canary_evaluation.c
+++ b/lib/configuration/canary_evaluation.c
@@ -11,7 +11,7 @@
 static const double urgent_error_share = 0.75;
 /** Upper bound of the first bucket of times to the first event; it doubles with each bucket. */
 static const double first_bucket_ms = 25;
-/** Steps of the searches below: enough for the precision of a double. */
+/** Iterations of the searches below: enough for the precision of a double. */
 enum { BISECTION_STEPS = 60, TERNARY_STEPS = 80 };
 
 uint64_t canary_cell_requests(const canary_cell *cell) {
--- a/lib/configuration/catalogue.c
+++ b/lib/configuration/catalogue.c
@@ -4,7 +4,7 @@
 
 /** Upper bounds on what a catalogue may declare. */
 enum { MODELS_MAX = 20000, ADAPTERS_MAX = 40000, ZONES_MAX = 1000, ADAPTER_SLOTS_MAX = 1000 };
-/** In megabytes: a thousand terabytes. */
+/** In megabytes: 1,000 terabytes. */
 static const double weights_mb_max = 1e9;
 /** In milliseconds: an hour. */
 static const double load_ms_max = 3.6e6;
--- a/lib/configuration/delta.c
+++ b/lib/configuration/delta.c
@@ -66,7 +66,7 @@
   GArray *runs;
 } encoder;
 
-/* adds the next chunk of the new text */
+/* Adds the next chunk of the new text. */
 static void encode_chunk(encoder *encoder, text_chunk chunk) {
   Wire__TextDeltaChunk *last =
       encoder->runs->len
--- a/lib/configuration/dialect.c
+++ b/lib/configuration/dialect.c
@@ -3,8 +3,9 @@
  *
  * JSON is translated in place where it enters and leaves the process: dialect_translate_in gives
  * native names, and dialect_translate_out reverses it, so that out(in(x)) is x. A native key or
- * value that arrives although the dialect has another name for it must therefore be kept apart: in
- * prefixes it with an escape character, which out removes. */
+ * value that arrives although the dialect has another name for it must therefore be kept apart:
+ * dialect_translate_in prefixes it with an escape character, which dialect_translate_out removes.
+ */
 #include "dialect.h"
 
 /** Escapes a key or value that arrived under its native name although the dialect has another. */
--- a/lib/configuration/json.h
+++ b/lib/configuration/json.h
@@ -13,8 +13,8 @@
   bool boolean;
   /** Of a JSON_NUMBER. */
   double number;
-  /** The text of a JSON_STRING, or the digits of an integral JSON_NUMBER of 2^53 or more; else
-   * NULL. */
+  /** The text of a JSON_STRING, or the digits of an integral JSON_NUMBER whose magnitude is 2^53 or
+   * more; else NULL. */
   GString *text;
   /** The values of a JSON_ARRAY or JSON_OBJECT, which owns them; else NULL. */
   GPtrArray *children;
--- a/lib/http/http_server.h
+++ b/lib/http/http_server.h
@@ -14,8 +14,8 @@
  *   the sending side is shut down, and the connection lingers until the caller has closed it; what
  *   it still receives is discarded. Closing a socket with unread bytes would reset the connection,
  *   which may destroy a response in transit.
- * - A streamed response that can't be completed must not look complete. A chunked one lacks its
- * last chunk; one that ends with the connection (HTTP/1.0) is ended by a reset.
+ * - A streamed response that can't be completed must not look complete. A chunked one lacks the
+ *   last chunk; one that ends with the connection (HTTP/1.0) is ended by a reset.
  * - While the listener drains, a connection ends after the response in progress.
  *
  * The connection and the task share an exchange and end in either order. The last one frees it.
--- a/tests/configuration/delta.c
+++ b/tests/configuration/delta.c
@@ -3,8 +3,8 @@
 #include "delta.h"
 #include "tests.h"
 
-/* Appends a routing configuration with n routes, numbered from `from`; the route `changed` has
- * another weight. */
+/* Appends a routing configuration with `count` routes, numbered from `from`; the route `changed`
+ * has another weight. */
 static void append_routes(GString *to, int from, int count, int changed, int version) {
   json_appendf(to, "{\"version\":%d,\"routes\":[", version);
   for (int i = from; i < from + count; i++)
