--- a/lib/configuration/canary.c
+++ b/lib/configuration/canary.c
@@ -1,5 +1,5 @@
-/** The resource "canary": the plan of a trial, what a new value must keep to, and who takes part.
- */
+/** The resource "canary": compiles the plan of a trial, checks changes to it, and tells which
+ * sessions and requests take part. */
 #include "canary.h"
 #include "value_reader.h"
 #include <math.h>
@@ -45,7 +45,7 @@
   return OK;
 }
 
-/* a list of 1 to max items, or none */
+/* Reads an optional list of 1 to max items; *to is NULL if it is absent. */
 static enum error_code read_list(value_reader *reader, const json *value, const char *key,
                                  size_t max, const json **to) {
   *to = json_get(value, key);
@@ -89,7 +89,7 @@
   return OK;
 }
 
-/* what ends the trial */
+/* Reads the conditions that end the trial. */
 static enum error_code compile_guard(canary_plan *plan, value_reader *reader, const json *value) {
   static const char *const known[] = { "urgent", "lateHarm", "least", "margin",
                                        "error",  "mostS",    NULL };
@@ -114,7 +114,8 @@
   return OK;
 }
 
-static enum error_code compile_head(canary_plan *plan, value_reader *reader, const json *value) {
+static enum error_code compile_trial_fields(canary_plan *plan, value_reader *reader,
+                                            const json *value) {
   const char *name = json_text(value, "name", "");
   if (!id_is_valid(string_view_of(name)))
     return value_reader_fail(reader, E_NAME, "name", "missing, or no name");
@@ -145,7 +146,8 @@
   set_defaults(plan);
   if (!value || (value->kind == JSON_OBJECT && !json_count(value)))
     return OK;
-  if (value_reader_check_fields(&reader, value, "", known) || compile_head(plan, &reader, value) ||
+  if (value_reader_check_fields(&reader, value, "", known) ||
+      compile_trial_fields(plan, &reader, value) ||
       compile_candidate(&plan->candidate, &reader, json_get(value, "candidate")) ||
       compile_routes(plan, &reader, value) || compile_priorities(plan, &reader, value) ||
       compile_guard(plan, &reader, json_get(value, "guard")))
@@ -155,7 +157,7 @@
   return OK;
 }
 
-/* true when two values are written alike; an absent one is written as nothing */
+/* Compares two values by their JSON text; the text of an absent value is empty. */
 static bool json_equal(const json *a, const json *b) {
   GString *text_a = g_string_new(NULL), *text_b = g_string_new(NULL);
   if (a)
@@ -168,52 +170,54 @@
   return equal;
 }
 
-/* a running trial may only be ended, and its end changes nothing else */
-static enum error_code check_end(const json *was, const json *next, const canary_plan *running,
-                                 enum canary_state state, error *err) {
+/* Checks the successor of a running trial: it must end the trial, and change no other field. */
+static enum error_code check_running_successor(const json *previous, const json *next,
+                                               const canary_plan *running, enum canary_state state,
+                                               error *err) {
   static const char *const immutable[] = { "name",   "salt",       "share", "candidate",
                                            "routes", "priorities", "guard", "warmS" };
   if (state != CANARY_ENDED)
     return error_set(err, E_CANARY_RUNNING, "canary: the trial %s is running; it has to end first",
                      running->name.text);
   for (size_t i = 0; i < G_N_ELEMENTS(immutable); i++)
-    if (!json_equal(json_get(was, immutable[i]), json_get(next, immutable[i])))
+    if (!json_equal(json_get(previous, immutable[i]), json_get(next, immutable[i])))
       return error_set(err, E_CANARY_IMMUTABLE,
                        "canary.%s: the end of a trial changes nothing but state and end",
                        immutable[i]);
   return OK;
 }
 
-/* after a trial has ended another may begin, under a name of its own */
-static enum error_code check_after_end(const json *was, const json *next, const canary_plan *ended,
-                                       const canary_plan *plan, error *err) {
+/* Checks the successor of an ended trial: a new trial may start, but only under another name. */
+static enum error_code check_ended_successor(const json *previous, const json *next,
+                                             const canary_plan *ended, const canary_plan *plan,
+                                             error *err) {
   if (plan->state == CANARY_RUNNING && id_equal(ended->name, plan->name))
     return error_set(err, E_CANARY_NAME_REUSED,
                      "canary: a trial named %s has ended; a new one needs a name of its own",
                      ended->name.text);
-  if (plan->state == CANARY_ENDED && !json_equal(was, next))
+  if (plan->state == CANARY_ENDED && !json_equal(previous, next))
     return error_set(err, E_NO_CANARY, "canary: the trial %s has ended already", ended->name.text);
   return OK;
 }
 
-enum error_code canary_check_successor(const json *was, const json *next, error *err) {
+enum error_code canary_check_successor(const json *previous, const json *next, error *err) {
   canary_plan current, plan;
   error ignored = { 0 };
   if (!err)
     err = &ignored;
   if (canary_compile(&plan, next, err))
     return err->code;
-  bool none = canary_compile(&current, was, NULL) || current.state == CANARY_NONE;
+  bool none = canary_compile(&current, previous, NULL) || current.state == CANARY_NONE;
   if (none && plan.state == CANARY_ENDED)
     return error_set(err, E_NO_CANARY, "canary: no trial is there to end");
   if (none)
     return OK;
   if (current.state == CANARY_RUNNING)
-    return check_end(was, next, &current, plan.state, err);
-  return check_after_end(was, next, &current, &plan, err);
+    return check_running_successor(previous, next, &current, plan.state, err);
+  return check_ended_successor(previous, next, &current, &plan, err);
 }
 
-/* The draw depends on the trial, so that sessions of one trial are not those of the next. */
+/* The hash is seeded with the trial's name and salt, so that each trial selects other sessions. */
 bool canary_session_is_candidate(const canary_plan *plan, uint64_t session) {
   uint64_t seed = hash_two_names(plan->name.text, "canary") + plan->salt;
   uint64_t hash = hash_bytes(&session, sizeof session, seed);
--- a/lib/configuration/delta.c
+++ b/lib/configuration/delta.c
@@ -1,15 +1,15 @@
-/** Deltas between two texts of a configuration.
+/** Deltas between two versions of a configuration's text.
  *
- * A text is cut into chunks, which end where an item of a JSON list does ("},{"). Chunks of the new
- * text that also stand in the old one are found by a hash and sent as runs of indexes; the others
- * are sent as text. Configurations are long lists of which a change touches a few items, so a delta
- * is short, and cutting needs no parsing. */
+ * A text is split into chunks at the boundaries between items of JSON lists ("},{"), which needs no
+ * parsing. Chunks of the new text that also occur in the old one are found by a hash and encoded as
+ * runs of indexes; the others are encoded as text. A delta is short, since configurations are long
+ * lists and a change affects only a few items. */
 #include "delta.h"
 #include "wire.pb-c.h"
 
 /** Seeds of the two hashes, which must be the same in all processes. */
 enum { CHUNK_HASH_SEED = 1, TEXT_HASH_SEED = 2 };
-/** A delta must be smaller than the text by this factor, or it is not worth its work. */
+/** A delta must be smaller than the text by more than this factor to be worth its cost. */
 enum { SAVING_FACTOR_MIN = 2 };
 
 /** A part of a text, in bytes. */
@@ -24,8 +24,8 @@
          text.data[index + 1] == '{';
 }
 
-/* cuts a text into chunks; free with g_array_free */
-static GArray *cut_into_chunks(string_view text) {
+/* Splits a text into chunks. Free with g_array_free. */
+static GArray *split_into_chunks(string_view text) {
   GArray *chunks = g_array_new(FALSE, FALSE, sizeof(text_chunk));
   size_t start = 0;
   for (size_t i = 0; i < text.length; i++) {
@@ -46,7 +46,7 @@
   return hash_bytes(text.data + chunk.offset, chunk.length, CHUNK_HASH_SEED);
 }
 
-/* a table from the hashes of chunks to the index plus 1 of the first one */
+/* Maps the hash of each chunk to index + 1 of the first chunk that has it. */
 static GHashTable *index_chunks(string_view text, const GArray *chunks) {
   GHashTable *index = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, NULL);
   for (guint i = 0; i < chunks->len; i++) {
@@ -57,22 +57,22 @@
   return index;
 }
 
-/** A delta in the making. */
+/** State of delta_encode. */
 typedef struct encoder {
   string_view old, new;
   GArray *old_chunks;
   GHashTable *old_index;
-  /** Of Wire__TextDeltaChunk: runs of old chunks, and new text. */
+  /** Array of Wire__TextDeltaChunk: runs of old chunks, and new text. */
   GArray *runs;
 } encoder;
 
-/* adds the next chunk of the new text */
+/* Adds the next chunk of the new text. */
 static void encode_chunk(encoder *encoder, text_chunk chunk) {
   Wire__TextDeltaChunk *last =
       encoder->runs->len
           ? &g_array_index(encoder->runs, Wire__TextDeltaChunk, encoder->runs->len - 1)
           : NULL;
-  /* a chunk that stands more than once is best taken behind the one before it */
+  /* Of a chunk that occurs several times, the occurrence that extends the last run is best. */
   if (last && last->count && last->first + last->count < encoder->old_chunks->len &&
       chunk_equal(encoder->old,
                   g_array_index(encoder->old_chunks, text_chunk, last->first + last->count),
@@ -100,7 +100,7 @@
   g_array_append_val(encoder->runs, run);
 }
 
-/* packs the runs into a message; false when that saves too little */
+/* Packs the runs into a message; false if that saves too little. */
 static bool pack_runs(const encoder *encoder, GString *to) {
   Wire__TextDelta delta = WIRE__TEXT_DELTA__INIT;
   Wire__TextDeltaChunk **runs = g_new(Wire__TextDeltaChunk *, encoder->runs->len + 1);
@@ -120,8 +120,8 @@
 }
 
 bool delta_encode(string_view old, string_view new, GString *to) {
-  GArray *new_chunks = cut_into_chunks(new);
-  encoder encoder = { .old = old, .new = new, .old_chunks = cut_into_chunks(old) };
+  GArray *new_chunks = split_into_chunks(new);
+  encoder encoder = { .old = old, .new = new, .old_chunks = split_into_chunks(old) };
   encoder.old_index = index_chunks(old, encoder.old_chunks);
   encoder.runs = g_array_new(FALSE, FALSE, sizeof(Wire__TextDeltaChunk));
   for (guint i = 0; i < new_chunks->len; i++)
@@ -134,7 +134,7 @@
   return saves;
 }
 
-/* appends a run of old chunks and new text; false when the old text has no such chunks */
+/* Appends the old chunks and the new text of a run; false if the old text lacks these chunks. */
 static bool append_run(string_view old, const GArray *old_chunks, const Wire__TextDeltaChunk *run,
                        GString *to) {
   if (run->count > old_chunks->len || run->first > old_chunks->len - run->count)
@@ -152,7 +152,7 @@
       wire__text_delta__unpack(NULL, packed.length, (const uint8_t *)packed.data);
   if (!delta)
     return false;
-  GArray *old_chunks = cut_into_chunks(old);
+  GArray *old_chunks = split_into_chunks(old);
   bool ok = true;
   g_string_truncate(to, 0);
   for (size_t i = 0; i < delta->n_chunks && ok; i++)
--- a/lib/configuration/json.c
+++ b/lib/configuration/json.c
@@ -1,25 +1,25 @@
-/** JSON values: parsing by yajl's callbacks, look-up, merging and writing. */
+/** JSON values: parsing with yajl's callbacks, lookup, merging and writing. */
 #include "json.h"
 #include <math.h>
 #include <stdarg.h>
 #include <yajl/yajl_gen.h>
 #include <yajl/yajl_parse.h>
 
-/** Bounds on what others send: a parser's recursion and a linear search for a key rest on them. */
+/** Bounds on received JSON: they limit recursion, and the cost of the linear search for a key. */
 enum { DEPTH_MAX = 24, KEYS_MAX = 256 };
-/** Numbers of digits that a number may have, with the end of its text. */
+/** Buffer size for the text of a number, including the final NUL. */
 enum { NUMBER_TEXT_SIZE = 64 };
-/** 2^53: whole numbers below it are exact as double. */
+/** 2^53: integers below it are exact as a double. */
 static const double exact_integer_max = 9007199254740992.0;
 
-/** A parse in hand: the value so far, the open arrays and objects, and for each the last key. */
+/** State of a parse: the value so far, the open arrays and objects, and the last key of each. */
 typedef struct parser {
-  json *top;
+  json *root;
   json *open[DEPTH_MAX];
   GString *keys[DEPTH_MAX];
   int depth;
   error *err;
-  /** The first error, or OK; yajl's own errors come after it. */
+  /** The first error that a callback found, or OK. It takes precedence over yajl's own error. */
   enum error_code code;
 } parser;
 
@@ -45,7 +45,7 @@
   g_free(json);
 }
 
-/* adds a key to the innermost object, before its value; false with the error set */
+/* Adds a key to the innermost object, before its value. False with the error set if it can't. */
 static bool add_key(parser *parser, json *object, const char *key) {
   if (object->keys->len == KEYS_MAX) {
     parser->code = error_set(parser->err, E_TOO_LARGE, "an object of over %d keys", KEYS_MAX);
@@ -59,35 +59,35 @@
   return true;
 }
 
-/* what yajl's callbacks return: go on, or stop with the parser's error */
-enum { GO_ON = 1, STOP = 0 };
+/* Return values of yajl's callbacks: continue, or cancel the parse. */
+enum { CALLBACK_CONTINUE = 1, CALLBACK_CANCEL = 0 };
 
-/* puts a value where the text stands, and opens it if it is an array or object */
+/* Adds a value at the current position of the parse, and opens it if it is an array or object. */
 static int add_value(parser *parser, json *value) {
   if (!parser->depth) {
-    if (parser->top) {
+    if (parser->root) {
       json_free(value);
-      return STOP;
+      return CALLBACK_CANCEL;
     }
-    parser->top = value;
+    parser->root = value;
   } else {
     json *parent = parser->open[parser->depth - 1];
     if (parent->kind == JSON_OBJECT &&
         !add_key(parser, parent, parser->keys[parser->depth - 1]->str)) {
       json_free(value);
-      return STOP;
+      return CALLBACK_CANCEL;
     }
     g_ptr_array_add(parent->children, value);
   }
   if (value->kind < JSON_ARRAY)
-    return GO_ON;
+    return CALLBACK_CONTINUE;
   if (parser->depth == DEPTH_MAX) {
     parser->code = error_set(parser->err, E_JSON, "nested deeper than %d", DEPTH_MAX);
-    return STOP;
+    return CALLBACK_CANCEL;
   }
   parser->keys[parser->depth] = g_string_new(NULL);
   parser->open[parser->depth++] = value;
-  return GO_ON;
+  return CALLBACK_CONTINUE;
 }
 
 static int on_null(void *context) {
@@ -103,18 +103,18 @@
   parser *parser = context;
   if (n >= sizeof buf) {
     parser->code = error_set(parser->err, E_RANGE, "a number of over 63 digits");
-    return STOP;
+    return CALLBACK_CANCEL;
   }
   memcpy(buf, p, n);
   buf[n] = 0;
   double v = g_ascii_strtod(buf, NULL);
   if (!isfinite(v)) {
     parser->code = error_set(parser->err, E_RANGE, "the number %s is out of range", buf);
-    return STOP;
+    return CALLBACK_CANCEL;
   }
   json *json = json_new(JSON_NUMBER);
   json->number = v;
-  /* a whole number that a double can't hold keeps its digits */
+  /* an integer that a double can't hold exactly keeps its digits */
   if (fabs(v) >= exact_integer_max && !memchr(p, '.', n) && !memchr(p, 'e', n) &&
       !memchr(p, 'E', n))
     json->text = g_string_new(buf);
@@ -127,7 +127,7 @@
   if (memchr(p, 0, n)) {
     parser->code = error_set(parser->err, E_JSON, "a text holds a zero byte");
     json_free(json);
-    return STOP;
+    return CALLBACK_CANCEL;
   }
   return add_value(context, json);
 }
@@ -140,14 +140,14 @@
   g_string_append_len(parser->keys[parser->depth - 1], (const char *)p, n);
   if (memchr(p, 0, n)) {
     parser->code = error_set(parser->err, E_JSON, "a key holds a zero byte");
-    return STOP;
+    return CALLBACK_CANCEL;
   }
-  return GO_ON;
+  return CALLBACK_CONTINUE;
 }
 static int on_end(void *context) {
   parser *parser = context;
   g_string_free(parser->keys[--parser->depth], TRUE);
-  return GO_ON;
+  return CALLBACK_CONTINUE;
 }
 static int on_array(void *context) {
   return add_value(context, json_new(JSON_ARRAY));
@@ -173,13 +173,13 @@
   yajl_free(h);
   while (parser.depth)
     g_string_free(parser.keys[--parser.depth], TRUE);
-  if (!parser.code && !parser.top)
+  if (!parser.code && !parser.root)
     parser.code = error_set(err, E_JSON, "there is no value");
   if (parser.code) {
-    json_free(parser.top);
+    json_free(parser.root);
     return NULL;
   }
-  return parser.top;
+  return parser.root;
 }
 
 json *json_copy(const json *value) {
@@ -252,7 +252,7 @@
       yajl_gen_integer(g, (long long)json->number);
       break;
     }
-    /* the short form, unless it would not read back the same */
+    /* 15 digits, unless they would not parse back to the same number */
     g_ascii_formatd(buf, sizeof buf, "%.15g", json->number);
     if (g_ascii_strtod(buf, NULL) != json->number)
       g_ascii_dtostr(buf, sizeof buf, json->number);
@@ -309,12 +309,12 @@
       }
       continue;
     }
-    json *was = NULL;
+    json *previous = NULL;
     if (at >= 0) {
-      was = g_ptr_array_steal_index(target->children, at);
+      previous = g_ptr_array_steal_index(target->children, at);
       g_ptr_array_remove_index(target->keys, at);
     }
-    g_ptr_array_add(target->children, json_merge(was, v));
+    g_ptr_array_add(target->children, json_merge(previous, v));
     g_ptr_array_add(target->keys, g_strdup(k));
   }
   return target;
@@ -324,17 +324,17 @@
   yajl_gen g = yajl_gen_alloc(NULL);
   const unsigned char *p;
   size_t n;
-  char *ok = g_utf8_make_valid(s.data, s.length);
-  yajl_gen_string(g, (const unsigned char *)ok, strlen(ok));
-  g_free(ok);
+  char *valid = g_utf8_make_valid(s.data, s.length);
+  yajl_gen_string(g, (const unsigned char *)valid, strlen(valid));
+  g_free(valid);
   if (yajl_gen_get_buf(g, &p, &n) == yajl_gen_status_ok)
     g_string_append_len(to, (const char *)p, n);
   yajl_gen_free(g);
 }
 
-void json_appendf(GString *to, const char *form, ...) {
+void json_appendf(GString *to, const char *format, ...) {
   va_list a;
-  va_start(a, form);
-  g_string_append_vprintf(to, form, a);
+  va_start(a, format);
+  g_string_append_vprintf(to, format, a);
   va_end(a);
 }
--- a/lib/http/http_exchange.c
+++ b/lib/http/http_exchange.c
@@ -46,8 +46,8 @@
   return bound ? bound : request->world->body_max_bytes;
 }
 
-static int refuse(http_exchange *exchange, int status) {
-  exchange->fault_status = status;
+static int reject_with_status(http_exchange *exchange, int status) {
+  exchange->rejection_status = status;
   return -1;
 }
 
@@ -57,7 +57,7 @@
   return 0;
 }
 
-/* fields behind the body (trailers) are dropped */
+/* Trailers (fields after the body) are dropped. */
 static int on_field_name(http_parser *parser, const char *bytes, size_t length) {
   http_exchange *exchange = parser->data;
   if (!exchange->head_read)
@@ -72,7 +72,7 @@
   return 0;
 }
 
-/* the name without its port, in lower case; the caller frees it */
+/* The host of an authority, in lower case and without the port; the caller frees it. */
 static char *host_of(string_view authority) {
   size_t length = authority.length;
   bool is_ipv6 = length && *authority.data == '[';
@@ -86,8 +86,8 @@
   return text.length == strlen(to) && !g_ascii_strncasecmp(text.data, to, text.length);
 }
 
-/* the first value of each field counts */
-static void take_known_field(http_headers *known, string_view name, string_view value) {
+/* Stores the value of a known field. If a field is repeated, the first value counts. */
+static void store_known_field(http_headers *known, string_view name, string_view value) {
   for (int i = 0; i < HEADER_COUNT; i++)
     if (!known->values[i] && equals_ignoring_case(name, http_header_names[i])) {
       known->values[i] = g_strndup(value.data, value.length);
@@ -108,13 +108,13 @@
     } else if (equals_ignoring_case(name, "expect"))
       exchange->expects_continue = equals_ignoring_case(value, "100-continue");
     else
-      take_known_field(&request->known_fields, name, value);
+      store_known_field(&request->known_fields, name, value);
   }
   bool is_http_1_1 = parser->http_major == 1 && parser->http_minor >= 1;
   return hosts == 1 || (!hosts && !is_http_1_1);
 }
 
-/* http-parser lets tabs and form feeds pass, at which others may split a line */
+/* http-parser accepts tabs and form feeds, at which other parsers may split the line. */
 static bool target_is_valid(const char *target) {
   for (const unsigned char *c = (const unsigned char *)target; *c; c++)
     if (*c <= ' ' || *c == 127 || *c == '#')
@@ -122,9 +122,9 @@
   return true;
 }
 
-/* Splits a target into host and path. A target with a scheme brings the host that counts; NULL if
- * it is neither a path nor has a scheme. */
-static const char *read_authority(http_request *request, const char *target) {
+/* Returns the path of a target. If the target has a scheme, its host replaces that of the Host
+ * field. NULL if the target is neither a path nor has a scheme. */
+static const char *split_target(http_request *request, const char *target) {
   if (*target == '/' || !strcmp(target, "*"))
     return target;
   const char *host = strstr(target, "://");
@@ -150,7 +150,7 @@
   exchange->url = NULL;
   const char *path = NULL;
   if (target_is_valid(url))
-    path = read_authority(&exchange->request, url);
+    path = split_target(&exchange->request, url);
   if (path)
     set_target(&exchange->request, path);
   g_free(url);
@@ -167,13 +167,13 @@
   if (parser->http_major != 1 || parser->method == HTTP_CONNECT ||
       !field_names_are_valid(request->fields) || !read_fields(exchange, parser) ||
       !read_target(exchange))
-    return refuse(exchange, 400);
+    return reject_with_status(exchange, 400);
   if (!request->host)
     request->host = g_strdup("");
   request->close_connection = !http_should_keep_alive(parser);
   bool has_length = parser->content_length != UINT64_MAX;
   if (has_length && parser->content_length > body_max_bytes(&exchange->request))
-    return refuse(exchange, 413);
+    return reject_with_status(exchange, 413);
   if (parser->http_minor == 0)
     exchange->expects_continue = false;
   return 0;
@@ -183,9 +183,9 @@
   http_exchange *exchange = parser->data;
   GString *body = exchange->request.body;
   if (!chunk_check_data(&exchange->chunk, parser, bytes, length))
-    return refuse(exchange, 400);
+    return reject_with_status(exchange, 400);
   if (body->len + length > body_max_bytes(&exchange->request))
-    return refuse(exchange, 413);
+    return reject_with_status(exchange, 413);
   g_string_append_len(body, bytes, (gssize)length);
   return 0;
 }
@@ -199,7 +199,7 @@
   .on_message_complete = http_framing_on_message_end,
 };
 
-/* how many of the bytes may be parsed at once: up to the bound on the head, while that is read */
+/* The number of bytes that may be parsed at once: while the head is read, up to its limit. */
 static size_t parsable_bytes(const http_exchange *exchange, size_t length) {
   size_t head_max = exchange->request.listener->header_max_bytes;
   if (!head_max)
@@ -222,8 +222,8 @@
   if (!had_head)
     exchange->head_bytes += *used;
   enum http_errno error_number = HTTP_PARSER_ERRNO(&exchange->parser);
-  if (exchange->fault_status)
-    return exchange->fault_status;
+  if (exchange->rejection_status)
+    return exchange->rejection_status;
   if (head_scan_finds_folding(&exchange->scan, bytes, *used) ||
       !chunk_check_line_end(&exchange->chunk, bytes + *used))
     return 400;
--- a/tests/compatibility/outward.c
+++ b/tests/compatibility/outward.c
@@ -1,16 +1,16 @@
 /** Compatibility of what operators and their tools see: the keys of the status pages, the names and
  * labels of the metrics, and the answers to bad requests.
  *
- * Each test polls the pages of an emulated fleet at work, and compares the set of lines that came
- * with a golden file in tests/compatibility/. A line is the role, the page and a key path (with []
- * for the items of a list) or a metric with its labels; values are left out. Pages are polled often
- * enough that the set doesn't depend on the seed. WRITE_GOLDEN=1 build/bin/tests NAME 1 writes a
- * file anew. Help texts and tables of codes are compared by scripts/outward-check. */
+ * Each test polls the pages of an emulated fleet under load, and compares the set of lines with a
+ * golden file in tests/compatibility/. A line consists of the role, the page, and a key path (with
+ * [] for the items of a list) or a metric with its labels; values are left out. Pages are polled
+ * often enough that the set does not depend on the seed. WRITE_GOLDEN=1 build/bin/tests NAME 1
+ * rewrites a file. Help texts and tables of codes are compared by scripts/outward-check. */
 #include "deployment.h"
 #include "tests.h"
 #include <stdio.h>
 
-enum { POLLS = 30, POLL_EACH_MS = 700, CALL_MS = 5000 };
+enum { POLLS = 30, PAGES_POLL_INTERVAL_MS = 700, CALL_MS = 5000 };
 
 static const char FLEET_FILE[] = "tests/compatibility/outward-fleet.txt";
 static const char GATEWAYS_FILE[] = "tests/compatibility/outward-gateways.txt";
@@ -26,15 +26,16 @@
 static const char *const gateway_pages[] = { "/v1/status", "/v1/gateway", "/v1/nodes", "/metrics",
                                              NULL };
 
-/** The lines that were seen, each once, in order. */
+/** The set of lines that were seen, sorted. */
 typedef struct outward_lines {
   fleet *fleet;
   GTree *lines;
 } outward_lines;
 
-/** One request that is answered with an error, or with no value to look at. */
+/** A request whose whole response is compared. text is its body, match its If-Match field, and key
+ * its idempotency key; each may be NULL. */
 typedef struct outward_request {
-  const char *verb, *path, *text, *match, *key;
+  const char *method, *path, *text, *match, *key;
 } outward_request;
 
 static int compare_lines(const void *a, const void *b, void *data) {
@@ -42,12 +43,12 @@
   return strcmp(a, b);
 }
 
-static void add_line(outward_lines *to, const char *form, ...)
+static void add_line(outward_lines *to, const char *format, ...)
     __attribute__((format(printf, 2, 3)));
-static void add_line(outward_lines *to, const char *form, ...) {
+static void add_line(outward_lines *to, const char *format, ...) {
   va_list list;
-  va_start(list, form);
-  char *line = g_strdup_vprintf(form, list);
+  va_start(list, format);
+  char *line = g_strdup_vprintf(format, list);
   va_end(list);
   g_tree_insert(to->lines, line, line);
 }
@@ -71,7 +72,7 @@
   }
 }
 
-/* a metric's line without its value and without those of its labels */
+/* Adds a metric's line without its value and without the values of its labels. */
 static void add_metric(outward_lines *to, const char *prefix, const char *line) {
   GString *metric = g_string_new(NULL);
   bool in_value = false;
@@ -113,7 +114,7 @@
       add_page(to, role, hosts[i], *page);
 }
 
-/* the number that a node gives to a request differs from run to run */
+/* Replaces the request numbers that nodes assign, since they differ from run to run. */
 static char *without_request_number(const char *answer) {
   GRegex *number = g_regex_new("\\.[0-9a-f]+\\.[0-9]+\"", 0, 0, NULL);
   char *text = g_regex_replace_literal(number, answer, -1, 0, ".N\"", 0, NULL);
@@ -121,13 +122,13 @@
   return text;
 }
 
-/* what a request is answered with, word for word */
+/* Adds the response to a request, word for word. */
 static void add_answer(outward_lines *to, const char *role, host *host,
                        const outward_request *request) {
-  operator_call *call = fleet_call(to->fleet, host, request->verb, request->path, request->text,
+  operator_call *call = fleet_call(to->fleet, host, request->method, request->path, request->text,
                                    request->match, request->key, time_from_ms(CALL_MS));
   char *answer = without_request_number(g_strchomp(call->body->str));
-  add_line(to, "%s %s %s %s gives %d %s", role, request->verb, request->path,
+  add_line(to, "%s %s %s %s gives %d %s", role, request->method, request->path,
            request->text ? request->text : "-", call->status, answer);
   g_free(answer);
   operator_call_free(call);
@@ -152,7 +153,9 @@
   g_strfreev(lines);
 }
 
-/* compares with the golden file, or writes it when asked to; frees the lines */
+/* Compares the lines with a golden file, and frees them. With WRITE_GOLDEN it writes the file
+ * first.
+ */
 static void compare_lines_with_file(outward_lines *lines, const char *file) {
   GString *now = g_string_new(NULL);
   char *golden = NULL;
@@ -160,7 +163,8 @@
   if (g_getenv("WRITE_GOLDEN"))
     g_file_set_contents(file, now->str, (gssize)now->len, NULL);
   if (!g_file_get_contents(file, &golden, NULL, NULL))
-    fleet_add_violation(lines->fleet, "%s can't be read; tests run in the top folder", file);
+    fleet_add_violation(lines->fleet, "%s can't be read; run the tests in the repository's root",
+                        file);
   else
     report_difference(lines->fleet, file, golden, now->str);
   g_free(golden);
@@ -209,7 +213,7 @@
   outward_lines lines = lines_of(fleet);
   scenario_start_traffic(fleet, 12);
   for (int i = 0; i < POLLS; i++) {
-    sim_run(fleet->sim, time_from_ms(POLL_EACH_MS));
+    sim_run(fleet->sim, time_from_ms(PAGES_POLL_INTERVAL_MS));
     add_pages(&lines, "controller", fleet->controller, fleet->controllers, controller_pages);
     add_pages(&lines, "router", fleet->router, fleet->routers, router_pages);
   }
@@ -220,14 +224,14 @@
   return true;
 }
 
-/* puts a policy on trial, so that pages tell of it too */
+/* Starts a canary trial, so that the pages show it too. */
 static void start_canary(fleet *fleet) {
   static const char text[] = "{\"name\":\"outward\",\"share\":0.5,\"candidate\":{\"affinity\":0.9},"
                              "\"warmS\":1,\"guard\":{\"least\":1000,\"mostS\":600}}";
   operator_call *call = fleet_call(fleet, fleet->controller[0], "PUT", "/v1/canary", text, NULL,
                                    NULL, time_from_ms(CALL_MS));
   if (call->status != 200)
-    fleet_add_violation(fleet, "a canary is refused: %s", call->body->str);
+    fleet_add_violation(fleet, "the canary is rejected: %s", call->body->str);
   operator_call_free(call);
 }
 
@@ -240,7 +244,7 @@
   deployment_start_traffic(deployment, 20);
   start_canary(fleet);
   for (int i = 0; i < POLLS; i++) {
-    sim_run(fleet->sim, time_from_ms(POLL_EACH_MS));
+    sim_run(fleet->sim, time_from_ms(PAGES_POLL_INTERVAL_MS));
     add_pages(&lines, "controller", fleet->controller, fleet->controllers, controller_pages);
     add_pages(&lines, "gateway", fleet->router, fleet->routers, gateway_pages);
   }
