--- a/emulator/fleet_check.c
+++ b/emulator/fleet_check.c
@@ -5,23 +5,25 @@
 #include <stdarg.h>
 #include <stdio.h>
 
-/** Violations are recorded until their text has this length; the first ones tell most. */
+/** Violations are recorded until their text has this length; the first ones are the most
+ * informative.
+ */
 enum { VIOLATIONS_MAX_BYTES = 2000 };
 
-void fleet_add_violation(fleet *fleet, const char *form, ...) {
+void fleet_add_violation(fleet *fleet, const char *format, ...) {
   GString *violations = fleet->violations;
   va_list arguments;
   if (violations->len >= VIOLATIONS_MAX_BYTES)
     return;
-  va_start(arguments, form);
+  va_start(arguments, format);
   g_string_append_printf(violations, "[%.3f] ", (double)fleet->sim->now.us / 1e6);
-  g_string_append_vprintf(violations, form, arguments);
+  g_string_append_vprintf(violations, format, arguments);
   g_string_append_c(violations, '\n');
   va_end(arguments);
 }
 
 bool fleet_check_silently(fleet *fleet) {
-  /* a test of a single module starts no fleet */
+  /* without live callers the fleet was not started, as in tests of a single module */
   if (fleet->callers->alive) {
     fleet_check_runs(fleet);
     fleet_check_policy_markers(fleet);
--- a/emulator/fleet_check_drain.c
+++ b/emulator/fleet_check_drain.c
@@ -5,13 +5,14 @@
 #include <stdio.h>
 
 enum {
-  /** Until no router sends work to an engine that the platform shows as draining. */
+  /** Time until no router sends work to an engine that the platform shows as draining. */
   DRAIN_NOTICE_MS = 3000,
   /** The same for engines in a zone whose evacuation was acknowledged. */
   EVACUATION_MS = 5000
 };
 
-/** Hash values from which the share of a zone's engines that is evacuated is derived: 53 bits. */
+/** Number of hash values (2^53) over which a partial evacuation's share of the engines is taken,
+ * and the shift that reduces a hash to 53 bits. */
 static const double HASH_RANGE = 9007199254740992.0;
 enum { HASH_SHIFT = 11 };
 
@@ -37,7 +38,7 @@
   return time_never();
 }
 
-/* a span in which an engine is draining and must get no work */
+/* when an engine began to drain, and the span in which it must get no work */
 typedef struct drain_span {
   time_us began_at, from, until;
 } drain_span;
@@ -56,7 +57,7 @@
     const engine_sim_stream *run = &g_array_index(engine->streams, engine_sim_stream, i);
     if (!is_within(span, run->started_at))
       continue;
-    fleet_add_violation(fleet, "R6 %s is draining and got a stream %.2f s after", host->self.text,
+    fleet_add_violation(fleet, "R6 %s got a stream %.2f s after it began to drain", host->self.text,
                         (double)time_sub(run->started_at, span->began_at).us / 1e6);
     return;
   }
@@ -68,7 +69,7 @@
     const engine_sim_order *order = &g_array_index(engine->orders, engine_sim_order, i);
     if (!is_load(order) || !is_within(span, order->received_at))
       continue;
-    fleet_add_violation(fleet, "R6 %s is draining and got a load %.2f s after", host->self.text,
+    fleet_add_violation(fleet, "R6 %s got a load %.2f s after it began to drain", host->self.text,
                         (double)time_sub(order->received_at, span->began_at).us / 1e6);
     return;
   }
@@ -100,8 +101,8 @@
   }
 }
 
-/* whether an evacuation as the operator wrote it covers an engine; a share below one covers the
- * engines whose hashed name lies below it */
+/* whether an evacuation written by the operator covers an engine; a share below 1 covers the
+ * engines whose hashed name, scaled to [0, 1), lies below it */
 static bool evacuation_covers(const operator_write *write, const host *host) {
   json *evacuation = json_parse(string_view_of(write->text ? write->text : ""), NULL);
   const json *zones = json_get(evacuation, "areas");
@@ -129,7 +130,7 @@
   return 0;
 }
 
-/* the newest evacuation that was acknowledged long enough before an instant, or NULL */
+/* the newest evacuation that was acknowledged early enough to be in force at an instant, or NULL */
 static const operator_write *required_evacuation(const fleet *fleet, time_us at) {
   const operator_write *required = NULL;
   for (guint i = 0; i < fleet->writes->len; i++) {
@@ -142,8 +143,8 @@
   return required;
 }
 
-/* whether an evacuation may be in force at an instant; one that was refused, or reported as not
- * written, is not, while one without a clear answer may be */
+/* whether an evacuation may be in force at an instant: not if it was refused or reported as not
+ * written, but possibly if it got no clear answer */
 static bool may_be_in_force(const fleet *fleet, const operator_write *write,
                             const operator_write *required, time_us at) {
   if (write->resource != RESOURCE_EVACUATION || write->sent_at.us > at.us)
@@ -156,7 +157,7 @@
 
 enum cached_answer { ANSWER_UNKNOWN, ANSWER_COVERED, ANSWER_NOT_COVERED };
 
-/* evacuation_covers, which parses text, with a cache by write and host */
+/* evacuation_covers with a cache by write and host, since that function parses the write's text */
 static bool evacuation_covers_cached(GHashTable *cache, const operator_write *write,
                                      const host *host) {
   char key[160];
--- a/emulator/fleet_check_markers.c
+++ b/emulator/fleet_check_markers.c
@@ -1,19 +1,21 @@
 /** @file
- * R4 by policy markers: the operator writes policies with a rule that refuses requests for one
- * model with a status of that policy alone, so a request for that model shows which policy is in
- * force where it is answered. */
+ * R4 by policy markers: each policy that the operator writes has a rule that refuses requests for
+ * one model with a status code unique to that policy, so the response to such a request shows which
+ * policy is in force at the router. */
 #include "fleet.h"
 #include <stdio.h>
 
 enum {
-  /** Statuses of markers; when there are more markers than statuses, they are not judged. */
+  /** Status codes of markers. With more markers than codes the codes are no longer unique, and
+   * probes are not checked. */
   MARKER_STATUS_MIN = 420,
   MARKER_STATUS_COUNT = 80,
-  /** Until an acknowledged policy is in force everywhere. */
+  /** Time until an acknowledged policy is in force everywhere. */
   POLICY_APPLY_MS = 2000,
   PROBE_INTERVAL_MS = 350,
   PROBE_TIMEOUT_MS = 3000,
-  /** How long a response may be on its way; it shows the policy of when it was given. */
+  /** The longest time that a response is in transit; it shows the policy in force when it was sent.
+   */
   RESPONSE_TRIP_MS = 200
 };
 
@@ -90,7 +92,7 @@
   return NULL;
 }
 
-/* the newest marker that was acknowledged long enough before an instant to be in force, or NULL */
+/* the newest marker that was acknowledged early enough to be in force at an instant, or NULL */
 static const operator_write *required_marker_write(const fleet *fleet, time_us at) {
   const operator_write *required = NULL;
   for (guint i = 0; i < fleet->writes->len; i++) {
@@ -109,7 +111,7 @@
   time_us at;
 } shown_marker;
 
-/* when a response was given, a moment before it came */
+/* the earliest time at which the response to a probe may have been sent */
 static time_us response_given_at(const policy_probe *probe) {
   time_us given = time_sub(probe->received_at, time_from_ms(RESPONSE_TRIP_MS));
   return given.us < probe->sent_at.us ? probe->sent_at : given;
@@ -118,7 +120,7 @@
 static void check_not_reverted(fleet *fleet, const policy_probe *probe,
                                const operator_write *marker, shown_marker *shown) {
   if (marker->version < shown->version && probe->sent_at.us > shown->at.us)
-    fleet_add_violation(fleet, "R4 %s slipped back from write %" PRIu64 " to %" PRIu64,
+    fleet_add_violation(fleet, "R4 %s reverted from write %" PRIu64 " to %" PRIu64,
                         fleet->router[probe->router]->self.text, shown->version, marker->version);
   if (marker->version > shown->version)
     *shown = (shown_marker){ marker->version, probe->received_at };
@@ -129,13 +131,13 @@
   time_us given = response_given_at(probe);
   const operator_write *required = required_marker_write(fleet, given);
   double age_s = required ? (double)time_sub(given, required->answered_at).us / 1e6 : 0;
-  /* a router that admits nothing shows no policy */
+  /* a router that admits no requests shows no policy */
   if (probe->status == 503 || probe->status == 429 || fleet->marker_count > MARKER_STATUS_COUNT)
     return;
   if (probe->code != E_REJECTED_BY_RULE) {
     if (required)
       fleet_add_violation(
-          fleet, "R4 %s takes a request %.2f s after a rule that refuses it was acknowledged",
+          fleet, "R4 %s accepts a request %.2f s after a rule that refuses it was acknowledged",
           router, age_s);
     return;
   }
@@ -144,8 +146,8 @@
     return;
   if (required && marker->version < required->version)
     fleet_add_violation(fleet,
-                        "R4 %s answers by marker %d, write %" PRIu64 ", %.2f s after write %" PRIu64
-                        " was acknowledged",
+                        "R4 %s responds with marker %d of write %" PRIu64
+                        ", %.2f s after write %" PRIu64 " was acknowledged",
                         router, probe->status, marker->version, age_s, required->version);
   check_not_reverted(fleet, probe, marker, shown);
 }
--- a/emulator/fleet_check_orders.c
+++ b/emulator/fleet_check_orders.c
@@ -1,5 +1,7 @@
 /** @file
- * R8, R9 and R10: lease holders, capacity and load rate, by the orders that engines received. */
+ * R8, R9 and R10: lease holders, capacity and load rate, checked on the orders that engines
+ * received.
+ */
 #include "fleet_check_records.h"
 #include <stdio.h>
 
@@ -13,7 +15,7 @@
   time_us first_at, last_at;
 } holder_span;
 
-/* the span to which an order belongs, or NULL; reports other holders under the same epoch */
+/* the span to which an order belongs, or NULL; reports other holders with the same epoch */
 static holder_span *find_span(fleet *fleet, const host *host, GArray *spans,
                               const engine_sim_order *order) {
   holder_span *found = NULL;
@@ -24,14 +26,14 @@
     if (id_equal(span->holder, order->holder))
       found = span;
     else
-      fleet_add_violation(fleet, "R8 %s got orders of %s and of %s under one epoch, %" PRIu64,
+      fleet_add_violation(fleet, "R8 %s got orders of both %s and %s with epoch %" PRIu64,
                           host->self.text, span->holder.text, order->holder.text, order->epoch);
   }
   return found;
 }
 
-/* the holders of an engine's lease in the order of their first orders; orders that came while the
- * engine was frozen are left out, since the time of their arrival is not known */
+/* the holders of an engine's lease, sorted by their first orders; orders that arrived while the
+ * engine was frozen are left out, since their arrival time is unknown */
 static GArray *list_holder_spans(fleet *fleet, host *host) {
   GArray *orders = engine_orders_of_host(fleet, host);
   GArray *spans = g_array_new(FALSE, TRUE, sizeof(holder_span));
@@ -55,7 +57,7 @@
                             const holder_span *span) {
   if (span->epoch <= previous->epoch)
     fleet_add_violation(
-        fleet, "R8 %s got an order of %s under epoch %" PRIu64 " after one of %s under %" PRIu64,
+        fleet, "R8 %s got an order of %s with epoch %" PRIu64 " after one of %s with %" PRIu64,
         host->self.text, span->holder.text, span->epoch, previous->holder.text, previous->epoch);
   if (previous->last_at.us >= span->first_at.us)
     fleet_add_violation(fleet, "R8 %s got an order of %s %.2f s after the first of %s",
@@ -64,8 +66,8 @@
                         span->holder.text);
 }
 
-/* Of three holders, both changes lie between the last order of the first and the first of the
- * third, wherever they were. */
+/* Both changes among three holders happen between the last order of the first and the first order
+ * of the third, so that span is at least the time between the two changes. */
 static void check_two_changes(fleet *fleet, const host *host, const holder_span *spans) {
   const holder_span *first = &spans[0], *second = &spans[1], *third = &spans[2];
   time_us span = time_sub(third->first_at, first->last_at);
@@ -92,10 +94,11 @@
 static void check_engine_capacity(fleet *fleet, host *host, engine_sim *engine, void *context) {
   (void)context;
   if (engine->orphaning_unloads)
-    fleet_add_violation(fleet, "R9 %s was ordered to unload a base from under %" PRIu64 " adapters",
-                        host->self.text, engine->orphaning_unloads);
+    fleet_add_violation(
+        fleet, "R9 %s was ordered to unload a base model that %" PRIu64 " loaded adapters need",
+        host->self.text, engine->orphaning_unloads);
   if (engine->over_capacity_orders)
-    fleet_add_violation(fleet, "R9 %s was ordered past its capacity %" PRIu64 " times",
+    fleet_add_violation(fleet, "R9 %s was ordered beyond its capacity %" PRIu64 " times",
                         host->self.text, engine->over_capacity_orders);
 }
 
@@ -123,7 +126,7 @@
   }
 }
 
-/* whether two loads lie a window or more apart */
+/* whether two loads are at least a window apart */
 static bool is_out_of_window(const GArray *loads, guint earlier, guint later, int window_s) {
   time_us span = time_sub(g_array_index(loads, engine_sim_order, later).received_at,
                           g_array_index(loads, engine_sim_order, earlier).received_at);
--- a/emulator/fleet_check_records.c
+++ b/emulator/fleet_check_records.c
@@ -1,5 +1,5 @@
 /** @file
- * An engine's records are kept with each of its processes; here they are put together. */
+ * Collects the records of an engine over all its processes, each of which keeps its own. */
 #include "fleet_check_records.h"
 
 static void each_process(fleet *fleet, host *host, engine_sim_visitor *visit, void *context) {
--- a/emulator/fleet_check_recovery.c
+++ b/emulator/fleet_check_recovery.c
@@ -1,35 +1,38 @@
 /** @file
- * R12: after a loss, the share of requests that are completed comes back in time. The share is
- * measured in sliding windows by when requests began; what it was before the loss, scaled by the
- * capacity that is left, is what is required. */
+ * R12: after a loss, the share of completed requests recovers in time. The share is measured in
+ * sliding windows over the start times of requests. The required share is 0.9 of that before the
+ * loss, scaled by the remaining capacity. */
 #include "fleet.h"
 #include <math.h>
 
 enum {
   /** Time to recover from a loss. */
   RECOVERY_MS = 12000,
-  /** The share before a loss is measured from and until so long before it. */
+  /** The share before a loss is measured in a span from BASELINE_FROM_MS to BASELINE_UNTIL_MS
+   * before it. */
   BASELINE_FROM_MS = 10000,
   BASELINE_UNTIL_MS = 2000,
-  /** Requests below which the share before a loss, or that of a window, is not judged. */
+  /** With fewer requests than this, the share before a loss, or that of a window, is not checked.
+   */
   BASELINE_REQUESTS_MIN = 5,
   WINDOW_REQUESTS_MIN = 12,
-  /** A window's length; with too few requests in it, it grows up to the maximum. */
+  /** Length of a window; one with too few requests grows in steps up to the maximum. */
   WINDOW_MS = 2000,
   WINDOW_MAX_MS = 8000,
   WINDOW_GROWTH_MS = 1000,
-  /** From one window's end to the next. */
+  /** Time from one window's end to the next. */
   WINDOW_STEP_MS = 500,
   /** Number of request kinds in the plan of the callers; all others count as one more. */
   PLAN_KINDS = 2,
   ALL_KINDS = -1
 };
 
-/** Part of the share before a loss that is required after it. */
+/** Ratio of the share before a loss that is required after it. */
 static const double REQUIRED_PART = 0.9;
-/** A window may be so many standard deviations below what is required. */
+/** How many standard deviations a window's share may lie below the required one. */
 static const double DEVIATIONS = 2;
-/** Bound of the share in the formula of the deviation, which would be 0 at 1. */
+/** Upper bound of the share in the formula of the standard deviation, which would be 0 at a share
+ * of 1. */
 static const double SHARE_MAX = 0.99;
 
 static int kind_index(const fleet *fleet, const loadgen_request *request) {
@@ -39,7 +42,7 @@
   return PLAN_KINDS;
 }
 
-/* numbers of requests */
+/* how many requests began in a span, and how many of these were completed */
 typedef struct completed_share {
   double requests, completed;
 } completed_share;
@@ -63,7 +66,7 @@
   return share;
 }
 
-/* memory of the engines that are alive over that of all */
+/* memory of the engines that are alive and not frozen, as a ratio of that of all engines */
 static double remaining_capacity_ratio(const fleet *fleet) {
   double all = 0, remaining = 0;
   for (int i = 0; i < fleet->engines; i++) {
@@ -75,8 +78,9 @@
   return all > 0 ? remaining / all : 1;
 }
 
-/* whether the window before an instant has the required share; a window with too few requests
- * grows, but not to before an earliest instant, and is then not judged */
+/* Whether the window that ends at an instant has the required share. A window with too few requests
+ * is lengthened; it passes unchecked if it would begin before the earliest instant or still has too
+ * few at the maximum length. */
 static bool window_reaches_share(const fleet *fleet, int kind, time_us earliest, time_us end,
                                  double required) {
   for (int64_t span_ms = WINDOW_MS; span_ms <= WINDOW_MAX_MS; span_ms += WINDOW_GROWTH_MS) {
@@ -86,7 +90,7 @@
     completed_share share = measure_share(fleet, kind, from, end);
     if (share.requests < WINDOW_REQUESTS_MIN)
       continue;
-    /* chance alone takes this off a small window */
+    /* random variation alone can lower the share of a small window by this much */
     double slack = DEVIATIONS * sqrt(required * (1 - MIN(required, SHARE_MAX)) / share.requests);
     return share.completed / share.requests >= required - slack;
   }
--- a/emulator/fleet_check_requests.c
+++ b/emulator/fleet_check_requests.c
@@ -1,15 +1,16 @@
 /** @file
- * R1, R2, R3 and R11: what callers saw of their requests against what engines ran. */
+ * R1, R2, R3 and R11: compares what callers saw of their requests with what engines ran. */
 #include "fleet_check_records.h"
 
 enum {
-  /** Requests below which the share of retries is not judged. */
+  /** The share of retries is checked only with more requests than this. */
   RETRIES_JUDGED_MIN = 50,
-  /** One retry is allowed for so many requests, and so many more for each router. */
+  /** Allowed retries: one for each REQUESTS_PER_RETRY requests, plus RETRIES_PER_ROUTER for each
+   * router. */
   REQUESTS_PER_RETRY = 10,
   RETRIES_PER_ROUTER = 2,
-  /** An engine in slow start may run so many times what it grants, which is at least the second
-   * value, and so many streams more. */
+  /** An engine in slow start may run SLOW_START_FACTOR times the streams granted so far, which
+   * count as at least SLOW_START_GRANT_MIN, plus SLOW_START_SLACK. */
   SLOW_START_FACTOR = 2,
   SLOW_START_GRANT_MIN = 2,
   SLOW_START_SLACK = 4
@@ -19,19 +20,19 @@
                                const loadgen_request *request) {
   const GPtrArray *runs = request_records_runs(records, request->tag);
   if (runs->len > 1 && !request->resumable)
-    fleet_add_violation(fleet, "R1 stream %s can't be resumed and ran %u times", request->tag,
+    fleet_add_violation(fleet, "R1 request %s can't be resumed and ran %u times", request->tag,
                         runs->len);
   for (guint i = 0; i < runs->len; i++) {
     const loadgen_attempt *attempt = request_records_attempt_of_run(records, runs->pdata[i]);
     if (attempt && attempt->outcome == OUTCOME_NOT_RUN)
-      fleet_add_violation(fleet, "R2 stream %s was reported as not run, and ran (code %d)",
+      fleet_add_violation(fleet, "R2 request %s was reported as not run, but ran (code %d)",
                           request->tag, attempt->code);
   }
   if (request->outcome == OUTCOME_WRONG)
-    fleet_add_violation(fleet, "R3 caller %s got a response that is not its own, or not complete",
+    fleet_add_violation(fleet, "R3 request %s got a response that is not its own or not complete",
                         request->tag);
   if (request->outcome == OUTCOME_DONE && runs->len < 1)
-    fleet_add_violation(fleet, "R3 caller %s got a response that no engine gave", request->tag);
+    fleet_add_violation(fleet, "R3 request %s got a response that no engine sent", request->tag);
 }
 
 static bool is_rejection(const loadgen_attempt *attempt) {
@@ -46,7 +47,7 @@
   for (guint i = 0; i < attempts->len; i++) {
     const loadgen_attempt *attempt = attempts->pdata[i];
     if (is_rejection(attempt) && attempt->retry_s < 1)
-      fleet_add_violation(fleet, "caller %s was rejected (%d) without being told when to retry",
+      fleet_add_violation(fleet, "request %s was rejected (status %d) without a time to retry",
                           request->tag, attempt->status);
   }
 }
@@ -78,7 +79,7 @@
     count_up(counts, g_array_index(engine->refusals, engine_sim_refusal, i).tag);
 }
 
-/* how many requests engines saw beyond one for each attempt of a caller */
+/* how many arrivals engines recorded in excess of one for each attempt of a caller */
 static int count_retries(GHashTable *arrivals, GHashTable *attempts) {
   int retries = 0;
   GHashTableIter iterator;
@@ -104,7 +105,8 @@
   g_hash_table_destroy(attempts);
 }
 
-/* how many of an engine's streams, up to a position in its record, ran when that one started */
+/* how many of an engine's streams up to a position in its record were running when the one at that
+ * position started */
 static int count_running(const engine_sim *engine, guint position) {
   time_us at = g_array_index(engine->streams, engine_sim_stream, position).started_at;
   int running = 0;
@@ -127,7 +129,7 @@
     if (running <= SLOW_START_FACTOR * MAX(SLOW_START_GRANT_MIN, grant) + SLOW_START_SLACK)
       continue;
     fleet_add_violation(fleet,
-                        "R11 %s ran %d streams when it was %.2f s old; its slow start grants %.1f",
+                        "R11 %s ran %d streams %.2f s after its start; slow start grants %.1f",
                         host->self.text, running, age_s, grant);
     return;
   }
--- a/emulator/gateway_check.c
+++ b/emulator/gateway_check.c
@@ -3,11 +3,11 @@
 #include "gateway_check.h"
 #include "deployment.h"
 
-/** RECOVER: the share of requests that counts as serving. */
+/** RECOVER: a deployment that serves at least this share of the requests counts as serving. */
 static const double SERVING_RATIO = 0.25;
 
-void gateway_check_recovery(deployment *deployment, time_us loss, time_us back) {
-  time_us recovered_at = time_add(back, time_from_ms(RECOVERY_S * 1000));
+void gateway_check_recovery(deployment *deployment, time_us loss, time_us fault_end) {
+  time_us recovered_at = time_add(fault_end, time_from_ms(RECOVERY_S * 1000));
   double before = deployment_served_ratio(deployment, NULL, (time_us){ 0 }, loss);
   double after = deployment_served_ratio(deployment, NULL, recovered_at, time_never());
   if (before >= SERVING_RATIO && after < SERVING_RATIO)
--- a/emulator/gateway_check_allowed.c
+++ b/emulator/gateway_check_allowed.c
@@ -1,6 +1,6 @@
 /** @file
- * A patch is applied to the configuration that it names as its base. Routes are found as the pages
- * say: by host and the longest prefix of the target. */
+ * Applies each patch to the configuration that it names as its base, and finds routes as the
+ * documentation specifies: by host and the longest matching prefix of the target. */
 #include "gateway_check_allowed.h"
 
 static void remove_named(json *list, const char *name) {
@@ -12,8 +12,8 @@
   }
 }
 
-/* a copy of the configuration that a patch builds on, or NULL; of two operators' changes under one
- * version it builds on the acknowledged one */
+/* a copy of the configuration that a patch builds on, or NULL; if two operators sent changes with
+ * the same version, the acknowledged one */
 static json *copy_base(const GArray *configs, uint64_t version) {
   json *base = NULL;
   for (guint i = 0; i < configs->len; i++) {
--- a/emulator/gateway_check_allowed.h
+++ b/emulator/gateway_check_allowed.h
@@ -4,16 +4,16 @@
 #include "json.h"
 
 /** @file
- * The configurations that may have been in force, as the operator sent them, and what each allows.
- */
+ * The valid configurations that the operator sent, any of which may have been in force, and the
+ * requests that each allows. */
 
-/** A valid change with the full configuration that it results in. */
+/** A valid change and the full configuration that results from it. */
 typedef struct allowed_config {
   const operator_sim_change *change;
   json *json;
 } allowed_config;
 
-/** All that the operator sent and that is valid, in the order sent, as an array of allowed_config;
+/** All valid changes in the order in which the operator sent them, as an array of allowed_config;
  * freed by allowed_configs_free. */
 GArray *allowed_configs_new(const deployment *deployment);
 void allowed_configs_free(GArray *configs);
--- a/emulator/gateway_check_budget.c
+++ b/emulator/gateway_check_budget.c
@@ -1,6 +1,6 @@
 /** @file
- * The retry budget, service by service: each arrival of a request at an engine but its first is a
- * retry; in any window, retries are bounded by a share of the requests that came around it. */
+ * The retry budget of each service: every arrival of a request at an engine after its first is a
+ * retry, and the retries in any window are bounded by a share of the requests sent around it. */
 #include "gateway_check_allowed.h"
 #include "gateway_check_index.h"
 
@@ -22,7 +22,7 @@
   return x->us < y->us ? -1 : x->us > y->us;
 }
 
-/* when retries arrived at a service, in order */
+/* the arrival times of the retries at a service, sorted */
 static GArray *list_retries(const deployment *deployment, const char *service) {
   GHashTable *seen = g_hash_table_new(g_str_hash, g_str_equal);
   GArray *retries = g_array_new(FALSE, TRUE, sizeof(time_us));
@@ -40,7 +40,7 @@
   return retries;
 }
 
-/* when requests were sent that some configuration routes to a service */
+/* the times at which requests were sent that some configuration routes to a service */
 static GArray *list_requests(const deployment *deployment, const GArray *configs,
                              const char *service) {
   GArray *requests = g_array_new(FALSE, TRUE, sizeof(time_us));
@@ -70,7 +70,7 @@
     int request_count = count_requests_around(requests, from);
     if (retry_count <= RETRY_RATIO * request_count + RETRY_SLACK)
       continue;
-    fleet_add_violation(deployment->fleet, "BUDGET %d extra arrivals at %s for %d requests in %d s",
+    fleet_add_violation(deployment->fleet, "BUDGET %d retries at %s for %d requests in %d s",
                         retry_count, service, request_count, RETRY_WINDOW_S);
     break;
   }
--- a/emulator/gateway_check_config.c
+++ b/emulator/gateway_check_config.c
@@ -1,6 +1,7 @@
 /** @file
- * Rules about configurations: what was run shows which configurations may have been in force, and
- * these are compared with what the operator sent and what controllers acknowledged. */
+ * Rules about configurations: the service that ran a request shows which configurations may have
+ * been in force, and these are compared with the changes that the operator sent and controllers
+ * acknowledged. */
 #include "gateway_check_allowed.h"
 #include "gateway_check_index.h"
 
@@ -23,7 +24,7 @@
   check_index_free(&index);
 }
 
-/* CONFIG, first part: what controllers acknowledged */
+/* CONFIG, first part: the changes that controllers acknowledged */
 
 static void check_forked(const deployment *deployment, const operator_sim_change *earlier,
                          const operator_sim_change *later) {
@@ -31,7 +32,7 @@
       strcmp(earlier->text, later->text))
     fleet_add_violation(deployment->fleet,
                         "CONFIG versions %" PRIu64 " and %" PRIu64
-                        " were both acknowledged on top of %" PRIu64,
+                        " were both acknowledged with base %" PRIu64,
                         earlier->version, later->version, later->base);
 }
 
@@ -50,7 +51,8 @@
 
 /* second part: each attempt follows a configuration that may have been in force */
 
-/* the newest version that was acknowledged long enough before an attempt to be in force, or 0 */
+/* the newest version that was acknowledged early enough to be in force everywhere when an attempt
+ * was sent, or 0 */
 static uint64_t min_version(const GArray *configs, const client_sim_attempt *attempt) {
   uint64_t min = 0;
   for (guint i = 0; i < configs->len; i++) {
@@ -108,11 +110,11 @@
   enum explanation explanation = explain(configs, attempt, not_found ? NULL : service, min);
   if (explanation == EXPLAINED || check_sent_in_fault(index->deployment, attempt))
     return;
-  fleet_add_violation(index->fleet, "CONFIG %s on %s was %s %s at %s, which %s",
-                      attempt->request_id, attempt->target, not_found ? "refused" : "run by",
+  fleet_add_violation(index->fleet, "CONFIG %s on %s was %s%s at %s, which %s", attempt->request_id,
+                      attempt->target, not_found ? "not found" : "run by ",
                       not_found ? "" : service, attempt->node,
-                      explanation == ONLY_BY_REJECTED_VERSION ? "only a refused version allows"
-                      : min ? "no version from the newest acknowledged on allows"
+                      explanation == ONLY_BY_REJECTED_VERSION ? "only a rejected version allows"
+                      : min ? "neither the newest acknowledged version nor a later one allows"
                             : "no version allows");
 }
 
@@ -136,7 +138,7 @@
     highest = MAX(highest, config->change->version);
   }
   if (highest && highest < shown->version && attempt->sent_at.us > shown->at.us + REVERT_MS * 1000)
-    fleet_add_violation(index->fleet, "CONFIG %s went back from %" PRIu64 " to %" PRIu64,
+    fleet_add_violation(index->fleet, "CONFIG %s reverted from version %" PRIu64 " to %" PRIu64,
                         host->self.text, shown->version, highest);
   if (lowest != UINT64_MAX && lowest > shown->version)
     *shown = (shown_version){ lowest, run->received_at };
@@ -171,7 +173,7 @@
   return same;
 }
 
-/* for a patch the number of routes is compared, since their order is free */
+/* for a patch, only the number of routes is compared, since their order is not specified */
 static bool is_read_as_sent(const json *read, const allowed_config *config) {
   if (config->change->patch)
     return json_count(json_get(read, "routes")) == json_count(json_get(config->json, "routes"));
@@ -190,9 +192,9 @@
     same = is_read_as_sent(read, config);
   }
   if (known && !same)
-    fleet_add_violation(
-        deployment->fleet,
-        "CONFIG %" PRIu64 " is read otherwise than it was sent", operator->read_version);
+    fleet_add_violation(deployment->fleet,
+                        "CONFIG version %" PRIu64 " that was read back differs from the one sent",
+                        operator->read_version);
   json_free(read);
 }
 
@@ -207,10 +209,10 @@
       acknowledged = MAX(acknowledged, change->version);
   }
   if (operator->read_version<acknowledged)
-    fleet_add_violation(
-        deployment->fleet,
-        "CONFIG is read as %" PRIu64 ", and %" PRIu64 " was acknowledged", operator->read_version,
-        acknowledged);
+    fleet_add_violation(deployment->fleet,
+                        "CONFIG version %" PRIu64 " was read back, but %" PRIu64
+                        " was acknowledged",
+                        operator->read_version, acknowledged);
   check_read_text(deployment, configs);
 }
 
--- a/emulator/gateway_check_index.c
+++ b/emulator/gateway_check_index.c
@@ -1,10 +1,10 @@
 /** @file
- * Checks run when traffic has ended, so an index is built for one check and thrown away; a test may
- * change records between two checks. */
+ * An index is built for one check and then freed: checks run after traffic has ended, and a test
+ * may change records between two checks. */
 #include "gateway_check_index.h"
 
-/* how an engine_run_record of a request that was run ends: runs, done, failed, client gone, broken
- * off, timed out */
+/* outcomes of an engine_run_record whose run was started: running, done, failed, client gone,
+ * broken off, timed out */
 static const char RUN_OUTCOMES[] = "rdfcbt";
 
 static GHashTable *index_attempts(deployment *deployment) {
--- a/emulator/gateway_check_index.h
+++ b/emulator/gateway_check_index.h
@@ -4,11 +4,11 @@
 #include "gateway_check.h"
 
 /** @file
- * What the checkers of gateways share: an index of the records by request, and questions about
- * records and injected faults. */
+ * Shared by the checkers of gateways: an index of the records by request, and queries about records
+ * and injected faults. */
 
-/** Records of a deployment by request id. It owns its tables but no record, and is valid until
- * records are added. */
+/** Records of a deployment by request id. It owns its tables but not the records, and is valid
+ * until records are added. */
 typedef struct check_index {
   deployment *deployment;
   fleet *fleet;
@@ -33,21 +33,22 @@
 
 /** True when an engine began to run a request, however it ended. */
 bool check_was_run(const engine_run_record *run);
-/** True when an engine broke the request off, or its time ran out. */
+/** True when an engine broke off the request or the request timed out there. */
 bool check_was_cut(const engine_run_record *run);
 /** True when requests of a kind may be run more than once. */
 bool check_is_retryable(const client_sim_kind *kind);
 /** The host with the IP of an address, or NULL. */
 host *check_host_of_ip(const deployment *deployment, const char *address);
-/** True when a fault of a host, or of the control plane, or its aftermath, overlaps a span. With
- * host NULL, only those of the control plane count. */
+/** True when a fault of a host or of the control plane, including the CONTACT_MS after it, overlaps
+ * a span. With host NULL, only faults of the control plane count. */
 bool check_had_fault(const deployment *deployment, const host *host, time_us from, time_us until);
 bool check_had_fault_at(const deployment *deployment, const host *host, time_us at);
 /** Whether the gateway of an attempt had a fault when the attempt was sent. */
 bool check_sent_in_fault(const deployment *deployment, const client_sim_attempt *attempt);
-/** True when a fault overlaps the time that an attempt took; aftermath: or its aftermath does. */
+/** True when a fault overlaps an attempt; with aftermath, the CONTACT_MS after the fault count as
+ * part of it. */
 bool check_fault_overlaps(const injected_fault *fault, const client_sim_attempt *attempt,
                           bool aftermath);
-/** How many of an array of time_us are in [from, until), in us. */
+/** Counts the elements of an array of time_us in [from, until), in us. */
 int check_count_between(const GArray *instants, int64_t from, int64_t until);
 #endif
--- a/emulator/gateway_check_orders.c
+++ b/emulator/gateway_check_orders.c
@@ -1,9 +1,9 @@
 /** @file
- * Rules about load orders, by what engines recorded of those that they received. */
+ * Rules about load orders, checked on the records that engines keep of the orders they receive. */
 #include "gateway_check_index.h"
 #include <stdio.h>
 
-/** Loads that are allowed beyond the rate in any window. */
+/** Loads that are allowed in any window in addition to the rate. */
 enum { LOAD_RATE_SLACK = 3 };
 
 static int compare_orders(gconstpointer a, gconstpointer b) {
@@ -12,7 +12,7 @@
   return x->received_at.us < y->received_at.us ? -1 : x->received_at.us > y->received_at.us;
 }
 
-/* whether the sender thawed, or its links were healed, just before */
+/* whether the sender was unfrozen, or its network links were restored, just before an instant */
 static bool recently_recovered(const deployment *deployment, id holder, time_us at) {
   const host *host = sim_find_host(deployment->sim, holder.text);
   for (guint i = 0; i < deployment->injected_faults->len; i++) {
@@ -29,7 +29,7 @@
          !recently_recovered(deployment, order->holder, order->received_at);
 }
 
-/* the orders that show who held the lease, by the time of arrival */
+/* the orders that show who held the lease, sorted by arrival */
 static GPtrArray *list_holder_orders(const deployment *deployment) {
   GPtrArray *orders = g_ptr_array_new();
   for (guint i = 0; i < deployment->log->orders->len; i++)
@@ -39,7 +39,8 @@
   return orders;
 }
 
-/* true when two orders for an engine break the rule of fencing tokens, which is then reported */
+/* reports two orders for an engine whose fencing tokens are equal under different holders, or
+ * decrease; returns whether it did */
 static bool report_token(const deployment *deployment, const engine_order_record *earlier,
                          const engine_order_record *order) {
   if (earlier->fencing_token == order->fencing_token && !id_equal(earlier->holder, order->holder)) {
@@ -58,8 +59,8 @@
   return false;
 }
 
-/* true when the holder of an order also gave one before other's, within the length of a lease; this
- * is then reported */
+/* reports an order whose holder also sent one before that of another holder, within the length of a
+ * lease; returns whether it did */
 static bool report_turns(const deployment *deployment, const GPtrArray *orders, guint position,
                          const engine_order_record *other) {
   const engine_order_record *order = orders->pdata[position];
@@ -69,7 +70,7 @@
     if (!id_equal(earlier->engine, order->engine) || !id_equal(earlier->holder, order->holder) ||
         earlier->received_at.us >= other->received_at.us || span_us > DEPLOYMENT_LEASE_MS * 1000)
       continue;
-    fleet_add_violation(deployment->fleet, "ONE %s: %s and %s take turns within %.1f s",
+    fleet_add_violation(deployment->fleet, "ONE %s: orders of %s and %s alternate within %.1f s",
                         order->engine.text, order->holder.text, other->holder.text,
                         (double)span_us / 1e6);
     return true;
@@ -77,7 +78,7 @@
   return false;
 }
 
-/* compares an order with all before it; true when a violation was reported */
+/* compares an order with all earlier ones; returns whether it reported a violation */
 static bool report_order(const deployment *deployment, const GPtrArray *orders, guint position) {
   const engine_order_record *order = orders->pdata[position], *other = NULL;
   for (guint i = 0; i < position; i++) {
@@ -120,13 +121,14 @@
     const engine_order_record *order = deployment->log->orders->pdata[i];
     if (order->over_capacity)
       fleet_add_violation(deployment->fleet,
-                          "LIMIT %s was ordered by %s to load %s%s%s, which does not fit",
+                          "LIMIT %s was ordered by %s to load %s%s%s, which exceeds its memory",
                           order->engine.text, order->holder.text, order->model.text,
                           id_is_empty(order->adapter) ? "" : "/", order->adapter.text);
   }
 }
 
-/* when engines began to load from the weight store while the control plane had no fault */
+/* the times at which engines accepted loads from the weight store while the control plane had no
+ * fault */
 static GArray *list_store_loads(const deployment *deployment) {
   GArray *loads = g_array_new(FALSE, TRUE, sizeof(time_us));
   for (guint i = 0; i < deployment->log->orders->len; i++) {
@@ -147,7 +149,7 @@
     if (count <= max)
       continue;
     fleet_add_violation(deployment->fleet,
-                        "CEILING %d loads from the store in %d s, %.1f are allowed", count,
+                        "CEILING %d loads from the weight store in %d s, %.1f are allowed", count,
                         LOAD_RATE_WINDOW_S, max);
     break;
   }
--- a/emulator/gateway_check_requests.c
+++ b/emulator/gateway_check_requests.c
@@ -1,10 +1,10 @@
 /** @file
- * Rules about single requests: what clients saw of each attempt is compared with what engines
+ * Rules about single requests: compares what the client recorded of each attempt with what engines
  * recorded of its runs. */
 #include "gateway_check_index.h"
 
 enum {
-  /** DENIED: how many client errors are allowed, and one more for so many attempts. */
+  /** DENIED: the client errors that are allowed, plus one for each ATTEMPTS_PER_DENIED attempts. */
   DENIED_MAX = 5,
   ATTEMPTS_PER_DENIED = 500
 };
@@ -32,10 +32,10 @@
     completed |= run->outcome == 'd' && (own || check_is_retryable(attempt->caller_request->kind));
   }
   if (!found)
-    fleet_add_violation(index->fleet, "MIXED %s of %s has the id of no run of its own",
+    fleet_add_violation(index->fleet, "MIXED %s of %s carries a run id that none of its runs has",
                         attempt->request_id, kind_name(attempt));
   else if (!completed)
-    fleet_add_violation(index->fleet, "MIXED %s of %s is a success, and no engine has completed it",
+    fleet_add_violation(index->fleet, "MIXED %s of %s succeeded, but no engine completed it",
                         attempt->request_id, kind_name(attempt));
 }
 
@@ -73,7 +73,7 @@
   check_each_attempt(deployment, check_attempt_run_once);
 }
 
-/* statuses that say that a request was not run */
+/* whether a status promises that the request was not run */
 static bool says_not_run(int status) {
   return status == 429 || status == 503 || status == 408 || status == 421;
 }
@@ -86,7 +86,7 @@
     const engine_run_record *run = runs->pdata[i];
     if (!check_was_run(run))
       continue;
-    fleet_add_violation(index->fleet, "REFUSED %s of %s got %d, and %s has run it (%c)",
+    fleet_add_violation(index->fleet, "REFUSED %s of %s got status %d, but %s ran it (outcome %c)",
                         attempt->request_id, kind_name(attempt), attempt->status, run->engine.text,
                         run->outcome);
     return;
@@ -108,8 +108,7 @@
   for (guint i = 0; i < attempts->len; i++)
     denied += is_denied(attempts->pdata[i]);
   if (denied > DENIED_MAX + (int)attempts->len / ATTEMPTS_PER_DENIED)
-    fleet_add_violation(deployment->fleet, "DENIED %d of %u proper requests", denied,
-                        attempts->len);
+    fleet_add_violation(deployment->fleet, "DENIED %d of %u valid requests", denied, attempts->len);
 }
 
 static void check_event_order(const check_index *index, const client_sim_attempt *attempt) {
--- a/emulator/gateway_check_shutdown.c
+++ b/emulator/gateway_check_shutdown.c
@@ -1,6 +1,5 @@
 /** @file
- * Rules about requests around the shutdown of engines and gateways, and about responses that never
- * came. */
+ * Rules about requests during the shutdown of engines and gateways, and about missing responses. */
 #include "gateway_check_index.h"
 
 static bool arrived_too_late(const deployment *deployment, const engine_run_record *run,
@@ -35,7 +34,7 @@
   return fault->host == host && fault->kind == 't';
 }
 
-/* whether an attempt fell into a planned stop of its gateway, and no other fault was near */
+/* whether an attempt overlaps a planned stop of its gateway and no other fault */
 static bool is_in_planned_stop(const deployment *deployment, const client_sim_attempt *attempt,
                                const host *host) {
   bool planned = false, other = false;
@@ -54,8 +53,8 @@
   return attempt->ended_at.us >= request->started_at.us + request->kind->deadline_ms * 1000;
 }
 
-/* a request that came at the latest just after a stop began, and whose run takes most of the grace,
- * may be cut at its end */
+/* A request that was sent before a stop, or at most STOP_PROPAGATION_MS after it began, and whose
+ * run lasts longer than 5/6 of the grace period may be cut off when the period ends. */
 static bool is_run_excused(const deployment *deployment, const client_sim_attempt *attempt,
                            const engine_run_record *run, const host *host) {
   for (guint i = 0; i < deployment->injected_faults->len; i++) {
@@ -94,7 +93,8 @@
   check_each_attempt(deployment, check_not_lost);
 }
 
-/* whether an engine ran a request, and its host had no injected fault when the request came */
+/* whether an engine ran a request without cutting it off, and its host had no injected fault when
+ * the request arrived */
 static bool engine_had_no_fault(const deployment *deployment, const engine_run_record *run) {
   if (!check_was_run(run) || check_was_cut(run))
     return false;
@@ -157,7 +157,7 @@
     const client_sim_attempt *attempt = deployment->client->attempts->pdata[i];
     if (is_dropped(deployment, attempt, at))
       fleet_add_violation(deployment->fleet,
-                          "DROPPED %s of %s at %s was under way at %.1f s, and got no response",
+                          "DROPPED %s of %s at %s was in progress at %.1f s and got no response",
                           attempt->request_id, attempt->caller_request->kind->name, attempt->node,
                           (double)at.us / 1e6);
   }
--- a/emulator/gateway_check_trials.c
+++ b/emulator/gateway_check_trials.c
@@ -1,7 +1,7 @@
 /** @file
- * Rules about trials of a policy, by the policy that engines recorded with each run: "TRIAL old" or
- * "TRIAL candidate". Runs are judged in the order in which their attempts were sent, since a
- * request's policy is chosen when it arrives. */
+ * Rules about trials of a policy, checked on the policy that engines recorded with each run: "TRIAL
+ * old" or "TRIAL candidate". Runs are checked in the order in which their attempts were sent, since
+ * a request's policy is chosen when it arrives. */
 #include "gateway_check_index.h"
 #include <stdio.h>
 
@@ -10,22 +10,23 @@
 /* what the requests of one session in one trial have shown so far */
 typedef struct trial_session {
   bool old_seen, candidate_seen;
-  /* the candidate had the session, and then the old policy */
+  /* the session was served under the candidate and later under the old policy */
   bool returned;
-  /* when the old policy first had it, or the end of the fault at that instant */
+  /* when it was first served under the old policy; if a fault was in effect then, the fault's end
+   */
   time_us old_at;
 } trial_session;
 
 typedef struct trial_check {
   check_index index;
-  /* from session to the first client_sim_attempt that was sent to a node with a fault, whether or
-   * not anything was run for it */
+  /* from session to the first client_sim_attempt that was sent to a node with a fault, even if no
+   * engine ran it */
   GHashTable *first_faults;
   /* from "TRIAL SESSION" to trial_session */
   GHashTable *sessions;
 } trial_check;
 
-/* the end of the faults in which a host is at an instant; the instant itself when there is none */
+/* the end of the last of the faults that affect a host at an instant; without any, the instant */
 static time_us fault_over_at(const deployment *deployment, const host *host, time_us at) {
   time_us end = at;
   for (guint i = 0; i < deployment->injected_faults->len; i++) {
@@ -73,8 +74,8 @@
       continue;
     const engine_run_record *first = g_hash_table_lookup(by_request, run->request_id);
     if (first && strcmp(first->policy, run->policy))
-      fleet_add_violation(deployment->fleet, "SIDES %s went by %s, and then by %s", run->request_id,
-                          first->policy, run->policy);
+      fleet_add_violation(deployment->fleet, "SIDES %s was served under %s, and then under %s",
+                          run->request_id, first->policy, run->policy);
     if (first)
       continue;
     g_hash_table_insert(by_request, run->request_id, run);
@@ -105,8 +106,10 @@
       !check_sent_in_fault(deployment, attempt))
     fleet_add_violation(
         deployment->fleet,
-        "SIDES %s: %s goes by the candidate at %s, %.1f s after the old policy had it", key,
-        run->request_id, attempt->node, (double)(attempt->sent_at.us - session->old_at.us) / 1e6);
+        "SIDES %s: %s is served under the candidate at %s, %.1f s after the session was served under the "
+        "old policy",
+        key, run->request_id, attempt->node,
+        (double)(attempt->sent_at.us - session->old_at.us) / 1e6);
   session->candidate_seen = true;
 }
 
@@ -119,8 +122,9 @@
   if (session->candidate_seen && !excused)
     fleet_add_violation(
         deployment->fleet,
-        "SIDES %s: %s goes by the old policy at %s, sent at %.3f s, and the candidate had it", key,
-        run->request_id, attempt->node, (double)attempt->sent_at.us / 1e6);
+        "SIDES %s: %s is served under the old policy at %s, sent at %.3f s, after the session was served "
+        "under the candidate",
+        key, run->request_id, attempt->node, (double)attempt->sent_at.us / 1e6);
   if (session->candidate_seen)
     session->returned = true;
   if (session->old_seen)
@@ -130,7 +134,7 @@
       fault_over_at(deployment, check_host_of_ip(deployment, attempt->node), attempt->sent_at);
 }
 
-/* for debugging: the runs of the session that SIM_SIDES names */
+/* for debugging: prints the runs of the session that the environment variable SIM_SIDES names */
 static void print_run(const trial_check *check, const client_sim_attempt *attempt,
                       const engine_run_record *run, const char *side) {
   const char *session = g_getenv("SIM_SIDES");
@@ -188,10 +192,10 @@
     if (!attempt || !is_candidate_of(run, trial) ||
         attempt->sent_at.us <= ended.us + TRIAL_END_PROPAGATION_MS * 1000)
       continue;
-    fleet_add_violation(deployment->fleet,
-                        "RETURN %s went by the candidate at %s, sent %.1f s after the trial's end",
-                        run->request_id, attempt->node,
-                        (double)(attempt->sent_at.us - ended.us) / 1e6);
+    fleet_add_violation(
+        deployment->fleet,
+        "RETURN %s was served under the candidate at %s, sent %.1f s after the trial's end",
+        run->request_id, attempt->node, (double)(attempt->sent_at.us - ended.us) / 1e6);
     break;
   }
   check_index_free(&index);
--- a/emulator/linearizability.c
+++ b/emulator/linearizability.c
@@ -1,26 +1,27 @@
 /** @file
- * Versions rise from order to order, so the orders that took effect form one chain in which each
- * builds on the version of the one before. The checker searches for such a chain: it must hold
- * every order that was confirmed or read and none that was refused, and every order on it needs an
- * instant of effect, later than that of the one before, within the bounds that the answers and
- * reads set. Orders without a clear answer may or may not be on it. The search is memoised by
- * order: of two ways to the same order, the one with the earlier instant allows all that the other
- * does. A conflict is judged against the earliest and the latest instants that the chain allows,
- * one conflict at a time. */
+ * Every write sets a higher version, so the writes that took effect form a chain in which each has
+ * the version of the previous one as its base. The checker searches for such a chain: it must
+ * contain every write that was confirmed or read and none that was refused, and every write on it
+ * needs an instant of effect that is no earlier than the previous one's and within the bounds that
+ * responses and reads set. Writes with an unknown outcome may or may not be on it. The search is
+ * memoised by write: of two chains that end with the same write, the one with the earlier instant
+ * allows every continuation that the other allows. Each conflict response is checked on its own
+ * against the earliest and latest instants that the chain allows. */
 #include "linearizability.h"
 
-/** Positions in the chain of a base version that it does not hold, and of base 0. */
+/** Positions in the chain of a base version that isn't on it, and of base 0. */
 enum { NOWHERE = -1, BEFORE_ALL = -2 };
 static const uint64_t NEVER = UINT64_MAX;
 
 typedef struct config_change {
   uint64_t base_version, version;
-  /* effect no earlier than the first call; no later than the first confirmation or read */
+  /* it takes effect no earlier than its first call, and no later than the first return of a
+   * confirmation or of a read of it */
   uint64_t called, known;
-  /* the order that replaces it takes effect no earlier than the last call of a read of it */
+  /* the next write on the chain takes effect no earlier than the last call of a read of this one */
   uint64_t read_called;
   bool valid, confirmed, refused, read;
-  /* search */
+  /* 1 + the instant from which on the search found no chain through this write; 0: none known */
   uint64_t failed;
 } config_change;
 
@@ -82,7 +83,7 @@
   if (answer == ANSWER_CONFLICT || answer == ANSWER_INVALID)
     order->refused = true;
   if (answer == ANSWER_INVALID && order->valid && !history->fault->len)
-    g_string_printf(history->fault, "order %u is valid and was called invalid", number);
+    g_string_printf(history->fault, "write %u is valid, but was rejected as invalid", number);
   if (answer == ANSWER_CONFLICT) {
     conflict conflict = { number, called, returned };
     g_array_append_val(history->conflicts, conflict);
@@ -102,7 +103,7 @@
   return x->version < y->version ? -1 : x->version > y->version;
 }
 
-/* what is wrong with one order by itself */
+/* whether no write contradicts itself, regardless of the others */
 static bool orders_fit(const register_history *history, GString *why) {
   for (guint i = 0; i < history->orders->len; i++) {
     const config_change *order = order_at(history, i);
@@ -110,12 +111,12 @@
     if (order->confirmed && order->refused)
       fault = "was confirmed and refused";
     else if (order->read && order->refused)
-      fault = "was refused and is in force";
+      fault = "was refused, but read";
     else if ((order->confirmed || order->read) && !order->valid)
-      fault = "is invalid and was taken";
+      fault = "is invalid, but was accepted";
     if (!fault)
       continue;
-    g_string_printf(why, "order %u (%" PRIu64 " over %" PRIu64 ") %s", i, order->version,
+    g_string_printf(why, "write %u (version %" PRIu64 " on base %" PRIu64 ") %s", i, order->version,
                     order->base_version, fault);
     return false;
   }
@@ -133,7 +134,7 @@
   return all;
 }
 
-/* the latest instants of effect that the chain allows, from its end to its start */
+/* the latest instant of effect that the chain allows for each of its writes */
 static uint64_t *latest_instants(const search *search) {
   uint64_t *latest = g_new(uint64_t, search->length + 1);
   uint64_t next = NEVER;
@@ -144,7 +145,7 @@
   return latest;
 }
 
-/* an answer of conflict is true when at some instant of the call its base was not current */
+/* a conflict response is justified when at some instant of the call the base was not current */
 static bool conflict_fits(const search *search, const uint64_t *latest, const conflict *conflict) {
   uint64_t base = search->orders[conflict->order].base_version;
   int at = base ? NOWHERE : BEFORE_ALL;
@@ -166,7 +167,7 @@
     const conflict *conflict = &g_array_index(search->history->conflicts, struct conflict, i);
     fit = conflict_fits(search, latest, conflict);
     if (!fit)
-      g_string_printf(why, "order %u (over %" PRIu64 ") was refused while its base was current",
+      g_string_printf(why, "write %u (on base %" PRIu64 ") was refused while its base was current",
                       conflict->order, search->orders[conflict->order].base_version);
   }
   g_free(latest);
@@ -176,15 +177,17 @@
 static bool extend(search *search, uint64_t version, uint64_t now, uint64_t read_called, guint need,
                    GString *why);
 
-/* puts one order at the end of the chain, if its bounds allow, and searches on */
+/* appends one write to the chain, if its bounds allow, and continues the search; undoes it if that
+ * fails */
 static bool try_order(search *search, guint i, uint64_t now, uint64_t read_called, guint need,
                       GString *why) {
   config_change *order = &search->orders[i];
   uint64_t at = MAX(MAX(now, order->called), read_called);
   if (at > order->known) {
     g_string_printf(why,
-                    "order %u (%" PRIu64 " over %" PRIu64 ") would take effect at %" PRIu64
-                    ", after it was seen at %" PRIu64,
+                    "write %u (version %" PRIu64 " on base %" PRIu64
+                    ") would take effect at %" PRIu64
+                    ", after it was confirmed or read at %" PRIu64,
                     i, order->version, order->base_version, at, order->known);
     return false;
   }
@@ -212,7 +215,7 @@
     if (order->base_version != version || order->version <= version || order->refused ||
         !order->valid || order->called == NEVER)
       continue;
-    /* none that must be there may be passed over */
+    /* no required write may be skipped */
     if (next &&
         (order->version > next->version || (order->version == next->version && order != next)))
       continue;
@@ -222,8 +225,8 @@
   }
   if (!any && next)
     g_string_printf(why,
-                    "nothing leads from version %" PRIu64 " to order %u (%" PRIu64 " over %" PRIu64
-                    "), which was confirmed or read",
+                    "no write continues version %" PRIu64 " towards write %u (version %" PRIu64
+                    " on base %" PRIu64 "), which was confirmed or read",
                     version, (guint)(next - search->orders), next->version, next->base_version);
   return false;
 }
