--- a/emulator/gateway_check.h
+++ b/emulator/gateway_check.h
@@ -25,7 +25,7 @@
   UNANSWERED_MAX = 3,
   /** Orders that a lease holder sends within this time after it was unfrozen, or its network links
    * were restored, are not checked. */
-  THAW_MS = 300,
+  HOLDER_GRACE_MS = 300,
   /** Window of the retry budget, and the retries allowed in it in addition to the ratio. */
   RETRY_WINDOW_S = 10,
   RETRY_SLACK = 20,
--- a/emulator/gateway_check_orders.c
+++ b/emulator/gateway_check_orders.c
@@ -18,7 +18,7 @@
   for (guint i = 0; i < deployment->injected_faults->len; i++) {
     const injected_fault *fault = &g_array_index(deployment->injected_faults, injected_fault, i);
     if ((fault->host == host || !fault->host) && at.us >= fault->until.us &&
-        at.us <= fault->until.us + THAW_MS * 1000)
+        at.us <= fault->until.us + HOLDER_GRACE_MS * 1000)
       return true;
   }
   return false;
