--- a/emulator/gateway_check_orders.c
+++ b/emulator/gateway_check_orders.c
@@ -41,7 +41,7 @@
 
 /* reports two orders for an engine whose fencing tokens are equal under different holders, or
  * decrease; returns whether it did */
-static bool report_token(const deployment *deployment, const engine_order_record *earlier,
+static bool report_fencing_violation(const deployment *deployment, const engine_order_record *earlier,
                          const engine_order_record *order) {
   if (earlier->fencing_token == order->fencing_token && !id_equal(earlier->holder, order->holder)) {
     fleet_add_violation(deployment->fleet, "ONE %s: %s and %s share fencing token %" PRId64,
@@ -61,7 +61,7 @@
 
 /* reports an order whose holder also sent one before that of another holder, within the length of a
  * lease; returns whether it did */
-static bool report_turns(const deployment *deployment, const GPtrArray *orders, guint position,
+static bool report_alternating_holders(const deployment *deployment, const GPtrArray *orders, guint position,
                          const engine_order_record *other) {
   const engine_order_record *order = orders->pdata[position];
   for (guint i = 0; i < position; i++) {
@@ -79,20 +79,20 @@
 }
 
 /* compares an order with all earlier ones; returns whether it reported a violation */
-static bool report_order(const deployment *deployment, const GPtrArray *orders, guint position) {
+static bool report_order_violation(const deployment *deployment, const GPtrArray *orders, guint position) {
   const engine_order_record *order = orders->pdata[position], *other = NULL;
   for (guint i = 0; i < position; i++) {
     const engine_order_record *earlier = orders->pdata[i];
     if (!id_equal(earlier->engine, order->engine))
       continue;
-    if (report_token(deployment, earlier, order))
+    if (report_fencing_violation(deployment, earlier, order))
       return true;
     if (!id_equal(earlier->holder, order->holder))
       other = earlier;
   }
   if (!other || order->received_at.us - other->received_at.us > DEPLOYMENT_LEASE_MS * 1000)
     return false;
-  return report_turns(deployment, orders, position, other);
+  return report_alternating_holders(deployment, orders, position, other);
 }
 
 static void print_orders(const GPtrArray *orders) {
@@ -110,7 +110,7 @@
   GPtrArray *orders = list_holder_orders(deployment);
   bool reported = false;
   for (guint i = 0; i < orders->len && !reported; i++)
-    reported = report_order(deployment, orders, i);
+    reported = report_order_violation(deployment, orders, i);
   if (g_getenv("SIM_COUNT"))
     print_orders(orders);
   g_ptr_array_free(orders, TRUE);
