--- a/emulator/gateway_check_trials.c
+++ b/emulator/gateway_check_trials.c
@@ -99,7 +99,7 @@
   return at.us > session->old_at.us + SESSION_PROPAGATION_MS * 1000;
 }
 
-static void judge_candidate_run(const trial_check *check, const char *key, trial_session *session,
+static void check_candidate_run(const trial_check *check, const char *key, trial_session *session,
                                 const client_sim_attempt *attempt, const engine_run_record *run) {
   const deployment *deployment = check->index.deployment;
   if (session->old_seen && is_known_as_old(session, attempt->sent_at) &&
@@ -113,7 +113,7 @@
   session->candidate_seen = true;
 }
 
-static void judge_old_run(const trial_check *check, const char *key, trial_session *session,
+static void check_old_run(const trial_check *check, const char *key, trial_session *session,
                           const client_sim_attempt *attempt, const engine_run_record *run) {
   const deployment *deployment = check->index.deployment;
   const client_sim_attempt *fault = g_hash_table_lookup(check->first_faults, run->session);
@@ -146,7 +146,7 @@
           run->engine.text, side);
 }
 
-static void judge_run(trial_check *check, const engine_run_record *run) {
+static void check_trial_run(trial_check *check, const engine_run_record *run) {
   const client_sim_attempt *attempt = check_index_attempt(&check->index, run->request_id);
   const char *side = strrchr(run->policy, ' ');
   bool is_candidate = side && !strcmp(side, CANDIDATE_SUFFIX);
@@ -159,9 +159,9 @@
   char *key = g_strdup_printf("%.*s %s", (int)(side - run->policy), run->policy, run->session);
   trial_session *session = find_session(check, key);
   if (is_candidate)
-    judge_candidate_run(check, key, session, attempt, run);
+    check_candidate_run(check, key, session, attempt, run);
   else
-    judge_old_run(check, key, session, attempt, run);
+    check_old_run(check, key, session, attempt, run);
   g_free(key);
 }
 
@@ -172,7 +172,7 @@
   record_first_faults(&check);
   GPtrArray *runs = list_first_runs(&check);
   for (guint i = 0; i < runs->len; i++)
-    judge_run(&check, runs->pdata[i]);
+    check_trial_run(&check, runs->pdata[i]);
   g_ptr_array_free(runs, TRUE);
   g_hash_table_destroy(check.first_faults);
   g_hash_table_destroy(check.sessions);
