--- a/emulator/fleet_check_recovery.c
+++ b/emulator/fleet_check_recovery.c
@@ -28,7 +28,7 @@
 };
 
 /** Ratio of the share before a loss that is required after it. */
-static const double REQUIRED_PART = 0.9;
+static const double REQUIRED_RATIO = 0.9;
 /** How many standard deviations a window's share may lie below the required one. */
 static const double DEVIATIONS = 2;
 /** Upper bound of the share in the formula of the standard deviation, which would be 0 at a share
@@ -104,7 +104,7 @@
   completed_share before = measure_share(fleet, kind, from, until);
   if (before.requests < BASELINE_REQUESTS_MIN)
     return -1;
-  return REQUIRED_PART * before.completed / before.requests * remaining_capacity_ratio(fleet);
+  return REQUIRED_RATIO * before.completed / before.requests * remaining_capacity_ratio(fleet);
 }
 
 double fleet_recovery_s(fleet *fleet, time_us loss, time_us until, int kind) {
