--- a/emulator/fleet_check_markers.c
+++ b/emulator/fleet_check_markers.c
@@ -16,7 +16,7 @@
   PROBE_TIMEOUT_MS = 3000,
   /** The longest time that a response is in transit; it shows the policy in force when it was sent.
    */
-  RESPONSE_TRIP_MS = 200
+  RESPONSE_TRANSIT_MS = 200
 };
 
 void fleet_write_policy_marker(fleet *fleet) {
@@ -112,9 +112,9 @@
 } shown_marker;
 
 /* the earliest time at which the response to a probe may have been sent */
-static time_us response_given_at(const policy_probe *probe) {
-  time_us given = time_sub(probe->received_at, time_from_ms(RESPONSE_TRIP_MS));
-  return given.us < probe->sent_at.us ? probe->sent_at : given;
+static time_us response_sent_at(const policy_probe *probe) {
+  time_us response_at = time_sub(probe->received_at, time_from_ms(RESPONSE_TRANSIT_MS));
+  return response_at.us < probe->sent_at.us ? probe->sent_at : response_at;
 }
 
 static void check_not_reverted(fleet *fleet, const policy_probe *probe,
@@ -128,9 +128,9 @@
 
 static void check_probe(fleet *fleet, const policy_probe *probe, shown_marker *shown) {
   const char *router = fleet->router[probe->router]->self.text;
-  time_us given = response_given_at(probe);
-  const operator_write *required = required_marker_write(fleet, given);
-  double age_s = required ? (double)time_sub(given, required->answered_at).us / 1e6 : 0;
+  time_us response_at = response_sent_at(probe);
+  const operator_write *required = required_marker_write(fleet, response_at);
+  double age_s = required ? (double)time_sub(response_at, required->answered_at).us / 1e6 : 0;
   /* a router that admits no requests shows no policy */
   if (probe->status == 503 || probe->status == 429 || fleet->marker_count > MARKER_STATUS_COUNT)
     return;
--- a/emulator/fleet_check_recovery.c
+++ b/emulator/fleet_check_recovery.c
@@ -47,7 +47,7 @@
   double requests, completed;
 } completed_share;
 
-static bool counts(const fleet *fleet, const loadgen_request *request, int kind) {
+static bool is_counted(const fleet *fleet, const loadgen_request *request, int kind) {
   return request->outcome != OUTCOME_OPEN && request->outcome != OUTCOME_LEFT &&
          (kind == ALL_KINDS || kind_index(fleet, request) == kind);
 }
@@ -58,7 +58,7 @@
   for (guint i = 0; i < requests->len; i++) {
     const loadgen_request *request = requests->pdata[i];
     if (request->started_at.us < from.us || request->started_at.us >= until.us ||
-        !counts(fleet, request, kind))
+        !is_counted(fleet, request, kind))
       continue;
     share.requests++;
     share.completed += request->outcome == OUTCOME_DONE;
