--- a/emulator/registering_engine_batch.c
+++ b/emulator/registering_engine_batch.c
@@ -1,7 +1,7 @@
 /**
- * Continuous batching. A step reads a piece of the prompts (prefill, in order of admission) and
- * then gives a token to each stream whose prompt is read; its time grows with the number of
- * requests and with the prompt tokens it reads.
+ * Continuous batching. A step prefills a part of the pending prompts (in order of admission) and
+ * then generates one token for each stream whose prompt is complete. Its duration grows with the
+ * number of requests and with the prompt tokens that it prefills.
  */
 #include "registering_engine_sim.h"
 
@@ -15,7 +15,7 @@
   engine_kv_cache_clear(&batch->kv_cache);
 }
 
-/* the most urgent request in the queue, among equals the first to arrive */
+/* the most urgent request in the queue; of several, the first that arrived */
 static active_request *next_queued(engine_batch *batch) {
   active_request *best = NULL;
   list_for_each (queued, &batch->queue, active_request, link)
@@ -87,7 +87,7 @@
   condition_broadcast(&active->changed);
 }
 
-/* reads prompts, at most so many tokens in all; returns how many */
+/* prefills prompts up to a total number of tokens; returns how many were prefilled */
 static double prefill(engine_batch *batch, double max_tokens) {
   double used_tokens = 0;
   list_for_each (active, &batch->running, active_request, link) {
@@ -113,8 +113,8 @@
     append_event(active);
 }
 
-/* plans a step: reads prompts and returns the time it takes in ms, or a negative number when
- * nothing runs */
+/* prefills prompts for a step and returns the step's duration in ms, or a negative number when no
+ * request is running */
 static double begin_step(registering_engine_sim *engine) {
   const registering_engine_plan *plan = engine->plan;
   unsigned count = 0, reading = 0;
--- a/emulator/registering_engine_cache.h
+++ b/emulator/registering_engine_cache.h
@@ -2,11 +2,11 @@
 #define EMULATOR_REGISTERING_ENGINE_CACHE_H
 /**
  * KV memory of an engine: tokens reserved for admitted requests, and a cache of prompt prefixes in
- * what they leave. The cache evicts least recently used blocks first.
+ * the remaining space. The cache evicts the least recently used blocks first.
  */
 #include "world.h"
 
-/** A block of a prompt. Its key covers the model, the adapter and all blocks before it. */
+/** A block of a prompt. Its key hashes the model, the adapter, and the block with all before it. */
 typedef struct prefix_block {
   uint64_t key;
   double tokens;
@@ -21,16 +21,17 @@
 
 void engine_kv_cache_init(engine_kv_cache *cache, double capacity_tokens);
 void engine_kv_cache_clear(engine_kv_cache *cache);
-/** Reserves tokens and evicts cached blocks in their favour; false when they don't fit. */
+/** Reserves tokens, evicting cached blocks to make space; false when they don't fit. */
 bool engine_kv_cache_reserve(engine_kv_cache *cache, double tokens);
 void engine_kv_cache_release(engine_kv_cache *cache, double tokens);
 /** Evicts all blocks of a model. */
 void engine_kv_cache_evict_model(engine_kv_cache *cache, id model);
-/** Returns the tokens of the leading blocks that are cached, and marks these as just used. */
+/** Returns the tokens of the leading blocks that are cached, and marks these as most recently used.
+ */
 double engine_kv_cache_match(engine_kv_cache *cache, const GArray *blocks);
 /** Caches those blocks that are new and fit. */
 void engine_kv_cache_add(engine_kv_cache *cache, const GArray *blocks);
-/** Parses a prefix field "name:tokens,..." (may be NULL) to prefix_block items; the caller frees
- * the array. */
+/** Parses a prefix field "name:tokens,..." (may be NULL) into an array of prefix_block, which the
+ * caller frees. */
 GArray *prefix_blocks_parse(id model, id adapter, const char *field);
 #endif
--- a/emulator/registering_engine_heartbeat.c
+++ b/emulator/registering_engine_heartbeat.c
@@ -1,5 +1,5 @@
-/** Heartbeats: the body with the engine's state, and attempts at one control listener after another
- * until one accepts it. */
+/** Heartbeats: builds the body with the engine's state, and tries control listeners one after
+ * another until one accepts it. */
 #include "registering_engine_sim.h"
 
 enum {
@@ -66,7 +66,7 @@
   return accepted;
 }
 
-/* tries the named address, then each control listener once, from a random one on */
+/* tries the named address, then each control listener once, starting with a random one */
 static bool call_controllers(registering_engine_sim *engine, enum dialect_call call) {
   const GPtrArray *controllers = engine->plan->controllers;
   GString *body = g_string_new(NULL);
@@ -92,7 +92,7 @@
 }
 
 static void heartbeat_once(registering_engine_sim *engine) {
-  /* an acknowledgement counts only if draining was announced in the heartbeat's body */
+  /* the acknowledgement of the drain counts only if this heartbeat's body announced it */
   bool announced_drain = engine->draining;
   if (engine->plan->faults.no_heartbeats || !engine_heartbeat_send(engine))
     return;
--- a/emulator/registering_engine_orders.c
+++ b/emulator/registering_engine_orders.c
@@ -1,19 +1,19 @@
 /**
  * Orders of an engine: parse_order, decide_status and start_order, then a task that loads or
- * unloads. Loads from the shared store slow each other down; a model that the disk holds loads
- * faster; an order that doesn't fit the memory crashes the engine.
+ * unloads. Loads from the shared store slow each other down; a model on the local disk loads
+ * faster; a load that exceeds the memory crashes the engine.
  */
 #include "registering_engine_sim.h"
 #include <stdio.h>
 
 enum {
-  DISK_LOAD_TENTHS = 4, /* time of a load from disk, in tenths of one from the store */
-  ADAPTER_LOAD_MS = 40, /* when the plan names no time */
-  UNLOAD_POLL_MS = 200, /* how often an unload looks whether its runs have ended */
-  UNLOAD_MS = 20,       /* time of an unload once its runs have ended */
+  DISK_LOAD_TENTHS = 4, /* duration of a load from disk, in tenths of one from the store */
+  ADAPTER_LOAD_MS = 40, /* when the plan sets no duration */
+  UNLOAD_POLL_MS = 200, /* how often an unload checks whether its runs have ended */
+  UNLOAD_MS = 20,       /* duration of an unload once its runs have ended */
 };
 
-/* share by which a load takes longer on an engine whose slots are all busy */
+/* relative increase of a load's duration on an engine whose slots are all busy */
 static const double BUSY_LOAD_SLOWDOWN = 0.3;
 
 /* an order in progress; owned by its task */
@@ -37,7 +37,7 @@
   return MAX(1, (double)store->loading / store->full_speed_loads);
 }
 
-/* sleeps for the time of a load; false when the engine stops */
+/* sleeps for the duration of a load; false when the engine stops */
 static bool sleep_for_load(const order_task *task) {
   registering_engine_sim *engine = task->engine;
   weight_store_sim *store = engine->plan->store;
@@ -74,7 +74,7 @@
   g_free(task);
 }
 
-/* waits until no run uses what is to be unloaded; false when the engine stops */
+/* waits until no run uses the model or adapter to unload; false when the engine stops */
 static bool wait_for_runs(registering_engine_sim *engine, const engine_order_record *order) {
   world *world = engine->world;
   while (engine_batch_count_runs(engine, order->model, order->adapter)) {
@@ -116,7 +116,7 @@
   return ENGINE_SIM_ORDER_UNKNOWN;
 }
 
-/* parses an order and adds it to the log; expected_count is negative when the order names none */
+/* parses an order and adds it to the log; expected_count is negative when the order has none */
 static engine_order_record *parse_order(registering_engine_sim *engine, http_request *request,
                                         double *expected_count) {
   json *body = json_parse(string_view_of_gstring(request->body), NULL);
@@ -135,7 +135,8 @@
   return order;
 }
 
-/* an order equal to the one in progress is accepted, but not started again */
+/* whether two orders ask for the same; one that repeats the order in progress is accepted, but not
+ * started again */
 static bool is_same_order(const engine_order_record *a, const engine_order_record *b) {
   return a->op == b->op && id_equal(a->model, b->model) && id_equal(a->adapter, b->adapter);
 }
@@ -145,7 +146,7 @@
          order->fencing_token < 0 || !engine_models_find_spec(engine, order->model);
 }
 
-/* the status of an order that an idle engine gets: 200 when there is nothing to do */
+/* the status of an order to an engine that executes none: 200 when there is nothing to do */
 static int decide_idle_status(registering_engine_sim *engine, const engine_order_record *order) {
   const loaded_model *model = engine_models_find(engine, order->model);
   bool is_present = model && (!is_for_adapter(order) ||
@@ -246,7 +247,7 @@
   http_request_respond(request, status, "application/json", string_view_of(text));
 }
 
-/* fault: the order arrives late; false when the engine stops before */
+/* simulates the fault that an order arrives late; false when the engine stops before that */
 static bool delay_order(registering_engine_sim *engine) {
   registering_engine_faults *faults = &engine->plan->faults;
   if (faults->late_orders <= 0)
--- a/emulator/registering_engine_orders.h
+++ b/emulator/registering_engine_orders.h
@@ -1,8 +1,9 @@
 #ifndef EMULATOR_REGISTERING_ENGINE_ORDERS_H
 #define EMULATOR_REGISTERING_ENGINE_ORDERS_H
 /**
- * Orders to load or unload models and adapters. An engine carries out one order at a time; the
- * count of started orders lets a sender detect that another one came first (field "expect").
+ * Orders to load or unload models and adapters. An engine executes one order at a time. An order
+ * may name the count of started orders that it expects (field "expect") and is refused if another
+ * order was started in the meantime.
  */
 #include "http_request.h"
 #include "registering_engine_plan.h"
@@ -16,6 +17,6 @@
   int64_t fencing_token; /* the highest token of an accepted order */
 } engine_order_progress;
 
-/** Decides on an order, starts it if accepted, records it and responds. */
+/** Accepts or refuses an order, starts it if accepted, records it and responds. */
 void engine_orders_serve(registering_engine_sim *engine, http_request *request);
 #endif
--- a/emulator/registering_engine_records.h
+++ b/emulator/registering_engine_records.h
@@ -1,23 +1,24 @@
 #ifndef EMULATOR_REGISTERING_ENGINE_RECORDS_H
 #define EMULATOR_REGISTERING_ENGINE_RECORDS_H
 /**
- * Records that registering engines write for the checkers: each arrival of a request, each order
- * and the end of each incarnation. Checkers compare them with what callers saw.
+ * Records that registering engines keep for the checkers: each arrival of a request, each order and
+ * the end of each incarnation. Checkers compare them with the records of the callers.
  */
 #include "world.h"
 
-/** What became of one arrival of a request. The values are the letters that traces print. */
+/** Outcome of one arrival of a request. The values are the letters that traces print. */
 enum engine_run_outcome {
   ENGINE_RUN_PENDING = 0,       /* received, neither started nor refused yet */
   ENGINE_RUN_RUNNING = 'r',     /* started and not ended */
-  ENGINE_RUN_DONE = 'd',        /* answered in full */
-  ENGINE_RUN_FAILED = 'f',      /* failed at the engine by itself (500) */
-  ENGINE_RUN_CLIENT_GONE = 'c', /* the client left during the run */
+  ENGINE_RUN_DONE = 'd',        /* answered completely */
+  ENGINE_RUN_FAILED = 'f',      /* failed inside the engine (500) */
+  ENGINE_RUN_CLIENT_GONE = 'c', /* the client disconnected during the run */
   ENGINE_RUN_BROKEN = 'b',      /* the response was lost or truncated */
-  ENGINE_RUN_TIMEOUT = 't',     /* out of time during the run */
+  ENGINE_RUN_TIMEOUT = 't',     /* the deadline passed during the run */
   ENGINE_RUN_REFUSED = 'n',     /* not run: refused */
   ENGINE_RUN_MISDIRECTED = 'x', /* not run: meant for another engine, or model not loaded */
-  ENGINE_RUN_DEQUEUED = 'q',    /* not run: the client left the queue, or the engine ended */
+  ENGINE_RUN_DEQUEUED =
+      'q', /* not run: the client disconnected while queued, or the engine stopped */
 };
 
 /** What an order asks for. The values are the letters that traces print. */
@@ -50,9 +51,9 @@
   int64_t fencing_token; /* -1: the order had none */
   enum engine_order_operation op;
   int status;         /* HTTP status, or ENGINE_SIM_ORDER_DROPPED */
-  bool over_capacity; /* it doesn't fit, and the engine crashes */
+  bool over_capacity; /* it exceeds the memory, so the engine crashes */
   bool from_store;    /* the weights come from the shared store, not from the disk */
-  bool started;       /* it started a task; false when it repeats the order in progress */
+  bool started;       /* false when refused, already fulfilled, or equal to the order in progress */
 } engine_order_record;
 
 /** The end of one incarnation. Instants are 0 until they come. */
@@ -71,14 +72,14 @@
   uint64_t heartbeats, heartbeats_failed, reports, health_checks;
 } engine_record_log;
 
-/** True for an arrival that was refused or left the queue; one still pending isn't counted so. */
+/** True for an arrival that was refused or left the queue; false for one that is still pending. */
 bool engine_run_is_not_run(const engine_run_record *run);
 /** Returns an empty log; free it with engine_record_log_free. */
 engine_record_log *engine_record_log_new(void);
 void engine_record_log_free(engine_record_log *log);
 
-/** Appends the n bytes of the plain response to a request: they follow from its id. */
+/** Appends the n bytes of the plain response to a request, which are derived from its id. */
 void engine_response_body(GString *to, const char *request_id, size_t n);
-/** Returns the checksum that stands for a request's method, target and body. */
+/** Returns the checksum of a request's method, target and body. */
 uint64_t engine_request_checksum(const char *method, const char *target, string_view body);
 #endif
--- a/emulator/registering_engine_report.c
+++ b/emulator/registering_engine_report.c
@@ -1,7 +1,8 @@
-/** Lagging state reports: snapshots of the last REPORT_LAG_MS, merged when taken close together. */
+/** Delayed state reports: snapshots of the last REPORT_LAG_MS, merged when taken close together. */
 #include "registering_engine_sim.h"
 
-/* reports show the state of this time ago; snapshots closer than the merge span become one */
+/* reports show the state of REPORT_LAG_MS ago; snapshots closer than SNAPSHOT_MERGE_MS become one
+ */
 enum { REPORT_LAG_MS = 200, SNAPSHOT_MERGE_MS = 50 };
 
 typedef struct snapshot {
@@ -39,7 +40,7 @@
   return now.us - taken->taken_at.us >= time_from_ms(ms).us;
 }
 
-/* keeps the newest snapshot that is old enough for a report, and all after it */
+/* keeps the newest snapshot that is old enough for a report, and all newer ones */
 static void drop_old_snapshots(GQueue *snapshots, time_us now) {
   while (snapshots->length > 1 && is_older_than(g_queue_peek_nth(snapshots, 1), now, REPORT_LAG_MS))
     snapshot_free(g_queue_pop_head(snapshots));
--- a/emulator/registering_engine_report.h
+++ b/emulator/registering_engine_report.h
@@ -1,8 +1,8 @@
 #ifndef EMULATOR_REGISTERING_ENGINE_REPORT_H
 #define EMULATOR_REGISTERING_ENGINE_REPORT_H
 /**
- * State reports of an engine. As with real engines they lag: a report shows the state of some time
- * ago, from snapshots taken at each change.
+ * State reports of an engine. As with real engines they lag behind: a report shows an earlier
+ * state, from snapshots taken at each change.
  */
 #include "http_request.h"
 
--- a/emulator/registering_engine_requests.c
+++ b/emulator/registering_engine_requests.c
@@ -1,6 +1,6 @@
 /**
- * A request's way through an engine: parse and record it, refuse it or queue it, run it once it is
- * admitted. A refusal carries the field that says "not run", so that a gateway may retry elsewhere.
+ * Handles a request: parses and records it, refuses or queues it, and runs it once it is admitted.
+ * A refusal carries the header field that says "not run", so that a gateway may retry elsewhere.
  */
 #include "registering_engine_sim.h"
 #include <stdio.h>
@@ -13,7 +13,7 @@
   PROBABILITY_SCALE = 1000000,
 };
 
-/* Retry-After, in seconds: until a model is loaded, and until a slot is free */
+/* Retry-After in seconds, for a model that is not loaded and for an engine without free slots */
 static const char RETRY_WHEN_LOADED[] = "0.5", RETRY_WHEN_FREE[] = "0.2";
 
 /* a request, parsed */
@@ -38,7 +38,7 @@
   return engine->plan->dialect->header_names[field];
 }
 
-/* copies a header field that the dialect may lack to a zeroed buffer */
+/* copies a header field, if the dialect has it, to a zeroed buffer */
 static void copy_field(const incoming_request *incoming, enum dialect_field field, char *to,
                        size_t size) {
   const char *name = header_name(incoming->engine, field);
@@ -123,7 +123,8 @@
   incoming->record->ended_at = world_now(incoming->engine->world);
 }
 
-/* refuses a request that is malformed, meant for another engine, or for a model not loaded here */
+/* the refusal of a request that is malformed, meant for another engine, or for a model not loaded
+ */
 static refusal check_destination(const incoming_request *incoming) {
   static const refusal ACCEPTED = { ENGINE_RUN_PENDING, 0, NULL };
   static const refusal MALFORMED = { ENGINE_RUN_REFUSED, 400, NULL };
@@ -157,7 +158,8 @@
   return incoming->streams && incoming->prompt_tokens + incoming->output_tokens > plan->kv_tokens;
 }
 
-/* true when the request was refused, or ended without a response as the engine is unresponsive */
+/* true when the request was refused, or ended without a response because the engine is unresponsive
+ */
 static bool refuse(const incoming_request *incoming) {
   static const refusal BUSY = { ENGINE_RUN_REFUSED, 503, RETRY_WHEN_FREE };
   const registering_engine_faults *faults = &incoming->engine->plan->faults;
@@ -168,7 +170,7 @@
     engine_response_withhold(incoming->engine, incoming->request, UNRESPONSIVE_WAIT_MS);
   else if (exceeds_capacity(incoming))
     respond_not_run(incoming, BUSY);
-  /* the fault may have been repaired in the meantime: then the request goes on */
+  /* if the fault has ended in the meantime, the request is processed */
   if (!incoming->request->response_ended && !faults->unresponsive)
     return false;
   if (incoming->record->outcome == ENGINE_RUN_PENDING)
@@ -197,7 +199,7 @@
   condition_init(&active->changed);
 }
 
-/* true when the model of a queued request is gone or going */
+/* true when the model of a queued request is unloaded or unloading */
 static bool is_model_unloaded(const incoming_request *incoming) {
   if (!incoming->streams)
     return false;
@@ -241,7 +243,7 @@
   engine_report_take_snapshot(engine);
 }
 
-/* fault: draws whether this run fails */
+/* simulates intermittent failures: draws whether this run fails */
 static bool draw_failure(registering_engine_sim *engine) {
   double probability = engine->plan->faults.intermittent_failures;
   return probability > 0 &&
--- a/emulator/registering_engine_requests.h
+++ b/emulator/registering_engine_requests.h
@@ -1,6 +1,6 @@
 #ifndef EMULATOR_REGISTERING_ENGINE_REQUESTS_H
 #define EMULATOR_REGISTERING_ENGINE_REQUESTS_H
-/** Requests at an engine: parsed and recorded, refused or queued, and run once admitted. */
+/** Requests to an engine: parsed and recorded, refused or queued, and run once admitted. */
 #include "http_request.h"
 
 typedef struct registering_engine_sim registering_engine_sim;
--- a/emulator/registering_engine_responses.c
+++ b/emulator/registering_engine_responses.c
@@ -1,10 +1,10 @@
-/** Plain and streamed responses of an engine, with the faults that may befall them. */
+/** Plain and streamed responses of an engine, with their simulated faults. */
 #include "registering_engine_sim.h"
 
 enum {
   LOST_RESPONSE_WAIT_MS = 20000, /* longer than any client waits for a lost response */
-  TRUNCATED_WRITE_MS = 2000,     /* limit for writing the half of a truncated response */
-  PLAIN_BODY_BYTES = 800,        /* when the request names no size */
+  TRUNCATED_WRITE_MS = 2000,     /* timeout for writing the first half of a truncated response */
+  PLAIN_BODY_BYTES = 800,        /* when the request sets no size */
 };
 
 static const char OUT_OF_TIME[] = "out of time\n";
@@ -54,7 +54,7 @@
   return engine->send_stray_response && engine->last_response.request_id[0];
 }
 
-/* fault: another request's response, or garbage, ahead of the response */
+/* fault: another request's response, or garbage, before the response */
 static void send_stray_before(registering_engine_sim *engine, http_request *request) {
   registering_engine_faults *faults = &engine->plan->faults;
   if (!can_send_stray(engine))
@@ -68,7 +68,7 @@
   }
 }
 
-/* fault: another request's response behind the response */
+/* fault: another request's response after the response */
 static void send_stray_after(registering_engine_sim *engine, http_request *request) {
   registering_engine_faults *faults = &engine->plan->faults;
   if (!can_send_stray(engine) || faults->extra_responses <= 0)
@@ -84,7 +84,7 @@
   return bytes;
 }
 
-/* fault: half a response, then the connection ends */
+/* fault: half of the response, then the connection is closed */
 static void truncate_plain(active_request *active, http_request *request, const GString *body) {
   time_us until = time_add(world_now(active->engine->world), time_from_ms(TRUNCATED_WRITE_MS));
   active->engine->plan->faults.truncate_responses--;
@@ -107,7 +107,8 @@
   last->body_bytes = body_bytes;
 }
 
-/* works until done, the deadline or the client's end; false when the engine stops */
+/* waits until the work is done, the deadline passes or the client disconnects; false when the
+ * engine stops */
 static bool work(active_request *active, http_request *request, time_us done, time_us deadline) {
   world *world = active->engine->world;
   time_us until = done.us < deadline.us ? done : deadline;
@@ -175,7 +176,7 @@
   }
 }
 
-/* true when the stream goes on */
+/* waits for pending events; true when the stream continues */
 static bool wait_for_events(stream_response *stream) {
   active_request *active = stream->active;
   scheduler *tasks = &active->engine->world->tasks;
@@ -191,7 +192,8 @@
   }
 }
 
-/* fault: events are lost, and the client waits in vain; true when the stream goes on */
+/* fault: drops the events, so that the client waits without receiving any; true when the stream
+ * continues */
 static bool lose_events(stream_response *stream) {
   active_request *active = stream->active;
   g_string_truncate(active->pending_output, 0);
@@ -210,7 +212,7 @@
   http_request_begin(stream->request, 200, "text/event-stream");
 }
 
-/* writes the pending events; true when the stream goes on */
+/* writes the pending events; true when the stream continues */
 static bool write_events(stream_response *stream) {
   active_request *active = stream->active;
   registering_engine_sim *engine = active->engine;
@@ -252,7 +254,7 @@
     http_request_end(stream->request, record->outcome == ENGINE_RUN_DONE);
 }
 
-/* a client that resumes behind the last event gets an empty stream */
+/* a client that resumes after the last event gets an empty stream */
 static void respond_empty_stream(active_request *active, http_request *request) {
   active->record->outcome = ENGINE_RUN_DONE;
   active->record->ended_at = world_now(active->engine->world);
--- a/emulator/registering_engine_sim.c
+++ b/emulator/registering_engine_sim.c
@@ -1,4 +1,4 @@
-/** Life of a registering engine: start, requests to its listener, graceful shutdown, end. */
+/** Lifecycle of a registering engine: start, requests to its listener, graceful shutdown, end. */
 #include "registering_engine_sim.h"
 #include <stdio.h>
 
@@ -9,9 +9,9 @@
   HEADER_TIMEOUT_MS = 10000,
   DRAIN_ANNOUNCE_ATTEMPTS = 8,
   DRAIN_ANNOUNCE_RETRY_MS = 200,
-  DRAIN_UNACKED_MS = 6000, /* waits this long when no controller acknowledged the drain */
-  DRAIN_MARGIN_MS = 300,   /* added to the wait, for requests on their way */
-  DRAIN_POLL_MS = 100,     /* how often it looks whether its runs have ended */
+  DRAIN_UNACKED_MS = 6000, /* time to wait when no controller acknowledged the drain */
+  DRAIN_MARGIN_MS = 300,   /* added to the wait, for requests in transit */
+  DRAIN_POLL_MS = 100,     /* how often it checks whether its runs have ended */
   DRAIN_POLLS_MAX = 100,
 };
 
@@ -78,13 +78,14 @@
   return true;
 }
 
-/* runs until the end that was announced; false when the engine stops */
+/* keeps running until the announced end; false when the engine stops */
 static bool wait_for_notice(registering_engine_sim *engine) {
   time_us left = time_sub(engine->drain_ends_at, world_now(engine->world));
   return left.us <= 0 || world_sleep(engine->world, left);
 }
 
-/* waits until no request is expected or running any more; false when the engine stops */
+/* waits until no more requests are expected and none is running, for DRAIN_POLLS_MAX polls at most;
+ * false when the engine stops */
 static bool wait_for_drain(registering_engine_sim *engine) {
   bool is_acked = engine->stop_record->acked_at.us != 0;
   int64_t wait_ms = (is_acked ? engine->plan->drain_ms : DRAIN_UNACKED_MS) + DRAIN_MARGIN_MS;
