--- a/emulator/registering_engine_batch.c
+++ b/emulator/registering_engine_batch.c
@@ -79,7 +79,7 @@
 }
 
 static void append_event(active_request *active) {
-  uint64_t event_id = active->first_event + ++active->events_sent;
+  uint64_t event_id = active->events_skipped + ++active->events_sent;
   active->last_event_sent = active->tokens >= active->tokens_wanted;
   g_string_append_printf(active->pending_output, "id: %" PRIu64 "\ndata: %s %" PRIu64 "%s\n\n",
                          event_id, active->record->run_id, event_id,
@@ -117,16 +117,16 @@
  * request is running */
 static double begin_step(registering_engine_sim *engine) {
   const registering_engine_plan *plan = engine->plan;
-  unsigned count = 0, reading = 0;
+  unsigned count = 0, prefilling = 0;
   list_for_each (active, &engine->batch.running, active_request, link) {
     count++;
-    reading += active->prefill_left_tokens > 0;
+    prefilling += active->prefill_left_tokens > 0;
   }
   if (!count)
     return -1;
   double ms = plan->step_ms + plan->step_per_request_ms * count;
-  double piece_tokens = reading ? plan->prefill_tokens_per_ms * ms : 0;
-  double used_tokens = prefill(&engine->batch, piece_tokens);
+  double max_prefill_tokens = prefilling ? plan->prefill_tokens_per_ms * ms : 0;
+  double used_tokens = prefill(&engine->batch, max_prefill_tokens);
   return ms + used_tokens / (plan->prefill_tokens_per_ms > 0 ? plan->prefill_tokens_per_ms : 1);
 }
 
--- a/emulator/registering_engine_batch.h
+++ b/emulator/registering_engine_batch.h
@@ -17,7 +17,7 @@
   double prefill_left_tokens, kv_tokens;
   unsigned priority; /* lower is more urgent */
   unsigned tokens, tokens_wanted;
-  uint64_t first_event; /* number of events that the client already has; this run skips them */
+  uint64_t events_skipped; /* number of events that the client already has; this run skips them */
   unsigned events_sent;
   condition changed;       /* it was admitted, output is pending, or the client disconnected */
   GString *pending_output; /* events not yet written */
--- a/emulator/registering_engine_heartbeat.c
+++ b/emulator/registering_engine_heartbeat.c
@@ -35,10 +35,11 @@
 static char *path_for_engine(const dialect *dialect, enum dialect_call call,
                              const char *engine_id) {
   const char *path = dialect->calls[call].path;
-  const char *hole = strstr(path, "{}");
-  if (!hole)
+  const char *placeholder = strstr(path, "{}");
+  if (!placeholder)
     return g_strdup(path);
-  return g_strdup_printf("%.*s%s%s", (int)(hole - path), path, engine_id, hole + strlen("{}"));
+  return g_strdup_printf("%.*s%s%s", (int)(placeholder - path), path, engine_id,
+                         placeholder + strlen("{}"));
 }
 
 /* one attempt at one control listener */
--- a/emulator/registering_engine_orders.c
+++ b/emulator/registering_engine_orders.c
@@ -166,7 +166,7 @@
     return 421;
   if (is_malformed(engine, order))
     return 400;
-  if (engine->plan->faults.fenced && order->fencing_token < state->fencing_token)
+  if (engine->plan->faults.rejects_stale_tokens && order->fencing_token < state->fencing_token)
     return 412;
   if (expected_count >= 0 && (uint64_t)expected_count != state->started_count)
     return 409;
--- a/emulator/registering_engine_plan.h
+++ b/emulator/registering_engine_plan.h
@@ -28,7 +28,7 @@
   unsigned truncate_after_events;
   double intermittent_failures; /* probability that a run fails */
   double slowdown;              /* factor of the duration of all runs; 0: none */
-  bool unresponsive, no_heartbeats, fenced, no_sign_off;
+  bool unresponsive, no_heartbeats, rejects_stale_tokens, no_sign_off;
 } registering_engine_faults;
 
 /** An engine's plan. Pointers are owned by whoever sets the plan up. */
--- a/emulator/registering_engine_requests.c
+++ b/emulator/registering_engine_requests.c
@@ -190,9 +190,9 @@
       (unsigned)fields_get_number(fields, header_name(engine, DF_PRIORITY), PRIORITY_DEFAULT);
   record->resumed_after =
       (uint64_t)fields_get_number(fields, header_name(engine, DF_LAST_EVENT_ID), 0);
-  active->first_event = record->resumed_after;
+  active->events_skipped = record->resumed_after;
   active->tokens_wanted = (unsigned)MAX(1, incoming->output_tokens);
-  active->tokens = (unsigned)MIN(active->first_event * engine->plan->event_tokens,
+  active->tokens = (unsigned)MIN(active->events_skipped * engine->plan->event_tokens,
                                  (uint64_t)active->tokens_wanted);
   if (incoming->streams)
     active->kv_tokens = incoming->prompt_tokens + incoming->output_tokens;
@@ -222,7 +222,7 @@
   return active->admitted;
 }
 
-static void give_up_waiting(const incoming_request *incoming) {
+static void end_unadmitted(const incoming_request *incoming) {
   static const refusal NOT_ADMITTED = { ENGINE_RUN_REFUSED, 503, RETRY_WHEN_FREE };
   if (incoming->engine->world->tasks.stopped || incoming->request->client_gone)
     record_dequeued(incoming);
@@ -282,6 +282,6 @@
   if (wait_for_admission(&incoming, &active))
     run_request(&incoming, &active);
   else
-    give_up_waiting(&incoming);
+    end_unadmitted(&incoming);
   engine_batch_release(&active);
 }
--- a/emulator/registering_engine_responses.c
+++ b/emulator/registering_engine_responses.c
@@ -109,7 +109,8 @@
 
 /* waits until the work is done, the deadline passes or the client disconnects; false when the
  * engine stops */
-static bool work(active_request *active, http_request *request, time_us done, time_us deadline) {
+static bool simulate_work(active_request *active, http_request *request, time_us done,
+                          time_us deadline) {
   world *world = active->engine->world;
   time_us until = done.us < deadline.us ? done : deadline;
   while (world_now(world).us < until.us && !request->client_gone)
@@ -124,7 +125,7 @@
   engine_run_record *record = active->record;
   double work_ms = (double)engine->plan->work_ms * registering_engine_slowdown(engine->plan);
   time_us done = time_add(world_now(engine->world), time_from_ms((int64_t)work_ms));
-  if (!work(active, request, done, deadline)) {
+  if (!simulate_work(active, request, done, deadline)) {
     record->outcome = ENGINE_RUN_BROKEN;
     return;
   }
@@ -219,7 +220,7 @@
   engine_run_record *record = active->record;
   send_stream_headers(stream);
   record->events = active->events_sent;
-  record->last_event = (unsigned)(active->first_event + active->events_sent);
+  record->last_event = (unsigned)(active->events_skipped + active->events_sent);
   record->last_event_at = world_now(engine->world);
   string_view events = string_view_of_gstring(active->pending_output);
   if (http_request_write(stream->request, events, stream->deadline) != OK)
@@ -271,9 +272,9 @@
   }
   engine_batch_start(active->engine);
   request->client_gone_condition = &active->changed;
-  bool goes_on = true;
-  while (goes_on && !request->client_gone)
-    goes_on = advance_stream(&stream);
+  bool continues = true;
+  while (continues && !request->client_gone)
+    continues = advance_stream(&stream);
   request->client_gone_condition = NULL;
   end_stream(&stream);
 }
