--- a/emulator/engine_sim.c
+++ b/emulator/engine_sim.c
@@ -1,4 +1,4 @@
-/** A simulated engine: its pages, its items in memory, its records, start and end. */
+/** A simulated engine: its HTTP endpoints, its items in memory, its records, start and end. */
 #include "engine_sim.h"
 #include "engine_sim_internal.h"
 #include <stdio.h>
@@ -37,7 +37,7 @@
   http_request_respond(request, status, "application/json", string_view_of(body));
 }
 
-/* sets those faults that the request names */
+/* sets the faults that the request names and leaves the others */
 static void serve_fault(engine_sim *engine, http_request *request) {
   engine_faults *faults = &engine->faults;
   json *body = json_parse(string_view_of_gstring(request->body), NULL);
--- a/emulator/engine_sim.h
+++ b/emulator/engine_sim.h
@@ -1,20 +1,20 @@
 #ifndef EMULATOR_ENGINE_SIM_H
 #define EMULATOR_ENGINE_SIM_H
 /**
- * A simulated engine that a router polls. It keeps its own records of every order and stream, apart
- * from what it reports, for the checkers.
+ * A simulated engine that routers poll. For the checkers it records every order and stream,
+ * independently of what it reports.
  */
 #include "json.h"
 #include "log.h"
 #include "world.h"
 
-/** Faults to simulate; the integers of the first line count down with each use. */
+/** Faults to simulate; the integers of the first line are decremented with each use. */
 typedef struct engine_faults {
   int fail_loads, fail_unloads, unanswered_loads, unanswered_unloads, drop_orders, die_early;
   int64_t order_delay_ms, token_ms, break_after;
   double load_mb_per_s, slowdown;
   bool no_epochs, wrong_attempt_echo, stale_reports;
-  int streams_max; /* 0: the usual limit; below 0: refuses all */
+  int streams_max; /* 0: the default limit; below 0: refuses all runs */
 } engine_faults;
 
 /** What an order asks for. The values are the letters of record lines. */
@@ -26,15 +26,15 @@
   id model, adapter, holder;
   uint64_t epoch;
   bool accepted, over_capacity;
-  bool after_freeze; /* it may have waited in a frozen engine: its time says nothing */
+  bool after_freeze; /* it may have arrived while the engine was frozen, at an unknown time */
 } engine_sim_order;
 
 /** How a stream ended. */
 enum engine_sim_outcome {
   ENGINE_SIM_RUNNING = 'r',
   ENGINE_SIM_DONE = 'd',
-  ENGINE_SIM_BROKEN = 'b', /* by the engine's fault */
-  ENGINE_SIM_CUT = 'c',    /* by the router or the engine's end */
+  ENGINE_SIM_BROKEN = 'b', /* by a fault of the engine */
+  ENGINE_SIM_CUT = 'c',    /* because the router closed the connection or the engine stopped */
 };
 
 typedef struct engine_sim_stream {
@@ -88,13 +88,13 @@
   time_us unfrozen_at; /* 0: never frozen */
   GQueue prefixes;     /* char *, least recently used first */
   GString *old_report; /* for the fault stale_reports */
-  /** Called with each line of the record as it is written, so that it outlives the process; or
-   * NULL. */
+  /** Called with each record line when it is written, so that records outlive the process; or NULL.
+   */
   void (*on_record)(void *context, const char *line);
   void *on_record_context;
 } engine_sim;
 
-/** Starts an engine that serves a world's requests. */
+/** Starts an engine that serves the HTTP requests of a world. */
 engine_sim *engine_sim_new(world *world, id self, id type, id area, uint64_t weights_mb,
                            unsigned slots);
 void engine_sim_free(engine_sim *engine);
--- a/emulator/engine_sim_internal.h
+++ b/emulator/engine_sim_internal.h
@@ -1,6 +1,6 @@
 #ifndef EMULATOR_ENGINE_SIM_INTERNAL_H
 #define EMULATOR_ENGINE_SIM_INTERNAL_H
-/** What the modules of the simulated engine share. */
+/** Functions shared by the modules of the simulated engine. */
 #include "engine_sim.h"
 
 /** Returns a model (adapter empty) or adapter in memory, or NULL. */
@@ -8,13 +8,13 @@
 void engine_sim_remove_item(engine_sim_item *item);
 /** Wakes the requests that wait for a new report. */
 void engine_sim_signal_report(engine_sim *engine);
-/** Writes a line of the record: its type, the time, the engine and the rest. */
+/** Writes a record line: its type, the time, the engine and the rest. */
 void engine_sim_write_record(engine_sim *engine, char type, const char *rest);
-/** Responds with a status and a text; the run did not take place. */
+/** Responds with a status, a text, and the statement that nothing was run. */
 void engine_sim_respond(http_request *request, int status, const char *text);
 
-/** Serves the state report: at once if it differs from what the caller knows, else when it changes.
- */
+/** Serves the state report: at once if it differs from the one that the caller has, otherwise when
+ * it changes or the long poll times out. */
 void engine_sim_serve_state(engine_sim *engine, http_request *request);
 /** Serves an order to load or unload. */
 void engine_sim_serve_order(engine_sim *engine, http_request *request,
--- a/emulator/engine_sim_orders.c
+++ b/emulator/engine_sim_orders.c
@@ -1,22 +1,23 @@
 /**
- * Orders of a simulated engine. An order is accepted if its epoch and number are newer than those
- * of the last; a task then loads or unloads.
+ * Orders to a simulated engine. An order is refused as stale unless its epoch is higher than that
+ * of the last one, or equal with a higher number. An accepted order starts a task that loads or
+ * unloads.
  */
 #include "engine_sim_internal.h"
 #include <stdio.h>
 
 enum {
-  LOAD_BASE_MS = 300,         /* time of a load without its weights */
-  LOAD_MB_PER_S = 8000,       /* when no fault sets another rate */
-  ADAPTER_MB = 200,           /* size of what names no weights */
-  LOAD_MIN_MS = 1,            /* a load takes at least this, also when it is due already */
-  UNLOAD_MS = 60,             /* time of an unload once its runs have ended */
-  UNLOAD_POLL_MS = 50,        /* how often an unload looks whether its runs have ended */
-  AFTER_FREEZE_MS = 20,       /* orders so soon after a freeze have waited in it */
+  LOAD_BASE_MS = 300,   /* fixed part of a load's duration */
+  LOAD_MB_PER_S = 8000, /* when no fault sets another rate */
+  ADAPTER_MB = 200,     /* size of an item whose order has no weightsMb */
+  LOAD_MIN_MS = 1,      /* minimum duration of a load, even if it is already due */
+  UNLOAD_MS = 60,       /* duration of an unload once its runs have ended */
+  UNLOAD_POLL_MS = 50,  /* how often an unload checks whether its runs have ended */
+  AFTER_FREEZE_MS = 20, /* orders received within this time after a freeze may have waited in it */
   UNANSWERED_ORDER_MS = 8000, /* how long an unanswered order's connection stays open */
 };
 
-/* the work of an accepted order; owned by its task */
+/* an accepted order in progress; owned by its task */
 typedef struct order_task {
   engine_sim *engine;
   id model, adapter;
@@ -59,7 +60,7 @@
   g_free(task);
 }
 
-/* waits for the item's runs to end, and for the time of the unload itself */
+/* waits for the item's runs to end, and for the duration of the unload itself */
 static void sleep_for_unload(const order_task *task, const engine_sim_item *item) {
   world *world = task->engine->world;
   while (item && item->running && world_sleep(world, time_from_ms(UNLOAD_POLL_MS)))
@@ -130,7 +131,7 @@
          (epoch == engine->epoch && parsed->number <= engine->number);
 }
 
-/* fault: whether the order gets no response */
+/* whether an order gets no response; decrements the fault's counter if so */
 static bool take_unanswered(engine_sim *engine, enum engine_sim_order_kind kind) {
   engine_faults *faults = &engine->faults;
   int *left = kind == ENGINE_SIM_LOAD ? &faults->unanswered_loads : &faults->unanswered_unloads;
@@ -140,7 +141,7 @@
   return true;
 }
 
-/* whether a load of something new exceeds the memory, or lacks the model of an adapter */
+/* whether a new item exceeds the memory or the adapter slots, or is an adapter without its model */
 static bool exceeds_capacity(engine_sim *engine, const parsed_order *parsed) {
   const engine_sim_order *order = &parsed->order;
   uint64_t used_mb = 0;
@@ -176,7 +177,7 @@
   list_append(&engine->items, &item->link);
 }
 
-/* carries out a load; returns the status */
+/* starts a load; returns the status */
 static int start_load(engine_sim *engine, parsed_order *parsed) {
   engine_sim_order *order = &parsed->order;
   const engine_sim_item *item = engine_sim_find_item(engine, order->model, order->adapter);
@@ -193,14 +194,15 @@
   return 202;
 }
 
-/* adapters whose model is unloaded are useless, and still take their slots */
+/* counts the adapters of a model to be unloaded: they become useless, but still occupy their slots
+ */
 static void count_orphaned_adapters(engine_sim *engine, id model) {
   list_for_each (item, &engine->items, engine_sim_item, link)
     engine->orphaning_unloads +=
         id_equal(item->model, model) && !id_is_empty(item->adapter) && item->state == ENGINE_SIM_UP;
 }
 
-/* carries out an unload; returns the status */
+/* starts an unload; returns the status */
 static int start_unload(engine_sim *engine, parsed_order *parsed) {
   engine_sim_order *order = &parsed->order;
   engine_sim_item *item = engine_sim_find_item(engine, order->model, order->adapter);
--- a/emulator/engine_sim_state.c
+++ b/emulator/engine_sim_state.c
@@ -1,4 +1,4 @@
-/** State reports of a simulated engine, by long polling. */
+/** State reports of a simulated engine, served by long polling. */
 #include "engine_sim_internal.h"
 #include <stdlib.h>
 
@@ -44,7 +44,7 @@
   g_string_append(to, "]}");
 }
 
-/* the report that the caller knows: ?after=SEQUENCE&boot=BOOT */
+/* the report that the caller has, from the query ?after=SEQUENCE&boot=BOOT */
 typedef struct known_report {
   uint64_t sequence;
   char boot[24];
--- a/emulator/engine_sim_streams.c
+++ b/emulator/engine_sim_streams.c
@@ -1,11 +1,11 @@
-/** Runs of a simulated engine: an event stream with a token per event, at a fixed rate. */
+/** Runs of a simulated engine: event streams with one token per event, at a fixed rate. */
 #include "engine_sim_internal.h"
 #include <stdio.h>
 
 enum {
   CACHED_PREFIXES = 16,
   STREAMS_MAX = 64,           /* when no fault sets another limit */
-  TOKEN_MS = 30,              /* when no fault sets another time */
+  TOKEN_MS = 30,              /* when no fault sets another interval */
   UNCACHED_PREFIX_FACTOR = 4, /* time to the first token of an uncached prefix, in token times */
   TOKENS_DEFAULT = 8,
   WRITE_TIMEOUT_MS = 10000,
@@ -18,13 +18,13 @@
   guint index; /* of its record in engine->streams */
   id model, adapter;
   char attempt[96];
-  char tag[96]; /* in events; the fault wrong_attempt_echo names another's */
+  char tag[96]; /* as written to events; with the fault wrong_attempt_echo, not the request's own */
   int tokens_wanted, tokens;
   int64_t token_ms;
   bool is_prefix_cached;
 } engine_run;
 
-/* whether a prefix is cached; from now on it is */
+/* returns whether a prefix was cached, and caches it as the most recently used */
 static bool use_prefix(engine_sim *engine, const char *prefix) {
   if (!prefix[0])
     return false;
@@ -42,7 +42,7 @@
   return false;
 }
 
-/* parses a request to the run and its record */
+/* parses a request into a run and its record */
 static engine_run parse_run(engine_sim *engine, http_request *request, engine_sim_stream *record) {
   const engine_faults *faults = &engine->faults;
   const char *attempt = request->known_fields.values[HEADER_ATTEMPT];
@@ -80,8 +80,8 @@
                      is_loaded ? "too many streams" : "not loaded here");
 }
 
-/* adds to the running streams of the engine, of the adapter and of its model, if they still are in
- * memory */
+/* changes the counts of running streams of the engine, and of the adapter and its model if they are
+ * still in memory */
 static void count_running(const engine_run *run, int change) {
   engine_sim *engine = run->engine;
   engine_sim_item *item = engine_sim_find_item(engine, run->model, run->adapter);
@@ -99,7 +99,7 @@
     model->served++;
 }
 
-/* fault: the run has begun, but no response comes; after that the engine refuses all */
+/* fault: the run starts, but gets no response; from then on the engine refuses all runs */
 static void die_early(const engine_run *run) {
   engine_sim *engine = run->engine;
   engine->faults.die_early--;
