--- a/emulator/engine_sim.h
+++ b/emulator/engine_sim.h
@@ -84,7 +84,7 @@
   condition report_changed;
   GArray *orders, *streams, *refusals; /* records: engine_sim_order, _stream, _refusal */
   time_us started_at;
-  uint64_t stale_orders, over_capacity_orders, orphaning_unloads, prefix_hits, cut;
+  uint64_t stale_orders, over_capacity_orders, orphaned_adapters, prefix_hits, cut;
   time_us unfrozen_at; /* 0: never frozen */
   GQueue prefixes;     /* char *, least recently used first */
   GString *old_report; /* for the fault stale_reports */
--- a/emulator/engine_sim_orders.c
+++ b/emulator/engine_sim_orders.c
@@ -132,7 +132,7 @@
 }
 
 /* whether an order gets no response; decrements the fault's counter if so */
-static bool take_unanswered(engine_sim *engine, enum engine_sim_order_kind kind) {
+static bool use_unanswered_fault(engine_sim *engine, enum engine_sim_order_kind kind) {
   engine_faults *faults = &engine->faults;
   int *left = kind == ENGINE_SIM_LOAD ? &faults->unanswered_loads : &faults->unanswered_unloads;
   if (*left <= 0)
@@ -198,7 +198,7 @@
  */
 static void count_orphaned_adapters(engine_sim *engine, id model) {
   list_for_each (item, &engine->items, engine_sim_item, link)
-    engine->orphaning_unloads +=
+    engine->orphaned_adapters +=
         id_equal(item->model, model) && !id_is_empty(item->adapter) && item->state == ENGINE_SIM_UP;
 }
 
@@ -230,13 +230,13 @@
                                            : "a younger epoch or order is known");
 }
 
-static void carry_out(engine_sim *engine, http_request *request, parsed_order *parsed) {
+static void execute_order(engine_sim *engine, http_request *request, parsed_order *parsed) {
   engine_sim_order *order = &parsed->order;
   if (order->epoch >= engine->epoch) {
     engine->epoch = order->epoch;
     engine->number = parsed->number;
   }
-  bool is_unanswered = take_unanswered(engine, order->kind);
+  bool is_unanswered = use_unanswered_fault(engine, order->kind);
   int status =
       order->kind == ENGINE_SIM_LOAD ? start_load(engine, parsed) : start_unload(engine, parsed);
   record_order(engine, order);
@@ -260,6 +260,6 @@
   } else if (is_stale(engine, &parsed)) {
     refuse_stale(engine, request, &parsed);
   } else {
-    carry_out(engine, request, &parsed);
+    execute_order(engine, request, &parsed);
   }
 }
--- a/emulator/engine_sim_streams.c
+++ b/emulator/engine_sim_streams.c
@@ -82,7 +82,7 @@
 
 /* changes the counts of running streams of the engine, and of the adapter and its model if they are
  * still in memory */
-static void count_running(const engine_run *run, int change) {
+static void adjust_running_counts(const engine_run *run, int change) {
   engine_sim *engine = run->engine;
   engine_sim_item *item = engine_sim_find_item(engine, run->model, run->adapter);
   engine_sim_item *model = engine_sim_find_item(engine, run->model, id_of_text(""));
@@ -100,12 +100,12 @@
 }
 
 /* fault: the run starts, but gets no response; from then on the engine refuses all runs */
-static void die_early(const engine_run *run) {
+static void leave_run_unanswered(const engine_run *run) {
   engine_sim *engine = run->engine;
   engine->faults.die_early--;
   engine->faults.streams_max = -1;
   g_array_index(engine->streams, engine_sim_stream, run->index).outcome = ENGINE_SIM_BROKEN;
-  count_running(run, -1);
+  adjust_running_counts(run, -1);
   http_request_end(run->request, false);
 }
 
@@ -166,7 +166,7 @@
   record->outcome = outcome;
   record->tokens = run->tokens;
   record->ended_at = world_now(engine->world);
-  count_running(run, -1);
+  adjust_running_counts(run, -1);
 }
 
 void engine_sim_serve_run(engine_sim *engine, http_request *request) {
@@ -180,13 +180,13 @@
     refuse_run(engine, request, &record, is_loaded);
     return;
   }
-  count_running(&run, 1);
+  adjust_running_counts(&run, 1);
   count_served(model, item);
   run.index = engine->streams->len;
   g_array_append_val(engine->streams, record);
   engine_sim_write_record(engine, 'S', record.tag);
   if (engine->faults.die_early > 0) {
-    die_early(&run);
+    leave_run_unanswered(&run);
     return;
   }
   end_run(&run, write_stream(&run));
--- a/emulator/fleet_check_orders.c
+++ b/emulator/fleet_check_orders.c
@@ -93,10 +93,10 @@
 
 static void check_engine_capacity(fleet *fleet, host *host, engine_sim *engine, void *context) {
   (void)context;
-  if (engine->orphaning_unloads)
+  if (engine->orphaned_adapters)
     fleet_add_violation(
         fleet, "R9 %s was ordered to unload a base model that %" PRIu64 " loaded adapters need",
-        host->self.text, engine->orphaning_unloads);
+        host->self.text, engine->orphaned_adapters);
   if (engine->over_capacity_orders)
     fleet_add_violation(fleet, "R9 %s was ordered beyond its capacity %" PRIu64 " times",
                         host->self.text, engine->over_capacity_orders);
