--- a/emulator/client_sim.c
+++ b/emulator/client_sim.c
@@ -72,7 +72,8 @@
     in += here && n->in_rotation;
     any += n->in_rotation;
   }
-  /* under half of a zone's nodes in: all of them; none: those of other zones */
+  /* With fewer than half of the zone's nodes in rotation, all of its nodes are used. With none, the
+   * nodes in rotation of other zones are used. */
   bool every = in * 2 < all && in, others = !in && any;
   const balancer_sim_node *fit[64];
   unsigned count = 0;
@@ -151,8 +152,8 @@
     g_strlcpy(attempt->fault, what, sizeof attempt->fault);
 }
 
-/* takes whole events, each held against the one before it and, where none may be resumed, against
- * its run */
+/* Removes and checks the complete events. Each must follow the previous one and, unless the kind is
+ * resumable, belong to the run that the response names. */
 static void parse_events(client_sim_attempt *attempt, GString *got, unsigned total, bool *end) {
   const client_sim_kind *kind = attempt->caller_request->kind;
   char *cut;
@@ -178,7 +179,7 @@
   }
 }
 
-/* An open connection stays on its node, also when the balancer sends no new ones there. */
+/* A user's open connection stays with its node, even if the balancer sends no new ones there. */
 static const balancer_sim_node *node_for(client_sim *client, const client_sim_request *request,
                                          unsigned turn) {
   gpointer user = GUINT_TO_POINTER(request->user);
@@ -255,7 +256,7 @@
   int64_t silence = MAX(2000, MAX(4 * kind->target_ms, 8 * kind->gap_target_ms));
   bool stream = kind->mode == CLIENT_SIM_STREAM, end = false;
   int r;
-  /* a connection that does not come up within a second is left */
+  /* gives up if the connection isn't established within CONNECT_TIMEOUT_MS */
   while (!l->sent && !l->broken &&
          world_now(world).us < time_add(attempt->sent_at, time_from_ms(CONNECT_TIMEOUT_MS)).us)
     if (condition_wait(&world->tasks, &l->progressed,
@@ -333,7 +334,7 @@
     trip->resume = attempt->last_event;
 }
 
-/* what a client does after a try: false when it tries no more */
+/* waits before the next attempt; false when the client doesn't retry */
 static bool wait_for_retry(request_task *trip, const client_sim_attempt *attempt,
                            time_us deadline) {
   const client_sim_kind *kind = trip->request->kind;
--- a/emulator/client_sim.h
+++ b/emulator/client_sim.h
@@ -1,13 +1,14 @@
-#ifndef EMULATOR_CLIENT_H
-#define EMULATOR_CLIENT_H
+#ifndef EMULATOR_CLIENT_SIM_H
+#define EMULATOR_CLIENT_SIM_H
 #include "dialect.h"
 #include "world.h"
 
-/* callers of gateways, the balancer that hands them out, and the operator: each with its own record
- */
+/** @file
+ * Simulated clients of gateways, the load balancer in front of the gateways, and the operator. Each
+ * keeps its own records. */
 
 enum client_sim_mode { CLIENT_SIM_ONCE, CLIENT_SIM_SAFE, CLIENT_SIM_STREAM };
-/** A kind of request. models holds "model" or "model/adapter", the busiest first. */
+/** A kind of request. models holds "model" or "model/adapter", the most requested first. */
 typedef struct client_sim_kind {
   char name[32], host[64], path[64];
   enum client_sim_mode mode;
@@ -18,7 +19,7 @@
   GPtrArray *models;
 } client_sim_kind;
 
-/** A request as its user sees it, with one try or several. */
+/** A request as its user sees it, over all its attempts. */
 typedef struct client_sim_request {
   const client_sim_kind *kind;
   id model, adapter;
@@ -27,9 +28,11 @@
   bool served, met_target, done;
   unsigned attempt_count;
 } client_sim_request;
-/** One try. reused: on a connection that had served before. how: o open, d a whole 2xx, s another
- * status, e ended early, u never taken, l given up by the caller. fault names what was wrong with
- * the bytes: stamp, body, other, order, end. */
+/** One attempt. reused_connection: sent on a pooled connection. outcome: o open, d complete 2xx
+ * response, s complete response with another status, e ended early, u never sent, l given up by the
+ * client. fault names what was wrong with the response: stamp (no run id), other (the id of another
+ * request), body (unexpected content), order (event out of order or of another run), end (not the
+ * expected number of events). */
 typedef struct client_sim_attempt {
   client_sim_request *caller_request;
   char request_id[40], run_id[80], node[64], target[96], fault[12];
@@ -42,7 +45,7 @@
   char outcome;
 } client_sim_attempt;
 
-/** A node as the balancer knows it. */
+/** A node as the balancer sees it. */
 typedef struct balancer_sim_node {
   char front_address[64], ready_address[64];
   id area;
@@ -59,17 +62,17 @@
 balancer_sim *balancer_sim_new(world *world, const dialect *words);
 void balancer_sim_add_node(balancer_sim *b, const char *front, const char *ready, id area);
 void balancer_sim_free(balancer_sim *b);
-/** The node for a user's connection in a zone; turn counts the user's further tries. NULL when
- * there is none. */
+/** The node for a new connection of a user in a zone; turn is the number of earlier attempts of the
+ * request. NULL when there is none. */
 const balancer_sim_node *balancer_sim_pick(const balancer_sim *b, id area, unsigned user,
                                            unsigned turn);
 
 typedef struct client_sim {
   world *world;
-  /** True when an idle connection to an address is still open; NULL: not known, and callers choose
-   * a node for each request. */
+  /** True when an idle connection to an address is still open. NULL: that is unknown, and the
+   * client picks a node for each request. */
   bool (*connected)(world *world, const char *addr);
-  /** user -> balancer_sim_node: where a caller's last answer left its connection open. */
+  /** From user to the balancer_sim_node whose last response left the user's connection open. */
   GHashTable *node_of_user;
   balancer_sim *balancer;
   const dialect *dialect;
@@ -82,15 +85,15 @@
 } client_sim;
 client_sim *client_sim_new(world *world, balancer_sim *to, const dialect *words);
 void client_sim_free(client_sim *client);
-/** Adds a kind; it stays the client's. */
+/** Adds a copy of a kind, which the client owns. */
 client_sim_kind *client_sim_add_kind(client_sim *client, client_sim_kind k);
 /** Sends requests of all kinds at their rates until stop. */
 void client_sim_start(client_sim *client);
-/** Sends one request; model may be NULL for one by the kind's own shares. */
+/** Sends one request; with model NULL, the model is drawn by the kind's zipf_exponent. */
 client_sim_request *client_sim_send(client_sim *client, const client_sim_kind *kind,
                                     const char *model);
 
-/** One order of the operator. status 0: no clear answer yet. */
+/** One configuration change sent by the operator. status 0: no definite response yet. */
 typedef struct operator_sim_change {
   uint64_t version, base;
   char *text;
@@ -111,9 +114,10 @@
 } operator_sim;
 operator_sim *operator_sim_new(world *world, const dialect *words);
 void operator_sim_free(operator_sim *operator);
-/** Sends a whole configuration, or a change, until there is a clear answer. */
+/** Sends a full configuration or a patch, and retries until there is a definite response. */
 operator_sim_change *operator_sim_send(operator_sim *operator, uint64_t version, uint64_t base,
                                        bool patch, const char *text, bool valid);
-/** Asks for the newest configuration until it comes; read holds it, read_version its version. */
+/** Requests the newest configuration until it is received; read_text holds it, read_version its
+ * version. */
 void operator_sim_read(operator_sim *operator);
 #endif
--- a/emulator/loadgen.c
+++ b/emulator/loadgen.c
@@ -1,7 +1,7 @@
 /**
- * Load generator. A caller sends its request, checks each event of the response against its tag and
- * the run that began, and retries: at another router when the first didn't take the connection, and
- * later when it was told to come back.
+ * Load generator. A caller sends its request, checks that each event of the response has the
+ * request's tag and belongs to the run that was started, and retries: immediately at another router
+ * when the router did not accept the connection, and later when a refusal asked for that.
  */
 #include "loadgen.h"
 #include <math.h>
@@ -10,15 +10,15 @@
 
 enum {
   RESPONSE_TIMEOUT_MS = 120000,
-  CONNECT_TIMEOUT_MS = 1500, /* a router that doesn't take the connection by then is given up */
+  CONNECT_TIMEOUT_MS = 1500, /* a router that hasn't accepted the connection by then is given up */
   RESPONSE_MAX_BYTES = 1 << 20,
-  OTHER_ROUTERS_MAX = 3, /* other routers that a request is sent to */
+  OTHER_ROUTERS_MAX = 3, /* further routers that a request is sent to */
   RUN_NAME_BYTES = 96,
   PREFIXES_DEFAULT = 8,
-  LEAVE_MIN_MS = 50, /* callers that leave early do so after this and a random span */
+  LEAVE_MIN_MS = 50, /* callers that disconnect early do so after this time and a random one */
   LEAVE_SPAN_MS = 3000,
   TOKENS_MIN = 4,
-  ERROR_CODES_MAX = 8, /* different codes that the summary counts */
+  ERROR_CODES_MAX = 8, /* distinct codes that the summary counts */
 };
 static const double RESUMABLE_RATIO = 0.2;
 
@@ -28,8 +28,8 @@
   loadgen_request *request;
   char router[48], prefix[32];
   int tokens_wanted;
-  time_us leave_at; /* 0: the caller stays */
-  bool unsent;      /* the last attempt's router didn't take the connection */
+  time_us leave_at; /* when the caller disconnects; 0: never */
+  bool unsent;      /* the router of the last attempt didn't accept the connection */
 } request_task;
 
 /* a model or adapter that requests may name */
@@ -37,7 +37,7 @@
   id model, adapter;
 } target;
 
-/* what a response has shown so far */
+/* what has been received of a response so far */
 typedef struct response_check {
   loadgen_request *request;
   int tokens_wanted;
@@ -45,13 +45,13 @@
   bool started, done;
 } response_check;
 
-/* the integer behind a JSON key in an event, or -1 */
+/* the integer after a JSON key in an event, or -1 */
 static int event_integer(const char *event, const char *key) {
   const char *found = strstr(event, key);
   return found ? atoi(found + strlen(key)) : -1;
 }
 
-/* false when the event must not come here */
+/* false when the start event is invalid, or not the first event */
 static bool check_start(response_check *check, const char *event) {
   const char *attempt = strstr(event, "\"attempt\":\"");
   bool is_valid = !check->started && attempt;
@@ -61,7 +61,7 @@
   return is_valid;
 }
 
-/* a stream is done with its last event, all tokens that were asked for, and a clean end */
+/* false unless the done event follows a start and the number of tokens received and requested */
 static bool check_done(response_check *check, const char *event) {
   const loadgen_request *request = check->request;
   check->done = true;
@@ -88,7 +88,7 @@
   return check_token(check, event);
 }
 
-/* takes the complete events off the received bytes and checks them */
+/* removes the complete events from the received bytes and checks them */
 static void check_events(response_check *check, GString *received) {
   loadgen_request *request = check->request;
   char *end;
@@ -101,7 +101,8 @@
       request->outcome = OUTCOME_WRONG;
     }
     if (request->outcome == OUTCOME_WRONG)
-      fprintf(stderr, "asterfall-loadgen: %s, %d of %d events, run %s: wrong is: %.200s\n",
+      fprintf(stderr,
+              "asterfall-loadgen: %s: unexpected event after %d of %d events, run %s: %.200s\n",
               request->tag, request->tokens, check->tokens_wanted, check->run, received->str);
     g_string_erase(received, 0, end - received->str + 2);
   }
@@ -124,7 +125,8 @@
   return call;
 }
 
-/* waits for the head of the response: shortly for the connection, then until the deadline */
+/* waits for the response head: up to CONNECT_TIMEOUT_MS for the connection, then until the deadline
+ */
 static enum error_code wait_for_head(request_task *task, http_call *call, time_us deadline) {
   world *world = task->loadgen->world;
   time_us leave_at = task->leave_at;
@@ -146,7 +148,7 @@
   return OUTCOME_NOT_RUN;
 }
 
-/* a response that isn't a stream says whether the request may have run */
+/* reads a response that isn't a stream: it says whether the request may have run */
 static void read_error(loadgen_request *request, http_call *call, GString *received,
                        time_us deadline) {
   enum error_code code = http_call_read_all(call, received, deadline);
@@ -202,7 +204,7 @@
   if (request->outcome == OUTCOME_WRONG)
     fprintf(
         stderr,
-        "asterfall-loadgen: %s is wrong: %d of %d events, status %d, ended %d broken %d, left %.100s\n",
+        "asterfall-loadgen: wrong response to %s: %d of %d events, status %d, ended %d, broken %d, unparsed bytes %.100s\n",
         request->tag, request->tokens, task->tokens_wanted, call->status, call->ended, call->broken,
         received->str);
   request->ended_at = world_now(world);
@@ -234,7 +236,7 @@
   return routers->pdata[world_random(loadgen->world, routers->len)];
 }
 
-/* true when the request goes to another router, as the last didn't take the connection */
+/* true when the request is sent to another router, because the last didn't accept the connection */
 static bool choose_other_router(request_task *task, int *others) {
   loadgen *loadgen = task->loadgen;
   if (task->request->outcome != OUTCOME_NO_ANSWER || !task->unsent)
@@ -246,7 +248,7 @@
   return true;
 }
 
-/* waits as long as a refusal asked for; false when the caller doesn't retry */
+/* waits for as long as the refusal asked; false when the caller doesn't retry */
 static bool wait_for_retry(request_task *task) {
   loadgen *loadgen = task->loadgen;
   loadgen_request *request = task->request;
@@ -284,7 +286,7 @@
   return world_random(loadgen->world, (uint64_t)prefixes);
 }
 
-/* starts the task of a request whose router, tokens and leave_at are set */
+/* starts the task of a request, with the router, tokens and leave_at of the settings */
 static loadgen_request *send_request(loadgen *loadgen, request_task settings, target target,
                                      id kind, bool resumable) {
   loadgen_request *request = g_new0(loadgen_request, 1);
@@ -318,7 +320,7 @@
   return 1 / pow((double)index + 1, loadgen->plan.zipf_exponent);
 }
 
-/* an index below count, by Zipf's law */
+/* draws an index below count by Zipf's law */
 static size_t draw_zipf(loadgen *loadgen, size_t count) {
   double total = 0;
   for (size_t i = 0; i < count; i++)
@@ -347,7 +349,7 @@
   return time_add(world_now(loadgen->world), time_from_ms(ms));
 }
 
-/* when a caller leaves; 0: never */
+/* draws when a caller disconnects; 0: never */
 static time_us draw_leave_at(loadgen *loadgen) {
   const loadgen_plan *plan = &loadgen->plan;
   if (random_fraction(loadgen->world) < plan->leave_ratio)
@@ -356,7 +358,7 @@
   return plan->timeout_ms ? time_from_now(loadgen, plan->timeout_ms) : (time_us){ 0 };
 }
 
-/* the order of the draws is part of what a seed stands for */
+/* the order of the random draws must stay as it is, so that a seed keeps producing the same run */
 static void send_by_plan(loadgen *loadgen) {
   const loadgen_plan *plan = &loadgen->plan;
   world *world = loadgen->world;
@@ -439,7 +441,7 @@
   int code, count;
 } code_count;
 
-/* counts a code; codes beyond ERROR_CODES_MAX different ones are left out */
+/* counts a code; after ERROR_CODES_MAX distinct codes, others are ignored */
 static void count_code(code_count *counts, int code) {
   for (int i = 0; i < ERROR_CODES_MAX; i++) {
     if (counts[i].code && counts[i].code != code)
--- a/emulator/loadgen.h
+++ b/emulator/loadgen.h
@@ -10,14 +10,14 @@
 
 /** How a request ended, or an attempt of it. */
 enum loadgen_outcome {
-  OUTCOME_OPEN,      /* not ended */
-  OUTCOME_DONE,      /* all events came, and a clean end */
-  OUTCOME_NOT_RUN,   /* refused; surely not run */
-  OUTCOME_UNKNOWN,   /* refused; it may have run */
-  OUTCOME_BROKEN,    /* it ran, and broke off with an error that said so */
+  OUTCOME_OPEN,      /* in progress */
+  OUTCOME_DONE,      /* all events and a clean end were received */
+  OUTCOME_NOT_RUN,   /* refused, and certainly not run */
+  OUTCOME_UNKNOWN,   /* refused, but it may have run */
+  OUTCOME_BROKEN,    /* it ran, and failed or broke off with an error */
   OUTCOME_NO_ANSWER, /* no response */
-  OUTCOME_WRONG,     /* a response that breaks the protocol */
-  OUTCOME_LEFT,      /* the caller left first */
+  OUTCOME_WRONG,     /* a response that violates the protocol */
+  OUTCOME_LEFT,      /* the caller disconnected first */
   OUTCOME_COUNT
 };
 
@@ -28,11 +28,11 @@
   enum loadgen_outcome outcome;
   int status, code, tokens, retry_s, attempt_count;
   time_us started_at, first_event_at, ended_at;
-  time_us back; /* when a retry was first asked for */
+  time_us back; /* the time to which the first refusal deferred the retry */
   bool resumable;
 } loadgen_request;
 
-/** One attempt, as the caller saw it; a request has several when it was told to retry. */
+/** One attempt as the caller saw it; a request has several if it was retried. */
 typedef struct loadgen_attempt {
   loadgen_request *request;
   char router[48];
@@ -49,11 +49,11 @@
   GArray *models, *adapters; /* targets, the most requested first; see loadgen_add_target */
   double requests_per_s, zipf_exponent;
   double adapter_ratio; /* share of requests for adapters */
-  double leave_ratio;   /* share of callers that leave early */
+  double leave_ratio;   /* share of callers that disconnect early */
   int kind_share[LOADGEN_KINDS], tokens;
   const char *kinds[LOADGEN_KINDS];
   int prefixes, attempts_max;
-  int64_t timeout_ms; /* 0: callers don't leave by time */
+  int64_t timeout_ms; /* after which callers disconnect; 0: never */
 } loadgen_plan;
 
 /** A load generator; free it with loadgen_free. */
@@ -69,19 +69,19 @@
   id self;
 } loadgen;
 
-/** Returns a generator with the usual plan, and no routers and targets. */
+/** Returns a generator with the default plan, without routers and targets. */
 loadgen *loadgen_new(world *world, id self);
 /** Frees a generator and its records; its tasks must have ended. */
 void loadgen_free(loadgen *loadgen);
 /** Adds a model (adapter empty), or an adapter on it, that requests may name. */
 void loadgen_add_target(loadgen *loadgen, id model, id adapter);
-/** Sends one request in a task of its own; the request may be looked at while it runs. */
+/** Sends one request in a task of its own; the returned request may be read while it runs. */
 loadgen_request *loadgen_send(loadgen *loadgen, const char *router, id model, id adapter, id kind,
                               int tokens, bool resumable);
-/** Sends by the plan until stop, in a task of its own. */
+/** Sends requests according to the plan until stop is set, in a task of its own. */
 void loadgen_start(loadgen *loadgen);
 /** Appends the outcomes as JSON. */
 void loadgen_json(loadgen *loadgen, GString *to);
-/** Returns how many requests ended in a way. */
+/** Returns how many requests have an outcome. */
 int loadgen_count(const loadgen *loadgen, enum loadgen_outcome outcome);
 #endif
