--- a/emulator/client_sim.h
+++ b/emulator/client_sim.h
@@ -59,13 +59,14 @@
   const dialect *dialect;
   bool stop;
 } balancer_sim;
-balancer_sim *balancer_sim_new(world *world, const dialect *words);
-void balancer_sim_add_node(balancer_sim *b, const char *front, const char *ready, id area);
-void balancer_sim_free(balancer_sim *b);
-/** The node for a new connection of a user in a zone; turn is the number of earlier attempts of the
- * request. NULL when there is none. */
-const balancer_sim_node *balancer_sim_pick(const balancer_sim *b, id area, unsigned user,
-                                           unsigned turn);
+balancer_sim *balancer_sim_new(world *world, const dialect *dialect);
+void balancer_sim_add_node(balancer_sim *balancer, const char *front_address,
+                           const char *ready_address, id area);
+void balancer_sim_free(balancer_sim *balancer);
+/** The node for a new connection of a user in a zone; earlier_attempts is the number of attempts
+ * that the request already had. NULL when there is none. */
+const balancer_sim_node *balancer_sim_pick(const balancer_sim *balancer, id area, unsigned user,
+                                           unsigned earlier_attempts);
 
 typedef struct client_sim {
   world *world;
@@ -83,10 +84,10 @@
   bool stop;
   double rate_factor;
 } client_sim;
-client_sim *client_sim_new(world *world, balancer_sim *to, const dialect *words);
+client_sim *client_sim_new(world *world, balancer_sim *balancer, const dialect *dialect);
 void client_sim_free(client_sim *client);
 /** Adds a copy of a kind, which the client owns. */
-client_sim_kind *client_sim_add_kind(client_sim *client, client_sim_kind k);
+client_sim_kind *client_sim_add_kind(client_sim *client, client_sim_kind kind);
 /** Sends requests of all kinds at their rates until stop. */
 void client_sim_start(client_sim *client);
 /** Sends one request; with model NULL, the model is drawn by the kind's zipf_exponent. */
