--- a/emulator/client_sim.c
+++ b/emulator/client_sim.c
@@ -148,7 +148,7 @@
   client_sim *client;
   client_sim_request *request;
   GString *body, *prefix;
-  uint64_t resume;
+  uint64_t resume_after;
   char *tag;
 } request_task;
 
@@ -187,8 +187,8 @@
 }
 
 /* A user's open connection stays with its node, even if the balancer sends no new ones there. */
-static const balancer_sim_node *node_for(client_sim *client, const client_sim_request *request,
-                                         unsigned earlier_attempts) {
+static const balancer_sim_node *pick_node(client_sim *client, const client_sim_request *request,
+                                          unsigned earlier_attempts) {
   gpointer user = GUINT_TO_POINTER(request->user);
   const balancer_sim_node *kept = g_hash_table_lookup(client->node_of_user, user);
   if (kept && !earlier_attempts && !request->kind->new_connection && client->connected &&
@@ -220,11 +220,11 @@
   snprintf(attempt->request_id, sizeof attempt->request_id, "%016" PRIx64,
            hash_bytes(&client->attempt_count, sizeof client->attempt_count, 11));
   snprintf(attempt->target, sizeof attempt->target, "%s%x", kind->path, request->user & 0xff);
-  const balancer_sim_node *node = node_for(client, request, earlier_attempts);
+  const balancer_sim_node *node = pick_node(client, request, earlier_attempts);
   attempt->sent_at = world_now(world);
   time_us deadline = time_add(request->started_at, time_from_ms(kind->deadline_ms));
-  attempt->left_ms = (deadline.us - attempt->sent_at.us) / 1000;
-  attempt->resumed_after_event = attempt->last_event = task->resume;
+  attempt->time_left_ms = (deadline.us - attempt->sent_at.us) / 1000;
+  attempt->resumed_after_event = attempt->last_event = task->resume_after;
   attempt->request_checksum =
       engine_request_checksum("POST", attempt->target, string_view_of_gstring(task->body));
   if (!node) {
@@ -239,7 +239,7 @@
   fields_add(fields, client->dialect->header_names[DF_REQUEST_ID],
              string_view_of(attempt->request_id));
   fields_add_format(fields, client->dialect->header_names[DF_TIME_LEFT_MS], "%" PRId64,
-                    attempt->left_ms);
+                    attempt->time_left_ms);
   if (!id_is_empty(request->model)) {
     fields_add_format(fields, client->dialect->header_names[DF_MODEL], "%s%s%s",
                       request->model.text, id_is_empty(request->adapter) ? "" : "/",
@@ -252,9 +252,9 @@
   if (client->dialect->header_names[DF_SESSION])
     fields_add_format(fields, client->dialect->header_names[DF_SESSION], "%s-%u", kind->name,
                       request->user);
-  if (task->resume)
+  if (task->resume_after)
     fields_add_format(fields, client->dialect->header_names[DF_LAST_EVENT_ID], "%" PRIu64,
-                      task->resume);
+                      task->resume_after);
   http_call *call =
       http_call_open_fields(world, node->front_address, "POST", attempt->target, fields,
                             string_view_of_gstring(task->body),
@@ -327,7 +327,7 @@
                      : code == E_STOPPING    ? 'o'
                                              : 'e';
   if (attempt->outcome == 'd' && is_stream &&
-      ((!ended && task->resume < total_events) || received->len))
+      ((!ended && task->resume_after < total_events) || received->len))
     set_fault(attempt, "end");
   if (attempt->outcome == 'd' && !is_stream) {
     GString *expected = g_string_new(NULL);
@@ -341,8 +341,8 @@
   attempt->ended_at = world_now(world);
   http_call_close(call);
   g_string_free(received, TRUE);
-  if (is_stream && kind->resumable && attempt->last_event > task->resume)
-    task->resume = attempt->last_event;
+  if (is_stream && kind->resumable && attempt->last_event > task->resume_after)
+    task->resume_after = attempt->last_event;
 }
 
 /* waits before the next attempt; false when the client doesn't retry */
--- a/emulator/client_sim.h
+++ b/emulator/client_sim.h
@@ -37,7 +37,7 @@
   client_sim_request *caller_request;
   char request_id[40], run_id[80], node[64], target[96], fault[12];
   time_us sent_at, first_byte_at, last_byte_at, ended_at;
-  int64_t left_ms, longest_gap_ms;
+  int64_t time_left_ms, longest_gap_ms;
   uint64_t request_checksum, resumed_after_event, last_event;
   int status;
   double retry_s;
