--- a/emulator/engine_sim_streams.c
+++ b/emulator/engine_sim_streams.c
@@ -18,7 +18,7 @@
   guint index; /* of its record in engine->streams */
   id model, adapter;
   char attempt[96];
-  char tag[96]; /* as written to events; with the fault wrong_attempt_echo, not the request's own */
+  char tag[96]; /* as written to events; the fault wrong_attempt_echo replaces it by another */
   int tokens_wanted, tokens;
   int64_t token_ms;
   bool is_prefix_cached;
--- a/emulator/fleet_check.h
+++ b/emulator/fleet_check.h
@@ -9,7 +9,7 @@
 
 typedef struct fleet fleet;
 
-/** Records a violation; the run goes on. */
+/** Records a violation; the run continues. */
 void fleet_add_violation(fleet *fleet, const char *format, ...)
     __attribute__((format(printf, 2, 3)));
 /** R1: a request that can't be resumed runs once; R2: a request reported as not run did not run;
--- a/emulator/gateway_check.h
+++ b/emulator/gateway_check.h
@@ -31,7 +31,7 @@
   RETRY_SLACK = 20,
   /** Window of the limit on loads from the weight store. */
   LOAD_RATE_WINDOW_S = 5,
-  /** A request that ended sooner than this has possibly not left the gateway. */
+  /** A request that ended sooner than this may not have been forwarded by the gateway yet. */
   LOSS_SLACK_MS = 200,
   /** Time to recover from a loss. */
   RECOVERY_S = 12,
@@ -47,7 +47,7 @@
 
 /** 1 MIXED: a response belongs to its request, and a successful one to a completed run. */
 void gateway_check_answers_not_mixed(deployment *deployment);
-/** 2 UNASKED: engines run only what a client sent, unchanged. */
+/** 2 UNASKED: engines run only requests that a client sent, unchanged. */
 void gateway_check_unasked(deployment *deployment);
 /** 3 TWICE: a request that must not be retried is run at most once. */
 void gateway_check_run_once(deployment *deployment);
@@ -71,7 +71,7 @@
 void gateway_check_budget(deployment *deployment);
 /** 11 ORDER: the events of a stream arrive complete and in order. */
 void gateway_check_order(deployment *deployment);
-/** 12 ONE: one lease holder at a time gives load orders to an engine. */
+/** 12 ONE: one lease holder at a time sends load orders to an engine. */
 void gateway_check_single_holder(deployment *deployment);
 /** 13 LIMIT: no load order exceeds the memory of its engine. */
 void gateway_check_limit(deployment *deployment);
--- a/emulator/gateway_check_config.c
+++ b/emulator/gateway_check_config.c
@@ -118,7 +118,7 @@
                             : "no version allows");
 }
 
-/* third part: no process of a gateway goes back to an older configuration */
+/* third part: no process of a gateway reverts to an older configuration */
 
 /* the newest version that a gateway has shown, and when */
 typedef struct shown_version {
--- a/emulator/gateway_check_orders.c
+++ b/emulator/gateway_check_orders.c
@@ -41,8 +41,9 @@
 
 /* reports two orders for an engine whose fencing tokens are equal under different holders, or
  * decrease; returns whether it did */
-static bool report_fencing_violation(const deployment *deployment, const engine_order_record *earlier,
-                         const engine_order_record *order) {
+static bool report_fencing_violation(const deployment *deployment,
+                                     const engine_order_record *earlier,
+                                     const engine_order_record *order) {
   if (earlier->fencing_token == order->fencing_token && !id_equal(earlier->holder, order->holder)) {
     fleet_add_violation(deployment->fleet, "ONE %s: %s and %s share fencing token %" PRId64,
                         order->engine.text, earlier->holder.text, order->holder.text,
@@ -61,8 +62,8 @@
 
 /* reports an order whose holder also sent one before that of another holder, within the length of a
  * lease; returns whether it did */
-static bool report_alternating_holders(const deployment *deployment, const GPtrArray *orders, guint position,
-                         const engine_order_record *other) {
+static bool report_alternating_holders(const deployment *deployment, const GPtrArray *orders,
+                                       guint position, const engine_order_record *other) {
   const engine_order_record *order = orders->pdata[position];
   for (guint i = 0; i < position; i++) {
     const engine_order_record *earlier = orders->pdata[i];
@@ -79,7 +80,8 @@
 }
 
 /* compares an order with all earlier ones; returns whether it reported a violation */
-static bool report_order_violation(const deployment *deployment, const GPtrArray *orders, guint position) {
+static bool report_order_violation(const deployment *deployment, const GPtrArray *orders,
+                                   guint position) {
   const engine_order_record *order = orders->pdata[position], *other = NULL;
   for (guint i = 0; i < position; i++) {
     const engine_order_record *earlier = orders->pdata[i];
--- a/emulator/gateway_check_requests.c
+++ b/emulator/gateway_check_requests.c
@@ -51,8 +51,8 @@
     fleet_add_violation(index->fleet, "UNASKED %s was run by %s", run->request_id,
                         run->engine.text);
   else if (attempt->request_checksum != run->request_checksum)
-    fleet_add_violation(index->fleet, "UNASKED %s was changed on its way to %s", run->request_id,
-                        run->engine.text);
+    fleet_add_violation(index->fleet, "UNASKED %s was altered before it reached %s",
+                        run->request_id, run->engine.text);
 }
 
 void gateway_check_unasked(deployment *deployment) {
--- a/emulator/loadgen.h
+++ b/emulator/loadgen.h
@@ -1,8 +1,8 @@
 #ifndef EMULATOR_LOADGEN_H
 #define EMULATOR_LOADGEN_H
 /**
- * Load generator: callers that send requests to routers. Every request carries a tag, and every
- * event that comes back is checked against it.
+ * Load generator: callers that send requests to routers. Every request has a tag, and every event
+ * of a response is checked against it.
  */
 #include "json.h"
 #include "log.h"
@@ -21,7 +21,7 @@
   OUTCOME_COUNT
 };
 
-/** A request, over all its attempts. Instants are 0 until they come. */
+/** A request, over all its attempts. Times are 0 until their events occur. */
 typedef struct loadgen_request {
   char tag[96];
   id model, adapter, kind;
--- a/emulator/registering_engine_records.h
+++ b/emulator/registering_engine_records.h
@@ -31,7 +31,7 @@
 /** Status of an order that the engine dropped without a response. */
 enum { ENGINE_SIM_ORDER_DROPPED = -1 };
 
-/** One arrival of a request. Instants are 0 until they come. */
+/** One arrival of a request. Times are 0 until their events occur. */
 typedef struct engine_run_record {
   char request_id[64], from[48], run_id[80], target[96], policy[64], session[48];
   id engine, service, model, adapter;
@@ -56,7 +56,7 @@
   bool started;       /* false when refused, already fulfilled, or equal to the order in progress */
 } engine_order_record;
 
-/** The end of one incarnation. Instants are 0 until they come. */
+/** The end of one incarnation. Times are 0 until their events occur. */
 typedef struct engine_stop_record {
   id engine, service;
   time_us announced_at, acked_at, signed_off_at, ended_at;
