--- a/emulator/gateway_check_shutdown.c
+++ b/emulator/gateway_check_shutdown.c
@@ -2,8 +2,8 @@
  * Rules about requests during the shutdown of engines and gateways, and about missing responses. */
 #include "gateway_check_index.h"
 
-static bool arrived_too_late(const deployment *deployment, const engine_run_record *run,
-                             const engine_stop_record *stop, time_us announced_at) {
+static bool arrived_after_drain(const deployment *deployment, const engine_run_record *run,
+                                const engine_stop_record *stop, time_us announced_at) {
   return id_equal(run->engine, stop->engine) && run->outcome != 'x' &&
          run->received_at.us > announced_at.us + DRAIN_MS * 1000 &&
          !check_had_fault_at(deployment, check_host_of_ip(deployment, run->from), run->received_at);
@@ -16,7 +16,7 @@
     return;
   for (guint i = 0; i < deployment->log->runs->len; i++) {
     const engine_run_record *run = deployment->log->runs->pdata[i];
-    if (!arrived_too_late(deployment, run, stop, announced_at))
+    if (!arrived_after_drain(deployment, run, stop, announced_at))
       continue;
     fleet_add_violation(
         deployment->fleet, "DRAIN %s reached %s %.3f s after its draining was acknowledged",
--- a/emulator/gateway_check_trials.c
+++ b/emulator/gateway_check_trials.c
@@ -27,7 +27,7 @@
 } trial_check;
 
 /* the end of the last of the faults that affect a host at an instant; without any, the instant */
-static time_us fault_over_at(const deployment *deployment, const host *host, time_us at) {
+static time_us fault_end_at(const deployment *deployment, const host *host, time_us at) {
   time_us end = at;
   for (guint i = 0; i < deployment->injected_faults->len; i++) {
     const injected_fault *fault = &g_array_index(deployment->injected_faults, injected_fault, i);
@@ -131,7 +131,7 @@
     return;
   session->old_seen = true;
   session->old_at =
-      fault_over_at(deployment, check_host_of_ip(deployment, attempt->node), attempt->sent_at);
+      fault_end_at(deployment, check_host_of_ip(deployment, attempt->node), attempt->sent_at);
 }
 
 /* for debugging: prints the runs of the session that the environment variable SIM_SIDES names */
--- a/emulator/registering_engine_cache.c
+++ b/emulator/registering_engine_cache.c
@@ -20,7 +20,7 @@
   g_free(block);
 }
 
-static bool evict_for(engine_kv_cache *cache, double tokens) {
+static bool evict_to_fit(engine_kv_cache *cache, double tokens) {
   if (cache->reserved_tokens + tokens > cache->capacity_tokens)
     return false;
   while (cache->reserved_tokens + cache->cached_tokens + tokens > cache->capacity_tokens &&
@@ -30,7 +30,7 @@
 }
 
 bool engine_kv_cache_reserve(engine_kv_cache *cache, double tokens) {
-  if (tokens > 0 && !evict_for(cache, tokens))
+  if (tokens > 0 && !evict_to_fit(cache, tokens))
     return false;
   cache->reserved_tokens += tokens;
   return true;
