--- a/emulator/engine_sim_streams.c
+++ b/emulator/engine_sim_streams.c
@@ -1,11 +1,11 @@
-/** Runs of a simulated engine: an event stream with a token per event, at a fixed rate. */
+/** Runs of a simulated engine: event streams with one token per event, at a fixed rate. */
 #include "engine_sim_internal.h"
 #include <stdio.h>
 
 enum {
   CACHED_PREFIXES = 16,
   STREAMS_MAX = 64,           /* when no fault sets another limit */
-  TOKEN_MS = 30,              /* when no fault sets another time */
+  TOKEN_MS = 30,              /* when no fault sets another interval */
   UNCACHED_PREFIX_FACTOR = 4, /* time to the first token of an uncached prefix, in token times */
   TOKENS_DEFAULT = 8,
   WRITE_TIMEOUT_MS = 10000,
@@ -18,13 +18,13 @@
   guint index; /* of its record in engine->streams */
   id model, adapter;
   char attempt[96];
-  char tag[96]; /* in events; the fault wrong_attempt_echo names another's */
+  char tag[96]; /* as written to events; the fault wrong_attempt_echo replaces it by another */
   int tokens_wanted, tokens;
   int64_t token_ms;
   bool is_prefix_cached;
 } engine_run;
 
-/* whether a prefix is cached; from now on it is */
+/* returns whether a prefix was cached, and caches it as the most recently used */
 static bool use_prefix(engine_sim *engine, const char *prefix) {
   if (!prefix[0])
     return false;
@@ -42,7 +42,7 @@
   return false;
 }
 
-/* parses a request to the run and its record */
+/* parses a request into a run and its record */
 static engine_run parse_run(engine_sim *engine, http_request *request, engine_sim_stream *record) {
   const engine_faults *faults = &engine->faults;
   const char *attempt = request->known_fields.values[HEADER_ATTEMPT];
@@ -80,9 +80,9 @@
                      is_loaded ? "too many streams" : "not loaded here");
 }
 
-/* adds to the running streams of the engine, of the adapter and of its model, if they still are in
- * memory */
-static void count_running(const engine_run *run, int change) {
+/* changes the counts of running streams of the engine, and of the adapter and its model if they are
+ * still in memory */
+static void adjust_running_counts(const engine_run *run, int change) {
   engine_sim *engine = run->engine;
   engine_sim_item *item = engine_sim_find_item(engine, run->model, run->adapter);
   engine_sim_item *model = engine_sim_find_item(engine, run->model, id_of_text(""));
@@ -99,13 +99,13 @@
     model->served++;
 }
 
-/* fault: the run has begun, but no response comes; after that the engine refuses all */
-static void die_early(const engine_run *run) {
+/* fault: the run starts, but gets no response; from then on the engine refuses all runs */
+static void leave_run_unanswered(const engine_run *run) {
   engine_sim *engine = run->engine;
   engine->faults.die_early--;
   engine->faults.streams_max = -1;
   g_array_index(engine->streams, engine_sim_stream, run->index).outcome = ENGINE_SIM_BROKEN;
-  count_running(run, -1);
+  adjust_running_counts(run, -1);
   http_request_end(run->request, false);
 }
 
@@ -166,7 +166,7 @@
   record->outcome = outcome;
   record->tokens = run->tokens;
   record->ended_at = world_now(engine->world);
-  count_running(run, -1);
+  adjust_running_counts(run, -1);
 }
 
 void engine_sim_serve_run(engine_sim *engine, http_request *request) {
@@ -180,13 +180,13 @@
     refuse_run(engine, request, &record, is_loaded);
     return;
   }
-  count_running(&run, 1);
+  adjust_running_counts(&run, 1);
   count_served(model, item);
   run.index = engine->streams->len;
   g_array_append_val(engine->streams, record);
   engine_sim_write_record(engine, 'S', record.tag);
   if (engine->faults.die_early > 0) {
-    die_early(&run);
+    leave_run_unanswered(&run);
     return;
   }
   end_run(&run, write_stream(&run));
