--- a/tests/fleet/controller_cutoff.c
+++ b/tests/fleet/controller_cutoff.c
@@ -5,27 +5,29 @@
 #include <stdlib.h>
 
 /**
- * A controller is cut off or frozen for some twenty seconds, while operators change the
- * configuration and engines drain and return. All checks look from outside: at how gateways respond
- * to requests on routes that were just added, and how controllers respond to orders.
+ * A controller is cut off or frozen for about 20 s while operators change the configuration and
+ * engines drain and return. The checks use only what is visible from outside: the responses of
+ * gateways on routes that were just added, and the responses of controllers to configuration
+ * changes.
  */
 
 enum {
-  /* A configuration is in force at a gateway that has no fault of its own this long after its
-   * acknowledgement, whether the core is settled or not: 600 ms until a hedged poll, and a round
-   * trip; and IN_FORCE_MARGIN_MS for each further controller that is silent. The platform allows
-   * APPLY_MS, and more while the core is unsettled. */
+  /* A gateway without a fault of its own applies a configuration within this time after its
+   * acknowledgement, whether the controllers are settled or not: 600 ms until a hedged poll, plus a
+   * round trip. Each further controller that does not respond adds IN_FORCE_MARGIN_MS. The platform
+   * allows APPLY_MS, and more while the controllers are unsettled. */
   IN_FORCE_MS = 800,
   IN_FORCE_MARGIN_MS = 300,
   PROBE_INTERVAL_MS = 100,
   PROBE_TIMEOUT_MS = 900,
-  /* A controller that is asked directly responds within this. */
+  /* A controller that receives a configuration change directly responds within this time. */
   RESPONSE_TIMEOUT_MS = 1000,
-  /* An order that is sent SETTLED_AFTER_MS after the last change in the core, or later, is
-   * acknowledged within SETTLED_ACK_MS, its client's pauses included. One that meets the change
-   * waits for the next view and its leases (up to 3 s where the head receives nothing but is still
-   * heard), and for the client's attempt and pause under way, at most 2.6 s. With two of five lost
-   * the first view may have too few members for a write, and a second one follows. */
+  /* The controllers are settled once SETTLED_AFTER_MS have passed since the last fault among them
+   * began or ended. A configuration change that is sent then is acknowledged within SETTLED_ACK_MS,
+   * including the client's backoff. One that is sent earlier waits for the next view and its leases
+   * (up to 3 s when the head receives nothing but can still send), and for the client's current
+   * attempt and backoff, at most 2.6 s. When two of five controllers are lost, the first view may
+   * have too few members for a write, and a second view change follows (SECOND_VIEW_MS). */
   SETTLED_ACK_MS = 2000,
   SETTLED_AFTER_MS = 2500,
   UNSETTLED_ACK_MS = 5600,
@@ -34,7 +36,7 @@
   CUT_MS = 20000
 };
 
-/** One request to one gateway on the route that a version brought. */
+/** One request to one gateway on the route that a configuration version added. */
 typedef struct probe_answer {
   int gateway, status;
   uint64_t version, life;
@@ -47,9 +49,9 @@
   fleet *fleet;
   host *outside;
   GArray *answers;
-  /* latest acknowledged version, and the one on which changes build */
+  /* latest acknowledged version, and base version of the next change */
   uint64_t acked, version;
-  /* when a path or a process in the core last changed */
+  /* when a link between controllers or a controller process last changed */
   time_us core_changed_at;
   int frozen;
   bool stop;
@@ -65,7 +67,7 @@
   ip[strcspn(ip, ":")] = 0;
 }
 
-/* The status of the response to one request, or 0. */
+/* Sends one request and returns the status of its response, or 0 if there is none. */
 static int request_status(watch *w, const char *to, const char *verb, const char *path,
                           const fields *fields, const char *body, int64_t ms) {
   GString *got = g_string_new(NULL);
@@ -132,14 +134,15 @@
   return !w->core_changed_at.us || at.us > w->core_changed_at.us + SETTLED_AFTER_MS * 1000;
 }
 
-/* Waits for the response to an order, which must be an acknowledgement, in time. */
+/* Waits for the response to a configuration change and checks that it is an acknowledgement that
+ * came in time. */
 static void await_acknowledgement(watch *w, operator_sim_change *change, bool settled,
                                   const char *what) {
   while (!change->done)
     sim_run(w->deployment->sim, time_from_ms(10));
   if (!change->acked_at.us) {
-    fleet_add_violation(w->fleet, "ORDER %s %" PRIu64 " was never acknowledged (%d)", what,
-                        change->version, change->status);
+    fleet_add_violation(w->fleet, "%s to version %" PRIu64 " was never acknowledged (status %d)",
+                        what, change->version, change->status);
     return;
   }
   int64_t took_ms = time_sub(change->acked_at, change->sent_at).us / 1000;
@@ -147,10 +150,11 @@
   if (!settled && w->fleet->controllers > 3)
     max_ms += SECOND_VIEW_MS;
   if (g_getenv("SIM_COUNT"))
-    fprintf(stderr, "  step ack%s %.3f\n", settled ? " calm" : "", (double)took_ms / 1000);
+    fprintf(stderr, "  step ack%s %.3f\n", settled ? " settled" : "", (double)took_ms / 1000);
   if (took_ms > max_ms)
-    fleet_add_violation(w->fleet, "ORDER %s %" PRIu64 " took %" PRId64 " ms, %s", what,
-                        change->version, took_ms, settled ? "calm" : "not calm");
+    fleet_add_violation(w->fleet,
+                        "%s to version %" PRIu64 " took %" PRId64 " ms, with controllers %s", what,
+                        change->version, took_ms, settled ? "settled" : "not settled");
   w->acked = MAX(w->acked, change->version);
 }
 
@@ -162,10 +166,10 @@
       operator_sim_send(w->deployment->operator, version, w->version, true, text, true);
   g_free(text);
   w->version = version;
-  await_acknowledgement(w, k, settled, "change");
+  await_acknowledgement(w, k, settled, "configuration change");
 }
 
-/* Two operators change the same version at once: exactly one of them is acknowledged. */
+/* Two operators send a change on the same base version at once: exactly one is acknowledged. */
 static void send_racing_changes(watch *w) {
   uint64_t one = w->version + 1, two = w->version + 2;
   char *a = mark_text(one), *b = mark_text(two);
@@ -178,8 +182,8 @@
   while (!x->done || !y->done)
     sim_run(w->deployment->sim, time_from_ms(10));
   if (!x->acked_at.us == !y->acked_at.us)
-    fleet_add_violation(w->fleet, "ORDER of two at once on %" PRIu64 " got %d and %d", w->version,
-                        x->status, y->status);
+    fleet_add_violation(w->fleet, "two racing changes of version %" PRIu64 " got status %d and %d",
+                        w->version, x->status, y->status);
   w->version = y->acked_at.us ? two : one;
   w->acked = MAX(w->acked, w->version);
 }
@@ -188,7 +192,8 @@
   return status == 307 || status == 503 || status == 504;
 }
 
-/* A valid order goes to a controller that is cut off, and then, as clients do, to any. */
+/* Sends a valid change to a controller that is cut off, which must refuse it, and then, as clients
+ * do, to any controller. */
 static void send_order_to(watch *w, host *controller) {
   uint64_t version = w->version + 1;
   char *text = mark_text(version), ip[48], to[64];
@@ -209,16 +214,16 @@
          w->deployment->sim->now.us < sent.us + RESPONSE_TIMEOUT_MS * 1000)
     sim_run(w->deployment->sim, time_from_ms(5));
   if (!is_refusal(call->status))
-    fleet_add_violation(w->fleet, "ORDER %s, cut off, answered %d to a right order after %.3f s",
-                        controller->self.text, call->status,
-                        (double)(w->deployment->sim->now.us - sent.us) / 1e6);
+    fleet_add_violation(
+        w->fleet, "%s is cut off and responded with %d to a valid change after %.3f s",
+        controller->self.text, call->status, (double)(w->deployment->sim->now.us - sent.us) / 1e6);
   http_call_close(call);
   bool settled = is_settled(w, w->deployment->sim->now);
   operator_sim_change *change =
       operator_sim_send(w->deployment->operator, version, w->version, true, text, true);
   g_free(text);
   w->version = version;
-  await_acknowledgement(w, change, settled, "order sent on");
+  await_acknowledgement(w, change, settled, "retried configuration change");
 }
 
 /* Faults */
@@ -260,7 +265,7 @@
   return fleet->controller[best];
 }
 
-/* The head, the tail, the one that most gateways poll, or any. */
+/* Picks the head, the tail, the controller that most gateways poll, or a random one. */
 static host *pick_controller(fleet *fleet, const host *except) {
   host *h[] = { fleet_find_head(fleet), fleet_find_tail(fleet), most_polled_controller(fleet),
                 fleet->controller[sim_random(fleet->sim, fleet->controllers)] };
@@ -284,7 +289,7 @@
       host_start(w->deployment->engine_processes[i]->host);
 }
 
-/* One random step, about one a second. */
+/* Runs one random step; a step takes about a second. */
 static void random_step(watch *w, host *cut_off, bool direct) {
   int64_t begun = w->deployment->sim->now.us;
   uint64_t what = sim_random(w->deployment->sim, 8);
@@ -346,7 +351,7 @@
     worst = MAX(worst, age);
     if (age * 1000 > (double)max_ms)
       fleet_add_violation(w->fleet,
-                          "OLD %s has no version %" PRIu64 " %.3f s after its acknowledgement",
+                          "%s has not applied version %" PRIu64 " %.3f s after its acknowledgement",
                           host->self.text, a->version, age);
   }
   if (g_getenv("SIM_COUNT"))
@@ -365,7 +370,8 @@
         seen = 0;
       life = a->life;
       if (a->status == 404 && a->version <= seen && a->sent.us > at.us + REVERT_MS * 1000)
-        fleet_add_violation(w->fleet, "BACK %s had version %" PRIu64 " and then not %" PRIu64,
+        fleet_add_violation(w->fleet,
+                            "%s had applied version %" PRIu64 " and later lacked version %" PRIu64,
                             w->fleet->router[v]->self.text, seen, a->version);
       if (a->status != 404 && a->version > seen) {
         seen = a->version;
@@ -385,10 +391,11 @@
   w->stop = true;
   sim_run(deployment->sim, time_from_ms(1500));
   if (deployment->operator->read_version<w->acked)
-    fleet_add_violation(fleet, "ORDER %" PRIu64 " was acknowledged, and %" PRIu64 " is read back",
-                        w->acked, deployment->operator->read_version);
+    fleet_add_violation(
+        fleet, "version %" PRIu64 " was acknowledged, but version %" PRIu64 " is read back",
+        w->acked, deployment->operator->read_version);
   if (w->answers->len < 200)
-    fleet_add_violation(fleet, "only %u answers of gateways were seen", w->answers->len);
+    fleet_add_violation(fleet, "only %u probes of gateways were recorded", w->answers->len);
   check_age(w);
   check_no_return(w);
   bool ok = deployment_finish(deployment, 0.6);
@@ -428,8 +435,9 @@
   return w;
 }
 
-/* As seen on the users' platform: a gateway was cut off and is back for some seconds, and then a
- * controller is cut off. The gateway's channels must have recovered from the first cut. */
+/* Reproduces a failure on the users' platform: a gateway is cut off, reconnects for some seconds,
+ * and then a controller is cut off. The gateway's channels must have recovered from the first
+ * partition by then. */
 static bool a_gateway_returns_and_the_core_is_cut(fleet *fleet) {
   watch *w = begin(fleet, 3);
   if (!w)
@@ -470,7 +478,7 @@
     cut_core(w, cut[i], way, true);
   run_steps(w, CUT_MS + (int64_t)sim_random(fleet->sim, 6000),
             cut[sim_random(fleet->sim, (uint64_t)count)], true);
-  /* changes are sent at the instant of its return */
+  /* sends changes at the moment the controllers return */
   for (int i = 0; i < count; i++)
     cut_core(w, cut[i], way, false);
   send_racing_changes(w);
@@ -515,8 +523,8 @@
   return frozen_for_long(fleet, 5, 2);
 }
 
-/* True when the latest acknowledged version is in force at a gateway, by its response on the route
- * that this version added. */
+/* Whether a gateway has applied the latest acknowledged version, judged by its latest response on
+ * the route that a version added. */
 static bool has_latest(watch *w, int gateway) {
   for (guint i = w->answers->len; i > 0; i--) {
     probe_answer *a = &g_array_index(w->answers, probe_answer, i - 1);
@@ -526,8 +534,8 @@
   return false;
 }
 
-/* A gateway that is out of CPU reads every message seconds late; it must not discard the responses
- * that it has asked for. */
+/* A gateway that is short of CPU reads every message seconds late. It must not discard the
+ * responses to its own polls. */
 static bool a_busy_gateway_takes_late_answers(fleet *fleet) {
   watch *w = begin(fleet, 3);
   if (!w)
@@ -536,20 +544,19 @@
   deployment_record_fault(w->deployment, busy, 'c', 40000);
   busy->read_delay_ms = 1800 + (int64_t)sim_random(fleet->sim, 1200);
   run_steps(w, 10000, NULL, false);
-  /* no more changes: what is acknowledged reaches it after one late answer, and one more where the
-   * first was too old */
+  /* No more changes are sent: the acknowledged version reaches the gateway with one late response,
+   * or with a second one if the first was too old. */
   sim_run(w->deployment->sim, time_from_ms(3 * busy->read_delay_ms + 2000));
   if (!has_latest(w, 0))
     fleet_add_violation(fleet,
-                        "OLD a gateway that reads %" PRId64 " ms late never got version %" PRIu64,
+                        "a gateway that reads %" PRId64 " ms late never applied version %" PRIu64,
                         busy->read_delay_ms, w->acked);
   busy->read_delay_ms = 0;
   run_steps(w, 4000, NULL, false);
   return watch_done(w);
 }
 
-/* Processes that restart have the controller that is cut off as their first seed, or as their only
- * one. */
+/* Processes restart with the controller that is cut off as their first or only seed address. */
 static bool restarts_are_told_of_the_cut_off(fleet *fleet) {
   watch *w = begin(fleet, 3);
   if (!w)
--- a/tests/fleet/corrupt_bytes.c
+++ b/tests/fleet/corrupt_bytes.c
@@ -1,6 +1,6 @@
-/** Corrupt bytes at the readers of configurations, of expressions and of the write-ahead log: they
- * are refused with a code, and a controller starts again with any disk. Fleet: three controllers,
- * two routers, two engines.
+/** Corrupt input for the readers of configurations, formulas and the write-ahead log: invalid
+ * resources are refused with an error code, and a controller starts with any content on its disk.
+ * Fleet: three controllers, two routers, two engines.
  */
 #include "scenario.h"
 #include "tests.h"
@@ -12,7 +12,7 @@
   DISK_STARTS = 12
 };
 
-/* changes up to six bytes, or runs of bytes, of a valid text */
+/* makes one to six random changes to a valid text, each to one byte or a short run of bytes */
 static void corrupt(sim *sim, GString *text) {
   int changes = 1 + (int)sim_random(sim, 6);
   for (int i = 0; i < changes && text->len; i++) {
@@ -36,8 +36,8 @@
   }
 }
 
-/* compiles a resource; an evacuation needs the catalogue that names its zones. True when it is
- * valid; one that is not is refused with a code. */
+/* Compiles a resource and returns whether it is valid. An invalid one must be refused with an error
+ * code. An evacuation needs the catalogue that names its zones. */
 static bool read_resource(fleet *fleet, int resource, const GString *text, const char *catalogue) {
   error err = { 0 };
   json *resources[RESOURCE_COUNT] = { 0 };
@@ -47,7 +47,7 @@
   config *config = resources[resource] ? config_compile((const json **)resources, &err) : NULL;
   bool valid = config != NULL;
   if (!valid && !err.code)
-    fleet_add_violation(fleet, "refused without a code: %s", text->str);
+    fleet_add_violation(fleet, "resource refused without an error code: %s", text->str);
   config_free(config);
   for (int i = 0; i < RESOURCE_COUNT; i++)
     json_free(resources[i]);
@@ -72,20 +72,20 @@
         "{\"loadsPerS\":2,\"kinds\":[{\"id\":\"a\",\"share\":0.5}],\"rules\":[{\"when\":{\"kind\":\"a\"},\"then\":[\"enrol\",\"select\",{\"op\":\"hold\",\"ms\":5},\"proxy\",\"answer\"]}],\"utilities\":[{\"id\":\"u\",\"worth\":\"rate*min(1,size)\"}]}",
     [RESOURCE_EVACUATION] = "{\"areas\":[{\"area\":\"north\",\"share\":0.5}]}"
   };
-  int taken = 0;
+  int accepted = 0;
   for (int i = 0; i < TEXTS; i++) {
     int resource = i % RESOURCES;
     GString *text = g_string_new(valid[resource]);
     /* the first text of each resource stays valid */
     if (i >= RESOURCES)
       corrupt(fleet->sim, text);
-    taken += read_resource(fleet, resource, text, catalogue);
+    accepted += read_resource(fleet, resource, text, catalogue);
     g_string_free(text, TRUE);
     evaluate_corrupt_formula(fleet->sim);
   }
   g_free(catalogue);
-  if (!taken || taken == TEXTS)
-    fleet_add_violation(fleet, "%d taken, %d refused", taken, TEXTS - taken);
+  if (!accepted || accepted == TEXTS)
+    fleet_add_violation(fleet, "%d texts accepted, %d refused", accepted, TEXTS - accepted);
 }
 
 static void corrupt_disk(sim *sim, sim_disk *disk) {
@@ -97,8 +97,9 @@
   }
 }
 
-/* bytes change while a controller has no power: it starts again, as itself or as a new member. It
- * has left the chain and joined again before the next one; two at once may lose writes. */
+/* Corrupts the disk of a controller while it is powered off; it restarts under its identity or as a
+ * new member. It must have rejoined the chain before the next disk is corrupted, since two corrupt
+ * disks at once may lose writes. */
 static bool start_with_corrupt_disks(fleet *fleet) {
   for (int i = 0; i < DISK_STARTS; i++) {
     host *host = fleet->controller[i % 3];
--- a/tests/fleet/input_fuzzing.c
+++ b/tests/fleet/input_fuzzing.c
@@ -1,8 +1,8 @@
 /**
- * Fuzz targets: readers of bytes from outside (configurations, heartbeats, peer messages, disk
- * frames) get valid inputs that were changed by the seed. The sanitizers, or a property that holds
- * for every input, decide. Inputs come from tests/fuzz/corpus; tests/http/fuzz_check.py does the
- * same for HTTP.
+ * Fuzz tests of the readers of external bytes (configurations, heartbeats, peer messages, disk
+ * frames). Valid inputs are mutated at random by the seed; a test fails by a sanitizer report, or
+ * by a property that must hold for every input. Configurations and heartbeats come from
+ * tests/fuzz/corpus. tests/http/fuzz_check.py does the same for HTTP.
  */
 #include "config_change.h"
 #include "dialect.h"
@@ -19,7 +19,7 @@
   return strcmp(*(char *const *)a, *(char *const *)b);
 }
 
-/* the files of one kind of input, in the order of their names */
+/* reads all files of one kind of input, ordered by name */
 static GPtrArray *corpus_read(fleet *fleet, const char *kind) {
   GPtrArray *all = g_ptr_array_new_with_free_func(g_free);
   char *folder = g_build_filename(corpus_dir, kind, NULL);
@@ -38,7 +38,7 @@
   if (dir)
     g_dir_close(dir);
   if (!all->len)
-    fleet_add_violation(fleet, "no inputs in %s", folder);
+    fleet_add_violation(fleet, "no input files in %s", folder);
   g_ptr_array_free(names, TRUE);
   g_free(folder);
   return all;
@@ -77,7 +77,7 @@
     g_string_truncate(bytes, at);
     return;
   default: {
-    /* a value gives way to another */
+    /* inserts a token, in half of the cases in place of the text up to the next delimiter */
     const char *token = tokens[sim_random(sim, G_N_ELEMENTS(tokens))];
     size_t n = strcspn(bytes->str + at, ",:]}");
     if (sim_random(sim, 2))
@@ -98,19 +98,19 @@
   return all->pdata[sim_random(sim, all->len)];
 }
 
-/* what was taken is valid, and reads the same once it is written */
+/* An accepted configuration must be valid, and must not change when it is parsed and written. */
 static void check_taken(fleet *fleet, const GString *text) {
   error err = { 0 };
   json *json = json_parse(string_view_of_gstring(text), &err);
   routing *routing = json ? routing_compile(json, &err) : NULL;
   if (!routing)
-    fleet_add_violation(fleet, "a configuration that was taken is invalid (%s): %s", err.text,
+    fleet_add_violation(fleet, "an accepted configuration is invalid (%s): %s", err.text,
                         text->str);
   GString *again = g_string_new(NULL);
   if (json)
     json_write(json, again);
   if (json && !g_string_equal(again, text))
-    fleet_add_violation(fleet, "a configuration changes when it is read and written: %s",
+    fleet_add_violation(fleet, "a configuration changes when it is parsed and written: %s",
                         text->str);
   if (routing) {
     routing_find_route(routing, string_view_of("svc.example"), string_view_of("/once/x"));
@@ -123,7 +123,7 @@
 static bool fuzz_configurations(fleet *fleet) {
   sim *sim = fleet->sim;
   GPtrArray *full = corpus_read(fleet, "configuration"), *patches = corpus_read(fleet, "patch");
-  int taken = 0, refused = 0;
+  int accepted = 0, refused = 0;
   if (!full->len || !patches->len)
     return false;
   for (int i = 0; i < CONFIGURATION_INPUTS; i++) {
@@ -133,7 +133,7 @@
     error err = { 0 };
     json *body = json_parse(string_view_of_gstring(text), &err);
     if (!body && !err.code)
-      fleet_add_violation(fleet, "JSON is refused without a code: %s", text->str);
+      fleet_add_violation(fleet, "JSON is refused without an error code: %s", text->str);
     if (body) {
       uint64_t current = is_full ? 0 : config_change_version(string_view_of(base));
       int code = config_change_apply(string_view_of(is_full ? "" : base), current, is_full, current,
@@ -141,7 +141,7 @@
       if (code)
         refused++;
       else {
-        taken++;
+        accepted++;
         check_taken(fleet, to);
       }
       dialect_translate_in(&dialect_native, body);
@@ -151,15 +151,16 @@
     g_string_free(text, TRUE);
     g_string_free(to, TRUE);
   }
-  if (!taken || !refused)
-    fleet_add_violation(fleet, "%d configurations taken, %d refused: the inputs show little", taken,
-                        refused);
+  if (!accepted || !refused)
+    fleet_add_violation(fleet,
+                        "%d configurations accepted, %d refused: the inputs cover only one outcome",
+                        accepted, refused);
   g_ptr_array_free(full, TRUE);
   g_ptr_array_free(patches, TRUE);
   return fleet_check_all(fleet);
 }
 
-/** Requests to a control listener, one after the other. */
+/** A client that sends requests to a control listener, one after the other. */
 typedef struct control_calls {
   fleet *fleet;
   host *from;
@@ -200,7 +201,7 @@
   calls->done = true;
 }
 
-/* changed heartbeats come to a controller: each is answered, and gateways go on */
+/* Mutated heartbeats reach a controller: each gets a response, and gateways keep serving. */
 static bool fuzz_heartbeats(fleet *fleet) {
   deployment *deployment = deployment_new(fleet, 2, 1);
   control_calls calls = { .fleet = fleet, .heartbeats = corpus_read(fleet, "beat") };
@@ -217,10 +218,10 @@
   for (int i = 0; i < 600 && !calls.done; i++)
     sim_run(deployment->sim, time_from_ms(200));
   if (!calls.done || calls.answered < HEARTBEAT_INPUTS)
-    fleet_add_violation(fleet, "only %d of %d heartbeats and more were answered", calls.answered,
-                        HEARTBEAT_INPUTS);
+    fleet_add_violation(fleet, "only %d requests got a response, for %d heartbeats alone",
+                        calls.answered, HEARTBEAT_INPUTS);
   if (!calls.accepted)
-    fleet_add_violation(fleet, "no changed heartbeat was taken: the inputs show little");
+    fleet_add_violation(fleet, "no request was accepted: the inputs cover only refusals");
   host_kill(calls.from);
   g_ptr_array_free(calls.heartbeats, TRUE);
   deployment_run_traffic(deployment, 0.5, 3000);
@@ -240,7 +241,7 @@
   g_string_free(p, TRUE);
 }
 
-/* records the messages between controllers and routers, or stops */
+/* starts or stops recording the messages that controllers and routers send */
 static void record_messages(fleet *fleet, bool on) {
   for (int i = 0; i < fleet->controllers + fleet->routers; i++) {
     host *host =
@@ -251,8 +252,8 @@
   }
 }
 
-/* messages between processes, changed, come to all of them; one that is valid may be acted on,
- * since peers are not authenticated, but no reader may break */
+/* Delivers mutated peer messages to controllers and routers. A valid message may have an effect,
+ * since peers are not authenticated, but no reader may crash. */
 static bool fuzz_peer_messages(fleet *fleet) {
   sim *sim = fleet->sim;
   messages = g_ptr_array_new_with_free_func(free_message);
@@ -280,13 +281,14 @@
     sim_run(sim, time_from_ms(10));
   }
   if (!read)
-    fleet_add_violation(fleet, "of %u messages none could be read once changed", messages->len);
+    fleet_add_violation(fleet, "no mutated message could be parsed (%u messages recorded)",
+                        messages->len);
   g_ptr_array_free(messages, TRUE);
   messages = NULL;
   return true;
 }
 
-/* changes lie where frames are: at the beginning of a file, and where bytes were written */
+/* Changes bytes where frames are stored: in the first 256 bytes or the first 16 KiB of a file. */
 static void change_disk(sim *sim, sim_disk *disk) {
   for (int k = 1 + (int)sim_random(sim, 12); k > 0; k--) {
     unsigned file = (unsigned)sim_random(sim, 4);
@@ -302,15 +304,15 @@
   }
 }
 
-/* the frames of one controller are changed at a time: it comes back, as itself or as a new member,
- * and what was acknowledged stands */
+/* Mutates the frames on the disk of one controller at a time. The controller restarts under its
+ * identity or as a new member, and no acknowledged write is lost. */
 static bool fuzz_disk_frames(fleet *fleet) {
   if (!fleet_bring_up(fleet))
     return false;
   for (int i = 0; i < DISK_STARTS; i++) {
     host *host = fleet->controller[i % 3];
     if (!fleet_put(fleet, "evacuation", "{\"areas\":[]}"))
-      fleet_add_violation(fleet, "no write before start %d", i);
+      fleet_add_violation(fleet, "no write was acknowledged before restart %d", i);
     host_power_off(host);
     change_disk(fleet->sim, host->disk);
     host_start(host);
--- a/tests/fleet/losses.c
+++ b/tests/fleet/losses.c
@@ -1,11 +1,11 @@
 /**
- * Heavy losses under traffic: serving is back, by the callers' own records. Fleet: three
- * controllers, three to eight routers, two to six engines.
+ * Many processes fail at once under traffic: the fleet must serve again, judged by the records of
+ * the callers. Fleet: three controllers, three to eight routers, two to six engines.
  */
 #include "tests.h"
 #include <stdio.h>
 
-/* starts a fleet under traffic, and waits until it serves evenly */
+/* starts a fleet under traffic, and waits until it serves steadily */
 static bool start_with_traffic(fleet *fleet) {
   if (!fleet_bring_up(fleet))
     return false;
@@ -15,7 +15,7 @@
   return true;
 }
 
-/* checks rule R12: each kind of request is served again, by the callers' records */
+/* checks rule R12: by the callers' records, each kind of request is served again after the loss */
 static bool check_recovery(fleet *fleet, time_us loss) {
   sim_run(fleet->sim, time_sub(time_add(loss, time_from_ms(24000)), fleet->sim->now));
   fleet->callers->loadgen->stop = true;
@@ -132,7 +132,7 @@
   return check_recovery(fleet, loss);
 }
 
-/* the head is lost with its disk right after the answer to a write, and never comes back */
+/* The head fails for good, together with its disk, right after it acknowledged a write. */
 static bool the_head_is_lost_after_an_acknowledgement(fleet *fleet) {
   if (!fleet_bring_up(fleet))
     return false;
@@ -156,7 +156,7 @@
   host_power_off(head);
   host_wipe_disk(head);
   if (call->status != 200)
-    fleet_add_violation(fleet, "a write over slow disks got %d", call->status);
+    fleet_add_violation(fleet, "a write with slow disks got status %d", call->status);
   operator_call_free(call);
   if (!scenario_wait_for_chain(fleet, 2, 10000))
     return false;
@@ -168,7 +168,7 @@
   return true;
 }
 
-/* the number of load orders that engines received since an instant */
+/* counts the load orders that engines have received since a time */
 static int loads_since(fleet *fleet, time_us from) {
   int loads = 0;
   for (int i = 0; i < fleet->engines; i++)
@@ -180,8 +180,9 @@
   return loads;
 }
 
-/* the load rate limiter can not renew its lease, and grants permits until it expires; the next one
-   must not start before that, and must start, though all other routers still reach the old one */
+/* The load rate limiter can't renew its lease, and grants permits until the lease expires. Another
+ * router must take over, but not before the lease has expired, although all other routers can still
+ * reach the old one. */
 static bool the_load_rate_limiter_is_cut_off_from_controllers(fleet *fleet) {
   fleet->loads_per_s = 1;
   fleet->models = 40;
@@ -201,7 +202,8 @@
                                   true);
     sim_run(fleet->sim, time_from_ms(12000));
     if (!loads_since(fleet, time_sub(fleet->sim->now, time_from_ms(4000))))
-      fleet_add_violation(fleet, "R12 nothing is loaded 8 to 12 s after %s was cut from the core",
+      fleet_add_violation(fleet,
+                          "R12 no load order 8 to 12 s after %s was cut off from the controllers",
                           host->self.text);
     sim_heal_partitions(fleet->sim);
   }
@@ -225,7 +227,8 @@
   return true;
 }
 
-/* one model, many routers, long queues: when its engines come back, all routers send at once */
+/* Many routers have long queues for one model. When its engines restart, all routers send at once,
+ * and must not overload the engines during their slow start. */
 static bool warming_engines_meet_many_routers(fleet *fleet) {
   fleet->slow_start_s = 10;
   fleet->models = 3;
@@ -252,8 +255,8 @@
   return loadgen_count(loadgen, OUTCOME_DONE) > 0;
 }
 
-/* markers show a configuration that goes back: the tail is ahead of the others for a moment, and
- * then it is lost */
+/* The tail is ahead of the other controllers for a moment and then fails. Probes of the policy
+ * markers detect a configuration that reverts to an older version. */
 static bool tails_are_killed_while_markers_are_written(fleet *fleet) {
   if (!fleet_bring_up(fleet))
     return false;
@@ -271,15 +274,15 @@
     for (int k = 0; k < 3; k++)
       if (fleet->controller[k] != host)
         fleet->controller[k]->disk->sync_delay_ms = 60;
-    /* and its acknowledgements are lost, so that the one before it is behind what routers
-     * have read */
-    bool hears_nothing = sim_random(fleet->sim, 2);
-    for (int k = 0; k < 3 && hears_nothing; k++)
+    /* In half of the cases the messages of the tail are lost too, so that its predecessor lacks its
+     * acknowledgements and is behind what routers have read. */
+    bool lose_acks = sim_random(fleet->sim, 2);
+    for (int k = 0; k < 3 && lose_acks; k++)
       if (fleet->controller[k] != host) {
         fleet->controller[k]->disk->sync_delay_ms = 5;
         sim_set_partition(fleet->sim, host->self.text, fleet->controller[k]->self.text, true);
       }
-    if (hears_nothing)
+    if (lose_acks)
       sim_run(fleet->sim, time_from_ms(900));
     for (int k = 0; k < 4; k++) {
       fleet_write_policy_marker(fleet);
@@ -302,7 +305,7 @@
   return true;
 }
 
-/* a restarted engine has no models, and no router has received a report of it yet */
+/* Engines restart without models, and routers send before they have received the next report. */
 static bool engines_restart_between_reports(fleet *fleet) {
   if (!fleet_bring_up(fleet))
     return false;
--- a/tests/fleet/partitions.c
+++ b/tests/fleet/partitions.c
@@ -1,16 +1,17 @@
 /**
- * Partitions between controllers, routers, zones and the platform: requests to every router show by
- * which policy it answers. Fleet: three controllers, four to six routers, three to six engines.
+ * Partitions between controllers, routers, zones and the platform. Probe requests to every router
+ * show which version of the policy it applies. Fleet: three controllers, four to six routers, three
+ * to six engines.
  */
 #include "tests.h"
 
 enum {
   MARKER_INTERVAL_MS = 1500,
-  /* the last marker may be as old as this once links are mended */
+  /* after all links have healed, the latest acknowledged marker may be at most this old */
   MARKER_AGE_MAX_MS = 5000
 };
 
-/** Attempts of callers, and how many of them were answered. */
+/** How many attempts callers made, and how many of them succeeded. */
 typedef struct attempt_counts {
   int sent, done;
 } attempt_counts;
@@ -28,7 +29,7 @@
   return counts;
 }
 
-/* starts a fleet under traffic, with requests to every router that show which policy is in force */
+/* starts a fleet under traffic, with probes of every router that show which policy it applies */
 static bool start_with_probes(fleet *fleet, double per_s) {
   if (!fleet_bring_up(fleet))
     return false;
@@ -41,25 +42,25 @@
   return true;
 }
 
-/* mends all links: markers go on being acknowledged, and the fleet serves by itself */
+/* heals all links and checks that markers are acknowledged and that the fleet recovers by itself */
 static bool mend_and_check(fleet *fleet) {
   sim_heal_partitions(fleet->sim);
   scenario_write_markers(fleet, 10000, MARKER_INTERVAL_MS);
   const operator_write *last = NULL;
   for (guint i = 0; i < fleet->writes->len; i++) {
-    const operator_write *note = fleet->writes->pdata[i];
-    if (note->marker_status && note->status == 200)
-      last = note;
+    const operator_write *write = fleet->writes->pdata[i];
+    if (write->marker_status && write->status == 200)
+      last = write;
   }
   if (!last || time_sub(fleet->sim->now, last->answered_at).us > time_from_ms(MARKER_AGE_MAX_MS).us)
-    fleet_add_violation(fleet, "no marker was acknowledged after all was mended");
+    fleet_add_violation(fleet, "no marker was acknowledged after all links had healed");
   fleet_finish_traffic(fleet);
   fleet->probing = false;
   sim_run(fleet->sim, time_from_ms(3500));
   return true;
 }
 
-/* cuts the links between a process and all of a role, both ways */
+/* cuts the links between a process and all processes of a role, in both directions */
 static void cut_from(fleet *fleet, host *from, enum host_role role) {
   list_for_each (other, &fleet->sim->hosts, host, link)
     if (other != from && other->role == role)
@@ -76,11 +77,11 @@
     cut_from(fleet, host, HOST_PLATFORM);
   sim_run(fleet->sim, time_from_ms((int64_t)sim_random(fleet->sim, 3000)));
   if (!fleet_put(fleet, "evacuation", "{\"areas\":[{\"area\":\"south\"}]}"))
-    fleet_add_violation(fleet, "one router that is cut off stops the operator");
+    fleet_add_violation(fleet, "a write failed because one router is cut off");
   platform_sim_set_engine_state(fleet->platform->platform, fleet->engine[0]->self, true, false);
   scenario_write_markers(fleet, 12000, MARKER_INTERVAL_MS);
   if (!fleet_put(fleet, "evacuation", "{\"areas\":[]}"))
-    fleet_add_violation(fleet, "one router that is cut off stops the operator");
+    fleet_add_violation(fleet, "a write failed because one router is cut off");
   platform_sim_set_engine_state(fleet->platform->platform, fleet->engine[0]->self, false, false);
   return mend_and_check(fleet);
 }
@@ -89,20 +90,20 @@
   if (!start_with_probes(fleet, 10))
     return false;
   const char *area = zone_names[sim_random(fleet->sim, 3)];
-  /* the platform stands on either side */
-  bool with = sim_random(fleet->sim, 2);
+  /* the platform is on either side of the partition */
+  bool platform_in_zone = sim_random(fleet->sim, 2);
   list_for_each (a, &fleet->sim->hosts, host, link)
     list_for_each (b, &fleet->sim->hosts, host, link) {
       if (a->role > HOST_PLATFORM || b->role > HOST_PLATFORM)
         continue;
-      bool in = a->role == HOST_PLATFORM ? with : !strcmp(a->area.text, area),
-           out = b->role == HOST_PLATFORM ? !with : strcmp(b->area.text, area) != 0;
+      bool in = a->role == HOST_PLATFORM ? platform_in_zone : !strcmp(a->area.text, area),
+           out = b->role == HOST_PLATFORM ? !platform_in_zone : strcmp(b->area.text, area) != 0;
       if (in && out)
         sim_set_partition_both_ways(fleet->sim, a->self.text, b->self.text, true);
     }
-  /* while the platform is on the smaller side, most routers keep the list they had: design.md
-   * states the case */
-  if (!with)
+  /* While the platform is on the smaller side, most routers keep their last engine list (a case
+   * that design.md describes), so an engine leaves only when the platform is on the larger side. */
+  if (!platform_in_zone)
     platform_sim_set_engine_state(fleet->platform->platform,
                                   fleet->engine[sim_random(fleet->sim, fleet->engines)]->self, true,
                                   false);
@@ -133,7 +134,7 @@
   scenario_write_markers(fleet, 12000, 2500);
   attempt_counts attempts = count_attempts(fleet, time_add(from, time_from_ms(4000)));
   if (keep < (fleet->routers + 1) / 2 && attempts.done < attempts.sent / 4)
-    fleet_add_violation(fleet, "most routers hold together, and %d of %d were served",
+    fleet_add_violation(fleet, "most routers are connected, but only %d of %d attempts were served",
                         attempts.done, attempts.sent);
   return mend_and_check(fleet);
 }
@@ -159,11 +160,11 @@
     return false;
   for (int i = 0; i < 3; i++) {
     host *h = fleet->router[sim_random(fleet->sim, fleet->routers)];
-    bool hears = sim_random(fleet->sim, 2), all = sim_random(fleet->sim, 2);
+    bool cut_outgoing = sim_random(fleet->sim, 2), all = sim_random(fleet->sim, 2);
     list_for_each (k, &fleet->sim->hosts, host, link) {
       if (k == h || (k->role != HOST_CONTROLLER && !(all && k->role == HOST_ROUTER)))
         continue;
-      if (hears)
+      if (cut_outgoing)
         sim_set_partition(fleet->sim, h->self.text, k->self.text, true);
       else
         sim_set_partition(fleet->sim, k->self.text, h->self.text, true);
@@ -192,10 +193,13 @@
   time_us from = fleet->sim->now;
   sim_run(fleet->sim, time_from_ms(5000));
   attempt_counts attempts = count_attempts(fleet, from);
-  /* as long as most routers never stopped, the others learn from them and serve what is resident */
+  /* If a majority of routers did not restart, the others fetch the configuration from them and
+   * serve the resident models. */
   if (n < (fleet->routers + 1) / 2 && attempts.done < attempts.sent / 4)
-    fleet_add_violation(fleet, "%d routers restarted without the core, and %d of %d were served", n,
-                        attempts.done, attempts.sent);
+    fleet_add_violation(fleet,
+                        "%d routers restarted without controllers, and only %d of %d attempts were "
+                        "served",
+                        n, attempts.done, attempts.sent);
   for (int i = 0; i < 3; i++)
     host_start(fleet->controller[i]);
   return scenario_wait_for_chain(fleet, 3, 15000) && mend_and_check(fleet);
@@ -204,11 +208,11 @@
 static bool a_router_loses_the_platform(fleet *fleet) {
   if (!start_with_probes(fleet, 12))
     return false;
-  /* some routers can't reach it, the others pass on that an engine leaves */
+  /* some routers can't reach the platform; the others forward to them that an engine leaves */
   int n = 1 + (int)sim_random(fleet->sim, fleet->routers - 1);
   for (int i = 0; i < n; i++)
     cut_from(fleet, fleet->router[i], HOST_PLATFORM);
-  /* one of them reaches the controllers, and no router that has the list */
+  /* in half of the cases one of them reaches the controllers, but no router with the engine list */
   if (sim_random(fleet->sim, 2))
     cut_from(fleet, fleet->router[0], HOST_ROUTER);
   sim_run(fleet->sim, time_from_ms(1000 + (int64_t)sim_random(fleet->sim, 3000)));
@@ -221,7 +225,8 @@
   return mend_and_check(fleet);
 }
 
-/* a renewal comes while the grant to the next holder is on its way through slow disks */
+/* A lease holder renews its lease while the grant to the next holder is still being written to slow
+ * disks. */
 static bool a_renewal_meets_a_grant(fleet *fleet) {
   if (!fleet_bring_up(fleet))
     return false;
@@ -237,7 +242,7 @@
       continue;
     }
     host_freeze(host);
-    /* about when the head grants the lease to another router */
+    /* until about the time when the head grants the lease to another router */
     sim_run(fleet->sim, time_from_ms(2700 + (int64_t)sim_random(fleet->sim, 1500)));
     host_unfreeze(host);
     sim_run(fleet->sim, time_from_ms(6000));
@@ -248,8 +253,8 @@
   return true;
 }
 
-/* a process that restarts at once counts as gone under its old incarnation, and must be found all
- * the same */
+/* A process restarts at once while its peers declare its old incarnation gone; they must still
+ * discover the new one. */
 static bool a_peer_declared_gone_comes_back(fleet *fleet) {
   if (!fleet_bring_up(fleet))
     return false;
@@ -274,7 +279,8 @@
           peer_table_find(a->controller ? &a->controller->node : &a->router->node, h->self);
       node *node = h->controller ? &h->controller->node : &h->router->node;
       if (!peer || peer->gone || peer->nonce != node->nonce)
-        fleet_add_violation(fleet, "%s does not know that %s is back", a->self.text, h->self.text);
+        fleet_add_violation(fleet, "%s has not discovered the restarted %s", a->self.text,
+                            h->self.text);
     }
   }
   return true;
--- a/tests/fleet/random_faults.c
+++ b/tests/fleet/random_faults.c
@@ -1,6 +1,7 @@
 /**
- * Random faults: a schedule of faults is drawn from the seed first, so that a failing one can be
- * made smaller. Fleet: three controllers, five to eight routers, six to nine engines.
+ * Random fault injection. The fault schedule is generated from the seed before the run, so that a
+ * failing schedule can be shrunk. Fleet: three controllers, five to eight routers, six to nine
+ * engines.
  */
 #include "random_faults.h"
 #include "tests.h"
@@ -9,14 +10,15 @@
 
 enum {
   STEPS = 16,
-  /* the schedule is drawn from a generator of its own, so that leaving out steps changes nothing */
+  /* The schedule uses its own random generator, so that leaving out steps does not change the
+   * others. */
   SCHEDULE_SEED_OFFSET = 1000003,
   MARKER_MS = 1200,
-  /* a call of an operator has ended by then, one way or another */
+  /* every operator call has ended by then, successfully or not */
   CALL_END_MS = 26000
 };
 
-/** What may go wrong in a step. */
+/** The fault that a step injects. */
 enum fault_kind {
   FAULT_KILL,
   FAULT_POWER_OFF,
@@ -66,7 +68,7 @@
                                            "report capacity late at",
                                            "slow the disk of" };
 
-/** Which of its three processes a fault is about. */
+/** Which of the three processes of a fault is its target. */
 enum target { TARGET_CONTROLLER, TARGET_ROUTER, TARGET_ENGINE, TARGETS };
 
 /** One step of a schedule. */
@@ -75,14 +77,14 @@
   enum target target;
   /* indices of the processes */
   int controller, router, engine;
-  /* 0 to 8: how strong it is, where that matters */
+  /* intensity from 0 to 8, for the kinds that use it */
   int share;
-  /* ms until the next step, of the fault itself, and after it was healed */
+  /* duration of the step, of the fault itself, and of the pause after healing */
   int64_t wait_ms, span_ms, heal_ms;
   bool heals;
 } fault;
 
-/* bit i: step i of the schedule takes place */
+/* bit i is set when step i of the schedule is executed */
 static uint32_t enabled_steps = ~0u;
 
 static void draw_schedule(uint64_t seed, int routers, int engines, fault schedule[STEPS]) {
@@ -101,7 +103,8 @@
   sim_free(sim);
 }
 
-/* only one disk is ever lost at a time: the next one waits until all replicas are in the chain */
+/* Whether all replicas are in the chain. Only then is a disk wiped, so that at most one disk is
+ * lost at a time. */
 static bool chain_is_complete(fleet *fleet) {
   host *tail = fleet_find_tail(fleet), *head = fleet_find_head(fleet);
   return head && tail && head->controller->replica.view.chain_length == 3 &&
@@ -118,7 +121,7 @@
   faults->drop_orders = 1;
 }
 
-/* all routers, or each second one */
+/* kills all routers, or every second one */
 static void kill_routers(fleet *fleet, const fault *fault) {
   for (int i = 0; i < fleet->routers; i++)
     if (fault->share > 2 || i % 2)
@@ -139,7 +142,7 @@
   host_start(controller);
 }
 
-/* two engines, one after the other: marked as draining, stopped, and started again */
+/* replaces two engines, one after the other: marks each as draining, stops it, and restarts it */
 static void replace_engines(fleet *fleet, const fault *fault) {
   platform_sim *platform = fleet->platform->platform;
   for (int i = 0; i < 2 && fleet->platform->alive; i++) {
@@ -166,7 +169,7 @@
   g_free(text);
 }
 
-/* two writes on the same base, at two controllers */
+/* sends two writes on the same base version to two controllers */
 static void race_writes(fleet *fleet, const fault *fault, GPtrArray *calls) {
   for (int i = 0; i < 2; i++) {
     host *controller = fleet->controller[(fault->controller + i) % 3];
@@ -183,14 +186,15 @@
   }
 }
 
-/* lets a fault happen; calls of operators that it sends are added to the array. Longer than other
- * functions, since each kind has its line. */
+/* Injects a fault; operator calls that it sends are added to the array. The function is long since
+ * it has a case for each kind of fault. */
 static void inject(fleet *fleet, const fault *fault, GPtrArray *calls) {
   host *controller = fleet->controller[fault->controller], *engine = fleet->engine[fault->engine];
   host *const targets[TARGETS] = { controller, fleet->router[fault->router], engine };
   host *target = targets[fault->target];
   switch (fault->kind) {
-  /* MUTATE shows that a failing schedule is made smaller: then a kill counts as a violation */
+  /* With MUTATE set, a kill counts as a violation, which shows that a failing schedule is shrunk.
+   */
   case FAULT_KILL:
     host_kill(target);
     if (getenv("MUTATE"))
@@ -301,11 +305,12 @@
   }
 }
 
-/* the healed fleet keeps what it acknowledged, takes a write, and serves */
+/* checks that the healed fleet has lost no acknowledged write, acknowledges a new one, and serves
+ */
 static void check_healed(fleet *fleet) {
   scenario_check_acknowledged_writes(fleet);
   if (!fleet_put(fleet, "evacuation", "{\"areas\":[]}"))
-    fleet_add_violation(fleet, "no write though all was healed");
+    fleet_add_violation(fleet, "no write was acknowledged after all faults were healed");
   time_us from = fleet->sim->now;
   sim_run(fleet->sim, time_from_ms(12000));
   const GPtrArray *requests = fleet->callers->loadgen->requests;
@@ -315,10 +320,11 @@
     done += request->started_at.us >= from.us && request->outcome == OUTCOME_DONE;
   }
   if (!done)
-    fleet_add_violation(fleet, "R12 nobody is served, though all was healed");
+    fleet_add_violation(fleet, "R12 no request was served after all faults were healed");
 }
 
-/* some runs end with a closing fault, after which nothing more is healed */
+/* Injects a final fault (two kinds are skipped), which is not healed except that frozen processes
+ * resume before the final checks. */
 static void run_closing_fault(fleet *fleet, const fault *fault) {
   fleet->callers->loadgen->stop = true;
   GPtrArray *calls = g_ptr_array_new();
@@ -350,10 +356,10 @@
   GPtrArray *calls = g_ptr_array_new();
   run_schedule(fleet, schedule, calls);
   heal_fleet_and_engines(fleet);
-  bool acts = scenario_wait_for_chain(fleet, 3, 25000);
+  bool chain_complete = scenario_wait_for_chain(fleet, 3, 25000);
   sim_run(fleet->sim, time_from_ms(CALL_END_MS));
   free_calls(calls);
-  if (!acts)
+  if (!chain_complete)
     return false;
   check_healed(fleet);
   run_closing_fault(fleet, &schedule[(fleet->seed * 7) % STEPS]);
@@ -370,7 +376,7 @@
   return fleet_load_deployment(fleet, "examples/selam") && run(fleet);
 }
 
-/* whether the test passes with the steps that are enabled */
+/* runs a test with the enabled steps and returns whether it passes */
 static bool passes(test_function test, uint64_t seed, int routers, int engines) {
   fleet *fleet = fleet_new(seed, routers, engines);
   bool passed = test(fleet);
@@ -407,7 +413,7 @@
     if (passes(test, seed, routers, engines))
       enabled_steps = before;
   }
-  fprintf(stderr, "a smaller schedule of seed %" PRIu64 " fails as well (STEPS=%x):\n", seed,
+  fprintf(stderr, "seed %" PRIu64 " also fails with this smaller schedule (STEPS=%x):\n", seed,
           enabled_steps & ((1u << STEPS) - 1));
   for (int i = 0; i < STEPS; i++)
     if (enabled_steps & 1u << i)
--- a/tests/fleet/random_faults.h
+++ b/tests/fleet/random_faults.h
@@ -1,12 +1,12 @@
-/** Tests of drawn faults, and a smaller schedule of faults for one that failed. */
+/** Tests with random fault schedules, and the shrinking of a schedule that failed. */
 #ifndef TESTS_FLEET_RANDOM_FAULTS_H
 #define TESTS_FLEET_RANDOM_FAULTS_H
 #include "tests.h"
 
 /**
- * When a test of drawn faults failed with a seed: leaves out one fault after the other as long as
- * the run still fails, and prints what is left. Does nothing for other tests, and when WHOLE is
- * set.
+ * Shrinks the fault schedule of a random fault test that failed with a seed: tries to leave out
+ * each fault in turn, keeps it out if the run still fails, and prints the remaining faults. Does
+ * nothing for other tests, or if the environment variable WHOLE or STEPS is set.
  */
 void random_faults_shrink(test_function test, uint64_t seed, int routers, int engines);
 #endif
--- a/tests/fleet/zone_loss.c
+++ b/tests/fleet/zone_loss.c
@@ -1,11 +1,12 @@
-/** A zone, or all routers, are lost at once: streams and loads are back in time. Fleet: three
- * controllers, six routers and six engines over three zones.
+/** A zone, or all routers, fail at once: streams and model loads resume in time. Fleet: three
+ * controllers, six routers and six engines in three zones.
  */
 #include "recovery.h"
 #include "scenario.h"
 #include "tests.h"
 
-/* for how long a recovery is observed: RECOVERY_LIMIT_MS, and some more for the steps it prints */
+/* how long a recovery is observed: longer than RECOVERY_LIMIT_MS, so that the printed times also
+ * cover slower steps */
 enum { RECOVERY_OBSERVED_MS = 16000 };
 
 static bool a_zone_loses_power(fleet *fleet) {
@@ -31,7 +32,7 @@
   scenario_check_acknowledged_writes(fleet);
   evacuation = scenario_evacuation_json(0);
   if (!fleet_put(fleet, "evacuation", evacuation))
-    fleet_add_violation(fleet, "no write with an area lost");
+    fleet_add_violation(fleet, "no write was acknowledged after the loss of a zone");
   g_free(evacuation);
   list_for_each (h, &fleet->sim->hosts, host, link)
     if (!h->alive)
