--- a/tests/fleet/controller_cutoff.c
+++ b/tests/fleet/controller_cutoff.c
@@ -122,7 +122,7 @@
 
 /* Changes */
 
-static char *mark_text(uint64_t version) {
+static char *marker_route_json(uint64_t version) {
   return g_strdup_printf("{\"version\":%" PRIu64 ",\"set\":{\"routes\":[{\"name\":\"r-mark-%" PRIu64
                          "\",\"host\":\"front.example\",\"prefix\":\"/mark-%" PRIu64
                          "/\",\"mode\":\"safe\",\"timeoutMs\":60,\"targetMs\":50,\"priority\":0,"
@@ -130,7 +130,7 @@
                          version, version, version);
 }
 
-static bool is_settled(const watch *w, time_us at) {
+static bool controllers_settled(const watch *w, time_us at) {
   return !w->core_changed_at.us || at.us > w->core_changed_at.us + SETTLED_AFTER_MS * 1000;
 }
 
@@ -160,8 +160,8 @@
 
 static void send_change(watch *w) {
   uint64_t version = w->version + 1 + sim_random(w->deployment->sim, 3);
-  char *text = mark_text(version);
-  bool settled = is_settled(w, w->deployment->sim->now);
+  char *text = marker_route_json(version);
+  bool settled = controllers_settled(w, w->deployment->sim->now);
   operator_sim_change *k =
       operator_sim_send(w->deployment->operator, version, w->version, true, text, true);
   g_free(text);
@@ -172,7 +172,7 @@
 /* Two operators send a change on the same base version at once: exactly one is acknowledged. */
 static void send_racing_changes(watch *w) {
   uint64_t one = w->version + 1, two = w->version + 2;
-  char *a = mark_text(one), *b = mark_text(two);
+  char *a = marker_route_json(one), *b = marker_route_json(two);
   operator_sim_change *x = operator_sim_send(w->deployment->operator, one, w->version, true, a,
                                              true),
                       *y = operator_sim_send(w->deployment->operator, two, w->version, true, b,
@@ -194,9 +194,9 @@
 
 /* Sends a valid change to a controller that is cut off, which must refuse it, and then, as clients
  * do, to any controller. */
-static void send_order_to(watch *w, host *controller) {
+static void send_change_to_cut_off(watch *w, host *controller) {
   uint64_t version = w->version + 1;
-  char *text = mark_text(version), ip[48], to[64];
+  char *text = marker_route_json(version), ip[48], to[64];
   const dialect *dialect = &dialect_native;
   const dialect_path *how = &dialect->calls[DC_CONFIG_PATCH];
   copy_ip(controller, ip, sizeof ip);
@@ -218,7 +218,7 @@
         w->fleet, "%s is cut off and responded with %d to a valid change after %.3f s",
         controller->self.text, call->status, (double)(w->deployment->sim->now.us - sent.us) / 1e6);
   http_call_close(call);
-  bool settled = is_settled(w, w->deployment->sim->now);
+  bool settled = controllers_settled(w, w->deployment->sim->now);
   operator_sim_change *change =
       operator_sim_send(w->deployment->operator, version, w->version, true, text, true);
   g_free(text);
@@ -298,7 +298,7 @@
   else if (what == 1)
     drain_random_engine(w);
   else if (what < 4 && cut_off && direct)
-    send_order_to(w, cut_off);
+    send_change_to_cut_off(w, cut_off);
   else
     send_change(w);
   restart_engines(w);
@@ -338,7 +338,8 @@
   return NULL;
 }
 
-static void check_age(watch *w) {
+/* Checks that every gateway without a fault applied each version within the time limit. */
+static void check_config_delay(watch *w) {
   double worst = 0;
   int64_t max_ms = IN_FORCE_MS + (w->fleet->controllers > 3 ? IN_FORCE_MARGIN_MS : 0);
   for (guint i = 0; i < w->answers->len; i++) {
@@ -358,7 +359,8 @@
     fprintf(stderr, "  step age %.3f\n", worst);
 }
 
-static void check_no_return(watch *w) {
+/* Checks that no gateway reverts to an older version once it has applied a newer one. */
+static void check_no_config_revert(watch *w) {
   for (int v = 0; v < w->fleet->routers; v++) {
     uint64_t seen = 0, life = 0;
     time_us at = { 0 };
@@ -396,8 +398,8 @@
         w->acked, deployment->operator->read_version);
   if (w->answers->len < 200)
     fleet_add_violation(fleet, "only %u probes of gateways were recorded", w->answers->len);
-  check_age(w);
-  check_no_return(w);
+  check_config_delay(w);
+  check_no_config_revert(w);
   bool ok = deployment_finish(deployment, 0.6);
   g_array_free(w->answers, TRUE);
   g_free(w);
@@ -406,7 +408,7 @@
 
 /* Tests */
 
-static watch *begin(fleet *fleet, int members) {
+static watch *start_watch(fleet *fleet, int members) {
   for (int i = fleet->controllers; i < members; i++) {
     char name[32], addr[48];
     snprintf(name, sizeof name, "controller-%d", i + 1);
@@ -439,7 +441,7 @@
  * and then a controller is cut off. The gateway's channels must have recovered from the first
  * partition by then. */
 static bool a_gateway_returns_and_the_core_is_cut(fleet *fleet) {
-  watch *w = begin(fleet, 3);
+  watch *w = start_watch(fleet, 3);
   if (!w)
     return false;
   deployment *deployment = w->deployment;
@@ -465,7 +467,7 @@
 }
 
 static bool cut_off_for_long(fleet *fleet, int members, int count) {
-  watch *w = begin(fleet, members);
+  watch *w = start_watch(fleet, members);
   if (!w)
     return false;
   deployment *deployment = w->deployment;
@@ -494,7 +496,7 @@
 }
 
 static bool frozen_for_long(fleet *fleet, int members, int count) {
-  watch *w = begin(fleet, members);
+  watch *w = start_watch(fleet, members);
   if (!w)
     return false;
   deployment *deployment = w->deployment;
@@ -537,7 +539,7 @@
 /* A gateway that is short of CPU reads every message seconds late. It must not discard the
  * responses to its own polls. */
 static bool a_busy_gateway_takes_late_answers(fleet *fleet) {
-  watch *w = begin(fleet, 3);
+  watch *w = start_watch(fleet, 3);
   if (!w)
     return false;
   host *busy = fleet->router[0];
@@ -558,7 +560,7 @@
 
 /* Processes restart with the controller that is cut off as their first or only seed address. */
 static bool restarts_are_told_of_the_cut_off(fleet *fleet) {
-  watch *w = begin(fleet, 3);
+  watch *w = start_watch(fleet, 3);
   if (!w)
     return false;
   deployment *deployment = w->deployment;
--- a/tests/fleet/input_fuzzing.c
+++ b/tests/fleet/input_fuzzing.c
@@ -99,7 +99,7 @@
 }
 
 /* An accepted configuration must be valid, and must not change when it is parsed and written. */
-static void check_taken(fleet *fleet, const GString *text) {
+static void check_accepted(fleet *fleet, const GString *text) {
   error err = { 0 };
   json *json = json_parse(string_view_of_gstring(text), &err);
   routing *routing = json ? routing_compile(json, &err) : NULL;
@@ -142,7 +142,7 @@
         refused++;
       else {
         accepted++;
-        check_taken(fleet, to);
+        check_accepted(fleet, to);
       }
       dialect_translate_in(&dialect_native, body);
       dialect_translate_out(&dialect_native, body);
--- a/tests/fleet/partitions.c
+++ b/tests/fleet/partitions.c
@@ -43,7 +43,7 @@
 }
 
 /* heals all links and checks that markers are acknowledged and that the fleet recovers by itself */
-static bool mend_and_check(fleet *fleet) {
+static bool heal_and_check(fleet *fleet) {
   sim_heal_partitions(fleet->sim);
   scenario_write_markers(fleet, 10000, MARKER_INTERVAL_MS);
   const operator_write *last = NULL;
@@ -83,7 +83,7 @@
   if (!fleet_put(fleet, "evacuation", "{\"areas\":[]}"))
     fleet_add_violation(fleet, "a write failed because one router is cut off");
   platform_sim_set_engine_state(fleet->platform->platform, fleet->engine[0]->self, false, false);
-  return mend_and_check(fleet);
+  return heal_and_check(fleet);
 }
 
 static bool a_zone_is_cut_off(fleet *fleet) {
@@ -112,7 +112,7 @@
       fleet_send(fleet, fleet->controller[sim_random(fleet->sim, 3)], "PUT", "/v1/evacuation",
                  "{\"areas\":[{\"area\":\"mid\"}]}", NULL, NULL);
   scenario_write_markers(fleet, 9000, MARKER_INTERVAL_MS);
-  bool ok = mend_and_check(fleet);
+  bool ok = heal_and_check(fleet);
   sim_run(fleet->sim, time_from_ms(20000));
   operator_call_free(call);
   return ok;
@@ -136,7 +136,7 @@
   if (keep < (fleet->routers + 1) / 2 && attempts.done < attempts.sent / 4)
     fleet_add_violation(fleet, "most routers are connected, but only %d of %d attempts were served",
                         attempts.done, attempts.sent);
-  return mend_and_check(fleet);
+  return heal_and_check(fleet);
 }
 
 static bool routers_freeze_over_an_answer(fleet *fleet) {
@@ -152,7 +152,7 @@
         host_unfreeze(fleet->router[k]);
     scenario_write_markers(fleet, 4000, MARKER_INTERVAL_MS);
   }
-  return mend_and_check(fleet);
+  return heal_and_check(fleet);
 }
 
 static bool a_router_is_cut_one_way(fleet *fleet) {
@@ -173,7 +173,7 @@
     sim_heal_partitions(fleet->sim);
     scenario_write_markers(fleet, 3000, MARKER_INTERVAL_MS);
   }
-  return mend_and_check(fleet);
+  return heal_and_check(fleet);
 }
 
 static bool routers_restart_while_controllers_are_gone(fleet *fleet) {
@@ -202,7 +202,7 @@
                         n, attempts.done, attempts.sent);
   for (int i = 0; i < 3; i++)
     host_start(fleet->controller[i]);
-  return scenario_wait_for_chain(fleet, 3, 15000) && mend_and_check(fleet);
+  return scenario_wait_for_chain(fleet, 3, 15000) && heal_and_check(fleet);
 }
 
 static bool a_router_loses_the_platform(fleet *fleet) {
@@ -222,7 +222,7 @@
   }
   platform_sim_set_engine_state(fleet->platform->platform, fleet->engine[0]->self, false, false);
   sim_run(fleet->sim, time_from_ms(5000));
-  return mend_and_check(fleet);
+  return heal_and_check(fleet);
 }
 
 /* A lease holder renews its lease while the grant to the next holder is still being written to slow
