--- a/tests/fleet/controller_cutoff.c
+++ b/tests/fleet/controller_cutoff.c
@@ -440,7 +440,7 @@
 /* Reproduces a failure on the users' platform: a gateway is cut off, reconnects for some seconds,
  * and then a controller is cut off. The gateway's channels must have recovered from the first
  * partition by then. */
-static bool a_gateway_returns_and_the_core_is_cut(fleet *fleet) {
+static bool a_gateway_reconnects_and_a_controller_is_cut_off(fleet *fleet) {
   watch *w = start_watch(fleet, 3);
   if (!w)
     return false;
@@ -488,10 +488,10 @@
   return watch_done(w);
 }
 
-static bool a_core_machine_is_cut_off_for_long(fleet *fleet) {
+static bool a_controller_is_cut_off_for_long(fleet *fleet) {
   return cut_off_for_long(fleet, 3, 1);
 }
-static bool two_of_five_are_cut_off_for_long(fleet *fleet) {
+static bool two_of_five_controllers_are_cut_off_for_long(fleet *fleet) {
   return cut_off_for_long(fleet, 5, 2);
 }
 
@@ -518,10 +518,10 @@
   return watch_done(w);
 }
 
-static bool a_core_machine_is_frozen_for_long(fleet *fleet) {
+static bool a_controller_is_frozen_for_long(fleet *fleet) {
   return frozen_for_long(fleet, 3, 1);
 }
-static bool two_of_five_are_frozen_for_long(fleet *fleet) {
+static bool two_of_five_controllers_are_frozen_for_long(fleet *fleet) {
   return frozen_for_long(fleet, 5, 2);
 }
 
@@ -538,7 +538,7 @@
 
 /* A gateway that is short of CPU reads every message seconds late. It must not discard the
  * responses to its own polls. */
-static bool a_busy_gateway_takes_late_answers(fleet *fleet) {
+static bool a_busy_gateway_accepts_late_responses(fleet *fleet) {
   watch *w = start_watch(fleet, 3);
   if (!w)
     return false;
@@ -559,7 +559,7 @@
 }
 
 /* Processes restart with the controller that is cut off as their first or only seed address. */
-static bool restarts_are_told_of_the_cut_off(fleet *fleet) {
+static bool processes_restart_with_a_cut_off_seed(fleet *fleet) {
   watch *w = start_watch(fleet, 3);
   if (!w)
     return false;
@@ -601,12 +601,15 @@
 }
 
 const test_case controller_cutoff_tests[] = {
-  { "a_gateway_returns_and_the_core_is_cut", a_gateway_returns_and_the_core_is_cut, 4, 0, 100 },
-  { "a_core_machine_is_cut_off_for_long", a_core_machine_is_cut_off_for_long, 4, 0, 100 },
-  { "two_of_five_are_cut_off_for_long", two_of_five_are_cut_off_for_long, 4, 0, 100 },
-  { "a_core_machine_is_frozen_for_long", a_core_machine_is_frozen_for_long, 4, 0, 500 },
-  { "two_of_five_are_frozen_for_long", two_of_five_are_frozen_for_long, 4, 0, 100 },
-  { "a_busy_gateway_takes_late_answers", a_busy_gateway_takes_late_answers, 4, 0, 100 },
-  { "restarts_are_told_of_the_cut_off", restarts_are_told_of_the_cut_off, 4, 0, 100 },
+  { "a_gateway_reconnects_and_a_controller_is_cut_off",
+    a_gateway_reconnects_and_a_controller_is_cut_off, 4, 0, 100 },
+  { "a_controller_is_cut_off_for_long", a_controller_is_cut_off_for_long, 4, 0, 100 },
+  { "two_of_five_controllers_are_cut_off_for_long", two_of_five_controllers_are_cut_off_for_long, 4,
+    0, 100 },
+  { "a_controller_is_frozen_for_long", a_controller_is_frozen_for_long, 4, 0, 500 },
+  { "two_of_five_controllers_are_frozen_for_long", two_of_five_controllers_are_frozen_for_long, 4,
+    0, 100 },
+  { "a_busy_gateway_accepts_late_responses", a_busy_gateway_accepts_late_responses, 4, 0, 100 },
+  { "processes_restart_with_a_cut_off_seed", processes_restart_with_a_cut_off_seed, 4, 0, 100 },
   { NULL, NULL, 0, 0, 0 }
 };
