--- a/tests/http/bytes_check.py
+++ b/tests/http/bytes_check.py
@@ -1,21 +1,21 @@
 #!/usr/bin/env python3
-"""Plays the callers and the engines of a gateway (tests/http/gateway.c) over loopback, byte by byte.
+"""Tests a gateway (tests/http/gateway.c) over loopback with connections that misbehave at a chosen byte.
 
-Each case is one request of a caller, whose engine or whose own connection misbehaves at one byte: it is
-closed or reset there, falls silent, or brings bytes that nobody asked for. The verdict uses nothing but
-what the two outer sides have seen:
+Each case is one request of a caller. The connection of its engine or of the caller misbehaves at one byte:
+it is closed or reset there, stops sending, or carries unsolicited bytes. The checks use only what the
+callers and the engines have observed:
 
-- no answer, and no part of one, is another request's;
-- a request that may not be repeated reaches a second engine only after the first one has promised that
-  it did not run it;
-- 408, 421, 429 and 503 are given only to a request that has not run;
-- an answer that ends early does not look complete;
-- an answer that bears an engine's stamp has the status and the body that the engine gave.
+- no response, and no part of one, belongs to another request;
+- a request that may not be repeated reaches a second engine only if the first one has stated that it did
+  not run it;
+- only a request that has not run gets 408, 421, 429 or 503;
+- a truncated response does not look complete;
+- a response with an engine's stamp has the status and the body that the engine sent.
 
-After each case another caller asks on the same engines, and must get its own answer.
+After each case another caller sends a request to the same engines and must get its own response.
 
 Usage: tests/http/bytes_check.py [--fast] [--group NAME] [--jobs N] [--verbose]
---fast takes the plain build, else that of the sanitizers, which must have been made.
+--fast uses the plain build instead of the sanitizer build; the build must exist.
 """
 import multiprocessing
 import os
@@ -36,21 +36,22 @@
 
 
 class Broken(Exception):
-    """A rule that the case has seen broken."""
+    """A violation of one of the rules, as observed by a case."""
 
 
 def reset(sock):
-    """Closes a socket so that its peer gets a reset."""
+    """Closes a socket with a TCP reset."""
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     sock.close()
 
 
 class Refused(Broken):
-    """The gateway refused a request that its case expects to be served."""
+    """The gateway refused a request that the case expects to be served."""
 
 
 class Message:
-    """An HTTP message that is read as its bytes come; whole is None until it is known to be complete."""
+    """An HTTP message that is parsed incrementally. whole is True once it is known to be complete; rest holds
+    the bytes that follow it."""
 
     def __init__(self, bodiless=False):
         self.raw, self.bodiless = b"", bodiless
@@ -113,7 +114,7 @@
 
 
 class EngineConnection:
-    """A connection that the gateway has opened to an engine."""
+    """A connection from the gateway to an engine."""
 
     def __init__(self, engine, sock):
         self.engine, self.sock = engine, sock
@@ -143,7 +144,7 @@
             reset(self.sock) if hard else self.sock.close()
 
     def next(self):
-        """The request is dealt with; the one after it may come."""
+        """Ends the current request and begins to read the next one."""
         self.served += 1
         rest = self.message.rest
         self.message = Message()
@@ -153,7 +154,7 @@
 
 
 def answer(request_id, engine, body=None, status="200 OK", stamp=True, chunked=False, extra="", named=True):
-    """An engine's answer to a request, as bytes; its body names both."""
+    """The bytes of an engine's response to a request; the default body contains the names of both."""
     body = body_of(request_id, engine) if body is None else body
     head = f"HTTP/1.1 {status}\r\n" + (f"{ID}: {request_id}\r\n" if named else "")
     head += (f"{STAMP}: {engine}\r\n" if stamp else "") + extra
@@ -165,7 +166,7 @@
 
 
 def events(request_id, engine):
-    """A whole stream of three events."""
+    """The body of a complete stream of three events."""
     return b"".join(b"id: %d\ndata: %s %s\n\n" % (i, request_id.encode(), engine.encode()) for i in (1, 2, 3))
 
 
@@ -174,7 +175,7 @@
 
 
 class Good:
-    """A script of an engine that does what it should."""
+    """Engine script: responds correctly."""
     promises = False
 
     def on_bytes(self, c, bed):
@@ -186,7 +187,7 @@
 
 
 class Cut:
-    """Ends the connection once so many bytes of the request have come."""
+    """Engine script: ends the connection once a number of bytes of the request have arrived."""
     promises = False
 
     def __init__(self, at, how):
@@ -204,7 +205,7 @@
 
 
 class Silent:
-    """Says nothing more."""
+    """Engine script: sends nothing more."""
     promises = False
 
     def on_bytes(self, c, bed):
@@ -213,7 +214,7 @@
 
 
 class Drain:
-    """Reads what is left of a request that was answered early, and then serves the next."""
+    """Engine script: reads the rest of a request that was answered early, then serves the next one."""
     promises = False
 
     def on_bytes(self, c, bed):
@@ -222,8 +223,8 @@
 
 
 class Bytes:
-    """Answers with bytes of the test's own, once so much of the request has come, and then ends, goes on or
-    falls silent."""
+    """Engine script: sends custom bytes once a number of request bytes (after), or the whole request, has
+    arrived. Then it ends the connection, serves the next request or sends nothing more."""
 
     def __init__(self, make, then="next", after=None, ran=True, promises=False):
         self.make, self.then, self.after, self.ran, self.promises = make, then, after, ran, promises
@@ -246,7 +247,7 @@
 
 
 class Engine:
-    """An engine's listening socket; its name changes with each case."""
+    """The listening socket of an engine, whose name changes with each case."""
 
     def __init__(self):
         self.listener = socket.socket()
@@ -257,7 +258,7 @@
 
 
 class Bed:
-    """A gateway process with two engines, and the records of the case that is played."""
+    """A gateway process with two engines, and the records of the current case."""
 
     def __init__(self, build):
         self.process = subprocess.Popen([f"{TOP}/{build}/bin/http-gateway"], stdout=subprocess.PIPE, text=True)
@@ -273,19 +274,19 @@
         self.arrivals, self.runs, self.given = [], [], {}
         self.used = 2
 
-    # the gateway's control
+    # control interface of the gateway
     def tell(self, target):
         self.control_sock.sendall(f"GET {target} HTTP/1.1\r\nHost: c\r\n\r\n".encode())
         m = Message()
         while not m.whole:
             data = self.control_sock.recv(65536)
             if not data:
-                raise Broken("the gateway has ended")
+                raise Broken("the gateway has closed its control connection")
             m.feed(data)
         return m.body.decode()
 
     def begin(self, engines):
-        """New names for the engines; the old ones are gone, and so are their connections."""
+        """Starts a case: registers the engines under new names and closes all earlier connections."""
         for c in self.connections:
             c.close()
         self.connections = []
@@ -302,7 +303,7 @@
 
     # records
     def name_of(self, message):
-        """The name that a request bears; None while its head has not come whole."""
+        """The request id of a message; None until its head is complete, "" if it has none."""
         return message.fields.get(ID.lower(), "") if message.start else None
 
     def request_id(self, c):
@@ -324,14 +325,15 @@
         return data
 
     def give(self, rid, engine, data):
-        """Notes an answer that an engine means to give to a request."""
+        """Records the response that an engine sends to a request."""
         m = Message()
         m.feed(data)
         self.given.setdefault(rid, []).append((engine, m.status(), m.body, m))
 
-    # play
+    # event loop
     def script_of(self, c):
-        """The first request of a case that has a script left gets it; the others are answered well."""
+        """The script of a connection's request: the next one of the case, or a correct response when none is
+        left."""
         if c.script is None:
             first = not c.message.raw or c.message.raw[:4] != b"GET "
             c.script = self.scripts.pop(0) if self.scripts and first else Good()
@@ -339,8 +341,8 @@
         return c.script
 
     def turn(self, extra, timeout):
-        """Waits for something to happen, and lets the engines do their part; says which of the callers'
-        sockets can be read."""
+        """Waits for the next event and lets the engines handle theirs; returns the readable sockets among the
+        given ones of callers."""
         for c in self.connections:
             if c.open and c.message.raw and c.script is None:
                 self.script_of(c).on_bytes(c, self)
@@ -376,7 +378,7 @@
 
 
 class Caller:
-    """One request of a caller on a connection of its own, and what came of it."""
+    """One request of a caller, by default on its own connection, and its outcome."""
 
     def __init__(self, bed, route, request_id, method="POST", body=b"hello", extra="", chunked=False, raw=None,
                  sock=None, time_left=3000):
@@ -414,12 +416,12 @@
         self.message.feed(data)
 
     def finish(self, seconds=CASE_SECONDS, stop=None):
-        """Plays on until the answer is whole or the connection has ended."""
+        """Runs the event loop until the response is complete or the connection has ended."""
         till = time.time() + seconds
         while not self.message.whole and not self.ended and not (stop and stop()):
             left = till - time.time()
             if left <= 0:
-                raise Broken(f"{self.id}: no end after {seconds} s")
+                raise Broken(f"{self.id}: no complete response and no end of the connection after {seconds} s")
             if self.bed.turn([self.sock.fileno()], left):
                 self.read()
 
@@ -427,7 +429,7 @@
         if self.ended != "closed":
             self.sock.close()
 
-    # verdict
+    # checks
     def status(self):
         return self.message.status() if self.message.start else None
 
@@ -441,39 +443,39 @@
         if self.single:
             unsure = [c for c, s in got if not s.promises]
             if len(got) > 1 and any(not s.promises for _, s in got[:-1]):
-                raise Broken(f"{self.id} was sent to {len(got)} engines, {len(unsure)} of them without a promise")
+                raise Broken(f"{self.id} was sent to {len(got)} engines; {len(unsure)} of them may have run it")
         status = self.status()
         if status in PROMISES and self.single and mine:
-            raise Broken(f"{self.id} got {status}, and it has run")
+            raise Broken(f"{self.id} got {status} although it has run")
         if m.rest:
-            raise Broken(f"{self.id}: bytes after the answer: {m.rest[:60]!r}")
+            raise Broken(f"{self.id}: bytes after the response: {m.rest[:60]!r}")
         if status is None:
             if m.raw:
                 try_head = b"HTTP/1.1 "
                 if not (m.raw.startswith(try_head) or try_head.startswith(m.raw)):
-                    raise Broken(f"{self.id}: no answer in the protocol: {m.raw[:60]!r}")
+                    raise Broken(f"{self.id}: not an HTTP response: {m.raw[:60]!r}")
             return
         stamp, named = m.fields.get(STAMP.lower()), m.fields.get(ID.lower())
         if named is not None and named != self.id:
-            raise Broken(f"{self.id} got the answer of {named}")
+            raise Broken(f"{self.id} got the response to {named}")
         given = [g for g in bed.given.get(self.id, []) if g[0] == stamp]
         declined = NOT_RUN.lower() in m.fields
         if 300 <= status < 500 and status not in PROMISES and not stamp and not declined:
-            raise Broken(f"{self.id} got {status} without a stamp, and callers don't come back after it")
+            raise Broken(f"{self.id} got {status} without a stamp, after which callers do not retry")
         if status // 100 == 2 and not stamp:
-            raise Broken(f"{self.id} got a success without a stamp")
+            raise Broken(f"{self.id} got a successful response without a stamp")
         if status // 100 == 2 and named != self.id:
-            raise Broken(f"{self.id} got a success without its name")
+            raise Broken(f"{self.id} got a successful response without its request id")
         if stamp and not [g for g in given if g[1] == status]:
-            raise Broken(f"{self.id} got {status} with the stamp of {stamp}, which gave {[g[1] for g in given]}")
+            raise Broken(f"{self.id} got {status} with the stamp of {stamp}, which sent {[g[1] for g in given]}")
         if stamp and m.whole and not [g for g in given if g[1] == status and (g[2] == m.body or m.bodiless)]:
             if self.route == "resume" and self.resumed_body(m.body):
                 return
-            raise Broken(f"{self.id} got a whole answer that no engine gave: {m.body[:80]!r}")
+            raise Broken(f"{self.id} got a complete response that no engine sent: {m.body[:80]!r}")
         if stamp and not m.whole and not [g for g in given if g[2].startswith(m.body)]:
             if self.route == "resume" and self.resumed_prefix(m.body):
                 return
-            raise Broken(f"{self.id} got a part of another's answer: {m.body[:80]!r}")
+            raise Broken(f"{self.id} got part of another response: {m.body[:80]!r}")
 
     def numbers(self, body):
         return [line for line in body.split(b"\n") if line.startswith(b"id: ")]
@@ -487,8 +489,8 @@
 
 
 def follow_patiently(bed):
-    """The same, by a caller that comes again when it is refused: an engine that has turned a request away
-    gets no work for a moment."""
+    """Like follow, but retries after a refusal: the gateway sends nothing for a moment to an engine that has
+    refused a request."""
     for _ in range(5):
         try:
             return follow(bed)
@@ -498,7 +500,7 @@
 
 
 def follow(bed, route="once", sock=None):
-    """Another caller on the same engines must get its own answer."""
+    """Sends a request of another caller to the same engines; it must get its own response."""
     bed.scripts = []
     bed.arrivals, bed.runs = [], []
     rid = f"next{bed.number}-{time.monotonic_ns()}"
@@ -507,7 +509,7 @@
     c.finish()
     c.judge()
     if c.status() == 503 and not c.message.fields.get(STAMP.lower()):
-        raise Refused(f"{c.id} got 503 of the gateway: {c.message.body[:80]!r}")
+        raise Refused(f"{c.id} got 503 from the gateway: {c.message.body[:80]!r}")
     if c.status() != 200 or not c.message.whole:
         raise Broken(f"the next caller got {c.status()}, {c.message.raw[:200]!r}")
     if sock is None:
@@ -516,7 +518,7 @@
 
 
 def warm(bed, engines):
-    """Leaves an idle connection to each engine."""
+    """Opens an idle connection from the gateway to each engine."""
     for _ in range(40):
         if len({c.engine.port for c in bed.connections if c.open and c.served}) >= engines:
             break
@@ -525,7 +527,7 @@
 
 
 def play(bed, route="once", scripts=(), engines=2, reuse=False, expect=None, after="once", seconds=CASE_SECONDS, **request):
-    """One request, whose engines follow the scripts in the order in which it reaches them."""
+    """Runs a case with one request; each engine that it reaches follows the next script."""
     bed.begin(engines)
     if reuse:
         warm(bed, engines)
@@ -535,17 +537,17 @@
     c.finish(seconds)
     c.judge()
     if expect and c.status() not in (expect if isinstance(expect, tuple) else (expect,)):
-        raise Broken(f"{c.id} got {c.status()}, not {expect}")
+        raise Broken(f"{c.id} got {c.status()} instead of {expect}")
     c.close()
     if after:
         follow(bed, after)
     return c
 
 
-# ---- the cases, as (name, function of a bed) ----
+# ---- groups of cases; each case is a name and a function that takes a test bed ----
 
 def lengths(bed):
-    """How many bytes the gateway's own request and the usual answers have."""
+    """The sizes in bytes of the gateway's request and of a regular response, for each route."""
     sizes = {}
     for route in ("once", "safe", "stream", "resume"):
         seen = []
@@ -590,7 +592,7 @@
 
 
 def group_answer_cuts(sizes):
-    """The engine ends the connection at every byte of its answer."""
+    """The engine ends the connection at every byte of its response."""
     for route in ("once", "safe", "stream", "resume"):
         for at in range(0, sizes[route][1] + 1):
             for how in ENDS:
@@ -610,7 +612,7 @@
 
 
 def refusal(status, promise=True):
-    """An engine's refusal, which says that the request was not run."""
+    """An engine's refusal; with promise, it states that the request was not run."""
     def make(c, bed):
         rid = bed.request_id(c)
         extra = f"{NOT_RUN}: 1\r\n" if promise else ""
@@ -621,7 +623,7 @@
 
 
 def client_cut(bed, at, how, route="once", chunked=False):
-    """The caller ends its connection at a byte of its request: no engine gets a part of it."""
+    """The caller ends its connection at a byte of its request; no engine may get an incomplete request."""
     bed.begin(2)
     c = Caller(bed, route, f"r{bed.number:05d}", chunked=chunked)
     whole = at >= len(c.data)
@@ -634,19 +636,19 @@
         till = time.time() + CASE_SECONDS
         while not c.ended and not c.message.whole:
             if time.time() > till:
-                raise Broken(f"{c.id}: the gateway keeps a connection whose caller has ended")
+                raise Broken(f"{c.id}: the gateway keeps a connection that its caller has ended")
             if bed.turn([c.sock.fileno()], 0.5):
                 c.read()
         c.judge()
         c.close()
     seen = list(bed.arrivals)
     if seen and not whole:
-        raise Broken(f"{c.id} reached an engine though only {at} of its {len(c.data)} bytes came")
+        raise Broken(f"{c.id} reached an engine though only {at} of its {len(c.data)} bytes were sent")
     if len(seen) > 1:
         raise Broken(f"{c.id} reached {len(seen)} engines")
     follow(bed)
     if not whole and [x for x in bed.runs if x[2] == c.id]:
-        raise Broken(f"{c.id} ran though its request never came whole")
+        raise Broken(f"{c.id} ran though its request was incomplete")
 
 
 def group_caller_cuts(sizes):
@@ -661,7 +663,7 @@
 
 
 def caller_leaves(bed, route, at, reuse):
-    """The caller goes away after some bytes of its answer; what is left must not reach the next one."""
+    """The caller disconnects after some bytes of its response; the rest must not reach the next caller."""
     bed.begin(1)
     if reuse:
         warm(bed, 1)
@@ -670,7 +672,7 @@
     till = time.time() + CASE_SECONDS
     while len(c.message.raw) < at and not c.message.whole and not c.ended:
         if time.time() > till:
-            raise Broken(f"{c.id}: no answer")
+            raise Broken(f"{c.id}: no response")
         if bed.turn([c.sock.fileno()], 0.5):
             c.read(at - len(c.message.raw))
     reset(c.sock)
@@ -678,7 +680,7 @@
 
 
 def group_caller_leaves(sizes):
-    """The caller resets its connection at every byte of its answer."""
+    """The caller resets its connection at every byte of its response."""
     for route in ("once", "stream"):
         for at in range(0, sizes[route][1] - 20, 1 if route == "once" else 2):
             yield f"caller resets at answer byte {at} of {route}", lambda b, r=route, a=at: caller_leaves(
@@ -686,7 +688,7 @@
 
 
 def group_early(sizes):
-    """The engine answers before it has read the whole request, at every byte."""
+    """The engine responds before it has read the whole request, at every second byte of the request."""
     large = b"z" * 300000
 
     def early(status, promise):
@@ -706,7 +708,7 @@
 
 
 def stray_cases():
-    """Bytes that belong to no request, as functions of the name of the request that was answered."""
+    """Bytes that belong to no request, as functions of the id of the request and the name of the engine."""
     old = "r-old"
     return {
         "junk": lambda rid, e: b"\x00\x01 nonsense \r\n\r\n",
@@ -729,7 +731,7 @@
 
 
 def stray_with_answer(bed, make, cut, route):
-    """The stray bytes follow the whole answer at once; the next caller comes afterwards."""
+    """The stray bytes directly follow the complete response; the next caller sends its request afterwards."""
     bed.begin(1)
     bed.scripts = [Bytes(lambda c, b: b.good_answer(c) + make(b.request_id(c), c.engine.name)[:cut], then="stay")]
     c = Caller(bed, route, f"r{bed.number:05d}")
@@ -737,14 +739,14 @@
     c.finish()
     c.judge()
     if c.status() != 200:
-        raise Broken(f"{c.id} got {c.status()} though its answer came whole")
+        raise Broken(f"{c.id} got {c.status()} though its response was complete")
     c.close()
     follow(bed)
 
 
 def stray_at_reuse(bed, make, cut, route, at):
-    """The stray bytes come on a kept connection when the next request has begun to arrive, before its
-    answer."""
+    """The stray bytes arrive on a reused connection after the next request has begun to arrive and before the
+    response to it."""
     bed.begin(1)
     warm(bed, 1)
 
@@ -774,7 +776,7 @@
 
 
 def group_stray(sizes):
-    """Bytes after a whole answer: at once, and in the place of the next answer."""
+    """Stray bytes directly after a complete response, and in place of the next response."""
     for name, make in stray_cases().items():
         most = len(make("r01000", "e01000-0"))
         step = max(1, most // 12)
@@ -787,7 +789,7 @@
 
 
 def group_status(sizes):
-    """Every kind of answer, with and without stamp, name and promise, on new and on kept connections."""
+    """Every kind of response, with and without stamp and not-run promise, on new and on reused connections."""
     for status in (200, 204, 301, 304, 400, 401, 404, 408, 413, 421, 429, 431, 500, 502, 503, 504):
         for promise in (False, True):
             for stamp in (False, True):
@@ -808,7 +810,7 @@
 
 
 def group_framing(sizes):
-    """Interim answers, answers without a body, and answers whose framing is no good."""
+    """Interim responses, responses without a body, and responses with invalid framing."""
     def before(data, then="next"):
         return [Bytes(lambda c, bed: data + bed.good_answer(c), then=then)]
 
@@ -894,7 +896,7 @@
 
 
 def silence(bed, route, at, engines, reuse):
-    """The engine falls silent in its answer, and what is left comes after the time-out."""
+    """The engine pauses within its response and sends the rest after the timeout."""
     bed.begin(engines)
     if reuse:
         warm(bed, engines)
@@ -918,7 +920,7 @@
 
 
 def group_silence(sizes):
-    """Silence at steps of the request and of the answer, and the answer after the time-out."""
+    """Engines and callers that stop sending at some bytes, and responses that arrive after the timeout."""
     for at in (0, 1, 12, 40, 80, sizes["once"][1] - 1):
         yield f"silent after answer byte {at}", lambda b, a=at: silence(b, "once", a, 1 + a % 2, a % 3 == 0)
     for at in (0, 100):
@@ -934,7 +936,7 @@
         c.send(c.data[:at])
         c.finish()
         if c.status() != 408 or bed.arrivals:
-            raise Broken(f"{c.id}: {c.status()} for a request that stopped at byte {at}, {len(bed.arrivals)} engines")
+            raise Broken(f"{c.id} stopped at byte {at}, got {c.status()} and reached {len(bed.arrivals)} engines")
         c.close()
         follow(bed)
 
@@ -943,7 +945,7 @@
 
 
 def idle_race(bed, engines, route, delay_us, how):
-    """The engine ends its idle connection at about the instant at which it is used again."""
+    """The engine ends its idle connections at about the time the gateway reuses one of them."""
     bed.begin(engines)
     warm(bed, engines)
     idle = [c for c in bed.connections if c.open and c.served]
@@ -962,13 +964,13 @@
     c.finish()
     c.judge()
     if delay_us < 0 and c.status() != 200:
-        raise Broken(f"{c.id} got {c.status()} though its kept connection had ended before")
+        raise Broken(f"{c.id} got {c.status()} though the idle connections had ended before the request")
     c.close()
     follow(bed)
 
 
 def group_idle(sizes):
-    """Kept connections that end just before, while or after they are used again."""
+    """Idle connections that end just before, while or after they are reused."""
     for route in ("once", "safe"):
         for delay in [-1, -1] + list(range(0, 1500, 50)):
             for how in ENDS:
@@ -978,7 +980,7 @@
 
 
 def raw_caller(bed, data, expect, allowed=()):
-    """Raw bytes of a caller: the engines get no request but those that are allowed, whole and unchanged."""
+    """A caller sends raw bytes; engines may run only the allowed request ids, each at most once."""
     bed.begin(2)
     c = Caller(bed, "once", "raw", raw=data)
     c.send()
@@ -992,18 +994,18 @@
     ran = [rid for _, _, rid in bed.runs]
     for rid in ran:
         if rid not in allowed:
-            raise Broken(f"a request of the name {rid!r} ran; only {allowed} were sent")
+            raise Broken(f"a request with the id {rid!r} ran; allowed are {allowed}")
     if len(ran) != len(set(ran)):
-        raise Broken(f"{ran} ran")
+        raise Broken(f"a request ran more than once: {ran}")
     if expect is not None and status != expect:
-        raise Broken(f"got {status}, not {expect}: {c.message.raw[:120]!r}")
+        raise Broken(f"got {status} instead of {expect}: {c.message.raw[:120]!r}")
     c.close()
     follow(bed)
     return c
 
 
 def group_smuggling(sizes):
-    """Requests whose end or fields others could read in another way."""
+    """Requests whose end or header fields other parsers could interpret differently."""
     def request(head, body=b"", target="/once/x", rid="mine"):
         return f"POST {target} HTTP/1.1\r\nHost: svc.example\r\n{ID}: {rid}\r\n".encode() + head + b"\r\n" + body
 
@@ -1093,21 +1095,21 @@
             c.finish()
             rest, c.message.rest = c.message.rest, b""
             if c.status() != 200 or c.message.fields.get(ID.lower()) != rid:
-                raise Broken(f"{rid} got {c.status()} of {c.message.fields.get(ID.lower())}")
+                raise Broken(f"{rid} got {c.status()} with the request id {c.message.fields.get(ID.lower())}")
             if [x for x in bed.runs if x[2] == rid] and len([x for x in bed.runs if x[2] == rid]) > 1:
                 raise Broken(f"{rid} ran twice")
         sock.close()
         follow(bed)
 
     for cut in range(1, 260, 4):
-        yield f"three requests in one, parted at byte {cut}", lambda b, k=cut: pipelined(b, 3, k)
+        yield f"three pipelined requests, split at byte {cut}", lambda b, k=cut: pipelined(b, 3, k)
 
 
 GROUPS = {name[6:]: f for name, f in list(globals().items()) if name.startswith("group_")}
 
 
 def run_part(build, number, jobs, only, verbose, pipe):
-    """One process: every so-manieth case of all groups."""
+    """Runs every jobs-th case of all groups in one process, beginning with the case of its number."""
     socket.setdefaulttimeout(CASE_SECONDS)
     bed = Bed(build)
     failed, count, spent = [], {}, {}
@@ -1123,7 +1125,7 @@
                 count[group] = count.get(group, 0) + 1
                 try:
                     case(bed)
-                except Exception as e:  # noqa: BLE001 - whatever it is, it is this case's failure
+                except Exception as e:  # noqa: BLE001 - any exception is a failure of this case
                     failed.append((group, name, str(e) if isinstance(e, Broken) else repr(e)))
                     if not isinstance(e, Broken):
                         bed.process.kill()
@@ -1131,7 +1133,7 @@
                 if verbose:
                     print(name, flush=True)
                 if bed.process.poll() is not None:
-                    failed.append((group, name, "the gateway has ended, or does not answer"))
+                    failed.append((group, name, "the gateway has exited or does not respond"))
                     bed = Bed(build)
                 if len(failed) >= FAILURES_MOST:
                     raise Broken("too many failures; the rest is not run")
@@ -1139,9 +1141,9 @@
         bed.begin(0)
         bed.tell("/stop")
         if bed.process.wait(20):
-            failed.append(("end", "the gateway ends", f"with {bed.process.returncode}"))
-    except Exception:  # the parent reports it
-        failed.append(("harness", "runs through", traceback.format_exc()))
+            failed.append(("end", "the gateway exits", f"with {bed.process.returncode}"))
+    except Exception:  # the parent process reports it
+        failed.append(("harness", "completes", traceback.format_exc()))
     if bed.process.poll() is None:
         bed.process.kill()
     pipe.send((failed, count, spent))
