--- a/tests/http/bytes_check.py
+++ b/tests/http/bytes_check.py
@@ -29,13 +29,13 @@
 
 TOP = os.path.dirname(os.path.dirname(os.path.dirname(os.path.abspath(__file__))))
 ID, STAMP, NOT_RUN, TIME_LEFT = "Asterfall-Request", "Asterfall-Stamp", "Asterfall-Not-Run", "Asterfall-Time-Left"
-PROMISES = (408, 421, 429, 503)
+NOT_RUN_STATUSES = (408, 421, 429, 503)
 CASE_SECONDS = 4.0
-FAILURES_MOST = 60
+MAX_FAILURES = 60
 ENDS = ("fin", "rst")
 
 
-class Broken(Exception):
+class Violation(Exception):
     """A violation of one of the rules, as observed by a case."""
 
 
@@ -45,18 +45,18 @@
     sock.close()
 
 
-class Refused(Broken):
+class Refused(Violation):
     """The gateway refused a request that the case expects to be served."""
 
 
 class Message:
-    """An HTTP message that is parsed incrementally. whole is True once it is known to be complete; rest holds
+    """An HTTP message that is parsed incrementally. complete is True once it is known to be complete; rest holds
     the bytes that follow it."""
 
     def __init__(self, bodiless=False):
         self.raw, self.bodiless = b"", bodiless
         self.start = self.head = None
-        self.fields, self.body, self.whole, self.rest = {}, b"", False, b""
+        self.fields, self.body, self.complete, self.rest = {}, b"", False, b""
         self.pairs = []
 
     def feed(self, data):
@@ -78,19 +78,19 @@
             self.parse()
             return
         if self.bodiless or (self.start.startswith("HTTP/") and self.status() in (204, 304)):
-            self.body, self.rest, self.whole = b"", after, True
+            self.body, self.rest, self.complete = b"", after, True
         elif self.fields.get("transfer-encoding", "").lower() == "chunked":
             self.parse_chunks(after)
         elif "content-length" in self.fields:
             n = int(self.fields["content-length"])
-            self.body, self.rest, self.whole = after[:n], after[n:], len(after) >= n
+            self.body, self.rest, self.complete = after[:n], after[n:], len(after) >= n
         elif self.start.startswith("HTTP/"):
-            self.body, self.whole = after, False
+            self.body, self.complete = after, False
         else:
-            self.body, self.rest, self.whole = b"", after, True
+            self.body, self.rest, self.complete = b"", after, True
 
     def parse_chunks(self, after):
-        self.body, self.whole = b"", False
+        self.body, self.complete = b"", False
         while True:
             line = after.find(b"\r\n")
             if line < 0:
@@ -100,9 +100,9 @@
             if not size:
                 end = after.find(b"\r\n")
                 if end == 0:
-                    self.rest, self.whole = after[2:], True
+                    self.rest, self.complete = after[2:], True
                 elif (end := after.find(b"\r\n\r\n")) >= 0:
-                    self.rest, self.whole = after[end + 4:], True
+                    self.rest, self.complete = after[end + 4:], True
                 return
             self.body += after[:size]
             if len(after) < size + 2:
@@ -153,10 +153,10 @@
             self.message.feed(rest)
 
 
-def answer(request_id, engine, body=None, status="200 OK", stamp=True, chunked=False, extra="", named=True):
+def answer(request_id, engine, body=None, status="200 OK", stamp=True, chunked=False, extra="", with_id=True):
     """The bytes of an engine's response to a request; the default body contains the names of both."""
     body = body_of(request_id, engine) if body is None else body
-    head = f"HTTP/1.1 {status}\r\n" + (f"{ID}: {request_id}\r\n" if named else "")
+    head = f"HTTP/1.1 {status}\r\n" + (f"{ID}: {request_id}\r\n" if with_id else "")
     head += (f"{STAMP}: {engine}\r\n" if stamp else "") + extra
     if not chunked:
         return head.encode() + b"Content-Length: %d\r\n\r\n" % len(body) + body
@@ -174,74 +174,74 @@
     return f"{request_id} at {engine}".encode()
 
 
-class Good:
+class CorrectResponse:
     """Engine script: responds correctly."""
-    promises = False
+    declares_not_run = False
 
     def on_bytes(self, c, bed):
-        if not c.message.whole:
+        if not c.message.complete:
             return
-        bed.note_run(c)
-        c.send(bed.good_answer(c))
+        bed.record_run(c)
+        c.send(bed.correct_response(c))
         c.next()
 
 
-class Cut:
+class CutRequest:
     """Engine script: ends the connection once a number of bytes of the request have arrived."""
-    promises = False
+    declares_not_run = False
 
     def __init__(self, at, how):
         self.at, self.how = at, how
 
-    def wants(self, c):
+    def bytes_wanted(self, c):
         return self.at - len(c.message.raw)
 
     def on_bytes(self, c, bed):
         if len(c.message.raw) >= self.at:
-            if c.message.whole:
-                bed.note_run(c)
+            if c.message.complete:
+                bed.record_run(c)
             c.end(self.how)
             c.script = Silent()
 
 
 class Silent:
     """Engine script: sends nothing more."""
-    promises = False
+    declares_not_run = False
 
     def on_bytes(self, c, bed):
-        if c.message.whole:
-            bed.note_run(c)
+        if c.message.complete:
+            bed.record_run(c)
 
 
-class Drain:
+class ReadRest:
     """Engine script: reads the rest of a request that was answered early, then serves the next one."""
-    promises = False
+    declares_not_run = False
 
     def on_bytes(self, c, bed):
-        if c.message.whole:
+        if c.message.complete:
             c.next()
 
 
-class Bytes:
+class CustomBytes:
     """Engine script: sends custom bytes once a number of request bytes (after), or the whole request, has
     arrived. Then it ends the connection, serves the next request or sends nothing more."""
 
-    def __init__(self, make, then="next", after=None, ran=True, promises=False):
-        self.make, self.then, self.after, self.ran, self.promises = make, then, after, ran, promises
+    def __init__(self, make, then="next", after=None, ran=True, declares_not_run=False):
+        self.make, self.then, self.after, self.ran, self.declares_not_run = make, then, after, ran, declares_not_run
 
-    def wants(self, c):
+    def bytes_wanted(self, c):
         return 65536 if self.after is None else self.after - len(c.message.raw)
 
     def on_bytes(self, c, bed):
-        if not c.message.whole if self.after is None else len(c.message.raw) < self.after:
+        if not c.message.complete if self.after is None else len(c.message.raw) < self.after:
             return
-        if self.ran and c.message.whole:
-            bed.note_run(c)
+        if self.ran and c.message.complete:
+            bed.record_run(c)
         c.send(self.make(c, bed))
-        if self.then == "next" and c.message.whole:
+        if self.then == "next" and c.message.complete:
             c.next()
             return
-        c.script = Drain() if self.after is not None and self.then == "next" else Silent()
+        c.script = ReadRest() if self.after is not None and self.then == "next" else Silent()
         if self.then in ENDS:
             c.end(self.then)
 
@@ -257,8 +257,9 @@
         self.name = None
 
 
-class Bed:
-    """A gateway process with two engines, and the records of the current case."""
+class TestBed:
+    """A gateway process with two engines, and the records of the current case: requests that arrived at
+    engines, requests that ran, and responses that engines sent."""
 
     def __init__(self, build):
         self.process = subprocess.Popen([f"{TOP}/{build}/bin/http-gateway"], stdout=subprocess.PIPE, text=True)
@@ -271,64 +272,64 @@
         self.clear()
 
     def clear(self):
-        self.arrivals, self.runs, self.given = [], [], {}
+        self.arrivals, self.runs, self.responses = [], [], {}
         self.used = 2
 
     # control interface of the gateway
-    def tell(self, target):
+    def send_control(self, target):
         self.control_sock.sendall(f"GET {target} HTTP/1.1\r\nHost: c\r\n\r\n".encode())
         m = Message()
-        while not m.whole:
+        while not m.complete:
             data = self.control_sock.recv(65536)
             if not data:
-                raise Broken("the gateway has closed its control connection")
+                raise Violation("the gateway has closed its control connection")
             m.feed(data)
         return m.body.decode()
 
-    def begin(self, engines):
+    def start_case(self, engines):
         """Starts a case: registers the engines under new names and closes all earlier connections."""
         for c in self.connections:
             c.close()
         self.connections = []
         for e in self.engines:
             if e.name:
-                self.tell(f"/gone?id={e.name}&addr=127.0.0.1:{e.port}")
+                self.send_control(f"/gone?id={e.name}&addr=127.0.0.1:{e.port}")
                 e.name = None
         self.clear()
         self.used = engines
         self.number += 1
         for i, e in enumerate(self.engines[:engines]):
             e.name = f"e{self.number:05d}-{i}"
-            self.tell(f"/beat?id={e.name}&addr=127.0.0.1:{e.port}")
+            self.send_control(f"/beat?id={e.name}&addr=127.0.0.1:{e.port}")
 
     # records
-    def name_of(self, message):
+    def request_id_of(self, message):
         """The request id of a message; None until its head is complete, "" if it has none."""
         return message.fields.get(ID.lower(), "") if message.start else None
 
     def request_id(self, c):
-        return self.name_of(c.message)
+        return self.request_id_of(c.message)
 
-    def note_run(self, c):
+    def record_run(self, c):
         if (c, c.served) not in [(x, n) for x, n, _ in self.runs]:
             self.runs.append((c, c.served, self.request_id(c)))
 
-    def good_answer(self, c):
-        rid = self.request_id(c)
+    def correct_response(self, c):
+        request_id = self.request_id(c)
         path = c.message.start.split()[1]
         if path.startswith(("/stream/", "/resume/")):
-            data = answer(rid, c.engine.name, body=events(rid, c.engine.name), chunked=True,
+            data = answer(request_id, c.engine.name, body=events(request_id, c.engine.name), chunked=True,
                           extra="Content-Type: text/event-stream\r\n")
         else:
-            data = answer(rid, c.engine.name)
-        self.give(rid, c.engine.name, data)
+            data = answer(request_id, c.engine.name)
+        self.record_response(request_id, c.engine.name, data)
         return data
 
-    def give(self, rid, engine, data):
+    def record_response(self, request_id, engine, data):
         """Records the response that an engine sends to a request."""
         m = Message()
         m.feed(data)
-        self.given.setdefault(rid, []).append((engine, m.status(), m.body, m))
+        self.responses.setdefault(request_id, []).append((engine, m.status(), m.body, m))
 
     # event loop
     def script_of(self, c):
@@ -336,11 +337,11 @@
         left."""
         if c.script is None:
             first = not c.message.raw or c.message.raw[:4] != b"GET "
-            c.script = self.scripts.pop(0) if self.scripts and first else Good()
+            c.script = self.scripts.pop(0) if self.scripts and first else CorrectResponse()
             self.arrivals.append((c, c.script, c.message))
         return c.script
 
-    def turn(self, extra, timeout):
+    def run_once(self, extra, timeout):
         """Waits for the next event and lets the engines handle theirs; returns the readable sockets among the
         given ones of callers."""
         for c in self.connections:
@@ -360,14 +361,14 @@
         return [fd for fd in ready if fd in extra]
 
     def read(self, c):
-        peek = c.script or (self.scripts[0] if self.scripts else None)
-        most = peek.wants(c) if hasattr(peek, "wants") else 65536
-        if most <= 0:
+        next_script = c.script or (self.scripts[0] if self.scripts else None)
+        max_bytes = next_script.bytes_wanted(c) if hasattr(next_script, "bytes_wanted") else 65536
+        if max_bytes <= 0:
             script = self.script_of(c)
             script.on_bytes(c, self)
             return
         try:
-            data = c.sock.recv(most)
+            data = c.sock.recv(max_bytes)
         except OSError:
             data = b""
         if not data:
@@ -383,7 +384,7 @@
     def __init__(self, bed, route, request_id, method="POST", body=b"hello", extra="", chunked=False, raw=None,
                  sock=None, time_left=3000):
         self.bed, self.route, self.id = bed, route, request_id
-        self.single = route in ("once", "stream")
+        self.runs_once = route in ("once", "stream")
         head = f"{method} /{route}/x?y HTTP/1.1\r\nHost: svc.example\r\n{ID}: {request_id}\r\n{TIME_LEFT}: {time_left}\r\n{extra}"
         if chunked:
             data = head.encode() + b"Transfer-Encoding: chunked\r\n\r\n" + b"%x\r\n%s\r\n0\r\n\r\n" % (len(body), body)
@@ -404,9 +405,9 @@
         except OSError:
             pass
 
-    def read(self, most=65536):
+    def read(self, max_bytes=65536):
         try:
-            data = self.sock.recv(most)
+            data = self.sock.recv(max_bytes)
         except ConnectionError:
             self.ended = "rst"
             return
@@ -417,12 +418,12 @@
 
     def finish(self, seconds=CASE_SECONDS, stop=None):
         """Runs the event loop until the response is complete or the connection has ended."""
-        till = time.time() + seconds
-        while not self.message.whole and not self.ended and not (stop and stop()):
-            left = till - time.time()
+        deadline = time.time() + seconds
+        while not self.message.complete and not self.ended and not (stop and stop()):
+            left = deadline - time.time()
             if left <= 0:
-                raise Broken(f"{self.id}: no complete response and no end of the connection after {seconds} s")
-            if self.bed.turn([self.sock.fileno()], left):
+                raise Violation(f"{self.id}: no complete response and no end of the connection after {seconds} s")
+            if self.bed.run_once([self.sock.fileno()], left):
                 self.read()
 
     def close(self):
@@ -433,114 +434,114 @@
     def status(self):
         return self.message.status() if self.message.start else None
 
-    def judge(self):
+    def check_rules(self):
         bed = self.bed
-        mine = [x for x in bed.runs if x[2] == self.id]
+        runs = [run for run in bed.runs if run[2] == self.id]
         m = self.message
-        got = [(c, s) for c, s, request in bed.arrivals if bed.name_of(request) in (None, self.id)]
-        if self.single and len(mine) > 1:
-            raise Broken(f"{self.id} ran {len(mine)} times")
-        if self.single:
-            unsure = [c for c, s in got if not s.promises]
-            if len(got) > 1 and any(not s.promises for _, s in got[:-1]):
-                raise Broken(f"{self.id} was sent to {len(got)} engines; {len(unsure)} of them may have run it")
+        arrivals = [(c, s) for c, s, request in bed.arrivals if bed.request_id_of(request) in (None, self.id)]
+        if self.runs_once and len(runs) > 1:
+            raise Violation(f"{self.id} ran {len(runs)} times")
+        if self.runs_once:
+            unsure = [c for c, s in arrivals if not s.declares_not_run]
+            if len(arrivals) > 1 and any(not s.declares_not_run for _, s in arrivals[:-1]):
+                raise Violation(f"{self.id} was sent to {len(arrivals)} engines; {len(unsure)} of them may have run it")
         status = self.status()
-        if status in PROMISES and self.single and mine:
-            raise Broken(f"{self.id} got {status} although it has run")
+        if status in NOT_RUN_STATUSES and self.runs_once and runs:
+            raise Violation(f"{self.id} got {status} although it has run")
         if m.rest:
-            raise Broken(f"{self.id}: bytes after the response: {m.rest[:60]!r}")
+            raise Violation(f"{self.id}: bytes after the response: {m.rest[:60]!r}")
         if status is None:
             if m.raw:
-                try_head = b"HTTP/1.1 "
-                if not (m.raw.startswith(try_head) or try_head.startswith(m.raw)):
-                    raise Broken(f"{self.id}: not an HTTP response: {m.raw[:60]!r}")
+                prefix = b"HTTP/1.1 "
+                if not (m.raw.startswith(prefix) or prefix.startswith(m.raw)):
+                    raise Violation(f"{self.id}: not an HTTP response: {m.raw[:60]!r}")
             return
-        stamp, named = m.fields.get(STAMP.lower()), m.fields.get(ID.lower())
-        if named is not None and named != self.id:
-            raise Broken(f"{self.id} got the response to {named}")
-        given = [g for g in bed.given.get(self.id, []) if g[0] == stamp]
+        stamp, response_id = m.fields.get(STAMP.lower()), m.fields.get(ID.lower())
+        if response_id is not None and response_id != self.id:
+            raise Violation(f"{self.id} got the response to {response_id}")
+        sent = [g for g in bed.responses.get(self.id, []) if g[0] == stamp]
         declined = NOT_RUN.lower() in m.fields
-        if 300 <= status < 500 and status not in PROMISES and not stamp and not declined:
-            raise Broken(f"{self.id} got {status} without a stamp, after which callers do not retry")
+        if 300 <= status < 500 and status not in NOT_RUN_STATUSES and not stamp and not declined:
+            raise Violation(f"{self.id} got {status} without a stamp, after which callers do not retry")
         if status // 100 == 2 and not stamp:
-            raise Broken(f"{self.id} got a successful response without a stamp")
-        if status // 100 == 2 and named != self.id:
-            raise Broken(f"{self.id} got a successful response without its request id")
-        if stamp and not [g for g in given if g[1] == status]:
-            raise Broken(f"{self.id} got {status} with the stamp of {stamp}, which sent {[g[1] for g in given]}")
-        if stamp and m.whole and not [g for g in given if g[1] == status and (g[2] == m.body or m.bodiless)]:
+            raise Violation(f"{self.id} got a successful response without a stamp")
+        if status // 100 == 2 and response_id != self.id:
+            raise Violation(f"{self.id} got a successful response without its request id")
+        if stamp and not [g for g in sent if g[1] == status]:
+            raise Violation(f"{self.id} got {status} with the stamp of {stamp}, which sent {[g[1] for g in sent]}")
+        if stamp and m.complete and not [g for g in sent if g[1] == status and (g[2] == m.body or m.bodiless)]:
             if self.route == "resume" and self.resumed_body(m.body):
                 return
-            raise Broken(f"{self.id} got a complete response that no engine sent: {m.body[:80]!r}")
-        if stamp and not m.whole and not [g for g in given if g[2].startswith(m.body)]:
+            raise Violation(f"{self.id} got a complete response that no engine sent: {m.body[:80]!r}")
+        if stamp and not m.complete and not [g for g in sent if g[2].startswith(m.body)]:
             if self.route == "resume" and self.resumed_prefix(m.body):
                 return
-            raise Broken(f"{self.id} got part of another response: {m.body[:80]!r}")
+            raise Violation(f"{self.id} got part of another response: {m.body[:80]!r}")
 
-    def numbers(self, body):
+    def event_ids(self, body):
         return [line for line in body.split(b"\n") if line.startswith(b"id: ")]
 
     def resumed_body(self, body):
-        return self.numbers(body) == [b"id: 1", b"id: 2", b"id: 3"] and self.id.encode() in body
+        return self.event_ids(body) == [b"id: 1", b"id: 2", b"id: 3"] and self.id.encode() in body
 
     def resumed_prefix(self, body):
         due = [b"id: 1", b"id: 2", b"id: 3"]
-        return self.numbers(body) == due[:len(self.numbers(body))]
+        return self.event_ids(body) == due[:len(self.event_ids(body))]
 
 
-def follow_patiently(bed):
-    """Like follow, but retries after a refusal: the gateway sends nothing for a moment to an engine that has
+def check_next_caller_with_retries(bed):
+    """Like check_next_caller, but retries after a refusal: the gateway sends nothing for a moment to an engine that has
     refused a request."""
     for _ in range(5):
         try:
-            return follow(bed)
+            return check_next_caller(bed)
         except Refused:
             time.sleep(0.2)
-    return follow(bed)
+    return check_next_caller(bed)
 
 
-def follow(bed, route="once", sock=None):
+def check_next_caller(bed, route="once", sock=None):
     """Sends a request of another caller to the same engines; it must get its own response."""
     bed.scripts = []
     bed.arrivals, bed.runs = [], []
-    rid = f"next{bed.number}-{time.monotonic_ns()}"
-    c = Caller(bed, route, rid, sock=sock)
+    request_id = f"next{bed.number}-{time.monotonic_ns()}"
+    c = Caller(bed, route, request_id, sock=sock)
     c.send()
     c.finish()
-    c.judge()
+    c.check_rules()
     if c.status() == 503 and not c.message.fields.get(STAMP.lower()):
         raise Refused(f"{c.id} got 503 from the gateway: {c.message.body[:80]!r}")
-    if c.status() != 200 or not c.message.whole:
-        raise Broken(f"the next caller got {c.status()}, {c.message.raw[:200]!r}")
+    if c.status() != 200 or not c.message.complete:
+        raise Violation(f"the next caller got {c.status()}, {c.message.raw[:200]!r}")
     if sock is None:
         c.close()
     return c
 
 
-def warm(bed, engines):
+def open_idle_connections(bed, engines):
     """Opens an idle connection from the gateway to each engine."""
     for _ in range(40):
         if len({c.engine.port for c in bed.connections if c.open and c.served}) >= engines:
             break
-        follow(bed, "safe")
+        check_next_caller(bed, "safe")
     bed.scripts, bed.arrivals, bed.runs = [], [], []
 
 
-def play(bed, route="once", scripts=(), engines=2, reuse=False, expect=None, after="once", seconds=CASE_SECONDS, **request):
+def run_case(bed, route="once", scripts=(), engines=2, reuse=False, expect=None, after="once", seconds=CASE_SECONDS, **request):
     """Runs a case with one request; each engine that it reaches follows the next script."""
-    bed.begin(engines)
+    bed.start_case(engines)
     if reuse:
-        warm(bed, engines)
+        open_idle_connections(bed, engines)
     bed.scripts = list(scripts)
     c = Caller(bed, route, f"r{bed.number:05d}", **request)
     c.send()
     c.finish(seconds)
-    c.judge()
+    c.check_rules()
     if expect and c.status() not in (expect if isinstance(expect, tuple) else (expect,)):
-        raise Broken(f"{c.id} got {c.status()} instead of {expect}")
+        raise Violation(f"{c.id} got {c.status()} instead of {expect}")
     c.close()
     if after:
-        follow(bed, after)
+        check_next_caller(bed, after)
     return c
 
 
@@ -554,27 +555,27 @@
 
         def look(c, b):
             seen.append(len(c.message.raw))
-            data = b.good_answer(c)
+            data = b.correct_response(c)
             seen.append(len(data))
             return data
 
-        play(bed, route, [Bytes(look)], expect=200)
+        run_case(bed, route, [CustomBytes(look)], expect=200)
         sizes[route] = tuple(seen)
     return sizes
 
 
 def good(c, bed):
-    return bed.good_answer(c)
+    return bed.correct_response(c)
 
 
-def part(at):
-    return lambda c, bed: bed.good_answer(c)[:at]
+def truncated(at):
+    return lambda c, bed: bed.correct_response(c)[:at]
 
 
 def chunked(c, bed):
-    rid = bed.request_id(c)
-    data = answer(rid, c.engine.name, chunked=True)
-    bed.give(rid, c.engine.name, data)
+    request_id = bed.request_id(c)
+    data = answer(request_id, c.engine.name, chunked=True)
+    bed.record_response(request_id, c.engine.name, data)
     return data
 
 
@@ -583,12 +584,12 @@
     for route in ("once", "safe"):
         for at in range(1, sizes[route][0] + 1):
             for how in ENDS:
-                yield f"{route} engine {how} at request byte {at}", lambda b, r=route, a=at, h=how: play(
-                    b, r, [Cut(a, h)], expect=502 if r == "once" else 200)
+                yield f"{route} engine {how} at request byte {at}", lambda b, r=route, a=at, h=how: run_case(
+                    b, r, [CutRequest(a, h)], expect=502 if r == "once" else 200)
     for at in range(1, sizes["once"][0] + 1, 3):
         for how in ENDS:
-            yield f"kept engine connection {how} at request byte {at}", lambda b, a=at, h=how: play(
-                b, "once", [Cut(a, h)], engines=1 + a % 2, reuse=True, expect=502)
+            yield f"reused engine connection {how} at request byte {at}", lambda b, a=at, h=how: run_case(
+                b, "once", [CutRequest(a, h)], engines=1 + a % 2, reuse=True, expect=502)
 
 
 def group_answer_cuts(sizes):
@@ -598,33 +599,33 @@
             for how in ENDS:
                 whole = at == sizes[route][1]
                 expect = None if route == "stream" else 200 if whole or route != "once" else 502
-                yield f"{route} engine {how} at answer byte {at}", lambda b, r=route, a=at, h=how, e=expect: play(
-                    b, r, [Bytes(part(a), then=h)], expect=e if h == "fin" or e != 200 or r != "once" else (200, 502))
+                yield f"{route} engine {how} at response byte {at}", lambda b, r=route, a=at, h=how, e=expect: run_case(
+                    b, r, [CustomBytes(truncated(a), then=h)], expect=e if h == "fin" or e != 200 or r != "once" else (200, 502))
     probe = answer("r01000", "e01000-0", chunked=True)
     for at in range(0, len(probe)):
-        yield f"once chunked engine fin at answer byte {at}", lambda b, a=at: play(
-            b, "once", [Bytes(lambda c, bed: chunked(c, bed)[:a], then="fin")])
+        yield f"once chunked engine fin at response byte {at}", lambda b, a=at: run_case(
+            b, "once", [CustomBytes(lambda c, bed: chunked(c, bed)[:a], then="fin")])
     for route, kind in (("once", 503), ("once", 421), ("safe", 503)):
         probe = refusal(kind)
         for at in range(0, 110, 2):
-            yield f"{route} engine fin at byte {at} of a refusal with {kind}", lambda b, r=route, k=kind, a=at: play(
-                b, r, [Bytes(lambda c, bed: refusal(k)(c, bed)[:a], then="fin", ran=False, promises=a >= 90)])
+            yield f"{route} engine fin at byte {at} of a refusal with {kind}", lambda b, r=route, k=kind, a=at: run_case(
+                b, r, [CustomBytes(lambda c, bed: refusal(k)(c, bed)[:a], then="fin", ran=False, declares_not_run=a >= 90)])
 
 
-def refusal(status, promise=True):
-    """An engine's refusal; with promise, it states that the request was not run."""
+def refusal(status, declare_not_run=True):
+    """An engine's refusal; if declare_not_run is set, it states that the request was not run."""
     def make(c, bed):
-        rid = bed.request_id(c)
-        extra = f"{NOT_RUN}: 1\r\n" if promise else ""
-        data = answer(rid, c.engine.name, body=b"no", status=f"{status} No", extra=extra)
-        bed.give(rid, c.engine.name, data)
+        request_id = bed.request_id(c)
+        extra = f"{NOT_RUN}: 1\r\n" if declare_not_run else ""
+        data = answer(request_id, c.engine.name, body=b"no", status=f"{status} No", extra=extra)
+        bed.record_response(request_id, c.engine.name, data)
         return data
     return make
 
 
 def client_cut(bed, at, how, route="once", chunked=False):
     """The caller ends its connection at a byte of its request; no engine may get an incomplete request."""
-    bed.begin(2)
+    bed.start_case(2)
     c = Caller(bed, route, f"r{bed.number:05d}", chunked=chunked)
     whole = at >= len(c.data)
     c.send(c.data[:at])
@@ -633,22 +634,22 @@
         c.ended = "closed"
     else:
         c.sock.shutdown(socket.SHUT_WR)
-        till = time.time() + CASE_SECONDS
-        while not c.ended and not c.message.whole:
-            if time.time() > till:
-                raise Broken(f"{c.id}: the gateway keeps a connection that its caller has ended")
-            if bed.turn([c.sock.fileno()], 0.5):
+        deadline = time.time() + CASE_SECONDS
+        while not c.ended and not c.message.complete:
+            if time.time() > deadline:
+                raise Violation(f"{c.id}: the gateway keeps a connection that its caller has ended")
+            if bed.run_once([c.sock.fileno()], 0.5):
                 c.read()
-        c.judge()
+        c.check_rules()
         c.close()
     seen = list(bed.arrivals)
     if seen and not whole:
-        raise Broken(f"{c.id} reached an engine though only {at} of its {len(c.data)} bytes were sent")
+        raise Violation(f"{c.id} reached an engine though only {at} of its {len(c.data)} bytes were sent")
     if len(seen) > 1:
-        raise Broken(f"{c.id} reached {len(seen)} engines")
-    follow(bed)
+        raise Violation(f"{c.id} reached {len(seen)} engines")
+    check_next_caller(bed)
     if not whole and [x for x in bed.runs if x[2] == c.id]:
-        raise Broken(f"{c.id} ran though its request was incomplete")
+        raise Violation(f"{c.id} ran though its request was incomplete")
 
 
 def group_caller_cuts(sizes):
@@ -664,26 +665,26 @@
 
 def caller_leaves(bed, route, at, reuse):
     """The caller disconnects after some bytes of its response; the rest must not reach the next caller."""
-    bed.begin(1)
+    bed.start_case(1)
     if reuse:
-        warm(bed, 1)
+        open_idle_connections(bed, 1)
     c = Caller(bed, route, f"r{bed.number:05d}")
     c.send()
-    till = time.time() + CASE_SECONDS
-    while len(c.message.raw) < at and not c.message.whole and not c.ended:
-        if time.time() > till:
-            raise Broken(f"{c.id}: no response")
-        if bed.turn([c.sock.fileno()], 0.5):
+    deadline = time.time() + CASE_SECONDS
+    while len(c.message.raw) < at and not c.message.complete and not c.ended:
+        if time.time() > deadline:
+            raise Violation(f"{c.id}: no response")
+        if bed.run_once([c.sock.fileno()], 0.5):
             c.read(at - len(c.message.raw))
     reset(c.sock)
-    follow(bed)
+    check_next_caller(bed)
 
 
 def group_caller_leaves(sizes):
     """The caller resets its connection at every byte of its response."""
     for route in ("once", "stream"):
         for at in range(0, sizes[route][1] - 20, 1 if route == "once" else 2):
-            yield f"caller resets at answer byte {at} of {route}", lambda b, r=route, a=at: caller_leaves(
+            yield f"caller resets at response byte {at} of {route}", lambda b, r=route, a=at: caller_leaves(
                 b, r, a, a % 2 == 0)
 
 
@@ -691,145 +692,145 @@
     """The engine responds before it has read the whole request, at every second byte of the request."""
     large = b"z" * 300000
 
-    def early(status, promise):
+    def early(status, declare_not_run):
         def make(c, bed):
-            rid = f"r{bed.number:05d}"
-            extra = f"{NOT_RUN}: 1\r\n" if promise else ""
-            data = answer(rid, c.engine.name, status=f"{status} x", extra=extra)
-            bed.give(rid, c.engine.name, data)
+            request_id = f"r{bed.number:05d}"
+            extra = f"{NOT_RUN}: 1\r\n" if declare_not_run else ""
+            data = answer(request_id, c.engine.name, status=f"{status} x", extra=extra)
+            bed.record_response(request_id, c.engine.name, data)
             return data
         return make
 
     for at in range(1, sizes["once"][0], 2):
-        for status, promise in ((200, False), (503, True), (500, False)):
+        for status, declare_not_run in ((200, False), (503, True), (500, False)):
             for body in (b"hello", large) if at % 16 == 1 else (b"hello",):
-                yield f"early {status} at request byte {at}, body of {len(body)}", lambda b, a=at, s=status, p=promise, d=body: play(
-                    b, "once", [Bytes(early(s, p), after=a, ran=False, promises=p)], body=d)
+                yield f"early {status} at request byte {at}, body of {len(body)}", lambda b, a=at, s=status, p=declare_not_run, d=body: run_case(
+                    b, "once", [CustomBytes(early(s, p), after=a, ran=False, declares_not_run=p)], body=d)
 
 
 def stray_cases():
     """Bytes that belong to no request, as functions of the id of the request and the name of the engine."""
     old = "r-old"
     return {
-        "junk": lambda rid, e: b"\x00\x01 nonsense \r\n\r\n",
-        "line ends": lambda rid, e: b"\r\n\r\n",
-        "second answer": lambda rid, e: answer(rid, e, body=b"again"),
-        "answer of another": lambda rid, e: answer(old, e, body=b"another's"),
-        "answer without a name": lambda rid, e: answer(rid, e, body=b"nameless", named=False),
-        "refusal without a name": lambda rid, e: answer(rid, e, body=b"no", status="503 No", stamp=False,
-                                                        extra=f"{NOT_RUN}: 1\r\n", named=False),
-        "421 without a name": lambda rid, e: answer(rid, e, body=b"no", status="421 No", stamp=False, named=False),
-        "failure without a name": lambda rid, e: answer(rid, e, body=b"no", status="500 No", named=False),
-        "missing without a name": lambda rid, e: answer(rid, e, body=b"no", status="404 No", named=False),
-        "refusal of another": lambda rid, e: answer(old, e, body=b"no", status="503 No", extra=f"{NOT_RUN}: 1\r\n"),
-        "interim": lambda rid, e: b"HTTP/1.1 100 Continue\r\n\r\n",
-        "chunks of another": lambda rid, e: answer(old, e, body=b"another's body", chunked=True),
-        "half a head": lambda rid, e: b"HTTP/1.1 200 OK\r\nContent-Length: 20\r\n",
-        "half a body": lambda rid, e: answer(old, e, body=b"x" * 30)[:-7],
-        "endless body": lambda rid, e: b"HTTP/1.1 200 OK\r\n\r\nand so on",
+        "junk": lambda request_id, e: b"\x00\x01 nonsense \r\n\r\n",
+        "line breaks": lambda request_id, e: b"\r\n\r\n",
+        "second response": lambda request_id, e: answer(request_id, e, body=b"again"),
+        "response to another request": lambda request_id, e: answer(old, e, body=b"another's"),
+        "response without an id": lambda request_id, e: answer(request_id, e, body=b"nameless", with_id=False),
+        "refusal without an id": lambda request_id, e: answer(request_id, e, body=b"no", status="503 No", stamp=False,
+                                                              extra=f"{NOT_RUN}: 1\r\n", with_id=False),
+        "421 without an id": lambda request_id, e: answer(request_id, e, body=b"no", status="421 No", stamp=False, with_id=False),
+        "500 without an id": lambda request_id, e: answer(request_id, e, body=b"no", status="500 No", with_id=False),
+        "404 without an id": lambda request_id, e: answer(request_id, e, body=b"no", status="404 No", with_id=False),
+        "refusal of another request": lambda request_id, e: answer(old, e, body=b"no", status="503 No", extra=f"{NOT_RUN}: 1\r\n"),
+        "interim response": lambda request_id, e: b"HTTP/1.1 100 Continue\r\n\r\n",
+        "chunks of another response": lambda request_id, e: answer(old, e, body=b"another's body", chunked=True),
+        "half a head": lambda request_id, e: b"HTTP/1.1 200 OK\r\nContent-Length: 20\r\n",
+        "half a body": lambda request_id, e: answer(old, e, body=b"x" * 30)[:-7],
+        "endless body": lambda request_id, e: b"HTTP/1.1 200 OK\r\n\r\nand so on",
     }
 
 
 def stray_with_answer(bed, make, cut, route):
     """The stray bytes directly follow the complete response; the next caller sends its request afterwards."""
-    bed.begin(1)
-    bed.scripts = [Bytes(lambda c, b: b.good_answer(c) + make(b.request_id(c), c.engine.name)[:cut], then="stay")]
+    bed.start_case(1)
+    bed.scripts = [CustomBytes(lambda c, b: b.correct_response(c) + make(b.request_id(c), c.engine.name)[:cut], then="stay")]
     c = Caller(bed, route, f"r{bed.number:05d}")
     c.send()
     c.finish()
-    c.judge()
+    c.check_rules()
     if c.status() != 200:
-        raise Broken(f"{c.id} got {c.status()} though its response was complete")
+        raise Violation(f"{c.id} got {c.status()} though its response was complete")
     c.close()
-    follow(bed)
+    check_next_caller(bed)
 
 
 def stray_at_reuse(bed, make, cut, route, at):
     """The stray bytes arrive on a reused connection after the next request has begun to arrive and before the
     response to it."""
-    bed.begin(1)
-    warm(bed, 1)
+    bed.start_case(1)
+    open_idle_connections(bed, 1)
 
     class Late:
-        promises = False
+        declares_not_run = False
         sent = False
 
-        def wants(self, c):
+        def bytes_wanted(self, c):
             return at - len(c.message.raw) if not self.sent else 65536
 
         def on_bytes(self, c, b):
             if not self.sent and len(c.message.raw) >= at:
                 self.sent = True
                 c.send(make(f"next{b.number:05d}-0", c.engine.name)[:cut])
-            if c.message.whole:
-                b.note_run(c)
-                c.send(b.good_answer(c))
+            if c.message.complete:
+                b.record_run(c)
+                c.send(b.correct_response(c))
                 c.next()
 
     bed.scripts = [Late()]
     c = Caller(bed, route, f"r{bed.number:05d}", time_left=250)
     c.send()
     c.finish()
-    c.judge()
+    c.check_rules()
     c.close()
-    follow(bed)
+    check_next_caller(bed)
 
 
 def group_stray(sizes):
     """Stray bytes directly after a complete response, and in place of the next response."""
     for name, make in stray_cases().items():
-        most = len(make("r01000", "e01000-0"))
-        step = max(1, most // 12)
-        for cut in sorted(set(list(range(1, most, step)) + [most])):
-            yield f"{name} ({cut} bytes) after an answer", lambda b, m=make, k=cut: stray_with_answer(b, m, k, "once")
+        length = len(make("r01000", "e01000-0"))
+        step = max(1, length // 12)
+        for cut in sorted(set(list(range(1, length, step)) + [length])):
+            yield f"{name} ({cut} bytes) after a response", lambda b, m=make, k=cut: stray_with_answer(b, m, k, "once")
         for route in ("once", "safe"):
             for at in (1, sizes["once"][0] // 2):
-                yield f"{name} in the place of the next answer of {route}, from byte {at}", lambda b, m=make, r=route, a=at: stray_at_reuse(
+                yield f"{name} in place of the next response of {route}, from byte {at}", lambda b, m=make, r=route, a=at: stray_at_reuse(
                     b, m, 10 ** 6, r, a)
 
 
 def group_status(sizes):
-    """Every kind of response, with and without stamp and not-run promise, on new and on reused connections."""
+    """Every kind of response, with and without stamp and not-run header, on new and on reused connections."""
     for status in (200, 204, 301, 304, 400, 401, 404, 408, 413, 421, 429, 431, 500, 502, 503, 504):
-        for promise in (False, True):
+        for declare_not_run in (False, True):
             for stamp in (False, True):
                 for reuse in (False, True):
                     for route in ("once", "safe"):
-                        promised = status == 421 or (promise and status != 400)
+                        declared = status == 421 or (declare_not_run and status != 400)
 
-                        def make(c, bed, s=status, p=promise, t=stamp):
-                            rid = bed.request_id(c)
-                            data = answer(rid, c.engine.name, status=f"{s} x", stamp=t, body=b"" if s in (204, 304) else b"body",
+                        def make(c, bed, s=status, p=declare_not_run, t=stamp):
+                            request_id = bed.request_id(c)
+                            data = answer(request_id, c.engine.name, status=f"{s} x", stamp=t, body=b"" if s in (204, 304) else b"body",
                                           extra=f"{NOT_RUN}: 1\r\n" if p else "")
-                            bed.give(rid, c.engine.name, data)
+                            bed.record_response(request_id, c.engine.name, data)
                             return data
 
-                        yield (f"{route} {status}{' promise' * promise}{' stamp' * stamp}{' kept' * reuse}",
-                               lambda b, m=make, r=route, u=reuse, q=promised: play(
-                                   b, r, [Bytes(m, ran=not q, promises=q)], reuse=u, engines=1 if u else 2))
+                        yield (f"{route} {status}{' not-run header' * declare_not_run}{' stamp' * stamp}{' reused' * reuse}",
+                               lambda b, m=make, r=route, u=reuse, q=declared: run_case(
+                                   b, r, [CustomBytes(m, ran=not q, declares_not_run=q)], reuse=u, engines=1 if u else 2))
 
 
 def group_framing(sizes):
     """Interim responses, responses without a body, and responses with invalid framing."""
     def before(data, then="next"):
-        return [Bytes(lambda c, bed: data + bed.good_answer(c), then=then)]
+        return [CustomBytes(lambda c, bed: data + bed.correct_response(c), then=then)]
 
     interim = b"HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n"
-    yield "a 100 first", lambda b: play(b, "once", before(b"HTTP/1.1 100 Continue\r\n\r\n"), expect=200)
-    yield "interim answers first", lambda b: play(b, "once", before(interim * 50), expect=200)
-    yield "a 101", lambda b: play(b, "once", before(b"HTTP/1.1 101 Up\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\n"), expect=502)
+    yield "a 100 first", lambda b: run_case(b, "once", before(b"HTTP/1.1 100 Continue\r\n\r\n"), expect=200)
+    yield "interim responses first", lambda b: run_case(b, "once", before(interim * 50), expect=200)
+    yield "a 101", lambda b: run_case(b, "once", before(b"HTTP/1.1 101 Up\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\n"), expect=502)
     for at in range(0, len(interim), 2):
         for how in ENDS:
-            yield f"interim answer, {how} at byte {at}", lambda b, a=at, h=how: play(
-                b, "once", [Bytes(lambda c, bed: interim[:a], then=h)], expect=502)
+            yield f"interim response, {how} at byte {at}", lambda b, a=at, h=how: run_case(
+                b, "once", [CustomBytes(lambda c, bed: interim[:a], then=h)], expect=502)
 
     def fixed(head, body=b"", then="next"):
         def make(c, bed):
-            rid = bed.request_id(c)
-            data = f"HTTP/1.1 200 OK\r\n{ID}: {rid}\r\n{STAMP}: {c.engine.name}\r\n".encode() + head + b"\r\n" + body
-            bed.given.setdefault(rid, []).append((c.engine.name, 200, b"never whole", None))
+            request_id = bed.request_id(c)
+            data = f"HTTP/1.1 200 OK\r\n{ID}: {request_id}\r\n{STAMP}: {c.engine.name}\r\n".encode() + head + b"\r\n" + body
+            bed.responses.setdefault(request_id, []).append((c.engine.name, 200, b"never whole", None))
             return data
-        return [Bytes(make, then=then)]
+        return [CustomBytes(make, then=then)]
 
     for name, head, body in (
             ("two lengths", b"Content-Length: 3\r\nContent-Length: 4\r\n", b"abcd"),
@@ -845,100 +846,100 @@
             ("a blank before a colon", b"Content-Length : 3\r\n", b"abc"),
             ("endless fields", b"X: " + b"y" * 70000 + b"\r\n", b"abc"),
             ("a bad field", b"no colon\r\n", b"abc")):
-        yield f"an answer with {name}", lambda b, h=head, d=body: play(b, "once", fixed(h, d, "fin"), expect=(502, 504, None))
+        yield f"a response with {name}", lambda b, h=head, d=body: run_case(b, "once", fixed(h, d, "fin"), expect=(502, 504, None))
 
     def keep_alive(value):
-        return [Bytes(lambda c, bed: extra_answer(c, bed, f"Keep-Alive: {value}\r\n"))]
+        return [CustomBytes(lambda c, bed: extra_answer(c, bed, f"Keep-Alive: {value}\r\n"))]
 
     def extra_answer(c, bed, extra):
-        rid = bed.request_id(c)
-        data = answer(rid, c.engine.name, extra=extra)
-        bed.give(rid, c.engine.name, data)
+        request_id = bed.request_id(c)
+        data = answer(request_id, c.engine.name, extra=extra)
+        bed.record_response(request_id, c.engine.name, data)
         return data
 
     for value in ("timeout=0", "timeout=1", "timeout=-9223372036854775808", "timeout=99999999999999999999", "timeout=x",
                   "timeout=", "max=1, timeout=5"):
-        yield f"Keep-Alive: {value}", lambda b, v=value: play(b, "once", keep_alive(v), expect=200)
-    yield "Connection: close", lambda b: play(
-        b, "once", [Bytes(lambda c, bed: extra_answer(c, bed, "Connection: close\r\n"))], expect=200)
+        yield f"Keep-Alive: {value}", lambda b, v=value: run_case(b, "once", keep_alive(v), expect=200)
+    yield "Connection: close", lambda b: run_case(
+        b, "once", [CustomBytes(lambda c, bed: extra_answer(c, bed, "Connection: close\r\n"))], expect=200)
 
     def head_case(bed, reply):
-        bed.begin(1)
-        bed.scripts = [Bytes(lambda c, b: answer_head(c, b, reply), then="next")]
+        bed.start_case(1)
+        bed.scripts = [CustomBytes(lambda c, b: answer_head(c, b, reply), then="next")]
         c = Caller(bed, "once", f"r{bed.number:05d}", method="HEAD", body=b"")
         c.send()
         c.finish()
-        c.judge()
+        c.check_rules()
         c.close()
         for _ in range(2):
-            follow(bed)
+            check_next_caller(bed)
 
     def answer_head(c, bed, reply):
-        rid = bed.request_id(c)
-        data = answer(rid, c.engine.name, body=b"x" * 30)
-        bed.give(rid, c.engine.name, data)
+        request_id = bed.request_id(c)
+        data = answer(request_id, c.engine.name, body=b"x" * 30)
+        bed.record_response(request_id, c.engine.name, data)
         return data if reply == "body" else data[:-30]
 
     yield "HEAD without a body", lambda b: head_case(b, "none")
     yield "HEAD with a body", lambda b: head_case(b, "body")
     def extra_status(c, bed, status):
-        rid = bed.request_id(c)
-        data = f"HTTP/1.1 {status} x\r\n{ID}: {rid}\r\n{STAMP}: {c.engine.name}\r\n\r\n".encode()
-        bed.give(rid, c.engine.name, data)
+        request_id = bed.request_id(c)
+        data = f"HTTP/1.1 {status} x\r\n{ID}: {request_id}\r\n{STAMP}: {c.engine.name}\r\n\r\n".encode()
+        bed.record_response(request_id, c.engine.name, data)
         return data
 
     for status in (204, 304):
-        yield f"{status} with a body", lambda b, s=status: play(b, "once", [Bytes(
+        yield f"{status} with a body", lambda b, s=status: run_case(b, "once", [CustomBytes(
             lambda c, bed: extra_status(c, bed, s) + b"0123456789", then="stay")], engines=1)
 
-    yield "an encoded answer", lambda b: play(b, "once", [Bytes(
+    yield "an encoded response", lambda b: run_case(b, "once", [CustomBytes(
         lambda c, bed: extra_answer(c, bed, "Content-Encoding: gzip\r\n"))], expect=502)
 
 
 def silence(bed, route, at, engines, reuse):
     """The engine pauses within its response and sends the rest after the timeout."""
-    bed.begin(engines)
+    bed.start_case(engines)
     if reuse:
-        warm(bed, engines)
+        open_idle_connections(bed, engines)
     held = []
 
     def some(c, b):
-        data = b.good_answer(c)
+        data = b.correct_response(c)
         held.append((c, data[at:]))
         return data[:at]
 
-    bed.scripts = [Bytes(some, then="stay")]
+    bed.scripts = [CustomBytes(some, then="stay")]
     c = Caller(bed, route, f"r{bed.number:05d}", time_left=60)
     c.send()
     c.finish()
-    c.judge()
+    c.check_rules()
     c.close()
     for conn, rest in held:
         conn.send(rest)
-    follow(bed)
-    follow(bed)
+    check_next_caller(bed)
+    check_next_caller(bed)
 
 
 def group_silence(sizes):
     """Engines and callers that stop sending at some bytes, and responses that arrive after the timeout."""
     for at in (0, 1, 12, 40, 80, sizes["once"][1] - 1):
-        yield f"silent after answer byte {at}", lambda b, a=at: silence(b, "once", a, 1 + a % 2, a % 3 == 0)
+        yield f"silent after response byte {at}", lambda b, a=at: silence(b, "once", a, 1 + a % 2, a % 3 == 0)
     for at in (0, 100):
         yield f"silent stream after byte {at}", lambda b, a=at: silence(b, "stream", a, 2, False)
-        yield f"silent, and repeatable, after byte {at}", lambda b, a=at: silence(b, "safe", a, 2, False)
+        yield f"repeatable request, silent after byte {at}", lambda b, a=at: silence(b, "safe", a, 2, False)
     for at in (1, 60, sizes["once"][0]):
-        yield f"silent after request byte {at}", lambda b, a=at: play(
-            b, "once", [Bytes(lambda c, bed: b"", then="stay", after=a)], time_left=60, expect=504)
+        yield f"silent after request byte {at}", lambda b, a=at: run_case(
+            b, "once", [CustomBytes(lambda c, bed: b"", then="stay", after=a)], time_left=60, expect=504)
 
     def slow_caller(bed, at):
-        bed.begin(1)
+        bed.start_case(1)
         c = Caller(bed, "once", f"r{bed.number:05d}")
         c.send(c.data[:at])
         c.finish()
         if c.status() != 408 or bed.arrivals:
-            raise Broken(f"{c.id} stopped at byte {at}, got {c.status()} and reached {len(bed.arrivals)} engines")
+            raise Violation(f"{c.id} stopped at byte {at}, got {c.status()} and reached {len(bed.arrivals)} engines")
         c.close()
-        follow(bed)
+        check_next_caller(bed)
 
     for at in (1, 70, 120):
         yield f"caller silent at byte {at}", lambda b, a=at: slow_caller(b, a)
@@ -946,8 +947,8 @@
 
 def idle_race(bed, engines, route, delay_us, how):
     """The engine ends its idle connections at about the time the gateway reuses one of them."""
-    bed.begin(engines)
-    warm(bed, engines)
+    bed.start_case(engines)
+    open_idle_connections(bed, engines)
     idle = [c for c in bed.connections if c.open and c.served]
     c = Caller(bed, route, f"r{bed.number:05d}")
     if delay_us < 0:
@@ -956,17 +957,17 @@
         c.send()
     else:
         c.send()
-        till = time.perf_counter() + delay_us / 1e6
-        while time.perf_counter() < till:
+        deadline = time.perf_counter() + delay_us / 1e6
+        while time.perf_counter() < deadline:
             pass
         for x in idle:
             x.close(how == "rst")
     c.finish()
-    c.judge()
+    c.check_rules()
     if delay_us < 0 and c.status() != 200:
-        raise Broken(f"{c.id} got {c.status()} though the idle connections had ended before the request")
+        raise Violation(f"{c.id} got {c.status()} though the idle connections had ended before the request")
     c.close()
-    follow(bed)
+    check_next_caller(bed)
 
 
 def group_idle(sizes):
@@ -981,35 +982,35 @@
 
 def raw_caller(bed, data, expect, allowed=()):
     """A caller sends raw bytes; engines may run only the allowed request ids, each at most once."""
-    bed.begin(2)
+    bed.start_case(2)
     c = Caller(bed, "once", "raw", raw=data)
     c.send()
     quiet = time.time() + 1
     while not c.ended and time.time() < quiet:
-        if bed.turn([c.sock.fileno()], max(quiet - time.time(), 0.001)):
+        if bed.run_once([c.sock.fileno()], max(quiet - time.time(), 0.001)):
             c.read()
-        if c.message.whole:
+        if c.message.complete:
             quiet = min(quiet, time.time() + 0.03)
     status = c.status()
-    ran = [rid for _, _, rid in bed.runs]
-    for rid in ran:
-        if rid not in allowed:
-            raise Broken(f"a request with the id {rid!r} ran; allowed are {allowed}")
+    ran = [request_id for _, _, request_id in bed.runs]
+    for request_id in ran:
+        if request_id not in allowed:
+            raise Violation(f"a request with the id {request_id!r} ran; allowed are {allowed}")
     if len(ran) != len(set(ran)):
-        raise Broken(f"a request ran more than once: {ran}")
+        raise Violation(f"a request ran more than once: {ran}")
     if expect is not None and status != expect:
-        raise Broken(f"got {status} instead of {expect}: {c.message.raw[:120]!r}")
+        raise Violation(f"got {status} instead of {expect}: {c.message.raw[:120]!r}")
     c.close()
-    follow(bed)
+    check_next_caller(bed)
     return c
 
 
 def group_smuggling(sizes):
     """Requests whose end or header fields other parsers could interpret differently."""
-    def request(head, body=b"", target="/once/x", rid="mine"):
-        return f"POST {target} HTTP/1.1\r\nHost: svc.example\r\n{ID}: {rid}\r\n".encode() + head + b"\r\n" + body
+    def request(head, body=b"", target="/once/x", request_id="mine"):
+        return f"POST {target} HTTP/1.1\r\nHost: svc.example\r\n{ID}: {request_id}\r\n".encode() + head + b"\r\n" + body
 
-    smuggled = request(b"Content-Length: 0\r\n", rid="smuggled")
+    smuggled = request(b"Content-Length: 0\r\n", request_id="smuggled")
     bad = {
         "length and chunks": (b"Content-Length: 4\r\nTransfer-Encoding: chunked\r\n", b"0\r\n\r\n" + smuggled),
         "chunks and length": (b"Transfer-Encoding: chunked\r\nContent-Length: 4\r\n", b"0\r\n\r\n" + smuggled),
@@ -1077,29 +1078,29 @@
         b, request(f"Content-Length: 0\r\nConnection: close, {ID}, Host\r\n".encode()), 200, ("mine",))
 
     def pipelined(bed, count, cut):
-        bed.begin(2)
+        bed.start_case(2)
         ids = [f"p{bed.number}-{i}" for i in range(count)]
-        data = b"".join(request(b"Content-Length: 5\r\n", b"hello", rid=i) for i in ids)
+        data = b"".join(request(b"Content-Length: 5\r\n", b"hello", request_id=i) for i in ids)
         sock = socket.create_connection(("127.0.0.1", bed.front))
         rest = b""
         sock.sendall(data[:cut])
         sent = False
-        for i, rid in enumerate(ids):
-            c = Caller(bed, "once", rid, sock=sock)
+        for i, request_id in enumerate(ids):
+            c = Caller(bed, "once", request_id, sock=sock)
             if rest:
                 c.message.feed(rest)
-            if not sent and not c.message.whole:
-                bed.turn([sock.fileno()], 0.005)
+            if not sent and not c.message.complete:
+                bed.run_once([sock.fileno()], 0.005)
                 c.send(data[cut:])
                 sent = True
             c.finish()
             rest, c.message.rest = c.message.rest, b""
-            if c.status() != 200 or c.message.fields.get(ID.lower()) != rid:
-                raise Broken(f"{rid} got {c.status()} with the request id {c.message.fields.get(ID.lower())}")
-            if [x for x in bed.runs if x[2] == rid] and len([x for x in bed.runs if x[2] == rid]) > 1:
-                raise Broken(f"{rid} ran twice")
+            if c.status() != 200 or c.message.fields.get(ID.lower()) != request_id:
+                raise Violation(f"{request_id} got {c.status()} with the request id {c.message.fields.get(ID.lower())}")
+            if [x for x in bed.runs if x[2] == request_id] and len([x for x in bed.runs if x[2] == request_id]) > 1:
+                raise Violation(f"{request_id} ran twice")
         sock.close()
-        follow(bed)
+        check_next_caller(bed)
 
     for cut in range(1, 260, 4):
         yield f"three pipelined requests, split at byte {cut}", lambda b, k=cut: pipelined(b, 3, k)
@@ -1111,7 +1112,7 @@
 def run_part(build, number, jobs, only, verbose, pipe):
     """Runs every jobs-th case of all groups in one process, beginning with the case of its number."""
     socket.setdefaulttimeout(CASE_SECONDS)
-    bed = Bed(build)
+    bed = TestBed(build)
     failed, count, spent = [], {}, {}
     try:
         sizes = lengths(bed)
@@ -1126,20 +1127,20 @@
                 try:
                     case(bed)
                 except Exception as e:  # noqa: BLE001 - any exception is a failure of this case
-                    failed.append((group, name, str(e) if isinstance(e, Broken) else repr(e)))
-                    if not isinstance(e, Broken):
+                    failed.append((group, name, str(e) if isinstance(e, Violation) else repr(e)))
+                    if not isinstance(e, Violation):
                         bed.process.kill()
                         bed.process.wait(10)
                 if verbose:
                     print(name, flush=True)
                 if bed.process.poll() is not None:
                     failed.append((group, name, "the gateway has exited or does not respond"))
-                    bed = Bed(build)
-                if len(failed) >= FAILURES_MOST:
-                    raise Broken("too many failures; the rest is not run")
+                    bed = TestBed(build)
+                if len(failed) >= MAX_FAILURES:
+                    raise Violation("too many failures; the rest is not run")
             spent[group] = time.time() - began
-        bed.begin(0)
-        bed.tell("/stop")
+        bed.start_case(0)
+        bed.send_control("/stop")
         if bed.process.wait(20):
             failed.append(("end", "the gateway exits", f"with {bed.process.returncode}"))
     except Exception:  # the parent process reports it
@@ -1158,21 +1159,21 @@
     began = time.time()
     pipes, parts = [], []
     for number in range(jobs):
-        here, there = multiprocessing.Pipe()
-        part_process = multiprocessing.Process(target=run_part, args=(build, number, jobs, only, "--verbose" in options, there))
+        receiver, sender = multiprocessing.Pipe()
+        part_process = multiprocessing.Process(target=run_part, args=(build, number, jobs, only, "--verbose" in options, sender))
         part_process.start()
-        pipes.append(here)
+        pipes.append(receiver)
         parts.append(part_process)
     failed, count, spent = [], {}, {}
     for pipe in pipes:
-        f, c, s = pipe.recv()
-        failed += f
-        for k, n in c.items():
-            count[k] = count.get(k, 0) + n
-        for k, n in s.items():
-            spent[k] = max(spent.get(k, 0), n)
-    for p in parts:
-        p.join()
+        part_failed, part_count, part_spent = pipe.recv()
+        failed += part_failed
+        for group, n in part_count.items():
+            count[group] = count.get(group, 0) + n
+        for group, seconds in part_spent.items():
+            spent[group] = max(spent.get(group, 0), seconds)
+    for part_process in parts:
+        part_process.join()
     for group, name, why in failed[:60]:
         print(f"FAIL {group}: {name}: {why}")
     for group, n in count.items():
--- a/tests/http/drain_check.py
+++ b/tests/http/drain_check.py
@@ -1,15 +1,15 @@
 #!/usr/bin/env python3
-"""Asks a gateway (tests/http/gateway.c) to stop while callers hold connections to it, over loopback.
+"""Drains a gateway (tests/http/gateway.c) over loopback while callers hold connections to it.
 
-The gateway's grace is 4 s: it shuts its listener after 2 s, refuses what waits after 2.8 s and ends by 3.6 s. The
-verdict uses nothing but what callers and the engine have seen:
+The gateway's grace period is 4 s: it closes its listener after 2 s, refuses waiting requests after 2.8 s and exits
+within 3.6 s. The checks use only what callers and the engine have observed:
 
-- a request that comes after the listener was shut, on whatever connection, reaches no engine; its caller sees that
-  the connection has ended before it was read, or gets a whole 503;
-- a request that was taken before gets a whole answer, or its engine was at work on it until the end;
-- a request that no engine has begun to answer gets a final answer before the process ends.
+- a request that arrives after the listener was closed, on any connection, reaches no engine; its caller sees the
+  connection end before the request was read, or gets a complete 503;
+- a request that was accepted earlier gets a complete response, unless its engine was still processing it at the end;
+- a request to which no engine has begun to respond gets a final response before the process exits.
 
-Usage: tests/http/drain_check.py [--fast]; --fast takes the plain build, else that of the sanitizers.
+Usage: tests/http/drain_check.py [--fast]; --fast uses the plain build instead of the sanitizer build.
 """
 import socket
 import subprocess
@@ -20,12 +20,12 @@
 
 from bytes_check import ID, STAMP, TIME_LEFT, TOP, Message
 
-LISTENER_SHUT_S, END_S = 2.0, 4.0
-EVENT_EACH_S = 0.05
+LISTENER_CLOSED_S, GRACE_S = 2.0, 4.0
+EVENT_INTERVAL_S = 0.05
 
 
 class Engine(threading.Thread):
-    """Serves each request for as long as its target says; ms=-1 is never answered."""
+    """An engine that takes as long for each request as its target says; it never responds to ms=-1."""
 
     def __init__(self, name):
         super().__init__(daemon=True)
@@ -44,7 +44,7 @@
             while True:
                 message = Message()
                 message.feed(rest)
-                while not message.whole:
+                while not message.complete:
                     data = connection.recv(65536)
                     if not data:
                         return
@@ -67,32 +67,33 @@
             connection.sendall(head.encode() + b"Content-Length: 2\r\n\r\nok")
             return
         connection.sendall(head.encode() + b"Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n")
-        till, number = time.monotonic() + span, 0
-        while time.monotonic() < till:
+        deadline, number = time.monotonic() + span, 0
+        while time.monotonic() < deadline:
             number += 1
             event = b"id: %d\ndata: %s\n\n" % (number, request_id.encode())
             connection.sendall(b"%x\r\n%s\r\n" % (len(event), event))
-            time.sleep(EVENT_EACH_S)
+            time.sleep(EVENT_INTERVAL_S)
         connection.sendall(b"0\r\n\r\n")
 
 
 class Caller:
-    """A caller's connection; ask() sends a request, answer() reads one."""
+    """A caller's connection; send_request() sends a request, read_response() reads a response."""
 
     def __init__(self, gateway):
         self.gateway, self.sock, self.rest = gateway, socket.create_connection(("127.0.0.1", gateway.front)), b""
         self.sock.settimeout(10)
 
-    def ask(self, request_id, path, ms):
+    def send_request(self, request_id, path, ms):
         self.sock.sendall(f"POST /{path}/x?ms={ms} HTTP/1.1\r\nHost: svc.example\r\n{ID}: {request_id}\r\n"
                           f"{TIME_LEFT}: 20000\r\nContent-Length: 2\r\n\r\nhi".encode())
 
-    def answer(self):
-        """The next answer; its whole is False when the connection ended first, its start None when nothing came."""
+    def read_response(self):
+        """The next response; its complete is False if the connection ended first, its start None if no head
+        arrived."""
         message = Message()
         message.feed(self.rest)
         try:
-            while not message.whole:
+            while not message.complete:
                 data = self.sock.recv(65536)
                 if not data:
                     break
@@ -102,8 +103,9 @@
         self.rest = message.rest
         return message
 
-    def ends(self):
-        """Waits for the end of the connection; says when it came, and whether bytes came before it."""
+    def wait_for_end(self):
+        """Waits for the next bytes or the end of the connection; returns the time since the stop, and whether
+        bytes arrived."""
         try:
             data = self.sock.recv(65536)
         except ConnectionError:
@@ -112,7 +114,7 @@
 
 
 class Gateway:
-    """The gateway's process, with one engine."""
+    """A gateway process with one engine."""
 
     def __init__(self, build):
         self.process = subprocess.Popen([f"{TOP}/{build}/bin/http-gateway"], stdout=subprocess.PIPE, text=True)
@@ -120,9 +122,9 @@
         self.engine = Engine("engine-1")
         self.engine.start()
         self.stopped = None
-        self.tell(f"/beat?id={self.engine.name}&addr=127.0.0.1:{self.engine.port}")
+        self.send_control(f"/beat?id={self.engine.name}&addr=127.0.0.1:{self.engine.port}")
 
-    def tell(self, target):
+    def send_control(self, target):
         with socket.create_connection(("127.0.0.1", self.control)) as sock:
             sock.sendall(f"GET {target} HTTP/1.1\r\nHost: c\r\nConnection: close\r\n\r\n".encode())
             while sock.recv(65536):
@@ -130,7 +132,7 @@
 
     def stop(self):
         self.stopped = time.monotonic()
-        self.tell("/drain")
+        self.send_control("/drain")
 
     def since_stop(self):
         return time.monotonic() - self.stopped
@@ -153,59 +155,59 @@
 
 
 def refused(message):
-    return message.whole and message.status() == 503 and close_announced(message)
+    return message.complete and message.status() == 503 and close_announced(message)
 
 
 def next_request_after_a_stream(gateway):
     caller = Caller(gateway)
-    caller.ask("stream-1", "stream", 2700)
+    caller.send_request("stream-1", "stream", 2700)
     gateway_may_stop.wait()
-    first = caller.answer()
-    check("a stream that began before the stop is whole", first.whole and first.status() == 200, first.start)
-    check("it ended after the listener was shut", gateway.since_stop() > LISTENER_SHUT_S, gateway.since_stop())
+    first = caller.read_response()
+    check("a stream that began before the stop is complete", first.complete and first.status() == 200, first.start)
+    check("it ended after the listener was closed", gateway.since_stop() > LISTENER_CLOSED_S, gateway.since_stop())
     try:
-        caller.ask("stream-2", "stream", 3000)
-        second = caller.answer()
+        caller.send_request("stream-2", "stream", 3000)
+        second = caller.read_response()
     except OSError:
         second = Message()
     check("the next request on its connection reaches no engine", "stream-2" not in gateway.engine.seen,
           second.start)
-    check("its caller sees an end, or a refusal", second.start is None or refused(second), second.start)
+    check("its caller sees the connection end, or a refusal", second.start is None or refused(second), second.start)
 
 
 def request_behind_a_stream(gateway):
     caller = Caller(gateway)
-    caller.ask("ahead-1", "stream", 2800)
+    caller.send_request("ahead-1", "stream", 2800)
     gateway_may_stop.wait()
-    gateway.wait_until(LISTENER_SHUT_S + 0.15)
-    caller.ask("ahead-2", "stream", 3000)
-    first = caller.answer()
-    check("a stream with a request behind it is whole", first.whole and first.status() == 200, first.start)
-    second = caller.answer()
-    check("the request behind it reaches no engine", "ahead-2" not in gateway.engine.seen, second.start)
-    check("and is refused, since it was read", refused(second), second.start)
+    gateway.wait_until(LISTENER_CLOSED_S + 0.15)
+    caller.send_request("ahead-2", "stream", 3000)
+    first = caller.read_response()
+    check("a stream with a pipelined request behind it is complete", first.complete and first.status() == 200, first.start)
+    second = caller.read_response()
+    check("the pipelined request reaches no engine", "ahead-2" not in gateway.engine.seen, second.start)
+    check("the pipelined request is refused, since it was read", refused(second), second.start)
 
 
 def idle_connection(gateway):
     caller = Caller(gateway)
-    caller.ask("idle-1", "safe", 10)
-    check("a quick request before the stop", caller.answer().whole)
+    caller.send_request("idle-1", "safe", 10)
+    check("a short request before the stop is served", caller.read_response().complete)
     gateway_may_stop.wait()
-    at, bytes_came = caller.ends()
-    check("an idle connection ends with the listener", LISTENER_SHUT_S - 0.3 < at < LISTENER_SHUT_S + 0.6 and
-          not bytes_came, at)
+    at, received_bytes = caller.wait_for_end()
+    check("an idle connection ends with the listener", LISTENER_CLOSED_S - 0.3 < at < LISTENER_CLOSED_S + 0.6 and
+          not received_bytes, at)
 
 
 def request_during_the_first_seconds(gateway):
     caller = Caller(gateway)
-    caller.ask("early-1", "safe", 10)
-    caller.answer()
+    caller.send_request("early-1", "safe", 10)
+    caller.read_response()
     gateway_may_stop.wait()
     gateway.wait_until(0.5)
-    caller.ask("early-2", "safe", 300)
-    early = caller.answer()
-    check("a request soon after the stop is served, and told of the end",
-          early.whole and early.status() == 200 and close_announced(early), early.start)
+    caller.send_request("early-2", "safe", 300)
+    early = caller.read_response()
+    check("a request soon after the stop is served, with Connection: close",
+          early.complete and early.status() == 200 and close_announced(early), early.start)
 
 
 def request_that_no_engine_answers(gateway):
@@ -213,12 +215,13 @@
     gateway_may_stop.wait()
     gateway.wait_until(1.0)
     for number, (caller, path) in enumerate(zip(callers, ("once", "stream"))):
-        caller.ask(f"silent-{number}", path, -1)
+        caller.send_request(f"silent-{number}", path, -1)
     for number, caller in enumerate(callers):
-        last = caller.answer()
-        check(f"a request that no engine has answered gets a final answer at the end ({number})",
-              last.whole and last.status() in (502, 504) and f"silent-{number}" in gateway.engine.seen, last.start)
-        check(f"before the process ends ({number})", gateway.since_stop() < END_S, gateway.since_stop())
+        last = caller.read_response()
+        check(f"a request without a response of an engine gets a final response at the end ({number})",
+              last.complete and last.status() in (502, 504) and f"silent-{number}" in gateway.engine.seen, last.start)
+        check(f"the final response arrives before the process exits ({number})", gateway.since_stop() < GRACE_S,
+              gateway.since_stop())
 
 
 gateway_may_stop = threading.Event()
@@ -241,7 +244,7 @@
     except subprocess.TimeoutExpired:
         gateway.process.kill()
         code = None
-    check("the process ends by itself within its grace", code == 0 and gateway.since_stop() < 2 * END_S,
+    check("the process exits by itself within twice its grace period", code == 0 and gateway.since_stop() < 2 * GRACE_S,
           (code, gateway.since_stop()))
     print(f"{len(failures)} failed")
     sys.exit(1 if failures else 0)
--- a/tests/http/fault_check.py
+++ b/tests/http/fault_check.py
@@ -1,5 +1,5 @@
 #!/usr/bin/env python3
-"""A process that ends by a fault says on standard error by which signal, at which address and where."""
+"""A process that is killed by a fatal signal prints the signal, the address and a backtrace to standard error."""
 import os
 import re
 import signal
@@ -18,7 +18,7 @@
 
 
 def fault_of(number):
-    """What http-gateway prints when the signal ends it, and how it ended."""
+    """The standard error and the exit code of an http-gateway that receives a signal."""
     process = subprocess.Popen([f"{TOP}/build/bin/http-gateway"], stdout=subprocess.PIPE, stderr=subprocess.PIPE, text=True)
     process.stdout.readline()
     os.kill(process.pid, number)
@@ -30,6 +30,6 @@
     text, code = fault_of(number)
     check(f"{number.name} is named", f"fault: {number.name} at address 0x" in text, text)
     check(f"{number.name}: a backtrace with module and offset", re.search(r"http-gateway\(.*\+0x[0-9a-f]+\)", text), text)
-    check(f"{number.name} still ends the process", code == -number, code)
+    check(f"{number.name} still terminates the process", code == -number, code)
 print(f"{9 - failed} passed, {failed} failed")
 sys.exit(failed > 0)
--- a/tests/http/fuzz_check.py
+++ b/tests/http/fuzz_check.py
@@ -1,10 +1,11 @@
 #!/usr/bin/env python3
-"""Fuzzes the HTTP of a gateway over loopback, with the callers and engines of bytes_check.py.
+"""Fuzz test of a gateway's HTTP over loopback, with the callers and engines of bytes_check.py.
 
-Inputs are files of tests/fuzz/corpus (request, answer), changed by a seed. A changed request may be taken
-or refused, but what reaches an engine bears an id that stands in it, once; a changed answer may be passed
-on or not, but never to another, and never with another's name. After each input the next caller must get
-its own answer, and no sanitizer may speak.
+Inputs are files of tests/fuzz/corpus (request, answer), mutated at random by a seed. The gateway may accept
+or refuse a mutated request, but every request that reaches an engine has an id that occurs in the input, and
+runs no more often than it occurs. The gateway may forward a mutated response or not, but never to another
+caller, and never with the id of another request. After each input the next caller must get its own response,
+and no sanitizer may report an error.
 
 Usage: tests/http/fuzz_check.py [--fast] [--inputs N] [--seed N]
 """
@@ -24,7 +25,7 @@
           b"Connection: upgrade\r\nUpgrade: h2c\r\n", b"Keep-Alive: timeout=", b"-1", b"ffffffffffffffff", b"5\r\nhello\r\n",
           b"X: " + b"y" * 9000 + b"\r\n", b"\xff\xfe")
 QUIET_SECONDS = 0.012
-FAILURES_MOST = 20
+MAX_FAILURES = 20
 
 
 def corpus(kind):
@@ -32,37 +33,37 @@
     return [open(f, "rb").read() for f in files]
 
 
-def changed(draw, data):
+def mutated(rng, data):
     data = bytearray(data)
-    for _ in range(draw.randint(1, 4)):
-        at = draw.randrange(len(data) + 1)
-        kind = draw.randrange(6)
+    for _ in range(rng.randint(1, 4)):
+        at = rng.randrange(len(data) + 1)
+        kind = rng.randrange(6)
         if kind == 0 and at < len(data):
-            data[at] = draw.randrange(256)
+            data[at] = rng.randrange(256)
         elif kind == 1 and at < len(data):
-            data[at] ^= 1 << draw.randrange(8)
+            data[at] ^= 1 << rng.randrange(8)
         elif kind == 2:
-            del data[at:at + draw.randint(1, 30)]
+            del data[at:at + rng.randint(1, 30)]
         elif kind == 3:
-            source = draw.randrange(len(data) + 1)
-            data[at:at] = data[source:source + draw.randint(1, 60)]
+            source = rng.randrange(len(data) + 1)
+            data[at:at] = data[source:source + rng.randint(1, 60)]
         else:
-            data[at:at] = draw.choice(TOKENS)
+            data[at:at] = rng.choice(TOKENS)
     return bytes(data)
 
 
-def request_input(bed, draw, inputs):
-    """A changed request, in two parts."""
-    bed.begin(2)
-    data = changed(draw, draw.choice(inputs))
-    cut = draw.randrange(len(data) + 1)
+def request_input(bed, rng, inputs):
+    """Sends a mutated request in two parts."""
+    bed.start_case(2)
+    data = mutated(rng, rng.choice(inputs))
+    cut = rng.randrange(len(data) + 1)
     c = http.Caller(bed, "once", "fuzz", raw=data)
     c.send(data[:cut])
-    bed.turn([c.sock.fileno()], 0.001)
+    bed.run_once([c.sock.fileno()], 0.001)
     c.send(data[cut:])
     quiet = time.time() + QUIET_SECONDS
     while not c.ended and time.time() < quiet:
-        if bed.turn([c.sock.fileno()], QUIET_SECONDS):
+        if bed.run_once([c.sock.fileno()], QUIET_SECONDS):
             c.sock.settimeout(1)
             try:
                 part = c.sock.recv(65536)
@@ -74,84 +75,84 @@
     c.sock.close()
     for _, _, name in bed.runs:
         if name and name.encode("latin-1") not in data:
-            raise http.Broken(f"an engine ran {name!r}, which no caller sent: {data!r}")
+            raise http.Violation(f"an engine ran {name!r}, which does not occur in the input: {data!r}")
         if name and sum(1 for r in bed.runs if r[2] == name) > data.count(name.encode("latin-1")):
-            raise http.Broken(f"{name!r} ran more often than it was sent: {data!r}")
-    http.follow_patiently(bed)
+            raise http.Violation(f"{name!r} ran more often than it occurs in the input: {data!r}")
+    http.check_next_caller_with_retries(bed)
 
 
-def answer_input(bed, draw, inputs):
-    """A changed answer on a new or a kept connection."""
-    bed.begin(1 + draw.randrange(2))
-    if draw.randrange(2):
-        http.warm(bed, bed.used)
-    original, sent = draw.choice(inputs), []
+def answer_input(bed, rng, inputs):
+    """An engine sends a mutated response on a new or a reused connection."""
+    bed.start_case(1 + rng.randrange(2))
+    if rng.randrange(2):
+        http.open_idle_connections(bed, bed.used)
+    original, sent = rng.choice(inputs), []
 
     def make(c, b):
-        # the changed answer is of the same draw, whatever the engine's name is
-        sent.append(changed(draw, original.replace(b"NAME", b.request_id(c).encode()).replace(
+        # the names have a fixed length, so that the same mutations are drawn whatever they are
+        sent.append(mutated(rng, original.replace(b"NAME", b.request_id(c).encode()).replace(
             b"ENGINE", c.engine.name.encode())))
         return sent[-1]
 
-    bed.scripts = [http.Bytes(make, then=draw.choice(("next", "fin", "rst", "fin", "rst", "fin")), promises=True)]
-    route = draw.choice(("once", "safe", "stream", "resume"))
+    bed.scripts = [http.CustomBytes(make, then=rng.choice(("next", "fin", "rst", "fin", "rst", "fin")), declares_not_run=True)]
+    route = rng.choice(("once", "safe", "stream", "resume"))
     c = http.Caller(bed, route, f"r{bed.number:05d}", time_left=40)
     c.send()
     c.finish()
     m = c.message
     if m.rest:
-        raise http.Broken(f"bytes after an answer: {m.rest[:60]!r} of {sent}")
+        raise http.Violation(f"bytes after a response: {m.rest[:60]!r} of {sent}")
     if m.start:
         name = m.fields.get(http.ID.lower())
         if m.status() // 100 == 2 and (name != c.id or not m.fields.get(http.STAMP.lower())):
-            raise http.Broken(f"{c.id} got a success of {name!r} from {sent}")
+            raise http.Violation(f"{c.id} got a successful response with the id {name!r} from {sent}")
         if name not in (None, c.id):
-            raise http.Broken(f"{c.id} got the answer of {name!r} from {sent}")
-    if len([r for r in bed.runs if r[2] == c.id]) > 1 and c.single and m.start and m.status() in http.PROMISES:
-        raise http.Broken(f"{c.id} got {m.status()} and has run")
+            raise http.Violation(f"{c.id} got the response to {name!r} from {sent}")
+    if len([r for r in bed.runs if r[2] == c.id]) > 1 and c.runs_once and m.start and m.status() in http.NOT_RUN_STATUSES:
+        raise http.Violation(f"{c.id} got {m.status()} although it has run")
     c.close()
-    http.follow_patiently(bed)
+    http.check_next_caller_with_retries(bed)
 
 
 def run_part(build, kind, numbers, pipe):
-    """One process with a gateway of its own: some of the inputs of one kind."""
+    """Runs some of the inputs of one kind in one process, with its own gateway."""
     socket.setdefaulttimeout(http.CASE_SECONDS)
-    play = {"request": request_input, "answer": answer_input}[kind]
+    run_input = {"request": request_input, "answer": answer_input}[kind]
     failed, inputs = [], corpus(kind)
-    bed = http.Bed(build)
+    bed = http.TestBed(build)
     for number in numbers:
         try:
-            play(bed, random.Random(f"{kind}{number}"), inputs)
-        except (http.Broken, OSError) as e:
+            run_input(bed, random.Random(f"{kind}{number}"), inputs)
+        except (http.Violation, OSError) as e:
             failed.append(f"{kind} {number}: {e}")
-            if bed.process.poll() is not None or not isinstance(e, http.Broken):
+            if bed.process.poll() is not None or not isinstance(e, http.Violation):
                 bed.process.kill()
-                bed = http.Bed(build)
-        if len(failed) >= FAILURES_MOST:
+                bed = http.TestBed(build)
+        if len(failed) >= MAX_FAILURES:
             break
-    bed.begin(0)
-    bed.tell("/stop")
+    bed.start_case(0)
+    bed.send_control("/stop")
     if bed.process.wait(20):
-        failed.append(f"{kind}: the gateway does not end well")
+        failed.append(f"{kind}: the gateway does not exit cleanly")
     pipe.send(failed)
 
 
 def main():
     options = sys.argv[1:]
 
-    def value(name, fall):
-        return int(options[options.index(name) + 1]) if name in options else fall
+    def option(name, default):
+        return int(options[options.index(name) + 1]) if name in options else default
 
-    count, seed = value("--inputs", 500), value("--seed", 1)
+    count, seed = option("--inputs", 500), option("--seed", 1)
     build = "build" if "--fast" in options else "build-san"
     os.environ.setdefault("ASAN_OPTIONS", "detect_stack_use_after_return=0")
     began, pipes = time.time(), []
     numbers = range(seed * 1000000, seed * 1000000 + count)
-    # changed answers take longer, since some of them leave the gateway waiting
+    # mutated responses take longer, since the gateway waits for the rest of some of them
     for kind, part in (("request", numbers), ("answer", numbers[::2]), ("answer", numbers[1::2])):
-        here, there = multiprocessing.Pipe()
-        multiprocessing.Process(target=run_part, args=(build, kind, part, there)).start()
-        pipes.append(here)
+        receiver, sender = multiprocessing.Pipe()
+        multiprocessing.Process(target=run_part, args=(build, kind, part, sender)).start()
+        pipes.append(receiver)
     failed = sum((pipe.recv() for pipe in pipes), [])
     for text in failed:
         print(f"FAIL {text}"[:700])
--- a/tests/http/peer_check.py
+++ b/tests/http/peer_check.py
@@ -1,15 +1,15 @@
 #!/usr/bin/env python3
-"""Peers that break off while a channel to them is being opened, over loopback.
+"""Peers that end the connection while a gateway opens a channel to them, over loopback.
 
-A gateway (tests/http/gateway.c) is told to post messages to peers of our own that end each connection in another
-way. The verdict uses nothing but what the peers and the callers have seen:
+A gateway (tests/http/gateway.c) posts messages to simulated peers, each of which ends its connections in a different
+way. The checks use only what the peers and the callers have observed:
 
-- a channel that could not be opened is opened anew with one of the next messages, not seconds later;
-- callers' connections, which share the library's memory with such channels, go on undisturbed: each request gets
-  its own whole answer;
-- the process neither ends by itself nor refuses to end when it is told to.
+- after a failed attempt to open a channel, one of the next messages opens it again, not seconds later;
+- callers' connections, which share the library's memory with such channels, are not affected: each request gets its
+  own complete response;
+- the process does not exit by itself, and exits when it is told to.
 
-Usage: tests/http/peer_check.py [--fast]; --fast takes the plain build, else that of the sanitizers.
+Usage: tests/http/peer_check.py [--fast]; --fast uses the plain build instead of the sanitizer build.
 """
 import socket
 import struct
@@ -21,9 +21,9 @@
 from bytes_check import ID, TIME_LEFT, TOP, Message
 from drain_check import Engine
 
-POST_EACH_S, POSTS = 0.03, 60
-LEAST_OPENINGS = 6  # in POSTS messages; the gateway leaves 100 ms between two openings
-CALLERS, REQUESTS_EACH = 24, 60
+POST_INTERVAL_S, POSTS = 0.03, 60
+MIN_CONNECTIONS = 6  # per POSTS messages; the gateway waits 100 ms between two attempts to open a channel
+CALLERS, REQUESTS_PER_CALLER = 24, 60
 
 failures = []
 
@@ -59,14 +59,14 @@
     connection.close()
 
 
-def half_answer(connection):
+def send_partial_response(connection):
     connection.recv(65536)
     connection.sendall(b"HTTP/1.1 101 Switching Protocols\r\nUpgrade: webs")
     reset(connection)
 
 
 class Peer(threading.Thread):
-    """Counts the connections that come, and ends each of them in its way."""
+    """Accepts and counts connections, and ends each with the given function."""
 
     def __init__(self, end):
         super().__init__(daemon=True)
@@ -85,7 +85,7 @@
 
 
 class Gateway:
-    """The gateway's process, with one engine."""
+    """A gateway process with one engine."""
 
     def __init__(self, build):
         self.process = subprocess.Popen([f"{TOP}/{build}/bin/http-gateway"], stdout=subprocess.PIPE,
@@ -93,9 +93,9 @@
         self.front, self.control = map(int, self.process.stdout.readline().split())
         self.engine = Engine("engine-1")
         self.engine.start()
-        self.tell(f"/beat?id={self.engine.name}&addr=127.0.0.1:{self.engine.port}")
+        self.send_control(f"/beat?id={self.engine.name}&addr=127.0.0.1:{self.engine.port}")
 
-    def tell(self, target):
+    def send_control(self, target):
         with socket.create_connection(("127.0.0.1", self.control)) as sock:
             sock.sendall(f"GET {target} HTTP/1.1\r\nHost: c\r\nConnection: close\r\n\r\n".encode())
             while sock.recv(65536):
@@ -105,30 +105,30 @@
 def post_to(gateway, peers):
     for _ in range(POSTS):
         for peer in peers:
-            gateway.tell(f"/post?addr=127.0.0.1:{peer.port}")
-        time.sleep(POST_EACH_S)
+            gateway.send_control(f"/post?addr=127.0.0.1:{peer.port}")
+        time.sleep(POST_INTERVAL_S)
 
 
 def call(gateway, number, wrong):
-    """Sends requests over a kept connection that is renewed now and then; notes answers that are not its own."""
+    """Sends requests over a persistent connection, reopened for every seventh request; collects wrong responses."""
     sock = None
-    for turn in range(REQUESTS_EACH):
-        if sock is None or turn % 7 == 0:
+    for request_number in range(REQUESTS_PER_CALLER):
+        if sock is None or request_number % 7 == 0:
             if sock:
                 sock.close()
             sock = socket.create_connection(("127.0.0.1", gateway.front))
             sock.settimeout(10)
-        request_id = f"caller-{number}-{turn}"
+        request_id = f"caller-{number}-{request_number}"
         sock.sendall(f"POST /safe/x?ms=5 HTTP/1.1\r\nHost: svc.example\r\n{ID}: {request_id}\r\n"
                      f"{TIME_LEFT}: 20000\r\nContent-Length: 2\r\n\r\nhi".encode())
         message = Message()
-        while not message.whole:
+        while not message.complete:
             data = sock.recv(65536)
             if not data:
                 break
             message.feed(data)
-        # 503 is the gateway's own word that the engine is full
-        if not message.whole or message.status() not in (200, 503) or \
+        # the gateway responds with 503 when the engine is full
+        if not message.complete or message.status() not in (200, 503) or \
                 message.fields.get(ID.lower()) != request_id:
             wrong.append((request_id, message.start))
         time.sleep(0.01)
@@ -138,7 +138,7 @@
 def main():
     gateway = Gateway("build" if "--fast" in sys.argv else "build-san")
     peers = [Peer(end) for end in (reset_at_once, reset_after_request, close_after_request, refuse_upgrade,
-                                   half_answer)]
+                                   send_partial_response)]
     for peer in peers:
         peer.start()
     wrong = []
@@ -147,22 +147,22 @@
         caller.start()
     try:
         post_to(gateway, peers)
-    except OSError as broken:
-        check("the gateway lives through its peers", False, broken)
+    except OSError as error:
+        check("the gateway survives its peers", False, error)
     for caller in callers:
         caller.join()
     for peer in peers:
-        check(f"a channel is opened anew after {peer.end.__name__}", peer.connections >= LEAST_OPENINGS,
+        check(f"a channel is opened again after {peer.end.__name__}", peer.connections >= MIN_CONNECTIONS,
               f"{peer.connections} connections")
-    check("each request gets its own whole answer", not wrong, wrong[:5])
+    check("each request gets its own complete response", not wrong, wrong[:5])
     if gateway.process.poll() is None:
-        gateway.tell("/stop")
+        gateway.send_control("/stop")
     try:
         errors = gateway.process.communicate(timeout=15)[1]
     except subprocess.TimeoutExpired:
         gateway.process.kill()
-        errors = "does not end"
-    check("the process ends in order", gateway.process.returncode == 0, (gateway.process.returncode, errors[-400:]))
+        errors = "does not exit"
+    check("the process exits cleanly", gateway.process.returncode == 0, (gateway.process.returncode, errors[-400:]))
     print(f"{len(failures)} failed")
     sys.exit(1 if failures else 0)
 
