--- a/Makefile
+++ b/Makefile
@@ -8,7 +8,7 @@
 LIBRARY = $(patsubst %.c,$(B)/%.o,$(wildcard lib/*/*.c)) $(B)/wire.pb-c.o
 PLATFORM = $(patsubst %.c,$(B)/%.o,$(wildcard platform/*.c))
 EMULATOR = $(patsubst %.c,$(B)/%.o,$(wildcard emulator/*.c))
-# folders of tests mirror those of lib; tests/model and the programs in tests/http have rules of their own
+# test folders mirror the folders of lib; tests/model and the programs in tests/http have separate rules below
 TEST_FOLDERS = compatibility configuration controlplane doctor emulator fleet gateway http membership router runtime
 TEST_PROGRAMS = $(addprefix tests/http/,driver.c gateway.c)
 TEST_SOURCES = $(filter-out $(TEST_PROGRAMS),$(wildcard tests/*.c $(addsuffix /*.c,$(addprefix tests/,$(TEST_FOLDERS)))))
@@ -21,7 +21,7 @@
 	@mkdir -p $(B)
 	@cd lib/protocol && protoc-c --c_out=$(abspath $(B)) wire.proto
 
-# for the linters: what has to be made before a source can be read, and with which flags
+# for the linters: the generated header, and the compile flags
 generated: $(B)/wire.pb-c.h
 compile-flags:
 	@echo $(filter -std=%,$(WARN)) $(INC)
@@ -56,7 +56,7 @@
 	@mkdir -p $(B)/bin
 	@$(CC) $(CFLAGS) $(patsubst %.c,$(B)/%.o,$(wildcard tests/model/*.c)) $(OURS) $(LIBS) -o $@
 
-# a header that was moved is no reason to stop: dependency files of an older build still name it
+# ignore missing headers: dependency files of an earlier build may still name a header that was moved
 %.h: ;
 
 BENCH = growth load policies
@@ -68,7 +68,7 @@
 	@mkdir -p $(B)/bin
 	@$(CC) $(CFLAGS) $^ $(LIBS) -o $@
 
-# processes that checks speak HTTP with, byte by byte: a listener over lib/http (scripts/http-check), a gateway (tests/http/*.py)
+# test programs for the HTTP checks: a listener over lib/http (scripts/http-check) and a gateway (tests/http/*.py)
 $(addprefix $(B)/bin/,http-driver http-gateway): $(B)/bin/http-%: $(B)/tests/http/%.o $(OURS)
 	@mkdir -p $(B)/bin
 	@$(CC) $(CFLAGS) $^ $(LIBS) -o $@
@@ -89,12 +89,13 @@
 export ASAN_OPTIONS = detect_stack_use_after_return=0
 export SEEDS ?= 6
 
-# the formatter's style, and the linters of the scripts; scripts/static-analysis has those of C
+# checks the formatting of C sources and lints the scripts; scripts/static-analysis lints the C sources
 lint:
 	git ls-files '*.c' '*.h' | xargs -P$$(nproc) -n8 clang-format --dry-run -Werror
 	scripts/lint-scripts
 
-# names and codes, help texts, the tests under sanitizers, HTTP byte by byte, then a smoke over real processes
+# checks names and codes, packages and help texts, runs the model checker, the tests with sanitizers and the HTTP checks,
+# and ends with the smoke test over real processes
 check: lint
 	scripts/words
 	scripts/packages-check
