--- a/tests/http/bytes_check.py
+++ b/tests/http/bytes_check.py
@@ -178,12 +178,12 @@
     """Engine script: responds correctly."""
     declares_not_run = False
 
-    def on_bytes(self, c, bed):
-        if not c.message.complete:
+    def on_bytes(self, connection, bed):
+        if not connection.message.complete:
             return
-        bed.record_run(c)
-        c.send(bed.correct_response(c))
-        c.next()
+        bed.record_run(connection)
+        connection.send(bed.correct_response(connection))
+        connection.next()
 
 
 class CutRequest:
@@ -193,33 +193,33 @@
     def __init__(self, at, how):
         self.at, self.how = at, how
 
-    def bytes_wanted(self, c):
-        return self.at - len(c.message.raw)
+    def bytes_wanted(self, connection):
+        return self.at - len(connection.message.raw)
 
-    def on_bytes(self, c, bed):
-        if len(c.message.raw) >= self.at:
-            if c.message.complete:
-                bed.record_run(c)
-            c.end(self.how)
-            c.script = Silent()
+    def on_bytes(self, connection, bed):
+        if len(connection.message.raw) >= self.at:
+            if connection.message.complete:
+                bed.record_run(connection)
+            connection.end(self.how)
+            connection.script = Silent()
 
 
 class Silent:
     """Engine script: sends nothing more."""
     declares_not_run = False
 
-    def on_bytes(self, c, bed):
-        if c.message.complete:
-            bed.record_run(c)
+    def on_bytes(self, connection, bed):
+        if connection.message.complete:
+            bed.record_run(connection)
 
 
 class ReadRest:
     """Engine script: reads the rest of a request that was answered early, then serves the next one."""
     declares_not_run = False
 
-    def on_bytes(self, c, bed):
-        if c.message.complete:
-            c.next()
+    def on_bytes(self, connection, bed):
+        if connection.message.complete:
+            connection.next()
 
 
 class CustomBytes:
@@ -229,21 +229,21 @@
     def __init__(self, make, then="next", after=None, ran=True, declares_not_run=False):
         self.make, self.then, self.after, self.ran, self.declares_not_run = make, then, after, ran, declares_not_run
 
-    def bytes_wanted(self, c):
-        return 65536 if self.after is None else self.after - len(c.message.raw)
+    def bytes_wanted(self, connection):
+        return 65536 if self.after is None else self.after - len(connection.message.raw)
 
-    def on_bytes(self, c, bed):
-        if not c.message.complete if self.after is None else len(c.message.raw) < self.after:
+    def on_bytes(self, connection, bed):
+        if not connection.message.complete if self.after is None else len(connection.message.raw) < self.after:
             return
-        if self.ran and c.message.complete:
-            bed.record_run(c)
-        c.send(self.make(c, bed))
-        if self.then == "next" and c.message.complete:
-            c.next()
+        if self.ran and connection.message.complete:
+            bed.record_run(connection)
+        connection.send(self.make(connection, bed))
+        if self.then == "next" and connection.message.complete:
+            connection.next()
             return
-        c.script = ReadRest() if self.after is not None and self.then == "next" else Silent()
+        connection.script = ReadRest() if self.after is not None and self.then == "next" else Silent()
         if self.then in ENDS:
-            c.end(self.then)
+            connection.end(self.then)
 
 
 class Engine:
@@ -288,8 +288,8 @@
 
     def start_case(self, engines):
         """Starts a case: registers the engines under new names and closes all earlier connections."""
-        for c in self.connections:
-            c.close()
+        for connection in self.connections:
+            connection.close()
         self.connections = []
         for e in self.engines:
             if e.name:
@@ -307,22 +307,22 @@
         """The request id of a message; None until its head is complete, "" if it has none."""
         return message.fields.get(ID.lower(), "") if message.start else None
 
-    def request_id(self, c):
-        return self.request_id_of(c.message)
+    def request_id(self, connection):
+        return self.request_id_of(connection.message)
 
-    def record_run(self, c):
-        if (c, c.served) not in [(x, n) for x, n, _ in self.runs]:
-            self.runs.append((c, c.served, self.request_id(c)))
+    def record_run(self, connection):
+        if (connection, connection.served) not in [(x, n) for x, n, _ in self.runs]:
+            self.runs.append((connection, connection.served, self.request_id(connection)))
 
-    def correct_response(self, c):
-        request_id = self.request_id(c)
-        path = c.message.start.split()[1]
+    def correct_response(self, connection):
+        request_id = self.request_id(connection)
+        path = connection.message.start.split()[1]
         if path.startswith(("/stream/", "/resume/")):
-            data = answer(request_id, c.engine.name, body=events(request_id, c.engine.name), chunked=True,
+            data = answer(request_id, connection.engine.name, body=events(request_id, connection.engine.name), chunked=True,
                           extra="Content-Type: text/event-stream\r\n")
         else:
-            data = answer(request_id, c.engine.name)
-        self.record_response(request_id, c.engine.name, data)
+            data = answer(request_id, connection.engine.name)
+        self.record_response(request_id, connection.engine.name, data)
         return data
 
     def record_response(self, request_id, engine, data):
@@ -332,23 +332,23 @@
         self.responses.setdefault(request_id, []).append((engine, m.status(), m.body, m))
 
     # event loop
-    def script_of(self, c):
+    def script_of(self, connection):
         """The script of a connection's request: the next one of the case, or a correct response when none is
         left."""
-        if c.script is None:
-            first = not c.message.raw or c.message.raw[:4] != b"GET "
-            c.script = self.scripts.pop(0) if self.scripts and first else CorrectResponse()
-            self.arrivals.append((c, c.script, c.message))
-        return c.script
+        if connection.script is None:
+            first = not connection.message.raw or connection.message.raw[:4] != b"GET "
+            connection.script = self.scripts.pop(0) if self.scripts and first else CorrectResponse()
+            self.arrivals.append((connection, connection.script, connection.message))
+        return connection.script
 
     def run_once(self, extra, timeout):
         """Waits for the next event and lets the engines handle theirs; returns the readable sockets among the
         given ones of callers."""
-        for c in self.connections:
-            if c.open and c.message.raw and c.script is None:
-                self.script_of(c).on_bytes(c, self)
+        for connection in self.connections:
+            if connection.open and connection.message.raw and connection.script is None:
+                self.script_of(connection).on_bytes(connection, self)
         watch = {e.listener.fileno(): e for e in self.engines[:self.used]}
-        watch.update({c.sock.fileno(): c for c in self.connections if c.open})
+        watch.update({connection.sock.fileno(): connection for connection in self.connections if connection.open})
         ready, _, _ = select.select(list(watch) + extra, [], [], timeout)
         for fd in ready:
             what = watch.get(fd)
@@ -360,22 +360,22 @@
                 self.read(what)
         return [fd for fd in ready if fd in extra]
 
-    def read(self, c):
-        next_script = c.script or (self.scripts[0] if self.scripts else None)
-        max_bytes = next_script.bytes_wanted(c) if hasattr(next_script, "bytes_wanted") else 65536
+    def read(self, connection):
+        next_script = connection.script or (self.scripts[0] if self.scripts else None)
+        max_bytes = next_script.bytes_wanted(connection) if hasattr(next_script, "bytes_wanted") else 65536
         if max_bytes <= 0:
-            script = self.script_of(c)
-            script.on_bytes(c, self)
+            script = self.script_of(connection)
+            script.on_bytes(connection, self)
             return
         try:
-            data = c.sock.recv(max_bytes)
+            data = connection.sock.recv(max_bytes)
         except OSError:
             data = b""
         if not data:
-            c.close()
+            connection.close()
             return
-        c.message.feed(data)
-        self.script_of(c).on_bytes(c, self)
+        connection.message.feed(data)
+        self.script_of(connection).on_bytes(connection, self)
 
 
 class Caller:
@@ -438,11 +438,11 @@
         bed = self.bed
         runs = [run for run in bed.runs if run[2] == self.id]
         m = self.message
-        arrivals = [(c, s) for c, s, request in bed.arrivals if bed.request_id_of(request) in (None, self.id)]
+        arrivals = [(connection, s) for connection, s, request in bed.arrivals if bed.request_id_of(request) in (None, self.id)]
         if self.runs_once and len(runs) > 1:
             raise Violation(f"{self.id} ran {len(runs)} times")
         if self.runs_once:
-            unsure = [c for c, s in arrivals if not s.declares_not_run]
+            unsure = [connection for connection, s in arrivals if not s.declares_not_run]
             if len(arrivals) > 1 and any(not s.declares_not_run for _, s in arrivals[:-1]):
                 raise Violation(f"{self.id} was sent to {len(arrivals)} engines; {len(unsure)} of them may have run it")
         status = self.status()
@@ -505,23 +505,23 @@
     bed.scripts = []
     bed.arrivals, bed.runs = [], []
     request_id = f"next{bed.number}-{time.monotonic_ns()}"
-    c = Caller(bed, route, request_id, sock=sock)
-    c.send()
-    c.finish()
-    c.check_rules()
-    if c.status() == 503 and not c.message.fields.get(STAMP.lower()):
-        raise Refused(f"{c.id} got 503 from the gateway: {c.message.body[:80]!r}")
-    if c.status() != 200 or not c.message.complete:
-        raise Violation(f"the next caller got {c.status()}, {c.message.raw[:200]!r}")
+    caller = Caller(bed, route, request_id, sock=sock)
+    caller.send()
+    caller.finish()
+    caller.check_rules()
+    if caller.status() == 503 and not caller.message.fields.get(STAMP.lower()):
+        raise Refused(f"{caller.id} got 503 from the gateway: {caller.message.body[:80]!r}")
+    if caller.status() != 200 or not caller.message.complete:
+        raise Violation(f"the next caller got {caller.status()}, {caller.message.raw[:200]!r}")
     if sock is None:
-        c.close()
-    return c
+        caller.close()
+    return caller
 
 
 def open_idle_connections(bed, engines):
     """Opens an idle connection from the gateway to each engine."""
     for _ in range(40):
-        if len({c.engine.port for c in bed.connections if c.open and c.served}) >= engines:
+        if len({connection.engine.port for connection in bed.connections if connection.open and connection.served}) >= engines:
             break
         check_next_caller(bed, "safe")
     bed.scripts, bed.arrivals, bed.runs = [], [], []
@@ -533,16 +533,16 @@
     if reuse:
         open_idle_connections(bed, engines)
     bed.scripts = list(scripts)
-    c = Caller(bed, route, f"r{bed.number:05d}", **request)
-    c.send()
-    c.finish(seconds)
-    c.check_rules()
-    if expect and c.status() not in (expect if isinstance(expect, tuple) else (expect,)):
-        raise Violation(f"{c.id} got {c.status()} instead of {expect}")
-    c.close()
+    caller = Caller(bed, route, f"r{bed.number:05d}", **request)
+    caller.send()
+    caller.finish(seconds)
+    caller.check_rules()
+    if expect and caller.status() not in (expect if isinstance(expect, tuple) else (expect,)):
+        raise Violation(f"{caller.id} got {caller.status()} instead of {expect}")
+    caller.close()
     if after:
         check_next_caller(bed, after)
-    return c
+    return caller
 
 
 # ---- groups of cases; each case is a name and a function that takes a test bed ----
@@ -553,9 +553,9 @@
     for route in ("once", "safe", "stream", "resume"):
         seen = []
 
-        def look(c, b):
-            seen.append(len(c.message.raw))
-            data = b.correct_response(c)
+        def look(connection, b):
+            seen.append(len(connection.message.raw))
+            data = b.correct_response(connection)
             seen.append(len(data))
             return data
 
@@ -564,18 +564,18 @@
     return sizes
 
 
-def good(c, bed):
-    return bed.correct_response(c)
+def good(connection, bed):
+    return bed.correct_response(connection)
 
 
 def truncated(at):
-    return lambda c, bed: bed.correct_response(c)[:at]
+    return lambda connection, bed: bed.correct_response(connection)[:at]
 
 
-def chunked(c, bed):
-    request_id = bed.request_id(c)
-    data = answer(request_id, c.engine.name, chunked=True)
-    bed.record_response(request_id, c.engine.name, data)
+def chunked(connection, bed):
+    request_id = bed.request_id(connection)
+    data = answer(request_id, connection.engine.name, chunked=True)
+    bed.record_response(request_id, connection.engine.name, data)
     return data
 
 
@@ -604,21 +604,22 @@
     probe = answer("r01000", "e01000-0", chunked=True)
     for at in range(0, len(probe)):
         yield f"once chunked engine fin at response byte {at}", lambda b, a=at: run_case(
-            b, "once", [CustomBytes(lambda c, bed: chunked(c, bed)[:a], then="fin")])
+            b, "once", [CustomBytes(lambda connection, bed: chunked(connection, bed)[:a], then="fin")])
     for route, kind in (("once", 503), ("once", 421), ("safe", 503)):
         probe = refusal(kind)
         for at in range(0, 110, 2):
             yield f"{route} engine fin at byte {at} of a refusal with {kind}", lambda b, r=route, k=kind, a=at: run_case(
-                b, r, [CustomBytes(lambda c, bed: refusal(k)(c, bed)[:a], then="fin", ran=False, declares_not_run=a >= 90)])
+                b, r, [CustomBytes(lambda connection, bed: refusal(k)(connection, bed)[:a], then="fin", ran=False,
+                                   declares_not_run=a >= 90)])
 
 
 def refusal(status, declare_not_run=True):
     """An engine's refusal; if declare_not_run is set, it states that the request was not run."""
-    def make(c, bed):
-        request_id = bed.request_id(c)
+    def make(connection, bed):
+        request_id = bed.request_id(connection)
         extra = f"{NOT_RUN}: 1\r\n" if declare_not_run else ""
-        data = answer(request_id, c.engine.name, body=b"no", status=f"{status} No", extra=extra)
-        bed.record_response(request_id, c.engine.name, data)
+        data = answer(request_id, connection.engine.name, body=b"no", status=f"{status} No", extra=extra)
+        bed.record_response(request_id, connection.engine.name, data)
         return data
     return make
 
@@ -626,30 +627,30 @@
 def client_cut(bed, at, how, route="once", chunked=False):
     """The caller ends its connection at a byte of its request; no engine may get an incomplete request."""
     bed.start_case(2)
-    c = Caller(bed, route, f"r{bed.number:05d}", chunked=chunked)
-    whole = at >= len(c.data)
-    c.send(c.data[:at])
+    caller = Caller(bed, route, f"r{bed.number:05d}", chunked=chunked)
+    whole = at >= len(caller.data)
+    caller.send(caller.data[:at])
     if how == "rst":
-        reset(c.sock)
-        c.ended = "closed"
+        reset(caller.sock)
+        caller.ended = "closed"
     else:
-        c.sock.shutdown(socket.SHUT_WR)
+        caller.sock.shutdown(socket.SHUT_WR)
         deadline = time.time() + CASE_SECONDS
-        while not c.ended and not c.message.complete:
+        while not caller.ended and not caller.message.complete:
             if time.time() > deadline:
-                raise Violation(f"{c.id}: the gateway keeps a connection that its caller has ended")
-            if bed.run_once([c.sock.fileno()], 0.5):
-                c.read()
-        c.check_rules()
-        c.close()
+                raise Violation(f"{caller.id}: the gateway keeps a connection that its caller has ended")
+            if bed.run_once([caller.sock.fileno()], 0.5):
+                caller.read()
+        caller.check_rules()
+        caller.close()
     seen = list(bed.arrivals)
     if seen and not whole:
-        raise Violation(f"{c.id} reached an engine though only {at} of its {len(c.data)} bytes were sent")
+        raise Violation(f"{caller.id} reached an engine though only {at} of its {len(caller.data)} bytes were sent")
     if len(seen) > 1:
-        raise Violation(f"{c.id} reached {len(seen)} engines")
+        raise Violation(f"{caller.id} reached {len(seen)} engines")
     check_next_caller(bed)
-    if not whole and [x for x in bed.runs if x[2] == c.id]:
-        raise Violation(f"{c.id} ran though its request was incomplete")
+    if not whole and [x for x in bed.runs if x[2] == caller.id]:
+        raise Violation(f"{caller.id} ran though its request was incomplete")
 
 
 def group_caller_cuts(sizes):
@@ -668,15 +669,15 @@
     bed.start_case(1)
     if reuse:
         open_idle_connections(bed, 1)
-    c = Caller(bed, route, f"r{bed.number:05d}")
-    c.send()
+    caller = Caller(bed, route, f"r{bed.number:05d}")
+    caller.send()
     deadline = time.time() + CASE_SECONDS
-    while len(c.message.raw) < at and not c.message.complete and not c.ended:
+    while len(caller.message.raw) < at and not caller.message.complete and not caller.ended:
         if time.time() > deadline:
-            raise Violation(f"{c.id}: no response")
-        if bed.run_once([c.sock.fileno()], 0.5):
-            c.read(at - len(c.message.raw))
-    reset(c.sock)
+            raise Violation(f"{caller.id}: no response")
+        if bed.run_once([caller.sock.fileno()], 0.5):
+            caller.read(at - len(caller.message.raw))
+    reset(caller.sock)
     check_next_caller(bed)
 
 
@@ -693,11 +694,11 @@
     large = b"z" * 300000
 
     def early(status, declare_not_run):
-        def make(c, bed):
+        def make(connection, bed):
             request_id = f"r{bed.number:05d}"
             extra = f"{NOT_RUN}: 1\r\n" if declare_not_run else ""
-            data = answer(request_id, c.engine.name, status=f"{status} x", extra=extra)
-            bed.record_response(request_id, c.engine.name, data)
+            data = answer(request_id, connection.engine.name, status=f"{status} x", extra=extra)
+            bed.record_response(request_id, connection.engine.name, data)
             return data
         return make
 
@@ -734,14 +735,16 @@
 def stray_with_answer(bed, make, cut, route):
     """The stray bytes directly follow the complete response; the next caller sends its request afterwards."""
     bed.start_case(1)
-    bed.scripts = [CustomBytes(lambda c, b: b.correct_response(c) + make(b.request_id(c), c.engine.name)[:cut], then="stay")]
-    c = Caller(bed, route, f"r{bed.number:05d}")
-    c.send()
-    c.finish()
-    c.check_rules()
-    if c.status() != 200:
-        raise Violation(f"{c.id} got {c.status()} though its response was complete")
-    c.close()
+    bed.scripts = [CustomBytes(
+        lambda connection, b: b.correct_response(connection) + make(b.request_id(connection), connection.engine.name)[:cut],
+        then="stay")]
+    caller = Caller(bed, route, f"r{bed.number:05d}")
+    caller.send()
+    caller.finish()
+    caller.check_rules()
+    if caller.status() != 200:
+        raise Violation(f"{caller.id} got {caller.status()} though its response was complete")
+    caller.close()
     check_next_caller(bed)
 
 
@@ -755,24 +758,24 @@
         declares_not_run = False
         sent = False
 
-        def bytes_wanted(self, c):
-            return at - len(c.message.raw) if not self.sent else 65536
+        def bytes_wanted(self, connection):
+            return at - len(connection.message.raw) if not self.sent else 65536
 
-        def on_bytes(self, c, b):
-            if not self.sent and len(c.message.raw) >= at:
+        def on_bytes(self, connection, b):
+            if not self.sent and len(connection.message.raw) >= at:
                 self.sent = True
-                c.send(make(f"next{b.number:05d}-0", c.engine.name)[:cut])
-            if c.message.complete:
-                b.record_run(c)
-                c.send(b.correct_response(c))
-                c.next()
+                connection.send(make(f"next{b.number:05d}-0", connection.engine.name)[:cut])
+            if connection.message.complete:
+                b.record_run(connection)
+                connection.send(b.correct_response(connection))
+                connection.next()
 
     bed.scripts = [Late()]
-    c = Caller(bed, route, f"r{bed.number:05d}", time_left=250)
-    c.send()
-    c.finish()
-    c.check_rules()
-    c.close()
+    caller = Caller(bed, route, f"r{bed.number:05d}", time_left=250)
+    caller.send()
+    caller.finish()
+    caller.check_rules()
+    caller.close()
     check_next_caller(bed)
 
 
@@ -798,11 +801,11 @@
                     for route in ("once", "safe"):
                         declared = status == 421 or (declare_not_run and status != 400)
 
-                        def make(c, bed, s=status, p=declare_not_run, t=stamp):
-                            request_id = bed.request_id(c)
-                            data = answer(request_id, c.engine.name, status=f"{s} x", stamp=t, body=b"" if s in (204, 304) else b"body",
+                        def make(connection, bed, s=status, p=declare_not_run, t=stamp):
+                            request_id = bed.request_id(connection)
+                            data = answer(request_id, connection.engine.name, status=f"{s} x", stamp=t, body=b"" if s in (204, 304) else b"body",
                                           extra=f"{NOT_RUN}: 1\r\n" if p else "")
-                            bed.record_response(request_id, c.engine.name, data)
+                            bed.record_response(request_id, connection.engine.name, data)
                             return data
 
                         yield (f"{route} {status}{' not-run header' * declare_not_run}{' stamp' * stamp}{' reused' * reuse}",
@@ -813,7 +816,7 @@
 def group_framing(sizes):
     """Interim responses, responses without a body, and responses with invalid framing."""
     def before(data, then="next"):
-        return [CustomBytes(lambda c, bed: data + bed.correct_response(c), then=then)]
+        return [CustomBytes(lambda connection, bed: data + bed.correct_response(connection), then=then)]
 
     interim = b"HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n"
     yield "a 100 first", lambda b: run_case(b, "once", before(b"HTTP/1.1 100 Continue\r\n\r\n"), expect=200)
@@ -822,13 +825,13 @@
     for at in range(0, len(interim), 2):
         for how in ENDS:
             yield f"interim response, {how} at byte {at}", lambda b, a=at, h=how: run_case(
-                b, "once", [CustomBytes(lambda c, bed: interim[:a], then=h)], expect=502)
+                b, "once", [CustomBytes(lambda connection, bed: interim[:a], then=h)], expect=502)
 
     def fixed(head, body=b"", then="next"):
-        def make(c, bed):
-            request_id = bed.request_id(c)
-            data = f"HTTP/1.1 200 OK\r\n{ID}: {request_id}\r\n{STAMP}: {c.engine.name}\r\n".encode() + head + b"\r\n" + body
-            bed.responses.setdefault(request_id, []).append((c.engine.name, 200, b"never whole", None))
+        def make(connection, bed):
+            request_id = bed.request_id(connection)
+            data = f"HTTP/1.1 200 OK\r\n{ID}: {request_id}\r\n{STAMP}: {connection.engine.name}\r\n".encode() + head + b"\r\n" + body
+            bed.responses.setdefault(request_id, []).append((connection.engine.name, 200, b"never whole", None))
             return data
         return [CustomBytes(make, then=then)]
 
@@ -849,51 +852,51 @@
         yield f"a response with {name}", lambda b, h=head, d=body: run_case(b, "once", fixed(h, d, "fin"), expect=(502, 504, None))
 
     def keep_alive(value):
-        return [CustomBytes(lambda c, bed: extra_answer(c, bed, f"Keep-Alive: {value}\r\n"))]
+        return [CustomBytes(lambda connection, bed: extra_answer(connection, bed, f"Keep-Alive: {value}\r\n"))]
 
-    def extra_answer(c, bed, extra):
-        request_id = bed.request_id(c)
-        data = answer(request_id, c.engine.name, extra=extra)
-        bed.record_response(request_id, c.engine.name, data)
+    def extra_answer(connection, bed, extra):
+        request_id = bed.request_id(connection)
+        data = answer(request_id, connection.engine.name, extra=extra)
+        bed.record_response(request_id, connection.engine.name, data)
         return data
 
     for value in ("timeout=0", "timeout=1", "timeout=-9223372036854775808", "timeout=99999999999999999999", "timeout=x",
                   "timeout=", "max=1, timeout=5"):
         yield f"Keep-Alive: {value}", lambda b, v=value: run_case(b, "once", keep_alive(v), expect=200)
     yield "Connection: close", lambda b: run_case(
-        b, "once", [CustomBytes(lambda c, bed: extra_answer(c, bed, "Connection: close\r\n"))], expect=200)
+        b, "once", [CustomBytes(lambda connection, bed: extra_answer(connection, bed, "Connection: close\r\n"))], expect=200)
 
     def head_case(bed, reply):
         bed.start_case(1)
-        bed.scripts = [CustomBytes(lambda c, b: answer_head(c, b, reply), then="next")]
-        c = Caller(bed, "once", f"r{bed.number:05d}", method="HEAD", body=b"")
-        c.send()
-        c.finish()
-        c.check_rules()
-        c.close()
+        bed.scripts = [CustomBytes(lambda connection, b: answer_head(connection, b, reply), then="next")]
+        caller = Caller(bed, "once", f"r{bed.number:05d}", method="HEAD", body=b"")
+        caller.send()
+        caller.finish()
+        caller.check_rules()
+        caller.close()
         for _ in range(2):
             check_next_caller(bed)
 
-    def answer_head(c, bed, reply):
-        request_id = bed.request_id(c)
-        data = answer(request_id, c.engine.name, body=b"x" * 30)
-        bed.record_response(request_id, c.engine.name, data)
+    def answer_head(connection, bed, reply):
+        request_id = bed.request_id(connection)
+        data = answer(request_id, connection.engine.name, body=b"x" * 30)
+        bed.record_response(request_id, connection.engine.name, data)
         return data if reply == "body" else data[:-30]
 
     yield "HEAD without a body", lambda b: head_case(b, "none")
     yield "HEAD with a body", lambda b: head_case(b, "body")
-    def extra_status(c, bed, status):
-        request_id = bed.request_id(c)
-        data = f"HTTP/1.1 {status} x\r\n{ID}: {request_id}\r\n{STAMP}: {c.engine.name}\r\n\r\n".encode()
-        bed.record_response(request_id, c.engine.name, data)
+    def extra_status(connection, bed, status):
+        request_id = bed.request_id(connection)
+        data = f"HTTP/1.1 {status} x\r\n{ID}: {request_id}\r\n{STAMP}: {connection.engine.name}\r\n\r\n".encode()
+        bed.record_response(request_id, connection.engine.name, data)
         return data
 
     for status in (204, 304):
         yield f"{status} with a body", lambda b, s=status: run_case(b, "once", [CustomBytes(
-            lambda c, bed: extra_status(c, bed, s) + b"0123456789", then="stay")], engines=1)
+            lambda connection, bed: extra_status(connection, bed, s) + b"0123456789", then="stay")], engines=1)
 
     yield "an encoded response", lambda b: run_case(b, "once", [CustomBytes(
-        lambda c, bed: extra_answer(c, bed, "Content-Encoding: gzip\r\n"))], expect=502)
+        lambda connection, bed: extra_answer(connection, bed, "Content-Encoding: gzip\r\n"))], expect=502)
 
 
 def silence(bed, route, at, engines, reuse):
@@ -903,17 +906,17 @@
         open_idle_connections(bed, engines)
     held = []
 
-    def some(c, b):
-        data = b.correct_response(c)
-        held.append((c, data[at:]))
+    def some(connection, b):
+        data = b.correct_response(connection)
+        held.append((connection, data[at:]))
         return data[:at]
 
     bed.scripts = [CustomBytes(some, then="stay")]
-    c = Caller(bed, route, f"r{bed.number:05d}", time_left=60)
-    c.send()
-    c.finish()
-    c.check_rules()
-    c.close()
+    caller = Caller(bed, route, f"r{bed.number:05d}", time_left=60)
+    caller.send()
+    caller.finish()
+    caller.check_rules()
+    caller.close()
     for conn, rest in held:
         conn.send(rest)
     check_next_caller(bed)
@@ -929,16 +932,16 @@
         yield f"repeatable request, silent after byte {at}", lambda b, a=at: silence(b, "safe", a, 2, False)
     for at in (1, 60, sizes["once"][0]):
         yield f"silent after request byte {at}", lambda b, a=at: run_case(
-            b, "once", [CustomBytes(lambda c, bed: b"", then="stay", after=a)], time_left=60, expect=504)
+            b, "once", [CustomBytes(lambda connection, bed: b"", then="stay", after=a)], time_left=60, expect=504)
 
     def slow_caller(bed, at):
         bed.start_case(1)
-        c = Caller(bed, "once", f"r{bed.number:05d}")
-        c.send(c.data[:at])
-        c.finish()
-        if c.status() != 408 or bed.arrivals:
-            raise Violation(f"{c.id} stopped at byte {at}, got {c.status()} and reached {len(bed.arrivals)} engines")
-        c.close()
+        caller = Caller(bed, "once", f"r{bed.number:05d}")
+        caller.send(caller.data[:at])
+        caller.finish()
+        if caller.status() != 408 or bed.arrivals:
+            raise Violation(f"{caller.id} stopped at byte {at}, got {caller.status()} and reached {len(bed.arrivals)} engines")
+        caller.close()
         check_next_caller(bed)
 
     for at in (1, 70, 120):
@@ -949,24 +952,24 @@
     """The engine ends its idle connections at about the time the gateway reuses one of them."""
     bed.start_case(engines)
     open_idle_connections(bed, engines)
-    idle = [c for c in bed.connections if c.open and c.served]
-    c = Caller(bed, route, f"r{bed.number:05d}")
+    idle = [connection for connection in bed.connections if connection.open and connection.served]
+    caller = Caller(bed, route, f"r{bed.number:05d}")
     if delay_us < 0:
         for x in idle:
             x.close(how == "rst")
-        c.send()
+        caller.send()
     else:
-        c.send()
+        caller.send()
         deadline = time.perf_counter() + delay_us / 1e6
         while time.perf_counter() < deadline:
             pass
         for x in idle:
             x.close(how == "rst")
-    c.finish()
-    c.check_rules()
-    if delay_us < 0 and c.status() != 200:
-        raise Violation(f"{c.id} got {c.status()} though the idle connections had ended before the request")
-    c.close()
+    caller.finish()
+    caller.check_rules()
+    if delay_us < 0 and caller.status() != 200:
+        raise Violation(f"{caller.id} got {caller.status()} though the idle connections had ended before the request")
+    caller.close()
     check_next_caller(bed)
 
 
@@ -983,15 +986,15 @@
 def raw_caller(bed, data, expect, allowed=()):
     """A caller sends raw bytes; engines may run only the allowed request ids, each at most once."""
     bed.start_case(2)
-    c = Caller(bed, "once", "raw", raw=data)
-    c.send()
+    caller = Caller(bed, "once", "raw", raw=data)
+    caller.send()
     quiet = time.time() + 1
-    while not c.ended and time.time() < quiet:
-        if bed.run_once([c.sock.fileno()], max(quiet - time.time(), 0.001)):
-            c.read()
-        if c.message.complete:
+    while not caller.ended and time.time() < quiet:
+        if bed.run_once([caller.sock.fileno()], max(quiet - time.time(), 0.001)):
+            caller.read()
+        if caller.message.complete:
             quiet = min(quiet, time.time() + 0.03)
-    status = c.status()
+    status = caller.status()
     ran = [request_id for _, _, request_id in bed.runs]
     for request_id in ran:
         if request_id not in allowed:
@@ -999,10 +1002,10 @@
     if len(ran) != len(set(ran)):
         raise Violation(f"a request ran more than once: {ran}")
     if expect is not None and status != expect:
-        raise Violation(f"got {status} instead of {expect}: {c.message.raw[:120]!r}")
-    c.close()
+        raise Violation(f"got {status} instead of {expect}: {caller.message.raw[:120]!r}")
+    caller.close()
     check_next_caller(bed)
-    return c
+    return caller
 
 
 def group_smuggling(sizes):
@@ -1086,17 +1089,17 @@
         sock.sendall(data[:cut])
         sent = False
         for i, request_id in enumerate(ids):
-            c = Caller(bed, "once", request_id, sock=sock)
+            caller = Caller(bed, "once", request_id, sock=sock)
             if rest:
-                c.message.feed(rest)
-            if not sent and not c.message.complete:
+                caller.message.feed(rest)
+            if not sent and not caller.message.complete:
                 bed.run_once([sock.fileno()], 0.005)
-                c.send(data[cut:])
+                caller.send(data[cut:])
                 sent = True
-            c.finish()
-            rest, c.message.rest = c.message.rest, b""
-            if c.status() != 200 or c.message.fields.get(ID.lower()) != request_id:
-                raise Violation(f"{request_id} got {c.status()} with the request id {c.message.fields.get(ID.lower())}")
+            caller.finish()
+            rest, caller.message.rest = caller.message.rest, b""
+            if caller.status() != 200 or caller.message.fields.get(ID.lower()) != request_id:
+                raise Violation(f"{request_id} got {caller.status()} with the request id {caller.message.fields.get(ID.lower())}")
             if [x for x in bed.runs if x[2] == request_id] and len([x for x in bed.runs if x[2] == request_id]) > 1:
                 raise Violation(f"{request_id} ran twice")
         sock.close()
--- a/tests/http/fuzz_check.py
+++ b/tests/http/fuzz_check.py
@@ -57,22 +57,22 @@
     bed.start_case(2)
     data = mutated(rng, rng.choice(inputs))
     cut = rng.randrange(len(data) + 1)
-    c = http.Caller(bed, "once", "fuzz", raw=data)
-    c.send(data[:cut])
-    bed.run_once([c.sock.fileno()], 0.001)
-    c.send(data[cut:])
+    caller = http.Caller(bed, "once", "fuzz", raw=data)
+    caller.send(data[:cut])
+    bed.run_once([caller.sock.fileno()], 0.001)
+    caller.send(data[cut:])
     quiet = time.time() + QUIET_SECONDS
-    while not c.ended and time.time() < quiet:
-        if bed.run_once([c.sock.fileno()], QUIET_SECONDS):
-            c.sock.settimeout(1)
+    while not caller.ended and time.time() < quiet:
+        if bed.run_once([caller.sock.fileno()], QUIET_SECONDS):
+            caller.sock.settimeout(1)
             try:
-                part = c.sock.recv(65536)
+                part = caller.sock.recv(65536)
             except OSError:
                 part = b""
             if not part:
                 break
-            c.message.raw += part
-    c.sock.close()
+            caller.message.raw += part
+    caller.sock.close()
     for _, _, name in bed.runs:
         if name and name.encode("latin-1") not in data:
             raise http.Violation(f"an engine ran {name!r}, which does not occur in the input: {data!r}")
@@ -88,29 +88,29 @@
         http.open_idle_connections(bed, bed.used)
     original, sent = rng.choice(inputs), []
 
-    def make(c, b):
+    def make(connection, b):
         # the names have a fixed length, so that the same mutations are drawn whatever they are
-        sent.append(mutated(rng, original.replace(b"NAME", b.request_id(c).encode()).replace(
-            b"ENGINE", c.engine.name.encode())))
+        sent.append(mutated(rng, original.replace(b"NAME", b.request_id(connection).encode()).replace(
+            b"ENGINE", connection.engine.name.encode())))
         return sent[-1]
 
     bed.scripts = [http.CustomBytes(make, then=rng.choice(("next", "fin", "rst", "fin", "rst", "fin")), declares_not_run=True)]
     route = rng.choice(("once", "safe", "stream", "resume"))
-    c = http.Caller(bed, route, f"r{bed.number:05d}", time_left=40)
-    c.send()
-    c.finish()
-    m = c.message
+    caller = http.Caller(bed, route, f"r{bed.number:05d}", time_left=40)
+    caller.send()
+    caller.finish()
+    m = caller.message
     if m.rest:
         raise http.Violation(f"bytes after a response: {m.rest[:60]!r} of {sent}")
     if m.start:
         name = m.fields.get(http.ID.lower())
-        if m.status() // 100 == 2 and (name != c.id or not m.fields.get(http.STAMP.lower())):
-            raise http.Violation(f"{c.id} got a successful response with the id {name!r} from {sent}")
-        if name not in (None, c.id):
-            raise http.Violation(f"{c.id} got the response to {name!r} from {sent}")
-    if len([r for r in bed.runs if r[2] == c.id]) > 1 and c.runs_once and m.start and m.status() in http.NOT_RUN_STATUSES:
-        raise http.Violation(f"{c.id} got {m.status()} although it has run")
-    c.close()
+        if m.status() // 100 == 2 and (name != caller.id or not m.fields.get(http.STAMP.lower())):
+            raise http.Violation(f"{caller.id} got a successful response with the id {name!r} from {sent}")
+        if name not in (None, caller.id):
+            raise http.Violation(f"{caller.id} got the response to {name!r} from {sent}")
+    if len([r for r in bed.runs if r[2] == caller.id]) > 1 and caller.runs_once and m.start and m.status() in http.NOT_RUN_STATUSES:
+        raise http.Violation(f"{caller.id} got {m.status()} although it has run")
+    caller.close()
     http.check_next_caller_with_retries(bed)
 
 
