--- a/tests/fleet/controller_cutoff.c
+++ b/tests/fleet/controller_cutoff.c
@@ -22,14 +22,14 @@
   PROBE_TIMEOUT_MS = 900,
   /* A controller that receives a configuration change directly responds within this time. */
   RESPONSE_TIMEOUT_MS = 1000,
-  /* The controllers are settled once SETTLED_AFTER_MS have passed since the last fault among them
+  /* The controllers are settled once SETTLING_MS have passed since the last fault among them
    * began or ended. A configuration change that is sent then is acknowledged within SETTLED_ACK_MS,
    * including the client's backoff. One that is sent earlier waits for the next view and its leases
    * (up to 3 s when the head receives nothing but can still send), and for the client's current
    * attempt and backoff, at most 2.6 s. When two of five controllers are lost, the first view may
    * have too few members for a write, and a second view change follows (SECOND_VIEW_MS). */
   SETTLED_ACK_MS = 2000,
-  SETTLED_AFTER_MS = 2500,
+  SETTLING_MS = 2500,
   UNSETTLED_ACK_MS = 5600,
   SECOND_VIEW_MS = 4000,
   DIRECT_AFTER_MS = 1300,
@@ -37,22 +37,22 @@
 };
 
 /** One request to one gateway on the route that a configuration version added. */
-typedef struct probe_answer {
+typedef struct probe_result {
   int gateway, status;
-  uint64_t version, life;
+  uint64_t version, incarnation;
   time_us sent;
-} probe_answer;
+} probe_result;
 
 /** What was observed from outside in one run. */
 typedef struct watch {
   deployment *deployment;
   fleet *fleet;
-  host *outside;
-  GArray *answers;
+  host *client_host;
+  GArray *probe_results;
   /* latest acknowledged version, and base version of the next change */
   uint64_t acked, version;
   /* when a link between controllers or a controller process last changed */
-  time_us core_changed_at;
+  time_us controllers_changed_at;
   int frozen;
   bool stop;
 } watch;
@@ -71,7 +71,7 @@
 static int request_status(watch *w, const char *to, const char *verb, const char *path,
                           const fields *fields, const char *body, int64_t ms) {
   GString *got = g_string_new(NULL);
-  world *from = &w->outside->world;
+  world *from = &w->client_host->world;
   http_call *call =
       http_call_open_fields(from, to, verb, path, fields, string_view_of(body), true, time_never());
   int r = http_call_read_all(call, got, time_add(world_now(from), time_from_ms(ms)));
@@ -88,8 +88,8 @@
   char ip[48], to[64], path[64];
   copy_ip(host, ip, sizeof ip);
   snprintf(to, sizeof to, "%s:8144", ip);
-  while (!w->stop && world_sleep(&w->outside->world, time_from_ms(PROBE_INTERVAL_MS))) {
-    probe_answer a = { b->gateway, 0, w->acked, host->incarnation, w->deployment->sim->now };
+  while (!w->stop && world_sleep(&w->client_host->world, time_from_ms(PROBE_INTERVAL_MS))) {
+    probe_result a = { b->gateway, 0, w->acked, host->incarnation, w->deployment->sim->now };
     if (a.version < 2 || !host->alive)
       continue;
     fields *fields = g_string_new(NULL);
@@ -97,8 +97,8 @@
     snprintf(path, sizeof path, "/mark-%" PRIu64 "/x", a.version);
     a.status = request_status(w, to, "GET", path, fields, "", PROBE_TIMEOUT_MS);
     g_string_free(fields, TRUE);
-    if (a.life == host->incarnation)
-      g_array_append_val(w->answers, a);
+    if (a.incarnation == host->incarnation)
+      g_array_append_val(w->probe_results, a);
   }
   g_free(b);
 }
@@ -107,15 +107,15 @@
   watch *w = g_new0(watch, 1);
   *w = (watch){ .deployment = deployment,
                 .fleet = deployment->fleet,
-                .answers = g_array_new(FALSE, TRUE, sizeof(probe_answer)),
+                .probe_results = g_array_new(FALSE, TRUE, sizeof(probe_result)),
                 .acked = 1,
                 .version = 1 };
-  w->outside = sim_add_host(deployment->sim, HOST_OTHER, "watcher", "mid", "127.0.0.60:1");
-  host_start(w->outside);
+  w->client_host = sim_add_host(deployment->sim, HOST_OTHER, "watcher", "mid", "127.0.0.60:1");
+  host_start(w->client_host);
   for (int i = 0; i < deployment->fleet->routers; i++) {
     prober *b = g_new0(prober, 1);
     *b = (prober){ w, i };
-    task_start(&w->outside->world.tasks, "probe", probe_run, b);
+    task_start(&w->client_host->world.tasks, "probe", probe_run, b);
   }
   return w;
 }
@@ -131,7 +131,7 @@
 }
 
 static bool controllers_settled(const watch *w, time_us at) {
-  return !w->core_changed_at.us || at.us > w->core_changed_at.us + SETTLED_AFTER_MS * 1000;
+  return !w->controllers_changed_at.us || at.us > w->controllers_changed_at.us + SETTLING_MS * 1000;
 }
 
 /* Waits for the response to a configuration change and checks that it is an acknowledgement that
@@ -205,7 +205,7 @@
   fields_add(fields, "Host", string_view_of(to));
   fields_add(fields, "Content-Type", string_view_of("application/json"));
   fields_add_format(fields, dialect->header_names[DF_BASE_REVISION], "%" PRIu64, w->version);
-  world *from = &w->outside->world;
+  world *from = &w->client_host->world;
   http_call *call = http_call_open_fields(from, to, how->method, how->path, fields,
                                           string_view_of(text), true, time_never());
   g_string_free(fields, TRUE);
@@ -236,11 +236,11 @@
 }
 
 /* way: 0 cuts both directions, 1 what the controller sends, 2 what it receives. */
-static void cut_core(watch *w, host *controller, int way, bool cut) {
+static void cut_controller(watch *w, host *controller, int way, bool cut) {
   for (int i = 0; i < w->fleet->controllers; i++)
     if (w->fleet->controller[i] != controller)
       cut_between(w, controller, w->fleet->controller[i], way, cut);
-  w->core_changed_at = w->deployment->sim->now;
+  w->controllers_changed_at = w->deployment->sim->now;
 }
 
 static void cut_gateway(watch *w, host *gateway, const host *except, int way, bool cut) {
@@ -342,8 +342,8 @@
 static void check_config_delay(watch *w) {
   double worst = 0;
   int64_t max_ms = IN_FORCE_MS + (w->fleet->controllers > 3 ? IN_FORCE_MARGIN_MS : 0);
-  for (guint i = 0; i < w->answers->len; i++) {
-    probe_answer *a = &g_array_index(w->answers, probe_answer, i);
+  for (guint i = 0; i < w->probe_results->len; i++) {
+    probe_result *a = &g_array_index(w->probe_results, probe_result, i);
     const operator_sim_change *change = change_of(w, a->version);
     host *host = w->fleet->router[a->gateway];
     if (a->status != 404 || !change || had_fault(w, host, a->sent))
@@ -362,15 +362,15 @@
 /* Checks that no gateway reverts to an older version once it has applied a newer one. */
 static void check_no_config_revert(watch *w) {
   for (int v = 0; v < w->fleet->routers; v++) {
-    uint64_t seen = 0, life = 0;
+    uint64_t seen = 0, incarnation = 0;
     time_us at = { 0 };
-    for (guint i = 0; i < w->answers->len; i++) {
-      probe_answer *a = &g_array_index(w->answers, probe_answer, i);
+    for (guint i = 0; i < w->probe_results->len; i++) {
+      probe_result *a = &g_array_index(w->probe_results, probe_result, i);
       if (a->gateway != v || !a->status)
         continue;
-      if (a->life != life)
+      if (a->incarnation != incarnation)
         seen = 0;
-      life = a->life;
+      incarnation = a->incarnation;
       if (a->status == 404 && a->version <= seen && a->sent.us > at.us + REVERT_MS * 1000)
         fleet_add_violation(w->fleet,
                             "%s had applied version %" PRIu64 " and later lacked version %" PRIu64,
@@ -396,12 +396,12 @@
     fleet_add_violation(
         fleet, "version %" PRIu64 " was acknowledged, but version %" PRIu64 " is read back",
         w->acked, deployment->operator->read_version);
-  if (w->answers->len < 200)
-    fleet_add_violation(fleet, "only %u probes of gateways were recorded", w->answers->len);
+  if (w->probe_results->len < 200)
+    fleet_add_violation(fleet, "only %u probes of gateways were recorded", w->probe_results->len);
   check_config_delay(w);
   check_no_config_revert(w);
   bool ok = deployment_finish(deployment, 0.6);
-  g_array_free(w->answers, TRUE);
+  g_array_free(w->probe_results, TRUE);
   g_free(w);
   return ok;
 }
@@ -459,9 +459,9 @@
     g_array_index(deployment->injected_faults, injected_fault, i).until = deployment->sim->now;
   run_steps(w, 1000 + (int64_t)sim_random(fleet->sim, 3000), NULL, false);
   deployment_record_fault(deployment, NULL, 'c', 12000);
-  cut_core(w, controller, 0, true);
+  cut_controller(w, controller, 0, true);
   run_steps(w, 4000 + (int64_t)sim_random(fleet->sim, 3000), controller, true);
-  cut_core(w, controller, 0, false);
+  cut_controller(w, controller, 0, false);
   run_steps(w, 6000, NULL, false);
   return watch_done(w);
 }
@@ -477,12 +477,12 @@
   int way = (int)sim_random(fleet->sim, 3);
   deployment_record_fault(deployment, NULL, 'c', CUT_MS + 14000);
   for (int i = 0; i < count; i++)
-    cut_core(w, cut[i], way, true);
+    cut_controller(w, cut[i], way, true);
   run_steps(w, CUT_MS + (int64_t)sim_random(fleet->sim, 6000),
             cut[sim_random(fleet->sim, (uint64_t)count)], true);
   /* sends changes at the moment the controllers return */
   for (int i = 0; i < count; i++)
-    cut_core(w, cut[i], way, false);
+    cut_controller(w, cut[i], way, false);
   send_racing_changes(w);
   run_steps(w, 8000, NULL, false);
   return watch_done(w);
@@ -506,12 +506,12 @@
   deployment_record_fault(deployment, NULL, 'c', CUT_MS + 14000);
   for (int i = 0; i < count; i++)
     host_freeze(cut[i]);
-  w->core_changed_at = deployment->sim->now;
+  w->controllers_changed_at = deployment->sim->now;
   w->frozen = count;
   run_steps(w, CUT_MS, NULL, false);
   for (int i = 0; i < count; i++)
     host_unfreeze(cut[i]);
-  w->core_changed_at = deployment->sim->now;
+  w->controllers_changed_at = deployment->sim->now;
   send_racing_changes(w);
   w->frozen = 0;
   run_steps(w, 8000, NULL, false);
@@ -528,8 +528,8 @@
 /* Whether a gateway has applied the latest acknowledged version, judged by its latest response on
  * the route that a version added. */
 static bool has_latest(watch *w, int gateway) {
-  for (guint i = w->answers->len; i > 0; i--) {
-    probe_answer *a = &g_array_index(w->answers, probe_answer, i - 1);
+  for (guint i = w->probe_results->len; i > 0; i--) {
+    probe_result *a = &g_array_index(w->probe_results, probe_result, i - 1);
     if (a->gateway == gateway && a->status)
       return a->version == w->acked && a->status != 404;
   }
@@ -566,7 +566,7 @@
   deployment *deployment = w->deployment;
   host *controller = pick_controller(fleet, NULL);
   deployment_record_fault(deployment, NULL, 'c', CUT_MS + 14000);
-  cut_core(w, controller, 0, true);
+  cut_controller(w, controller, 0, true);
   run_steps(w, 2000 + (int64_t)sim_random(fleet->sim, 3000), controller, true);
   bool only = sim_random(fleet->sim, 2);
   list_for_each (h, &deployment->sim->hosts, host, link) {
@@ -592,9 +592,9 @@
     host_start(fleet->router[i]);
   if (!controller->alive)
     host_start(controller);
-  w->core_changed_at = deployment->sim->now;
+  w->controllers_changed_at = deployment->sim->now;
   run_steps(w, CUT_MS, controller, true);
-  cut_core(w, controller, 0, false);
+  cut_controller(w, controller, 0, false);
   send_racing_changes(w);
   run_steps(w, 8000, NULL, false);
   return watch_done(w);
