--- a/tests/fleet/losses.c
+++ b/tests/fleet/losses.c
@@ -229,7 +229,7 @@
 
 /* Many routers have long queues for one model. When its engines restart, all routers send at once,
  * and must not overload the engines during their slow start. */
-static bool warming_engines_meet_many_routers(fleet *fleet) {
+static bool many_routers_send_to_warming_engines(fleet *fleet) {
   fleet->slow_start_s = 10;
   fleet->models = 3;
   if (!fleet_bring_up(fleet))
@@ -339,7 +339,7 @@
   { "the_load_rate_limiter_is_cut_off_from_controllers",
     the_load_rate_limiter_is_cut_off_from_controllers, 5, 5, 100 },
   { "engines_refuse_every_run", engines_refuse_every_run, 4, 5, 50 },
-  { "warming_engines_meet_many_routers", warming_engines_meet_many_routers, 8, 3, 50 },
+  { "many_routers_send_to_warming_engines", many_routers_send_to_warming_engines, 8, 3, 50 },
   { "engines_restart_between_reports", engines_restart_between_reports, 4, 4, 100 },
   { "tails_are_killed_while_markers_are_written", tails_are_killed_while_markers_are_written, 4, 3,
     100 },
--- a/tests/fleet/partitions.c
+++ b/tests/fleet/partitions.c
@@ -139,7 +139,7 @@
   return heal_and_check(fleet);
 }
 
-static bool routers_freeze_over_an_answer(fleet *fleet) {
+static bool routers_freeze_during_policy_writes(fleet *fleet) {
   if (!start_with_probes(fleet, 10))
     return false;
   for (int i = 0; i < 3; i++) {
@@ -227,7 +227,7 @@
 
 /* A lease holder renews its lease while the grant to the next holder is still being written to slow
  * disks. */
-static bool a_renewal_meets_a_grant(fleet *fleet) {
+static bool a_lease_renewal_races_with_a_grant(fleet *fleet) {
   if (!fleet_bring_up(fleet))
     return false;
   fleet_start_sampling(fleet);
@@ -291,12 +291,12 @@
   { "a_zone_is_cut_off", a_zone_is_cut_off, 6, 6, 100 },
   { "most_routers_are_cut_off_from_controllers", most_routers_are_cut_off_from_controllers, 5, 5,
     100 },
-  { "routers_freeze_over_an_answer", routers_freeze_over_an_answer, 5, 5, 100 },
+  { "routers_freeze_during_policy_writes", routers_freeze_during_policy_writes, 5, 5, 100 },
   { "a_router_is_cut_one_way", a_router_is_cut_one_way, 5, 5, 100 },
   { "routers_restart_while_controllers_are_gone", routers_restart_while_controllers_are_gone, 5, 5,
     100 },
   { "a_router_loses_the_platform", a_router_loses_the_platform, 5, 6, 100 },
-  { "a_renewal_meets_a_grant", a_renewal_meets_a_grant, 5, 5, 100 },
+  { "a_lease_renewal_races_with_a_grant", a_lease_renewal_races_with_a_grant, 5, 5, 100 },
   { "a_peer_declared_gone_comes_back", a_peer_declared_gone_comes_back, 4, 3, 100 },
   { NULL, NULL, 0, 0, 0 }
 };
