--- a/tests/fleet/input_fuzzing.c
+++ b/tests/fleet/input_fuzzing.c
@@ -12,7 +12,7 @@
 #include <stdlib.h>
 
 enum { CONFIGURATION_INPUTS = 700, HEARTBEAT_INPUTS = 250, PEER_INPUTS = 500, DISK_STARTS = 10 };
-enum { MESSAGES_MAX = 400, CHANGES_MAX = 5 };
+enum { MESSAGES_MAX = 400, MUTATIONS_MAX = 5 };
 static const char corpus_dir[] = "tests/fuzz/corpus";
 
 static gint compare_names(gconstpointer a, gconstpointer b) {
@@ -50,7 +50,7 @@
   "\\u0000", "\"\\ud800\"", "\xff", ",",    ":",      "\""
 };
 
-static void change_once(sim *sim, GString *bytes, bool is_text) {
+static void mutate_once(sim *sim, GString *bytes, bool is_text) {
   size_t at = bytes->len ? sim_random(sim, bytes->len) : 0;
   switch (sim_random(sim, is_text ? 7 : 5)) {
   case 0:
@@ -87,14 +87,14 @@
   }
 }
 
-static GString *changed(sim *sim, const char *from, size_t n, bool is_text) {
+static GString *mutated_copy(sim *sim, const char *from, size_t n, bool is_text) {
   GString *bytes = g_string_new_len(from, (gssize)n);
-  for (size_t i = 1 + sim_random(sim, CHANGES_MAX); i > 0; i--)
-    change_once(sim, bytes, is_text);
+  for (size_t i = 1 + sim_random(sim, MUTATIONS_MAX); i > 0; i--)
+    mutate_once(sim, bytes, is_text);
   return bytes;
 }
 
-static const char *draw_input(sim *sim, const GPtrArray *all) {
+static const char *random_input(sim *sim, const GPtrArray *all) {
   return all->pdata[sim_random(sim, all->len)];
 }
 
@@ -128,8 +128,8 @@
     return false;
   for (int i = 0; i < CONFIGURATION_INPUTS; i++) {
     bool is_full = sim_random(sim, 2);
-    const char *input = draw_input(sim, is_full ? full : patches), *base = full->pdata[0];
-    GString *text = changed(sim, input, strlen(input), true), *to = g_string_new(NULL);
+    const char *input = random_input(sim, is_full ? full : patches), *base = full->pdata[0];
+    GString *text = mutated_copy(sim, input, strlen(input), true), *to = g_string_new(NULL);
     error err = { 0 };
     json *body = json_parse(string_view_of_gstring(text), &err);
     if (!body && !err.code)
@@ -189,8 +189,8 @@
   control_calls *calls = p;
   sim *sim = calls->fleet->sim;
   for (int i = 0; i < HEARTBEAT_INPUTS; i++) {
-    const char *input = draw_input(sim, calls->heartbeats);
-    GString *body = changed(sim, input, strlen(input), true);
+    const char *input = random_input(sim, calls->heartbeats);
+    GString *body = mutated_copy(sim, input, strlen(input), true);
     char path[48];
     snprintf(path, sizeof path, "/v1/engines/fuzz-%d/beat", (int)sim_random(sim, 20));
     send_control(calls, path, "POST", string_view_of_gstring(body));
@@ -229,12 +229,12 @@
 }
 
 static GPtrArray *messages;
-static void (*post_of_sim)(world *world, const char *addr, string_view msg);
+static void (*sim_post_message)(world *world, const char *addr, string_view msg);
 
 static void post_and_record(world *world, const char *addr, string_view msg) {
   if (messages && messages->len < MESSAGES_MAX)
     g_ptr_array_add(messages, g_string_new_len(msg.data, (gssize)msg.length));
-  post_of_sim(world, addr, msg);
+  sim_post_message(world, addr, msg);
 }
 
 static void free_message(void *p) {
@@ -247,8 +247,8 @@
     host *host =
         i < fleet->controllers ? fleet->controller[i] : fleet->router[i - fleet->controllers];
     if (on)
-      post_of_sim = host->world.post_message;
-    host->world.post_message = on ? post_and_record : post_of_sim;
+      sim_post_message = host->world.post_message;
+    host->world.post_message = on ? post_and_record : sim_post_message;
   }
 }
 
@@ -267,7 +267,7 @@
   int read = 0;
   for (int i = 0; i < PEER_INPUTS && messages->len; i++) {
     const GString *from = messages->pdata[sim_random(sim, messages->len)];
-    GString *bytes = changed(sim, from->str, from->len, false);
+    GString *bytes = mutated_copy(sim, from->str, from->len, false);
     Wire__Envelope *envelope =
         wire__envelope__unpack(NULL, bytes->len, (const uint8_t *)bytes->str);
     read += envelope != NULL;
@@ -289,7 +289,7 @@
 }
 
 /* Changes bytes where frames are stored: in the first 256 bytes or the first 16 KiB of a file. */
-static void change_disk(sim *sim, sim_disk *disk) {
+static void mutate_disk(sim *sim, sim_disk *disk) {
   for (int k = 1 + (int)sim_random(sim, 12); k > 0; k--) {
     unsigned file = (unsigned)sim_random(sim, 4);
     size_t at = sim_random(sim, sim_random(sim, 2) ? 256 : 16384), n = 1 + sim_random(sim, 16);
@@ -314,7 +314,7 @@
     if (!fleet_put(fleet, "evacuation", "{\"areas\":[]}"))
       fleet_add_violation(fleet, "no write was acknowledged before restart %d", i);
     host_power_off(host);
-    change_disk(fleet->sim, host->disk);
+    mutate_disk(fleet->sim, host->disk);
     host_start(host);
     sim_run(fleet->sim, time_from_ms(2500));
     if (!scenario_wait_for_chain(fleet, 3, 20000))
--- a/tests/fleet/random_faults.c
+++ b/tests/fleet/random_faults.c
@@ -87,7 +87,7 @@
 /* bit i is set when step i of the schedule is executed */
 static uint32_t enabled_steps = ~0u;
 
-static void draw_schedule(uint64_t seed, int routers, int engines, fault schedule[STEPS]) {
+static void generate_schedule(uint64_t seed, int routers, int engines, fault schedule[STEPS]) {
   sim *sim = sim_new(seed + SCHEDULE_SEED_OFFSET);
   for (int i = 0; i < STEPS; i++)
     schedule[i] = (fault){ (enum fault_kind)sim_random(sim, FAULT_KINDS),
@@ -340,11 +340,11 @@
   sim_run(fleet->sim, time_from_ms(3500));
 }
 
-static bool run(fleet *fleet) {
+static bool run_random_faults(fleet *fleet) {
   fault schedule[STEPS];
   if (getenv("STEPS") && enabled_steps == ~0u)
     enabled_steps = (uint32_t)strtoul(getenv("STEPS"), NULL, 16);
-  draw_schedule(fleet->seed, fleet->routers, fleet->engines, schedule);
+  generate_schedule(fleet->seed, fleet->routers, fleet->engines, schedule);
   if (!fleet_bring_up(fleet))
     return false;
   fleet_start_sampling(fleet);
@@ -367,13 +367,13 @@
 }
 
 static bool anything_happens(fleet *fleet) {
-  return run(fleet);
+  return run_random_faults(fleet);
 }
 static bool anything_happens_at_lanka(fleet *fleet) {
-  return fleet_load_deployment(fleet, "examples/lanka") && run(fleet);
+  return fleet_load_deployment(fleet, "examples/lanka") && run_random_faults(fleet);
 }
 static bool anything_happens_at_selam(fleet *fleet) {
-  return fleet_load_deployment(fleet, "examples/selam") && run(fleet);
+  return fleet_load_deployment(fleet, "examples/selam") && run_random_faults(fleet);
 }
 
 /* runs a test with the enabled steps and returns whether it passes */
@@ -406,7 +406,7 @@
   if (!is_random_fault_test(test) || enabled_steps != ~0u || getenv("WHOLE"))
     return;
   fault schedule[STEPS];
-  draw_schedule(seed, routers, engines, schedule);
+  generate_schedule(seed, routers, engines, schedule);
   for (int i = 0; i < STEPS; i++) {
     uint32_t before = enabled_steps;
     enabled_steps &= ~(1u << i);
