--- a/tests/fleet/controller_cutoff.c
+++ b/tests/fleet/controller_cutoff.c
@@ -5,52 +5,54 @@
 #include <stdlib.h>
 
 /**
- * A controller is cut off or frozen for some twenty seconds, while operators change the
- * configuration and engines drain and return. All checks look from outside: at how gateways respond
- * to requests on routes that were just added, and how controllers respond to orders.
+ * A controller is cut off or frozen for about 20 s while operators change the configuration and
+ * engines drain and return. The checks use only what is visible from outside: the responses of
+ * gateways on routes that were just added, and the responses of controllers to configuration
+ * changes.
  */
 
 enum {
-  /* A configuration is in force at a gateway that has no fault of its own this long after its
-   * acknowledgement, whether the core is settled or not: 600 ms until a hedged poll, and a round
-   * trip; and IN_FORCE_MARGIN_MS for each further controller that is silent. The platform allows
-   * APPLY_MS, and more while the core is unsettled. */
+  /* A gateway without a fault of its own applies a configuration within this time after its
+   * acknowledgement, whether the controllers are settled or not: 600 ms until a hedged poll, plus a
+   * round trip. Each further controller that does not respond adds IN_FORCE_MARGIN_MS. The platform
+   * allows APPLY_MS, and more while the controllers are unsettled. */
   IN_FORCE_MS = 800,
   IN_FORCE_MARGIN_MS = 300,
   PROBE_INTERVAL_MS = 100,
   PROBE_TIMEOUT_MS = 900,
-  /* A controller that is asked directly responds within this. */
+  /* A controller that receives a configuration change directly responds within this time. */
   RESPONSE_TIMEOUT_MS = 1000,
-  /* An order that is sent SETTLED_AFTER_MS after the last change in the core, or later, is
-   * acknowledged within SETTLED_ACK_MS, its client's pauses included. One that meets the change
-   * waits for the next view and its leases (up to 3 s where the head receives nothing but is still
-   * heard), and for the client's attempt and pause under way, at most 2.6 s. With two of five lost
-   * the first view may have too few members for a write, and a second one follows. */
+  /* The controllers are settled once SETTLING_MS have passed since the last fault among them
+   * began or ended. A configuration change that is sent then is acknowledged within SETTLED_ACK_MS,
+   * including the client's backoff. One that is sent earlier waits for the next view and its leases
+   * (up to 3 s when the head receives nothing but can still send), and for the client's current
+   * attempt and backoff, at most 2.6 s. When two of five controllers are lost, the first view may
+   * have too few members for a write, and a second view change follows (SECOND_VIEW_MS). */
   SETTLED_ACK_MS = 2000,
-  SETTLED_AFTER_MS = 2500,
+  SETTLING_MS = 2500,
   UNSETTLED_ACK_MS = 5600,
   SECOND_VIEW_MS = 4000,
   DIRECT_AFTER_MS = 1300,
   CUT_MS = 20000
 };
 
-/** One request to one gateway on the route that a version brought. */
-typedef struct probe_answer {
+/** One request to one gateway on the route that a configuration version added. */
+typedef struct probe_result {
   int gateway, status;
-  uint64_t version, life;
+  uint64_t version, incarnation;
   time_us sent;
-} probe_answer;
+} probe_result;
 
 /** What was observed from outside in one run. */
 typedef struct watch {
   deployment *deployment;
   fleet *fleet;
-  host *outside;
-  GArray *answers;
-  /* latest acknowledged version, and the one on which changes build */
+  host *client_host;
+  GArray *probe_results;
+  /* latest acknowledged version, and base version of the next change */
   uint64_t acked, version;
-  /* when a path or a process in the core last changed */
-  time_us core_changed_at;
+  /* when a link between controllers or a controller process last changed */
+  time_us controllers_changed_at;
   int frozen;
   bool stop;
 } watch;
@@ -65,11 +67,11 @@
   ip[strcspn(ip, ":")] = 0;
 }
 
-/* The status of the response to one request, or 0. */
+/* Sends one request and returns the status of its response, or 0 if there is none. */
 static int request_status(watch *w, const char *to, const char *verb, const char *path,
                           const fields *fields, const char *body, int64_t ms) {
   GString *got = g_string_new(NULL);
-  world *from = &w->outside->world;
+  world *from = &w->client_host->world;
   http_call *call =
       http_call_open_fields(from, to, verb, path, fields, string_view_of(body), true, time_never());
   int r = http_call_read_all(call, got, time_add(world_now(from), time_from_ms(ms)));
@@ -86,8 +88,8 @@
   char ip[48], to[64], path[64];
   copy_ip(host, ip, sizeof ip);
   snprintf(to, sizeof to, "%s:8144", ip);
-  while (!w->stop && world_sleep(&w->outside->world, time_from_ms(PROBE_INTERVAL_MS))) {
-    probe_answer a = { b->gateway, 0, w->acked, host->incarnation, w->deployment->sim->now };
+  while (!w->stop && world_sleep(&w->client_host->world, time_from_ms(PROBE_INTERVAL_MS))) {
+    probe_result a = { b->gateway, 0, w->acked, host->incarnation, w->deployment->sim->now };
     if (a.version < 2 || !host->alive)
       continue;
     fields *fields = g_string_new(NULL);
@@ -95,8 +97,8 @@
     snprintf(path, sizeof path, "/mark-%" PRIu64 "/x", a.version);
     a.status = request_status(w, to, "GET", path, fields, "", PROBE_TIMEOUT_MS);
     g_string_free(fields, TRUE);
-    if (a.life == host->incarnation)
-      g_array_append_val(w->answers, a);
+    if (a.incarnation == host->incarnation)
+      g_array_append_val(w->probe_results, a);
   }
   g_free(b);
 }
@@ -105,22 +107,22 @@
   watch *w = g_new0(watch, 1);
   *w = (watch){ .deployment = deployment,
                 .fleet = deployment->fleet,
-                .answers = g_array_new(FALSE, TRUE, sizeof(probe_answer)),
+                .probe_results = g_array_new(FALSE, TRUE, sizeof(probe_result)),
                 .acked = 1,
                 .version = 1 };
-  w->outside = sim_add_host(deployment->sim, HOST_OTHER, "watcher", "mid", "127.0.0.60:1");
-  host_start(w->outside);
+  w->client_host = sim_add_host(deployment->sim, HOST_OTHER, "watcher", "mid", "127.0.0.60:1");
+  host_start(w->client_host);
   for (int i = 0; i < deployment->fleet->routers; i++) {
     prober *b = g_new0(prober, 1);
     *b = (prober){ w, i };
-    task_start(&w->outside->world.tasks, "probe", probe_run, b);
+    task_start(&w->client_host->world.tasks, "probe", probe_run, b);
   }
   return w;
 }
 
 /* Changes */
 
-static char *mark_text(uint64_t version) {
+static char *marker_route_json(uint64_t version) {
   return g_strdup_printf("{\"version\":%" PRIu64 ",\"set\":{\"routes\":[{\"name\":\"r-mark-%" PRIu64
                          "\",\"host\":\"front.example\",\"prefix\":\"/mark-%" PRIu64
                          "/\",\"mode\":\"safe\",\"timeoutMs\":60,\"targetMs\":50,\"priority\":0,"
@@ -128,18 +130,19 @@
                          version, version, version);
 }
 
-static bool is_settled(const watch *w, time_us at) {
-  return !w->core_changed_at.us || at.us > w->core_changed_at.us + SETTLED_AFTER_MS * 1000;
+static bool controllers_settled(const watch *w, time_us at) {
+  return !w->controllers_changed_at.us || at.us > w->controllers_changed_at.us + SETTLING_MS * 1000;
 }
 
-/* Waits for the response to an order, which must be an acknowledgement, in time. */
+/* Waits for the response to a configuration change and checks that it is an acknowledgement that
+ * came in time. */
 static void await_acknowledgement(watch *w, operator_sim_change *change, bool settled,
                                   const char *what) {
   while (!change->done)
     sim_run(w->deployment->sim, time_from_ms(10));
   if (!change->acked_at.us) {
-    fleet_add_violation(w->fleet, "ORDER %s %" PRIu64 " was never acknowledged (%d)", what,
-                        change->version, change->status);
+    fleet_add_violation(w->fleet, "%s to version %" PRIu64 " was never acknowledged (status %d)",
+                        what, change->version, change->status);
     return;
   }
   int64_t took_ms = time_sub(change->acked_at, change->sent_at).us / 1000;
@@ -147,28 +150,29 @@
   if (!settled && w->fleet->controllers > 3)
     max_ms += SECOND_VIEW_MS;
   if (g_getenv("SIM_COUNT"))
-    fprintf(stderr, "  step ack%s %.3f\n", settled ? " calm" : "", (double)took_ms / 1000);
+    fprintf(stderr, "  step ack%s %.3f\n", settled ? " settled" : "", (double)took_ms / 1000);
   if (took_ms > max_ms)
-    fleet_add_violation(w->fleet, "ORDER %s %" PRIu64 " took %" PRId64 " ms, %s", what,
-                        change->version, took_ms, settled ? "calm" : "not calm");
+    fleet_add_violation(w->fleet,
+                        "%s to version %" PRIu64 " took %" PRId64 " ms, with controllers %s", what,
+                        change->version, took_ms, settled ? "settled" : "not settled");
   w->acked = MAX(w->acked, change->version);
 }
 
 static void send_change(watch *w) {
   uint64_t version = w->version + 1 + sim_random(w->deployment->sim, 3);
-  char *text = mark_text(version);
-  bool settled = is_settled(w, w->deployment->sim->now);
+  char *text = marker_route_json(version);
+  bool settled = controllers_settled(w, w->deployment->sim->now);
   operator_sim_change *k =
       operator_sim_send(w->deployment->operator, version, w->version, true, text, true);
   g_free(text);
   w->version = version;
-  await_acknowledgement(w, k, settled, "change");
+  await_acknowledgement(w, k, settled, "configuration change");
 }
 
-/* Two operators change the same version at once: exactly one of them is acknowledged. */
+/* Two operators send a change on the same base version at once: exactly one is acknowledged. */
 static void send_racing_changes(watch *w) {
   uint64_t one = w->version + 1, two = w->version + 2;
-  char *a = mark_text(one), *b = mark_text(two);
+  char *a = marker_route_json(one), *b = marker_route_json(two);
   operator_sim_change *x = operator_sim_send(w->deployment->operator, one, w->version, true, a,
                                              true),
                       *y = operator_sim_send(w->deployment->operator, two, w->version, true, b,
@@ -178,8 +182,8 @@
   while (!x->done || !y->done)
     sim_run(w->deployment->sim, time_from_ms(10));
   if (!x->acked_at.us == !y->acked_at.us)
-    fleet_add_violation(w->fleet, "ORDER of two at once on %" PRIu64 " got %d and %d", w->version,
-                        x->status, y->status);
+    fleet_add_violation(w->fleet, "two racing changes of version %" PRIu64 " got status %d and %d",
+                        w->version, x->status, y->status);
   w->version = y->acked_at.us ? two : one;
   w->acked = MAX(w->acked, w->version);
 }
@@ -188,10 +192,11 @@
   return status == 307 || status == 503 || status == 504;
 }
 
-/* A valid order goes to a controller that is cut off, and then, as clients do, to any. */
-static void send_order_to(watch *w, host *controller) {
+/* Sends a valid change to a controller that is cut off, which must refuse it, and then, as clients
+ * do, to any controller. */
+static void send_change_to_cut_off(watch *w, host *controller) {
   uint64_t version = w->version + 1;
-  char *text = mark_text(version), ip[48], to[64];
+  char *text = marker_route_json(version), ip[48], to[64];
   const dialect *dialect = &dialect_native;
   const dialect_path *how = &dialect->calls[DC_CONFIG_PATCH];
   copy_ip(controller, ip, sizeof ip);
@@ -200,7 +205,7 @@
   fields_add(fields, "Host", string_view_of(to));
   fields_add(fields, "Content-Type", string_view_of("application/json"));
   fields_add_format(fields, dialect->header_names[DF_BASE_REVISION], "%" PRIu64, w->version);
-  world *from = &w->outside->world;
+  world *from = &w->client_host->world;
   http_call *call = http_call_open_fields(from, to, how->method, how->path, fields,
                                           string_view_of(text), true, time_never());
   g_string_free(fields, TRUE);
@@ -209,16 +214,16 @@
          w->deployment->sim->now.us < sent.us + RESPONSE_TIMEOUT_MS * 1000)
     sim_run(w->deployment->sim, time_from_ms(5));
   if (!is_refusal(call->status))
-    fleet_add_violation(w->fleet, "ORDER %s, cut off, answered %d to a right order after %.3f s",
-                        controller->self.text, call->status,
-                        (double)(w->deployment->sim->now.us - sent.us) / 1e6);
+    fleet_add_violation(
+        w->fleet, "%s is cut off and responded with %d to a valid change after %.3f s",
+        controller->self.text, call->status, (double)(w->deployment->sim->now.us - sent.us) / 1e6);
   http_call_close(call);
-  bool settled = is_settled(w, w->deployment->sim->now);
+  bool settled = controllers_settled(w, w->deployment->sim->now);
   operator_sim_change *change =
       operator_sim_send(w->deployment->operator, version, w->version, true, text, true);
   g_free(text);
   w->version = version;
-  await_acknowledgement(w, change, settled, "order sent on");
+  await_acknowledgement(w, change, settled, "retried configuration change");
 }
 
 /* Faults */
@@ -231,11 +236,11 @@
 }
 
 /* way: 0 cuts both directions, 1 what the controller sends, 2 what it receives. */
-static void cut_core(watch *w, host *controller, int way, bool cut) {
+static void cut_controller(watch *w, host *controller, int way, bool cut) {
   for (int i = 0; i < w->fleet->controllers; i++)
     if (w->fleet->controller[i] != controller)
       cut_between(w, controller, w->fleet->controller[i], way, cut);
-  w->core_changed_at = w->deployment->sim->now;
+  w->controllers_changed_at = w->deployment->sim->now;
 }
 
 static void cut_gateway(watch *w, host *gateway, const host *except, int way, bool cut) {
@@ -260,7 +265,7 @@
   return fleet->controller[best];
 }
 
-/* The head, the tail, the one that most gateways poll, or any. */
+/* Picks the head, the tail, the controller that most gateways poll, or a random one. */
 static host *pick_controller(fleet *fleet, const host *except) {
   host *h[] = { fleet_find_head(fleet), fleet_find_tail(fleet), most_polled_controller(fleet),
                 fleet->controller[sim_random(fleet->sim, fleet->controllers)] };
@@ -284,7 +289,7 @@
       host_start(w->deployment->engine_processes[i]->host);
 }
 
-/* One random step, about one a second. */
+/* Runs one random step; a step takes about a second. */
 static void random_step(watch *w, host *cut_off, bool direct) {
   int64_t begun = w->deployment->sim->now.us;
   uint64_t what = sim_random(w->deployment->sim, 8);
@@ -293,7 +298,7 @@
   else if (what == 1)
     drain_random_engine(w);
   else if (what < 4 && cut_off && direct)
-    send_order_to(w, cut_off);
+    send_change_to_cut_off(w, cut_off);
   else
     send_change(w);
   restart_engines(w);
@@ -333,11 +338,12 @@
   return NULL;
 }
 
-static void check_age(watch *w) {
+/* Checks that every gateway without a fault applied each version within the time limit. */
+static void check_config_delay(watch *w) {
   double worst = 0;
   int64_t max_ms = IN_FORCE_MS + (w->fleet->controllers > 3 ? IN_FORCE_MARGIN_MS : 0);
-  for (guint i = 0; i < w->answers->len; i++) {
-    probe_answer *a = &g_array_index(w->answers, probe_answer, i);
+  for (guint i = 0; i < w->probe_results->len; i++) {
+    probe_result *a = &g_array_index(w->probe_results, probe_result, i);
     const operator_sim_change *change = change_of(w, a->version);
     host *host = w->fleet->router[a->gateway];
     if (a->status != 404 || !change || had_fault(w, host, a->sent))
@@ -346,26 +352,28 @@
     worst = MAX(worst, age);
     if (age * 1000 > (double)max_ms)
       fleet_add_violation(w->fleet,
-                          "OLD %s has no version %" PRIu64 " %.3f s after its acknowledgement",
+                          "%s has not applied version %" PRIu64 " %.3f s after its acknowledgement",
                           host->self.text, a->version, age);
   }
   if (g_getenv("SIM_COUNT"))
     fprintf(stderr, "  step age %.3f\n", worst);
 }
 
-static void check_no_return(watch *w) {
+/* Checks that no gateway reverts to an older version once it has applied a newer one. */
+static void check_no_config_revert(watch *w) {
   for (int v = 0; v < w->fleet->routers; v++) {
-    uint64_t seen = 0, life = 0;
+    uint64_t seen = 0, incarnation = 0;
     time_us at = { 0 };
-    for (guint i = 0; i < w->answers->len; i++) {
-      probe_answer *a = &g_array_index(w->answers, probe_answer, i);
+    for (guint i = 0; i < w->probe_results->len; i++) {
+      probe_result *a = &g_array_index(w->probe_results, probe_result, i);
       if (a->gateway != v || !a->status)
         continue;
-      if (a->life != life)
+      if (a->incarnation != incarnation)
         seen = 0;
-      life = a->life;
+      incarnation = a->incarnation;
       if (a->status == 404 && a->version <= seen && a->sent.us > at.us + REVERT_MS * 1000)
-        fleet_add_violation(w->fleet, "BACK %s had version %" PRIu64 " and then not %" PRIu64,
+        fleet_add_violation(w->fleet,
+                            "%s had applied version %" PRIu64 " and later lacked version %" PRIu64,
                             w->fleet->router[v]->self.text, seen, a->version);
       if (a->status != 404 && a->version > seen) {
         seen = a->version;
@@ -385,21 +393,22 @@
   w->stop = true;
   sim_run(deployment->sim, time_from_ms(1500));
   if (deployment->operator->read_version<w->acked)
-    fleet_add_violation(fleet, "ORDER %" PRIu64 " was acknowledged, and %" PRIu64 " is read back",
-                        w->acked, deployment->operator->read_version);
-  if (w->answers->len < 200)
-    fleet_add_violation(fleet, "only %u answers of gateways were seen", w->answers->len);
-  check_age(w);
-  check_no_return(w);
+    fleet_add_violation(
+        fleet, "version %" PRIu64 " was acknowledged, but version %" PRIu64 " is read back",
+        w->acked, deployment->operator->read_version);
+  if (w->probe_results->len < 200)
+    fleet_add_violation(fleet, "only %u probes of gateways were recorded", w->probe_results->len);
+  check_config_delay(w);
+  check_no_config_revert(w);
   bool ok = deployment_finish(deployment, 0.6);
-  g_array_free(w->answers, TRUE);
+  g_array_free(w->probe_results, TRUE);
   g_free(w);
   return ok;
 }
 
 /* Tests */
 
-static watch *begin(fleet *fleet, int members) {
+static watch *start_watch(fleet *fleet, int members) {
   for (int i = fleet->controllers; i < members; i++) {
     char name[32], addr[48];
     snprintf(name, sizeof name, "controller-%d", i + 1);
@@ -428,10 +437,11 @@
   return w;
 }
 
-/* As seen on the users' platform: a gateway was cut off and is back for some seconds, and then a
- * controller is cut off. The gateway's channels must have recovered from the first cut. */
-static bool a_gateway_returns_and_the_core_is_cut(fleet *fleet) {
-  watch *w = begin(fleet, 3);
+/* Reproduces a failure on the users' platform: a gateway is cut off, reconnects for some seconds,
+ * and then a controller is cut off. The gateway's channels must have recovered from the first
+ * partition by then. */
+static bool a_gateway_reconnects_and_a_controller_is_cut_off(fleet *fleet) {
+  watch *w = start_watch(fleet, 3);
   if (!w)
     return false;
   deployment *deployment = w->deployment;
@@ -449,15 +459,15 @@
     g_array_index(deployment->injected_faults, injected_fault, i).until = deployment->sim->now;
   run_steps(w, 1000 + (int64_t)sim_random(fleet->sim, 3000), NULL, false);
   deployment_record_fault(deployment, NULL, 'c', 12000);
-  cut_core(w, controller, 0, true);
+  cut_controller(w, controller, 0, true);
   run_steps(w, 4000 + (int64_t)sim_random(fleet->sim, 3000), controller, true);
-  cut_core(w, controller, 0, false);
+  cut_controller(w, controller, 0, false);
   run_steps(w, 6000, NULL, false);
   return watch_done(w);
 }
 
 static bool cut_off_for_long(fleet *fleet, int members, int count) {
-  watch *w = begin(fleet, members);
+  watch *w = start_watch(fleet, members);
   if (!w)
     return false;
   deployment *deployment = w->deployment;
@@ -467,26 +477,26 @@
   int way = (int)sim_random(fleet->sim, 3);
   deployment_record_fault(deployment, NULL, 'c', CUT_MS + 14000);
   for (int i = 0; i < count; i++)
-    cut_core(w, cut[i], way, true);
+    cut_controller(w, cut[i], way, true);
   run_steps(w, CUT_MS + (int64_t)sim_random(fleet->sim, 6000),
             cut[sim_random(fleet->sim, (uint64_t)count)], true);
-  /* changes are sent at the instant of its return */
+  /* sends changes at the moment the controllers return */
   for (int i = 0; i < count; i++)
-    cut_core(w, cut[i], way, false);
+    cut_controller(w, cut[i], way, false);
   send_racing_changes(w);
   run_steps(w, 8000, NULL, false);
   return watch_done(w);
 }
 
-static bool a_core_machine_is_cut_off_for_long(fleet *fleet) {
+static bool a_controller_is_cut_off_for_long(fleet *fleet) {
   return cut_off_for_long(fleet, 3, 1);
 }
-static bool two_of_five_are_cut_off_for_long(fleet *fleet) {
+static bool two_of_five_controllers_are_cut_off_for_long(fleet *fleet) {
   return cut_off_for_long(fleet, 5, 2);
 }
 
 static bool frozen_for_long(fleet *fleet, int members, int count) {
-  watch *w = begin(fleet, members);
+  watch *w = start_watch(fleet, members);
   if (!w)
     return false;
   deployment *deployment = w->deployment;
@@ -496,68 +506,67 @@
   deployment_record_fault(deployment, NULL, 'c', CUT_MS + 14000);
   for (int i = 0; i < count; i++)
     host_freeze(cut[i]);
-  w->core_changed_at = deployment->sim->now;
+  w->controllers_changed_at = deployment->sim->now;
   w->frozen = count;
   run_steps(w, CUT_MS, NULL, false);
   for (int i = 0; i < count; i++)
     host_unfreeze(cut[i]);
-  w->core_changed_at = deployment->sim->now;
+  w->controllers_changed_at = deployment->sim->now;
   send_racing_changes(w);
   w->frozen = 0;
   run_steps(w, 8000, NULL, false);
   return watch_done(w);
 }
 
-static bool a_core_machine_is_frozen_for_long(fleet *fleet) {
+static bool a_controller_is_frozen_for_long(fleet *fleet) {
   return frozen_for_long(fleet, 3, 1);
 }
-static bool two_of_five_are_frozen_for_long(fleet *fleet) {
+static bool two_of_five_controllers_are_frozen_for_long(fleet *fleet) {
   return frozen_for_long(fleet, 5, 2);
 }
 
-/* True when the latest acknowledged version is in force at a gateway, by its response on the route
- * that this version added. */
+/* Whether a gateway has applied the latest acknowledged version, judged by its latest response on
+ * the route that a version added. */
 static bool has_latest(watch *w, int gateway) {
-  for (guint i = w->answers->len; i > 0; i--) {
-    probe_answer *a = &g_array_index(w->answers, probe_answer, i - 1);
+  for (guint i = w->probe_results->len; i > 0; i--) {
+    probe_result *a = &g_array_index(w->probe_results, probe_result, i - 1);
     if (a->gateway == gateway && a->status)
       return a->version == w->acked && a->status != 404;
   }
   return false;
 }
 
-/* A gateway that is out of CPU reads every message seconds late; it must not discard the responses
- * that it has asked for. */
-static bool a_busy_gateway_takes_late_answers(fleet *fleet) {
-  watch *w = begin(fleet, 3);
+/* A gateway that is short of CPU reads every message seconds late. It must not discard the
+ * responses to its own polls. */
+static bool a_busy_gateway_accepts_late_responses(fleet *fleet) {
+  watch *w = start_watch(fleet, 3);
   if (!w)
     return false;
   host *busy = fleet->router[0];
   deployment_record_fault(w->deployment, busy, 'c', 40000);
   busy->read_delay_ms = 1800 + (int64_t)sim_random(fleet->sim, 1200);
   run_steps(w, 10000, NULL, false);
-  /* no more changes: what is acknowledged reaches it after one late answer, and one more where the
-   * first was too old */
+  /* No more changes are sent: the acknowledged version reaches the gateway with one late response,
+   * or with a second one if the first was too old. */
   sim_run(w->deployment->sim, time_from_ms(3 * busy->read_delay_ms + 2000));
   if (!has_latest(w, 0))
     fleet_add_violation(fleet,
-                        "OLD a gateway that reads %" PRId64 " ms late never got version %" PRIu64,
+                        "a gateway that reads %" PRId64 " ms late never applied version %" PRIu64,
                         busy->read_delay_ms, w->acked);
   busy->read_delay_ms = 0;
   run_steps(w, 4000, NULL, false);
   return watch_done(w);
 }
 
-/* Processes that restart have the controller that is cut off as their first seed, or as their only
- * one. */
-static bool restarts_are_told_of_the_cut_off(fleet *fleet) {
-  watch *w = begin(fleet, 3);
+/* Processes restart with the controller that is cut off as their first or only seed address. */
+static bool processes_restart_with_a_cut_off_seed(fleet *fleet) {
+  watch *w = start_watch(fleet, 3);
   if (!w)
     return false;
   deployment *deployment = w->deployment;
   host *controller = pick_controller(fleet, NULL);
   deployment_record_fault(deployment, NULL, 'c', CUT_MS + 14000);
-  cut_core(w, controller, 0, true);
+  cut_controller(w, controller, 0, true);
   run_steps(w, 2000 + (int64_t)sim_random(fleet->sim, 3000), controller, true);
   bool only = sim_random(fleet->sim, 2);
   list_for_each (h, &deployment->sim->hosts, host, link) {
@@ -583,21 +592,24 @@
     host_start(fleet->router[i]);
   if (!controller->alive)
     host_start(controller);
-  w->core_changed_at = deployment->sim->now;
+  w->controllers_changed_at = deployment->sim->now;
   run_steps(w, CUT_MS, controller, true);
-  cut_core(w, controller, 0, false);
+  cut_controller(w, controller, 0, false);
   send_racing_changes(w);
   run_steps(w, 8000, NULL, false);
   return watch_done(w);
 }
 
 const test_case controller_cutoff_tests[] = {
-  { "a_gateway_returns_and_the_core_is_cut", a_gateway_returns_and_the_core_is_cut, 4, 0, 100 },
-  { "a_core_machine_is_cut_off_for_long", a_core_machine_is_cut_off_for_long, 4, 0, 100 },
-  { "two_of_five_are_cut_off_for_long", two_of_five_are_cut_off_for_long, 4, 0, 100 },
-  { "a_core_machine_is_frozen_for_long", a_core_machine_is_frozen_for_long, 4, 0, 500 },
-  { "two_of_five_are_frozen_for_long", two_of_five_are_frozen_for_long, 4, 0, 100 },
-  { "a_busy_gateway_takes_late_answers", a_busy_gateway_takes_late_answers, 4, 0, 100 },
-  { "restarts_are_told_of_the_cut_off", restarts_are_told_of_the_cut_off, 4, 0, 100 },
+  { "a_gateway_reconnects_and_a_controller_is_cut_off",
+    a_gateway_reconnects_and_a_controller_is_cut_off, 4, 0, 100 },
+  { "a_controller_is_cut_off_for_long", a_controller_is_cut_off_for_long, 4, 0, 100 },
+  { "two_of_five_controllers_are_cut_off_for_long", two_of_five_controllers_are_cut_off_for_long, 4,
+    0, 100 },
+  { "a_controller_is_frozen_for_long", a_controller_is_frozen_for_long, 4, 0, 500 },
+  { "two_of_five_controllers_are_frozen_for_long", two_of_five_controllers_are_frozen_for_long, 4,
+    0, 100 },
+  { "a_busy_gateway_accepts_late_responses", a_busy_gateway_accepts_late_responses, 4, 0, 100 },
+  { "processes_restart_with_a_cut_off_seed", processes_restart_with_a_cut_off_seed, 4, 0, 100 },
   { NULL, NULL, 0, 0, 0 }
 };
--- a/tests/fleet/input_fuzzing.c
+++ b/tests/fleet/input_fuzzing.c
@@ -1,8 +1,8 @@
 /**
- * Fuzz targets: readers of bytes from outside (configurations, heartbeats, peer messages, disk
- * frames) get valid inputs that were changed by the seed. The sanitizers, or a property that holds
- * for every input, decide. Inputs come from tests/fuzz/corpus; tests/http/fuzz_check.py does the
- * same for HTTP.
+ * Fuzz tests of the readers of external bytes (configurations, heartbeats, peer messages, disk
+ * frames). Valid inputs are mutated at random by the seed; a test fails by a sanitizer report, or
+ * by a property that must hold for every input. Configurations and heartbeats come from
+ * tests/fuzz/corpus. tests/http/fuzz_check.py does the same for HTTP.
  */
 #include "config_change.h"
 #include "dialect.h"
@@ -12,14 +12,14 @@
 #include <stdlib.h>
 
 enum { CONFIGURATION_INPUTS = 700, HEARTBEAT_INPUTS = 250, PEER_INPUTS = 500, DISK_STARTS = 10 };
-enum { MESSAGES_MAX = 400, CHANGES_MAX = 5 };
+enum { MESSAGES_MAX = 400, MUTATIONS_MAX = 5 };
 static const char corpus_dir[] = "tests/fuzz/corpus";
 
 static gint compare_names(gconstpointer a, gconstpointer b) {
   return strcmp(*(char *const *)a, *(char *const *)b);
 }
 
-/* the files of one kind of input, in the order of their names */
+/* reads all files of one kind of input, ordered by name */
 static GPtrArray *corpus_read(fleet *fleet, const char *kind) {
   GPtrArray *all = g_ptr_array_new_with_free_func(g_free);
   char *folder = g_build_filename(corpus_dir, kind, NULL);
@@ -38,7 +38,7 @@
   if (dir)
     g_dir_close(dir);
   if (!all->len)
-    fleet_add_violation(fleet, "no inputs in %s", folder);
+    fleet_add_violation(fleet, "no input files in %s", folder);
   g_ptr_array_free(names, TRUE);
   g_free(folder);
   return all;
@@ -50,7 +50,7 @@
   "\\u0000", "\"\\ud800\"", "\xff", ",",    ":",      "\""
 };
 
-static void change_once(sim *sim, GString *bytes, bool is_text) {
+static void mutate_once(sim *sim, GString *bytes, bool is_text) {
   size_t at = bytes->len ? sim_random(sim, bytes->len) : 0;
   switch (sim_random(sim, is_text ? 7 : 5)) {
   case 0:
@@ -77,7 +77,7 @@
     g_string_truncate(bytes, at);
     return;
   default: {
-    /* a value gives way to another */
+    /* inserts a token, in half of the cases in place of the text up to the next delimiter */
     const char *token = tokens[sim_random(sim, G_N_ELEMENTS(tokens))];
     size_t n = strcspn(bytes->str + at, ",:]}");
     if (sim_random(sim, 2))
@@ -87,30 +87,30 @@
   }
 }
 
-static GString *changed(sim *sim, const char *from, size_t n, bool is_text) {
+static GString *mutated_copy(sim *sim, const char *from, size_t n, bool is_text) {
   GString *bytes = g_string_new_len(from, (gssize)n);
-  for (size_t i = 1 + sim_random(sim, CHANGES_MAX); i > 0; i--)
-    change_once(sim, bytes, is_text);
+  for (size_t i = 1 + sim_random(sim, MUTATIONS_MAX); i > 0; i--)
+    mutate_once(sim, bytes, is_text);
   return bytes;
 }
 
-static const char *draw_input(sim *sim, const GPtrArray *all) {
+static const char *random_input(sim *sim, const GPtrArray *all) {
   return all->pdata[sim_random(sim, all->len)];
 }
 
-/* what was taken is valid, and reads the same once it is written */
-static void check_taken(fleet *fleet, const GString *text) {
+/* An accepted configuration must be valid, and must not change when it is parsed and written. */
+static void check_accepted(fleet *fleet, const GString *text) {
   error err = { 0 };
   json *json = json_parse(string_view_of_gstring(text), &err);
   routing *routing = json ? routing_compile(json, &err) : NULL;
   if (!routing)
-    fleet_add_violation(fleet, "a configuration that was taken is invalid (%s): %s", err.text,
+    fleet_add_violation(fleet, "an accepted configuration is invalid (%s): %s", err.text,
                         text->str);
   GString *again = g_string_new(NULL);
   if (json)
     json_write(json, again);
   if (json && !g_string_equal(again, text))
-    fleet_add_violation(fleet, "a configuration changes when it is read and written: %s",
+    fleet_add_violation(fleet, "a configuration changes when it is parsed and written: %s",
                         text->str);
   if (routing) {
     routing_find_route(routing, string_view_of("svc.example"), string_view_of("/once/x"));
@@ -123,17 +123,17 @@
 static bool fuzz_configurations(fleet *fleet) {
   sim *sim = fleet->sim;
   GPtrArray *full = corpus_read(fleet, "configuration"), *patches = corpus_read(fleet, "patch");
-  int taken = 0, refused = 0;
+  int accepted = 0, refused = 0;
   if (!full->len || !patches->len)
     return false;
   for (int i = 0; i < CONFIGURATION_INPUTS; i++) {
     bool is_full = sim_random(sim, 2);
-    const char *input = draw_input(sim, is_full ? full : patches), *base = full->pdata[0];
-    GString *text = changed(sim, input, strlen(input), true), *to = g_string_new(NULL);
+    const char *input = random_input(sim, is_full ? full : patches), *base = full->pdata[0];
+    GString *text = mutated_copy(sim, input, strlen(input), true), *to = g_string_new(NULL);
     error err = { 0 };
     json *body = json_parse(string_view_of_gstring(text), &err);
     if (!body && !err.code)
-      fleet_add_violation(fleet, "JSON is refused without a code: %s", text->str);
+      fleet_add_violation(fleet, "JSON is refused without an error code: %s", text->str);
     if (body) {
       uint64_t current = is_full ? 0 : config_change_version(string_view_of(base));
       int code = config_change_apply(string_view_of(is_full ? "" : base), current, is_full, current,
@@ -141,8 +141,8 @@
       if (code)
         refused++;
       else {
-        taken++;
-        check_taken(fleet, to);
+        accepted++;
+        check_accepted(fleet, to);
       }
       dialect_translate_in(&dialect_native, body);
       dialect_translate_out(&dialect_native, body);
@@ -151,15 +151,16 @@
     g_string_free(text, TRUE);
     g_string_free(to, TRUE);
   }
-  if (!taken || !refused)
-    fleet_add_violation(fleet, "%d configurations taken, %d refused: the inputs show little", taken,
-                        refused);
+  if (!accepted || !refused)
+    fleet_add_violation(fleet,
+                        "%d configurations accepted, %d refused: the inputs cover only one outcome",
+                        accepted, refused);
   g_ptr_array_free(full, TRUE);
   g_ptr_array_free(patches, TRUE);
   return fleet_check_all(fleet);
 }
 
-/** Requests to a control listener, one after the other. */
+/** A client that sends requests to a control listener, one after the other. */
 typedef struct control_calls {
   fleet *fleet;
   host *from;
@@ -188,8 +189,8 @@
   control_calls *calls = p;
   sim *sim = calls->fleet->sim;
   for (int i = 0; i < HEARTBEAT_INPUTS; i++) {
-    const char *input = draw_input(sim, calls->heartbeats);
-    GString *body = changed(sim, input, strlen(input), true);
+    const char *input = random_input(sim, calls->heartbeats);
+    GString *body = mutated_copy(sim, input, strlen(input), true);
     char path[48];
     snprintf(path, sizeof path, "/v1/engines/fuzz-%d/beat", (int)sim_random(sim, 20));
     send_control(calls, path, "POST", string_view_of_gstring(body));
@@ -200,7 +201,7 @@
   calls->done = true;
 }
 
-/* changed heartbeats come to a controller: each is answered, and gateways go on */
+/* Mutated heartbeats reach a controller: each gets a response, and gateways keep serving. */
 static bool fuzz_heartbeats(fleet *fleet) {
   deployment *deployment = deployment_new(fleet, 2, 1);
   control_calls calls = { .fleet = fleet, .heartbeats = corpus_read(fleet, "beat") };
@@ -217,10 +218,10 @@
   for (int i = 0; i < 600 && !calls.done; i++)
     sim_run(deployment->sim, time_from_ms(200));
   if (!calls.done || calls.answered < HEARTBEAT_INPUTS)
-    fleet_add_violation(fleet, "only %d of %d heartbeats and more were answered", calls.answered,
-                        HEARTBEAT_INPUTS);
+    fleet_add_violation(fleet, "only %d requests got a response, for %d heartbeats alone",
+                        calls.answered, HEARTBEAT_INPUTS);
   if (!calls.accepted)
-    fleet_add_violation(fleet, "no changed heartbeat was taken: the inputs show little");
+    fleet_add_violation(fleet, "no request was accepted: the inputs cover only refusals");
   host_kill(calls.from);
   g_ptr_array_free(calls.heartbeats, TRUE);
   deployment_run_traffic(deployment, 0.5, 3000);
@@ -228,31 +229,31 @@
 }
 
 static GPtrArray *messages;
-static void (*post_of_sim)(world *world, const char *addr, string_view msg);
+static void (*sim_post_message)(world *world, const char *addr, string_view msg);
 
 static void post_and_record(world *world, const char *addr, string_view msg) {
   if (messages && messages->len < MESSAGES_MAX)
     g_ptr_array_add(messages, g_string_new_len(msg.data, (gssize)msg.length));
-  post_of_sim(world, addr, msg);
+  sim_post_message(world, addr, msg);
 }
 
 static void free_message(void *p) {
   g_string_free(p, TRUE);
 }
 
-/* records the messages between controllers and routers, or stops */
+/* starts or stops recording the messages that controllers and routers send */
 static void record_messages(fleet *fleet, bool on) {
   for (int i = 0; i < fleet->controllers + fleet->routers; i++) {
     host *host =
         i < fleet->controllers ? fleet->controller[i] : fleet->router[i - fleet->controllers];
     if (on)
-      post_of_sim = host->world.post_message;
-    host->world.post_message = on ? post_and_record : post_of_sim;
+      sim_post_message = host->world.post_message;
+    host->world.post_message = on ? post_and_record : sim_post_message;
   }
 }
 
-/* messages between processes, changed, come to all of them; one that is valid may be acted on,
- * since peers are not authenticated, but no reader may break */
+/* Delivers mutated peer messages to controllers and routers. A valid message may have an effect,
+ * since peers are not authenticated, but no reader may crash. */
 static bool fuzz_peer_messages(fleet *fleet) {
   sim *sim = fleet->sim;
   messages = g_ptr_array_new_with_free_func(free_message);
@@ -266,7 +267,7 @@
   int read = 0;
   for (int i = 0; i < PEER_INPUTS && messages->len; i++) {
     const GString *from = messages->pdata[sim_random(sim, messages->len)];
-    GString *bytes = changed(sim, from->str, from->len, false);
+    GString *bytes = mutated_copy(sim, from->str, from->len, false);
     Wire__Envelope *envelope =
         wire__envelope__unpack(NULL, bytes->len, (const uint8_t *)bytes->str);
     read += envelope != NULL;
@@ -280,14 +281,15 @@
     sim_run(sim, time_from_ms(10));
   }
   if (!read)
-    fleet_add_violation(fleet, "of %u messages none could be read once changed", messages->len);
+    fleet_add_violation(fleet, "no mutated message could be parsed (%u messages recorded)",
+                        messages->len);
   g_ptr_array_free(messages, TRUE);
   messages = NULL;
   return true;
 }
 
-/* changes lie where frames are: at the beginning of a file, and where bytes were written */
-static void change_disk(sim *sim, sim_disk *disk) {
+/* Changes bytes where frames are stored: in the first 256 bytes or the first 16 KiB of a file. */
+static void mutate_disk(sim *sim, sim_disk *disk) {
   for (int k = 1 + (int)sim_random(sim, 12); k > 0; k--) {
     unsigned file = (unsigned)sim_random(sim, 4);
     size_t at = sim_random(sim, sim_random(sim, 2) ? 256 : 16384), n = 1 + sim_random(sim, 16);
@@ -302,17 +304,17 @@
   }
 }
 
-/* the frames of one controller are changed at a time: it comes back, as itself or as a new member,
- * and what was acknowledged stands */
+/* Mutates the frames on the disk of one controller at a time. The controller restarts under its
+ * identity or as a new member, and no acknowledged write is lost. */
 static bool fuzz_disk_frames(fleet *fleet) {
   if (!fleet_bring_up(fleet))
     return false;
   for (int i = 0; i < DISK_STARTS; i++) {
     host *host = fleet->controller[i % 3];
     if (!fleet_put(fleet, "evacuation", "{\"areas\":[]}"))
-      fleet_add_violation(fleet, "no write before start %d", i);
+      fleet_add_violation(fleet, "no write was acknowledged before restart %d", i);
     host_power_off(host);
-    change_disk(fleet->sim, host->disk);
+    mutate_disk(fleet->sim, host->disk);
     host_start(host);
     sim_run(fleet->sim, time_from_ms(2500));
     if (!scenario_wait_for_chain(fleet, 3, 20000))
