--- a/emulator/client_sim.c
+++ b/emulator/client_sim.c
@@ -75,8 +75,8 @@
     zone_in_rotation += in_zone && node->in_rotation;
     in_rotation_anywhere += node->in_rotation;
   }
-  /* With fewer than half of the zone's nodes in rotation, all of its nodes are used. With none, the
-   * nodes in rotation of other zones are used. */
+  /* With fewer than half of the zone's gateways in rotation, all of its gateways are used. With
+   * none, the gateways in rotation of other zones are used. */
   bool use_whole_zone = zone_in_rotation * 2 < zone_nodes && zone_in_rotation,
        use_other_zones = !zone_in_rotation && in_rotation_anywhere;
   const balancer_sim_node *candidates[64];
@@ -186,7 +186,7 @@
   }
 }
 
-/* A user's open connection stays with its node, even if the balancer sends no new ones there. */
+/* A user's open connection stays with its gateway, even if the balancer sends no new ones there. */
 static const balancer_sim_node *pick_node(client_sim *client, const client_sim_request *request,
                                           unsigned earlier_attempts) {
   gpointer user = GUINT_TO_POINTER(request->user);
--- a/emulator/client_sim.h
+++ b/emulator/client_sim.h
@@ -19,7 +19,7 @@
   GPtrArray *models;
 } client_sim_kind;
 
-/** A request as its user sees it, over all its attempts. */
+/** A request of a user, over all its attempts. */
 typedef struct client_sim_request {
   const client_sim_kind *kind;
   id model, adapter;
@@ -45,7 +45,7 @@
   char outcome;
 } client_sim_attempt;
 
-/** A node as the balancer sees it. */
+/** A gateway as the balancer sees it. */
 typedef struct balancer_sim_node {
   char front_address[64], ready_address[64];
   id area;
@@ -63,7 +63,7 @@
 void balancer_sim_add_node(balancer_sim *balancer, const char *front_address,
                            const char *ready_address, id area);
 void balancer_sim_free(balancer_sim *balancer);
-/** The node for a new connection of a user in a zone; earlier_attempts is the number of attempts
+/** The gateway for a new connection of a user in a zone; earlier_attempts is the number of attempts
  * that the request already had. NULL when there is none. */
 const balancer_sim_node *balancer_sim_pick(const balancer_sim *balancer, id area, unsigned user,
                                            unsigned earlier_attempts);
@@ -71,7 +71,7 @@
 typedef struct client_sim {
   world *world;
   /** True when an idle connection to an address is still open. NULL: that is unknown, and the
-   * client picks a node for each request. */
+   * client picks a gateway for each request. */
   bool (*connected)(world *world, const char *addr);
   /** From user to the balancer_sim_node whose last response left the user's connection open. */
   GHashTable *node_of_user;
--- a/emulator/deployment.h
+++ b/emulator/deployment.h
@@ -101,18 +101,19 @@
 /** Returns the default configuration as JSON; the caller frees it. Its route for status leads to
  * status_service, or to "ledger" if that is NULL. */
 char *deployment_config(deployment *deployment, uint64_t version, const char *status_service);
-/** Sends a configuration and waits for the answer; the operator owns the returned record. */
+/** Sends a configuration and waits until the change has ended; the operator owns the returned
+ * record. */
 operator_sim_change *deployment_put_config(deployment *deployment, uint64_t version, uint64_t base,
                                            const char *text, bool valid);
 /** Returns whether a gateway is alive and the load balancer sends requests to every live one. */
 bool deployment_is_ready(deployment *deployment);
-/** Sends requests for a span, at rate times their kinds' rates, and waits for all responses. */
+/** Sends requests for a duration, at rate times their kinds' rates, and waits for all responses. */
 void deployment_run_traffic(deployment *deployment, double rate, int64_t ms);
 void deployment_start_traffic(deployment *deployment, double rate);
 void deployment_finish_traffic(deployment *deployment);
 /** Stops a gateway as the platform does: SIGTERM, then SIGKILL after the grace period. */
 void deployment_terminate_gateway(deployment *deployment, deployment_process *process);
-/** Records a fault of a host, or of the control plane with host NULL, from now for a span. */
+/** Records a fault of a host, or of the control plane with host NULL, from now for a duration. */
 void deployment_record_fault(deployment *deployment, host *host, char kind, int64_t ms);
 /** Returns the share of requests sent in [from, until) that were served, for one kind or, with kind
  * NULL, for all; 1 when there are none. */
--- a/emulator/deployment_clients.c
+++ b/emulator/deployment_clients.c
@@ -153,7 +153,7 @@
 void deployment_finish_traffic(deployment *deployment) {
   deployment->client->stop = true;
   if (!sim_run_until(deployment->sim, all_answered, deployment, time_from_ms(LAST_ANSWER_MS)))
-    fleet_add_violation(deployment->fleet, "%u clients were never answered",
+    fleet_add_violation(deployment->fleet, "%u requests did not end",
                         deployment->client->open_requests);
 }
 
--- a/emulator/deployment_process.c
+++ b/emulator/deployment_process.c
@@ -29,7 +29,7 @@
     host_kill(kill->host);
 }
 
-/* ends the present process of a host after a span. The deployment frees the record, not the
+/* ends the present process of a host after a delay. The deployment frees the record, not the
  * callback, because callbacks that are still scheduled when a simulation ends do not run */
 static void schedule_kill(deployment *deployment, host *host, time_us span) {
   scheduled_kill *kill = g_new(scheduled_kill, 1);
--- a/emulator/engine_sim_internal.h
+++ b/emulator/engine_sim_internal.h
@@ -13,7 +13,7 @@
 /** Responds with a status, a text, and the statement that nothing was run. */
 void engine_sim_respond(http_request *request, int status, const char *text);
 
-/** Serves the state report: at once if it differs from the one that the caller has, otherwise when
+/** Serves the state report: at once if it differs from the one that the client has, otherwise when
  * it changes or the long poll times out. */
 void engine_sim_serve_state(engine_sim *engine, http_request *request);
 /** Serves an order to load or unload. */
--- a/emulator/engine_sim_state.c
+++ b/emulator/engine_sim_state.c
@@ -44,7 +44,7 @@
   g_string_append(to, "]}");
 }
 
-/* the report that the caller has, from the query ?after=SEQUENCE&boot=BOOT */
+/* the report that the client has, from the query ?after=SEQUENCE&boot=BOOT */
 typedef struct known_report {
   uint64_t sequence;
   char boot[24];
--- a/emulator/fleet.c
+++ b/emulator/fleet.c
@@ -15,7 +15,7 @@
   WEIGHTS_STEP_MB = 4000,
   SLOTS_MIN = 3,
   LOG_FILE_BYTES = 512 << 10,
-  /** Time limits of the steps of a start, and of the last answers to callers. */
+  /** Time limits of the steps of a start, and of the last responses to callers. */
   START_MS = 3000,
   HEALTHY_MS = 10000,
   LEASES_MS = 15000,
@@ -286,6 +286,5 @@
 void fleet_finish_traffic(fleet *fleet) {
   fleet->callers->loadgen->stop = true;
   if (!sim_run_until(fleet->sim, all_callers_answered, fleet, time_from_ms(LAST_ANSWER_MS)))
-    fleet_add_violation(fleet, "%d callers were never answered",
-                        fleet->callers->loadgen->open_requests);
+    fleet_add_violation(fleet, "%d requests did not end", fleet->callers->loadgen->open_requests);
 }
--- a/emulator/fleet.h
+++ b/emulator/fleet.h
@@ -15,14 +15,14 @@
   LEASE_CHANGE_MIN_MS = 2900
 };
 
-/** The node that sampling saw as the holder of a lease, and since when. */
+/** The host that sampling saw as the holder of a lease, and since when. */
 typedef struct sampled_lease_holder {
   id holder;
   time_us since;
 } sampled_lease_holder;
 
-/** The answer of one router to one request of the prober. Its status shows which policy is in force
- * there: each policy marker is a rule that refuses the request with a status of its own. */
+/** The response of one router to one request of the prober. Its status shows which policy is in
+ * force there: each policy marker is a rule that refuses the request with a status of its own. */
 typedef struct policy_probe {
   time_us sent_at, received_at;
   int router, status, code;
@@ -70,9 +70,9 @@
 void fleet_free(fleet *fleet);
 /** Starts everything, bootstraps the control plane and puts the configuration in force. */
 bool fleet_bring_up(fleet *fleet);
-/** Sends requests at a rate for a span, without waiting for the last responses. */
+/** Sends requests at a rate for a duration, without waiting for the last responses. */
 void fleet_run_traffic(fleet *fleet, double requests_per_s, time_us span);
-/** Stops sending requests and runs until all are answered. */
+/** Stops sending requests and runs until all have ended. */
 void fleet_finish_traffic(fleet *fleet);
 /** Returns whether the chain has an acting head and tail and every running router has a recent
  * configuration. context is the fleet: the function is a condition for sim_run_until. */
--- a/emulator/fleet_check_drain.c
+++ b/emulator/fleet_check_drain.c
@@ -117,8 +117,8 @@
   return covers;
 }
 
-/* the version of a write: its own, or that of an answered attempt with the same idempotency key; 0
- * when it is not known */
+/* the version of a write: its own, or that of an acknowledged attempt with the same idempotency
+ * key; 0 when it is not known */
 static uint64_t written_version(const fleet *fleet, const operator_write *write) {
   if (write->status == 200)
     return write->version;
@@ -144,7 +144,7 @@
 }
 
 /* whether an evacuation may be in force at an instant: not if it was refused or reported as not
- * written, but possibly if it got no clear answer */
+ * written, but possibly if its outcome is unknown */
 static bool may_be_in_force(const fleet *fleet, const operator_write *write,
                             const operator_write *required, time_us at) {
   if (write->resource != RESOURCE_EVACUATION || write->sent_at.us > at.us)
--- a/emulator/fleet_check_orders.c
+++ b/emulator/fleet_check_orders.c
@@ -67,7 +67,7 @@
 }
 
 /* Both changes among three holders happen between the last order of the first and the first order
- * of the third, so that span is at least the time between the two changes. */
+ * of the third, so that time is at least the time between the two changes. */
 static void check_two_changes(fleet *fleet, const host *host, const holder_span *spans) {
   const holder_span *first = &spans[0], *second = &spans[1], *third = &spans[2];
   time_us span = time_sub(third->first_at, first->last_at);
--- a/emulator/fleet_operator.h
+++ b/emulator/fleet_operator.h
@@ -9,21 +9,21 @@
 
 /** The operator's record of one write; the fleet owns it. */
 typedef struct operator_write {
-  /** answered_at is 0 while there is no answer. */
+  /** answered_at is 0 while there is no response. */
   time_us sent_at, answered_at;
-  /** HTTP status; 0 while there is no answer, and -code for an error of the call. */
+  /** HTTP status; 0 while there is no response, and -code for an error of the call. */
   int status;
   /** enum resource_kind, or -1 when the path is not that of a resource. */
   int resource;
   /** For a policy marker: the status with which its rule refuses requests; else 0. */
   int marker_status;
-  /** The version in the answer. */
+  /** The version in the response. */
   uint64_t version;
   bool patch;
   char *text, idempotency_key[40];
 } operator_write;
 
-/** One call of the operator and its answer; free it with operator_call_free. */
+/** One call of the operator and its response; free it with operator_call_free. */
 typedef struct operator_call {
   /** As in operator_write. */
   int status;
@@ -38,7 +38,7 @@
   fleet *fleet;
   /** NULL for reads. */
   operator_write *write;
-  /** Set by callers that do not wait: the call frees itself when it is answered. */
+  /** Set by functions that do not wait for the call, which then frees itself when it has ended. */
   bool self_freeing;
 } operator_call;
 
@@ -53,10 +53,10 @@
  * be NULL. */
 operator_call *fleet_send(fleet *fleet, host *to, const char *method, const char *path,
                           const char *text, const char *match, const char *key);
-/** Like fleet_send, and runs the simulation until the call is answered or a span has passed. */
+/** Like fleet_send, and runs the simulation until the call has ended or a timeout has passed. */
 operator_call *fleet_call(fleet *fleet, host *to, const char *method, const char *path,
                           const char *text, const char *match, const char *key, time_us span);
 void operator_call_free(operator_call *call);
-/** Puts a resource through any controller that answers; returns its version, or 0 on failure. */
+/** Puts a resource through any controller that accepts it; returns its version, or 0 on failure. */
 uint64_t fleet_put(fleet *fleet, const char *resource, const char *text);
 #endif
--- a/emulator/fleet_sampling.c
+++ b/emulator/fleet_sampling.c
@@ -1,7 +1,7 @@
 /** @file
  * Checks that sample the state of the daemons themselves, in addition to the records: the version
- * of a router's configuration never decreases, no two nodes act as head, tail or lease holder at
- * once, and a lease does not change its holder sooner than its duration allows. */
+ * of a router's configuration never decreases, no two processes act as head, tail or lease holder
+ * at once, and a lease does not change its holder sooner than its duration allows. */
 #include "fleet.h"
 
 static void sample_config(fleet *fleet, host *host) {
@@ -9,7 +9,7 @@
     return;
   uint64_t version = host->router->sync.config_version;
   if (version < host->config_version_seen)
-    fleet_add_violation(fleet, "R4 %s went back from version %" PRIu64 " to %" PRIu64,
+    fleet_add_violation(fleet, "R4 %s reverted from version %" PRIu64 " to %" PRIu64,
                         host->self.text, host->config_version_seen, version);
   host->config_version_seen = version;
 }
--- a/emulator/gateway_check.h
+++ b/emulator/gateway_check.h
@@ -4,8 +4,8 @@
 
 /** @file
  * Checkers of the rules for gateways. Each reads only the records of engines, clients and the
- * operator and the faults that the test injected, and adds a violation to the fleet for each breach
- * of its rule. The first word of a violation, given with each checker, names the rule. */
+ * operator and the faults that the test injected, and records each violation of its rule in the
+ * fleet. The first word of a violation, given with each checker, names the rule. */
 
 typedef struct deployment deployment;
 
@@ -35,9 +35,9 @@
   LOSS_SLACK_MS = 200,
   /** Time to recover from a loss. */
   RECOVERY_S = 12,
-  /** Time until all nodes know that a session is served by the old policy. */
+  /** Time until all gateways know that a session is served by the old policy. */
   SESSION_PROPAGATION_MS = 2500,
-  /** Time until all nodes know that a trial has ended. */
+  /** Time until all gateways know that a trial has ended. */
   TRIAL_END_PROPAGATION_MS = 2000
 };
 /** Retries per request that the retry budget allows. */
@@ -85,7 +85,7 @@
 
 /** 16 SIDES: within one trial, each request is served under one policy, and so is each session,
  * except that a session may return once from the candidate to the old policy after one of its
- * requests was sent to a node with a fault. */
+ * requests was sent to a gateway with a fault. */
 void gateway_check_trial_policies(deployment *deployment);
 /** 17 RETURN: no request that is sent later than TRIAL_END_PROPAGATION_MS after a trial's end is
  * served under its candidate. */
--- a/emulator/gateway_check_index.c
+++ b/emulator/gateway_check_index.c
@@ -4,7 +4,7 @@
 #include "gateway_check_index.h"
 
 /* outcomes of an engine_run_record whose run was started: running, done, failed, client gone,
- * broken off, timed out */
+ * response lost or truncated, timed out */
 static const char RUN_OUTCOMES[] = "rdfcbt";
 
 static GHashTable *index_attempts(deployment *deployment) {
--- a/emulator/gateway_check_index.h
+++ b/emulator/gateway_check_index.h
@@ -33,7 +33,7 @@
 
 /** True when an engine began to run a request, however it ended. */
 bool check_was_run(const engine_run_record *run);
-/** True when an engine broke off the request or the request timed out there. */
+/** True when the engine lost or truncated the response, or the run timed out. */
 bool check_was_cut(const engine_run_record *run);
 /** True when requests of a kind may be run more than once. */
 bool check_is_retryable(const client_sim_kind *kind);
--- a/emulator/gateway_check_trials.c
+++ b/emulator/gateway_check_trials.c
@@ -19,8 +19,8 @@
 
 typedef struct trial_check {
   check_index index;
-  /* from session to the first client_sim_attempt that was sent to a node with a fault, even if no
-   * engine ran it */
+  /* from session to the first client_sim_attempt that was sent to a gateway with a fault, even if
+   * no engine ran it */
   GHashTable *first_faults;
   /* from "TRIAL SESSION" to trial_session */
   GHashTable *sessions;
--- a/emulator/linearizability.h
+++ b/emulator/linearizability.h
@@ -7,7 +7,7 @@
  * conditional writes. Each write names a base version and sets a higher version; it takes effect at
  * most once, however often it is sent. */
 
-/** What the response to an attempt tells its caller. */
+/** What the response to an attempt says about the outcome of its write. */
 enum register_answer {
   ANSWER_NONE,      /**< unknown outcome: no or a late response, a failed redirect, or a 5xx */
   ANSWER_CONFIRMED, /**< 200 */
--- a/emulator/loadgen.h
+++ b/emulator/loadgen.h
@@ -14,7 +14,7 @@
   OUTCOME_DONE,      /* all events and a clean end were received */
   OUTCOME_NOT_RUN,   /* refused, and certainly not run */
   OUTCOME_UNKNOWN,   /* refused, but it may have run */
-  OUTCOME_BROKEN,    /* it ran, and failed or broke off with an error */
+  OUTCOME_BROKEN,    /* it ran, and failed or ended early with an error */
   OUTCOME_NO_ANSWER, /* no response */
   OUTCOME_WRONG,     /* a response that violates the protocol */
   OUTCOME_LEFT,      /* the caller disconnected first */
--- a/emulator/operator_sim.c
+++ b/emulator/operator_sim.c
@@ -1,6 +1,6 @@
 /** @file
  * The simulated operator of a deployment: changes and reads of the configuration, each a task that
- * tries the controllers in turn until one gives a clear answer. */
+ * tries the controllers in turn until one gives a definite response. */
 #include "client_sim.h"
 #include <stdio.h>
 #include <stdlib.h>
@@ -35,7 +35,7 @@
 }
 
 /* makes one call, following at most two redirects; returns the status, or 0 when there was no
- * answer in time */
+ * response in time */
 static int send_to_controller(operator_sim *operator, const char * addr,
                               const dialect_path *endpoint, const operator_sim_change *change,
                               GString *body, int64_t timeout_ms) {
--- a/emulator/registering_engine_records.h
+++ b/emulator/registering_engine_records.h
@@ -2,7 +2,7 @@
 #define EMULATOR_REGISTERING_ENGINE_RECORDS_H
 /**
  * Records that registering engines keep for the checkers: each arrival of a request, each order and
- * the end of each incarnation. Checkers compare them with the records of the callers.
+ * the end of each incarnation. Checkers compare them with the records of the clients.
  */
 #include "world.h"
 
@@ -10,7 +10,7 @@
 enum engine_run_outcome {
   ENGINE_RUN_PENDING = 0,       /* received, neither started nor refused yet */
   ENGINE_RUN_RUNNING = 'r',     /* started and not ended */
-  ENGINE_RUN_DONE = 'd',        /* answered completely */
+  ENGINE_RUN_DONE = 'd',        /* the response is complete */
   ENGINE_RUN_FAILED = 'f',      /* failed inside the engine (500) */
   ENGINE_RUN_CLIENT_GONE = 'c', /* the client disconnected during the run */
   ENGINE_RUN_BROKEN = 'b',      /* the response was lost or truncated */
--- a/emulator/sim.h
+++ b/emulator/sim.h
@@ -50,9 +50,9 @@
 /** Creates a simulation without hosts; free it with sim_free, which ends all processes. */
 sim *sim_new(uint64_t seed);
 void sim_free(sim *sim);
-/** Runs the simulation for a span of virtual time. */
+/** Runs the simulation for a duration of virtual time. */
 void sim_run(sim *sim, time_us span);
-/** Runs until a condition holds or a span has passed; returns whether it holds. */
+/** Runs until a condition holds or a timeout has passed; returns whether it holds. */
 bool sim_run_until(sim *sim, bool (*test)(struct sim *sim, void *context), void *context,
                    time_us span);
 /** A random number from 0 to n - 1; 0 if n is 0. */
--- a/emulator/sim_channel.h
+++ b/emulator/sim_channel.h
@@ -5,8 +5,8 @@
 /** @file
  * Persistent HTTP connections of the simulated fleet. A channel connects a process of a client's
  * host with a process of a server's host and carries one exchange at a time. Packets arrive in
- * order. A partition or a frozen receiver delays them; when the receiving process has ended, they
- * are answered with a reset. */
+ * order. A partition or a frozen receiver delays them; when the receiving process has ended, its
+ * host replies to them with a reset. */
 
 typedef struct channel channel;
 typedef struct exchange exchange;
--- a/emulator/sim_connections_client.c
+++ b/emulator/sim_connections_client.c
@@ -4,8 +4,8 @@
 #include "sim_connections.h"
 
 enum {
-  /** Interval of attempts to connect to a host that does not answer, and of checks whether a frozen
-   * client runs again. */
+  /** Interval of attempts to connect to a host that does not respond, and of checks whether a
+   * frozen client runs again. */
   CONNECT_RETRY_MS = 1000,
   FROZEN_RETRY_MS = 5
 };
@@ -183,7 +183,7 @@
 }
 
 /* establishes a channel, or breaks its call when it is refused; runs again later while the server
- * does not answer or the client is frozen */
+ * does not respond or the client is frozen */
 static void complete_connect(void *argument) {
   exchange *exchange = argument;
   channel *channel = exchange->channel;
--- a/emulator/sim_host.c
+++ b/emulator/sim_host.c
@@ -1,7 +1,7 @@
 /** @file
  * Starting a process creates a new world for it, with the simulated network, disk, clock and random
  * numbers. Ending it resets its connections, stops all its tasks and runs the events in its inbox,
- * so that the callers of a frozen process see the resets. */
+ * so that the clients of a frozen process see the resets. */
 #include "sim_connections.h"
 #include "sim_http.h"
 #include "sim_messages.h"
--- a/tests/emulator/check.c
+++ b/tests/emulator/check.c
@@ -13,7 +13,7 @@
   /* an engine of the fleet, and one that ran streams */
   engine_sim *engine;
   host *busy_engine;
-  /* a request that was answered and cannot be resumed, and its last attempt */
+  /* a request that was completed and cannot be resumed, and its last attempt */
   loadgen_request *request;
   loadgen_attempt *attempt;
 } finished_run;
@@ -75,7 +75,7 @@
   return violation_reported(run->fleet, "R2");
 }
 
-/* R3: a caller got the answer to another caller's request */
+/* R3: a caller got the response to another caller's request */
 static bool detects_wrong_answer(finished_run *run) {
   run->request->outcome = OUTCOME_WRONG;
   fleet_check_runs(run->fleet);
@@ -83,7 +83,7 @@
   return violation_reported(run->fleet, "R3");
 }
 
-/* R4: a policy marker was acknowledged long ago, and a router still answers by an older policy */
+/* R4: a policy marker was acknowledged long ago, and a router still applies an older policy */
 static bool detects_old_policy(finished_run *run) {
   fleet *fleet = run->fleet;
   operator_write *marker = g_new0(operator_write, 1);
