--- a/emulator/sim_http.c
+++ b/emulator/sim_http.c
@@ -1,8 +1,8 @@
 /** @file
- * An exchange is shared by its caller, its server and its scheduled events, and freed with the last
+ * An exchange is shared by its client, its server and its scheduled events, and freed with the last
  * of these references. The request arrives after the three random delays of a TCP handshake and a
  * request; the response arrives as a head, parts of the body and an end, in order. A partition
- * loses the parts that are sent during it; the caller sees the broken connection at the first part
+ * loses the parts that are sent during it; the client sees the broken connection at the first part
  * that is sent afterwards. */
 #include "sim_http.h"
 #include "sim_connections.h"
@@ -12,15 +12,15 @@
 /* one HTTP exchange between two hosts */
 typedef struct sim_http_exchange {
   sim *sim;
-  host *caller, *server;
-  uint64_t caller_incarnation, server_incarnation;
-  /* NULL once the caller has released it */
+  host *client, *server;
+  uint64_t client_incarnation, server_incarnation;
+  /* NULL once the client has released it */
   http_call *call;
   /* NULL before the server's process has received it, and once it has handled it */
   http_request *request;
   int references;
   bool head_sent, finished;
-  /* a part of the response was lost in a partition; the caller was sent a reset for it */
+  /* a part of the response was lost in a partition; the client was sent a reset for it */
   bool bytes_lost, loss_reported;
   time_us last_delivery_at;
   list_node link;
@@ -76,9 +76,9 @@
   return time_add(sim->now, sim_draw_message_delay(sim));
 }
 
-static bool caller_waits(const sim_http_exchange *exchange) {
-  return exchange->call && exchange->caller->alive &&
-         exchange->caller->incarnation == exchange->caller_incarnation;
+static bool client_waits(const sim_http_exchange *exchange) {
+  return exchange->call && exchange->client->alive &&
+         exchange->client->incarnation == exchange->client_incarnation;
 }
 
 static bool server_lives(const sim_http_exchange *exchange) {
@@ -90,7 +90,7 @@
 static void deliver_response_part(sim_event *event) {
   exchange_event *part = (exchange_event *)event;
   sim_http_exchange *exchange = part->exchange;
-  if (!caller_waits(exchange))
+  if (!client_waits(exchange))
     return;
   http_call *call = exchange->call;
   switch (part->kind) {
@@ -121,7 +121,7 @@
   if (at.us <= exchange->last_delivery_at.us)
     at.us = exchange->last_delivery_at.us + 1;
   exchange->last_delivery_at = at;
-  exchange_event *event = schedule_event(exchange, &response_part_type, at, exchange->caller);
+  exchange_event *event = schedule_event(exchange, &response_part_type, at, exchange->client);
   event->kind = part.kind;
   event->status = part.status;
   if (part.body)
@@ -133,7 +133,7 @@
 /* A connection never skips bytes: once a part was lost, the next part that can be delivered is
  * replaced by a reset. */
 static void send_response_part(sim_http_exchange *exchange, response_part part) {
-  if (sim_is_partitioned(exchange->sim, exchange->server, exchange->caller)) {
+  if (sim_is_partitioned(exchange->sim, exchange->server, exchange->client)) {
     exchange->bytes_lost = true;
     return;
   }
@@ -189,8 +189,8 @@
     return;
   if (!exchange->head_sent)
     send_head(exchange);
-  /* a caller that reads slowly reads nothing until the response has ended */
-  bool reads = !exchange->caller->reads_slowly || request->response_ended;
+  /* a client that reads slowly reads nothing until the response has ended */
+  bool reads = !exchange->client->reads_slowly || request->response_ended;
   if (request->pending_output->len && reads)
     send_body(exchange);
   if (request->response_ended && !exchange->finished)
@@ -224,7 +224,7 @@
   request->world = &exchange->server->world;
   request->method = g_strdup(call->method);
   sim_http_set_path(request, call->path);
-  g_strlcpy(request->client_address, exchange->caller->addr, sizeof request->client_address);
+  g_strlcpy(request->client_address, exchange->client->addr, sizeof request->client_address);
   http_headers_copy(&request->known_fields, &call->known_request_fields);
   request->body = g_string_new_len(call->body->str, call->body->len);
   request->pending_output = g_string_new(NULL);
@@ -257,7 +257,7 @@
 static const sim_event_type client_gone_type = { deliver_client_gone, release_exchange_event,
                                                  true };
 
-/* the caller */
+/* the client */
 
 static void break_call(sim_http_exchange *exchange) {
   exchange->call->broken = true;
@@ -273,8 +273,8 @@
 static void complete_connect(sim_event *event) {
   sim_http_exchange *exchange = ((exchange_event *)event)->exchange;
   sim *sim = exchange->sim;
-  host *caller = exchange->caller, *server = exchange->server;
-  if (!caller_waits(exchange))
+  host *client = exchange->client, *server = exchange->server;
+  if (!client_waits(exchange))
     return;
   if (time_reached(sim->now, exchange->call->send_deadline)) {
     break_call(exchange);
@@ -286,29 +286,29 @@
       break_call(exchange);
     return;
   }
-  if (!sim_is_partitioned(sim, caller, server) && !sim_is_partitioned(sim, server, caller))
+  if (!sim_is_partitioned(sim, client, server) && !sim_is_partitioned(sim, server, client))
     send_request(exchange);
 }
 
 static const sim_event_type connect_type = { complete_connect, release_exchange_event, true };
 
-static sim_http_exchange *sim_http_exchange_new(http_call *call, host *caller, host *server) {
+static sim_http_exchange *sim_http_exchange_new(http_call *call, host *client, host *server) {
   sim_http_exchange *exchange = g_new0(sim_http_exchange, 1);
-  exchange->sim = caller->sim;
-  exchange->caller = caller;
+  exchange->sim = client->sim;
+  exchange->client = client;
   exchange->server = server;
   exchange->call = call;
-  exchange->caller_incarnation = caller->incarnation;
+  exchange->client_incarnation = client->incarnation;
   exchange->server_incarnation = server->incarnation;
   exchange->references = 1;
   call->impl = exchange;
-  list_append(&caller->sim->http_exchanges, &exchange->link);
+  list_append(&client->sim->http_exchanges, &exchange->link);
   return exchange;
 }
 
 static void start_call(http_call *call) {
-  host *caller = (host *)call->world;
-  sim *sim = caller->sim;
+  host *client = (host *)call->world;
+  sim *sim = client->sim;
   host *server = sim_find_host_by_address(sim, call->address);
   if (call->pooled || (!server && connections_is_listener_address(sim, call->address))) {
     connections_start_call(call);
@@ -318,9 +318,9 @@
     call->broken = true;
     return;
   }
-  sim_http_exchange *exchange = sim_http_exchange_new(call, caller, server);
+  sim_http_exchange *exchange = sim_http_exchange_new(call, client, server);
   time_us handshake = time_add(sim_draw_message_delay(sim), sim_draw_message_delay(sim));
-  schedule_event(exchange, &connect_type, time_add(sim->now, handshake), caller);
+  schedule_event(exchange, &connect_type, time_add(sim->now, handshake), client);
 }
 
 static void cancel_call(http_call *call) {
@@ -334,8 +334,8 @@
   sim *sim = exchange->sim;
   call->impl = NULL;
   exchange->call = NULL;
-  bool cut = sim_is_partitioned(sim, exchange->caller, exchange->server);
-  if (!cut && !exchange->caller->powered_off)
+  bool cut = sim_is_partitioned(sim, exchange->client, exchange->server);
+  if (!cut && !exchange->client->powered_off)
     schedule_event(exchange, &client_gone_type, after_message_delay(sim), exchange->server);
   sim_http_exchange_unref(exchange);
 }
