--- a/emulator/deployment_process.c
+++ b/emulator/deployment_process.c
@@ -31,11 +31,11 @@
 
 /* ends the present process of a host after a delay. The deployment frees the record, not the
  * callback, because callbacks that are still scheduled when a simulation ends do not run */
-static void schedule_kill(deployment *deployment, host *host, time_us span) {
+static void schedule_kill(deployment *deployment, host *host, time_us delay) {
   scheduled_kill *kill = g_new(scheduled_kill, 1);
   *kill = (scheduled_kill){ host, host->incarnation };
   g_ptr_array_add(deployment->scheduled_kills, kill);
-  sim_schedule(deployment->sim, time_add(deployment->sim->now, span), kill_scheduled, kill);
+  sim_schedule(deployment->sim, time_add(deployment->sim->now, delay), kill_scheduled, kill);
 }
 
 static void engine_stop(void *context, bool crashed) {
--- a/emulator/fleet.c
+++ b/emulator/fleet.c
@@ -269,12 +269,12 @@
   return ok;
 }
 
-void fleet_run_traffic(fleet *fleet, double requests_per_s, time_us span) {
+void fleet_run_traffic(fleet *fleet, double requests_per_s, time_us duration) {
   loadgen *loadgen = fleet->callers->loadgen;
   loadgen->plan.requests_per_s = requests_per_s;
   loadgen->stop = false;
   loadgen_start(loadgen);
-  sim_run(fleet->sim, span);
+  sim_run(fleet->sim, duration);
   loadgen->stop = true;
 }
 
--- a/emulator/fleet.h
+++ b/emulator/fleet.h
@@ -71,7 +71,7 @@
 /** Starts everything, bootstraps the control plane and puts the configuration in force. */
 bool fleet_bring_up(fleet *fleet);
 /** Sends requests at a rate for a duration, without waiting for the last responses. */
-void fleet_run_traffic(fleet *fleet, double requests_per_s, time_us span);
+void fleet_run_traffic(fleet *fleet, double requests_per_s, time_us duration);
 /** Stops sending requests and runs until all have ended. */
 void fleet_finish_traffic(fleet *fleet);
 /** Returns whether the chain has an acting head and tail and every running router has a recent
--- a/emulator/fleet_check_orders.c
+++ b/emulator/fleet_check_orders.c
@@ -70,11 +70,11 @@
  * of the third, so that time is at least the time between the two changes. */
 static void check_two_changes(fleet *fleet, const host *host, const holder_span *spans) {
   const holder_span *first = &spans[0], *second = &spans[1], *third = &spans[2];
-  time_us span = time_sub(third->first_at, first->last_at);
+  time_us elapsed = time_sub(third->first_at, first->last_at);
   if (!id_equal(first->holder, second->holder) && !id_equal(second->holder, third->holder) &&
-      span.us < LEASE_CHANGE_MIN_MS * 1000)
+      elapsed.us < LEASE_CHANGE_MIN_MS * 1000)
     fleet_add_violation(fleet, "R8 the holder of %s changed twice within %.2f s", host->self.text,
-                        (double)span.us / 1e6);
+                        (double)elapsed.us / 1e6);
 }
 
 void fleet_check_lease_succession(fleet *fleet) {
@@ -128,9 +128,9 @@
 
 /* whether two loads are at least a window apart */
 static bool is_out_of_window(const GArray *loads, guint earlier, guint later, int window_s) {
-  time_us span = time_sub(g_array_index(loads, engine_sim_order, later).received_at,
-                          g_array_index(loads, engine_sim_order, earlier).received_at);
-  return span.us >= (int64_t)window_s * 1000000;
+  time_us elapsed = time_sub(g_array_index(loads, engine_sim_order, later).received_at,
+                             g_array_index(loads, engine_sim_order, earlier).received_at);
+  return elapsed.us >= (int64_t)window_s * 1000000;
 }
 
 static void check_load_window(fleet *fleet, const GArray *loads, int window_s) {
--- a/emulator/fleet_check_recovery.c
+++ b/emulator/fleet_check_recovery.c
@@ -83,8 +83,8 @@
  * few at the maximum length. */
 static bool window_reaches_share(const fleet *fleet, int kind, time_us earliest, time_us end,
                                  double required) {
-  for (int64_t span_ms = WINDOW_MS; span_ms <= WINDOW_MAX_MS; span_ms += WINDOW_GROWTH_MS) {
-    time_us from = time_sub(end, time_from_ms(span_ms));
+  for (int64_t window_ms = WINDOW_MS; window_ms <= WINDOW_MAX_MS; window_ms += WINDOW_GROWTH_MS) {
+    time_us from = time_sub(end, time_from_ms(window_ms));
     if (from.us < earliest.us)
       return true;
     completed_share share = measure_share(fleet, kind, from, end);
--- a/emulator/fleet_operator.c
+++ b/emulator/fleet_operator.c
@@ -113,9 +113,9 @@
 }
 
 operator_call *fleet_call(fleet *fleet, host *to, const char *method, const char *path,
-                          const char *text, const char *match, const char *key, time_us span) {
+                          const char *text, const char *match, const char *key, time_us timeout) {
   operator_call *call = fleet_send(fleet, to, method, path, text, match, key);
-  sim_run_until(fleet->sim, is_done, call, span);
+  sim_run_until(fleet->sim, is_done, call, timeout);
   return call;
 }
 
--- a/emulator/fleet_operator.h
+++ b/emulator/fleet_operator.h
@@ -55,7 +55,7 @@
                           const char *text, const char *match, const char *key);
 /** Like fleet_send, and runs the simulation until the call has ended or a timeout has passed. */
 operator_call *fleet_call(fleet *fleet, host *to, const char *method, const char *path,
-                          const char *text, const char *match, const char *key, time_us span);
+                          const char *text, const char *match, const char *key, time_us timeout);
 void operator_call_free(operator_call *call);
 /** Puts a resource through any controller that accepts it; returns its version, or 0 on failure. */
 uint64_t fleet_put(fleet *fleet, const char *resource, const char *text);
--- a/emulator/gateway_check_orders.c
+++ b/emulator/gateway_check_orders.c
@@ -67,13 +67,13 @@
   const engine_order_record *order = orders->pdata[position];
   for (guint i = 0; i < position; i++) {
     const engine_order_record *earlier = orders->pdata[i];
-    int64_t span_us = order->received_at.us - earlier->received_at.us;
+    int64_t elapsed_us = order->received_at.us - earlier->received_at.us;
     if (!id_equal(earlier->engine, order->engine) || !id_equal(earlier->holder, order->holder) ||
-        earlier->received_at.us >= other->received_at.us || span_us > DEPLOYMENT_LEASE_MS * 1000)
+        earlier->received_at.us >= other->received_at.us || elapsed_us > DEPLOYMENT_LEASE_MS * 1000)
       continue;
     fleet_add_violation(deployment->fleet, "ONE %s: orders of %s and %s alternate within %.1f s",
                         order->engine.text, order->holder.text, other->holder.text,
-                        (double)span_us / 1e6);
+                        (double)elapsed_us / 1e6);
     return true;
   }
   return false;
--- a/emulator/loadgen.c
+++ b/emulator/loadgen.c
@@ -16,7 +16,7 @@
   RUN_NAME_BYTES = 96,
   PREFIXES_DEFAULT = 8,
   LEAVE_MIN_MS = 50, /* callers that disconnect early do so after this time and a random one */
-  LEAVE_SPAN_MS = 3000,
+  LEAVE_JITTER_MS = 3000,
   TOKENS_MIN = 4,
   ERROR_CODES_MAX = 8, /* distinct codes that the summary counts */
 };
@@ -254,15 +254,15 @@
   loadgen_request *request = task->request;
   if (request->outcome != OUTCOME_NOT_RUN || !request->retry_s)
     return false;
-  time_us span = time_from_ms(request->retry_s * 1000);
-  time_us at = time_add(world_now(loadgen->world), span);
+  time_us delay = time_from_ms(request->retry_s * 1000);
+  time_us at = time_add(world_now(loadgen->world), delay);
   if (!request->back.us)
     request->back = at;
   if (request->attempt_count > loadgen->plan.attempts_max)
     return false;
   if (task->leave_at.us && time_reached(at, task->leave_at))
     return false;
-  if (!world_sleep(loadgen->world, span))
+  if (!world_sleep(loadgen->world, delay))
     return false;
   request->outcome = OUTCOME_OPEN;
   request->retry_s = request->code = request->status = 0;
@@ -354,7 +354,7 @@
   const loadgen_plan *plan = &loadgen->plan;
   if (random_fraction(loadgen->world) < plan->leave_ratio)
     return time_from_now(loadgen,
-                         LEAVE_MIN_MS + (int64_t)world_random(loadgen->world, LEAVE_SPAN_MS));
+                         LEAVE_MIN_MS + (int64_t)world_random(loadgen->world, LEAVE_JITTER_MS));
   return plan->timeout_ms ? time_from_now(loadgen, plan->timeout_ms) : (time_us){ 0 };
 }
 
--- a/emulator/sim.c
+++ b/emulator/sim.c
@@ -146,16 +146,16 @@
   return sim->now.us < end.us;
 }
 
-void sim_run(sim *sim, time_us span) {
-  time_us end = time_add(sim->now, span);
+void sim_run(sim *sim, time_us duration) {
+  time_us end = time_add(sim->now, duration);
   while (step(sim, end)) {
   }
   wake_hosts(sim);
 }
 
 bool sim_run_until(sim *sim, bool (*test)(struct sim *sim, void *context), void *context,
-                   time_us span) {
-  time_us end = time_add(sim->now, span);
+                   time_us timeout) {
+  time_us end = time_add(sim->now, timeout);
   do {
     if (test(sim, context))
       return true;
--- a/emulator/sim.h
+++ b/emulator/sim.h
@@ -51,10 +51,10 @@
 sim *sim_new(uint64_t seed);
 void sim_free(sim *sim);
 /** Runs the simulation for a duration of virtual time. */
-void sim_run(sim *sim, time_us span);
+void sim_run(sim *sim, time_us duration);
 /** Runs until a condition holds or a timeout has passed; returns whether it holds. */
 bool sim_run_until(sim *sim, bool (*test)(struct sim *sim, void *context), void *context,
-                   time_us span);
+                   time_us timeout);
 /** A random number from 0 to n - 1; 0 if n is 0. */
 uint64_t sim_random(sim *sim, uint64_t n);
 /** Draws the transmission time of one message at random. */
--- a/emulator/sim_connections_client.c
+++ b/emulator/sim_connections_client.c
@@ -224,9 +224,9 @@
 }
 
 static bool is_idle_for_too_long(const channel *channel, const world *world) {
-  time_us span = time_from_ms(world->pool_idle_timeout_ms);
+  time_us timeout = time_from_ms(world->pool_idle_timeout_ms);
   return world->pool_idle_timeout_ms &&
-         time_reached(channel->sim->now, time_add(channel->client_idle_at, span));
+         time_reached(channel->sim->now, time_add(channel->client_idle_at, timeout));
 }
 
 /* removes the most recently used idle channel to a call's address from the pool and returns it, or
--- a/emulator/sim_disk.c
+++ b/emulator/sim_disk.c
@@ -37,8 +37,8 @@
   sim_disk *disk = host->disk;
   time_us started_at = host->sim->now;
   do {
-    time_us span = { draw_operation_us(host) };
-    if (task_sleep(&host->world.tasks, span) == WAKE_STOPPED)
+    time_us duration = { draw_operation_us(host) };
+    if (task_sleep(&host->world.tasks, duration) == WAKE_STOPPED)
       return error_set(err, E_STOPPING, "stopping");
   } while (is_stalled(host) && disk->stalled_until.us > started_at.us);
   if (disk->fails)
