--- a/emulator/client_sim.c
+++ b/emulator/client_sim.c
@@ -9,28 +9,28 @@
 /* the balancer */
 typedef struct balancer_health_check {
   balancer_sim *balancer;
-  balancer_sim_node *node;
+  balancer_sim_gateway *gateway;
 } balancer_health_check;
 
 static void health_check_run(void *context) {
   balancer_health_check *check = context;
   balancer_sim *balancer = check->balancer;
-  balancer_sim_node *node = check->node;
+  balancer_sim_gateway *gateway = check->gateway;
   GString *response = g_string_new(NULL);
   while (!balancer->stop && !balancer->world->tasks.stopped) {
     time_us started_at = world_now(balancer->world);
-    int status = http_call_fetch(balancer->world, node->ready_address,
+    int status = http_call_fetch(balancer->world, gateway->ready_address,
                                  balancer->dialect->calls[DC_READY].method,
                                  balancer->dialect->calls[DC_READY].path, NULL, string_view_of(""),
                                  response, time_from_ms(HEALTH_CHECK_MS), NULL);
     g_string_truncate(response, 0);
-    node->checks++;
-    node->checks_failed += status != 200;
-    node->failures_in_row = status == 200 ? 0 : node->failures_in_row + 1;
+    gateway->checks++;
+    gateway->checks_failed += status != 200;
+    gateway->failures_in_row = status == 200 ? 0 : gateway->failures_in_row + 1;
     if (status == 200)
-      node->in_rotation = true;
-    else if (node->failures_in_row >= FAILURES_TO_EJECT)
-      node->in_rotation = false;
+      gateway->in_rotation = true;
+    else if (gateway->failures_in_row >= FAILURES_TO_EJECT)
+      gateway->in_rotation = false;
     time_us next =
         time_sub(time_add(started_at, time_from_ms(HEALTH_CHECK_MS)), world_now(balancer->world));
     if (!world_sleep(balancer->world, next.us > 1000 ? next : time_from_ms(1)))
@@ -44,49 +44,49 @@
   balancer_sim *balancer = g_new0(balancer_sim, 1);
   balancer->world = world;
   balancer->dialect = dialect;
-  balancer->nodes = g_ptr_array_new_with_free_func(g_free);
+  balancer->gateways = g_ptr_array_new_with_free_func(g_free);
   return balancer;
 }
 
-void balancer_sim_add_node(balancer_sim *balancer, const char *front_address,
-                           const char *ready_address, id area) {
-  balancer_sim_node *node = g_new0(balancer_sim_node, 1);
-  g_strlcpy(node->front_address, front_address, sizeof node->front_address);
-  g_strlcpy(node->ready_address, ready_address, sizeof node->ready_address);
-  node->area = area;
-  g_ptr_array_add(balancer->nodes, node);
+void balancer_sim_add_gateway(balancer_sim *balancer, const char *front_address,
+                              const char *ready_address, id area) {
+  balancer_sim_gateway *gateway = g_new0(balancer_sim_gateway, 1);
+  g_strlcpy(gateway->front_address, front_address, sizeof gateway->front_address);
+  g_strlcpy(gateway->ready_address, ready_address, sizeof gateway->ready_address);
+  gateway->area = area;
+  g_ptr_array_add(balancer->gateways, gateway);
   balancer_health_check *check = g_new0(balancer_health_check, 1);
-  *check = (balancer_health_check){ balancer, node };
+  *check = (balancer_health_check){ balancer, gateway };
   task_start(&balancer->world->tasks, "probe", health_check_run, check);
 }
 
 void balancer_sim_free(balancer_sim *balancer) {
-  g_ptr_array_free(balancer->nodes, TRUE);
+  g_ptr_array_free(balancer->gateways, TRUE);
   g_free(balancer);
 }
 
-const balancer_sim_node *balancer_sim_pick(const balancer_sim *balancer, id area, unsigned user,
-                                           unsigned earlier_attempts) {
-  unsigned zone_nodes = 0, zone_in_rotation = 0, in_rotation_anywhere = 0;
-  for (guint i = 0; i < balancer->nodes->len; i++) {
-    balancer_sim_node *node = balancer->nodes->pdata[i];
-    bool in_zone = id_equal(node->area, area);
-    zone_nodes += in_zone;
-    zone_in_rotation += in_zone && node->in_rotation;
-    in_rotation_anywhere += node->in_rotation;
+const balancer_sim_gateway *balancer_sim_pick(const balancer_sim *balancer, id area, unsigned user,
+                                              unsigned earlier_attempts) {
+  unsigned zone_gateways = 0, zone_in_rotation = 0, in_rotation_anywhere = 0;
+  for (guint i = 0; i < balancer->gateways->len; i++) {
+    balancer_sim_gateway *gateway = balancer->gateways->pdata[i];
+    bool in_zone = id_equal(gateway->area, area);
+    zone_gateways += in_zone;
+    zone_in_rotation += in_zone && gateway->in_rotation;
+    in_rotation_anywhere += gateway->in_rotation;
   }
   /* With fewer than half of the zone's gateways in rotation, all of its gateways are used. With
    * none, the gateways in rotation of other zones are used. */
-  bool use_whole_zone = zone_in_rotation * 2 < zone_nodes && zone_in_rotation,
+  bool use_whole_zone = zone_in_rotation * 2 < zone_gateways && zone_in_rotation,
        use_other_zones = !zone_in_rotation && in_rotation_anywhere;
-  const balancer_sim_node *candidates[64];
+  const balancer_sim_gateway *candidates[64];
   unsigned count = 0;
-  for (guint i = 0; i < balancer->nodes->len && count < 64; i++) {
-    balancer_sim_node *node = balancer->nodes->pdata[i];
-    bool in_zone = id_equal(node->area, area);
-    if (use_other_zones ? node->in_rotation
-                        : in_zone && (use_whole_zone || node->in_rotation || !zone_in_rotation))
-      candidates[count++] = node;
+  for (guint i = 0; i < balancer->gateways->len && count < 64; i++) {
+    balancer_sim_gateway *gateway = balancer->gateways->pdata[i];
+    bool in_zone = id_equal(gateway->area, area);
+    if (use_other_zones ? gateway->in_rotation
+                        : in_zone && (use_whole_zone || gateway->in_rotation || !zone_in_rotation))
+      candidates[count++] = gateway;
   }
   char name[32];
   snprintf(name, sizeof name, "user-%u", user);
@@ -102,7 +102,7 @@
   client->kinds = g_ptr_array_new_with_free_func(g_free);
   client->requests = g_ptr_array_new_with_free_func(g_free);
   client->attempts = g_ptr_array_new_with_free_func(g_free);
-  client->node_of_user = g_hash_table_new(g_direct_hash, g_direct_equal);
+  client->gateway_of_user = g_hash_table_new(g_direct_hash, g_direct_equal);
   client->users = 60;
   client->rate_factor = 1;
   return client;
@@ -117,7 +117,7 @@
   g_ptr_array_free(client->kinds, TRUE);
   g_ptr_array_free(client->requests, TRUE);
   g_ptr_array_free(client->attempts, TRUE);
-  g_hash_table_destroy(client->node_of_user);
+  g_hash_table_destroy(client->gateway_of_user);
   g_free(client);
 }
 
@@ -187,10 +187,10 @@
 }
 
 /* A user's open connection stays with its gateway, even if the balancer sends no new ones there. */
-static const balancer_sim_node *pick_node(client_sim *client, const client_sim_request *request,
-                                          unsigned earlier_attempts) {
+static const balancer_sim_gateway *
+pick_gateway(client_sim *client, const client_sim_request *request, unsigned earlier_attempts) {
   gpointer user = GUINT_TO_POINTER(request->user);
-  const balancer_sim_node *kept = g_hash_table_lookup(client->node_of_user, user);
+  const balancer_sim_gateway *kept = g_hash_table_lookup(client->gateway_of_user, user);
   if (kept && !earlier_attempts && !request->kind->new_connection && client->connected &&
       client->connected(client->world, kept->front_address))
     return kept;
@@ -198,13 +198,14 @@
   return balancer_sim_pick(client->balancer, area, request->user, earlier_attempts);
 }
 
-static void remember_node(client_sim *client, const client_sim_request *request,
-                          const balancer_sim_node *node, const http_call *call, bool is_complete) {
+static void remember_gateway(client_sim *client, const client_sim_request *request,
+                             const balancer_sim_gateway *gateway, const http_call *call,
+                             bool is_complete) {
   gpointer user = GUINT_TO_POINTER(request->user);
   if (is_complete && !call->closes_connection)
-    g_hash_table_insert(client->node_of_user, user, (gpointer)node);
+    g_hash_table_insert(client->gateway_of_user, user, (gpointer)gateway);
   else
-    g_hash_table_remove(client->node_of_user, user);
+    g_hash_table_remove(client->gateway_of_user, user);
 }
 
 static void run_attempt(request_task *task, unsigned earlier_attempts) {
@@ -220,19 +221,19 @@
   snprintf(attempt->request_id, sizeof attempt->request_id, "%016" PRIx64,
            hash_bytes(&client->attempt_count, sizeof client->attempt_count, 11));
   snprintf(attempt->target, sizeof attempt->target, "%s%x", kind->path, request->user & 0xff);
-  const balancer_sim_node *node = pick_node(client, request, earlier_attempts);
+  const balancer_sim_gateway *gateway = pick_gateway(client, request, earlier_attempts);
   attempt->sent_at = world_now(world);
   time_us deadline = time_add(request->started_at, time_from_ms(kind->deadline_ms));
   attempt->time_left_ms = (deadline.us - attempt->sent_at.us) / 1000;
   attempt->resumed_after_event = attempt->last_event = task->resume_after;
   attempt->request_checksum =
       engine_request_checksum("POST", attempt->target, string_view_of_gstring(task->body));
-  if (!node) {
+  if (!gateway) {
     attempt->outcome = 'u';
     attempt->ended_at = attempt->sent_at;
     return;
   }
-  g_strlcpy(attempt->node, node->front_address, sizeof attempt->node);
+  g_strlcpy(attempt->node, gateway->front_address, sizeof attempt->node);
   fields *fields = g_string_new(NULL);
   fields_add(fields, "Host", string_view_of(kind->host));
   fields_add(fields, "Content-Type", string_view_of("application/json"));
@@ -256,7 +257,7 @@
     fields_add_format(fields, client->dialect->header_names[DF_LAST_EVENT_ID], "%" PRIu64,
                       task->resume_after);
   http_call *call =
-      http_call_open_fields(world, node->front_address, "POST", attempt->target, fields,
+      http_call_open_fields(world, gateway->front_address, "POST", attempt->target, fields,
                             string_view_of_gstring(task->body),
                             kind->new_connection || earlier_attempts > 0, time_never());
   g_string_free(fields, TRUE);
@@ -337,7 +338,8 @@
     g_string_free(expected, TRUE);
   }
 out:
-  remember_node(client, request, node, call, attempt->outcome == 'd' || attempt->outcome == 's');
+  remember_gateway(client, request, gateway, call,
+                   attempt->outcome == 'd' || attempt->outcome == 's');
   attempt->ended_at = world_now(world);
   http_call_close(call);
   g_string_free(received, TRUE);
--- a/emulator/client_sim.h
+++ b/emulator/client_sim.h
@@ -46,35 +46,35 @@
 } client_sim_attempt;
 
 /** A gateway as the balancer sees it. */
-typedef struct balancer_sim_node {
+typedef struct balancer_sim_gateway {
   char front_address[64], ready_address[64];
   id area;
   int failures_in_row;
   bool in_rotation;
   uint64_t checks, checks_failed;
-} balancer_sim_node;
+} balancer_sim_gateway;
 typedef struct balancer_sim {
   world *world;
-  GPtrArray *nodes;
+  GPtrArray *gateways;
   const dialect *dialect;
   bool stop;
 } balancer_sim;
 balancer_sim *balancer_sim_new(world *world, const dialect *dialect);
-void balancer_sim_add_node(balancer_sim *balancer, const char *front_address,
-                           const char *ready_address, id area);
+void balancer_sim_add_gateway(balancer_sim *balancer, const char *front_address,
+                              const char *ready_address, id area);
 void balancer_sim_free(balancer_sim *balancer);
 /** The gateway for a new connection of a user in a zone; earlier_attempts is the number of attempts
  * that the request already had. NULL when there is none. */
-const balancer_sim_node *balancer_sim_pick(const balancer_sim *balancer, id area, unsigned user,
-                                           unsigned earlier_attempts);
+const balancer_sim_gateway *balancer_sim_pick(const balancer_sim *balancer, id area, unsigned user,
+                                              unsigned earlier_attempts);
 
 typedef struct client_sim {
   world *world;
   /** True when an idle connection to an address is still open. NULL: that is unknown, and the
    * client picks a gateway for each request. */
   bool (*connected)(world *world, const char *addr);
-  /** From user to the balancer_sim_node whose last response left the user's connection open. */
-  GHashTable *node_of_user;
+  /** From user to the balancer_sim_gateway whose last response left the user's connection open. */
+  GHashTable *gateway_of_user;
   balancer_sim *balancer;
   const dialect *dialect;
   GPtrArray *kinds, *requests, *attempts;
--- a/emulator/deployment.c
+++ b/emulator/deployment.c
@@ -146,9 +146,10 @@
 bool deployment_is_ready(deployment *deployment) {
   int ready = 0, alive = 0;
   for (int i = 0; i < deployment->fleet->routers; i++) {
-    const balancer_sim_node *node = deployment->balancer->nodes->pdata[i];
+    const balancer_sim_gateway *gateway = deployment->balancer->gateways->pdata[i];
     alive += deployment->fleet->router[i]->alive;
-    ready += deployment->fleet->router[i]->alive && node->in_rotation && node->failures_in_row == 0;
+    ready += deployment->fleet->router[i]->alive && gateway->in_rotation &&
+             gateway->failures_in_row == 0;
   }
   return alive && ready == alive;
 }
--- a/emulator/deployment_clients.c
+++ b/emulator/deployment_clients.c
@@ -96,7 +96,8 @@
     deployment_ip_of(deployment->fleet->router[i], ip, sizeof ip);
     snprintf(front, sizeof front, "%s:%d", ip, DEPLOYMENT_FRONT_PORT);
     snprintf(ready, sizeof ready, "%s:%d", ip, DEPLOYMENT_READY_PORT);
-    balancer_sim_add_node(deployment->balancer, front, ready, deployment->fleet->router[i]->area);
+    balancer_sim_add_gateway(deployment->balancer, front, ready,
+                             deployment->fleet->router[i]->area);
   }
   int zones = MIN(3, deployment->fleet->routers);
   for (int i = 0; i < zones; i++)
