--- a/emulator/deployment_clients.c
+++ b/emulator/deployment_clients.c
@@ -5,7 +5,7 @@
 #include <stdio.h>
 
 /** Time limit of the last responses once no more requests are sent. */
-enum { LAST_ANSWER_MS = 60000 };
+enum { LAST_RESPONSE_MS = 60000 };
 
 /* the most requested models and adapters first */
 static const char *const requested_models[] = { "m0", "m1",    "m0/a1", "m2",  "m1/a2", "m3",
@@ -146,14 +146,15 @@
   client_sim_start(deployment->client);
 }
 
-static bool all_answered(sim *sim, void *context) {
+static bool all_requests_ended(sim *sim, void *context) {
   (void)sim;
   return !((deployment *)context)->client->open_requests;
 }
 
 void deployment_finish_traffic(deployment *deployment) {
   deployment->client->stop = true;
-  if (!sim_run_until(deployment->sim, all_answered, deployment, time_from_ms(LAST_ANSWER_MS)))
+  if (!sim_run_until(deployment->sim, all_requests_ended, deployment,
+                     time_from_ms(LAST_RESPONSE_MS)))
     fleet_add_violation(deployment->fleet, "%u requests did not end",
                         deployment->client->open_requests);
 }
--- a/emulator/fleet.c
+++ b/emulator/fleet.c
@@ -19,7 +19,7 @@
   START_MS = 3000,
   HEALTHY_MS = 10000,
   LEASES_MS = 15000,
-  LAST_ANSWER_MS = 140000
+  LAST_RESPONSE_MS = 140000
 };
 
 static const char *const zones[FLEET_ZONES] = { "north", "mid", "south" };
@@ -278,13 +278,13 @@
   loadgen->stop = true;
 }
 
-static bool all_callers_answered(sim *sim, void *context) {
+static bool all_requests_ended(sim *sim, void *context) {
   (void)sim;
   return !((fleet *)context)->callers->loadgen->open_requests;
 }
 
 void fleet_finish_traffic(fleet *fleet) {
   fleet->callers->loadgen->stop = true;
-  if (!sim_run_until(fleet->sim, all_callers_answered, fleet, time_from_ms(LAST_ANSWER_MS)))
+  if (!sim_run_until(fleet->sim, all_requests_ended, fleet, time_from_ms(LAST_RESPONSE_MS)))
     fleet_add_violation(fleet, "%d requests did not end", fleet->callers->loadgen->open_requests);
 }
--- a/emulator/fleet_operator.c
+++ b/emulator/fleet_operator.c
@@ -38,7 +38,7 @@
   return write;
 }
 
-static void record_answer(const operator_call *call) {
+static void record_response(const operator_call *call) {
   operator_write *write = call->write;
   write->answered_at = call->answered_at;
   write->status = call->status;
@@ -68,13 +68,13 @@
 static void call_task(void *argument) {
   operator_call *call = argument;
   fetch(call);
-  json *answer = json_parse(string_view_of_gstring(call->body), NULL);
-  call->version = (uint64_t)json_number(answer, "version", 0);
-  json_free(answer);
+  json *response = json_parse(string_view_of_gstring(call->body), NULL);
+  call->version = (uint64_t)json_number(response, "version", 0);
+  json_free(response);
   call->answered_at = call->host->sim->now;
   call->done = true;
   if (call->write)
-    record_answer(call);
+    record_response(call);
   if (call->self_freeing)
     operator_call_free(call);
 }
--- a/emulator/sim_channel.c
+++ b/emulator/sim_channel.c
@@ -183,7 +183,7 @@
 }
 
 /* a restarted process, or a host without a process, does not know this channel */
-static void answer_with_reset(packet_queue *queue) {
+static void reply_with_reset(packet_queue *queue) {
   channel *channel = queue->channel;
   if (queue == &channel->to_server)
     packet_queue_send(&channel->to_client, (packet_content){ .kind = PACKET_RESET });
@@ -211,7 +211,7 @@
   }
   bool silent = receiver->powered_off && !receiver->alive;
   if (kind != PACKET_RESET && !silent)
-    answer_with_reset(queue);
+    reply_with_reset(queue);
 }
 
 /* returns when a queue's first packet can be delivered or tried again; the present time when it can
--- a/emulator/sim_connections_server.c
+++ b/emulator/sim_connections_server.c
@@ -310,7 +310,7 @@
 }
 
 /* resets the channel of a request that ends without a response */
-static void reset_unanswered(exchange *exchange) {
+static void reset_without_response(exchange *exchange) {
   channel *channel = exchange->channel;
   exchange->end_sent = true;
   uncount_pending(exchange);
@@ -351,7 +351,7 @@
     channel->listener->requests_aborted++;
   if (!request->response_started) {
     if (request->response_ended)
-      reset_unanswered(exchange);
+      reset_without_response(exchange);
     return;
   }
   if (!exchange->head_sent)
--- a/tests/emulator/check.c
+++ b/tests/emulator/check.c
@@ -27,15 +27,15 @@
   return detected;
 }
 
-static loadgen_request *answered_request(const fleet *fleet) {
+static loadgen_request *completed_request(const fleet *fleet) {
   const GPtrArray *requests = fleet->callers->loadgen->requests;
-  loadgen_request *answered = NULL;
+  loadgen_request *completed = NULL;
   for (guint i = 0; i < requests->len; i++) {
     loadgen_request *request = requests->pdata[i];
     if (request->outcome == OUTCOME_DONE && !request->resumable)
-      answered = request;
+      completed = request;
   }
-  return answered;
+  return completed;
 }
 
 static loadgen_attempt *last_attempt(const fleet *fleet, const loadgen_request *request) {
@@ -76,7 +76,7 @@
 }
 
 /* R3: a caller got the response to another caller's request */
-static bool detects_wrong_answer(finished_run *run) {
+static bool detects_wrong_response(finished_run *run) {
   run->request->outcome = OUTCOME_WRONG;
   fleet_check_runs(run->fleet);
   run->request->outcome = OUTCOME_DONE;
@@ -90,10 +90,10 @@
   *marker =
       (operator_write){ .answered_at = { 1 }, .status = 200, .marker_status = 420, .version = 9 };
   g_ptr_array_add(fleet->writes, marker);
-  policy_probe answer = { .sent_at = fleet->sim->now,
-                          .received_at = fleet->sim->now,
-                          .status = 200 };
-  g_array_append_val(fleet->probes, answer);
+  policy_probe probe = { .sent_at = fleet->sim->now,
+                         .received_at = fleet->sim->now,
+                         .status = 200 };
+  g_array_append_val(fleet->probes, probe);
   fleet_check_policy_markers(fleet);
   marker->marker_status = 0;
   return violation_reported(fleet, "R4");
@@ -200,7 +200,7 @@
   static bool (*const checks[])(finished_run * run) = {
     detects_second_run,
     detects_false_refusal,
-    detects_wrong_answer,
+    detects_wrong_response,
     detects_old_policy,
     detects_lost_write,
     detects_work_on_draining_engine,
@@ -223,7 +223,7 @@
   finished_run run = { .fleet = fleet,
                        .engine = fleet->engine[0]->engine,
                        .busy_engine = engine_with_streams(fleet),
-                       .request = answered_request(fleet) };
+                       .request = completed_request(fleet) };
   run.attempt = last_attempt(fleet, run.request);
   int detected = 0;
   for (size_t i = 0; i < G_N_ELEMENTS(checks); i++)
