--- a/emulator/linearizability.c
+++ b/emulator/linearizability.c
@@ -33,7 +33,7 @@
 
 struct register_history {
   GArray *writes, *conflicts;
-  GString *fault;
+  GString *contradiction;
 };
 
 typedef struct search {
@@ -41,7 +41,7 @@
   register_write *writes;
   GArray *required;
   guint *chain;
-  uint64_t *at;
+  uint64_t *effective_at;
   guint length;
 } search;
 
@@ -49,14 +49,14 @@
   register_history *history = g_new0(register_history, 1);
   history->writes = g_array_new(FALSE, TRUE, sizeof(register_write));
   history->conflicts = g_array_new(FALSE, TRUE, sizeof(conflict));
-  history->fault = g_string_new(NULL);
+  history->contradiction = g_string_new(NULL);
   return history;
 }
 
 void register_history_free(register_history *history) {
   g_array_free(history->writes, TRUE);
   g_array_free(history->conflicts, TRUE);
-  g_string_free(history->fault, TRUE);
+  g_string_free(history->contradiction, TRUE);
   g_free(history);
 }
 
@@ -83,8 +83,9 @@
   }
   if (answer == ANSWER_CONFLICT || answer == ANSWER_INVALID)
     write->refused = true;
-  if (answer == ANSWER_INVALID && write->valid && !history->fault->len)
-    g_string_printf(history->fault, "write %u is valid, but was rejected as invalid", number);
+  if (answer == ANSWER_INVALID && write->valid && !history->contradiction->len)
+    g_string_printf(history->contradiction, "write %u is valid, but was rejected as invalid",
+                    number);
   if (answer == ANSWER_CONFLICT) {
     conflict conflict = { number, called, returned };
     g_array_append_val(history->conflicts, conflict);
@@ -108,17 +109,17 @@
 static bool writes_are_consistent(const register_history *history, GString *why) {
   for (guint i = 0; i < history->writes->len; i++) {
     const register_write *write = write_at(history, i);
-    const char *fault = NULL;
+    const char *contradiction = NULL;
     if (write->confirmed && write->refused)
-      fault = "was confirmed and refused";
+      contradiction = "was confirmed and refused";
     else if (write->read && write->refused)
-      fault = "was refused, but read";
+      contradiction = "was refused, but read";
     else if ((write->confirmed || write->read) && !write->valid)
-      fault = "is invalid, but was accepted";
-    if (!fault)
+      contradiction = "is invalid, but was accepted";
+    if (!contradiction)
       continue;
     g_string_printf(why, "write %u (version %" PRIu64 " on base %" PRIu64 ") %s", i, write->version,
-                    write->base_version, fault);
+                    write->base_version, contradiction);
     return false;
   }
   return true;
@@ -150,15 +151,15 @@
 static bool conflict_is_justified(const search *search, const uint64_t *latest,
                                   const conflict *conflict) {
   uint64_t base = search->writes[conflict->write].base_version;
-  int at = base ? NOT_IN_CHAIN : BEFORE_ALL;
+  int base_position = base ? NOT_IN_CHAIN : BEFORE_ALL;
   for (guint i = 0; i < search->length && base; i++)
     if (search->writes[search->chain[i]].version == base)
-      at = (int)i;
-  if (at == NOT_IN_CHAIN)
+      base_position = (int)i;
+  if (base_position == NOT_IN_CHAIN)
     return true;
-  guint next = base ? (guint)at + 1 : 0;
-  bool replaced = next < search->length && search->at[next] <= conflict->returned;
-  bool not_current_yet = base && latest[at] >= conflict->called;
+  guint next = base ? (guint)base_position + 1 : 0;
+  bool replaced = next < search->length && search->effective_at[next] <= conflict->returned;
+  bool not_current_yet = base && latest[base_position] >= conflict->called;
   return replaced || not_current_yet;
 }
 
@@ -196,7 +197,7 @@
   if (write->failed_from && at >= write->failed_from - 1)
     return false;
   search->chain[search->length] = i;
-  search->at[search->length++] = at;
+  search->effective_at[search->length++] = at;
   bool required = write->confirmed || write->read;
   if (extend(search, write->version, at, write->read_called, required_index + required, why))
     return true;
@@ -236,8 +237,8 @@
 }
 
 bool register_history_check(const register_history *history, GString *why) {
-  if (history->fault->len) {
-    g_string_assign(why, history->fault->str);
+  if (history->contradiction->len) {
+    g_string_assign(why, history->contradiction->str);
     return false;
   }
   if (!writes_are_consistent(history, why))
@@ -246,7 +247,7 @@
                    .writes = (register_write *)(void *)history->writes->data,
                    .required = required_writes(history),
                    .chain = g_new0(guint, history->writes->len + 1),
-                   .at = g_new0(uint64_t, history->writes->len + 1) };
+                   .effective_at = g_new0(uint64_t, history->writes->len + 1) };
   for (guint i = 0; i < history->writes->len; i++)
     state.writes[i].failed_from = 0;
   bool linearizable = extend(&state, 0, 0, 0, 0, why);
@@ -254,6 +255,6 @@
     g_string_truncate(why, 0);
   g_array_free(state.required, TRUE);
   g_free(state.chain);
-  g_free(state.at);
+  g_free(state.effective_at);
   return linearizable;
 }
