--- a/emulator/client_sim.c
+++ b/emulator/client_sim.c
@@ -134,12 +134,12 @@
 static const char *draw_model(client_sim *client, const client_sim_kind *kind) {
   if (!kind->models || !kind->models->len)
     return NULL;
-  double total = 0, left;
+  double total = 0, remaining;
   for (guint i = 0; i < kind->models->len; i++)
     total += 1 / pow(i + 1, kind->zipf_exponent);
-  left = random_fraction(client->world) * total;
+  remaining = random_fraction(client->world) * total;
   for (guint i = 0; i < kind->models->len; i++)
-    if ((left -= 1 / pow(i + 1, kind->zipf_exponent)) <= 0)
+    if ((remaining -= 1 / pow(i + 1, kind->zipf_exponent)) <= 0)
       return kind->models->pdata[i];
   return kind->models->pdata[kind->models->len - 1];
 }
@@ -152,7 +152,7 @@
   char *tag;
 } request_task;
 
-static void set_fault(client_sim_attempt *attempt, const char *what) {
+static void set_response_error(client_sim_attempt *attempt, const char *what) {
   if (!attempt->fault[0])
     g_strlcpy(attempt->fault, what, sizeof attempt->fault);
 }
@@ -170,17 +170,17 @@
     int field_count = sscanf(received->str, "id: %" SCNu64 "\ndata: %79s %" SCNu64 " %7s",
                              &event_id, run_id, &repeated_id, last_word);
     if (field_count < 3 || event_id != repeated_id)
-      set_fault(attempt, "body");
+      set_response_error(attempt, "body");
     else if (*ended || event_id != attempt->last_event + 1)
-      set_fault(attempt, "order");
+      set_response_error(attempt, "order");
     else if (!kind->resumable && strcmp(run_id, attempt->run_id))
-      set_fault(attempt, "order");
+      set_response_error(attempt, "order");
     if (field_count >= 3)
       attempt->last_event = event_id;
     if (field_count == 4) {
       *ended = true;
       if (event_id != total_events)
-        set_fault(attempt, "end");
+        set_response_error(attempt, "end");
     }
     g_string_erase(received, 0, event_end - received->str + 2);
   }
@@ -297,10 +297,10 @@
     memcpy(attempt->run_id, value.data, MIN(value.length, sizeof attempt->run_id - 1));
   bool is_success = call->status >= 200 && call->status < 300;
   if (is_success && !attempt->run_id[0])
-    set_fault(attempt, "stamp");
+    set_response_error(attempt, "stamp");
   if (fields_get(call->response_fields, client->dialect->header_names[DF_REQUEST_ID], &value) &&
       !string_view_equal(value, string_view_of(attempt->request_id)))
-    set_fault(attempt, "other");
+    set_response_error(attempt, "other");
   unsigned total_events =
       (kind->tokens_out + MAX(1, kind->event_tokens) - 1) / MAX(1, kind->event_tokens);
   for (;;) {
@@ -329,12 +329,12 @@
                                              : 'e';
   if (attempt->outcome == 'd' && is_stream &&
       ((!ended && task->resume_after < total_events) || received->len))
-    set_fault(attempt, "end");
+    set_response_error(attempt, "end");
   if (attempt->outcome == 'd' && !is_stream) {
     GString *expected = g_string_new(NULL);
     engine_response_body(expected, attempt->request_id, kind->bytes);
     if (!g_string_equal(expected, received))
-      set_fault(attempt, "body");
+      set_response_error(attempt, "body");
     g_string_free(expected, TRUE);
   }
 out:
--- a/emulator/client_sim.h
+++ b/emulator/client_sim.h
@@ -113,7 +113,7 @@
   time_us read_at;
   int64_t timeout_ms;
 } operator_sim;
-operator_sim *operator_sim_new(world *world, const dialect *words);
+operator_sim *operator_sim_new(world *world, const dialect *dialect);
 void operator_sim_free(operator_sim *operator);
 /** Sends a full configuration or a patch, and retries until there is a definite response. */
 operator_sim_change *operator_sim_send(operator_sim *operator, uint64_t version, uint64_t base,
--- a/emulator/gateway_check_index.c
+++ b/emulator/gateway_check_index.c
@@ -71,7 +71,7 @@
   return strchr(RUN_OUTCOMES, run->outcome) != NULL;
 }
 
-bool check_was_cut(const engine_run_record *run) {
+bool check_was_interrupted(const engine_run_record *run) {
   return run->outcome == 'b' || run->outcome == 't';
 }
 
--- a/emulator/gateway_check_index.h
+++ b/emulator/gateway_check_index.h
@@ -34,7 +34,7 @@
 /** True when an engine began to run a request, however it ended. */
 bool check_was_run(const engine_run_record *run);
 /** True when the engine lost or truncated the response, or the run timed out. */
-bool check_was_cut(const engine_run_record *run);
+bool check_was_interrupted(const engine_run_record *run);
 /** True when requests of a kind may be run more than once. */
 bool check_is_retryable(const client_sim_kind *kind);
 /** The host with the IP of an address, or NULL. */
--- a/emulator/gateway_check_requests.c
+++ b/emulator/gateway_check_requests.c
@@ -13,12 +13,12 @@
   return attempt->caller_request->kind->name;
 }
 
-static bool is_stream_fault(const client_sim_attempt *attempt) {
+static bool is_stream_error(const client_sim_attempt *attempt) {
   return !strcmp(attempt->fault, "order") || !strcmp(attempt->fault, "end");
 }
 
 static void check_response_is_own(const check_index *index, const client_sim_attempt *attempt) {
-  if (attempt->fault[0] && !is_stream_fault(attempt))
+  if (attempt->fault[0] && !is_stream_error(attempt))
     fleet_add_violation(index->fleet, "MIXED %s of %s: %s", attempt->request_id, kind_name(attempt),
                         attempt->fault);
   if (attempt->outcome != 'd' || !attempt->run_id[0])
@@ -112,7 +112,7 @@
 }
 
 static void check_event_order(const check_index *index, const client_sim_attempt *attempt) {
-  if (is_stream_fault(attempt))
+  if (is_stream_error(attempt))
     fleet_add_violation(index->fleet, "ORDER %s of %s: %s after event %" PRIu64,
                         attempt->request_id, kind_name(attempt), attempt->fault,
                         attempt->last_event);
--- a/emulator/gateway_check_shutdown.c
+++ b/emulator/gateway_check_shutdown.c
@@ -75,15 +75,15 @@
   if (!is_in_planned_stop(deployment, attempt, host) || is_past_deadline(attempt))
     return;
   const GPtrArray *runs = check_index_runs(index, attempt);
-  bool cut = false, forwarded = false, excused = false;
+  bool interrupted = false, forwarded = false, excused = false;
   for (guint i = 0; i < runs->len; i++) {
     const engine_run_record *run = runs->pdata[i];
-    cut |= check_was_cut(run);
+    interrupted |= check_was_interrupted(run);
     forwarded |= check_was_run(run);
     excused |= is_run_excused(deployment, attempt, run, host);
   }
   bool lasted = attempt->ended_at.us - attempt->sent_at.us > LOSS_SLACK_MS * 1000;
-  if (cut || excused || !(forwarded || lasted))
+  if (interrupted || excused || !(forwarded || lasted))
     return;
   fleet_add_violation(index->fleet, "LOST %s of %s at %s ended without a complete response",
                       attempt->request_id, attempt->caller_request->kind->name, attempt->node);
@@ -93,10 +93,10 @@
   check_each_attempt(deployment, check_not_lost);
 }
 
-/* whether an engine ran a request without cutting it off, and its host had no injected fault when
+/* whether an engine ran a request without interrupting it, and its host had no injected fault when
  * the request arrived */
 static bool engine_had_no_fault(const deployment *deployment, const engine_run_record *run) {
-  if (!check_was_run(run) || check_was_cut(run))
+  if (!check_was_run(run) || check_was_interrupted(run))
     return false;
   size_t count = deployment->model_engine_count + deployment->plain_engine_count;
   for (size_t i = 0; i < count; i++) {
--- a/emulator/gateway_check_trials.c
+++ b/emulator/gateway_check_trials.c
@@ -21,7 +21,7 @@
   check_index index;
   /* from session to the first client_sim_attempt that was sent to a gateway with a fault, even if
    * no engine ran it */
-  GHashTable *first_faults;
+  GHashTable *first_attempts_in_fault;
   /* from "TRIAL SESSION" to trial_session */
   GHashTable *sessions;
 } trial_check;
@@ -38,7 +38,7 @@
   return end;
 }
 
-static void record_first_faults(trial_check *check) {
+static void record_first_attempts_in_fault(trial_check *check) {
   const deployment *deployment = check->index.deployment;
   for (guint i = 0; i < deployment->client->attempts->len; i++) {
     client_sim_attempt *attempt = deployment->client->attempts->pdata[i];
@@ -46,9 +46,9 @@
       continue;
     char *session = g_strdup_printf("%s-%u", attempt->caller_request->kind->name,
                                     attempt->caller_request->user);
-    const client_sim_attempt *first = g_hash_table_lookup(check->first_faults, session);
+    const client_sim_attempt *first = g_hash_table_lookup(check->first_attempts_in_fault, session);
     if (!first || attempt->sent_at.us < first->sent_at.us)
-      g_hash_table_insert(check->first_faults, session, attempt);
+      g_hash_table_insert(check->first_attempts_in_fault, session, attempt);
     else
       g_free(session);
   }
@@ -116,8 +116,10 @@
 static void check_old_run(const trial_check *check, const char *key, trial_session *session,
                           const client_sim_attempt *attempt, const engine_run_record *run) {
   const deployment *deployment = check->index.deployment;
-  const client_sim_attempt *fault = g_hash_table_lookup(check->first_faults, run->session);
-  bool excused = session->returned || (fault && fault->sent_at.us <= attempt->sent_at.us) ||
+  const client_sim_attempt *first_in_fault =
+      g_hash_table_lookup(check->first_attempts_in_fault, run->session);
+  bool excused = session->returned ||
+                 (first_in_fault && first_in_fault->sent_at.us <= attempt->sent_at.us) ||
                  (session->old_seen && !is_known_as_old(session, attempt->sent_at));
   if (session->candidate_seen && !excused)
     fleet_add_violation(
@@ -167,14 +169,14 @@
 
 void gateway_check_trial_policies(deployment *deployment) {
   trial_check check = { .index = check_index_new(deployment) };
-  check.first_faults = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+  check.first_attempts_in_fault = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
   check.sessions = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-  record_first_faults(&check);
+  record_first_attempts_in_fault(&check);
   GPtrArray *runs = list_first_runs(&check);
   for (guint i = 0; i < runs->len; i++)
     check_trial_run(&check, runs->pdata[i]);
   g_ptr_array_free(runs, TRUE);
-  g_hash_table_destroy(check.first_faults);
+  g_hash_table_destroy(check.first_attempts_in_fault);
   g_hash_table_destroy(check.sessions);
   check_index_free(&check.index);
 }
