--- a/emulator/engine_sim_orders.c
+++ b/emulator/engine_sim_orders.c
@@ -51,8 +51,8 @@
   engine_sim *engine = task->engine;
   engine_sim_item *item = find_task_item(task);
   if (item) {
-    time_us left = time_sub(item->ready_at, world_now(engine->world));
-    world_sleep(engine->world, left.us > 0 ? left : time_from_ms(LOAD_MIN_MS));
+    time_us remaining = time_sub(item->ready_at, world_now(engine->world));
+    world_sleep(engine->world, remaining.us > 0 ? remaining : time_from_ms(LOAD_MIN_MS));
     item = find_task_item(task);
     if (item && item->state == ENGINE_SIM_LOADING)
       complete_load(engine, item);
@@ -134,10 +134,11 @@
 /* whether an order gets no response; decrements the fault's counter if so */
 static bool use_unanswered_fault(engine_sim *engine, enum engine_sim_order_kind kind) {
   engine_faults *faults = &engine->faults;
-  int *left = kind == ENGINE_SIM_LOAD ? &faults->unanswered_loads : &faults->unanswered_unloads;
-  if (*left <= 0)
+  int *remaining_uses =
+      kind == ENGINE_SIM_LOAD ? &faults->unanswered_loads : &faults->unanswered_unloads;
+  if (*remaining_uses <= 0)
     return false;
-  (*left)--;
+  (*remaining_uses)--;
   return true;
 }
 
--- a/emulator/fleet_check_requests.c
+++ b/emulator/fleet_check_requests.c
@@ -3,8 +3,9 @@
 #include "fleet_check_records.h"
 
 enum {
-  /** The share of retries is checked only with more requests than this. */
-  RETRIES_JUDGED_MIN = 50,
+  /** The share of retries is checked only with more requests than this; each attempt of a caller
+   * counts as a request. */
+  RETRY_CHECK_REQUESTS_MIN = 50,
   /** Allowed retries: one for each REQUESTS_PER_RETRY requests, plus RETRIES_PER_ROUTER for each
    * router. */
   REQUESTS_PER_RETRY = 10,
@@ -99,7 +100,7 @@
     count_up(attempts, g_array_index(log, loadgen_attempt, i).request->tag);
   int retries = count_retries(arrivals, attempts), requests = (int)log->len;
   int allowed = requests / REQUESTS_PER_RETRY + RETRIES_PER_ROUTER * fleet->routers;
-  if (requests > RETRIES_JUDGED_MIN && retries > allowed)
+  if (requests > RETRY_CHECK_REQUESTS_MIN && retries > allowed)
     fleet_add_violation(fleet, "R11 %d retries for %d requests", retries, requests);
   g_hash_table_destroy(arrivals);
   g_hash_table_destroy(attempts);
--- a/emulator/loadgen.c
+++ b/emulator/loadgen.c
@@ -325,10 +325,10 @@
   double total = 0;
   for (size_t i = 0; i < count; i++)
     total += zipf_weight(loadgen, i);
-  double left = random_fraction(loadgen->world) * total;
+  double remaining = random_fraction(loadgen->world) * total;
   for (size_t i = 0; i < count; i++) {
-    left -= zipf_weight(loadgen, i);
-    if (left <= 0)
+    remaining -= zipf_weight(loadgen, i);
+    if (remaining <= 0)
       return i;
   }
   return count - 1;
@@ -339,8 +339,8 @@
   int total = 0, kind = 0;
   for (int i = 0; i < LOADGEN_KINDS; i++)
     total += plan->kind_share[i];
-  int left = (int)world_random(loadgen->world, (uint64_t)total);
-  while (kind < LOADGEN_KINDS - 1 && (left -= plan->kind_share[kind]) >= 0)
+  int remaining = (int)world_random(loadgen->world, (uint64_t)total);
+  while (kind < LOADGEN_KINDS - 1 && (remaining -= plan->kind_share[kind]) >= 0)
     kind++;
   return plan->kinds[kind];
 }
--- a/emulator/operator_sim.c
+++ b/emulator/operator_sim.c
@@ -11,10 +11,10 @@
   FOLLOWED_REDIRECTS_MAX = 2
 };
 
-operator_sim *operator_sim_new(world *world, const dialect *words) {
+operator_sim *operator_sim_new(world *world, const dialect *dialect) {
   operator_sim *operator= g_new0(operator_sim, 1);
   operator->world = world;
-  operator->dialect = words;
+  operator->dialect = dialect;
   operator->controllers = g_ptr_array_new_with_free_func(g_free);
   operator->changes = g_ptr_array_new();
   operator->read_text = g_string_new(NULL);
--- a/emulator/registering_engine_sim.c
+++ b/emulator/registering_engine_sim.c
@@ -80,8 +80,8 @@
 
 /* keeps running until the announced end; false when the engine stops */
 static bool wait_for_notice(registering_engine_sim *engine) {
-  time_us left = time_sub(engine->drain_ends_at, world_now(engine->world));
-  return left.us <= 0 || world_sleep(engine->world, left);
+  time_us remaining = time_sub(engine->drain_ends_at, world_now(engine->world));
+  return remaining.us <= 0 || world_sleep(engine->world, remaining);
 }
 
 /* waits until no more requests are expected and none is running, for DRAIN_POLLS_MAX polls at most;
