--- a/emulator/day_inject.c
+++ b/emulator/day_inject.c
@@ -1,6 +1,7 @@
 /**
  * Injection of a day's faults. Beginning a fault can schedule its end. A fault whose target is down
- * already has no effect and no end, except engine-grey, which changes the plan of the engine.
+ * already has no effect and no end, except DAY_ENGINE_DEGRADED, which changes the engine's plan, so
+ * that it also affects a restarted engine.
  */
 #include "day_inject.h"
 #include "day_config.h"
