--- a/emulator/day_config.c
+++ b/emulator/day_config.c
@@ -136,16 +136,16 @@
 
 /* returns the names of the models that fit into the memory of an engine, starting at *next; sets
  * *next to the first that does not fit */
-static GPtrArray *take_models_that_fit(const GPtrArray *models, double left_mb, guint *next) {
+static GPtrArray *take_models_that_fit(const GPtrArray *models, double remaining_mb, guint *next) {
   GPtrArray *models_on_engine = g_ptr_array_new();
   for (guint i = 0; i < models->len; i++) {
     guint index = (*next + i) % models->len;
     const engine_model_spec *model = models->pdata[index];
-    if (model->weights_mb > left_mb) {
+    if (model->weights_mb > remaining_mb) {
       *next = index;
       break;
     }
-    left_mb -= model->weights_mb;
+    remaining_mb -= model->weights_mb;
     g_ptr_array_add(models_on_engine, (char *)model->name.text);
   }
   return models_on_engine;
--- a/emulator/day_plot.c
+++ b/emulator/day_plot.c
@@ -87,8 +87,8 @@
 
 static void append_fault(const plot *plot, const day_fault *fault) {
   double x = LEFT + PLOT_WIDTH * MIN(1, fault->at_s / plot->seconds);
-  double left_s = MAX(0, plot->seconds - fault->at_s);
-  double width = PLOT_WIDTH * MIN(fault->duration_s, left_s) / plot->seconds;
+  double remaining_s = MAX(0, plot->seconds - fault->at_s);
+  double width = PLOT_WIDTH * MIN(fault->duration_s, remaining_s) / plot->seconds;
   g_string_append_printf(
       plot->to,
       "<rect x=\"%.1f\" y=\"%d\" width=\"%.1f\" height=\"%d\" fill=\"#fa8\" fill-opacity=\"0.25\"><title>%s</title></rect>\n",
--- a/emulator/day_report.c
+++ b/emulator/day_report.c
@@ -72,7 +72,7 @@
                          " of them second ones, %" PRIu64 " turned away; %" PRIu64
                          " orders, %" PRIu64 " loads (%" PRIu64 " from the store), %" PRIu64
                          " unloads\n",
-                         result->attempts, result->retries, result->not_run, result->orders,
+                         result->runs, result->retries, result->not_run, result->orders,
                          result->loads, result->cold_loads, result->unloads);
   g_string_append_printf(to,
                          "  between our processes: %" PRIu64
@@ -129,7 +129,7 @@
                ",\"orders\":%" PRIu64 ",\"loads\":%" PRIu64 ",\"storeLoads\":%" PRIu64
                ",\"unloads\":%" PRIu64 ",\"beats\":%" PRIu64 ",\"reports\":%" PRIu64
                ",\"messages\":%" PRIu64 ",\"messageBytes\":%" PRIu64,
-               result->attempts, result->retries, result->not_run, result->orders, result->loads,
+               result->runs, result->retries, result->not_run, result->orders, result->loads,
                result->cold_loads, result->unloads, result->heartbeats, result->reports,
                result->messages, result->bytes);
 }
--- a/emulator/day_result.c
+++ b/emulator/day_result.c
@@ -88,7 +88,7 @@
       result->not_run++;
       continue;
     }
-    result->attempts++;
+    result->runs++;
     if (!g_hash_table_add(seen, run->request_id))
       result->retries++;
   }
--- a/emulator/day_result.h
+++ b/emulator/day_result.h
@@ -30,7 +30,7 @@
   size_t step_count;
   uint64_t orders, loads, unloads, cold_loads; /* cold: from the store, not from disk */
   /* runs at engines, those among them that repeat a request, and requests that were not run */
-  uint64_t attempts, retries, not_run;
+  uint64_t runs, retries, not_run;
   uint64_t heartbeats, reports;
   uint64_t messages, bytes; /* between processes of the control and data plane */
   double cpu_s, virtual_s;
--- a/tests/emulator/day.c
+++ b/tests/emulator/day.c
@@ -167,10 +167,9 @@
         total->sent, sent_by_kind, sent_by_zone, sent_by_step);
   if (total->served * 10 < total->sent * 9)
     fleet_add_violation(fleet, "%" PRIu64 " of %" PRIu64 " served", total->served, total->sent);
-  if (!first->messages || !first->bytes || first->attempts < total->served ||
+  if (!first->messages || !first->bytes || first->runs < total->served ||
       first->step_counts[2].sent <= first->step_counts[0].sent)
-    fleet_add_violation(fleet, "messages %" PRIu64 ", attempts %" PRIu64, first->messages,
-                        first->attempts);
+    fleet_add_violation(fleet, "messages %" PRIu64 ", runs %" PRIu64, first->messages, first->runs);
   /* the same seed gives the same result */
   if (memcmp(&first->total, &second->total, sizeof first->total) ||
       first->messages != second->messages)
