--- a/emulator/deployment_clients.c
+++ b/emulator/deployment_clients.c
@@ -146,14 +146,14 @@
   client_sim_start(deployment->client);
 }
 
-static bool all_requests_ended(sim *sim, void *context) {
+static bool all_client_requests_ended(sim *sim, void *context) {
   (void)sim;
   return !((deployment *)context)->client->open_requests;
 }
 
 void deployment_finish_traffic(deployment *deployment) {
   deployment->client->stop = true;
-  if (!sim_run_until(deployment->sim, all_requests_ended, deployment,
+  if (!sim_run_until(deployment->sim, all_client_requests_ended, deployment,
                      time_from_ms(LAST_RESPONSE_MS)))
     fleet_add_violation(deployment->fleet, "%u requests did not end",
                         deployment->client->open_requests);
--- a/emulator/fleet_check.h
+++ b/emulator/fleet_check.h
@@ -13,7 +13,7 @@
 void fleet_add_violation(fleet *fleet, const char *format, ...)
     __attribute__((format(printf, 2, 3)));
 /** R1: a request that can't be resumed runs once; R2: a request reported as not run did not run;
- * R3: a caller gets the complete response to its own request. Each rejection says when to retry. */
+ * R3: a caller gets the complete response to its own request. Each refusal says when to retry. */
 void fleet_check_runs(fleet *fleet);
 /** R4: acknowledged policies take effect in time and are not reverted, as shown by the policy
  * markers in the responses to probes. */
--- a/emulator/fleet_check_drain.c
+++ b/emulator/fleet_check_drain.c
@@ -155,14 +155,14 @@
   return !version || version >= required->version;
 }
 
-enum coverage { COVERAGE_UNKNOWN, ENGINE_COVERED, ENGINE_NOT_COVERED };
+enum evacuation_coverage { COVERAGE_UNKNOWN, ENGINE_COVERED, ENGINE_NOT_COVERED };
 
 /* evacuation_covers with a cache by write and host, since that function parses the write's text */
 static bool evacuation_covers_cached(GHashTable *cache, const operator_write *write,
                                      const host *host) {
   char key[160];
   snprintf(key, sizeof key, "%p %s", (const void *)write, host->self.text);
-  enum coverage coverage = GPOINTER_TO_INT(g_hash_table_lookup(cache, key));
+  enum evacuation_coverage coverage = GPOINTER_TO_INT(g_hash_table_lookup(cache, key));
   if (coverage == COVERAGE_UNKNOWN) {
     coverage = evacuation_covers(write, host) ? ENGINE_COVERED : ENGINE_NOT_COVERED;
     g_hash_table_insert(cache, g_strdup(key), GINT_TO_POINTER(coverage));
--- a/emulator/fleet_check_requests.c
+++ b/emulator/fleet_check_requests.c
@@ -36,19 +36,19 @@
     fleet_add_violation(fleet, "R3 request %s got a response that no engine sent", request->tag);
 }
 
-static bool is_rejection(const loadgen_attempt *attempt) {
+static bool attempt_was_refused(const loadgen_attempt *attempt) {
   int status = attempt->status;
   return (status == 429 || status == 503 || status == 504 || status == 502) &&
          attempt->outcome != OUTCOME_NO_ANSWER;
 }
 
-static void check_rejections(fleet *fleet, const request_records *records,
-                             const loadgen_request *request) {
+static void check_refusals(fleet *fleet, const request_records *records,
+                           const loadgen_request *request) {
   const GPtrArray *attempts = request_records_attempts(records, request->tag);
   for (guint i = 0; i < attempts->len; i++) {
     const loadgen_attempt *attempt = attempts->pdata[i];
-    if (is_rejection(attempt) && attempt->retry_s < 1)
-      fleet_add_violation(fleet, "request %s was rejected (status %d) without a time to retry",
+    if (attempt_was_refused(attempt) && attempt->retry_s < 1)
+      fleet_add_violation(fleet, "request %s was refused (status %d) without a time to retry",
                           request->tag, attempt->status);
   }
 }
@@ -58,7 +58,7 @@
   const GPtrArray *requests = fleet->callers->loadgen->requests;
   for (guint i = 0; i < requests->len; i++) {
     check_request_runs(fleet, &records, requests->pdata[i]);
-    check_rejections(fleet, &records, requests->pdata[i]);
+    check_refusals(fleet, &records, requests->pdata[i]);
   }
   request_records_free(&records);
 }
