--- a/emulator/deployment.c
+++ b/emulator/deployment.c
@@ -19,20 +19,20 @@
 };
 
 deployment *deployment_new_empty(fleet *fleet) {
-  deployment *new = g_new0(deployment, 1);
-  new->fleet = fleet;
-  new->sim = fleet->sim;
-  new->log = engine_record_log_new();
-  new->store.full_speed_loads = 3;
-  new->loads_per_s = 2;
-  new->extra_routes = g_string_new(NULL);
-  new->scheduled_kills = g_ptr_array_new_with_free_func(g_free);
-  new->injected_faults = g_array_new(FALSE, TRUE, sizeof(injected_fault));
+  deployment *created = g_new0(deployment, 1);
+  created->fleet = fleet;
+  created->sim = fleet->sim;
+  created->log = engine_record_log_new();
+  created->store.full_speed_loads = 3;
+  created->loads_per_s = 2;
+  created->extra_routes = g_string_new(NULL);
+  created->scheduled_kills = g_ptr_array_new_with_free_func(g_free);
+  created->injected_faults = g_array_new(FALSE, TRUE, sizeof(injected_fault));
   for (int i = 0; i < fleet->controllers; i++)
-    new->controller_processes[i] = deployment_add_controller(new, fleet->controller[i]);
+    created->controller_processes[i] = deployment_add_controller(created, fleet->controller[i]);
   for (int i = 0; i < fleet->routers; i++)
-    new->gateway_processes[i] = deployment_add_gateway(new, fleet->router[i]);
-  return new;
+    created->gateway_processes[i] = deployment_add_gateway(created, fleet->router[i]);
+  return created;
 }
 
 /* returns the models that an engine starts with: each of the two most requested models is on half
--- a/emulator/fleet.c
+++ b/emulator/fleet.c
@@ -96,29 +96,29 @@
 }
 
 fleet *fleet_new(uint64_t seed, int routers, int engines) {
-  fleet *f = g_new0(fleet, 1);
-  f->seed = seed;
-  f->sim = sim_new(seed);
-  f->controllers = 3;
-  f->routers = routers;
-  f->engines = engines;
-  f->models = MODELS;
-  f->adapters = ADAPTERS;
-  f->loads_per_s = 4;
-  f->slow_start_s = 5;
-  f->streams_per_engine = 16;
+  fleet *created = g_new0(fleet, 1);
+  created->seed = seed;
+  created->sim = sim_new(seed);
+  created->controllers = 3;
+  created->routers = routers;
+  created->engines = engines;
+  created->models = MODELS;
+  created->adapters = ADAPTERS;
+  created->loads_per_s = 4;
+  created->slow_start_s = 5;
+  created->streams_per_engine = 16;
   for (int i = 0; i < FLEET_ZONES; i++)
-    f->area[i] = id_of_text(zones[i]);
-  f->rules = g_strdup("{\"then\":[\"enrol\",\"select\",\"hold\",\"proxy\",\"answer\"]}");
-  f->violations = g_string_new(NULL);
-  f->write_acks = g_array_new(FALSE, TRUE, sizeof(write_ack));
-  f->writes = g_ptr_array_new();
-  f->probes = g_array_new(FALSE, TRUE, sizeof(policy_probe));
-  add_hosts(f);
-  list_for_each (h, &f->sim->hosts, host, link)
+    created->area[i] = id_of_text(zones[i]);
+  created->rules = g_strdup("{\"then\":[\"enrol\",\"select\",\"hold\",\"proxy\",\"answer\"]}");
+  created->violations = g_string_new(NULL);
+  created->write_acks = g_array_new(FALSE, TRUE, sizeof(write_ack));
+  created->writes = g_ptr_array_new();
+  created->probes = g_array_new(FALSE, TRUE, sizeof(policy_probe));
+  add_hosts(created);
+  list_for_each (h, &created->sim->hosts, host, link)
     if (h->role == HOST_CONTROLLER || h->role == HOST_ROUTER)
-      set_settings(f, h);
-  return f;
+      set_settings(created, h);
+  return created;
 }
 
 void fleet_free(fleet *fleet) {
--- a/emulator/sim.c
+++ b/emulator/sim.c
@@ -33,22 +33,22 @@
 }
 
 sim *sim_new(uint64_t seed) {
-  sim *s = g_new0(sim, 1);
-  s->random_state = seed * SEED_FACTOR + 1;
-  s->now = time_from_ms(START_MS + (int64_t)sim_random(s, START_JITTER_MS));
-  sim_events_init(&s->events);
-  sim_partitions_init(&s->partitions);
-  sim_messages_init(&s->messages);
-  s->peer_timeout_ms = PEER_CHANNEL_TIMEOUT_MS;
-  s->delay_ms = DEFAULT_DELAY_MS;
-  s->jitter_ms = DEFAULT_JITTER_MS;
-  s->log_to_stderr = g_getenv("SIM_LOG") != NULL;
-  list_init(&s->hosts);
-  list_init(&s->http_exchanges);
-  list_init(&s->listeners);
-  list_init(&s->channels);
-  list_init(&s->exchanges);
-  return s;
+  sim *created = g_new0(sim, 1);
+  created->random_state = seed * SEED_FACTOR + 1;
+  created->now = time_from_ms(START_MS + (int64_t)sim_random(created, START_JITTER_MS));
+  sim_events_init(&created->events);
+  sim_partitions_init(&created->partitions);
+  sim_messages_init(&created->messages);
+  created->peer_timeout_ms = PEER_CHANNEL_TIMEOUT_MS;
+  created->delay_ms = DEFAULT_DELAY_MS;
+  created->jitter_ms = DEFAULT_JITTER_MS;
+  created->log_to_stderr = g_getenv("SIM_LOG") != NULL;
+  list_init(&created->hosts);
+  list_init(&created->http_exchanges);
+  list_init(&created->listeners);
+  list_init(&created->channels);
+  list_init(&created->exchanges);
+  return created;
 }
 
 static void drop_events(sim *sim) {
--- a/emulator/sim_channel.c
+++ b/emulator/sim_channel.c
@@ -16,18 +16,18 @@
 }
 
 channel *channel_new(host *client, const char *addr) {
-  channel *c = g_new0(channel, 1);
-  c->sim = client->sim;
-  c->client = client;
-  c->client_incarnation = client->incarnation;
-  g_strlcpy(c->addr, addr, sizeof c->addr);
-  packet_queue_init(&c->to_client, c);
-  packet_queue_init(&c->to_server, c);
-  list_init(&c->idle);
-  list_append(&c->sim->channels, &c->link);
-  c->client_open = true;
-  c->references = 1;
-  return c;
+  channel *created = g_new0(channel, 1);
+  created->sim = client->sim;
+  created->client = client;
+  created->client_incarnation = client->incarnation;
+  g_strlcpy(created->addr, addr, sizeof created->addr);
+  packet_queue_init(&created->to_client, created);
+  packet_queue_init(&created->to_server, created);
+  list_init(&created->idle);
+  list_append(&created->sim->channels, &created->link);
+  created->client_open = true;
+  created->references = 1;
+  return created;
 }
 
 void channel_ref(channel *channel) {
@@ -46,18 +46,18 @@
 }
 
 exchange *exchange_new(channel *channel, http_call *call) {
-  exchange *x = g_new0(exchange, 1);
-  list_append(&channel->sim->exchanges, &x->link);
-  x->channel = channel;
+  exchange *created = g_new0(exchange, 1);
+  list_append(&channel->sim->exchanges, &created->link);
+  created->channel = channel;
   channel_ref(channel);
-  x->call = call;
-  x->references = 1;
-  call->impl = x;
-  x->method = g_strdup(call->method);
-  x->target = g_strdup(call->path);
-  x->request_fields = g_string_new_len(call->request_fields->str, call->request_fields->len);
-  x->body = g_string_new_len(call->body->str, call->body->len);
-  return x;
+  created->call = call;
+  created->references = 1;
+  call->impl = created;
+  created->method = g_strdup(call->method);
+  created->target = g_strdup(call->path);
+  created->request_fields = g_string_new_len(call->request_fields->str, call->request_fields->len);
+  created->body = g_string_new_len(call->body->str, call->body->len);
+  return created;
 }
 
 exchange *exchange_ref(exchange *exchange) {
@@ -167,19 +167,19 @@
   /* packets that a partition holds up are lost when their sender resets the channel */
   if (content.kind == PACKET_RESET && is_cut(queue))
     packet_queue_clear(queue);
-  packet *p = g_new0(packet, 1);
-  p->content = content;
+  packet *sent = g_new0(packet, 1);
+  sent->content = content;
   exchange_ref(content.exchange);
   if (content.text.data) {
-    p->text = g_string_new_len(content.text.data, content.text.length);
-    p->content.text = string_view_of_gstring(p->text);
+    sent->text = g_string_new_len(content.text.data, content.text.length);
+    sent->content.text = string_view_of_gstring(sent->text);
   }
-  p->deliver_at = time_add(sim->now, sim_draw_message_delay(sim));
-  if (p->deliver_at.us <= queue->last_delivery_at.us)
-    p->deliver_at.us = queue->last_delivery_at.us + 1;
-  queue->last_delivery_at = p->deliver_at;
-  list_append(&queue->packets, &p->link);
-  schedule_queue(queue, p->deliver_at);
+  sent->deliver_at = time_add(sim->now, sim_draw_message_delay(sim));
+  if (sent->deliver_at.us <= queue->last_delivery_at.us)
+    sent->deliver_at.us = queue->last_delivery_at.us + 1;
+  queue->last_delivery_at = sent->deliver_at;
+  list_append(&queue->packets, &sent->link);
+  schedule_queue(queue, sent->deliver_at);
 }
 
 /* a restarted process, or a host without a process, does not know this channel */
--- a/emulator/sim_host.c
+++ b/emulator/sim_host.c
@@ -34,19 +34,19 @@
 
 host *sim_add_host(sim *sim, enum host_role role, const char *self, const char *area,
                    const char *addr) {
-  host *h = g_new0(host, 1);
-  h->sim = sim;
-  h->role = role;
-  h->self = id_of_text(self);
-  h->area = id_of_text(area);
-  g_strlcpy(h->addr, addr, sizeof h->addr);
-  h->next_wake_at = time_never();
-  h->past_engines = g_ptr_array_new();
-  list_init(&h->inbox);
-  list_init(&h->pooled_connections);
-  h->disk = sim_disk_new();
-  list_append(&sim->hosts, &h->link);
-  return h;
+  host *added = g_new0(host, 1);
+  added->sim = sim;
+  added->role = role;
+  added->self = id_of_text(self);
+  added->area = id_of_text(area);
+  g_strlcpy(added->addr, addr, sizeof added->addr);
+  added->next_wake_at = time_never();
+  added->past_engines = g_ptr_array_new();
+  list_init(&added->inbox);
+  list_init(&added->pooled_connections);
+  added->disk = sim_disk_new();
+  list_append(&sim->hosts, &added->link);
+  return added;
 }
 
 host *sim_find_host(sim *sim, const char *self) {
