--- a/emulator/client_sim.h
+++ b/emulator/client_sim.h
@@ -19,7 +19,7 @@
   GPtrArray *models;
 } client_sim_kind;
 
-/** A request as its user sees it, over all its attempts. */
+/** A request of a user, over all its attempts. */
 typedef struct client_sim_request {
   const client_sim_kind *kind;
   id model, adapter;
@@ -45,36 +45,36 @@
   char outcome;
 } client_sim_attempt;
 
-/** A node as the balancer sees it. */
-typedef struct balancer_sim_node {
+/** A gateway as the balancer sees it. */
+typedef struct balancer_sim_gateway {
   char front_address[64], ready_address[64];
   id area;
   int failures_in_row;
   bool in_rotation;
   uint64_t checks, checks_failed;
-} balancer_sim_node;
+} balancer_sim_gateway;
 typedef struct balancer_sim {
   world *world;
-  GPtrArray *nodes;
+  GPtrArray *gateways;
   const dialect *dialect;
   bool stop;
 } balancer_sim;
 balancer_sim *balancer_sim_new(world *world, const dialect *dialect);
-void balancer_sim_add_node(balancer_sim *balancer, const char *front_address,
-                           const char *ready_address, id area);
+void balancer_sim_add_gateway(balancer_sim *balancer, const char *front_address,
+                              const char *ready_address, id area);
 void balancer_sim_free(balancer_sim *balancer);
-/** The node for a new connection of a user in a zone; earlier_attempts is the number of attempts
+/** The gateway for a new connection of a user in a zone; earlier_attempts is the number of attempts
  * that the request already had. NULL when there is none. */
-const balancer_sim_node *balancer_sim_pick(const balancer_sim *balancer, id area, unsigned user,
-                                           unsigned earlier_attempts);
+const balancer_sim_gateway *balancer_sim_pick(const balancer_sim *balancer, id area, unsigned user,
+                                              unsigned earlier_attempts);
 
 typedef struct client_sim {
   world *world;
   /** True when an idle connection to an address is still open. NULL: that is unknown, and the
-   * client picks a node for each request. */
+   * client picks a gateway for each request. */
   bool (*connected)(world *world, const char *addr);
-  /** From user to the balancer_sim_node whose last response left the user's connection open. */
-  GHashTable *node_of_user;
+  /** From user to the balancer_sim_gateway whose last response left the user's connection open. */
+  GHashTable *gateway_of_user;
   balancer_sim *balancer;
   const dialect *dialect;
   GPtrArray *kinds, *requests, *attempts;
@@ -113,7 +113,7 @@
   time_us read_at;
   int64_t timeout_ms;
 } operator_sim;
-operator_sim *operator_sim_new(world *world, const dialect *words);
+operator_sim *operator_sim_new(world *world, const dialect *dialect);
 void operator_sim_free(operator_sim *operator);
 /** Sends a full configuration or a patch, and retries until there is a definite response. */
 operator_sim_change *operator_sim_send(operator_sim *operator, uint64_t version, uint64_t base,
--- a/emulator/fleet.c
+++ b/emulator/fleet.c
@@ -15,11 +15,11 @@
   WEIGHTS_STEP_MB = 4000,
   SLOTS_MIN = 3,
   LOG_FILE_BYTES = 512 << 10,
-  /** Time limits of the steps of a start, and of the last answers to callers. */
+  /** Time limits of the steps of a start, and of the last responses to callers. */
   START_MS = 3000,
   HEALTHY_MS = 10000,
   LEASES_MS = 15000,
-  LAST_ANSWER_MS = 140000
+  LAST_RESPONSE_MS = 140000
 };
 
 static const char *const zones[FLEET_ZONES] = { "north", "mid", "south" };
@@ -96,29 +96,29 @@
 }
 
 fleet *fleet_new(uint64_t seed, int routers, int engines) {
-  fleet *f = g_new0(fleet, 1);
-  f->seed = seed;
-  f->sim = sim_new(seed);
-  f->controllers = 3;
-  f->routers = routers;
-  f->engines = engines;
-  f->models = MODELS;
-  f->adapters = ADAPTERS;
-  f->loads_per_s = 4;
-  f->slow_start_s = 5;
-  f->streams_per_engine = 16;
+  fleet *created = g_new0(fleet, 1);
+  created->seed = seed;
+  created->sim = sim_new(seed);
+  created->controllers = 3;
+  created->routers = routers;
+  created->engines = engines;
+  created->models = MODELS;
+  created->adapters = ADAPTERS;
+  created->loads_per_s = 4;
+  created->slow_start_s = 5;
+  created->streams_per_engine = 16;
   for (int i = 0; i < FLEET_ZONES; i++)
-    f->area[i] = id_of_text(zones[i]);
-  f->rules = g_strdup("{\"then\":[\"enrol\",\"select\",\"hold\",\"proxy\",\"answer\"]}");
-  f->violations = g_string_new(NULL);
-  f->write_acks = g_array_new(FALSE, TRUE, sizeof(write_ack));
-  f->writes = g_ptr_array_new();
-  f->probes = g_array_new(FALSE, TRUE, sizeof(policy_probe));
-  add_hosts(f);
-  list_for_each (h, &f->sim->hosts, host, link)
+    created->area[i] = id_of_text(zones[i]);
+  created->rules = g_strdup("{\"then\":[\"enrol\",\"select\",\"hold\",\"proxy\",\"answer\"]}");
+  created->violations = g_string_new(NULL);
+  created->write_acks = g_array_new(FALSE, TRUE, sizeof(write_ack));
+  created->writes = g_ptr_array_new();
+  created->probes = g_array_new(FALSE, TRUE, sizeof(policy_probe));
+  add_hosts(created);
+  list_for_each (h, &created->sim->hosts, host, link)
     if (h->role == HOST_CONTROLLER || h->role == HOST_ROUTER)
-      set_settings(f, h);
-  return f;
+      set_settings(created, h);
+  return created;
 }
 
 void fleet_free(fleet *fleet) {
@@ -269,23 +269,22 @@
   return ok;
 }
 
-void fleet_run_traffic(fleet *fleet, double requests_per_s, time_us span) {
+void fleet_run_traffic(fleet *fleet, double requests_per_s, time_us duration) {
   loadgen *loadgen = fleet->callers->loadgen;
   loadgen->plan.requests_per_s = requests_per_s;
   loadgen->stop = false;
   loadgen_start(loadgen);
-  sim_run(fleet->sim, span);
+  sim_run(fleet->sim, duration);
   loadgen->stop = true;
 }
 
-static bool all_callers_answered(sim *sim, void *context) {
+static bool all_requests_ended(sim *sim, void *context) {
   (void)sim;
   return !((fleet *)context)->callers->loadgen->open_requests;
 }
 
 void fleet_finish_traffic(fleet *fleet) {
   fleet->callers->loadgen->stop = true;
-  if (!sim_run_until(fleet->sim, all_callers_answered, fleet, time_from_ms(LAST_ANSWER_MS)))
-    fleet_add_violation(fleet, "%d callers were never answered",
-                        fleet->callers->loadgen->open_requests);
+  if (!sim_run_until(fleet->sim, all_requests_ended, fleet, time_from_ms(LAST_RESPONSE_MS)))
+    fleet_add_violation(fleet, "%d requests did not end", fleet->callers->loadgen->open_requests);
 }
--- a/emulator/fleet_check_drain.c
+++ b/emulator/fleet_check_drain.c
@@ -117,8 +117,8 @@
   return covers;
 }
 
-/* the version of a write: its own, or that of an answered attempt with the same idempotency key; 0
- * when it is not known */
+/* the version of a write: its own, or that of an acknowledged attempt with the same idempotency
+ * key; 0 when it is not known */
 static uint64_t written_version(const fleet *fleet, const operator_write *write) {
   if (write->status == 200)
     return write->version;
@@ -144,7 +144,7 @@
 }
 
 /* whether an evacuation may be in force at an instant: not if it was refused or reported as not
- * written, but possibly if it got no clear answer */
+ * written, but possibly if its outcome is unknown */
 static bool may_be_in_force(const fleet *fleet, const operator_write *write,
                             const operator_write *required, time_us at) {
   if (write->resource != RESOURCE_EVACUATION || write->sent_at.us > at.us)
@@ -155,19 +155,19 @@
   return !version || version >= required->version;
 }
 
-enum cached_answer { ANSWER_UNKNOWN, ANSWER_COVERED, ANSWER_NOT_COVERED };
+enum evacuation_coverage { COVERAGE_UNKNOWN, ENGINE_COVERED, ENGINE_NOT_COVERED };
 
 /* evacuation_covers with a cache by write and host, since that function parses the write's text */
 static bool evacuation_covers_cached(GHashTable *cache, const operator_write *write,
                                      const host *host) {
   char key[160];
   snprintf(key, sizeof key, "%p %s", (const void *)write, host->self.text);
-  enum cached_answer answer = GPOINTER_TO_INT(g_hash_table_lookup(cache, key));
-  if (answer == ANSWER_UNKNOWN) {
-    answer = evacuation_covers(write, host) ? ANSWER_COVERED : ANSWER_NOT_COVERED;
-    g_hash_table_insert(cache, g_strdup(key), GINT_TO_POINTER(answer));
+  enum evacuation_coverage coverage = GPOINTER_TO_INT(g_hash_table_lookup(cache, key));
+  if (coverage == COVERAGE_UNKNOWN) {
+    coverage = evacuation_covers(write, host) ? ENGINE_COVERED : ENGINE_NOT_COVERED;
+    g_hash_table_insert(cache, g_strdup(key), GINT_TO_POINTER(coverage));
   }
-  return answer == ANSWER_COVERED;
+  return coverage == ENGINE_COVERED;
 }
 
 /* whether every evacuation that may be in force at an instant covers an engine, and one has been
--- a/emulator/fleet_check_requests.c
+++ b/emulator/fleet_check_requests.c
@@ -3,8 +3,9 @@
 #include "fleet_check_records.h"
 
 enum {
-  /** The share of retries is checked only with more requests than this. */
-  RETRIES_JUDGED_MIN = 50,
+  /** The share of retries is checked only with more requests than this; each attempt of a caller
+   * counts as a request. */
+  RETRY_CHECK_REQUESTS_MIN = 50,
   /** Allowed retries: one for each REQUESTS_PER_RETRY requests, plus RETRIES_PER_ROUTER for each
    * router. */
   REQUESTS_PER_RETRY = 10,
@@ -35,19 +36,19 @@
     fleet_add_violation(fleet, "R3 request %s got a response that no engine sent", request->tag);
 }
 
-static bool is_rejection(const loadgen_attempt *attempt) {
+static bool attempt_was_refused(const loadgen_attempt *attempt) {
   int status = attempt->status;
   return (status == 429 || status == 503 || status == 504 || status == 502) &&
          attempt->outcome != OUTCOME_NO_ANSWER;
 }
 
-static void check_rejections(fleet *fleet, const request_records *records,
-                             const loadgen_request *request) {
+static void check_refusals(fleet *fleet, const request_records *records,
+                           const loadgen_request *request) {
   const GPtrArray *attempts = request_records_attempts(records, request->tag);
   for (guint i = 0; i < attempts->len; i++) {
     const loadgen_attempt *attempt = attempts->pdata[i];
-    if (is_rejection(attempt) && attempt->retry_s < 1)
-      fleet_add_violation(fleet, "request %s was rejected (status %d) without a time to retry",
+    if (attempt_was_refused(attempt) && attempt->retry_s < 1)
+      fleet_add_violation(fleet, "request %s was refused (status %d) without a time to retry",
                           request->tag, attempt->status);
   }
 }
@@ -57,7 +58,7 @@
   const GPtrArray *requests = fleet->callers->loadgen->requests;
   for (guint i = 0; i < requests->len; i++) {
     check_request_runs(fleet, &records, requests->pdata[i]);
-    check_rejections(fleet, &records, requests->pdata[i]);
+    check_refusals(fleet, &records, requests->pdata[i]);
   }
   request_records_free(&records);
 }
@@ -99,7 +100,7 @@
     count_up(attempts, g_array_index(log, loadgen_attempt, i).request->tag);
   int retries = count_retries(arrivals, attempts), requests = (int)log->len;
   int allowed = requests / REQUESTS_PER_RETRY + RETRIES_PER_ROUTER * fleet->routers;
-  if (requests > RETRIES_JUDGED_MIN && retries > allowed)
+  if (requests > RETRY_CHECK_REQUESTS_MIN && retries > allowed)
     fleet_add_violation(fleet, "R11 %d retries for %d requests", retries, requests);
   g_hash_table_destroy(arrivals);
   g_hash_table_destroy(attempts);
--- a/emulator/gateway_check_index.c
+++ b/emulator/gateway_check_index.c
@@ -4,7 +4,7 @@
 #include "gateway_check_index.h"
 
 /* outcomes of an engine_run_record whose run was started: running, done, failed, client gone,
- * broken off, timed out */
+ * response lost or truncated, timed out */
 static const char RUN_OUTCOMES[] = "rdfcbt";
 
 static GHashTable *index_attempts(deployment *deployment) {
@@ -71,7 +71,7 @@
   return strchr(RUN_OUTCOMES, run->outcome) != NULL;
 }
 
-bool check_was_cut(const engine_run_record *run) {
+bool check_was_interrupted(const engine_run_record *run) {
   return run->outcome == 'b' || run->outcome == 't';
 }
 
--- a/emulator/loadgen.c
+++ b/emulator/loadgen.c
@@ -16,7 +16,7 @@
   RUN_NAME_BYTES = 96,
   PREFIXES_DEFAULT = 8,
   LEAVE_MIN_MS = 50, /* callers that disconnect early do so after this time and a random one */
-  LEAVE_SPAN_MS = 3000,
+  LEAVE_JITTER_MS = 3000,
   TOKENS_MIN = 4,
   ERROR_CODES_MAX = 8, /* distinct codes that the summary counts */
 };
@@ -254,15 +254,15 @@
   loadgen_request *request = task->request;
   if (request->outcome != OUTCOME_NOT_RUN || !request->retry_s)
     return false;
-  time_us span = time_from_ms(request->retry_s * 1000);
-  time_us at = time_add(world_now(loadgen->world), span);
+  time_us delay = time_from_ms(request->retry_s * 1000);
+  time_us at = time_add(world_now(loadgen->world), delay);
   if (!request->back.us)
     request->back = at;
   if (request->attempt_count > loadgen->plan.attempts_max)
     return false;
   if (task->leave_at.us && time_reached(at, task->leave_at))
     return false;
-  if (!world_sleep(loadgen->world, span))
+  if (!world_sleep(loadgen->world, delay))
     return false;
   request->outcome = OUTCOME_OPEN;
   request->retry_s = request->code = request->status = 0;
@@ -325,10 +325,10 @@
   double total = 0;
   for (size_t i = 0; i < count; i++)
     total += zipf_weight(loadgen, i);
-  double left = random_fraction(loadgen->world) * total;
+  double remaining = random_fraction(loadgen->world) * total;
   for (size_t i = 0; i < count; i++) {
-    left -= zipf_weight(loadgen, i);
-    if (left <= 0)
+    remaining -= zipf_weight(loadgen, i);
+    if (remaining <= 0)
       return i;
   }
   return count - 1;
@@ -339,8 +339,8 @@
   int total = 0, kind = 0;
   for (int i = 0; i < LOADGEN_KINDS; i++)
     total += plan->kind_share[i];
-  int left = (int)world_random(loadgen->world, (uint64_t)total);
-  while (kind < LOADGEN_KINDS - 1 && (left -= plan->kind_share[kind]) >= 0)
+  int remaining = (int)world_random(loadgen->world, (uint64_t)total);
+  while (kind < LOADGEN_KINDS - 1 && (remaining -= plan->kind_share[kind]) >= 0)
     kind++;
   return plan->kinds[kind];
 }
@@ -354,7 +354,7 @@
   const loadgen_plan *plan = &loadgen->plan;
   if (random_fraction(loadgen->world) < plan->leave_ratio)
     return time_from_now(loadgen,
-                         LEAVE_MIN_MS + (int64_t)world_random(loadgen->world, LEAVE_SPAN_MS));
+                         LEAVE_MIN_MS + (int64_t)world_random(loadgen->world, LEAVE_JITTER_MS));
   return plan->timeout_ms ? time_from_now(loadgen, plan->timeout_ms) : (time_us){ 0 };
 }
 
--- a/emulator/operator_sim.c
+++ b/emulator/operator_sim.c
@@ -1,6 +1,6 @@
 /** @file
  * The simulated operator of a deployment: changes and reads of the configuration, each a task that
- * tries the controllers in turn until one gives a clear answer. */
+ * tries the controllers in turn until one gives a definite response. */
 #include "client_sim.h"
 #include <stdio.h>
 #include <stdlib.h>
@@ -11,10 +11,10 @@
   FOLLOWED_REDIRECTS_MAX = 2
 };
 
-operator_sim *operator_sim_new(world *world, const dialect *words) {
+operator_sim *operator_sim_new(world *world, const dialect *dialect) {
   operator_sim *operator= g_new0(operator_sim, 1);
   operator->world = world;
-  operator->dialect = words;
+  operator->dialect = dialect;
   operator->controllers = g_ptr_array_new_with_free_func(g_free);
   operator->changes = g_ptr_array_new();
   operator->read_text = g_string_new(NULL);
@@ -35,7 +35,7 @@
 }
 
 /* makes one call, following at most two redirects; returns the status, or 0 when there was no
- * answer in time */
+ * response in time */
 static int send_to_controller(operator_sim *operator, const char * addr,
                               const dialect_path *endpoint, const operator_sim_change *change,
                               GString *body, int64_t timeout_ms) {
