--- a/lib/controlplane/chain_join.c
+++ b/lib/controlplane/chain_join.c
@@ -93,8 +93,8 @@
   peer_rpc_message_free(response);
 }
 
-/* Returns the most recently heard controller, or sometimes a random one, since peer information may
- * come from other processes and include dead controllers. Returns NULL if none is known. */
+/* Returns the most recently heard controller, or sometimes a random one, since gossip may report
+ * controllers that no longer run. Returns NULL if none is known. */
 static const peer_node *choose_peer(const replica *replica) {
   world *world = replica->node->world;
   const peer_node *chosen = NULL;
@@ -130,7 +130,7 @@
 }
 
 /* Fetches a snapshot from the member nearest to the tail that can provide one. Some members cannot:
- * a lost member stays in the chain for a while, and a member that joined recently is out of sync.
+ * a silent member stays in the chain for a while, and a member that joined recently is out of sync.
  */
 static enum error_code fetch_from_chain(replica *replica, error *err) {
   view view = replica->view;
@@ -156,7 +156,7 @@
 }
 
 /* Tells every controller that may propose a view that this one has caught up. Does not wait for
- * responses, since some of the receivers may be lost. */
+ * responses, since some of the receivers may be unavailable. */
 static void announce_ready(replica *replica) {
   view view = replica->view;
   id controller = replica->node->settings.self;
--- a/lib/controlplane/chain_repair.c
+++ b/lib/controlplane/chain_repair.c
@@ -3,10 +3,10 @@
  * Each voter checks the view ten times a second and computes the view that should come next
  * (repair_plan.c). To avoid competing proposals, a voter waits for a time that grows with the
  * number of live voters before it, plus a random time. A voter also proposes a view when a vote has
- * been pending for so long that its proposer is probably lost.
+ * been pending for so long that its proposer has probably failed.
  *
- * A process whose disk fails or stalls drains, so that the other voters remove it from the chain.
- */
+ * A controller whose disk fails or stalls starts to drain, so that the other voters remove it from
+ * the chain. */
 #include "chain_repair.h"
 #include "replica.h"
 
@@ -101,8 +101,8 @@
   return stalls;
 }
 
-/* makes this process drain while its disk does not work, or permanently once it was asked to stop
- */
+/* makes this process drain while its disk does not work, or permanently once it was asked to shut
+ * down */
 static void update_draining(replica *replica) {
   bool stalls = disk_stalls(replica);
   bool draining = replica->wal.failed || stalls || replica->draining;
@@ -110,7 +110,7 @@
     return;
   if (draining)
     log_info(&replica->node->log, "replica", "%s; this controller leaves the chain.",
-             replica->wal.failed ? "The disk rejects writes"
+             replica->wal.failed ? "The disk refuses writes"
              : stalls            ? "The disk is stalled"
                                  : "Shutdown requested");
   replica->node->draining = draining;
--- a/lib/controlplane/controller.h
+++ b/lib/controlplane/controller.h
@@ -38,8 +38,8 @@
  * listener. */
 enum error_code controller_open_control_listener(controller *controller, const char *ip, int port,
                                                  const dialect *dialect, error *err);
-/** Starts the graceful shutdown: the controller leaves the chain and hands over its vote. `stopped`
- * is broadcast when the process may end. Further calls do nothing. */
+/** Starts the graceful shutdown: the controller leaves the chain and is replaced as a voter.
+ * `stopped` is broadcast when the process may end. Further calls do nothing. */
 void controller_drain(controller *controller);
 /** Frees the controller; no task may be left. */
 void controller_free(controller *controller);
--- a/lib/controlplane/controller_drain.c
+++ b/lib/controlplane/controller_drain.c
@@ -1,5 +1,5 @@
-/** Graceful shutdown of a controller: it leaves the chain, hands over its vote, and ends once every
- * call that it has read is answered. The grace period bounds the whole shutdown, and is
+/** Graceful shutdown of a controller: it leaves the chain, is replaced as a voter, and ends once
+ * every call that it has read is answered. The grace period bounds the whole shutdown, and is
  * divided from its end backwards: exit of the process, pending calls, late callers, handover. */
 #include "controller.h"
 
@@ -10,8 +10,8 @@
    * for them even when the handover takes long. */
   LINGER_MS = 1500,
   LINGER_MIN_MS = 1000,
-  /** Time for the responses to calls that were read before the listener was shut, in ms: the
-   * longest time to respond, and some time to send the response. */
+  /** Time for the responses to calls that were read before the listener stopped accepting, in ms:
+   * the longest time to respond, and some time to send the response. */
   PENDING_CALLS_MS = CONFIG_RESPONSE_TIMEOUT_MS + 50,
   /** Time for the exit of the process itself, in ms. */
   EXIT_MS = 100,
@@ -29,7 +29,8 @@
   return false;
 }
 
-/* True when there is another controller that has no vote and may take over this one's. */
+/* True when there is another controller that is not a voter and may become one in place of this
+ * one. */
 static bool is_vote_successor_known(const controller *controller) {
   list_for_each (peer, &controller->node.peers, peer_node, link) {
     bool may_vote = peer->role == ROLE_CONTROLLER && !peer->gone && !peer->draining;
@@ -40,8 +41,8 @@
 }
 
 /* True when the other controllers no longer need this one: it has been removed from the chain,
- * which they do only once one of them has all of its writes, and another controller has its vote,
- * if there is one to take it. */
+ * which they do only once one of them has all of its writes, and another controller has replaced it
+ * as a voter, if there is one that can. */
 static bool is_handed_over(const controller *controller) {
   const replica *replica = &controller->replica;
   if (!replica->running || !replica->view.epoch || replica_chain_max(replica) == 1)
--- a/lib/controlplane/engine_registry.c
+++ b/lib/controlplane/engine_registry.c
@@ -141,7 +141,7 @@
   wire__engine_state__free_unpacked(old, NULL);
 }
 
-/** The times in an update as instants; the update gives them as durations before or after the
+/** The times in an update as points in time; the update gives them as durations before or after the
  * heartbeat. */
 typedef struct update_times {
   time_us heartbeat_at, slow_start_until;
--- a/lib/controlplane/engine_registry.h
+++ b/lib/controlplane/engine_registry.h
@@ -3,10 +3,11 @@
  * An engine registers by sending heartbeats, each with a higher count. A heartbeat has a
  * description of the engine: its identity, capacity and loaded models. A registry keeps the latest
  * heartbeat of each engine in memory and numbers its changes, so that others can request the
- * changes after a number. Descriptions are compared by checksum. An engine is gone when no
- * heartbeat has been received for `silent_ms`; a later heartbeat brings it back. An engine that has
- * signed off never comes back under the same id. Engines that are gone are kept as tombstones for
- * `tombstone_ms`, so that a late update from another controller does not revive them. */
+ * changes after a position: a run of the registry and the sequence number of a change. Descriptions
+ * are compared by checksum. An engine is gone when no heartbeat has been received for `silent_ms`;
+ * a later heartbeat brings it back. An engine that has signed off never comes back under the same
+ * id. Engines that are gone are kept as tombstones for `tombstone_ms`, so that a late update from
+ * another controller does not revive them. */
 #ifndef CONTROLPLANE_ENGINE_REGISTRY_H
 #define CONTROLPLANE_ENGINE_REGISTRY_H
 #include "node.h"
@@ -14,10 +15,10 @@
 /** Defaults of silent_ms and tombstone_ms. */
 enum { ENGINE_REGISTRY_SILENT_MS = 8000, ENGINE_REGISTRY_TOMBSTONE_MS = 60000 };
 
-/** One incarnation of an engine, as described by its heartbeats. */
+/** One engine, identified by its id, as described by its heartbeats. */
 typedef struct registered_engine {
-  /** The latest description; owned. Its count, age and flags are not kept current: the fields below
-   * hold them. */
+  /** The latest description; owned. Its count, age and flags are not kept up to date: the fields
+   * below hold them. */
   Wire__EngineState *heartbeat;
   /** Checksum of the description and `draining`, without fields that change merely with time. */
   uint64_t checksum;
@@ -91,7 +92,7 @@
                                            const Wire__EngineState *update, time_us now);
 /** Marks silent engines as gone, and removes old tombstones. Returns true when it marked an
  * engine. reaches_all: whether all other controllers are reachable. One that is not may receive
- * heartbeats that do not arrive here, so engines are declared silent only after a longer time. */
+ * heartbeats that do not arrive here, so engines are marked as gone only after a longer time. */
 bool engine_registry_sweep(engine_registry *registry, time_us now, bool reaches_all);
 /** Declares that all live engines are known; every node is then sent the full list once. */
 void engine_registry_set_complete(engine_registry *registry);
--- a/lib/controlplane/member_lease.c
+++ b/lib/controlplane/member_lease.c
@@ -38,7 +38,7 @@
   if (!member_leases_majority(&replica->lease.leases, &replica->view, replica_voter_index(replica),
                               view_change_prepare_pending(replica), now))
     return false;
-  /* no other head can have granted anything since this time */
+  /* no other head can have renewed a singleton lease since this time */
   if (!replica->lease_held_since.us)
     replica->lease_held_since = now;
   return true;
--- a/lib/controlplane/operation_pack.c
+++ b/lib/controlplane/operation_pack.c
@@ -1,4 +1,4 @@
-/** Packs operations, the entries of the replicated log. */
+/** Packs operations, the contents of the chain's records. */
 #include "operation_pack.h"
 
 void operation_pack(const Wire__Operation *operation, GString *to) {
--- a/lib/controlplane/operation_pack.h
+++ b/lib/controlplane/operation_pack.h
@@ -1,4 +1,4 @@
-/** Packs operations, the entries of the replicated log, into the bytes that replica_write orders.
+/** Packs operations, the contents of the chain's records, into the bytes that replica_write orders.
  */
 #ifndef CONTROLPLANE_OPERATION_PACK_H
 #define CONTROLPLANE_OPERATION_PACK_H
--- a/lib/controlplane/registry_sync.c
+++ b/lib/controlplane/registry_sync.c
@@ -14,7 +14,7 @@
   BATCH_INTERVAL_MAX_MS = 2500,
   BATCH_INTERVAL_CONTROLLERS = 4,
   /** Delay after which a draining engine is announced to routers once more, in ms, since the first
-   * messages may be lost while the engine's call was acknowledged. */
+   * messages may be lost although the engine's request was acknowledged. */
   REPEAT_DELAY_MS = 300,
   /** Shortest time between fetches because of unknown checksums, in ms. */
   FETCH_INTERVAL_MS = 500,
@@ -22,8 +22,8 @@
   FETCH_TIMEOUT_MS = 600,
   /** How often a starting controller tries to fetch a registry, in ms. */
   INITIAL_FETCH_INTERVAL_MS = 250,
-  /** A controller that was lost less than this long ago, in ms, may be alive behind a network
-   * partition and receive heartbeats that do not arrive here. */
+  /** A controller that was declared gone less than this long ago, in ms, may be alive behind a
+   * network partition and receive heartbeats that do not arrive here. */
   PARTITION_MAX_MS = 60000,
   /** A starting controller that can't fetch a registry and receives no heartbeats waits this many
    * times ENGINE_REGISTRY_SILENT_MS before it considers its own registry complete. */
--- a/lib/controlplane/repair_plan.c
+++ b/lib/controlplane/repair_plan.c
@@ -1,8 +1,8 @@
 /** The plan for the next view.
  *
- * The planned chain is the known one without its lost members, followed by the controllers that
- * have caught up and asked to join. Votes of controllers outside the chain move to chain members,
- * except in a view that removes a member. */
+ * The planned chain is the known one without the members that must be removed, followed by the
+ * controllers that have caught up and asked to join. Chain members replace the voters outside the
+ * chain, except in a view that removes a member which may still act. */
 #include "repair_plan.h"
 #include "replica.h"
 
@@ -93,7 +93,7 @@
   }
 }
 
-/* chain members without a vote; the last ones are used first */
+/* chain members that are not voters; the last ones are used first */
 typedef struct {
   const member *members[CHAIN_MAX];
   int count;
@@ -111,8 +111,8 @@
   return member_index(view->chain, view->chain_length, &view->voters[voter_index]) >= 0;
 }
 
-/* Gives the votes of members outside the chain to spare members. With only_replaced_disks, moves
- * only the votes of members whose controller is in the chain with another disk. */
+/* Replaces voters outside the chain by spare members. With only_replaced_disks, replaces only the
+ * voters whose controller is in the chain with another disk. */
 static bool replace_voters(view *view, spare_members *spare, bool only_replaced_disks) {
   bool changed = false;
   for (int i = 0; i < view->voter_count && spare->count; i++) {
@@ -126,7 +126,7 @@
   return changed;
 }
 
-/* Gives votes to spare members until there are as many voters as the chain length allows. Their
+/* Makes spare members voters until there are as many voters as the chain length allows. Their
  * number is odd, since an even number would tolerate no more failures. */
 static bool add_voters(view *view, spare_members *spare, int chain_max) {
   int wanted = (MIN(view->chain_length, chain_max) - 1) / 2 * 2 + 1;
@@ -162,8 +162,8 @@
   return changed;
 }
 
-/* Plans the voters. A view that removes a member keeps its voters, so that the other members may
- * act immediately. */
+/* Plans the voters. A view that removes a member which may still act keeps its voters, so that the
+ * other members may act immediately. */
 static void plan_voters(const replica *replica, repair_plan *plan) {
   view *next = &plan->proposal.view;
   if (!proposer_may_replace_voters(plan->removed_live_members) || !next->chain_length)
--- a/lib/controlplane/replica.h
+++ b/lib/controlplane/replica.h
@@ -29,7 +29,7 @@
   wal wal;
   /** Set once the log has been replayed; requests are not served before that. */
   bool running;
-  /** Set by the controller when the process is asked to stop; see chain_repair.c. */
+  /** Set by the controller when the process is asked to shut down; see chain_repair.c. */
   bool draining;
 
   /* The in-memory copy of what the log holds, replayed by wal_entries.c. */
@@ -53,10 +53,10 @@
   /* In memory only. */
 
   /** The last record in the log at the start. Until the chain has confirmed all records up to it,
-   * the committed state may be older than what was acknowledged. 0 after a snapshot. */
+   * the committed state may be older than what was acknowledged. 0 once a snapshot is installed. */
   uint64_t last_seq_at_start;
-  /** How often the state was replaced by a snapshot since the start. A sequence number from before
-   * such a replacement may refer to another record afterwards. Written by snapshot.c. */
+  /** How often the state and the log were replaced by a snapshot since the start. A sequence number
+   * from before such a reset may refer to another record afterwards. Written by snapshot.c. */
   uint64_t log_resets;
   /** Signalled when the committed state or the view has changed. */
   condition state_changed;
@@ -102,10 +102,11 @@
 /** Returns whether this replica is in sync and its committed state includes every record that its
  * log held at the start. */
 bool replica_is_current(const replica *replica);
-/** Returns whether this replica leads the chain and holds a lease. */
+/** Returns whether this replica may act as the head: it is the head, is in sync, and holds a lease.
+ */
 bool replica_is_acting_head(replica *replica);
-/** Returns whether this replica may serve reads: it is the tail, knows that all its records are
- * committed, and holds a lease. */
+/** Returns whether this replica may act as the tail and serve reads: it is the tail, is in sync,
+ * knows that all its records are committed, and holds a lease. */
 bool replica_is_acting_tail(replica *replica);
 /** Returns whether the chain of a view has too few members, or spans too few zones, to accept
  * writes. */
--- a/lib/controlplane/replica_write.h
+++ b/lib/controlplane/replica_write.h
@@ -6,7 +6,7 @@
 struct replica;
 
 /** Builds the packed Operation of a write from the state that the write is checked against. An
- * empty operation means that there is nothing to write; a code other than OK rejects the write. The
+ * empty operation means that there is nothing to write; a code other than OK refuses the write. The
  * function must not wait. */
 typedef enum error_code (*operation_builder)(void *ctx, state *ordered, GString *operation,
                                              error *err);
--- a/lib/controlplane/replication_sender.c
+++ b/lib/controlplane/replication_sender.c
@@ -4,7 +4,7 @@
  * reports the last record of the successor. Later requests carry the records after that one or, if
  * these are no longer in memory, tell the successor to fetch a snapshot. When there is nothing to
  * send, a request is still sent periodically: it verifies that the link works, and carries the
- * number of the last committed record and from time to time a checksum of the state. */
+ * sequence number of the last committed record and from time to time a checksum of the state. */
 #include "replica.h"
 
 enum {
--- a/lib/controlplane/singleton_grants.c
+++ b/lib/controlplane/singleton_grants.c
@@ -21,7 +21,7 @@
 } lease_request;
 
 /* When a singleton's lease was last renewed. If the head knows of no renewal, the lease counts from
- * the instant at which it became head. Never NULL; owned by the replica. */
+ * the time at which it became head. Never NULL; owned by the replica. */
 static time_us *renewed_at(const singleton_grants *grants, const char *singleton) {
   GHashTable *renewals = grants->replica->singleton_renewed_at;
   time_us *at = g_hash_table_lookup(renewals, singleton);
@@ -179,7 +179,7 @@
   if (code || !seq)
     return code;
   /* A slow write shortens the lease for its holder. For the next holder the lease counts from the
-   * commit, which is the earliest instant at which this holder could begin its work. */
+   * commit, which is the earliest time at which this holder could begin its work. */
   for (size_t i = 0; i < request->response->n_results; i++) {
     const Wire__SingletonClaimResult *result = request->response->results[i];
     if (result->granted)
--- a/lib/controlplane/singleton_grants.h
+++ b/lib/controlplane/singleton_grants.h
@@ -4,7 +4,7 @@
  * singleton the replicated state records the holder (its node id and the nonce of its process) and
  * an epoch, which increases with each grant and is the fencing token of the holder's orders.
  * Renewal times are kept only in the memory of the head (replica.singleton_renewed_at): a new head
- * counts all leases from the instant at which it became head. A singleton is granted to another
+ * counts all leases from the time at which it became head. A singleton is granted to another
  * node only after the holder's lease has expired, plus a grace period for clock drift. */
 #ifndef CONTROLPLANE_SINGLETON_GRANTS_H
 #define CONTROLPLANE_SINGLETON_GRANTS_H
--- a/lib/controlplane/version_reports.c
+++ b/lib/controlplane/version_reports.c
@@ -3,7 +3,7 @@
 
 /** The latest write that a router has applied. */
 typedef struct reported_version {
-  /** Identifies the router's process; reports of its earlier processes do not count. */
+  /** Identifies the run of the router; reports of its earlier runs do not count. */
   uint64_t nonce;
   uint64_t seq;
 } reported_version;
@@ -46,7 +46,8 @@
   return report && report->nonce == router->nonce && report->seq >= seq;
 }
 
-/* True when half of the known routers have applied a write; counts these routers, and all. */
+/* True when half of the known routers have applied a write. Sets *have to the number of routers
+ * that have, and *all to the number of known routers. */
 static bool is_in_force(version_reports *reports, uint64_t seq, int *have, int *all) {
   *have = 0;
   *all = peer_table_count(reports->node, ROLE_ROUTER);
--- a/lib/controlplane/version_reports.h
+++ b/lib/controlplane/version_reports.h
@@ -12,7 +12,8 @@
   replica *replica;
   /** Maps the id of a router to its latest report. Owns keys and values. */
   GHashTable *by_router;
-  /** Broadcast when a router reports a later write, or another process of it reports. */
+  /** Broadcast when a router reports a later write, or reports for the first time after a restart.
+   */
   condition changed;
 } version_reports;
 
--- a/lib/controlplane/view.c
+++ b/lib/controlplane/view.c
@@ -1,7 +1,7 @@
 /** Views and members: comparison, and packing into messages.
  *
  * Members are compared by controller and disk, see struct member. A received view is fully
- * validated before it is used: a view is rejected if it lacks an epoch, a fleet, a chain or voters,
+ * validated before it is used: a view is refused if it lacks an epoch, a fleet, a chain or voters,
  * has more members than the arrays hold, or contains a malformed member. */
 #include "view.h"
 
--- a/lib/controlplane/view_change.c
+++ b/lib/controlplane/view_change.c
@@ -49,7 +49,7 @@
   if (!replica->view.fleet_id || view->fleet_id == replica->view.fleet_id)
     return true;
   log_info(&replica->node->log, "replica",
-           "Rejected view %" PRIu64 " of another fleet %016" PRIx64 " (code %d).", view->epoch,
+           "Refused view %" PRIu64 " of another fleet %016" PRIx64 " (code %d).", view->epoch,
            view->fleet_id, E_VIEW_MISMATCH);
   return false;
 }
--- a/lib/controlplane/wal.c
+++ b/lib/controlplane/wal.c
@@ -5,7 +5,7 @@
  * commit). If the frame no longer fits into the current file, the next file of the ring is started
  * with a checkpoint: the complete state at that time.
  *
- * If the disk rejects a write, the waiting entries are discarded and the log counts as failed. The
+ * If the disk refuses a write, the waiting entries are discarded and the log counts as failed. The
  * writer then retries to write a checkpoint to a new file; once that is synced, the log accepts
  * entries again. */
 #include "wal.h"
@@ -128,7 +128,7 @@
   wal->discarded = wal->appended;
   g_string_set_size(wal->pending, sizeof(wal_frame));
   log_info(&wal->node->log, "wal",
-           "The disk rejects writes; this replica is out of service: %s (code %d).", err->text,
+           "The disk refuses writes; this replica is out of service: %s (code %d).", err->text,
            code);
   condition_broadcast(&wal->progress);
 }
--- a/lib/controlplane/wal.h
+++ b/lib/controlplane/wal.h
@@ -12,7 +12,7 @@
   WAL_FILE_COUNT = 4
 };
 
-/** The condition of the log on disk at the start. */
+/** The integrity of the log on disk at the start. */
 enum wal_condition {
   /** No file has a valid first frame. */
   WAL_BLANK,
@@ -25,8 +25,8 @@
 /** Appends the entries of a checkpoint, that is, the complete state, to a buffer. */
 typedef void (*wal_checkpoint_writer)(void *ctx, GString *buffer);
 
-/** The log. Only the modules of the log write these fields. When the disk rejects a write, the log
- * counts as failed: it rejects all entries, and retries to write a checkpoint until it succeeds. */
+/** The log. Only the modules of the log write these fields. When the disk refuses a write, the log
+ * counts as failed: it refuses all entries, and retries to write a checkpoint until it succeeds. */
 typedef struct wal {
   node *node;
   /** Number of files in the ring, index of the file that is appended to, and number of open files.
@@ -41,7 +41,7 @@
   /** Generation of the current file. */
   uint64_t generation;
   /** Sequence numbers of calls of wal_append_all: the last call, the last one that was synced, and
-   * the last one that was discarded because the disk rejected a write. */
+   * the last one that was discarded because the disk refused a write. */
   uint64_t appended, synced, discarded;
   /** Entries that wait for the writer, preceded by space for the header of their frame. */
   GString *pending;
@@ -64,10 +64,10 @@
 enum error_code wal_open(wal *wal, node *node, size_t size, enum wal_condition *condition,
                          error *err);
 /** Starts the writer task. If the log is blank or has a torn end, first starts a new file. Returns
- * OK, even if the disk rejected the new file, or E_STOPPING. */
+ * OK, even if the disk refused the new file, or E_STOPPING. */
 enum error_code wal_start(wal *wal, bool blank, error *err);
 /** Appends entries that were built with wal_entry_add and waits until they are synced. Returns OK,
- * E_DISK if the disk rejected them, or E_STOPPING. */
+ * E_DISK if the disk refused them, or E_STOPPING. */
 enum error_code wal_append_all(wal *wal, string_view entries, error *err);
 /** Starts a new file, whose checkpoint replaces everything written before, and waits until it is
  * synced. Returns the same codes as wal_append_all. */
--- a/lib/membership/node.h
+++ b/lib/membership/node.h
@@ -67,7 +67,7 @@
 void node_set_idle(node *node, bool idle);
 /** Marks this node as draining and announces to all live peers that it will shut down. */
 void node_start_draining(node *node);
-/** Appends the members that the status pages of controllers and routers have in common, without the
- * braces of the JSON object. */
+/** Appends the JSON members that the status pages of controllers and routers have in common,
+ * without the braces of the object. */
 void node_append_status_json(node *node, GString *to);
 #endif
--- a/lib/membership/peer_table.c
+++ b/lib/membership/peer_table.c
@@ -40,14 +40,14 @@
   return false;
 }
 
-peer_node *peer_table_pick(node *node, enum role role, const char *last) {
+peer_node *peer_table_pick(node *node, enum role role, const char *preferred) {
   GPtrArray *candidates = g_ptr_array_new();
   peer_node *picked = NULL;
   bool skip_gone = has_live_peer(node, role);
   list_for_each (peer, &node->peers, peer_node, link) {
     if (peer->role != role || (skip_gone && peer->gone))
       continue;
-    if (last && last[0] && !strcmp(last, peer->address))
+    if (preferred && preferred[0] && !strcmp(preferred, peer->address))
       picked = peer;
     g_ptr_array_add(candidates, peer);
   }
--- a/lib/membership/peer_table.h
+++ b/lib/membership/peer_table.h
@@ -16,10 +16,10 @@
  * sends it the known one. Otherwise a peer that was declared gone would never learn of its previous
  * run, because gossip does not contain gone peers.
  *
- * A peer is live, draining (it has announced its shutdown) or gone (the failure detector has
- * declared it dead). A gone peer is live again as soon as it is heard directly. It is removed ten
- * minutes after it was declared dead. Until then gossip contacts it from time to time, so that two
- * parts of a fleet find each other again after a network partition.
+ * A peer is live until the failure detector declares it gone. A live peer that has announced its
+ * shutdown is draining. A gone peer is live again as soon as it is heard directly. It is removed
+ * ten minutes after it was declared gone. Until then gossip contacts it from time to time, so that
+ * two parts of a fleet find each other again after a network partition.
  */
 #include "failure_detector.h"
 #include "settings.h"
@@ -43,7 +43,7 @@
    * became known); when this node last sent the peer the incarnation that it knows. */
   time_us first_seen_at, last_heard_at, incarnation_sent_at;
 
-  /** Whether and when the peer was declared dead. Set by failure_detector.c, and reset by
+  /** Whether and when the peer was declared gone. Set by failure_detector.c, and reset by
    * peer_table.c when the peer is heard again. */
   bool gone;
   time_us gone_at;
@@ -64,14 +64,14 @@
 
 /** Returns the peer with the given name; NULL if it is not known. */
 peer_node *peer_table_find(node *node, id who);
-/** Returns true unless the peer was declared dead. A draining peer is live. */
+/** Returns true unless the peer was declared gone. A draining peer is live. */
 bool peer_is_live(const peer_node *peer);
 /** Returns the state of a peer as shown on status pages: "live", "leaving" or "gone". */
 const char *peer_state_name(const peer_node *peer);
-/** Returns a random live peer of a role, or the one with the address `last` if it is among them
+/** Returns a random live peer of a role, or the one with the preferred address if it is among them
  * (NULL or "" for no preference). If none is live, chooses among the gone ones in the same way.
  * NULL if none is known. */
-peer_node *peer_table_pick(node *node, enum role role, const char *last);
+peer_node *peer_table_pick(node *node, enum role role, const char *preferred);
 /** Returns the number of peers of a role that have not announced their shutdown, including gone
  * ones. This process counts if it has the role. */
 int peer_table_count(node *node, enum role role);
--- a/lib/runtime/http_request.h
+++ b/lib/runtime/http_request.h
@@ -6,8 +6,8 @@
  * Requests arrive in two ways, for two purposes:
  *
  * - On the process's own port (world.serve): status pages, the control API and the channels between
- *   processes. libwebsockets parses these requests, as it must to upgrade a connection to a
- * channel. The handler sees only the header fields of http_headers.h.
+ *   processes. libwebsockets parses these requests, since it has to upgrade connections to
+ *   channels. The handler sees only the header fields of http_headers.h.
  * - On listeners (http_listener): client traffic that a gateway forwards. lib/http parses these
  *   requests itself, validates their framing strictly, and keeps all header fields (request.fields)
  *   in addition to the known ones.
--- a/tests/controlplane/catch_up.c
+++ b/tests/controlplane/catch_up.c
@@ -1,7 +1,8 @@
 /**
  * Tests of catching up. A controller that was restarted or returns with an empty disk must be in
  * sync within the time for which it counts as lost (syncS in the requirements), regardless of the
- * size of the state and the rate of changes. No controller may lead with or return an old state.
+ * size of the state and the rate of changes. No controller may act as head with an old state, or
+ * return one.
  */
 #include "replica.h"
 #include "tests.h"
@@ -155,7 +156,7 @@
 static void put_catalogue(fleet *fleet, int entries) {
   char *text = catalogue_text(entries);
   if (!fleet_put(fleet, "catalogue", text))
-    fleet_add_violation(fleet, "a catalogue of %zu bytes was not taken", strlen(text));
+    fleet_add_violation(fleet, "a catalogue of %zu bytes was not accepted", strlen(text));
   if (g_getenv("SIM_COUNT"))
     fprintf(stderr, "  step state-kb %zu\n", strlen(text) >> 10);
   g_free(text);
@@ -220,7 +221,7 @@
 }
 
 /* Requests one chunk of a snapshot. Returns the number of bytes received, or 0 if the request was
- * rejected. */
+ * refused. */
 static size_t fetch_snapshot_chunk(host *host, uint64_t *seq, size_t off, GString *to) {
   Wire__SnapshotRequest f = WIRE__SNAPSHOT_REQUEST__INIT;
   Wire__Envelope in = wire_envelope(WIRE__ENVELOPE__BODY_SNAPSHOT_REQUEST, &f);
@@ -252,7 +253,7 @@
     got[i] = g_string_new(NULL);
   /* the first fetch is in progress; the second starts after a change and fetches everything */
   if (!fetch_snapshot_chunk(host, &seq[0], 0, got[0]))
-    fleet_add_violation(fleet, "a first chunk was rejected");
+    fleet_add_violation(fleet, "a first chunk was refused");
   chain_put_evacuation(fleet, 1, "while a state is fetched");
   for (size_t n; (n = fetch_snapshot_chunk(host, &seq[1], got[1]->len, got[1]));)
     ;
@@ -303,7 +304,7 @@
   int acked = load.acked;
   workload_end(&load);
   if (acked < 20)
-    fleet_add_violation(fleet, "only %d changes were taken", acked);
+    fleet_add_violation(fleet, "only %d changes were accepted", acked);
   scenario_check_acknowledged_writes(fleet);
   return true;
 }
@@ -339,7 +340,7 @@
     check_catch_up_time(&load, host, fleet->sim->now, SMALL_CHAIN_SYNC_MS, "after-thousands");
   }
   if (load.acked < 3000)
-    fleet_add_violation(fleet, "only %d changes were taken", load.acked);
+    fleet_add_violation(fleet, "only %d changes were accepted", load.acked);
   workload_end(&load);
   scenario_check_acknowledged_writes(fleet);
   return true;
--- a/tests/controlplane/chain_repair.c
+++ b/tests/controlplane/chain_repair.c
@@ -26,7 +26,7 @@
   LOSS_PLANNED   /* an empty one starts first, then this one gets SIGTERM and never restarts */
 } loss;
 
-/** A controller that counts as lost after its return, and the progress of its recovery. */
+/** A controller that returned and still counts as lost, and the progress of its recovery. */
 typedef struct returned {
   host *host;
   time_us started;
@@ -219,7 +219,7 @@
     trial_start(trial, replacement);
     trial_run(trial, (int64_t)sim_random(sim, (uint64_t)trial->sync_ms + 1500));
     if (!trial_stop(trial, old))
-      fleet_add_violation(trial->fleet, "%s did not end within its grace", old->self.text);
+      fleet_add_violation(trial->fleet, "%s did not end within its grace period", old->self.text);
     host_wipe_disk(old);
     return true;
   }
@@ -249,7 +249,7 @@
   }
 }
 
-/* checks that the returned controllers, which no longer count as lost, are in sync and vote */
+/* checks that the returned controllers, which no longer count as lost, are in sync and voters */
 static void trial_check_returned(repair_trial *trial, const char *when) {
   for (int i = 0; i < trial->returns; i++) {
     returned *it = &trial->back[i];
@@ -257,7 +257,7 @@
       fleet_add_violation(trial->fleet, "%s: %s is not in sync %" PRId64 " ms after its start",
                           when, it->host->self.text, trial->sync_ms);
     else if (!it->votes)
-      fleet_add_violation(trial->fleet, "%s: %s has no vote %" PRId64 " ms after its start", when,
+      fleet_add_violation(trial->fleet, "%s: %s is no voter %" PRId64 " ms after its start", when,
                           it->host->self.text, trial->sync_ms);
   }
   trial->returns = 0;
@@ -346,7 +346,7 @@
   trial_start(&trial, replacement);
   trial_run(&trial, trial.sync_ms + (int64_t)sim_random(fleet->sim, 1500));
   if (!trial_stop(&trial, old))
-    fleet_add_violation(fleet, "%s did not end within its grace", old->self.text);
+    fleet_add_violation(fleet, "%s did not end within its grace period", old->self.text);
   host_wipe_disk(old);
   trial_lose_tolerated(&trial, "right after a member ended by plan");
   return true;
@@ -382,11 +382,11 @@
   for (int64_t at = 0; at < GRACE_MS - start_delay_ms && last->alive; at += OBSERVE_INTERVAL_MS)
     trial_run(&trial, OBSERVE_INTERVAL_MS);
   if (last->alive) {
-    fleet_add_violation(fleet, "%s did not end within its grace", last->self.text);
+    fleet_add_violation(fleet, "%s did not end within its grace period", last->self.text);
     host_kill(last);
   }
   host_wipe_disk(last);
-  trial_check_available(&trial, 2, "after the member with the only copy ended");
+  trial_check_available(&trial, 2, "after the member with the only replica ended");
   return true;
 }
 
--- a/tests/controlplane/engine_registry.c
+++ b/tests/controlplane/engine_registry.c
@@ -226,7 +226,7 @@
   expect(fleet,
          engine->gone && !engine->draining && !engine->signed_off &&
              !engine_registry_find(&registry, "e1")->gone,
-         "a silent engine is not just gone, or another one is gone");
+         "a silent engine is not gone, or is also draining or signed off, or another one is gone");
   expect(fleet,
          record_heartbeat(&registry, "e2", "10.0.0.2:80", 30000, false, 20100) ==
                  REGISTRY_CHANGED &&
@@ -252,7 +252,7 @@
          merge_from(&other, &registry, "e2", false, 40000) == REGISTRY_NEEDS_FETCH ||
              engine_registry_find(&other, "e2")->gone,
          "an old heartbeat at another controller brings a silent engine back");
-  /* while another controller is unreachable, an engine is declared silent later */
+  /* while another controller is unreachable, a silent engine is gone later */
   engine_registry isolated;
   engine_registry_init(&isolated, 9, time_from_ms(0));
   record_heartbeat(&isolated, "e3", "10.0.0.3:80", 1, false, 0);
@@ -269,15 +269,15 @@
              !engine_registry_find(&isolated, "e4")->gone,
          "a silent engine is never gone while a controller is unreachable, or another one is");
   engine_registry_free(&isolated);
-  /* a process that was suspended, or hears no engine at all, declares none silent */
+  /* a process that was suspended, or hears no engine at all, marks none as gone */
   engine_registry_sweep(&other, time_from_ms(90000), true);
   engine_registry_sweep(&other, time_from_ms(90250), true);
   expect(fleet, !engine_registry_find(&other, "e1")->gone,
-         "a process that was suspended declares engines silent");
+         "a process that was suspended marks engines as gone");
   for (int64_t t = 90500; t <= 120000; t += 250)
     engine_registry_sweep(&other, time_from_ms(t), true);
   expect(fleet, !engine_registry_find(&other, "e1")->gone,
-         "a process that hears no engine declares engines silent");
+         "a process that hears no engine marks engines as gone");
   engine_registry_free(&registry);
   engine_registry_free(&other);
   return true;
--- a/tests/controlplane/rejoin.c
+++ b/tests/controlplane/rejoin.c
@@ -1,5 +1,5 @@
 /**
- * Tests of lib/controlplane/chain_rules.c: which replicas may lead, serve reads and count as in
+ * Tests of lib/controlplane/chain_rules.c: which replicas may act as head or tail and count as in
  * sync while members rejoin. Fleet: three or five controllers, two routers, two engines.
  */
 #include "tests.h"
--- a/tests/controlplane/replica.c
+++ b/tests/controlplane/replica.c
@@ -214,7 +214,7 @@
       return false;
     scenario_check_acknowledged_writes(fleet);
   }
-  /* two are lost permanently: their votes are removed, so that one more member may be lost */
+  /* two are lost permanently: they are removed as voters, so that one more member may be lost */
   host_power_off(fleet->controller[1]);
   host_power_off(fleet->controller[3]);
   if (!chain_wait_for_shape(fleet, 3, 3, 40000))
@@ -380,16 +380,16 @@
   fleet_start_sampling(fleet);
   char *some = fleet_catalogue_json(6000, 0, NULL), *over = fleet_catalogue_json(9000, 0, NULL);
   if (!fleet_put(fleet, "catalogue", some))
-    fleet_add_violation(fleet, "a catalogue of %zu bytes was not taken", strlen(some));
+    fleet_add_violation(fleet, "a catalogue of %zu bytes was not accepted", strlen(some));
   operator_call *call = fleet_call(fleet, fleet_find_head(fleet), "PUT", "/v1/catalogue", over,
                                    NULL, NULL, time_from_ms(9000));
   if (call->status != 503 || !strstr(call->body->str, "501"))
     fleet_add_violation(fleet, "a catalogue of %zu bytes got %d %s", strlen(over), call->status,
                         call->body->str);
   operator_call_free(call);
-  chain_put_evacuation(fleet, 1, "after one that was too large");
+  chain_put_evacuation(fleet, 1, "after a write that was too large");
   if (!fleet_put(fleet, "catalogue", some))
-    fleet_add_violation(fleet, "a catalogue of %zu bytes was not taken again", strlen(some));
+    fleet_add_violation(fleet, "a catalogue of %zu bytes was not accepted again", strlen(some));
   host *host = fleet_find_head(fleet);
   if (!host || host->controller->replica.view.chain_length != 3)
     fleet_add_violation(fleet, "a write that was too large broke the chain");
--- a/tests/controlplane/wal.c
+++ b/tests/controlplane/wal.c
@@ -29,7 +29,7 @@
   if (!scenario_wait_for_chain(fleet, 3, 15000))
     return false;
   if (host->controller->replica.disk_id == disk_id)
-    fleet_add_violation(fleet, "a controller with a corrupt record goes on as a voter");
+    fleet_add_violation(fleet, "a controller with a corrupt record is still a voter");
   scenario_check_acknowledged_writes(fleet);
   return true;
 }
--- a/tests/model/check.c
+++ b/tests/model/check.c
@@ -6,7 +6,7 @@
   const model_image *m = &s->node[node].memory;
   for (int i = 0; i < s->acknowledged; i++)
     if (m->last <= i || m->record[i] != s->acknowledged_value[i])
-      snprintf(fault, FAULT_SIZE, "n%d leads without the acknowledged record %d", node, i + 1);
+      snprintf(fault, FAULT_SIZE, "the head n%d lacks the acknowledged record %d", node, i + 1);
 }
 
 static void check_tail(model_state *s, int node, char *fault) {
--- a/tests/model/model.h
+++ b/tests/model/model.h
@@ -82,8 +82,8 @@
   model_promise promises[MEMBERS_MAX];
 } model_proposal;
 
-/** The member leases of a node. Times are stored as ages in units; may_act_in is the time until the
- * member may act. */
+/** The member leases of a node, see member_leases. Times are stored as ages in units; may_act_in is
+ * the number of units until the member may act. */
 typedef struct model_lease {
   uint8_t started, voters_known, may_act_in, has_acted;
   struct {
--- a/tests/model/vote.c
+++ b/tests/model/vote.c
@@ -163,18 +163,18 @@
   for (int i = 0; i < previous->chain_length; i++)
     if (is_removed(previous, v, i) && !same &&
         previous->chain[i] == model_member(s, model_node_of(previous->chain[i])))
-      snprintf(fault, FAULT_SIZE, "view %d leaves a member out and replaces voters", v->epoch);
+      snprintf(fault, FAULT_SIZE, "view %d removes a member and replaces voters", v->epoch);
   for (int i = 0; i < v->chain_length; i++) {
     int node = model_node_of(v->chain[i]);
     if (is_removed(v, previous, i) && v->chain[i] == model_member(s, node) &&
         s->node[node].disk.in_sync)
       snprintf(fault, FAULT_SIZE,
-               "n%d joins view %d in sync, by what its disk says of an earlier view", node,
+               "n%d joins view %d in sync, as its disk recorded in an earlier view", node,
                v->epoch);
   }
   int head = model_node_of(v->chain[0]);
   if (v->chain[0] == model_member(s, head) && !s->node[head].disk.in_sync)
-    snprintf(fault, FAULT_SIZE, "view %d is led by n%d, which is out of sync", v->epoch, head);
+    snprintf(fault, FAULT_SIZE, "view %d has the head n%d, which is out of sync", v->epoch, head);
 }
 
 void model_adopt(model_state *s, int node, const model_view *v) {
