--- a/lib/controlplane/chain_rules.c
+++ b/lib/controlplane/chain_rules.c
@@ -65,11 +65,11 @@
   return position->committed >= sequence && holds_lease && !under_replicated;
 }
 
-bool chain_may_lead(const chain_position *position) {
+bool chain_may_act_as_head(const chain_position *position) {
   return position->index == 0 && position->in_sync;
 }
 
-bool chain_may_read(const chain_position *position, const view *known) {
+bool chain_may_act_as_tail(const chain_position *position, const view *known) {
   return is_tail(position, known) && position->in_sync && position->committed >= position->last;
 }
 
--- a/lib/controlplane/chain_rules.h
+++ b/lib/controlplane/chain_rules.h
@@ -40,12 +40,12 @@
 bool chain_may_acknowledge(const chain_position *position, uint64_t sequence, bool holds_lease,
                            bool under_replicated);
 /** Returns whether a member may act as the head, provided that its lease is valid. */
-bool chain_may_lead(const chain_position *position);
+bool chain_may_act_as_head(const chain_position *position);
 /** Returns whether a member may act as the tail, that is, serve reads, provided that its lease is
  * valid. The tail of an under-replicated chain commits nothing. While it has records that it does
  * not know to be committed, an earlier tail may already have served them to readers, so it does not
  * serve reads. After a restart these are all records since the last snapshot in the log. */
-bool chain_may_read(const chain_position *position, const view *known);
+bool chain_may_act_as_tail(const chain_position *position, const view *known);
 /** Returns whether a JoinRequest is valid: the sender, with the snapshot that it fetched, was
  * outside the chain in exactly the view that is known here. The sender of a request from an older
  * view may have been a member again in the meantime, and its snapshot may lack writes that were
--- a/lib/controlplane/replica.c
+++ b/lib/controlplane/replica.c
@@ -56,12 +56,12 @@
 
 bool replica_is_acting_head(replica *replica) {
   chain_position position = replica_chain_position(replica);
-  return chain_may_lead(&position) && replica_holds_lease(replica);
+  return chain_may_act_as_head(&position) && replica_holds_lease(replica);
 }
 
 bool replica_is_acting_tail(replica *replica) {
   chain_position position = replica_chain_position(replica);
-  return chain_may_read(&position, &replica->view) && replica_is_current(replica) &&
+  return chain_may_act_as_tail(&position, &replica->view) && replica_is_current(replica) &&
          replica_holds_lease(replica);
 }
 
--- a/tests/model/check.c
+++ b/tests/model/check.c
@@ -62,11 +62,11 @@
     chain_position c = model_chain_position(s, i);
     view v;
     model_expand_view(&n->memory.view, &v);
-    if (chain_may_lead(&c)) {
+    if (chain_may_act_as_head(&c)) {
       heads++;
       check_head(s, i, fault);
     }
-    if (chain_may_read(&c, &v)) {
+    if (chain_may_act_as_tail(&c, &v)) {
       tails++;
       check_tail(s, i, fault);
     }
--- a/tests/model/events.c
+++ b/tests/model/events.c
@@ -213,8 +213,8 @@
   view v;
   model_expand_view(&n->memory.view, &v);
   bool has_space = !n->queue[DISK_QUEUE - 1].kind;
-  if (s->remaining.writes && !n->busy && has_space && chain_may_lead(&c) && c.last < RECORDS_MAX &&
-      c.last - c.committed < PENDING_WRITES_MAX &&
+  if (s->remaining.writes && !n->busy && has_space && chain_may_act_as_head(&c) &&
+      c.last < RECORDS_MAX && c.last - c.committed < PENDING_WRITES_MAX &&
       !chain_is_under_replicated(&v, p->min_replicas, 1) && model_holds_lease(s, i))
     add(l, EVENT_WRITE, i, 0, 0);
   for (int without_records = 0;
