--- a/lib/controlplane/paxos_rules.c
+++ b/lib/controlplane/paxos_rules.c
@@ -165,6 +165,6 @@
   return true;
 }
 
-bool proposer_may_replace_voters(int removed_live_members) {
-  return !removed_live_members;
+bool proposer_may_replace_voters(int removed_lease_holders) {
+  return !removed_lease_holders;
 }
--- a/lib/controlplane/paxos_rules.h
+++ b/lib/controlplane/paxos_rules.h
@@ -108,5 +108,5 @@
 /** Returns whether the next view may replace voters. A view that removes a member which may still
  * act must keep them: the voters that granted its leases are the ones that wait for them to expire.
  */
-bool proposer_may_replace_voters(int removed_live_members);
+bool proposer_may_replace_voters(int removed_lease_holders);
 #endif
--- a/lib/controlplane/repair_plan.c
+++ b/lib/controlplane/repair_plan.c
@@ -72,7 +72,7 @@
     }
     plan->proposal.dropped[plan->proposal.dropped_count++] = member->self;
     plan->proposal.link_broken |= link_broken || other_disk;
-    plan->removed_live_members += unavailable || link_broken;
+    plan->removed_lease_holders += unavailable || link_broken;
     plan->changed = true;
   }
 }
@@ -166,7 +166,7 @@
  * other members may act immediately. */
 static void plan_voters(const replica *replica, repair_plan *plan) {
   view *next = &plan->proposal.view;
-  if (!proposer_may_replace_voters(plan->removed_live_members) || !next->chain_length)
+  if (!proposer_may_replace_voters(plan->removed_lease_holders) || !next->chain_length)
     return;
   spare_members spare = find_spare_members(next);
   plan->changed |= replace_voters(next, &spare, true);
--- a/lib/controlplane/repair_plan.h
+++ b/lib/controlplane/repair_plan.h
@@ -10,7 +10,7 @@
   view_proposal proposal;
   /** Number of removed members that may still hold a lease and act. Members whose disk was replaced
    * do not count. */
-  int removed_live_members;
+  int removed_lease_holders;
   /** Whether the planned view differs from the known one in more than its epoch. */
   bool changed;
 } repair_plan;
--- a/tests/model/events.c
+++ b/tests/model/events.c
@@ -114,7 +114,7 @@
                           model_view *v) {
   const model_node *n = &s->node[e.a];
   const model_view *known_view = &n->memory.view;
-  int removed_live_members = 0;
+  int removed_lease_holders = 0;
   *v = *known_view;
   v->epoch++;
   if (v->epoch >= EPOCHS_MAX ||
@@ -131,11 +131,11 @@
     bool replaced = adds && model_node_of(known_view->chain[i]) == model_node_of(n->join_member) &&
                     known_view->chain[i] != n->join_member;
     bool dropped = e.b == i + 1 && known_view->chain[i] != model_member(s, e.a);
-    removed_live_members += dropped;
+    removed_lease_holders += dropped;
     if (!replaced && !dropped)
       v->chain[v->chain_length++] = known_view->chain[i];
   }
-  if (e.b && !removed_live_members)
+  if (e.b && !removed_lease_holders)
     return false;
   if (adds) {
     if (!v->chain_length || v->chain_length >= p->chain_length ||
@@ -147,7 +147,7 @@
     return false;
   if (!(e.c & PROPOSAL_REPLACES_VOTER))
     return true;
-  if (!proposer_may_replace_voters(removed_live_members))
+  if (!proposer_may_replace_voters(removed_lease_holders))
     return false;
   for (int i = 0; i < v->voter_count; i++) {
     if (contains(v->chain, v->chain_length, v->voters[i]))
