--- a/lib/controlplane/replica.c
+++ b/lib/controlplane/replica.c
@@ -118,13 +118,13 @@
 }
 
 /* opens and replays the log; retries while the disk is full or cannot sync */
-static enum error_code open_log(replica *replica, enum wal_condition *condition, error *err) {
+static enum error_code open_log(replica *replica, enum wal_integrity *integrity, error *err) {
   node *node = replica->node;
   size_t size =
       node->settings.log_file_bytes ? node->settings.log_file_bytes : LOG_FILE_BYTES_DEFAULT;
   bool logged = false;
   for (;;) {
-    enum error_code r = wal_open(&replica->wal, node, size, condition, err);
+    enum error_code r = wal_open(&replica->wal, node, size, integrity, err);
     if (!is_retryable_open_error(r))
       return r;
     if (!logged)
@@ -152,16 +152,16 @@
 /* opens and replays the log and starts its writer; sets *blank if the disk holds no usable state */
 static enum error_code recover(replica *replica, bool *blank, error *err) {
   node *node = replica->node;
-  enum wal_condition condition;
-  enum error_code r = open_log(replica, &condition, err);
+  enum wal_integrity integrity;
+  enum error_code r = open_log(replica, &integrity, err);
   if (r)
     return r;
-  if (condition == WAL_CORRUPT)
+  if (integrity == WAL_CORRUPT)
     log_info(&node->log, "wal",
              "A record before the end of the log is corrupt (code %d); this disk starts blank, and"
              " the state is fetched from the other controllers.",
              E_BAD_RECORD);
-  *blank = condition != WAL_INTACT || !replica->disk_id;
+  *blank = integrity != WAL_INTACT || !replica->disk_id;
   if (*blank)
     reset_to_blank(replica);
   if (!replica->view.epoch)
--- a/lib/controlplane/replica_write.c
+++ b/lib/controlplane/replica_write.c
@@ -6,7 +6,7 @@
 #include "replica.h"
 
 enum {
-  /** Maximum number of writes that may wait for the tail; replication_free_bytes limits it further.
+  /** Maximum number of writes that may wait for the tail; log_file_free_bytes limits it further.
    */
   PENDING_WRITES_MAX = 32,
   /** Once more than this many bytes wait for the tail, only a few writes may wait: a backlog of
@@ -42,7 +42,7 @@
 
 /* returns the free space of a log file after the state and the writes that wait for the tail, in
  * bytes */
-static size_t replication_free_bytes(const replica *replica) {
+static size_t log_file_free_bytes(const replica *replica) {
   size_t bytes;
   size_t waiting =
       recent_records_count_after(&replica->recent_records, replica->committed.seq, &bytes);
@@ -72,7 +72,7 @@
   r = build(ctx, &replica->replication.ordered, operation, err);
   if (r || !operation->len)
     return r;
-  if (replication_free_bytes(replica) < operation->len)
+  if (log_file_free_bytes(replica) < operation->len)
     return error_set(
         err, E_DISK_FULL,
         "a write of %zu bytes does not fit into a ring file any more; nothing was written",
--- a/lib/controlplane/snapshot.c
+++ b/lib/controlplane/snapshot.c
@@ -14,7 +14,7 @@
 
 /* a snapshot fetch in progress */
 typedef struct {
-  GString *text;
+  GString *packed;
   uint64_t seq, size;
 } download;
 
@@ -23,11 +23,11 @@
   const Wire__SnapshotResponse *chunk = response->snapshot_response;
   if (response->body_case != WIRE__ENVELOPE__BODY_SNAPSHOT_RESPONSE || !chunk->chunk.len)
     return error_set(err, E_WIRE_MESSAGE, "no chunk of a snapshot");
-  if (download->text->len && (chunk->sequence != download->seq || chunk->size != download->size))
+  if (download->packed->len && (chunk->sequence != download->seq || chunk->size != download->size))
     return error_set(err, E_WIRE_MESSAGE, "the snapshot changed while it was fetched");
   download->seq = chunk->sequence;
   download->size = chunk->size;
-  g_string_append_len(download->text, (char *)chunk->chunk.data, chunk->chunk.len);
+  g_string_append_len(download->packed, (char *)chunk->chunk.data, chunk->chunk.len);
   return OK;
 }
 
@@ -35,7 +35,7 @@
                                    error *err) {
   Wire__SnapshotRequest request = WIRE__SNAPSHOT_REQUEST__INIT;
   request.sequence = download->seq;
-  request.offset = download->text->len;
+  request.offset = download->packed->len;
   Wire__Envelope message = wire_envelope(WIRE__ENVELOPE__BODY_SNAPSHOT_REQUEST, &request);
   Wire__Envelope *response;
   enum error_code r = peer_rpc_call(replica->node, address, &message,
@@ -50,16 +50,16 @@
 /* fetches and unpacks the state of a member; the caller frees *fetched even if an error occurs */
 static enum error_code fetch_state(replica *replica, const char *address, state *fetched,
                                    error *err) {
-  download download = { .text = g_string_new(NULL) };
+  download download = { .packed = g_string_new(NULL) };
   enum error_code r;
   do {
     r = fetch_chunk(replica, address, &download, err);
-  } while (!r && download.text->len < download.size);
-  if (!r && !state_unpack(fetched, string_view_of_gstring(download.text)))
+  } while (!r && download.packed->len < download.size);
+  if (!r && !state_unpack(fetched, string_view_of_gstring(download.packed)))
     r = error_set(err, E_WIRE_MESSAGE, "the snapshot can't be read");
   if (!r && replica->view.fleet_id && fetched->fleet_id != replica->view.fleet_id)
     r = error_set(err, E_VIEW_MISMATCH, "the snapshot is another fleet's");
-  g_string_free(download.text, TRUE);
+  g_string_free(download.packed, TRUE);
   return r;
 }
 
@@ -89,8 +89,8 @@
 }
 
 static void free_snapshot(snapshot *snapshot) {
-  if (snapshot->text)
-    g_string_free(snapshot->text, TRUE);
+  if (snapshot->packed)
+    g_string_free(snapshot->packed, TRUE);
   memset(snapshot, 0, sizeof *snapshot);
 }
 
@@ -98,7 +98,7 @@
   for (int i = 0; i < SNAPSHOTS_MAX; i++) {
     snapshot *entry = &cache->entries[i];
     time_us idle_at = time_add(entry->used_at, time_from_ms(SNAPSHOT_IDLE_MS));
-    if (entry->text && time_reached(now, idle_at))
+    if (entry->packed && time_reached(now, idle_at))
       free_snapshot(entry);
   }
 }
@@ -111,7 +111,7 @@
 /* the cached snapshot of a write, or NULL */
 static snapshot *find_snapshot(snapshot_cache *cache, uint64_t seq) {
   for (int i = 0; i < SNAPSHOTS_MAX; i++)
-    if (cache->entries[i].text && cache->entries[i].seq == seq)
+    if (cache->entries[i].packed && cache->entries[i].seq == seq)
       return &cache->entries[i];
   return NULL;
 }
@@ -125,12 +125,12 @@
 
 /* Returns the newest cached snapshot whose following records are in memory. If there is none,
  * creates one in a free entry or in the least recently used one. */
-static snapshot *begin_transfer(replica *replica) {
+static snapshot *find_or_create_snapshot(replica *replica) {
   snapshot_cache *cache = &replica->snapshot_cache;
   snapshot *newest = NULL, *oldest = &cache->entries[0];
   for (int i = 0; i < SNAPSHOTS_MAX; i++) {
     snapshot *entry = &cache->entries[i];
-    if (entry->text && has_records_after(replica, entry) && (!newest || entry->seq > newest->seq))
+    if (entry->packed && has_records_after(replica, entry) && (!newest || entry->seq > newest->seq))
       newest = entry;
     if (entry->used_at.us < oldest->used_at.us)
       oldest = entry;
@@ -139,8 +139,8 @@
     return newest;
   free_snapshot(oldest);
   oldest->seq = replica->committed.seq;
-  oldest->text = g_string_new(NULL);
-  state_pack(&replica->committed, replica->view.epoch, oldest->text);
+  oldest->packed = g_string_new(NULL);
+  state_pack(&replica->committed, replica->view.epoch, oldest->packed);
   return oldest;
 }
 
@@ -152,17 +152,17 @@
     return error_set(err, E_NO_CONTROLLER, "not an in-sync member of the chain");
   snapshot_cache_expire(&replica->snapshot_cache, now);
   snapshot *snapshot = request->offset ? find_snapshot(&replica->snapshot_cache, request->sequence)
-                                       : begin_transfer(replica);
-  if (!snapshot || request->offset >= snapshot->text->len)
+                                       : find_or_create_snapshot(replica);
+  if (!snapshot || request->offset >= snapshot->packed->len)
     return error_set(err, E_WIRE_MESSAGE, "no such chunk");
   snapshot->used_at = now;
   Wire__SnapshotResponse *response = reply_new_body(reply, WIRE__ENVELOPE__BODY_SNAPSHOT_RESPONSE,
                                                     &wire__snapshot_response__descriptor);
   response->sequence = snapshot->seq;
-  response->size = snapshot->text->len;
+  response->size = snapshot->packed->len;
   response->offset = request->offset;
-  response->chunk.len = MIN((size_t)SNAPSHOT_CHUNK_BYTES, snapshot->text->len - request->offset);
+  response->chunk.len = MIN((size_t)SNAPSHOT_CHUNK_BYTES, snapshot->packed->len - request->offset);
   response->chunk.data = reply_alloc(reply, response->chunk.len + 1);
-  memcpy(response->chunk.data, snapshot->text->str + request->offset, response->chunk.len);
+  memcpy(response->chunk.data, snapshot->packed->str + request->offset, response->chunk.len);
   return OK;
 }
--- a/lib/controlplane/snapshot.h
+++ b/lib/controlplane/snapshot.h
@@ -17,7 +17,7 @@
 typedef struct snapshot {
   uint64_t seq;
   /** NULL if the entry is free. */
-  GString *text;
+  GString *packed;
   time_us used_at;
 } snapshot;
 
--- a/lib/controlplane/wal.c
+++ b/lib/controlplane/wal.c
@@ -58,7 +58,7 @@
   return OK;
 }
 
-enum error_code wal_open(wal *wal, node *node, size_t size, enum wal_condition *condition,
+enum error_code wal_open(wal *wal, node *node, size_t size, enum wal_integrity *integrity,
                          error *err) {
   wal->node = node;
   wal->size = size;
@@ -72,7 +72,7 @@
   if (!r)
     r = sync_files(wal, err);
   if (!r)
-    r = wal_recover(wal, condition, err);
+    r = wal_recover(wal, integrity, err);
   return r;
 }
 
--- a/lib/controlplane/wal.h
+++ b/lib/controlplane/wal.h
@@ -13,7 +13,7 @@
 };
 
 /** The integrity of the log on disk at the start. */
-enum wal_condition {
+enum wal_integrity {
   /** No file has a valid first frame. */
   WAL_BLANK,
   /** The newest file was replayed; at most its last frame was torn (partially written). */
@@ -59,9 +59,9 @@
   void *ctx;
 } wal;
 
-/** Opens the files, syncs them and replays the newest one. Sets *condition. Returns OK or the
+/** Opens the files, syncs them and replays the newest one. Sets *integrity. Returns OK or the
  * disk's error, and may be called again after an error. */
-enum error_code wal_open(wal *wal, node *node, size_t size, enum wal_condition *condition,
+enum error_code wal_open(wal *wal, node *node, size_t size, enum wal_integrity *integrity,
                          error *err);
 /** Starts the writer task. If the log is blank or has a torn end, first starts a new file. Returns
  * OK, even if the disk refused the new file, or E_STOPPING. */
--- a/lib/controlplane/wal_recovery.c
+++ b/lib/controlplane/wal_recovery.c
@@ -217,7 +217,7 @@
 }
 
 /* Examines the newest file and replays it unless it is corrupt. */
-static enum error_code recover_newest_file(recovery *recovery, enum wal_condition *condition,
+static enum error_code recover_newest_file(recovery *recovery, enum wal_integrity *integrity,
                                            error *err) {
   uint64_t later;
   enum error_code r = find_end(recovery, err);
@@ -225,9 +225,9 @@
     r = find_highest_generation(recovery, recovery->end, recovery->generation, &later, err);
   if (r)
     return r;
-  *condition = later ? WAL_CORRUPT : WAL_INTACT;
+  *integrity = later ? WAL_CORRUPT : WAL_INTACT;
   r = check_torn_end(recovery, err);
-  if (!r && *condition == WAL_INTACT)
+  if (!r && *integrity == WAL_INTACT)
     r = replay_newest_file(recovery, err);
   recovery->wal->current_file = recovery->newest_file;
   recovery->wal->offset = recovery->end;
@@ -236,7 +236,7 @@
 
 /* The log is corrupt if a file without a valid first frame holds a frame that is newer than the
  * newest file. */
-static enum error_code check_other_files(recovery *recovery, enum wal_condition *condition,
+static enum error_code check_other_files(recovery *recovery, enum wal_integrity *integrity,
                                          error *err) {
   for (unsigned i = 0; i < WAL_FILE_COUNT; i++) {
     if ((int)i == recovery->newest_file || recovery->has_checkpoint[i])
@@ -248,7 +248,7 @@
     if (r)
       return r;
     if (later)
-      *condition = WAL_CORRUPT;
+      *integrity = WAL_CORRUPT;
   }
   return OK;
 }
@@ -267,17 +267,17 @@
   return OK;
 }
 
-enum error_code wal_recover(wal *wal, enum wal_condition *condition, error *err) {
+enum error_code wal_recover(wal *wal, enum wal_integrity *integrity, error *err) {
   recovery recovery = { .wal = wal, .newest_file = -1 };
   recovery.scan = (file_window){ .wal = wal, .buffer = g_malloc(WINDOW_BYTES) };
   recovery.body = (file_window){ .wal = wal, .buffer = g_malloc(WINDOW_BYTES) };
-  *condition = WAL_BLANK;
+  *integrity = WAL_BLANK;
   enum error_code r = find_newest_file(&recovery, err);
   if (!r && recovery.newest_file >= 0)
-    r = recover_newest_file(&recovery, condition, err);
+    r = recover_newest_file(&recovery, integrity, err);
   if (!r)
-    r = check_other_files(&recovery, condition, err);
-  if (!r && *condition == WAL_CORRUPT)
+    r = check_other_files(&recovery, integrity, err);
+  if (!r && *integrity == WAL_CORRUPT)
     r = raise_generation(&recovery, err);
   wal->generation = recovery.generation;
   g_free(recovery.scan.buffer);
--- a/tests/controlplane/catch_up.c
+++ b/tests/controlplane/catch_up.c
@@ -272,7 +272,7 @@
   }
   sim_run(fleet->sim, time_from_ms(2 * SNAPSHOT_IDLE_MS));
   for (int i = 0; i < SNAPSHOTS_MAX; i++)
-    if (host->controller->replica.snapshot_cache.entries[i].text)
+    if (host->controller->replica.snapshot_cache.entries[i].packed)
       fleet_add_violation(fleet, "a snapshot that is no longer fetched was not freed");
   return true;
 }
