--- a/lib/controlplane/controller_drain.c
+++ b/lib/controlplane/controller_drain.c
@@ -31,10 +31,10 @@
 
 /* True when there is another controller that is not a voter and may become one in place of this
  * one. */
-static bool is_vote_successor_known(const controller *controller) {
+static bool is_replacement_voter_known(const controller *controller) {
   list_for_each (peer, &controller->node.peers, peer_node, link) {
-    bool may_vote = peer->role == ROLE_CONTROLLER && !peer->gone && !peer->draining;
-    if (may_vote && !is_voter(&controller->replica.view, peer->self))
+    bool may_become_voter = peer->role == ROLE_CONTROLLER && !peer->gone && !peer->draining;
+    if (may_become_voter && !is_voter(&controller->replica.view, peer->self))
       return true;
   }
   return false;
@@ -49,13 +49,13 @@
     return true;
   if (replica_chain_index(replica) >= 0)
     return false;
-  return replica_voter_index(replica) < 0 || !is_vote_successor_known(controller);
+  return replica_voter_index(replica) < 0 || !is_replacement_voter_known(controller);
 }
 
 /* Sleeps until a deadline. Returns false when the process was stopped. */
 static bool sleep_until(world *world, time_us deadline) {
-  time_us left = time_sub(deadline, world_now(world));
-  return left.us <= 0 || world_sleep(world, left);
+  time_us remaining = time_sub(deadline, world_now(world));
+  return remaining.us <= 0 || world_sleep(world, remaining);
 }
 
 /* Serves late callers for a while, then stops reading calls and waits until those already read are
--- a/lib/membership/peer_rpc.c
+++ b/lib/membership/peer_rpc.c
@@ -16,10 +16,10 @@
 } pending_call;
 
 /* a message and the node that handles it in a separate task */
-typedef struct handler_run {
+typedef struct handler_task {
   node *node;
   Wire__Envelope *message;
-} handler_run;
+} handler_task;
 
 static void fill_own_info(node *node, Wire__NodeInfo *info) {
   info->id = node->settings.self.text;
@@ -158,19 +158,19 @@
 }
 
 static void handle_message_run(void *context) {
-  handler_run *run = context;
-  handle_message(run->node, run->message);
-  run->node->rpc.running_handlers--;
-  peer_rpc_message_free(run->message);
-  g_free(run);
+  handler_task *task = context;
+  handle_message(task->node, task->message);
+  task->node->rpc.running_handlers--;
+  peer_rpc_message_free(task->message);
+  g_free(task);
 }
 
 static void start_handler(node *node, Wire__Envelope *message) {
-  handler_run *run = g_new0(handler_run, 1);
-  run->node = node;
-  run->message = message;
+  handler_task *task = g_new0(handler_task, 1);
+  task->node = node;
+  task->message = message;
   node->rpc.running_handlers++;
-  task_start(&node->world->tasks, "handle message", handle_message_run, run);
+  task_start(&node->world->tasks, "handle message", handle_message_run, task);
 }
 
 /* Gives the response to the call that waits for it. Takes ownership of the response. */
