--- a/lib/controlplane/engine_heartbeat_api.c
+++ b/lib/controlplane/engine_heartbeat_api.c
@@ -5,7 +5,7 @@
 /** Largest number (2^53) up to which all integers are exact in JSON. */
 static const double exact_number_max = 9007199254740992.0;
 /** Upper bounds on numbers in a heartbeat, far above any sensible value. */
-static const double slots_max = 1e6, span_max_ms = 1e9, weights_version_max = 1e15;
+static const double slots_max = 1e6, duration_max_ms = 1e9, weights_version_max = 1e15;
 
 /** A heartbeat being parsed. Its strings belong to the JSON value. */
 typedef struct parsed_heartbeat {
@@ -99,10 +99,10 @@
 static void parse_lifecycle(Wire__EngineState *state, const json *value) {
   state->slots = (uint32_t)bounded_number(value, "slots", slots_max);
   state->draining = !strcmp(json_text(value, "state", "ready"), "leaving");
-  state->slow_start_ms = bounded_number(value, "coldMs", span_max_ms);
+  state->slow_start_ms = bounded_number(value, "coldMs", duration_max_ms);
   const json *ends_in = json_get(value, "leavesMs");
   if (ends_in && ends_in->kind == JSON_NUMBER)
-    state->ends_in_ms = (uint64_t)CLAMP(ends_in->number, 1, span_max_ms);
+    state->ends_in_ms = (uint64_t)CLAMP(ends_in->number, 1, duration_max_ms);
 }
 
 /* Reads a heartbeat in native names. */
--- a/lib/controlplane/engine_registry.c
+++ b/lib/controlplane/engine_registry.c
@@ -16,12 +16,12 @@
 
 /** Upper bound on durations in received updates, in ms: 12 days, and small enough to avoid overflow
  * in time arithmetic. */
-static const uint64_t SPAN_MAX_MS = 1u << 30;
+static const uint64_t DURATION_MAX_MS = 1u << 30;
 
 static void engine_free(void *p) {
   registered_engine *engine = p;
-  if (engine->heartbeat)
-    wire__engine_state__free_unpacked(engine->heartbeat, NULL);
+  if (engine->description)
+    wire__engine_state__free_unpacked(engine->description, NULL);
   g_free(engine);
 }
 
@@ -88,7 +88,7 @@
 }
 
 static bool have_same_address(const registered_engine *a, const registered_engine *b) {
-  return a->heartbeat->address[0] && !strcmp(a->heartbeat->address, b->heartbeat->address);
+  return a->description->address[0] && !strcmp(a->description->address, b->description->address);
 }
 
 /* Assigns the address of an engine to whichever engine that uses it was heard last, and marks the
@@ -117,7 +117,7 @@
 static enum registry_update sign_off(engine_registry *registry, registered_engine *engine,
                                      time_us now) {
   engine->draining = engine->signed_off = true;
-  engine->checksum = checksum_of(engine->heartbeat, true);
+  engine->checksum = checksum_of(engine->description, true);
   mark_gone(registry, engine, now);
   return REGISTRY_DRAINING;
 }
@@ -126,18 +126,18 @@
 static registered_engine *insert_engine(engine_registry *registry,
                                         const Wire__EngineState *description) {
   registered_engine *engine = g_new0(registered_engine, 1);
-  engine->heartbeat = state_duplicate(description);
-  g_hash_table_insert(registry->engines, engine->heartbeat->id, engine);
+  engine->description = state_duplicate(description);
+  g_hash_table_insert(registry->engines, engine->description->id, engine);
   return engine;
 }
 
 /* Replaces the description of an engine, which also owns the key in the table. */
 static void replace_description(engine_registry *registry, registered_engine *engine,
                                 const Wire__EngineState *description) {
-  Wire__EngineState *old = engine->heartbeat;
+  Wire__EngineState *old = engine->description;
   g_hash_table_steal(registry->engines, old->id);
-  engine->heartbeat = state_duplicate(description);
-  g_hash_table_insert(registry->engines, engine->heartbeat->id, engine);
+  engine->description = state_duplicate(description);
+  g_hash_table_insert(registry->engines, engine->description->id, engine);
   wire__engine_state__free_unpacked(old, NULL);
 }
 
@@ -149,15 +149,15 @@
   time_us ends_at;
 } update_times;
 
-static time_us bounded_span(uint64_t ms) {
-  return time_from_ms((int64_t)MIN(ms, SPAN_MAX_MS));
+static time_us bounded_duration(uint64_t ms) {
+  return time_from_ms((int64_t)MIN(ms, DURATION_MAX_MS));
 }
 
 static update_times times_of(const Wire__EngineState *update, time_us now) {
-  update_times times = { .heartbeat_at = time_sub(now, bounded_span(update->age_ms)) };
-  times.slow_start_until = time_add(times.heartbeat_at, bounded_span(update->slow_start_ms));
+  update_times times = { .heartbeat_at = time_sub(now, bounded_duration(update->age_ms)) };
+  times.slow_start_until = time_add(times.heartbeat_at, bounded_duration(update->slow_start_ms));
   if (update->ends_in_ms)
-    times.ends_at = time_add(times.heartbeat_at, bounded_span(update->ends_in_ms));
+    times.ends_at = time_add(times.heartbeat_at, bounded_duration(update->ends_in_ms));
   return times;
 }
 
@@ -180,7 +180,7 @@
   engine->slow_start_until = times->slow_start_until;
   engine->ends_at = times->ends_at;
   engine->draining = update->draining;
-  engine->checksum = checksum_of(engine->heartbeat, engine->draining);
+  engine->checksum = checksum_of(engine->description, engine->draining);
   if (is_sign_off(update))
     return sign_off(registry, engine, now);
   mark_changed(registry, engine);
@@ -193,7 +193,7 @@
                                                bool starts_draining) {
   if (!starts_draining)
     return REGISTRY_STALE;
-  engine->checksum = checksum_of(engine->heartbeat, true);
+  engine->checksum = checksum_of(engine->description, true);
   mark_changed(registry, engine);
   return REGISTRY_DRAINING;
 }
@@ -219,7 +219,7 @@
   bool is_recent =
       !time_reached(now, time_add(times->heartbeat_at, time_from_ms(registry->silent_ms)));
   bool is_back = engine->gone && is_later && is_recent;
-  bool is_moved = strcmp(update->address, engine->heartbeat->address);
+  bool is_moved = strcmp(update->address, engine->description->address);
   uint64_t checksum = checksum_of(update, engine->draining);
   bool is_changed = checksum != engine->checksum || is_back || starts_draining ||
                     changes_times(engine, update, times);
@@ -308,7 +308,7 @@
     return REGISTRY_STALE;
   if (update->checksum != engine->checksum || engine->gone)
     return REGISTRY_NEEDS_FETCH;
-  time_us heartbeat_at = time_sub(now, bounded_span(update->age_ms));
+  time_us heartbeat_at = time_sub(now, bounded_duration(update->age_ms));
   engine->heartbeat_count = update->heartbeat_count;
   if (heartbeat_at.us > engine->last_heard_at.us)
     engine->last_heard_at = heartbeat_at;
@@ -363,7 +363,7 @@
 
 void engine_registry_pack_engine(const registered_engine *engine, time_us now,
                                  Wire__EngineState *to) {
-  *to = *engine->heartbeat;
+  *to = *engine->description;
   to->draining = engine->draining;
   to->gone = engine->gone;
   to->heartbeat_count = engine->heartbeat_count;
@@ -380,7 +380,7 @@
 void engine_registry_pack_heartbeat(const registered_engine *engine, time_us now,
                                     Wire__EngineState *to) {
   wire__engine_state__init(to);
-  to->id = engine->heartbeat->id;
+  to->id = engine->description->id;
   to->heartbeat_count = engine->heartbeat_count;
   to->checksum = engine->checksum;
   to->age_ms = age_ms_of(engine, now);
--- a/lib/controlplane/engine_registry.h
+++ b/lib/controlplane/engine_registry.h
@@ -19,7 +19,7 @@
 typedef struct registered_engine {
   /** The latest description; owned. Its count, age and flags are not kept up to date: the fields
    * below hold them. */
-  Wire__EngineState *heartbeat;
+  Wire__EngineState *description;
   /** Checksum of the description and `draining`, without fields that change merely with time. */
   uint64_t checksum;
   uint64_t heartbeat_count;
--- a/tests/controlplane/engine_registry.c
+++ b/tests/controlplane/engine_registry.c
@@ -74,7 +74,7 @@
          "an equal count is not stale");
   registered_engine *engine = engine_registry_find(&registry, "e1");
   expect(fleet,
-         registry.seq == seq && !strcmp(engine->heartbeat->address, "10.0.0.1:80") &&
+         registry.seq == seq && !strcmp(engine->description->address, "10.0.0.1:80") &&
              engine->last_heard_at.us == time_from_ms(2000).us,
          "a stale heartbeat changed something");
   Wire__ResidentModel model = WIRE__RESIDENT_MODEL__INIT, *models = &model;
@@ -95,7 +95,7 @@
   expect(fleet,
          engine_registry_heartbeat(&registry, &heartbeat, time_from_ms(5000)) == REGISTRY_CHANGED,
          "another weights version is not a change");
-  expect(fleet, engine_registry_find(&registry, "e1")->heartbeat->models[0]->weights_version == 2,
+  expect(fleet, engine_registry_find(&registry, "e1")->description->models[0]->weights_version == 2,
          "another weights version was not stored");
   engine_registry_free(&registry);
   return true;
@@ -301,7 +301,7 @@
          "a lost change is not detected by the checksum");
   expect(fleet,
          merge_from(&b, &a, "e1", true, 2200) == REGISTRY_CHANGED &&
-             !strcmp(engine_registry_find(&b, "e1")->heartbeat->address, "10.0.0.1:81"),
+             !strcmp(engine_registry_find(&b, "e1")->description->address, "10.0.0.1:81"),
          "a lost change is not repaired by a full update");
   expect(fleet, merge_from(&b, &a, "e1", true, 2300) == REGISTRY_ALIVE,
          "a repeated update is a change");
