--- a/lib/controlplane/controller_status.c
+++ b/lib/controlplane/controller_status.c
@@ -18,7 +18,7 @@
   json_appendf(to, "\"fill\":%.3f},", (double)wal->base_size / (double)(wal->size ? wal->size : 1));
 }
 
-void controller_status_write_json(controller *controller, GString *to) {
+void controller_status_append_json(controller *controller, GString *to) {
   replica *replica = &controller->replica;
   const settings *settings = &controller->node.settings;
   bool has_chain = replica->view.chain_length;
@@ -65,7 +65,7 @@
   g_string_append(to, "]}");
 }
 
-void controller_status_write_registry(controller *controller, GString *to) {
+void controller_status_append_registry(controller *controller, GString *to) {
   GHashTableIter it;
   gpointer value;
   const char *separator = "";
@@ -81,7 +81,7 @@
   g_string_append_c(to, ']');
 }
 
-void controller_status_write_metrics(controller *controller, GString *to) {
+void controller_status_append_metrics(controller *controller, GString *to) {
   replica *replica = &controller->replica;
   json_appendf(to, "asterfall_view_epoch %" PRIu64 "\n", replica->view.epoch);
   json_appendf(to, "asterfall_version %" PRIu64 "\n", replica->committed.seq);
--- a/lib/controlplane/operator_api.c
+++ b/lib/controlplane/operator_api.c
@@ -14,7 +14,7 @@
 } status_page;
 
 static void write_view(controller *controller, GString *to) {
-  replica_view_json(&controller->replica, to);
+  replica_append_view_json(&controller->replica, to);
 }
 
 static void write_nodes(controller *controller, GString *to) {
@@ -22,16 +22,16 @@
 }
 
 static void write_grants(controller *controller, GString *to) {
-  singleton_grants_write_json(&controller->singleton_grants, to);
+  singleton_grants_append_json(&controller->singleton_grants, to);
 }
 
 static const status_page status_pages[] = {
   { "/v1/view", "application/json", write_view },
   { "/v1/nodes", "application/json", write_nodes },
-  { "/v1/status", "application/json", controller_status_write_json },
+  { "/v1/status", "application/json", controller_status_append_json },
   { "/v1/contracts", "application/json", write_grants },
-  { "/v1/registry", "application/json", controller_status_write_registry },
-  { "/metrics", "text/plain", controller_status_write_metrics },
+  { "/v1/registry", "application/json", controller_status_append_registry },
+  { "/metrics", "text/plain", controller_status_append_metrics },
 };
 
 /* Pages that routers serve; controllers forward requests for them to a router. */
--- a/lib/controlplane/replica.c
+++ b/lib/controlplane/replica.c
@@ -225,7 +225,7 @@
                member->self.text, member->zone.text, member->address, member->disk_id);
 }
 
-void replica_view_json(const replica *replica, GString *to) {
+void replica_append_view_json(const replica *replica, GString *to) {
   const view *view = &replica->view;
   json_appendf(to, "{\"epoch\":%" PRIu64 ",\"fleet\":\"%016" PRIx64 "\",\"thin\":%s,\"chain\":[",
                view->epoch, view->fleet_id,
--- a/lib/controlplane/replica.h
+++ b/lib/controlplane/replica.h
@@ -116,5 +116,5 @@
 /** Returns the last member of the known chain, or NULL if no view is known. */
 const member *replica_tail(const replica *replica);
 /** Appends the known view as JSON. */
-void replica_view_json(const replica *replica, GString *to);
+void replica_append_view_json(const replica *replica, GString *to);
 #endif
--- a/lib/controlplane/singleton_grants.c
+++ b/lib/controlplane/singleton_grants.c
@@ -248,7 +248,7 @@
   return at ? time_sub(world_now(grants->node->world), *at).us / 1000 : -1;
 }
 
-void singleton_grants_write_json(const singleton_grants *grants, GString *to) {
+void singleton_grants_append_json(const singleton_grants *grants, GString *to) {
   GHashTableIter it;
   gpointer value;
   const char *separator = "";
--- a/lib/controlplane/singleton_grants.h
+++ b/lib/controlplane/singleton_grants.h
@@ -28,5 +28,5 @@
 void singleton_grants_free(singleton_grants *grants);
 /** Appends all grants as a JSON array. The time since the last renewal is -1 if this controller is
  * not the head or knows of no renewal. */
-void singleton_grants_write_json(const singleton_grants *grants, GString *to);
+void singleton_grants_append_json(const singleton_grants *grants, GString *to);
 #endif
--- a/tests/model/convert.c
+++ b/tests/model/convert.c
@@ -72,7 +72,7 @@
   return m;
 }
 
-time_us model_instant(uint8_t age) {
+time_us model_time_of_age(uint8_t age) {
   return age == AGE_NONE ? (time_us){ 0 } : time_sub(MODEL_NOW, time_from_ms(age * UNIT_MS));
 }
 
@@ -85,17 +85,17 @@
 
 void model_expand_lease(const model_lease *m, member_leases *b) {
   memset(b, 0, sizeof *b);
-  b->started_at = model_instant(m->started);
-  b->voters_known_at = model_instant(m->voters_known);
+  b->started_at = model_time_of_age(m->started);
+  b->voters_known_at = model_time_of_age(m->voters_known);
   b->may_act_at = time_add(MODEL_NOW, time_from_ms(m->may_act_in * UNIT_MS));
   b->has_acted = m->has_acted;
   for (int i = 0; i < MEMBERS_MAX; i++) {
     b->held[i].disk_id = m->held[i].member;
-    b->held[i].requested_at = model_instant(m->held[i].age);
+    b->held[i].requested_at = model_time_of_age(m->held[i].age);
   }
   for (int i = 0; i < 2 * MEMBERS_MAX; i++) {
     b->granted[i].disk_id = m->granted[i].member;
-    b->granted[i].granted_at = model_instant(m->granted[i].age);
+    b->granted[i].granted_at = model_time_of_age(m->granted[i].age);
   }
 }
 
--- a/tests/model/model_parts.h
+++ b/tests/model/model_parts.h
@@ -21,7 +21,7 @@
 /** Converts a daemon's acceptor state to the model's. */
 model_acceptor model_compress_acceptor(const acceptor_state *v);
 /** Converts an age in units to a time. */
-time_us model_instant(uint8_t age);
+time_us model_time_of_age(uint8_t age);
 /** Converts a response to a PrepareRequest to the daemon's. */
 void model_expand_promise(const model_promise *m, prepare_result *a);
 
--- a/tests/model/node.c
+++ b/tests/model/node.c
@@ -117,7 +117,7 @@
     return;
   member_leases b;
   model_expand_lease(&n->lease, &b);
-  member_leases_record(&b, at, m->member, model_instant(m->age));
+  member_leases_record(&b, at, m->member, model_time_of_age(m->age));
   model_compress_lease(&b, &n->lease);
 }
 
