--- a/lib/controlplane/chain_join.c
+++ b/lib/controlplane/chain_join.c
@@ -134,25 +134,25 @@
  */
 static enum error_code fetch_from_chain(replica *replica, error *err) {
   view view = replica->view;
-  enum error_code r = error_set(err, E_NO_CONTROLLER, "no other member is heard");
-  for (int i = view.chain_length - 1; i >= 0 && r; i--) {
+  enum error_code code = error_set(err, E_NO_CONTROLLER, "no other member is heard");
+  for (int i = view.chain_length - 1; i >= 0 && code; i--) {
     if (id_equal(view.chain[i].self, replica->node->settings.self) ||
         repair_plan_member_is_silent(replica, &view.chain[i], MEMBER_LEASE_EXPIRED_MS))
       continue;
-    r = snapshot_fetch(replica, view.chain[i].address, err);
-    if (r == E_STOPPING)
-      return r;
+    code = snapshot_fetch(replica, view.chain[i].address, err);
+    if (code == E_STOPPING)
+      return code;
   }
-  return r;
+  return code;
 }
 
 static enum error_code catch_up(replica *replica, error *err) {
   time_us deadline = time_add(world_now(replica->node->world), time_from_ms(LOCK_TIMEOUT_MS));
   if (!replication_lock(replica, deadline))
     return error_set(err, E_OVERLOADED, "another write holds the lock");
-  enum error_code r = fetch_from_chain(replica, err);
+  enum error_code code = fetch_from_chain(replica, err);
   replication_unlock(replica);
-  return r;
+  return code;
 }
 
 /* Tells every controller that may propose a view that this one has caught up. Does not wait for
@@ -217,9 +217,9 @@
   if (replica_chain_index(replica) >= 0 || !chain_has_space(replica))
     return;
   error err = { 0 };
-  enum error_code r = catch_up(replica, &err);
-  if (r) {
-    log_debug(&replica->node->log, "replica", "Failed to catch up: %s (code %d).", err.text, r);
+  enum error_code code = catch_up(replica, &err);
+  if (code) {
+    log_debug(&replica->node->log, "replica", "Failed to catch up: %s (code %d).", err.text, code);
     return;
   }
   request_join(replica);
--- a/lib/controlplane/member_lease.c
+++ b/lib/controlplane/member_lease.c
@@ -171,11 +171,11 @@
   bool was_member = replica_chain_index(replica) >= 0;
   uint64_t epoch = replica->view.epoch;
   Wire__Envelope *response;
-  enum error_code r = send_request(requester, now, &response);
-  if (r != E_NO_RESPONSE)
+  enum error_code code = send_request(requester, now, &response);
+  if (code != E_NO_RESPONSE)
     requester->answered_at = world_now(replica->node->world);
-  requester->satisfied = !r && epoch == replica->view.epoch;
-  if (r)
+  requester->satisfied = !code && epoch == replica->view.epoch;
+  if (code)
     return;
   if (response->body_case == WIRE__ENVELOPE__BODY_MEMBER_LEASE_RESPONSE)
     handle_response(requester, response->member_lease_response, was_member, epoch, now);
--- a/lib/controlplane/paxos_acceptor.c
+++ b/lib/controlplane/paxos_acceptor.c
@@ -31,9 +31,9 @@
   wal_entries_add_acceptor(entries, &replica->acceptor);
   if (!replica->view_change.prepare_pending_since.us)
     replica->view_change.prepare_pending_since = world_now(replica->node->world);
-  enum error_code r = wal_append_all(&replica->wal, string_view_of_gstring(entries), err);
+  enum error_code code = wal_append_all(&replica->wal, string_view_of_gstring(entries), err);
   g_string_free(entries, TRUE);
-  return r;
+  return code;
 }
 
 /* whether this process and a peer hear each other, and the peer is not draining */
@@ -73,9 +73,9 @@
   proposal_number number = proposal_number_unpack(request->number);
   reset_stuck_vote_timer(replica, request->epoch);
   if (acceptor_prepare(acceptor, replica->view.epoch, request->epoch, number) == ACCEPTOR_SYNC) {
-    enum error_code r = store_acceptor(replica, err);
-    if (r)
-      return r;
+    enum error_code code = store_acceptor(replica, err);
+    if (code)
+      return code;
   }
   response->promised_now =
       acceptor_has_promised(acceptor, replica->view.epoch, request->epoch, number);
@@ -125,7 +125,7 @@
   proposal_number number = proposal_number_unpack(request->number);
   if (request->epoch == replica->view.epoch + 1)
     reset_stuck_vote_timer(replica, request->epoch);
-  enum error_code r = OK;
+  enum error_code code = OK;
   switch (
       acceptor_accept(&replica->acceptor, replica->view.epoch, request->epoch, number, &value)) {
   case ACCEPTOR_KNOWS_NEWER:
@@ -134,11 +134,11 @@
   case ACCEPTOR_RESPOND:
     break;
   case ACCEPTOR_SYNC:
-    r = store_acceptor(replica, err);
+    code = store_acceptor(replica, err);
     break;
   }
-  if (r)
-    return r;
+  if (code)
+    return code;
   response->accepted_now = acceptor_has_accepted(&replica->acceptor, request->epoch, number);
   return OK;
 }
--- a/lib/controlplane/replica.c
+++ b/lib/controlplane/replica.c
@@ -124,11 +124,11 @@
       node->settings.log_file_bytes ? node->settings.log_file_bytes : LOG_FILE_BYTES_DEFAULT;
   bool logged = false;
   for (;;) {
-    enum error_code r = wal_open(&replica->wal, node, size, integrity, err);
-    if (!is_retryable_open_error(r))
-      return r;
+    enum error_code code = wal_open(&replica->wal, node, size, integrity, err);
+    if (!is_retryable_open_error(code))
+      return code;
     if (!logged)
-      log_info(&node->log, "wal", "The disk cannot be opened: %s (code %d).", err->text, r);
+      log_info(&node->log, "wal", "The disk cannot be opened: %s (code %d).", err->text, code);
     logged = true;
     if (!world_sleep(node->world, time_from_ms(OPEN_RETRY_MS)))
       return E_STOPPING;
@@ -153,9 +153,9 @@
 static enum error_code recover(replica *replica, bool *blank, error *err) {
   node *node = replica->node;
   enum wal_integrity integrity;
-  enum error_code r = open_log(replica, &integrity, err);
-  if (r)
-    return r;
+  enum error_code code = open_log(replica, &integrity, err);
+  if (code)
+    return code;
   if (integrity == WAL_CORRUPT)
     log_info(&node->log, "wal",
              "A record before the end of the log is corrupt (code %d); this disk starts blank, and"
@@ -199,9 +199,9 @@
   init(replica, node);
   register_handlers(replica);
   bool blank;
-  enum error_code r = recover(replica, &blank, err);
-  if (r)
-    return r;
+  enum error_code code = recover(replica, &blank, err);
+  if (code)
+    return code;
   log_info(&node->log, "replica",
            "Disk %016" PRIx64 " is %s, at write %" PRIu64 ", view %" PRIu64 ".", replica->disk_id,
            blank ? "blank" : "intact", replica->last_seq, replica->view.epoch);
--- a/lib/controlplane/replica_write.c
+++ b/lib/controlplane/replica_write.c
@@ -65,13 +65,13 @@
 /* builds the operation of a write if this replica may write and the operation fits */
 static enum error_code build_operation(replica *replica, operation_builder build, void *ctx,
                                        GString *operation, error *err) {
-  enum error_code r = check_may_write(replica, err);
-  if (r)
-    return r;
+  enum error_code code = check_may_write(replica, err);
+  if (code)
+    return code;
   replica_ordered_state(replica);
-  r = build(ctx, &replica->replication.ordered, operation, err);
-  if (r || !operation->len)
-    return r;
+  code = build(ctx, &replica->replication.ordered, operation, err);
+  if (code || !operation->len)
+    return code;
   if (log_file_free_bytes(replica) < operation->len)
     return error_set(
         err, E_DISK_FULL,
@@ -86,13 +86,13 @@
   uint64_t log_resets = replica->log_resets;
   GString *entries = g_string_new(NULL);
   wal_entries_add_record(entries, seq, epoch, operation);
-  enum error_code r = wal_append_all(&replica->wal, string_view_of_gstring(entries), err);
+  enum error_code code = wal_append_all(&replica->wal, string_view_of_gstring(entries), err);
   g_string_free(entries, TRUE);
-  if (r == E_DISK)
+  if (code == E_DISK)
     return error_set(err, E_OUTCOME_UNKNOWN, "the head's disk failed; the outcome is not known");
-  if (!r && log_resets != replica->log_resets)
+  if (!code && log_resets != replica->log_resets)
     return error_set(err, E_OUTCOME_UNKNOWN, "the view changed; the outcome is not known");
-  return r;
+  return code;
 }
 
 /* orders an operation: syncs it as the next record and triggers replication to the successor */
@@ -100,9 +100,9 @@
                                        error *err) {
   replication_state *replication = &replica->replication;
   uint64_t number = replica->last_seq + 1, epoch = replica->view.epoch;
-  enum error_code r = store_record(replica, number, epoch, operation, err);
-  if (r)
-    return r;
+  enum error_code code = store_record(replica, number, epoch, operation, err);
+  if (code)
+    return code;
   recent_records_add(&replica->recent_records, number, epoch, operation, replica->committed.seq);
   replica->last_seq = number;
   if (replication->ordered_valid)
@@ -136,16 +136,16 @@
   if (!replication_lock(replica, deadline))
     return error_set(err, E_NO_CONTROLLER, "the head is busy; nothing was written");
   GString *operation = g_string_new(NULL);
-  enum error_code r = build_operation(replica, build, ctx, operation, err);
+  enum error_code code = build_operation(replica, build, ctx, operation, err);
   uint64_t log_resets = replica->log_resets, written = 0;
-  if (!r && operation->len) {
-    r = order_operation(replica, string_view_of_gstring(operation), &written, err);
-    if (!r)
+  if (!code && operation->len) {
+    code = order_operation(replica, string_view_of_gstring(operation), &written, err);
+    if (!code)
       *seq = written;
   }
   g_string_free(operation, TRUE);
   replication_unlock(replica);
-  if (r || !written)
-    return r;
+  if (code || !written)
+    return code;
   return wait_for_acknowledgement(replica, written, log_resets, deadline, err);
 }
--- a/lib/controlplane/replication.c
+++ b/lib/controlplane/replication.c
@@ -59,19 +59,19 @@
   replica->in_sync = in_sync;
   replication->in_sync_write_pending = in_sync;
   wal_entries_add_disk(entries, replica->disk_id, replica->in_sync);
-  enum error_code r = wal_append_all(&replica->wal, string_view_of_gstring(entries), err);
+  enum error_code code = wal_append_all(&replica->wal, string_view_of_gstring(entries), err);
   replication->in_sync_write_pending = false;
-  if (r)
+  if (code)
     replica->in_sync = false;
   g_string_free(entries, TRUE);
-  return r;
+  return code;
 }
 
 /* Fetches a snapshot from the predecessor. Marks this replica as out of sync before the fetch
  * starts, so that a vote in the meantime does not make it the head. */
 static enum error_code fetch_snapshot(replica *replica, const char *address, error *err) {
-  enum error_code r = store_in_sync(replica, false, err);
-  return r ? r : snapshot_fetch(replica, address, err);
+  enum error_code code = store_in_sync(replica, false, err);
+  return code ? code : snapshot_fetch(replica, address, err);
 }
 
 static string_view operation_of(const Wire__Record *record) {
@@ -110,9 +110,9 @@
     if (is_appendable(appendable, record))
       wal_entries_add_record(entries, record->sequence, record->epoch, operation_of(record));
   }
-  enum error_code r = wal_append_all(&replica->wal, string_view_of_gstring(entries), err);
+  enum error_code code = wal_append_all(&replica->wal, string_view_of_gstring(entries), err);
   g_string_free(entries, TRUE);
-  return r;
+  return code;
 }
 
 /* syncs the records that follow the local ones without a gap, and adds them to the recent records
@@ -123,9 +123,9 @@
   if (appendable.high == appendable.low)
     return OK;
   uint64_t log_resets = replica->log_resets;
-  enum error_code r = store_records(replica, request, &appendable, err);
-  if (r || log_resets != replica->log_resets)
-    return r;
+  enum error_code code = store_records(replica, request, &appendable, err);
+  if (code || log_resets != replica->log_resets)
+    return code;
   for (size_t i = appendable.first; i < appendable.count; i++) {
     const Wire__Record *record = request->records[i];
     if (!is_appendable(&appendable, record))
@@ -178,26 +178,26 @@
   if (request->epoch != replica->view.epoch ||
       !chain_becomes_in_sync(&position, request->in_sync, request->last_sequence))
     return OK;
-  enum error_code r = store_in_sync(replica, true, err);
-  if (!r)
+  enum error_code code = store_in_sync(replica, true, err);
+  if (!code)
     log_info(&replica->node->log, "replica", "In sync at write %" PRIu64 ".", replica->last_seq);
-  return r;
+  return code;
 }
 
 /* applies a request; the caller holds the replication lock */
 static enum error_code apply_request(replica *replica, const Wire__Envelope *in, error *err) {
   const Wire__ReplicateRequest *request = in->replicate_request;
-  enum error_code r = OK;
+  enum error_code code = OK;
   if (!may_accept(replica, in))
     return error_set(err, E_STALE_EPOCH, "the view changed");
   bool differs = state_differs(replica, in);
   if (request->need_snapshot || differs)
-    r = fetch_snapshot(replica, in->from->address, err);
-  if (!r)
-    r = append_records(replica, request, err);
-  if (!r)
-    r = become_in_sync(replica, request, err);
-  return r;
+    code = fetch_snapshot(replica, in->from->address, err);
+  if (!code)
+    code = append_records(replica, request, err);
+  if (!code)
+    code = become_in_sync(replica, request, err);
+  return code;
 }
 
 /* waits briefly for all local records to be committed, so that the response can report it */
@@ -211,17 +211,17 @@
 
 enum error_code replication_on_request(void *ctx, Wire__Envelope *in, reply *reply, error *err) {
   replica *replica = ctx;
-  enum error_code r = check_request(replica, in, err);
-  if (r)
-    return r;
+  enum error_code code = check_request(replica, in, err);
+  if (code)
+    return code;
   time_us deadline = time_add(world_now(replica->node->world), time_from_ms(LOCK_TIMEOUT_MS));
   if (!replication_lock(replica, deadline))
     return error_set(err, E_OVERLOADED, "still writing");
-  r = apply_request(replica, in, err);
+  code = apply_request(replica, in, err);
   replication_commit_as_tail(replica);
   replication_unlock(replica);
-  if (r)
-    return r;
+  if (code)
+    return code;
   condition_broadcast(&replica->replication_wanted);
   wait_for_commit(replica, in->replicate_request->epoch);
   Wire__ReplicateResponse *response = reply_new_body(reply, WIRE__ENVELOPE__BODY_REPLICATE_RESPONSE,
--- a/lib/controlplane/replication_sender.c
+++ b/lib/controlplane/replication_sender.c
@@ -162,18 +162,18 @@
   g_strlcpy(address, replica->view.chain[successor].address, sizeof address);
   Wire__Envelope *response;
   error err = { 0 };
-  enum error_code r = call_successor(link, address, &response, &err);
-  if (r == E_STOPPING)
+  enum error_code code = call_successor(link, address, &response, &err);
+  if (code == E_STOPPING)
     return false;
-  if (!r) {
+  if (!code) {
     handle_response(link, address, response);
     peer_rpc_message_free(response);
     return true;
   }
-  if (r == E_VIEW_MISMATCH)
+  if (code == E_VIEW_MISMATCH)
     view_change_announce(replica, address);
   log_debug(&replica->node->log, "chain", "Replication to %s failed: %s (code %d).", address,
-            err.text, r);
+            err.text, code);
   return world_sleep(replica->node->world, time_from_ms(RETRY_MS));
 }
 
--- a/lib/controlplane/snapshot.c
+++ b/lib/controlplane/snapshot.c
@@ -38,29 +38,29 @@
   request.offset = download->packed->len;
   Wire__Envelope message = wire_envelope(WIRE__ENVELOPE__BODY_SNAPSHOT_REQUEST, &request);
   Wire__Envelope *response;
-  enum error_code r = peer_rpc_call(replica->node, address, &message,
-                                    time_from_ms(SNAPSHOT_CHUNK_TIMEOUT_MS), &response, err);
-  if (r)
-    return r;
-  r = append_chunk(download, response, err);
+  enum error_code code = peer_rpc_call(replica->node, address, &message,
+                                       time_from_ms(SNAPSHOT_CHUNK_TIMEOUT_MS), &response, err);
+  if (code)
+    return code;
+  code = append_chunk(download, response, err);
   peer_rpc_message_free(response);
-  return r;
+  return code;
 }
 
 /* fetches and unpacks the state of a member; the caller frees *fetched even if an error occurs */
 static enum error_code fetch_state(replica *replica, const char *address, state *fetched,
                                    error *err) {
   download download = { .packed = g_string_new(NULL) };
-  enum error_code r;
+  enum error_code code;
   do {
-    r = fetch_chunk(replica, address, &download, err);
-  } while (!r && download.packed->len < download.size);
-  if (!r && !state_unpack(fetched, string_view_of_gstring(download.packed)))
-    r = error_set(err, E_WIRE_MESSAGE, "the snapshot can't be read");
-  if (!r && replica->view.fleet_id && fetched->fleet_id != replica->view.fleet_id)
-    r = error_set(err, E_VIEW_MISMATCH, "the snapshot is another fleet's");
+    code = fetch_chunk(replica, address, &download, err);
+  } while (!code && download.packed->len < download.size);
+  if (!code && !state_unpack(fetched, string_view_of_gstring(download.packed)))
+    code = error_set(err, E_WIRE_MESSAGE, "the snapshot can't be read");
+  if (!code && replica->view.fleet_id && fetched->fleet_id != replica->view.fleet_id)
+    code = error_set(err, E_VIEW_MISMATCH, "the snapshot is another fleet's");
   g_string_free(download.packed, TRUE);
-  return r;
+  return code;
 }
 
 /* replaces the state with a fetched one and takes ownership of it */
@@ -79,10 +79,10 @@
 enum error_code snapshot_fetch(replica *replica, const char *address, error *err) {
   state fetched;
   state_init(&fetched);
-  enum error_code r = fetch_state(replica, address, &fetched, err);
-  if (r) {
+  enum error_code code = fetch_state(replica, address, &fetched, err);
+  if (code) {
     state_free(&fetched);
-    return r;
+    return code;
   }
   install_state(replica, &fetched);
   return wal_rotate(&replica->wal, err);
--- a/lib/controlplane/view_change.c
+++ b/lib/controlplane/view_change.c
@@ -62,12 +62,12 @@
   GString *entries = g_string_new(NULL);
   wal_entries_add_view(entries, &view);
   replica->view_change.adopting_epoch = view.epoch;
-  enum error_code r = wal_append_all(&replica->wal, string_view_of_gstring(entries), &err);
+  enum error_code code = wal_append_all(&replica->wal, string_view_of_gstring(entries), &err);
   if (replica->view_change.adopting_epoch == view.epoch)
     replica->view_change.adopting_epoch = 0;
   g_string_free(entries, TRUE);
   /* a newer view may have been entered during the sync */
-  if (!r && view.epoch > replica->view.epoch)
+  if (!code && view.epoch > replica->view.epoch)
     enter_view(replica, &view);
 }
 
--- a/lib/controlplane/wal.c
+++ b/lib/controlplane/wal.c
@@ -39,9 +39,9 @@
 static enum error_code open_files(wal *wal, error *err) {
   world *world = wal->node->world;
   for (; wal->opened < WAL_FILE_COUNT; wal->opened++) {
-    int r = world->disk_open(world, wal->opened, wal->size, err);
-    if (r)
-      return r;
+    int code = world->disk_open(world, wal->opened, wal->size, err);
+    if (code)
+      return code;
   }
   return OK;
 }
@@ -51,9 +51,9 @@
 static enum error_code sync_files(wal *wal, error *err) {
   world *world = wal->node->world;
   for (unsigned file = 0; file < WAL_FILE_COUNT; file++) {
-    int r = world->disk_sync(world, file, err);
-    if (r)
-      return r;
+    int code = world->disk_sync(world, file, err);
+    if (code)
+      return code;
   }
   return OK;
 }
@@ -68,12 +68,12 @@
     condition_init(&wal->work);
     condition_init(&wal->progress);
   }
-  enum error_code r = open_files(wal, err);
-  if (!r)
-    r = sync_files(wal, err);
-  if (!r)
-    r = wal_recover(wal, integrity, err);
-  return r;
+  enum error_code code = open_files(wal, err);
+  if (!code)
+    code = sync_files(wal, err);
+  if (!code)
+    code = wal_recover(wal, integrity, err);
+  return code;
 }
 
 /* fills in the header of a frame and its padding */
@@ -93,11 +93,11 @@
   world *world = wal->node->world;
   complete_frame(frame, generation);
   time_us started_at = world_now(world);
-  int r = world->disk_write(world, file, offset, frame->str, frame->len, err);
-  if (!r)
-    r = world->disk_sync(world, file, err);
+  int code = world->disk_write(world, file, offset, frame->str, frame->len, err);
+  if (!code)
+    code = world->disk_sync(world, file, err);
   wal->last_write_time = time_sub(world_now(world), started_at);
-  return r;
+  return code;
 }
 
 /* starts the next file of the ring with a checkpoint */
@@ -107,12 +107,12 @@
   size_t length = checkpoint->len;
   wal->base_size = length - sizeof(wal_frame);
   unsigned next_file = (wal->current_file + 1) % wal->file_count;
-  enum error_code r = OK;
+  enum error_code code = OK;
   if (length + MIN_FREE_BYTES > wal->size)
-    r = error_set(err, E_DISK_FULL, "the state of %zu bytes outgrows a ring file", length);
-  if (!r)
-    r = write_frame(wal, next_file, 0, wal->generation + 1, checkpoint, err);
-  if (!r) {
+    code = error_set(err, E_DISK_FULL, "the state of %zu bytes outgrows a ring file", length);
+  if (!code)
+    code = write_frame(wal, next_file, 0, wal->generation + 1, checkpoint, err);
+  if (!code) {
     wal->current_file = next_file;
     wal->generation++;
     wal->offset = wal->last_frame_offset = wal_align(length);
@@ -120,7 +120,7 @@
   g_string_free(checkpoint, TRUE);
   if (length > LARGE_CHECKPOINT_BYTES)
     malloc_trim(0);
-  return r;
+  return code;
 }
 
 static void mark_failed(wal *wal, const error *err, int code) {
@@ -143,9 +143,9 @@
   error err = { 0 };
   if (!world_sleep(wal->node->world, time_from_ms(FAILED_RETRY_MS)))
     return E_STOPPING;
-  enum error_code r = begin_file(wal, &err);
-  if (r)
-    return r;
+  enum error_code code = begin_file(wal, &err);
+  if (code)
+    return code;
   wal->failed = false;
   log_info(&wal->node->log, "wal", "The disk accepts writes again.");
   mark_synced(wal, wal->appended);
@@ -156,15 +156,16 @@
 static enum error_code append_frame(wal *wal, GString *frame, error *err) {
   size_t length = wal_align(frame->len);
   if (wal->offset + length > wal->size || frame->len > wal->size / LONG_FRAME_DIVISOR) {
-    enum error_code r = begin_file(wal, err);
-    if (r)
-      return r;
+    enum error_code code = begin_file(wal, err);
+    if (code)
+      return code;
     if (wal->offset + length > wal->size)
       return error_set(err, E_DISK_FULL, "an entry outgrows a ring file");
   }
-  enum error_code r = write_frame(wal, wal->current_file, wal->offset, wal->generation, frame, err);
-  if (r)
-    return r;
+  enum error_code code =
+      write_frame(wal, wal->current_file, wal->offset, wal->generation, frame, err);
+  if (code)
+    return code;
   wal->last_frame_offset = wal->offset;
   wal->offset += length;
   return OK;
@@ -176,13 +177,13 @@
   GString *frame = wal->pending;
   uint64_t appended = wal->appended;
   wal->pending = frame_new();
-  enum error_code r = append_frame(wal, frame, &err);
+  enum error_code code = append_frame(wal, frame, &err);
   g_string_free(frame, TRUE);
-  if (!r)
+  if (!code)
     mark_synced(wal, appended);
-  else if (r != E_STOPPING)
-    mark_failed(wal, &err, r);
-  return r;
+  else if (code != E_STOPPING)
+    mark_failed(wal, &err, code);
+  return code;
 }
 
 static enum error_code wait_for_work(wal *wal) {
@@ -194,23 +195,23 @@
 /* task function of the writer */
 static void writer_run(void *ctx) {
   wal *wal = ctx;
-  enum error_code r = OK;
-  while (r != E_STOPPING) {
+  enum error_code code = OK;
+  while (code != E_STOPPING) {
     if (wal->failed)
-      r = retry_failed(wal);
+      code = retry_failed(wal);
     else if (frame_is_empty(wal->pending))
-      r = wait_for_work(wal);
+      code = wait_for_work(wal);
     else
-      r = write_pending(wal);
+      code = write_pending(wal);
   }
 }
 
 enum error_code wal_start(wal *wal, bool blank, error *err) {
-  enum error_code r = blank || wal->has_torn_end ? begin_file(wal, err) : OK;
-  if (r == E_STOPPING)
-    return r;
-  if (r)
-    mark_failed(wal, err, r);
+  enum error_code code = blank || wal->has_torn_end ? begin_file(wal, err) : OK;
+  if (code == E_STOPPING)
+    return code;
+  if (code)
+    mark_failed(wal, err, code);
   task_start(&wal->node->world->tasks, "store", writer_run, wal);
   return OK;
 }
@@ -237,9 +238,9 @@
   wal->offset = wal->size;
   GString *entry = g_string_new(NULL);
   wal_entry_add(entry, ENTRY_NONE, "", 0);
-  enum error_code r = wal_append_all(wal, string_view_of_gstring(entry), err);
+  enum error_code code = wal_append_all(wal, string_view_of_gstring(entry), err);
   g_string_free(entry, TRUE);
-  return r;
+  return code;
 }
 
 bool wal_has_unsynced(const wal *wal) {
--- a/lib/controlplane/wal_recovery.c
+++ b/lib/controlplane/wal_recovery.c
@@ -54,9 +54,9 @@
     world *world = window->wal->node->world;
     size_t available = MIN((size_t)WINDOW_BYTES, window->wal->size - offset);
     window->length = 0;
-    int r = world->disk_read(world, window->file, offset, window->buffer, available, err);
-    if (r)
-      return r;
+    int code = world->disk_read(world, window->file, offset, window->buffer, available, err);
+    if (code)
+      return code;
     window->offset = offset;
     window->length = available;
   }
@@ -72,9 +72,9 @@
   *plausible = false;
   if (offset + sizeof *frame > size)
     return OK;
-  enum error_code r = window_read(window, offset, sizeof *frame, &bytes, err);
-  if (r)
-    return r;
+  enum error_code code = window_read(window, offset, sizeof *frame, &bytes, err);
+  if (code)
+    return code;
   memcpy(frame, bytes, sizeof *frame);
   *plausible = frame->magic == WAL_FRAME_MAGIC && frame->length <= size - offset - sizeof *frame;
   return OK;
@@ -84,9 +84,9 @@
  * the frame's body to body unless that is NULL. */
 static enum error_code read_frame(file_window *window, size_t offset, wal_frame *frame, bool *valid,
                                   GString *body, error *err) {
-  enum error_code r = read_frame_header(window, offset, frame, valid, err);
-  if (r || !*valid)
-    return r;
+  enum error_code code = read_frame_header(window, offset, frame, valid, err);
+  if (code || !*valid)
+    return code;
   *valid = false;
   uint32_t crc = wal_frame_header_crc(frame);
   if (body)
@@ -97,9 +97,9 @@
     size_t available = in_window ? window->offset + window->length - at : WINDOW_BYTES;
     size_t length = MIN(left, MIN(available, (size_t)WINDOW_BYTES));
     const char *bytes;
-    r = window_read(window, at, length, &bytes, err);
-    if (r)
-      return r;
+    code = window_read(window, at, length, &bytes, err);
+    if (code)
+      return code;
     crc = crc32(crc, (const Bytef *)bytes, length);
     if (body)
       g_string_append_len(body, bytes, length);
@@ -123,9 +123,9 @@
         frame.generation <= *highest)
       continue;
     bool valid;
-    enum error_code r = read_frame(&recovery->body, offset + i, &frame, &valid, NULL, err);
-    if (r)
-      return r;
+    enum error_code code = read_frame(&recovery->body, offset + i, &frame, &valid, NULL, err);
+    if (code)
+      return code;
     if (valid)
       *highest = frame.generation;
   }
@@ -145,11 +145,11 @@
     size_t length = MIN((size_t)WINDOW_BYTES, size - at) & ~(size_t)(WAL_ALIGNMENT - 1);
     size_t searched = 0;
     const char *bytes;
-    enum error_code r = window_read(&recovery->scan, at, length, &bytes, err);
-    if (!r)
-      r = search_bytes(recovery, bytes, length, at, min_generation, highest, &searched, err);
-    if (r)
-      return r;
+    enum error_code code = window_read(&recovery->scan, at, length, &bytes, err);
+    if (!code)
+      code = search_bytes(recovery, bytes, length, at, min_generation, highest, &searched, err);
+    if (code)
+      return code;
     at += searched;
   }
   return OK;
@@ -159,10 +159,10 @@
   for (unsigned i = 0; i < WAL_FILE_COUNT; i++) {
     wal_frame frame;
     move_windows(recovery, i);
-    enum error_code r =
+    enum error_code code =
         read_frame(&recovery->scan, 0, &frame, &recovery->has_checkpoint[i], NULL, err);
-    if (r)
-      return r;
+    if (code)
+      return code;
     if (recovery->has_checkpoint[i] && frame.generation > recovery->generation) {
       recovery->generation = frame.generation;
       recovery->newest_file = i;
@@ -177,9 +177,9 @@
   bool valid;
   move_windows(recovery, recovery->newest_file);
   for (;;) {
-    enum error_code r = read_frame(&recovery->scan, recovery->end, &frame, &valid, NULL, err);
-    if (r || !valid || frame.generation != recovery->generation)
-      return r;
+    enum error_code code = read_frame(&recovery->scan, recovery->end, &frame, &valid, NULL, err);
+    if (code || !valid || frame.generation != recovery->generation)
+      return code;
     recovery->end += wal_align(sizeof frame + frame.length);
   }
 }
@@ -190,9 +190,9 @@
     return OK;
   size_t length = MIN((size_t)TORN_END_BYTES, wal->size - recovery->end);
   const char *bytes;
-  enum error_code r = window_read(&recovery->scan, recovery->end, length, &bytes, err);
-  if (r)
-    return r;
+  enum error_code code = window_read(&recovery->scan, recovery->end, length, &bytes, err);
+  if (code)
+    return code;
   for (size_t i = 0; i < length; i++)
     wal->has_torn_end |= bytes[i] != 0;
   return OK;
@@ -201,37 +201,37 @@
 static enum error_code replay_newest_file(recovery *recovery, error *err) {
   wal *wal = recovery->wal;
   GString *body = g_string_new(NULL);
-  enum error_code r = OK;
+  enum error_code code = OK;
   size_t offset = 0;
-  while (!r && offset < recovery->end) {
+  while (!code && offset < recovery->end) {
     wal_frame frame;
     bool valid;
-    r = read_frame(&recovery->scan, offset, &frame, &valid, body, err);
-    if (r)
+    code = read_frame(&recovery->scan, offset, &frame, &valid, body, err);
+    if (code)
       break;
     wal_entries_for_each(string_view_of_gstring(body), wal->replay_entry, wal->ctx);
     offset += wal_align(sizeof frame + frame.length);
   }
   g_string_free(body, TRUE);
-  return r;
+  return code;
 }
 
 /* Examines the newest file and replays it unless it is corrupt. */
 static enum error_code recover_newest_file(recovery *recovery, enum wal_integrity *integrity,
                                            error *err) {
   uint64_t later;
-  enum error_code r = find_end(recovery, err);
-  if (!r)
-    r = find_highest_generation(recovery, recovery->end, recovery->generation, &later, err);
-  if (r)
-    return r;
+  enum error_code code = find_end(recovery, err);
+  if (!code)
+    code = find_highest_generation(recovery, recovery->end, recovery->generation, &later, err);
+  if (code)
+    return code;
   *integrity = later ? WAL_CORRUPT : WAL_INTACT;
-  r = check_torn_end(recovery, err);
-  if (!r && *integrity == WAL_INTACT)
-    r = replay_newest_file(recovery, err);
+  code = check_torn_end(recovery, err);
+  if (!code && *integrity == WAL_INTACT)
+    code = replay_newest_file(recovery, err);
   recovery->wal->current_file = recovery->newest_file;
   recovery->wal->offset = recovery->end;
-  return r;
+  return code;
 }
 
 /* The log is corrupt if a file without a valid first frame holds a frame that is newer than the
@@ -243,10 +243,10 @@
       continue;
     uint64_t later;
     move_windows(recovery, i);
-    enum error_code r =
+    enum error_code code =
         find_highest_generation(recovery, WAL_ALIGNMENT, recovery->generation + 1, &later, err);
-    if (r)
-      return r;
+    if (code)
+      return code;
     if (later)
       *integrity = WAL_CORRUPT;
   }
@@ -258,9 +258,10 @@
   for (unsigned i = 0; i < WAL_FILE_COUNT; i++) {
     uint64_t later;
     move_windows(recovery, i);
-    enum error_code r = find_highest_generation(recovery, 0, recovery->generation + 1, &later, err);
-    if (r)
-      return r;
+    enum error_code code =
+        find_highest_generation(recovery, 0, recovery->generation + 1, &later, err);
+    if (code)
+      return code;
     if (later)
       recovery->generation = later;
   }
@@ -272,15 +273,15 @@
   recovery.scan = (file_window){ .wal = wal, .buffer = g_malloc(WINDOW_BYTES) };
   recovery.body = (file_window){ .wal = wal, .buffer = g_malloc(WINDOW_BYTES) };
   *integrity = WAL_BLANK;
-  enum error_code r = find_newest_file(&recovery, err);
-  if (!r && recovery.newest_file >= 0)
-    r = recover_newest_file(&recovery, integrity, err);
-  if (!r)
-    r = check_other_files(&recovery, integrity, err);
-  if (!r && *integrity == WAL_CORRUPT)
-    r = raise_generation(&recovery, err);
+  enum error_code code = find_newest_file(&recovery, err);
+  if (!code && recovery.newest_file >= 0)
+    code = recover_newest_file(&recovery, integrity, err);
+  if (!code)
+    code = check_other_files(&recovery, integrity, err);
+  if (!code && *integrity == WAL_CORRUPT)
+    code = raise_generation(&recovery, err);
   wal->generation = recovery.generation;
   g_free(recovery.scan.buffer);
   g_free(recovery.body.buffer);
-  return r;
+  return code;
 }
