--- a/lib/controlplane/config_writer.c
+++ b/lib/controlplane/config_writer.c
@@ -120,8 +120,8 @@
 }
 
 /* Task: performs a write, and continues even after all callers have been answered. */
-static void write_run(void *p) {
-  config_write *write = p;
+static void write_run(void *ctx) {
+  config_write *write = ctx;
   config_writer *writer = write->writer;
   time_us deadline = time_add(world_now(writer->node->world), time_from_ms(WRITE_TIMEOUT_MS));
   enum error_code code = replica_write(writer->replica, build_write, write,
--- a/lib/controlplane/controller.c
+++ b/lib/controlplane/controller.c
@@ -3,8 +3,8 @@
 #include "operator_api.h"
 
 /* Task: opens the disk and starts the replica; the controller stops if this fails. */
-static void start_replica_run(void *p) {
-  controller *controller = p;
+static void start_replica_run(void *ctx) {
+  controller *controller = ctx;
   error err = { 0 };
   controller->exit_code = replica_start(&controller->replica, &controller->node, &err);
   if (!controller->exit_code)
--- a/lib/controlplane/controller_drain.c
+++ b/lib/controlplane/controller_drain.c
@@ -86,8 +86,8 @@
 }
 
 /* Task: performs the shutdown. */
-static void drain_run(void *p) {
-  controller *controller = p;
+static void drain_run(void *ctx) {
+  controller *controller = ctx;
   world *world = controller->node.world;
   const settings *settings = &controller->node.settings;
   bool has_listener = controller->control_listener.is_open;
--- a/lib/controlplane/registry_sync.c
+++ b/lib/controlplane/registry_sync.c
@@ -31,8 +31,8 @@
 };
 
 /* Task: wakes config polls after changes of the registry, a batch of changes at a time. */
-static void wake_polls_run(void *p) {
-  registry_sync *sync = p;
+static void wake_polls_run(void *ctx) {
+  registry_sync *sync = ctx;
   world *world = sync->node->world;
   for (;;) {
     if (sync->announced_seq == sync->registry.seq &&
@@ -72,8 +72,8 @@
 } announcement;
 
 /* Task: announces a draining engine to routers once more. */
-static void repeat_announcement_run(void *p) {
-  announcement *announcement = p;
+static void repeat_announcement_run(void *ctx) {
+  announcement *announcement = ctx;
   registry_sync *sync = announcement->sync;
   if (world_sleep(sync->node->world, time_from_ms(REPEAT_DELAY_MS))) {
     const registered_engine *engine =
@@ -141,8 +141,8 @@
 } registry_fetch;
 
 /* Task: fetches a registry once. */
-static void fetch_run(void *p) {
-  registry_fetch *fetch = p;
+static void fetch_run(void *ctx) {
+  registry_fetch *fetch = ctx;
   fetch_registry(fetch->sync, fetch->address);
   g_free(fetch);
 }
@@ -264,8 +264,8 @@
 }
 
 /* Task: checks engines for silence, and sends batches of heartbeats to the other controllers. */
-static void sweep_run(void *p) {
-  registry_sync *sync = p;
+static void sweep_run(void *ctx) {
+  registry_sync *sync = ctx;
   world *world = sync->node->world;
   time_us batch_sent_at = world_now(world);
   while (world_sleep_with_jitter(world, time_from_ms(SWEEP_INTERVAL_MS))) {
@@ -291,8 +291,8 @@
 
 /* Task: completes the registry of a starting controller, either with that of another one or by
  * waiting until all live engines have sent heartbeats. */
-static void complete_registry_run(void *p) {
-  registry_sync *sync = p;
+static void complete_registry_run(void *ctx) {
+  registry_sync *sync = ctx;
   time_us started_at = world_now(sync->node->world);
   for (;;) {
     const peer_node *peer = peer_table_pick(sync->node, ROLE_CONTROLLER, NULL);
