--- a/lib/controlplane/replica_write.c
+++ b/lib/controlplane/replica_write.c
@@ -99,15 +99,15 @@
 static enum error_code order_operation(replica *replica, string_view operation, uint64_t *seq,
                                        error *err) {
   replication_state *replication = &replica->replication;
-  uint64_t number = replica->last_seq + 1, epoch = replica->view.epoch;
-  enum error_code code = store_record(replica, number, epoch, operation, err);
+  uint64_t next_seq = replica->last_seq + 1, epoch = replica->view.epoch;
+  enum error_code code = store_record(replica, next_seq, epoch, operation, err);
   if (code)
     return code;
-  recent_records_add(&replica->recent_records, number, epoch, operation, replica->committed.seq);
-  replica->last_seq = number;
+  recent_records_add(&replica->recent_records, next_seq, epoch, operation, replica->committed.seq);
+  replica->last_seq = next_seq;
   if (replication->ordered_valid)
-    state_apply(&replication->ordered, number, operation);
-  *seq = number;
+    state_apply(&replication->ordered, next_seq, operation);
+  *seq = next_seq;
   /* a head without a successor is also the tail */
   replication_commit_as_tail(replica);
   condition_broadcast(&replica->replication_wanted);
--- a/lib/controlplane/version_reports.c
+++ b/lib/controlplane/version_reports.c
@@ -46,14 +46,15 @@
   return report && report->nonce == router->nonce && report->seq >= seq;
 }
 
-/* True when half of the known routers have applied a write. Sets *have to the number of routers
- * that have, and *all to the number of known routers. */
-static bool is_in_force(version_reports *reports, uint64_t seq, int *have, int *all) {
-  *have = 0;
-  *all = peer_table_count(reports->node, ROLE_ROUTER);
+/* True when half of the known routers have applied a write. Sets *applied_count to the number of
+ * these routers, and *router_count to the number of known routers. */
+static bool is_in_force(version_reports *reports, uint64_t seq, int *applied_count,
+                        int *router_count) {
+  *applied_count = 0;
+  *router_count = peer_table_count(reports->node, ROLE_ROUTER);
   list_for_each (peer, &reports->node->peers, peer_node, link)
-    *have += peer->role == ROLE_ROUTER && router_has_applied(reports, peer, seq);
-  return *have >= (*all + 1) / 2;
+    *applied_count += peer->role == ROLE_ROUTER && router_has_applied(reports, peer, seq);
+  return *applied_count >= (*router_count + 1) / 2;
 }
 
 enum error_code version_reports_wait(version_reports *reports, uint64_t seq, time_us deadline,
@@ -62,12 +63,12 @@
    * reports, so a write counts as in force once the chain has committed it. */
   if (reports->node->settings.relaxed)
     return OK;
-  int have, all;
-  while (!is_in_force(reports, seq, &have, &all))
+  int applied_count, router_count;
+  while (!is_in_force(reports, seq, &applied_count, &router_count))
     if (condition_wait(&reports->node->world->tasks, &reports->changed, deadline) != WAKE_SIGNALLED)
       return error_set(err, E_TOO_FEW_ROUTERS,
                        "write %" PRIu64 " stands, but only %d of %d routers have it in force yet",
-                       seq, have, all);
+                       seq, applied_count, router_count);
   return OK;
 }
 
--- a/lib/controlplane/wal_recovery.c
+++ b/lib/controlplane/wal_recovery.c
@@ -91,20 +91,20 @@
   uint32_t crc = wal_frame_header_crc(frame);
   if (body)
     g_string_truncate(body, 0);
-  size_t at = offset + sizeof *frame, left = frame->length;
-  while (left) {
-    bool in_window = at >= window->offset && at < window->offset + window->length;
-    size_t available = in_window ? window->offset + window->length - at : WINDOW_BYTES;
-    size_t length = MIN(left, MIN(available, (size_t)WINDOW_BYTES));
+  size_t position = offset + sizeof *frame, remaining = frame->length;
+  while (remaining) {
+    bool in_window = position >= window->offset && position < window->offset + window->length;
+    size_t available = in_window ? window->offset + window->length - position : WINDOW_BYTES;
+    size_t length = MIN(remaining, MIN(available, (size_t)WINDOW_BYTES));
     const char *bytes;
-    code = window_read(window, at, length, &bytes, err);
+    code = window_read(window, position, length, &bytes, err);
     if (code)
       return code;
     crc = crc32(crc, (const Bytef *)bytes, length);
     if (body)
       g_string_append_len(body, bytes, length);
-    at += length;
-    left -= length;
+    position += length;
+    remaining -= length;
   }
   *valid = crc == frame->crc;
   return OK;
@@ -140,17 +140,18 @@
                                                error *err) {
   size_t size = recovery->wal->size;
   *highest = 0;
-  size_t at = wal_align(offset);
-  while (at + sizeof(wal_frame) <= size) {
-    size_t length = MIN((size_t)WINDOW_BYTES, size - at) & ~(size_t)(WAL_ALIGNMENT - 1);
+  size_t position = wal_align(offset);
+  while (position + sizeof(wal_frame) <= size) {
+    size_t length = MIN((size_t)WINDOW_BYTES, size - position) & ~(size_t)(WAL_ALIGNMENT - 1);
     size_t searched = 0;
     const char *bytes;
-    enum error_code code = window_read(&recovery->scan, at, length, &bytes, err);
+    enum error_code code = window_read(&recovery->scan, position, length, &bytes, err);
     if (!code)
-      code = search_bytes(recovery, bytes, length, at, min_generation, highest, &searched, err);
+      code =
+          search_bytes(recovery, bytes, length, position, min_generation, highest, &searched, err);
     if (code)
       return code;
-    at += searched;
+    position += searched;
   }
   return OK;
 }
@@ -219,13 +220,14 @@
 /* Examines the newest file and replays it unless it is corrupt. */
 static enum error_code recover_newest_file(recovery *recovery, enum wal_integrity *integrity,
                                            error *err) {
-  uint64_t later;
+  uint64_t later_generation;
   enum error_code code = find_end(recovery, err);
   if (!code)
-    code = find_highest_generation(recovery, recovery->end, recovery->generation, &later, err);
+    code = find_highest_generation(recovery, recovery->end, recovery->generation, &later_generation,
+                                   err);
   if (code)
     return code;
-  *integrity = later ? WAL_CORRUPT : WAL_INTACT;
+  *integrity = later_generation ? WAL_CORRUPT : WAL_INTACT;
   code = check_torn_end(recovery, err);
   if (!code && *integrity == WAL_INTACT)
     code = replay_newest_file(recovery, err);
@@ -241,13 +243,13 @@
   for (unsigned i = 0; i < WAL_FILE_COUNT; i++) {
     if ((int)i == recovery->newest_file || recovery->has_checkpoint[i])
       continue;
-    uint64_t later;
+    uint64_t later_generation;
     move_windows(recovery, i);
-    enum error_code code =
-        find_highest_generation(recovery, WAL_ALIGNMENT, recovery->generation + 1, &later, err);
+    enum error_code code = find_highest_generation(
+        recovery, WAL_ALIGNMENT, recovery->generation + 1, &later_generation, err);
     if (code)
       return code;
-    if (later)
+    if (later_generation)
       *integrity = WAL_CORRUPT;
   }
   return OK;
@@ -256,14 +258,14 @@
 /* Ensures that a corrupt log restarts with a generation above all that are on the disk. */
 static enum error_code raise_generation(recovery *recovery, error *err) {
   for (unsigned i = 0; i < WAL_FILE_COUNT; i++) {
-    uint64_t later;
+    uint64_t later_generation;
     move_windows(recovery, i);
     enum error_code code =
-        find_highest_generation(recovery, 0, recovery->generation + 1, &later, err);
+        find_highest_generation(recovery, 0, recovery->generation + 1, &later_generation, err);
     if (code)
       return code;
-    if (later)
-      recovery->generation = later;
+    if (later_generation)
+      recovery->generation = later_generation;
   }
   return OK;
 }
--- a/lib/membership/failure_detector.c
+++ b/lib/membership/failure_detector.c
@@ -181,12 +181,12 @@
 
 static void watch_run(void *context) {
   node *node = context;
-  time_us last = world_now(node->world);
+  time_us last_run_at = world_now(node->world);
   while (world_sleep(node->world, time_from_ms(HEARTBEAT_INTERVAL_MS))) {
     time_us now = world_now(node->world);
-    bool was_paused = has_elapsed(now, last, WATCHER_PAUSE_MS);
-    update_lateness(node, last, now);
-    last = now;
+    bool was_paused = has_elapsed(now, last_run_at, WATCHER_PAUSE_MS);
+    update_lateness(node, last_run_at, now);
+    last_run_at = now;
     peer_table_remove_gone(node);
     list_for_each (peer, &node->peers, peer_node, link) {
       if (was_paused)
--- a/lib/runtime/lws_fields.c
+++ b/lib/runtime/lws_fields.c
@@ -28,7 +28,7 @@
   return value;
 }
 
-bool lws_fields_append(struct lws *wsi, const http_headers *headers, unsigned char **at,
+bool lws_fields_append(struct lws *wsi, const http_headers *headers, unsigned char **cursor,
                        unsigned char *end) {
   for (int i = 0; i < HEADER_COUNT; i++) {
     const char *value = headers->values[i];
@@ -37,7 +37,7 @@
     char name[LWS_FIELD_NAME_BYTES];
     lws_field_name(i, name);
     if (lws_add_http_header_by_name(wsi, (unsigned char *)name, (const unsigned char *)value,
-                                    (int)strlen(value), at, end))
+                                    (int)strlen(value), cursor, end))
       return false;
   }
   return true;
--- a/lib/runtime/lws_fields.h
+++ b/lib/runtime/lws_fields.h
@@ -13,8 +13,8 @@
 char *lws_field_dup(struct lws *wsi, enum lws_token_indexes token);
 /** Like lws_field_dup, for a field that the library does not know. */
 char *lws_custom_field_dup(struct lws *wsi, enum http_header which);
-/** Appends all fields of *headers to a head at *at, which is advanced and must not exceed end.
+/** Appends all fields of *headers to a head at *cursor, which is advanced and must not exceed end.
  * Returns false if they do not fit. */
-bool lws_fields_append(struct lws *wsi, const http_headers *headers, unsigned char **at,
+bool lws_fields_append(struct lws *wsi, const http_headers *headers, unsigned char **cursor,
                        unsigned char *end);
 #endif
--- a/lib/runtime/real_disk.c
+++ b/lib/runtime/real_disk.c
@@ -47,10 +47,10 @@
   size_t done = 0;
   while (done < job->size) {
     char *bytes = job->buffer + done;
-    size_t left = job->size - done;
+    size_t remaining = job->size - done;
     off_t offset = (off_t)(job->offset + done);
-    ssize_t count = job->kind == JOB_WRITE ? pwrite(job->fd, bytes, left, offset)
-                                           : pread(job->fd, bytes, left, offset);
+    ssize_t count = job->kind == JOB_WRITE ? pwrite(job->fd, bytes, remaining, offset)
+                                           : pread(job->fd, bytes, remaining, offset);
     if (count < 0 && errno == EINTR)
       continue;
     if (count < 0 && errno == ENOSPC)
--- a/lib/runtime/real_http_client.c
+++ b/lib/runtime/real_http_client.c
@@ -73,17 +73,18 @@
   return time_reached(world_now(call->world), call->send_deadline);
 }
 
-static int append_head(http_call *call, struct lws *wsi, unsigned char **at, unsigned char *end) {
+static int append_head(http_call *call, struct lws *wsi, unsigned char **cursor,
+                       unsigned char *end) {
   if (is_too_late_to_send(call))
     return CONNECTION_CLOSE;
   call->sent = true;
-  if (!lws_fields_append(wsi, &call->known_request_fields, at, end))
+  if (!lws_fields_append(wsi, &call->known_request_fields, cursor, end))
     return CONNECTION_CLOSE;
   char length[24];
   snprintf(length, sizeof length, "%zu", call->body->len);
   if (strcmp(call->method, "GET") &&
       lws_add_http_header_by_token(wsi, WSI_TOKEN_HTTP_CONTENT_LENGTH, (unsigned char *)length,
-                                   (int)strlen(length), at, end))
+                                   (int)strlen(length), cursor, end))
     return CONNECTION_CLOSE;
   if (call->body->len) {
     lws_client_http_body_pending(wsi, 1);
@@ -136,10 +137,10 @@
 /* When the connection ends, the library reports the response as complete even if the last chunk is
  * missing. So this records whether the socket still had bytes to read. */
 static int read_response(outgoing_call *outgoing, struct lws *wsi) {
-  char buffer[LWS_PRE + REAL_HTTP_CLIENT_READ_BYTES], *at = buffer + LWS_PRE, next_byte;
+  char buffer[LWS_PRE + REAL_HTTP_CLIENT_READ_BYTES], *cursor = buffer + LWS_PRE, next_byte;
   int length = REAL_HTTP_CLIENT_READ_BYTES;
   outgoing->reading = recv(lws_get_socket_fd(wsi), &next_byte, 1, MSG_PEEK | MSG_DONTWAIT) != 0;
-  int result = lws_http_client_read(wsi, &at, &length);
+  int result = lws_http_client_read(wsi, &cursor, &length);
   /* the call may have been cancelled during the read, and outgoing freed */
   if (connection_owner_of(wsi) == &outgoing->owner)
     outgoing->reading = false;
@@ -170,8 +171,8 @@
   http_call *call = outgoing ? outgoing->call : NULL;
   switch (reason) {
   case LWS_CALLBACK_CLIENT_APPEND_HANDSHAKE_HEADER: {
-    unsigned char **at = in;
-    return call ? append_head(call, wsi, at, *at + length) : CONNECTION_CLOSE;
+    unsigned char **cursor = in;
+    return call ? append_head(call, wsi, cursor, *cursor + length) : CONNECTION_CLOSE;
   }
   case LWS_CALLBACK_CLIENT_HTTP_WRITEABLE:
     return call ? write_body_piece(call, wsi) : CONNECTION_CLOSE;
--- a/lib/runtime/real_http_server.c
+++ b/lib/runtime/real_http_server.c
@@ -189,51 +189,51 @@
 }
 
 static bool add_token(struct lws *wsi, enum lws_token_indexes token, const char *value,
-                      unsigned char **at, unsigned char *end) {
+                      unsigned char **cursor, unsigned char *end) {
   return !lws_add_http_header_by_token(wsi, token, (const unsigned char *)value, (int)strlen(value),
-                                       at, end);
+                                       cursor, end);
 }
 
 static enum write_result write_head(exchange *exchange) {
   http_request *request = exchange->request;
   struct lws *wsi = exchange->owner.wsi;
   unsigned char buffer[LWS_PRE + PIECE_BYTES];
-  unsigned char *at = buffer + LWS_PRE, *end = buffer + sizeof buffer;
+  unsigned char *cursor = buffer + LWS_PRE, *end = buffer + sizeof buffer;
   exchange->head_sent = true;
   exchange->has_length = request->response_ended && request->ended_cleanly;
-  if (lws_add_http_header_status(wsi, (unsigned)request->status, &at, end))
+  if (lws_add_http_header_status(wsi, (unsigned)request->status, &cursor, end))
     return WRITE_FAILED;
-  if (!lws_fields_append(wsi, &request->known_response_fields, &at, end))
+  if (!lws_fields_append(wsi, &request->known_response_fields, &cursor, end))
     return WRITE_FAILED;
-  if (request->too_large && !add_token(wsi, WSI_TOKEN_CONNECTION, "close", &at, end))
+  if (request->too_large && !add_token(wsi, WSI_TOKEN_CONNECTION, "close", &cursor, end))
     return WRITE_FAILED;
   if (exchange->has_length) {
-    if (lws_add_http_header_content_length(wsi, request->pending_output->len, &at, end))
+    if (lws_add_http_header_content_length(wsi, request->pending_output->len, &cursor, end))
       return WRITE_FAILED;
-  } else if (!add_token(wsi, WSI_TOKEN_HTTP_TRANSFER_ENCODING, "chunked", &at, end))
+  } else if (!add_token(wsi, WSI_TOKEN_HTTP_TRANSFER_ENCODING, "chunked", &cursor, end))
     return WRITE_FAILED;
-  if (lws_finalize_write_http_header(wsi, buffer + LWS_PRE, &at, end))
+  if (lws_finalize_write_http_header(wsi, buffer + LWS_PRE, &cursor, end))
     return WRITE_FAILED;
   lws_callback_on_writable(wsi);
   return WRITE_UNFINISHED;
 }
 
-/* Moves length bytes of the output to `at`. If the response is chunked, frames them as a chunk and
- * adds the last chunk after the last piece. Returns the number of bytes written to `at`. */
-static size_t take_piece(exchange *exchange, size_t length, bool is_last, unsigned char *at) {
+/* Moves length bytes of the output to `cursor`. If the response is chunked, frames them as a chunk
+ * and adds the last chunk after the last piece. Returns the number of bytes written to `cursor`. */
+static size_t take_piece(exchange *exchange, size_t length, bool is_last, unsigned char *cursor) {
   GString *output = exchange->request->pending_output;
-  unsigned char *start = at;
+  unsigned char *start = cursor;
   bool chunked = !exchange->has_length;
   if (length && chunked)
-    at += sprintf((char *)at, "%zx\r\n", length);
-  memcpy(at, output->str, length);
-  at += length;
+    cursor += sprintf((char *)cursor, "%zx\r\n", length);
+  memcpy(cursor, output->str, length);
+  cursor += length;
   g_string_erase(output, 0, (gssize)length);
   if (length && chunked)
-    at = (unsigned char *)g_stpcpy((char *)at, "\r\n");
+    cursor = (unsigned char *)g_stpcpy((char *)cursor, "\r\n");
   if (is_last && chunked)
-    at = (unsigned char *)g_stpcpy((char *)at, "0\r\n\r\n");
-  return (size_t)(at - start);
+    cursor = (unsigned char *)g_stpcpy((char *)cursor, "0\r\n\r\n");
+  return (size_t)(cursor - start);
 }
 
 /* Writes at most once, since the library allows one write per callback. */
