--- a/tests/controlplane/catch_up.c
+++ b/tests/controlplane/catch_up.c
@@ -68,12 +68,12 @@
  * highest version seen so far or a later one. */
 static void workload_collect(workload *workload) {
   fleet *fleet = workload->fleet;
-  int which = workload->entries ? RESOURCE_CATALOGUE : RESOURCE_EVACUATION;
+  int resource = workload->entries ? RESOURCE_CATALOGUE : RESOURCE_EVACUATION;
   for (; workload->next_ack < fleet->write_acks->len; workload->next_ack++) {
-    write_ack *a = &g_array_index(fleet->write_acks, write_ack, workload->next_ack);
-    if (a->resource != which)
+    write_ack *ack = &g_array_index(fleet->write_acks, write_ack, workload->next_ack);
+    if (ack->resource != resource)
       continue;
-    workload->seen = MAX(workload->seen, a->version);
+    workload->seen = MAX(workload->seen, ack->version);
     workload->acked++;
   }
   for (int i = 0; i < workload->open_reads; i++) {
@@ -123,7 +123,7 @@
 
 static void workload_run(workload *workload, int64_t ms) {
   int64_t step = workload->read_interval_ms ? workload->read_interval_ms : 10;
-  for (int64_t at = 0; at < ms; at += step)
+  for (int64_t elapsed_ms = 0; elapsed_ms < ms; elapsed_ms += step)
     workload_step(workload, step);
 }
 
@@ -223,13 +223,13 @@
 /* Requests one chunk of a snapshot. Returns the number of bytes received, or 0 if the request was
  * refused. */
 static size_t fetch_snapshot_chunk(host *host, uint64_t *seq, size_t off, GString *to) {
-  Wire__SnapshotRequest f = WIRE__SNAPSHOT_REQUEST__INIT;
-  Wire__Envelope in = wire_envelope(WIRE__ENVELOPE__BODY_SNAPSHOT_REQUEST, &f);
+  Wire__SnapshotRequest request = WIRE__SNAPSHOT_REQUEST__INIT;
+  Wire__Envelope in = wire_envelope(WIRE__ENVELOPE__BODY_SNAPSHOT_REQUEST, &request);
   reply out = { WIRE__ENVELOPE__INIT, NULL };
   error err = { 0 };
   size_t n = 0;
-  f.sequence = *seq;
-  f.offset = off;
+  request.sequence = *seq;
+  request.offset = off;
   if (!snapshot_on_request(&host->controller->replica, &in, &out, &err)) {
     n = out.envelope.snapshot_response->chunk.len;
     *seq = out.envelope.snapshot_response->sequence;
@@ -247,28 +247,28 @@
     return false;
   put_catalogue(fleet, 19000 + (int)sim_random(fleet->sim, 6000));
   host *host = fleet_find_head(fleet);
-  GString *got[3];
+  GString *fetched[3];
   uint64_t seq[3] = { 0 };
   for (int i = 0; i < 3; i++)
-    got[i] = g_string_new(NULL);
+    fetched[i] = g_string_new(NULL);
   /* the first fetch is in progress; the second starts after a change and fetches everything */
-  if (!fetch_snapshot_chunk(host, &seq[0], 0, got[0]))
+  if (!fetch_snapshot_chunk(host, &seq[0], 0, fetched[0]))
     fleet_add_violation(fleet, "a first chunk was refused");
   chain_put_evacuation(fleet, 1, "while a state is fetched");
-  for (size_t n; (n = fetch_snapshot_chunk(host, &seq[1], got[1]->len, got[1]));)
+  for (size_t n; (n = fetch_snapshot_chunk(host, &seq[1], fetched[1]->len, fetched[1]));)
     ;
   chain_put_evacuation(fleet, 2, "while a state is fetched");
-  fetch_snapshot_chunk(host, &seq[2], 0, got[2]);
+  fetch_snapshot_chunk(host, &seq[2], 0, fetched[2]);
   for (int i = 0; i < 3; i++) {
-    while (fetch_snapshot_chunk(host, &seq[i], got[i]->len, got[i]))
+    while (fetch_snapshot_chunk(host, &seq[i], fetched[i]->len, fetched[i]))
       ;
-    state t;
-    state_init(&t);
-    if (!state_unpack(&t, string_view_of_gstring(got[i])) || t.seq != seq[i])
+    state state;
+    state_init(&state);
+    if (!state_unpack(&state, string_view_of_gstring(fetched[i])) || state.seq != seq[i])
       fleet_add_violation(fleet, "the state that fetcher %d got in %zu bytes is not valid", i,
-                          got[i]->len);
-    state_free(&t);
-    g_string_free(got[i], TRUE);
+                          fetched[i]->len);
+    state_free(&state);
+    g_string_free(fetched[i], TRUE);
   }
   sim_run(fleet->sim, time_from_ms(2 * SNAPSHOT_IDLE_MS));
   for (int i = 0; i < SNAPSHOTS_MAX; i++)
@@ -367,9 +367,9 @@
     int64_t us = (int64_t)sim_random(fleet->sim, 2500000);
     workload_run(&load, us / 1000);
     sim_run(fleet->sim, (time_us){ us % 1000 });
-    int who = (int)sim_random(fleet->sim, 3);
+    int victims = (int)sim_random(fleet->sim, 3);
     for (int i = 0; i < fleet->controllers; i++)
-      if (who == 2 || (who == 0) == (fleet->controller[i] == host))
+      if (victims == 2 || (victims == 0) == (fleet->controller[i] == host))
         host_power_off(fleet->controller[i]);
     workload_run(&load, (int64_t)sim_random(fleet->sim, 700));
     for (int i = 0; i < fleet->controllers; i++)
--- a/tests/controlplane/chain_join.c
+++ b/tests/controlplane/chain_join.c
@@ -77,8 +77,8 @@
     host_start(fleet->controller[i]);
   sim_run(fleet->sim, time_from_ms(20000));
   for (int i = 0; i < 3; i++) {
-    uint64_t is = fleet->controller[i]->controller->replica.view.fleet_id;
-    if (is && is != fleet_id)
+    uint64_t known_fleet_id = fleet->controller[i]->controller->replica.view.fleet_id;
+    if (known_fleet_id && known_fleet_id != fleet_id)
       fleet_add_violation(fleet, "%s bootstrapped another fleet", fleet->controller[i]->self.text);
   }
   if (fleet_find_head(fleet))
--- a/tests/controlplane/chain_repair.c
+++ b/tests/controlplane/chain_repair.c
@@ -27,11 +27,11 @@
 } loss;
 
 /** A controller that returned and still counts as lost, and the progress of its recovery. */
-typedef struct returned {
+typedef struct returned_controller {
   host *host;
-  time_us started;
+  time_us started_at;
   bool in_sync, votes;
-} returned;
+} returned_controller;
 
 /** A control plane under test: its size, and the controllers that returned recently. */
 typedef struct repair_trial {
@@ -43,8 +43,8 @@
    */
   int added;
   int64_t disk_delay_ms;
-  returned back[CHAIN_MAX];
-  int returns;
+  returned_controller returned[CHAIN_MAX];
+  int returned_count;
 } repair_trial;
 
 /* ends the process of a controller that has shut down after SIGTERM */
@@ -129,8 +129,8 @@
         trial->fleet->sim,
         view->chain[sim_random(trial->fleet->sim, (uint64_t)view->chain_length)].self.text);
     bool returned_lately = false;
-    for (int i = 0; i < trial->returns; i++)
-      returned_lately |= trial->back[i].host == host;
+    for (int i = 0; i < trial->returned_count; i++)
+      returned_lately |= trial->returned[i].host == host;
     if (host && host->alive && !returned_lately)
       return host;
   }
@@ -140,35 +140,36 @@
 /* records when each returned controller is in sync in the chain and when it is a voter */
 static void trial_observe(repair_trial *trial) {
   const view *view = trial_view(trial);
-  for (int i = 0; view && i < trial->returns; i++) {
-    returned *it = &trial->back[i];
-    if (!it->host->alive || !it->host->controller->replica.running)
+  for (int i = 0; view && i < trial->returned_count; i++) {
+    returned_controller *controller = &trial->returned[i];
+    if (!controller->host->alive || !controller->host->controller->replica.running)
       continue;
-    member self = replica_as_member(&it->host->controller->replica);
-    double s = (double)time_sub(trial->fleet->sim->now, it->started).us / 1e6;
-    bool in_sync = replica_chain_index(&it->host->controller->replica) >= 0 &&
-                   it->host->controller->replica.in_sync &&
+    member self = replica_as_member(&controller->host->controller->replica);
+    double s = (double)time_sub(trial->fleet->sim->now, controller->started_at).us / 1e6;
+    bool in_sync = replica_chain_index(&controller->host->controller->replica) >= 0 &&
+                   controller->host->controller->replica.in_sync &&
                    member_index(view->chain, view->chain_length, &self) >= 0;
     bool votes = in_sync && member_index(view->voters, view->voter_count, &self) >= 0;
-    if (in_sync && !it->in_sync && g_getenv("SIM_COUNT"))
+    if (in_sync && !controller->in_sync && g_getenv("SIM_COUNT"))
       fprintf(stderr, "  step whole-%d %.2f\n", trial->members, s);
-    if (votes && !it->votes && g_getenv("SIM_COUNT"))
+    if (votes && !controller->votes && g_getenv("SIM_COUNT"))
       fprintf(stderr, "  step votes-%d %.2f\n", trial->members, s);
-    it->in_sync |= in_sync;
-    it->votes |= votes;
+    controller->in_sync |= in_sync;
+    controller->votes |= votes;
   }
 }
 
 static void trial_run(repair_trial *trial, int64_t ms) {
-  for (int64_t at = 0; at < ms; at += OBSERVE_INTERVAL_MS) {
-    sim_run(trial->fleet->sim, time_from_ms(MIN(OBSERVE_INTERVAL_MS, ms - at)));
+  for (int64_t elapsed_ms = 0; elapsed_ms < ms; elapsed_ms += OBSERVE_INTERVAL_MS) {
+    sim_run(trial->fleet->sim, time_from_ms(MIN(OBSERVE_INTERVAL_MS, ms - elapsed_ms)));
     trial_observe(trial);
   }
 }
 
 static void trial_start(repair_trial *trial, host *host) {
   host_start(host);
-  trial->back[trial->returns++] = (returned){ host, trial->fleet->sim->now, false, false };
+  trial->returned[trial->returned_count++] =
+      (returned_controller){ host, trial->fleet->sim->now, false, false };
 }
 
 static void use_live_seeds(repair_trial *trial, host *replacement, host *old) {
@@ -184,8 +185,9 @@
 static bool trial_stop(repair_trial *trial, host *host) {
   uint64_t incarnation_before = host->incarnation;
   controller_drain(host->controller);
-  for (int64_t at = 0; at < GRACE_MS && host->alive && host->incarnation == incarnation_before;
-       at += OBSERVE_INTERVAL_MS)
+  for (int64_t elapsed_ms = 0;
+       elapsed_ms < GRACE_MS && host->alive && host->incarnation == incarnation_before;
+       elapsed_ms += OBSERVE_INTERVAL_MS)
     trial_run(trial, OBSERVE_INTERVAL_MS);
   bool by_itself = !host->alive;
   if (!by_itself)
@@ -206,7 +208,8 @@
   list_for_each (k, &trial->fleet->sim->hosts, host, link)
     if (kind == LOSS_CUT && k != h)
       sim_set_partition_both_ways(trial->fleet->sim, h->self.text, k->self.text, false);
-  trial->back[trial->returns++] = (returned){ h, trial->fleet->sim->now, false, false };
+  trial->returned[trial->returned_count++] =
+      (returned_controller){ h, trial->fleet->sim->now, false, false };
 }
 
 /* makes one controller fail; on return its replacement has been started */
@@ -242,8 +245,8 @@
 
 /* runs until no returned controller counts as lost any more */
 static void trial_wait_until_recovered(repair_trial *trial) {
-  for (int i = 0; i < trial->returns; i++) {
-    time_us due = time_add(trial->back[i].started, time_from_ms(trial->sync_ms));
+  for (int i = 0; i < trial->returned_count; i++) {
+    time_us due = time_add(trial->returned[i].started_at, time_from_ms(trial->sync_ms));
     if (due.us > trial->fleet->sim->now.us)
       trial_run(trial, (due.us - trial->fleet->sim->now.us + 999) / 1000);
   }
@@ -251,16 +254,16 @@
 
 /* checks that the returned controllers, which no longer count as lost, are in sync and voters */
 static void trial_check_returned(repair_trial *trial, const char *when) {
-  for (int i = 0; i < trial->returns; i++) {
-    returned *it = &trial->back[i];
-    if (!it->in_sync)
+  for (int i = 0; i < trial->returned_count; i++) {
+    returned_controller *controller = &trial->returned[i];
+    if (!controller->in_sync)
       fleet_add_violation(trial->fleet, "%s: %s is not in sync %" PRId64 " ms after its start",
-                          when, it->host->self.text, trial->sync_ms);
-    else if (!it->votes)
+                          when, controller->host->self.text, trial->sync_ms);
+    else if (!controller->votes)
       fleet_add_violation(trial->fleet, "%s: %s is no voter %" PRId64 " ms after its start", when,
-                          it->host->self.text, trial->sync_ms);
+                          controller->host->self.text, trial->sync_ms);
   }
-  trial->returns = 0;
+  trial->returned_count = 0;
 }
 
 /* checks that a majority and an in-sync replica are left: the chain acts, commits a write, and
@@ -379,7 +382,8 @@
       host_wipe_disk(host);
     host_start(host);
   }
-  for (int64_t at = 0; at < GRACE_MS - start_delay_ms && last->alive; at += OBSERVE_INTERVAL_MS)
+  for (int64_t elapsed_ms = 0; elapsed_ms < GRACE_MS - start_delay_ms && last->alive;
+       elapsed_ms += OBSERVE_INTERVAL_MS)
     trial_run(&trial, OBSERVE_INTERVAL_MS);
   if (last->alive) {
     fleet_add_violation(fleet, "%s did not end within its grace period", last->self.text);
@@ -417,7 +421,7 @@
     host_start(powered_off->pdata[i]);
   }
   g_ptr_array_free(powered_off, TRUE);
-  trial.returns = 0;
+  trial.returned_count = 0;
   sim_run(fleet->sim, time_from_ms(trial.sync_ms));
   trial_check_available(&trial, trial.members, "after all lost power in a repair");
   trial_lose_tolerated(&trial, "after all lost power in a repair and came back");
--- a/tests/controlplane/config_change.c
+++ b/tests/controlplane/config_change.c
@@ -188,12 +188,12 @@
 static enum register_answer send_until_clear(run *run, guint number, int64_t timeout_ms) {
   world *world = run->deployment->operator->world;
   time_us deadline = time_add(world_now(world), time_from_ms(timeout_ms));
-  size_t at = draw(run, run->deployment->operator->controllers->len);
+  size_t controller_index = draw(run, run->deployment->operator->controllers->len);
   int64_t backoff_ms = 50;
   enum register_answer answer = ANSWER_NONE;
   while (answer == ANSWER_NONE && !time_reached(world_now(world), deadline) &&
          !world->tasks.stopped) {
-    answer = send_once(run, number, address_of(run, at++), draw_loss(run));
+    answer = send_once(run, number, address_of(run, controller_index++), draw_loss(run));
     if (answer == ANSWER_NONE && !world_sleep(world, time_from_ms(backoff_ms)))
       break;
     backoff_ms = MIN(backoff_ms * 2, 1000);
@@ -235,9 +235,9 @@
 static bool read_until_clear(run *run, uint64_t *version, int64_t timeout_ms) {
   world *world = run->deployment->operator->world;
   time_us deadline = time_add(world_now(world), time_from_ms(timeout_ms));
-  size_t at = draw(run, run->deployment->operator->controllers->len);
+  size_t controller_index = draw(run, run->deployment->operator->controllers->len);
   while (!time_reached(world_now(world), deadline) && !world->tasks.stopped) {
-    if (read_once(run, address_of(run, at++), version))
+    if (read_once(run, address_of(run, controller_index++), version))
       return true;
     world_sleep(world, time_from_ms(150));
   }
@@ -830,13 +830,13 @@
 }
 
 /* tests of the linearizability checker, without a fleet */
-static void expect(fleet *fleet, register_history *h, bool good, const char *what) {
+static void expect(fleet *fleet, register_history *history, bool good, const char *what) {
   GString *why = g_string_new(NULL);
-  bool is = register_history_check(h, why);
-  if (is != good)
-    fleet_add_violation(fleet, "%s was %s: %s", what, is ? "accepted" : "rejected", why->str);
+  bool accepted = register_history_check(history, why);
+  if (accepted != good)
+    fleet_add_violation(fleet, "%s was %s: %s", what, accepted ? "accepted" : "rejected", why->str);
   g_string_free(why, TRUE);
-  register_history_free(h);
+  register_history_free(history);
 }
 
 static bool the_checker_accepts_good_histories(fleet *fleet) {
--- a/tests/controlplane/engine_registry.c
+++ b/tests/controlplane/engine_registry.c
@@ -46,8 +46,8 @@
   return engine_registry_merge(to, &update, time_from_ms(ms));
 }
 
-static void expect(fleet *fleet, bool is, const char *what) {
-  if (!is)
+static void expect(fleet *fleet, bool holds, const char *what) {
+  if (!holds)
     fleet_add_violation(fleet, "registry: %s", what);
 }
 
@@ -561,9 +561,9 @@
 static int status_at(fleet *fleet, host *host, const char *method, const char *path,
                      const char *text, int64_t base) {
   test_call *test = request_listener(fleet, host, method, path, text, base);
-  int st = test->status;
+  int status = test->status;
   test_call_free(test);
-  return st;
+  return status;
 }
 
 static char *heartbeat_text(const char *addr, int count, const char *state) {
@@ -577,9 +577,9 @@
   char *body = heartbeat_text(addr, count, state), path[80];
   snprintf(path, sizeof path, "/v1/engines/%s/%s", engine_id,
            strcmp(state, "off") ? "beat" : "leave");
-  int st = status_at(fleet, host, "POST", path, body, -1);
+  int status = status_at(fleet, host, "POST", path, body, -1);
   g_free(body);
-  return st;
+  return status;
 }
 
 static bool start_with_listeners(fleet *fleet) {
@@ -716,11 +716,11 @@
     fleet_add_violation(fleet,
                         "a wrong base or version is accepted, or refused with another status");
   /* two changes of the same version at the same time, and a repeat of one of them */
-  char *at = listener_of(fleet_find_head(fleet));
-  test_call *second_call = test_call_send(fleet, at, "PUT", "/v1/routing", second, 2),
-            *third_call = test_call_send(fleet, at, "PUT", "/v1/routing", third, 2),
-            *again = test_call_send(fleet, at, "PUT", "/v1/routing", second, 2);
-  g_free(at);
+  char *head_address = listener_of(fleet_find_head(fleet));
+  test_call *second_call = test_call_send(fleet, head_address, "PUT", "/v1/routing", second, 2),
+            *third_call = test_call_send(fleet, head_address, "PUT", "/v1/routing", third, 2),
+            *again = test_call_send(fleet, head_address, "PUT", "/v1/routing", second, 2);
+  g_free(head_address);
   sim_run_until(fleet->sim, test_call_done, second_call, time_from_ms(2000));
   sim_run_until(fleet->sim, test_call_done, third_call, time_from_ms(2000));
   sim_run_until(fleet->sim, test_call_done, again, time_from_ms(2000));
@@ -731,22 +731,22 @@
   if (again->status != second_call->status)
     fleet_add_violation(fleet, "a concurrent repeat of a change got %d, not %d", again->status,
                         second_call->status);
-  int now = second_call->status == 200 ? 5 : 6;
+  int version = second_call->status == 200 ? 5 : 6;
   test_call_free(second_call);
   test_call_free(third_call);
   test_call_free(again);
   if (status_at(fleet, fleet->controller[0], "PATCH", "/v1/routing",
-                "{\"version\":11,\"drop\":{\"routes\":[\"r0\"]}}", now) != 200)
+                "{\"version\":11,\"drop\":{\"routes\":[\"r0\"]}}", version) != 200)
     fleet_add_violation(fleet, "a patch is refused");
   if (status_at(fleet, fleet->controller[1], "PATCH", "/v1/routing",
-                "{\"version\":11,\"drop\":{\"routes\":[\"r0\"]}}", now) != 200)
+                "{\"version\":11,\"drop\":{\"routes\":[\"r0\"]}}", version) != 200)
     fleet_add_violation(fleet, "a patch is refused when it is sent again");
   if (status_at(fleet, fleet->controller[2], "PUT", "/v1/routing", first, 0) != 200)
     fleet_add_violation(fleet, "an old accepted configuration is refused when it is sent again");
   test_call *test = request_listener(fleet, fleet->controller[1], "GET", "/v1/routing", NULL, -1);
   json *json = json_parse(string_view_of_gstring(test->body), NULL);
   if (test->status != 200 || json_number(json, "version", 0) != 11 ||
-      json_count(json_get(json, "routes")) != (size_t)(now == 5 ? 3 : 4))
+      json_count(json_get(json, "routes")) != (size_t)(version == 5 ? 3 : 4))
     fleet_add_violation(fleet, "reading the configuration gave %d, %.200s", test->status,
                         test->body->str);
   json_free(json);
@@ -767,27 +767,27 @@
       host_kill(fleet->controller[i]);
   sim_run(fleet->sim, time_from_ms(2500));
   char *fourth = config_text(30, 2);
-  int st = status_at(fleet, isolated, "PUT", "/v1/routing", fourth, 20);
-  if (st != 503 && st != 504)
-    fleet_add_violation(fleet, "a controller without the others responded with %d", st);
+  int status = status_at(fleet, isolated, "PUT", "/v1/routing", fourth, 20);
+  if (status != 503 && status != 504)
+    fleet_add_violation(fleet, "a controller without the others responded with %d", status);
   for (int i = 0; i < 3; i++)
     if (fleet->controller[i] != isolated)
       host_start(fleet->controller[i]);
   if (!scenario_wait_for_chain(fleet, 3, 15000))
     return false;
   sim_run(fleet->sim, time_from_ms(3000));
-  st = status_at(fleet, fleet->controller[0], "PUT", "/v1/routing", fourth, 20);
-  if (st != 200)
-    fleet_add_violation(fleet, "with all controllers back a change got %d", st);
+  status = status_at(fleet, fleet->controller[0], "PUT", "/v1/routing", fourth, 20);
+  if (status != 200)
+    fleet_add_violation(fleet, "with all controllers back a change got %d", status);
   /* the head drains: another one soon acts, and callers are redirected while the process of the old
    * head exists */
   host *head = fleet_find_head(fleet);
   controller_drain(head->controller);
   sim_run(fleet->sim, time_from_ms(1500));
   char *fifth = config_text(31, 2);
-  st = status_at(fleet, head, "PUT", "/v1/routing", fifth, 30);
-  if (st != 200)
-    fleet_add_violation(fleet, "a change sent to the draining head got %d", st);
+  status = status_at(fleet, head, "PUT", "/v1/routing", fifth, 30);
+  if (status != 200)
+    fleet_add_violation(fleet, "a change sent to the draining head got %d", status);
   g_free(first);
   g_free(second);
   g_free(third);
--- a/tests/controlplane/rejoin.c
+++ b/tests/controlplane/rejoin.c
@@ -28,7 +28,7 @@
 /* Checks that no acting tail has committed less than an acting tail or head had before. Returns the
  * highest sequence number that has been committed so far. */
 static uint64_t check_tails(fleet *fleet, uint64_t highest) {
-  uint64_t now = highest;
+  uint64_t new_highest = highest;
   for (int i = 0; i < fleet->controllers; i++) {
     host *host = fleet->controller[i];
     if (!host->alive || host->frozen || !host->controller)
@@ -39,9 +39,9 @@
           fleet, "the tail %s answers reads at write %" PRIu64 ", %" PRIu64 " was committed before",
           host->self.text, replica->committed.seq, highest);
     if (replica_is_acting_tail(replica) || replica_is_acting_head(replica))
-      now = MAX(now, replica->committed.seq);
+      new_highest = MAX(new_highest, replica->committed.seq);
   }
-  return now;
+  return new_highest;
 }
 
 /* waits up to a minute for each call to end, and frees it */
--- a/tests/controlplane/replica.c
+++ b/tests/controlplane/replica.c
@@ -297,19 +297,19 @@
     return false;
   fleet_start_sampling(fleet);
   for (int turn = 0; turn < 3; turn++) {
-    host *h = turn ? fleet->controller[sim_random(fleet->sim, 3)] : fleet_find_head(fleet);
-    uint64_t incarnation_before = h->incarnation;
-    h->disk->full = true;
+    host *host = turn ? fleet->controller[sim_random(fleet->sim, 3)] : fleet_find_head(fleet);
+    uint64_t incarnation_before = host->incarnation;
+    host->disk->full = true;
     chain_put_evacuation(fleet, turn, "while one disk of three is full");
     if (!scenario_wait_for_chain(fleet, 2, 8000))
       return false;
     chain_put_evacuation(fleet, turn + 3, "with two of three");
     sim_run(fleet->sim, time_from_ms((int64_t)sim_random(fleet->sim, 6000)));
-    h->disk->full = false;
+    host->disk->full = false;
     if (!scenario_wait_for_chain(fleet, 3, 8000))
       return false;
-    if (h->incarnation != incarnation_before)
-      fleet_add_violation(fleet, "%s had to be restarted", h->self.text);
+    if (host->incarnation != incarnation_before)
+      fleet_add_violation(fleet, "%s had to be restarted", host->self.text);
     scenario_check_acknowledged_writes(fleet);
   }
   for (int i = 0; i < 3; i++)
@@ -323,10 +323,10 @@
   g_free(t);
   sim_run(fleet->sim, time_from_ms((int64_t)sim_random(fleet->sim, 9000)));
   /* one starts while its disk is still full */
-  host *h = fleet->controller[sim_random(fleet->sim, 3)];
+  host *host = fleet->controller[sim_random(fleet->sim, 3)];
   if (sim_random(fleet->sim, 2)) {
-    host_kill(h);
-    host_start(h);
+    host_kill(host);
+    host_start(host);
     sim_run(fleet->sim, time_from_ms(2000));
   }
   for (int i = 0; i < 3; i++)
@@ -378,18 +378,19 @@
   if (!fleet_bring_up(fleet))
     return false;
   fleet_start_sampling(fleet);
-  char *some = fleet_catalogue_json(6000, 0, NULL), *over = fleet_catalogue_json(9000, 0, NULL);
-  if (!fleet_put(fleet, "catalogue", some))
-    fleet_add_violation(fleet, "a catalogue of %zu bytes was not accepted", strlen(some));
-  operator_call *call = fleet_call(fleet, fleet_find_head(fleet), "PUT", "/v1/catalogue", over,
+  char *fitting = fleet_catalogue_json(6000, 0, NULL),
+       *too_large = fleet_catalogue_json(9000, 0, NULL);
+  if (!fleet_put(fleet, "catalogue", fitting))
+    fleet_add_violation(fleet, "a catalogue of %zu bytes was not accepted", strlen(fitting));
+  operator_call *call = fleet_call(fleet, fleet_find_head(fleet), "PUT", "/v1/catalogue", too_large,
                                    NULL, NULL, time_from_ms(9000));
   if (call->status != 503 || !strstr(call->body->str, "501"))
-    fleet_add_violation(fleet, "a catalogue of %zu bytes got %d %s", strlen(over), call->status,
-                        call->body->str);
+    fleet_add_violation(fleet, "a catalogue of %zu bytes got %d %s", strlen(too_large),
+                        call->status, call->body->str);
   operator_call_free(call);
   chain_put_evacuation(fleet, 1, "after a write that was too large");
-  if (!fleet_put(fleet, "catalogue", some))
-    fleet_add_violation(fleet, "a catalogue of %zu bytes was not accepted again", strlen(some));
+  if (!fleet_put(fleet, "catalogue", fitting))
+    fleet_add_violation(fleet, "a catalogue of %zu bytes was not accepted again", strlen(fitting));
   host *host = fleet_find_head(fleet);
   if (!host || host->controller->replica.view.chain_length != 3)
     fleet_add_violation(fleet, "a write that was too large broke the chain");
@@ -401,8 +402,8 @@
   if (!scenario_wait_for_chain(fleet, 3, 8000))
     return false;
   scenario_check_acknowledged_writes(fleet);
-  g_free(some);
-  g_free(over);
+  g_free(fitting);
+  g_free(too_large);
   return true;
 }
 
--- a/tests/controlplane/view_change.c
+++ b/tests/controlplane/view_change.c
@@ -11,11 +11,11 @@
   scenario_start_traffic(fleet, 4);
   for (int i = 0; i < 4; i++) {
     host *host = fleet->controller[sim_random(fleet->sim, 3)];
-    int way = sim_random(fleet->sim, 3);
+    int direction = sim_random(fleet->sim, 3);
     for (int k = 0; k < 3; k++) {
-      if (way != 1)
+      if (direction != 1)
         sim_set_partition(fleet->sim, host->self.text, fleet->controller[k]->self.text, true);
-      if (way != 2)
+      if (direction != 2)
         sim_set_partition(fleet->sim, fleet->controller[k]->self.text, host->self.text, true);
     }
     sim_run(fleet->sim, time_from_ms(500 + (int64_t)sim_random(fleet->sim, 6000)));
--- a/tests/controlplane/wal.c
+++ b/tests/controlplane/wal.c
@@ -18,13 +18,13 @@
   unsigned file = host->controller->replica.wal.current_file;
   size_t used = host->controller->replica.wal.last_frame_offset;
   host_power_off(host);
-  size_t at = 40 + sim_random(fleet->sim, used - 40);
+  size_t offset = 40 + sim_random(fleet->sim, used - 40);
   /* Flip bits of a byte before the last frame, since a corrupt last frame looks like a torn one.
      Zero bytes are skipped, since they may be padding. */
-  while (!host->disk->cached_data[file][at])
-    at = 40 + sim_random(fleet->sim, used - 40);
-  host->disk->cached_data[file][at] ^= 0x5a;
-  host->disk->durable_data[file][at] ^= 0x5a;
+  while (!host->disk->cached_data[file][offset])
+    offset = 40 + sim_random(fleet->sim, used - 40);
+  host->disk->cached_data[file][offset] ^= 0x5a;
+  host->disk->durable_data[file][offset] ^= 0x5a;
   host_start(host);
   if (!scenario_wait_for_chain(fleet, 3, 15000))
     return false;
@@ -44,14 +44,14 @@
     g_free(evacuation);
     sim_run(fleet->sim, (time_us){ (int64_t)sim_random(fleet->sim, 9000) });
     host *host = fleet->controller[sim_random(fleet->sim, 3)];
-    uint64_t was = host->controller && host->controller->replica.running
-                       ? host->controller->replica.disk_id
-                       : 0;
+    uint64_t disk_id_before = host->controller && host->controller->replica.running
+                                  ? host->controller->replica.disk_id
+                                  : 0;
     host_power_off(host);
     sim_run(fleet->sim, time_from_ms(100));
     host_start(host);
     sim_run(fleet->sim, time_from_ms(7000));
-    if (was && host->controller->replica.disk_id != was)
+    if (disk_id_before && host->controller->replica.disk_id != disk_id_before)
       fleet_add_violation(fleet, "a torn last frame was treated as corruption");
     sim_run(fleet->sim, time_from_ms(20000));
     operator_call_free(call);
@@ -69,14 +69,14 @@
   scenario_start_traffic(fleet, 3);
   for (int i = 0; i < 4; i++) {
     host *host = fleet->controller[sim_random(fleet->sim, 3)];
-    int how = sim_random(fleet->sim, 4);
-    if (how == 0)
+    int fault = sim_random(fleet->sim, 4);
+    if (fault == 0)
       host->disk->stalled_until = time_add(fleet->sim->now, time_from_ms(8000));
-    if (how == 1)
+    if (fault == 1)
       host->disk->full = true;
-    if (how == 2)
+    if (fault == 2)
       host->disk->fails = true;
-    if (how == 3)
+    if (fault == 3)
       host->disk->sync_delay_ms = 150;
     char *evacuation = scenario_evacuation_json((int)sim_random(fleet->sim, 9));
     if (!fleet_put(fleet, "evacuation", evacuation))
@@ -88,7 +88,7 @@
     sim_run(fleet->sim, time_from_ms(5000));
     host->disk->full = host->disk->fails = false;
     host->disk->sync_delay_ms = 0;
-    if (how == 1 || how == 2) {
+    if (fault == 1 || fault == 2) {
       host_kill(host);
       host_start(host);
     }
--- a/tests/controlplane/wal_restart.c
+++ b/tests/controlplane/wal_restart.c
@@ -4,16 +4,16 @@
 #include "tests.h"
 
 /* returns a live controller with unsynced bytes, or NULL */
-static host *with_unsynced_bytes(fleet *fleet) {
+static host *find_host_with_unsynced_bytes(fleet *fleet) {
   for (int i = 0; i < fleet->controllers; i++)
     if (fleet->controller[i]->alive && fleet->controller[i]->disk->unsynced_writes->len)
       return fleet->controller[i];
   return NULL;
 }
 
-static bool any_unsynced(sim *sim, void *context) {
+static bool has_unsynced_bytes(sim *sim, void *context) {
   (void)sim;
-  return with_unsynced_bytes(context) != NULL;
+  return find_host_with_unsynced_bytes(context) != NULL;
 }
 
 static bool is_up(sim *sim, void *context) {
@@ -32,33 +32,33 @@
     operator_call *call = fleet_send(fleet, fleet->controller[sim_random(fleet->sim, 3)], "PUT",
                                      "/v1/evacuation", text, NULL, NULL);
     g_free(text);
-    if (!sim_run_until(fleet->sim, any_unsynced, fleet, time_from_ms(2000))) {
+    if (!sim_run_until(fleet->sim, has_unsynced_bytes, fleet, time_from_ms(2000))) {
       operator_call_free(call);
       continue;
     }
-    host *host = with_unsynced_bytes(fleet);
+    host *host = find_host_with_unsynced_bytes(fleet);
     host_kill(host);
     host_start(host);
     if (!sim_run_until(fleet->sim, is_up, host, time_from_ms(3000))) {
       fleet_add_violation(fleet, "%s does not start", host->self.text);
       return false;
     }
-    uint64_t read = host->controller->replica.last_seq,
-             promised = host->controller->replica.acceptor.promised.round,
-             epoch = host->controller->replica.acceptor.epoch;
+    uint64_t seq_before = host->controller->replica.last_seq,
+             promised_before = host->controller->replica.acceptor.promised.round,
+             epoch_before = host->controller->replica.acceptor.epoch;
     host_power_off(host);
     host_start(host);
     if (!sim_run_until(fleet->sim, is_up, host, time_from_ms(3000))) {
       fleet_add_violation(fleet, "%s does not start again", host->self.text);
       return false;
     }
-    if (host->controller->replica.last_seq < read)
+    if (host->controller->replica.last_seq < seq_before)
       fleet_add_violation(
           fleet, "%s acted on write %" PRIu64 ", and holds %" PRIu64 " after a loss of power",
-          host->self.text, read, host->controller->replica.last_seq);
-    if (host->controller->replica.acceptor.epoch < epoch ||
-        (host->controller->replica.acceptor.epoch == epoch &&
-         host->controller->replica.acceptor.promised.round < promised))
+          host->self.text, seq_before, host->controller->replica.last_seq);
+    if (host->controller->replica.acceptor.epoch < epoch_before ||
+        (host->controller->replica.acceptor.epoch == epoch_before &&
+         host->controller->replica.acceptor.promised.round < promised_before))
       fleet_add_violation(fleet, "%s forgot a promise that it had read from its disk",
                           host->self.text);
     sim_run(fleet->sim, time_from_ms(4000));
@@ -81,22 +81,22 @@
     acked = MAX(acked, fleet_put(fleet, "evacuation", text));
     g_free(text);
   }
-  const view *now = &fleet_find_head(fleet)->controller->replica.view;
-  host *head = sim_find_host(fleet->sim, now->chain[0].self.text),
-       *middle = sim_find_host(fleet->sim, now->chain[1].self.text),
-       *tail = sim_find_host(fleet->sim, now->chain[2].self.text), *router = fleet->router[0];
+  const view *view = &fleet_find_head(fleet)->controller->replica.view;
+  host *head = sim_find_host(fleet->sim, view->chain[0].self.text),
+       *middle = sim_find_host(fleet->sim, view->chain[1].self.text),
+       *tail = sim_find_host(fleet->sim, view->chain[2].self.text), *router = fleet->router[0];
   host_kill(router);
   host_kill(middle);
-  for (int way = 0; way < 2; way++) {
+  for (int direction = 0; direction < 2; direction++) {
     host *others[] = { tail, router };
     for (int i = 0; i < 2; i++) {
-      host *from = way ? others[i] : middle, *to = way ? middle : others[i];
+      host *from = direction ? others[i] : middle, *to = direction ? middle : others[i];
       if (others[i] == tail)
         sim_set_partition(fleet->sim, from->self.text, to->self.text, true);
     }
     host *unseen[] = { head, tail, fleet->router[1] };
     for (int i = 0; i < 3; i++) {
-      host *from = way ? unseen[i] : router, *to = way ? router : unseen[i];
+      host *from = direction ? unseen[i] : router, *to = direction ? router : unseen[i];
       sim_set_partition(fleet->sim, from->self.text, to->self.text, true);
     }
   }
--- a/tests/model/chain.c
+++ b/tests/model/chain.c
@@ -128,10 +128,10 @@
   const model_image *n = &s->node[node].memory;
   if (model_chain_index(s, node) < 0 || !n->in_sync)
     return;
-  model_message back = { .kind = MSG_SNAPSHOT_RESPONSE, .from = (uint8_t)node, .to = m->from };
-  back.commit = n->committed;
-  memcpy(back.record, n->record, n->committed);
-  model_send(s, back);
+  model_message response = { .kind = MSG_SNAPSHOT_RESPONSE, .from = (uint8_t)node, .to = m->from };
+  response.commit = n->committed;
+  memcpy(response.record, n->record, n->committed);
+  model_send(s, response);
 }
 
 void model_on_snapshot_response(model_state *s, int node, const model_message *m) {
--- a/tests/model/events.c
+++ b/tests/model/events.c
@@ -491,10 +491,10 @@
 
 /* syncs all disks, and delivers the messages of nodes to themselves if the scope requires it */
 static void run_until_idle(model_state *s, const model_scope *p, char *fault) {
-  for (bool more = true; more;) {
-    more = false;
+  for (bool progressed = true; progressed;) {
+    progressed = false;
     for (int i = 0; i < p->nodes; i++)
-      for (; s->node[i].queue[0].kind; more = true)
+      for (; s->node[i].queue[0].kind; progressed = true)
         model_sync(s, p, i, true, fault);
     for (int i = 0;
          i < MESSAGES_MAX && p->interleaving == INTERLEAVE_WITHOUT_DISKS_AND_OWN_MESSAGES; i++) {
@@ -503,7 +503,7 @@
         continue;
       memset(&s->message[i], 0, sizeof m);
       model_deliver(s, p, &m, fault);
-      more = true;
+      progressed = true;
     }
   }
 }
--- a/tests/model/node.c
+++ b/tests/model/node.c
@@ -92,32 +92,34 @@
     return;
   member_leases b;
   view v;
-  member who = model_expand_member(m->member);
+  member requester = model_expand_member(m->member);
   model_expand_lease(&n->lease, &b);
   model_expand_view(&n->memory.view, &v);
   bool ok = false;
-  if (member_index(v.chain, v.chain_length, &who) < 0)
-    member_leases_release(&b, who.disk_id);
+  if (member_index(v.chain, v.chain_length, &requester) < 0)
+    member_leases_release(&b, requester.disk_id);
   else if (model_may_vote(s, node))
-    ok = member_leases_grant(&b, &v, prepare_is_pending(s, node), &who, MODEL_NOW);
+    ok = member_leases_grant(&b, &v, prepare_is_pending(s, node), &requester, MODEL_NOW);
   model_compress_lease(&b, &n->lease);
   if (!ok)
     return;
-  model_message back = { .kind = MSG_MEMBER_LEASE_RESPONSE, .from = (uint8_t)node, .to = m->from };
-  back.member = model_member(s, node);
-  back.epoch = m->epoch;
-  back.age = m->age;
-  model_send(s, back);
+  model_message response = { .kind = MSG_MEMBER_LEASE_RESPONSE,
+                             .from = (uint8_t)node,
+                             .to = m->from };
+  response.member = model_member(s, node);
+  response.epoch = m->epoch;
+  response.age = m->age;
+  model_send(s, response);
 }
 
 static void on_member_lease_response(model_state *s, int node, const model_message *m) {
   model_node *n = &s->node[node];
-  int at = model_voter_index(&n->memory.view, m->member);
-  if (m->epoch != n->memory.view.epoch || at < 0)
+  int voter_index = model_voter_index(&n->memory.view, m->member);
+  if (m->epoch != n->memory.view.epoch || voter_index < 0)
     return;
   member_leases b;
   model_expand_lease(&n->lease, &b);
-  member_leases_record(&b, at, m->member, model_time_of_age(m->age));
+  member_leases_record(&b, voter_index, m->member, model_time_of_age(m->age));
   model_compress_lease(&b, &n->lease);
 }
 
--- a/tests/model/search.c
+++ b/tests/model/search.c
@@ -48,13 +48,13 @@
   g_string_append_printf(to, "    %s\n", line);
 }
 
-static void trace_breadth(const model_scope *p, const origin *o, uint32_t at, model_event last,
+static void trace_breadth(const model_scope *p, const origin *o, uint32_t index, model_event last,
                           search_result *r) {
   model_event path[1000];
   int n = 0;
   path[n++] = last;
-  for (; at && n < 1000; at = o[at].from)
-    path[n++] = o[at].by;
+  for (; index && n < 1000; index = o[index].from)
+    path[n++] = o[index].by;
   model_state s;
   char fault[FAULT_SIZE];
   model_init(&s, p);
--- a/tests/model/vote.c
+++ b/tests/model/vote.c
@@ -46,12 +46,12 @@
   disk_write w = { .kind = DISK_PROMISE, .peer = m->from, .epoch = m->epoch, .round = m->round };
   w.proposer = m->proposer;
   w.in_sync = n->in_sync;
-  acceptor_action step =
+  acceptor_action action =
       acceptor_prepare(&v, n->view.epoch, m->epoch, model_expand_number(m->round, m->proposer));
   n->acceptor = model_compress_acceptor(&v);
-  if (step == ACCEPTOR_KNOWS_NEWER)
+  if (action == ACCEPTOR_KNOWS_NEWER)
     model_send_view(s, node, m->from);
-  else if (step == ACCEPTOR_RESPOND)
+  else if (action == ACCEPTOR_RESPOND)
     model_respond_to_prepare(s, node, &w);
   else {
     w.acceptor = n->acceptor;
@@ -81,12 +81,12 @@
   model_expand_view(&m->view, &value);
   disk_write w = { .kind = DISK_ACCEPTANCE, .peer = m->from, .epoch = m->epoch, .round = m->round };
   w.proposer = m->proposer;
-  acceptor_action step = acceptor_accept(&v, n->view.epoch, m->epoch,
-                                         model_expand_number(m->round, m->proposer), &value);
+  acceptor_action action = acceptor_accept(&v, n->view.epoch, m->epoch,
+                                           model_expand_number(m->round, m->proposer), &value);
   n->acceptor = model_compress_acceptor(&v);
-  if (step == ACCEPTOR_KNOWS_NEWER)
+  if (action == ACCEPTOR_KNOWS_NEWER)
     model_send_view(s, node, m->from);
-  else if (step == ACCEPTOR_RESPOND)
+  else if (action == ACCEPTOR_RESPOND)
     model_respond_to_accept(s, node, &w);
   else {
     w.acceptor = n->acceptor;
@@ -94,11 +94,11 @@
   }
 }
 
-static void request_acceptance(model_state *s, int node, const view *use) {
+static void request_acceptance(model_state *s, int node, const view *value) {
   model_node *n = &s->node[node];
   n->proposal.phase = 2;
   n->proposal.accepts = 0;
-  n->proposal.value = model_compress_view(use);
+  n->proposal.value = model_compress_view(value);
   for (int i = 0; i < n->memory.view.voter_count; i++) {
     model_message m = { .kind = MSG_ACCEPT_REQUEST, .from = (uint8_t)node };
     m.to = (uint8_t)model_node_of(n->memory.view.voters[i]);
@@ -119,14 +119,15 @@
 void model_on_prepare_response(model_state *s, int node, const model_message *m) {
   model_node *n = &s->node[node];
   n->highest_round = MAX(n->highest_round, m->round);
-  int at = voter_index_of_node(&n->memory.view, m->from);
-  if (!is_response_to(s, node, m, 1) || at < 0 || n->proposal.promises[at].received)
+  int voter_index = voter_index_of_node(&n->memory.view, m->from);
+  if (!is_response_to(s, node, m, 1) || voter_index < 0 ||
+      n->proposal.promises[voter_index].received)
     return;
-  n->proposal.promises[at] = (model_promise){
+  n->proposal.promises[voter_index] = (model_promise){
     1,      m->ok, m->in_sync, m->member, m->has_accepted, m->accepted_round, m->accepted_proposer,
     m->view
   };
-  view known, value, use;
+  view known, value, chosen;
   model_expand_view(&n->memory.view, &known);
   model_expand_view(&n->proposal.value, &value);
   proposer_state t;
@@ -137,8 +138,8 @@
     if (n->proposal.promises[i].received)
       proposer_add_result(&t, i, &a);
   }
-  if (proposer_choose_view(&t, &known, &use))
-    request_acceptance(s, node, &use);
+  if (proposer_choose_view(&t, &known, &chosen))
+    request_acceptance(s, node, &chosen);
 }
 
 static bool is_removed(const model_view *previous, const model_view *next, int i) {
@@ -190,12 +191,12 @@
 
 void model_on_accept_response(model_state *s, int node, const model_message *m, char *fault) {
   model_node *n = &s->node[node];
-  int at = voter_index_of_node(&n->memory.view, m->from);
-  if (!is_response_to(s, node, m, 2) || at < 0 || !m->ok)
+  int voter_index = voter_index_of_node(&n->memory.view, m->from);
+  if (!is_response_to(s, node, m, 2) || voter_index < 0 || !m->ok)
     return;
   if (model_voter_index(&n->memory.view, m->member) < 0)
     snprintf(fault, FAULT_SIZE, "n%d voted with a disk that is no voter", m->from);
-  n->proposal.accepts |= (uint8_t)(1 << at);
+  n->proposal.accepts |= (uint8_t)(1 << voter_index);
   view known;
   model_expand_view(&n->memory.view, &known);
   if (__builtin_popcount(n->proposal.accepts) < proposer_quorum(&known, false))
