--- a/tests/model/convert.c
+++ b/tests/model/convert.c
@@ -49,26 +49,26 @@
   return b;
 }
 
-void model_expand_acceptor(const model_acceptor *m, acceptor_state *v) {
-  memset(v, 0, sizeof *v);
-  v->epoch = m->epoch;
-  v->promised = model_expand_number(m->round, m->proposer);
-  v->accepted = model_expand_number(m->accepted_round, m->accepted_proposer);
-  v->has_accepted = m->has_accepted;
+void model_expand_acceptor(const model_acceptor *m, acceptor_state *acceptor) {
+  memset(acceptor, 0, sizeof *acceptor);
+  acceptor->epoch = m->epoch;
+  acceptor->promised = model_expand_number(m->round, m->proposer);
+  acceptor->accepted = model_expand_number(m->accepted_round, m->accepted_proposer);
+  acceptor->has_accepted = m->has_accepted;
   if (m->has_accepted)
-    model_expand_view(&m->value, &v->value);
+    model_expand_view(&m->value, &acceptor->value);
 }
 
-model_acceptor model_compress_acceptor(const acceptor_state *v) {
+model_acceptor model_compress_acceptor(const acceptor_state *acceptor) {
   model_acceptor m = { 0 };
-  m.epoch = (uint8_t)v->epoch;
-  m.round = (uint8_t)v->promised.round;
-  m.proposer = (uint8_t)node_of_id(v->promised.proposer);
-  m.has_accepted = v->has_accepted;
-  m.accepted_round = (uint8_t)v->accepted.round;
-  m.accepted_proposer = (uint8_t)node_of_id(v->accepted.proposer);
-  if (v->has_accepted)
-    m.value = model_compress_view(&v->value);
+  m.epoch = (uint8_t)acceptor->epoch;
+  m.round = (uint8_t)acceptor->promised.round;
+  m.proposer = (uint8_t)node_of_id(acceptor->promised.proposer);
+  m.has_accepted = acceptor->has_accepted;
+  m.accepted_round = (uint8_t)acceptor->accepted.round;
+  m.accepted_proposer = (uint8_t)node_of_id(acceptor->accepted.proposer);
+  if (acceptor->has_accepted)
+    m.value = model_compress_view(&acceptor->value);
   return m;
 }
 
@@ -83,46 +83,46 @@
   return (uint8_t)MIN(units, AGE_OLD);
 }
 
-void model_expand_lease(const model_lease *m, member_leases *b) {
-  memset(b, 0, sizeof *b);
-  b->started_at = model_time_of_age(m->started);
-  b->voters_known_at = model_time_of_age(m->voters_known);
-  b->may_act_at = time_add(MODEL_NOW, time_from_ms(m->may_act_in * UNIT_MS));
-  b->has_acted = m->has_acted;
+void model_expand_lease(const model_lease *m, member_leases *leases) {
+  memset(leases, 0, sizeof *leases);
+  leases->started_at = model_time_of_age(m->started);
+  leases->voters_known_at = model_time_of_age(m->voters_known);
+  leases->may_act_at = time_add(MODEL_NOW, time_from_ms(m->may_act_in * UNIT_MS));
+  leases->has_acted = m->has_acted;
   for (int i = 0; i < MEMBERS_MAX; i++) {
-    b->held[i].disk_id = m->held[i].member;
-    b->held[i].requested_at = model_time_of_age(m->held[i].age);
+    leases->held[i].disk_id = m->held[i].member;
+    leases->held[i].requested_at = model_time_of_age(m->held[i].age);
   }
   for (int i = 0; i < 2 * MEMBERS_MAX; i++) {
-    b->granted[i].disk_id = m->granted[i].member;
-    b->granted[i].granted_at = model_time_of_age(m->granted[i].age);
+    leases->granted[i].disk_id = m->granted[i].member;
+    leases->granted[i].granted_at = model_time_of_age(m->granted[i].age);
   }
 }
 
-void model_compress_lease(const member_leases *b, model_lease *m) {
-  m->started = age_of(b->started_at);
-  m->voters_known = age_of(b->voters_known_at);
-  m->may_act_in = b->may_act_at.us > MODEL_NOW.us
-                      ? (uint8_t)((b->may_act_at.us - MODEL_NOW.us) / (UNIT_MS * 1000))
+void model_compress_lease(const member_leases *leases, model_lease *m) {
+  m->started = age_of(leases->started_at);
+  m->voters_known = age_of(leases->voters_known_at);
+  m->may_act_in = leases->may_act_at.us > MODEL_NOW.us
+                      ? (uint8_t)((leases->may_act_at.us - MODEL_NOW.us) / (UNIT_MS * 1000))
                       : 0;
-  m->has_acted = b->has_acted;
+  m->has_acted = leases->has_acted;
   for (int i = 0; i < MEMBERS_MAX; i++) {
-    m->held[i].member = (uint8_t)b->held[i].disk_id;
-    m->held[i].age = age_of(b->held[i].requested_at);
+    m->held[i].member = (uint8_t)leases->held[i].disk_id;
+    m->held[i].age = age_of(leases->held[i].requested_at);
   }
   for (int i = 0; i < 2 * MEMBERS_MAX; i++) {
-    m->granted[i].member = (uint8_t)b->granted[i].disk_id;
-    m->granted[i].age = age_of(b->granted[i].granted_at);
+    m->granted[i].member = (uint8_t)leases->granted[i].disk_id;
+    m->granted[i].age = age_of(leases->granted[i].granted_at);
   }
 }
 
-void model_expand_promise(const model_promise *m, prepare_result *a) {
-  memset(a, 0, sizeof *a);
-  a->promised = m->ok;
-  a->in_sync = m->in_sync;
-  a->disk_id = m->member;
-  a->has_accepted = m->has_accepted;
-  a->accepted = model_expand_number(m->accepted_round, m->accepted_proposer);
+void model_expand_promise(const model_promise *m, prepare_result *result) {
+  memset(result, 0, sizeof *result);
+  result->promised = m->ok;
+  result->in_sync = m->in_sync;
+  result->disk_id = m->member;
+  result->has_accepted = m->has_accepted;
+  result->accepted = model_expand_number(m->accepted_round, m->accepted_proposer);
   if (m->has_accepted)
-    model_expand_view(&m->value, &a->value);
+    model_expand_view(&m->value, &result->value);
 }
--- a/tests/model/main.c
+++ b/tests/model/main.c
@@ -143,7 +143,7 @@
 };
 
 typedef struct {
-  const model_scope *p;
+  const model_scope *scope;
   uint64_t seed;
   uint32_t walks;
   search_result run;
@@ -156,17 +156,17 @@
 } job_list;
 
 static void *run_jobs(void *arg) {
-  job_list *l = arg;
+  job_list *list = arg;
   for (;;) {
-    pthread_mutex_lock(&l->lock);
-    job *j = l->next < l->n ? &l->jobs[l->next++] : NULL;
-    pthread_mutex_unlock(&l->lock);
+    pthread_mutex_lock(&list->lock);
+    job *j = list->next < list->n ? &list->jobs[list->next++] : NULL;
+    pthread_mutex_unlock(&list->lock);
     if (!j)
       return NULL;
     if (j->walks)
-      search_walks(j->p, j->seed, j->walks, &j->run);
+      search_walks(j->scope, j->seed, j->walks, &j->run);
     else
-      search_breadth(j->p, &j->run);
+      search_breadth(j->scope, &j->run);
   }
 }
 
@@ -177,21 +177,21 @@
   return any;
 }
 
-static void add_jobs(job_list *l, const model_scope *p) {
-  int chunks = p->walks ? CHUNKS : 1;
+static void add_jobs(job_list *list, const model_scope *scope) {
+  int chunks = scope->walks ? CHUNKS : 1;
   for (int i = 0; i < chunks; i++) {
-    uint32_t walks = p->walks / (uint32_t)chunks;
-    l->jobs[l->n++] =
-        (job){ p, SEED + (uint64_t)i * walks, walks, { .trace = g_string_new(NULL) } };
+    uint32_t walks = scope->walks / (uint32_t)chunks;
+    list->jobs[list->n++] =
+        (job){ scope, SEED + (uint64_t)i * walks, walks, { .trace = g_string_new(NULL) } };
   }
 }
 
-static bool report(const model_scope *p, const job_list *l) {
+static bool report(const model_scope *scope, const job_list *list) {
   search_result sum = { .complete = true };
   const job *bad = NULL;
-  for (int i = 0; i < l->n; i++) {
-    const job *j = &l->jobs[i];
-    if (j->p != p)
+  for (int i = 0; i < list->n; i++) {
+    const job *j = &list->jobs[i];
+    if (j->scope != scope)
       continue;
     sum.states += j->run.states;
     sum.steps += j->run.steps;
@@ -202,38 +202,38 @@
     if (!bad && j->run.fault[0])
       bad = j;
   }
-  if (p->walks)
-    printf("%s: %" PRIu64 " walks, %" PRIu64 " steps", p->name, sum.states, sum.steps);
+  if (scope->walks)
+    printf("%s: %" PRIu64 " walks, %" PRIu64 " steps", scope->name, sum.states, sum.steps);
   else
-    printf("%s: %" PRIu64 " states, %" PRIu64 " steps, depth %u%s", p->name, sum.states, sum.steps,
-           sum.depth, sum.complete ? ", all" : ", bounded");
+    printf("%s: %" PRIu64 " states, %" PRIu64 " steps, depth %u%s", scope->name, sum.states,
+           sum.steps, sum.depth, sum.complete ? ", all" : ", bounded");
   printf("; up to %" PRIu64 " views, %" PRIu64 " records acknowledged: %s\n", sum.views,
          sum.acknowledged, bad ? "FAULT" : "holds");
   if (bad)
-    printf("[%s] %s\n%s", p->name, bad->run.fault, bad->run.trace->str);
+    printf("[%s] %s\n%s", scope->name, bad->run.fault, bad->run.trace->str);
   return !bad;
 }
 
 int main(int argc, char **argv) {
   static job jobs[G_N_ELEMENTS(scopes) * CHUNKS];
-  job_list l = { jobs, 0, 0, PTHREAD_MUTEX_INITIALIZER };
+  job_list list = { jobs, 0, 0, PTHREAD_MUTEX_INITIALIZER };
   for (size_t i = 0; i < G_N_ELEMENTS(scopes); i++)
     if (is_scope_selected(argc, argv, scopes[i].name))
-      add_jobs(&l, &scopes[i]);
-  if (!l.n) {
+      add_jobs(&list, &scopes[i]);
+  if (!list.n) {
     fprintf(stderr, "no such scope\n");
     return 2;
   }
   pthread_t t[THREADS];
   for (int i = 0; i < THREADS; i++)
-    pthread_create(&t[i], NULL, run_jobs, &l);
+    pthread_create(&t[i], NULL, run_jobs, &list);
   for (int i = 0; i < THREADS; i++)
     pthread_join(t[i], NULL);
   bool ok = true;
   for (size_t i = 0; i < G_N_ELEMENTS(scopes); i++)
     if (is_scope_selected(argc, argv, scopes[i].name))
-      ok &= report(&scopes[i], &l);
-  for (int i = 0; i < l.n; i++)
+      ok &= report(&scopes[i], &list);
+  for (int i = 0; i < list.n; i++)
     g_string_free(jobs[i].run.trace, TRUE);
   return ok ? 0 : 1;
 }
--- a/tests/model/model.h
+++ b/tests/model/model.h
@@ -201,50 +201,52 @@
 
 /** Returns the encoding of a node's member in views: the node and the number of replacements of its
  * disk. Never 0. */
-uint8_t model_member(const model_state *s, int node);
+uint8_t model_member(const model_state *state, int node);
 /** Returns the node of a member. */
 int model_node_of(uint8_t member);
 /** Converts a model's view to the daemon's. */
 void model_expand_view(const model_view *m, view *view);
 /** Converts a node's leases to the daemon's, and back. */
-void model_expand_lease(const model_lease *m, member_leases *b);
-void model_compress_lease(const member_leases *b, model_lease *m);
+void model_expand_lease(const model_lease *m, member_leases *leases);
+void model_compress_lease(const member_leases *leases, model_lease *m);
 /** Returns a node's index in the chain that it knows, or -1. */
-int model_chain_index(const model_state *s, int node);
+int model_chain_index(const model_state *state, int node);
 /** Returns whether a node currently holds a lease. */
-bool model_holds_lease(const model_state *s, int node);
+bool model_holds_lease(const model_state *state, int node);
 /** Returns a node's position for the rules of replication. */
-chain_position model_chain_position(const model_state *s, int node);
+chain_position model_chain_position(const model_state *state, int node);
 
 /** Sends a message. It is lost if the link is cut or too many messages are in flight. */
-void model_send(model_state *s, model_message m);
+void model_send(model_state *state, model_message message);
 /** Handles a message. */
-void model_deliver(model_state *s, const model_scope *p, const model_message *m, char *fault);
+void model_deliver(model_state *state, const model_scope *scope, const model_message *message,
+                   char *fault);
 /** Syncs the oldest write of a node's disk. If answered is true, also performs the actions that
  * follow the sync; otherwise the caller ends the node right after it. */
-void model_sync(model_state *s, const model_scope *p, int node, bool answered, char *fault);
+void model_sync(model_state *state, const model_scope *scope, int node, bool answered, char *fault);
 /** Queues a disk write. Returns false if the queue is full. */
-bool model_write_disk(model_state *s, int node, disk_write w);
+bool model_write_disk(model_state *state, int node, disk_write write);
 /** Commits records up to seq, and acknowledges the write that waits for the tail if allowed. */
-void model_commit(model_state *s, const model_scope *p, int node, uint64_t seq, char *fault);
+void model_commit(model_state *state, const model_scope *scope, int node, uint64_t seq,
+                  char *fault);
 /** Starts a node from its disk. */
-void model_start(model_state *s, const model_scope *p, int node);
+void model_start(model_state *state, const model_scope *scope, int node);
 
 /** Returns whether the receiver of a ReplicateRequest may accept it. */
-bool model_may_accept_records(const model_state *s, const model_message *m);
+bool model_may_accept_records(const model_state *state, const model_message *message);
 /** Starts to fetch a snapshot instead of handling a ReplicateRequest, as if the states differed. */
-void model_refetch(model_state *s, const model_message *m);
+void model_refetch(model_state *state, const model_message *message);
 /** Initializes the first state of a scope: one decided view. All members are in sync and all logs
  * are empty unless the scope says otherwise. */
-void model_init(model_state *s, const model_scope *p);
+void model_init(model_state *state, const model_scope *scope);
 /** Lists all events that may happen next. Returns their number. */
-int model_events(const model_state *s, const model_scope *p, model_event *e);
+int model_events(const model_state *state, const model_scope *scope, model_event *e);
 /** Applies an event. Sets fault to a description of the violated rule, or to an empty string. */
-void model_apply(model_state *s, const model_scope *p, model_event e, char *fault);
+void model_apply(model_state *state, const model_scope *scope, model_event event, char *fault);
 /** Returns the epoch of the newest view that was decided. */
-int model_newest_view(const model_state *s);
+int model_newest_view(const model_state *state);
 /** Checks the rules that hold in every state. */
-void model_check(model_state *s, const model_scope *p, char *fault);
+void model_check(model_state *state, const model_scope *scope, char *fault);
 /** Writes an event as text. */
-void model_describe(const model_state *s, model_event e, char *to, size_t size);
+void model_describe(const model_state *state, model_event event, char *to, size_t size);
 #endif
--- a/tests/model/search.h
+++ b/tests/model/search.h
@@ -14,7 +14,7 @@
 
 /** Visits the states of a scope in breadth-first order, up to the scope's maximum number of states.
  */
-void search_breadth(const model_scope *p, search_result *r);
+void search_breadth(const model_scope *scope, search_result *result);
 /** Takes random walks through a scope. The result depends only on the seed and the count. */
-void search_walks(const model_scope *p, uint64_t seed, uint32_t count, search_result *r);
+void search_walks(const model_scope *scope, uint64_t seed, uint32_t count, search_result *result);
 #endif
--- a/tests/model/vote.c
+++ b/tests/model/vote.c
@@ -13,133 +13,147 @@
   return -1;
 }
 
-bool model_may_vote(const model_state *s, int node) {
-  const model_image *m = &s->node[node].memory;
-  return m->view.epoch && model_voter_index(&m->view, model_member(s, node)) >= 0;
+bool model_may_vote(const model_state *state, int node) {
+  const model_image *image = &state->node[node].memory;
+  return image->view.epoch && model_voter_index(&image->view, model_member(state, node)) >= 0;
 }
 
-void model_respond_to_prepare(model_state *s, int node, const disk_write *w) {
-  const model_image *n = &s->node[node].memory;
-  acceptor_state v;
-  model_expand_acceptor(&n->acceptor, &v);
-  model_message m = { .kind = MSG_PREPARE_RESPONSE, .from = (uint8_t)node, .to = w->peer };
-  m.member = model_member(s, node);
-  m.epoch = w->epoch;
-  m.round = w->round;
-  m.proposer = w->proposer;
-  m.in_sync = w->in_sync;
-  m.ok = acceptor_has_promised(&v, n->view.epoch, w->epoch,
-                               model_expand_number(w->round, w->proposer));
-  m.has_accepted = n->acceptor.has_accepted;
-  m.accepted_round = n->acceptor.accepted_round;
-  m.accepted_proposer = n->acceptor.accepted_proposer;
-  m.view = n->acceptor.value;
-  model_send(s, m);
+void model_respond_to_prepare(model_state *state, int node, const disk_write *write) {
+  const model_image *n = &state->node[node].memory;
+  acceptor_state acceptor;
+  model_expand_acceptor(&n->acceptor, &acceptor);
+  model_message message = { .kind = MSG_PREPARE_RESPONSE,
+                            .from = (uint8_t)node,
+                            .to = write->peer };
+  message.member = model_member(state, node);
+  message.epoch = write->epoch;
+  message.round = write->round;
+  message.proposer = write->proposer;
+  message.in_sync = write->in_sync;
+  message.ok = acceptor_has_promised(&acceptor, n->view.epoch, write->epoch,
+                                     model_expand_number(write->round, write->proposer));
+  message.has_accepted = n->acceptor.has_accepted;
+  message.accepted_round = n->acceptor.accepted_round;
+  message.accepted_proposer = n->acceptor.accepted_proposer;
+  message.view = n->acceptor.value;
+  model_send(state, message);
 }
 
-void model_on_prepare_request(model_state *s, int node, const model_message *m) {
-  model_image *n = &s->node[node].memory;
-  if (!model_may_vote(s, node) || !model_disk_queue_has_space(s, node))
+void model_on_prepare_request(model_state *state, int node, const model_message *message) {
+  model_image *n = &state->node[node].memory;
+  if (!model_may_vote(state, node) || !model_disk_queue_has_space(state, node))
     return;
-  acceptor_state v;
-  model_expand_acceptor(&n->acceptor, &v);
-  disk_write w = { .kind = DISK_PROMISE, .peer = m->from, .epoch = m->epoch, .round = m->round };
-  w.proposer = m->proposer;
-  w.in_sync = n->in_sync;
-  acceptor_action action =
-      acceptor_prepare(&v, n->view.epoch, m->epoch, model_expand_number(m->round, m->proposer));
-  n->acceptor = model_compress_acceptor(&v);
+  acceptor_state acceptor;
+  model_expand_acceptor(&n->acceptor, &acceptor);
+  disk_write write = {
+    .kind = DISK_PROMISE, .peer = message->from, .epoch = message->epoch, .round = message->round
+  };
+  write.proposer = message->proposer;
+  write.in_sync = n->in_sync;
+  acceptor_action action = acceptor_prepare(&acceptor, n->view.epoch, message->epoch,
+                                            model_expand_number(message->round, message->proposer));
+  n->acceptor = model_compress_acceptor(&acceptor);
   if (action == ACCEPTOR_KNOWS_NEWER)
-    model_send_view(s, node, m->from);
+    model_send_view(state, node, message->from);
   else if (action == ACCEPTOR_RESPOND)
-    model_respond_to_prepare(s, node, &w);
+    model_respond_to_prepare(state, node, &write);
   else {
-    w.acceptor = n->acceptor;
-    model_write_disk(s, node, w);
+    write.acceptor = n->acceptor;
+    model_write_disk(state, node, write);
   }
 }
 
-void model_respond_to_accept(model_state *s, int node, const disk_write *w) {
-  acceptor_state v;
-  model_expand_acceptor(&s->node[node].memory.acceptor, &v);
-  model_message m = { .kind = MSG_ACCEPT_RESPONSE, .from = (uint8_t)node, .to = w->peer };
-  m.member = model_member(s, node);
-  m.epoch = w->epoch;
-  m.round = w->round;
-  m.proposer = w->proposer;
-  m.ok = acceptor_has_accepted(&v, w->epoch, model_expand_number(w->round, w->proposer));
-  model_send(s, m);
+void model_respond_to_accept(model_state *state, int node, const disk_write *write) {
+  acceptor_state acceptor;
+  model_expand_acceptor(&state->node[node].memory.acceptor, &acceptor);
+  model_message message = { .kind = MSG_ACCEPT_RESPONSE, .from = (uint8_t)node, .to = write->peer };
+  message.member = model_member(state, node);
+  message.epoch = write->epoch;
+  message.round = write->round;
+  message.proposer = write->proposer;
+  message.ok = acceptor_has_accepted(&acceptor, write->epoch,
+                                     model_expand_number(write->round, write->proposer));
+  model_send(state, message);
 }
 
-void model_on_accept_request(model_state *s, int node, const model_message *m) {
-  model_image *n = &s->node[node].memory;
-  if (!model_may_vote(s, node) || !model_disk_queue_has_space(s, node))
+void model_on_accept_request(model_state *state, int node, const model_message *message) {
+  model_image *n = &state->node[node].memory;
+  if (!model_may_vote(state, node) || !model_disk_queue_has_space(state, node))
     return;
-  acceptor_state v;
+  acceptor_state acceptor;
   view value;
-  model_expand_acceptor(&n->acceptor, &v);
-  model_expand_view(&m->view, &value);
-  disk_write w = { .kind = DISK_ACCEPTANCE, .peer = m->from, .epoch = m->epoch, .round = m->round };
-  w.proposer = m->proposer;
-  acceptor_action action = acceptor_accept(&v, n->view.epoch, m->epoch,
-                                           model_expand_number(m->round, m->proposer), &value);
-  n->acceptor = model_compress_acceptor(&v);
+  model_expand_acceptor(&n->acceptor, &acceptor);
+  model_expand_view(&message->view, &value);
+  disk_write write = {
+    .kind = DISK_ACCEPTANCE, .peer = message->from, .epoch = message->epoch, .round = message->round
+  };
+  write.proposer = message->proposer;
+  acceptor_action action =
+      acceptor_accept(&acceptor, n->view.epoch, message->epoch,
+                      model_expand_number(message->round, message->proposer), &value);
+  n->acceptor = model_compress_acceptor(&acceptor);
   if (action == ACCEPTOR_KNOWS_NEWER)
-    model_send_view(s, node, m->from);
+    model_send_view(state, node, message->from);
   else if (action == ACCEPTOR_RESPOND)
-    model_respond_to_accept(s, node, &w);
+    model_respond_to_accept(state, node, &write);
   else {
-    w.acceptor = n->acceptor;
-    model_write_disk(s, node, w);
+    write.acceptor = n->acceptor;
+    model_write_disk(state, node, write);
   }
 }
 
-static void request_acceptance(model_state *s, int node, const view *value) {
-  model_node *n = &s->node[node];
+static void request_acceptance(model_state *state, int node, const view *value) {
+  model_node *n = &state->node[node];
   n->proposal.phase = 2;
   n->proposal.accepts = 0;
   n->proposal.value = model_compress_view(value);
   for (int i = 0; i < n->memory.view.voter_count; i++) {
-    model_message m = { .kind = MSG_ACCEPT_REQUEST, .from = (uint8_t)node };
-    m.to = (uint8_t)model_node_of(n->memory.view.voters[i]);
-    m.epoch = n->proposal.value.epoch;
-    m.round = n->proposal.round;
-    m.proposer = (uint8_t)node;
-    m.view = n->proposal.value;
-    model_send(s, m);
+    model_message message = { .kind = MSG_ACCEPT_REQUEST, .from = (uint8_t)node };
+    message.to = (uint8_t)model_node_of(n->memory.view.voters[i]);
+    message.epoch = n->proposal.value.epoch;
+    message.round = n->proposal.round;
+    message.proposer = (uint8_t)node;
+    message.view = n->proposal.value;
+    model_send(state, message);
   }
 }
 
-static bool is_response_to(const model_state *s, int node, const model_message *m, int phase) {
-  const model_node *n = &s->node[node];
-  return n->proposal.phase == phase && m->proposer == node && m->round == n->proposal.round &&
-         m->epoch == n->memory.view.epoch + 1;
+static bool is_response_to(const model_state *state, int node, const model_message *message,
+                           int phase) {
+  const model_node *n = &state->node[node];
+  return n->proposal.phase == phase && message->proposer == node &&
+         message->round == n->proposal.round && message->epoch == n->memory.view.epoch + 1;
 }
 
-void model_on_prepare_response(model_state *s, int node, const model_message *m) {
-  model_node *n = &s->node[node];
-  n->highest_round = MAX(n->highest_round, m->round);
-  int voter_index = voter_index_of_node(&n->memory.view, m->from);
-  if (!is_response_to(s, node, m, 1) || voter_index < 0 ||
+void model_on_prepare_response(model_state *state, int node, const model_message *message) {
+  model_node *n = &state->node[node];
+  n->highest_round = MAX(n->highest_round, message->round);
+  int voter_index = voter_index_of_node(&n->memory.view, message->from);
+  if (!is_response_to(state, node, message, 1) || voter_index < 0 ||
       n->proposal.promises[voter_index].received)
     return;
-  n->proposal.promises[voter_index] = (model_promise){
-    1,      m->ok, m->in_sync, m->member, m->has_accepted, m->accepted_round, m->accepted_proposer,
-    m->view
-  };
+  n->proposal.promises[voter_index] = (model_promise){ 1,
+                                                       message->ok,
+                                                       message->in_sync,
+                                                       message->member,
+                                                       message->has_accepted,
+                                                       message->accepted_round,
+                                                       message->accepted_proposer,
+                                                       message->view };
   view known, value, chosen;
   model_expand_view(&n->memory.view, &known);
   model_expand_view(&n->proposal.value, &value);
-  proposer_state t;
-  proposer_init(&t, &known, &value, model_voter_index(&n->memory.view, model_member(s, node)));
+  proposer_state proposer;
+  proposer_init(&proposer, &known, &value,
+                model_voter_index(&n->memory.view, model_member(state, node)));
   for (int i = 0; i < n->memory.view.voter_count; i++) {
-    prepare_result a;
-    model_expand_promise(&n->proposal.promises[i], &a);
+    prepare_result result;
+    model_expand_promise(&n->proposal.promises[i], &result);
     if (n->proposal.promises[i].received)
-      proposer_add_result(&t, i, &a);
+      proposer_add_result(&proposer, i, &result);
   }
-  if (proposer_choose_view(&t, &known, &chosen))
-    request_acceptance(s, node, &chosen);
+  if (proposer_choose_view(&proposer, &known, &chosen))
+    request_acceptance(state, node, &chosen);
 }
 
 static bool is_removed(const model_view *previous, const model_view *next, int i) {
@@ -150,9 +164,9 @@
 }
 
 /* checks the rules for a view that was decided */
-static void check_decided(model_state *s, const model_view *previous, const model_view *v,
+static void check_decided(model_state *state, const model_view *previous, const model_view *v,
                           char *fault) {
-  model_view *d = &s->decided[v->epoch];
+  model_view *d = &state->decided[v->epoch];
   if (d->epoch && memcmp(d, v, sizeof *v))
     snprintf(fault, FAULT_SIZE, "two views of epoch %d were decided", v->epoch);
   if (d->epoch)
@@ -163,63 +177,64 @@
     same &= model_voter_index(previous, v->voters[i]) >= 0;
   for (int i = 0; i < previous->chain_length; i++)
     if (is_removed(previous, v, i) && !same &&
-        previous->chain[i] == model_member(s, model_node_of(previous->chain[i])))
+        previous->chain[i] == model_member(state, model_node_of(previous->chain[i])))
       snprintf(fault, FAULT_SIZE, "view %d removes a member and replaces voters", v->epoch);
   for (int i = 0; i < v->chain_length; i++) {
     int node = model_node_of(v->chain[i]);
-    if (is_removed(v, previous, i) && v->chain[i] == model_member(s, node) &&
-        s->node[node].disk.in_sync)
+    if (is_removed(v, previous, i) && v->chain[i] == model_member(state, node) &&
+        state->node[node].disk.in_sync)
       snprintf(fault, FAULT_SIZE,
                "n%d joins view %d in sync, as its disk recorded in an earlier view", node,
                v->epoch);
   }
   int head = model_node_of(v->chain[0]);
-  if (v->chain[0] == model_member(s, head) && !s->node[head].disk.in_sync)
+  if (v->chain[0] == model_member(state, head) && !state->node[head].disk.in_sync)
     snprintf(fault, FAULT_SIZE, "view %d has the head n%d, which is out of sync", v->epoch, head);
 }
 
-void model_adopt(model_state *s, int node, const model_view *v) {
-  model_node *n = &s->node[node];
+void model_adopt(model_state *state, int node, const model_view *v) {
+  model_node *n = &state->node[node];
   if (v->epoch <= n->memory.view.epoch || v->epoch <= n->adopting ||
-      !model_disk_queue_has_space(s, node))
+      !model_disk_queue_has_space(state, node))
     return;
   n->adopting = v->epoch;
-  disk_write w = { .kind = DISK_VIEW };
-  w.acceptor.value = *v;
-  model_write_disk(s, node, w);
+  disk_write write = { .kind = DISK_VIEW };
+  write.acceptor.value = *v;
+  model_write_disk(state, node, write);
 }
 
-void model_on_accept_response(model_state *s, int node, const model_message *m, char *fault) {
-  model_node *n = &s->node[node];
-  int voter_index = voter_index_of_node(&n->memory.view, m->from);
-  if (!is_response_to(s, node, m, 2) || voter_index < 0 || !m->ok)
+void model_on_accept_response(model_state *state, int node, const model_message *message,
+                              char *fault) {
+  model_node *n = &state->node[node];
+  int voter_index = voter_index_of_node(&n->memory.view, message->from);
+  if (!is_response_to(state, node, message, 2) || voter_index < 0 || !message->ok)
     return;
-  if (model_voter_index(&n->memory.view, m->member) < 0)
-    snprintf(fault, FAULT_SIZE, "n%d voted with a disk that is no voter", m->from);
+  if (model_voter_index(&n->memory.view, message->member) < 0)
+    snprintf(fault, FAULT_SIZE, "n%d voted with a disk that is no voter", message->from);
   n->proposal.accepts |= (uint8_t)(1 << voter_index);
   view known;
   model_expand_view(&n->memory.view, &known);
   if (__builtin_popcount(n->proposal.accepts) < proposer_quorum(&known, false))
     return;
-  check_decided(s, &n->memory.view, &n->proposal.value, fault);
-  model_adopt(s, node, &n->proposal.value);
+  check_decided(state, &n->memory.view, &n->proposal.value, fault);
+  model_adopt(state, node, &n->proposal.value);
   memset(&n->proposal, 0, sizeof n->proposal);
 }
 
-void model_enter_view(model_state *s, const model_scope *p, int node, const model_view *v,
+void model_enter_view(model_state *state, const model_scope *scope, int node, const model_view *v,
                       char *fault) {
-  model_node *n = &s->node[node];
+  model_node *n = &state->node[node];
   n->adopting = 0;
   if (v->epoch <= n->memory.view.epoch)
     return;
-  member_leases b;
+  member_leases leases;
   view previous, next;
-  model_expand_lease(&n->lease, &b);
+  model_expand_lease(&n->lease, &leases);
   model_expand_view(&n->memory.view, &previous);
   model_expand_view(v, &next);
-  member_leases_enter_view(&b, &previous, &next, MODEL_NOW);
-  model_compress_lease(&b, &n->lease);
+  member_leases_enter_view(&leases, &previous, &next, MODEL_NOW);
+  model_compress_lease(&leases, &n->lease);
   n->memory.view = *v;
   memset(&n->proposal, 0, sizeof n->proposal);
-  model_commit_tail(s, p, node, fault);
+  model_commit_tail(state, scope, node, fault);
 }
