--- a/lib/controlplane/replica.c
+++ b/lib/controlplane/replica.c
@@ -204,7 +204,7 @@
     return code;
   log_info(&node->log, "replica",
            "Disk %016" PRIx64 " is %s, at write %" PRIu64 ", view %" PRIu64 ".", replica->disk_id,
-           blank ? "blank" : "intact", replica->last_seq, replica->view.epoch);
+           blank ? "blank" : "sound", replica->last_seq, replica->view.epoch);
   begin_running(replica);
   start_tasks(replica);
   return OK;
