--- a/lib/controlplane/chain_join.c
+++ b/lib/controlplane/chain_join.c
@@ -93,8 +93,8 @@
   peer_rpc_message_free(response);
 }
 
-/* Returns the most recently heard controller, or sometimes a random one, since peer information may
- * come from other processes and include dead controllers. Returns NULL if none is known. */
+/* Returns the most recently heard controller, or sometimes a random one, since gossip may report
+ * controllers that no longer run. Returns NULL if none is known. */
 static const peer_node *choose_peer(const replica *replica) {
   world *world = replica->node->world;
   const peer_node *chosen = NULL;
@@ -130,33 +130,33 @@
 }
 
 /* Fetches a snapshot from the member nearest to the tail that can provide one. Some members cannot:
- * a lost member stays in the chain for a while, and a member that joined recently is out of sync.
+ * a silent member stays in the chain for a while, and a member that joined recently is out of sync.
  */
 static enum error_code fetch_from_chain(replica *replica, error *err) {
   view view = replica->view;
-  enum error_code r = error_set(err, E_NO_CONTROLLER, "no other member is heard");
-  for (int i = view.chain_length - 1; i >= 0 && r; i--) {
+  enum error_code code = error_set(err, E_NO_CONTROLLER, "no other member is heard");
+  for (int i = view.chain_length - 1; i >= 0 && code; i--) {
     if (id_equal(view.chain[i].self, replica->node->settings.self) ||
         repair_plan_member_is_silent(replica, &view.chain[i], MEMBER_LEASE_EXPIRED_MS))
       continue;
-    r = snapshot_fetch(replica, view.chain[i].address, err);
-    if (r == E_STOPPING)
-      return r;
+    code = snapshot_fetch(replica, view.chain[i].address, err);
+    if (code == E_STOPPING)
+      return code;
   }
-  return r;
+  return code;
 }
 
 static enum error_code catch_up(replica *replica, error *err) {
   time_us deadline = time_add(world_now(replica->node->world), time_from_ms(LOCK_TIMEOUT_MS));
   if (!replication_lock(replica, deadline))
     return error_set(err, E_OVERLOADED, "another write holds the lock");
-  enum error_code r = fetch_from_chain(replica, err);
+  enum error_code code = fetch_from_chain(replica, err);
   replication_unlock(replica);
-  return r;
+  return code;
 }
 
 /* Tells every controller that may propose a view that this one has caught up. Does not wait for
- * responses, since some of the receivers may be lost. */
+ * responses, since some of the receivers may be unavailable. */
 static void announce_ready(replica *replica) {
   view view = replica->view;
   id controller = replica->node->settings.self;
@@ -217,9 +217,9 @@
   if (replica_chain_index(replica) >= 0 || !chain_has_space(replica))
     return;
   error err = { 0 };
-  enum error_code r = catch_up(replica, &err);
-  if (r) {
-    log_debug(&replica->node->log, "replica", "Failed to catch up: %s (code %d).", err.text, r);
+  enum error_code code = catch_up(replica, &err);
+  if (code) {
+    log_debug(&replica->node->log, "replica", "Failed to catch up: %s (code %d).", err.text, code);
     return;
   }
   request_join(replica);
--- a/lib/controlplane/member_lease.c
+++ b/lib/controlplane/member_lease.c
@@ -38,7 +38,7 @@
   if (!member_leases_majority(&replica->lease.leases, &replica->view, replica_voter_index(replica),
                               view_change_prepare_pending(replica), now))
     return false;
-  /* no other head can have granted anything since this time */
+  /* no other head can have renewed a singleton lease since this time */
   if (!replica->lease_held_since.us)
     replica->lease_held_since = now;
   return true;
@@ -171,11 +171,11 @@
   bool was_member = replica_chain_index(replica) >= 0;
   uint64_t epoch = replica->view.epoch;
   Wire__Envelope *response;
-  enum error_code r = send_request(requester, now, &response);
-  if (r != E_NO_RESPONSE)
+  enum error_code code = send_request(requester, now, &response);
+  if (code != E_NO_RESPONSE)
     requester->answered_at = world_now(replica->node->world);
-  requester->satisfied = !r && epoch == replica->view.epoch;
-  if (r)
+  requester->satisfied = !code && epoch == replica->view.epoch;
+  if (code)
     return;
   if (response->body_case == WIRE__ENVELOPE__BODY_MEMBER_LEASE_RESPONSE)
     handle_response(requester, response->member_lease_response, was_member, epoch, now);
--- a/lib/controlplane/replica.c
+++ b/lib/controlplane/replica.c
@@ -56,12 +56,12 @@
 
 bool replica_is_acting_head(replica *replica) {
   chain_position position = replica_chain_position(replica);
-  return chain_may_lead(&position) && replica_holds_lease(replica);
+  return chain_may_act_as_head(&position) && replica_holds_lease(replica);
 }
 
 bool replica_is_acting_tail(replica *replica) {
   chain_position position = replica_chain_position(replica);
-  return chain_may_read(&position, &replica->view) && replica_is_current(replica) &&
+  return chain_may_act_as_tail(&position, &replica->view) && replica_is_current(replica) &&
          replica_holds_lease(replica);
 }
 
@@ -118,17 +118,17 @@
 }
 
 /* opens and replays the log; retries while the disk is full or cannot sync */
-static enum error_code open_log(replica *replica, enum wal_condition *condition, error *err) {
+static enum error_code open_log(replica *replica, enum wal_integrity *integrity, error *err) {
   node *node = replica->node;
   size_t size =
       node->settings.log_file_bytes ? node->settings.log_file_bytes : LOG_FILE_BYTES_DEFAULT;
   bool logged = false;
   for (;;) {
-    enum error_code r = wal_open(&replica->wal, node, size, condition, err);
-    if (!is_retryable_open_error(r))
-      return r;
+    enum error_code code = wal_open(&replica->wal, node, size, integrity, err);
+    if (!is_retryable_open_error(code))
+      return code;
     if (!logged)
-      log_info(&node->log, "wal", "The disk cannot be opened: %s (code %d).", err->text, r);
+      log_info(&node->log, "wal", "The disk cannot be opened: %s (code %d).", err->text, code);
     logged = true;
     if (!world_sleep(node->world, time_from_ms(OPEN_RETRY_MS)))
       return E_STOPPING;
@@ -152,16 +152,16 @@
 /* opens and replays the log and starts its writer; sets *blank if the disk holds no usable state */
 static enum error_code recover(replica *replica, bool *blank, error *err) {
   node *node = replica->node;
-  enum wal_condition condition;
-  enum error_code r = open_log(replica, &condition, err);
-  if (r)
-    return r;
-  if (condition == WAL_CORRUPT)
+  enum wal_integrity integrity;
+  enum error_code code = open_log(replica, &integrity, err);
+  if (code)
+    return code;
+  if (integrity == WAL_CORRUPT)
     log_info(&node->log, "wal",
              "A record before the end of the log is corrupt (code %d); this disk starts blank, and"
              " the state is fetched from the other controllers.",
              E_BAD_RECORD);
-  *blank = condition != WAL_INTACT || !replica->disk_id;
+  *blank = integrity != WAL_INTACT || !replica->disk_id;
   if (*blank)
     reset_to_blank(replica);
   if (!replica->view.epoch)
@@ -199,9 +199,9 @@
   init(replica, node);
   register_handlers(replica);
   bool blank;
-  enum error_code r = recover(replica, &blank, err);
-  if (r)
-    return r;
+  enum error_code code = recover(replica, &blank, err);
+  if (code)
+    return code;
   log_info(&node->log, "replica",
            "Disk %016" PRIx64 " is %s, at write %" PRIu64 ", view %" PRIu64 ".", replica->disk_id,
            blank ? "blank" : "sound", replica->last_seq, replica->view.epoch);
@@ -225,7 +225,7 @@
                member->self.text, member->zone.text, member->address, member->disk_id);
 }
 
-void replica_view_json(const replica *replica, GString *to) {
+void replica_append_view_json(const replica *replica, GString *to) {
   const view *view = &replica->view;
   json_appendf(to, "{\"epoch\":%" PRIu64 ",\"fleet\":\"%016" PRIx64 "\",\"thin\":%s,\"chain\":[",
                view->epoch, view->fleet_id,
--- a/lib/controlplane/replica_write.c
+++ b/lib/controlplane/replica_write.c
@@ -6,7 +6,7 @@
 #include "replica.h"
 
 enum {
-  /** Maximum number of writes that may wait for the tail; replication_free_bytes limits it further.
+  /** Maximum number of writes that may wait for the tail; log_file_free_bytes limits it further.
    */
   PENDING_WRITES_MAX = 32,
   /** Once more than this many bytes wait for the tail, only a few writes may wait: a backlog of
@@ -42,7 +42,7 @@
 
 /* returns the free space of a log file after the state and the writes that wait for the tail, in
  * bytes */
-static size_t replication_free_bytes(const replica *replica) {
+static size_t log_file_free_bytes(const replica *replica) {
   size_t bytes;
   size_t waiting =
       recent_records_count_after(&replica->recent_records, replica->committed.seq, &bytes);
@@ -65,14 +65,14 @@
 /* builds the operation of a write if this replica may write and the operation fits */
 static enum error_code build_operation(replica *replica, operation_builder build, void *ctx,
                                        GString *operation, error *err) {
-  enum error_code r = check_may_write(replica, err);
-  if (r)
-    return r;
+  enum error_code code = check_may_write(replica, err);
+  if (code)
+    return code;
   replica_ordered_state(replica);
-  r = build(ctx, &replica->replication.ordered, operation, err);
-  if (r || !operation->len)
-    return r;
-  if (replication_free_bytes(replica) < operation->len)
+  code = build(ctx, &replica->replication.ordered, operation, err);
+  if (code || !operation->len)
+    return code;
+  if (log_file_free_bytes(replica) < operation->len)
     return error_set(
         err, E_DISK_FULL,
         "a write of %zu bytes does not fit into a ring file any more; nothing was written",
@@ -86,28 +86,28 @@
   uint64_t log_resets = replica->log_resets;
   GString *entries = g_string_new(NULL);
   wal_entries_add_record(entries, seq, epoch, operation);
-  enum error_code r = wal_append_all(&replica->wal, string_view_of_gstring(entries), err);
+  enum error_code code = wal_append_all(&replica->wal, string_view_of_gstring(entries), err);
   g_string_free(entries, TRUE);
-  if (r == E_DISK)
+  if (code == E_DISK)
     return error_set(err, E_OUTCOME_UNKNOWN, "the head's disk failed; the outcome is not known");
-  if (!r && log_resets != replica->log_resets)
+  if (!code && log_resets != replica->log_resets)
     return error_set(err, E_OUTCOME_UNKNOWN, "the view changed; the outcome is not known");
-  return r;
+  return code;
 }
 
 /* orders an operation: syncs it as the next record and triggers replication to the successor */
 static enum error_code order_operation(replica *replica, string_view operation, uint64_t *seq,
                                        error *err) {
   replication_state *replication = &replica->replication;
-  uint64_t number = replica->last_seq + 1, epoch = replica->view.epoch;
-  enum error_code r = store_record(replica, number, epoch, operation, err);
-  if (r)
-    return r;
-  recent_records_add(&replica->recent_records, number, epoch, operation, replica->committed.seq);
-  replica->last_seq = number;
+  uint64_t next_seq = replica->last_seq + 1, epoch = replica->view.epoch;
+  enum error_code code = store_record(replica, next_seq, epoch, operation, err);
+  if (code)
+    return code;
+  recent_records_add(&replica->recent_records, next_seq, epoch, operation, replica->committed.seq);
+  replica->last_seq = next_seq;
   if (replication->ordered_valid)
-    state_apply(&replication->ordered, number, operation);
-  *seq = number;
+    state_apply(&replication->ordered, next_seq, operation);
+  *seq = next_seq;
   /* a head without a successor is also the tail */
   replication_commit_as_tail(replica);
   condition_broadcast(&replica->replication_wanted);
@@ -136,16 +136,16 @@
   if (!replication_lock(replica, deadline))
     return error_set(err, E_NO_CONTROLLER, "the head is busy; nothing was written");
   GString *operation = g_string_new(NULL);
-  enum error_code r = build_operation(replica, build, ctx, operation, err);
+  enum error_code code = build_operation(replica, build, ctx, operation, err);
   uint64_t log_resets = replica->log_resets, written = 0;
-  if (!r && operation->len) {
-    r = order_operation(replica, string_view_of_gstring(operation), &written, err);
-    if (!r)
+  if (!code && operation->len) {
+    code = order_operation(replica, string_view_of_gstring(operation), &written, err);
+    if (!code)
       *seq = written;
   }
   g_string_free(operation, TRUE);
   replication_unlock(replica);
-  if (r || !written)
-    return r;
+  if (code || !written)
+    return code;
   return wait_for_acknowledgement(replica, written, log_resets, deadline, err);
 }
--- a/lib/controlplane/replication_sender.c
+++ b/lib/controlplane/replication_sender.c
@@ -4,7 +4,7 @@
  * reports the last record of the successor. Later requests carry the records after that one or, if
  * these are no longer in memory, tell the successor to fetch a snapshot. When there is nothing to
  * send, a request is still sent periodically: it verifies that the link works, and carries the
- * number of the last committed record and from time to time a checksum of the state. */
+ * sequence number of the last committed record and from time to time a checksum of the state. */
 #include "replica.h"
 
 enum {
@@ -162,18 +162,18 @@
   g_strlcpy(address, replica->view.chain[successor].address, sizeof address);
   Wire__Envelope *response;
   error err = { 0 };
-  enum error_code r = call_successor(link, address, &response, &err);
-  if (r == E_STOPPING)
+  enum error_code code = call_successor(link, address, &response, &err);
+  if (code == E_STOPPING)
     return false;
-  if (!r) {
+  if (!code) {
     handle_response(link, address, response);
     peer_rpc_message_free(response);
     return true;
   }
-  if (r == E_VIEW_MISMATCH)
+  if (code == E_VIEW_MISMATCH)
     view_change_announce(replica, address);
   log_debug(&replica->node->log, "chain", "Replication to %s failed: %s (code %d).", address,
-            err.text, r);
+            err.text, code);
   return world_sleep(replica->node->world, time_from_ms(RETRY_MS));
 }
 
--- a/lib/controlplane/singleton_grants.h
+++ b/lib/controlplane/singleton_grants.h
@@ -4,7 +4,7 @@
  * singleton the replicated state records the holder (its node id and the nonce of its process) and
  * an epoch, which increases with each grant and is the fencing token of the holder's orders.
  * Renewal times are kept only in the memory of the head (replica.singleton_renewed_at): a new head
- * counts all leases from the instant at which it became head. A singleton is granted to another
+ * counts all leases from the time at which it became head. A singleton is granted to another
  * node only after the holder's lease has expired, plus a grace period for clock drift. */
 #ifndef CONTROLPLANE_SINGLETON_GRANTS_H
 #define CONTROLPLANE_SINGLETON_GRANTS_H
@@ -28,5 +28,5 @@
 void singleton_grants_free(singleton_grants *grants);
 /** Appends all grants as a JSON array. The time since the last renewal is -1 if this controller is
  * not the head or knows of no renewal. */
-void singleton_grants_write_json(const singleton_grants *grants, GString *to);
+void singleton_grants_append_json(const singleton_grants *grants, GString *to);
 #endif
