--- a/bench/load.c
+++ b/bench/load.c
@@ -1,4 +1,4 @@
-/* Compares, in virtual time, what callers get under overload: early refusal with a Retry-After,
+/* Compares, in virtual time, what clients get under overload: early refusal with a Retry-After,
  * against long queues. usage: load [SEEDS] */
 #include "fleet.h"
 #include <stdio.h>
@@ -14,7 +14,7 @@
   return x < y ? -1 : x > y;
 }
 
-/* The smallest share of answered requests of a router divided by the largest, from the callers'
+/* The smallest share of answered requests of a router divided by the largest, from the clients'
  * records. */
 static double evenness(const int *router, const bool *done, int n, int routers) {
   double low = 1, high = 0;
--- a/bench/policies.c
+++ b/bench/policies.c
@@ -1,6 +1,6 @@
 /* Runs one eviction policy in virtual time over a whole fleet of the size of a shipped deployment,
  * with real routers, lease holders, load rate limiter, adapters and races. The same seed gives the
- * same callers. The results are counted from the records of engines and callers. usage: policies
+ * same clients. The results are counted from the records of engines and clients. usage: policies
  * DEPLOYMENT POLICY SEED RATE */
 #include "fleet.h"
 #include <stdio.h>
--- a/bin/asterctl.c
+++ b/bin/asterctl.c
@@ -12,7 +12,7 @@
   /** The usage and a summary for the help text; a line feed in the summary starts a new line. */
   const char *usage, *summary;
   enum exit_code (*run)(const struct command_context *context);
-  /** The number of words on the command line, including the name. */
+  /** The number of words on the command line that are not options, including the name. */
   int words_min, words_max;
   /** True when the command sends requests to a fleet, so it needs addresses and a world. */
   bool needs_fleet;
--- a/bin/asterfall-emulate.c
+++ b/bin/asterfall-emulate.c
@@ -217,8 +217,8 @@
   g_string_free(text, TRUE);
 }
 
-/** Plays and prints a day of a side. Returns true when no rule was violated. The result stays in
- * the side until day_result_clear. */
+/** Plays and prints a day of a side. Returns true when the fleet came up and no rule was violated.
+ * The result stays in the side until day_result_clear. */
 static bool side_play(struct side *side, const struct options *options, int day_index) {
   uint64_t seed = side->first_seed + (uint64_t)day_index;
   bool came_up = day_play(side->day, seed, options->log, side->result);
--- a/bin/asterfall-engine-sim.c
+++ b/bin/asterfall-engine-sim.c
@@ -1,5 +1,6 @@
 /** asterfall-engine-sim: a simulated engine for a real fleet. It only pretends to load and run
- * models. It records all orders, runs and refusals, and prints the record as JSON when it exits. */
+ * models. It records all orders, runs and rejections, and prints the record as JSON when it exits.
+ */
 #include "node.h"
 #include "program.h"
 #include "simulators.h"
--- a/bin/asterfall-loadgen.c
+++ b/bin/asterfall-loadgen.c
@@ -1,4 +1,4 @@
-/** asterfall-loadgen: simulated callers of a real fleet. It requests the models and adapters of a
+/** asterfall-loadgen: simulated clients of a real fleet. It requests the models and adapters of a
  * catalogue at a given rate, checks every event of the responses, and prints the outcomes of the
  * requests as JSON. It exits with PROGRAM_EXIT_FAULT when a response was wrong. */
 #include "config.h"
@@ -25,7 +25,7 @@
   /** NULL: no log is written. */
   const char *attempt_log_file;
   double requests_per_s, request_count, duration_s, zipf_exponent;
-  /** How many times a caller repeats a rejected request after the wait that Retry-After asks for.
+  /** How many times a client repeats a rejected request after the wait that Retry-After asks for.
    */
   int retries_max;
 };
@@ -106,7 +106,7 @@
   return config;
 }
 
-/** Sets the models, adapters and kinds of request from which the generator draws. */
+/** Sets the models, adapters and kinds of request from which the generator chooses at random. */
 static void set_demand(loadgen *loadgen, const config *config) {
   for (guint i = 0; i < config->models->len; i++) {
     const catalogue_model *model = &g_array_index(config->models, catalogue_model, i);
@@ -192,7 +192,7 @@
   fclose(stream);
 }
 
-/** Runs the callers until all requests have ended, and prints the outcomes. */
+/** Runs the clients until all requests have ended, and prints the outcomes. */
 static enum program_exit generate_load(const struct options *options, const config *config) {
   real_settings caller = { .port = 0 };
   g_strlcpy(caller.ip, options->ip, sizeof caller.ip);
--- a/lib/cli/asterctl_options.c
+++ b/lib/cli/asterctl_options.c
@@ -32,7 +32,7 @@
   { 0 }
 };
 
-/** The defaults that the help text states; 0 stands for the default of the replay itself. */
+/** The defaults that the help text states. In the replay, 0 stands for its own default. */
 static const struct asterctl_options defaults = {
   .trace_count = 11,
   .policies = "cremebrulee,popularity,lru,random,belady,oracle",
--- a/lib/cli/asterctl_options.h
+++ b/lib/cli/asterctl_options.h
@@ -11,7 +11,7 @@
   /** Addresses to query, separated by commas, from --at or ASTERCTL_AT; NULL when neither is set.
    */
   const char *addresses;
-  /** The file to read or write; NULL when none is given. */
+  /** The file to read or write, from --file; NULL when none is given. */
   const char *file;
   /** A write replaces only this version; NULL: any version. */
   const char *if_version;
@@ -21,7 +21,7 @@
   int wait_s;
   /** Print JSON in place of text. */
   bool json;
-  /** The command and its arguments. */
+  /** The words that are not options: the command and its arguments. */
   const char *words[ASTERCTL_WORDS_MAX];
   int word_count;
   /** For `trial`: how traces are generated, the parameters of the replay, the number of traces, and
--- a/lib/cli/canary_command.c
+++ b/lib/cli/canary_command.c
@@ -1,6 +1,6 @@
-/** The command canary: starts, shows and stops the canary of a routing policy (docs/trial.md). Its
- * state is the resource "canary"; the counts of each arm are summed over the pages of the
- * gateways. */
+/** The command canary: starts, shows and stops a canary trial of an engine selection policy
+ * (docs/trial.md). The state of the trial is the resource "canary"; the counts of each arm are
+ * summed over the pages of the gateways. */
 #include "commands.h"
 #include "canary.h"
 #include "resource_write.h"
@@ -11,10 +11,10 @@
   double requests, within_target, late, rejected, failed;
 };
 
-/** The canary as the gateways report it. */
+/** The trial as the gateways report it. */
 struct canary_survey {
   struct arm_total totals[CANARY_ARMS][CANARY_PRIORITIES];
-  /** Gateways that answered, and those of them that run the canary. */
+  /** Gateways that answered, and those of them that run the trial. */
   int gateway_count, running_count;
 };
 
@@ -38,7 +38,7 @@
   print_comparison("rest", json_get(verdict, "rest"));
 }
 
-/** Prints the interim verdict of the gateway that judges the canary. `judge` is NULL at the others.
+/** Prints the interim verdict of the gateway that judges the trial. `judge` is NULL for the others.
  */
 static void print_judge(const json *node, const json *judge) {
   if (!judge)
@@ -94,7 +94,7 @@
       print_total(arm, priority, &survey->totals[arm][priority]);
 }
 
-/** Prints a canary: its state, and either the verdict that ended it or what the gateways among the
+/** Prints a trial: its state, and either the verdict that ended it or what the gateways among the
  * nodes have counted so far. */
 static void print_canary(const struct command_context *context, const json *canary,
                          const json *nodes) {
--- a/lib/cli/commands.h
+++ b/lib/cli/commands.h
@@ -5,7 +5,7 @@
  * the exit code of the program. All but `trial` run in a task of the context's world. */
 #include "control_client.h"
 
-/** get RESOURCE: prints a page of the control API. */
+/** get RESOURCE: prints a resource, or another page of the operators' API. */
 enum exit_code get_command_run(const struct command_context *context);
 /** apply RESOURCE -f FILE: replaces a resource. */
 enum exit_code apply_command_run(const struct command_context *context);
@@ -19,12 +19,13 @@
 enum exit_code status_command_run(const struct command_context *context);
 /** gateways: prints one row per gateway. */
 enum exit_code gateways_command_run(const struct command_context *context);
-/** canary start, status or stop: a canary of a routing policy. */
+/** canary start, status or stop: a canary trial of an engine selection policy. */
 enum exit_code canary_command_run(const struct command_context *context);
 /** doctor: checks a running fleet for common faults. */
 enum exit_code doctor_command_run(const struct command_context *context);
 /** record -f FILE: writes recently routed requests as a trace. */
 enum exit_code record_command_run(const struct command_context *context);
-/** trial [table]: replays traces under several eviction policies, without a fleet. */
+/** trial [table]: replays traces under several eviction policies, without a fleet. Not related to
+ * canary trials. */
 enum exit_code trial_command_run(const struct command_context *context);
 #endif
--- a/lib/cli/control_client.c
+++ b/lib/cli/control_client.c
@@ -1,7 +1,7 @@
-/** Requests to the control API of a fleet. See control_client.h.
+/** Requests to the operators' API of a fleet. See control_client.h.
  *
- * Every controller and router answers reads and forwards writes to the head of the chain. So a
- * request goes to the addresses in the given order, and the first answer is used. A 503 (no
+ * Every controller and router serves reads, and forwards writes to the head of the chain. So a
+ * request goes to the addresses in the given order, and the first response is used. A 503 (no
  * controller can commit now) is final only in the last round, because a view change is normally
  * over by then. */
 #include "control_client.h"
@@ -33,8 +33,8 @@
   return request->headers && request->headers->values[HEADER_IDEMPOTENCY_KEY];
 }
 
-/** Sends a request to the addresses in turn until one answers. A 503 does not count as an answer
- * before the last round. */
+/** Sends a request to the addresses in turn until one responds. A 503 does not count as a
+ * response before the last round. */
 static int send_one_round(const struct command_context *context,
                           const struct control_request *request, char *const *addresses,
                           bool is_last_round, GString *response) {
--- a/lib/cli/control_client.h
+++ b/lib/cli/control_client.h
@@ -1,6 +1,6 @@
 #ifndef CLI_CONTROL_CLIENT_H
 #define CLI_CONTROL_CLIENT_H
-/** The client of a fleet's control API that asterctl uses: retries over several addresses, exit
+/** The client of a fleet's operators' API that asterctl uses: retries over several addresses, exit
  * codes for HTTP statuses, and pages as JSON. All functions that send requests run in a task of the
  * world. */
 #include "asterctl_options.h"
@@ -11,7 +11,8 @@
 /** The options and the world of a command. */
 struct command_context {
   struct asterctl_options options;
-  /** The world that requests go through; NULL for a command that needs no fleet. Owned by main. */
+  /** The world that requests go through; NULL for a command that needs no fleet. Owned by main().
+   */
   world *world;
 };
 
@@ -42,7 +43,7 @@
 };
 
 /** Sends a request to each address in turn until one answers, for several rounds. Stores the body
- * of the answer in `response` and returns its HTTP status. A write without an idempotency key is
+ * of the response in `response` and returns its HTTP status. A write without an idempotency key is
  * not sent again when its outcome is unknown; the status is then HTTP_STATUS_GATEWAY_TIMEOUT. */
 int control_send(const struct command_context *context, const struct control_request *request,
                  GString *response);
@@ -51,7 +52,7 @@
                 int64_t timeout_ms);
 /** The exit code for an HTTP status. */
 enum exit_code control_exit_code(int status);
-/** Prints the body of an answer: on standard output when the status is 200, otherwise on standard
+/** Prints the body of a response: on standard output when the status is 200, otherwise on standard
  * error. Returns control_exit_code(status). */
 enum exit_code control_print_response(const struct command_context *context, int status,
                                       const GString *body);
--- a/lib/cli/exit_code.h
+++ b/lib/cli/exit_code.h
@@ -5,11 +5,11 @@
 enum exit_code {
   /** Done, and nothing wrong found. */
   EXIT_CODE_OK = 0,
-  /** The fleet refused the request, or a fault was found. */
+  /** The fleet rejected the request, the command failed, or the doctor found a fault. */
   EXIT_CODE_REFUSED = 1,
   /** Bad command line, or an input file that can't be read. */
   EXIT_CODE_USAGE = 2,
-  /** Another write came first: the resource no longer has the version that the caller named. */
+  /** Another write came first: the resource no longer has the version that --if-version names. */
   EXIT_CODE_CONFLICT = 3,
   /** It is not known whether the write was committed. */
   EXIT_CODE_UNKNOWN_OUTCOME = 4,
--- a/lib/cli/program.h
+++ b/lib/cli/program.h
@@ -23,7 +23,7 @@
 /** Reads a file. The caller frees the text with g_string_free; NULL when it can't be read. */
 GString *program_read_file(const char *path);
 
-/** Creates the world of a process that only calls others. Returns NULL after printing the error on
+/** Creates the world of a process that does not listen. Returns NULL after printing the error on
  * failure. Free it with real_world_free. */
 world *program_client_world(const char *program, const real_settings *settings);
 /** Creates the world of a process that listens at a valid ip:port; ip and port in the settings are
--- a/lib/cli/record_command.c
+++ b/lib/cli/record_command.c
@@ -42,7 +42,7 @@
   }
 }
 
-/** Queries all addresses. The requests are sorted from oldest to newest. */
+/** Collects the data from all addresses. The requests are sorted from oldest to newest. */
 static struct recording collect(const struct command_context *context) {
   struct recording recording = { g_array_new(FALSE, TRUE, sizeof(struct routed_request)), NULL };
   char **addresses = g_strsplit(context->options.addresses, ",", -1);
--- a/lib/cli/trial_command.c
+++ b/lib/cli/trial_command.c
@@ -34,7 +34,7 @@
   MEASURE_COUNT
 };
 
-/** A trial in progress. */
+/** One run of the command: each policy replays each trace. */
 struct trial {
   const struct asterctl_options *options;
   enum trace_source source;
@@ -135,7 +135,8 @@
   return trace;
 }
 
-/** Makes the trace of a seed. The caller frees it with trace_free; NULL with err set on failure. */
+/** Generates the trace of a seed, or returns the single trace of the other sources. The caller
+ * frees it with trace_free; NULL with err set on failure. */
 static trace *make_trace(const struct trial *trial, uint64_t seed, error *err) {
   trace_plan plan = trial->options->trace_plan;
   switch (trial->source) {
--- a/lib/configuration/dialect.c
+++ b/lib/configuration/dialect.c
@@ -1,5 +1,5 @@
-/** Dialects: the names that another platform gives to our header fields, calls, JSON keys and
- * values.
+/** Dialects: the foreign names, which another platform uses, for the native header fields, calls,
+ * JSON keys and values.
  *
  * JSON is translated in place where it enters and leaves the process: dialect_translate_in gives
  * native names, and dialect_translate_out reverses it, so that out(in(x)) is x. A native key or
@@ -123,7 +123,7 @@
              : NULL;
 }
 
-/* The platform's name of a native key, or NULL if it stays as it is. Free with g_free. */
+/* The foreign name of a native key, or NULL if it stays as it is. Free with g_free. */
 static char *key_to_foreign(const translation *t, const char *key) {
   if (key[0] == ESCAPE_CHARACTER)
     return g_strdup(key + 1);
--- a/lib/configuration/dialect.h
+++ b/lib/configuration/dialect.h
@@ -1,7 +1,7 @@
 #ifndef CONFIGURATION_DIALECT_H
 #define CONFIGURATION_DIALECT_H
-/** Dialects: the names that another platform uses for our interfaces. A dialect changes names only,
- * never meaning. */
+/** Dialects: native names are those of asterfall's own interfaces, and foreign names are those that
+ * another platform uses for the same interfaces. A dialect changes names only, never meaning. */
 #include "json.h"
 
 /** Header fields that the data plane reads or writes; a dialect may lack the last two. */
@@ -24,7 +24,7 @@
   DF_POLICY,
   DF_COUNT
 };
-/** Calls that others make to us, or that we make to engines. {} in a path stands for an id. */
+/** Calls that a process receives, or sends to engines. {} in a path stands for an id. */
 enum dialect_call {
   DC_READY,
   DC_HEARTBEAT,
@@ -40,16 +40,16 @@
 typedef struct dialect_path {
   const char *method, *path;
 } dialect_path;
-/** A JSON key: our name, and the other platform's. */
+/** A JSON key: its native name and its foreign one. */
 typedef struct dialect_pair {
   const char *native_name, *foreign_name;
 } dialect_pair;
-/** A string value of one of our keys: our word, and the other platform's. */
+/** A string value of a native key: its native text and its foreign one. */
 typedef struct dialect_value {
   const char *key, *native_value, *foreign_value;
 } dialect_value;
 
-/** The names that one platform uses. All code reads and writes JSON with native names; the
+/** The foreign names of one platform. All code reads and writes JSON with native names; the
  * interfaces translate it with dialect_translate_in and dialect_translate_out. */
 typedef struct dialect {
   const char *header_names[DF_COUNT];
@@ -62,14 +62,14 @@
 
 /** The native names: nothing is translated. */
 extern const dialect dialect_native;
-/** Renames keys and values from the platform's names to native ones, in place. A native name that
+/** Renames keys and values from foreign names to native ones, in place. A native name that
  * arrives although the dialect has another name for it is escaped, so that dialect_translate_out
  * restores exactly the original. value may be NULL. */
 void dialect_translate_in(const dialect *dialect, json *value);
 /** The reverse of dialect_translate_in. value may be NULL. */
 void dialect_translate_out(const dialect *dialect, json *value);
 /** True if a request's method and path, without its query, match a call. The id in the path, if
- * any, is stored in who, which may be NULL. */
+ * any, is stored in *who; who may be NULL. */
 bool dialect_matches_call(const dialect *dialect, enum dialect_call call, const char *method,
                           const char *path, id *who);
 #endif
--- a/lib/configuration/routing.h
+++ b/lib/configuration/routing.h
@@ -52,14 +52,16 @@
   size_t leg_count;
   double weight_sum;
 } route;
-/** Limits on callers' requests and connections. */
+/** Limits on clients' requests and connections. */
 typedef struct request_limits {
   size_t header_max_bytes, body_max_bytes;
   int64_t header_timeout_ms, idle_timeout_ms;
 } request_limits;
-/** A compiled configuration. It is immutable and reference-counted, since a request in flight keeps
- * the version with which it started. */
+/** A compiled routing configuration. It is immutable and reference-counted, since a request in
+ * flight keeps the one with which it started. */
 typedef struct routing {
+  /** The number in the field "version", which the operator chooses and raises with each change. It
+   * is independent of the version that the control plane assigns to each write of a resource. */
   uint64_t revision;
   route *routes;
   size_t route_count;
@@ -71,13 +73,13 @@
   int reference_count;
 } routing;
 
-/** Compiles a full configuration. NULL with err set (path and reason) if it is invalid: incomplete,
- * an unknown service, two routes with the same host and prefix, weights that add up to 0, a timeout
- * of 0, or a duplicate name. */
+/** Compiles a full routing configuration. NULL with err set (path and reason) if it is invalid:
+ * incomplete, an unknown service, two routes with the same host and prefix, weights that add up to
+ * 0, a timeout of 0, or a duplicate name. */
 routing *routing_compile(const json *value, error *err);
 /** Takes a reference; NULL is fine. */
 routing *routing_ref(routing *routing);
-/** Drops a reference; the last one frees the configuration. NULL is fine. */
+/** Drops a reference; the last one frees the routing. NULL is fine. */
 void routing_unref(routing *routing);
 /** Finds the route of a host (port and case are ignored) with the longest prefix of the path; NULL
  * if there is none. */
@@ -89,9 +91,10 @@
 /** Picks a service of a route by weight; draw is a random number from 0 to 1. */
 const service *route_pick_service(const route *route, double draw);
 /** Applies {"version","set":{"routes":[],"services":[]},"drop":{"routes":[names],"services":[]}} to
- * a full configuration; set may also hold "limits". NULL with err set if the patch is malformed.
- * The caller owns the result; base and patch are not changed. */
+ * a full routing configuration; set may also hold "limits". NULL with err set if the patch is
+ * malformed. The caller owns the result; base and patch are not changed. */
 json *routing_patch(const json *base, const json *patch, error *err);
-/** Checks that a new configuration may replace the current one: its revision must be higher. */
+/** Checks that a new routing configuration may replace the one with revision `current`: its own
+ * revision must be higher. */
 enum error_code routing_check_successor(const json *next, uint64_t current, error *err);
 #endif
--- a/lib/configuration/routing_internal.h
+++ b/lib/configuration/routing_internal.h
@@ -7,8 +7,8 @@
 /** Buffer size for a host name, including the final NUL. */
 enum { HOST_NAME_SIZE = 256 };
 
-/** Creates an empty configuration with one reference. */
+/** Creates an empty routing with one reference. */
 routing *routing_new(void);
-/** Reads "version" of a configuration or of a patch. */
+/** Reads the revision, which is the field "version", of a routing configuration or of a patch. */
 enum error_code routing_read_version(const json *value, uint64_t *to, error *err);
 #endif
--- a/lib/configuration/settings.h
+++ b/lib/configuration/settings.h
@@ -49,11 +49,11 @@
   int write_replicas, write_zones;
   /** Members of the chain and voters; 0: three. */
   int chain_members;
-  /** A write is acknowledged before routers have it, and routers that hear from no controller go on
-   * serving. */
+  /** Relaxed timing: a write is acknowledged before routers have it, and routers that hear from no
+   * controller go on serving. */
   bool relaxed;
-  /** Address at which a controller accepts engines' heartbeats and the operator's configuration;
-   * empty: none. */
+  /** Address of a controller's control listener, which accepts engines' heartbeats and the routing
+   * of gateways; empty: none. */
   char control_address[ADDRESS_BYTES];
   /** Time from SIGTERM to SIGKILL, in ms; 0: not known. */
   int64_t shutdown_grace_ms;
--- a/lib/doctor/check_gateways.c
+++ b/lib/doctor/check_gateways.c
@@ -21,7 +21,8 @@
                     node->self.text, name);
 }
 
-/* Adds one to the count of each engine that the gateway has ejected; the counts are by name. */
+/* Adds one to the count of each engine that the gateway has ejected. `ejected` maps the names of
+ * engines to counts. */
 static void count_ejected(const json *engines, GHashTable *ejected) {
   for (size_t i = 0; i < json_count(engines); i++) {
     const json *engine = json_at(engines, i);
--- a/lib/doctor/check_nodes.c
+++ b/lib/doctor/check_nodes.c
@@ -8,7 +8,7 @@
    * answers of a controller. */
   RECHECK_DELAY_MS = 1500,
   ENGINE_LIST_AGE_MAX_MS = 5000,
-  /** Up to this many refused load permits are no finding. */
+  /** Up to this many refused load permits are not reported. */
   REFUSED_PERMITS_TOLERATED = 5
 };
 
--- a/lib/http/http_client.c
+++ b/lib/http/http_client.c
@@ -128,7 +128,7 @@
   return 0;
 }
 
-/* Reads the value of the field that the call requires. */
+/* Reads the value of the field that the call requires; false if the response lacks the field. */
 static bool get_match_value(const http_call *call, string_view *value) {
   return fields_get(call->response_fields, call->match_name, value);
 }
@@ -492,7 +492,8 @@
   return has_no_unread_data(client);
 }
 
-/* False if the connection turns out to be broken. The call is then unchanged, except that `sent`
+/* Sends the call on an idle connection. False if the connection turns out to be broken. The call is
+ * then unchanged, except that `sent`
  * may be set. */
 static bool start_on_idle_connection(client_connection *client, http_call *call, time_us now) {
   http_connection_set_deadline(&client->connection, time_never());
@@ -510,7 +511,8 @@
   return false;
 }
 
-/* True if the call was started on an idle connection, or broke after a byte was sent. */
+/* Starts the call on an idle connection of the pool. True if it was started, or broke after a byte
+ * was sent; false if it needs a new connection. */
 static bool start_from_pool(http_engine *http, connection_pool *pool, http_call *call) {
   time_us now = world_now(http->world);
   while (!list_is_empty(&pool->idle)) {
--- a/lib/http/http_client.h
+++ b/lib/http/http_client.h
@@ -12,8 +12,8 @@
  *
  * - The peer may close an idle connection while a request is being sent. A connection is therefore
  *   checked before it is reused, and not reused after the time for which its peer promised to keep
- *   it (Keep-Alive: timeout). If it still breaks after a byte was sent, the call is broken with
- * sent and reused_connection set; the caller decides whether to retry.
+ *   it (Keep-Alive: timeout). If it still breaks after a byte was sent, the call ends with broken,
+ *   sent and reused_connection set; the code that started it decides whether to retry.
  * - A late response to an earlier request may still arrive. A call that requires a field
  *   (http_call_require_field) skips responses in which the field has another value. A failure
  *   response without the field may belong to either request, so the connection is closed.
--- a/lib/http/http_connection.c
+++ b/lib/http/http_connection.c
@@ -5,8 +5,8 @@
 #include <sys/socket.h>
 
 enum {
-  /* further reads after one that filled the library's buffer, before other connections are served
-   */
+  /* reads beyond the first one, if that filled the library's buffer, before other connections are
+   * served */
   MORE_READS_MAX = 8,
   TIMER_GRANULARITY_US = 50000
 };
--- a/lib/http/http_exchange.h
+++ b/lib/http/http_exchange.h
@@ -17,7 +17,7 @@
 typedef struct http_exchange {
   /** Must be the first member, so that http_request_free frees the exchange. */
   http_request request;
-  /** Set by the connection; NULL once the connection is done with the exchange. */
+  /** The connection; NULL once it is done with the exchange. */
   struct server_connection *server;
 
   /** Reading: written by http_exchange.c. */
--- a/lib/http/http_server.c
+++ b/lib/http/http_server.c
@@ -13,15 +13,15 @@
   READ_AHEAD_MAX_BYTES = 16 * 1024,
   /* a response is written in pieces of at most this size */
   PIECE_BYTES = 64 * 1024,
-  /* how long a connection that was shut down waits for the caller to close it */
+  /* how long a connection that was shut down waits for the client to close it */
   LINGER_MS = 1000,
-  /* how long a caller may leave the rest of a finished response unread */
+  /* how long a client may leave the rest of a finished response unread */
   UNREAD_RESPONSE_TIMEOUT_MS = 30000,
   /* a body that keeps arriving may take this many times the listener's header_timeout_ms */
   BODY_TIMEOUT_FACTOR = 10
 };
 
-/** A connection of a caller. */
+/** A connection of a client. */
 typedef struct server_connection {
   http_connection connection;
   http_listener *listener;
@@ -47,7 +47,7 @@
   server->exchange->server = server;
 }
 
-/* Detaches the connection from an exchange in progress, because its response was sent or the caller
+/* Detaches the connection from an exchange in progress, because its response was sent or the client
  * is gone. */
 static void detach_exchange(server_connection *server, bool client_gone) {
   http_exchange *exchange = server->exchange;
@@ -270,7 +270,7 @@
 }
 
 /* A response that is complete when its head is written has a Content-Length. Others are chunked, or
- * end with the connection if the caller speaks HTTP/1.0. */
+ * end with the connection if the client speaks HTTP/1.0. */
 static void write_head(http_exchange *exchange, GString *head) {
   http_request *request = &exchange->request;
   const server_connection *server = exchange->server;
@@ -333,7 +333,7 @@
   g_string_erase(output, 0, (gssize)length);
   if (length)
     condition_broadcast(&request->drained);
-  /* a caller that stops reading the rest must not hold the connection forever */
+  /* a client that stops reading the rest must not hold the connection forever */
   if (connection->pending_output && exchange->output_complete)
     http_connection_set_timeout(connection, UNREAD_RESPONSE_TIMEOUT_MS);
   return CONNECTION_KEEP;
--- a/lib/http/http_server.h
+++ b/lib/http/http_server.h
@@ -1,17 +1,17 @@
 #ifndef HTTP_HTTP_SERVER_H
 #define HTTP_HTTP_SERVER_H
 /**
- * Server of the HTTP engine: the connections of callers.
+ * Server of the HTTP engine: the connections of clients.
  *
  * A connection reads one request at a time (an exchange). When the request is complete, a task
- * serves it. What the caller sends meanwhile (pipelined requests) is buffered, up to a limit above
+ * serves it. What the client sends meanwhile (pipelined requests) is buffered, up to a limit above
  * which reading is paused. The task writes into the request's pending_output and marks the
  * connection as unflushed; the engine writes the output once per turn of the event loop. When the
  * response has been sent, the next request is parsed, so responses are in the order of requests.
  *
  * How a connection ends:
  * - After a response with "Connection: close", or after the engine itself rejected a request (4xx),
- *   the sending side is shut down, and the connection lingers until the caller has closed it; what
+ *   the sending side is shut down, and the connection lingers until the client has closed it; what
  *   it still receives is discarded. Closing a socket with unread bytes would reset the connection,
  *   which may destroy a response in transit.
  * - A streamed response that can't be completed must not look complete. A chunked one lacks the
--- a/lib/policy_replay/policy_replay.h
+++ b/lib/policy_replay/policy_replay.h
@@ -14,8 +14,8 @@
   double delay_ms;
 } replay_result;
 
-/** The parameters of a replay; 0 means the default. policy_replay_run ignores capacity_share:
- * callers compute the engine's capacity from it. */
+/** The parameters of a replay; 0 means the default. policy_replay_run ignores capacity_share: its
+ * callers compute capacity_mb from it. */
 typedef struct replay_options {
   double capacity_share, initial_load_ms, smoothing_factor;
   int64_t window_s;
--- a/lib/policy_replay/trace.h
+++ b/lib/policy_replay/trace.h
@@ -44,7 +44,7 @@
 trace *trace_generate(const trace_plan *plan);
 /** Parses lines of "ms name weights_mb load_ms"; NULL with err set when the text is malformed. */
 trace *trace_parse(string_view text, error *err);
-/** The paper's table of 14 requests. */
+/** The example of the paper: 14 requests for three models. */
 trace *trace_reference_example(void);
 /** Frees a trace; NULL is allowed. */
 void trace_free(trace *trace);
--- a/tests/compatibility/outward.c
+++ b/tests/compatibility/outward.c
@@ -1,5 +1,5 @@
 /** Compatibility of what operators and their tools see: the keys of the status pages, the names and
- * labels of the metrics, and the answers to bad requests.
+ * labels of the metrics, and the responses to invalid requests.
  *
  * Each test polls the pages of an emulated fleet under load, and compares the set of lines with a
  * golden file in tests/compatibility/. A line consists of the role, the page, and a key path (with
--- a/tests/doctor/operators.c
+++ b/tests/doctor/operators.c
@@ -1,5 +1,5 @@
-/** Tests of the operators' API in a fleet of gateways, of the doctor's findings about
- * gateways, and of the HTTP status of each error code. */
+/** Tests of the operators' API in a fleet of gateways, of the doctor's findings about gateways, and
+ * of the HTTP status of each error code. */
 #include "api_error.h"
 #include "doctor.h"
 #include "deployment.h"
--- a/tests/http/gateway.c
+++ b/tests/http/gateway.c
@@ -1,5 +1,5 @@
 /** A gateway in its own process, without controllers: its configuration is built in, and the test
- * registers its engines. tests/http/bytes_check.py plays its callers and engines byte by byte. */
+ * registers its engines. tests/http/bytes_check.py plays its clients and engines byte by byte. */
 #include "gateway.h"
 #include "real_world.h"
 #include <stdio.h>
--- a/tests/scenario.h
+++ b/tests/scenario.h
@@ -21,7 +21,7 @@
 /** Creates controller number n (from 1) in a zone, with the settings of another one. Does not start
  * it or count it in fleet->controllers. */
 host *scenario_create_controller(fleet *fleet, int n, const host *like, const char *zone);
-/** Starts callers at per_s requests per second, and returns at once. */
+/** Starts clients that send per_s requests per second, and returns at once. */
 void scenario_start_traffic(fleet *fleet, double per_s);
 /** Cuts the power of every controller, router and engine of a zone. */
 void scenario_power_off_zone(fleet *fleet, const char *zone);
