--- a/bench/scale.c
+++ b/bench/scale.c
@@ -455,7 +455,7 @@
 
 /* Sends one request to a control listener, as an operator does. Returns the HTTP status, or 0
  * without a response. On a redirect (307), stores the host of the head of the chain in `lead`. */
-static int request_once(const char *ip, const char *verb, const char *path, const char *more,
+static int request_once(const char *ip, const char *method, const char *path, const char *more,
                         const char *body, char *lead, size_t n) {
   int fd = connect_to(ip, CONTROL_PORT);
   if (fd < 0)
@@ -464,7 +464,7 @@
   g_string_printf(
       t,
       "%s %s HTTP/1.1\r\nHost: x\r\n%sContent-Type: application/json\r\nContent-Length: %zu\r\nConnection: close\r\n\r\n%s",
-      verb, path, more, strlen(body), body);
+      method, path, more, strlen(body), body);
   ssize_t k = send(fd, t->str, t->len, MSG_NOSIGNAL);
   char got[4096] = "";
   size_t len = 0;
--- a/lib/cli/control_client.c
+++ b/lib/cli/control_client.c
@@ -28,7 +28,7 @@
 
 /** True when sending a request again can't apply it twice. */
 static bool may_be_retried(const struct control_request *request) {
-  if (!strcmp(request->verb, "GET"))
+  if (!strcmp(request->method, "GET"))
     return true;
   return request->headers && request->headers->values[HEADER_IDEMPOTENCY_KEY];
 }
@@ -42,7 +42,7 @@
     error err = { 0 };
     g_string_truncate(response, 0);
     int status =
-        http_call_fetch(context->world, *address, request->verb, request->path, request->headers,
+        http_call_fetch(context->world, *address, request->method, request->path, request->headers,
                         request->body, response, time_from_ms(request->timeout_ms), &err);
     if (status == HTTP_STATUS_UNAVAILABLE && !is_last_round)
       status = HTTP_STATUS_NO_ANSWER;
@@ -72,7 +72,7 @@
 
 int control_get(const struct command_context *context, const char *path, GString *response,
                 int64_t timeout_ms) {
-  struct control_request request = { .verb = "GET", .path = path, .body = string_view_of("") };
+  struct control_request request = { .method = "GET", .path = path, .body = string_view_of("") };
   request.timeout_ms = timeout_ms;
   return control_send(context, &request, response);
 }
--- a/lib/cli/control_client.h
+++ b/lib/cli/control_client.h
@@ -34,7 +34,7 @@
 
 /** A request that is sent to one address after the other. */
 struct control_request {
-  const char *verb, *path;
+  const char *method, *path;
   /** NULL: no header fields. */
   const http_headers *headers;
   string_view body;
--- a/lib/cli/resource_write.c
+++ b/lib/cli/resource_write.c
@@ -38,14 +38,14 @@
   return resource_wait_in_force(context, version);
 }
 
-enum exit_code resource_write(const struct command_context *context, const char *verb,
+enum exit_code resource_write(const struct command_context *context, const char *method,
                               const char *resource, string_view body, const char *if_version) {
   char path[RESOURCE_PATH_SIZE];
   snprintf(path, sizeof path, "/v1/%s", resource);
   http_headers headers = { { 0 } };
   set_write_headers(context, &headers, if_version);
   GString *response = g_string_new(NULL);
-  struct control_request request = { verb, path, &headers, body, CONTROL_REQUEST_TIMEOUT_MS };
+  struct control_request request = { method, path, &headers, body, CONTROL_REQUEST_TIMEOUT_MS };
   int status = control_send(context, &request, response);
   enum exit_code exit_code = control_print_response(context, status, response);
   if (exit_code == EXIT_CODE_OK && context->options.wait_s)
@@ -71,7 +71,7 @@
   return strcmp(file, "-") ? program_read_file(file) : read_input();
 }
 
-enum exit_code resource_write_file(const struct command_context *context, const char *verb,
+enum exit_code resource_write_file(const struct command_context *context, const char *method,
                                    const char *resource) {
   const struct asterctl_options *options = &context->options;
   if (!options->file || !resource_name_is_valid(resource)) {
@@ -84,7 +84,7 @@
     return EXIT_CODE_USAGE;
   }
   enum exit_code exit_code =
-      resource_write(context, verb, resource, string_view_of_gstring(body), options->if_version);
+      resource_write(context, method, resource, string_view_of_gstring(body), options->if_version);
   g_string_free(body, TRUE);
   return exit_code;
 }
--- a/tests/doctor/operators.c
+++ b/tests/doctor/operators.c
@@ -19,18 +19,18 @@
 
 /* Calls the operators' API of a random controller. Returns the HTTP status, and checks the error
  * code of the response unless `code` is 0. */
-static int call_operators_api(deployment *deployment, const char *verb, const char *path,
+static int call_operators_api(deployment *deployment, const char *method, const char *path,
                               const char *text, int code) {
   operator_call *call = fleet_call(
       deployment->fleet,
       deployment->fleet
           ->controller[sim_random(deployment->sim, (uint64_t)deployment->fleet->controllers)],
-      verb, path, text, NULL, NULL, time_from_ms(9000));
+      method, path, text, NULL, NULL, time_from_ms(9000));
   int status = call->status;
   char code_text[24];
   snprintf(code_text, sizeof code_text, "\"code\":%d", code);
   if (code && !strstr(call->body->str, code_text))
-    fleet_add_violation(deployment->fleet, "%s %s: response %d %s does not have code %d", verb,
+    fleet_add_violation(deployment->fleet, "%s %s: response %d %s does not have code %d", method,
                         path, status, call->body->str, code);
   operator_call_free(call);
   return status;
