--- a/lib/configuration/routing.c
+++ b/lib/configuration/routing.c
@@ -111,13 +111,13 @@
   return last;
 }
 
-enum error_code routing_check_successor(const json *next, uint64_t current, error *err) {
-  uint64_t version;
-  enum error_code code = routing_read_version(next, &version, err);
+enum error_code routing_check_successor(const json *next, uint64_t current_revision, error *err) {
+  uint64_t revision;
+  enum error_code code = routing_read_revision(next, &revision, err);
   if (code)
     return code;
-  return version > current
+  return revision > current_revision
              ? OK
              : error_set(err, E_STALE_VERSION, "version: %" PRIu64 " is not above %" PRIu64,
-                         version, current);
+                         revision, current_revision);
 }
--- a/lib/configuration/routing.h
+++ b/lib/configuration/routing.h
@@ -94,7 +94,7 @@
  * a full routing configuration; set may also hold "limits". NULL with err set if the patch is
  * malformed. The caller owns the result; base and patch are not changed. */
 json *routing_patch(const json *base, const json *patch, error *err);
-/** Checks that a new routing configuration may replace the one with revision `current`: its own
+/** Checks that a new routing configuration may replace the current one: its own
  * revision must be higher. */
-enum error_code routing_check_successor(const json *next, uint64_t current, error *err);
+enum error_code routing_check_successor(const json *next, uint64_t current_revision, error *err);
 #endif
--- a/lib/configuration/routing_compile.c
+++ b/lib/configuration/routing_compile.c
@@ -13,7 +13,7 @@
 };
 /** Bounds that only keep numbers within the range of their types. */
 static const double count_max = 1e6, weights_mb_max = 1e9, kv_max = 1e15, span_ms_max = 1e12,
-                    weight_max = 1e15, version_max = 9e18;
+                    weight_max = 1e15, revision_max = 9e18;
 
 /** A numeric field of an object: its key, its largest value (the smallest is 0), the value of an
  * absent one, and the destination. */
@@ -286,10 +286,10 @@
   return OK;
 }
 
-enum error_code routing_read_version(const json *value, uint64_t *to, error *err) {
+enum error_code routing_read_revision(const json *value, uint64_t *to, error *err) {
   const json *version = json_get(value, "version");
   if (!version || version->kind != JSON_NUMBER || version->number < 0 ||
-      version->number > version_max || version->number != floor(version->number))
+      version->number > revision_max || version->number != floor(version->number))
     return error_set(err, E_ROUTING_VERSION, "version: missing, or not a whole number");
   /* a number of 2^53 or more has its digits as text, since the double is not exact */
   *to = version->text ? g_ascii_strtoull(version->text->str, NULL, 10) : (uint64_t)version->number;
@@ -325,7 +325,7 @@
     return NULL;
   }
   routing *routing = routing_new();
-  enum error_code code = routing_read_version(value, &routing->revision, err);
+  enum error_code code = routing_read_revision(value, &routing->revision, err);
   if (!code)
     code = compile_lists(routing, value, err);
   if (!code)
--- a/lib/configuration/routing_internal.h
+++ b/lib/configuration/routing_internal.h
@@ -10,5 +10,5 @@
 /** Creates an empty routing with one reference. */
 routing *routing_new(void);
 /** Reads the revision, which is the field "version", of a routing configuration or of a patch. */
-enum error_code routing_read_version(const json *value, uint64_t *to, error *err);
+enum error_code routing_read_revision(const json *value, uint64_t *to, error *err);
 #endif
--- a/lib/configuration/routing_patch.c
+++ b/lib/configuration/routing_patch.c
@@ -147,7 +147,7 @@
 
 json *routing_patch(const json *base, const json *patch, error *err) {
   const json *set, *drop;
-  uint64_t version;
+  uint64_t revision;
   if (!patch || patch->kind != JSON_OBJECT) {
     error_set(err, E_ROUTING_PATCH, "not an object");
     return NULL;
@@ -156,7 +156,7 @@
     error_set(err, E_ROUTING_PATCH, "there is nothing to change yet");
     return NULL;
   }
-  if (routing_read_version(patch, &version, err) || read_part(patch, "set", &set, err) ||
+  if (routing_read_revision(patch, &revision, err) || read_part(patch, "set", &set, err) ||
       read_part(patch, "drop", &drop, err))
     return NULL;
   json *root = json_copy(base);
