--- a/lib/configuration/routing.c
+++ b/lib/configuration/routing.c
@@ -97,16 +97,16 @@
              : NULL;
 }
 
-const service *route_pick_service(const route *route, double draw) {
-  double left = draw * route->weight_sum;
+const service *route_pick_service(const route *route, double random_fraction) {
+  double remaining = random_fraction * route->weight_sum;
   const service *last = NULL;
   for (size_t i = 0; i < route->leg_count; i++) {
     if (route->legs[i].weight <= 0)
       continue;
     last = route->legs[i].service;
-    if (left < route->legs[i].weight)
+    if (remaining < route->legs[i].weight)
       break;
-    left -= route->legs[i].weight;
+    remaining -= route->legs[i].weight;
   }
   return last;
 }
--- a/lib/configuration/routing.h
+++ b/lib/configuration/routing.h
@@ -88,8 +88,8 @@
 const service *routing_find_service(const routing *routing, const char *name);
 /** Finds a model of a service by name; NULL if there is none. */
 const service_model_spec *service_find_model(const service *service, const char *name);
-/** Picks a service of a route by weight; draw is a random number from 0 to 1. */
-const service *route_pick_service(const route *route, double draw);
+/** Picks a service of a route at random by weight, given a random number from 0 to 1. */
+const service *route_pick_service(const route *route, double random_fraction);
 /** Applies {"version","set":{"routes":[],"services":[]},"drop":{"routes":[names],"services":[]}} to
  * a full routing configuration; set may also hold "limits". NULL with err set if the patch is
  * malformed. The caller owns the result; base and patch are not changed. */
--- a/lib/policy_replay/trace.c
+++ b/lib/policy_replay/trace.c
@@ -85,7 +85,7 @@
 /* Sizes are spread over a factor of ten; the load time grows with size, with random variation.
  * Model 0 becomes the most popular one, so the models are sorted when popularity depends on load
  * time. */
-static void draw_models(trace *trace, const trace_plan *plan, uint64_t *state) {
+static void generate_models(trace *trace, const trace_plan *plan, uint64_t *state) {
   for (int i = 0; i < plan->model_count; i++) {
     trace_model model = { .weights_mb = (uint64_t)(MIN_WEIGHTS_MB * pow(10, random_unit(state))) };
     model.load_ms =
@@ -108,15 +108,15 @@
   return cumulated;
 }
 
-static int draw_model(const trace_plan *plan, const double *cumulated, uint64_t *state) {
+static int choose_model(const trace_plan *plan, const double *cumulated, uint64_t *state) {
   int last = plan->model_count - 1, i = 0;
-  double at = random_unit(state) * cumulated[last];
-  while (i < last && cumulated[i] < at)
+  double position = random_unit(state) * cumulated[last];
+  while (i < last && cumulated[i] < position)
     i++;
   return i;
 }
 
-static void draw_requests(trace *trace, const trace_plan *plan, uint64_t *state) {
+static void generate_requests(trace *trace, const trace_plan *plan, uint64_t *state) {
   double *cumulated = cumulate_weights(plan);
   time_us now = time_from_ms(TRACE_START_MS);
   int burst_model = -1, burst_left = 0;
@@ -131,7 +131,7 @@
       request.model_index = burst_model;
       burst_left--;
     } else {
-      request.model_index = draw_model(plan, cumulated, state);
+      request.model_index = choose_model(plan, cumulated, state);
     }
     g_array_append_val(trace->requests, request);
   }
@@ -141,8 +141,8 @@
 trace *trace_generate(const trace_plan *plan) {
   trace *trace = trace_new();
   uint64_t state = plan->seed * 7919 + 17;
-  draw_models(trace, plan, &state);
-  draw_requests(trace, plan, &state);
+  generate_models(trace, plan, &state);
+  generate_requests(trace, plan, &state);
   return trace;
 }
 
