--- a/lib/configuration/json.c
+++ b/lib/configuration/json.c
@@ -23,12 +23,12 @@
   enum error_code code;
 } parser;
 
-static json *json_new(enum json_kind k) {
+static json *json_new(enum json_kind kind) {
   json *value = g_new0(json, 1);
-  value->kind = k;
-  if (k >= JSON_ARRAY)
+  value->kind = kind;
+  if (kind >= JSON_ARRAY)
     value->children = g_ptr_array_new_with_free_func((GDestroyNotify)json_free);
-  if (k == JSON_OBJECT)
+  if (kind == JSON_OBJECT)
     value->keys = g_ptr_array_new_with_free_func(g_free);
   return value;
 }
@@ -93,38 +93,38 @@
 static int on_null(void *context) {
   return add_value(context, json_new(JSON_NULL));
 }
-static int on_bool(void *context, int v) {
+static int on_bool(void *context, int boolean) {
   json *json = json_new(JSON_BOOL);
-  json->boolean = v;
+  json->boolean = boolean;
   return add_value(context, json);
 }
-static int on_number(void *context, const char *p, size_t n) {
-  char buf[NUMBER_TEXT_SIZE];
+static int on_number(void *context, const char *digits, size_t length) {
+  char text[NUMBER_TEXT_SIZE];
   parser *parser = context;
-  if (n >= sizeof buf) {
+  if (length >= sizeof text) {
     parser->code = error_set(parser->err, E_RANGE, "a number of over 63 digits");
     return CALLBACK_CANCEL;
   }
-  memcpy(buf, p, n);
-  buf[n] = 0;
-  double v = g_ascii_strtod(buf, NULL);
-  if (!isfinite(v)) {
-    parser->code = error_set(parser->err, E_RANGE, "the number %s is out of range", buf);
+  memcpy(text, digits, length);
+  text[length] = 0;
+  double number = g_ascii_strtod(text, NULL);
+  if (!isfinite(number)) {
+    parser->code = error_set(parser->err, E_RANGE, "the number %s is out of range", text);
     return CALLBACK_CANCEL;
   }
   json *json = json_new(JSON_NUMBER);
-  json->number = v;
+  json->number = number;
   /* an integer that a double can't hold exactly keeps its digits */
-  if (fabs(v) >= exact_integer_max && !memchr(p, '.', n) && !memchr(p, 'e', n) &&
-      !memchr(p, 'E', n))
-    json->text = g_string_new(buf);
+  if (fabs(number) >= exact_integer_max && !memchr(digits, '.', length) &&
+      !memchr(digits, 'e', length) && !memchr(digits, 'E', length))
+    json->text = g_string_new(text);
   return add_value(context, json);
 }
-static int on_string(void *context, const unsigned char *p, size_t n) {
+static int on_string(void *context, const unsigned char *text, size_t length) {
   json *json = json_new(JSON_STRING);
-  json->text = g_string_new_len((const char *)p, n);
+  json->text = g_string_new_len((const char *)text, length);
   parser *parser = context;
-  if (memchr(p, 0, n)) {
+  if (memchr(text, 0, length)) {
     parser->code = error_set(parser->err, E_JSON, "a text holds a zero byte");
     json_free(json);
     return CALLBACK_CANCEL;
@@ -134,11 +134,11 @@
 static int on_object(void *context) {
   return add_value(context, json_new(JSON_OBJECT));
 }
-static int on_key(void *context, const unsigned char *p, size_t n) {
+static int on_key(void *context, const unsigned char *text, size_t length) {
   parser *parser = context;
   g_string_truncate(parser->keys[parser->depth - 1], 0);
-  g_string_append_len(parser->keys[parser->depth - 1], (const char *)p, n);
-  if (memchr(p, 0, n)) {
+  g_string_append_len(parser->keys[parser->depth - 1], (const char *)text, length);
+  if (memchr(text, 0, length)) {
     parser->code = error_set(parser->err, E_JSON, "a key holds a zero byte");
     return CALLBACK_CANCEL;
   }
@@ -159,18 +159,19 @@
 
 json *json_parse(string_view text, error *err) {
   parser parser = { .err = err };
-  yajl_handle h = yajl_alloc(&callbacks, NULL, &parser);
-  yajl_status s = yajl_parse(h, (const unsigned char *)text.data, text.length);
-  if (s == yajl_status_ok)
-    s = yajl_complete_parse(h);
-  if (s != yajl_status_ok && !parser.code) {
-    unsigned char *t = yajl_get_error(h, 0, (const unsigned char *)text.data, text.length);
-    g_strchomp((char *)t);
+  yajl_handle handle = yajl_alloc(&callbacks, NULL, &parser);
+  yajl_status status = yajl_parse(handle, (const unsigned char *)text.data, text.length);
+  if (status == yajl_status_ok)
+    status = yajl_complete_parse(handle);
+  if (status != yajl_status_ok && !parser.code) {
+    unsigned char *message =
+        yajl_get_error(handle, 0, (const unsigned char *)text.data, text.length);
+    g_strchomp((char *)message);
     parser.code = error_set(err, E_JSON, "not JSON near byte %zu: %.120s",
-                            yajl_get_bytes_consumed(h), (char *)t);
-    yajl_free_error(h, t);
+                            yajl_get_bytes_consumed(handle), (char *)message);
+    yajl_free_error(handle, message);
   }
-  yajl_free(h);
+  yajl_free(handle);
   while (parser.depth)
     g_string_free(parser.keys[--parser.depth], TRUE);
   if (!parser.code && !parser.root)
@@ -234,47 +235,47 @@
   return member && member->kind == JSON_BOOL ? member->boolean : fallback;
 }
 
-static void generate(yajl_gen g, const json *json) {
-  char buf[40];
+static void generate(yajl_gen generator, const json *json) {
+  char text[40];
   switch (json->kind) {
   case JSON_NULL:
-    yajl_gen_null(g);
+    yajl_gen_null(generator);
     break;
   case JSON_BOOL:
-    yajl_gen_bool(g, json->boolean);
+    yajl_gen_bool(generator, json->boolean);
     break;
   case JSON_NUMBER:
     if (json->text) {
-      yajl_gen_number(g, json->text->str, json->text->len);
+      yajl_gen_number(generator, json->text->str, json->text->len);
       break;
     }
     if (json->number == floor(json->number) && fabs(json->number) < 9e15) {
-      yajl_gen_integer(g, (long long)json->number);
+      yajl_gen_integer(generator, (long long)json->number);
       break;
     }
     /* 15 digits, unless they would not parse back to the same number */
-    g_ascii_formatd(buf, sizeof buf, "%.15g", json->number);
-    if (g_ascii_strtod(buf, NULL) != json->number)
-      g_ascii_dtostr(buf, sizeof buf, json->number);
-    yajl_gen_number(g, buf, strlen(buf));
+    g_ascii_formatd(text, sizeof text, "%.15g", json->number);
+    if (g_ascii_strtod(text, NULL) != json->number)
+      g_ascii_dtostr(text, sizeof text, json->number);
+    yajl_gen_number(generator, text, strlen(text));
     break;
   case JSON_STRING:
-    yajl_gen_string(g, (const unsigned char *)json->text->str, json->text->len);
+    yajl_gen_string(generator, (const unsigned char *)json->text->str, json->text->len);
     break;
   case JSON_ARRAY:
-    yajl_gen_array_open(g);
+    yajl_gen_array_open(generator);
     for (size_t i = 0; i < json_count(json); i++)
-      generate(g, json_at(json, i));
-    yajl_gen_array_close(g);
+      generate(generator, json_at(json, i));
+    yajl_gen_array_close(generator);
     break;
   case JSON_OBJECT:
-    yajl_gen_map_open(g);
+    yajl_gen_map_open(generator);
     for (size_t i = 0; i < json_count(json); i++) {
-      const char *k = json_key(json, i);
-      yajl_gen_string(g, (const unsigned char *)k, strlen(k));
-      generate(g, json_at(json, i));
+      const char *key = json_key(json, i);
+      yajl_gen_string(generator, (const unsigned char *)key, strlen(key));
+      generate(generator, json_at(json, i));
     }
-    yajl_gen_map_close(g);
+    yajl_gen_map_close(generator);
     break;
   }
 }
@@ -299,42 +300,42 @@
     target = json_new(JSON_OBJECT);
   }
   for (size_t i = 0; i < json_count(patch); i++) {
-    const char *k = json_key(patch, i);
-    const json *v = json_at(patch, i);
-    int at = index_of_key(target, k);
-    if (v->kind == JSON_NULL) {
-      if (at >= 0) {
-        g_ptr_array_remove_index(target->children, at);
-        g_ptr_array_remove_index(target->keys, at);
+    const char *key = json_key(patch, i);
+    const json *value = json_at(patch, i);
+    int index = index_of_key(target, key);
+    if (value->kind == JSON_NULL) {
+      if (index >= 0) {
+        g_ptr_array_remove_index(target->children, index);
+        g_ptr_array_remove_index(target->keys, index);
       }
       continue;
     }
     json *previous = NULL;
-    if (at >= 0) {
-      previous = g_ptr_array_steal_index(target->children, at);
-      g_ptr_array_remove_index(target->keys, at);
+    if (index >= 0) {
+      previous = g_ptr_array_steal_index(target->children, index);
+      g_ptr_array_remove_index(target->keys, index);
     }
-    g_ptr_array_add(target->children, json_merge(previous, v));
-    g_ptr_array_add(target->keys, g_strdup(k));
+    g_ptr_array_add(target->children, json_merge(previous, value));
+    g_ptr_array_add(target->keys, g_strdup(key));
   }
   return target;
 }
 
-void json_append_quoted(GString *to, string_view s) {
-  yajl_gen g = yajl_gen_alloc(NULL);
-  const unsigned char *p;
-  size_t n;
-  char *valid = g_utf8_make_valid(s.data, s.length);
-  yajl_gen_string(g, (const unsigned char *)valid, strlen(valid));
+void json_append_quoted(GString *to, string_view text) {
+  yajl_gen generator = yajl_gen_alloc(NULL);
+  const unsigned char *quoted;
+  size_t length;
+  char *valid = g_utf8_make_valid(text.data, text.length);
+  yajl_gen_string(generator, (const unsigned char *)valid, strlen(valid));
   g_free(valid);
-  if (yajl_gen_get_buf(g, &p, &n) == yajl_gen_status_ok)
-    g_string_append_len(to, (const char *)p, n);
-  yajl_gen_free(g);
+  if (yajl_gen_get_buf(generator, &quoted, &length) == yajl_gen_status_ok)
+    g_string_append_len(to, (const char *)quoted, length);
+  yajl_gen_free(generator);
 }
 
 void json_appendf(GString *to, const char *format, ...) {
-  va_list a;
-  va_start(a, format);
-  g_string_append_vprintf(to, format, a);
-  va_end(a);
+  va_list arguments;
+  va_start(arguments, format);
+  g_string_append_vprintf(to, format, arguments);
+  va_end(arguments);
 }
--- a/lib/configuration/json.h
+++ b/lib/configuration/json.h
@@ -49,7 +49,7 @@
  */
 json *json_merge(json *target, const json *patch);
 /** Appends a text as a JSON string, with its quotes. */
-void json_append_quoted(GString *to, string_view s);
+void json_append_quoted(GString *to, string_view text);
 /** A boolean as JSON text. */
 static inline const char *json_bool_text(bool value) {
   return value ? "true" : "false";
--- a/lib/configuration/settings.h
+++ b/lib/configuration/settings.h
@@ -74,5 +74,5 @@
  * and zones that may fail at the same time without loss of the control plane. */
 void settings_set_fault_tolerance(settings *settings, int machines, int zones);
 /** True for IP:PORT with a numeric IPv4 address and a port from 1 to 65535. */
-bool address_is_valid(const char *s);
+bool address_is_valid(const char *text);
 #endif
--- a/lib/http/http_exchange.c
+++ b/lib/http/http_exchange.c
@@ -98,10 +98,10 @@
 /* False unless there is exactly one Host, which HTTP/1.0 may leave out. */
 static bool read_fields(http_exchange *exchange, const http_parser *parser) {
   http_request *request = &exchange->request;
-  size_t at = 0;
+  size_t position = 0;
   string_view name, value;
   int hosts = 0;
-  while (fields_next(request->fields, &at, &name, &value)) {
+  while (fields_next(request->fields, &position, &name, &value)) {
     if (equals_ignoring_case(name, "host")) {
       if (!hosts++)
         request->host = host_of(value);
--- a/lib/http/http_framing.c
+++ b/lib/http/http_framing.c
@@ -68,9 +68,9 @@
 }
 
 bool field_names_are_valid(const fields *fields) {
-  size_t at = 0;
+  size_t position = 0;
   string_view name, value;
-  while (fields_next(fields, &at, &name, &value)) {
+  while (fields_next(fields, &position, &name, &value)) {
     if (!name.length)
       return false;
     for (size_t i = 0; i < name.length; i++)
