--- a/lib/configuration/dialect.c
+++ b/lib/configuration/dialect.c
@@ -45,28 +45,28 @@
 } translation;
 
 static translation *translation_new(const dialect *dialect) {
-  translation *t = g_new(translation, 1);
-  t->native_to_foreign = g_hash_table_new(g_str_hash, g_str_equal);
-  t->foreign_to_native = g_hash_table_new(g_str_hash, g_str_equal);
-  t->values_by_key = g_hash_table_new(g_str_hash, g_str_equal);
+  translation *tables = g_new(translation, 1);
+  tables->native_to_foreign = g_hash_table_new(g_str_hash, g_str_equal);
+  tables->foreign_to_native = g_hash_table_new(g_str_hash, g_str_equal);
+  tables->values_by_key = g_hash_table_new(g_str_hash, g_str_equal);
   /* From the last to the first, so that the first of two entries with the same key wins. */
   for (size_t i = dialect->key_count; i-- > 0;) {
     const dialect_pair *pair = &dialect->keys[i];
-    g_hash_table_insert(t->native_to_foreign, (char *)pair->native_name,
+    g_hash_table_insert(tables->native_to_foreign, (char *)pair->native_name,
                         (char *)pair->foreign_name);
-    g_hash_table_insert(t->foreign_to_native, (char *)pair->foreign_name,
+    g_hash_table_insert(tables->foreign_to_native, (char *)pair->foreign_name,
                         (char *)pair->native_name);
   }
   for (size_t i = 0; i < dialect->value_count; i++) {
     const dialect_value *value = &dialect->values[i];
-    GPtrArray *list = g_hash_table_lookup(t->values_by_key, value->key);
+    GPtrArray *list = g_hash_table_lookup(tables->values_by_key, value->key);
     if (!list) {
       list = g_ptr_array_new();
-      g_hash_table_insert(t->values_by_key, (char *)value->key, list);
+      g_hash_table_insert(tables->values_by_key, (char *)value->key, list);
     }
     g_ptr_array_add(list, (void *)value);
   }
-  return t;
+  return tables;
 }
 
 /* Returns the hash tables of a dialect. They are built at its first use and never freed, since
@@ -75,12 +75,12 @@
   static GHashTable *all;
   if (!all)
     all = g_hash_table_new(NULL, NULL);
-  translation *t = g_hash_table_lookup(all, dialect);
-  if (!t) {
-    t = translation_new(dialect);
-    g_hash_table_insert(all, (void *)dialect, t);
+  translation *tables = g_hash_table_lookup(all, dialect);
+  if (!tables) {
+    tables = translation_new(dialect);
+    g_hash_table_insert(all, (void *)dialect, tables);
   }
-  return t;
+  return tables;
 }
 
 static void value_to_native(const GPtrArray *values, GString *text) {
@@ -112,31 +112,32 @@
 }
 
 /* The native name of a received key, or NULL if it stays as it is. Free with g_free. */
-static char *key_to_native(const translation *t, const char *key) {
+static char *key_to_native(const translation *tables, const char *key) {
   if (key[0] == ESCAPE_CHARACTER)
     return g_strdup_printf("%c%s", ESCAPE_CHARACTER, key);
-  const char *native_name = g_hash_table_lookup(t->foreign_to_native, key);
+  const char *native_name = g_hash_table_lookup(tables->foreign_to_native, key);
   if (native_name)
     return g_strdup(native_name);
-  return g_hash_table_contains(t->native_to_foreign, key)
+  return g_hash_table_contains(tables->native_to_foreign, key)
              ? g_strdup_printf("%c%s", ESCAPE_CHARACTER, key)
              : NULL;
 }
 
 /* The foreign name of a native key, or NULL if it stays as it is. Free with g_free. */
-static char *key_to_foreign(const translation *t, const char *key) {
+static char *key_to_foreign(const translation *tables, const char *key) {
   if (key[0] == ESCAPE_CHARACTER)
     return g_strdup(key + 1);
-  return g_strdup(g_hash_table_lookup(t->native_to_foreign, key));
+  return g_strdup(g_hash_table_lookup(tables->native_to_foreign, key));
 }
 
-static void translate_member(const translation *t, json *object, size_t index, bool to_native) {
+static void translate_member(const translation *tables, json *object, size_t index,
+                             bool to_native) {
   json *value = object->children->pdata[index];
   char *key = object->keys->pdata[index];
-  char *new_key = to_native ? key_to_native(t, key) : key_to_foreign(t, key);
+  char *new_key = to_native ? key_to_native(tables, key) : key_to_foreign(tables, key);
   const char *native_key = to_native && new_key ? new_key : key;
   const GPtrArray *values =
-      value->kind == JSON_STRING ? g_hash_table_lookup(t->values_by_key, native_key) : NULL;
+      value->kind == JSON_STRING ? g_hash_table_lookup(tables->values_by_key, native_key) : NULL;
   if (values && to_native)
     value_to_native(values, value->text);
   else if (values)
@@ -147,13 +148,13 @@
   g_free(key);
 }
 
-static void translate(const translation *t, json *value, bool to_native) {
+static void translate(const translation *tables, json *value, bool to_native) {
   for (size_t i = 0; i < json_count(value); i++) {
     if (value->kind == JSON_OBJECT)
-      translate_member(t, value, i, to_native);
+      translate_member(tables, value, i, to_native);
     json *child = value->children->pdata[i];
     if (child->kind >= JSON_ARRAY)
-      translate(t, child, to_native);
+      translate(tables, child, to_native);
   }
 }
 
@@ -172,7 +173,7 @@
 }
 
 bool dialect_matches_call(const dialect *dialect, enum dialect_call call, const char *method,
-                          const char *path, id *who) {
+                          const char *path, id *path_id) {
   const dialect_path *pattern = &dialect->calls[call];
   if (!pattern->path || strcmp(pattern->method, method))
     return false;
@@ -188,7 +189,7 @@
   string_view name = { path + before, length - before - after };
   if (!id_is_valid(name))
     return false;
-  if (who)
-    *who = id_of(name);
+  if (path_id)
+    *path_id = id_of(name);
   return true;
 }
--- a/lib/configuration/dialect.h
+++ b/lib/configuration/dialect.h
@@ -69,7 +69,7 @@
 /** The reverse of dialect_translate_in. value may be NULL. */
 void dialect_translate_out(const dialect *dialect, json *value);
 /** True if a request's method and path, without its query, match a call. The id in the path, if
- * any, is stored in *who; who may be NULL. */
+ * any, is stored in *path_id, unless that is NULL. */
 bool dialect_matches_call(const dialect *dialect, enum dialect_call call, const char *method,
-                          const char *path, id *who);
+                          const char *path, id *path_id);
 #endif
--- a/lib/doctor/check_controllers.c
+++ b/lib/doctor/check_controllers.c
@@ -27,11 +27,11 @@
 }
 
 static void check_view(examination *examination, const examined_node *node, uint64_t epoch) {
-  double own = json_number(node->status, "epoch", 0);
+  double node_epoch = json_number(node->status, "epoch", 0);
   bool in_chain = json_number(node->status, "place", -1) >= 0;
-  if ((uint64_t)own != epoch)
+  if ((uint64_t)node_epoch != epoch)
     examination_add(examination, D_VIEWS_DIFFER, "%s knows view %.0f, others %" PRIu64,
-                    node->self.text, own, epoch);
+                    node->self.text, node_epoch, epoch);
   else if (in_chain && !json_bool(node->status, "acts", false))
     examination_add(examination, D_VIEWS_DIFFER, "%s is in the chain and has no lease",
                     node->self.text);
@@ -47,9 +47,9 @@
       continue;
     controllers++;
     acting += json_bool(node->status, "acts", false);
-    uint64_t own = (uint64_t)json_number(node->status, "epoch", 0);
-    if (own > epoch) {
-      epoch = own;
+    uint64_t node_epoch = (uint64_t)json_number(node->status, "epoch", 0);
+    if (node_epoch > epoch) {
+      epoch = node_epoch;
       view = node->view;
     }
     check_disk(examination, node);
--- a/lib/doctor/check_engines.c
+++ b/lib/doctor/check_engines.c
@@ -38,15 +38,15 @@
  * when one of the pages can't be fetched. */
 static bool residents_agree(const examination *examination, const char *router, const char *engine,
                             const char *address) {
-  json *own = examination_fetch(examination, address, "/v1/state", NULL),
+  json *engine_state = examination_fetch(examination, address, "/v1/state", NULL),
        *engines = examination_fetch(examination, router, "/v1/holdings", NULL);
-  bool agree = !own || !engines;
+  bool agree = !engine_state || !engines;
   for (size_t i = 0; i < json_count(engines) && !agree; i++) {
     const json *entry = json_at(engines, i);
     if (!strcmp(json_text(entry, "id", ""), engine))
-      agree = same_residents(json_get(own, "holdings"), json_get(entry, "holdings"));
+      agree = same_residents(json_get(engine_state, "holdings"), json_get(entry, "holdings"));
   }
-  json_free(own);
+  json_free(engine_state);
   json_free(engines);
   return agree;
 }
@@ -70,8 +70,8 @@
   if (!examination_is_live(examination, holder))
     examination_add(examination, D_NO_SINGLETON_HOLDER, "the lease on %s is held by %s", name,
                     holder[0] ? holder : "nobody");
-  double report_ms = json_number(engine, "heardMs", -1);
-  if (report_ms < 0 || report_ms > ENGINE_REPORT_AGE_MAX_MS)
+  double report_age_ms = json_number(engine, "heardMs", -1);
+  if (report_age_ms < 0 || report_age_ms > ENGINE_REPORT_AGE_MAX_MS)
     examination_add(examination, D_NO_ANSWER, "%s at %s gives no report", name, address);
   else if (json_bool(engine, "odd", false))
     examination_add(examination, D_RESIDENT_DIFFERS, "the report of %s is malformed", name);
--- a/lib/doctor/check_gateways.c
+++ b/lib/doctor/check_gateways.c
@@ -9,11 +9,12 @@
   const char *name = json_text(service, "service", "?");
   double engines = json_number(service, "engines", 0);
   /* A gateway that has not yet received the list of engines knows none; that is no fault. */
-  bool counts = json_bool(service, "routed", false) && json_bool(node->gateway, "told", false);
-  if (counts && engines < 1)
+  bool needs_engine =
+      json_bool(service, "routed", false) && json_bool(node->gateway, "told", false);
+  if (needs_engine && engines < 1)
     examination_add(examination, D_SERVICE_NO_ENGINE,
                     "%s knows of no engine of %s, which routes lead to", node->self.text, name);
-  else if (counts && json_number(service, "usable", 0) < 1)
+  else if (needs_engine && json_number(service, "usable", 0) < 1)
     examination_add(examination, D_SERVICE_NO_ENGINE, "%s can use none of the %.0f engines of %s",
                     node->self.text, engines, name);
   if (!json_bool(service, "retryRoom", true))
--- a/lib/doctor/check_nodes.c
+++ b/lib/doctor/check_nodes.c
@@ -81,10 +81,10 @@
 static void check_router(examination *examination, const examined_node *node, double newest) {
   check_configuration(examination, node, newest);
   /* In a fleet of gateways, engines register at the controllers and no platform lists them. */
-  double list_ms = json_number(node->status, "listMs", -1);
-  if (!node->gateway && (list_ms < 0 || list_ms > ENGINE_LIST_AGE_MAX_MS))
+  double list_age_ms = json_number(node->status, "listMs", -1);
+  if (!node->gateway && (list_age_ms < 0 || list_age_ms > ENGINE_LIST_AGE_MAX_MS))
     examination_add(examination, D_ENGINE_LIST, "%s had its last list of engines %s",
-                    node->self.text, list_ms < 0 ? "never" : "over 5 s ago");
+                    node->self.text, list_age_ms < 0 ? "never" : "over 5 s ago");
   double refused = json_number(node->status, "paceFull", 0),
          granted = json_number(node->status, "paceGiven", 0);
   if (refused > REFUSED_PERMITS_TOLERATED && refused > granted)
