--- a/lib/cli/control_client.c
+++ b/lib/cli/control_client.c
@@ -89,7 +89,7 @@
   case HTTP_STATUS_NO_ANSWER:
     return EXIT_CODE_NO_ANSWER;
   default:
-    return EXIT_CODE_REFUSED;
+    return EXIT_CODE_FAILED;
   }
 }
 
--- a/lib/cli/doctor_command.c
+++ b/lib/cli/doctor_command.c
@@ -33,7 +33,7 @@
     print_as_json(findings);
   else
     print_as_text(findings);
-  enum exit_code exit_code = findings->len ? EXIT_CODE_REFUSED : EXIT_CODE_OK;
+  enum exit_code exit_code = findings->len ? EXIT_CODE_FAILED : EXIT_CODE_OK;
   g_array_free(findings, TRUE);
   g_strfreev(addresses);
   return exit_code;
--- a/lib/cli/exit_code.h
+++ b/lib/cli/exit_code.h
@@ -6,7 +6,7 @@
   /** Done, and nothing wrong found. */
   EXIT_CODE_OK = 0,
   /** The fleet rejected the request, the command failed, or the doctor found a fault. */
-  EXIT_CODE_REFUSED = 1,
+  EXIT_CODE_FAILED = 1,
   /** Bad command line, or an input file that can't be read. */
   EXIT_CODE_USAGE = 2,
   /** Another write came first: the resource no longer has the version that --if-version names. */
--- a/lib/cli/gateways_command.c
+++ b/lib/cli/gateways_command.c
@@ -44,5 +44,5 @@
     if (node_is_live_router(json_at(nodes, i)))
       answered += print_router(context, json_at(nodes, i));
   json_free(nodes);
-  return answered ? EXIT_CODE_OK : EXIT_CODE_REFUSED;
+  return answered ? EXIT_CODE_OK : EXIT_CODE_FAILED;
 }
--- a/lib/cli/record_command.c
+++ b/lib/cli/record_command.c
@@ -104,5 +104,5 @@
   bool is_written = write_trace(&recording, file);
   printf("%u requests recorded\n", recording.requests->len);
   recording_clear(&recording);
-  return is_written ? EXIT_CODE_OK : EXIT_CODE_REFUSED;
+  return is_written ? EXIT_CODE_OK : EXIT_CODE_FAILED;
 }
