--- a/tests/doctor/operators.c
+++ b/tests/doctor/operators.c
@@ -104,7 +104,7 @@
 }
 
 /* Findings before and after the first configuration. */
-static void doctor_at_start(deployment *deployment) {
+static void diagnose_missing_configuration(deployment *deployment) {
   fleet *fleet = deployment->fleet;
   list_for_each (h, &deployment->sim->hosts, host, link)
     host_start(h);
@@ -120,7 +120,7 @@
 }
 
 /* Findings about engines: a service without engines, and an engine that does not respond. */
-static void doctor_at_engine_faults(deployment *deployment) {
+static void diagnose_engine_faults(deployment *deployment) {
   fleet *fleet = deployment->fleet;
   for (size_t i = 4; i < 6; i++)
     host_kill(deployment->engine_processes[i]->host);
@@ -138,7 +138,7 @@
 }
 
 /* Findings when responses are truncated until the retry budget is used up. */
-static void doctor_at_cut_responses(deployment *deployment) {
+static void diagnose_truncated_responses(deployment *deployment) {
   for (int t = 0; t < 15; t++) {
     for (size_t i = 0; i < 6; i++) {
       deployment->engine_processes[i]->plan.faults.truncate_responses = 60;
@@ -155,7 +155,7 @@
 }
 
 /* Findings about a draining gateway, checked before its process ends. */
-static void doctor_at_gateway_drain(deployment *deployment) {
+static void diagnose_gateway_drain(deployment *deployment) {
   fleet *fleet = deployment->fleet;
   deployment_terminate_gateway(deployment, deployment->gateway_processes[0]);
   sim_run(deployment->sim, time_from_ms(200));
@@ -166,7 +166,7 @@
 }
 
 /* Findings when all orders to load models are lost. */
-static void doctor_at_lost_load_orders(deployment *deployment) {
+static void diagnose_lost_load_orders(deployment *deployment) {
   fleet *fleet = deployment->fleet;
   for (size_t i = 0; i < 4; i++)
     deployment->engine_processes[i]->plan.faults.drop_orders = 100000;
@@ -186,7 +186,7 @@
 }
 
 /* Findings while the load rate limiter is dead and no other node has taken over its lease. */
-static void doctor_at_lost_rate_limiter(deployment *deployment) {
+static void diagnose_lost_rate_limiter(deployment *deployment) {
   fleet *fleet = deployment->fleet;
   sim_run(deployment->sim, time_from_ms(6000));
   deployment_finish_traffic(deployment);
@@ -201,12 +201,12 @@
 
 static bool the_doctor_diagnoses_gateway_faults(fleet *fleet) {
   deployment *deployment = deployment_new(fleet, 4, 2);
-  doctor_at_start(deployment);
-  doctor_at_engine_faults(deployment);
-  doctor_at_cut_responses(deployment);
-  doctor_at_gateway_drain(deployment);
-  doctor_at_lost_load_orders(deployment);
-  doctor_at_lost_rate_limiter(deployment);
+  diagnose_missing_configuration(deployment);
+  diagnose_engine_faults(deployment);
+  diagnose_truncated_responses(deployment);
+  diagnose_gateway_drain(deployment);
+  diagnose_lost_load_orders(deployment);
+  diagnose_lost_rate_limiter(deployment);
   bool ok = !fleet->violations->len;
   deployment_free(deployment);
   return ok;
--- a/tests/scenario.c
+++ b/tests/scenario.c
@@ -11,7 +11,7 @@
   /* enough for all probes of the doctor, each with its own timeout */
   DOCTOR_TIMEOUT_MS = 200000,
   /* jitter of the message delay in a healed fleet, in ms */
-  HEALED_SPREAD_MS = 2
+  HEALED_JITTER_MS = 2
 };
 
 const char *const zone_names[3] = { "north", "mid", "south" };
@@ -69,7 +69,7 @@
   return status;
 }
 
-static void check_resource_stands(fleet *fleet, int resource, uint64_t acknowledged) {
+static void check_resource_kept(fleet *fleet, int resource, uint64_t acknowledged) {
   uint64_t version;
   int status = read_at_tail(fleet, resource, &version);
   for (int attempt = 1; status == 503 && attempt < READ_ATTEMPTS_MAX; attempt++) {
@@ -86,7 +86,7 @@
   for (int resource = 0; resource < RESOURCE_COUNT; resource++) {
     uint64_t acknowledged = acknowledged_version(fleet, resource);
     if (acknowledged)
-      check_resource_stands(fleet, resource, acknowledged);
+      check_resource_kept(fleet, resource, acknowledged);
   }
 }
 
@@ -125,7 +125,7 @@
   }
   sim_heal_partitions(fleet->sim);
   fleet->sim->loss_ratio = 0;
-  fleet->sim->jitter_ms = HEALED_SPREAD_MS;
+  fleet->sim->jitter_ms = HEALED_JITTER_MS;
   for (int i = 0; i < 3; i++)
     fleet->controller[i]->disk->sync_delay_ms = 0;
 }
@@ -135,8 +135,8 @@
           interval = time_from_ms(interval_ms);
   while (fleet->sim->now.us < until.us) {
     fleet_write_policy_marker(fleet);
-    time_us left = time_sub(until, fleet->sim->now);
-    sim_run(fleet->sim, left.us < interval.us ? left : interval);
+    time_us remaining = time_sub(until, fleet->sim->now);
+    sim_run(fleet->sim, remaining.us < interval.us ? remaining : interval);
   }
 }
 
