--- a/tests/compatibility/messages.c
+++ b/tests/compatibility/messages.c
@@ -242,15 +242,15 @@
 }
 
 /* Compares a text with its golden file. With WRITE_GOLDEN it writes the file first. */
-static void compare_with_golden_file(fleet *fleet, const char *file, const GString *now) {
+static void compare_with_golden_file(fleet *fleet, const char *file, const GString *current) {
   if (g_getenv("WRITE_GOLDEN"))
-    g_file_set_contents(file, now->str, (gssize)now->len, NULL);
+    g_file_set_contents(file, current->str, (gssize)current->len, NULL);
   char *golden = read_golden_file(fleet, file);
   if (golden) {
-    report_missing_lines(fleet, file, golden, now->str, "missing in this version");
-    report_missing_lines(fleet, file, now->str, golden, "new or changed in this version");
+    report_missing_lines(fleet, file, golden, current->str, "missing in this version");
+    report_missing_lines(fleet, file, current->str, golden, "new or changed in this version");
   }
-  if (golden && strcmp(golden, now->str))
+  if (golden && strcmp(golden, current->str))
     fleet_add_violation(fleet, "%s differs from the output of this version", file);
   g_free(golden);
 }
--- a/tests/compatibility/outward.c
+++ b/tests/compatibility/outward.c
@@ -140,9 +140,10 @@
   return FALSE;
 }
 
-static void report_difference(fleet *fleet, const char *file, const char *golden, const char *now) {
+static void report_difference(fleet *fleet, const char *file, const char *golden,
+                              const char *current) {
   char **expected = g_strsplit(golden, "\n", -1);
-  char **lines = g_strsplit(now, "\n", -1);
+  char **lines = g_strsplit(current, "\n", -1);
   for (char **line = expected; *line; line++)
     if (!g_strv_contains((const char *const *)lines, *line))
       fleet_add_violation(fleet, "%s: no longer seen: %.150s", file, *line);
@@ -157,18 +158,18 @@
  * first.
  */
 static void compare_lines_with_file(outward_lines *lines, const char *file) {
-  GString *now = g_string_new(NULL);
+  GString *current = g_string_new(NULL);
   char *golden = NULL;
-  g_tree_foreach(lines->lines, append_line, now);
+  g_tree_foreach(lines->lines, append_line, current);
   if (g_getenv("WRITE_GOLDEN"))
-    g_file_set_contents(file, now->str, (gssize)now->len, NULL);
+    g_file_set_contents(file, current->str, (gssize)current->len, NULL);
   if (!g_file_get_contents(file, &golden, NULL, NULL))
     fleet_add_violation(lines->fleet, "%s can't be read; run the tests in the repository's root",
                         file);
   else
-    report_difference(lines->fleet, file, golden, now->str);
+    report_difference(lines->fleet, file, golden, current->str);
   g_free(golden);
-  g_string_free(now, TRUE);
+  g_string_free(current, TRUE);
   g_tree_destroy(lines->lines);
 }
 
--- a/tests/compatibility/stored_data.c
+++ b/tests/compatibility/stored_data.c
@@ -12,8 +12,8 @@
 
 /** What a data folder holds. */
 typedef struct stored_controller {
-  const char *area, *addr, *disk;
-  double last;
+  const char *zone, *address, *disk;
+  double last_sequence;
   uint64_t acceptor_epoch, acceptor_round;
   const char *acceptor_proposer;
   bool acceptor_has_view;
@@ -57,11 +57,11 @@
 
 /* Gives a controller of the emulated fleet the settings and the data folder of a stored one. */
 static void prepare_controller(host *host, const stored_controller *from) {
-  host->area = host->settings.zone = id_of_text(from->area);
-  g_strlcpy(host->addr, from->addr, sizeof host->addr);
-  g_strlcpy(host->settings.address, from->addr, sizeof host->settings.address);
+  host->area = host->settings.zone = id_of_text(from->zone);
+  g_strlcpy(host->addr, from->address, sizeof host->addr);
+  g_strlcpy(host->settings.address, from->address, sizeof host->settings.address);
   for (int i = 0; i < STORED_CONTROLLERS; i++)
-    g_strlcpy(host->settings.seed_addresses[i], stored[i].addr,
+    g_strlcpy(host->settings.seed_addresses[i], stored[i].address,
               sizeof host->settings.seed_addresses[i]);
   load_data_folder(host);
 }
@@ -91,20 +91,21 @@
   return answer;
 }
 
-static void expect_number(fleet *fleet, const char *what, double is, double expected) {
-  if (is != expected)
-    fleet_add_violation(fleet, "%s is %.0f, stored was %.0f", what, is, expected);
+static void expect_number(fleet *fleet, const char *what, double actual, double expected) {
+  if (actual != expected)
+    fleet_add_violation(fleet, "%s is %.0f, stored was %.0f", what, actual, expected);
 }
 
-static void expect_text(fleet *fleet, const char *what, const char *is, const char *expected) {
-  if (strcmp(is, expected))
-    fleet_add_violation(fleet, "%s is %.200s, stored was %.200s", what, is, expected);
+static void expect_text(fleet *fleet, const char *what, const char *actual, const char *expected) {
+  if (strcmp(actual, expected))
+    fleet_add_violation(fleet, "%s is %.200s, stored was %.200s", what, actual, expected);
 }
 
-static void expect_same_json(fleet *fleet, const char *what, const json *is, const char *expected) {
+static void expect_same_json(fleet *fleet, const char *what, const json *actual,
+                             const char *expected) {
   GString *text = g_string_new(NULL), *wanted = g_string_new(NULL);
   json *stored_value = json_parse(string_view_of(expected ? expected : ""), NULL);
-  json_write(is, text);
+  json_write(actual, text);
   json_write(stored_value, wanted);
   expect_text(fleet, what, text->str, wanted->str);
   json_free(stored_value);
@@ -143,7 +144,7 @@
   expect_text(fleet, "the disk's id", json_text(json_get(status, "disk"), "id", ""), from->disk);
   expect_number(fleet, "the view's epoch", json_number(status, "epoch", 0), stored_epoch);
   expect_number(fleet, "the sequence number of the last record", json_number(status, "last", 0),
-                from->last);
+                from->last_sequence);
   if (!json_bool(status, "whole", false))
     fleet_add_violation(fleet, "the stored replica no longer counts as complete");
   json_free(status);
@@ -229,7 +230,7 @@
     expect_resource(fleet, resource_names[i]);
   expect_singleton_leases(fleet);
   expect_stored_key(fleet);
-  if (fleet_put(fleet, "evacuation", "{\"areas\":[]}") <= stored[0].last)
+  if (fleet_put(fleet, "evacuation", "{\"areas\":[]}") <= stored[0].last_sequence)
     fleet_add_violation(fleet, "no new write was accepted after the stored ones");
   return true;
 }
