--- a/bin/asterfall-emulate.c
+++ b/bin/asterfall-emulate.c
@@ -177,8 +177,8 @@
 }
 
 /** Applies the command line to a day. Returns a code other than OK, with err set, on failure. */
-static enum error_code change_day(day *day, const struct options *options, const char *policy,
-                                  error *err) {
+static enum error_code apply_options(day *day, const struct options *options, const char *policy,
+                                     error *err) {
   if (options->without_day_faults)
     day->fault_count = 0;
   if (options->duration_s > 0)
@@ -197,7 +197,7 @@
                       error *err) {
   side->result = g_new0(day_result, 1);
   side->day = read_day_file(options->day_file, err);
-  return side->day && change_day(side->day, options, policy, err) == OK;
+  return side->day && apply_options(side->day, options, policy, err) == OK;
 }
 
 static void side_clear(struct side *side) {
--- a/bin/asterfall-loadgen.c
+++ b/bin/asterfall-loadgen.c
@@ -194,9 +194,9 @@
 
 /** Runs the clients until all requests have ended, and prints the outcomes. */
 static enum program_exit generate_load(const struct options *options, const config *config) {
-  real_settings caller = { .port = 0 };
-  g_strlcpy(caller.ip, options->ip, sizeof caller.ip);
-  world *world = program_client_world(program_name, &caller);
+  real_settings client_settings = { .port = 0 };
+  g_strlcpy(client_settings.ip, options->ip, sizeof client_settings.ip);
+  world *world = program_client_world(program_name, &client_settings);
   if (!world)
     return PROGRAM_EXIT_NOT_STARTED;
   loadgen *loadgen = loadgen_new(world, id_of_text("loadgen"));
