--- a/bench/scale.c
+++ b/bench/scale.c
@@ -241,12 +241,12 @@
   snprintf(to, n, "127.%d.0.%d", loopback_net, i + 1);
 }
 
-static void bench_settings(settings *settings, enum role role, const bench_node *h, int zone) {
+static void bench_settings(settings *settings, enum role role, const bench_node *node, int zone) {
   memset(settings, 0, sizeof *settings);
   settings->role = role;
-  settings->self = id_of_text(h->name);
+  settings->self = id_of_text(node->name);
   snprintf(settings->zone.text, sizeof settings->zone.text, "zone-%d", zone);
-  snprintf(settings->address, sizeof settings->address, "%s:%d", h->ip, PEER_PORT);
+  snprintf(settings->address, sizeof settings->address, "%s:%d", node->ip, PEER_PORT);
   for (int i = 0; i < CONTROLLERS; i++) {
     char ip[24];
     controller_ip(i, ip, sizeof ip);
@@ -269,10 +269,10 @@
   (void)line;
 }
 
-static world *make_world(bench_node *h, const char *data) {
+static world *make_world(bench_node *node, const char *data) {
   real_settings x = { .port = PEER_PORT, .body_max_bytes = 1 << 20 };
   error err = { 0 };
-  g_strlcpy(x.ip, h->ip, sizeof x.ip);
+  g_strlcpy(x.ip, node->ip, sizeof x.ip);
   if (data)
     g_strlcpy(x.data_dir, data, sizeof x.data_dir);
   world *world = real_world_new(&x, &err);
@@ -287,38 +287,39 @@
 }
 
 static void *run_gateway(void *p) {
-  bench_node *h = current_node = p;
+  bench_node *node = current_node = p;
   co_thread_init();
   settings v;
   error err = { 0 };
   pthread_mutex_lock(&startup_lock);
-  h->world = make_world(h, NULL);
-  bench_settings(&v, ROLE_ROUTER, h, 1 + h->index % 15);
-  h->router = router_new(h->world, &v);
+  node->world = make_world(node, NULL);
+  bench_settings(&v, ROLE_ROUTER, node, 1 + node->index % 15);
+  node->router = router_new(node->world, &v);
   gateway_settings x = { .front_port = FRONT_PORT,
                          .ready_port = READY_PORT,
                          .dialect = &dialect_native,
                          .heartbeat_ms = HEARTBEAT_INTERVAL_MS,
                          .load_window_s = 5,
                          .load_excess = 1.1 };
-  g_strlcpy(x.front_ip, h->ip, sizeof x.front_ip);
-  g_strlcpy(x.ready_ip, h->ip, sizeof x.ready_ip);
-  h->gateway = gateway_new(h->router, &x, &err);
-  if (!h->gateway || gateway_open(h->gateway, &err)) {
+  g_strlcpy(x.front_ip, node->ip, sizeof x.front_ip);
+  g_strlcpy(x.ready_ip, node->ip, sizeof x.ready_ip);
+  node->gateway = gateway_new(node->router, &x, &err);
+  if (!node->gateway || gateway_open(node->gateway, &err)) {
     fprintf(stderr, "scale: %s\n", err.text);
     _exit(2);
   }
   pthread_mutex_unlock(&startup_lock);
-  h->receive_message = h->world->on_message;
-  h->world->on_message = count_and_receive;
-  h->on_installed = h->router->on_installed;
-  h->router->on_installed = report_configuration;
-  h->on_engines = h->router->on_engines_changed;
-  h->router->on_engines_changed = on_engines_received;
-  h->handle_engine_update = h->router->node.rpc.handlers[WIRE__ENVELOPE__BODY_ENGINE_UPDATE].fn;
-  h->router->node.rpc.handlers[WIRE__ENVELOPE__BODY_ENGINE_UPDATE].fn = on_engine_update;
-  task_start(&h->world->tasks, "sample", report_samples, h->is_solo ? "alone" : "node");
-  real_world_run(h->world, NULL, NULL);
+  node->receive_message = node->world->on_message;
+  node->world->on_message = count_and_receive;
+  node->on_installed = node->router->on_installed;
+  node->router->on_installed = report_configuration;
+  node->on_engines = node->router->on_engines_changed;
+  node->router->on_engines_changed = on_engines_received;
+  node->handle_engine_update =
+      node->router->node.rpc.handlers[WIRE__ENVELOPE__BODY_ENGINE_UPDATE].fn;
+  node->router->node.rpc.handlers[WIRE__ENVELOPE__BODY_ENGINE_UPDATE].fn = on_engine_update;
+  task_start(&node->world->tasks, "sample", report_samples, node->is_solo ? "alone" : "node");
+  real_world_run(node->world, NULL, NULL);
   return NULL;
 }
 
@@ -329,48 +330,48 @@
   setrlimit(RLIMIT_NOFILE, &r);
 }
 
-static void gateways_process(int from, int count, bool alone) {
-  bench_node *h = g_new0(bench_node, (gsize)count);
-  set_open_files_limit(alone ? SOLO_OPEN_FILES : 20000);
+static void gateways_process(int from, int count, bool is_solo) {
+  bench_node *node = g_new0(bench_node, (gsize)count);
+  set_open_files_limit(is_solo ? SOLO_OPEN_FILES : 20000);
   for (int i = 0; i < count; i++) {
-    h[i].index = from + i;
-    h[i].is_solo = alone;
-    snprintf(h[i].name, sizeof h[i].name, "node-%d", from + i);
-    snprintf(h[i].ip, sizeof h[i].ip, "127.%d.%d.%d", loopback_net + 1, (from + i) / 200,
+    node[i].index = from + i;
+    node[i].is_solo = is_solo;
+    snprintf(node[i].name, sizeof node[i].name, "node-%d", from + i);
+    snprintf(node[i].ip, sizeof node[i].ip, "127.%d.%d.%d", loopback_net + 1, (from + i) / 200,
              1 + (from + i) % 200);
     pthread_t t;
-    pthread_create(&t, NULL, run_gateway, &h[i]);
+    pthread_create(&t, NULL, run_gateway, &node[i]);
   }
   for (int k = 0; k <= PHASES; k++) {
     sleep_until(phase_starts_us[k]);
-    report_sockets(k, alone ? "alone" : "node", count);
+    report_sockets(k, is_solo ? "alone" : "node", count);
   }
   pause();
 }
 
 static void controller_process(int i) {
-  bench_node *h = current_node = g_new0(bench_node, 1);
+  bench_node *node = current_node = g_new0(bench_node, 1);
   char data[128];
   error err = { 0 };
   settings v;
   set_open_files_limit(20000);
-  h->index = i;
-  snprintf(h->name, sizeof h->name, "core-%d", i);
-  controller_ip(i, h->ip, sizeof h->ip);
+  node->index = i;
+  snprintf(node->name, sizeof node->name, "core-%d", i);
+  controller_ip(i, node->ip, sizeof node->ip);
   snprintf(data, sizeof data, "%s/%d", data_root, i);
   g_mkdir_with_parents(data, 0700);
-  h->world = make_world(h, data);
-  bench_settings(&v, ROLE_CONTROLLER, h, 1 + i * 5);
+  node->world = make_world(node, data);
+  bench_settings(&v, ROLE_CONTROLLER, node, 1 + i * 5);
   g_strlcpy(v.data_dir, data, sizeof v.data_dir);
-  h->controller = controller_new(h->world, &v);
-  h->receive_message = h->world->on_message;
-  h->world->on_message = count_and_receive;
-  if (controller_open_control_listener(h->controller, h->ip, CONTROL_PORT, NULL, &err)) {
+  node->controller = controller_new(node->world, &v);
+  node->receive_message = node->world->on_message;
+  node->world->on_message = count_and_receive;
+  if (controller_open_control_listener(node->controller, node->ip, CONTROL_PORT, NULL, &err)) {
     fprintf(stderr, "scale: %s\n", err.text);
     _exit(2);
   }
-  task_start(&h->world->tasks, "sample", report_samples, "core");
-  real_world_run(h->world, NULL, NULL);
+  task_start(&node->world->tasks, "sample", report_samples, "core");
+  real_world_run(node->world, NULL, NULL);
   _exit(0);
 }
 
@@ -408,44 +409,44 @@
     if (now >= phase_starts_us[2] && now < phase_starts_us[3] &&
         now - churned >= 1000000 / CHURN_PER_S) {
       churned = now;
-      simulated_engine *b = &all[LEAVING_ENGINES + rand() % MAX(1, engines - LEAVING_ENGINES)];
-      b->model = (b->model + 1) % models;
+      simulated_engine *engine = &all[LEAVING_ENGINES + rand() % MAX(1, engines - LEAVING_ENGINES)];
+      engine->model = (engine->model + 1) % models;
     }
     for (int i = 0; i < engines; i++) {
-      simulated_engine *b = &all[i];
-      if (b->due <= now) {
-        char got[4096], body[512], text[1024];
+      simulated_engine *engine = &all[i];
+      if (engine->due <= now) {
+        char response[4096], body[512], text[1024];
         char ip[24];
-        b->due += (int64_t)HEARTBEAT_INTERVAL_MS * 1000;
+        engine->due += (int64_t)HEARTBEAT_INTERVAL_MS * 1000;
         controller_ip(i % CONTROLLERS, ip, sizeof ip);
-        if (b->fd >= 0) {
-          ssize_t n = recv(b->fd, got, sizeof got, MSG_DONTWAIT);
+        if (engine->fd >= 0) {
+          ssize_t n = recv(engine->fd, response, sizeof response, MSG_DONTWAIT);
           if (n == 0 || (n < 0 && errno != EAGAIN)) {
-            close(b->fd);
-            b->fd = -1;
+            close(engine->fd);
+            engine->fd = -1;
             failed++;
           }
         }
-        if (b->fd < 0 && (b->fd = connect_to(ip, CONTROL_PORT)) < 0)
+        if (engine->fd < 0 && (engine->fd = connect_to(ip, CONTROL_PORT)) < 0)
           continue;
         int n = snprintf(
             body, sizeof body,
             "{\"service\":\"llm\",\"address\":\"127.%d.%d.%d:9\",\"zone\":\"zone-%d\",\"version\":\"v1\",\"slots\":16,\"count\":%" PRIu64
             ",\"state\":\"ready\",\"coldMs\":0,"
             "\"models\":[{\"name\":\"m%d\",\"adapters\":[]},{\"name\":\"m%d\",\"adapters\":[\"a1\",\"a2\"]}]}",
-            loopback_net + 2, i / 200, 1 + i % 200, 1 + i % 15, ++b->count, b->model,
-            (b->model + 7) % models);
+            loopback_net + 2, i / 200, 1 + i % 200, 1 + i % 15, ++engine->count, engine->model,
+            (engine->model + 7) % models);
         n = snprintf(
             text, sizeof text,
             "POST /v1/engines/e%d/beat HTTP/1.1\r\nHost: %s\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s",
             i, ip, n, body);
-        if (send(b->fd, text, (size_t)n, MSG_NOSIGNAL) != n) {
-          close(b->fd);
-          b->fd = -1;
+        if (send(engine->fd, text, (size_t)n, MSG_NOSIGNAL) != n) {
+          close(engine->fd);
+          engine->fd = -1;
           failed++;
         }
       }
-      next = MIN(next, b->due);
+      next = MIN(next, engine->due);
     }
     int64_t gap = next - now_us();
     if (gap > 0)
@@ -454,9 +455,11 @@
 }
 
 /* Sends one request to a control listener, as an operator does. Returns the HTTP status, or 0
- * without a response. On a redirect (307), stores the host of the head of the chain in `lead`. */
-static int request_once(const char *ip, const char *method, const char *path, const char *more,
-                        const char *body, char *lead, size_t n) {
+ * without a response. On a redirect (307), stores the IP of the head of the chain in
+ * `redirect_ip`, unless that is NULL. */
+static int request_once(const char *ip, const char *method, const char *path,
+                        const char *extra_fields, const char *body, char *redirect_ip,
+                        size_t redirect_ip_size) {
   int fd = connect_to(ip, CONTROL_PORT);
   if (fd < 0)
     return 0;
@@ -464,18 +467,19 @@
   g_string_printf(
       t,
       "%s %s HTTP/1.1\r\nHost: x\r\n%sContent-Type: application/json\r\nContent-Length: %zu\r\nConnection: close\r\n\r\n%s",
-      method, path, more, strlen(body), body);
+      method, path, extra_fields, strlen(body), body);
   ssize_t k = send(fd, t->str, t->len, MSG_NOSIGNAL);
-  char got[4096] = "";
+  char response[4096] = "";
   size_t len = 0;
   int status = 0;
-  while (k > 0 && len < sizeof got - 1 && (k = recv(fd, got + len, sizeof got - 1 - len, 0)) > 0)
+  while (k > 0 && len < sizeof response - 1 &&
+         (k = recv(fd, response + len, sizeof response - 1 - len, 0)) > 0)
     len += (size_t)k;
-  sscanf(got, "HTTP/1.1 %d", &status);
-  const char *l = strstr(got, "http://");
-  if (lead && status == 307 && l) {
-    g_strlcpy(lead, l + 7, n);
-    char *c = strchr(lead, ':');
+  sscanf(response, "HTTP/1.1 %d", &status);
+  const char *l = strstr(response, "http://");
+  if (redirect_ip && status == 307 && l) {
+    g_strlcpy(redirect_ip, l + 7, redirect_ip_size);
+    char *c = strchr(redirect_ip, ':');
     if (c)
       *c = 0;
   }
@@ -505,12 +509,13 @@
 
 static char head_ip[24];
 static int64_t put_config(uint64_t version) {
-  char more[80], *text = make_config_text(version);
-  snprintf(more, sizeof more, "Asterfall-Base-Version: %" PRIu64 "\r\n", version - 1);
+  char extra_fields[80], *text = make_config_text(version);
+  snprintf(extra_fields, sizeof extra_fields, "Asterfall-Base-Version: %" PRIu64 "\r\n",
+           version - 1);
   int64_t sent = now_us();
-  int st = request_once(head_ip, "PUT", "/v1/routing", more, text, head_ip, sizeof head_ip);
+  int st = request_once(head_ip, "PUT", "/v1/routing", extra_fields, text, head_ip, sizeof head_ip);
   if (st == 307)
-    st = request_once(head_ip, "PUT", "/v1/routing", more, text, NULL, 0);
+    st = request_once(head_ip, "PUT", "/v1/routing", extra_fields, text, NULL, 0);
   g_free(text);
   return st == 200 ? sent : 0;
 }
@@ -552,7 +557,7 @@
   GArray *change_at[CHANGES_MAX], *leave_at[LEAVING_ENGINES];
 } collected_reports;
 
-static void parse_report(collected_reports *h, const char *l) {
+static void parse_report(collected_reports *reports, const char *line) {
   char role[8];
   int k, i, kind;
   message_counts s;
@@ -560,54 +565,54 @@
   long wakes;
   unsigned long long a, b, c;
   uint64_t version;
-  if (sscanf(l, "S %d %7s %d %" SCNd64 " %ld %" SCNu64 " %" SCNu64 " %" SCNu64 " %" SCNu64, &k,
+  if (sscanf(line, "S %d %7s %d %" SCNd64 " %ld %" SCNu64 " %" SCNu64 " %" SCNu64 " %" SCNu64, &k,
              role, &i, &cpu, &wakes, &s.messages_out, &s.bytes_out, &s.messages_in,
              &s.bytes_in) == 9) {
-    node_sample *p = &h->samples[k][role_of(role) == R_CORE ? NODES_MAX + i : i];
+    node_sample *p = &reports->samples[k][role_of(role) == R_CORE ? NODES_MAX + i : i];
     g_strlcpy(p->role, role, sizeof p->role);
     p->cpu_us = cpu;
     p->context_switches = wakes;
     p->counts = s;
-  } else if (sscanf(l, "K %d %7s %d %d %" SCNu64 " %" SCNu64 " %" SCNu64 " %" SCNu64, &k, role, &i,
-                    &kind, &s.messages_out, &s.bytes_out, &s.messages_in, &s.bytes_in) == 8) {
-    message_counts *t = &h->counts_by_kind[k][role_of(role)][kind];
+  } else if (sscanf(line, "K %d %7s %d %d %" SCNu64 " %" SCNu64 " %" SCNu64 " %" SCNu64, &k, role,
+                    &i, &kind, &s.messages_out, &s.bytes_out, &s.messages_in, &s.bytes_in) == 8) {
+    message_counts *t = &reports->counts_by_kind[k][role_of(role)][kind];
     t->messages_out += s.messages_out;
     t->bytes_out += s.bytes_out;
     t->messages_in += s.messages_in;
     t->bytes_in += s.bytes_in;
-  } else if (sscanf(l, "T %d %7s %d %llu %llu %llu %d", &k, role, &i, &a, &b, &c, &kind) == 7) {
-    uint64_t *t = h->tcp[k][role_of(role)];
+  } else if (sscanf(line, "T %d %7s %d %llu %llu %llu %d", &k, role, &i, &a, &b, &c, &kind) == 7) {
+    uint64_t *t = reports->tcp[k][role_of(role)];
     t[0] += a;
     t[1] += b;
     t[2] += c;
     t[3] += (uint64_t)kind;
-    h->tcp_count[k][role_of(role)] += i;
-  } else if (sscanf(l, "C %" SCNu64 " %" SCNd64, &version, &us) == 2) {
+    reports->tcp_count[k][role_of(role)] += i;
+  } else if (sscanf(line, "C %" SCNu64 " %" SCNd64, &version, &us) == 2) {
     if (version < CHANGES_MAX)
-      g_array_append_val(h->change_at[version], us);
-  } else if (sscanf(l, "L %d %" SCNd64, &i, &us) == 2)
-    g_array_append_val(h->leave_at[i], us);
+      g_array_append_val(reports->change_at[version], us);
+  } else if (sscanf(line, "L %d %" SCNd64, &i, &us) == 2)
+    g_array_append_val(reports->leave_at[i], us);
 }
 
-static void collect_reports(collected_reports *h, int64_t till) {
+static void collect_reports(collected_reports *reports, int64_t until) {
   do {
     struct pollfd p = { report_pipe[0], POLLIN, 0 };
-    int64_t left = (till - now_us()) / 1000;
-    if (poll(&p, 1, (int)CLAMP(left, 0, 200)) <= 0)
+    int64_t remaining_ms = (until - now_us()) / 1000;
+    if (poll(&p, 1, (int)CLAMP(remaining_ms, 0, 200)) <= 0)
       continue;
     char buf[65536];
     ssize_t n = read(report_pipe[0], buf, sizeof buf);
     if (n <= 0)
       return;
-    g_string_append_len(h->unparsed, buf, n);
-    char *from = h->unparsed->str, *nl;
+    g_string_append_len(reports->unparsed, buf, n);
+    char *from = reports->unparsed->str, *nl;
     while ((nl = strchr(from, '\n'))) {
       *nl = 0;
-      parse_report(h, from);
+      parse_report(reports, from);
       from = nl + 1;
     }
-    g_string_erase(h->unparsed, 0, from - h->unparsed->str);
-  } while (now_us() < till);
+    g_string_erase(reports->unparsed, 0, from - reports->unparsed->str);
+  } while (now_us() < until);
 }
 
 static double rss_mb(pid_t pid) {
@@ -634,19 +639,19 @@
   return n;
 }
 
-static void summarize_delays(GArray **of, const int64_t *from, int n, int want, double *p50,
-                             double *most, int *whole) {
+static void summarize_delays(GArray **reported_at_us, const int64_t *started_at_us, int count,
+                             int expected, double *p50, double *max, int *complete) {
   GArray *ms = g_array_new(FALSE, FALSE, sizeof(double));
-  *whole = 0;
-  *most = 0;
-  for (int i = 0; i < n; i++) {
-    if (!from[i])
+  *complete = 0;
+  *max = 0;
+  for (int i = 0; i < count; i++) {
+    if (!started_at_us[i])
       continue;
-    *whole += (int)of[i]->len >= want;
-    for (guint k = 0; k < of[i]->len; k++) {
-      double d = (double)(g_array_index(of[i], int64_t, k) - from[i]) / 1000;
+    *complete += (int)reported_at_us[i]->len >= expected;
+    for (guint k = 0; k < reported_at_us[i]->len; k++) {
+      double d = (double)(g_array_index(reported_at_us[i], int64_t, k) - started_at_us[i]) / 1000;
       g_array_append_val(ms, d);
-      *most = MAX(*most, d);
+      *max = MAX(*max, d);
     }
   }
   qsort(ms->data, ms->len, sizeof(double), compare_doubles);
@@ -655,15 +660,15 @@
 }
 
 static size_result measure_size(void) {
-  size_result r = { .nodes = nodes, .engines = engines, .models = models };
-  collected_reports *h = g_new0(collected_reports, 1);
-  h->unparsed = g_string_new(NULL);
+  size_result result = { .nodes = nodes, .engines = engines, .models = models };
+  collected_reports *reports = g_new0(collected_reports, 1);
+  reports->unparsed = g_string_new(NULL);
   for (int k = 0; k <= PHASES; k++)
-    h->samples[k] = g_new0(node_sample, NODES_MAX + CONTROLLERS);
+    reports->samples[k] = g_new0(node_sample, NODES_MAX + CONTROLLERS);
   for (int i = 0; i < CHANGES_MAX; i++)
-    h->change_at[i] = g_array_new(FALSE, FALSE, sizeof(int64_t));
+    reports->change_at[i] = g_array_new(FALSE, FALSE, sizeof(int64_t));
   for (int i = 0; i < LEAVING_ENGINES; i++)
-    h->leave_at[i] = g_array_new(FALSE, FALSE, sizeof(int64_t));
+    reports->leave_at[i] = g_array_new(FALSE, FALSE, sizeof(int64_t));
   if (pipe(report_pipe))
     abort();
   snprintf(data_root, sizeof data_root, "/tmp/scale-XXXXXX");
@@ -698,46 +703,46 @@
     FORK(R_NODE, MIN(GATEWAYS_PER_PROCESS, nodes - i),
          gateways_process(i, MIN(GATEWAYS_PER_PROCESS, nodes - i), false));
   FORK(-1, 0, engines_process());
-  r.processes = n + 1;
-  int64_t sent[CHANGES_MAX] = { 0 }, left[LEAVING_ENGINES] = { 0 };
+  result.processes = n + 1;
+  int64_t change_sent_at_us[CHANGES_MAX] = { 0 }, leave_started_at_us[LEAVING_ENGINES] = { 0 };
   uint64_t version = 0;
-  collect_reports(h, start + 3000000);
+  collect_reports(reports, start + 3000000);
   while (!version && now_us() < phase_starts_us[0] - 4000000) {
     if (put_config(1))
       version = 1;
     else
-      collect_reports(h, now_us() + 500000);
+      collect_reports(reports, now_us() + 500000);
   }
   if (!version)
     fprintf(stderr, "scale: the first configuration was not accepted\n");
-  collect_reports(h, phase_starts_us[1] - 100000);
+  collect_reports(reports, phase_starts_us[1] - 100000);
   for (int i = 0; i < n; i++) {
     if (proc[i].role < 0)
       continue;
     double mb = rss_mb(proc[i].pid);
-    r.rss_mb[proc[i].role] = MAX(r.rss_mb[proc[i].role], mb / proc[i].count);
-    r.fds[proc[i].role] =
-        MAX(r.fds[proc[i].role], (double)count_descriptors(proc[i].pid) / proc[i].count);
+    result.rss_mb[proc[i].role] = MAX(result.rss_mb[proc[i].role], mb / proc[i].count);
+    result.fds[proc[i].role] =
+        MAX(result.fds[proc[i].role], (double)count_descriptors(proc[i].pid) / proc[i].count);
   }
   for (int64_t next = phase_starts_us[1] + 500000; version && next < phase_starts_us[2] - 1000000;
        next += 1000000 / CHANGES_PER_S) {
-    collect_reports(h, next);
-    if (version + 1 < CHANGES_MAX && (sent[version + 1] = put_config(version + 1))) {
+    collect_reports(reports, next);
+    if (version + 1 < CHANGES_MAX && (change_sent_at_us[version + 1] = put_config(version + 1))) {
       version++;
-      r.changes++;
+      result.changes++;
     }
   }
-  collect_reports(h, phase_starts_us[3] + 500000);
+  collect_reports(reports, phase_starts_us[3] + 500000);
   for (int i = 0; i < LEAVING_ENGINES; i++) {
     char path[64], ip[48];
     snprintf(path, sizeof path, "/v1/engines/e%d/leave", i);
     controller_ip(i % CONTROLLERS, ip, sizeof ip);
-    left[i] = now_us();
+    leave_started_at_us[i] = now_us();
     if (request_once(ip, "POST", path, "", "{}", NULL, 0) != 200)
-      left[i] = 0;
-    collect_reports(h, now_us() + 800000);
+      leave_started_at_us[i] = 0;
+    collect_reports(reports, now_us() + 800000);
   }
-  collect_reports(h, now_us() + 1500000);
+  collect_reports(reports, now_us() + 1500000);
   for (int i = 0; i < n; i++)
     kill(proc[i].pid, SIGKILL);
   for (int i = 0; i < n; i++)
@@ -747,48 +752,53 @@
   char *rm[] = { "/bin/rm", "-rf", data_root, NULL };
   g_spawn_sync(NULL, rm, NULL, 0, NULL, NULL, NULL, NULL, NULL, NULL);
 
-  summarize_delays(h->change_at + 2, sent + 2, CHANGES_MAX - 2, nodes, &r.change_p50_ms,
-                   &r.change_max_ms, &r.changes_everywhere);
-  summarize_delays(h->leave_at, left, LEAVING_ENGINES, nodes, &r.leave_p50_ms, &r.leave_max_ms,
-                   &r.leaves_everywhere);
+  summarize_delays(reports->change_at + 2, change_sent_at_us + 2, CHANGES_MAX - 2, nodes,
+                   &result.change_p50_ms, &result.change_max_ms, &result.changes_everywhere);
+  summarize_delays(reports->leave_at, leave_started_at_us, LEAVING_ENGINES, nodes,
+                   &result.leave_p50_ms, &result.leave_max_ms, &result.leaves_everywhere);
   for (int k = 0; k < PHASES; k++) {
     int count[ROLES] = { 0 };
     double s = phase_s;
     for (int i = 0; i < NODES_MAX + CONTROLLERS; i++) {
-      const node_sample *a = &h->samples[k][i], *b = &h->samples[k + 1][i];
+      const node_sample *a = &reports->samples[k][i], *b = &reports->samples[k + 1][i];
       if (!a->role[0] || !b->role[0])
         continue;
       int o = role_of(a->role);
       double cpu = (double)(b->cpu_us - a->cpu_us) / s / 1e4;
       count[o]++;
-      r.cpu_pct[k][o] += cpu;
-      r.cpu_pct_max[k][o] = MAX(r.cpu_pct_max[k][o], cpu);
-      r.wakes_per_s[k][o] += (double)(b->context_switches - a->context_switches) / s;
-      r.messages_out_per_s[k][o] += (double)(b->counts.messages_out - a->counts.messages_out) / s;
-      r.bytes_out_per_s[k][o] += (double)(b->counts.bytes_out - a->counts.bytes_out) / s;
-      r.messages_in_per_s[k][o] += (double)(b->counts.messages_in - a->counts.messages_in) / s;
-      r.bytes_in_per_s[k][o] += (double)(b->counts.bytes_in - a->counts.bytes_in) / s;
+      result.cpu_pct[k][o] += cpu;
+      result.cpu_pct_max[k][o] = MAX(result.cpu_pct_max[k][o], cpu);
+      result.wakes_per_s[k][o] += (double)(b->context_switches - a->context_switches) / s;
+      result.messages_out_per_s[k][o] +=
+          (double)(b->counts.messages_out - a->counts.messages_out) / s;
+      result.bytes_out_per_s[k][o] += (double)(b->counts.bytes_out - a->counts.bytes_out) / s;
+      result.messages_in_per_s[k][o] += (double)(b->counts.messages_in - a->counts.messages_in) / s;
+      result.bytes_in_per_s[k][o] += (double)(b->counts.bytes_in - a->counts.bytes_in) / s;
     }
     for (int o = 0; o < ROLES; o++) {
-      double c = MAX(1, count[o]), t = MAX(1, h->tcp_count[k][o]);
-      r.cpu_pct[k][o] /= c;
-      r.wakes_per_s[k][o] /= c;
-      r.messages_out_per_s[k][o] /= c;
-      r.bytes_out_per_s[k][o] /= c;
-      r.messages_in_per_s[k][o] /= c;
-      r.bytes_in_per_s[k][o] /= c;
-      r.tcp_bytes_out_per_s[k][o] =
-          (double)(int64_t)(h->tcp[k + 1][o][0] - h->tcp[k][o][0]) / s / t;
-      r.tcp_bytes_in_per_s[k][o] = (double)(int64_t)(h->tcp[k + 1][o][1] - h->tcp[k][o][1]) / s / t;
-      r.segments_per_s[k][o] = (double)(int64_t)(h->tcp[k + 1][o][2] - h->tcp[k][o][2]) / s / t;
+      double c = MAX(1, count[o]), t = MAX(1, reports->tcp_count[k][o]);
+      result.cpu_pct[k][o] /= c;
+      result.wakes_per_s[k][o] /= c;
+      result.messages_out_per_s[k][o] /= c;
+      result.bytes_out_per_s[k][o] /= c;
+      result.messages_in_per_s[k][o] /= c;
+      result.bytes_in_per_s[k][o] /= c;
+      result.tcp_bytes_out_per_s[k][o] =
+          (double)(int64_t)(reports->tcp[k + 1][o][0] - reports->tcp[k][o][0]) / s / t;
+      result.tcp_bytes_in_per_s[k][o] =
+          (double)(int64_t)(reports->tcp[k + 1][o][1] - reports->tcp[k][o][1]) / s / t;
+      result.segments_per_s[k][o] =
+          (double)(int64_t)(reports->tcp[k + 1][o][2] - reports->tcp[k][o][2]) / s / t;
       printf(
           "%d nodes, %d engines, %-7s %-5s: %d of them, cpu %.2f%% (most %.2f%%), wakes %.0f/s, out %.1f msg/s %.0f B/s, in %.1f msg/s %.0f B/s, TCP out %.0f in %.0f B/s, %.0f segments/s\n",
-          nodes, engines, phase_name[k], role_name[o], count[o], r.cpu_pct[k][o],
-          r.cpu_pct_max[k][o], r.wakes_per_s[k][o], r.messages_out_per_s[k][o],
-          r.bytes_out_per_s[k][o], r.messages_in_per_s[k][o], r.bytes_in_per_s[k][o],
-          r.tcp_bytes_out_per_s[k][o], r.tcp_bytes_in_per_s[k][o], r.segments_per_s[k][o]);
+          nodes, engines, phase_name[k], role_name[o], count[o], result.cpu_pct[k][o],
+          result.cpu_pct_max[k][o], result.wakes_per_s[k][o], result.messages_out_per_s[k][o],
+          result.bytes_out_per_s[k][o], result.messages_in_per_s[k][o], result.bytes_in_per_s[k][o],
+          result.tcp_bytes_out_per_s[k][o], result.tcp_bytes_in_per_s[k][o],
+          result.segments_per_s[k][o]);
       for (int q = 0; q < MESSAGE_KINDS && o; q++) {
-        const message_counts *a = &h->counts_by_kind[k][o][q], *b = &h->counts_by_kind[k + 1][o][q];
+        const message_counts *a = &reports->counts_by_kind[k][o][q],
+                             *b = &reports->counts_by_kind[k + 1][o][q];
         if (b->messages_out + b->messages_in == a->messages_out + a->messages_in)
           continue;
         const ProtobufCFieldDescriptor *f =
@@ -804,11 +814,12 @@
   }
   printf(
       "%d nodes, %d engines: memory node %.1f (in a process of its own %.1f), core %.1f MB; descriptors node %.0f, core %.0f; change in force p50 %.0f, most %.0f ms (%d of %d everywhere); leave known p50 %.0f, most %.0f ms (%d of %d everywhere); %d processes\n",
-      nodes, engines, r.rss_mb[R_NODE], r.rss_mb[R_SOLO], r.rss_mb[R_CORE], r.fds[R_SOLO],
-      r.fds[R_CORE], r.change_p50_ms, r.change_max_ms, r.changes_everywhere, r.changes,
-      r.leave_p50_ms, r.leave_max_ms, r.leaves_everywhere, LEAVING_ENGINES, r.processes);
+      nodes, engines, result.rss_mb[R_NODE], result.rss_mb[R_SOLO], result.rss_mb[R_CORE],
+      result.fds[R_SOLO], result.fds[R_CORE], result.change_p50_ms, result.change_max_ms,
+      result.changes_everywhere, result.changes, result.leave_p50_ms, result.leave_max_ms,
+      result.leaves_everywhere, LEAVING_ENGINES, result.processes);
   fflush(stdout);
-  return r;
+  return result;
 }
 
 static void write_table(const char *path, const size_result *r, int n) {
@@ -959,12 +970,12 @@
     print_record_sizes();
     return 0;
   }
-  const char *sizes = "10", *many = "90", *out = NULL, *svg = NULL;
+  const char *node_counts = "10", *engine_counts = "90", *out = NULL, *svg = NULL;
   for (int i = 1; i + 1 < argc; i += 2) {
     if (!strcmp(argv[i], "--nodes"))
-      sizes = argv[i + 1];
+      node_counts = argv[i + 1];
     else if (!strcmp(argv[i], "--engines"))
-      many = argv[i + 1];
+      engine_counts = argv[i + 1];
     else if (!strcmp(argv[i], "--models"))
       models = MAX(1, atoi(argv[i + 1]));
     else if (!strcmp(argv[i], "--secs"))
@@ -984,7 +995,7 @@
   }
   signal(SIGPIPE, SIG_IGN);
   controller_ip(0, head_ip, sizeof head_ip);
-  char **n = g_strsplit(sizes, ",", 32), **m = g_strsplit(many, ",", 32);
+  char **n = g_strsplit(node_counts, ",", 32), **m = g_strsplit(engine_counts, ",", 32);
   size_result all[32 * 32];
   int count = 0;
   for (char **x = n; *x; x++)
