--- a/tests/compatibility/outward.c
+++ b/tests/compatibility/outward.c
@@ -115,22 +115,22 @@
 }
 
 /* Replaces the request numbers that nodes assign, since they differ from run to run. */
-static char *without_request_number(const char *answer) {
+static char *without_request_number(const char *response) {
   GRegex *number = g_regex_new("\\.[0-9a-f]+\\.[0-9]+\"", 0, 0, NULL);
-  char *text = g_regex_replace_literal(number, answer, -1, 0, ".N\"", 0, NULL);
+  char *text = g_regex_replace_literal(number, response, -1, 0, ".N\"", 0, NULL);
   g_regex_unref(number);
   return text;
 }
 
 /* Adds the response to a request, word for word. */
-static void add_answer(outward_lines *to, const char *role, host *host,
-                       const outward_request *request) {
+static void add_response(outward_lines *to, const char *role, host *host,
+                         const outward_request *request) {
   operator_call *call = fleet_call(to->fleet, host, request->method, request->path, request->text,
                                    request->match, request->key, time_from_ms(CALL_MS));
-  char *answer = without_request_number(g_strchomp(call->body->str));
+  char *response = without_request_number(g_strchomp(call->body->str));
   add_line(to, "%s %s %s %s gives %d %s", role, request->method, request->path,
-           request->text ? request->text : "-", call->status, answer);
-  g_free(answer);
+           request->text ? request->text : "-", call->status, response);
+  g_free(response);
   operator_call_free(call);
 }
 
@@ -193,7 +193,7 @@
     { "PUT", "/v1/catalogue", "{\"models\":[{\"id\":\"a b\"}]}", NULL, NULL },
   };
   for (size_t i = 0; i < G_N_ELEMENTS(requests); i++)
-    add_answer(to, "controller", host, &requests[i]);
+    add_response(to, "controller", host, &requests[i]);
 }
 
 static void add_router_errors(outward_lines *to, host *host) {
@@ -205,7 +205,7 @@
     { "POST", "/v1/generate", "{\"model\":\"nothing\"}", NULL, NULL },
   };
   for (size_t i = 0; i < G_N_ELEMENTS(requests); i++)
-    add_answer(to, "router", host, &requests[i]);
+    add_response(to, "router", host, &requests[i]);
 }
 
 static bool pages_of_a_fleet_keep_their_keys(fleet *fleet) {
--- a/tests/compatibility/stored_data.c
+++ b/tests/compatibility/stored_data.c
@@ -83,12 +83,12 @@
   char *path = g_strdup_printf("/v1/%s", page);
   operator_call *call =
       fleet_call(fleet, host, "GET", path, NULL, NULL, NULL, time_from_ms(CALL_MS));
-  json *answer = call->status == 200 ? json_parse(string_view_of_gstring(call->body), NULL) : NULL;
-  if (!answer)
+  json *value = call->status == 200 ? json_parse(string_view_of_gstring(call->body), NULL) : NULL;
+  if (!value)
     fleet_add_violation(fleet, "%s: %s gives status %d", host->self.text, path, call->status);
   operator_call_free(call);
   g_free(path);
-  return answer;
+  return value;
 }
 
 static void expect_number(fleet *fleet, const char *what, double actual, double expected) {
@@ -208,13 +208,13 @@
 static void expect_stored_key(fleet *fleet) {
   operator_call *call = fleet_call(fleet, fleet_find_head(fleet), "PATCH", "/v1/policy",
                                    stored_patch, NULL, stored_key, time_from_ms(CALL_MS));
-  json *answer = json_parse(string_view_of_gstring(call->body), NULL);
+  json *response = json_parse(string_view_of_gstring(call->body), NULL);
   expect_number(fleet, "the status of a repeated write", call->status, 200);
-  expect_number(fleet, "the version of a repeated write", json_number(answer, "version", 0),
+  expect_number(fleet, "the version of a repeated write", json_number(response, "version", 0),
                 stored_key_version);
-  if (!json_bool(answer, "repeated", false))
+  if (!json_bool(response, "repeated", false))
     fleet_add_violation(fleet, "a write with a stored idempotency key was applied again");
-  json_free(answer);
+  json_free(response);
   operator_call_free(call);
 }
 
