--- a/bench/load.c
+++ b/bench/load.c
@@ -16,37 +16,37 @@
 
 /* The smallest share of answered requests of a router divided by the largest, from the clients'
  * records. */
-static double evenness(const int *router, const bool *done, int n, int routers) {
+static double evenness(const int *router, const bool *done, int request_count, int routers) {
   double low = 1, high = 0;
   for (int v = 0; v < routers; v++) {
-    int a = 0, d = 0;
-    for (int i = 0; i < n; i++)
+    int requests = 0, answered = 0;
+    for (int i = 0; i < request_count; i++)
       if (router[i] == v) {
-        a++;
-        d += done[i];
+        requests++;
+        answered += done[i];
       }
-    if (!a)
+    if (!requests)
       continue;
-    low = MIN(low, (double)d / a);
-    high = MAX(high, (double)d / a);
+    low = MIN(low, (double)answered / requests);
+    high = MAX(high, (double)answered / requests);
   }
   return high > 0 ? low / high : 1;
 }
 
 /* A permutation test: the share of 400 random reassignments of the outcomes to the same routers
  * that are at least as uneven as the measured one, which is stored in `measured`. */
-static double chance_of_unevenness(fleet *fleet, guint from, double *measured) {
+static double chance_of_unevenness(fleet *fleet, guint first_request, double *measured) {
   loadgen *loadgen = fleet->callers->loadgen;
-  int n = (int)(loadgen->requests->len - from), *router = g_new0(int, n), worse = 0;
+  int n = (int)(loadgen->requests->len - first_request), *router = g_new0(int, n), worse = 0;
   bool *done = g_new0(bool, n);
-  GHashTable *at = g_hash_table_new(g_direct_hash, g_direct_equal);
+  GHashTable *first_attempts = g_hash_table_new(g_direct_hash, g_direct_equal);
   for (guint i = loadgen->attempts->len; i-- > 0;) {
     loadgen_attempt *attempt = &g_array_index(loadgen->attempts, loadgen_attempt, i);
-    g_hash_table_insert(at, attempt->request, attempt);
+    g_hash_table_insert(first_attempts, attempt->request, attempt);
   }
   for (int i = 0; i < n; i++) {
-    loadgen_request *request = loadgen->requests->pdata[from + i];
-    loadgen_attempt *attempt = g_hash_table_lookup(at, request);
+    loadgen_request *request = loadgen->requests->pdata[first_request + i];
+    loadgen_attempt *attempt = g_hash_table_lookup(first_attempts, request);
     done[i] = request->outcome == OUTCOME_DONE;
     for (int v = 0; attempt && v < fleet->routers; v++)
       if (!strcmp(fleet->router[v]->addr, attempt->router))
@@ -62,7 +62,7 @@
     }
     worse += evenness(router, done, n, fleet->routers) <= *measured;
   }
-  g_hash_table_destroy(at);
+  g_hash_table_destroy(first_attempts);
   g_free(router);
   g_free(done);
   return worse / 400.0;
@@ -87,7 +87,7 @@
   loadgen->plan.zipf_exponent = zipf;
   loadgen->plan.tokens = tokens;
   fleet_run_traffic(fleet, 8, time_from_ms(10000));
-  guint from = loadgen->requests->len;
+  guint first_request = loadgen->requests->len;
   for (int i = 0; i < fleet->engines; i++) {
     engine_sim *engine = fleet->engine[i]->engine;
     if (fault == 1) {
@@ -108,11 +108,13 @@
   fleet_run_traffic(fleet, per_s, time_from_ms(15000));
   fleet_finish_traffic(fleet);
   GArray *first = g_array_new(FALSE, FALSE, sizeof(double));
-  for (guint i = from; i < loadgen->requests->len; i++) {
+  for (guint i = first_request; i < loadgen->requests->len; i++) {
     loadgen_request *request = loadgen->requests->pdata[i];
-    int at = !strcmp(request->kind.text, "live") ? 0 : !strcmp(request->kind.text, "short") ? 1 : 2;
-    r.asked[at]++;
-    r.done[at] += request->outcome == OUTCOME_DONE;
+    int kind = !strcmp(request->kind.text, "live")    ? 0
+               : !strcmp(request->kind.text, "short") ? 1
+                                                      : 2;
+    r.asked[kind]++;
+    r.done[kind] += request->outcome == OUTCOME_DONE;
     r.refused += request->outcome == OUTCOME_NOT_RUN;
     r.attempts_per_request += request->attempt_count;
     if (request->outcome == OUTCOME_DONE) {
@@ -122,23 +124,24 @@
   }
   /* Of the requests refused with a Retry-After, the share that is to retry in the same, busiest
    * second. */
-  double at[120] = { 0 };
-  for (guint i = from; i < loadgen->requests->len; i++) {
+  double retries_by_second[120] = { 0 };
+  for (guint i = first_request; i < loadgen->requests->len; i++) {
     loadgen_request *request = loadgen->requests->pdata[i];
-    int64_t n = request->back.us
-                    ? (request->back.us -
-                       ((loadgen_request *)loadgen->requests->pdata[from])->started_at.us) /
-                          1000000
-                    : -1;
-    if (n >= 0 && n < 120) {
-      at[n]++;
+    int64_t second =
+        request->back.us
+            ? (request->back.us -
+               ((loadgen_request *)loadgen->requests->pdata[first_request])->started_at.us) /
+                  1000000
+            : -1;
+    if (second >= 0 && second < 120) {
+      retries_by_second[second]++;
       r.retry_after_count++;
-      r.peak_share = MAX(r.peak_share, at[n]);
+      r.peak_share = MAX(r.peak_share, retries_by_second[second]);
     }
   }
   if (r.retry_after_count > 0)
     r.peak_share /= r.retry_after_count;
-  r.attempts_per_request /= (double)(loadgen->requests->len - from);
+  r.attempts_per_request /= (double)(loadgen->requests->len - first_request);
   qsort(first->data, first->len, sizeof(double), compare_doubles);
   r.wait_median_ms = first->len ? g_array_index(first, double, first->len / 2) : 0;
   g_array_free(first, TRUE);
@@ -150,7 +153,7 @@
     r.wasted += (double)router->loading.wasted_loads;
     r.busy_unloads += (double)router->loading.busy_unloads;
   }
-  r.chance_share = chance_of_unevenness(fleet, from, &r.evenness);
+  r.chance_share = chance_of_unevenness(fleet, first_request, &r.evenness);
   fleet_free(fleet);
   return r;
 }
