--- a/lib/configuration/canary.c
+++ b/lib/configuration/canary.c
@@ -207,10 +207,10 @@
     err = &ignored;
   if (canary_compile(&plan, next, err))
     return err->code;
-  bool none = canary_compile(&current, previous, NULL) || current.state == CANARY_NONE;
-  if (none && plan.state == CANARY_ENDED)
+  bool has_no_trial = canary_compile(&current, previous, NULL) || current.state == CANARY_NONE;
+  if (has_no_trial && plan.state == CANARY_ENDED)
     return error_set(err, E_NO_CANARY, "canary: no trial is there to end");
-  if (none)
+  if (has_no_trial)
     return OK;
   if (current.state == CANARY_RUNNING)
     return check_running_successor(previous, next, &current, plan.state, err);
--- a/lib/configuration/routing_compile.c
+++ b/lib/configuration/routing_compile.c
@@ -36,12 +36,12 @@
   return true;
 }
 
-static enum error_code read_fields(const json *object, const char *where,
-                                   const number_field *fields, size_t count, error *err) {
+static enum error_code read_fields(const json *object, const char *path, const number_field *fields,
+                                   size_t count, error *err) {
   for (size_t i = 0; i < count; i++)
     if (!read_number(object, fields[i].key, fields[i].max, fields[i].fallback, fields[i].to))
-      return error_set(err, E_SPEC_RANGE, "%s.%s: not a number from 0 to %.0f", where,
-                       fields[i].key, fields[i].max);
+      return error_set(err, E_SPEC_RANGE, "%s.%s: not a number from 0 to %.0f", path, fields[i].key,
+                       fields[i].max);
   return OK;
 }
 
@@ -62,10 +62,10 @@
 
 static enum error_code compile_model(service_model_spec *model, const json *value,
                                      const service *service, size_t index, error *err) {
-  char where[100];
-  g_snprintf(where, sizeof where, "%s.engine.models[%zu]", service->name.text, index);
+  char path[100];
+  g_snprintf(path, sizeof path, "%s.engine.models[%zu]", service->name.text, index);
   if (value->kind != JSON_OBJECT)
-    return error_set(err, E_ROUTING_STRUCTURE, "%s: not an object", where);
+    return error_set(err, E_ROUTING_STRUCTURE, "%s: not an object", path);
   double load_s = 0, adapters = 0;
   const number_field fields[] = {
     { "weightsMb", weights_mb_max, 0, &model->weights_mb },
@@ -74,20 +74,20 @@
     { "adapterMb", weights_mb_max, 0, &model->adapter_mb },
   };
   enum error_code code =
-      read_name(value, where, index, &model->name, service->models_by_name, model, err);
+      read_name(value, path, index, &model->name, service->models_by_name, model, err);
   if (!code)
-    code = read_fields(value, where, fields, G_N_ELEMENTS(fields), err);
+    code = read_fields(value, path, fields, G_N_ELEMENTS(fields), err);
   model->load_ms = load_s * 1000;
   model->adapters = (unsigned)adapters;
   return code;
 }
 
-static enum error_code compile_models(service *service, const char *where, const json *models,
+static enum error_code compile_models(service *service, const char *path, const json *models,
                                       error *err) {
   if (!models || models->kind == JSON_NULL)
     return OK;
   if (models->kind != JSON_ARRAY)
-    return error_set(err, E_ROUTING_STRUCTURE, "%s.models: not a list", where);
+    return error_set(err, E_ROUTING_STRUCTURE, "%s.models: not a list", path);
   service->models = g_new0(service_model_spec, json_count(models) + 1);
   enum error_code code = OK;
   for (size_t i = 0; i < json_count(models) && !code; i++, service->model_count++)
@@ -97,12 +97,12 @@
 
 /* Reads the properties of a service's engines; they are unknown if it is absent. */
 static enum error_code compile_engine_spec(service *service, const json *value, error *err) {
-  char where[80];
-  g_snprintf(where, sizeof where, "%s.engine", service->name.text);
+  char path[80];
+  g_snprintf(path, sizeof path, "%s.engine", service->name.text);
   if (!value || value->kind == JSON_NULL)
     return OK;
   if (value->kind != JSON_OBJECT)
-    return error_set(err, E_ROUTING_STRUCTURE, "%s: not an object", where);
+    return error_set(err, E_ROUTING_STRUCTURE, "%s: not an object", path);
   double slots = 0, adapter_slots = 0;
   const number_field fields[] = {
     { "slots", count_max, 0, &slots },
@@ -113,10 +113,10 @@
     { "loadsPerS", count_max, 0, &service->loads_per_s },
     { "stride", count_max, 1, &service->stride },
   };
-  enum error_code code = read_fields(value, where, fields, G_N_ELEMENTS(fields), err);
+  enum error_code code = read_fields(value, path, fields, G_N_ELEMENTS(fields), err);
   service->engine_slots = (unsigned)slots;
   service->adapter_slots = (unsigned)adapter_slots;
-  return code ? code : compile_models(service, where, json_get(value, "models"), err);
+  return code ? code : compile_models(service, path, json_get(value, "models"), err);
 }
 
 static enum error_code compile_service(routing *routing, service *service, const json *value,
@@ -173,20 +173,20 @@
 /* Reads the services of a route: one, or several with weights. */
 static enum error_code compile_weighted_services(const routing *routing, route *route,
                                                  const json *value, error *err) {
-  const json *split = json_get(value, "split"), *one = json_get(value, "service");
+  const json *split = json_get(value, "split"), *single_service = json_get(value, "service");
   if (split && split->kind == JSON_NULL)
     split = NULL;
   if (split && split->kind != JSON_ARRAY)
     return error_set(err, E_ROUTING_STRUCTURE, "%s.split: not a list", route->name.text);
-  if (one && one->kind != JSON_NULL && one->kind != JSON_STRING)
+  if (single_service && single_service->kind != JSON_NULL && single_service->kind != JSON_STRING)
     return error_set(err, E_ROUTING_STRUCTURE, "%s.service: not a name", route->name.text);
   route->legs = g_new0(weighted_service, json_count(split) + 1);
   if (!split)
     return add_weighted_service(routing, route, json_text(value, "service", NULL), 1, err);
-  if (one && one->kind == JSON_STRING &&
-      !g_hash_table_contains(routing->services_by_name, one->text->str))
+  if (single_service && single_service->kind == JSON_STRING &&
+      !g_hash_table_contains(routing->services_by_name, single_service->text->str))
     return error_set(err, E_UNKNOWN_SERVICE, "%s: there is no service %.60s", route->name.text,
-                     one->text->str);
+                     single_service->text->str);
   return compile_split(routing, route, split, err);
 }
 
--- a/lib/configuration/settings.c
+++ b/lib/configuration/settings.c
@@ -219,12 +219,12 @@
 }
 
 enum error_code settings_parse(settings *settings, enum role role, string_view text,
-                               const char *where, error *err) {
+                               const char *source, error *err) {
   settings->role = role;
   json *value = json_parse(text, err);
   if (!value || value->kind != JSON_OBJECT) {
     error reason = *err;
-    error_set(err, E_SETTINGS_FILE, "%s: %.150s", where, value ? "not an object" : reason.text);
+    error_set(err, E_SETTINGS_FILE, "%s: %.150s", source, value ? "not an object" : reason.text);
     json_free(value);
     return E_SETTINGS_FILE;
   }
--- a/lib/configuration/settings.h
+++ b/lib/configuration/settings.h
@@ -63,9 +63,9 @@
  * and keys of another role are rejected. OK, or one of E_SETTINGS_... with err set. */
 enum error_code settings_read_file(settings *settings, enum role role, const char *path,
                                    error *err);
-/** The same for a text, which err names by `where`. */
+/** The same for a text; err names it as `source`. */
 enum error_code settings_parse(settings *settings, enum role role, string_view text,
-                               const char *where, error *err);
+                               const char *source, error *err);
 /** Checks settings as a whole: required ones are present, seeds and founders are distinct, the
  * chain has enough members for the write replicas, and the data folder is writable. OK, or
  * E_SETTINGS_... with err set. */
