--- a/lib/cli/control_client.c
+++ b/lib/cli/control_client.c
@@ -1,7 +1,7 @@
-/** Requests to the control API of a fleet. See control_client.h.
+/** Requests to the operators' API of a fleet. See control_client.h.
  *
- * Every controller and router answers reads and forwards writes to the head of the chain. So a
- * request goes to the addresses in the given order, and the first answer is used. A 503 (no
+ * Every controller and router serves reads, and forwards writes to the head of the chain. So a
+ * request goes to the addresses in the given order, and the first response is used. A 503 (no
  * controller can commit now) is final only in the last round, because a view change is normally
  * over by then. */
 #include "control_client.h"
@@ -28,13 +28,13 @@
 
 /** True when sending a request again can't apply it twice. */
 static bool may_be_retried(const struct control_request *request) {
-  if (!strcmp(request->verb, "GET"))
+  if (!strcmp(request->method, "GET"))
     return true;
   return request->headers && request->headers->values[HEADER_IDEMPOTENCY_KEY];
 }
 
-/** Sends a request to the addresses in turn until one answers. A 503 does not count as an answer
- * before the last round. */
+/** Sends a request to the addresses in turn until one responds. A 503 does not count as a
+ * response before the last round. */
 static int send_one_round(const struct command_context *context,
                           const struct control_request *request, char *const *addresses,
                           bool is_last_round, GString *response) {
@@ -42,7 +42,7 @@
     error err = { 0 };
     g_string_truncate(response, 0);
     int status =
-        http_call_fetch(context->world, *address, request->verb, request->path, request->headers,
+        http_call_fetch(context->world, *address, request->method, request->path, request->headers,
                         request->body, response, time_from_ms(request->timeout_ms), &err);
     if (status == HTTP_STATUS_UNAVAILABLE && !is_last_round)
       status = HTTP_STATUS_NO_ANSWER;
@@ -72,7 +72,7 @@
 
 int control_get(const struct command_context *context, const char *path, GString *response,
                 int64_t timeout_ms) {
-  struct control_request request = { .verb = "GET", .path = path, .body = string_view_of("") };
+  struct control_request request = { .method = "GET", .path = path, .body = string_view_of("") };
   request.timeout_ms = timeout_ms;
   return control_send(context, &request, response);
 }
@@ -89,7 +89,7 @@
   case HTTP_STATUS_NO_ANSWER:
     return EXIT_CODE_NO_ANSWER;
   default:
-    return EXIT_CODE_REFUSED;
+    return EXIT_CODE_FAILED;
   }
 }
 
--- a/lib/cli/record_command.c
+++ b/lib/cli/record_command.c
@@ -42,7 +42,7 @@
   }
 }
 
-/** Queries all addresses. The requests are sorted from oldest to newest. */
+/** Collects the data from all addresses. The requests are sorted from oldest to newest. */
 static struct recording collect(const struct command_context *context) {
   struct recording recording = { g_array_new(FALSE, TRUE, sizeof(struct routed_request)), NULL };
   char **addresses = g_strsplit(context->options.addresses, ",", -1);
@@ -104,5 +104,5 @@
   bool is_written = write_trace(&recording, file);
   printf("%u requests recorded\n", recording.requests->len);
   recording_clear(&recording);
-  return is_written ? EXIT_CODE_OK : EXIT_CODE_REFUSED;
+  return is_written ? EXIT_CODE_OK : EXIT_CODE_FAILED;
 }
--- a/lib/configuration/routing.c
+++ b/lib/configuration/routing.c
@@ -97,27 +97,27 @@
              : NULL;
 }
 
-const service *route_pick_service(const route *route, double draw) {
-  double left = draw * route->weight_sum;
+const service *route_pick_service(const route *route, double random_fraction) {
+  double remaining = random_fraction * route->weight_sum;
   const service *last = NULL;
   for (size_t i = 0; i < route->leg_count; i++) {
     if (route->legs[i].weight <= 0)
       continue;
     last = route->legs[i].service;
-    if (left < route->legs[i].weight)
+    if (remaining < route->legs[i].weight)
       break;
-    left -= route->legs[i].weight;
+    remaining -= route->legs[i].weight;
   }
   return last;
 }
 
-enum error_code routing_check_successor(const json *next, uint64_t current, error *err) {
-  uint64_t version;
-  enum error_code code = routing_read_version(next, &version, err);
+enum error_code routing_check_successor(const json *next, uint64_t current_revision, error *err) {
+  uint64_t revision;
+  enum error_code code = routing_read_revision(next, &revision, err);
   if (code)
     return code;
-  return version > current
+  return revision > current_revision
              ? OK
              : error_set(err, E_STALE_VERSION, "version: %" PRIu64 " is not above %" PRIu64,
-                         version, current);
+                         revision, current_revision);
 }
--- a/lib/configuration/settings.h
+++ b/lib/configuration/settings.h
@@ -49,11 +49,11 @@
   int write_replicas, write_zones;
   /** Members of the chain and voters; 0: three. */
   int chain_members;
-  /** A write is acknowledged before routers have it, and routers that hear from no controller go on
-   * serving. */
+  /** Relaxed timing: a write is acknowledged before routers have it, and routers that hear from no
+   * controller go on serving. */
   bool relaxed;
-  /** Address at which a controller accepts engines' heartbeats and the operator's configuration;
-   * empty: none. */
+  /** Address of a controller's control listener, which accepts engines' heartbeats and the routing
+   * of gateways; empty: none. */
   char control_address[ADDRESS_BYTES];
   /** Time from SIGTERM to SIGKILL, in ms; 0: not known. */
   int64_t shutdown_grace_ms;
@@ -63,9 +63,9 @@
  * and keys of another role are rejected. OK, or one of E_SETTINGS_... with err set. */
 enum error_code settings_read_file(settings *settings, enum role role, const char *path,
                                    error *err);
-/** The same for a text, which err names by `where`. */
+/** The same for a text; err names it as `source`. */
 enum error_code settings_parse(settings *settings, enum role role, string_view text,
-                               const char *where, error *err);
+                               const char *source, error *err);
 /** Checks settings as a whole: required ones are present, seeds and founders are distinct, the
  * chain has enough members for the write replicas, and the data folder is writable. OK, or
  * E_SETTINGS_... with err set. */
@@ -74,5 +74,5 @@
  * and zones that may fail at the same time without loss of the control plane. */
 void settings_set_fault_tolerance(settings *settings, int machines, int zones);
 /** True for IP:PORT with a numeric IPv4 address and a port from 1 to 65535. */
-bool address_is_valid(const char *s);
+bool address_is_valid(const char *text);
 #endif
--- a/tests/compatibility/outward.c
+++ b/tests/compatibility/outward.c
@@ -1,5 +1,5 @@
 /** Compatibility of what operators and their tools see: the keys of the status pages, the names and
- * labels of the metrics, and the answers to bad requests.
+ * labels of the metrics, and the responses to invalid requests.
  *
  * Each test polls the pages of an emulated fleet under load, and compares the set of lines with a
  * golden file in tests/compatibility/. A line consists of the role, the page, and a key path (with
@@ -115,22 +115,22 @@
 }
 
 /* Replaces the request numbers that nodes assign, since they differ from run to run. */
-static char *without_request_number(const char *answer) {
+static char *without_request_number(const char *response) {
   GRegex *number = g_regex_new("\\.[0-9a-f]+\\.[0-9]+\"", 0, 0, NULL);
-  char *text = g_regex_replace_literal(number, answer, -1, 0, ".N\"", 0, NULL);
+  char *text = g_regex_replace_literal(number, response, -1, 0, ".N\"", 0, NULL);
   g_regex_unref(number);
   return text;
 }
 
 /* Adds the response to a request, word for word. */
-static void add_answer(outward_lines *to, const char *role, host *host,
-                       const outward_request *request) {
+static void add_response(outward_lines *to, const char *role, host *host,
+                         const outward_request *request) {
   operator_call *call = fleet_call(to->fleet, host, request->method, request->path, request->text,
                                    request->match, request->key, time_from_ms(CALL_MS));
-  char *answer = without_request_number(g_strchomp(call->body->str));
+  char *response = without_request_number(g_strchomp(call->body->str));
   add_line(to, "%s %s %s %s gives %d %s", role, request->method, request->path,
-           request->text ? request->text : "-", call->status, answer);
-  g_free(answer);
+           request->text ? request->text : "-", call->status, response);
+  g_free(response);
   operator_call_free(call);
 }
 
@@ -140,9 +140,10 @@
   return FALSE;
 }
 
-static void report_difference(fleet *fleet, const char *file, const char *golden, const char *now) {
+static void report_difference(fleet *fleet, const char *file, const char *golden,
+                              const char *current) {
   char **expected = g_strsplit(golden, "\n", -1);
-  char **lines = g_strsplit(now, "\n", -1);
+  char **lines = g_strsplit(current, "\n", -1);
   for (char **line = expected; *line; line++)
     if (!g_strv_contains((const char *const *)lines, *line))
       fleet_add_violation(fleet, "%s: no longer seen: %.150s", file, *line);
@@ -157,18 +158,18 @@
  * first.
  */
 static void compare_lines_with_file(outward_lines *lines, const char *file) {
-  GString *now = g_string_new(NULL);
+  GString *current = g_string_new(NULL);
   char *golden = NULL;
-  g_tree_foreach(lines->lines, append_line, now);
+  g_tree_foreach(lines->lines, append_line, current);
   if (g_getenv("WRITE_GOLDEN"))
-    g_file_set_contents(file, now->str, (gssize)now->len, NULL);
+    g_file_set_contents(file, current->str, (gssize)current->len, NULL);
   if (!g_file_get_contents(file, &golden, NULL, NULL))
     fleet_add_violation(lines->fleet, "%s can't be read; run the tests in the repository's root",
                         file);
   else
-    report_difference(lines->fleet, file, golden, now->str);
+    report_difference(lines->fleet, file, golden, current->str);
   g_free(golden);
-  g_string_free(now, TRUE);
+  g_string_free(current, TRUE);
   g_tree_destroy(lines->lines);
 }
 
@@ -192,7 +193,7 @@
     { "PUT", "/v1/catalogue", "{\"models\":[{\"id\":\"a b\"}]}", NULL, NULL },
   };
   for (size_t i = 0; i < G_N_ELEMENTS(requests); i++)
-    add_answer(to, "controller", host, &requests[i]);
+    add_response(to, "controller", host, &requests[i]);
 }
 
 static void add_router_errors(outward_lines *to, host *host) {
@@ -204,7 +205,7 @@
     { "POST", "/v1/generate", "{\"model\":\"nothing\"}", NULL, NULL },
   };
   for (size_t i = 0; i < G_N_ELEMENTS(requests); i++)
-    add_answer(to, "router", host, &requests[i]);
+    add_response(to, "router", host, &requests[i]);
 }
 
 static bool pages_of_a_fleet_keep_their_keys(fleet *fleet) {
