--- a/lib/gateway/capacity_account.h
+++ b/lib/gateway/capacity_account.h
@@ -1,7 +1,7 @@
 /** Capacity account of one engine, at the gateway that holds its lease.
  *
- * All gateways know an engine's residents from heartbeats, broadcasts and refused requests. Any of
- * these may be outdated; that is good enough for routing. For loads it is not, because an engine
+ * All gateways know an engine's residents from heartbeats, broadcasts and declined requests. Any
+ * of these may be outdated; that is good enough for routing. For loads it is not, because an engine
  * that loads beyond its memory crashes. The lease holder therefore keeps an account of its own: the
  * residents in one idle report of the engine, plus the orders that the engine has accepted from
  * this holder since. Every load order carries the number of orders in that report plus the number
--- a/lib/gateway/engine_health.c
+++ b/lib/gateway/engine_health.c
@@ -154,7 +154,7 @@
   time_us now = gateway_engine_now(engine);
   health->failed_at = now;
   health->consecutive_failures++;
-  /* failures of a busy engine don't count for outlier ejection */
+  /* failures of a busy engine don't count for the failure score */
   if (gateway_engine_lightly_loaded(engine))
     gateway_engine_add_own_failure(engine);
   int doublings = MIN(health->consecutive_failures - 1, EJECTION_MAX_DOUBLINGS);
--- a/lib/gateway/engine_health.h
+++ b/lib/gateway/engine_health.h
@@ -1,8 +1,9 @@
-/** Health of an engine as one gateway sees it: silence, failures and outlier ejection.
+/** Health of an engine as one gateway sees it: consecutive failures, silence and a failure score.
  *
- * Three signals are kept apart because they need different reactions:
+ * These three signals are kept apart because they need different reactions:
  * - consecutive failures eject the engine for a time that doubles with each further failure;
- * - silence while requests wait there makes it suspect: it gets no requests that may run only once;
+ * - silence while requests wait there makes it suspect: it gets no requests while another engine is
+ *   in good health, and if none is, at first only requests that may run more than once;
  * - a decaying score of the failures seen by all gateways makes it unhealthy: it stays usable but
  *   at a high cost, so that an engine that fails some of its requests is the last choice. */
 #ifndef GATEWAY_ENGINE_HEALTH_H
@@ -34,8 +35,8 @@
   int unreported_failures;
 } engine_health;
 
-/** True when the engine may get requests now: registered, not draining or about to end, and not
- * ejected. */
+/** True when the engine may get requests now: registered, not draining or about to shut down,
+ * and not ejected. */
 bool gateway_engine_usable(const gateway_engine *engine);
 /** True when the engine shows no sign of life although requests were sent there; its models should
  * also be loaded elsewhere. */
--- a/lib/gateway/engine_loading.c
+++ b/lib/gateway/engine_loading.c
@@ -84,7 +84,7 @@
  */
 static const double FIRST_POLL_MODEL_SHARE = 0.97, FIRST_POLL_ADAPTER_SHARE = 0.6;
 /* A model load that takes less than this share of its expected time has used weights that an
- * earlier incarnation left on the engine's disk. It is not recorded as a load time of the store. */
+ * earlier process run left on the engine's disk. It is not recorded as a load time of the store. */
 static const double MIN_STORE_LOAD_SHARE = 0.6;
 
 /** State of one load order. */
--- a/lib/gateway/engine_residents.h
+++ b/lib/gateway/engine_residents.h
@@ -32,7 +32,7 @@
   list_node list; /* of resident */
   /** False until any source has listed the residents. */
   bool known;
-  /** Names of models that this incarnation has held; their weights are on its own disk. */
+  /** Names of models that this process run has held; their weights are on the engine's own disk. */
   GHashTable *models_on_disk;
   /** Recent changes by orders (of resident_change). */
   GArray *changes;
--- a/lib/gateway/engine_select.c
+++ b/lib/gateway/engine_select.c
@@ -1,9 +1,10 @@
 /** Selects an engine for a request; see engine_select.h.
  *
- * Candidates are the engines that hold the model. Excluded are ejected engines, unless that leaves
- * fewer than half; suspect engines, as long as there are others; and engines that have no free slot
- * or whose estimate is too late for the request. The engine with the lowest cost is selected. The
- * cost in ms is:
+ * Candidates are the engines that hold the model, without those that the request excludes. Three
+ * kinds of candidates are passed over: ejected engines, unless that leaves fewer than half; suspect
+ * engines, as long as another one is in good health; and engines that have no free slot or whose
+ * estimate is too late for the request. Of the rest, the engine with the lowest cost is selected.
+ * The cost in ms is:
  *
  *   load weight * estimated time to the first event
  *   + affinity weight * prefill of shared prompt parts that are not cached there
@@ -23,7 +24,7 @@
   MAX_CANDIDATES = 512,
   /* maximum number of shared parts of a prompt that are distinguished */
   MAX_PREFIX_PARTS = 32,
-  /* an engine that ends within this time is not a candidate */
+  /* an engine that shuts down within this time is not a candidate */
   MIN_REMAINING_MS = 1000,
   /* when fewer than half of the engines are left, ejected ones are allowed again if they have sent
    * a byte within this time */
@@ -33,11 +34,11 @@
   SUSPECT_TRIAL_MS = 1000,
   /* an engine of a plain service may have this many more requests than slots */
   PLAIN_EXTRA_REQUESTS = 2,
-  /* a slow estimate within this time after another one requests an additional replica */
+  /* a slow estimate within this time after another one requests an extra replica */
   SLOW_ESTIMATE_SPAN_MS = 1000,
   REPLICA_REQUEST_INTERVAL_MS = 1500,
-  /* with more gateways than this, each one sees few requests for a model; a long queue then
-   * requests a replica at the first slow estimate */
+  /* with more gateways than this, each one sees few requests for a model, so an extra replica is
+   * requested at the first slow estimate if the queue is long */
   LARGE_FLEET_NODES = 16
 };
 /* Cost in ms of an unhealthy engine: greater than any estimate that is in time. */
@@ -56,7 +57,7 @@
 /* Cost of another zone, in units of the policy's zone weight, for a model and for a plain
  * service. */
 static const double ZONE_COST_MODEL = 3, ZONE_COST_PLAIN = 1.5;
-/* In a large fleet, a queue longer than this share of the target requests an additional replica. */
+/* In a large fleet, a queue longer than this share of the target requests an extra replica. */
 static const double LONG_QUEUE_TARGET_SHARE = 0.4;
 /* Used as the estimate when no healthy engine is left; always counts as slow. */
 static const double NO_ESTIMATE_MS = 1e9;
@@ -77,7 +78,7 @@
   return false;
 }
 
-/** Time of the last slow estimate for a model, and of the last request for a replica. */
+/** Time of the last slow estimate for a model, and of the last request for an extra replica. */
 typedef struct slow_estimate {
   time_us seen_at, requested_at;
 } slow_estimate;
@@ -102,8 +103,8 @@
   return at.us && !time_reached(now, time_add(at, time_from_ms(ms)));
 }
 
-/* Requests another replica of the model when the best estimate is slow for the second time within a
- * second, or, in a large fleet, when it is slow and the queue is long. */
+/* Requests an extra replica of the model when the best estimate is slow for the second time within
+ * a second, or, in a large fleet, when it is slow and the queue is long. */
 static void request_extra_replica(gateway *gateway, const engine_select_request *request,
                                   double estimate_ms, double queue_ms) {
   double target_ms = (double)request->target_ms;
@@ -251,8 +252,8 @@
   return estimate;
 }
 
-/* true when the health of a candidate rules it out; allow_ejected: ejected engines are allowed,
- * since fewer than half would be left otherwise */
+/* true when a candidate must not be selected because of its health; allow_ejected: ejected engines
+ * are allowed, since fewer than half would be left otherwise */
 static bool is_ruled_out(const gateway_engine *engine, const engine_select_request *request,
                          const candidates *found, bool allow_ejected, time_us now) {
   const engine_health *health = &engine->health;
@@ -326,10 +327,10 @@
 
 /** The cheapest candidate so far. */
 typedef struct selection {
-  gateway_engine *engine; /* NULL when all are ruled out or overloaded */
+  gateway_engine *engine; /* NULL when all are unfit or overloaded */
   double cost;
   candidate_estimate estimate;
-  /** Over all candidates that are not ruled out by their health: the earliest first event and the
+  /** Over all candidates that are not unfit: the earliest first event and the
    * shortest queue, in ms; negative when there are none. */
   double soonest_ms, queue_ms;
 } selection;
--- a/lib/gateway/engine_select.h
+++ b/lib/gateway/engine_select.h
@@ -42,7 +42,7 @@
 
 /** Selects an engine; NULL when there is none, with the reason in result. estimate_ms is the
  * estimated time to the first event, at the selected engine or else at the best one. May request
- * another replica of the model. */
+ * an extra replica of the model. */
 gateway_engine *engine_select(gateway *gateway, const engine_select_request *request,
                               enum engine_select_result *result, double *estimate_ms);
 /** Estimated time in ms to the first event. ahead: tokens queued ahead of the request; uncached:
--- a/lib/gateway/feature_flags.h
+++ b/lib/gateway/feature_flags.h
@@ -15,7 +15,7 @@
   FEATURE_QUEUE,
   /** A request is refused early if its slot would become free too late. */
   FEATURE_EARLY_REFUSAL,
-  /** Models with waiting requests get additional replicas. */
+  /** Models with waiting requests get extra replicas. */
   FEATURE_REPLICAS,
   /** Eviction uses the configured policy (CremeBrulee by default); disabled: least recently used.
    */
--- a/lib/gateway/gateway_engines.h
+++ b/lib/gateway/gateway_engines.h
@@ -1,7 +1,7 @@
 /** Table of the engines that a gateway knows, from their registration by heartbeats (forwarded by
  * the controllers) to their removal.
  *
- * An engine id identifies one incarnation of an engine process; a restart registers a new id. An
+ * An engine id identifies one process run of an engine; a restart registers a new id. An
  * engine that signs off is removed for good; one that was only silent is restored by a later
  * heartbeat. After its removal an engine stays in the table for ENGINE_TOMBSTONE_MS, so that old
  * messages don't register it again. */
@@ -16,7 +16,7 @@
 #include "load_jobs.h"
 #include "prefix_cache.h"
 
-/** One incarnation of an engine. All fields except unreachable_until and the states of other
+/** One process run of an engine. All fields except unreachable_until and the states of other
  * modules are written by gateway_engines.c. */
 typedef struct gateway_engine {
   list_node link; /* in gateway_engine_table.list */
@@ -33,7 +33,8 @@
   time_us heartbeat_at;
   /** When this gateway last applied a heartbeat; 0 before the first. */
   time_us state_received_at;
-  /** draining: its shutdown has begun; ends_at: the latest time at which it ends (0: unknown). */
+  /** draining: its shutdown has begun; ends_at: the latest time at which its process ends (0:
+   * unknown). */
   bool draining;
   time_us ends_at;
   /** It has signed off, is silent or is no longer registered. */
--- a/lib/gateway/load_jobs.c
+++ b/lib/gateway/load_jobs.c
@@ -100,7 +100,7 @@
                            const error *err) {
   if (code == E_NO_CAPACITY)
     log_debug(&engine->gateway->router->node.log, "place",
-              "No room for %s%s%s on %s: %s (code %d).", job->model.text,
+              "No capacity for %s%s%s on %s: %s (code %d).", job->model.text,
               job->adapter.text[0] ? "+" : "", job->adapter.text, engine->engine_id.text, err->text,
               code);
   else if (code && code != E_STOPPING && code != E_NO_LEASE_HOLDER && code != E_LOAD_RATE_LIMITED)
--- a/lib/gateway/load_jobs.h
+++ b/lib/gateway/load_jobs.h
@@ -15,7 +15,7 @@
   list_node link; /* in engine_load_jobs.list */
   id model, adapter;
   unsigned priority;
-  /** One more replica: it is loaded although another engine holds the model. */
+  /** It is loaded although another engine holds the model. */
   bool extra_replica;
   /** Only idle models and adapters may be evicted for it. */
   bool idle_only;
--- a/lib/gateway/load_requests.h
+++ b/lib/gateway/load_requests.h
@@ -11,7 +11,7 @@
 enum { LOAD_REQUEST_TTL_MS = 1600 };
 
 /** Requests a load of a model (and adapter) on any engine without waiting for it; the caller waits
- * on gateway->engines.changed. extra_replica: load one more replica although engines hold the
+ * on gateway->engines.changed. extra_replica: load it although engines already hold the
  * model. estimate_ms: the expected time until it is loaded. An error says why it can't be loaded
  * now; retry_after_ms is the time to wait before asking again. */
 enum error_code load_request_submit(gateway *gateway, const service *service, id model, id adapter,
--- a/lib/gateway/placement.c
+++ b/lib/gateway/placement.c
@@ -26,8 +26,8 @@
      engines */
   REPLICA_QUEUE_TARGET_MS = 250,
   MAX_REPLICAS_AT_ONCE = 4,
-  /* after this many engines have refused because only busy models could be evicted, draining of
-     running requests is allowed */
+  /* after this many engines have refused because only models with running requests could be
+     evicted, their eviction is allowed */
   MAX_BUSY_ENGINES = 4,
   /* passes without an eligible engine before the placement fails: a lease handover takes some
      seconds, while a lack of capacity is reported soon */
@@ -56,8 +56,8 @@
   LOAD_EXTRA_MS = 40,
   PLACEMENT_EXTRA_MS = 30
 };
-/* A further replica (beyond the next one) may cost at most this share of its utility in evictions.
- */
+/* An extra replica that is loaded in parallel with another one may cost at most this share of its
+ * utility in evictions. */
 static const double FURTHER_REPLICA_COST_SHARE = 0.1;
 /* Expected delay of a load in ms: on an engine with all slots taken (in proportion for fewer), for
  * weights that are not on the engine's disk, and for a load that needs an eviction. */
@@ -69,13 +69,13 @@
 static const double MAX_COST_FACTOR = 2, MAX_COST_EXTRA = 3000;
 
 /** A placement in progress; the coordinator has one per model (and adapter) for the whole fleet,
- * plus one for each further replica. */
+ * plus one for each extra replica that is loaded in parallel. */
 typedef struct placement_job {
   char *key; /* load_request_key, owned */
   id service, model, adapter;
   unsigned priority;
-  /** extra_replica: one more replica although engines hold the model already; further_replica: one
-   * beyond the next replica. */
+  /** extra_replica: it is loaded although engines hold the model already; further_replica: it is
+   * loaded in parallel with another extra replica. */
   bool extra_replica, further_replica;
   time_us last_asked_at, expected_at;
   /** The chosen engine (empty: none at the moment) and its eviction cost. */
@@ -83,8 +83,8 @@
   double eviction_cost;
   /** The lease holder has started the load. */
   bool started;
-  /** Busy models may be evicted and drained, since no engine can make room from idle models alone.
-   */
+  /** Models with running requests may be evicted, since no engine can free enough capacity by
+   * evicting idle models alone. */
   bool may_drain;
   bool done;
   enum error_code code;
@@ -243,8 +243,7 @@
   const service *service;
   const GPtrArray *refused_by; /* names of engines that have refused and are skipped */
   double request_rate;
-  /** The utility of an additional replica: load time times the request rate that it would take
-   * over. */
+  /** The utility of an extra replica: load time times the request rate that it would take over. */
   double replica_utility;
   int shard_count;
   /** True in the first pass, which considers only healthy engines of the model's shard; the second
@@ -375,7 +374,7 @@
   enum error_code code;
   int64_t retry_after_ms;
   /** failed_passes: passes without an engine plus refusals; busy_engines: engines that could evict
-   * only busy models. */
+   * only models with running requests. */
   int failed_passes, busy_engines;
 } placement_run;
 
@@ -401,8 +400,8 @@
   return engine && lease_holder_address(gateway, engine->engine_id, address) ? engine : NULL;
 }
 
-/* no engine is eligible: clears the list of refusals, allows eviction of busy models, and retries
- */
+/* no engine is eligible: clears the list of refusals, allows the eviction of models with running
+ * requests, and retries */
 static enum placement_step retry_without_engine(placement_run *run) {
   placement_job *job = run->job;
   world *world = run->gateway->router->node.world;
@@ -623,7 +622,7 @@
   return job;
 }
 
-/* Starts further replicas in parallel: when the demand for a model rises suddenly, loading one
+/* Starts extra replicas in parallel: when the demand for a model rises suddenly, loading one
  * replica after another would take too long. */
 static void add_replicas(gateway *gateway, const placement_job *job) {
   int missing = placement_missing_replicas(gateway, job->service, job->model, job->adapter) - 1 -
--- a/lib/gateway/placement.h
+++ b/lib/gateway/placement.h
@@ -20,8 +20,8 @@
 
 void placement_init(placement_state *placement);
 void placement_state_free(placement_state *placement);
-/** The number of additional replicas of a model (and adapter) needed to clear its queue, as far as
- * this gateway knows the queue. */
+/** The number of extra replicas of a model (and adapter) needed to clear its queue, as far as this
+ * gateway knows the queue. */
 int placement_missing_replicas(gateway *gateway, id service, id model, id adapter);
 /** The number of placement shards for the current fleet size; each shard has its own coordinator.
  */
--- a/lib/gateway/request_queue.c
+++ b/lib/gateway/request_queue.c
@@ -14,8 +14,8 @@
   /* the request for a load in progress is repeated at this interval, so that it does not expire */
   LOAD_REQUEST_REPEAT_MS = 1000,
   LOAD_RETRY_MIN_MS = 50,
-  /* a request waits this long while no engine accepts requests (ejected, ending); a quarter of the
-   * latency target when that is below NO_ENGINE_LONG_TARGET_MS */
+  /* a request waits this long while no engine accepts requests (ejected, shutting down); a quarter
+   * of the latency target when that is below NO_ENGINE_LONG_TARGET_MS */
   NO_ENGINE_WAIT_MS = 1000,
   NO_ENGINE_LONG_TARGET_MS = 4000,
   NO_ENGINE_RETRY_AFTER_MS = 300,
