--- a/lib/router/config_snapshot.h
+++ b/lib/router/config_snapshot.h
@@ -13,8 +13,8 @@
 
 /** Installs a packed StateSnapshot. Returns false when it is malformed, belongs to another fleet,
  * is not newer than the version in force, or builds on versions that differ from those in force.
- * `versions_moved` says that resource versions changed here after the request was sent. If they did
- * not, such a difference means that the sender and this router disagree on the contents of a
+ * `versions_changed` says that resource versions changed here after the request was sent. If they
+ * did not, such a difference means that the sender and this router disagree on the contents of a
  * version, and the next poll requests all resources in full. */
 bool config_snapshot_install(router *router, const ProtobufCBinaryData *packed, const char *from,
                              bool versions_moved);
--- a/lib/router/controller_selection.h
+++ b/lib/router/controller_selection.h
@@ -13,7 +13,7 @@
 typedef struct controller_contact {
   /** Empty if the entry is unused. */
   char address[48];
-  /** 0 if never. */
+  /** When it was last polled, and when a poll of it last failed; 0 if never. */
   time_us asked_at, failed_at;
 } controller_contact;
 
--- a/lib/router/engine.h
+++ b/lib/router/engine.h
@@ -78,7 +78,7 @@
 
   /* Requests that this router sends to the engine; written by request_attempt.c. */
   int own_running, consecutive_failures;
-  /** The engine is not selected until this time, after consecutive failures. */
+  /** The engine gets no work until this time, after consecutive failures. */
   time_us excluded_until;
 
   /* Written by the modules that load models. */
@@ -103,7 +103,7 @@
 /** Returns a model or adapter on an engine, or NULL when the last report does not list it. */
 resident_model *engine_find_resident(engine *engine, id model, id adapter);
 /** Returns true when an engine may get new work: this router may admit work, and the engine is
- * listed, not draining, reporting, not excluded and not evacuated. */
+ * listed, not draining, reporting, not ejected and not evacuated. */
 bool engine_accepts_work(engine *engine);
 /** Maximum number of streams that an engine may run now; lower during its slow start. */
 int engine_max_streams(engine *engine);
--- a/lib/router/engine_capacity.c
+++ b/lib/router/engine_capacity.c
@@ -164,7 +164,8 @@
   return false;
 }
 
-/* Evicts one victim. If there is none but an unload is in progress, waits for the next report. */
+/* Evicts one model or adapter. If none may be evicted but an unload is in progress, waits for the
+ * next report. */
 static enum error_code evict_one(engine *engine, const order_subject *to_load,
                                  capacity_shortage shortage, error *err) {
   id model, adapter;
--- a/lib/router/engine_wait.c
+++ b/lib/router/engine_wait.c
@@ -1,7 +1,7 @@
 /**
  * Waits until an engine is available for a request: for a free slot on an engine where its model is
- * up, for a load of the model if it is up nowhere, or for an additional replica if all engines that
- * have it stay busy.
+ * up, for a load of the model if it is up nowhere, or for an extra replica if all engines that have
+ * it stay busy.
  */
 #include "outgoing_load_request.h"
 #include "router.h"
@@ -9,8 +9,8 @@
 
 enum {
   MAX_LOAD_ATTEMPTS = 2,
-  /* After waiting this long for busy engines, loading an additional replica of the model is
-     worthwhile. */
+  /* After waiting this long for busy engines, loading an extra replica of the model is worthwhile.
+   */
   ADD_REPLICA_AFTER_MS = 1500,
   /* Requests are refused after this long if no engine accepts work. */
   NO_ENGINE_TIMEOUT_MS = 3000,
@@ -26,7 +26,7 @@
 
 typedef struct wait_state {
   routed_request *request;
-  /* The load of a model that is up nowhere, and the load of an additional replica; NULL if none. */
+  /* The load of a model that is up nowhere, and the load of an extra replica; NULL if none. */
   outgoing_load_request *load, *replica_load;
   /* Outcome of the last load that failed. */
   enum error_code load_error;
@@ -69,7 +69,7 @@
                                     request->deadline);
 }
 
-/* Starts the load of an additional replica on an engine that does not have the model. */
+/* Starts the load of an extra replica on an engine that does not have the model. */
 static void start_replica_load(wait_state *wait) {
   routed_request *request = wait->request;
   routed_request elsewhere = *request;
@@ -126,8 +126,7 @@
   wait->load = NULL;
 }
 
-/* The load of the additional replica has succeeded or failed: restarts the wait for the next
- * replica. */
+/* The load of the extra replica has succeeded or failed: restarts the wait for the next replica. */
 static void finish_replica_load(wait_state *wait, time_us now) {
   outgoing_load_request_leave(wait->replica_load);
   wait->replica_load = NULL;
--- a/lib/router/event_history.h
+++ b/lib/router/event_history.h
@@ -15,7 +15,7 @@
 /** Kinds of events. Outside of the process they are identified by name (router_pages.c), not by
  * number. */
 enum history_event_kind {
-  /** A request was received; value: index of its kind. */
+  /** A request was received; value: index of its kind, on gateways the priority of its route. */
   EVENT_ROUTED = 1,
   /** An order was sent to an engine; value: 1 for a load, 0 for an unload. */
   EVENT_ORDERED,
@@ -23,7 +23,7 @@
   EVENT_LOADED,
   /** Value: number of consecutive failures. */
   EVENT_LOAD_FAILED,
-  /** Value: 1 if it had served requests. */
+  /** Value: 1 if it had served requests; on gateways always 0. */
   EVENT_UNLOADED,
   /** A request was refused; value: the error code. */
   EVENT_REFUSED,
@@ -72,7 +72,8 @@
   /** "nonce/key" -> total last reported by the router run with that nonce, as uint64_t. */
   GHashTable *remote_totals;
 
-  /** "engine type/key" -> smoothed load time in ms, as double. */
+  /** "engine type/key" -> smoothed load time in ms, as double. Gateways use the service in place of
+   * the engine type. */
   GHashTable *load_ms;
   /** Weight of the latest load in load_ms. */
   double smoothing_factor;
--- a/lib/router/load_backoff.h
+++ b/lib/router/load_backoff.h
@@ -1,8 +1,8 @@
 #ifndef ROUTER_LOAD_BACKOFF_H
 #define ROUTER_LOAD_BACKOFF_H
 /**
- * Records loads and unloads of a model or adapter on an engine. Loads that failed are retried with
- * exponential backoff.
+ * Records the failed loads and the last unload of each model or adapter on each engine. Failed
+ * loads are retried with exponential backoff.
  */
 #include "engine.h"
 
--- a/lib/router/request_admission.c
+++ b/lib/router/request_admission.c
@@ -52,7 +52,7 @@
   router *router = request->router;
   request_kind_stats *stats = &router->requests.kind_stats[request->policy_kind_index];
   stats->shed++;
-  /* by the time about half of the queue has been served, there is space again */
+  /* by the time about half of the queue has been served, it has free positions again */
   int up, own_capacity = resident_capacity(request, &up) / request_admission_count_routers(router);
   int64_t half_ms = (int64_t)(router->requests.smoothed_service_ms * (stats->waiting + 1) / 2 /
                               MAX(1, own_capacity));
--- a/lib/router/request_attempt.c
+++ b/lib/router/request_attempt.c
@@ -3,8 +3,9 @@
  *
  * A request must not run twice unless its client allowed that. It is therefore sent to another
  * engine only when the first one certainly ran no part of it: the engine could not be reached, or
- * responded that it did not run the request. Each attempt has a unique name that the first event of
- * the stream must repeat, so the stream of another attempt is never relayed in its place.
+ * declined the request, that is, responded that it did not run it. Each attempt has a unique name
+ * that the first event of the stream must repeat, so the stream of another attempt is never relayed
+ * in its place.
  *
  * Retries are limited by a budget that new requests fill (generate_api.c), so that retries cannot
  * overload a fleet that is already failing.
@@ -25,7 +26,7 @@
   MAX_FIRST_EVENT_BYTES = 4096,
   /* How much of the end of the stream is kept; enough for its last event. */
   TAIL_BYTES = 400,
-  /* An engine that cannot be reached is excluded for this long, doubled for each consecutive
+  /* An engine that cannot be reached is ejected for this long, doubled for each consecutive
      failure. */
   EXCLUSION_MS = 200,
   MAX_EXCLUSION_DOUBLINGS = 5,
--- a/lib/router/routed_request.h
+++ b/lib/router/routed_request.h
@@ -45,8 +45,8 @@
   /** The client allows the request to be run again even if it may already have run. */
   bool resumable;
 
-  /** hold_deadline ends the wait of the rule's hold step. received_at is reset when a load of an
-   * additional replica for this request ends. */
+  /** hold_deadline ends the wait of the rule's hold step. received_at is reset when the load of
+   * an extra replica for this request ends. */
   time_us received_at, deadline, hold_deadline;
   /** Whether it is counted as waiting or as running in the counts of its kind. */
   bool counted_waiting, counted_running;
--- a/tests/gateway/loader.c
+++ b/tests/gateway/loader.c
@@ -289,7 +289,7 @@
   heartbeat(bare, "e1", "10.0.0.1:80", 5, 0, "mid");
   EXPECT(fleet, gateway_engine_has_model(i, id_of_text("big"), none) &&
                     g_hash_table_contains(i->residents.models_on_disk, "mid"));
-  /* a new incarnation at the same address removes the previous one, which is never restored */
+  /* a new process run at the same address removes the previous one, which is never restored */
   gateway_engine *n = heartbeat(bare, "e2", "10.0.0.1:80", 1, 0, "");
   EXPECT(fleet, i->gone && !n->gone && gateway_engine_usable(n) && !gateway_engine_usable(i));
   heartbeat(bare, "e1", "10.0.0.1:80", 9, 0, "big");
--- a/tests/router/policy_replay.c
+++ b/tests/router/policy_replay.c
@@ -6,7 +6,7 @@
 
 enum { TRACES = 5 };
 
-/* checks the costs of the reference example, computed with the same victim selection that lease
+/* checks the costs of the reference example, computed with the same eviction policy that lease
  * holders use */
 static void check_reference_example(fleet *fleet) {
   trace *example = trace_reference_example();
