--- a/lib/gateway/engine_select.c
+++ b/lib/gateway/engine_select.c
@@ -254,8 +254,8 @@
 
 /* true when a candidate must not be selected because of its health; allow_ejected: ejected engines
  * are allowed, since fewer than half would be left otherwise */
-static bool is_ruled_out(const gateway_engine *engine, const engine_select_request *request,
-                         const candidates *found, bool allow_ejected, time_us now) {
+static bool is_unfit(const gateway_engine *engine, const engine_select_request *request,
+                     const candidates *found, bool allow_ejected, time_us now) {
   const engine_health *health = &engine->health;
   if (is_ejected(engine, now) &&
       !(allow_ejected && is_within(now, health->last_byte_at, RECENT_BYTE_MS)))
@@ -342,7 +342,7 @@
   bool allow_ejected = found->not_ejected * 2 < found->holding;
   for (int i = 0; i < found->count; i++) {
     gateway_engine *engine = found->engines[i];
-    if (is_ruled_out(engine, request, found, allow_ejected, now))
+    if (is_unfit(engine, request, found, allow_ejected, now))
       continue;
     candidate_estimate estimate = estimate_candidate(engine, request, prefix);
     double queue_ms = engine->load.ms_per_token * estimate.ahead;
--- a/lib/gateway/placement.c
+++ b/lib/gateway/placement.c
@@ -58,7 +58,7 @@
 };
 /* An extra replica that is loaded in parallel with another one may cost at most this share of its
  * utility in evictions. */
-static const double FURTHER_REPLICA_COST_SHARE = 0.1;
+static const double PARALLEL_REPLICA_COST_SHARE = 0.1;
 /* Expected delay of a load in ms: on an engine with all slots taken (in proportion for fewer), for
  * weights that are not on the engine's disk, and for a load that needs an eviction. */
 static const double FULL_ENGINE_DELAY_MS = 300, STORE_DELAY_MS = 300, EVICTION_DELAY_MS = 60;
@@ -74,9 +74,9 @@
   char *key; /* load_request_key, owned */
   id service, model, adapter;
   unsigned priority;
-  /** extra_replica: it is loaded although engines hold the model already; further_replica: it is
+  /** extra_replica: it is loaded although engines hold the model already; parallel_replica: it is
    * loaded in parallel with another extra replica. */
-  bool extra_replica, further_replica;
+  bool extra_replica, parallel_replica;
   time_us last_asked_at, expected_at;
   /** The chosen engine (empty: none at the moment) and its eviction cost. */
   id engine;
@@ -85,7 +85,7 @@
   bool started;
   /** Models with running requests may be evicted, since no engine can free enough capacity by
    * evicting idle models alone. */
-  bool may_drain;
+  bool may_evict_busy;
   bool done;
   enum error_code code;
   int64_t retry_after_ms;
@@ -308,7 +308,7 @@
   double eviction_cost = eviction_placement_cost(engine, choice->service, job->model, job->adapter,
                                                  &mb, &slots, &drain_ms);
   double max_cost =
-      (job->further_replica ? FURTHER_REPLICA_COST_SHARE : 1) * choice->replica_utility;
+      (job->parallel_replica ? PARALLEL_REPLICA_COST_SHARE : 1) * choice->replica_utility;
   if (eviction_cost < 0 || (job->extra_replica && eviction_cost > max_cost)) {
     choice->code = E_NO_CAPACITY;
     return;
@@ -415,7 +415,7 @@
     return PLACEMENT_DONE;
   }
   g_ptr_array_set_size(run->refused_by, 0);
-  job->may_drain = true;
+  job->may_evict_busy = true;
   if (!world_sleep_with_jitter(world, time_from_ms(NO_ENGINE_SLEEP_MS)))
     return end_with(run, E_STOPPING);
   return PLACEMENT_CONTINUE;
@@ -463,7 +463,8 @@
   request.priority = job->priority;
   request.wait_ms = PLACEMENT_WAIT_MS;
   request.extra_replica = job->extra_replica;
-  request.evict_idle_only = !job->may_drain && gateway_feature_enabled(gateway, FEATURE_IDLE_FIRST);
+  request.evict_idle_only =
+      !job->may_evict_busy && gateway_feature_enabled(gateway, FEATURE_IDLE_FIRST);
   request.max_eviction_cost = max_eviction_cost(gateway, job, service);
   Wire__Envelope message = wire_envelope(WIRE__ENVELOPE__BODY_PLACED_LOAD_REQUEST, &request),
                  *response;
@@ -520,9 +521,9 @@
   gateway *gateway = run->gateway;
   placement_job *job = run->job;
   g_ptr_array_add(run->refused_by, g_strdup(engine_id.text));
-  if (code == E_NO_CAPACITY && !job->extra_replica && !job->may_drain) {
-    job->may_drain = ++run->busy_engines >= MAX_BUSY_ENGINES;
-    if (job->may_drain)
+  if (code == E_NO_CAPACITY && !job->extra_replica && !job->may_evict_busy) {
+    job->may_evict_busy = ++run->busy_engines >= MAX_BUSY_ENGINES;
+    if (job->may_evict_busy)
       g_ptr_array_set_size(run->refused_by, 0);
     return PLACEMENT_CONTINUE;
   }
@@ -635,7 +636,7 @@
     } else {
       other = placement_job_start(gateway, key, job->service, job->model, job->adapter,
                                   job->priority, true);
-      other->further_replica = true;
+      other->parallel_replica = true;
       missing--;
     }
     g_free(key);
