--- a/lib/router/engine_capacity.c
+++ b/lib/router/engine_capacity.c
@@ -131,8 +131,8 @@
 
 /* Selects what to unload first by the eviction policy; false when the shortage cannot be covered.
  */
-static bool select_victim(engine *engine, const order_subject *to_load, capacity_shortage shortage,
-                          id *model, id *adapter) {
+static bool select_eviction(engine *engine, const order_subject *to_load,
+                            capacity_shortage shortage, id *model, id *adapter) {
   router *router = engine->router;
   GArray *candidates = g_array_new(FALSE, TRUE, sizeof(eviction_candidate));
   list_for_each (resident, &engine->residents, resident_model, link) {
@@ -143,18 +143,18 @@
                          config_formula(router->config, router->config->eviction_policy),
                          now_of(engine) };
   eviction_candidate *all = (eviction_candidate *)candidates->data;
-  int victims = eviction_policy_select(&rule, all, (int)candidates->len, shortage, draw_random,
-                                       router->node.world);
-  if (victims >= 0) {
+  int selected = eviction_policy_select(&rule, all, (int)candidates->len, shortage, draw_random,
+                                        router->node.world);
+  if (selected >= 0) {
     *model = all[0].model;
     *adapter = all[0].adapter;
     log_debug(&router->node.log, "place",
               "%s lacks %" PRIu64 " MB and %u slots for %s: evicting %d, first %s with score %g.",
-              engine->self.text, shortage.mb, shortage.slots, to_load->model.text, victims,
+              engine->self.text, shortage.mb, shortage.slots, to_load->model.text, selected,
               model->text, all[0].score);
   }
   g_array_free(candidates, TRUE);
-  return victims >= 0;
+  return selected >= 0;
 }
 
 static bool is_unloading(engine *engine) {
@@ -169,7 +169,7 @@
 static enum error_code evict_one(engine *engine, const order_subject *to_load,
                                  capacity_shortage shortage, error *err) {
   id model, adapter;
-  if (select_victim(engine, to_load, shortage, &model, &adapter))
+  if (select_eviction(engine, to_load, shortage, &model, &adapter))
     return unload(engine, model, adapter, err);
   if (is_unloading(engine) && engine_wait_next_report(engine))
     return OK;
