--- a/lib/router/engine.c
+++ b/lib/router/engine.c
@@ -68,7 +68,7 @@
   return admission_may_admit(router) && engine->listed && !engine->draining && engine->reported &&
          !engine->removed &&
          router_happened_within(router, engine->last_report_at, REPORT_VALID_MS) &&
-         time_reached(now, engine->excluded_until) &&
+         time_reached(now, engine->ejected_until) &&
          !(router->config &&
            config_is_engine_evacuated(router->config, engine->self, engine->zone));
 }
--- a/lib/router/engine.h
+++ b/lib/router/engine.h
@@ -79,7 +79,7 @@
   /* Requests that this router sends to the engine; written by request_attempt.c. */
   int own_running, consecutive_failures;
   /** The engine gets no work until this time, after consecutive failures. */
-  time_us excluded_until;
+  time_us ejected_until;
 
   /* Written by the modules that load models. */
   /** Orders sent by this process. */
--- a/lib/router/request_attempt.c
+++ b/lib/router/request_attempt.c
@@ -28,8 +28,8 @@
   TAIL_BYTES = 400,
   /* An engine that cannot be reached is ejected for this long, doubled for each consecutive
      failure. */
-  EXCLUSION_MS = 200,
-  MAX_EXCLUSION_DOUBLINGS = 5,
+  EJECTION_MS = 200,
+  MAX_EJECTION_DOUBLINGS = 5,
 
   RETRY_MS = 1000,
   RETRY_BROKEN_MS = 2000,
@@ -110,8 +110,8 @@
   routed_request *request = attempt->request;
   engine *engine = attempt->engine;
   engine->consecutive_failures++;
-  int doublings = MIN(engine->consecutive_failures, MAX_EXCLUSION_DOUBLINGS);
-  engine->excluded_until = deadline_in(attempt, EXCLUSION_MS << doublings);
+  int doublings = MIN(engine->consecutive_failures, MAX_EJECTION_DOUBLINGS);
+  engine->ejected_until = deadline_in(attempt, EJECTION_MS << doublings);
   request->run_outcome = NOT_RUN;
   routed_request_set_error(request, E_NO_ENGINE, RETRY_MS, "%s could not be reached",
                            engine->self.text);
