--- a/lib/gateway/engine_health.c
+++ b/lib/gateway/engine_health.c
@@ -79,7 +79,7 @@
   engine_health *health = &engine->health;
   time_us now = gateway_engine_now(engine);
   if (engine->gone || gateway_engine_unhealthy(engine) ||
-      !gateway_feature_enabled(engine->gateway, FEATURE_OUTLIER_EJECTION))
+      !gateway_feature_enabled(engine->gateway, FEATURE_FAILURE_SCORE))
     return;
   if (health->unhealthy_count &&
       time_reached(now, after_ms(health->unhealthy_until, UNHEALTHY_RESET_MS)))
--- a/lib/gateway/feature_flags.h
+++ b/lib/gateway/feature_flags.h
@@ -27,7 +27,7 @@
   /** Engine selection adds a cost for engines of other zones. */
   FEATURE_ZONE,
   /** Engines that fail some of their requests are avoided. */
-  FEATURE_OUTLIER_EJECTION,
+  FEATURE_FAILURE_SCORE,
   /** An unload is ordered only some time after its announcement. */
   FEATURE_ANNOUNCE_UNLOAD,
   /** A new adapter gets a minimum request rate and is not evicted for a short time. */
