--- a/lib/router/engine_selection.c
+++ b/lib/router/engine_selection.c
@@ -45,8 +45,8 @@
 }
 
 void engine_selection_select(routed_request *request) {
-  bool any;
-  engine *selected = engine_selection_find_resident(request, &any);
+  bool up_somewhere;
+  engine *selected = engine_selection_find_free_engine(request, &up_somewhere);
   list_for_each (other, &request->router->requests.admitted_requests, routed_request, queue_link)
     if (waits_for_same(request, other))
       return;
@@ -79,7 +79,7 @@
   return score + ((same_zone ? SCORE_SAME_ZONE : 0) + 1.0 / (2 + load));
 }
 
-engine *engine_selection_find_resident(routed_request *request, bool *any) {
+engine *engine_selection_find_free_engine(routed_request *request, bool *up_somewhere) {
   GPtrArray *candidates = g_ptr_array_new();
   int total_load = 0;
   list_for_each (engine_, &request->router->engine_list.engines, engine, link) {
@@ -101,7 +101,7 @@
     best = candidate;
     best_score = candidate_score;
   }
-  *any = candidates->len > 0;
+  *up_somewhere = candidates->len > 0;
   g_ptr_array_free(candidates, TRUE);
   return best;
 }
--- a/lib/router/engine_wait.c
+++ b/lib/router/engine_wait.c
@@ -143,7 +143,7 @@
   if (code)
     return code;
   bool is_up;
-  engine *free_engine = engine_selection_find_resident(request, &is_up);
+  engine *free_engine = engine_selection_find_free_engine(request, &is_up);
   if (free_engine && engine_selection_is_next(request)) {
     request->engine = free_engine;
     return OK;
--- a/lib/router/routed_request.h
+++ b/lib/router/routed_request.h
@@ -91,8 +91,9 @@
 
 /** Selects an engine on which the model is up and a slot is free. Requests with a prefix prefer the
  * engine that the prefix hashes to; others prefer engines in the same zone with few streams.
- * Returns NULL when there is none; *any says whether the model is up on any usable engine. */
-engine *engine_selection_find_resident(routed_request *request, bool *any);
+ * Returns NULL when there is none; *up_somewhere says whether the model is up on any usable engine.
+ */
+engine *engine_selection_find_free_engine(routed_request *request, bool *up_somewhere);
 /** Selects the engine to load the model on. All routers rank engines identically, so their load
  * requests for a model go to the same engine. Returns NULL when there is none now; *fits says
  * whether any listed engine is large enough. */
