--- a/lib/gateway/engine_loading.c
+++ b/lib/gateway/engine_loading.c
@@ -312,8 +312,8 @@
   time_us reported_at = engine->orders.reported_at;
   bool busy;
   int running;
-  if (!order->is_base ||
-      (reported_at.us && gateway_ms_since(order->gateway, reported_at) <= IDENTITY_CONFIRMED_MS))
+  if (!order->is_base || (reported_at.us && gateway_ms_since(order->gateway, reported_at) <=
+                                                ENGINE_IDENTITY_MAX_AGE_MS))
     return OK;
   if (engine_order_fetch_report(engine, &busy, &running, order->err))
     return OK;
@@ -407,7 +407,7 @@
   error *err = order->err;
   unreserve(order);
   switch (order->status) {
-  case ORDER_NOT_ALLOWED:
+  case ENGINE_ORDER_NOT_ALLOWED:
     return err->code;
   case 421:
     return error_set(err, E_NO_ENGINE, "%s is another engine now", engine->engine_id.text);
@@ -502,7 +502,7 @@
   *loaded = status == 200;
   if (status == 421)
     return error_set(order->err, E_NO_ENGINE, "%s is another engine now", engine->engine_id.text);
-  return status == ORDER_NOT_ALLOWED ? order->err->code : OK;
+  return status == ENGINE_ORDER_NOT_ALLOWED ? order->err->code : OK;
 }
 
 static enum error_code poll_by_report(engine_load_order *order, bool *loaded) {
--- a/lib/gateway/engine_orders.c
+++ b/lib/gateway/engine_orders.c
@@ -207,7 +207,7 @@
   }
   g_string_append(body, ",\"holder\":");
   json_append_quoted(body, string_view_of(gateway->router->node.settings.self.text));
-  if (expected_orders != ORDER_COUNT_ANY)
+  if (expected_orders != ENGINE_ORDER_COUNT_ANY)
     json_appendf(body, ",\"expect\":%" PRId64, expected_orders);
   json_appendf(body, ",\"fence\":%" PRIu64 "}", epoch);
   error err = { 0 };
@@ -228,7 +228,7 @@
     seen_at = engine->health.last_byte_at;
   if (engine->orders.identity_confirmed_at.us > seen_at.us)
     seen_at = engine->orders.identity_confirmed_at;
-  return gateway_ms_since(engine->gateway, seen_at) <= IDENTITY_CONFIRMED_MS;
+  return gateway_ms_since(engine->gateway, seen_at) <= ENGINE_IDENTITY_MAX_AGE_MS;
 }
 
 /* updates the capacity account and the identity confirmation from an order's result */
@@ -277,11 +277,11 @@
   uint64_t epoch = engine_order_epoch(engine);
   if (!epoch) {
     error_set(err, E_NO_LEASE_HOLDER, "no lease on %s", name);
-    return ORDER_NOT_ALLOWED;
+    return ENGINE_ORDER_NOT_ALLOWED;
   }
   if (engine->gone) {
     error_set(err, E_NO_ENGINE, "%s is gone", name);
-    return ORDER_NOT_ALLOWED;
+    return ENGINE_ORDER_NOT_ALLOWED;
   }
   if (!identity_is_recent(engine)) {
     bool busy;
@@ -290,7 +290,7 @@
       return ENGINE_ORDER_NOT_SENT;
     if (engine->gone || !(epoch = engine_order_epoch(engine))) {
       error_set(err, E_NO_LEASE_HOLDER, "no lease on %s", name);
-      return ORDER_NOT_ALLOWED;
+      return ENGINE_ORDER_NOT_ALLOWED;
     }
   }
   int status = send_under_epoch(engine, load, model, adapter, epoch, expected_orders, send_by, err);
@@ -298,7 +298,7 @@
   if (status != 412)
     return status;
   error_set(err, E_STALE_EPOCH, "%s has seen a higher fencing token", name);
-  return ORDER_NOT_ALLOWED;
+  return ENGINE_ORDER_NOT_ALLOWED;
 }
 
 bool engine_order_stopping(gateway_engine *engine) {
@@ -397,9 +397,9 @@
       announce_unload(engine, unload->model, unload->adapter);
       unload->announced_at = gateway_engine_now(engine);
     }
-    int status = engine_order_send(engine, false, unload->model, unload->adapter, ORDER_COUNT_ANY,
-                                   time_never(), unload->err);
-    if (status == ORDER_NOT_ALLOWED)
+    int status = engine_order_send(engine, false, unload->model, unload->adapter,
+                                   ENGINE_ORDER_COUNT_ANY, time_never(), unload->err);
+    if (status == ENGINE_ORDER_NOT_ALLOWED)
       return unload->err->code;
     if (status == 200)
       return OK;
--- a/lib/gateway/engine_orders.h
+++ b/lib/gateway/engine_orders.h
@@ -27,9 +27,9 @@
 enum { ENGINE_REPORT_LAG_MS = 450 };
 /** The maximum age of the report that a model load relies on, and of the last sign of life by which
  * an engine counts as identified. */
-enum { IDENTITY_CONFIRMED_MS = 1800 };
+enum { ENGINE_IDENTITY_MAX_AGE_MS = 1800 };
 /** Expected number of accepted orders: any. */
-enum { ORDER_COUNT_ANY = -1 };
+enum { ENGINE_ORDER_COUNT_ANY = -1 };
 
 /** Results of an order other than the engine's HTTP status (200: done already, 202: accepted). */
 enum engine_order_status {
@@ -37,7 +37,7 @@
   /** It was sent, but no complete response was received. */
   ENGINE_ORDER_UNKNOWN = -1,
   /** This gateway doesn't hold the engine's lease, or the engine is gone; err says which. */
-  ORDER_NOT_ALLOWED = -2,
+  ENGINE_ORDER_NOT_ALLOWED = -2,
 };
 
 /** The epoch under which this gateway may send orders to an engine; 0 when it may not. */
