--- a/lib/router/controller_poll.c
+++ b/lib/router/controller_poll.c
@@ -213,8 +213,8 @@
     if (peer) {
       g_strlcpy(router->controllers.polled_controller, peer->address,
                 sizeof router->controllers.polled_controller);
-      controller_selection_mark_asked(&controllers->selection,
-                                      router->controllers.polled_controller, started_at);
+      controller_selection_mark_polled(&controllers->selection,
+                                       router->controllers.polled_controller, started_at);
       confirmed = poll_controller(router, router->controllers.polled_controller, POLL_LONG);
     }
     running = confirmed ? pause_after_success(router, started_at)
@@ -261,7 +261,7 @@
       controller_selection_next(&controllers->selection, &router->node, polled[0] ? polled : NULL);
   if (!peer)
     return;
-  controller_selection_mark_asked(&controllers->selection, peer->address, now);
+  controller_selection_mark_polled(&controllers->selection, peer->address, now);
   hedged_poll *poll = &controllers->hedged_polls[index];
   *poll = (hedged_poll){ .sent_at = now, .in_flight = true };
   g_strlcpy(poll->address, peer->address, sizeof poll->address);
--- a/lib/router/controller_selection.c
+++ b/lib/router/controller_selection.c
@@ -27,8 +27,8 @@
   return oldest;
 }
 
-void controller_selection_mark_asked(controller_selection *selection, const char *address,
-                                     time_us now) {
+void controller_selection_mark_polled(controller_selection *selection, const char *address,
+                                      time_us now) {
   find_or_add_contact(selection, address)->asked_at = now;
 }
 
@@ -50,7 +50,7 @@
 /* Sort key of a controller: available ones first, then the one polled longest ago. */
 typedef struct preference {
   bool likely_available;
-  int64_t asked_at_us;
+  int64_t polled_at_us;
 } preference;
 
 static preference preference_of(controller_selection *selection, const peer_node *peer,
@@ -63,7 +63,7 @@
 static int compare_preferences(preference a, preference b) {
   if (a.likely_available != b.likely_available)
     return a.likely_available ? -1 : 1;
-  return a.asked_at_us < b.asked_at_us ? -1 : a.asked_at_us > b.asked_at_us;
+  return a.polled_at_us < b.polled_at_us ? -1 : a.polled_at_us > b.polled_at_us;
 }
 
 peer_node *controller_selection_next(controller_selection *selection, node *from,
--- a/lib/router/controller_selection.h
+++ b/lib/router/controller_selection.h
@@ -28,8 +28,8 @@
 peer_node *controller_selection_next(controller_selection *selection, node *from,
                                      const char *except);
 /** Records that a controller is being polled. */
-void controller_selection_mark_asked(controller_selection *selection, const char *address,
-                                     time_us now);
+void controller_selection_mark_polled(controller_selection *selection, const char *address,
+                                      time_us now);
 /** Records that a controller did not respond or could not confirm its state. */
 void controller_selection_mark_failed(controller_selection *selection, const char *address,
                                       time_us now);
