--- a/lib/router/controller_selection.c
+++ b/lib/router/controller_selection.c
@@ -20,7 +20,7 @@
     return known;
   controller_contact *oldest = &selection->contacts[0];
   for (size_t i = 1; i < MAX_KNOWN_CONTROLLERS; i++)
-    if (selection->contacts[i].asked_at.us < oldest->asked_at.us)
+    if (selection->contacts[i].polled_at.us < oldest->polled_at.us)
       oldest = &selection->contacts[i];
   *oldest = (controller_contact){ .address = "" };
   g_strlcpy(oldest->address, address, sizeof oldest->address);
@@ -29,7 +29,7 @@
 
 void controller_selection_mark_polled(controller_selection *selection, const char *address,
                                       time_us now) {
-  find_or_add_contact(selection, address)->asked_at = now;
+  find_or_add_contact(selection, address)->polled_at = now;
 }
 
 void controller_selection_mark_failed(controller_selection *selection, const char *address,
@@ -56,7 +56,7 @@
 static preference preference_of(controller_selection *selection, const peer_node *peer,
                                 time_us now) {
   const controller_contact *known = find_contact(selection, peer->address);
-  return (preference){ is_likely_available(peer, known, now), known ? known->asked_at.us : 0 };
+  return (preference){ is_likely_available(peer, known, now), known ? known->polled_at.us : 0 };
 }
 
 /* Returns a negative value when a is preferred to b, and 0 when they are equal. */
--- a/lib/router/controller_selection.h
+++ b/lib/router/controller_selection.h
@@ -14,7 +14,7 @@
   /** Empty if the entry is unused. */
   char address[48];
   /** When it was last polled, and when a poll of it last failed; 0 if never. */
-  time_us asked_at, failed_at;
+  time_us polled_at, failed_at;
 } controller_contact;
 
 /** The controllers that have been polled. When the table is full, a new one replaces the one polled
