--- a/lib/router/config_snapshot.c
+++ b/lib/router/config_snapshot.c
@@ -11,7 +11,7 @@
 /* A snapshot that is being checked; no part of it is in force yet. */
 typedef struct candidate {
   const char *from;
-  bool versions_moved;
+  bool versions_changed;
   Wire__StateSnapshot *snapshot;
   /* by resource number; borrowed from the snapshot, NULL when it lists no such resource */
   Wire__Resource *resources[RESOURCE_COUNT];
@@ -47,17 +47,17 @@
 }
 
 static void request_full_snapshot(router *router, const candidate *candidate) {
-  if (!candidate->versions_moved)
+  if (!candidate->versions_changed)
     memset(router->sync.resource_versions, 0, sizeof router->sync.resource_versions);
 }
 
 /* Replaces the delta of a resource with its full text. */
-static bool apply_delta(const router *router, int k, Wire__Resource *resource) {
-  if (resource->base_version != router->sync.resource_versions[k])
+static bool apply_delta(const router *router, int resource_index, Wire__Resource *resource) {
+  if (resource->base_version != router->sync.resource_versions[resource_index])
     return false;
   GString *text = g_string_new(NULL);
   string_view delta = { (char *)resource->delta.data, resource->delta.len };
-  if (!delta_apply(string_view_of_gstring(router->sync.resources[k]), delta, text)) {
+  if (!delta_apply(string_view_of_gstring(router->sync.resources[resource_index]), delta, text)) {
     g_string_free(text, TRUE);
     return false;
   }
@@ -69,12 +69,12 @@
 
 /* True when the full text of a resource is known, either from the snapshot or because it is the
  * version in force. */
-static bool resolve_text(router *router, const candidate *candidate, int k) {
-  Wire__Resource *resource = candidate->resources[k];
-  bool fits =
-      resource && (!resource->same || resource->version == router->sync.resource_versions[k]);
+static bool resolve_text(router *router, const candidate *candidate, int resource_index) {
+  Wire__Resource *resource = candidate->resources[resource_index];
+  bool fits = resource && (!resource->same ||
+                           resource->version == router->sync.resource_versions[resource_index]);
   if (fits && resource->delta.len)
-    fits = apply_delta(router, k, resource);
+    fits = apply_delta(router, resource_index, resource);
   if (!fits)
     request_full_snapshot(router, candidate);
   return fits;
@@ -197,8 +197,8 @@
 }
 
 bool config_snapshot_install(router *router, const ProtobufCBinaryData *packed, const char *from,
-                             bool versions_moved) {
-  candidate candidate = { .from = from, .versions_moved = versions_moved };
+                             bool versions_changed) {
+  candidate candidate = { .from = from, .versions_changed = versions_changed };
   candidate.snapshot = wire__state_snapshot__unpack(NULL, packed->len, packed->data);
   if (!candidate.snapshot)
     return false;
--- a/lib/router/config_snapshot.h
+++ b/lib/router/config_snapshot.h
@@ -17,7 +17,7 @@
  * did not, such a difference means that the sender and this router disagree on the contents of a
  * version, and the next poll requests all resources in full. */
 bool config_snapshot_install(router *router, const ProtobufCBinaryData *packed, const char *from,
-                             bool versions_moved);
+                             bool versions_changed);
 /** Packs the state in force with all resources in full. The reply owns the bytes. */
 void config_snapshot_pack(router *router, reply *reply, ProtobufCBinaryData *to);
 /** Number of resources to list on the wire. The last one, the canary, is listed only after it has
--- a/lib/router/config_sync.c
+++ b/lib/router/config_sync.c
@@ -72,9 +72,9 @@
   const Wire__ConfigPollResponse *response = exchange->response;
   if (!response->changed || !response->snapshot.len)
     return false;
-  bool versions_moved = memcmp(exchange->sent_versions, router->sync.resource_versions,
-                               sizeof exchange->sent_versions) != 0;
-  return config_snapshot_install(router, &response->snapshot, address, versions_moved);
+  bool versions_changed = memcmp(exchange->sent_versions, router->sync.resource_versions,
+                                 sizeof exchange->sent_versions) != 0;
+  return config_snapshot_install(router, &response->snapshot, address, versions_changed);
 }
 
 bool config_sync_is_up_to_date(router *router, const config_exchange *exchange) {
--- a/lib/router/controller_selection.c
+++ b/lib/router/controller_selection.c
@@ -15,9 +15,9 @@
 
 static controller_contact *find_or_add_contact(controller_selection *selection,
                                                const char *address) {
-  controller_contact *known = find_contact(selection, address);
-  if (known)
-    return known;
+  controller_contact *contact = find_contact(selection, address);
+  if (contact)
+    return contact;
   controller_contact *oldest = &selection->contacts[0];
   for (size_t i = 1; i < MAX_KNOWN_CONTROLLERS; i++)
     if (selection->contacts[i].polled_at.us < oldest->polled_at.us)
@@ -39,12 +39,12 @@
 
 /* A controller that is declared gone may have returned without being noticed yet, so it is only
  * ranked lower and not skipped permanently. */
-static bool is_likely_available(const peer_node *peer, const controller_contact *known,
+static bool is_likely_available(const peer_node *peer, const controller_contact *contact,
                                 time_us now) {
   if (peer->gone)
     return false;
-  return !known || !known->failed_at.us ||
-         time_reached(now, time_add(known->failed_at, time_from_ms(FAILURE_PENALTY_MS)));
+  return !contact || !contact->failed_at.us ||
+         time_reached(now, time_add(contact->failed_at, time_from_ms(FAILURE_PENALTY_MS)));
 }
 
 /* Sort key of a controller: available ones first, then the one polled longest ago. */
@@ -55,8 +55,9 @@
 
 static preference preference_of(controller_selection *selection, const peer_node *peer,
                                 time_us now) {
-  const controller_contact *known = find_contact(selection, peer->address);
-  return (preference){ is_likely_available(peer, known, now), known ? known->polled_at.us : 0 };
+  const controller_contact *contact = find_contact(selection, peer->address);
+  return (preference){ is_likely_available(peer, contact, now),
+                       contact ? contact->polled_at.us : 0 };
 }
 
 /* Returns a negative value when a is preferred to b, and 0 when they are equal. */
