--- a/lib/gateway/attempt.c
+++ b/lib/gateway/attempt.c
@@ -54,10 +54,10 @@
 /* When to give up a silent engine and retry at another one: earlier when the engine sends nothing
  * for other requests either. */
 static time_us silence_deadline(const inflight_request *request, const http_call *call,
-                                time_us last_byte_at, bool events_passed) {
+                                time_us last_byte_at, bool events_received) {
   double expected_ms = MAX(mean_first_event_ms(request), request->slot.estimate_ms),
          span_ms = MAX(SILENCE_FIRST_EVENTS * expected_ms, SILENCE_MIN_MS);
-  if (events_passed)
+  if (events_received)
     span_ms =
         MAX(STREAM_SILENCE_MIN_MS, (double)SILENCE_GAPS * (double)request->route->gap_target_ms);
   bool engine_alive =
@@ -66,16 +66,16 @@
     /* the engine is only slow with this request, or has lost it */
     time_us sent_at = call->sent_at.us ? call->sent_at : request->received_at;
     double third_ms = (double)time_sub(request->deadline, sent_at).us / 3000;
-    span_ms = events_passed ? 3 * span_ms : MAX(2 * span_ms, third_ms);
+    span_ms = events_received ? 3 * span_ms : MAX(2 * span_ms, third_ms);
   }
   return time_add(last_byte_at, time_from_ms((int64_t)span_ms));
 }
 
 bool attempt_retry_if_unresponsive(inflight_request *request, const http_call *call,
-                                   time_us last_byte_at, bool events_passed, time_us *next_retry_at,
-                                   time_us *until) {
+                                   time_us last_byte_at, bool events_received,
+                                   time_us *next_retry_at, time_us *until) {
   time_us now = request_now(request),
-          give_up_at = silence_deadline(request, call, last_byte_at, events_passed);
+          give_up_at = silence_deadline(request, call, last_byte_at, events_received);
   if (next_retry_at->us > give_up_at.us)
     give_up_at = *next_retry_at;
   if (time_reached(now, give_up_at)) {
--- a/lib/gateway/inflight_request.h
+++ b/lib/gateway/inflight_request.h
@@ -135,11 +135,11 @@
 bool attempt_past_grace_period(const inflight_request *request);
 /** True when the engine has been silent for too long and a slot for a retry has been reserved.
  * Otherwise limits *until to the time of the next check. *next_retry_at keeps the time of the next
- * attempt to reserve a slot between calls; it is 0 at first. events_passed: events of the stream
+ * attempt to reserve a slot between calls; it is 0 at first. events_received: events of the stream
  * have been received already. */
 bool attempt_retry_if_unresponsive(inflight_request *request, const http_call *call,
-                                   time_us last_byte_at, bool events_passed, time_us *next_retry_at,
-                                   time_us *until);
+                                   time_us last_byte_at, bool events_received,
+                                   time_us *next_retry_at, time_us *until);
 /** The deadline of a request plus a margin for a response in transit. */
 time_us attempt_deadline(const inflight_request *request);
 
--- a/lib/gateway/response_relay.c
+++ b/lib/gateway/response_relay.c
@@ -105,15 +105,15 @@
 
 /* relays the complete events received so far; RELAY_ENDED with *outcome when that failed */
 static enum relay_step relay_events(inflight_request *request, http_call *call, time_us sent_at,
-                                    bool *events_passed, enum attempt_outcome *outcome) {
+                                    bool *events_received, enum attempt_outcome *outcome) {
   GString *body = call->response_body;
   size_t length = event_complete_length(body->str, body->len), new_from = 0;
   if (!length)
     return RELAY_WAIT;
-  if (!*events_passed) {
+  if (!*events_received) {
     response_relay_record_first_event(request,
                                       (double)time_sub(request_now(request), sent_at).us / 1000);
-    *events_passed = true;
+    *events_received = true;
   }
   *outcome = ATTEMPT_OUTCOME_FAILED;
   if (!track_events(request, body->str, length, &new_from))
@@ -136,7 +136,7 @@
   http_request *http = request->http;
   time_us last_byte_at = request_now(request), deadline = attempt_deadline(request),
           next_retry_at = { 0 };
-  bool events_passed = false;
+  bool events_received = false;
   for (;;) {
     if (http->client_gone || http->world->tasks.stopped)
       return ATTEMPT_OUTCOME_CLIENT_LEFT;
@@ -146,7 +146,7 @@
       next_retry_at = (time_us){ 0 };
     }
     enum attempt_outcome outcome;
-    enum relay_step step = relay_events(request, call, sent_at, &events_passed, &outcome);
+    enum relay_step step = relay_events(request, call, sent_at, &events_received, &outcome);
     if (step == RELAY_ENDED)
       return outcome;
     if (step == RELAY_AGAIN)
@@ -165,7 +165,7 @@
     if (time_reached(now, deadline))
       return ATTEMPT_OUTCOME_TIMEOUT;
     time_us until = deadline;
-    if (may_resume && attempt_retry_if_unresponsive(request, call, last_byte_at, events_passed,
+    if (may_resume && attempt_retry_if_unresponsive(request, call, last_byte_at, events_received,
                                                     &next_retry_at, &until))
       return ATTEMPT_OUTCOME_RETRY;
     condition_wait(&http->world->tasks, &call->progressed, until);
