--- a/lib/gateway/load_rate_limiter.c
+++ b/lib/gateway/load_rate_limiter.c
@@ -26,7 +26,7 @@
   MAX_SUCCESSORS = 3
 };
 /* Defaults of the settings: the window in s, and the factor applied to the configured rate. */
-static const double DEFAULT_WINDOW_S = 5, DEFAULT_EXCESS = 1;
+static const double DEFAULT_WINDOW_S = 5, DEFAULT_LIMIT_FACTOR = 1;
 /* Load times are kept for this many windows. */
 static const double KEPT_WINDOWS = 1.2;
 /* Compensates for a product that falls just below an integer through rounding. */
@@ -39,8 +39,8 @@
   uint64_t epoch;
 } load_rate_limiter;
 
-int load_rate_limiter_max_loads(double loads_per_s, double window_s, double excess) {
-  return MAX(1, (int)floor(loads_per_s * window_s * excess + ROUNDING_MARGIN) - 1);
+int load_rate_limiter_max_loads(double loads_per_s, double window_s, double limit_factor) {
+  return MAX(1, (int)floor(loads_per_s * window_s * limit_factor + ROUNDING_MARGIN) - 1);
 }
 
 time_us load_rate_limiter_next_at(const GArray *load_times, time_us now, time_us window,
@@ -93,8 +93,8 @@
   return gateway->settings.load_window_s > 0 ? gateway->settings.load_window_s : DEFAULT_WINDOW_S;
 }
 
-static double excess(const gateway *gateway) {
-  return gateway->settings.load_excess > 0 ? gateway->settings.load_excess : DEFAULT_EXCESS;
+static double limit_factor(const gateway *gateway) {
+  return gateway->settings.load_excess > 0 ? gateway->settings.load_excess : DEFAULT_LIMIT_FACTOR;
 }
 
 void load_rate_limiter_record(gateway *gateway, id service, time_us at) {
@@ -136,7 +136,7 @@
   const singleton_lease *lease = singleton_lease_find(router, "pacer");
   load_rate_limiter *limiter = load_rate_limiter_of(gateway, service->name);
   int max_loads =
-      load_rate_limiter_max_loads(service->loads_per_s, window_s(gateway), excess(gateway));
+      load_rate_limiter_max_loads(service->loads_per_s, window_s(gateway), limit_factor(gateway));
   time_us now = gateway_now(gateway), valid = time_from_ms(PERMIT_VALID_MS),
           window = time_add((time_us){ (int64_t)(window_s(gateway) * 1e6) }, valid);
   /* the first holder (epoch 1) has no predecessor */
--- a/lib/gateway/load_rate_limiter.h
+++ b/lib/gateway/load_rate_limiter.h
@@ -23,8 +23,8 @@
 time_us load_rate_limiter_next_at(const GArray *load_times, time_us now, time_us window,
                                   int max_loads);
 /** The number of loads per window for which permits are granted: one less than the store allows.
- * The configured rate loads_per_s is multiplied by rate_factor. */
-int load_rate_limiter_max_loads(double loads_per_s, double window_s, double excess);
+ * The configured rate loads_per_s is multiplied by limit_factor. */
+int load_rate_limiter_max_loads(double loads_per_s, double window_s, double limit_factor);
 /** Adds load times to the record of a node that takes over the limiter at `acquired_at` and has run
  * since `started_at`, as a substitute for load reports that it may have missed. */
 void load_rate_limiter_take_over(GArray *load_times, time_us acquired_at, time_us started_at,
