--- a/lib/gateway/traffic_reports.c
+++ b/lib/gateway/traffic_reports.c
@@ -69,7 +69,7 @@
 
 /* removes a gateway's load from an engine that its report doesn't list; loads that the report lists
  * have its received_at */
-static void remove_unnamed_load(gateway_engine *engine, uint64_t nonce, time_us received_at) {
+static void remove_unlisted_load(gateway_engine *engine, uint64_t nonce, time_us received_at) {
   GArray *peer_loads = engine->load.peer_loads;
   for (guint i = 0; i < peer_loads->len; i++) {
     const peer_load *peer = &g_array_index(peer_loads, peer_load, i);
@@ -97,7 +97,7 @@
                                              (same_zone ? 1 : OTHER_ZONE_FAILURE_WEIGHT));
   }
   list_for_each (engine, &gateway->engines.list, gateway_engine, link)
-    remove_unnamed_load(engine, nonce, received_at);
+    remove_unlisted_load(engine, nonce, received_at);
 }
 
 static enum error_code on_traffic_report(void *context, Wire__Envelope *in, reply *reply,
