--- a/lib/gateway/engine_load.c
+++ b/lib/gateway/engine_load.c
@@ -2,8 +2,8 @@
  *
  * The time to the first event is modelled as base_ms + ms_per_token * (tokens waiting + own tokens
  * to prefill), and grows by up to a share of FULL_BATCH_SLOWDOWN as slots are taken. Both
- * parameters are estimated from the requests of this gateway that had few tokens queued ahead of
- * them; behind a queue, the time depends mostly on the queue. */
+ * parameters are estimated from those requests of this gateway that were served while few other
+ * tokens were waiting; behind a queue, the time depends mostly on the queue. */
 #include "engine_load.h"
 #include "gateway.h"
 
@@ -13,9 +13,9 @@
                     SPEED_WEIGHT = 0.1;
 /* Relative increase of the time to the first event when all slots are taken. */
 static const double FULL_BATCH_SLOWDOWN = 0.3;
-/* A sample is ignored if more tokens were queued ahead of it than this share of its own tokens (or
+/* A sample is ignored if more tokens were waiting than this share of its own tokens (or
  * of SHORT_PROMPT_TOKENS if it has fewer). */
-static const double SPEED_SAMPLE_MAX_AHEAD_SHARE = 0.5;
+static const double SPEED_SAMPLE_MAX_WAITING_SHARE = 0.5;
 /* Shorter prompts update the base time, longer ones the time per token. */
 static const double SHORT_PROMPT_TOKENS = 200;
 /* Speed of an engine without samples. */
@@ -112,14 +112,14 @@
 
 /* updates the estimated speed from a measured time to the first event */
 static void update_speed(gateway_engine *engine, double uncached_tokens, double ms,
-                         int running_then) {
+                         int running_at_start) {
   engine_load *load = &engine->load;
-  double ahead = gateway_engine_waiting_tokens(engine);
+  double waiting_tokens = gateway_engine_waiting_tokens(engine);
   unsigned slots = MAX(engine->slots, 1);
-  if (ahead > SPEED_SAMPLE_MAX_AHEAD_SHARE * MAX(uncached_tokens, SHORT_PROMPT_TOKENS) ||
-      running_then > (int)slots)
+  if (waiting_tokens > SPEED_SAMPLE_MAX_WAITING_SHARE * MAX(uncached_tokens, SHORT_PROMPT_TOKENS) ||
+      running_at_start > (int)slots)
     return;
-  ms /= engine_load_batch_slowdown(running_then, slots);
+  ms /= engine_load_batch_slowdown(running_at_start, slots);
   if (uncached_tokens < SHORT_PROMPT_TOKENS) {
     double base_ms = ms - uncached_tokens * load->ms_per_token;
     load->base_ms += SPEED_WEIGHT * (CLAMP(base_ms, 0.5, 4 * load->base_ms) - load->base_ms);
@@ -134,7 +134,7 @@
 }
 
 void gateway_engine_record_first_event(gateway_engine *engine, double tokens, double ms,
-                                       int running_then) {
+                                       int running_at_start) {
   engine_load *load = &engine->load;
   engine->health.last_byte_at = gateway_engine_now(engine);
   int index = own_run_find(load, tokens, false);
@@ -148,7 +148,7 @@
   update_oldest_wait(load);
   mean_add(&load->mean_first_event_ms, ms, FIRST_EVENT_WEIGHT);
   engine_health_clear(engine);
-  update_speed(engine, uncached_tokens, ms, running_then);
+  update_speed(engine, uncached_tokens, ms, running_at_start);
 }
 
 static void remove_run(gateway_engine *engine, guint index, bool ok) {
--- a/lib/gateway/engine_load.h
+++ b/lib/gateway/engine_load.h
@@ -62,10 +62,10 @@
 /** Records that a request was sent to this engine: the one for which engine_select last chose it.
  */
 void gateway_engine_record_sent(gateway_engine *engine, double tokens);
-/** Records the first event of a request. tokens: its prompt tokens; running_then: the number of
+/** Records the first event of a request. tokens: its prompt tokens; running_at_start: the number of
  * requests that ran on the engine when its slot was reserved. */
 void gateway_engine_record_first_event(gateway_engine *engine, double tokens, double ms,
-                                       int running_then);
+                                       int running_at_start);
 /** Records the end of a request; ok is false when the engine failed. */
 void gateway_engine_record_end(gateway_engine *engine, bool ok);
 /** Prompt tokens of all gateways' requests that wait on the engine for their first event. */
--- a/lib/gateway/engine_select.c
+++ b/lib/gateway/engine_select.c
@@ -62,10 +62,11 @@
 /* Used as the estimate when no healthy engine is left; always counts as slow. */
 static const double NO_ESTIMATE_MS = 1e9;
 
-double engine_select_estimate_ms(double base_ms, double ms_per_token, double ahead, double uncached,
-                                 int running, unsigned slots, double run_ms) {
-  double ms =
-      (base_ms + ms_per_token * (ahead + uncached)) * engine_load_batch_slowdown(running, slots);
+double engine_select_estimate_ms(double base_ms, double ms_per_token, double waiting_tokens,
+                                 double uncached_tokens, int running, unsigned slots,
+                                 double run_ms) {
+  double ms = (base_ms + ms_per_token * (waiting_tokens + uncached_tokens)) *
+              engine_load_batch_slowdown(running, slots);
   if (slots && running >= (int)slots)
     ms += (running - (int)slots + 1) * run_ms / slots;
   return ms;
@@ -223,10 +224,10 @@
 typedef struct candidate_estimate {
   unsigned slots;
   int running;
-  double ahead;    /* tokens queued there */
-  double cached;   /* of the prompt */
-  double uncached; /* of the prompt, to be prefilled */
-  double ms;       /* to the first event */
+  double waiting_tokens;  /* of other requests, on the engine */
+  double cached_tokens;   /* of the prompt */
+  double uncached_tokens; /* of the prompt, to be prefilled */
+  double ms;              /* to the first event */
 } candidate_estimate;
 
 static candidate_estimate estimate_candidate(const gateway_engine *engine,
@@ -239,16 +240,16 @@
     .running = gateway_feature_enabled(gateway, FEATURE_BATCH)
                    ? gateway_engine_running_requests(engine)
                    : 0,
-    .ahead = gateway_engine_waiting_tokens(engine),
+    .waiting_tokens = gateway_engine_waiting_tokens(engine),
   };
   double cached = cached_tokens(engine, prefix, request->service->kv_tokens);
-  estimate.cached = MAX(cached, 0);
-  estimate.uncached = MAX(request->tokens - estimate.cached, 0);
+  estimate.cached_tokens = MAX(cached, 0);
+  estimate.uncached_tokens = MAX(request->tokens - estimate.cached_tokens, 0);
   if (cached < 0 && engine == prefix->home)
-    estimate.uncached = MAX(request->tokens - HOME_CACHED_SHARE * prefix->shared_tokens, 0);
-  estimate.ms = engine_select_estimate_ms(load->base_ms, load->ms_per_token, estimate.ahead,
-                                          estimate.uncached, estimate.running, estimate.slots,
-                                          load->mean_run_ms);
+    estimate.uncached_tokens = MAX(request->tokens - HOME_CACHED_SHARE * prefix->shared_tokens, 0);
+  estimate.ms = engine_select_estimate_ms(load->base_ms, load->ms_per_token,
+                                          estimate.waiting_tokens, estimate.uncached_tokens,
+                                          estimate.running, estimate.slots, load->mean_run_ms);
   return estimate;
 }
 
@@ -278,7 +279,7 @@
   /* in a queue that is already too long, the request would only delay those behind it */
   return !plain && request->target_ms &&
          estimate->ms > policy_of(request)->reject_threshold * (double)request->target_ms &&
-         estimate->ahead > 0;
+         estimate->waiting_tokens > 0;
 }
 
 /* cost of nearly full KV memory, where the engine would preempt requests */
@@ -297,7 +298,7 @@
   double cost = policy->load_weight * estimate->ms, target_ms = (double)request->target_ms;
   if (prefix->home && engine != prefix->home)
     cost += policy->affinity_weight * engine->load.ms_per_token *
-            MAX(prefix->shared_tokens - estimate->cached, 0);
+            MAX(prefix->shared_tokens - estimate->cached_tokens, 0);
   if (request->target_ms && estimate->ms > LATE_TARGET_SHARE * target_ms)
     cost += policy->load_weight * LATE_COST_FACTOR * (estimate->ms - LATE_TARGET_SHARE * target_ms);
   double kv = kv_cost(engine, request->service, estimate->running);
@@ -345,7 +346,7 @@
     if (is_unfit(engine, request, found, allow_ejected, now))
       continue;
     candidate_estimate estimate = estimate_candidate(engine, request, prefix);
-    double queue_ms = engine->load.ms_per_token * estimate.ahead;
+    double queue_ms = engine->load.ms_per_token * estimate.waiting_tokens;
     if (best.soonest_ms < 0 || estimate.ms < best.soonest_ms)
       best.soonest_ms = estimate.ms;
     if (best.queue_ms < 0 || queue_ms < best.queue_ms)
@@ -388,7 +389,7 @@
   engine->selected = (selected_request){ .model = request->model,
                                          .adapter = request->adapter,
                                          .tokens = request->tokens,
-                                         .uncached_tokens = best.estimate.uncached };
+                                         .uncached_tokens = best.estimate.uncached_tokens };
   prefix_cache_record(&engine->prefix_cache, prefix.chain, prefix.part_count,
                       engine->load.prefilled_tokens);
   return engine;
--- a/lib/gateway/engine_select.h
+++ b/lib/gateway/engine_select.h
@@ -45,9 +45,10 @@
  * an extra replica of the model. */
 gateway_engine *engine_select(gateway *gateway, const engine_select_request *request,
                               enum engine_select_result *result, double *estimate_ms);
-/** Estimated time in ms to the first event. ahead: tokens queued ahead of the request; uncached:
- * its own tokens to prefill; running: running requests; slots: 0 if unknown; run_ms: mean duration
- * of a run. */
-double engine_select_estimate_ms(double base_ms, double ms_per_token, double ahead, double uncached,
-                                 int running, unsigned slots, double run_ms);
+/** Estimated time in ms to the first event. waiting_tokens: tokens of other requests that wait on
+ * the engine for their first event; uncached_tokens: the request's own tokens to prefill; running:
+ * running requests; slots: 0 if unknown; run_ms: mean duration of a run. */
+double engine_select_estimate_ms(double base_ms, double ms_per_token, double waiting_tokens,
+                                 double uncached_tokens, int running, unsigned slots,
+                                 double run_ms);
 #endif
