--- a/lib/gateway/engine_loading.c
+++ b/lib/gateway/engine_loading.c
@@ -28,7 +28,7 @@
   CONFLICT_SLEEP_MS = 60,
   UNREACHABLE_SLEEP_MS = 100,
   /* from sending an order to the start of its load */
-  ORDER_EXTRA_MS = 20,
+  ORDER_OVERHEAD_MS = 20,
   /* reports read while an engine is busy with an order, and the time between them */
   MAX_BUSY_REPORTS = 60,
   MAX_SYNC_REPORTS = 30,
@@ -377,7 +377,7 @@
   gateway_engine *engine = order->engine;
   order->began_at = gateway_now(order->gateway);
   order->job->expected_at =
-      gateway_deadline_in_ms(order->gateway, order->expected_ms + ORDER_EXTRA_MS);
+      gateway_deadline_in_ms(order->gateway, order->expected_ms + ORDER_OVERHEAD_MS);
   reserve(order);
   order->status =
       engine_order_send(engine, true, order->model, order->adapter,
@@ -525,8 +525,8 @@
 
 static enum error_code poll_load(engine_load_order *order, bool *loaded) {
   const capacity_account *capacity = &order->engine->capacity;
-  int max_checks = order->is_base ? MAX_MODEL_ORDER_POLLS : MAX_ADAPTER_ORDER_POLLS;
-  bool by_order = order->polls < max_checks && capacity->is_known &&
+  int max_order_polls = order->is_base ? MAX_MODEL_ORDER_POLLS : MAX_ADAPTER_ORDER_POLLS;
+  bool by_order = order->polls < max_order_polls && capacity->is_known &&
                   capacity_account_contains(capacity, order->model, order->adapter);
   return by_order ? poll_by_order(order, loaded) : poll_by_report(order, loaded);
 }
--- a/lib/gateway/load_jobs.c
+++ b/lib/gateway/load_jobs.c
@@ -13,7 +13,7 @@
   WORKER_IDLE_MS = 20000,
   WORKER_RECHECK_MS = 2500,
   /* overhead between two orders to an engine */
-  JOB_EXTRA_MS = 30,
+  JOB_OVERHEAD_MS = 30,
   /* expected load time when the configuration no longer contains the service */
   UNKNOWN_LOAD_MS = 1000,
   GONE_RETRY_AFTER_MS = 200
@@ -171,7 +171,7 @@
   job->created_at = gateway_now(engine->gateway);
   job->expected_at = gateway_deadline_in_ms(
       engine->gateway,
-      job_load_ms(engine, job->model, job->adapter) * (jobs_ahead + 1) + JOB_EXTRA_MS);
+      job_load_ms(engine, job->model, job->adapter) * (jobs_ahead + 1) + JOB_OVERHEAD_MS);
   condition_init(&job->changed);
   list_append(&engine->load_jobs.list, &job->link);
   return job;
@@ -214,7 +214,7 @@
 static time_us expected_in_queue(gateway_engine *engine, const load_job *job) {
   gateway *gateway = engine->gateway;
   const service *service = gateway_service_of(gateway, engine->service);
-  double ms = JOB_EXTRA_MS, utility = utility_with_age(gateway, job);
+  double ms = JOB_OVERHEAD_MS, utility = utility_with_age(gateway, job);
   list_for_each (other, &engine->load_jobs.list, load_job, link) {
     if (other->done || !service)
       continue;
--- a/lib/gateway/load_requests.c
+++ b/lib/gateway/load_requests.c
@@ -24,7 +24,7 @@
   UNSEEN_SLEEP_MS = 100,
   /* time from a request to the start of the load, and lower bound of the estimate given to requests
    */
-  LOAD_EXTRA_MS = 30,
+  LOAD_OVERHEAD_MS = 30,
   MIN_EXPECTED_MS = 20,
   UNKNOWN_MODEL_RETRY_MS = 2000
 };
@@ -200,7 +200,7 @@
   bool base_is_loaded = !id_is_empty(adapter) &&
                         gateway_engines_count_replicas(gateway, service->name, model, id_none) > 0;
   bool from_disk = some_engine_has_on_disk(gateway, service, model);
-  double ms = LOAD_EXTRA_MS;
+  double ms = LOAD_OVERHEAD_MS;
   if (!base_is_loaded)
     ms += eviction_load_ms(gateway, service, model, id_none, from_disk);
   if (!id_is_empty(adapter))
--- a/lib/gateway/placement.c
+++ b/lib/gateway/placement.c
@@ -53,8 +53,8 @@
   RETRY_NO_REPLICA_MS = 3000,
   RETRY_NO_ENGINE_MS = 500,
   /* overhead between two loads on an engine, and from the placement to the start of the load */
-  LOAD_EXTRA_MS = 40,
-  PLACEMENT_EXTRA_MS = 30
+  LOAD_OVERHEAD_MS = 40,
+  PLACEMENT_OVERHEAD_MS = 30
 };
 /* An extra replica that is loaded in parallel with another one may cost at most this share of its
  * utility in evictions. */
@@ -175,7 +175,7 @@
     const service *service = gateway_service_of(gateway, other->service);
     gateway_engine *engine = gateway_engine_find(gateway, engine_id.text);
     if (service && engine)
-      ms += LOAD_EXTRA_MS + model_load_ms(engine, service, other->model);
+      ms += LOAD_OVERHEAD_MS + model_load_ms(engine, service, other->model);
   }
   return ms;
 }
@@ -427,7 +427,7 @@
   if (id_equal(job->engine, engine->engine_id))
     return;
   job->engine = engine->engine_id;
-  double begins_in_ms = PLACEMENT_EXTRA_MS + queued_ms_on_engine(gateway, job->engine, job);
+  double begins_in_ms = PLACEMENT_OVERHEAD_MS + queued_ms_on_engine(gateway, job->engine, job);
   job->expected_at =
       gateway_deadline_in_ms(gateway, loaded_in_ms(engine, service, job, begins_in_ms));
 }
