--- a/lib/gateway/canary_trial.c
+++ b/lib/gateway/canary_trial.c
@@ -57,16 +57,17 @@
 static uint64_t session_of(const gateway *gateway, const http_request *request,
                            const route *route) {
   const char *const *field = gateway->settings.dialect->header_names;
-  string_view v;
-  if (field[DF_SESSION] && fields_get(request->fields, field[DF_SESSION], &v) && v.length)
-    return hash_bytes(v.data, v.length, SEED_SESSION);
-  if (fields_get(request->fields, field[DF_PREFIX], &v) && v.length)
-    return hash_shared_prefix(v);
+  string_view value;
+  if (field[DF_SESSION] && fields_get(request->fields, field[DF_SESSION], &value) && value.length)
+    return hash_bytes(value.data, value.length, SEED_SESSION);
+  if (fields_get(request->fields, field[DF_PREFIX], &value) && value.length)
+    return hash_shared_prefix(value);
   uint64_t hash = hash_bytes(route->name.text, strlen(route->name.text), SEED_ROUTE);
   if (request->body && request->body->len)
     return hash_bytes(request->body->str, request->body->len, hash);
-  return fields_get(request->fields, field[DF_REQUEST_ID], &v) ? hash_bytes(v.data, v.length, hash)
-                                                               : hash;
+  return fields_get(request->fields, field[DF_REQUEST_ID], &value)
+             ? hash_bytes(value.data, value.length, hash)
+             : hash;
 }
 
 bool canary_trial_is_on(const gateway *gateway) {
--- a/lib/gateway/capacity_account.c
+++ b/lib/gateway/capacity_account.c
@@ -18,9 +18,9 @@
   g_array_set_size(account->items, 0);
 }
 
-bool capacity_account_covered_by_report(const capacity_account *account, time_us asked_at,
+bool capacity_account_covered_by_report(const capacity_account *account, time_us requested_at,
                                         time_us lag) {
-  return time_reached(asked_at, time_add(account->changed_at, lag));
+  return time_reached(requested_at, time_add(account->changed_at, lag));
 }
 
 void capacity_account_reset(capacity_account *account, uint64_t order_count) {
--- a/lib/gateway/capacity_account.h
+++ b/lib/gateway/capacity_account.h
@@ -34,9 +34,9 @@
 void capacity_account_free(capacity_account *account);
 /** Discards the account; nothing is known until the next idle report. */
 void capacity_account_discard(capacity_account *account, time_us now);
-/** True when a report requested at asked_at covers all changes in the account; the values in a
- * report are up to lag old. */
-bool capacity_account_covered_by_report(const capacity_account *account, time_us asked_at,
+/** True when a report that was requested at this time covers all changes in the account; its values
+ * are up to lag old. */
+bool capacity_account_covered_by_report(const capacity_account *account, time_us requested_at,
                                         time_us lag);
 /** Resets the account to an idle report with this order count; the caller adds its residents by
  * capacity_account_add. */
--- a/lib/gateway/drain.c
+++ b/lib/gateway/drain.c
@@ -72,10 +72,11 @@
 }
 
 /* waits until all requests are served or the last phase starts; false when the process stops */
-static bool wait_for_open_requests(gateway *gateway, time_us refuse_at, time_us last) {
+static bool wait_for_open_requests(gateway *gateway, time_us refuse_at,
+                                   time_us last_phase_starts_at) {
   world *world = gateway->router->node.world;
   while ((gateway->requests.open_count || gateway->client_listener.pending_exchanges) &&
-         !time_reached(world_now(world), last)) {
+         !time_reached(world_now(world), last_phase_starts_at)) {
     if (!gateway->drain.refusing_queued && time_reached(world_now(world), refuse_at))
       refuse_queued(gateway);
     if (!world_sleep(world, time_from_ms(RECHECK_MS)))
@@ -88,11 +89,11 @@
   gateway *gateway = context;
   world *world = gateway->router->node.world;
   time_us refuse_at = before_grace_end(gateway, REFUSE_QUEUED_MS, REFUSE_QUEUED_MIN_MS),
-          last = last_phase_at(gateway);
+          last_phase_starts_at = last_phase_at(gateway);
   if (!world_sleep(world, time_sub(admission_ends_at(gateway), world_now(world))))
     return;
   stop_admission(gateway);
-  if (!wait_for_open_requests(gateway, refuse_at, last))
+  if (!wait_for_open_requests(gateway, refuse_at, last_phase_starts_at))
     return;
   world->listener_close_idle(world, &gateway->client_listener);
   end_grace_period(gateway);
--- a/lib/gateway/engine_orders.c
+++ b/lib/gateway/engine_orders.c
@@ -79,8 +79,8 @@
     error_set(err, code, "%s did not answer", engine->engine_id.text);
   } else {
     status = call->status;
-    bool cut = http_call_read_all(call, response, until);
-    if (cut && status == 200 && response->len)
+    bool truncated = http_call_read_all(call, response, until);
+    if (truncated && status == 200 && response->len)
       status = ENGINE_ORDER_UNKNOWN;
   }
   http_call_close(call);
@@ -147,11 +147,12 @@
   }
 }
 
-/* rebuilds the capacity account from an idle report that was requested at asked_at */
+/* rebuilds the capacity account from an idle report; requested_at: when it was requested */
 static void update_account(gateway_engine *engine, uint64_t order_count,
-                           const reported_residents *residents, time_us asked_at) {
+                           const reported_residents *residents, time_us requested_at) {
   capacity_account *account = &engine->capacity;
-  if (!capacity_account_covered_by_report(account, asked_at, time_from_ms(ENGINE_REPORT_LAG_MS))) {
+  if (!capacity_account_covered_by_report(account, requested_at,
+                                          time_from_ms(ENGINE_REPORT_LAG_MS))) {
     /* the engine has accepted an order that this holder doesn't know of */
     if (account->is_known && order_count > account->order_count)
       capacity_account_discard(account, gateway_engine_now(engine));
@@ -168,7 +169,7 @@
 bool engine_order_fetch_report(gateway_engine *engine, bool *busy, int *running, error *err) {
   gateway *gateway = engine->gateway;
   GString *response = g_string_new(NULL);
-  time_us asked_at = gateway_now(gateway);
+  time_us requested_at = gateway_now(gateway);
   gateway->counts.reports++;
   int status =
       engine_exchange(engine, DC_REPORT, NULL, response, REPORT_TIMEOUT_MS, time_never(), err);
@@ -182,13 +183,14 @@
   }
   reported_residents residents = read_residents(report);
   engine->orders.identity_confirmed_at = gateway_now(gateway);
-  engine->orders.reported_at = asked_at;
+  engine->orders.reported_at = requested_at;
   *busy = json_bool(report, "busy", false);
   *running = (int)json_number(report, "running", 0) + (int)json_number(report, "waiting", 0);
-  gateway_engine_update_residents(engine, residents.list, residents.count, asked_at,
+  gateway_engine_update_residents(engine, residents.list, residents.count, requested_at,
                                   ENGINE_REPORT_LAG_MS);
   if (!*busy)
-    update_account(engine, (uint64_t)MAX(0, json_number(report, "count", 0)), &residents, asked_at);
+    update_account(engine, (uint64_t)MAX(0, json_number(report, "count", 0)), &residents,
+                   requested_at);
   reported_residents_free(&residents);
   json_free(report);
   return true;
--- a/lib/gateway/engine_select.c
+++ b/lib/gateway/engine_select.c
@@ -116,9 +116,10 @@
   slow_estimate *slow = slow_estimate_of(gateway, request);
   bool long_queue =
       gateway->router_count > LARGE_FLEET_NODES && queue_ms > LONG_QUEUE_TARGET_SHARE * target_ms;
-  bool again = is_within(now, slow->seen_at, SLOW_ESTIMATE_SPAN_MS);
+  bool seen_recently = is_within(now, slow->seen_at, SLOW_ESTIMATE_SPAN_MS);
   slow->seen_at = now;
-  if ((!long_queue && !again) || is_within(now, slow->requested_at, REPLICA_REQUEST_INTERVAL_MS))
+  if ((!long_queue && !seen_recently) ||
+      is_within(now, slow->requested_at, REPLICA_REQUEST_INTERVAL_MS))
     return;
   slow->requested_at = now;
   double load_ms;
--- a/lib/gateway/forward.c
+++ b/lib/gateway/forward.c
@@ -300,10 +300,10 @@
 /* the status under which a trial counts a request. A client that left early is not evidence (0);
  * one that left without a response after its latency target counts as a timeout (504). */
 static int canary_status_of(const inflight_request *request, bool client_left, double took_ms,
-                            bool cut) {
+                            bool aborted) {
   if (client_left)
     return request->response_begun_ms < 0 && took_ms > (double)request->route->target_ms ? 504 : 0;
-  return cut ? 502 : request->http->status;
+  return aborted ? 502 : request->http->status;
 }
 
 /* True for a stream that cannot be resumed and that the exit of this process would probably cut
@@ -400,12 +400,12 @@
     canary_assign(request);
   enum error_code code = run_steps(request);
   bool client_left = code == E_PEER_GONE || http->client_gone;
-  bool cut = code && http->response_started;
+  bool aborted = code && http->response_started;
   double took_ms = request_ms_since(request, request->received_at);
   finish_request(request, code);
   if (request->canary.version)
     canary_record_result(gateway, &request->canary, request->route, request->response_begun_ms,
-                         canary_status_of(request, client_left, took_ms, cut));
+                         canary_status_of(request, client_left, took_ms, aborted));
   gateway->requests.open_count--;
   list_remove(&request->open_link);
 }
--- a/lib/router/event_history.c
+++ b/lib/router/event_history.c
@@ -123,14 +123,14 @@
   if (!rate)
     return 0;
   advance_slices(history, rate);
-  int64_t slice = history->rate_window.us / RATE_SLICES,
-          n = CLAMP((span.us + slice / 2) / slice, 1, RATE_SLICES - 1);
+  int64_t slice_us = history->rate_window.us / RATE_SLICES,
+          past_slices = CLAMP((span.us + slice_us / 2) / slice_us, 1, RATE_SLICES - 1);
   uint64_t sum = 0;
   /* the current slice is incomplete: its requests count, and so does the part of it that has
      elapsed */
-  for (int64_t i = 0; i <= n; i++)
+  for (int64_t i = 0; i <= past_slices; i++)
     sum += rate->slice_counts[(rate->current_slice - i + RATE_SLICES) % RATE_SLICES];
-  int64_t covered_us = n * slice + world_now(history->world).us % slice;
+  int64_t covered_us = past_slices * slice_us + world_now(history->world).us % slice_us;
   return (double)sum / ((double)covered_us / 1e6);
 }
 
@@ -146,34 +146,34 @@
 double event_history_load_ms(event_history *history, id type, const char *key, double fallback_ms) {
   char long_key[MAX_LONG_KEY_BYTES];
   format_load_time_key(long_key, sizeof long_key, type, key);
-  double *known = g_hash_table_lookup(history->load_ms, long_key);
-  return known ? *known : fallback_ms;
+  double *smoothed_ms = g_hash_table_lookup(history->load_ms, long_key);
+  return smoothed_ms ? *smoothed_ms : fallback_ms;
 }
 
 void event_history_record_load_ms(event_history *history, id type, const char *key, double ms) {
   char long_key[MAX_LONG_KEY_BYTES];
   format_load_time_key(long_key, sizeof long_key, type, key);
-  double *known = g_hash_table_lookup(history->load_ms, long_key);
-  if (known) {
-    *known += history->smoothing_factor * (ms - *known);
+  double *smoothed_ms = g_hash_table_lookup(history->load_ms, long_key);
+  if (smoothed_ms) {
+    *smoothed_ms += history->smoothing_factor * (ms - *smoothed_ms);
     return;
   }
-  known = g_new(double, 1);
-  *known = ms;
-  g_hash_table_insert(history->load_ms, g_strdup(long_key), known);
+  smoothed_ms = g_new(double, 1);
+  *smoothed_ms = ms;
+  g_hash_table_insert(history->load_ms, g_strdup(long_key), smoothed_ms);
 }
 
 void event_history_merge_remote_count(event_history *history, uint64_t nonce, const char *key,
                                       uint64_t total, uint64_t in_window) {
   char long_key[MAX_LONG_KEY_BYTES];
   snprintf(long_key, sizeof long_key, "%" PRIx64 "/%s", nonce, key);
-  uint64_t *known = g_hash_table_lookup(history->remote_totals, long_key),
-           added = !known           ? in_window
-                   : total > *known ? total - *known
-                                    : 0;
-  if (!known)
-    known = find_or_add_entry(history->remote_totals, long_key, sizeof *known);
-  *known = MAX(*known, total);
+  uint64_t *known_total = g_hash_table_lookup(history->remote_totals, long_key),
+           added = !known_total           ? in_window
+                   : total > *known_total ? total - *known_total
+                                          : 0;
+  if (!known_total)
+    known_total = find_or_add_entry(history->remote_totals, long_key, sizeof *known_total);
+  *known_total = MAX(*known_total, total);
   if (added)
     add_count(history, history->fleet_rates, key, added);
 }
