--- a/tests/gateway/capacity_account.c
+++ b/tests/gateway/capacity_account.c
@@ -207,9 +207,9 @@
   return ok;
 }
 
-/* Guards against freeing the slot of an adapter when an engine refuses a request for it: the
+/* Guards against freeing the slot of an adapter when an engine declines a request for it: the
  * request arrived before the adapter was loaded, which uses its slot a moment later. */
-static bool a_refused_request_frees_no_adapter_slot(fleet *fleet) {
+static bool a_declined_request_frees_no_adapter_slot(fleet *fleet) {
   deployment *deployment = deployment_new(fleet, 2, 1);
   deployment->loads_per_s = 20;
   set_initial_models(deployment->engine_processes[0], "m1", "m2");
@@ -348,7 +348,8 @@
 
 const test_case capacity_account_tests[] = {
   { "an_account_follows_accepted_orders", an_account_follows_accepted_orders, 1, 1, 10 },
-  { "a_refused_request_frees_no_adapter_slot", a_refused_request_frees_no_adapter_slot, 4, 0, 50 },
+  { "a_declined_request_frees_no_adapter_slot", a_declined_request_frees_no_adapter_slot, 4, 0,
+    50 },
   { "a_late_order_does_not_exceed_the_capacity", a_late_order_does_not_exceed_the_capacity, 4, 0,
     50 },
   { "engine_capacity_is_never_exceeded", engine_capacity_is_never_exceeded, 4, 0, 100 },
