--- a/tests/gateway/drain.c
+++ b/tests/gateway/drain.c
@@ -46,7 +46,7 @@
   return n;
 }
 
-static fixture_request *ask_stream(fixture *fixture, unsigned tokens_out) {
+static fixture_request *send_stream_request(fixture *fixture, unsigned tokens_out) {
   char fields[128];
   snprintf(fields, sizeof fields,
            "Asterfall-Model: m\r\nAsterfall-Tokens: 400,%u\r\nAsterfall-Prefix: aa:200,bb:200\r\n",
@@ -60,20 +60,21 @@
 static bool pooled_connections_bring_no_requests_after_the_listener_closes(fleet *fleet) {
   fixture *fixture = fixture_new(fleet, long_routes, true, 2, 8);
   fixture_watch_drain(fixture);
-  fixture_request *now[CALLERS];
+  fixture_request *current[CALLERS];
   for (unsigned i = 0; i < CALLERS; i++)
-    now[i] = ask_stream(fixture, 350 + 60 * i);
+    current[i] = send_stream_request(fixture, 350 + 60 * i);
   fixture_run(fixture, 400);
-  time_us asked = fleet->sim->now;
+  time_us drain_started_at = fleet->sim->now;
   gateway_drain(fixture->gateway);
-  while (!fixture->drain_finished && fleet->sim->now.us - asked.us < 9000000) {
+  while (!fixture->drain_finished && fleet->sim->now.us - drain_started_at.us < 9000000) {
     fixture_run(fixture, 10);
     for (int i = 0; i < CALLERS; i++)
-      if (now[i]->done && now[i]->ended && now[i]->status == 200)
-        now[i] = ask_stream(fixture, 500);
+      if (current[i]->done && current[i]->ended && current[i]->status == 200)
+        current[i] = send_stream_request(fixture, 500);
   }
   run_until_drained(fixture);
-  int late = count_forwarded_after(fixture, time_add(asked, time_from_ms(LISTENER_MS + TRIP_MS)));
+  int late = count_forwarded_after(fixture,
+                                   time_add(drain_started_at, time_from_ms(LISTENER_MS + TRIP_MS)));
   if (late)
     fleet_add_violation(
         fleet,
@@ -91,15 +92,15 @@
 
 /* requests some streams of a given length, starts the drain, and returns one more request for such
  * a stream */
-static fixture_request *ask_after_stop(fixture *fixture, unsigned tokens_out) {
+static fixture_request *send_stream_request_while_draining(fixture *fixture, unsigned tokens_out) {
   enum { STREAMS = 6, ALL_END_MS = 40000, AFTER_STOP_MS = 1500, ANSWER_MS = 300 };
   fixture_watch_drain(fixture);
   for (int i = 0; i < STREAMS; i++)
-    ask_stream(fixture, tokens_out);
+    send_stream_request(fixture, tokens_out);
   fixture_run(fixture, ALL_END_MS);
   gateway_drain(fixture->gateway);
   fixture_run(fixture, AFTER_STOP_MS);
-  fixture_request *late = ask_stream(fixture, tokens_out);
+  fixture_request *late = send_stream_request(fixture, tokens_out);
   fixture_run(fixture, ANSWER_MS);
   return late;
 }
@@ -110,7 +111,7 @@
 static bool streams_that_would_be_cut_off_are_refused(fleet *fleet) {
   enum { LONG_TOKENS = 900, SHORT_TOKENS = 150 };
   fixture *fixture = fixture_new(fleet, long_routes, true, 2, 8);
-  fixture_request *late = ask_after_stop(fixture, LONG_TOKENS);
+  fixture_request *late = send_stream_request_while_draining(fixture, LONG_TOKENS);
   double most = route_durations_upper_ms(fixture->gateway->route_durations, id_of_text("t"));
   if (most < (double)gateway_drain_remaining_ms(fixture->gateway))
     fleet_add_violation(fleet, "the streams of this test last %.0f ms, too short for it", most);
@@ -122,7 +123,7 @@
   run_until_drained(fixture);
   fixture_free(fixture);
   fixture = fixture_new(fleet, long_routes, true, 2, 8);
-  late = ask_after_stop(fixture, SHORT_TOKENS);
+  late = send_stream_request_while_draining(fixture, SHORT_TOKENS);
   run_until_drained(fixture);
   if (late->status != 200 || !late->ended)
     fleet_add_violation(fleet, "a short stream was not served (status %d)", late->status);
--- a/tests/gateway/loads.c
+++ b/tests/gateway/loads.c
@@ -16,58 +16,61 @@
 }
 
 static void load_run(void *p) {
-  load *l = p;
-  router *router = l->from->gateway->router;
+  load *load = p;
+  router *router = load->requester->gateway->router;
   do {
     /* skipped while the engine process is down, and while the model is loaded */
-    if (!l->at->engine ||
-        (l->repeat && registering_engine_sim_has_loaded(l->at->engine, l->model, l->adapter)))
+    if (!load->target->engine ||
+        (load->repeat &&
+         registering_engine_sim_has_loaded(load->target->engine, load->model, load->adapter)))
       continue;
-    deployment_process *to = engine_lease_holder(l->deployment, l->at);
-    Wire__PlacedLoadRequest q = WIRE__PLACED_LOAD_REQUEST__INIT;
-    q.engine = l->at->engine->self.text;
-    q.service = "llm";
-    q.model = l->model.text;
-    q.adapter = l->adapter.text;
-    q.priority = 1;
-    q.wait_ms = 800;
-    q.extra_replica = l->repeat;
-    q.max_eviction_cost = l->max_cost;
-    Wire__Envelope m = wire_envelope(WIRE__ENVELOPE__BODY_PLACED_LOAD_REQUEST, &q), *b;
+    deployment_process *holder = engine_lease_holder(load->deployment, load->target);
+    Wire__PlacedLoadRequest request = WIRE__PLACED_LOAD_REQUEST__INIT;
+    request.engine = load->target->engine->self.text;
+    request.service = "llm";
+    request.model = load->model.text;
+    request.adapter = load->adapter.text;
+    request.priority = 1;
+    request.wait_ms = 800;
+    request.extra_replica = load->repeat;
+    request.max_eviction_cost = load->max_cost;
+    Wire__Envelope message = wire_envelope(WIRE__ENVELOPE__BODY_PLACED_LOAD_REQUEST, &request),
+                   *response;
     error err = { 0 };
-    int r = to ? peer_rpc_call(&router->node, to->host->addr, &m, time_from_ms(1300), &b, &err)
-               : E_NO_LEASE_HOLDER;
-    if (r == E_STOPPING)
+    int code = holder ? peer_rpc_call(&router->node, holder->host->addr, &message,
+                                      time_from_ms(1300), &response, &err)
+                      : E_NO_LEASE_HOLDER;
+    if (code == E_STOPPING)
       return;
-    if (to && !r)
-      r = b->body_case == WIRE__ENVELOPE__BODY_PLACED_LOAD_RESPONSE
-              ? (int)b->placed_load_response->error_code
-              : E_WIRE_MESSAGE;
-    if (to)
-      peer_rpc_message_free(b);
-    if (r == E_IN_PROGRESS)
+    if (holder && !code)
+      code = response->body_case == WIRE__ENVELOPE__BODY_PLACED_LOAD_RESPONSE
+                 ? (int)response->placed_load_response->error_code
+                 : E_WIRE_MESSAGE;
+    if (holder)
+      peer_rpc_message_free(response);
+    if (code == E_IN_PROGRESS)
       continue;
-    l->code = r;
-    if (!r && !l->loaded_at.us)
-      l->loaded_at = world_now(router->node.world);
-    if (!l->repeat && (!r || l->max_cost))
+    load->code = code;
+    if (!code && !load->loaded_at.us)
+      load->loaded_at = world_now(router->node.world);
+    if (!load->repeat && (!code || load->max_cost))
       break;
   } while (world_sleep(router->node.world, time_from_ms(100)));
-  l->done = true;
+  load->done = true;
 }
 
-load *load_start(deployment *deployment, deployment_process *from, deployment_process *at,
+load *load_start(deployment *deployment, deployment_process *requester, deployment_process *target,
                  const char *model, const char *adapter, bool repeat) {
-  load *l = g_new0(load, 1);
-  *l = (load){ .deployment = deployment,
-               .at = at,
-               .from = from,
-               .model = id_of_text(model),
-               .adapter = id_of_text(adapter),
-               .repeat = repeat };
-  g_ptr_array_add(deployment->scheduled_kills, l);
-  task_start(&from->host->world.tasks, "load", load_run, l);
-  return l;
+  load *load = g_new0(struct load, 1);
+  *load = (struct load){ .deployment = deployment,
+                         .target = target,
+                         .requester = requester,
+                         .model = id_of_text(model),
+                         .adapter = id_of_text(adapter),
+                         .repeat = repeat };
+  g_ptr_array_add(deployment->scheduled_kills, load);
+  task_start(&requester->host->world.tasks, "load", load_run, load);
+  return load;
 }
 
 bool load_done(sim *sim, void *p) {
--- a/tests/gateway/loads.h
+++ b/tests/gateway/loads.h
@@ -6,7 +6,8 @@
  */
 typedef struct load {
   deployment *deployment;
-  deployment_process *at, *from;
+  /** The engine that is to load, and the gateway that requests it. */
+  deployment_process *target, *requester;
   id model, adapter;
   /** The load is requested again and again without end, as an extra replica. */
   bool repeat;
@@ -22,9 +23,10 @@
 deployment_process *singleton_holder(deployment *deployment, const char *singleton);
 /** The gateway that holds an engine's lease, or NULL. */
 deployment_process *engine_lease_holder(deployment *deployment, const deployment_process *e);
-/** Starts a task at the gateway `from` that requests a load on the engine `at`; adapter "": none.
+/** Starts a task at the gateway `requester` that requests a load on the engine `target`; adapter
+ * "": none.
  */
-load *load_start(deployment *deployment, deployment_process *from, deployment_process *at,
+load *load_start(deployment *deployment, deployment_process *requester, deployment_process *target,
                  const char *model, const char *adapter, bool repeat);
 /** True when a load is done; a condition for sim_run_until. */
 bool load_done(sim *sim, void *load);
