--- a/tests/gateway/canary.c
+++ b/tests/gateway/canary.c
@@ -14,11 +14,11 @@
 static const char harmful[] =
     "{\"load\":0,\"affinity\":1000,\"area\":1000,\"lateShare\":0.05,\"holdPercent\":1}";
 
-static char *trial_text(const char *name, double share, const char *candidate, double warm,
-                        double most, int least) {
+static char *trial_text(const char *name, double share, const char *candidate, double warm_up_s,
+                        double max_duration_s, int min_requests) {
   return g_strdup_printf(
       "{\"name\":\"%s\",\"share\":%g,\"candidate\":%s,\"warmS\":%g,\"guard\":{\"least\":%d,\"mostS\":%g}}",
-      name, share, candidate, warm, least, most);
+      name, share, candidate, warm_up_s, min_requests, max_duration_s);
 }
 
 /* many users who return now and then, so that new sessions start all the time */
@@ -35,24 +35,25 @@
       deployment->fleet
           ->controller[sim_random(deployment->sim, (uint64_t)deployment->fleet->controllers)],
       verb, "/v1/canary", text, NULL, NULL, time_from_ms(9000));
-  int st = call->status;
+  int status = call->status;
   char want[24];
   snprintf(want, sizeof want, "\"code\":%d", code);
   if (code && !strstr(call->body->str, want))
-    fleet_add_violation(deployment->fleet, "%s got %d %s, not code %d", verb, st, call->body->str,
-                        code);
+    fleet_add_violation(deployment->fleet, "%s got %d %s, not code %d", verb, status,
+                        call->body->str, code);
   operator_call_free(call);
-  return st;
+  return status;
 }
 
 static bool begin_trial(deployment *deployment, const char *name, double share,
-                        const char *candidate, double warm, double most, int least) {
-  char *t = trial_text(name, share, candidate, warm, most, least);
-  int st = write_canary(deployment, "PUT", t, 0);
+                        const char *candidate, double warm_up_s, double max_duration_s,
+                        int min_requests) {
+  char *t = trial_text(name, share, candidate, warm_up_s, max_duration_s, min_requests);
+  int status = write_canary(deployment, "PUT", t, 0);
   g_free(t);
-  if (st != 200)
-    fleet_add_violation(deployment->fleet, "the trial %s was not accepted (%d)", name, st);
-  return st == 200;
+  if (status != 200)
+    fleet_add_violation(deployment->fleet, "the trial %s was not accepted (%d)", name, status);
+  return status == 200;
 }
 
 /* reads the canary resource from the controllers; the caller frees it */
@@ -81,19 +82,20 @@
  * expected one */
 static bool wait_for_verdict(deployment *deployment, const char *want, int64_t ms, time_us *at) {
   time_us till = time_add(deployment->sim->now, time_from_ms(ms));
-  char got[24] = "";
-  while (!got[0] && !time_reached(deployment->sim->now, till)) {
+  char actual[24] = "";
+  while (!actual[0] && !time_reached(deployment->sim->now, till)) {
     sim_run(deployment->sim, time_from_ms(250));
     json *json = read_trial(deployment);
     if (!json)
       return false;
-    g_strlcpy(got, verdict(json), sizeof got);
+    g_strlcpy(actual, verdict(json), sizeof actual);
     json_free(json);
   }
   *at = deployment->sim->now;
-  if (strcmp(got, want))
-    fleet_add_violation(deployment->fleet, "the trial's verdict is \"%s\", not \"%s\"", got, want);
-  return !strcmp(got, want);
+  if (strcmp(actual, want))
+    fleet_add_violation(deployment->fleet, "the trial's verdict is \"%s\", not \"%s\"", actual,
+                        want);
+  return !strcmp(actual, want);
 }
 
 static int count_candidate_runs(deployment *deployment, time_us from, time_us till) {
@@ -280,69 +282,69 @@
   if (!begin_trial(deployment, "forgets", 0.5, harmless, 4, 200, 2000))
     return deployment_finish(deployment, 0);
   sim_run(deployment->sim, time_from_ms(12000));
-  deployment_process *u = judge_of(deployment);
-  if (!u) {
+  deployment_process *restarted_judge = judge_of(deployment);
+  if (!restarted_judge) {
     fleet_add_violation(fleet, "no gateway judges the trial");
     return finish_trial(deployment, "forgets", at, 0);
   }
-  int it = 0, other = 0;
+  int judge_index = 0, other_index = 0;
   for (int i = 0; i < fleet->routers; i++)
-    if (deployment->gateway_processes[i] == u)
-      it = i;
-  other = (it + 1) % fleet->routers;
-  int known = pinned_sessions_at(deployment, other);
+    if (deployment->gateway_processes[i] == restarted_judge)
+      judge_index = i;
+  other_index = (judge_index + 1) % fleet->routers;
+  int known = pinned_sessions_at(deployment, other_index);
   if (known < 20)
     fleet_add_violation(fleet, "only %d pinned sessions: the test shows nothing", known);
   /* the restarted judge has its lease again at once but has lost its state: it must learn the
    * pinned sessions before it starts the candidate itself */
-  deployment_record_fault(deployment, u->host, 'k', 6000);
-  host_kill(u->host);
+  deployment_record_fault(deployment, restarted_judge->host, 'k', 6000);
+  host_kill(restarted_judge->host);
   sim_run(deployment->sim, time_from_ms(50));
-  host_start(u->host);
+  host_start(restarted_judge->host);
   bool on = false;
   for (int i = 0; i < 700 && !on; i++) {
     sim_run(deployment->sim, time_from_ms(10));
-    int n = pinned_sessions_at(deployment, it);
+    int n = pinned_sessions_at(deployment, judge_index);
     on = n >= 0;
     if (on && n < known)
       fleet_add_violation(fleet, "the judge starts with %d pinned sessions, and the others have %d",
                           n, known);
   }
   if (!on)
-    fleet_add_violation(fleet, "the trial did not go on at %s", u->host->self.text);
+    fleet_add_violation(fleet, "the trial did not go on at %s", restarted_judge->host->self.text);
   sim_run(deployment->sim, time_from_ms(3000));
   /* the judge's lease expires while it is frozen and is renewed under the same epoch: the judge
    * must learn the pinned sessions again, and so must a restarted gateway */
-  deployment_process *j = judge_of(deployment);
-  if (!j) {
+  deployment_process *frozen_judge = judge_of(deployment);
+  if (!frozen_judge) {
     fleet_add_violation(fleet, "no gateway judges the trial");
     return finish_trial(deployment, "forgets", at, 0);
   }
   for (int i = 0; i < fleet->routers; i++)
-    if (deployment->gateway_processes[i] == j)
-      it = i;
-  other = (it + 1) % fleet->routers;
-  deployment_record_fault(deployment, j->host, 'f', 8000);
-  uint64_t epoch = singleton_lease_epoch(j->host->router, "canary");
-  host_freeze(j->host);
+    if (deployment->gateway_processes[i] == frozen_judge)
+      judge_index = i;
+  other_index = (judge_index + 1) % fleet->routers;
+  deployment_record_fault(deployment, frozen_judge->host, 'f', 8000);
+  uint64_t epoch = singleton_lease_epoch(frozen_judge->host->router, "canary");
+  host_freeze(frozen_judge->host);
   sim_run(deployment->sim, time_from_ms(3200));
-  host_unfreeze(j->host);
+  host_unfreeze(frozen_judge->host);
   sim_run(deployment->sim, time_from_ms(3000));
   if (g_getenv("SIM_COUNT"))
     fprintf(stderr, "  epoch %" PRIu64 " before, %" PRIu64 " after\n", epoch,
             judge_of(deployment)
                 ? singleton_lease_epoch(judge_of(deployment)->host->router, "canary")
                 : 0);
-  int third = (it + 2) % fleet->routers;
+  int third = (judge_index + 2) % fleet->routers;
   known = pinned_sessions_at(deployment, third);
-  deployment_record_fault(deployment, fleet->router[other], 'k', 6000);
-  host_kill(fleet->router[other]);
+  deployment_record_fault(deployment, fleet->router[other_index], 'k', 6000);
+  host_kill(fleet->router[other_index]);
   sim_run(deployment->sim, time_from_ms(500));
-  host_start(fleet->router[other]);
+  host_start(fleet->router[other_index]);
   on = false;
   for (int i = 0; i < 700 && !on; i++) {
     sim_run(deployment->sim, time_from_ms(10));
-    int n = pinned_sessions_at(deployment, other);
+    int n = pinned_sessions_at(deployment, other_index);
     on = n >= 0;
     if (on && n < known)
       fleet_add_violation(
@@ -350,7 +352,8 @@
           known);
   }
   if (!on)
-    fleet_add_violation(fleet, "the trial did not go on at %s", fleet->router[other]->self.text);
+    fleet_add_violation(fleet, "the trial did not go on at %s",
+                        fleet->router[other_index]->self.text);
   return finish_trial(deployment, "forgets", at, 0.7);
 }
 
@@ -395,31 +398,31 @@
     if (fleet->router[v] != host)
       sim_set_partition_both_ways(deployment->sim, host->self.text, fleet->router[v]->self.text,
                                   true);
-  time_us cut = deployment->sim->now;
+  time_us partitioned_at = deployment->sim->now;
   sim_run(deployment->sim, time_from_ms(2000));
   if (write_canary(deployment, "PATCH", "{\"state\":\"ended\",\"end\":{\"verdict\":\"stopped\"}}",
                    0) != 200)
     fleet_add_violation(fleet, "the trial could not be stopped");
   sim_run(deployment->sim, time_from_ms(12000));
-  time_us mended = deployment->sim->now;
+  time_us healed_at = deployment->sim->now;
   /* it cannot know of the end of the trial, and still must not use the candidate any more */
   char ip[48];
   g_strlcpy(ip, host->addr, sizeof ip);
   *strchr(ip, ':') = 0;
   for (guint i = 0; i < deployment->client->attempts->len; i++) {
     client_sim_attempt *attempt = deployment->client->attempts->pdata[i];
-    if (strncmp(attempt->node, ip, strlen(ip)) || attempt->sent_at.us < cut.us + 4500000 ||
-        attempt->sent_at.us > mended.us)
+    if (strncmp(attempt->node, ip, strlen(ip)) ||
+        attempt->sent_at.us < partitioned_at.us + 4500000 || attempt->sent_at.us > healed_at.us)
       continue;
     for (guint k = 0; k < deployment->log->runs->len; k++) {
       engine_run_record *run = deployment->log->runs->pdata[k];
       if (!strcmp(run->request_id, attempt->request_id) &&
           g_str_has_suffix(run->policy, " candidate"))
         fleet_add_violation(fleet, "a partitioned gateway still uses the candidate after %.1f s",
-                            (double)(attempt->sent_at.us - cut.us) / 1e6);
+                            (double)(attempt->sent_at.us - partitioned_at.us) / 1e6);
     }
   }
-  at = time_add(cut, time_from_ms(2500));
+  at = time_add(partitioned_at, time_from_ms(2500));
   sim_heal_partitions(deployment->sim);
   sim_run(deployment->sim, time_from_ms(5000));
   deployment_finish_traffic(deployment);
@@ -587,19 +590,20 @@
 } trial_end_call;
 
 static void trial_end_run(void *p) {
-  trial_end_call *t = p;
+  trial_end_call *trial_end = p;
   Wire__CanaryEndRequest q = WIRE__CANARY_END_REQUEST__INIT;
   static const char text[] = "{\"state\":\"ended\",\"end\":{\"verdict\":\"told\"}}";
-  q.version = t->version;
-  q.epoch = t->epoch;
+  q.version = trial_end->version;
+  q.epoch = trial_end->epoch;
   q.verdict.data = (uint8_t *)text;
   q.verdict.len = strlen(text);
   Wire__Envelope m = wire_envelope(WIRE__ENVELOPE__BODY_CANARY_END_REQUEST, &q), *b;
   error err = { 0 };
-  t->code = peer_rpc_call(&t->host->router->node, t->head, &m, time_from_ms(3000), &b, &err);
-  if (!t->code)
+  trial_end->code = peer_rpc_call(&trial_end->host->router->node, trial_end->head, &m,
+                                  time_from_ms(3000), &b, &err);
+  if (!trial_end->code)
     peer_rpc_message_free(b);
-  t->done = true;
+  trial_end->done = true;
 }
 
 static int send_trial_end(deployment *deployment, host *host, uint64_t version, uint64_t epoch) {
@@ -691,12 +695,13 @@
     deployment_process
         *process = deployment->engine_processes[sim_random(
             deployment->sim, deployment->model_engine_count + deployment->plain_engine_count)],
-        *j = judge_of(deployment);
-    host *v = fleet->router[sim_random(deployment->sim, (uint64_t)fleet->routers)],
-         *m = fleet->controller[sim_random(deployment->sim, (uint64_t)fleet->controllers)];
+        *judge = judge_of(deployment);
+    host *gateway_host = fleet->router[sim_random(deployment->sim, (uint64_t)fleet->routers)],
+         *controller_host =
+             fleet->controller[sim_random(deployment->sim, (uint64_t)fleet->controllers)];
     int64_t ms = 500 + (int64_t)sim_random(deployment->sim, 6000);
-    if (j && sim_random(deployment->sim, 3) == 0)
-      v = j->host;
+    if (judge && sim_random(deployment->sim, 3) == 0)
+      gateway_host = judge->host;
     switch (sim_random(deployment->sim, 8)) {
     case 0:
       deployment_record_fault(deployment, process->host, 'e', ms);
@@ -714,35 +719,35 @@
       process->plan.faults.truncate_after_events = 2;
       break;
     case 3:
-      deployment_record_fault(deployment, v, 'k', ms);
-      if (v->alive)
-        host_kill(v);
+      deployment_record_fault(deployment, gateway_host, 'k', ms);
+      if (gateway_host->alive)
+        host_kill(gateway_host);
       break;
     case 4:
-      deployment_record_fault(deployment, v, 'f', ms);
-      if (v->alive) {
-        host_freeze(v);
+      deployment_record_fault(deployment, gateway_host, 'f', ms);
+      if (gateway_host->alive) {
+        host_freeze(gateway_host);
         sim_run(deployment->sim, time_from_ms(ms));
-        host_unfreeze(v);
+        host_unfreeze(gateway_host);
       }
       break;
     case 5:
       deployment_record_fault(deployment, NULL, 'k', ms);
-      if (m->alive)
-        host_kill(m);
+      if (controller_host->alive)
+        host_kill(controller_host);
       break;
     case 6:
-      deployment_record_fault(deployment, v, 'n', ms);
+      deployment_record_fault(deployment, gateway_host, 'n', ms);
       for (int k = 0; k < fleet->controllers; k++)
-        sim_set_partition_both_ways(deployment->sim, v->self.text, fleet->controller[k]->self.text,
-                                    true);
+        sim_set_partition_both_ways(deployment->sim, gateway_host->self.text,
+                                    fleet->controller[k]->self.text, true);
       break;
     default:
-      deployment_record_fault(deployment, v, 'n', ms);
+      deployment_record_fault(deployment, gateway_host, 'n', ms);
       for (int k = 0; k < fleet->routers; k++)
-        if (fleet->router[k] != v)
-          sim_set_partition_both_ways(deployment->sim, v->self.text, fleet->router[k]->self.text,
-                                      true);
+        if (fleet->router[k] != gateway_host)
+          sim_set_partition_both_ways(deployment->sim, gateway_host->self.text,
+                                      fleet->router[k]->self.text, true);
     }
     sim_run(deployment->sim, time_from_ms(ms));
     sim_heal_partitions(deployment->sim);
--- a/tests/gateway/gateway.c
+++ b/tests/gateway/gateway.c
@@ -63,15 +63,15 @@
   deployment_start_traffic(deployment, 1.2);
   sim_run(deployment->sim, time_from_ms(6000));
   deployment_process *process = engine_process_of(deployment, busiest_engine(deployment)),
-                     *p = deployment->engine_processes[deployment->model_engine_count];
+                     *plain_process = deployment->engine_processes[deployment->model_engine_count];
   deployment_record_fault(deployment, process->host, 'e', 25000);
   host_power_off(process->host);
   sim_run(deployment->sim, time_from_ms(6000));
-  deployment_record_fault(deployment, p->host, 'e', 12000);
-  host_power_off(p->host);
+  deployment_record_fault(deployment, plain_process->host, 'e', 12000);
+  host_power_off(plain_process->host);
   sim_run(deployment->sim, time_from_ms(12000));
   host_start(process->host);
-  host_start(p->host);
+  host_start(plain_process->host);
   sim_run(deployment->sim, time_from_ms(8000));
   deployment_finish_traffic(deployment);
   return deployment_finish(deployment, 0.9);
@@ -139,15 +139,15 @@
   }
   sim_run(deployment->sim, time_from_ms(3000));
   deployment_finish_traffic(deployment);
-  int said = 0, heard = 0;
+  int announced = 0, acknowledged = 0;
   for (guint i = 0; i < deployment->log->stops->len; i++) {
     engine_stop_record *e = deployment->log->stops->pdata[i];
-    said += e->announced_at.us != 0;
-    heard += e->acked_at.us != 0;
+    announced += e->announced_at.us != 0;
+    acknowledged += e->acked_at.us != 0;
   }
-  if (heard < said)
-    fleet_add_violation(fleet, "%d of %d engines that drained got no acknowledgement", said - heard,
-                        said);
+  if (acknowledged < announced)
+    fleet_add_violation(fleet, "%d of %d engines that drained got no acknowledgement",
+                        announced - acknowledged, announced);
   return deployment_finish(deployment, 0.97);
 }
 
@@ -480,7 +480,7 @@
   g_free(text);
   if (!change->acked_at.us)
     fleet_add_violation(fleet, "the last configuration was not accepted (%d)", change->status);
-  time_us loss = deployment->sim->now;
+  time_us power_lost_at = deployment->sim->now;
   deployment_record_fault(deployment, NULL, 'p', 6000);
   for (int i = 0; i < fleet->controllers; i++)
     host_power_off(fleet->controller[i]);
@@ -489,7 +489,7 @@
     host_power_off(fleet->router[i]);
   }
   sim_run(deployment->sim, time_from_ms(3000));
-  time_us back = deployment->sim->now;
+  time_us power_back_at = deployment->sim->now;
   for (int i = 0; i < fleet->controllers; i++)
     host_start(fleet->controller[i]);
   for (int i = 0; i < fleet->routers; i++)
@@ -500,7 +500,7 @@
   sim_run(deployment->sim, time_from_ms(4000));
   if (!deployment->operator->read_at.us)
     fleet_add_violation(fleet, "CONFIG nothing could be read back");
-  gateway_check_recovery(deployment, loss, back);
+  gateway_check_recovery(deployment, power_lost_at, power_back_at);
   return deployment_finish(deployment, 0.4);
 }
 
@@ -577,10 +577,10 @@
   deployment->client->rate_factor = 9;
   sim_run(deployment->sim, time_from_ms(12000));
   deployment->client->rate_factor = 1;
-  time_us calm = time_add(deployment->sim->now, time_from_ms(4000));
+  time_us recovered_at = time_add(deployment->sim->now, time_from_ms(4000));
   sim_run(deployment->sim, time_from_ms(10000));
   deployment_finish_traffic(deployment);
-  double share = deployment_served_ratio(deployment, NULL, calm, time_never());
+  double share = deployment_served_ratio(deployment, NULL, recovered_at, time_never());
   if (share < 0.97)
     fleet_add_violation(fleet, "only %.3f served after the spike", share);
   return deployment_finish(deployment, 0.2);
@@ -662,8 +662,8 @@
     sim_run(deployment->sim, time_from_ms(500 + (int64_t)sim_random(deployment->sim, 4000)));
     deployment_process *process = deployment->engine_processes[sim_random(
         deployment->sim, deployment->model_engine_count + deployment->plain_engine_count)];
-    host *v = fleet->router[sim_random(deployment->sim, fleet->routers)],
-         *m = fleet->controller[sim_random(deployment->sim, fleet->controllers)];
+    host *gateway_host = fleet->router[sim_random(deployment->sim, fleet->routers)],
+         *controller_host = fleet->controller[sim_random(deployment->sim, fleet->controllers)];
     int64_t ms = 500 + (int64_t)sim_random(deployment->sim, 4000);
     switch (sim_random(deployment->sim, 12)) {
     case 0:
@@ -693,26 +693,27 @@
       process->plan.faults.extra_responses = 2;
       break;
     case 6:
-      deployment_record_fault(deployment, v, 'k', ms);
-      if (v->alive)
-        host_kill(v);
+      deployment_record_fault(deployment, gateway_host, 'k', ms);
+      if (gateway_host->alive)
+        host_kill(gateway_host);
       break;
     case 7:
-      deployment_record_fault(deployment, v, 'f', ms);
-      if (v->alive) {
-        host_freeze(v);
+      deployment_record_fault(deployment, gateway_host, 'f', ms);
+      if (gateway_host->alive) {
+        host_freeze(gateway_host);
         sim_run(deployment->sim, time_from_ms(ms));
-        host_unfreeze(v);
+        host_unfreeze(gateway_host);
       }
       break;
     case 8:
       deployment_record_fault(deployment, NULL, 'k', ms);
-      if (m->alive)
-        host_kill(m);
+      if (controller_host->alive)
+        host_kill(controller_host);
       break;
     case 9:
-      deployment_record_fault(deployment, v, 'n', ms);
-      sim_set_partition_both_ways(deployment->sim, v->self.text, m->self.text, true);
+      deployment_record_fault(deployment, gateway_host, 'n', ms);
+      sim_set_partition_both_ways(deployment->sim, gateway_host->self.text,
+                                  controller_host->self.text, true);
       break;
     case 10:
       for (int n = 0; n < 10; n++) {
@@ -762,14 +763,14 @@
         host_start(deployment->engine_processes[e]->host);
     sim_run(deployment->sim, time_from_ms(1000));
   }
-  time_us calm = deployment->sim->now;
+  time_us recovered_at = deployment->sim->now;
   sim_run(deployment->sim, time_from_ms(8000));
   deployment_finish_traffic(deployment);
   operator_sim_read(deployment->operator);
   sim_run(deployment->sim, time_from_ms(4000));
   if (!deployment->operator->read_at.us)
     fleet_add_violation(fleet, "CONFIG nothing could be read back");
-  double share = deployment_served_ratio(deployment, NULL, calm, time_never());
+  double share = deployment_served_ratio(deployment, NULL, recovered_at, time_never());
   if (share < 0.95)
     fleet_add_violation(fleet, "only %.3f served after the last fault", share);
   return deployment_finish(deployment, 0.5);
@@ -890,18 +891,18 @@
  * correctly. */
 static int check_late_requests(deployment *deployment, client_sim_attempt *attempt,
                                engine_run_record *run, const injected_fault *stop) {
-  injected_fault *t = &g_array_index(deployment->injected_faults, injected_fault,
-                                     deployment->injected_faults->len - 1);
+  injected_fault *fault = &g_array_index(deployment->injected_faults, injected_fault,
+                                         deployment->injected_faults->len - 1);
   time_us to = attempt->ended_at, run_to = run->ended_at;
-  t->from_at = time_sub(attempt->sent_at, time_from_ms(STOP_PROPAGATION_MS + 100));
-  run->ended_at = time_add(t->from_at, time_from_ms(GRACE_S * 1000 - 300));
+  fault->from_at = time_sub(attempt->sent_at, time_from_ms(STOP_PROPAGATION_MS + 100));
+  run->ended_at = time_add(fault->from_at, time_from_ms(GRACE_S * 1000 - 300));
   gateway_check_lost(deployment);
   int right = violation_seen(deployment, "LOST");
-  t->from_at = time_sub(attempt->sent_at, time_from_ms(STOP_PROPAGATION_MS - 100));
-  run->ended_at = time_add(t->from_at, time_from_ms(GRACE_S * 1000 - 300));
+  fault->from_at = time_sub(attempt->sent_at, time_from_ms(STOP_PROPAGATION_MS - 100));
+  run->ended_at = time_add(fault->from_at, time_from_ms(GRACE_S * 1000 - 300));
   gateway_check_lost(deployment);
   right += !deployment->fleet->violations->len;
-  *t = *stop;
+  *fault = *stop;
   attempt->ended_at = to;
   run->ended_at = run_to;
   return right;
--- a/tests/gateway/placement.c
+++ b/tests/gateway/placement.c
@@ -16,14 +16,14 @@
  */
 static GString *orders_started_since(deployment *deployment, guint from,
                                      const deployment_process *e) {
-  GString *t = g_string_new(NULL);
+  GString *orders = g_string_new(NULL);
   for (guint k = from; k < deployment->log->orders->len; k++) {
     engine_order_record *order = deployment->log->orders->pdata[k];
     if (order->started && id_equal(order->engine, e->engine->self))
-      g_string_append_printf(t, "%c%s%s%s ", order->op == 'l' ? '+' : '-', order->model.text,
+      g_string_append_printf(orders, "%c%s%s%s ", order->op == 'l' ? '+' : '-', order->model.text,
                              id_is_empty(order->adapter) ? "" : "/", order->adapter.text);
   }
-  return t;
+  return orders;
 }
 
 static double request_rate_at(deployment_process *process, const char *key) {
@@ -78,10 +78,10 @@
                                 deployment->engine_processes[0], "m6", "", false),
                      time_from_ms(12000)))
     fleet_add_violation(fleet, "m6 is not loaded");
-  GString *t = orders_started_since(deployment, from, deployment->engine_processes[0]);
-  if (strcmp(t->str, "-m0 +m6 "))
-    fleet_add_violation(fleet, "for m6 the engine got: %s", t->str);
-  g_string_free(t, TRUE);
+  GString *orders = orders_started_since(deployment, from, deployment->engine_processes[0]);
+  if (strcmp(orders->str, "-m0 +m6 "))
+    fleet_add_violation(fleet, "for m6 the engine got: %s", orders->str);
+  g_string_free(orders, TRUE);
   return deployment_finish(deployment, 0);
 }
 
@@ -133,10 +133,10 @@
   sim_run(deployment->sim, time_from_ms(8000));
   deployment_finish_traffic(deployment);
   /* the expensive engine keeps its models, and another engine loads the requested one */
-  GString *t = orders_started_since(deployment, from, expensive);
-  if (t->len)
-    fleet_add_violation(fleet, "the expensive engine got: %s", t->str);
-  g_string_free(t, TRUE);
+  GString *orders = orders_started_since(deployment, from, expensive);
+  if (orders->len)
+    fleet_add_violation(fleet, "the expensive engine got: %s", orders->str);
+  g_string_free(orders, TRUE);
   if (!a->served)
     fleet_add_violation(fleet, "the rarely used model was not served by another engine");
   return deployment_finish(deployment, 0);
@@ -165,10 +165,10 @@
     fleet_add_violation(fleet, "the queued loads do not finish");
   sim_run(deployment->sim, time_from_ms(3000));
   /* the popular model is loaded right after the running load, then the others in order */
-  GString *t = orders_started_since(deployment, from, deployment->engine_processes[0]);
-  if (strcmp(t->str, "+m1 +m7 +m2 +m4 +m5 "))
-    fleet_add_violation(fleet, "the engine got: %s", t->str);
-  g_string_free(t, TRUE);
+  GString *orders = orders_started_since(deployment, from, deployment->engine_processes[0]);
+  if (strcmp(orders->str, "+m1 +m7 +m2 +m4 +m5 "))
+    fleet_add_violation(fleet, "the engine got: %s", orders->str);
+  g_string_free(orders, TRUE);
   return deployment_finish(deployment, 0);
 }
 
@@ -220,11 +220,11 @@
 } holder_leases;
 
 static holder_leases leases_held_by(deployment *deployment, deployment_process *process) {
-  holder_leases d = { .deployment = deployment, .holder = process };
+  holder_leases leases = { .deployment = deployment, .holder = process };
   for (size_t i = 0; i < deployment->model_engine_count; i++)
     if (engine_lease_holder(deployment, deployment->engine_processes[i]) == process)
-      d.engine[d.count++] = deployment->engine_processes[i]->engine->self;
-  return d;
+      leases.engine[leases.count++] = deployment->engine_processes[i]->engine->self;
+  return leases;
 }
 
 static deployment_process *gateway_with_most_leases(deployment *deployment) {
@@ -238,12 +238,12 @@
 
 static bool others_hold_leases(sim *sim, void *p) {
   (void)sim;
-  holder_leases *d = p;
-  for (int i = 0; i < d->count; i++) {
+  holder_leases *leases = p;
+  for (int i = 0; i < leases->count; i++) {
     char singleton[64];
-    singleton_engine_name(singleton, sizeof singleton, d->engine[i]);
-    deployment_process *process = singleton_holder(d->deployment, singleton);
-    if (!process || process == d->holder)
+    singleton_engine_name(singleton, sizeof singleton, leases->engine[i]);
+    deployment_process *process = singleton_holder(leases->deployment, singleton);
+    if (!process || process == leases->holder)
       return false;
   }
   return true;
@@ -256,12 +256,12 @@
   sim_run(deployment->sim, time_from_ms(5000));
   /* a lease holder without recent orders shuts down; other gateways hold its leases soon after */
   deployment_process *process = gateway_with_most_leases(deployment);
-  holder_leases d = leases_held_by(deployment, process);
-  if (!d.count)
+  holder_leases leases = leases_held_by(deployment, process);
+  if (!leases.count)
     fleet_add_violation(fleet, "no gateway holds a lease");
   deployment_terminate_gateway(deployment, process);
   time_us from = deployment->sim->now;
-  bool soon = sim_run_until(deployment->sim, others_hold_leases, &d, time_from_ms(2000));
+  bool soon = sim_run_until(deployment->sim, others_hold_leases, &leases, time_from_ms(2000));
   if (!soon)
     fleet_add_violation(fleet,
                         "2 s after a gateway's shutdown began, its leases are not held by others");
@@ -305,7 +305,7 @@
     for (size_t k = 0; k < G_N_ELEMENTS(small); k++)
       load_start(deployment, from, deployment->engine_processes[i], small[k], "", true);
   sim_run(deployment->sim, time_from_ms(5000 + (int64_t)sim_random(deployment->sim, 2000)));
-  holder_leases d = leases_held_by(deployment, process);
+  holder_leases leases = leases_held_by(deployment, process);
   /* the next holders don't receive notice of its last orders, so that only the chain head's lease
    * grants keep their orders apart */
   for (int k = 0; k < fleet->routers; k++)
@@ -317,7 +317,7 @@
   sim_run(deployment->sim, time_from_ms(700));
   sim_heal_partitions(deployment->sim);
   sim_run(deployment->sim, time_from_ms(9000));
-  if (!others_hold_leases(deployment->sim, &d))
+  if (!others_hold_leases(deployment->sim, &leases))
     fleet_add_violation(fleet, "no gateway holds the leases of the one that has shut down");
   guint n = 0;
   for (guint k = 0; k < deployment->log->orders->len; k++) {
@@ -333,8 +333,8 @@
 
 static bool holds_leases_again(sim *sim, void *p) {
   (void)sim;
-  holder_leases *d = p;
-  return leases_held_by(d->deployment, d->holder).count >= d->count;
+  holder_leases *leases = p;
+  return leases_held_by(leases->deployment, leases->holder).count >= leases->count;
 }
 
 static bool a_restarted_gateway_holds_its_leases_again(fleet *fleet) {
@@ -344,11 +344,11 @@
 run_longer:
   sim_run(deployment->sim, time_from_ms(1000));
   deployment_process *process = gateway_with_most_leases(deployment);
-  holder_leases d = leases_held_by(deployment, process);
-  if (!d.count)
+  holder_leases leases = leases_held_by(deployment, process);
+  if (!leases.count)
     goto run_longer;
   char singleton[64];
-  singleton_engine_name(singleton, sizeof singleton, d.engine[0]);
+  singleton_engine_name(singleton, sizeof singleton, leases.engine[0]);
   uint64_t epoch = singleton_lease_epoch(process->gateway->router, singleton);
   /* a lease holder that is killed and restarted holds its leases again at once, under the next
    * epoch */
@@ -356,7 +356,7 @@
   host_kill(process->host);
   sim_run(deployment->sim, time_from_ms(100));
   host_start(process->host);
-  if (!sim_run_until(deployment->sim, holds_leases_again, &d, time_from_ms(2300)))
+  if (!sim_run_until(deployment->sim, holds_leases_again, &leases, time_from_ms(2300)))
     fleet_add_violation(fleet, "2.3 s after its restart a gateway does not hold its leases again");
   else if (singleton_lease_epoch(process->gateway->router, singleton) != epoch + 1)
     fleet_add_violation(fleet, "epoch %" PRIu64 " after %" PRIu64,
