--- a/lib/gateway/engine_health.c
+++ b/lib/gateway/engine_health.c
@@ -95,7 +95,7 @@
   health->unhealthy_count++;
   log_debug(&engine->gateway->router->node.log, "engine",
             "Engine %s at %s is unhealthy: too many failures, %d times in a row.",
-            engine->engine_id.text, engine->addr, health->unhealthy_count);
+            engine->engine_id.text, engine->address, health->unhealthy_count);
 }
 
 void gateway_engine_add_own_failure(gateway_engine *engine) {
--- a/lib/gateway/engine_orders.c
+++ b/lib/gateway/engine_orders.c
@@ -54,7 +54,7 @@
 static fields *request_fields_new(const gateway_engine *engine) {
   fields *fields = g_string_new(NULL);
   const char *expect_engine = engine->gateway->settings.dialect->header_names[DF_EXPECT_ENGINE];
-  fields_add(fields, "Host", string_view_of(engine->addr));
+  fields_add(fields, "Host", string_view_of(engine->address));
   if (expect_engine)
     fields_add(fields, expect_engine, string_view_of(engine->engine_id.text));
   return fields;
@@ -70,7 +70,7 @@
   if (body)
     fields_add(fields, "Content-Type", string_view_of("application/json"));
   time_us until = time_add(world_now(world), time_from_ms(timeout_ms));
-  http_call *call = http_call_open_fields(world, engine->addr, path->method, path->path, fields,
+  http_call *call = http_call_open_fields(world, engine->address, path->method, path->path, fields,
                                           string_view_of(body), false, send_by);
   int status;
   enum error_code code = http_call_wait(call, until);
--- a/lib/gateway/engine_residents.c
+++ b/lib/gateway/engine_residents.c
@@ -350,7 +350,7 @@
   Wire__EngineState state = WIRE__ENGINE_STATE__INIT, *states = &state;
   state.id = engine->engine_id.text;
   state.service = engine->service.text;
-  state.address = engine->addr;
+  state.address = engine->address;
   state.n_models = count;
   state.models = listed;
   Wire__EngineUpdate update = WIRE__ENGINE_UPDATE__INIT;
--- a/lib/gateway/gateway_engines.c
+++ b/lib/gateway/gateway_engines.c
@@ -67,7 +67,7 @@
   engine->gone = true;
   engine->gone_at = gateway_engine_now(engine);
   log_debug(&engine->gateway->router->node.log, "engine", "Engine %s at %s is gone: %s.",
-            engine->engine_id.text, engine->addr, why);
+            engine->engine_id.text, engine->address, why);
   engine_residents_clear(&engine->residents);
   prefix_cache_free(&engine->prefix_cache);
   g_array_set_size(engine->load.peer_loads, 0);
@@ -95,7 +95,7 @@
 /* an address belongs to one engine at a time: the one with the more recent heartbeat */
 static void resolve_shared_address(gateway_engine *engine) {
   list_for_each (other, &engine->gateway->engines.list, gateway_engine, link) {
-    if (other == engine || other->gone || strcmp(other->addr, engine->addr))
+    if (other == engine || other->gone || strcmp(other->address, engine->address))
       continue;
     gateway_engine_remove(other->heartbeat_at.us <= engine->heartbeat_at.us ? other : engine,
                           "another engine has registered at its address");
@@ -109,7 +109,7 @@
       !id_is_valid(string_view_of(state->service)))
     return NULL;
   gateway_engine *engine = gateway_engine_new(gateway, id_of_text(state->id));
-  g_strlcpy(engine->addr, state->address, sizeof engine->addr);
+  g_strlcpy(engine->address, state->address, sizeof engine->address);
   engine->service = id_of_text(state->service);
   engine->zone = id_of_text(state->zone);
   copy_speed_of_service(engine);
--- a/lib/gateway/gateway_engines.h
+++ b/lib/gateway/gateway_engines.h
@@ -27,7 +27,7 @@
 
   /* from its heartbeats */
   id engine_id, service, zone, version;
-  char addr[48];
+  char address[48];
   unsigned slots;
   uint64_t heartbeat_count;
   time_us heartbeat_at;
--- a/lib/gateway/status.c
+++ b/lib/gateway/status.c
@@ -31,9 +31,10 @@
                "\"addr\":\"%s\",\"slots\":%u,\"leaving\":%s,\"usable\":%s,\"suspect\":%s,"
                "\"failing\":%s,\"running\":%d,\"othersRunning\":%d,",
                engine->engine_id.text, engine->service.text, engine->zone.text,
-               engine->version.text, engine->addr, engine->slots, json_bool_text(engine->draining),
-               json_bool_text(gateway_engine_usable(engine)), json_bool_text(health->suspect),
-               json_bool_text(failing), load->own_running, load->peers_running);
+               engine->version.text, engine->address, engine->slots,
+               json_bool_text(engine->draining), json_bool_text(gateway_engine_usable(engine)),
+               json_bool_text(health->suspect), json_bool_text(failing), load->own_running,
+               load->peers_running);
   json_appendf(to,
                "\"tokens\":%.0f,\"fails\":%d,\"lastBeatMs\":%" PRId64 ",\"heardMs\":%" PRId64
                ",\"firstMs\":%.1f,\"msPerToken\":%.4f,\"models\":[",
--- a/tests/gateway/canary.c
+++ b/tests/gateway/canary.c
@@ -10,7 +10,7 @@
  * twice or be dropped, and the trial must end when it should. */
 
 static const char harmless[] = "{\"affinity\":0.9}";
-/* rejects almost every request that would queue behind others, and allows almost no waiting */
+/* refuses almost every request that would queue behind others, and allows almost no waiting */
 static const char harmful[] =
     "{\"load\":0,\"affinity\":1000,\"area\":1000,\"lateShare\":0.05,\"holdPercent\":1}";
 
