--- a/lib/router/engine_capacity.c
+++ b/lib/router/engine_capacity.c
@@ -142,16 +142,16 @@
   eviction_rule rule = { router->config->eviction_policy,
                          config_formula(router->config, router->config->eviction_policy),
                          now_of(engine) };
-  eviction_candidate *all = (eviction_candidate *)candidates->data;
-  int selected = eviction_policy_select(&rule, all, (int)candidates->len, shortage, draw_random,
-                                        router->node.world);
+  eviction_candidate *candidate_list = (eviction_candidate *)candidates->data;
+  int selected = eviction_policy_select(&rule, candidate_list, (int)candidates->len, shortage,
+                                        draw_random, router->node.world);
   if (selected >= 0) {
-    *model = all[0].model;
-    *adapter = all[0].adapter;
+    *model = candidate_list[0].model;
+    *adapter = candidate_list[0].adapter;
     log_debug(&router->node.log, "place",
               "%s lacks %" PRIu64 " MB and %u slots for %s: evicting %d, first %s with score %g.",
               engine->self.text, shortage.mb, shortage.slots, to_load->model.text, selected,
-              model->text, all[0].score);
+              model->text, candidate_list[0].score);
   }
   g_array_free(candidates, TRUE);
   return selected >= 0;
--- a/lib/router/eviction_policy.c
+++ b/lib/router/eviction_policy.c
@@ -5,7 +5,7 @@
 #include <stdlib.h>
 
 double eviction_policy_score(const eviction_rule *rule, const eviction_candidate *candidate,
-                             double size, uint64_t chance) {
+                             double size, uint64_t random_number) {
   if (rule->custom_formula) {
     double variables[F_VARIABLES] = {
       [F_PENALTY] = candidate->load_ms,
@@ -22,7 +22,7 @@
   if (!strcmp(rule->name, "lru"))
     return (double)candidate->last_requested_at.us;
   if (!strcmp(rule->name, "random"))
-    return (double)(chance >> 11);
+    return (double)(random_number >> 11);
   return candidate->load_ms * candidate->request_rate / (size > 0 ? size : 1);
 }
 
@@ -32,28 +32,28 @@
 
 /* True when candidate k has to be evicted with candidate i: it is the same, or an adapter on that
  * model. */
-static bool is_evicted_with(const eviction_candidate *all, int i, int k) {
-  return k == i || (is_model(&all[i]) && id_equal(all[k].model, all[i].model));
+static bool is_evicted_with(const eviction_candidate *candidates, int i, int k) {
+  return k == i || (is_model(&candidates[i]) && id_equal(candidates[k].model, candidates[i].model));
 }
 
 /* Selects a candidate, and if it is a model, also its adapters, which cannot remain without it. */
-static void select_with_dependents(eviction_candidate *all, int n, int i,
+static void select_with_dependents(eviction_candidate *candidates, int count, int i,
                                    capacity_shortage *shortage) {
-  for (int k = 0; k < n; k++) {
-    if (all[k].selected || !is_evicted_with(all, i, k))
+  for (int k = 0; k < count; k++) {
+    if (candidates[k].selected || !is_evicted_with(candidates, i, k))
       continue;
-    all[k].selected = true;
-    shortage->mb -= MIN(shortage->mb, all[k].weights_mb);
-    shortage->slots -= MIN(shortage->slots, all[k].slots);
+    candidates[k].selected = true;
+    shortage->mb -= MIN(shortage->mb, candidates[k].weights_mb);
+    shortage->slots -= MIN(shortage->slots, candidates[k].slots);
   }
 }
 
 /* A model is evictable only when all adapters on it are. */
-static bool is_evictable(const eviction_candidate *all, int n, int i, bool allow_busy) {
-  for (int k = 0; k < n; k++) {
-    if (all[k].selected || !is_evicted_with(all, i, k))
+static bool is_evictable(const eviction_candidate *candidates, int count, int i, bool allow_busy) {
+  for (int k = 0; k < count; k++) {
+    if (candidates[k].selected || !is_evicted_with(candidates, i, k))
       continue;
-    if (all[k].pinned || (all[k].busy && !allow_busy))
+    if (candidates[k].pinned || (candidates[k].busy && !allow_busy))
       return false;
   }
   return true;
@@ -61,12 +61,13 @@
 
 /* Candidates evicted with a model are ordered by the size of that model, so that the order is
  * total. */
-static void set_group_sizes(eviction_candidate *all, int n) {
-  for (int i = 0; i < n; i++) {
-    all[i].group_mb = all[i].weights_mb;
-    for (int k = 0; k < n; k++)
-      if (all[k].selected && is_model(&all[k]) && id_equal(all[k].model, all[i].model))
-        all[i].group_mb = all[k].weights_mb;
+static void set_group_sizes(eviction_candidate *candidates, int count) {
+  for (int i = 0; i < count; i++) {
+    candidates[i].group_mb = candidates[i].weights_mb;
+    for (int k = 0; k < count; k++)
+      if (candidates[k].selected && is_model(&candidates[k]) &&
+          id_equal(candidates[k].model, candidates[i].model))
+        candidates[i].group_mb = candidates[k].weights_mb;
   }
 }
 
@@ -90,48 +91,49 @@
 
 /* Index of the candidate with the lowest score among those that are evictable and take up the
  * resource that is short; -1 when there is none. */
-static int find_lowest_score(const eviction_rule *rule, eviction_candidate *all, int n,
+static int find_lowest_score(const eviction_rule *rule, eviction_candidate *candidates, int count,
                              bool by_slots, bool allow_busy, uint64_t (*draw)(void *),
                              void *context) {
   int lowest = -1;
-  for (int i = 0; i < n; i++) {
-    eviction_candidate *candidate = &all[i];
+  for (int i = 0; i < count; i++) {
+    eviction_candidate *candidate = &candidates[i];
     uint64_t size = by_slots ? candidate->slots : candidate->weights_mb;
-    if (candidate->selected || !is_evictable(all, n, i, allow_busy) || !size)
+    if (candidate->selected || !is_evictable(candidates, count, i, allow_busy) || !size)
       continue;
     candidate->score = eviction_policy_score(rule, candidate, (double)size, draw(context));
-    if (lowest < 0 || candidate->score < all[lowest].score)
+    if (lowest < 0 || candidate->score < candidates[lowest].score)
       lowest = i;
   }
   return lowest;
 }
 
 /* Selects candidates until the shortage is covered; false when there are not enough. */
-static bool select_greedily(const eviction_rule *rule, eviction_candidate *all, int n,
+static bool select_greedily(const eviction_rule *rule, eviction_candidate *candidates, int count,
                             capacity_shortage shortage, bool allow_busy, uint64_t (*draw)(void *),
                             void *context) {
-  for (int i = 0; i < n; i++)
-    all[i].selected = false;
+  for (int i = 0; i < count; i++)
+    candidates[i].selected = false;
   while (shortage.mb || shortage.slots) {
-    int lowest = find_lowest_score(rule, all, n, shortage.slots > 0, allow_busy, draw, context);
+    int lowest =
+        find_lowest_score(rule, candidates, count, shortage.slots > 0, allow_busy, draw, context);
     if (lowest < 0)
       return false;
-    select_with_dependents(all, n, lowest, &shortage);
+    select_with_dependents(candidates, count, lowest, &shortage);
   }
   return true;
 }
 
-int eviction_policy_select(const eviction_rule *rule, eviction_candidate *all, int n,
+int eviction_policy_select(const eviction_rule *rule, eviction_candidate *candidates, int count,
                            capacity_shortage shortage, uint64_t (*draw)(void *), void *context) {
   /* if idle candidates are not enough, selection restarts so that it is greedy over all
      candidates */
-  if (!select_greedily(rule, all, n, shortage, false, draw, context) &&
-      !select_greedily(rule, all, n, shortage, true, draw, context))
+  if (!select_greedily(rule, candidates, count, shortage, false, draw, context) &&
+      !select_greedily(rule, candidates, count, shortage, true, draw, context))
     return -1;
   int selected = 0;
-  for (int i = 0; i < n; i++)
-    selected += all[i].selected;
-  set_group_sizes(all, n);
-  qsort(all, (size_t)n, sizeof *all, compare_unload_order);
+  for (int i = 0; i < count; i++)
+    selected += candidates[i].selected;
+  set_group_sizes(candidates, count);
+  qsort(candidates, (size_t)count, sizeof *candidates, compare_unload_order);
   return selected;
 }
--- a/lib/router/eviction_policy.h
+++ b/lib/router/eviction_policy.h
@@ -42,14 +42,14 @@
 } eviction_rule;
 
 /** Returns the utility of keeping a candidate. `size` is its size in the resource that is short (MB
- * or slots); `chance` is a random number, used by the "random" policy. */
+ * or slots); `random_number` is used by the "random" policy. */
 double eviction_policy_score(const eviction_rule *rule, const eviction_candidate *candidate,
-                             double size, uint64_t chance);
+                             double size, uint64_t random_number);
 /** Selects what to unload to cover a shortage: greedily by lowest score, and a model together with
  * its adapters. The selected candidates are moved to the front in the order in which to unload
  * them: largest first, adapters before their model. Returns their number, or -1 when evicting every
  * evictable candidate would not be enough. `draw` returns random numbers. */
-int eviction_policy_select(const eviction_rule *rule, eviction_candidate *all, int n,
+int eviction_policy_select(const eviction_rule *rule, eviction_candidate *candidates, int count,
                            capacity_shortage shortage, uint64_t (*draw)(void *context),
                            void *context);
 #endif
