--- a/lib/gateway/capacity_account.h
+++ b/lib/gateway/capacity_account.h
@@ -1,7 +1,7 @@
 /** Capacity account of one engine, at the gateway that holds its lease.
  *
- * All gateways know an engine's residents from heartbeats, broadcasts and refused requests. Any of
- * these may be outdated; that is good enough for routing. For loads it is not, because an engine
+ * All gateways know an engine's residents from heartbeats, broadcasts and declined requests. Any
+ * of these may be outdated; that is good enough for routing. For loads it is not, because an engine
  * that loads beyond its memory crashes. The lease holder therefore keeps an account of its own: the
  * residents in one idle report of the engine, plus the orders that the engine has accepted from
  * this holder since. Every load order carries the number of orders in that report plus the number
@@ -34,9 +34,9 @@
 void capacity_account_free(capacity_account *account);
 /** Discards the account; nothing is known until the next idle report. */
 void capacity_account_discard(capacity_account *account, time_us now);
-/** True when a report requested at asked_at covers all changes in the account; the values in a
- * report are up to lag old. */
-bool capacity_account_covered_by_report(const capacity_account *account, time_us asked_at,
+/** True when a report that was requested at this time covers all changes in the account; its values
+ * are up to lag old. */
+bool capacity_account_covered_by_report(const capacity_account *account, time_us requested_at,
                                         time_us lag);
 /** Resets the account to an idle report with this order count; the caller adds its residents by
  * capacity_account_add. */
--- a/lib/gateway/engine_health.c
+++ b/lib/gateway/engine_health.c
@@ -79,7 +79,7 @@
   engine_health *health = &engine->health;
   time_us now = gateway_engine_now(engine);
   if (engine->gone || gateway_engine_unhealthy(engine) ||
-      !gateway_feature_enabled(engine->gateway, FEATURE_OUTLIER_EJECTION))
+      !gateway_feature_enabled(engine->gateway, FEATURE_FAILURE_SCORE))
     return;
   if (health->unhealthy_count &&
       time_reached(now, after_ms(health->unhealthy_until, UNHEALTHY_RESET_MS)))
@@ -95,7 +95,7 @@
   health->unhealthy_count++;
   log_debug(&engine->gateway->router->node.log, "engine",
             "Engine %s at %s is unhealthy: too many failures, %d times in a row.",
-            engine->engine_id.text, engine->addr, health->unhealthy_count);
+            engine->engine_id.text, engine->address, health->unhealthy_count);
 }
 
 void gateway_engine_add_own_failure(gateway_engine *engine) {
@@ -154,7 +154,7 @@
   time_us now = gateway_engine_now(engine);
   health->failed_at = now;
   health->consecutive_failures++;
-  /* failures of a busy engine don't count for outlier ejection */
+  /* failures of a busy engine don't count for the failure score */
   if (gateway_engine_lightly_loaded(engine))
     gateway_engine_add_own_failure(engine);
   int doublings = MIN(health->consecutive_failures - 1, EJECTION_MAX_DOUBLINGS);
--- a/lib/gateway/engine_loading.c
+++ b/lib/gateway/engine_loading.c
@@ -28,7 +28,7 @@
   CONFLICT_SLEEP_MS = 60,
   UNREACHABLE_SLEEP_MS = 100,
   /* from sending an order to the start of its load */
-  ORDER_EXTRA_MS = 20,
+  ORDER_OVERHEAD_MS = 20,
   /* reports read while an engine is busy with an order, and the time between them */
   MAX_BUSY_REPORTS = 60,
   MAX_SYNC_REPORTS = 30,
@@ -84,7 +84,7 @@
  */
 static const double FIRST_POLL_MODEL_SHARE = 0.97, FIRST_POLL_ADAPTER_SHARE = 0.6;
 /* A model load that takes less than this share of its expected time has used weights that an
- * earlier incarnation left on the engine's disk. It is not recorded as a load time of the store. */
+ * earlier process run left on the engine's disk. It is not recorded as a load time of the store. */
 static const double MIN_STORE_LOAD_SHARE = 0.6;
 
 /** State of one load order. */
@@ -312,8 +312,8 @@
   time_us reported_at = engine->orders.reported_at;
   bool busy;
   int running;
-  if (!order->is_base ||
-      (reported_at.us && gateway_ms_since(order->gateway, reported_at) <= IDENTITY_CONFIRMED_MS))
+  if (!order->is_base || (reported_at.us && gateway_ms_since(order->gateway, reported_at) <=
+                                                ENGINE_IDENTITY_MAX_AGE_MS))
     return OK;
   if (engine_order_fetch_report(engine, &busy, &running, order->err))
     return OK;
@@ -377,7 +377,7 @@
   gateway_engine *engine = order->engine;
   order->began_at = gateway_now(order->gateway);
   order->job->expected_at =
-      gateway_deadline_in_ms(order->gateway, order->expected_ms + ORDER_EXTRA_MS);
+      gateway_deadline_in_ms(order->gateway, order->expected_ms + ORDER_OVERHEAD_MS);
   reserve(order);
   order->status =
       engine_order_send(engine, true, order->model, order->adapter,
@@ -407,7 +407,7 @@
   error *err = order->err;
   unreserve(order);
   switch (order->status) {
-  case ORDER_NOT_ALLOWED:
+  case ENGINE_ORDER_NOT_ALLOWED:
     return err->code;
   case 421:
     return error_set(err, E_NO_ENGINE, "%s is another engine now", engine->engine_id.text);
@@ -502,7 +502,7 @@
   *loaded = status == 200;
   if (status == 421)
     return error_set(order->err, E_NO_ENGINE, "%s is another engine now", engine->engine_id.text);
-  return status == ORDER_NOT_ALLOWED ? order->err->code : OK;
+  return status == ENGINE_ORDER_NOT_ALLOWED ? order->err->code : OK;
 }
 
 static enum error_code poll_by_report(engine_load_order *order, bool *loaded) {
@@ -525,8 +525,8 @@
 
 static enum error_code poll_load(engine_load_order *order, bool *loaded) {
   const capacity_account *capacity = &order->engine->capacity;
-  int max_checks = order->is_base ? MAX_MODEL_ORDER_POLLS : MAX_ADAPTER_ORDER_POLLS;
-  bool by_order = order->polls < max_checks && capacity->is_known &&
+  int max_order_polls = order->is_base ? MAX_MODEL_ORDER_POLLS : MAX_ADAPTER_ORDER_POLLS;
+  bool by_order = order->polls < max_order_polls && capacity->is_known &&
                   capacity_account_contains(capacity, order->model, order->adapter);
   return by_order ? poll_by_order(order, loaded) : poll_by_report(order, loaded);
 }
--- a/lib/gateway/engine_orders.c
+++ b/lib/gateway/engine_orders.c
@@ -54,7 +54,7 @@
 static fields *request_fields_new(const gateway_engine *engine) {
   fields *fields = g_string_new(NULL);
   const char *expect_engine = engine->gateway->settings.dialect->header_names[DF_EXPECT_ENGINE];
-  fields_add(fields, "Host", string_view_of(engine->addr));
+  fields_add(fields, "Host", string_view_of(engine->address));
   if (expect_engine)
     fields_add(fields, expect_engine, string_view_of(engine->engine_id.text));
   return fields;
@@ -70,7 +70,7 @@
   if (body)
     fields_add(fields, "Content-Type", string_view_of("application/json"));
   time_us until = time_add(world_now(world), time_from_ms(timeout_ms));
-  http_call *call = http_call_open_fields(world, engine->addr, path->method, path->path, fields,
+  http_call *call = http_call_open_fields(world, engine->address, path->method, path->path, fields,
                                           string_view_of(body), false, send_by);
   int status;
   enum error_code code = http_call_wait(call, until);
@@ -79,8 +79,8 @@
     error_set(err, code, "%s did not answer", engine->engine_id.text);
   } else {
     status = call->status;
-    bool cut = http_call_read_all(call, response, until);
-    if (cut && status == 200 && response->len)
+    bool truncated = http_call_read_all(call, response, until);
+    if (truncated && status == 200 && response->len)
       status = ENGINE_ORDER_UNKNOWN;
   }
   http_call_close(call);
@@ -147,11 +147,12 @@
   }
 }
 
-/* rebuilds the capacity account from an idle report that was requested at asked_at */
+/* rebuilds the capacity account from an idle report; requested_at: when it was requested */
 static void update_account(gateway_engine *engine, uint64_t order_count,
-                           const reported_residents *residents, time_us asked_at) {
+                           const reported_residents *residents, time_us requested_at) {
   capacity_account *account = &engine->capacity;
-  if (!capacity_account_covered_by_report(account, asked_at, time_from_ms(ENGINE_REPORT_LAG_MS))) {
+  if (!capacity_account_covered_by_report(account, requested_at,
+                                          time_from_ms(ENGINE_REPORT_LAG_MS))) {
     /* the engine has accepted an order that this holder doesn't know of */
     if (account->is_known && order_count > account->order_count)
       capacity_account_discard(account, gateway_engine_now(engine));
@@ -168,7 +169,7 @@
 bool engine_order_fetch_report(gateway_engine *engine, bool *busy, int *running, error *err) {
   gateway *gateway = engine->gateway;
   GString *response = g_string_new(NULL);
-  time_us asked_at = gateway_now(gateway);
+  time_us requested_at = gateway_now(gateway);
   gateway->counts.reports++;
   int status =
       engine_exchange(engine, DC_REPORT, NULL, response, REPORT_TIMEOUT_MS, time_never(), err);
@@ -182,13 +183,14 @@
   }
   reported_residents residents = read_residents(report);
   engine->orders.identity_confirmed_at = gateway_now(gateway);
-  engine->orders.reported_at = asked_at;
+  engine->orders.reported_at = requested_at;
   *busy = json_bool(report, "busy", false);
   *running = (int)json_number(report, "running", 0) + (int)json_number(report, "waiting", 0);
-  gateway_engine_update_residents(engine, residents.list, residents.count, asked_at,
+  gateway_engine_update_residents(engine, residents.list, residents.count, requested_at,
                                   ENGINE_REPORT_LAG_MS);
   if (!*busy)
-    update_account(engine, (uint64_t)MAX(0, json_number(report, "count", 0)), &residents, asked_at);
+    update_account(engine, (uint64_t)MAX(0, json_number(report, "count", 0)), &residents,
+                   requested_at);
   reported_residents_free(&residents);
   json_free(report);
   return true;
@@ -207,7 +209,7 @@
   }
   g_string_append(body, ",\"holder\":");
   json_append_quoted(body, string_view_of(gateway->router->node.settings.self.text));
-  if (expected_orders != ORDER_COUNT_ANY)
+  if (expected_orders != ENGINE_ORDER_COUNT_ANY)
     json_appendf(body, ",\"expect\":%" PRId64, expected_orders);
   json_appendf(body, ",\"fence\":%" PRIu64 "}", epoch);
   error err = { 0 };
@@ -228,7 +230,7 @@
     seen_at = engine->health.last_byte_at;
   if (engine->orders.identity_confirmed_at.us > seen_at.us)
     seen_at = engine->orders.identity_confirmed_at;
-  return gateway_ms_since(engine->gateway, seen_at) <= IDENTITY_CONFIRMED_MS;
+  return gateway_ms_since(engine->gateway, seen_at) <= ENGINE_IDENTITY_MAX_AGE_MS;
 }
 
 /* updates the capacity account and the identity confirmation from an order's result */
@@ -277,11 +279,11 @@
   uint64_t epoch = engine_order_epoch(engine);
   if (!epoch) {
     error_set(err, E_NO_LEASE_HOLDER, "no lease on %s", name);
-    return ORDER_NOT_ALLOWED;
+    return ENGINE_ORDER_NOT_ALLOWED;
   }
   if (engine->gone) {
     error_set(err, E_NO_ENGINE, "%s is gone", name);
-    return ORDER_NOT_ALLOWED;
+    return ENGINE_ORDER_NOT_ALLOWED;
   }
   if (!identity_is_recent(engine)) {
     bool busy;
@@ -290,7 +292,7 @@
       return ENGINE_ORDER_NOT_SENT;
     if (engine->gone || !(epoch = engine_order_epoch(engine))) {
       error_set(err, E_NO_LEASE_HOLDER, "no lease on %s", name);
-      return ORDER_NOT_ALLOWED;
+      return ENGINE_ORDER_NOT_ALLOWED;
     }
   }
   int status = send_under_epoch(engine, load, model, adapter, epoch, expected_orders, send_by, err);
@@ -298,7 +300,7 @@
   if (status != 412)
     return status;
   error_set(err, E_STALE_EPOCH, "%s has seen a higher fencing token", name);
-  return ORDER_NOT_ALLOWED;
+  return ENGINE_ORDER_NOT_ALLOWED;
 }
 
 bool engine_order_stopping(gateway_engine *engine) {
@@ -397,9 +399,9 @@
       announce_unload(engine, unload->model, unload->adapter);
       unload->announced_at = gateway_engine_now(engine);
     }
-    int status = engine_order_send(engine, false, unload->model, unload->adapter, ORDER_COUNT_ANY,
-                                   time_never(), unload->err);
-    if (status == ORDER_NOT_ALLOWED)
+    int status = engine_order_send(engine, false, unload->model, unload->adapter,
+                                   ENGINE_ORDER_COUNT_ANY, time_never(), unload->err);
+    if (status == ENGINE_ORDER_NOT_ALLOWED)
       return unload->err->code;
     if (status == 200)
       return OK;
--- a/lib/gateway/engine_select.c
+++ b/lib/gateway/engine_select.c
@@ -1,9 +1,10 @@
 /** Selects an engine for a request; see engine_select.h.
  *
- * Candidates are the engines that hold the model. Excluded are ejected engines, unless that leaves
- * fewer than half; suspect engines, as long as there are others; and engines that have no free slot
- * or whose estimate is too late for the request. The engine with the lowest cost is selected. The
- * cost in ms is:
+ * Candidates are the engines that hold the model, without those that the request excludes. Three
+ * kinds of candidates are passed over: ejected engines, unless that leaves fewer than half; suspect
+ * engines, as long as another one is in good health; and engines that have no free slot or whose
+ * estimate is too late for the request. Of the rest, the engine with the lowest cost is selected.
+ * The cost in ms is:
  *
  *   load weight * estimated time to the first event
  *   + affinity weight * prefill of shared prompt parts that are not cached there
@@ -23,7 +24,7 @@
   MAX_CANDIDATES = 512,
   /* maximum number of shared parts of a prompt that are distinguished */
   MAX_PREFIX_PARTS = 32,
-  /* an engine that ends within this time is not a candidate */
+  /* an engine that shuts down within this time is not a candidate */
   MIN_REMAINING_MS = 1000,
   /* when fewer than half of the engines are left, ejected ones are allowed again if they have sent
    * a byte within this time */
@@ -33,11 +34,11 @@
   SUSPECT_TRIAL_MS = 1000,
   /* an engine of a plain service may have this many more requests than slots */
   PLAIN_EXTRA_REQUESTS = 2,
-  /* a slow estimate within this time after another one requests an additional replica */
+  /* a slow estimate within this time after another one requests an extra replica */
   SLOW_ESTIMATE_SPAN_MS = 1000,
   REPLICA_REQUEST_INTERVAL_MS = 1500,
-  /* with more gateways than this, each one sees few requests for a model; a long queue then
-   * requests a replica at the first slow estimate */
+  /* with more gateways than this, each one sees few requests for a model, so an extra replica is
+   * requested at the first slow estimate if the queue is long */
   LARGE_FLEET_NODES = 16
 };
 /* Cost in ms of an unhealthy engine: greater than any estimate that is in time. */
@@ -56,15 +57,16 @@
 /* Cost of another zone, in units of the policy's zone weight, for a model and for a plain
  * service. */
 static const double ZONE_COST_MODEL = 3, ZONE_COST_PLAIN = 1.5;
-/* In a large fleet, a queue longer than this share of the target requests an additional replica. */
+/* In a large fleet, a queue longer than this share of the target requests an extra replica. */
 static const double LONG_QUEUE_TARGET_SHARE = 0.4;
 /* Used as the estimate when no healthy engine is left; always counts as slow. */
 static const double NO_ESTIMATE_MS = 1e9;
 
-double engine_select_estimate_ms(double base_ms, double ms_per_token, double ahead, double uncached,
-                                 int running, unsigned slots, double run_ms) {
-  double ms =
-      (base_ms + ms_per_token * (ahead + uncached)) * engine_load_batch_slowdown(running, slots);
+double engine_select_estimate_ms(double base_ms, double ms_per_token, double waiting_tokens,
+                                 double uncached_tokens, int running, unsigned slots,
+                                 double run_ms) {
+  double ms = (base_ms + ms_per_token * (waiting_tokens + uncached_tokens)) *
+              engine_load_batch_slowdown(running, slots);
   if (slots && running >= (int)slots)
     ms += (running - (int)slots + 1) * run_ms / slots;
   return ms;
@@ -77,7 +79,7 @@
   return false;
 }
 
-/** Time of the last slow estimate for a model, and of the last request for a replica. */
+/** Time of the last slow estimate for a model, and of the last request for an extra replica. */
 typedef struct slow_estimate {
   time_us seen_at, requested_at;
 } slow_estimate;
@@ -102,8 +104,8 @@
   return at.us && !time_reached(now, time_add(at, time_from_ms(ms)));
 }
 
-/* Requests another replica of the model when the best estimate is slow for the second time within a
- * second, or, in a large fleet, when it is slow and the queue is long. */
+/* Requests an extra replica of the model when the best estimate is slow for the second time within
+ * a second, or, in a large fleet, when it is slow and the queue is long. */
 static void request_extra_replica(gateway *gateway, const engine_select_request *request,
                                   double estimate_ms, double queue_ms) {
   double target_ms = (double)request->target_ms;
@@ -114,9 +116,10 @@
   slow_estimate *slow = slow_estimate_of(gateway, request);
   bool long_queue =
       gateway->router_count > LARGE_FLEET_NODES && queue_ms > LONG_QUEUE_TARGET_SHARE * target_ms;
-  bool again = is_within(now, slow->seen_at, SLOW_ESTIMATE_SPAN_MS);
+  bool seen_recently = is_within(now, slow->seen_at, SLOW_ESTIMATE_SPAN_MS);
   slow->seen_at = now;
-  if ((!long_queue && !again) || is_within(now, slow->requested_at, REPLICA_REQUEST_INTERVAL_MS))
+  if ((!long_queue && !seen_recently) ||
+      is_within(now, slow->requested_at, REPLICA_REQUEST_INTERVAL_MS))
     return;
   slow->requested_at = now;
   double load_ms;
@@ -222,10 +225,10 @@
 typedef struct candidate_estimate {
   unsigned slots;
   int running;
-  double ahead;    /* tokens queued there */
-  double cached;   /* of the prompt */
-  double uncached; /* of the prompt, to be prefilled */
-  double ms;       /* to the first event */
+  double waiting_tokens;  /* of other requests, on the engine */
+  double cached_tokens;   /* of the prompt */
+  double uncached_tokens; /* of the prompt, to be prefilled */
+  double ms;              /* to the first event */
 } candidate_estimate;
 
 static candidate_estimate estimate_candidate(const gateway_engine *engine,
@@ -238,23 +241,23 @@
     .running = gateway_feature_enabled(gateway, FEATURE_BATCH)
                    ? gateway_engine_running_requests(engine)
                    : 0,
-    .ahead = gateway_engine_waiting_tokens(engine),
+    .waiting_tokens = gateway_engine_waiting_tokens(engine),
   };
   double cached = cached_tokens(engine, prefix, request->service->kv_tokens);
-  estimate.cached = MAX(cached, 0);
-  estimate.uncached = MAX(request->tokens - estimate.cached, 0);
+  estimate.cached_tokens = MAX(cached, 0);
+  estimate.uncached_tokens = MAX(request->tokens - estimate.cached_tokens, 0);
   if (cached < 0 && engine == prefix->home)
-    estimate.uncached = MAX(request->tokens - HOME_CACHED_SHARE * prefix->shared_tokens, 0);
-  estimate.ms = engine_select_estimate_ms(load->base_ms, load->ms_per_token, estimate.ahead,
-                                          estimate.uncached, estimate.running, estimate.slots,
-                                          load->mean_run_ms);
+    estimate.uncached_tokens = MAX(request->tokens - HOME_CACHED_SHARE * prefix->shared_tokens, 0);
+  estimate.ms = engine_select_estimate_ms(load->base_ms, load->ms_per_token,
+                                          estimate.waiting_tokens, estimate.uncached_tokens,
+                                          estimate.running, estimate.slots, load->mean_run_ms);
   return estimate;
 }
 
-/* true when the health of a candidate rules it out; allow_ejected: ejected engines are allowed,
- * since fewer than half would be left otherwise */
-static bool is_ruled_out(const gateway_engine *engine, const engine_select_request *request,
-                         const candidates *found, bool allow_ejected, time_us now) {
+/* true when a candidate must not be selected because of its health; allow_ejected: ejected engines
+ * are allowed, since fewer than half would be left otherwise */
+static bool is_unfit(const gateway_engine *engine, const engine_select_request *request,
+                     const candidates *found, bool allow_ejected, time_us now) {
   const engine_health *health = &engine->health;
   if (is_ejected(engine, now) &&
       !(allow_ejected && is_within(now, health->last_byte_at, RECENT_BYTE_MS)))
@@ -277,7 +280,7 @@
   /* in a queue that is already too long, the request would only delay those behind it */
   return !plain && request->target_ms &&
          estimate->ms > policy_of(request)->reject_threshold * (double)request->target_ms &&
-         estimate->ahead > 0;
+         estimate->waiting_tokens > 0;
 }
 
 /* cost of nearly full KV memory, where the engine would preempt requests */
@@ -296,7 +299,7 @@
   double cost = policy->load_weight * estimate->ms, target_ms = (double)request->target_ms;
   if (prefix->home && engine != prefix->home)
     cost += policy->affinity_weight * engine->load.ms_per_token *
-            MAX(prefix->shared_tokens - estimate->cached, 0);
+            MAX(prefix->shared_tokens - estimate->cached_tokens, 0);
   if (request->target_ms && estimate->ms > LATE_TARGET_SHARE * target_ms)
     cost += policy->load_weight * LATE_COST_FACTOR * (estimate->ms - LATE_TARGET_SHARE * target_ms);
   double kv = kv_cost(engine, request->service, estimate->running);
@@ -326,10 +329,10 @@
 
 /** The cheapest candidate so far. */
 typedef struct selection {
-  gateway_engine *engine; /* NULL when all are ruled out or overloaded */
+  gateway_engine *engine; /* NULL when all are unfit or overloaded */
   double cost;
   candidate_estimate estimate;
-  /** Over all candidates that are not ruled out by their health: the earliest first event and the
+  /** Over all candidates that are not unfit: the earliest first event and the
    * shortest queue, in ms; negative when there are none. */
   double soonest_ms, queue_ms;
 } selection;
@@ -341,10 +344,10 @@
   bool allow_ejected = found->not_ejected * 2 < found->holding;
   for (int i = 0; i < found->count; i++) {
     gateway_engine *engine = found->engines[i];
-    if (is_ruled_out(engine, request, found, allow_ejected, now))
+    if (is_unfit(engine, request, found, allow_ejected, now))
       continue;
     candidate_estimate estimate = estimate_candidate(engine, request, prefix);
-    double queue_ms = engine->load.ms_per_token * estimate.ahead;
+    double queue_ms = engine->load.ms_per_token * estimate.waiting_tokens;
     if (best.soonest_ms < 0 || estimate.ms < best.soonest_ms)
       best.soonest_ms = estimate.ms;
     if (best.queue_ms < 0 || queue_ms < best.queue_ms)
@@ -387,7 +390,7 @@
   engine->selected = (selected_request){ .model = request->model,
                                          .adapter = request->adapter,
                                          .tokens = request->tokens,
-                                         .uncached_tokens = best.estimate.uncached };
+                                         .uncached_tokens = best.estimate.uncached_tokens };
   prefix_cache_record(&engine->prefix_cache, prefix.chain, prefix.part_count,
                       engine->load.prefilled_tokens);
   return engine;
--- a/lib/gateway/feature_flags.h
+++ b/lib/gateway/feature_flags.h
@@ -15,7 +15,7 @@
   FEATURE_QUEUE,
   /** A request is refused early if its slot would become free too late. */
   FEATURE_EARLY_REFUSAL,
-  /** Models with waiting requests get additional replicas. */
+  /** Models with waiting requests get extra replicas. */
   FEATURE_REPLICAS,
   /** Eviction uses the configured policy (CremeBrulee by default); disabled: least recently used.
    */
@@ -27,7 +27,7 @@
   /** Engine selection adds a cost for engines of other zones. */
   FEATURE_ZONE,
   /** Engines that fail some of their requests are avoided. */
-  FEATURE_OUTLIER_EJECTION,
+  FEATURE_FAILURE_SCORE,
   /** An unload is ordered only some time after its announcement. */
   FEATURE_ANNOUNCE_UNLOAD,
   /** A new adapter gets a minimum request rate and is not evicted for a short time. */
--- a/lib/gateway/placement.c
+++ b/lib/gateway/placement.c
@@ -26,8 +26,8 @@
      engines */
   REPLICA_QUEUE_TARGET_MS = 250,
   MAX_REPLICAS_AT_ONCE = 4,
-  /* after this many engines have refused because only busy models could be evicted, draining of
-     running requests is allowed */
+  /* after this many engines have refused because only models with running requests could be
+     evicted, their eviction is allowed */
   MAX_BUSY_ENGINES = 4,
   /* passes without an eligible engine before the placement fails: a lease handover takes some
      seconds, while a lack of capacity is reported soon */
@@ -53,12 +53,12 @@
   RETRY_NO_REPLICA_MS = 3000,
   RETRY_NO_ENGINE_MS = 500,
   /* overhead between two loads on an engine, and from the placement to the start of the load */
-  LOAD_EXTRA_MS = 40,
-  PLACEMENT_EXTRA_MS = 30
+  LOAD_OVERHEAD_MS = 40,
+  PLACEMENT_OVERHEAD_MS = 30
 };
-/* A further replica (beyond the next one) may cost at most this share of its utility in evictions.
- */
-static const double FURTHER_REPLICA_COST_SHARE = 0.1;
+/* An extra replica that is loaded in parallel with another one may cost at most this share of its
+ * utility in evictions. */
+static const double PARALLEL_REPLICA_COST_SHARE = 0.1;
 /* Expected delay of a load in ms: on an engine with all slots taken (in proportion for fewer), for
  * weights that are not on the engine's disk, and for a load that needs an eviction. */
 static const double FULL_ENGINE_DELAY_MS = 300, STORE_DELAY_MS = 300, EVICTION_DELAY_MS = 60;
@@ -69,23 +69,23 @@
 static const double MAX_COST_FACTOR = 2, MAX_COST_EXTRA = 3000;
 
 /** A placement in progress; the coordinator has one per model (and adapter) for the whole fleet,
- * plus one for each further replica. */
+ * plus one for each extra replica that is loaded in parallel. */
 typedef struct placement_job {
   char *key; /* load_request_key, owned */
   id service, model, adapter;
   unsigned priority;
-  /** extra_replica: one more replica although engines hold the model already; further_replica: one
-   * beyond the next replica. */
-  bool extra_replica, further_replica;
+  /** extra_replica: it is loaded although engines hold the model already; parallel_replica: it is
+   * loaded in parallel with another extra replica. */
+  bool extra_replica, parallel_replica;
   time_us last_asked_at, expected_at;
   /** The chosen engine (empty: none at the moment) and its eviction cost. */
   id engine;
   double eviction_cost;
   /** The lease holder has started the load. */
   bool started;
-  /** Busy models may be evicted and drained, since no engine can make room from idle models alone.
-   */
-  bool may_drain;
+  /** Models with running requests may be evicted, since no engine can free enough capacity by
+   * evicting idle models alone. */
+  bool may_evict_busy;
   bool done;
   enum error_code code;
   int64_t retry_after_ms;
@@ -175,7 +175,7 @@
     const service *service = gateway_service_of(gateway, other->service);
     gateway_engine *engine = gateway_engine_find(gateway, engine_id.text);
     if (service && engine)
-      ms += LOAD_EXTRA_MS + model_load_ms(engine, service, other->model);
+      ms += LOAD_OVERHEAD_MS + model_load_ms(engine, service, other->model);
   }
   return ms;
 }
@@ -243,8 +243,7 @@
   const service *service;
   const GPtrArray *refused_by; /* names of engines that have refused and are skipped */
   double request_rate;
-  /** The utility of an additional replica: load time times the request rate that it would take
-   * over. */
+  /** The utility of an extra replica: load time times the request rate that it would take over. */
   double replica_utility;
   int shard_count;
   /** True in the first pass, which considers only healthy engines of the model's shard; the second
@@ -309,7 +308,7 @@
   double eviction_cost = eviction_placement_cost(engine, choice->service, job->model, job->adapter,
                                                  &mb, &slots, &drain_ms);
   double max_cost =
-      (job->further_replica ? FURTHER_REPLICA_COST_SHARE : 1) * choice->replica_utility;
+      (job->parallel_replica ? PARALLEL_REPLICA_COST_SHARE : 1) * choice->replica_utility;
   if (eviction_cost < 0 || (job->extra_replica && eviction_cost > max_cost)) {
     choice->code = E_NO_CAPACITY;
     return;
@@ -375,7 +374,7 @@
   enum error_code code;
   int64_t retry_after_ms;
   /** failed_passes: passes without an engine plus refusals; busy_engines: engines that could evict
-   * only busy models. */
+   * only models with running requests. */
   int failed_passes, busy_engines;
 } placement_run;
 
@@ -401,8 +400,8 @@
   return engine && lease_holder_address(gateway, engine->engine_id, address) ? engine : NULL;
 }
 
-/* no engine is eligible: clears the list of refusals, allows eviction of busy models, and retries
- */
+/* no engine is eligible: clears the list of refusals, allows the eviction of models with running
+ * requests, and retries */
 static enum placement_step retry_without_engine(placement_run *run) {
   placement_job *job = run->job;
   world *world = run->gateway->router->node.world;
@@ -416,7 +415,7 @@
     return PLACEMENT_DONE;
   }
   g_ptr_array_set_size(run->refused_by, 0);
-  job->may_drain = true;
+  job->may_evict_busy = true;
   if (!world_sleep_with_jitter(world, time_from_ms(NO_ENGINE_SLEEP_MS)))
     return end_with(run, E_STOPPING);
   return PLACEMENT_CONTINUE;
@@ -428,7 +427,7 @@
   if (id_equal(job->engine, engine->engine_id))
     return;
   job->engine = engine->engine_id;
-  double begins_in_ms = PLACEMENT_EXTRA_MS + queued_ms_on_engine(gateway, job->engine, job);
+  double begins_in_ms = PLACEMENT_OVERHEAD_MS + queued_ms_on_engine(gateway, job->engine, job);
   job->expected_at =
       gateway_deadline_in_ms(gateway, loaded_in_ms(engine, service, job, begins_in_ms));
 }
@@ -464,7 +463,8 @@
   request.priority = job->priority;
   request.wait_ms = PLACEMENT_WAIT_MS;
   request.extra_replica = job->extra_replica;
-  request.evict_idle_only = !job->may_drain && gateway_feature_enabled(gateway, FEATURE_IDLE_FIRST);
+  request.evict_idle_only =
+      !job->may_evict_busy && gateway_feature_enabled(gateway, FEATURE_IDLE_FIRST);
   request.max_eviction_cost = max_eviction_cost(gateway, job, service);
   Wire__Envelope message = wire_envelope(WIRE__ENVELOPE__BODY_PLACED_LOAD_REQUEST, &request),
                  *response;
@@ -521,9 +521,9 @@
   gateway *gateway = run->gateway;
   placement_job *job = run->job;
   g_ptr_array_add(run->refused_by, g_strdup(engine_id.text));
-  if (code == E_NO_CAPACITY && !job->extra_replica && !job->may_drain) {
-    job->may_drain = ++run->busy_engines >= MAX_BUSY_ENGINES;
-    if (job->may_drain)
+  if (code == E_NO_CAPACITY && !job->extra_replica && !job->may_evict_busy) {
+    job->may_evict_busy = ++run->busy_engines >= MAX_BUSY_ENGINES;
+    if (job->may_evict_busy)
       g_ptr_array_set_size(run->refused_by, 0);
     return PLACEMENT_CONTINUE;
   }
@@ -623,7 +623,7 @@
   return job;
 }
 
-/* Starts further replicas in parallel: when the demand for a model rises suddenly, loading one
+/* Starts extra replicas in parallel: when the demand for a model rises suddenly, loading one
  * replica after another would take too long. */
 static void add_replicas(gateway *gateway, const placement_job *job) {
   int missing = placement_missing_replicas(gateway, job->service, job->model, job->adapter) - 1 -
@@ -636,7 +636,7 @@
     } else {
       other = placement_job_start(gateway, key, job->service, job->model, job->adapter,
                                   job->priority, true);
-      other->further_replica = true;
+      other->parallel_replica = true;
       missing--;
     }
     g_free(key);
--- a/lib/router/controller_selection.h
+++ b/lib/router/controller_selection.h
@@ -13,8 +13,8 @@
 typedef struct controller_contact {
   /** Empty if the entry is unused. */
   char address[48];
-  /** 0 if never. */
-  time_us asked_at, failed_at;
+  /** When it was last polled, and when a poll of it last failed; 0 if never. */
+  time_us polled_at, failed_at;
 } controller_contact;
 
 /** The controllers that have been polled. When the table is full, a new one replaces the one polled
@@ -28,8 +28,8 @@
 peer_node *controller_selection_next(controller_selection *selection, node *from,
                                      const char *except);
 /** Records that a controller is being polled. */
-void controller_selection_mark_asked(controller_selection *selection, const char *address,
-                                     time_us now);
+void controller_selection_mark_polled(controller_selection *selection, const char *address,
+                                      time_us now);
 /** Records that a controller did not respond or could not confirm its state. */
 void controller_selection_mark_failed(controller_selection *selection, const char *address,
                                       time_us now);
--- a/lib/router/request_attempt.c
+++ b/lib/router/request_attempt.c
@@ -3,8 +3,9 @@
  *
  * A request must not run twice unless its client allowed that. It is therefore sent to another
  * engine only when the first one certainly ran no part of it: the engine could not be reached, or
- * responded that it did not run the request. Each attempt has a unique name that the first event of
- * the stream must repeat, so the stream of another attempt is never relayed in its place.
+ * declined the request, that is, responded that it did not run it. Each attempt has a unique name
+ * that the first event of the stream must repeat, so the stream of another attempt is never relayed
+ * in its place.
  *
  * Retries are limited by a budget that new requests fill (generate_api.c), so that retries cannot
  * overload a fleet that is already failing.
@@ -25,10 +26,10 @@
   MAX_FIRST_EVENT_BYTES = 4096,
   /* How much of the end of the stream is kept; enough for its last event. */
   TAIL_BYTES = 400,
-  /* An engine that cannot be reached is excluded for this long, doubled for each consecutive
+  /* An engine that cannot be reached is ejected for this long, doubled for each consecutive
      failure. */
-  EXCLUSION_MS = 200,
-  MAX_EXCLUSION_DOUBLINGS = 5,
+  EJECTION_MS = 200,
+  MAX_EJECTION_DOUBLINGS = 5,
 
   RETRY_MS = 1000,
   RETRY_BROKEN_MS = 2000,
@@ -109,8 +110,8 @@
   routed_request *request = attempt->request;
   engine *engine = attempt->engine;
   engine->consecutive_failures++;
-  int doublings = MIN(engine->consecutive_failures, MAX_EXCLUSION_DOUBLINGS);
-  engine->excluded_until = deadline_in(attempt, EXCLUSION_MS << doublings);
+  int doublings = MIN(engine->consecutive_failures, MAX_EJECTION_DOUBLINGS);
+  engine->ejected_until = deadline_in(attempt, EJECTION_MS << doublings);
   request->run_outcome = NOT_RUN;
   routed_request_set_error(request, E_NO_ENGINE, RETRY_MS, "%s could not be reached",
                            engine->self.text);
