--- a/bench/growth.c
+++ b/bench/growth.c
@@ -21,21 +21,21 @@
          (double)(fleet->sim->bytes_sent - bytes) / 20 / nodes);
   uint64_t sync_bytes = 0;
   for (int i = 0; i < routers; i++)
-    sync_bytes -= fleet->router[i]->router->sync.sync_bytes;
+    sync_bytes -= fleet->router[i]->router->sync.snapshot_bytes;
   fleet_put(fleet, "evacuation", "{\"areas\":[{\"area\":\"north\",\"share\":0.01}]}");
   sim_run(fleet->sim, time_from_ms(3000));
   for (int i = 0; i < routers; i++)
-    sync_bytes += fleet->router[i]->router->sync.sync_bytes;
+    sync_bytes += fleet->router[i]->router->sync.snapshot_bytes;
   printf("  a small change costs %7.0f B a router", (double)sync_bytes / routers);
   sync_bytes = 0;
   for (int i = 0; i < routers; i++)
-    sync_bytes -= fleet->router[i]->router->sync.sync_bytes;
+    sync_bytes -= fleet->router[i]->router->sync.snapshot_bytes;
   char *catalogue = fleet_catalogue_json(models, models, NULL);
   fleet_put(fleet, "catalogue", catalogue);
   g_free(catalogue);
   sim_run(fleet->sim, time_from_ms(3000));
   for (int i = 0; i < routers; i++)
-    sync_bytes += fleet->router[i]->router->sync.sync_bytes;
+    sync_bytes += fleet->router[i]->router->sync.snapshot_bytes;
   printf(", the catalogue %8.0f B\n", (double)sync_bytes / routers);
   fleet_free(fleet);
 }
--- a/bench/load.c
+++ b/bench/load.c
@@ -103,7 +103,7 @@
     }
   }
   loadgen->plan.timeout_ms = 20000;
-  loadgen->plan.attempts_max = 3;
+  loadgen->plan.retries_max = 3;
   sim_run(fleet->sim, time_from_ms(1000));
   fleet_run_traffic(fleet, per_s, time_from_ms(15000));
   fleet_finish_traffic(fleet);
@@ -128,8 +128,8 @@
   for (guint i = first_request; i < loadgen->requests->len; i++) {
     loadgen_request *request = loadgen->requests->pdata[i];
     int64_t second =
-        request->back.us
-            ? (request->back.us -
+        request->first_retry_at.us
+            ? (request->first_retry_at.us -
                ((loadgen_request *)loadgen->requests->pdata[first_request])->started_at.us) /
                   1000000
             : -1;
--- a/bench/policies.c
+++ b/bench/policies.c
@@ -78,7 +78,7 @@
   loadgen *loadgen = fleet->callers->loadgen;
   loadgen->plan.zipf_exponent = 0.9;
   loadgen->plan.requests_per_s = atof(argv[4]);
-  loadgen->plan.attempts_max = 2;
+  loadgen->plan.retries_max = 2;
   loadgen_start(loadgen);
   sim_run(fleet->sim, time_from_ms(120000));
   time_us from = fleet->sim->now;
--- a/bench/scale.c
+++ b/bench/scale.c
@@ -261,7 +261,7 @@
   settings->write_replicas = 2;
   settings->write_zones = 1;
   settings->log_file_bytes = 4 << 20;
-  settings->relaxed = settings->is_gateway = true;
+  settings->relaxed_timing = settings->is_gateway = true;
 }
 
 static void discard_log(world *world, const char *line) {
@@ -295,13 +295,13 @@
   node->world = make_world(node, NULL);
   bench_settings(&v, ROLE_ROUTER, node, 1 + node->index % 15);
   node->router = router_new(node->world, &v);
-  gateway_settings x = { .front_port = FRONT_PORT,
+  gateway_settings x = { .client_port = FRONT_PORT,
                          .ready_port = READY_PORT,
                          .dialect = &dialect_native,
                          .heartbeat_ms = HEARTBEAT_INTERVAL_MS,
                          .load_window_s = 5,
-                         .load_excess = 1.1 };
-  g_strlcpy(x.front_ip, node->ip, sizeof x.front_ip);
+                         .load_limit_factor = 1.1 };
+  g_strlcpy(x.client_ip, node->ip, sizeof x.client_ip);
   g_strlcpy(x.ready_ip, node->ip, sizeof x.ready_ip);
   node->gateway = gateway_new(node->router, &x, &err);
   if (!node->gateway || gateway_open(node->gateway, &err)) {
@@ -311,8 +311,8 @@
   pthread_mutex_unlock(&startup_lock);
   node->receive_message = node->world->on_message;
   node->world->on_message = count_and_receive;
-  node->on_installed = node->router->on_installed;
-  node->router->on_installed = report_configuration;
+  node->on_installed = node->router->on_snapshot_installed;
+  node->router->on_snapshot_installed = report_configuration;
   node->on_engines = node->router->on_engines_changed;
   node->router->on_engines_changed = on_engines_received;
   node->handle_engine_update =
--- a/bin/asterfall-controller.c
+++ b/bin/asterfall-controller.c
@@ -16,8 +16,9 @@
 
 int main(int argc, char **argv) {
   settings settings;
-  if (args_settings(argc, argv, ROLE_CONTROLLER,
-                    "asterfall-controller: a core machine of asterfall, with a disk", &settings))
+  if (args_read_settings(argc, argv, ROLE_CONTROLLER,
+                         "asterfall-controller: a core machine of asterfall, with a disk",
+                         &settings))
     return PROGRAM_EXIT_OK;
   real_settings listener = { .body_max_bytes = BODY_MAX_BYTES };
   g_strlcpy(listener.data_dir, settings.data_dir, sizeof listener.data_dir);
--- a/bin/asterfall-emulate.c
+++ b/bin/asterfall-emulate.c
@@ -333,7 +333,7 @@
       if (b)
         side_set_name(b);
       if (plot)
-        day_report_plot(a->day, a->result, a->name, b ? b->result : NULL, b ? b->name : "", plot);
+        day_plot_append(a->day, a->result, a->name, b ? b->result : NULL, b ? b->name : "", plot);
     }
     day_result_clear(a->result);
     if (b)
--- a/bin/asterfall-engine-sim.c
+++ b/bin/asterfall-engine-sim.c
@@ -100,7 +100,7 @@
 
 static void print_record(engine_sim *engine) {
   GString *text = g_string_new(NULL);
-  engine_sim_record(engine, text);
+  engine_sim_append_summary(engine, text);
   fputs(text->str, stdout);
   g_string_free(text, TRUE);
 }
--- a/bin/asterfall-loadgen.c
+++ b/bin/asterfall-loadgen.c
@@ -128,7 +128,7 @@
   g_strfreev(routers);
   loadgen->plan.requests_per_s = options->requests_per_s;
   loadgen->plan.zipf_exponent = options->zipf_exponent;
-  loadgen->plan.attempts_max = options->retries_max;
+  loadgen->plan.retries_max = options->retries_max;
 }
 
 /** The argument of the task that ends the run. */
@@ -175,9 +175,10 @@
  * router, and the seconds of Retry-After. */
 static void write_attempt_log(const loadgen *loadgen, const char *file) {
   static const char *const outcome_names[] = {
-    [OUTCOME_OPEN] = "open",       [OUTCOME_DONE] = "done",     [OUTCOME_NOT_RUN] = "notRun",
-    [OUTCOME_UNKNOWN] = "unknown", [OUTCOME_BROKEN] = "broken", [OUTCOME_NO_ANSWER] = "noAnswer",
-    [OUTCOME_WRONG] = "wrong",     [OUTCOME_LEFT] = "left",
+    [OUTCOME_OPEN] = "open",      [OUTCOME_DONE] = "done",
+    [OUTCOME_NOT_RUN] = "notRun", [OUTCOME_UNKNOWN] = "unknown",
+    [OUTCOME_BROKEN] = "broken",  [OUTCOME_NO_RESPONSE] = "noAnswer",
+    [OUTCOME_WRONG] = "wrong",    [OUTCOME_CALLER_GONE] = "left",
   };
   FILE *stream = fopen(file, "w");
   if (!stream)
--- a/bin/asterfall-router.c
+++ b/bin/asterfall-router.c
@@ -15,8 +15,8 @@
 
 int main(int argc, char **argv) {
   settings settings;
-  if (args_settings(argc, argv, ROLE_ROUTER, "asterfall-router: a data-plane machine of asterfall",
-                    &settings))
+  if (args_read_settings(argc, argv, ROLE_ROUTER,
+                         "asterfall-router: a data-plane machine of asterfall", &settings))
     return PROGRAM_EXIT_OK;
   real_settings listener = { .body_max_bytes = BODY_MAX_BYTES };
   world *world = program_listener_world("asterfall-router", settings.address, &listener);
--- a/emulator/client_sim.c
+++ b/emulator/client_sim.c
@@ -161,7 +161,7 @@
  * resumable, belong to the run that the response names. */
 static void parse_events(client_sim_attempt *attempt, GString *received, unsigned total_events,
                          bool *ended) {
-  const client_sim_kind *kind = attempt->caller_request->kind;
+  const client_sim_kind *kind = attempt->request->kind;
   char *event_end;
   while ((event_end = strstr(received->str, "\n\n"))) {
     *event_end = 0;
@@ -215,7 +215,7 @@
   world *world = client->world;
   client_sim_attempt *attempt = g_new0(client_sim_attempt, 1);
   g_ptr_array_add(client->attempts, attempt);
-  attempt->caller_request = request;
+  attempt->request = request;
   attempt->outcome = 'o';
   client->attempt_count++;
   snprintf(attempt->request_id, sizeof attempt->request_id, "%016" PRIx64,
@@ -257,7 +257,7 @@
     fields_add_format(fields, client->dialect->header_names[DF_LAST_EVENT_ID], "%" PRIu64,
                       task->resume_after);
   http_call *call =
-      http_call_open_fields(world, gateway->front_address, "POST", attempt->target, fields,
+      http_call_open_pooled(world, gateway->front_address, "POST", attempt->target, fields,
                             string_view_of_gstring(task->body),
                             kind->new_connection || earlier_attempts > 0, time_never());
   g_string_free(fields, TRUE);
@@ -381,7 +381,7 @@
     run_attempt(task, request->attempt_count);
     request->attempt_count++;
     client_sim_attempt *attempt = client->attempts->pdata[client->attempts->len - 1];
-    for (guint i = client->attempts->len; i-- > 0 && attempt->caller_request != request;)
+    for (guint i = client->attempts->len; i-- > 0 && attempt->request != request;)
       attempt = client->attempts->pdata[i];
     if (attempt->outcome == 'd') {
       request->served = true;
--- a/emulator/client_sim.h
+++ b/emulator/client_sim.h
@@ -34,7 +34,7 @@
  * request), body (unexpected content), order (event out of order or of another run), end (not the
  * expected number of events). */
 typedef struct client_sim_attempt {
-  client_sim_request *caller_request;
+  client_sim_request *request;
   char request_id[40], run_id[80], node[64], target[96], fault[12];
   time_us sent_at, first_byte_at, last_byte_at, ended_at;
   int64_t time_left_ms, longest_gap_ms;
--- a/emulator/day_config.c
+++ b/emulator/day_config.c
@@ -160,7 +160,7 @@
     .queue = service->queue,
     .connections_max = ENGINE_CONNECTIONS_MAX,
     .heartbeat_ms = ENGINE_HEARTBEAT_MS,
-    .drain_ms = DRAIN_MS,
+    .drain_ms = DEPLOYMENT_DRAIN_MS,
     .work_ms = (int64_t)service->work_ms,
     .idle_timeout_ms = ENGINE_IDLE_TIMEOUT_MS,
     .step_ms = ENGINE_STEP_MS,
--- a/emulator/day_play.c
+++ b/emulator/day_play.c
@@ -68,24 +68,24 @@
 
 static void set_zone(host *host, id zone) {
   host->settings.zone = zone;
-  host->area = zone;
+  host->zone = zone;
 }
 
 static fleet *new_fleet(const day *day, uint64_t seed, bool verbose) {
   fleet *fleet = fleet_new(seed, day->gateways, 0);
   fleet->sim->log_to_stderr = verbose;
   for (int i = 0; i < DAY_ZONES_MAX; i++)
-    fleet->area[i] = day->zones[i % day->zone_count];
+    fleet->zones[i] = day->zones[i % day->zone_count];
   while (fleet->controllers < day->controllers)
     add_controller(fleet);
   for (int i = 0; i < fleet->controllers; i++) {
     host *controller = fleet->controller[i];
-    set_zone(controller, fleet->area[i % DAY_ZONES_MAX]);
+    set_zone(controller, fleet->zones[i % DAY_ZONES_MAX]);
     controller->settings.chain_members = fleet->controllers;
     controller->settings.write_replicas = fleet->controllers / 2 + 1;
   }
   for (int i = 0; i < fleet->routers; i++)
-    set_zone(fleet->router[i], fleet->area[i % DAY_ZONES_MAX]);
+    set_zone(fleet->router[i], fleet->zones[i % DAY_ZONES_MAX]);
   return fleet;
 }
 
--- a/emulator/day_plot.c
+++ b/emulator/day_plot.c
@@ -95,7 +95,7 @@
       x, TOP, MAX(width, 1.5), PLOT_HEIGHT, day_fault_names[fault->kind]);
 }
 
-void day_report_plot(const day *day, const day_result *first, const char *first_name,
+void day_plot_append(const day *day, const day_result *first, const char *first_name,
                      const day_result *second, const char *second_name, GString *to) {
   plot plot = plot_of(first, second, to);
   append_head(&plot, day);
--- a/emulator/day_plot.h
+++ b/emulator/day_plot.h
@@ -4,6 +4,6 @@
 #include "day_result.h"
 
 /** Appends the plot; second may be NULL. The faults of the day are drawn as shaded spans. */
-void day_report_plot(const day *day, const day_result *first, const char *first_name,
+void day_plot_append(const day *day, const day_result *first, const char *first_name,
                      const day_result *second, const char *second_name, GString *to);
 #endif
--- a/emulator/day_result.c
+++ b/emulator/day_result.c
@@ -59,7 +59,7 @@
   GHashTable *last = g_hash_table_new(NULL, NULL);
   for (guint i = 0; i < client->attempts->len; i++) {
     client_sim_attempt *attempt = client->attempts->pdata[i];
-    g_hash_table_insert(last, attempt->caller_request, attempt);
+    g_hash_table_insert(last, attempt->request, attempt);
   }
   return last;
 }
--- a/emulator/deployment.c
+++ b/emulator/deployment.c
@@ -70,7 +70,7 @@
                                     .queue = 4,
                                     .connections_max = 110,
                                     .heartbeat_ms = 1200,
-                                    .drain_ms = DRAIN_MS,
+                                    .drain_ms = DEPLOYMENT_DRAIN_MS,
                                     .work_ms = 30,
                                     .idle_timeout_ms = 5000,
                                     .step_ms = 9,
@@ -99,12 +99,12 @@
   deployment *deployment = deployment_new_empty(fleet);
   add_models(deployment);
   for (size_t i = 0; i < model_engines; i++)
-    deployment_add_engine(deployment, fleet->area[i % FLEET_ZONES], plan_model_engine(deployment),
+    deployment_add_engine(deployment, fleet->zones[i % FLEET_ZONES], plan_model_engine(deployment),
                           initial_models_of(i, model_engines));
   for (size_t i = 0; i < plain_engines; i++) {
     /* with three or more plain engines, the last serves a separate service */
     bool spare = i == plain_engines - 1 && plain_engines > 2;
-    deployment_add_engine(deployment, fleet->area[(model_engines + i) % FLEET_ZONES],
+    deployment_add_engine(deployment, fleet->zones[(model_engines + i) % FLEET_ZONES],
                           plan_engine(deployment, spare ? "spare" : "ledger"), NULL);
   }
   deployment_add_clients(deployment);
--- a/emulator/deployment.h
+++ b/emulator/deployment.h
@@ -12,9 +12,9 @@
   DEPLOYMENT_ENGINES = 64,
   DEPLOYMENT_MODELS = 16,
   /** Time after which no gateway sends requests to an engine whose draining was acknowledged. */
-  DRAIN_MS = 2000,
+  DEPLOYMENT_DRAIN_MS = 2000,
   /** Grace period between SIGTERM and SIGKILL. */
-  GRACE_S = 8,
+  DEPLOYMENT_GRACE_S = 8,
   /** Duration of a singleton lease in the deployment's settings. */
   DEPLOYMENT_LEASE_MS = 3000
 };
--- a/emulator/deployment_clients.c
+++ b/emulator/deployment_clients.c
@@ -97,11 +97,11 @@
     snprintf(front, sizeof front, "%s:%d", ip, DEPLOYMENT_FRONT_PORT);
     snprintf(ready, sizeof ready, "%s:%d", ip, DEPLOYMENT_READY_PORT);
     balancer_sim_add_gateway(deployment->balancer, front, ready,
-                             deployment->fleet->router[i]->area);
+                             deployment->fleet->router[i]->zone);
   }
   int zones = MIN(3, deployment->fleet->routers);
   for (int i = 0; i < zones; i++)
-    deployment->client->areas[i] = deployment->fleet->area[i];
+    deployment->client->areas[i] = deployment->fleet->zones[i];
   deployment->client->area_count = (unsigned)zones;
 }
 
--- a/emulator/deployment_process.c
+++ b/emulator/deployment_process.c
@@ -68,18 +68,18 @@
 
 static void start_gateway(host *host) {
   deployment_process *process = host->context;
-  gateway_settings settings = { .front_port = DEPLOYMENT_FRONT_PORT,
+  gateway_settings settings = { .client_port = DEPLOYMENT_FRONT_PORT,
                                 .ready_port = DEPLOYMENT_READY_PORT,
                                 .dialect = &dialect_native,
-                                .grace_ms = GRACE_S * 1000,
+                                .grace_ms = DEPLOYMENT_GRACE_S * 1000,
                                 .lease_ms = DEPLOYMENT_LEASE_MS,
                                 .heartbeat_ms = HEARTBEAT_MS,
                                 .retry_ratio = RETRY_RATIO,
                                 .retry_slack = RETRY_SLACK,
                                 .retry_window_s = RETRY_WINDOW_S,
                                 .load_window_s = LOAD_RATE_WINDOW_S,
-                                .load_excess = LOAD_RATE_EXCESS };
-  deployment_ip_of(host, settings.front_ip, sizeof settings.front_ip);
+                                .load_limit_factor = LOAD_RATE_EXCESS };
+  deployment_ip_of(host, settings.client_ip, sizeof settings.client_ip);
   deployment_ip_of(host, settings.ready_ip, sizeof settings.ready_ip);
   error err = { 0 };
   process->gateway = gateway_new(host->router, &settings, &err);
@@ -125,12 +125,12 @@
 }
 
 deployment_process *deployment_add_controller(deployment *deployment, host *host) {
-  host->settings.relaxed = true;
+  host->settings.relaxed_timing = true;
   return process_new(deployment, host, start_controller, NULL);
 }
 
 deployment_process *deployment_add_gateway(deployment *deployment, host *host) {
-  host->settings.is_gateway = host->settings.relaxed = true;
+  host->settings.is_gateway = host->settings.relaxed_timing = true;
   host->settings.platform_address[0] = 0;
   return process_new(deployment, host, start_gateway, stop_gateway);
 }
@@ -181,8 +181,9 @@
 }
 
 void deployment_terminate_gateway(deployment *deployment, deployment_process *process) {
-  deployment_record_fault(deployment, process->host, 't', GRACE_S * 1000 + KILL_SLACK_MS);
+  deployment_record_fault(deployment, process->host, 't',
+                          DEPLOYMENT_GRACE_S * 1000 + KILL_SLACK_MS);
   gateway_drain(process->gateway);
   task_start(&process->host->world.tasks, "over", wait_until_drained, process);
-  schedule_kill(deployment, process->host, time_from_ms(GRACE_S * 1000));
+  schedule_kill(deployment, process->host, time_from_ms(DEPLOYMENT_GRACE_S * 1000));
 }
--- a/emulator/deployment_report.c
+++ b/emulator/deployment_report.c
@@ -10,8 +10,8 @@
   GHashTable *counts = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
   for (guint i = 0; i < deployment->client->attempts->len; i++) {
     const client_sim_attempt *attempt = deployment->client->attempts->pdata[i];
-    char *key = g_strdup_printf("%s %c %d %s", attempt->caller_request->kind->name,
-                                attempt->outcome, attempt->status, attempt->fault);
+    char *key = g_strdup_printf("%s %c %d %s", attempt->request->kind->name, attempt->outcome,
+                                attempt->status, attempt->fault);
     int count = GPOINTER_TO_INT(g_hash_table_lookup(counts, key));
     g_hash_table_insert(counts, key, GINT_TO_POINTER(count + 1));
   }
@@ -26,7 +26,7 @@
 static void print_failed_attempts(const deployment *deployment) {
   for (guint i = 0; i < deployment->client->attempts->len; i++) {
     const client_sim_attempt *attempt = deployment->client->attempts->pdata[i];
-    const client_sim_request *request = attempt->caller_request;
+    const client_sim_request *request = attempt->request;
     if (attempt->outcome == 'd')
       continue;
     fprintf(stderr,
--- a/emulator/engine_sim.c
+++ b/emulator/engine_sim.c
@@ -69,7 +69,7 @@
   return count;
 }
 
-void engine_sim_record(engine_sim *engine, GString *to) {
+void engine_sim_append_summary(engine_sim *engine, GString *to) {
   json_appendf(to,
                "{\"id\":\"%s\",\"boot\":\"%s\",\"orders\":%u,\"loads\":%u,\"pastRoom\":%" PRIu64
                ",\"staleOrders\":%" PRIu64
@@ -82,7 +82,7 @@
 
 static void serve_record(engine_sim *engine, http_request *request) {
   GString *record = g_string_new(NULL);
-  engine_sim_record(engine, record);
+  engine_sim_append_summary(engine, record);
   http_request_respond(request, 200, "application/json", string_view_of_gstring(record));
   g_string_free(record, TRUE);
 }
--- a/emulator/engine_sim.h
+++ b/emulator/engine_sim.h
@@ -10,7 +10,7 @@
 
 /** Faults to simulate; the integers of the first line are decremented with each use. */
 typedef struct engine_faults {
-  int fail_loads, fail_unloads, unanswered_loads, unanswered_unloads, drop_orders, die_early;
+  int fail_loads, fail_unloads, unanswered_loads, unanswered_unloads, drop_orders, unanswered_runs;
   int64_t order_delay_ms, token_ms, break_after;
   double load_mb_per_s, slowdown;
   bool no_epochs, wrong_attempt_echo, stale_reports;
@@ -84,7 +84,7 @@
   condition report_changed;
   GArray *orders, *streams, *refusals; /* records: engine_sim_order, _stream, _refusal */
   time_us started_at;
-  uint64_t stale_orders, over_capacity_orders, orphaned_adapters, prefix_hits, cut;
+  uint64_t stale_orders, over_capacity_orders, orphaned_adapters, prefix_hits, cut_streams;
   time_us unfrozen_at; /* 0: never frozen */
   GQueue prefixes;     /* char *, least recently used first */
   GString *old_report; /* for the fault stale_reports */
@@ -99,5 +99,5 @@
                            unsigned slots);
 void engine_sim_free(engine_sim *engine);
 /** Appends a summary of the engine's records as JSON. */
-void engine_sim_record(engine_sim *engine, GString *to);
+void engine_sim_append_summary(engine_sim *engine, GString *to);
 #endif
--- a/emulator/engine_sim_streams.c
+++ b/emulator/engine_sim_streams.c
@@ -102,7 +102,7 @@
 /* fault: the run starts, but gets no response; from then on the engine refuses all runs */
 static void leave_run_unanswered(const engine_run *run) {
   engine_sim *engine = run->engine;
-  engine->faults.die_early--;
+  engine->faults.unanswered_runs--;
   engine->faults.streams_max = -1;
   g_array_index(engine->streams, engine_sim_stream, run->index).outcome = ENGINE_SIM_BROKEN;
   adjust_running_counts(run, -1);
@@ -160,7 +160,7 @@
 
 static void end_run(const engine_run *run, enum engine_sim_outcome outcome) {
   engine_sim *engine = run->engine;
-  engine->cut += outcome == ENGINE_SIM_CUT;
+  engine->cut_streams += outcome == ENGINE_SIM_CUT;
   http_request_end(run->request, outcome == ENGINE_SIM_DONE);
   engine_sim_stream *record = &g_array_index(engine->streams, engine_sim_stream, run->index);
   record->outcome = outcome;
@@ -185,7 +185,7 @@
   run.index = engine->streams->len;
   g_array_append_val(engine->streams, record);
   engine_sim_write_record(engine, 'S', record.tag);
-  if (engine->faults.die_early > 0) {
+  if (engine->faults.unanswered_runs > 0) {
     leave_run_unanswered(&run);
     return;
   }
--- a/emulator/fleet.c
+++ b/emulator/fleet.c
@@ -81,7 +81,7 @@
   settings *settings = &host->settings;
   bool is_controller = host->role == HOST_CONTROLLER;
   settings->self = host->self;
-  settings->zone = host->area;
+  settings->zone = host->zone;
   settings->role = is_controller ? ROLE_CONTROLLER : ROLE_ROUTER;
   settings->debug_log = g_getenv("SIM_LOUD") != NULL;
   settings->log_file_bytes = LOG_FILE_BYTES;
@@ -108,7 +108,7 @@
   created->slow_start_s = 5;
   created->streams_per_engine = 16;
   for (int i = 0; i < FLEET_ZONES; i++)
-    created->area[i] = id_of_text(zones[i]);
+    created->zones[i] = id_of_text(zones[i]);
   created->rules = g_strdup("{\"then\":[\"enrol\",\"select\",\"hold\",\"proxy\",\"answer\"]}");
   created->violations = g_string_new(NULL);
   created->write_acks = g_array_new(FALSE, TRUE, sizeof(write_ack));
@@ -218,7 +218,7 @@
     host *host = fleet->engine[i];
     platform_sim_engine engine = { .self = host->self,
                                    .type = id_of_text(host->settings.platform_address),
-                                   .area = host->area,
+                                   .zone = host->zone,
                                    .weights_mb = host->weights_mb,
                                    .adapter_slots = host->adapter_slots };
     g_strlcpy(engine.addr, host->addr, sizeof engine.addr);
--- a/emulator/fleet.h
+++ b/emulator/fleet.h
@@ -12,7 +12,7 @@
   FLEET_ENGINES_MAX = 100,
   FLEET_ZONES = 3,
   /** Minimum time between two changes of the holder of a singleton lease. */
-  LEASE_CHANGE_MIN_MS = 2900
+  FLEET_LEASE_CHANGE_MIN_MS = 2900
 };
 
 /** The host that sampling saw as the holder of a lease, and since when. */
@@ -49,7 +49,7 @@
   /** Number of policy markers that were written. */
   int marker_count;
   /** The zones; the first kinds of requests in the policy of a loaded deployment. */
-  id area[FLEET_ZONES], request_kinds[3];
+  id zones[FLEET_ZONES], request_kinds[3];
   /** The policy's rules, as the elements of a JSON array. */
   char *rules;
   /** The catalogue and policy of a loaded deployment, or NULL. */
--- a/emulator/fleet_check.c
+++ b/emulator/fleet_check.c
@@ -42,7 +42,7 @@
   for (guint i = 0; i < fleet->writes->len; i++) {
     const operator_write *write = fleet->writes->pdata[i];
     fprintf(stderr, "  %.3f to %.3f: %d, write %" PRIu64 " %s %s\n",
-            (double)write->sent_at.us / 1e6, (double)write->answered_at.us / 1e6, write->status,
+            (double)write->sent_at.us / 1e6, (double)write->ended_at.us / 1e6, write->status,
             write->version, write->idempotency_key, write->text ? write->text : "");
   }
 }
--- a/emulator/fleet_check_drain.c
+++ b/emulator/fleet_check_drain.c
@@ -110,7 +110,7 @@
   bool covers = false;
   for (size_t i = 0; i < json_count(zones); i++) {
     double share = json_number(json_at(zones, i), "share", 1);
-    if (!strcmp(json_text(json_at(zones, i), "area", ""), host->area.text))
+    if (!strcmp(json_text(json_at(zones, i), "area", ""), host->zone.text))
       covers |= share >= 1 || (double)hash / HASH_RANGE < share;
   }
   json_free(evacuation);
@@ -136,7 +136,7 @@
   for (guint i = 0; i < fleet->writes->len; i++) {
     const operator_write *write = fleet->writes->pdata[i];
     if (write->resource == RESOURCE_EVACUATION && write->status == 200 &&
-        write->answered_at.us + EVACUATION_MS * 1000 < at.us &&
+        write->ended_at.us + EVACUATION_MS * 1000 < at.us &&
         (!required || write->version > required->version))
       required = write;
   }
--- a/emulator/fleet_check_markers.c
+++ b/emulator/fleet_check_markers.c
@@ -98,7 +98,7 @@
   for (guint i = 0; i < fleet->writes->len; i++) {
     const operator_write *write = fleet->writes->pdata[i];
     if (write->marker_status && write->status == 200 &&
-        write->answered_at.us + POLICY_APPLY_MS * 1000 <= at.us &&
+        write->ended_at.us + POLICY_APPLY_MS * 1000 <= at.us &&
         (!required || write->version > required->version))
       required = write;
   }
@@ -130,7 +130,7 @@
   const char *router = fleet->router[probe->router]->self.text;
   time_us response_at = response_sent_at(probe);
   const operator_write *required = required_marker_write(fleet, response_at);
-  double age_s = required ? (double)time_sub(response_at, required->answered_at).us / 1e6 : 0;
+  double age_s = required ? (double)time_sub(response_at, required->ended_at).us / 1e6 : 0;
   /* a router that admits no requests shows no policy */
   if (probe->status == 503 || probe->status == 429 || fleet->marker_count > MARKER_STATUS_COUNT)
     return;
--- a/emulator/fleet_check_orders.c
+++ b/emulator/fleet_check_orders.c
@@ -72,7 +72,7 @@
   const holder_span *first = &spans[0], *second = &spans[1], *third = &spans[2];
   time_us elapsed = time_sub(third->first_at, first->last_at);
   if (!id_equal(first->holder, second->holder) && !id_equal(second->holder, third->holder) &&
-      elapsed.us < LEASE_CHANGE_MIN_MS * 1000)
+      elapsed.us < FLEET_LEASE_CHANGE_MIN_MS * 1000)
     fleet_add_violation(fleet, "R8 the holder of %s changed twice within %.2f s", host->self.text,
                         (double)elapsed.us / 1e6);
 }
--- a/emulator/fleet_check_recovery.c
+++ b/emulator/fleet_check_recovery.c
@@ -48,7 +48,7 @@
 } completed_share;
 
 static bool is_counted(const fleet *fleet, const loadgen_request *request, int kind) {
-  return request->outcome != OUTCOME_OPEN && request->outcome != OUTCOME_LEFT &&
+  return request->outcome != OUTCOME_OPEN && request->outcome != OUTCOME_CALLER_GONE &&
          (kind == ALL_KINDS || kind_index(fleet, request) == kind);
 }
 
--- a/emulator/fleet_check_requests.c
+++ b/emulator/fleet_check_requests.c
@@ -39,7 +39,7 @@
 static bool attempt_was_refused(const loadgen_attempt *attempt) {
   int status = attempt->status;
   return (status == 429 || status == 503 || status == 504 || status == 502) &&
-         attempt->outcome != OUTCOME_NO_ANSWER;
+         attempt->outcome != OUTCOME_NO_RESPONSE;
 }
 
 static void check_refusals(fleet *fleet, const request_records *records,
--- a/emulator/fleet_files.c
+++ b/emulator/fleet_files.c
@@ -31,9 +31,9 @@
   host *host = fields < 4 || role[0] == '#' ? NULL : sim_find_host(fleet->sim, name);
   if (!host)
     return;
-  host->area = host->settings.zone = id_of_text(zone);
+  host->zone = host->settings.zone = id_of_text(zone);
   if (!strcmp(role, "controller") && counts->controllers < FLEET_ZONES)
-    fleet->area[counts->controllers++] = host->area;
+    fleet->zones[counts->controllers++] = host->zone;
   counts->routers += !strcmp(role, "router");
   if (strcmp(role, "engine") || fields < 7)
     return;
--- a/emulator/fleet_operator.c
+++ b/emulator/fleet_operator.c
@@ -40,12 +40,12 @@
 
 static void record_response(const operator_call *call) {
   operator_write *write = call->write;
-  write->answered_at = call->answered_at;
+  write->ended_at = call->ended_at;
   write->status = call->status;
   write->version = call->version;
   if (call->status != 200 || write->resource < 0)
     return;
-  write_ack ack = { call->version, write->resource, call->answered_at };
+  write_ack ack = { call->version, write->resource, call->ended_at };
   g_array_append_val(call->fleet->write_acks, ack);
 }
 
@@ -71,7 +71,7 @@
   json *response = json_parse(string_view_of_gstring(call->body), NULL);
   call->version = (uint64_t)json_number(response, "version", 0);
   json_free(response);
-  call->answered_at = call->host->sim->now;
+  call->ended_at = call->host->sim->now;
   call->done = true;
   if (call->write)
     record_response(call);
--- a/emulator/fleet_operator.h
+++ b/emulator/fleet_operator.h
@@ -9,8 +9,8 @@
 
 /** The operator's record of one write; the fleet owns it. */
 typedef struct operator_write {
-  /** answered_at is 0 while there is no response. */
-  time_us sent_at, answered_at;
+  /** ended_at is 0 while there is no response. */
+  time_us sent_at, ended_at;
   /** HTTP status; 0 while there is no response, and -code for an error of the call. */
   int status;
   /** enum resource_kind, or -1 when the path is not that of a resource. */
@@ -29,7 +29,7 @@
   int status;
   GString *body;
   bool done;
-  time_us answered_at;
+  time_us ended_at;
   uint64_t version;
   char *method, *path, *text, *if_match, *idempotency_key;
   /** Address of the host that is called, and the operator's own host. */
--- a/emulator/fleet_sampling.c
+++ b/emulator/fleet_sampling.c
@@ -21,7 +21,7 @@
   if (!host || id_equal(host->self, sampled->holder))
     return;
   time_us held_for = time_sub(now, sampled->since);
-  if (!id_is_empty(sampled->holder) && held_for.us < LEASE_CHANGE_MIN_MS * 1000)
+  if (!id_is_empty(sampled->holder) && held_for.us < FLEET_LEASE_CHANGE_MIN_MS * 1000)
     fleet_add_violation(fleet, "R8 the lease on %s went from %s to %s after %.2f s", singleton,
                         sampled->holder.text, host->self.text, (double)held_for.us / 1e6);
   *sampled = (sampled_lease_holder){ host->self, now };
--- a/emulator/gateway_check.c
+++ b/emulator/gateway_check.c
@@ -17,7 +17,7 @@
 }
 
 void gateway_check_all(deployment *deployment) {
-  gateway_check_answers_not_mixed(deployment);
+  gateway_check_responses_not_mixed(deployment);
   gateway_check_unasked(deployment);
   gateway_check_run_once(deployment);
   gateway_check_refused(deployment);
--- a/emulator/gateway_check.h
+++ b/emulator/gateway_check.h
@@ -13,7 +13,7 @@
 enum {
   /** A fault excuses violations for this long after its end, while peers and controllers reconnect.
    */
-  CONTACT_MS = 3000,
+  FAULT_AFTERMATH_MS = 3000,
   /** Time until an acknowledged configuration is in force everywhere. */
   APPLY_MS = 2000,
   /** How long requests in progress may still show an older configuration. */
@@ -46,7 +46,7 @@
 #define LOAD_RATE_EXCESS 1.1
 
 /** 1 MIXED: a response belongs to its request, and a successful one to a completed run. */
-void gateway_check_answers_not_mixed(deployment *deployment);
+void gateway_check_responses_not_mixed(deployment *deployment);
 /** 2 UNASKED: engines run only requests that a client sent, unchanged. */
 void gateway_check_unasked(deployment *deployment);
 /** 3 TWICE: a request that must not be retried is run at most once. */
--- a/emulator/gateway_check_allowed.c
+++ b/emulator/gateway_check_allowed.c
@@ -100,8 +100,7 @@
 
 bool allowed_config_permits(const allowed_config *config, const client_sim_attempt *attempt,
                             const char *service) {
-  const json *route =
-      find_route(config->json, attempt->caller_request->kind->host, attempt->target);
+  const json *route = find_route(config->json, attempt->request->kind->host, attempt->target);
   if (!route || !service)
     return route != NULL;
   return route_permits(route, service);
--- a/emulator/gateway_check_index.c
+++ b/emulator/gateway_check_index.c
@@ -92,7 +92,7 @@
     const injected_fault *fault = &g_array_index(deployment->injected_faults, injected_fault, i);
     if (fault->host && fault->host != host)
       continue;
-    if (fault->from_at.us <= until.us && fault->until.us + CONTACT_MS * 1000 >= from.us)
+    if (fault->from_at.us <= until.us && fault->until.us + FAULT_AFTERMATH_MS * 1000 >= from.us)
       return true;
   }
   return false;
@@ -109,7 +109,7 @@
 
 bool check_fault_overlaps(const injected_fault *fault, const client_sim_attempt *attempt,
                           bool aftermath) {
-  int64_t until_us = fault->until.us + (aftermath ? CONTACT_MS * 1000 : 0);
+  int64_t until_us = fault->until.us + (aftermath ? FAULT_AFTERMATH_MS * 1000 : 0);
   return fault->from_at.us <= attempt->ended_at.us && until_us >= attempt->sent_at.us;
 }
 
--- a/emulator/gateway_check_index.h
+++ b/emulator/gateway_check_index.h
@@ -39,14 +39,14 @@
 bool check_is_retryable(const client_sim_kind *kind);
 /** The host with the IP of an address, or NULL. */
 host *check_host_of_ip(const deployment *deployment, const char *address);
-/** True when a fault of a host or of the control plane, including the CONTACT_MS after it, overlaps
- * a span. With host NULL, only faults of the control plane count. */
+/** True when a fault of a host or of the control plane, including the FAULT_AFTERMATH_MS after it,
+ * overlaps a span. With host NULL, only faults of the control plane count. */
 bool check_had_fault(const deployment *deployment, const host *host, time_us from, time_us until);
 bool check_had_fault_at(const deployment *deployment, const host *host, time_us at);
 /** Whether the gateway of an attempt had a fault when the attempt was sent. */
 bool check_sent_in_fault(const deployment *deployment, const client_sim_attempt *attempt);
-/** True when a fault overlaps an attempt; with aftermath, the CONTACT_MS after the fault count as
- * part of it. */
+/** True when a fault overlaps an attempt; with aftermath, the FAULT_AFTERMATH_MS after the fault
+ * count as part of it. */
 bool check_fault_overlaps(const injected_fault *fault, const client_sim_attempt *attempt,
                           bool aftermath);
 /** Counts the elements of an array of time_us in [from, until), in us. */
--- a/emulator/gateway_check_requests.c
+++ b/emulator/gateway_check_requests.c
@@ -10,7 +10,7 @@
 };
 
 static const char *kind_name(const client_sim_attempt *attempt) {
-  return attempt->caller_request->kind->name;
+  return attempt->request->kind->name;
 }
 
 static bool is_stream_error(const client_sim_attempt *attempt) {
@@ -29,7 +29,7 @@
     const engine_run_record *run = runs->pdata[i];
     bool own = !strcmp(run->run_id, attempt->run_id);
     found |= own;
-    completed |= run->outcome == 'd' && (own || check_is_retryable(attempt->caller_request->kind));
+    completed |= run->outcome == 'd' && (own || check_is_retryable(attempt->request->kind));
   }
   if (!found)
     fleet_add_violation(index->fleet, "MIXED %s of %s carries a run id that none of its runs has",
@@ -39,7 +39,7 @@
                         attempt->request_id, kind_name(attempt));
 }
 
-void gateway_check_answers_not_mixed(deployment *deployment) {
+void gateway_check_responses_not_mixed(deployment *deployment) {
   check_each_attempt(deployment, check_response_is_own);
 }
 
@@ -64,7 +64,7 @@
   int count = 0;
   for (guint i = 0; i < runs->len; i++)
     count += check_was_run(runs->pdata[i]);
-  if (!check_is_retryable(attempt->caller_request->kind) && count > 1)
+  if (!check_is_retryable(attempt->request->kind) && count > 1)
     fleet_add_violation(index->fleet, "TWICE %s of %s was run %d times", attempt->request_id,
                         kind_name(attempt), count);
 }
@@ -79,7 +79,7 @@
 }
 
 static void check_refused_not_run(const check_index *index, const client_sim_attempt *attempt) {
-  if (check_is_retryable(attempt->caller_request->kind) || !says_not_run(attempt->status))
+  if (check_is_retryable(attempt->request->kind) || !says_not_run(attempt->status))
     return;
   const GPtrArray *runs = check_index_runs(index, attempt);
   for (guint i = 0; i < runs->len; i++) {
--- a/emulator/gateway_check_shutdown.c
+++ b/emulator/gateway_check_shutdown.c
@@ -5,13 +5,13 @@
 static bool arrived_after_drain(const deployment *deployment, const engine_run_record *run,
                                 const engine_stop_record *stop, time_us announced_at) {
   return id_equal(run->engine, stop->engine) && run->outcome != 'x' &&
-         run->received_at.us > announced_at.us + DRAIN_MS * 1000 &&
+         run->received_at.us > announced_at.us + DEPLOYMENT_DRAIN_MS * 1000 &&
          !check_had_fault_at(deployment, check_host_of_ip(deployment, run->from), run->received_at);
 }
 
 static void check_stop(const deployment *deployment, const engine_stop_record *stop) {
   time_us announced_at = stop->acked_at.us ? stop->acked_at : stop->signed_off_at;
-  time_us drained_at = time_add(announced_at, time_from_ms(DRAIN_MS));
+  time_us drained_at = time_add(announced_at, time_from_ms(DEPLOYMENT_DRAIN_MS));
   if (!announced_at.us || check_had_fault(deployment, NULL, announced_at, drained_at))
     return;
   for (guint i = 0; i < deployment->log->runs->len; i++) {
@@ -49,7 +49,7 @@
 }
 
 static bool is_past_deadline(const client_sim_attempt *attempt) {
-  const client_sim_request *request = attempt->caller_request;
+  const client_sim_request *request = attempt->request;
   return attempt->ended_at.us >= request->started_at.us + request->kind->deadline_ms * 1000;
 }
 
@@ -61,7 +61,8 @@
     const injected_fault *fault = &g_array_index(deployment->injected_faults, injected_fault, i);
     if (is_planned_stop(fault, host) &&
         attempt->sent_at.us <= fault->from_at.us + STOP_PROPAGATION_MS * 1000 &&
-        (!run->ended_at.us || run->ended_at.us > fault->from_at.us + GRACE_S * 5000000 / 6))
+        (!run->ended_at.us ||
+         run->ended_at.us > fault->from_at.us + DEPLOYMENT_GRACE_S * 5000000 / 6))
       return true;
   }
   return false;
@@ -86,7 +87,7 @@
   if (interrupted || excused || !(forwarded || lasted))
     return;
   fleet_add_violation(index->fleet, "LOST %s of %s at %s ended without a complete response",
-                      attempt->request_id, attempt->caller_request->kind->name, attempt->node);
+                      attempt->request_id, attempt->request->kind->name, attempt->node);
 }
 
 void gateway_check_lost(deployment *deployment) {
@@ -136,7 +137,7 @@
         deployment->fleet,
         "LOST %d requests on pooled connections were forwarded and got no response; the first is "
         "%s of %s at %s",
-        count, first->request_id, first->caller_request->kind->name, first->node);
+        count, first->request_id, first->request->kind->name, first->node);
   check_index_free(&index);
 }
 
@@ -156,9 +157,8 @@
   for (guint i = 0; i < deployment->client->attempts->len; i++) {
     const client_sim_attempt *attempt = deployment->client->attempts->pdata[i];
     if (is_dropped(deployment, attempt, at))
-      fleet_add_violation(deployment->fleet,
-                          "DROPPED %s of %s at %s was in progress at %.1f s and got no response",
-                          attempt->request_id, attempt->caller_request->kind->name, attempt->node,
-                          (double)at.us / 1e6);
+      fleet_add_violation(
+          deployment->fleet, "DROPPED %s of %s at %s was in progress at %.1f s and got no response",
+          attempt->request_id, attempt->request->kind->name, attempt->node, (double)at.us / 1e6);
   }
 }
--- a/emulator/gateway_check_trials.c
+++ b/emulator/gateway_check_trials.c
@@ -44,8 +44,7 @@
     client_sim_attempt *attempt = deployment->client->attempts->pdata[i];
     if (!check_sent_in_fault(deployment, attempt))
       continue;
-    char *session = g_strdup_printf("%s-%u", attempt->caller_request->kind->name,
-                                    attempt->caller_request->user);
+    char *session = g_strdup_printf("%s-%u", attempt->request->kind->name, attempt->request->user);
     const client_sim_attempt *first = g_hash_table_lookup(check->first_attempts_in_fault, session);
     if (!first || attempt->sent_at.us < first->sent_at.us)
       g_hash_table_insert(check->first_attempts_in_fault, session, attempt);
--- a/emulator/linearizability.c
+++ b/emulator/linearizability.c
@@ -64,7 +64,7 @@
   return &g_array_index(history->writes, register_write, i);
 }
 
-guint register_history_add_order(register_history *history, uint64_t base, uint64_t version,
+guint register_history_add_write(register_history *history, uint64_t base, uint64_t version,
                                  bool valid) {
   register_write write = {
     .base_version = base, .version = version, .called = NEVER, .effective_by = NEVER, .valid = valid
@@ -74,19 +74,19 @@
 }
 
 void register_history_add_attempt(register_history *history, guint number, uint64_t called,
-                                  uint64_t returned, enum register_answer answer) {
+                                  uint64_t returned, enum register_outcome answer) {
   register_write *write = write_at(history, number);
   write->called = MIN(write->called, called);
-  if (answer == ANSWER_CONFIRMED) {
+  if (answer == REGISTER_OUTCOME_CONFIRMED) {
     write->confirmed = true;
     write->effective_by = MIN(write->effective_by, returned);
   }
-  if (answer == ANSWER_CONFLICT || answer == ANSWER_INVALID)
+  if (answer == REGISTER_OUTCOME_CONFLICT || answer == REGISTER_OUTCOME_INVALID)
     write->refused = true;
-  if (answer == ANSWER_INVALID && write->valid && !history->contradiction->len)
+  if (answer == REGISTER_OUTCOME_INVALID && write->valid && !history->contradiction->len)
     g_string_printf(history->contradiction, "write %u is valid, but was rejected as invalid",
                     number);
-  if (answer == ANSWER_CONFLICT) {
+  if (answer == REGISTER_OUTCOME_CONFLICT) {
     conflict conflict = { number, called, returned };
     g_array_append_val(history->conflicts, conflict);
   }
--- a/emulator/loadgen.c
+++ b/emulator/loadgen.c
@@ -156,14 +156,14 @@
   json *body = json_parse(string_view_of_gstring(received), NULL);
   request->code = (int)json_number(body, "code", 0);
   request->retry_s = retry_after ? atoi(retry_after) : 0;
-  request->outcome = code == OK ? outcome_of_run(json_text(body, "run", "")) : OUTCOME_NO_ANSWER;
+  request->outcome = code == OK ? outcome_of_run(json_text(body, "run", "")) : OUTCOME_NO_RESPONSE;
   json_free(body);
 }
 
 static enum loadgen_outcome outcome_of_stream(const request_task *task, enum error_code code,
                                               bool done) {
   if (code == E_NO_RESPONSE && task->leave_at.us)
-    return OUTCOME_LEFT;
+    return OUTCOME_CALLER_GONE;
   if (code != E_PEER_GONE)
     return OUTCOME_BROKEN;
   return done ? OUTCOME_DONE : OUTCOME_WRONG;
@@ -194,9 +194,9 @@
   enum error_code code = wait_for_head(task, call, deadline);
   request->status = call->status;
   if (code == E_NO_RESPONSE && task->leave_at.us)
-    request->outcome = OUTCOME_LEFT;
+    request->outcome = OUTCOME_CALLER_GONE;
   else if (code != OK)
-    request->outcome = OUTCOME_NO_ANSWER;
+    request->outcome = OUTCOME_NO_RESPONSE;
   else if (call->status != 200)
     read_error(request, call, received, timeout_at);
   else
@@ -239,7 +239,7 @@
 /* true when the request is sent to another router, because the last didn't accept the connection */
 static bool choose_other_router(request_task *task, int *others) {
   loadgen *loadgen = task->loadgen;
-  if (task->request->outcome != OUTCOME_NO_ANSWER || !task->unsent)
+  if (task->request->outcome != OUTCOME_NO_RESPONSE || !task->unsent)
     return false;
   if ((*others)++ >= OTHER_ROUTERS_MAX || !loadgen->plan.routers->len || task->leave_at.us)
     return false;
@@ -256,9 +256,9 @@
     return false;
   time_us delay = time_from_ms(request->retry_s * 1000);
   time_us at = time_add(world_now(loadgen->world), delay);
-  if (!request->back.us)
-    request->back = at;
-  if (request->attempt_count > loadgen->plan.attempts_max)
+  if (!request->first_retry_at.us)
+    request->first_retry_at = at;
+  if (request->attempt_count > loadgen->plan.retries_max)
     return false;
   if (task->leave_at.us && time_reached(at, task->leave_at))
     return false;
@@ -465,9 +465,10 @@
 
 void loadgen_json(loadgen *loadgen, GString *to) {
   static const char *const names[OUTCOME_COUNT] = {
-    [OUTCOME_OPEN] = "open",       [OUTCOME_DONE] = "done",     [OUTCOME_NOT_RUN] = "notRun",
-    [OUTCOME_UNKNOWN] = "unknown", [OUTCOME_BROKEN] = "broken", [OUTCOME_NO_ANSWER] = "noAnswer",
-    [OUTCOME_WRONG] = "wrong",     [OUTCOME_LEFT] = "left",
+    [OUTCOME_OPEN] = "open",      [OUTCOME_DONE] = "done",
+    [OUTCOME_NOT_RUN] = "notRun", [OUTCOME_UNKNOWN] = "unknown",
+    [OUTCOME_BROKEN] = "broken",  [OUTCOME_NO_RESPONSE] = "noAnswer",
+    [OUTCOME_WRONG] = "wrong",    [OUTCOME_CALLER_GONE] = "left",
   };
   json_appendf(to, "{\"sent\":%u", loadgen->requests->len);
   for (int i = 0; i < OUTCOME_COUNT; i++)
--- a/emulator/loadgen.h
+++ b/emulator/loadgen.h
@@ -10,14 +10,14 @@
 
 /** How a request ended, or an attempt of it. */
 enum loadgen_outcome {
-  OUTCOME_OPEN,      /* in progress */
-  OUTCOME_DONE,      /* all events and a clean end were received */
-  OUTCOME_NOT_RUN,   /* refused, and certainly not run */
-  OUTCOME_UNKNOWN,   /* refused, but it may have run */
-  OUTCOME_BROKEN,    /* it ran, and failed or ended early with an error */
-  OUTCOME_NO_ANSWER, /* no response */
-  OUTCOME_WRONG,     /* a response that violates the protocol */
-  OUTCOME_LEFT,      /* the caller disconnected first */
+  OUTCOME_OPEN,        /* in progress */
+  OUTCOME_DONE,        /* all events and a clean end were received */
+  OUTCOME_NOT_RUN,     /* refused, and certainly not run */
+  OUTCOME_UNKNOWN,     /* refused, but it may have run */
+  OUTCOME_BROKEN,      /* it ran, and failed or ended early with an error */
+  OUTCOME_NO_RESPONSE, /* no response */
+  OUTCOME_WRONG,       /* a response that violates the protocol */
+  OUTCOME_CALLER_GONE, /* the caller disconnected first */
   OUTCOME_COUNT
 };
 
@@ -28,7 +28,7 @@
   enum loadgen_outcome outcome;
   int status, code, tokens, retry_s, attempt_count;
   time_us started_at, first_event_at, ended_at;
-  time_us back; /* the time to which the first refusal deferred the retry */
+  time_us first_retry_at; /* the time to which the first refusal deferred the retry */
   bool resumable;
 } loadgen_request;
 
@@ -52,7 +52,7 @@
   double leave_ratio;   /* share of callers that disconnect early */
   int kind_share[LOADGEN_KINDS], tokens;
   const char *kinds[LOADGEN_KINDS];
-  int prefixes, attempts_max;
+  int prefixes, retries_max;
   int64_t timeout_ms; /* after which callers disconnect; 0: never */
 } loadgen_plan;
 
--- a/emulator/operator_sim.c
+++ b/emulator/operator_sim.c
@@ -48,10 +48,10 @@
     fields_add(fields, "Host", string_view_of(address));
     fields_add(fields, "Content-Type", string_view_of("application/json"));
     if (change)
-      fields_add_format(fields, operator->dialect->header_names[DF_BASE_REVISION], "%" PRIu64,
+      fields_add_format(fields, operator->dialect->header_names[DF_BASE_VERSION], "%" PRIu64,
                         change->base);
     http_call *call =
-        http_call_open_fields(operator->world, address, endpoint->method, path, fields,
+        http_call_open_pooled(operator->world, address, endpoint->method, path, fields,
                               string_view_of(change ? change->text : ""), true, time_never());
     g_string_free(fields, TRUE);
     g_string_truncate(body, 0);
--- a/emulator/platform_sim.c
+++ b/emulator/platform_sim.c
@@ -13,7 +13,7 @@
     platform_sim_engine engine = { 0 };
     engine.self = id_of_text(json_text(entry, "id", ""));
     engine.type = id_of_text(json_text(entry, "type", "any"));
-    engine.area = id_of_text(json_text(entry, "area", "none"));
+    engine.zone = id_of_text(json_text(entry, "area", "none"));
     g_strlcpy(engine.addr, json_text(entry, "addr", ""), sizeof engine.addr);
     engine.weights_mb = json_number(entry, "weightsMb", 0);
     engine.adapter_slots = json_number(entry, "adapterSlots", 0);
@@ -53,7 +53,7 @@
         body,
         "%s{\"id\":\"%s\",\"addr\":\"%s\",\"type\":\"%s\",\"area\":\"%s\",\"weightsMb\":%" PRIu64
         ",\"adapterSlots\":%u,\"leaving\":%s}",
-        first ? "" : ",", engine->self.text, engine->addr, engine->type.text, engine->area.text,
+        first ? "" : ",", engine->self.text, engine->addr, engine->type.text, engine->zone.text,
         engine->weights_mb, engine->adapter_slots, engine->draining ? "true" : "false");
     first = false;
   }
--- a/emulator/registering_engine_heartbeat.c
+++ b/emulator/registering_engine_heartbeat.c
@@ -89,7 +89,7 @@
 }
 
 bool engine_heartbeat_sign_off(registering_engine_sim *engine) {
-  return call_controllers(engine, DC_LEAVE);
+  return call_controllers(engine, DC_SIGN_OFF);
 }
 
 static void heartbeat_once(registering_engine_sim *engine) {
--- a/emulator/registering_engine_requests.c
+++ b/emulator/registering_engine_requests.c
@@ -214,7 +214,7 @@
   request->client_gone_condition = &active->changed;
   engine_batch_enqueue(active);
   while (!active->admitted && !request->client_gone) {
-    enum wake wake = condition_wait(tasks, &active->changed, incoming->deadline);
+    enum wake_reason wake = condition_wait(tasks, &active->changed, incoming->deadline);
     if (active->admitted || wake != WAKE_SIGNALLED || is_model_unloaded(incoming))
       break;
   }
--- a/emulator/registering_engine_responses.c
+++ b/emulator/registering_engine_responses.c
@@ -12,7 +12,7 @@
 void engine_response_withhold(registering_engine_sim *engine, http_request *request, int64_t ms) {
   time_us until = time_add(world_now(engine->world), time_from_ms(ms));
   while (!request->client_gone && world_now(engine->world).us < until.us)
-    if (condition_wait(&engine->world->tasks, &request->drained, until) == WAKE_STOPPED)
+    if (condition_wait(&engine->world->tasks, &request->output_progressed, until) == WAKE_STOPPED)
       return;
 }
 
@@ -114,7 +114,7 @@
   world *world = active->engine->world;
   time_us until = done.us < deadline.us ? done : deadline;
   while (world_now(world).us < until.us && !request->client_gone)
-    if (condition_wait(&world->tasks, &request->drained, until) == WAKE_STOPPED)
+    if (condition_wait(&world->tasks, &request->output_progressed, until) == WAKE_STOPPED)
       return false;
   return true;
 }
--- a/emulator/sim_connections_server.c
+++ b/emulator/sim_connections_server.c
@@ -193,7 +193,7 @@
   channel_parse_known_headers(&request->known_fields, request->fields);
   request->body = g_string_new_len(exchange->body->str, exchange->body->len);
   request->pending_output = g_string_new(NULL);
-  condition_init(&request->drained);
+  condition_init(&request->output_progressed);
   request->impl = exchange_ref(exchange);
   return request;
 }
@@ -223,7 +223,7 @@
   http_request *request = served->request;
   request->client_gone = true;
   uncount_pending(served);
-  condition_broadcast(&request->drained);
+  condition_broadcast(&request->output_progressed);
   if (request->client_gone_condition)
     condition_broadcast(request->client_gone_condition);
 }
@@ -306,7 +306,7 @@
                                       .exchange = exchange,
                                       .text = string_view_of_gstring(request->pending_output) });
   g_string_truncate(request->pending_output, 0);
-  condition_broadcast(&request->drained);
+  condition_broadcast(&request->output_progressed);
 }
 
 /* resets the channel of a request that ends without a response */
--- a/emulator/sim_disk.c
+++ b/emulator/sim_disk.c
@@ -28,7 +28,7 @@
 static int64_t draw_operation_us(host *host) {
   if (is_stalled(host))
     return host->disk->stalled_until.us - host->sim->now.us;
-  return host->disk->sync_delay_ms * 1000 + OPERATION_US +
+  return host->disk->operation_delay_ms * 1000 + OPERATION_US +
          (int64_t)sim_random(host->sim, OPERATION_JITTER_US);
 }
 
--- a/emulator/sim_disk.h
+++ b/emulator/sim_disk.h
@@ -27,7 +27,7 @@
   /** Array of unsynced_write, in the order in which they were written. */
   GArray *unsynced_writes;
   /** Fault: extra time that each operation except a read takes. */
-  int64_t sync_delay_ms;
+  int64_t operation_delay_ms;
   /** Fault: no operation except a read ends before this instant. */
   time_us stalled_until;
   /** Faults: writes, or all operations except reads, end with an error. */
--- a/emulator/sim_host.c
+++ b/emulator/sim_host.c
@@ -38,7 +38,7 @@
   added->sim = sim;
   added->role = role;
   added->self = id_of_text(self);
-  added->area = id_of_text(area);
+  added->zone = id_of_text(area);
   g_strlcpy(added->addr, addr, sizeof added->addr);
   added->next_wake_at = time_never();
   added->past_engines = g_ptr_array_new();
@@ -85,7 +85,7 @@
     g_ptr_array_add(host->past_engines, host->engine);
   host->engine =
       engine_sim_new(&host->world, host->self, id_of_text(host->settings.platform_address),
-                     host->area, host->weights_mb, host->adapter_slots);
+                     host->zone, host->weights_mb, host->adapter_slots);
   host->engine->faults = host->faults;
 }
 
--- a/emulator/sim_host.h
+++ b/emulator/sim_host.h
@@ -26,7 +26,7 @@
   world world;
   sim *sim;
   list_node link;
-  id self, area;
+  id self, zone;
   /** Address of the process, host:port. */
   char addr[48];
   enum host_role role;
--- a/emulator/sim_http.c
+++ b/emulator/sim_http.c
@@ -164,7 +164,7 @@
   send_response_part(exchange,
                      (response_part){ .kind = RESPONSE_BODY, .body = request->pending_output });
   g_string_truncate(request->pending_output, 0);
-  condition_broadcast(&request->drained);
+  condition_broadcast(&request->output_progressed);
 }
 
 static void send_end(sim_http_exchange *exchange, enum response_part_kind kind) {
@@ -228,7 +228,7 @@
   http_headers_copy(&request->known_fields, &call->known_request_fields);
   request->body = g_string_new_len(call->body->str, call->body->len);
   request->pending_output = g_string_new(NULL);
-  condition_init(&request->drained);
+  condition_init(&request->output_progressed);
   request->impl = exchange;
   return request;
 }
@@ -251,7 +251,7 @@
   if (!exchange->request || !server_lives(exchange))
     return;
   exchange->request->client_gone = true;
-  condition_broadcast(&exchange->request->drained);
+  condition_broadcast(&exchange->request->output_progressed);
 }
 
 static const sim_event_type client_gone_type = { deliver_client_gone, release_exchange_event,
--- a/emulator/simulators.h
+++ b/emulator/simulators.h
@@ -8,7 +8,7 @@
 #include "loadgen.h"
 
 typedef struct platform_sim_engine {
-  id self, type, area;
+  id self, type, zone;
   char addr[48];
   uint64_t weights_mb;
   unsigned adapter_slots;
--- a/lib/configuration/canary.c
+++ b/lib/configuration/canary.c
@@ -8,7 +8,7 @@
                                               .affinity_weight = 1,
                                               .zone_weight = 1,
                                               .scale_out_threshold = 0.45,
-                                              .reject_threshold = 3,
+                                              .overload_threshold = 3,
                                               .wait_percent = 45 };
 
 static void set_defaults(canary_plan *plan) {
@@ -37,8 +37,8 @@
                           &policy->zone_weight) ||
       value_reader_number(reader, value, "copyShare", 0.05, 10, policy->scale_out_threshold, false,
                           &policy->scale_out_threshold) ||
-      value_reader_number(reader, value, "lateShare", 0.05, 100, policy->reject_threshold, false,
-                          &policy->reject_threshold) ||
+      value_reader_number(reader, value, "lateShare", 0.05, 100, policy->overload_threshold, false,
+                          &policy->overload_threshold) ||
       value_reader_integer(reader, value, "holdPercent", 1, 100, (double)policy->wait_percent,
                            &policy->wait_percent))
     return reader->err->code;
--- a/lib/configuration/canary.h
+++ b/lib/configuration/canary.h
@@ -18,7 +18,7 @@
   double scale_out_threshold;
   /** Factor of the latency target. An engine with a slower estimate is not chosen if other requests
    * are ahead of this one there. */
-  double reject_threshold;
+  double overload_threshold;
   /** The longest wait for an engine, in percent of the time left. */
   int64_t wait_percent;
 } select_policy;
--- a/lib/configuration/dialect.h
+++ b/lib/configuration/dialect.h
@@ -13,7 +13,7 @@
   DF_STAMP,
   DF_EXPECT_ENGINE,
   DF_NOT_RUN,
-  DF_BASE_REVISION,
+  DF_BASE_VERSION,
   DF_ENGINE_ID,
   DF_MODEL,
   DF_TOKENS,
@@ -28,7 +28,7 @@
 enum dialect_call {
   DC_READY,
   DC_HEARTBEAT,
-  DC_LEAVE,
+  DC_SIGN_OFF,
   DC_CONFIG_PUT,
   DC_CONFIG_PATCH,
   DC_CONFIG_GET,
--- a/lib/configuration/formula.c
+++ b/lib/configuration/formula.c
@@ -17,8 +17,8 @@
   OP_MAX,
   OP_NEGATE
 };
-static const char *const variable_names[F_VARIABLES] = { "penalty", "rate",  "size",
-                                                         "megs",    "slots", "idle" };
+static const char *const variable_names[FORMULA_VARIABLES] = { "penalty", "rate",  "size",
+                                                               "megs",    "slots", "idle" };
 
 typedef struct {
   GScanner *scanner;
@@ -90,7 +90,7 @@
 }
 
 static void compile_variable(compiler *compiler, const char *name) {
-  for (int i = 0; i < F_VARIABLES; i++)
+  for (int i = 0; i < FORMULA_VARIABLES; i++)
     if (!strcmp(name, variable_names[i])) {
       emit_code(compiler, OP_VARIABLE, i, 1);
       return;
@@ -198,7 +198,7 @@
   return compiler.code;
 }
 
-double formula_evaluate(const formula *formula, const double values[F_VARIABLES]) {
+double formula_evaluate(const formula *formula, const double values[FORMULA_VARIABLES]) {
   double stack[STACK_MAX + 1];
   int height = 0;
   for (int i = 0; i < formula->code_length; i++) {
--- a/lib/configuration/formula.h
+++ b/lib/configuration/formula.h
@@ -4,7 +4,15 @@
 #include "base.h"
 
 /** The names that an expression may use, in the order of their values. */
-enum formula_variable { F_PENALTY, F_RATE, F_SIZE, F_MB, F_SLOTS, F_IDLE, F_VARIABLES };
+enum formula_variable {
+  FORMULA_PENALTY,
+  FORMULA_RATE,
+  FORMULA_SIZE,
+  FORMULA_MB,
+  FORMULA_SLOTS,
+  FORMULA_IDLE,
+  FORMULA_VARIABLES
+};
 enum { FORMULA_CODE_MAX = 160, FORMULA_CONSTANTS_MAX = 32, FORMULA_TEXT_MAX = 400 };
 /** A compiled expression for the utility of keeping a model: a bounded sequence of one-byte opcodes
  * for a small stack machine. */
@@ -20,5 +28,5 @@
 enum error_code formula_compile(formula *formula, const char *text, error *err);
 /** Evaluates it. A result that is not finite, for example after a division by zero, counts as 0, so
  * that the model is evicted first. */
-double formula_evaluate(const formula *formula, const double values[F_VARIABLES]);
+double formula_evaluate(const formula *formula, const double values[FORMULA_VARIABLES]);
 #endif
--- a/lib/configuration/routing.c
+++ b/lib/configuration/routing.c
@@ -26,7 +26,7 @@
   for (size_t i = 0; i < routing->route_count; i++) {
     g_free(routing->routes[i].host);
     g_free(routing->routes[i].prefix);
-    g_free(routing->routes[i].legs);
+    g_free(routing->routes[i].weighted_services);
   }
   for (size_t i = 0; i < routing->service_count; i++) {
     g_free(routing->services[i].models);
@@ -100,13 +100,13 @@
 const service *route_pick_service(const route *route, double random_fraction) {
   double remaining = random_fraction * route->weight_sum;
   const service *last = NULL;
-  for (size_t i = 0; i < route->leg_count; i++) {
-    if (route->legs[i].weight <= 0)
+  for (size_t i = 0; i < route->weighted_service_count; i++) {
+    if (route->weighted_services[i].weight <= 0)
       continue;
-    last = route->legs[i].service;
-    if (remaining < route->legs[i].weight)
+    last = route->weighted_services[i].service;
+    if (remaining < route->weighted_services[i].weight)
       break;
-    remaining -= route->legs[i].weight;
+    remaining -= route->weighted_services[i].weight;
   }
   return last;
 }
--- a/lib/configuration/routing.h
+++ b/lib/configuration/routing.h
@@ -48,8 +48,8 @@
   int64_t timeout_ms, target_ms, gap_target_ms;
   unsigned priority, attempts;
   bool affinity, resumable;
-  weighted_service *legs;
-  size_t leg_count;
+  weighted_service *weighted_services;
+  size_t weighted_service_count;
   double weight_sum;
 } route;
 /** Limits on clients' requests and connections. */
--- a/lib/configuration/routing_compile.c
+++ b/lib/configuration/routing_compile.c
@@ -141,7 +141,7 @@
 
 static enum error_code add_weighted_service(const routing *routing, route *route,
                                             const char *service_name, double weight, error *err) {
-  weighted_service *entry = &route->legs[route->leg_count++];
+  weighted_service *entry = &route->weighted_services[route->weighted_service_count++];
   entry->service =
       service_name ? g_hash_table_lookup(routing->services_by_name, service_name) : NULL;
   entry->weight = weight;
@@ -180,7 +180,7 @@
     return error_set(err, E_ROUTING_STRUCTURE, "%s.split: not a list", route->name.text);
   if (single_service && single_service->kind != JSON_NULL && single_service->kind != JSON_STRING)
     return error_set(err, E_ROUTING_STRUCTURE, "%s.service: not a name", route->name.text);
-  route->legs = g_new0(weighted_service, json_count(split) + 1);
+  route->weighted_services = g_new0(weighted_service, json_count(split) + 1);
   if (!split)
     return add_weighted_service(routing, route, json_text(value, "service", NULL), 1, err);
   if (single_service && single_service->kind == JSON_STRING &&
--- a/lib/configuration/settings.c
+++ b/lib/configuration/settings.c
@@ -251,7 +251,7 @@
 
 static enum error_code check_seeds(const settings *settings, error *err) {
   /* a fleet of one or two controllers does not have three seeds */
-  bool may_lack_seeds = settings->founder_count || settings->is_gateway || settings->relaxed;
+  bool may_lack_seeds = settings->founder_count || settings->is_gateway || settings->relaxed_timing;
   int needed = may_lack_seeds ? 1 : SEEDS;
   for (int i = 0; i < SEEDS; i++) {
     const char *seed = settings->seed_addresses[i];
--- a/lib/configuration/settings.h
+++ b/lib/configuration/settings.h
@@ -51,7 +51,7 @@
   int chain_members;
   /** Relaxed timing: a write is acknowledged before routers have it, and routers that hear from no
    * controller go on serving. */
-  bool relaxed;
+  bool relaxed_timing;
   /** Address of a controller's control listener, which accepts engines' heartbeats and the routing
    * of gateways; empty: none. */
   char control_address[ADDRESS_BYTES];
--- a/lib/controlplane/config_api.c
+++ b/lib/controlplane/config_api.c
@@ -109,7 +109,7 @@
   if (!await_role_or_redirect(api, request, received_at, &head_role))
     return;
   int64_t base =
-      fields_get_number(request->fields, api->dialect->header_names[DF_BASE_REVISION], -1);
+      fields_get_number(request->fields, api->dialect->header_names[DF_BASE_VERSION], -1);
   if (base < 0) {
     control_respond_error(api->dialect, request, E_IF_MATCH,
                           "the version that it builds on is missing, or is no number");
--- a/lib/controlplane/config_poll.c
+++ b/lib/controlplane/config_poll.c
@@ -59,19 +59,20 @@
       scope->engines && registry_sync_has_changes(config_poll->registry_sync, request);
   if (!has_state || lacks_engines)
     return false;
-  return !config_poll->node->settings.relaxed || replica_holds_lease(replica);
+  return !config_poll->node->settings.relaxed_timing || replica_holds_lease(replica);
 }
 
 /* Holds a poll open until the node lacks something, or the time limit has passed. */
 static void hold_poll(const config_poll *config_poll, const Wire__ConfigPollRequest *request,
                       const poll_scope *scope) {
   world *world = config_poll->node->world;
-  int64_t hold_ms = config_poll->node->settings.relaxed ? POLL_HOLD_RELAXED_MS : POLL_HOLD_MS;
+  int64_t hold_ms =
+      config_poll->node->settings.relaxed_timing ? POLL_HOLD_RELAXED_MS : POLL_HOLD_MS;
   time_us deadline = time_add(world_now(world), time_from_ms(hold_ms));
   while (!request->no_wait && is_up_to_date(config_poll, request, scope)) {
     time_us recheck = time_add(world_now(world), time_from_ms(POLL_RECHECK_MS));
-    enum wake wake = condition_wait(&world->tasks, &config_poll->replica->state_changed,
-                                    recheck.us < deadline.us ? recheck : deadline);
+    enum wake_reason wake = condition_wait(&world->tasks, &config_poll->replica->state_changed,
+                                           recheck.us < deadline.us ? recheck : deadline);
     if (wake == WAKE_STOPPED || time_reached(world_now(world), deadline))
       return;
   }
--- a/lib/controlplane/control_listener.c
+++ b/lib/controlplane/control_listener.c
@@ -43,7 +43,7 @@
   if (is_call(listener, request, DC_HEARTBEAT, &engine_id))
     engine_heartbeat_api_serve_heartbeat(listener->registry_sync, listener->dialect, request,
                                          engine_id);
-  else if (is_call(listener, request, DC_LEAVE, &engine_id))
+  else if (is_call(listener, request, DC_SIGN_OFF, &engine_id))
     engine_heartbeat_api_serve_sign_off(listener->registry_sync, request, engine_id);
   else if (is_call(listener, request, DC_CONFIG_PUT, NULL))
     config_api_serve_write(config_api, request, true, received);
--- a/lib/controlplane/controller_status.c
+++ b/lib/controlplane/controller_status.c
@@ -15,7 +15,8 @@
                json_bool_text(wal->failed));
   json_appendf(to, "\"lastWriteMs\":%" PRId64 ",\"file\":%u,\"used\":%zu,\"size\":%zu,",
                wal->last_write_time.us / 1000, wal->current_file, wal->offset, wal->size);
-  json_appendf(to, "\"fill\":%.3f},", (double)wal->base_size / (double)(wal->size ? wal->size : 1));
+  json_appendf(to, "\"fill\":%.3f},",
+               (double)wal->checkpoint_size / (double)(wal->size ? wal->size : 1));
 }
 
 void controller_status_append_json(controller *controller, GString *to) {
--- a/lib/controlplane/singleton_grants.c
+++ b/lib/controlplane/singleton_grants.c
@@ -86,7 +86,7 @@
     /* A restarted holder need not wait for its own lease to expire: its earlier process has ended,
      * and its orders continue under the same node id. */
     bool is_restarted_holder =
-        grants->node->settings.relaxed && id_equal(current->holder, request->requester);
+        grants->node->settings.relaxed_timing && id_equal(current->holder, request->requester);
     if (!is_restarted_holder && !time_reached(now, end)) {
       result->holder = reply_copy_text(request->reply, current->holder.text);
       result->retry_after_ms = time_sub(end, now).us / 1000 + 1;
--- a/lib/controlplane/version_reports.c
+++ b/lib/controlplane/version_reports.c
@@ -61,7 +61,7 @@
                                      error *err) {
   /* Gateways, which fleets with relaxed settings have, get writes by long polls and send no
    * reports, so a write counts as in force once the chain has committed it. */
-  if (reports->node->settings.relaxed)
+  if (reports->node->settings.relaxed_timing)
     return OK;
   int applied_count, router_count;
   while (!is_in_force(reports, seq, &applied_count, &router_count))
--- a/lib/controlplane/wal.c
+++ b/lib/controlplane/wal.c
@@ -105,7 +105,7 @@
   GString *checkpoint = frame_new();
   wal->write_checkpoint(wal->ctx, checkpoint);
   size_t length = checkpoint->len;
-  wal->base_size = length - sizeof(wal_frame);
+  wal->checkpoint_size = length - sizeof(wal_frame);
   unsigned next_file = (wal->current_file + 1) % wal->file_count;
   enum error_code code = OK;
   if (length + MIN_FREE_BYTES > wal->size)
--- a/lib/controlplane/wal.h
+++ b/lib/controlplane/wal.h
@@ -35,7 +35,7 @@
   /** Size of a file, and the end of the written part of the current one, in bytes. */
   size_t size, offset;
   /** Size of the body of the last checkpoint, in bytes. */
-  size_t base_size;
+  size_t checkpoint_size;
   /** Offset of the last frame in the current file. */
   size_t last_frame_offset;
   /** Generation of the current file. */
--- a/lib/gateway/attempt.c
+++ b/lib/gateway/attempt.c
@@ -162,7 +162,7 @@
   const http_request *http = request->http;
   gateway_engine *engine = request->slot.engine;
   add_attempt_fields(request, engine);
-  http_call *call = http_call_open_fields(
+  http_call *call = http_call_open_pooled(
       http->world, engine->address, http->method, http->target, request->request_fields,
       string_view_of_gstring(http->body), needs_new_connection(request, engine),
       time_add(now, time_from_ms(SEND_DEADLINE_MS)));
--- a/lib/gateway/canary_trial.c
+++ b/lib/gateway/canary_trial.c
@@ -90,7 +90,7 @@
   pinned.n_pinned_sessions = 1;
   pinned.pinned_sessions = &session;
   Wire__Envelope message = wire_envelope(WIRE__ENVELOPE__BODY_CANARY_PINNED_SESSIONS, &pinned);
-  peer_rpc_broadcast(&gateway->router->node, ROLE_ROUTER, &message);
+  peer_rpc_send_to_role(&gateway->router->node, ROLE_ROUTER, &message);
 }
 
 canary_assignment canary_admit(gateway *gateway, const http_request *request, const route *route) {
@@ -352,7 +352,7 @@
   canary->plan = *plan;
   canary->version = version;
   canary->started_at = gateway_now(gateway);
-  canary->may_be_on_elsewhere = gateway->router->sync.sync_count <= 1;
+  canary->may_be_on_elsewhere = gateway->router->sync.snapshot_count <= 1;
   pinned_sessions_init(&canary->pinned);
   log_info(&gateway->router->node.log, "canary",
            "Trial %s has started, for a share of %.3f of the sessions.", plan->name.text,
--- a/lib/gateway/engine_health.c
+++ b/lib/gateway/engine_health.c
@@ -113,7 +113,7 @@
          !engine_residents_changed_within(engine, RECENTLY_ORDERED_MS);
 }
 
-void gateway_engine_check(gateway_engine *engine) {
+void engine_health_update(gateway_engine *engine) {
   if (engine->gone)
     return;
   engine_health *health = &engine->health;
--- a/lib/gateway/engine_health.h
+++ b/lib/gateway/engine_health.h
@@ -51,7 +51,7 @@
 /** Adds a failure that this gateway saw; the next traffic report sends it to the other gateways. */
 void gateway_engine_add_own_failure(gateway_engine *engine);
 /** Updates suspicion and consecutive failures from the bytes received since the last check. */
-void gateway_engine_check(gateway_engine *engine);
+void engine_health_update(gateway_engine *engine);
 /** Clears suspicion, ejection and consecutive failures because the engine works. */
 void engine_health_clear(gateway_engine *engine);
 /** Records a successful request. */
--- a/lib/gateway/engine_orders.c
+++ b/lib/gateway/engine_orders.c
@@ -47,7 +47,7 @@
   singleton_lease *lease = lease_of(engine);
   if (!lease)
     return;
-  lease->open_orders += change;
+  lease->unanswered_orders += change;
   lease->last_order_at = gateway_now(engine->gateway);
 }
 
@@ -70,7 +70,7 @@
   if (body)
     fields_add(fields, "Content-Type", string_view_of("application/json"));
   time_us until = time_add(world_now(world), time_from_ms(timeout_ms));
-  http_call *call = http_call_open_fields(world, engine->address, path->method, path->path, fields,
+  http_call *call = http_call_open_pooled(world, engine->address, path->method, path->path, fields,
                                           string_view_of(body), false, send_by);
   int status;
   enum error_code code = http_call_wait(call, until);
--- a/lib/gateway/engine_residents.c
+++ b/lib/gateway/engine_residents.c
@@ -357,7 +357,7 @@
   update.n_engines = 1;
   update.engines = &states;
   Wire__Envelope message = wire_envelope(WIRE__ENVELOPE__BODY_ENGINE_UPDATE, &update);
-  peer_rpc_broadcast(&engine->gateway->router->node, ROLE_ROUTER, &message);
+  peer_rpc_send_to_role(&engine->gateway->router->node, ROLE_ROUTER, &message);
   g_free(models);
   g_free(listed);
 }
--- a/lib/gateway/engine_select.c
+++ b/lib/gateway/engine_select.c
@@ -156,7 +156,7 @@
     found->in_service++;
     if (!gateway_engine_has_model(engine, request->model, request->adapter))
       continue;
-    gateway_engine_check(engine);
+    engine_health_update(engine);
     found->holding += !gateway_engine_unresponsive(engine);
     if (is_excluded(request, engine->engine_id))
       continue;
@@ -279,7 +279,7 @@
     return true;
   /* in a queue that is already too long, the request would only delay those behind it */
   return !plain && request->target_ms &&
-         estimate->ms > policy_of(request)->reject_threshold * (double)request->target_ms &&
+         estimate->ms > policy_of(request)->overload_threshold * (double)request->target_ms &&
          estimate->waiting_tokens > 0;
 }
 
--- a/lib/gateway/fleet_rates.c
+++ b/lib/gateway/fleet_rates.c
@@ -101,7 +101,7 @@
   if (address)
     peer_rpc_send(node, address, &message);
   else
-    peer_rpc_broadcast(node, ROLE_ROUTER, &message);
+    peer_rpc_send_to_role(node, ROLE_ROUTER, &message);
 }
 
 /* allocates a count; the key is not copied */
--- a/lib/gateway/gateway.c
+++ b/lib/gateway/gateway.c
@@ -92,19 +92,21 @@
 static void init_listeners(gateway *gateway) {
   const gateway_settings *settings = &gateway->settings;
   world *world = gateway->router->node.world;
-  gateway->client_listener = (http_listener){
-    .world = world, .port = settings->front_port, .serve = forward_request, .serve_context = gateway
-  };
-  g_strlcpy(gateway->client_listener.ip, settings->front_ip, sizeof gateway->client_listener.ip);
-  gateway->health_listener = (http_listener){ .world = world,
-                                              .port = settings->ready_port,
-                                              .serve = serve_readiness,
-                                              .serve_context = gateway,
-                                              .header_max_bytes = READY_HEADER_MAX_BYTES,
-                                              .body_max_bytes = READY_BODY_MAX_BYTES,
-                                              .header_timeout_ms = HEADER_TIMEOUT_MS,
-                                              .idle_timeout_ms = IDLE_TIMEOUT_MS };
-  g_strlcpy(gateway->health_listener.ip, settings->ready_ip, sizeof gateway->health_listener.ip);
+  gateway->client_listener = (http_listener){ .world = world,
+                                              .port = settings->client_port,
+                                              .serve = forward_request,
+                                              .serve_context = gateway };
+  g_strlcpy(gateway->client_listener.ip, settings->client_ip, sizeof gateway->client_listener.ip);
+  gateway->readiness_listener = (http_listener){ .world = world,
+                                                 .port = settings->ready_port,
+                                                 .serve = serve_readiness,
+                                                 .serve_context = gateway,
+                                                 .header_max_bytes = READY_HEADER_MAX_BYTES,
+                                                 .body_max_bytes = READY_BODY_MAX_BYTES,
+                                                 .header_timeout_ms = HEADER_TIMEOUT_MS,
+                                                 .idle_timeout_ms = IDLE_TIMEOUT_MS };
+  g_strlcpy(gateway->readiness_listener.ip, settings->ready_ip,
+            sizeof gateway->readiness_listener.ip);
   apply_listener_limits(gateway);
   world->pool_idle_timeout_ms = POOLED_IDLE_MS;
 }
@@ -129,7 +131,7 @@
 static void attach_to_router(gateway *gateway) {
   router *router = gateway->router;
   router->gateway = gateway;
-  router->on_installed = on_installed;
+  router->on_snapshot_installed = on_installed;
   router->on_engines_changed = on_config_sync;
   router->for_each_singleton = for_each_singleton;
   router->write_status = write_status;
@@ -174,7 +176,7 @@
   world *world = gateway->router->node.world;
   enum error_code code = world->listener_open(world, &gateway->client_listener, err);
   if (!code)
-    code = world->listener_open(world, &gateway->health_listener, err);
+    code = world->listener_open(world, &gateway->readiness_listener, err);
   return code;
 }
 
@@ -183,9 +185,9 @@
   gateway->settings = *settings;
   gateway->settings.dialect = previous.dialect;
   gateway->settings.disabled_features = previous.disabled_features;
-  gateway->settings.front_port = previous.front_port;
+  gateway->settings.client_port = previous.client_port;
   gateway->settings.ready_port = previous.ready_port;
-  memcpy(gateway->settings.front_ip, previous.front_ip, sizeof previous.front_ip);
+  memcpy(gateway->settings.client_ip, previous.client_ip, sizeof previous.client_ip);
   memcpy(gateway->settings.ready_ip, previous.ready_ip, sizeof previous.ready_ip);
 }
 
--- a/lib/gateway/gateway.h
+++ b/lib/gateway/gateway.h
@@ -32,7 +32,7 @@
   gateway_settings settings;
   /** The current configuration; NULL until one is known. */
   const routing *routing;
-  http_listener client_listener, health_listener;
+  http_listener client_listener, readiness_listener;
   gateway_counts counts;
   /** Number of known gateways, including this one; written by traffic_reports.c. */
   int router_count;
--- a/lib/gateway/gateway_settings.h
+++ b/lib/gateway/gateway_settings.h
@@ -7,8 +7,8 @@
 /** A limit of 0 means the default, which is defined where the limit is used. */
 typedef struct gateway_settings {
   /** Listen addresses for client requests and for readiness checks. */
-  char front_ip[48], ready_ip[48];
-  int front_port, ready_port;
+  char client_ip[48], ready_ip[48];
+  int client_port, ready_port;
   /** The platform's names of header fields, paths and JSON keys; never NULL. */
   const dialect *dialect;
   /** Grace period: time from the request to stop until the process is killed. */
@@ -21,7 +21,7 @@
    * constant number (slack). */
   double retry_ratio, retry_slack, retry_window_s;
   /** Window of the load rate limit, and the factor by which the limit is multiplied. */
-  double load_window_s, load_excess;
+  double load_window_s, load_limit_factor;
   /** Window in s over which request rates are measured. */
   double rate_window_s;
   /** The feature flags that are off, as a bit set indexed by enum feature_flag. */
--- a/lib/gateway/load_rate_limiter.c
+++ b/lib/gateway/load_rate_limiter.c
@@ -94,7 +94,8 @@
 }
 
 static double limit_factor(const gateway *gateway) {
-  return gateway->settings.load_excess > 0 ? gateway->settings.load_excess : DEFAULT_LIMIT_FACTOR;
+  return gateway->settings.load_limit_factor > 0 ? gateway->settings.load_limit_factor
+                                                 : DEFAULT_LIMIT_FACTOR;
 }
 
 void load_rate_limiter_record(gateway *gateway, id service, time_us at) {
--- a/lib/gateway/status.c
+++ b/lib/gateway/status.c
@@ -72,8 +72,8 @@
 static bool is_routed(const routing *routing, const service *service) {
   for (size_t r = 0; r < routing->route_count; r++) {
     const route *route = &routing->routes[r];
-    for (size_t l = 0; l < route->leg_count; l++)
-      if (route->legs[l].service == service && route->legs[l].weight > 0)
+    for (size_t l = 0; l < route->weighted_service_count; l++)
+      if (route->weighted_services[l].service == service && route->weighted_services[l].weight > 0)
         return true;
   }
   return false;
--- a/lib/gateway/traffic_reports.c
+++ b/lib/gateway/traffic_reports.c
@@ -204,7 +204,7 @@
   list_for_each (engine, &gateway->engines.list, gateway_engine, link) {
     if (engine->gone)
       continue;
-    gateway_engine_check(engine);
+    engine_health_update(engine);
     sum_peer_loads(engine);
     int failures = own_fault ? 0 : engine->health.unreported_failures;
     engine->health.unreported_failures = 0;
--- a/lib/http/http_exchange.c
+++ b/lib/http/http_exchange.c
@@ -26,7 +26,7 @@
   request->fields = g_string_sized_new(FIELDS_BYTES);
   request->response_fields = g_string_new(NULL);
   request->impl = exchange;
-  condition_init(&request->drained);
+  condition_init(&request->output_progressed);
   format_client_address(client_sockaddr, request->client_address, sizeof request->client_address);
   http_parser_init(&exchange->parser, HTTP_REQUEST);
   exchange->parser.data = exchange;
--- a/lib/http/http_server.c
+++ b/lib/http/http_server.c
@@ -57,7 +57,7 @@
   exchange->server = NULL;
   if (client_gone) {
     request->client_gone = true;
-    condition_broadcast(&request->drained);
+    condition_broadcast(&request->output_progressed);
     if (request->client_gone_condition)
       condition_broadcast(request->client_gone_condition);
   }
@@ -332,7 +332,7 @@
     return CONNECTION_CLOSE;
   g_string_erase(output, 0, (gssize)length);
   if (length)
-    condition_broadcast(&request->drained);
+    condition_broadcast(&request->output_progressed);
   /* a client that stops reading the rest must not hold the connection forever */
   if (connection->pending_output && exchange->output_complete)
     http_connection_set_timeout(connection, UNREAD_RESPONSE_TIMEOUT_MS);
--- a/lib/membership/peer_rpc.c
+++ b/lib/membership/peer_rpc.c
@@ -55,7 +55,7 @@
   send_envelope(node, address, message);
 }
 
-void peer_rpc_broadcast(node *node, enum role role, Wire__Envelope *message) {
+void peer_rpc_send_to_role(node *node, enum role role, Wire__Envelope *message) {
   list_for_each (peer, &node->peers, peer_node, link)
     if (peer->role == role && !peer->gone)
       peer_rpc_send(node, peer->address, message);
@@ -79,7 +79,7 @@
   request->call = number;
   request->response = false;
   send_envelope(node, address, request);
-  enum wake wake = WAKE_SIGNALLED;
+  enum wake_reason wake = WAKE_SIGNALLED;
   while (!call.response && wake == WAKE_SIGNALLED)
     wake = condition_wait(&node->world->tasks, &call.responded, deadline);
   g_hash_table_remove(rpc->pending_calls, &number);
--- a/lib/membership/peer_rpc.h
+++ b/lib/membership/peer_rpc.h
@@ -72,7 +72,7 @@
 /** Sends a notification. */
 void peer_rpc_send(node *node, const char *address, Wire__Envelope *message);
 /** Sends a notification to all live peers of a role. */
-void peer_rpc_broadcast(node *node, enum role role, Wire__Envelope *message);
+void peer_rpc_send_to_role(node *node, enum role role, Wire__Envelope *message);
 /** Sends a notification to all live peers. */
 void peer_rpc_send_to_live_peers(node *node, Wire__Envelope *message);
 /** Sends a request and waits for the response until the timeout. Returns OK with *response, which
--- a/lib/router/config_snapshot.c
+++ b/lib/router/config_snapshot.c
@@ -170,8 +170,8 @@
   sync->view_epoch = MAX(sync->view_epoch, snapshot->epoch);
   replace_resources(router, candidate);
   replace_grants(sync, snapshot);
-  router->sync.sync_bytes += packed_size;
-  router->sync.sync_count++;
+  router->sync.snapshot_bytes += packed_size;
+  router->sync.snapshot_count++;
   event_history_set_window(&router->history, time_from_ms(router->config->rate_window_s * 1000));
   router->history.smoothing_factor = router->config->smoothing_factor;
 }
@@ -181,11 +181,11 @@
             "Version %" PRIu64 " of view %" PRIu64 " is in force, received from %s.",
             candidate->snapshot->sequence, candidate->snapshot->epoch, candidate->from);
   /* in relaxed mode, writes do not wait for routers */
-  if (!router->node.settings.relaxed)
+  if (!router->node.settings.relaxed_timing)
     router_sync_report_version(router);
   condition_broadcast(&router->state_changed);
-  if (router->on_installed)
-    router->on_installed(router->gateway);
+  if (router->on_snapshot_installed)
+    router->on_snapshot_installed(router->gateway);
 }
 
 static void free_candidate(candidate *candidate) {
--- a/lib/router/config_sync.h
+++ b/lib/router/config_sync.h
@@ -10,7 +10,8 @@
  * other routers; both use the functions declared here. config_snapshot.c installs the snapshots,
  * and admission.c uses the confirmations to decide whether this router may accept new work.
  *
- * Relaxed timing (settings.relaxed). There are two modes, and every fleet runs in one of them:
+ * Relaxed timing (settings.relaxed_timing). There are two modes, and every fleet runs in one of
+ * them:
  * - Strict (routers in front of engines that the platform lists): an operator's write is
  *   acknowledged only after half of the routers have it. Routers therefore report their version,
  *   and a router that no controller confirms stops accepting work. Polls are short, because a lost
@@ -43,7 +44,7 @@
   uint64_t resource_versions[RESOURCE_COUNT];
   GString *resources[RESOURCE_COUNT];
   /** Number of snapshots installed, and their total size on the wire in bytes. */
-  uint64_t sync_count, sync_bytes;
+  uint64_t snapshot_count, snapshot_bytes;
   /** Singleton name -> known_grant, as of the last snapshot. */
   GHashTable *singleton_grants;
   /** When a controller last confirmed that config_version is the latest, by this node's clock; 0 if
--- a/lib/router/controller_poll.c
+++ b/lib/router/controller_poll.c
@@ -78,7 +78,7 @@
 static int64_t poll_timeout_ms(const router *router, enum poll_kind kind) {
   if (kind == POLL_HEDGED)
     return HEDGED_POLL_TIMEOUT_MS;
-  if (!router->node.settings.relaxed)
+  if (!router->node.settings.relaxed_timing)
     return POLL_TIMEOUT_MS;
   return CLAMP(POLL_TIMEOUT_LATENCY_FACTOR * router->controllers.last_latency_ms,
                POLL_TIMEOUT_RELAXED_MS, MAX_POLL_TIMEOUT_MS);
@@ -184,8 +184,8 @@
 
 /* Pauses after a poll that succeeded; false when the process is stopping. */
 static bool pause_after_success(router *router, time_us started_at) {
-  time_us interval = time_from_ms(router->node.settings.relaxed ? MIN_POLL_INTERVAL_RELAXED_MS
-                                                                : MIN_POLL_INTERVAL_MS);
+  time_us interval = time_from_ms(
+      router->node.settings.relaxed_timing ? MIN_POLL_INTERVAL_RELAXED_MS : MIN_POLL_INTERVAL_MS);
   return time_reached(world_now(router->node.world), time_add(started_at, interval)) ||
          world_sleep(router->node.world, interval);
 }
@@ -306,7 +306,7 @@
 
 void controller_poll_start(router *router) {
   task_start(&router->node.world->tasks, "controller poll", poll_controllers_run, router);
-  if (router->node.settings.relaxed)
+  if (router->node.settings.relaxed_timing)
     task_start(&router->node.world->tasks, "hedging", hedging_run, router);
   /* a gateway replaces this handler with its own, because gateways send these messages as well */
   peer_rpc_register_handler(&router->node, WIRE__ENVELOPE__BODY_ENGINE_UPDATE, on_engine_update,
--- a/lib/router/eviction_policy.c
+++ b/lib/router/eviction_policy.c
@@ -7,13 +7,13 @@
 double eviction_policy_score(const eviction_rule *rule, const eviction_candidate *candidate,
                              double size, uint64_t random_number) {
   if (rule->custom_formula) {
-    double variables[F_VARIABLES] = {
-      [F_PENALTY] = candidate->load_ms,
-      [F_RATE] = candidate->request_rate,
-      [F_SIZE] = size > 0 ? size : 1,
-      [F_MB] = (double)candidate->weights_mb,
-      [F_SLOTS] = candidate->slots,
-      [F_IDLE] = (double)time_sub(rule->now, candidate->last_requested_at).us / 1e6
+    double variables[FORMULA_VARIABLES] = {
+      [FORMULA_PENALTY] = candidate->load_ms,
+      [FORMULA_RATE] = candidate->request_rate,
+      [FORMULA_SIZE] = size > 0 ? size : 1,
+      [FORMULA_MB] = (double)candidate->weights_mb,
+      [FORMULA_SLOTS] = candidate->slots,
+      [FORMULA_IDLE] = (double)time_sub(rule->now, candidate->last_requested_at).us / 1e6
     };
     return formula_evaluate(rule->custom_formula, variables);
   }
--- a/lib/router/rate_exchange.c
+++ b/lib/router/rate_exchange.c
@@ -14,7 +14,7 @@
 static void broadcast_report(router *router, Wire__RateReport *report) {
   report->nonce = router->node.nonce;
   Wire__Envelope message = wire_envelope(WIRE__ENVELOPE__BODY_RATE_REPORT, report);
-  peer_rpc_broadcast(&router->node, ROLE_ROUTER, &message);
+  peer_rpc_send_to_role(&router->node, ROLE_ROUTER, &message);
 }
 
 void rate_exchange_send_load_time(router *router, id type, const char *key, double ms) {
--- a/lib/router/router.h
+++ b/lib/router/router.h
@@ -61,7 +61,7 @@
   /* Hooks of lib/gateway, NULL on other routers; set once by gateway_new. */
   void *gateway;
   /** A snapshot was installed. */
-  void (*on_installed)(void *gateway);
+  void (*on_snapshot_installed)(void *gateway);
   /** A controller reported changes of registered engines. */
   void (*on_engines_changed)(void *gateway, const Wire__ConfigPollResponse *changes);
   /** Calls `add` with each singleton that the gateway needs. */
--- a/lib/router/router_pages.c
+++ b/lib/router/router_pages.c
@@ -227,7 +227,7 @@
       router->requests.attempt_count, router->requests.retry_count, router->loading.load_count,
       router->loading.failed_loads, router->loading.wasted_loads, router->loading.unload_count,
       router->loading.busy_unloads, router->permits.granted, router->requests.isolated_refusals,
-      router->node.world->tasks.count, router->sync.sync_count, router->sync.sync_bytes);
+      router->node.world->tasks.count, router->sync.snapshot_count, router->sync.snapshot_bytes);
   append_kind_metrics(router, to);
 }
 
--- a/lib/router/router_sync.c
+++ b/lib/router/router_sync.c
@@ -207,7 +207,7 @@
 }
 
 void router_sync_start(router *router) {
-  if (router->node.settings.relaxed) {
+  if (router->node.settings.relaxed_timing) {
     task_start(&router->node.world->tasks, "router polls", poll_one_router_run, router);
     return;
   }
--- a/lib/router/singleton_lease.c
+++ b/lib/router/singleton_lease.c
@@ -114,7 +114,7 @@
   claim->epoch = lease->held ? lease->epoch : 0;
   claim->release = kind == CLAIM_RELEASE;
   /* only gateways, which run in relaxed mode, record their orders under a lease */
-  if (kind == CLAIM_RELEASE && router->node.settings.relaxed && !lease->open_orders)
+  if (kind == CLAIM_RELEASE && router->node.settings.relaxed_timing && !lease->unanswered_orders)
     claim->quiet_ms = ms_since_last_order(router, lease);
 }
 
--- a/lib/router/singleton_lease.h
+++ b/lib/router/singleton_lease.h
@@ -37,7 +37,7 @@
   /** When an order was last sent under this lease, and how many orders are still unanswered.
    * Written by lib/gateway. */
   time_us last_order_at;
-  int open_orders;
+  int unanswered_orders;
   /** The singleton exists and this router may hold it. */
   bool wanted;
   bool held;
--- a/lib/runtime/args.c
+++ b/lib/runtime/args.c
@@ -115,8 +115,8 @@
   return code;
 }
 
-bool args_settings(int argc, char **argv, enum role role, const char *description,
-                   settings *settings) {
+bool args_read_settings(int argc, char **argv, enum role role, const char *description,
+                        settings *settings) {
   memset(settings, 0, sizeof *settings);
   settings->role = role;
   arguments arguments = { .settings = settings, .role = role, .flags = g_string_new("{") };
--- a/lib/runtime/http_call.c
+++ b/lib/runtime/http_call.c
@@ -39,7 +39,7 @@
   return call;
 }
 
-http_call *http_call_open_fields(world *world, const char *address, const char *method,
+http_call *http_call_open_pooled(world *world, const char *address, const char *method,
                                  const char *target, const fields *fields, string_view body,
                                  bool needs_new_connection, time_us send_deadline) {
   http_call *call =
@@ -60,7 +60,7 @@
 
 enum error_code http_call_wait(http_call *call, time_us deadline) {
   while (!call->status && !call->ended && !call->broken) {
-    enum wake wake = condition_wait(&call->world->tasks, &call->progressed, deadline);
+    enum wake_reason wake = condition_wait(&call->world->tasks, &call->progressed, deadline);
     if (wake != WAKE_SIGNALLED)
       return (enum error_code)wake;
   }
@@ -71,7 +71,7 @@
 
 enum error_code http_call_read(http_call *call, GString *to, time_us deadline) {
   while (!call->response_body->len && !call->ended && !call->broken) {
-    enum wake wake = condition_wait(&call->world->tasks, &call->progressed, deadline);
+    enum wake_reason wake = condition_wait(&call->world->tasks, &call->progressed, deadline);
     if (wake != WAKE_SIGNALLED)
       return (enum error_code)wake;
   }
--- a/lib/runtime/http_call.h
+++ b/lib/runtime/http_call.h
@@ -9,7 +9,7 @@
  * - http_call_open: for the process's own requests to controllers, engines and the platform's list.
  *   Each uses a separate connection, opened by libwebsockets, and carries only the header fields of
  *   http_headers.h.
- * - http_call_open_fields: for requests that a gateway forwards, implemented by lib/http.
+ * - http_call_open_pooled: for requests that a gateway forwards, implemented by lib/http.
  *   Connections are pooled, and all header fields are passed in both directions. The call records
  *   exactly what a retry needs to know: whether a byte was sent (sent), and whether the connection
  *   had been used before (reused_connection).
@@ -50,7 +50,7 @@
   /** Broadcast whenever one of the members above changes. */
   condition progressed;
 
-  /** Opened by http_call_open_fields; the members below are for these calls only. */
+  /** Opened by http_call_open_pooled; the members below are for these calls only. */
   bool pooled;
   /** The call must use a connection that has not been used before. */
   bool needs_new_connection;
@@ -82,7 +82,7 @@
  * must include Host, but not Content-Length, Connection or Transfer-Encoding. If a reused
  * connection ends before any byte of a response, the call is broken as usual, because the request
  * may have been executed. */
-http_call *http_call_open_fields(world *world, const char *address, const char *method,
+http_call *http_call_open_pooled(world *world, const char *address, const char *method,
                                  const char *target, const fields *fields, string_view body,
                                  bool needs_new_connection, time_us send_deadline);
 /** Sets the header field and value by which a response is recognized as belonging to this request.
--- a/lib/runtime/http_request.c
+++ b/lib/runtime/http_request.c
@@ -23,7 +23,8 @@
   g_string_append_len(request->pending_output, bytes.data, (gssize)bytes.length);
   request->world->request_flush(request);
   while (request->pending_output->len > PENDING_OUTPUT_MAX_BYTES && !request->client_gone) {
-    enum wake wake = condition_wait(&request->world->tasks, &request->drained, deadline);
+    enum wake_reason wake =
+        condition_wait(&request->world->tasks, &request->output_progressed, deadline);
     if (wake != WAKE_SIGNALLED)
       return (enum error_code)wake;
   }
--- a/lib/runtime/http_request.h
+++ b/lib/runtime/http_request.h
@@ -94,7 +94,7 @@
   /** The announced body size exceeds the limit (own port only). Written by the world. */
   bool too_large;
   /** Broadcast when output was sent or the client has disconnected. */
-  condition drained;
+  condition output_progressed;
   /** Broadcast when the client has disconnected; set by the serve function, or NULL. */
   condition *client_gone_condition;
   /** Private to the world. */
--- a/lib/runtime/real_disk.c
+++ b/lib/runtime/real_disk.c
@@ -144,7 +144,7 @@
     return error_set(err, E_DISK, "file %u is not open", file);
   job *job = add_job(disk, kind, disk->fds[file], offset, from, size);
   while (!job->done) {
-    enum wake wake = condition_wait(&disk->world->tasks, &job->finished, time_never());
+    enum wake_reason wake = condition_wait(&disk->world->tasks, &job->finished, time_never());
     if (wake == WAKE_STOPPED && !job->done) {
       job->abandoned = true;
       return error_set(err, E_STOPPING, "stopping");
--- a/lib/runtime/real_http_server.c
+++ b/lib/runtime/real_http_server.c
@@ -55,7 +55,7 @@
     exchange->task_over = true;
   connection_owner_detach(&exchange->owner);
   exchange->request->client_gone = true;
-  condition_broadcast(&exchange->request->drained);
+  condition_broadcast(&exchange->request->output_progressed);
   if (exchange->task_over)
     exchange_free(exchange);
 }
@@ -134,7 +134,7 @@
   request->body = g_string_new(NULL);
   request->pending_output = g_string_new(NULL);
   request->impl = created;
-  condition_init(&request->drained);
+  condition_init(&request->output_progressed);
   created->world = world;
   created->request = request;
   created->owner.on_destroyed = connection_destroyed;
@@ -252,7 +252,7 @@
   enum lws_write_protocol kind = is_last ? LWS_WRITE_HTTP_FINAL : LWS_WRITE_HTTP;
   if (size && lws_write(wsi, buffer + LWS_PRE, size, kind) < 0)
     return WRITE_FAILED;
-  condition_broadcast(&request->drained);
+  condition_broadcast(&request->output_progressed);
   if (is_last)
     return WRITE_FINISHED;
   if (request->pending_output->len || request->response_ended)
--- a/lib/runtime/task.c
+++ b/lib/runtime/task.c
@@ -46,7 +46,7 @@
   GSequenceIter *sleeper;
   time_us deadline;
   /** Why the last wait ended. */
-  enum wake wake;
+  enum wake_reason wake;
   const char *name;
   void (*run)(void *argument);
   void *argument;
@@ -221,7 +221,7 @@
   start_task(scheduler, name, run, argument, true);
 }
 
-static void wake_task(task *task, enum wake wake) {
+static void wake_task(task *task, enum wake_reason wake) {
   task->wake = wake;
   if (task->sleeper) {
     g_sequence_remove(task->sleeper);
@@ -286,8 +286,8 @@
 }
 
 /* Makes the running task wait; condition is NULL to wait for the deadline only. */
-static enum wake suspend_current_task(scheduler *scheduler, condition *condition,
-                                      time_us deadline) {
+static enum wake_reason suspend_current_task(scheduler *scheduler, condition *condition,
+                                             time_us deadline) {
   task *task = scheduler->current;
   if (scheduler->stopped)
     return WAKE_STOPPED;
@@ -299,7 +299,7 @@
   return scheduler->stopped ? WAKE_STOPPED : task->wake;
 }
 
-enum wake task_sleep(scheduler *scheduler, time_us span) {
+enum wake_reason task_sleep(scheduler *scheduler, time_us span) {
   return suspend_current_task(scheduler, NULL,
                               time_add(scheduler->now(scheduler->now_context), span));
 }
@@ -308,7 +308,7 @@
   list_init(&condition->waiters);
 }
 
-enum wake condition_wait(scheduler *scheduler, condition *condition, time_us deadline) {
+enum wake_reason condition_wait(scheduler *scheduler, condition *condition, time_us deadline) {
   return suspend_current_task(scheduler, condition, deadline);
 }
 
--- a/lib/runtime/task.h
+++ b/lib/runtime/task.h
@@ -20,7 +20,7 @@
 #include "base.h"
 
 /** Why a wait ended. The values equal the error codes that callers return for it. */
-enum wake { WAKE_SIGNALLED = OK, WAKE_TIMEOUT = E_NO_RESPONSE, WAKE_STOPPED = E_STOPPING };
+enum wake_reason { WAKE_SIGNALLED = OK, WAKE_TIMEOUT = E_NO_RESPONSE, WAKE_STOPPED = E_STOPPING };
 
 typedef struct task task;
 
@@ -67,11 +67,11 @@
 void task_start_urgent(scheduler *scheduler, const char *name, void (*run)(void *argument),
                        void *argument);
 /** Makes the running task wait for a duration. Returns WAKE_TIMEOUT or WAKE_STOPPED. */
-enum wake task_sleep(scheduler *scheduler, time_us span);
+enum wake_reason task_sleep(scheduler *scheduler, time_us span);
 
 void condition_init(condition *condition);
 /** Makes the running task wait until the condition is broadcast or the deadline is reached. */
-enum wake condition_wait(scheduler *scheduler, condition *condition, time_us deadline);
+enum wake_reason condition_wait(scheduler *scheduler, condition *condition, time_us deadline);
 /** Wakes all waiting tasks; they run later. May also be called outside of tasks. */
 void condition_broadcast(condition *condition);
 #endif
--- a/tests/compatibility/stored_data.c
+++ b/tests/compatibility/stored_data.c
@@ -57,7 +57,7 @@
 
 /* Gives a controller of the emulated fleet the settings and the data folder of a stored one. */
 static void prepare_controller(host *host, const stored_controller *from) {
-  host->area = host->settings.zone = id_of_text(from->zone);
+  host->zone = host->settings.zone = id_of_text(from->zone);
   g_strlcpy(host->addr, from->address, sizeof host->addr);
   g_strlcpy(host->settings.address, from->address, sizeof host->settings.address);
   for (int i = 0; i < STORED_CONTROLLERS; i++)
--- a/tests/configuration/formula.c
+++ b/tests/configuration/formula.c
@@ -35,7 +35,9 @@
     { "8 / 4 / 2", 1 },         { "-rate", -2 },      { "max(rate, size) + min(1, 0.5)", 4.5 },
     { "rate / (size - 4)", 0 }, { "0/0", 0 },         { "penalty*rate/size", 5 }
   };
-  const double variables[F_VARIABLES] = { [F_PENALTY] = 10, [F_RATE] = 2, [F_SIZE] = 4 };
+  const double variables[FORMULA_VARIABLES] = {
+    [FORMULA_PENALTY] = 10, [FORMULA_RATE] = 2, [FORMULA_SIZE] = 4
+  };
   for (size_t i = 0; i < G_N_ELEMENTS(good); i++) {
     formula compiled;
     error err = { 0 };
--- a/tests/configuration/routing.c
+++ b/tests/configuration/routing.c
@@ -73,7 +73,7 @@
   if (dialect_matches_call(&test_dialect, DC_HEARTBEAT, "GET", "/e/a/b", NULL) ||
       dialect_matches_call(&test_dialect, DC_ENGINE_ORDER, "POST", "/v1/order", NULL))
     fleet_add_violation(fleet, "a call is matched as another");
-  if (!dialect_matches_call(&dialect_native, DC_LEAVE, "POST", "/v1/engines/a/leave", &who) ||
+  if (!dialect_matches_call(&dialect_native, DC_SIGN_OFF, "POST", "/v1/engines/a/leave", &who) ||
       strcmp(who.text, "a"))
     fleet_add_violation(fleet, "a call of the native dialect is not matched");
   return true;
@@ -149,7 +149,7 @@
     fleet_add_violation(fleet, "the defaults of a route are wrong");
   if (second->mode != ROUTE_MODE_STREAM || second->attempts != 3 || second->priority != 2 ||
       !second->affinity || second->gap_target_ms != 40 || second->timeout_ms != 1 ||
-      second->leg_count != 3)
+      second->weighted_service_count != 3)
     fleet_add_violation(fleet, "the fields of a route are wrong");
   int picked = 0;
   for (int i = 0; i < 1000; i++)
--- a/tests/controlplane/catch_up.c
+++ b/tests/controlplane/catch_up.c
@@ -285,7 +285,7 @@
   int64_t max_ms = members > 3 ? LARGE_CHAIN_SYNC_MS : SMALL_CHAIN_SYNC_MS;
   fleet->sim->bytes_per_s = rate;
   for (int i = 0; i < fleet->controllers; i++)
-    fleet->controller[i]->disk->sync_delay_ms = disk_ms;
+    fleet->controller[i]->disk->operation_delay_ms = disk_ms;
   if (entries)
     put_catalogue(fleet, entries);
   workload load = { .fleet = fleet, .change_interval_ms = 100, .entries = entries };
@@ -355,7 +355,7 @@
   fleet->sim->bytes_per_s = FAST_LINK_BYTES_PER_S;
   for (int i = 0; i < fleet->controllers; i++) {
     fleet->controller[i]->disk->tears_writes = true;
-    fleet->controller[i]->disk->sync_delay_ms = 5;
+    fleet->controller[i]->disk->operation_delay_ms = 5;
   }
   put_catalogue(fleet, 4000 + (int)sim_random(fleet->sim, 4000));
   workload load = { .fleet = fleet, .change_interval_ms = 100 };
@@ -393,7 +393,7 @@
   if (!start_controllers(fleet, 3, LOG_FILE_BYTES))
     return false;
   for (int i = 0; i < fleet->controllers; i++)
-    fleet->controller[i]->disk->sync_delay_ms = SLOW_DISK_MS;
+    fleet->controller[i]->disk->operation_delay_ms = SLOW_DISK_MS;
   workload load = { .fleet = fleet, .change_interval_ms = 40 };
   workload_run(&load, 2000);
   host *host = fleet->controller[sim_random(fleet->sim, 3)];
@@ -420,7 +420,7 @@
   if (!start_controllers(fleet, 3, LOG_FILE_BYTES))
     return false;
   for (int i = 0; i < fleet->controllers; i++)
-    fleet->controller[i]->disk->sync_delay_ms = SLOW_DISK_MS;
+    fleet->controller[i]->disk->operation_delay_ms = SLOW_DISK_MS;
   workload load = { .fleet = fleet, .change_interval_ms = 100 };
   workload_run(&load, 3000);
   load.change_interval_ms = 0;
--- a/tests/controlplane/chain_join.c
+++ b/tests/controlplane/chain_join.c
@@ -9,7 +9,7 @@
     return false;
   fleet_start_sampling(fleet);
   host *old = fleet->controller[sim_random(fleet->sim, 3)];
-  host *replacement = scenario_create_controller(fleet, 4, fleet->controller[0], old->area.text);
+  host *replacement = scenario_create_controller(fleet, 4, fleet->controller[0], old->zone.text);
   if (!fleet_put(fleet, "evacuation", "{\"areas\":[]}"))
     return false;
   host_power_off(old);
--- a/tests/controlplane/chain_repair.c
+++ b/tests/controlplane/chain_repair.c
@@ -74,9 +74,9 @@
 static host *trial_add(repair_trial *trial, const host *old) {
   host *host = chain_add_controller(trial->fleet, 10 + trial->added++);
   host->on_start = on_process_start;
-  host->disk->sync_delay_ms = trial->disk_delay_ms;
+  host->disk->operation_delay_ms = trial->disk_delay_ms;
   if (old)
-    host->area = host->settings.zone = old->area;
+    host->zone = host->settings.zone = old->zone;
   return host;
 }
 
@@ -103,7 +103,7 @@
      times as long as usual */
   int64_t slow = sim_random(fleet->sim, 3) ? 0 : 15 + (int64_t)sim_random(fleet->sim, 16);
   for (int i = 0; i < fleet->controllers; i++)
-    fleet->controller[i]->disk->sync_delay_ms = slow;
+    fleet->controller[i]->disk->operation_delay_ms = slow;
   trial->disk_delay_ms = slow;
   return chain_wait_for_shape(fleet, members, members, 10000);
 }
--- a/tests/controlplane/config_change.c
+++ b/tests/controlplane/config_change.c
@@ -25,7 +25,7 @@
   uint64_t base, version;
   bool patch, valid;
   char text[TEXT_MAX];
-  enum register_answer last;
+  enum register_outcome last;
 } sent_change;
 
 typedef struct operator_task {
@@ -58,19 +58,19 @@
 }
 
 /* Returns what an operator concludes from an HTTP status. */
-static enum register_answer answer_of(int status) {
+static enum register_outcome answer_of(int status) {
   switch (status) {
   case 200:
-    return ANSWER_CONFIRMED;
+    return REGISTER_OUTCOME_CONFIRMED;
   case 409:
   case 412:
-    return ANSWER_CONFLICT;
+    return REGISTER_OUTCOME_CONFLICT;
   case 400:
   case 413:
   case 422:
-    return ANSWER_INVALID;
+    return REGISTER_OUTCOME_INVALID;
   default:
-    return ANSWER_NONE;
+    return REGISTER_OUTCOME_UNKNOWN;
   }
 }
 
@@ -88,9 +88,9 @@
     fields *fields = g_string_new(NULL);
     fields_add(fields, "Host", string_view_of(to));
     if (change)
-      fields_add_format(fields, dialect->header_names[DF_BASE_REVISION], "%" PRIu64, change->base);
+      fields_add_format(fields, dialect->header_names[DF_BASE_VERSION], "%" PRIu64, change->base);
     http_call *call =
-        http_call_open_fields(world, to, endpoint->method, path, fields,
+        http_call_open_pooled(world, to, endpoint->method, path, fields,
                               string_view_of(change ? change->text : ""), true, time_never());
     g_string_free(fields, TRUE);
     g_string_truncate(body, 0);
@@ -113,12 +113,13 @@
 }
 
 /* Sends a change once, to one controller, and records the outcome. */
-static enum register_answer send_once(run *run, guint number, const char *address, enum loss loss) {
+static enum register_outcome send_once(run *run, guint number, const char *address,
+                                       enum loss loss) {
   world *world = run->deployment->operator->world;
   sent_change change = g_array_index(run->changes, sent_change, number);
   if (loss == LOSS_REQUEST) {
     world_sleep(world, time_from_ms(50));
-    return ANSWER_NONE;
+    return REGISTER_OUTCOME_UNKNOWN;
   }
   GString *body = g_string_new(NULL);
   time_us called = world_now(world);
@@ -129,14 +130,14 @@
       run, address,
       &run->deployment->operator->dialect->calls[change.patch ? DC_CONFIG_PATCH : DC_CONFIG_PUT],
       &change, body, wait_ms);
-  enum register_answer answer = loss == LOSS_NONE ? answer_of(status) : ANSWER_NONE;
+  enum register_outcome answer = loss == LOSS_NONE ? answer_of(status) : REGISTER_OUTCOME_UNKNOWN;
   register_history_add_attempt(run->history, number, (uint64_t)called.us,
                                (uint64_t)world_now(world).us, answer);
   g_array_index(run->changes, sent_change, number).last = answer;
-  run->confirmed += answer == ANSWER_CONFIRMED;
-  run->refused += answer == ANSWER_CONFLICT;
-  run->unclear += answer == ANSWER_NONE;
-  if (answer == ANSWER_CONFIRMED)
+  run->confirmed += answer == REGISTER_OUTCOME_CONFIRMED;
+  run->refused += answer == REGISTER_OUTCOME_CONFLICT;
+  run->unclear += answer == REGISTER_OUTCOME_UNKNOWN;
+  if (answer == REGISTER_OUTCOME_CONFIRMED)
     run->current = MAX(run->current, change.version);
   g_string_free(body, TRUE);
   return answer;
@@ -177,7 +178,7 @@
 }
 
 static guint new_change(run *run, uint64_t base, uint64_t version, bool patch, bool valid) {
-  guint number = register_history_add_order(run->history, base, version, valid);
+  guint number = register_history_add_write(run->history, base, version, valid);
   sent_change change = { .base = base, .version = version, .patch = patch, .valid = valid };
   write_text(&change, number);
   g_array_append_val(run->changes, change);
@@ -185,16 +186,16 @@
 }
 
 /* Sends a change, and retries it until there is a clear response or the timeout has passed. */
-static enum register_answer send_until_clear(run *run, guint number, int64_t timeout_ms) {
+static enum register_outcome send_until_clear(run *run, guint number, int64_t timeout_ms) {
   world *world = run->deployment->operator->world;
   time_us deadline = time_add(world_now(world), time_from_ms(timeout_ms));
   size_t controller_index = draw(run, run->deployment->operator->controllers->len);
   int64_t backoff_ms = 50;
-  enum register_answer answer = ANSWER_NONE;
-  while (answer == ANSWER_NONE && !time_reached(world_now(world), deadline) &&
+  enum register_outcome answer = REGISTER_OUTCOME_UNKNOWN;
+  while (answer == REGISTER_OUTCOME_UNKNOWN && !time_reached(world_now(world), deadline) &&
          !world->tasks.stopped) {
     answer = send_once(run, number, address_of(run, controller_index++), draw_loss(run));
-    if (answer == ANSWER_NONE && !world_sleep(world, time_from_ms(backoff_ms)))
+    if (answer == REGISTER_OUTCOME_UNKNOWN && !world_sleep(world, time_from_ms(backoff_ms)))
       break;
     backoff_ms = MIN(backoff_ms * 2, 1000);
   }
@@ -304,7 +305,7 @@
 static void write_first_configuration(run *run, void *ctx) {
   (void)ctx;
   guint number = new_change(run, 0, 1, false, true);
-  if (send_until_clear(run, number, 20000) != ANSWER_CONFIRMED)
+  if (send_until_clear(run, number, 20000) != REGISTER_OUTCOME_CONFIRMED)
     fleet_add_violation(run->deployment->fleet, "the first configuration was not accepted");
 }
 
@@ -317,7 +318,7 @@
       sim_add_host(fleet->sim, HOST_CONTROLLER, name, zone_names[n % 3], address);
   host->settings = fleet->controller[0]->settings;
   host->settings.self = host->self;
-  host->settings.zone = host->area;
+  host->settings.zone = host->zone;
   g_strlcpy(host->settings.address, host->addr, sizeof host->settings.address);
   return host;
 }
@@ -562,12 +563,12 @@
   uint64_t base = run->current + 1;
   /* the first change was accepted: another one with the same base and new version is refused */
   history->second = new_change(run, run->current, base, false, true);
-  if (send_until_clear(run, history->second, CHANGE_TIMEOUT_MS) != ANSWER_CONFLICT)
+  if (send_until_clear(run, history->second, CHANGE_TIMEOUT_MS) != REGISTER_OUTCOME_CONFLICT)
     fleet_add_violation(run->deployment->fleet,
                         "another change that creates the same version was not refused");
   for (guint i = 0; i < history->changes; i++) {
     guint number = new_change(run, base + i, base + i + 1, i % 2 == 0, true);
-    if (send_until_clear(run, number, CHANGE_TIMEOUT_MS) != ANSWER_CONFIRMED) {
+    if (send_until_clear(run, number, CHANGE_TIMEOUT_MS) != REGISTER_OUTCOME_CONFIRMED) {
       fleet_add_violation(run->deployment->fleet, "change %u of %u was not accepted", i,
                           history->changes);
       return;
@@ -578,8 +579,8 @@
 static void send_first_again(run *run, void *ctx) {
   long_history *history = ctx;
   for (size_t i = 0; i < run->deployment->operator->controllers->len; i++) {
-    enum register_answer answer = send_once(run, history->first, address_of(run, i), LOSS_NONE);
-    if (answer != ANSWER_CONFIRMED)
+    enum register_outcome answer = send_once(run, history->first, address_of(run, i), LOSS_NONE);
+    if (answer != REGISTER_OUTCOME_CONFIRMED)
       fleet_add_violation(run->deployment->fleet,
                           "an accepted change got %d when it was sent again after %u others",
                           answer, history->changes);
@@ -634,9 +635,9 @@
   long_history *history = ctx;
   for (size_t i = 0; i < run->deployment->operator->controllers->len; i++)
     for (int k = 0; k < 2; k++) {
-      enum register_answer a =
+      enum register_outcome a =
           send_once(run, k ? history->second : history->first, address_of(run, i), LOSS_NONE);
-      if (a != ANSWER_NONE)
+      if (a != REGISTER_OUTCOME_UNKNOWN)
         fleet_add_violation(run->deployment->fleet, "a forgotten change got %d", a);
     }
 }
@@ -701,8 +702,8 @@
   const char *head = ctx;
   guint lost = new_change(run, run->current, run->current + 1, true, true);
   for (int i = 0; i < 40; i++) {
-    enum register_answer answer = send_once(run, lost, head, LOSS_NONE);
-    if (answer != ANSWER_NONE)
+    enum register_outcome answer = send_once(run, lost, head, LOSS_NONE);
+    if (answer != REGISTER_OUTCOME_UNKNOWN)
       break;
     world_sleep(run->deployment->operator->world, time_from_ms((int64_t)draw(run, 30)));
   }
@@ -725,7 +726,7 @@
   guint won = new_change(run, run->current, run->current + 1, false, true);
   for (int i = 0; i < 60; i++) {
     const char *to = address_of(run, draw(run, 8));
-    if (strcmp(to, task->address) && send_once(run, won, to, LOSS_NONE) != ANSWER_NONE)
+    if (strcmp(to, task->address) && send_once(run, won, to, LOSS_NONE) != REGISTER_OUTCOME_UNKNOWN)
       break;
     world_sleep(run->deployment->operator->world, time_from_ms(40));
   }
@@ -769,7 +770,7 @@
       fleet_add_violation(fleet, "the operators' tasks did not end");
     run_as_operator(&r, final_read, NULL, 70000);
     for (guint i = 0; i < r.changes->len; i++)
-      if (g_array_index(r.changes, sent_change, i).last == ANSWER_CONFIRMED)
+      if (g_array_index(r.changes, sent_change, i).last == REGISTER_OUTCOME_CONFIRMED)
         r.current = MAX(r.current, g_array_index(r.changes, sent_change, i).version);
   }
   return run_done(&r);
@@ -792,13 +793,13 @@
   g_strlcpy(address, head->addr, sizeof address);
   *strchr(address, ':') = 0;
   g_strlcat(address, ":8100", sizeof address);
-  enum register_answer answer = ANSWER_NONE;
-  for (int i = 0; i < 10 && answer == ANSWER_NONE; i++) {
+  enum register_outcome answer = REGISTER_OUTCOME_UNKNOWN;
+  for (int i = 0; i < 10 && answer == REGISTER_OUTCOME_UNKNOWN; i++) {
     answer = send_once(run, change->number, address, LOSS_NONE);
-    if (answer == ANSWER_NONE)
+    if (answer == REGISTER_OUTCOME_UNKNOWN)
       world_sleep(world, time_from_ms(300));
   }
-  if (answer != ANSWER_CONFIRMED)
+  if (answer != REGISTER_OUTCOME_CONFIRMED)
     fleet_add_violation(run->deployment->fleet, "change %u of eight concurrent changes got %d",
                         change->number, answer);
   change->took = time_sub(world_now(world), sent);
@@ -841,46 +842,46 @@
 
 static bool the_checker_accepts_good_histories(fleet *fleet) {
   register_history *h = register_history_new();
-  guint a = register_history_add_order(h, 0, 1, true),
-        b = register_history_add_order(h, 1, 2, true),
-        c = register_history_add_order(h, 1, 2, true),
-        d = register_history_add_order(h, 2, 5, true);
-  register_history_add_attempt(h, a, 1, 2, ANSWER_NONE);
-  register_history_add_attempt(h, a, 3, 4, ANSWER_CONFIRMED);
-  register_history_add_attempt(h, b, 5, 9, ANSWER_CONFIRMED);
-  register_history_add_attempt(h, c, 5, 9, ANSWER_CONFLICT);
+  guint a = register_history_add_write(h, 0, 1, true),
+        b = register_history_add_write(h, 1, 2, true),
+        c = register_history_add_write(h, 1, 2, true),
+        d = register_history_add_write(h, 2, 5, true);
+  register_history_add_attempt(h, a, 1, 2, REGISTER_OUTCOME_UNKNOWN);
+  register_history_add_attempt(h, a, 3, 4, REGISTER_OUTCOME_CONFIRMED);
+  register_history_add_attempt(h, b, 5, 9, REGISTER_OUTCOME_CONFIRMED);
+  register_history_add_attempt(h, c, 5, 9, REGISTER_OUTCOME_CONFLICT);
   register_history_add_read(h, a, 5, 6);
   register_history_add_read(h, b, 6, 7);
-  register_history_add_attempt(h, b, 10, 11, ANSWER_CONFIRMED);
+  register_history_add_attempt(h, b, 10, 11, REGISTER_OUTCOME_CONFIRMED);
   /* no clear answer, but read later */
-  register_history_add_attempt(h, d, 12, 13, ANSWER_NONE);
+  register_history_add_attempt(h, d, 12, 13, REGISTER_OUTCOME_UNKNOWN);
   register_history_add_read(h, b, 14, 15);
   register_history_add_read(h, d, 16, 17);
   expect(fleet, h, true, "a good history");
 
   h = register_history_new();
-  a = register_history_add_order(h, 0, 1, true);
-  b = register_history_add_order(h, 1, 2, true);
-  c = register_history_add_order(h, 1, 2, true);
-  d = register_history_add_order(h, 2, 3, true);
-  register_history_add_attempt(h, a, 1, 2, ANSWER_CONFIRMED);
-  register_history_add_attempt(h, b, 3, 4, ANSWER_NONE);
-  register_history_add_attempt(h, c, 3, 4, ANSWER_NONE);
-  register_history_add_attempt(h, d, 5, 6, ANSWER_CONFIRMED);
+  a = register_history_add_write(h, 0, 1, true);
+  b = register_history_add_write(h, 1, 2, true);
+  c = register_history_add_write(h, 1, 2, true);
+  d = register_history_add_write(h, 2, 3, true);
+  register_history_add_attempt(h, a, 1, 2, REGISTER_OUTCOME_CONFIRMED);
+  register_history_add_attempt(h, b, 3, 4, REGISTER_OUTCOME_UNKNOWN);
+  register_history_add_attempt(h, c, 3, 4, REGISTER_OUTCOME_UNKNOWN);
+  register_history_add_attempt(h, d, 5, 6, REGISTER_OUTCOME_CONFIRMED);
   expect(fleet, h, true, "one of two changes without an answer");
 
   h = register_history_new();
-  a = register_history_add_order(h, 0, 1, true);
-  b = register_history_add_order(h, 7, 9, true);
-  register_history_add_attempt(h, a, 1, 2, ANSWER_CONFIRMED);
-  register_history_add_attempt(h, b, 3, 4, ANSWER_CONFLICT);
+  a = register_history_add_write(h, 0, 1, true);
+  b = register_history_add_write(h, 7, 9, true);
+  register_history_add_attempt(h, a, 1, 2, REGISTER_OUTCOME_CONFIRMED);
+  register_history_add_attempt(h, b, 3, 4, REGISTER_OUTCOME_CONFLICT);
   expect(fleet, h, true, "a change of a base version that never existed");
 
   h = register_history_new();
-  a = register_history_add_order(h, 0, 1, true);
-  b = register_history_add_order(h, 0, 4, false);
-  register_history_add_attempt(h, b, 1, 2, ANSWER_INVALID);
-  register_history_add_attempt(h, a, 1, 2, ANSWER_CONFIRMED);
+  a = register_history_add_write(h, 0, 1, true);
+  b = register_history_add_write(h, 0, 4, false);
+  register_history_add_attempt(h, b, 1, 2, REGISTER_OUTCOME_INVALID);
+  register_history_add_attempt(h, a, 1, 2, REGISTER_OUTCOME_CONFIRMED);
   expect(fleet, h, true, "an invalid change that was refused");
 
   /* 800 versions with eight concurrent changes each; only for every second version one of them has
@@ -888,11 +889,11 @@
   h = register_history_new();
   for (uint64_t v = 0; v < 800; v++)
     for (int i = 0; i < OPERATORS_MAX; i++) {
-      guint n = register_history_add_order(h, v, v + 1, true);
+      guint n = register_history_add_write(h, v, v + 1, true);
       register_history_add_attempt(h, n, v * 10, v * 10 + 9,
-                                   i       ? ANSWER_NONE
-                                   : v % 2 ? ANSWER_CONFIRMED
-                                           : ANSWER_NONE);
+                                   i       ? REGISTER_OUTCOME_UNKNOWN
+                                   : v % 2 ? REGISTER_OUTCOME_CONFIRMED
+                                           : REGISTER_OUTCOME_UNKNOWN);
     }
   expect(fleet, h, true, "a long history");
   return !fleet->violations->len;
@@ -900,80 +901,80 @@
 
 static bool the_checker_rejects_bad_histories(fleet *fleet) {
   register_history *h = register_history_new();
-  guint a = register_history_add_order(h, 0, 1, true),
-        b = register_history_add_order(h, 1, 2, true),
-        c = register_history_add_order(h, 1, 3, true);
-  register_history_add_attempt(h, a, 1, 2, ANSWER_CONFIRMED);
-  register_history_add_attempt(h, b, 3, 4, ANSWER_CONFIRMED);
-  register_history_add_attempt(h, c, 5, 6, ANSWER_CONFIRMED);
+  guint a = register_history_add_write(h, 0, 1, true),
+        b = register_history_add_write(h, 1, 2, true),
+        c = register_history_add_write(h, 1, 3, true);
+  register_history_add_attempt(h, a, 1, 2, REGISTER_OUTCOME_CONFIRMED);
+  register_history_add_attempt(h, b, 3, 4, REGISTER_OUTCOME_CONFIRMED);
+  register_history_add_attempt(h, c, 5, 6, REGISTER_OUTCOME_CONFIRMED);
   expect(fleet, h, false, "two accepted changes of one base version");
 
   h = register_history_new();
-  a = register_history_add_order(h, 0, 1, true);
-  b = register_history_add_order(h, 0, 1, true);
-  register_history_add_attempt(h, a, 1, 9, ANSWER_CONFIRMED);
-  register_history_add_attempt(h, b, 1, 9, ANSWER_CONFIRMED);
+  a = register_history_add_write(h, 0, 1, true);
+  b = register_history_add_write(h, 0, 1, true);
+  register_history_add_attempt(h, a, 1, 9, REGISTER_OUTCOME_CONFIRMED);
+  register_history_add_attempt(h, b, 1, 9, REGISTER_OUTCOME_CONFIRMED);
   expect(fleet, h, false, "two accepted changes that create one version");
 
   h = register_history_new();
-  a = register_history_add_order(h, 0, 1, true);
-  b = register_history_add_order(h, 1, 2, true);
-  register_history_add_attempt(h, a, 1, 2, ANSWER_CONFIRMED);
-  register_history_add_attempt(h, b, 3, 4, ANSWER_CONFIRMED);
+  a = register_history_add_write(h, 0, 1, true);
+  b = register_history_add_write(h, 1, 2, true);
+  register_history_add_attempt(h, a, 1, 2, REGISTER_OUTCOME_CONFIRMED);
+  register_history_add_attempt(h, b, 3, 4, REGISTER_OUTCOME_CONFIRMED);
   register_history_add_read(h, a, 5, 6);
   expect(fleet, h, false, "a stale read or a lost write");
 
   h = register_history_new();
-  a = register_history_add_order(h, 0, 1, true);
-  b = register_history_add_order(h, 1, 2, true);
-  register_history_add_attempt(h, a, 1, 2, ANSWER_CONFIRMED);
-  register_history_add_attempt(h, b, 3, 20, ANSWER_CONFIRMED);
+  a = register_history_add_write(h, 0, 1, true);
+  b = register_history_add_write(h, 1, 2, true);
+  register_history_add_attempt(h, a, 1, 2, REGISTER_OUTCOME_CONFIRMED);
+  register_history_add_attempt(h, b, 3, 20, REGISTER_OUTCOME_CONFIRMED);
   register_history_add_read(h, b, 4, 5);
   register_history_add_read(h, a, 6, 7);
   expect(fleet, h, false, "a read older than an earlier read");
 
   h = register_history_new();
-  a = register_history_add_order(h, 0, 1, true);
-  b = register_history_add_order(h, 1, 2, true);
-  register_history_add_attempt(h, a, 1, 2, ANSWER_CONFIRMED);
-  register_history_add_attempt(h, b, 3, 4, ANSWER_CONFLICT);
+  a = register_history_add_write(h, 0, 1, true);
+  b = register_history_add_write(h, 1, 2, true);
+  register_history_add_attempt(h, a, 1, 2, REGISTER_OUTCOME_CONFIRMED);
+  register_history_add_attempt(h, b, 3, 4, REGISTER_OUTCOME_CONFLICT);
   register_history_add_read(h, b, 5, 6);
   expect(fleet, h, false, "a refused change that is read");
 
   h = register_history_new();
-  a = register_history_add_order(h, 0, 1, true);
-  b = register_history_add_order(h, 1, 2, true);
-  register_history_add_attempt(h, a, 1, 2, ANSWER_CONFIRMED);
-  register_history_add_attempt(h, b, 3, 4, ANSWER_CONFLICT);
+  a = register_history_add_write(h, 0, 1, true);
+  b = register_history_add_write(h, 1, 2, true);
+  register_history_add_attempt(h, a, 1, 2, REGISTER_OUTCOME_CONFIRMED);
+  register_history_add_attempt(h, b, 3, 4, REGISTER_OUTCOME_CONFLICT);
   expect(fleet, h, false, "a refusal while the base version is current");
 
   h = register_history_new();
-  a = register_history_add_order(h, 0, 1, true);
-  b = register_history_add_order(h, 1, 2, true);
-  register_history_add_attempt(h, a, 1, 2, ANSWER_CONFIRMED);
-  register_history_add_attempt(h, b, 3, 4, ANSWER_CONFIRMED);
-  register_history_add_attempt(h, a, 5, 6, ANSWER_CONFLICT);
+  a = register_history_add_write(h, 0, 1, true);
+  b = register_history_add_write(h, 1, 2, true);
+  register_history_add_attempt(h, a, 1, 2, REGISTER_OUTCOME_CONFIRMED);
+  register_history_add_attempt(h, b, 3, 4, REGISTER_OUTCOME_CONFIRMED);
+  register_history_add_attempt(h, a, 5, 6, REGISTER_OUTCOME_CONFLICT);
   expect(fleet, h, false, "an accepted change that is refused when sent again");
 
   h = register_history_new();
-  a = register_history_add_order(h, 0, 1, true);
-  b = register_history_add_order(h, 1, 2, true);
-  c = register_history_add_order(h, 1, 2, true);
-  register_history_add_attempt(h, a, 1, 2, ANSWER_CONFIRMED);
-  register_history_add_attempt(h, b, 3, 4, ANSWER_CONFLICT);
-  register_history_add_attempt(h, c, 5, 6, ANSWER_CONFIRMED);
+  a = register_history_add_write(h, 0, 1, true);
+  b = register_history_add_write(h, 1, 2, true);
+  c = register_history_add_write(h, 1, 2, true);
+  register_history_add_attempt(h, a, 1, 2, REGISTER_OUTCOME_CONFIRMED);
+  register_history_add_attempt(h, b, 3, 4, REGISTER_OUTCOME_CONFLICT);
+  register_history_add_attempt(h, c, 5, 6, REGISTER_OUTCOME_CONFIRMED);
   expect(fleet, h, false, "a refusal before the accepted change was sent");
 
   h = register_history_new();
-  a = register_history_add_order(h, 0, 1, true);
-  b = register_history_add_order(h, 1, 2, false);
-  register_history_add_attempt(h, a, 1, 2, ANSWER_CONFIRMED);
-  register_history_add_attempt(h, b, 3, 4, ANSWER_CONFIRMED);
+  a = register_history_add_write(h, 0, 1, true);
+  b = register_history_add_write(h, 1, 2, false);
+  register_history_add_attempt(h, a, 1, 2, REGISTER_OUTCOME_CONFIRMED);
+  register_history_add_attempt(h, b, 3, 4, REGISTER_OUTCOME_CONFIRMED);
   expect(fleet, h, false, "an invalid change that was confirmed");
 
   h = register_history_new();
-  a = register_history_add_order(h, 3, 4, true);
-  register_history_add_attempt(h, a, 1, 2, ANSWER_CONFIRMED);
+  a = register_history_add_write(h, 3, 4, true);
+  register_history_add_attempt(h, a, 1, 2, REGISTER_OUTCOME_CONFIRMED);
   expect(fleet, h, false, "an accepted change of a base version that never existed");
   return !fleet->violations->len;
 }
--- a/tests/controlplane/engine_registry.c
+++ b/tests/controlplane/engine_registry.c
@@ -489,7 +489,7 @@
   if (test->base >= 0)
     fields_add_format(fields, "Asterfall-Base-Version", "%" PRId64, test->base);
   time_us deadline = time_add(world_now(test->world), time_from_ms(1500));
-  http_call *call = http_call_open_fields(test->world, test->addr, test->method, test->path, fields,
+  http_call *call = http_call_open_pooled(test->world, test->addr, test->method, test->path, fields,
                                           string_view_of(test->text), false, deadline);
   if (!http_call_read_all(call, test->body, deadline))
     test->status = call->status;
--- a/tests/controlplane/rejoin.c
+++ b/tests/controlplane/rejoin.c
@@ -76,7 +76,7 @@
     host_power_off(first);
     host_power_off(second);
     acts = scenario_wait_for_chain(fleet, 3, 10000);
-    first->disk->sync_delay_ms = 100 + (int64_t)sim_random(fleet->sim, 150);
+    first->disk->operation_delay_ms = 100 + (int64_t)sim_random(fleet->sim, 150);
     host_start(first);
     host_start(second);
     for (int i = 0; i < 8000 && !fleet->violations->len; i++) {
@@ -90,7 +90,7 @@
       sim_run(fleet->sim, time_from_ms(1));
       highest = check_tails(fleet, highest);
     }
-    first->disk->sync_delay_ms = 0;
+    first->disk->operation_delay_ms = 0;
     acts = acts && scenario_wait_for_chain(fleet, 5, 15000);
   }
   wait_and_free_calls(fleet, calls);
--- a/tests/controlplane/replica.c
+++ b/tests/controlplane/replica.c
@@ -11,7 +11,7 @@
       sim_add_host(fleet->sim, HOST_CONTROLLER, name, zone_names[n % 3], addr);
   host->settings = fleet->controller[0]->settings;
   host->settings.self = host->self;
-  host->settings.zone = host->area;
+  host->settings.zone = host->zone;
   g_strlcpy(host->settings.address, host->addr, sizeof host->settings.address);
   return host;
 }
@@ -347,7 +347,7 @@
   int all = sim_random(fleet->sim, 2), one = sim_random(fleet->sim, 3);
   for (int i = 0; i < 3; i++)
     if (all || i == one)
-      fleet->controller[i]->disk->sync_delay_ms = 30;
+      fleet->controller[i]->disk->operation_delay_ms = 30;
   for (int i = 0; i < 12; i++) {
     fleet_write_policy_marker(fleet);
     sim_run(fleet->sim, time_from_ms(100));
@@ -358,7 +358,7 @@
   if (!head || head->controller->replica.view.epoch != epoch)
     fleet_add_violation(fleet, "a slow disk changed the view");
   for (int i = 0; i < 3; i++)
-    fleet->controller[i]->disk->sync_delay_ms = 0;
+    fleet->controller[i]->disk->operation_delay_ms = 0;
   for (int turn = 0; turn < 2; turn++) {
     host *host = turn ? fleet->controller[sim_random(fleet->sim, 3)] : fleet_find_head(fleet);
     if (!host)
--- a/tests/controlplane/wal.c
+++ b/tests/controlplane/wal.c
@@ -77,7 +77,7 @@
     if (fault == 2)
       host->disk->fails = true;
     if (fault == 3)
-      host->disk->sync_delay_ms = 150;
+      host->disk->operation_delay_ms = 150;
     char *evacuation = scenario_evacuation_json((int)sim_random(fleet->sim, 9));
     if (!fleet_put(fleet, "evacuation", evacuation))
       fleet_add_violation(fleet, "no write while one disk of three is faulty");
@@ -87,7 +87,7 @@
     g_free(evacuation);
     sim_run(fleet->sim, time_from_ms(5000));
     host->disk->full = host->disk->fails = false;
-    host->disk->sync_delay_ms = 0;
+    host->disk->operation_delay_ms = 0;
     if (fault == 1 || fault == 2) {
       host_kill(host);
       host_start(host);
--- a/tests/doctor/doctor.c
+++ b/tests/doctor/doctor.c
@@ -15,7 +15,7 @@
 
 static void set_disk_delay(fleet *fleet, int delay_ms) {
   for (int i = 0; i < 3; i++)
-    fleet->controller[i]->disk->sync_delay_ms = delay_ms;
+    fleet->controller[i]->disk->operation_delay_ms = delay_ms;
 }
 
 static bool diagnose_lost_controller(fleet *fleet) {
--- a/tests/doctor/operators.c
+++ b/tests/doctor/operators.c
@@ -160,7 +160,7 @@
   deployment_terminate_gateway(deployment, deployment->gateway_processes[0]);
   sim_run(deployment->sim, time_from_ms(200));
   scenario_expect_diagnosis(fleet, D_NOT_READY, "a draining gateway");
-  sim_run(deployment->sim, time_from_ms(GRACE_S * 1000));
+  sim_run(deployment->sim, time_from_ms(DEPLOYMENT_GRACE_S * 1000));
   if (!fleet->router[0]->alive)
     host_start(fleet->router[0]);
 }
--- a/tests/emulator/check.c
+++ b/tests/emulator/check.c
@@ -88,7 +88,7 @@
   fleet *fleet = run->fleet;
   operator_write *marker = g_new0(operator_write, 1);
   *marker =
-      (operator_write){ .answered_at = { 1 }, .status = 200, .marker_status = 420, .version = 9 };
+      (operator_write){ .ended_at = { 1 }, .status = 200, .marker_status = 420, .version = 9 };
   g_ptr_array_add(fleet->writes, marker);
   policy_probe probe = { .sent_at = fleet->sim->now,
                          .received_at = fleet->sim->now,
@@ -123,12 +123,12 @@
 static bool detects_work_in_evacuated_zone(finished_run *run) {
   fleet *fleet = run->fleet;
   operator_write *evacuation = g_new0(operator_write, 1);
-  *evacuation = (operator_write){ .answered_at = { 1 },
+  *evacuation = (operator_write){ .ended_at = { 1 },
                                   .status = 200,
                                   .resource = RESOURCE_EVACUATION,
                                   .version = 1,
                                   .text = g_strdup_printf("{\"areas\":[{\"area\":\"%s\"}]}",
-                                                          run->busy_engine->area.text) };
+                                                          run->busy_engine->zone.text) };
   g_ptr_array_add(fleet->writes, evacuation);
   fleet_check_evacuated(fleet);
   evacuation->resource = -1;
--- a/tests/emulator/day.c
+++ b/tests/emulator/day.c
@@ -182,7 +182,7 @@
     fleet_add_violation(fleet, "the JSON is %.200s", report->str);
   json_free(json);
   g_string_truncate(report, 0);
-  day_report_plot(day, first, "a", second, "b", report);
+  day_plot_append(day, first, "a", second, "b", report);
   if (!g_str_has_prefix(report->str, "<svg") || !g_str_has_suffix(report->str, "</svg>\n"))
     fleet_add_violation(fleet, "the plot is %.200s", report->str);
   g_string_free(report, TRUE);
--- a/tests/fleet/controller_cutoff.c
+++ b/tests/fleet/controller_cutoff.c
@@ -73,7 +73,7 @@
   GString *got = g_string_new(NULL);
   world *from = &w->client_host->world;
   http_call *call =
-      http_call_open_fields(from, to, verb, path, fields, string_view_of(body), true, time_never());
+      http_call_open_pooled(from, to, verb, path, fields, string_view_of(body), true, time_never());
   int r = http_call_read_all(call, got, time_add(world_now(from), time_from_ms(ms)));
   int status = r ? 0 : call->status;
   http_call_close(call);
@@ -204,9 +204,9 @@
   fields *fields = g_string_new(NULL);
   fields_add(fields, "Host", string_view_of(to));
   fields_add(fields, "Content-Type", string_view_of("application/json"));
-  fields_add_format(fields, dialect->header_names[DF_BASE_REVISION], "%" PRIu64, w->version);
+  fields_add_format(fields, dialect->header_names[DF_BASE_VERSION], "%" PRIu64, w->version);
   world *from = &w->client_host->world;
-  http_call *call = http_call_open_fields(from, to, how->method, how->path, fields,
+  http_call *call = http_call_open_pooled(from, to, how->method, how->path, fields,
                                           string_view_of(text), true, time_never());
   g_string_free(fields, TRUE);
   time_us sent = w->deployment->sim->now;
@@ -323,7 +323,8 @@
 static bool had_fault(const watch *w, const host *host, time_us at) {
   for (guint i = 0; i < w->deployment->injected_faults->len; i++) {
     injected_fault *t = &g_array_index(w->deployment->injected_faults, injected_fault, i);
-    if (t->host == host && t->from_at.us <= at.us && t->until.us + CONTACT_MS * 1000 >= at.us)
+    if (t->host == host && t->from_at.us <= at.us &&
+        t->until.us + FAULT_AFTERMATH_MS * 1000 >= at.us)
       return true;
   }
   return false;
@@ -414,10 +415,10 @@
     snprintf(name, sizeof name, "controller-%d", i + 1);
     snprintf(addr, sizeof addr, "127.0.1.%d:7000", i + 1);
     host *host = fleet->controller[fleet->controllers++] =
-        sim_add_host(fleet->sim, HOST_CONTROLLER, name, fleet->area[i % 3].text, addr);
+        sim_add_host(fleet->sim, HOST_CONTROLLER, name, fleet->zones[i % 3].text, addr);
     host->settings = fleet->controller[0]->settings;
     host->settings.self = host->self;
-    host->settings.zone = host->area;
+    host->settings.zone = host->zone;
     g_strlcpy(host->settings.address, host->addr, sizeof host->settings.address);
   }
   for (int i = 0; i < fleet->controllers; i++) {
--- a/tests/fleet/corrupt_bytes.c
+++ b/tests/fleet/corrupt_bytes.c
@@ -55,7 +55,7 @@
 }
 
 static void evaluate_corrupt_formula(sim *sim) {
-  static const double values[F_VARIABLES] = { 1, 2, 3, 4, 5, 6 };
+  static const double values[FORMULA_VARIABLES] = { 1, 2, 3, 4, 5, 6 };
   GString *text = g_string_new("penalty * (rate + 0.5) / max(size, 2) - idle");
   corrupt(sim, text);
   formula compiled;
--- a/tests/fleet/input_fuzzing.c
+++ b/tests/fleet/input_fuzzing.c
@@ -175,7 +175,7 @@
   world *world = &calls->from->world;
   fields *head = g_string_new("Host: control\r\n");
   http_call *call =
-      http_call_open_fields(world, calls->address, verb, path, head, body, false, time_never());
+      http_call_open_pooled(world, calls->address, verb, path, head, body, false, time_never());
   GString *got = g_string_new(NULL);
   if (http_call_read_all(call, got, time_add(world_now(world), time_from_ms(3000))) == OK)
     calls->answered++;
--- a/tests/fleet/losses.c
+++ b/tests/fleet/losses.c
@@ -98,7 +98,7 @@
   if (head)
     host_power_off(head);
   for (int i = 0; i < fleet->engines; i++)
-    if (!strcmp(fleet->engine[i]->area.text, area))
+    if (!strcmp(fleet->engine[i]->zone.text, area))
       host_power_off(fleet->engine[i]);
   return check_recovery(fleet, loss);
 }
@@ -142,7 +142,7 @@
   fleet_start_policy_probes(fleet);
   for (int i = 0; i < 3; i++)
     if (fleet->controller[i] != fleet_find_head(fleet))
-      fleet->controller[i]->disk->sync_delay_ms = 40 + (int64_t)sim_random(fleet->sim, 100);
+      fleet->controller[i]->disk->operation_delay_ms = 40 + (int64_t)sim_random(fleet->sim, 100);
   host *head = fleet_find_head(fleet);
   if (!head)
     return false;
@@ -273,13 +273,13 @@
     }
     for (int k = 0; k < 3; k++)
       if (fleet->controller[k] != host)
-        fleet->controller[k]->disk->sync_delay_ms = 60;
+        fleet->controller[k]->disk->operation_delay_ms = 60;
     /* In half of the cases the messages of the tail are lost too, so that its predecessor lacks its
      * acknowledgements and is behind what routers have read. */
     bool lose_acks = sim_random(fleet->sim, 2);
     for (int k = 0; k < 3 && lose_acks; k++)
       if (fleet->controller[k] != host) {
-        fleet->controller[k]->disk->sync_delay_ms = 5;
+        fleet->controller[k]->disk->operation_delay_ms = 5;
         sim_set_partition(fleet->sim, host->self.text, fleet->controller[k]->self.text, true);
       }
     if (lose_acks)
@@ -293,7 +293,7 @@
     scenario_write_markers(fleet, 4000, 700);
     host_start(host);
     for (int k = 0; k < 3; k++)
-      fleet->controller[k]->disk->sync_delay_ms = 0;
+      fleet->controller[k]->disk->operation_delay_ms = 0;
     scenario_write_markers(fleet, 5000, 900);
   }
   if (!scenario_wait_for_chain(fleet, 3, 15000))
--- a/tests/fleet/partitions.c
+++ b/tests/fleet/partitions.c
@@ -52,7 +52,7 @@
     if (write->marker_status && write->status == 200)
       last = write;
   }
-  if (!last || time_sub(fleet->sim->now, last->answered_at).us > time_from_ms(MARKER_AGE_MAX_MS).us)
+  if (!last || time_sub(fleet->sim->now, last->ended_at).us > time_from_ms(MARKER_AGE_MAX_MS).us)
     fleet_add_violation(fleet, "no marker was acknowledged after all links had healed");
   fleet_finish_traffic(fleet);
   fleet->probing = false;
@@ -96,8 +96,8 @@
     list_for_each (b, &fleet->sim->hosts, host, link) {
       if (a->role > HOST_PLATFORM || b->role > HOST_PLATFORM)
         continue;
-      bool in = a->role == HOST_PLATFORM ? platform_in_zone : !strcmp(a->area.text, area),
-           out = b->role == HOST_PLATFORM ? !platform_in_zone : strcmp(b->area.text, area) != 0;
+      bool in = a->role == HOST_PLATFORM ? platform_in_zone : !strcmp(a->zone.text, area),
+           out = b->role == HOST_PLATFORM ? !platform_in_zone : strcmp(b->zone.text, area) != 0;
       if (in && out)
         sim_set_partition_both_ways(fleet->sim, a->self.text, b->self.text, true);
     }
@@ -233,7 +233,7 @@
   fleet_start_sampling(fleet);
   scenario_start_traffic(fleet, 4);
   for (int i = 0; i < 3; i++)
-    fleet->controller[i]->disk->sync_delay_ms = 300;
+    fleet->controller[i]->disk->operation_delay_ms = 300;
   for (int i = 0; i < 7; i++) {
     host *host =
         fleet_find_lease_holder(fleet, sim_random(fleet->sim, 2) ? "pacer" : "engine:engine-1");
@@ -248,7 +248,7 @@
     sim_run(fleet->sim, time_from_ms(6000));
   }
   for (int i = 0; i < 3; i++)
-    fleet->controller[i]->disk->sync_delay_ms = 0;
+    fleet->controller[i]->disk->operation_delay_ms = 0;
   fleet_finish_traffic(fleet);
   return true;
 }
--- a/tests/fleet/random_faults.c
+++ b/tests/fleet/random_faults.c
@@ -160,7 +160,7 @@
 }
 
 static char *evacuation_of(const host *host, double share) {
-  return g_strdup_printf("{\"areas\":[{\"area\":\"%s\",\"share\":%g}]}", host->area.text, share);
+  return g_strdup_printf("{\"areas\":[{\"area\":\"%s\",\"share\":%g}]}", host->zone.text, share);
 }
 
 static void write_evacuation(fleet *fleet, host *controller, double share, GPtrArray *calls) {
@@ -238,7 +238,7 @@
     wipe_disk(fleet, controller);
     break;
   case FAULT_POWER_OFF_ZONE:
-    scenario_power_off_zone(fleet, controller->area.text);
+    scenario_power_off_zone(fleet, controller->zone.text);
     break;
   case FAULT_STOP_PLATFORM:
     host_kill(fleet->platform);
@@ -265,7 +265,7 @@
       engine->engine->faults.order_delay_ms = 300 + fault->span_ms / 3;
     break;
   case FAULT_SLOW_DISK:
-    controller->disk->sync_delay_ms = 20 + fault->span_ms / 40;
+    controller->disk->operation_delay_ms = 20 + fault->span_ms / 40;
     break;
   case FAULT_KINDS:
     break;
--- a/tests/gateway/canary.c
+++ b/tests/gateway/canary.c
@@ -823,7 +823,7 @@
   canary_plan p, blank;
   if (canary_compile(&p, value, NULL) || p.state != CANARY_RUNNING ||
       p.candidate.zone_weight != 2 ||
-      p.candidate.reject_threshold != select_policy_default.reject_threshold)
+      p.candidate.overload_threshold != select_policy_default.overload_threshold)
     fleet_add_violation(fleet, "a valid trial is rejected");
   if (canary_compile(&blank, NULL, NULL) || blank.state != CANARY_NONE)
     fleet_add_violation(fleet, "without a value there is a trial");
--- a/tests/gateway/drain.c
+++ b/tests/gateway/drain.c
@@ -263,7 +263,7 @@
   const char *host = "Host: control\r\n";
   while (!reader->stop && !reader->world->tasks.stopped) {
     fields *fields = g_string_new(host);
-    http_call *call = http_call_open_fields(reader->world, reader->addr, "GET", "/v1/routing",
+    http_call *call = http_call_open_pooled(reader->world, reader->addr, "GET", "/v1/routing",
                                             fields, string_view_of(""), false, time_never());
     g_string_free(fields, TRUE);
     reader->calls_made++;
--- a/tests/gateway/fixture.c
+++ b/tests/gateway/fixture.c
@@ -102,9 +102,9 @@
 /* adds the gateway's host without starting it */
 static void add_gateway(fixture *fixture) {
   fleet *fleet = fixture->fleet;
-  fixture->settings = (gateway_settings){ .front_ip = "10.9.0.1",
+  fixture->settings = (gateway_settings){ .client_ip = "10.9.0.1",
                                           .ready_ip = "10.9.0.1",
-                                          .front_port = 8144,
+                                          .client_port = 8144,
                                           .ready_port = 8140,
                                           .dialect = &dialect_native,
                                           .grace_ms = 8000,
@@ -175,7 +175,7 @@
     fleet_add_violation(fixture->fleet, "no routing: %s", err.text);
   if (fixture->gateway) {
     fixture->node->router->routing = routing;
-    fixture->node->router->on_installed(fixture->gateway);
+    fixture->node->router->on_snapshot_installed(fixture->gateway);
   }
 }
 
@@ -239,7 +239,7 @@
                       request->named_deadline_ms);
   g_string_append_len(fields, request->extra_fields->str, (gssize)request->extra_fields->len);
   request->request_sent_at = world_now(world);
-  http_call *call = http_call_open_fields(world, "10.9.0.1:8144", "POST", request->target, fields,
+  http_call *call = http_call_open_pooled(world, "10.9.0.1:8144", "POST", request->target, fields,
                                           string_view_of(request->body),
                                           request->use_new_connection, time_never());
   g_string_free(fields, TRUE);
--- a/tests/gateway/gateway.c
+++ b/tests/gateway/gateway.c
@@ -789,7 +789,7 @@
 static void probe_run(void *p) {
   probe_call *k = p;
   fields *fields = g_string_new("Host: x\r\n");
-  k->call = http_call_open_fields(&k->host->world, k->addr, "GET", "/v1/report", fields,
+  k->call = http_call_open_pooled(&k->host->world, k->addr, "GET", "/v1/report", fields,
                                   string_view_of(""), k->force_new_connection, time_never());
   g_string_free(fields, TRUE);
   GString *b = g_string_new(NULL);
@@ -895,11 +895,11 @@
                                          deployment->injected_faults->len - 1);
   time_us to = attempt->ended_at, run_to = run->ended_at;
   fault->from_at = time_sub(attempt->sent_at, time_from_ms(STOP_PROPAGATION_MS + 100));
-  run->ended_at = time_add(fault->from_at, time_from_ms(GRACE_S * 1000 - 300));
+  run->ended_at = time_add(fault->from_at, time_from_ms(DEPLOYMENT_GRACE_S * 1000 - 300));
   gateway_check_lost(deployment);
   int right = violation_seen(deployment, "LOST");
   fault->from_at = time_sub(attempt->sent_at, time_from_ms(STOP_PROPAGATION_MS - 100));
-  run->ended_at = time_add(fault->from_at, time_from_ms(GRACE_S * 1000 - 300));
+  run->ended_at = time_add(fault->from_at, time_from_ms(DEPLOYMENT_GRACE_S * 1000 - 300));
   gateway_check_lost(deployment);
   right += !deployment->fleet->violations->len;
   *fault = *stop;
@@ -915,7 +915,7 @@
   int n = 0;
   for (guint i = 0; i < deployment->client->attempts->len && n <= UNANSWERED_MAX; i++) {
     client_sim_attempt *attempt = deployment->client->attempts->pdata[i];
-    if (attempt->outcome != 'd' || attempt->caller_request->kind != deployment->status)
+    if (attempt->outcome != 'd' || attempt->request->kind != deployment->status)
       continue;
     broken[n++] = attempt;
     attempt->outcome = 'e';
@@ -948,9 +948,9 @@
   engine_run_record *run = NULL;
   for (guint i = 0; i < deployment->client->attempts->len; i++) {
     client_sim_attempt *attempt = deployment->client->attempts->pdata[i];
-    if (attempt->outcome == 'd' && attempt->caller_request->kind == deployment->chat)
+    if (attempt->outcome == 'd' && attempt->request->kind == deployment->chat)
       once = attempt;
-    if (attempt->outcome == 'd' && attempt->caller_request->kind == deployment->status)
+    if (attempt->outcome == 'd' && attempt->request->kind == deployment->status)
       plain = attempt;
   }
   for (guint i = 0; once && i < deployment->log->runs->len; i++)
@@ -965,7 +965,7 @@
   char was[80];
   g_strlcpy(was, plain->run_id, sizeof was);
   g_strlcpy(plain->run_id, "e-none.1", sizeof plain->run_id);
-  gateway_check_answers_not_mixed(deployment);
+  gateway_check_responses_not_mixed(deployment);
   shown += violation_seen(deployment, "MIXED");
   g_strlcpy(plain->run_id, was, sizeof was);
   run->request_checksum++;
@@ -986,7 +986,7 @@
   int n = 0;
   for (guint i = 0; i < deployment->client->attempts->len && n < 20; i++) {
     client_sim_attempt *attempt = deployment->client->attempts->pdata[i];
-    if (attempt->outcome == 'd' && attempt->caller_request->kind == deployment->book) {
+    if (attempt->outcome == 'd' && attempt->request->kind == deployment->book) {
       attempt->outcome = 's';
       attempt->status = 404;
       n++;
@@ -1012,7 +1012,7 @@
   for (guint i = 0; i < deployment->log->stops->len; i++)
     if (id_equal(((engine_stop_record *)deployment->log->stops->pdata[i])->engine, run->engine))
       e = deployment->log->stops->pdata[i];
-  e->acked_at = time_sub(run->received_at, time_from_ms(DRAIN_MS + 1));
+  e->acked_at = time_sub(run->received_at, time_from_ms(DEPLOYMENT_DRAIN_MS + 1));
   gateway_check_drained(deployment);
   shown += violation_seen(deployment, "DRAIN");
   e->acked_at = (time_us){ 0 };
--- a/tests/gateway/loader.c
+++ b/tests/gateway/loader.c
@@ -330,7 +330,7 @@
   sim_run(fleet->sim, time_from_ms(5000));
   gateway_engine_record_sent(engine, 1000);
   sim_run(fleet->sim, time_from_ms(450));
-  gateway_engine_check(engine);
+  engine_health_update(engine);
   EXPECT(fleet, engine->health.suspect);
   q.run_once = true;
   for (int n = 0; n < 20; n++)
--- a/tests/http/driver.c
+++ b/tests/http/driver.c
@@ -60,7 +60,7 @@
   condition client_gone;
   condition_init(&client_gone);
   request->client_gone_condition = &client_gone;
-  enum wake wake = condition_wait(
+  enum wake_reason wake = condition_wait(
       &driver_world->tasks, &client_gone,
       time_add(world_now(driver_world), time_from_ms(query_number(request, "ms", 500))));
   request->client_gone_condition = NULL;
@@ -78,7 +78,7 @@
   GString *body = g_string_new(request->body->str);
   for (int64_t i = 0; i < padding; i++)
     g_string_append_c(body, 'p');
-  http_call *call = http_call_open_fields(
+  http_call *call = http_call_open_pooled(
       driver_world, to, method ? method : "GET", path ? path : "/", fields,
       string_view_of_gstring(body), query_number(request, "fresh", 0),
       send_by_ms ? time_add(world_now(driver_world), time_from_ms(send_by_ms)) : time_never());
--- a/tests/http/gateway.c
+++ b/tests/http/gateway.c
@@ -93,17 +93,18 @@
   router->routing = value ? routing_compile(value, err) : NULL;
   json_free(value);
   if (router->routing)
-    router->on_installed(tested_gateway);
+    router->on_snapshot_installed(tested_gateway);
   return router->routing != NULL;
 }
 
 int main(void) {
   error err = { 0 };
   real_settings world_settings = { .ip = "127.0.0.1", .data_dir = "/tmp" };
-  settings settings = {
-    .role = ROLE_ROUTER, .is_gateway = true, .relaxed = true, .wire_version = WIRE_VERSION_CURRENT
-  };
-  gateway_settings gateway_options = { .front_ip = "127.0.0.1",
+  settings settings = { .role = ROLE_ROUTER,
+                        .is_gateway = true,
+                        .relaxed_timing = true,
+                        .wire_version = WIRE_VERSION_CURRENT };
+  gateway_settings gateway_options = { .client_ip = "127.0.0.1",
                                        .ready_ip = "127.0.0.1",
                                        .dialect = &dialect_native,
                                        .grace_ms = GRACE_MS,
--- a/tests/membership/node.c
+++ b/tests/membership/node.c
@@ -12,7 +12,7 @@
   sim_run(fleet->sim, time_from_ms(3000));
   for (int i = 0; i < 3; i++) {
     host *old = fleet->controller[i];
-    host *host = scenario_create_controller(fleet, i + 4, old, old->area.text);
+    host *host = scenario_create_controller(fleet, i + 4, old, old->zone.text);
     /* the seeds of a new process are live peers; the settings of the others do not change */
     for (int k = 0; k < 3; k++)
       g_strlcpy(host->settings.seed_addresses[k], fleet->controller[i + k]->addr,
--- a/tests/router/engine_list.c
+++ b/tests/router/engine_list.c
@@ -39,7 +39,7 @@
     host *host = fleet_find_lease_holder(fleet, singleton);
     if (!host)
       fleet_add_violation(fleet, "no router took over the lease on %s", singleton);
-    else if (!strcmp(host->area.text, "south"))
+    else if (!strcmp(host->zone.text, "south"))
       fleet_add_violation(fleet, "the lease on %s remains with %s in the evacuated zone", singleton,
                           host->self.text);
   }
--- a/tests/router/generate_api.c
+++ b/tests/router/generate_api.c
@@ -115,7 +115,7 @@
   sim_run(fleet->sim, time_from_ms(3000));
   uint64_t cut = 0;
   for (int i = 0; i < fleet->engines; i++) {
-    cut += fleet->engine[i]->engine->cut;
+    cut += fleet->engine[i]->engine->cut_streams;
     if (fleet->engine[i]->engine->running)
       fleet_add_violation(fleet, "%s continues to run a stream of a caller that disconnected",
                           fleet->engine[i]->self.text);
@@ -198,7 +198,7 @@
   for (int i = 0; i < fleet->engines; i++) {
     engine_sim *engine = fleet->engine[i]->engine;
     if (engine->streams->len)
-      engine->faults.die_early = 1;
+      engine->faults.unanswered_runs = 1;
     else
       engine->faults.streams_max = -1;
   }
--- a/tests/scenario.c
+++ b/tests/scenario.c
@@ -97,7 +97,7 @@
   host *created = sim_add_host(fleet->sim, HOST_CONTROLLER, name, zone, address);
   created->settings = like->settings;
   created->settings.self = created->self;
-  created->settings.zone = created->area;
+  created->settings.zone = created->zone;
   g_strlcpy(created->settings.address, address, sizeof created->settings.address);
   fleet->controller[n - 1] = created;
   return created;
@@ -112,7 +112,7 @@
 
 void scenario_power_off_zone(fleet *fleet, const char *zone) {
   list_for_each (h, &fleet->sim->hosts, host, link)
-    if (h->role <= HOST_ENGINE && !strcmp(h->area.text, zone))
+    if (h->role <= HOST_ENGINE && !strcmp(h->zone.text, zone))
       host_power_off(h);
 }
 
@@ -127,7 +127,7 @@
   fleet->sim->loss_ratio = 0;
   fleet->sim->jitter_ms = HEALED_JITTER_MS;
   for (int i = 0; i < 3; i++)
-    fleet->controller[i]->disk->sync_delay_ms = 0;
+    fleet->controller[i]->disk->operation_delay_ms = 0;
 }
 
 void scenario_write_markers(fleet *fleet, int64_t span_ms, int64_t interval_ms) {
